--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -31,7 +31,7 @@
 	// Acknowledge is within what time a proper order is to be acknowledged.
 	Acknowledge time.Duration
 	// Life names this run of the process.
-	Life statemachine.Life
+	Life statemachine.Incarnation
 }
 
 // Request is an operator's request at this daemon's own ctl.
@@ -80,8 +80,8 @@
 	return agent
 }
 
-// Version is the newest configuration version seen here.
-func (a *Agent) Version() uint64 { return a.follower.Version }
+// ConfigurationVersion is the newest configuration version seen here.
+func (a *Agent) ConfigurationVersion() uint64 { return a.follower.Version }
 
 // Follower gives the agent's view, for its ctl.
 func (a *Agent) Follower() *membership.Follower { return a.follower }
@@ -95,16 +95,16 @@
 	a.pulse.Start(now)
 }
 
-// NextDue is when the agent wants to run again.
-func (a *Agent) NextDue() time.Time {
-	return statemachine.Earliest(a.follower.NextDue(), a.pulse.NextDue(), a.controlClient.NextDue(), a.timers.Next())
+// NextTick is when the agent wants to run again.
+func (a *Agent) NextTick() time.Time {
+	return statemachine.Earliest(a.follower.NextTick(), a.pulse.NextTick(), a.controlClient.NextTick(), a.timers.Next())
 }
 
-// Due runs whatever is due.
-func (a *Agent) Due(now time.Time, effects *statemachine.Effects) {
-	a.follower.Due(now, effects)
-	a.pulse.Due(now, effects)
-	a.controlClient.Due(now, effects)
+// Tick runs whatever is due.
+func (a *Agent) Tick(now time.Time, effects *statemachine.Effects) {
+	a.follower.Tick(now, effects)
+	a.pulse.Tick(now, effects)
+	a.controlClient.Tick(now, effects)
 	if len(a.timers.Expired(now)) > 0 {
 		a.end(effects)
 	}
@@ -121,8 +121,8 @@
 	effects.Stop = true
 }
 
-// Command takes what the adapters bring.
-func (a *Agent) Command(now time.Time, command any, effects *statemachine.Effects) {
+// HandleCommand takes what the adapters bring.
+func (a *Agent) HandleCommand(now time.Time, command any, effects *statemachine.Effects) {
 	switch body := command.(type) {
 	case Request:
 		a.controlClient.Carry(now, body.Local, body.Method, body.Path, body.Body, effects)
@@ -136,8 +136,8 @@
 	}
 }
 
-// Message takes what other daemons, and the gateway, say.
-func (a *Agent) Message(now time.Time, meta statemachine.Meta, message any, effects *statemachine.Effects) {
+// HandleMessage takes what other daemons, and the gateway, say.
+func (a *Agent) HandleMessage(now time.Time, meta statemachine.Meta, message any, effects *statemachine.Effects) {
 	if meta.From != a.settings.Gateway {
 		a.pulse.Heard(now)
 	}
@@ -181,8 +181,8 @@
 
 // settle hands the answers to the gateway's requests on, out of the returns.
 func (a *Agent) settle(effects *statemachine.Effects) {
-	kept := effects.Returns[:0]
-	for _, returned := range effects.Returns {
+	kept := effects.Responses[:0]
+	for _, returned := range effects.Responses {
 		asked, found := a.carrying[returned.Request>>32]
 		if returned.Request < 1<<32 || !found {
 			kept = append(kept, returned)
@@ -193,7 +193,7 @@
 		answer.Request, answer.Redirect = asked.request, ""
 		effects.Send(asked.from, answer)
 	}
-	effects.Returns = kept
+	effects.Responses = kept
 }
 
 func (a *Agent) onNews(now time.Time, news membership.News, effects *statemachine.Effects) {
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -22,7 +22,7 @@
 
 func stop(made *agent.Agent, at time.Time) bool {
 	var effects statemachine.Effects
-	made.Command(at, agent.Stop{}, &effects)
+	made.HandleCommand(at, agent.Stop{}, &effects)
 	return effects.Stop
 }
 
@@ -35,14 +35,14 @@
 	now := time.Unix(1000, 0)
 	made := started(now)
 	var effects statemachine.Effects
-	made.Message(now, statemachine.Meta{From: gateway}, membership.Ask{Nonce: 1}, &effects)
+	made.HandleMessage(now, statemachine.Meta{From: gateway}, membership.Ask{Nonce: 1}, &effects)
 	now = now.Add(time.Second)
 	assert.Assert(t, !stop(made, now))
 	// Someone else's farewell means nothing.
 	effects = statemachine.Effects{}
-	made.Message(now, statemachine.Meta{From: "10.0.0.5:1"}, membership.Farewell{Name: "other"}, &effects)
+	made.HandleMessage(now, statemachine.Meta{From: "10.0.0.5:1"}, membership.Farewell{Name: "other"}, &effects)
 	assert.Assert(t, !effects.Stop)
-	made.Message(now, statemachine.Meta{From: gateway}, membership.Farewell{Name: "gateway-1"}, &effects)
+	made.HandleMessage(now, statemachine.Meta{From: gateway}, membership.Farewell{Name: "gateway-1"}, &effects)
 	assert.Assert(t, effects.Stop)
 }
 
@@ -50,10 +50,10 @@
 	now := time.Unix(1000, 0)
 	made := started(now)
 	var effects statemachine.Effects
-	made.Message(now, statemachine.Meta{From: gateway}, membership.Ask{Nonce: 1}, &effects)
+	made.HandleMessage(now, statemachine.Meta{From: gateway}, membership.Ask{Nonce: 1}, &effects)
 	assert.Assert(t, !stop(made, now))
 	for until := now.Add(4 * time.Second); !effects.Stop && !now.After(until); now = now.Add(100 * time.Millisecond) {
-		made.Due(now, &effects)
+		made.Tick(now, &effects)
 	}
 	assert.Assert(t, effects.Stop)
 }
--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -52,7 +52,7 @@
 	Founding  bool
 	Tolerance int
 	NewDisk   string
-	Life      statemachine.Life
+	Life      statemachine.Incarnation
 }
 
 // Outcome of a submitted command or a confirmation.
@@ -128,7 +128,7 @@
 	grantedFor  statemachine.RequestID
 	actingSince time.Time
 
-	requests     statemachine.Requests
+	requests     statemachine.RequestSequence
 	renewals     map[uint64]time.Time
 	grants       map[uint64]map[string]bool
 	leaseUntil   time.Time
@@ -164,7 +164,7 @@
 // New makes a watch from what its disk held.
 func New(settings Settings, ledger Ledger, frame []byte, entries [][]byte) (*Watch, error) {
 	watch := &Watch{
-		settings: settings, ledger: ledger, requests: statemachine.NewRequests(settings.Life), timers: statemachine.NewTimers(),
+		settings: settings, ledger: ledger, requests: statemachine.NewRequestSequence(settings.Life), timers: statemachine.NewTimers(),
 		synced: map[uint64]continuation{}, met: map[string]meeting{}, heardOf: map[string]bool{}, recalls: map[string]Durable{},
 		renewals: map[uint64]time.Time{}, grants: map[uint64]map[string]bool{},
 		frames: map[string]*spareFrame{}, copies: map[string]*copied{}, spares: map[string]*asked{},
@@ -261,8 +261,8 @@
 	return w.leaseUntil
 }
 
-// NextDue is when the watch wants to run again.
-func (w *Watch) NextDue() time.Time { return w.timers.Next() }
+// NextTick is when the watch wants to run again.
+func (w *Watch) NextTick() time.Time { return w.timers.Next() }
 
 // Start begins the watch; a controller that was restarted waits out a whole lease
 // before it lets anybody but the primary have an epoch.
@@ -276,8 +276,8 @@
 	w.timers.Arm("renew", now)
 }
 
-// Due runs the timers that expired.
-func (w *Watch) Due(now time.Time, effects *statemachine.Effects) {
+// Tick runs the timers that expired.
+func (w *Watch) Tick(now time.Time, effects *statemachine.Effects) {
 	for _, key := range w.timers.Expired(now) {
 		switch key {
 		case "hello":
@@ -296,8 +296,8 @@
 	}
 }
 
-// Message takes what other controllers say; it tells whether it was for the watch.
-func (w *Watch) Message(now time.Time, meta statemachine.Meta, message any, effects *statemachine.Effects) bool {
+// HandleMessage takes what other controllers say; it tells whether it was for the watch.
+func (w *Watch) HandleMessage(now time.Time, meta statemachine.Meta, message any, effects *statemachine.Effects) bool {
 	if w.nameOf(meta.From, w.durable.Record.Voters) != "" {
 		w.heardFrom[meta.From] = now
 	}
--- a/internal/consensus/consensus_test.go
+++ b/internal/consensus/consensus_test.go
@@ -114,7 +114,7 @@
 	tolerance   int
 	disks       int
 	snapshots   int
-	lives       statemachine.Life
+	lives       statemachine.Incarnation
 	founded     map[string]bool
 	// held, if set, tells for how long the links hold a message, which then reaches
 	// whatever life is there, and whether it is lost instead.
@@ -184,10 +184,10 @@
 }
 
 func (c *controller) perform(write statemachine.Write) error {
-	if write.Frame != nil {
+	if write.Snapshot != nil {
 		c.bench.snapshots++
 		c.snapshots++
-		if err := c.book.Checkpoint(write.Frame); err != nil {
+		if err := c.book.Checkpoint(write.Snapshot); err != nil {
 			return err
 		}
 	}
@@ -204,7 +204,7 @@
 	c.frozen = false
 	waits := c.waits
 	c.waits = nil
-	c.step(func(now time.Time, effects *statemachine.Effects) { c.watch.Due(now, effects) })
+	c.step(func(now time.Time, effects *statemachine.Effects) { c.watch.Tick(now, effects) })
 	for _, run := range waits {
 		run()
 	}
@@ -225,7 +225,7 @@
 	bench, life := c.bench, c.life
 	var effects statemachine.Effects
 	run(c.local(), &effects)
-	for _, note := range effects.Notes {
+	for _, note := range effects.LogEvents {
 		bench.note(c, note)
 	}
 	for _, send := range effects.Sends {
@@ -249,12 +249,12 @@
 	}
 	c.timer++
 	timer := c.timer
-	if due := c.watch.NextDue(); !due.IsZero() {
+	if due := c.watch.NextTick(); !due.IsZero() {
 		wait := max(0, time.Duration(float64(due.Sub(c.local()))/c.rate))
 		bench.after(wait+time.Microsecond, func() {
 			if c.timer == timer {
 				c.enter(life, func() {
-					c.step(func(now time.Time, effects *statemachine.Effects) { c.watch.Due(now, effects) })
+					c.step(func(now time.Time, effects *statemachine.Effects) { c.watch.Tick(now, effects) })
 				})
 			}
 		})
@@ -294,12 +294,12 @@
 	c.enter(c.life, func() {
 		meta, message, err := transport.Decode(packed[4:])
 		assert.NilError(c.bench.t, err)
-		c.step(func(now time.Time, effects *statemachine.Effects) { c.watch.Message(now, meta, message, effects) })
+		c.step(func(now time.Time, effects *statemachine.Effects) { c.watch.HandleMessage(now, meta, message, effects) })
 	})
 }
 
 // note looks at what is logged: a fleet is founded once.
-func (wb *watchBench) note(controller *controller, note statemachine.Note) {
+func (wb *watchBench) note(controller *controller, note statemachine.LogEvent) {
 	if note.Number != logevent.Founded {
 		return
 	}
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -117,7 +117,7 @@
 		effects.Send(to, message)
 		return
 	}
-	w.Message(now, statemachine.Meta{From: to}, message, effects)
+	w.HandleMessage(now, statemachine.Meta{From: to}, message, effects)
 }
 
 func (w *Watch) askRecord(from string, effects *statemachine.Effects) {
@@ -281,9 +281,9 @@
 	}
 	w.timers.Disarm("retry")
 	if record.Epoch == 1 {
-		effects.Note(logevent.Founded, "primary", record.Primary, "backups", record.Backups)
+		effects.Emit(logevent.Founded, "primary", record.Primary, "backups", record.Backups)
 	}
-	effects.Note(logevent.EpochDecided, "epoch", record.Epoch, "primary", record.Primary, "backups", record.Backups, "complete", complete)
+	effects.Emit(logevent.EpochDecided, "epoch", record.Epoch, "primary", record.Primary, "backups", record.Backups, "complete", complete)
 	w.saveDurable(effects, func(_ time.Time, effects *statemachine.Effects) {
 		// The primary need not ask how far this copy reaches.
 		if primary, _ := w.Primary(); w.isBackup() && complete > 0 && w.durable.Record.Epoch == record.Epoch {
@@ -312,7 +312,7 @@
 	switch {
 	case !listed:
 		if w.blank || w.member() {
-			effects.Note(logevent.StandsBy, "epoch", record.Epoch, "primary", record.Primary)
+			effects.Emit(logevent.StandsBy, "epoch", record.Epoch, "primary", record.Primary)
 		}
 	case record.Epoch == 1:
 		return 1
--- a/internal/consensus/explore_test.go
+++ b/internal/consensus/explore_test.go
@@ -188,7 +188,7 @@
 		}
 		for _, each := range w.nodes {
 			each.step(func(now time.Time, effects *statemachine.Effects) {
-				each.watch.Message(now, statemachine.Meta{From: standby.self.Address}, standby.watch.greeting(), effects)
+				each.watch.HandleMessage(now, statemachine.Meta{From: standby.self.Address}, standby.watch.greeting(), effects)
 			})
 		}
 	}
--- a/internal/consensus/identity_test.go
+++ b/internal/consensus/identity_test.go
@@ -118,12 +118,12 @@
 		leaving = bench.controllers[1]
 	}
 	bench.held = func(from, _ *controller, _ any) (time.Duration, bool) { return 0, from == leaving }
-	earlier := statemachine.NewRequests(leaving.watch.settings.Life)
+	earlier := statemachine.NewRequestSequence(leaving.watch.settings.Life)
 	leaving.kill()
 	leaving.start()
 	leaving.step(func(now time.Time, effects *statemachine.Effects) { leaving.watch.Leave(now, effects) })
 	leaving.step(func(now time.Time, effects *statemachine.Effects) {
-		leaving.watch.Message(now, statemachine.Meta{From: primary.self.Address}, LeaveResponse{
+		leaving.watch.HandleMessage(now, statemachine.Meta{From: primary.self.Address}, LeaveResponse{
 			Epoch: leaving.watch.Record().Epoch, Request: earlier.Next(), Irreplaceable: true,
 		}, effects)
 	})
--- a/internal/consensus/lease.go
+++ b/internal/consensus/lease.go
@@ -118,7 +118,7 @@
 	}
 	if !w.leaseHeld && now.Before(w.leaseUntil) {
 		w.leaseHeld = true
-		effects.Note(logevent.LeaseGained, "epoch", w.durable.Record.Epoch)
+		effects.Emit(logevent.LeaseGained, "epoch", w.durable.Record.Epoch)
 	}
 }
 
@@ -129,7 +129,7 @@
 	}
 	if w.leaseHeld {
 		w.leaseHeld = false
-		effects.Note(logevent.LeaseLost, "epoch", w.durable.Record.Epoch)
+		effects.Emit(logevent.LeaseLost, "epoch", w.durable.Record.Epoch)
 	}
 	// Witnesses that promised a ballot away grant nothing more in this epoch;
 	// if that candidate is gone, the primary asks for the next epoch itself.
@@ -195,7 +195,7 @@
 	if statemachine.Mutated("lives-alike") {
 		return true
 	}
-	return y.Request.Life == granted.Life && y.Request.Number >= granted.Number
+	return y.Request.Incarnation == granted.Incarnation && y.Request.Number >= granted.Number
 }
 
 // Yield gives the lease back, so that a backup need not wait for its end.
@@ -209,7 +209,7 @@
 		w.grantedUntil = now
 	}
 	w.renewals, w.grants = map[uint64]time.Time{}, map[uint64]map[string]bool{}
-	effects.Note(logevent.LeaseYielded, "epoch", w.durable.Record.Epoch)
+	effects.Emit(logevent.LeaseYielded, "epoch", w.durable.Record.Epoch)
 	for _, controller := range w.durable.Record.Voters {
 		if !controller.At(w.settings.Self) {
 			effects.Send(controller.Address, Yield{Epoch: w.durable.Record.Epoch, Request: w.requests.Last()})
@@ -239,8 +239,8 @@
 	if name == "" {
 		return
 	}
-	if grant.Request.Named() {
-		number, own := w.requests.Own(grant.Request)
+	if grant.Request.IsSet() {
+		number, own := w.requests.NumberOf(grant.Request)
 		if !own {
 			return
 		}
@@ -288,7 +288,7 @@
 }
 
 func (w *Watch) onConfirmResponse(now time.Time, from string, returned ConfirmResponse, effects *statemachine.Effects) {
-	number, own := w.requests.Own(returned.Request)
+	number, own := w.requests.NumberOf(returned.Request)
 	waiting, found := w.confirms[number]
 	if !own || !found || returned.Epoch != w.durable.Record.Epoch {
 		return
--- a/internal/consensus/leave.go
+++ b/internal/consensus/leave.go
@@ -127,7 +127,7 @@
 
 func (w *Watch) onLeaveResponse(from string, returned LeaveResponse) {
 	record := w.durable.Record
-	if _, own := w.requests.Own(returned.Request); !own || !w.leaving || returned.Epoch < record.Epoch || w.nameOf(from, record.Voters) == "" {
+	if _, own := w.requests.NumberOf(returned.Request); !own || !w.leaving || returned.Epoch < record.Epoch || w.nameOf(from, record.Voters) == "" {
 		return
 	}
 	if returned.Irreplaceable {
--- a/internal/consensus/log.go
+++ b/internal/consensus/log.go
@@ -40,7 +40,7 @@
 	w.logBytes, w.snapshotBytes = 0, len(packed)
 	w.token++
 	w.synced[w.token] = nil
-	effects.Writes = append(effects.Writes, statemachine.Write{Token: w.token, Frame: packed})
+	effects.Writes = append(effects.Writes, statemachine.Write{Token: w.token, Snapshot: packed})
 }
 
 // pending is the command under way, if its entry was handed to the disk: a backup may
--- a/internal/consensus/voters.go
+++ b/internal/consensus/voters.go
@@ -307,7 +307,7 @@
 	w.forgetful = now.Add(LeaseLength)
 	w.primaryHeard, w.decidedAt = now, now
 	w.watchCopies(now)
-	effects.Note(logevent.Recalled, "epoch", newest.Record.Epoch)
+	effects.Emit(logevent.Recalled, "epoch", newest.Record.Epoch)
 	w.saveDurable(effects, nil)
 }
 
@@ -476,5 +476,5 @@
 			left = append(left, controller.Name)
 		}
 	}
-	effects.Note(logevent.VotersChanged, "epoch", record.Epoch, "entered", entered, "left", left, "controllers", len(record.Voters))
+	effects.Emit(logevent.VotersChanged, "epoch", record.Epoch, "entered", entered, "left", left, "controllers", len(record.Voters))
 }
--- a/internal/consensus/voters_test.go
+++ b/internal/consensus/voters_test.go
@@ -335,7 +335,7 @@
 	for number := range 500 {
 		gone := Controller{Name: fmt.Sprint("gone-", number), Address: fmt.Sprint("gone-", number), Zone: "0"}
 		primary.step(func(now time.Time, effects *statemachine.Effects) {
-			primary.watch.Message(now, statemachine.Meta{From: gone.Address}, Hello{Self: gone, Blank: true}, effects)
+			primary.watch.HandleMessage(now, statemachine.Meta{From: gone.Address}, Hello{Self: gone, Blank: true}, effects)
 		})
 		bench.run(time.Second)
 	}
--- a/internal/consensus/world_test.go
+++ b/internal/consensus/world_test.go
@@ -147,7 +147,7 @@
 		settings.NewDisk = fmt.Sprintf("%s-%d", n.self.Disk, n.lives)
 	}
 	n.lives++
-	settings.Life = statemachine.Life(n.number<<8 + n.lives)
+	settings.Life = statemachine.Incarnation(n.number<<8 + n.lives)
 	n.ledger = &words{}
 	watch, err := New(settings, n.ledger, n.frame, n.entries)
 	if err != nil {
@@ -216,15 +216,15 @@
 	if item.write == nil {
 		w.cause = item.packed
 		to.step(func(now time.Time, effects *statemachine.Effects) {
-			to.watch.Message(now, statemachine.Meta{From: item.from}, item.message, effects)
+			to.watch.HandleMessage(now, statemachine.Meta{From: item.from}, item.message, effects)
 		})
 		return
 	}
-	if item.write.Frame != nil {
-		to.frame, to.entries = item.write.Frame, nil
+	if item.write.Snapshot != nil {
+		to.frame, to.entries = item.write.Snapshot, nil
 	}
 	to.entries = append(to.entries, item.write.Entries...)
-	to.disk = explore.KeyOf(time.Time{}, nil, to.disk, item.write.Entries, item.write.Frame)
+	to.disk = explore.KeyOf(time.Time{}, nil, to.disk, item.write.Entries, item.write.Snapshot)
 	w.cause = item.cause
 	to.step(func(now time.Time, effects *statemachine.Effects) { to.watch.Synced(now, item.write.Token, effects) })
 }
@@ -233,7 +233,7 @@
 func (w *world) tick() {
 	var next *node
 	for _, each := range w.nodes {
-		if each.up && (next == nil || each.watch.NextDue().Before(next.watch.NextDue())) {
+		if each.up && (next == nil || each.watch.NextTick().Before(next.watch.NextTick())) {
 			next = each
 		}
 	}
@@ -246,11 +246,11 @@
 			item.held = item.ticks > 0
 		}
 	}
-	if due := next.watch.NextDue(); due.After(w.now) {
+	if due := next.watch.NextTick(); due.After(w.now) {
 		w.now = due
 	}
 	w.cause = []byte("tick")
-	next.step(func(now time.Time, effects *statemachine.Effects) { next.watch.Due(now, effects) })
+	next.step(func(now time.Time, effects *statemachine.Effects) { next.watch.Tick(now, effects) })
 }
 
 // firstItem is the oldest of what is under way and not held back.
@@ -503,7 +503,7 @@
 	for _, item := range w.items {
 		parts = append(parts, item.to, item.from, item.packed, item.held, item.ticks, item.cause)
 		if item.write != nil {
-			parts = append(parts, item.write.Entries, item.write.Frame)
+			parts = append(parts, item.write.Entries, item.write.Snapshot)
 		}
 	}
 	return explore.KeyOf(w.now, notPartOfTheState, parts...)
--- a/internal/controlclient/controlclient.go
+++ b/internal/controlclient/controlclient.go
@@ -56,7 +56,7 @@
 
 // Settings are a control client's own settings.
 type Settings struct {
-	Life statemachine.Life
+	Life statemachine.Incarnation
 	// Acknowledge is within what time a proper order is to be acknowledged.
 	Acknowledge time.Duration
 	// Upstream names the controller to ask, Other the next to try.
@@ -68,7 +68,7 @@
 // ControlClient is the state machine.
 type ControlClient struct {
 	settings Settings
-	requests statemachine.Requests
+	requests statemachine.RequestSequence
 	carrying map[uint64]*carried
 	timers   *statemachine.Timers
 }
@@ -79,7 +79,7 @@
 		settings.Acknowledge = DefaultAcknowledge
 	}
 	return &ControlClient{
-		settings: settings, requests: statemachine.NewRequests(settings.Life), carrying: map[uint64]*carried{}, timers: statemachine.NewTimers(),
+		settings: settings, requests: statemachine.NewRequestSequence(settings.Life), carrying: map[uint64]*carried{}, timers: statemachine.NewTimers(),
 	}
 }
 
@@ -92,8 +92,8 @@
 	return body
 }
 
-// NextDue is when the control client wants to run again.
-func (cc *ControlClient) NextDue() time.Time { return cc.timers.Next() }
+// NextTick is when the control client wants to run again.
+func (cc *ControlClient) NextTick() time.Time { return cc.timers.Next() }
 
 // Carry begins to carry an operator's request; its answer comes as a Return for local.
 func (cc *ControlClient) Carry(now time.Time, local uint64, method, path string, body []byte, effects *statemachine.Effects) {
@@ -110,7 +110,7 @@
 
 func (cc *ControlClient) carry(now time.Time, local uint64, request membership.ControlRequest, effects *statemachine.Effects) {
 	request.Request = cc.requests.Next()
-	if !request.Order.Named() {
+	if !request.Order.IsSet() {
 		request.Order = request.Request
 	}
 	larger := time.Duration(len(request.Body)/bytesPerMillisecond) * time.Millisecond
@@ -168,12 +168,12 @@
 func (cc *ControlClient) finish(item *carried, returned membership.ControlResponse, effects *statemachine.Effects) {
 	delete(cc.carrying, item.request.Request.Number)
 	returned.Redirect = ""
-	effects.Return(item.local, returned)
+	effects.Respond(item.local, returned)
 }
 
 // Take takes an answer to a request of this life, or a hint where to ask.
 func (cc *ControlClient) Take(now time.Time, from string, returned membership.ControlResponse, effects *statemachine.Effects) {
-	number, own := cc.requests.Own(returned.Request)
+	number, own := cc.requests.NumberOf(returned.Request)
 	item, found := cc.carrying[number]
 	if !own || !found || !item.asked[from] {
 		return
@@ -230,8 +230,8 @@
 	cc.refuse(item, refusal, effects)
 }
 
-// Due asks more, or gives up.
-func (cc *ControlClient) Due(now time.Time, effects *statemachine.Effects) {
+// Tick asks more, or gives up.
+func (cc *ControlClient) Tick(now time.Time, effects *statemachine.Effects) {
 	if len(cc.timers.Expired(now)) == 0 {
 		return
 	}
--- a/internal/controlclient/controlclient_test.go
+++ b/internal/controlclient/controlclient_test.go
@@ -17,7 +17,7 @@
 	other   = "controller-2"
 )
 
-func life(named statemachine.Life) *ControlClient {
+func life(named statemachine.Incarnation) *ControlClient {
 	return New(Settings{Life: named, Upstream: func() string { return primary }, Other: func() string { return other }})
 }
 
@@ -32,15 +32,15 @@
 }
 
 // take gives what the client returns to callers upon an answer.
-func take(client *ControlClient, now time.Time, from string, answer membership.ControlResponse) []statemachine.Return {
+func take(client *ControlClient, now time.Time, from string, answer membership.ControlResponse) []statemachine.Response {
 	var effects statemachine.Effects
 	client.Take(now, from, answer, &effects)
-	return effects.Returns
+	return effects.Responses
 }
 
 // lateAnswer is what a caller of a second life is told after an answer to a caller of
 // the first.
-func lateAnswer(t *testing.T) []statemachine.Return {
+func lateAnswer(t *testing.T) []statemachine.Response {
 	now := time.Unix(1000, 0)
 	earlier := carry(t, life(1), now, 7, "GET")
 	present := life(2)
@@ -75,7 +75,7 @@
 	asked := carry(t, client, now, 7, "PUT")
 	now = now.Add(DefaultAcknowledge / widenShare)
 	var effects statemachine.Effects
-	client.Due(now, &effects)
+	client.Tick(now, &effects)
 	assert.Equal(t, effects.Sends[0].To, other)
 	again := effects.Sends[0].Message.(membership.ControlRequest)
 	assert.Equal(t, again.Request, asked.Request)
--- a/internal/controlclient/ways_test.go
+++ b/internal/controlclient/ways_test.go
@@ -25,12 +25,12 @@
 
 // due lets a client run on until a moment; it gives whom it asked, what, and what
 // callers were told, each with its moment.
-func due(client *ControlClient, until time.Time) (asked []statemachine.Send, told []statemachine.Return, at time.Time) {
-	for !client.NextDue().IsZero() && !client.NextDue().After(until) {
-		at = client.NextDue()
+func due(client *ControlClient, until time.Time) (asked []statemachine.Send, told []statemachine.Response, at time.Time) {
+	for !client.NextTick().IsZero() && !client.NextTick().After(until) {
+		at = client.NextTick()
 		var effects statemachine.Effects
-		client.Due(at, &effects)
-		asked, told = append(asked, effects.Sends...), append(told, effects.Returns...)
+		client.Tick(at, &effects)
+		asked, told = append(asked, effects.Sends...), append(told, effects.Responses...)
 		if len(told) > 0 {
 			return asked, told, at
 		}
@@ -73,7 +73,7 @@
 	request := carry(t, client, start, 7, "PUT")
 	var effects statemachine.Effects
 	client.Take(start, primary, membership.ControlResponse{Request: request.Request, Status: 503, Body: Error(codeNoPrimary, "", nil)}, &effects)
-	assert.Equal(t, len(effects.Returns), 0)
+	assert.Equal(t, len(effects.Responses), 0)
 	assert.Equal(t, len(effects.Sends), 2)
 	relay := effects.Sends[1].To
 	returned := take(client, start, relay, membership.ControlResponse{Request: request.Request, Status: 200})
@@ -87,7 +87,7 @@
 	request := carry(t, client, start, 7, "PUT")
 	var effects statemachine.Effects
 	client.Take(start, primary, membership.ControlResponse{Request: request.Request, Status: 503, Body: Error("unsettled", "", nil)}, &effects)
-	assert.Equal(t, len(effects.Returns), 1)
+	assert.Equal(t, len(effects.Responses), 1)
 	assert.Equal(t, len(effects.Sends), 0)
 }
 
--- a/internal/controller/control.go
+++ b/internal/controller/control.go
@@ -108,14 +108,14 @@
 // takeAnswer hands an answer to the operator that asked here. One of this
 // controller's own is bound by its lease, as on its way to another daemon.
 func (c *Controller) takeAnswer(now time.Time, from string, returned membership.ControlResponse, effects *statemachine.Effects) {
-	earlier := len(effects.Returns)
+	earlier := len(effects.Responses)
 	c.controlClient.Take(now, from, returned, effects)
 	if from != c.settings.Self.Address || returned.Status == http.StatusServiceUnavailable {
 		return
 	}
-	for position := earlier; position < len(effects.Returns); position++ {
-		effects.Returns[position].NotAfter = c.watch.LeaseEnd()
-		effects.Returns[position].Late = membership.ControlResponse{
+	for position := earlier; position < len(effects.Responses); position++ {
+		effects.Responses[position].NotAfter = c.watch.LeaseEnd()
+		effects.Responses[position].LateValue = membership.ControlResponse{
 			Status: http.StatusServiceUnavailable, RetryAfter: comeBack,
 			Body: controlclient.Error("unsettled", "this controller may not answer any more; send the same again", nil),
 		}
@@ -170,7 +170,7 @@
 		case consensus.Committed:
 			decided := c.state.result
 			if decided.outcome == Taken {
-				effects.Note(logevent.ConfigurationTaken, "version", change.Version)
+				effects.Emit(logevent.ConfigurationTaken, "version", change.Version)
 			}
 			c.answerNews(now, effects)
 			c.timers.ArmSooner("tend", now)
@@ -181,7 +181,7 @@
 
 func (c *Controller) answerConfiguration(decided result, give answer, effects *statemachine.Effects) {
 	if decided.outcome == Faulty {
-		effects.Note(logevent.ConfigurationError, "faults", len(decided.faults), "first", decided.faults[0].String())
+		effects.Emit(logevent.ConfigurationError, "faults", len(decided.faults), "first", decided.faults[0].String())
 	}
 	status, value := c.configurationAnswer(decided)
 	give(effects, status, value)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -45,7 +45,7 @@
 	Founding bool
 	NewDisk  string
 	// Life names this run of the process.
-	Life statemachine.Life
+	Life statemachine.Incarnation
 	// Highest answers a configuration that is not above the one held as taken;
 	// otherwise it is a conflict, unless it is the same.
 	Highest bool
@@ -151,8 +151,8 @@
 	return c.follower.Upstream()
 }
 
-// Version is the newest configuration version this controller can vouch for.
-func (c *Controller) Version() uint64 { return c.follower.Version }
+// ConfigurationVersion is the newest configuration version this controller can vouch for.
+func (c *Controller) ConfigurationVersion() uint64 { return c.follower.Version }
 
 // Follower gives the controller's own view, for its ctl.
 func (c *Controller) Follower() *membership.Follower { return c.follower }
@@ -180,17 +180,17 @@
 	c.timers.Arm("tend", now.Add(tendEvery))
 }
 
-// NextDue is when the controller wants to run again.
-func (c *Controller) NextDue() time.Time {
-	return statemachine.Earliest(c.watch.NextDue(), c.pulse.NextDue(), c.follower.NextDue(), c.controlClient.NextDue(), c.timers.Next())
+// NextTick is when the controller wants to run again.
+func (c *Controller) NextTick() time.Time {
+	return statemachine.Earliest(c.watch.NextTick(), c.pulse.NextTick(), c.follower.NextTick(), c.controlClient.NextTick(), c.timers.Next())
 }
 
-// Due runs whatever is due.
-func (c *Controller) Due(now time.Time, effects *statemachine.Effects) {
-	c.watch.Due(now, effects)
-	c.pulse.Due(now, effects)
-	c.follower.Due(now, effects)
-	c.controlClient.Due(now, effects)
+// Tick runs whatever is due.
+func (c *Controller) Tick(now time.Time, effects *statemachine.Effects) {
+	c.watch.Tick(now, effects)
+	c.pulse.Tick(now, effects)
+	c.follower.Tick(now, effects)
+	c.controlClient.Tick(now, effects)
 	for _, key := range c.timers.Expired(now) {
 		if key == "tend" {
 			c.tend(now, effects)
@@ -199,8 +199,8 @@
 	c.endStop(now, effects)
 }
 
-// Command takes what the adapters bring: synced writes and ctl requests.
-func (c *Controller) Command(now time.Time, command any, effects *statemachine.Effects) {
+// HandleCommand takes what the adapters bring: synced writes and ctl requests.
+func (c *Controller) HandleCommand(now time.Time, command any, effects *statemachine.Effects) {
 	switch body := command.(type) {
 	case statemachine.Synced:
 		c.watch.Synced(now, body.Token, effects)
@@ -213,12 +213,12 @@
 	c.endStop(now, effects)
 }
 
-// Message takes what other daemons say.
-func (c *Controller) Message(now time.Time, meta statemachine.Meta, message any, effects *statemachine.Effects) {
+// HandleMessage takes what other daemons say.
+func (c *Controller) HandleMessage(now time.Time, meta statemachine.Meta, message any, effects *statemachine.Effects) {
 	if meta.From != c.settings.Self.Address {
 		c.pulse.Heard(now)
 	}
-	if c.watch.Message(now, meta, message, effects) {
+	if c.watch.HandleMessage(now, meta, message, effects) {
 		c.answerNews(now, effects)
 		c.endStop(now, effects)
 		return
@@ -387,9 +387,9 @@
 	c.timers.ArmSooner("tend", now)
 }
 
-// Refused is told that a daemon's address refuses to be dialled: its process has
+// ConnectionRefused is told that a daemon's address refuses to be dialled: its process has
 // ended, and nobody need wait for its silence.
-func (c *Controller) Refused(now time.Time, address string, effects *statemachine.Effects) {
+func (c *Controller) ConnectionRefused(now time.Time, address string, effects *statemachine.Effects) {
 	if !c.watch.HoldsLease(now) {
 		return
 	}
@@ -509,9 +509,9 @@
 	changed := c.state.degradations(now, c.lags)
 	for _, change := range changed {
 		if change.Degraded {
-			effects.Note(logevent.StoreDegraded, "store", change.Name, "delay", c.lags[change.Name].delay.String())
+			effects.Emit(logevent.StoreDegraded, "store", change.Name, "delay", c.lags[change.Name].delay.String())
 		} else {
-			effects.Note(logevent.StoreWell, "store", change.Name)
+			effects.Emit(logevent.StoreWell, "store", change.Name)
 		}
 	}
 	return changed
@@ -551,11 +551,11 @@
 	command := Command{}
 	for _, departure := range statemachine.Sorted(c.leaving) {
 		command.Departures = append(command.Departures, departure)
-		effects.Note(logevent.MemberLost, "member", departure.Name, "why", "its process ended")
+		effects.Emit(logevent.MemberLost, "member", departure.Name, "why", "its process ended")
 	}
 	for _, join := range statemachine.Sorted(c.joining) {
 		command.Joins = append(command.Joins, join)
-		effects.Note(logevent.MemberJoined, "member", join.Self.Name, "kind", join.Self.Kind, "zone", join.Self.Zone)
+		effects.Emit(logevent.MemberJoined, "member", join.Self.Name, "kind", join.Self.Kind, "zone", join.Self.Zone)
 	}
 	c.joining, c.leaving = map[string]Join{}, map[string]Departure{}
 	command.Departures = append(command.Departures, c.lost(now, effects)...)
@@ -567,7 +567,7 @@
 		place, found := c.state.Places[partition]
 		if found && place.Epoch == settled.Epoch && !place.Complete {
 			command.Settled = append(command.Settled, settled)
-			effects.Note(logevent.PlacementComplete, "partition", partition, "epoch", settled.Epoch)
+			effects.Emit(logevent.PlacementComplete, "partition", partition, "epoch", settled.Epoch)
 		}
 	}
 	c.complete = map[string]membership.PartitionComplete{}
@@ -578,7 +578,7 @@
 		c.forgetStrangers(now)
 		command.Forgotten = c.forgettable(now)
 		for _, departure := range command.Forgotten {
-			effects.Note(logevent.MemberForgotten, "member", departure.Name)
+			effects.Emit(logevent.MemberForgotten, "member", departure.Name)
 		}
 	}
 	if command.empty() {
@@ -592,7 +592,7 @@
 			})
 		}
 		for _, place := range command.Places {
-			effects.Note(logevent.PlacementChanged, "partition", place.Partition, "epoch", place.Epoch, "first", place.First, "followers", strings.Join(place.Followers, " "))
+			effects.Emit(logevent.PlacementChanged, "partition", place.Partition, "epoch", place.Epoch, "first", place.First, "followers", strings.Join(place.Followers, " "))
 		}
 	}
 	if !command.empty() {
@@ -644,7 +644,7 @@
 		if fresh >= 2 && unheard > unasked || fresh >= 1 && unheard > limit || fresh >= membership.Watchers {
 			gone = append(gone, Departure{Name: name, Incarnation: member.Incarnation})
 			delete(c.suspected, name)
-			effects.Note(logevent.MemberLost, "member", name, "reporters", fresh, "unheard", unheard.String())
+			effects.Emit(logevent.MemberLost, "member", name, "reporters", fresh, "unheard", unheard.String())
 		}
 	}
 	for name, member := range statemachine.Sorted(c.state.Members) {
@@ -660,7 +660,7 @@
 			if c.deaf(now, name) {
 				why = "hears no answer"
 			}
-			effects.Note(logevent.MemberLost, "member", name, "why", why, "unheard", unheard.String())
+			effects.Emit(logevent.MemberLost, "member", name, "why", why, "unheard", unheard.String())
 		}
 	}
 	return gone
@@ -672,7 +672,7 @@
 	for name, member := range statemachine.Sorted(c.state.Members) {
 		if member.Kind == membership.KindStore && member.Retiring && !member.Retired && !c.state.refers(name) {
 			done = append(done, name)
-			effects.Note(logevent.StoreRetired, "store", name)
+			effects.Emit(logevent.StoreRetired, "store", name)
 		}
 	}
 	return done
--- a/internal/controller/economy.go
+++ b/internal/controller/economy.go
@@ -76,9 +76,9 @@
 		if rests := orders.Rest && c.loads[name].Resting; member.Resting != rests && member.Alive {
 			command.Rests = append(command.Rests, Rest{Name: name, Incarnation: member.Incarnation, Resting: rests})
 			if rests {
-				effects.Note(logevent.GatewayRested, "gateway", name)
+				effects.Emit(logevent.GatewayRested, "gateway", name)
 			} else {
-				effects.Note(logevent.GatewayWoken, "gateway", name)
+				effects.Emit(logevent.GatewayWoken, "gateway", name)
 			}
 		}
 	}
--- a/internal/controller/explore_test.go
+++ b/internal/controller/explore_test.go
@@ -126,7 +126,7 @@
 func (s *exploreStore) start() {
 	s.lives++
 	machine, err := partition.New(partition.Settings{
-		Self: s.member(), Seeds: []string{"controller"}, NewDisk: fmt.Sprintf("%s-%d", s.name, s.lives), Life: statemachine.Life(s.number<<8 + s.lives),
+		Self: s.member(), Seeds: []string{"controller"}, NewDisk: fmt.Sprintf("%s-%d", s.name, s.lives), Life: statemachine.Incarnation(s.number<<8 + s.lives),
 	}, s.frame, s.entries)
 	if err != nil {
 		panic(err)
@@ -185,14 +185,14 @@
 func (w *storeWorld) give(item *onTheWay) {
 	store := w.store(item.to)
 	if item.write != nil {
-		if frame, whole := item.write.Whole(); whole {
+		if frame, whole := item.write.SnapshotBytes(); whole {
 			store.frame, store.entries = frame, nil
 		}
 		store.entries = append(store.entries, item.write.Entries...)
 		store.disk = explore.KeyOf(time.Time{}, nil, store.disk, item.write.Entries, store.frame)
 		w.cause = item.cause
 		store.step(func(now time.Time, effects *statemachine.Effects) {
-			store.machine.Command(now, statemachine.Synced{Token: item.write.Token}, effects)
+			store.machine.HandleCommand(now, statemachine.Synced{Token: item.write.Token}, effects)
 		})
 		return
 	}
@@ -207,7 +207,9 @@
 	case "gateway":
 		w.gateway(message)
 	default:
-		store.step(func(now time.Time, effects *statemachine.Effects) { store.machine.Message(now, meta, message, effects) })
+		store.step(func(now time.Time, effects *statemachine.Effects) {
+			store.machine.HandleMessage(now, meta, message, effects)
+		})
 	}
 }
 
@@ -323,19 +325,19 @@
 	}
 	var next *exploreStore
 	for _, store := range w.stores {
-		if store.up && (next == nil || store.machine.NextDue().Before(next.machine.NextDue())) {
+		if store.up && (next == nil || store.machine.NextTick().Before(next.machine.NextTick())) {
 			next = store
 		}
 	}
 	w.cause = []byte("tick")
-	if next == nil || !w.tendAt.After(next.machine.NextDue()) {
+	if next == nil || !w.tendAt.After(next.machine.NextTick()) {
 		w.now = w.later(w.tendAt)
 		w.tendAt = w.now.Add(exploreTendEvery)
 		w.tend()
 		return
 	}
-	w.now = w.later(next.machine.NextDue())
-	next.step(func(now time.Time, effects *statemachine.Effects) { next.machine.Due(now, effects) })
+	w.now = w.later(next.machine.NextTick())
+	next.step(func(now time.Time, effects *statemachine.Effects) { next.machine.Tick(now, effects) })
 }
 
 func (w *storeWorld) later(at time.Time) time.Time {
@@ -566,7 +568,9 @@
 
 func (s *exploreStore) stop() {
 	s.world.cause = []byte("stop")
-	s.step(func(now time.Time, effects *statemachine.Effects) { s.machine.Command(now, partition.Stop{}, effects) })
+	s.step(func(now time.Time, effects *statemachine.Effects) {
+		s.machine.HandleCommand(now, partition.Stop{}, effects)
+	})
 }
 
 var storeWalks = []storeWalk{
--- a/internal/controller/forget_test.go
+++ b/internal/controller/forget_test.go
@@ -209,7 +209,7 @@
 		primary := c.primary()
 		primary.step(func(now time.Time, effects *statemachine.Effects) {
 			self := membership.Member{Name: name, Kind: membership.KindGateway, Address: name, Incarnation: life, Alive: true}
-			primary.machine.Message(now, statemachine.Meta{From: name}, membership.Ask{Self: self, Urgent: true}, effects)
+			primary.machine.HandleMessage(now, statemachine.Meta{From: name}, membership.Ask{Self: self, Urgent: true}, effects)
 		})
 	}
 	for number := range 20 {
--- a/internal/controller/history.go
+++ b/internal/controller/history.go
@@ -20,11 +20,11 @@
 // tookOrder tells whether an order of this name was taken before: it comes again from a
 // daemon that had no answer, and another may have been taken since.
 func (s *State) tookOrder(order statemachine.RequestID) bool {
-	return order.Named() && slices.Contains(s.Orders, order) && !statemachine.Mutated("orders-unnamed")
+	return order.IsSet() && slices.Contains(s.Orders, order) && !statemachine.Mutated("orders-unnamed")
 }
 
 func (s *State) rememberOrder(order statemachine.RequestID) {
-	if !order.Named() {
+	if !order.IsSet() {
 		return
 	}
 	s.Orders = append(s.Orders, order)
--- a/internal/controller/identity_test.go
+++ b/internal/controller/identity_test.go
@@ -210,9 +210,9 @@
 	for _, name := range []string{"store-0", "store-1", "store-2"} {
 		apply(Command{Joins: []Join{{Self: membership.Member{Name: name, Kind: membership.KindStore, Alive: true, Incarnation: 1}}}})
 	}
-	empty := Retirement{Order: statemachine.RequestID{Life: 7, Number: 3}, Store: "store-0", Retiring: true}
+	empty := Retirement{Order: statemachine.RequestID{Incarnation: 7, Number: 3}, Store: "store-0", Retiring: true}
 	apply(Command{Retirement: &empty})
-	apply(Command{Retirement: &Retirement{Order: statemachine.RequestID{Life: 9, Number: 3}, Store: "store-0"}})
+	apply(Command{Retirement: &Retirement{Order: statemachine.RequestID{Incarnation: 9, Number: 3}, Store: "store-0"}})
 	apply(Command{Retirement: &empty})
 	return state.Members["store-0"].Retiring
 }
--- a/internal/controller/orders_test.go
+++ b/internal/controller/orders_test.go
@@ -67,7 +67,7 @@
 
 func (l *lone) tell(from string, message any) {
 	l.step(func(effects *statemachine.Effects) {
-		l.controller.Message(l.now, statemachine.Meta{From: from}, message, effects)
+		l.controller.HandleMessage(l.now, statemachine.Meta{From: from}, message, effects)
 	})
 }
 
@@ -77,19 +77,19 @@
 		write := l.unsynced[0]
 		l.unsynced = l.unsynced[1:]
 		l.step(func(effects *statemachine.Effects) {
-			l.controller.Command(l.now, statemachine.Synced{Token: write.Token}, effects)
+			l.controller.HandleCommand(l.now, statemachine.Synced{Token: write.Token}, effects)
 		})
 	}
 }
 
 func (l *lone) pass(length time.Duration) {
 	until := l.now.Add(length)
-	for due := l.controller.NextDue(); !due.IsZero() && !due.After(until); due = l.controller.NextDue() {
+	for due := l.controller.NextTick(); !due.IsZero() && !due.After(until); due = l.controller.NextTick() {
 		if due.After(l.now) {
 			l.now = due
 		}
 		l.now = l.now.Add(time.Microsecond)
-		l.step(func(effects *statemachine.Effects) { l.controller.Due(l.now, effects) })
+		l.step(func(effects *statemachine.Effects) { l.controller.Tick(l.now, effects) })
 	}
 	l.now = until
 }
@@ -108,7 +108,7 @@
 func (l *lone) order(method, path, body string) uint64 {
 	l.requests++
 	request := l.requests
-	l.tell(operatorAddress, membership.ControlRequest{Request: statemachine.RequestID{Life: 1, Number: request}, Method: method, Path: path, Body: []byte(body)})
+	l.tell(operatorAddress, membership.ControlRequest{Request: statemachine.RequestID{Incarnation: 1, Number: request}, Method: method, Path: path, Body: []byte(body)})
 	return request
 }
 
--- a/internal/controller/partition_test.go
+++ b/internal/controller/partition_test.go
@@ -142,7 +142,7 @@
 	s.life++
 	s.up, s.frozen, s.waits = true, false, nil
 	s.offset = time.Duration(s.yard.random.Int64N(int64(4*time.Hour))) - 2*time.Hour
-	machine, err := partition.New(partition.Settings{Self: s.member(), Seeds: []string{"controller"}, NewDisk: fmt.Sprintf("%s-%d", s.name, s.life), Life: statemachine.Life(s.yard.random.Uint64())}, s.frame, s.entries)
+	machine, err := partition.New(partition.Settings{Self: s.member(), Seeds: []string{"controller"}, NewDisk: fmt.Sprintf("%s-%d", s.name, s.life), Life: statemachine.Incarnation(s.yard.random.Uint64())}, s.frame, s.entries)
 	assert.NilError(s.yard.t, err)
 	s.machine = machine
 	s.step(func(now time.Time, effects *statemachine.Effects) { machine.Start(now, effects) })
@@ -168,7 +168,7 @@
 func (s *store) refuse() {
 	if s.full && s.up {
 		s.enter(s.life, func(now time.Time, effects *statemachine.Effects) {
-			s.machine.Command(now, statemachine.DiskRefused{}, effects)
+			s.machine.HandleCommand(now, statemachine.DiskUnavailable{}, effects)
 		})
 	}
 	if s.full {
@@ -202,21 +202,21 @@
 			if !s.up || s.life != life {
 				return
 			}
-			if frame, whole := write.Whole(); whole {
+			if frame, whole := write.SnapshotBytes(); whole {
 				s.frame, s.entries = frame, nil
 			}
 			s.entries = append(s.entries, write.Entries...)
 			s.enter(life, func(now time.Time, effects *statemachine.Effects) {
-				s.machine.Command(now, statemachine.Synced{Token: write.Token}, effects)
+				s.machine.HandleCommand(now, statemachine.Synced{Token: write.Token}, effects)
 			})
 		})
 	}
 	s.timer++
 	timer := s.timer
-	if due := s.machine.NextDue(); !due.IsZero() {
+	if due := s.machine.NextTick(); !due.IsZero() {
 		yard.after(max(0, due.Sub(s.local()))+time.Microsecond, func() {
 			if s.timer == timer {
-				s.enter(life, func(now time.Time, effects *statemachine.Effects) { s.machine.Due(now, effects) })
+				s.enter(life, func(now time.Time, effects *statemachine.Effects) { s.machine.Tick(now, effects) })
 			}
 		})
 	}
@@ -259,7 +259,9 @@
 	assert.NilError(y.t, err)
 	for _, store := range y.stores {
 		if store.name == to {
-			store.enter(store.life, func(now time.Time, effects *statemachine.Effects) { store.machine.Message(now, meta, message, effects) })
+			store.enter(store.life, func(now time.Time, effects *statemachine.Effects) {
+				store.machine.HandleMessage(now, meta, message, effects)
+			})
 		}
 	}
 	switch to {
--- a/internal/controller/restart_test.go
+++ b/internal/controller/restart_test.go
@@ -194,7 +194,7 @@
 }
 
 func (s *seat) perform(write statemachine.Write) error {
-	if frame, whole := write.Whole(); whole {
+	if frame, whole := write.SnapshotBytes(); whole {
 		s.snapshots++
 		if err := s.book.Checkpoint(frame); err != nil {
 			return err
@@ -218,17 +218,17 @@
 	for _, send := range effects.Sends {
 		s.council.carry(s.name, send)
 	}
-	for _, returned := range effects.Returns {
+	for _, returned := range effects.Responses {
 		s.council.returns[returned.Request] = returned.Value.(membership.ControlResponse)
 	}
 	s.queue = append(s.queue, effects.Writes...)
 	s.write()
 	s.timer++
-	if due := s.machine.NextDue(); !due.IsZero() {
+	if due := s.machine.NextTick(); !due.IsZero() {
 		life, timer := s.life, s.timer
 		s.council.after(max(0, due.Sub(s.council.now)), func() {
 			if s.timer == timer {
-				s.enter(life, func(now time.Time, effects *statemachine.Effects) { s.machine.Due(now, effects) })
+				s.enter(life, func(now time.Time, effects *statemachine.Effects) { s.machine.Tick(now, effects) })
 			}
 		})
 	}
@@ -251,7 +251,7 @@
 		s.busy, s.writing = false, nil
 		for _, each := range batch {
 			s.enter(life, func(now time.Time, effects *statemachine.Effects) {
-				s.machine.Command(now, statemachine.Synced{Token: each.Token}, effects)
+				s.machine.HandleCommand(now, statemachine.Synced{Token: each.Token}, effects)
 			})
 		}
 		s.write()
@@ -270,7 +270,9 @@
 	c.after(linkDelay, func() {
 		meta, message, err := transport.Decode(packed[4:])
 		assert.NilError(c.t, err)
-		to.enter(life, func(now time.Time, effects *statemachine.Effects) { to.machine.Message(now, meta, message, effects) })
+		to.enter(life, func(now time.Time, effects *statemachine.Effects) {
+			to.machine.HandleMessage(now, meta, message, effects)
+		})
 	})
 }
 
@@ -286,7 +288,7 @@
 		c.request++
 		request := c.request
 		primary.step(func(now time.Time, effects *statemachine.Effects) {
-			primary.machine.Command(now, Request{Local: request, Method: http.MethodPut, Path: "/v1/configuration", Body: document}, effects)
+			primary.machine.HandleCommand(now, Request{Local: request, Method: http.MethodPut, Path: "/v1/configuration", Body: document}, effects)
 		})
 		for begun := c.now; c.returns[request].Status == 0 && c.now.Sub(begun) < 3*time.Second; {
 			c.run(time.Millisecond)
--- a/internal/controller/state_test.go
+++ b/internal/controller/state_test.go
@@ -25,7 +25,7 @@
 		for number := range followers {
 			followers[number] = membership.NewFollower(membership.Member{Name: "gateway"}, 0, []string{"controller"}, func() membership.Load { return membership.Load{} })
 			followers[number].Start(now)
-			followers[number].Due(now, &statemachine.Effects{})
+			followers[number].Tick(now, &statemachine.Effects{})
 		}
 		version := uint64(0)
 		partial := 0
--- a/internal/controller/views_test.go
+++ b/internal/controller/views_test.go
@@ -60,8 +60,8 @@
 	began := a.now
 	for a.now.Sub(began) < length {
 		a.now = a.now.Add(time.Millisecond)
-		if due := a.controller.NextDue(); !due.IsZero() && !due.After(a.now) {
-			a.hear(func(effects *statemachine.Effects) { a.controller.Due(a.now, effects) })
+		if due := a.controller.NextTick(); !due.IsZero() && !due.After(a.now) {
+			a.hear(func(effects *statemachine.Effects) { a.controller.Tick(a.now, effects) })
 		}
 		for len(a.coming) > 0 && !a.coming[0].at.After(a.now) {
 			a.follower.Take(a.now, a.coming[0].news)
@@ -70,12 +70,12 @@
 		if a.follower.Index > 0 && a.taken == 0 {
 			a.taken = a.now.Sub(began)
 		}
-		if !a.follower.NextDue().After(a.now) {
+		if !a.follower.NextTick().After(a.now) {
 			var asked statemachine.Effects
-			a.follower.Due(a.now, &asked)
+			a.follower.Tick(a.now, &asked)
 			for _, send := range asked.Sends {
 				a.hear(func(effects *statemachine.Effects) {
-					a.controller.Message(a.now, statemachine.Meta{From: a.self.Address}, send.Message, effects)
+					a.controller.HandleMessage(a.now, statemachine.Meta{From: a.self.Address}, send.Message, effects)
 				})
 			}
 		}
--- a/internal/daemon/callers_test.go
+++ b/internal/daemon/callers_test.go
@@ -35,7 +35,7 @@
 
 type answerAll struct{}
 
-func (k *keeper) Command(_ time.Time, command any, effects *statemachine.Effects) {
+func (k *keeper) HandleCommand(_ time.Time, command any, effects *statemachine.Effects) {
 	switch body := command.(type) {
 	case asked:
 		k.kept = append(k.kept, body)
@@ -43,9 +43,9 @@
 	case answerAll:
 		for position := len(k.kept) - 1; position >= 0; position-- {
 			each := k.kept[position]
-			effects.Return(each.request, membership.ControlResponse{Status: 200, Body: []byte(each.path)})
+			effects.Respond(each.request, membership.ControlResponse{Status: 200, Body: []byte(each.path)})
 			// A second answer to the same request is for nobody.
-			effects.Return(each.request, membership.ControlResponse{Status: 409, Body: []byte("again")})
+			effects.Respond(each.request, membership.ControlResponse{Status: 409, Body: []byte("again")})
 		}
 		k.kept = nil
 	case stopNow:
--- a/internal/daemon/departure_test.go
+++ b/internal/daemon/departure_test.go
@@ -32,15 +32,15 @@
 type look struct{ request uint64 }
 
 func (*sleeper) Start(time.Time, *statemachine.Effects) {}
-func (*sleeper) Due(time.Time, *statemachine.Effects)   {}
-func (*sleeper) NextDue() time.Time                     { return time.Time{} }
-func (*sleeper) Version() uint64                        { return 0 }
+func (*sleeper) Tick(time.Time, *statemachine.Effects)  {}
+func (*sleeper) NextTick() time.Time                    { return time.Time{} }
+func (*sleeper) ConfigurationVersion() uint64           { return 0 }
 
-func (s *sleeper) Message(_ time.Time, _ statemachine.Meta, message any, _ *statemachine.Effects) {
+func (s *sleeper) HandleMessage(_ time.Time, _ statemachine.Meta, message any, _ *statemachine.Effects) {
 	s.tasted = append(s.tasted, message.(membership.Farewell).Name)
 }
 
-func (s *sleeper) Command(now time.Time, command any, effects *statemachine.Effects) {
+func (s *sleeper) HandleCommand(now time.Time, command any, effects *statemachine.Effects) {
 	s.seen = append(s.seen, now)
 	switch body := command.(type) {
 	case standStill:
@@ -49,10 +49,10 @@
 		effects.Send(s.peer, membership.Farewell{Name: "at any time"})
 		effects.SendBefore(s.self, membership.Farewell{Name: "under the lease"}, until)
 		effects.Send(s.self, membership.Farewell{Name: "at any time"})
-		effects.Returns = append(effects.Returns, statemachine.Return{Request: body.request, Value: "yes", NotAfter: until, Late: "come back"})
+		effects.Responses = append(effects.Responses, statemachine.Response{Request: body.request, Value: "yes", NotAfter: until, LateValue: "come back"})
 		s.clock.Add(int64(20 * time.Second))
 	case look:
-		effects.Return(body.request, now)
+		effects.Respond(body.request, now)
 	case stopNow:
 		effects.Stop = true
 	}
--- a/internal/daemon/host.go
+++ b/internal/daemon/host.go
@@ -36,7 +36,7 @@
 	returns chan any
 	within  func(owner Owner)
 	attach  uint64
-	sink    chan statemachine.Deliver
+	sink    chan statemachine.Delivery
 	detach  uint64
 	flush   func()
 }
@@ -44,8 +44,8 @@
 // sink takes the events of one channel: a queue, or a function that runs on the
 // owner's task.
 type sink struct {
-	queue chan statemachine.Deliver
-	take  func(statemachine.Deliver)
+	queue chan statemachine.Delivery
+	take  func(statemachine.Delivery)
 }
 
 // flusher is what gathers output during a turn and sends it at its end.
@@ -54,7 +54,7 @@
 // Host runs one machine.
 type Host struct {
 	machine   statemachine.Machine
-	watcher   statemachine.LinkWatcher
+	watcher   statemachine.LinkObserver
 	transport *transport.Transport
 	flush     []func()
 	logger    *logevent.Logger
@@ -116,7 +116,7 @@
 // Run runs the machine until it stops.
 func (h *Host) Run(machine statemachine.Machine) {
 	h.machine = machine
-	if watcher, watches := machine.(statemachine.LinkWatcher); watches {
+	if watcher, watches := machine.(statemachine.LinkObserver); watches {
 		h.watcher = watcher
 		h.transport.Watch()
 	}
@@ -144,7 +144,7 @@
 			entries = nil
 		}
 		for _, write := range writes {
-			if frame, whole := write.Whole(); whole {
+			if frame, whole := write.SnapshotBytes(); whole {
 				flush()
 				h.write(func() error { return h.book.Checkpoint(frame) })
 			}
@@ -168,7 +168,7 @@
 		if tries%refusedReports == 0 {
 			h.logger.Report(logevent.DiskRefused, "error", err.Error(), "tries", tries+1)
 		}
-		h.Post(statemachine.DiskRefused{})
+		h.Post(statemachine.DiskUnavailable{})
 		select {
 		case <-h.ended:
 			return
@@ -212,7 +212,7 @@
 		if len(state.writes) > 0 && !state.writing {
 			disk = h.disk
 		}
-		due := h.machine.NextDue()
+		due := h.machine.NextTick()
 		if !due.IsZero() && !state.now.Before(due) {
 			h.due(state)
 			continue
@@ -256,7 +256,7 @@
 // due runs what is due, as a turn of its own.
 func (h *Host) due(state *running) {
 	h.first(state)
-	h.step(state, func(now time.Time, effects *statemachine.Effects) { h.machine.Due(now, effects) })
+	h.step(state, func(now time.Time, effects *statemachine.Effects) { h.machine.Tick(now, effects) })
 	h.finishTurn(state)
 }
 
@@ -284,7 +284,7 @@
 	state.writing = false
 	for _, token := range tokens {
 		h.step(state, func(now time.Time, effects *statemachine.Effects) {
-			h.machine.Command(now, statemachine.Synced{Token: token}, effects)
+			h.machine.HandleCommand(now, statemachine.Synced{Token: token}, effects)
 		})
 	}
 }
@@ -347,7 +347,7 @@
 		}
 		if count%lookEvery == lookEvery-1 {
 			state.now = h.clock()
-			if due := h.machine.NextDue(); !due.IsZero() && !state.now.Before(due) {
+			if due := h.machine.NextTick(); !due.IsZero() && !state.now.Before(due) {
 				return
 			}
 		}
@@ -368,12 +368,12 @@
 func (h *Host) message(state *running, inbound transport.Inbound) {
 	if _, refused := inbound.Message.(transport.Refused); refused {
 		h.step(state, func(now time.Time, effects *statemachine.Effects) {
-			h.watcher.Refused(now, inbound.Meta.From, effects)
+			h.watcher.ConnectionRefused(now, inbound.Meta.From, effects)
 		})
 		return
 	}
 	h.step(state, func(now time.Time, effects *statemachine.Effects) {
-		h.machine.Message(now, inbound.Meta, inbound.Message, effects)
+		h.machine.HandleMessage(now, inbound.Meta, inbound.Message, effects)
 	})
 }
 
@@ -413,7 +413,7 @@
 		state.returns[request] = then
 	}
 	h.step(state, func(now time.Time, effects *statemachine.Effects) {
-		h.machine.Command(now, command(request), effects)
+		h.machine.HandleCommand(now, command(request), effects)
 	})
 }
 
@@ -430,18 +430,18 @@
 		next := state.local[0]
 		state.local = state.local[1:]
 		state.now = h.clock()
-		if !statemachine.Departs(next.notAfter, state.now) {
+		if !statemachine.BeforeDeadline(next.notAfter, state.now) {
 			continue
 		}
 		var more statemachine.Effects
-		h.machine.Message(state.now, next.inbound.Meta, next.inbound.Message, &more)
+		h.machine.HandleMessage(state.now, next.inbound.Meta, next.inbound.Message, &more)
 		h.carryOut(state, &more)
 	}
 }
 
 func (h *Host) carryOut(state *running, effects *statemachine.Effects) {
-	version := h.machine.Version()
-	for _, note := range effects.Notes {
+	version := h.machine.ConfigurationVersion()
+	for _, note := range effects.LogEvents {
 		h.logger.Sound(note)
 	}
 	for _, send := range effects.Sends {
@@ -455,47 +455,47 @@
 		}
 	}
 	state.writes = append(state.writes, effects.Writes...)
-	for _, returned := range effects.Returns {
+	for _, returned := range effects.Responses {
 		if waiting, found := state.returns[returned.Request]; found {
 			delete(state.returns, returned.Request)
 			waiting(h.given(returned))
 		}
 	}
 	var slow []uint64
-	for _, deliver := range effects.Delivers {
-		sink, found := state.sinks[deliver.Channel]
+	for _, deliver := range effects.Deliveries {
+		sink, found := state.sinks[deliver.Session]
 		if !found {
 			continue
 		}
 		if !sink.give(deliver) {
 			sink.end()
-			delete(state.sinks, deliver.Channel)
-			slow = append(slow, deliver.Channel)
+			delete(state.sinks, deliver.Session)
+			slow = append(slow, deliver.Session)
 			continue
 		}
 		if deliver.Close {
 			sink.end()
-			delete(state.sinks, deliver.Channel)
+			delete(state.sinks, deliver.Session)
 		}
 	}
 	state.stop = state.stop || effects.Stop
 	for _, channel := range slow {
 		h.step(state, func(now time.Time, effects *statemachine.Effects) {
-			h.machine.Command(now, h.slow(channel), effects)
+			h.machine.HandleCommand(now, h.slow(channel), effects)
 		})
 	}
 }
 
 // given is what an asker is told, by the clock as it is when the answer leaves.
-func (h *Host) given(returned statemachine.Return) any {
+func (h *Host) given(returned statemachine.Response) any {
 	if returned.NotAfter.IsZero() {
 		return returned.Value
 	}
-	return returned.Given(h.clock())
+	return returned.ValueAt(h.clock())
 }
 
 // give hands an event over; false if the sink is full.
-func (s sink) give(deliver statemachine.Deliver) bool {
+func (s sink) give(deliver statemachine.Delivery) bool {
 	if s.take != nil {
 		s.take(deliver)
 		return true
@@ -535,7 +535,7 @@
 
 // Attach gives a channel a function that takes its events, on the owner's task;
 // Detach takes it away.
-func (o Owner) Attach(channel uint64, take func(statemachine.Deliver)) {
+func (o Owner) Attach(channel uint64, take func(statemachine.Delivery)) {
 	o.state.sinks[channel] = sink{take: take}
 }
 
@@ -563,7 +563,7 @@
 
 // AttachFunc gives a channel a function that takes its events on the owner's
 // task and must not block.
-func (h *Host) AttachFunc(channel uint64, take func(statemachine.Deliver)) {
+func (h *Host) AttachFunc(channel uint64, take func(statemachine.Delivery)) {
 	h.Within(func(owner Owner) { owner.Attach(channel, take) })
 }
 
@@ -617,7 +617,7 @@
 }
 
 // Attach gives a channel its sink, Detach takes it away.
-func (h *Host) Attach(channel uint64, sink chan statemachine.Deliver) {
+func (h *Host) Attach(channel uint64, sink chan statemachine.Delivery) {
 	select {
 	case h.tasks <- task{attach: channel, sink: sink}:
 	case <-h.ended:
--- a/internal/daemon/host_test.go
+++ b/internal/daemon/host_test.go
@@ -32,18 +32,18 @@
 	stopNow struct{}
 )
 
-func (*echo) Start(time.Time, *statemachine.Effects)                           {}
-func (*echo) Message(time.Time, statemachine.Meta, any, *statemachine.Effects) {}
-func (e *echo) Due(time.Time, *statemachine.Effects)                           { e.due = time.Time{}; e.turns++ }
-func (e *echo) NextDue() time.Time                                             { return e.due }
-func (*echo) Version() uint64                                                  { return 3 }
-func (*echo) Follower() *membership.Follower                                   { return &membership.Follower{} }
-
-func (e *echo) Command(now time.Time, command any, effects *statemachine.Effects) {
+func (*echo) Start(time.Time, *statemachine.Effects)                                 {}
+func (*echo) HandleMessage(time.Time, statemachine.Meta, any, *statemachine.Effects) {}
+func (e *echo) Tick(time.Time, *statemachine.Effects)                                { e.due = time.Time{}; e.turns++ }
+func (e *echo) NextTick() time.Time                                                  { return e.due }
+func (*echo) ConfigurationVersion() uint64                                           { return 3 }
+func (*echo) Follower() *membership.Follower                                         { return &membership.Follower{} }
+
+func (e *echo) HandleCommand(now time.Time, command any, effects *statemachine.Effects) {
 	switch body := command.(type) {
 	case said:
-		effects.Return(body.request, body.text)
-		effects.Delivers = append(effects.Delivers, statemachine.Deliver{Channel: 7, Event: body.text, Close: body.text == "last"})
+		effects.Respond(body.request, body.text)
+		effects.Deliveries = append(effects.Deliveries, statemachine.Delivery{Session: 7, Event: body.text, Close: body.text == "last"})
 	case hold:
 		e.due = now
 	case stopNow:
@@ -98,7 +98,7 @@
 	heard := make(chan string, 64)
 	turns := make(chan int, 64)
 	count := 0
-	host.AttachFunc(7, func(deliver statemachine.Deliver) { heard <- deliver.Event.(string); count++ })
+	host.AttachFunc(7, func(deliver statemachine.Delivery) { heard <- deliver.Event.(string); count++ })
 	host.EachTurn(func() {
 		if count > 0 {
 			turns <- count
@@ -119,7 +119,7 @@
 func TestAChannelThatEndsHearsNothingMore(t *testing.T) {
 	host, _ := openEcho(t)
 	heard := make(chan string, 64)
-	host.AttachFunc(7, func(deliver statemachine.Deliver) { heard <- deliver.Event.(string) })
+	host.AttachFunc(7, func(deliver statemachine.Delivery) { heard <- deliver.Event.(string) })
 	for _, text := range []string{"a", "last", "b"} {
 		_, alive := host.Do(say(text))
 		assert.Assert(t, alive)
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -109,7 +109,7 @@
 	Frame   []byte
 	Entries [][]byte
 	NewDisk string
-	Life    statemachine.Life
+	Life    statemachine.Incarnation
 }
 
 // Builder makes a daemon from its settings.
@@ -300,7 +300,7 @@
 // openDisk opens the data folder; a damaged one is put aside, so that the copy
 // is rebuilt from the other holder.
 func (p *process) openDisk() (*wal.Log, Stored, error) {
-	stored := Stored{NewDisk: hex.EncodeToString(mustRandom()), Life: statemachine.Life(binary.BigEndian.Uint64(mustRandom()))}
+	stored := Stored{NewDisk: hex.EncodeToString(mustRandom()), Life: statemachine.Incarnation(binary.BigEndian.Uint64(mustRandom()))}
 	path := p.current.Data
 	if path == "" {
 		return nil, stored, nil
@@ -483,7 +483,7 @@
 		follower := p.built.Machine.Follower()
 		return map[string]any{
 			"name": p.self.Name, "kind": p.kind, "zone": p.self.Zone, "ready": p.built.Ready(now),
-			"version": p.built.Machine.Version(), "index": follower.Index, "epoch": follower.Epoch, "primary": follower.Primary(),
+			"version": p.built.Machine.ConfigurationVersion(), "index": follower.Index, "epoch": follower.Epoch, "primary": follower.Primary(),
 			"counters": p.built.Counters(), "links": linkCounts(&p.host.Transport().Counters), "sent": p.host.Transport().Sent(), "received": p.host.Transport().Received(),
 			"steps": p.host.Steps.Load(), "syncs": p.host.Syncs.Load(),
 		}
--- a/internal/gateway/catchup_test.go
+++ b/internal/gateway/catchup_test.go
@@ -124,8 +124,8 @@
 	behind.resumes, behind.upTo = true, 3
 	many.now = behind.limit
 	many.gateway.tendTopic(many.now, behind.topic, &many.effects)
-	assert.Equal(t, len(many.effects.Returns), 1)
-	assert.Equal(t, many.effects.Returns[0].Value.(Answer).Code, "no-answer")
+	assert.Equal(t, len(many.effects.Responses), 1)
+	assert.Equal(t, many.effects.Responses[0].Value.(Answer).Code, "no-answer")
 	many.effects = statemachine.Effects{}
 	many.answer(slow)
 	next := many.asked()
@@ -200,8 +200,8 @@
 	one.gateway.onTopicsFetched(one.now, partition.FetchTopicsResponse{
 		Request: asked.Request, Partitions: partitions, Topics: []partition.TopicRecords{{Until: 2}},
 	}, &one.effects)
-	assert.Equal(t, len(one.effects.Returns), 1)
-	assert.Equal(t, one.effects.Returns[0].Value.(Answer).Outcome, OutcomeAccepted)
+	assert.Equal(t, len(one.effects.Responses), 1)
+	assert.Equal(t, one.effects.Responses[0].Value.(Answer).Outcome, OutcomeAccepted)
 	next := one.asked()
 	assert.Equal(t, len(next), 1)
 	assert.DeepEqual(t, next[0].Topics, []partition.TopicAfter{{Topic: "topic-0", After: 2}})
@@ -209,8 +209,8 @@
 		Request: next[0].Request, Partitions: partitions,
 		Topics: []partition.TopicRecords{{Until: 9, Records: []partition.Record{{Offset: 7, Topic: "topic-0", Sender: "u", Seq: 1}}}},
 	}, &one.effects)
-	assert.Equal(t, len(one.effects.Delivers), 1)
-	assert.Equal(t, len(one.effects.Returns), 0)
+	assert.Equal(t, len(one.effects.Deliveries), 1)
+	assert.Equal(t, len(one.effects.Responses), 0)
 	assert.Assert(t, !taken.filling)
 }
 
@@ -264,7 +264,7 @@
 	gateway.routed.topics["topic-0"].recentFrom, gateway.routed.topics["topic-0"].last = 9, 9
 	one.effects = statemachine.Effects{}
 	gateway.subscribeRouted(one.now, Subscribe{Request: 77, Channel: 9, Origin: "late", Interests: []Interest{{Path: "topic-0"}}, Cursor: placeText(cursor)}, true, &one.effects)
-	for _, returned := range one.effects.Returns {
+	for _, returned := range one.effects.Responses {
 		if returned.Request == 77 {
 			answer := returned.Value.(Answer)
 			assert.Equal(t, answer.Outcome, OutcomeAccepted, "%v", answer)
--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -90,13 +90,13 @@
 
 // emit hands an event to a channel's writer.
 func (g *Gateway) emit(id uint64, event Event, effects *statemachine.Effects) {
-	effects.Delivers = append(effects.Delivers, statemachine.Deliver{Channel: id, Event: event})
+	effects.Deliveries = append(effects.Deliveries, statemachine.Delivery{Session: id, Event: event})
 }
 
 // emitLast tells a channel why it ends and where its origin may resume.
 func (g *Gateway) emitLast(now time.Time, id uint64, channel *channel, code string, effects *statemachine.Effects) {
-	effects.Delivers = append(effects.Delivers, statemachine.Deliver{
-		Channel: id, Event: Event{Event: "gone", Code: code, Cursor: g.cursor(now, channel)}, Close: true,
+	effects.Deliveries = append(effects.Deliveries, statemachine.Delivery{
+		Session: id, Event: Event{Event: "gone", Code: code, Cursor: g.cursor(now, channel)}, Close: true,
 	})
 }
 
@@ -120,26 +120,26 @@
 	}
 	switch {
 	case g.stopping:
-		effects.Return(request.Request, refused(503, "stopping", "this daemon is stopping", comeBackSoon))
+		effects.Respond(request.Request, refused(503, "stopping", "this daemon is stopping", comeBackSoon))
 		return
 	case !g.Confirmed(now):
-		effects.Return(request.Request, refused(503, "unconfirmed", "this daemon can't confirm its configuration", comeBackLater))
+		effects.Respond(request.Request, refused(503, "unconfirmed", "this daemon can't confirm its configuration", comeBackLater))
 		return
 	case request.Lines && !g.admits(now):
-		effects.Return(request.Request, refused(503, "busy", "this daemon's link can't serve more callers at once", comeBackSoon))
+		effects.Respond(request.Request, refused(503, "busy", "this daemon's link can't serve more callers at once", comeBackSoon))
 		return
 	case len(g.channels) >= g.settings.OriginsMost:
-		effects.Return(request.Request, refused(503, "full", "this daemon holds all the channels it may", comeBackSoon))
+		effects.Respond(request.Request, refused(503, "full", "this daemon holds all the channels it may", comeBackSoon))
 		return
 	}
 	g.channels[request.Channel] = newChannel(now, request)
 	g.supersede(now, request.Origin, request.Channel, effects)
 	g.timers.ArmSooner("tick", now.Add(tickEvery))
 	g.ring.Record(now, "", "", request.Origin, "channel-opened", "channel", request.Name)
-	effects.Note(logevent.ChannelOpened, "origin", request.Origin)
-	effects.Return(request.Request, accepted(nil))
+	effects.Emit(logevent.ChannelOpened, "origin", request.Origin)
+	effects.Respond(request.Request, accepted(nil))
 	g.emit(request.Channel, Event{
-		Event: "hello", Channel: request.Name, Daemon: g.settings.Self.Name, Zone: g.settings.Self.Zone, Version: g.Version(),
+		Event: "hello", Channel: request.Name, Daemon: g.settings.Self.Name, Zone: g.settings.Self.Zone, Version: g.ConfigurationVersion(),
 	}, effects)
 }
 
@@ -163,7 +163,7 @@
 	opened := newChannel(now, request)
 	g.channels[request.Channel] = opened
 	g.timers.ArmSooner("tick", now.Add(tickEvery))
-	effects.Return(request.Request, accepted(nil))
+	effects.Respond(request.Request, accepted(nil))
 	g.turn++
 	g.move(now, request.Channel, opened, targets[g.turn%min(len(targets), 3)], effects)
 }
@@ -185,7 +185,7 @@
 	if request.Why == "slow" {
 		number = logevent.ChannelSlow
 	}
-	effects.Note(number, "origin", channel.origin, "why", request.Why)
+	effects.Emit(number, "origin", channel.origin, "why", request.Why)
 	g.ring.Record(now, "", "", channel.origin, "channel-closed", "why", request.Why)
 }
 
@@ -206,7 +206,7 @@
 	}
 	if !channel.movedAt.IsZero() {
 		if now.Sub(channel.movedAt) > moveLinger {
-			effects.Delivers = append(effects.Delivers, statemachine.Deliver{Channel: id, Event: Event{Event: "gone", Code: "moved"}, Close: true})
+			effects.Deliveries = append(effects.Deliveries, statemachine.Delivery{Session: id, Event: Event{Event: "gone", Code: "moved"}, Close: true})
 			g.closeChannel(now, CloseChannel{Channel: id, Why: "moved"}, effects)
 		}
 		return
@@ -228,11 +228,11 @@
 func (g *Gateway) pong(now time.Time, request Pong, effects *statemachine.Effects) {
 	channel, found := g.channels[request.Channel]
 	if !found || channel.origin != request.Origin {
-		effects.Return(request.Request, refused(404, "no-such-channel", "this channel is not open here", 0))
+		effects.Respond(request.Request, refused(404, "no-such-channel", "this channel is not open here", 0))
 		return
 	}
 	channel.pongAt = now
-	effects.Return(request.Request, accepted(nil))
+	effects.Respond(request.Request, accepted(nil))
 }
 
 // Subscribing.
@@ -283,7 +283,7 @@
 		g.Counts.RefusedRequests++
 	}
 	g.ring.Record(now, request.RequestName, "", request.Origin, "answered", "outcome", answer.Outcome, "code", answer.Code)
-	effects.Return(request.Request, answer)
+	effects.Respond(request.Request, answer)
 }
 
 func (g *Gateway) trySubscribe(now time.Time, request Subscribe, looked bool, effects *statemachine.Effects) {
@@ -526,7 +526,7 @@
 	}
 	channel, found := g.channels[request.Channel]
 	if !found || channel.origin != request.Origin {
-		effects.Return(request.Request, refused(404, "no-such-channel", "this channel is not open here", 0))
+		effects.Respond(request.Request, refused(404, "no-such-channel", "this channel is not open here", 0))
 		return
 	}
 	for _, interest := range request.Interests {
@@ -534,7 +534,7 @@
 			g.dropSubscription(now, request.Channel, interest, false, effects)
 		}
 	}
-	effects.Return(request.Request, accepted(map[string]any{"subscriptions": len(channel.subscriptions)}))
+	effects.Respond(request.Request, accepted(map[string]any{"subscriptions": len(channel.subscriptions)}))
 }
 
 // advanceFetch goes on once the overlay peers have settled: it asks the first
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -64,7 +64,7 @@
 	// Processor tells the processor time used so far; it may be nil.
 	Processor func() time.Duration
 	// Life names this run of the process.
-	Life statemachine.Life
+	Life statemachine.Incarnation
 }
 
 type lookout struct {
@@ -149,7 +149,7 @@
 		channels: map[uint64]*channel{}, moving: map[uint64]bool{}, spaces: map[string]*spaceState{},
 		senders: map[senderKey]*sender{}, trackers: map[string]*tracker{},
 		appends: map[uint64]*publication{}, sends: map[uint64]*publication{}, recalls: map[uint64]*recall{}, fetches: map[uint64]*fetch{},
-		nextRequest: settings.Life.FirstNumber(), routed: newRouted(), newest: map[string]uint64{},
+		nextRequest: settings.Life.FirstRequestNumber(), routed: newRouted(), newest: map[string]uint64{},
 	}
 	gateway.policies = standardPolicies()
 	gateway.follower = membership.NewFollower(settings.Self, settings.Life, []string{settings.Agent}, gateway.load)
@@ -175,8 +175,8 @@
 	return min(span, longest)
 }
 
-// Version is the configuration version in force here.
-func (g *Gateway) Version() uint64 { return g.follower.Version }
+// ConfigurationVersion is the configuration version in force here.
+func (g *Gateway) ConfigurationVersion() uint64 { return g.follower.Version }
 
 // Follower gives the gateway's view, for its ctl.
 func (g *Gateway) Follower() *membership.Follower { return g.follower }
@@ -228,18 +228,18 @@
 	g.timers.Arm("tick", now.Add(tickEvery))
 }
 
-// NextDue is when the gateway wants to run again.
-func (g *Gateway) NextDue() time.Time {
-	return statemachine.Earliest(g.follower.NextDue(), g.pulse.NextDue(), g.controlClient.NextDue(),
-		g.overlay.NextDue(), g.timers.Next())
+// NextTick is when the gateway wants to run again.
+func (g *Gateway) NextTick() time.Time {
+	return statemachine.Earliest(g.follower.NextTick(), g.pulse.NextTick(), g.controlClient.NextTick(),
+		g.overlay.NextTick(), g.timers.Next())
 }
 
-// Due runs whatever is due.
-func (g *Gateway) Due(now time.Time, effects *statemachine.Effects) {
-	g.follower.Due(now, effects)
-	g.pulse.Due(now, effects)
-	g.controlClient.Due(now, effects)
-	g.runOverlay(now, effects, g.overlay.Due)
+// Tick runs whatever is due.
+func (g *Gateway) Tick(now time.Time, effects *statemachine.Effects) {
+	g.follower.Tick(now, effects)
+	g.pulse.Tick(now, effects)
+	g.controlClient.Tick(now, effects)
+	g.runOverlay(now, effects, g.overlay.Tick)
 	for _, key := range g.timers.Expired(now) {
 		switch key {
 		case "tick":
@@ -272,14 +272,14 @@
 	}
 	g.wasReady = ready
 	if ready {
-		effects.Note(logevent.Ready, "version", g.Version())
+		effects.Emit(logevent.Ready, "version", g.ConfigurationVersion())
 		return
 	}
-	effects.Note(logevent.NotReady, "isolated", g.pulse.Isolated(now), "confirmed", g.Confirmed(now), "stopping", g.stopping, "rest", g.follower.Orders.Rest)
+	effects.Emit(logevent.NotReady, "isolated", g.pulse.Isolated(now), "confirmed", g.Confirmed(now), "stopping", g.stopping, "rest", g.follower.Orders.Rest)
 }
 
-// Command takes what the adapters bring.
-func (g *Gateway) Command(now time.Time, command any, effects *statemachine.Effects) {
+// HandleCommand takes what the adapters bring.
+func (g *Gateway) HandleCommand(now time.Time, command any, effects *statemachine.Effects) {
 	switch body := command.(type) {
 	case OpenChannel:
 		g.openChannel(now, body, effects)
@@ -302,15 +302,15 @@
 	case ControlRequest:
 		g.controlClient.Carry(now, body.Local, body.Method, body.Path, body.Body, effects)
 	case FindDecisions:
-		effects.Return(body.Local, g.ring.Find(body.Request, body.Message, body.Origin))
+		effects.Respond(body.Local, g.ring.Find(body.Request, body.Message, body.Origin))
 	case Stop:
 		g.beginStop(now, effects)
 	}
 	g.noteReady(now, effects)
 }
 
-// Message takes what other daemons say.
-func (g *Gateway) Message(now time.Time, meta statemachine.Meta, message any, effects *statemachine.Effects) {
+// HandleMessage takes what other daemons say.
+func (g *Gateway) HandleMessage(now time.Time, meta statemachine.Meta, message any, effects *statemachine.Effects) {
 	if meta.From != g.settings.Agent && meta.From != g.settings.Self.Address {
 		g.pulse.Heard(now)
 	}
@@ -403,10 +403,10 @@
 		g.pulse.Rest(now, resting)
 		if resting {
 			g.timers.Disarm("tick")
-			effects.Note(logevent.GatewayRested, "gateway", g.settings.Self.Name)
+			effects.Emit(logevent.GatewayRested, "gateway", g.settings.Self.Name)
 		} else {
 			g.timers.ArmSooner("tick", now.Add(tickEvery))
-			effects.Note(logevent.GatewayWoken, "gateway", g.settings.Self.Name)
+			effects.Emit(logevent.GatewayWoken, "gateway", g.settings.Self.Name)
 		}
 	}
 	if orders := g.follower.Orders; (orders.Empty || orders.Keep > 0) && !g.timers.Armed("move") {
@@ -490,7 +490,7 @@
 		}
 	}
 	g.rerouteAll(now, effects)
-	effects.Note(logevent.NewsTaken, "version", document.Version, "spaces", len(document.Spaces))
+	effects.Emit(logevent.NewsTaken, "version", document.Version, "spaces", len(document.Spaces))
 	g.ring.Record(now, "", "", "", "configuration", "version", document.Version)
 }
 
@@ -675,7 +675,7 @@
 	event := Event{Event: "move", To: target.Caller, ToName: target.Name, Cursor: g.cursor(now, channel)}
 	channel.movedAt = now
 	g.ring.Record(now, "", "", channel.origin, "moved", "to", target.Name, "stopping", g.stopping)
-	effects.Note(logevent.ChannelMoved, "origin", channel.origin, "to", target.Name)
+	effects.Emit(logevent.ChannelMoved, "origin", channel.origin, "to", target.Name)
 	g.emit(id, event, effects)
 }
 
--- a/internal/gateway/identity_test.go
+++ b/internal/gateway/identity_test.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	earlierLife statemachine.Life = 0x5851_f42d_4c95_7f2d
-	presentLife statemachine.Life = 0x1405_7b7e_f767_814f
+	earlierLife statemachine.Incarnation = 0x5851_f42d_4c95_7f2d
+	presentLife statemachine.Incarnation = 0x1405_7b7e_f767_814f
 )
 
 // asker is a gateway with one space, of which a sender's message waits.
@@ -25,7 +25,7 @@
 	item    *publication
 }
 
-func newAsker(life statemachine.Life, now time.Time, partitions ...string) *asker {
+func newAsker(life statemachine.Incarnation, now time.Time, partitions ...string) *asker {
 	gateway := New(Settings{Self: membership.Member{Name: "gateway-1", Kind: membership.KindGateway, Address: "a:1"}, Agent: "a:2", Life: life})
 	for number, name := range partitions {
 		store := string(rune('k' + number))
@@ -69,15 +69,15 @@
 }
 
 // take hands a store's answer to the gateway, and gives what it tells callers.
-func (a *asker) take(now time.Time, answer any) []statemachine.Return {
+func (a *asker) take(now time.Time, answer any) []statemachine.Response {
 	var effects statemachine.Effects
 	a.gateway.take(now, statemachine.Meta{From: "k"}, answer, &effects)
-	return effects.Returns
+	return effects.Responses
 }
 
 // lateAppend is what a caller of the present life is told upon the acknowledgement
 // of another's message in the earlier one.
-func lateAppend() []statemachine.Return {
+func lateAppend() []statemachine.Response {
 	now := time.Unix(1000, 0)
 	earlier := newAsker(earlierLife, now, "boards~1/0").append(now)
 	present := newAsker(presentLife, now, "boards~1/0")
--- a/internal/gateway/opening_test.go
+++ b/internal/gateway/opening_test.go
@@ -24,21 +24,21 @@
 
 func TestACallerRightAfterAStartWaitsForTheFirstNews(t *testing.T) {
 	fleetlab := begun()
-	assert.Equal(t, len(fleetlab.greet(t, 1, "u1").Returns), 0)
+	assert.Equal(t, len(fleetlab.greet(t, 1, "u1").Responses), 0)
 	fleetlab.pass(300 * time.Millisecond)
-	assert.Equal(t, fleetlab.gateway.Version(), uint64(1))
+	assert.Equal(t, fleetlab.gateway.ConfigurationVersion(), uint64(1))
 	assert.Equal(t, outcome(t, fleetlab.heard).Outcome, gateway.OutcomeAccepted)
 }
 
 func TestACallerIsRefusedOnceTheLookIsOver(t *testing.T) {
 	fleetlab := begun()
 	// No news ever: nothing answers what the gateway asks.
-	assert.Equal(t, len(fleetlab.greet(t, 1, "u1").Returns), 0)
+	assert.Equal(t, len(fleetlab.greet(t, 1, "u1").Responses), 0)
 	var refused statemachine.Effects
 	from := fleetlab.now
-	for len(refused.Returns) == 0 && fleetlab.now.Sub(from) < 5*time.Second {
-		fleetlab.now = fleetlab.gateway.NextDue()
-		fleetlab.gateway.Due(fleetlab.now, &refused)
+	for len(refused.Responses) == 0 && fleetlab.now.Sub(from) < 5*time.Second {
+		fleetlab.now = fleetlab.gateway.NextTick()
+		fleetlab.gateway.Tick(fleetlab.now, &refused)
 	}
 	answer := outcome(t, refused)
 	assert.Equal(t, answer.Outcome, gateway.OutcomeRefused)
--- a/internal/gateway/publish.go
+++ b/internal/gateway/publish.go
@@ -176,7 +176,7 @@
 	g.countOutcome(answer)
 	g.ring.Record(now, item.request.RequestName, decisionlog.MessageName(item.request.Space, item.request.Sender, item.request.Seq),
 		item.request.Origin, "answered", "outcome", answer.Outcome, "code", answer.Code)
-	effects.Return(item.request.Request, answer)
+	effects.Respond(item.request.Request, answer)
 }
 
 // begin starts the publication at the head of a sender's queue.
--- a/internal/gateway/publish_test.go
+++ b/internal/gateway/publish_test.go
@@ -38,7 +38,7 @@
 	}
 	effects = statemachine.Effects{}
 	gateway.limits(item.limit, &effects)
-	assert.Equal(t, len(effects.Returns), 1)
-	assert.Equal(t, effects.Returns[0].Value.(Answer).Outcome, OutcomeUnsettled)
+	assert.Equal(t, len(effects.Responses), 1)
+	assert.Equal(t, effects.Responses[0].Value.(Answer).Outcome, OutcomeUnsettled)
 	assert.Equal(t, len(gateway.sends), 0)
 }
--- a/internal/gateway/routed.go
+++ b/internal/gateway/routed.go
@@ -402,7 +402,7 @@
 func (g *Gateway) unsubscribeRouted(now time.Time, request Unsubscribe, effects *statemachine.Effects) {
 	channel, found := g.channels[request.Channel]
 	if !found || channel.origin != request.Origin {
-		effects.Return(request.Request, refused(404, "no-such-channel", "this channel is not open here", 0))
+		effects.Respond(request.Request, refused(404, "no-such-channel", "this channel is not open here", 0))
 		return
 	}
 	channel.pongAt = now
@@ -412,7 +412,7 @@
 		}
 		g.dropPlace(now, channel, interest.Path, effects)
 	}
-	effects.Return(request.Request, accepted(nil))
+	effects.Respond(request.Request, accepted(nil))
 }
 
 // count tells how many origins subscribe to a topic, over all gateways, from
@@ -426,7 +426,7 @@
 		Kind: "count", Origin: request.Origin, Paths: []Interest{{Space: g.routeOf("", request.Topic), Path: request.Topic}}, Looked: looked, Routed: true,
 	}
 	retry := func(now time.Time, effects *statemachine.Effects) { g.count(now, request, true, effects) }
-	answer := func(returned Answer) { effects.Return(request.Request, returned) }
+	answer := func(returned Answer) { effects.Respond(request.Request, returned) }
 	if !g.judge(now, judged, request.RequestName, retry, answer) {
 		return
 	}
@@ -436,7 +436,7 @@
 		if followed, found := g.routed.topics[request.Topic]; found {
 			returned.Number += followed.subscribers()
 		}
-		effects.Return(request.Request, returned)
+		effects.Respond(request.Request, returned)
 	}, effects)
 }
 
@@ -510,7 +510,7 @@
 		return true
 	}
 	g.Counts.Holes++
-	effects.Note(logevent.HoleFound, "partition", followed.partition, "offset", record.Offset, "prior", record.Prior)
+	effects.Emit(logevent.HoleFound, "partition", followed.partition, "offset", record.Offset, "prior", record.Prior)
 	if followed.kept {
 		g.want(now, followed, record.Prior, holeAfter)
 	} else {
--- a/internal/gateway/routed_publish.go
+++ b/internal/gateway/routed_publish.go
@@ -81,7 +81,7 @@
 	}
 	g.ring.Record(now, item.request.RequestName, decisionlog.MessageName(item.space, item.request.Sender, item.request.Seq),
 		item.request.Origin, "answered", "outcome", returned.Outcome, "code", returned.Code, "topic", item.request.Topic, "tries", item.sends)
-	effects.Return(item.request.Request, returned)
+	effects.Respond(item.request.Request, returned)
 }
 
 func (g *Gateway) sendRouted(now time.Time, item *routedPublication, effects *statemachine.Effects) {
--- a/internal/gateway/stopping_test.go
+++ b/internal/gateway/stopping_test.go
@@ -27,7 +27,7 @@
 
 func (f *fleetlab) do(command any) statemachine.Effects {
 	var effects statemachine.Effects
-	f.gateway.Command(f.now, command, &effects)
+	f.gateway.HandleCommand(f.now, command, &effects)
 	return effects
 }
 
@@ -35,7 +35,7 @@
 	var all statemachine.Effects
 	until := f.now.Add(length)
 	for {
-		due := f.gateway.NextDue()
+		due := f.gateway.NextTick()
 		if due.IsZero() || due.After(until) {
 			break
 		}
@@ -43,7 +43,7 @@
 			f.now = due
 		}
 		var effects statemachine.Effects
-		f.gateway.Due(f.now, &effects)
+		f.gateway.Tick(f.now, &effects)
 		f.news(effects)
 		all.Append(effects)
 	}
@@ -61,7 +61,7 @@
 		f.toldAt = f.now
 		partitionName := config.SharedPartition("b.1")
 		f.heard = statemachine.Effects{}
-		f.gateway.Message(f.now, statemachine.Meta{From: "10.0.0.1:2", Version: 1}, membership.News{
+		f.gateway.HandleMessage(f.now, statemachine.Meta{From: "10.0.0.1:2", Version: 1}, membership.News{
 			For: "gateway-1", Nonce: ask.Nonce, Epoch: 1, Primary: "10.0.0.9:1", Index: 1, Version: 1, Document: []byte(document), Changed: true,
 			Births: map[string]uint64{"boards": 1},
 			Members: []membership.Member{
@@ -83,7 +83,7 @@
 	var effects statemachine.Effects
 	fleetlab.gateway.Start(fleetlab.now, &effects)
 	fleetlab.pass(time.Millisecond)
-	assert.Equal(t, fleetlab.gateway.Version(), uint64(1))
+	assert.Equal(t, fleetlab.gateway.ConfigurationVersion(), uint64(1))
 	return fleetlab
 }
 
@@ -95,13 +95,13 @@
 
 func outcome(t *testing.T, effects statemachine.Effects) gateway.Answer {
 	t.Helper()
-	assert.Equal(t, len(effects.Returns), 1)
-	return effects.Returns[0].Value.(gateway.Answer)
+	assert.Equal(t, len(effects.Responses), 1)
+	return effects.Responses[0].Value.(gateway.Answer)
 }
 
 func moves(effects statemachine.Effects) int {
 	count := 0
-	for _, deliver := range effects.Delivers {
+	for _, deliver := range effects.Deliveries {
 		if event, matches := deliver.Event.(gateway.Event); matches && event.Event == "move" && event.To == "10.0.0.2:8000" {
 			count++
 		}
@@ -126,7 +126,7 @@
 	fleetlab.do(gateway.Stop{})
 	fleetlab.request++
 	effects := fleetlab.do(gateway.Publish{Request: fleetlab.request, Origin: "u1", Sender: "u1", Topic: "b.1", Seq: 1, Data: []byte("x")})
-	assert.Equal(t, len(effects.Returns), 0)
+	assert.Equal(t, len(effects.Responses), 0)
 	found := false
 	for _, send := range effects.Sends {
 		appended, matches := send.Message.(partition.Append)
@@ -147,7 +147,7 @@
 	effects = fleetlab.pass(time.Second)
 	assert.Assert(t, effects.Stop)
 	ended := 0
-	for _, deliver := range effects.Delivers {
+	for _, deliver := range effects.Deliveries {
 		if deliver.Close {
 			ended++
 		}
--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -213,7 +213,7 @@
 	}
 	number := mustNumber()
 	channel := strconv.FormatUint(number, 16)
-	sink := make(chan statemachine.Deliver, sinkSize)
+	sink := make(chan statemachine.Delivery, sinkSize)
 	s.host.Attach(number, sink)
 	value, alive := s.host.Do(func(local uint64) any {
 		return gateway.OpenChannel{Request: local, Channel: number, Name: channel, Origin: origin}
@@ -237,13 +237,13 @@
 	s.host.Post(gateway.CloseChannel{Channel: number, Why: why})
 }
 
-func (s *Server) stream(writer http.ResponseWriter, request *http.Request, sink chan statemachine.Deliver) string {
+func (s *Server) stream(writer http.ResponseWriter, request *http.Request, sink chan statemachine.Delivery) string {
 	controller := http.NewResponseController(writer)
 	encoder := json.NewEncoder(writer)
 	encoder.SetEscapeHTML(false)
 	closed := false
 	for {
-		var first statemachine.Deliver
+		var first statemachine.Delivery
 		var open bool
 		select {
 		case first, open = <-sink:
--- a/internal/httpapi/httpapi_test.go
+++ b/internal/httpapi/httpapi_test.go
@@ -27,35 +27,35 @@
 	subscribe []gateway.Subscribe
 }
 
-func (*stub) Start(time.Time, *statemachine.Effects)                           {}
-func (*stub) Message(time.Time, statemachine.Meta, any, *statemachine.Effects) {}
-func (*stub) Due(time.Time, *statemachine.Effects)                             {}
-func (*stub) NextDue() time.Time                                               { return time.Time{} }
-func (*stub) Version() uint64                                                  { return 0 }
+func (*stub) Start(time.Time, *statemachine.Effects)                                 {}
+func (*stub) HandleMessage(time.Time, statemachine.Meta, any, *statemachine.Effects) {}
+func (*stub) Tick(time.Time, *statemachine.Effects)                                  {}
+func (*stub) NextTick() time.Time                                                    { return time.Time{} }
+func (*stub) ConfigurationVersion() uint64                                           { return 0 }
 
 type stopNow struct{}
 
-func (s *stub) Command(_ time.Time, command any, effects *statemachine.Effects) {
+func (s *stub) HandleCommand(_ time.Time, command any, effects *statemachine.Effects) {
 	done := gateway.Answer{Status: 200, Outcome: gateway.OutcomeAccepted}
 	switch body := command.(type) {
 	case gateway.OpenChannel:
 		s.channels[body.Channel] = true
-		effects.Return(body.Request, done)
-		effects.Delivers = append(effects.Delivers, statemachine.Deliver{Channel: body.Channel, Event: gateway.Event{Event: "hello", Channel: body.Name}})
+		effects.Respond(body.Request, done)
+		effects.Deliveries = append(effects.Deliveries, statemachine.Delivery{Session: body.Channel, Event: gateway.Event{Event: "hello", Channel: body.Name}})
 	case gateway.CloseChannel:
 		delete(s.channels, body.Channel)
 	case gateway.Subscribe:
 		s.subscribe = append(s.subscribe, body)
 		done.Cursor = "t1"
-		effects.Return(body.Request, done)
+		effects.Respond(body.Request, done)
 	case gateway.Count:
 		done.Number = 12
-		effects.Return(body.Request, done)
+		effects.Respond(body.Request, done)
 	case gateway.Publish:
 		s.published = append(s.published, body)
-		effects.Return(body.Request, done)
+		effects.Respond(body.Request, done)
 		for channel := range statemachine.Sorted(s.channels) {
-			effects.Delivers = append(effects.Delivers, statemachine.Deliver{Channel: channel, Event: gateway.Event{
+			effects.Deliveries = append(effects.Deliveries, statemachine.Delivery{Session: channel, Event: gateway.Event{
 				Event: "message", Topic: body.Topic, Sender: body.Sender, Seq: body.Seq, Body: body.Data, Cursor: "t2",
 			}})
 		}
--- a/internal/lineserver/owner.go
+++ b/internal/lineserver/owner.go
@@ -152,7 +152,7 @@
 func (s *Server) open(owner daemon.Owner, from *connection, command *asked) {
 	about := command.about
 	from.state, from.origin = opening, command.origin
-	owner.Attach(from.channel, func(deliver statemachine.Deliver) { s.deliver(from, deliver) })
+	owner.Attach(from.channel, func(deliver statemachine.Delivery) { s.deliver(from, deliver) })
 	owner.Ask(func(request uint64) any {
 		return gateway.OpenChannel{Request: request, Channel: from.channel, Name: strconv.FormatUint(from.channel, 16), Origin: command.origin, Lines: true}
 	}, func(value any) {
@@ -202,7 +202,7 @@
 }
 
 // deliver takes an event of the gateway.
-func (s *Server) deliver(to *connection, deliver statemachine.Deliver) {
+func (s *Server) deliver(to *connection, deliver statemachine.Delivery) {
 	if to.state == ended {
 		return
 	}
--- a/internal/logevent/logevent.go
+++ b/internal/logevent/logevent.go
@@ -143,7 +143,7 @@
 }
 
 // Sound writes one event.
-func (l *Logger) Sound(note statemachine.Note) {
+func (l *Logger) Sound(note statemachine.LogEvent) {
 	words, found := Catalogue[note.Number]
 	if !found {
 		words = Words{Level: logrus.ErrorLevel, Text: "event without a catalogue entry"}
@@ -162,8 +162,8 @@
 // Report writes one event with pairs of field and value.
 func (l *Logger) Report(number int, fields ...any) {
 	var effects statemachine.Effects
-	effects.Note(number, fields...)
-	l.Sound(effects.Notes[0])
+	effects.Emit(number, fields...)
+	l.Sound(effects.LogEvents[0])
 }
 
 // SetLevel changes which events are written.
--- a/internal/membership/follower.go
+++ b/internal/membership/follower.go
@@ -69,9 +69,9 @@
 
 // NewFollower makes a follower that asks the given seeds first. Life names this run
 // of the process.
-func NewFollower(self Member, life statemachine.Life, seeds []string, load func() Load) *Follower {
+func NewFollower(self Member, life statemachine.Incarnation, seeds []string, load func() Load) *Follower {
 	return &Follower{
-		self: self, nonce: life.FirstNumber(), seeds: seeds, controllers: seeds, load: load, searching: true,
+		self: self, nonce: life.FirstRequestNumber(), seeds: seeds, controllers: seeds, load: load, searching: true,
 		Members: map[string]Member{}, Places: map[string]Placement{}, timers: statemachine.NewTimers(),
 	}
 }
@@ -79,8 +79,8 @@
 // Start begins asking.
 func (f *Follower) Start(now time.Time) { f.timers.Arm("ask", now) }
 
-// NextDue is when the follower wants to run again.
-func (f *Follower) NextDue() time.Time { return f.timers.Next() }
+// NextTick is when the follower wants to run again.
+func (f *Follower) NextTick() time.Time { return f.timers.Next() }
 
 // Fix lets the follower ask its first seed only, as a gateway asks its agent.
 func (f *Follower) Fix() { f.fixed = true }
@@ -120,8 +120,8 @@
 	f.timers.Arm("ask", now)
 }
 
-// Due runs the timers that expired.
-func (f *Follower) Due(now time.Time, effects *statemachine.Effects) {
+// Tick runs the timers that expired.
+func (f *Follower) Tick(now time.Time, effects *statemachine.Effects) {
 	for _, key := range f.timers.Expired(now) {
 		switch key {
 		case "ask":
--- a/internal/membership/follower_test.go
+++ b/internal/membership/follower_test.go
@@ -28,9 +28,9 @@
 	for step := range 1000 {
 		now = now.Add(10 * time.Millisecond)
 		silent := step > 100 && step < 400
-		if !follower.NextDue().After(now) {
+		if !follower.NextTick().After(now) {
 			var effects statemachine.Effects
-			follower.Due(now, &effects)
+			follower.Tick(now, &effects)
 			for _, send := range effects.Sends {
 				ask := send.Message.(Ask)
 				if silent {
@@ -67,9 +67,9 @@
 	var waiting []answer
 	for step := range 600 {
 		now = now.Add(10 * time.Millisecond)
-		if !follower.NextDue().After(now) {
+		if !follower.NextTick().After(now) {
 			var effects statemachine.Effects
-			follower.Due(now, &effects)
+			follower.Tick(now, &effects)
 			asks += len(effects.Sends)
 			for _, send := range effects.Sends {
 				took := 5 * time.Millisecond
@@ -103,7 +103,7 @@
 		follower := NewFollower(Member{Name: "a", Kind: kind}, 0, []string{"controller"}, func() Load { return Load{} })
 		follower.Start(now)
 		var effects statemachine.Effects
-		follower.Due(now, &effects)
+		follower.Tick(now, &effects)
 		nonce := effects.Sends[0].Message.(Ask).Nonce
 		taken := follower.Take(now.Add(1500*time.Millisecond), News{Nonce: nonce, Epoch: 1, Index: 1, Changed: true, Primary: "controller"})
 		assert.Equal(t, taken.View, wanted, kind)
@@ -118,14 +118,14 @@
 	follower := NewFollower(Member{Name: "gateway-1"}, 0, []string{"controller-1", "controller-2"}, func() Load { return Load{} })
 	follower.Start(now)
 	var effects statemachine.Effects
-	follower.Due(now, &effects)
+	follower.Tick(now, &effects)
 	assert.Equal(t, len(effects.Sends), 2)
 	nonce := effects.Sends[0].Message.(Ask).Nonce
 	now = now.Add(time.Millisecond)
 	follower.Take(now, News{Nonce: nonce, Epoch: 1, Primary: "controller-1", Index: 1, Changed: true})
 	follower.Redirected(now, Redirect{Nonce: nonce, Epoch: 1, Primary: "controller-1"}, &effects)
 	effects = statemachine.Effects{}
-	follower.Due(now, &effects)
+	follower.Tick(now, &effects)
 	assert.Equal(t, len(effects.Sends), 1)
 	assert.Assert(t, !effects.Sends[0].Message.(Ask).Urgent)
 }
--- a/internal/membership/pulse.go
+++ b/internal/membership/pulse.go
@@ -66,8 +66,8 @@
 	p.timers.Arm("beat", now)
 }
 
-// NextDue is when the pulse wants to run again.
-func (p *Pulse) NextDue() time.Time { return p.timers.Next() }
+// NextTick is when the pulse wants to run again.
+func (p *Pulse) NextTick() time.Time { return p.timers.Next() }
 
 // Rest slows the beat of a resting gateway, and quickens it when it wakes.
 func (p *Pulse) Rest(now time.Time, resting bool) {
@@ -127,8 +127,8 @@
 	}
 }
 
-// Due runs the timers that expired.
-func (p *Pulse) Due(now time.Time, effects *statemachine.Effects) {
+// Tick runs the timers that expired.
+func (p *Pulse) Tick(now time.Time, effects *statemachine.Effects) {
 	for range p.timers.Expired(now) {
 		p.step(now, effects)
 	}
@@ -171,7 +171,7 @@
 			silent = append(silent, Suspect{Name: name, Incarnation: member.Incarnation, Silence: silence})
 			if !p.suspected[name] {
 				p.suspected[name] = true
-				effects.Note(logevent.MemberSuspected, "member", name, "silence", silence.String())
+				effects.Emit(logevent.MemberSuspected, "member", name, "silence", silence.String())
 			}
 		}
 	}
--- a/internal/membership/pulse_test.go
+++ b/internal/membership/pulse_test.go
@@ -27,10 +27,10 @@
 
 // told runs the pulse's own steps until it tells of the other, or a limit.
 func told(pulse *Pulse, from time.Time, limit time.Duration, hear func(now time.Time)) time.Duration {
-	for now := pulse.NextDue(); now.Sub(from) <= limit; now = pulse.NextDue() {
+	for now := pulse.NextTick(); now.Sub(from) <= limit; now = pulse.NextTick() {
 		hear(now)
 		var effects statemachine.Effects
-		pulse.Due(now, &effects)
+		pulse.Tick(now, &effects)
 		for _, send := range effects.Sends {
 			if suspicion, matches := send.Message.(Suspicion); matches && suspicion.Silent[0].Name == "other" {
 				return now.Sub(from)
@@ -64,11 +64,11 @@
 func TestAWatcherThatWasStalledBlamesNobody(t *testing.T) {
 	pulse, now := watching(KindStore)
 	var effects statemachine.Effects
-	pulse.Due(now, &effects)
+	pulse.Tick(now, &effects)
 	for stall := StoreBeat + StoreSilent/3 + time.Millisecond; stall < 3*time.Second; stall += 100 * time.Millisecond {
 		now = now.Add(stall)
 		effects = statemachine.Effects{}
-		pulse.Due(now, &effects)
+		pulse.Tick(now, &effects)
 		for _, send := range effects.Sends {
 			_, blames := send.Message.(Suspicion)
 			assert.Assert(t, !blames, "after a stall of %s", stall)
@@ -83,9 +83,9 @@
 		pulse.Start(now)
 		pulse.Take(now, map[string]Member{"self": pulse.self, "controller-1": {Name: "controller-1", Kind: KindController, Address: "c:1", Zone: "west", Alive: true}}, "c:1", 1)
 		beats := 0
-		for due := pulse.NextDue(); due.Sub(now) < 2*time.Second; due = pulse.NextDue() {
+		for due := pulse.NextTick(); due.Sub(now) < 2*time.Second; due = pulse.NextTick() {
 			var effects statemachine.Effects
-			pulse.Due(due, &effects)
+			pulse.Tick(due, &effects)
 			for _, send := range effects.Sends {
 				if _, matches := send.Message.(Heartbeat); matches {
 					beats++
--- a/internal/overlay/cost_test.go
+++ b/internal/overlay/cost_test.go
@@ -94,7 +94,7 @@
 	for {
 		next, due := until, ""
 		for _, name := range y.names {
-			if at := y.parts[name].NextDue(); !at.IsZero() && at.Before(next) {
+			if at := y.parts[name].NextTick(); !at.IsZero() && at.Before(next) {
 				next, due = at, name
 			}
 		}
@@ -119,7 +119,7 @@
 		if next.After(y.now) {
 			y.now = next
 		}
-		y.step(due, func(part *Overlay, effects *statemachine.Effects) { part.Due(y.now, effects) })
+		y.step(due, func(part *Overlay, effects *statemachine.Effects) { part.Tick(y.now, effects) })
 	}
 }
 
--- a/internal/overlay/overlay.go
+++ b/internal/overlay/overlay.go
@@ -217,8 +217,8 @@
 	}
 }
 
-// NextDue is when the overlay wants to run again.
-func (o *Overlay) NextDue() time.Time { return o.timers.Next() }
+// NextTick is when the overlay wants to run again.
+func (o *Overlay) NextTick() time.Time { return o.timers.Next() }
 
 // Subscribe adds one holder to the subscribing peer of an area.
 func (o *Overlay) Subscribe(now time.Time, spaceName string, area Area, settled Settled, effects *statemachine.Effects) {
@@ -1289,8 +1289,8 @@
 	o.signal(daemon, Signal{Kind: SignalJoin, Space: peer.space.name, From: peer.self})
 }
 
-// Due runs the timers that expired.
-func (o *Overlay) Due(now time.Time, effects *statemachine.Effects) {
+// Tick runs the timers that expired.
+func (o *Overlay) Tick(now time.Time, effects *statemachine.Effects) {
 	for _, key := range o.timers.Expired(now) {
 		switch key {
 		case "limits":
--- a/internal/overlay/overlay_test.go
+++ b/internal/overlay/overlay_test.go
@@ -96,7 +96,7 @@
 		}
 		due := ""
 		for name, part := range statemachine.Sorted(n.parts) {
-			if at := part.NextDue(); !n.frozen[name] && !at.IsZero() && at.Before(next) {
+			if at := part.NextTick(); !n.frozen[name] && !at.IsZero() && at.Before(next) {
 				next, due, pick = at, name, -1
 			}
 		}
@@ -123,7 +123,7 @@
 			n.carry(taken.to, &effects)
 			continue
 		}
-		n.parts[due].Due(n.now, &effects)
+		n.parts[due].Tick(n.now, &effects)
 		n.carry(due, &effects)
 	}
 }
--- a/internal/partition/bench_test.go
+++ b/internal/partition/bench_test.go
@@ -57,9 +57,9 @@
 		assert.NilError(t, err)
 		run.machines[member.Name] = machine
 		run.step(member.Name, func(effects *statemachine.Effects) { machine.Start(run.now, effects) })
-		run.step(member.Name, func(effects *statemachine.Effects) { machine.Due(run.now, effects) })
+		run.step(member.Name, func(effects *statemachine.Effects) { machine.Tick(run.now, effects) })
 		run.step(member.Name, func(effects *statemachine.Effects) {
-			machine.Message(run.now, statemachine.Meta{From: "controller"}, news, effects)
+			machine.HandleMessage(run.now, statemachine.Meta{From: "controller"}, news, effects)
 		})
 	}
 	run.settle()
@@ -91,7 +91,7 @@
 		for _, entry := range write.Entries {
 			b.written += len(entry)
 		}
-		b.written += len(write.Frame)
+		b.written += len(write.Snapshot)
 		b.frames = append(b.frames, [2]any{name, carried{to: name, token: write.Token}})
 	}
 	b.spent[name] += time.Since(began)
@@ -110,14 +110,14 @@
 		machine := b.machines[item.to]
 		b.step(item.to, func(effects *statemachine.Effects) {
 			if item.frame == nil {
-				machine.Command(b.now, statemachine.Synced{Token: item.token}, effects)
+				machine.HandleCommand(b.now, statemachine.Synced{Token: item.token}, effects)
 				return
 			}
 			meta, message, err := transport.Decode(item.frame[4:])
 			if err != nil {
 				panic(err)
 			}
-			machine.Message(b.now, meta, message, effects)
+			machine.HandleMessage(b.now, meta, message, effects)
 		})
 	}
 }
@@ -131,14 +131,14 @@
 		frame, _ := transport.Encode(statemachine.Meta{From: "gateway", Version: 1}, Append{Partition: config.SharedPartition(topic), Request: seq, Topic: topic, Sender: "u1fx3a9c", Seq: seq + 1, Data: data})
 		b.step("store-0", func(effects *statemachine.Effects) {
 			meta, message, _ := transport.Decode(frame[4:])
-			b.machines["store-0"].Message(b.now, meta, message, effects)
+			b.machines["store-0"].HandleMessage(b.now, meta, message, effects)
 		})
 	}
 	b.settle()
 	b.now = b.now.Add(3 * time.Millisecond)
 	for name, machine := range b.machines {
-		if due := machine.NextDue(); !due.After(b.now) {
-			b.step(name, func(effects *statemachine.Effects) { machine.Due(b.now, effects) })
+		if due := machine.NextTick(); !due.After(b.now) {
+			b.step(name, func(effects *statemachine.Effects) { machine.Tick(b.now, effects) })
 		}
 	}
 }
--- a/internal/partition/disk.go
+++ b/internal/partition/disk.go
@@ -85,7 +85,7 @@
 func (s *Store) write(now time.Time, afters []afterSync, write statemachine.Write, effects *statemachine.Effects) {
 	s.token++
 	s.Counts.Writes++
-	s.pending[s.token] = &batch{since: now, checkpoint: write.Pack != nil, afters: afters}
+	s.pending[s.token] = &batch{since: now, checkpoint: write.BuildSnapshot != nil, afters: afters}
 	write.Token = s.token
 	effects.Writes = append(effects.Writes, write)
 	s.timers.ArmSooner("copy", now.Add(copyEvery))
@@ -103,7 +103,7 @@
 	}
 	// The log may grow as long as the frame that would take its place.
 	s.logLimit = max(frameLogLimit, size)
-	s.write(now, nil, statemachine.Write{Pack: func() []byte { return transport.MustMarshal(frame) }}, effects)
+	s.write(now, nil, statemachine.Write{BuildSnapshot: func() []byte { return transport.MustMarshal(frame) }}, effects)
 }
 
 func (s *Store) onSynced(now time.Time, token uint64, effects *statemachine.Effects) {
--- a/internal/partition/snapshot_test.go
+++ b/internal/partition/snapshot_test.go
@@ -69,10 +69,10 @@
 	b.machines[fresh.Name] = machine
 	b.thin = map[string]*thinLink{fresh.Name: link}
 	b.step(fresh.Name, func(effects *statemachine.Effects) { machine.Start(b.now, effects) })
-	b.step(fresh.Name, func(effects *statemachine.Effects) { machine.Due(b.now, effects) })
+	b.step(fresh.Name, func(effects *statemachine.Effects) { machine.Tick(b.now, effects) })
 	for _, name := range []string{fresh.Name, "store-0"} {
 		b.step(name, func(effects *statemachine.Effects) {
-			b.machines[name].Message(b.now, statemachine.Meta{From: "controller"}, news, effects)
+			b.machines[name].HandleMessage(b.now, statemachine.Meta{From: "controller"}, news, effects)
 		})
 	}
 	b.settle()
--- a/internal/partition/spare_test.go
+++ b/internal/partition/spare_test.go
@@ -28,7 +28,7 @@
 	}
 	for name, machine := range statemachine.Sorted(b.machines) {
 		b.step(name, func(effects *statemachine.Effects) {
-			machine.Message(b.now, statemachine.Meta{From: "controller"}, news, effects)
+			machine.HandleMessage(b.now, statemachine.Meta{From: "controller"}, news, effects)
 		})
 	}
 	b.settle()
@@ -70,7 +70,7 @@
 	spare := run.machines["store-1"]
 	assert.Equal(t, len(spare.partitions), config.SharedPartitions)
 	run.now = run.now.Add(spareFor + trimEvery + time.Second)
-	run.step("store-1", func(effects *statemachine.Effects) { spare.Due(run.now, effects) })
+	run.step("store-1", func(effects *statemachine.Effects) { spare.Tick(run.now, effects) })
 	assert.Equal(t, len(spare.partitions), 0)
 	run.settle()
 	run.placeAnew(3, "store-1", "store-0", "store-2")
--- a/internal/partition/store.go
+++ b/internal/partition/store.go
@@ -56,7 +56,7 @@
 	// Acknowledge is within what time a proper order is to be acknowledged.
 	Acknowledge time.Duration
 	// Life names this run of the process.
-	Life statemachine.Life
+	Life statemachine.Incarnation
 }
 
 // Request is an operator's request at this daemon's own ctl.
@@ -251,8 +251,8 @@
 // Ready tells whether the store serves.
 func (s *Store) Ready() bool { return s.follower.Index > 0 && !s.stopping }
 
-// Version is the configuration version in force here.
-func (s *Store) Version() uint64 { return s.follower.Version }
+// ConfigurationVersion is the configuration version in force here.
+func (s *Store) ConfigurationVersion() uint64 { return s.follower.Version }
 
 // Follower gives the store's view, for its ctl.
 func (s *Store) Follower() *membership.Follower { return s.follower }
@@ -273,33 +273,33 @@
 	s.timers.Arm("trim", now.Add(trimEvery))
 }
 
-// NextDue is when the store wants to run again.
-func (s *Store) NextDue() time.Time {
-	return statemachine.Earliest(s.follower.NextDue(), s.pulse.NextDue(), s.controlClient.NextDue(), s.timers.Next())
+// NextTick is when the store wants to run again.
+func (s *Store) NextTick() time.Time {
+	return statemachine.Earliest(s.follower.NextTick(), s.pulse.NextTick(), s.controlClient.NextTick(), s.timers.Next())
 }
 
-// Command takes what the adapters bring.
-func (s *Store) Command(now time.Time, command any, effects *statemachine.Effects) {
+// HandleCommand takes what the adapters bring.
+func (s *Store) HandleCommand(now time.Time, command any, effects *statemachine.Effects) {
 	switch body := command.(type) {
 	case statemachine.Synced:
 		s.onSynced(now, body.Token, effects)
-	case statemachine.DiskRefused:
+	case statemachine.DiskUnavailable:
 		s.onDiskRefused(now, effects)
 	case Request:
 		s.controlClient.Carry(now, body.Local, body.Method, body.Path, body.Body, effects)
 	case FindDecisions:
-		effects.Return(body.Local, s.ring.Find(body.Request, body.Message, body.Origin))
+		effects.Respond(body.Local, s.ring.Find(body.Request, body.Message, body.Origin))
 	case Stop:
 		s.beginStop(now, effects)
 	}
 	s.flush(now, effects)
 }
 
-// Due runs whatever is due.
-func (s *Store) Due(now time.Time, effects *statemachine.Effects) {
-	s.follower.Due(now, effects)
-	s.pulse.Due(now, effects)
-	s.controlClient.Due(now, effects)
+// Tick runs whatever is due.
+func (s *Store) Tick(now time.Time, effects *statemachine.Effects) {
+	s.follower.Tick(now, effects)
+	s.pulse.Tick(now, effects)
+	s.controlClient.Tick(now, effects)
 	for _, key := range s.timers.Expired(now) {
 		switch {
 		case key == "trim":
@@ -320,8 +320,8 @@
 	s.flush(now, effects)
 }
 
-// Message takes what other daemons say.
-func (s *Store) Message(now time.Time, meta statemachine.Meta, message any, effects *statemachine.Effects) {
+// HandleMessage takes what other daemons say.
+func (s *Store) HandleMessage(now time.Time, meta statemachine.Meta, message any, effects *statemachine.Effects) {
 	s.pulse.Heard(now)
 	if meta.Version > s.follower.Version {
 		s.follower.Hurry(now)
@@ -394,7 +394,7 @@
 	}
 	if firsts != s.firsts || followers != s.followers {
 		s.firsts, s.followers = firsts, followers
-		effects.Note(logevent.PartitionFirst, "partitions", firsts, "follower", followers)
+		effects.Emit(logevent.PartitionFirst, "partitions", firsts, "follower", followers)
 	}
 }
 
--- a/internal/scaletest/rows.go
+++ b/internal/scaletest/rows.go
@@ -40,7 +40,7 @@
 	now := time.Unix(1_700_000_000, 0)
 	follower.Start(now)
 	var effects statemachine.Effects
-	follower.Due(now, &effects)
+	follower.Tick(now, &effects)
 	before := heap()
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
--- a/internal/simulator/bandwidth.go
+++ b/internal/simulator/bandwidth.go
@@ -336,7 +336,9 @@
 	var err error
 	n.metered(func() { meta, message, err = transport.Decode(frame[4:]) })
 	must(err)
-	n.step(func(now time.Time, effects *statemachine.Effects) { n.Machine.Message(now, meta, message, effects) })
+	n.step(func(now time.Time, effects *statemachine.Effects) {
+		n.Machine.HandleMessage(now, meta, message, effects)
+	})
 }
 
 func (n *Node) traffic(kind string) *Traffic {
--- a/internal/simulator/client.go
+++ b/internal/simulator/client.go
@@ -123,7 +123,7 @@
 	// The sink is attached first, as the HTTP side does.
 	simulation.After(100*time.Microsecond, func() {
 		if node.Up && node.life == life {
-			node.sinks[c.channel] = func(deliver statemachine.Deliver) {
+			node.sinks[c.channel] = func(deliver statemachine.Delivery) {
 				simulation.After(200*time.Microsecond, func() { c.event(turn, deliver) })
 			}
 		}
@@ -169,7 +169,7 @@
 		simulation.After(300*time.Microsecond, func() {
 			node.enter(func() {
 				node.step(func(now time.Time, effects *statemachine.Effects) {
-					node.Machine.Command(now, gateway.CloseChannel{Channel: channel, Why: "closed"}, effects)
+					node.Machine.HandleCommand(now, gateway.CloseChannel{Channel: channel, Why: "closed"}, effects)
 				})
 			})
 		})
@@ -255,7 +255,7 @@
 	}
 }
 
-func (c *Client) event(turn int, deliver statemachine.Deliver) {
+func (c *Client) event(turn int, deliver statemachine.Delivery) {
 	if c.turn != turn {
 		return
 	}
--- a/internal/simulator/departure_test.go
+++ b/internal/simulator/departure_test.go
@@ -82,7 +82,7 @@
 	{"a read answered to its own operator", sendsOf(isAnswer), http.MethodGet, true},
 	{"an order answered to its own operator", sendsOf(isAnswer), http.MethodPut, true},
 	{"an answer that is given to its own operator", func(effects *statemachine.Effects) bool {
-		for _, returned := range effects.Returns {
+		for _, returned := range effects.Responses {
 			if isAnswer(returned.Value) {
 				return true
 			}
--- a/internal/simulator/meter.go
+++ b/internal/simulator/meter.go
@@ -104,6 +104,6 @@
 // Tell brings a command into a daemon to which there is no answer.
 func (s *Simulation) Tell(node *Node, command any) {
 	node.enter(func() {
-		node.step(func(now time.Time, effects *statemachine.Effects) { node.Machine.Command(now, command, effects) })
+		node.step(func(now time.Time, effects *statemachine.Effects) { node.Machine.HandleCommand(now, command, effects) })
 	})
 }
--- a/internal/simulator/simulator.go
+++ b/internal/simulator/simulator.go
@@ -154,7 +154,7 @@
 	timer        uint64
 	returns      map[uint64]func(value any, alive bool)
 	request      uint64
-	sinks        map[uint64]func(deliver statemachine.Deliver)
+	sinks        map[uint64]func(deliver statemachine.Delivery)
 	HealthySince time.Time
 	Steps        int
 	Syncs        int
@@ -336,8 +336,8 @@
 }
 
 // named is the name of this life of the daemon, as a real one would draw it.
-func (n *Node) named() statemachine.Life {
-	return statemachine.Life(rand.New(rand.NewPCG(n.simulation.Seed, n.life)).Uint64())
+func (n *Node) named() statemachine.Incarnation {
+	return statemachine.Incarnation(rand.New(rand.NewPCG(n.simulation.Seed, n.life)).Uint64())
 }
 
 func (n *Node) local() time.Time {
@@ -359,7 +359,7 @@
 		// Wall clocks of machines that nobody set, or that were set anew.
 		n.localStart = n.localStart.Add(time.Duration(simulation.Random.Int64N(int64(2*simulation.apart))) - simulation.apart)
 	}
-	n.returns, n.sinks = map[uint64]func(any, bool){}, map[uint64]func(statemachine.Deliver){}
+	n.returns, n.sinks = map[uint64]func(any, bool){}, map[uint64]func(statemachine.Delivery){}
 	n.writes, n.writing, n.backlog = nil, false, nil
 	n.midway, n.held = nil, nil
 	n.order, n.pace, n.pumps = transport.Order[outgoingFrame]{}, &transport.Pace{}, false
@@ -428,12 +428,14 @@
 func (s *Simulation) refuse(from, to *Node) {
 	life := from.life
 	s.After(2*s.delay(from.Place, to.Place), func() {
-		watcher, watches := from.Machine.(statemachine.LinkWatcher)
+		watcher, watches := from.Machine.(statemachine.LinkObserver)
 		if !watches || !to.refuses || !from.Up || from.life != life || s.cuts[link(from, to)] > 0 {
 			return
 		}
 		from.enter(func() {
-			from.step(func(now time.Time, effects *statemachine.Effects) { watcher.Refused(now, to.Address, effects) })
+			from.step(func(now time.Time, effects *statemachine.Effects) {
+				watcher.ConnectionRefused(now, to.Address, effects)
+			})
 		})
 	})
 }
@@ -448,9 +450,9 @@
 		n.simulation.After(time.Millisecond, func() { done(nil, false) })
 	}
 	sinks := n.sinks
-	n.sinks = map[uint64]func(statemachine.Deliver){}
+	n.sinks = map[uint64]func(statemachine.Delivery){}
 	for _, sink := range statemachine.Sorted(sinks) {
-		n.simulation.After(time.Millisecond, func() { sink(statemachine.Deliver{Close: true}) })
+		n.simulation.After(time.Millisecond, func() { sink(statemachine.Delivery{Close: true}) })
 	}
 }
 
@@ -480,7 +482,7 @@
 		stop = controller.Stop{}
 	}
 	n.enter(func() {
-		n.step(func(now time.Time, effects *statemachine.Effects) { n.Machine.Command(now, stop, effects) })
+		n.step(func(now time.Time, effects *statemachine.Effects) { n.Machine.HandleCommand(now, stop, effects) })
 	})
 	n.simulation.After(6*time.Second, func() {
 		if n.Up && n.life == life {
@@ -538,7 +540,7 @@
 		}
 	}
 	// What waited in the process's own clock goes first, as timers do.
-	n.step(func(now time.Time, effects *statemachine.Effects) { n.Machine.Due(now, effects) })
+	n.step(func(now time.Time, effects *statemachine.Effects) { n.Machine.Tick(now, effects) })
 	for _, run := range backlog {
 		if n.Up && !n.Frozen {
 			run()
@@ -590,7 +592,7 @@
 
 func (n *Node) arm() {
 	n.timer++
-	due := n.Machine.NextDue()
+	due := n.Machine.NextTick()
 	if due.IsZero() {
 		return
 	}
@@ -604,14 +606,14 @@
 			return
 		}
 		n.enter(func() {
-			n.step(func(now time.Time, effects *statemachine.Effects) { n.Machine.Due(now, effects) })
+			n.step(func(now time.Time, effects *statemachine.Effects) { n.Machine.Tick(now, effects) })
 		})
 	})
 }
 
 func (n *Node) carryOut(effects *statemachine.Effects) {
 	simulation := n.simulation
-	for _, note := range effects.Notes {
+	for _, note := range effects.LogEvents {
 		if simulation.back != nil {
 			simulation.back.note(note.Number, simulation.Now.Sub(simulation.backFrom))
 		}
@@ -619,9 +621,9 @@
 			simulation.trace("%s: %d %v", n.Name, note.Number, note.Fields)
 		}
 	}
-	version := n.Machine.Version()
+	version := n.Machine.ConfigurationVersion()
 	for _, send := range effects.Sends {
-		if statemachine.Departs(send.NotAfter, n.local()) {
+		if statemachine.BeforeDeadline(send.NotAfter, n.local()) {
 			n.departs(send.To, send.Message)
 			simulation.send(n, send, version)
 		}
@@ -630,18 +632,18 @@
 		n.writes = append(n.writes, effects.Writes...)
 		n.writeDisk()
 	}
-	for _, returned := range effects.Returns {
+	for _, returned := range effects.Responses {
 		if done, found := n.returns[returned.Request]; found {
 			delete(n.returns, returned.Request)
-			value := returned.Given(n.local())
+			value := returned.ValueAt(n.local())
 			n.departs("", value)
 			done(value, true)
 		}
 	}
-	for _, deliver := range effects.Delivers {
-		if sink, found := n.sinks[deliver.Channel]; found {
+	for _, deliver := range effects.Deliveries {
+		if sink, found := n.sinks[deliver.Session]; found {
 			if deliver.Close {
-				delete(n.sinks, deliver.Channel)
+				delete(n.sinks, deliver.Session)
 			}
 			sink(deliver)
 		}
@@ -667,7 +669,7 @@
 
 func (n *Node) tryWrite(write statemachine.Write) error {
 	n.Syncs++
-	if frame, whole := write.Whole(); whole {
+	if frame, whole := write.SnapshotBytes(); whole {
 		if err := n.book.Checkpoint(frame); err != nil {
 			return err
 		}
@@ -702,7 +704,7 @@
 			n.writes, n.writing = n.writes[batch:], false
 			for _, write := range taken {
 				n.step(func(now time.Time, effects *statemachine.Effects) {
-					n.Machine.Command(now, statemachine.Synced{Token: write.Token}, effects)
+					n.Machine.HandleCommand(now, statemachine.Synced{Token: write.Token}, effects)
 				})
 			}
 			n.writeDisk()
@@ -726,7 +728,7 @@
 		node.returns[request] = func(value any, alive bool) { s.After(wait, func() { done(value, alive) }) }
 		node.enter(func() {
 			node.step(func(now time.Time, effects *statemachine.Effects) {
-				node.Machine.Command(now, command(request), effects)
+				node.Machine.HandleCommand(now, command(request), effects)
 			})
 		})
 	})
--- a/internal/simulator/topic_client.go
+++ b/internal/simulator/topic_client.go
@@ -198,7 +198,7 @@
 				})
 			}
 			node.step(func(now time.Time, effects *statemachine.Effects) {
-				node.Machine.Command(now, command(request), effects)
+				node.Machine.HandleCommand(now, command(request), effects)
 			})
 		})
 	})
@@ -233,7 +233,7 @@
 	line := tc.line
 	tc.say(len(tc.Name), func(request uint64) any {
 		// The line's writer stands before the channel does.
-		node.sinks[channel] = func(deliver statemachine.Deliver) {
+		node.sinks[channel] = func(deliver statemachine.Delivery) {
 			line.toCaller(simulation, node, lineEvent, deliveredSize(deliver), func() { tc.event(turn, deliver) })
 		}
 		return gateway.OpenChannel{Request: request, Channel: channel, Name: fmt.Sprint(channel), Origin: tc.Name, Lines: true}
@@ -310,7 +310,7 @@
 				}
 				delete(node.sinks, channel)
 				node.step(func(now time.Time, effects *statemachine.Effects) {
-					node.Machine.Command(now, gateway.CloseChannel{Channel: channel, Why: "closed"}, effects)
+					node.Machine.HandleCommand(now, gateway.CloseChannel{Channel: channel, Why: "closed"}, effects)
 				})
 			})
 		})
@@ -366,7 +366,7 @@
 				return
 			}
 			node.step(func(now time.Time, effects *statemachine.Effects) {
-				node.Machine.Command(now, gateway.Heard{Channel: channel}, effects)
+				node.Machine.HandleCommand(now, gateway.Heard{Channel: channel}, effects)
 			})
 			line.toCaller(simulation, node, lineAnswer, 0, func() {
 				if tc.turn == turn {
@@ -519,7 +519,7 @@
 	return true
 }
 
-func (tc *TopicClient) event(turn int, deliver statemachine.Deliver) {
+func (tc *TopicClient) event(turn int, deliver statemachine.Delivery) {
 	if tc.turn != turn {
 		return
 	}
@@ -541,7 +541,7 @@
 }
 
 // deliveredSize is what an event takes on the line beside its head.
-func deliveredSize(deliver statemachine.Deliver) int {
+func deliveredSize(deliver statemachine.Delivery) int {
 	event, matches := deliver.Event.(gateway.Event)
 	if !matches {
 		return 0
--- a/internal/statemachine/request.go
+++ b/internal/statemachine/request.go
@@ -5,57 +5,57 @@
 
 package statemachine
 
-// Life names one run of a process. It is drawn at random when the process starts.
-type Life uint64
+// Incarnation names one run of a process. It is drawn at random when the process starts.
+type Incarnation uint64
 
 // RequestID names a request so that no request of another life, be it of the same
 // daemon or of another one, has the same name. The zero value names none.
 type RequestID struct {
-	_      struct{} `cbor:",toarray"`
-	Life   Life
-	Number uint64
+	_           struct{} `cbor:",toarray"`
+	Incarnation Incarnation
+	Number      uint64
 }
 
-// FirstNumber is where a life begins to number requests of which there are so many
+// FirstRequestNumber is where a life begins to number requests of which there are so many
 // that a whole RequestID in each would cost too much. The numbers of two lives that
 // follow one another lie apart but for once in about a million restarts at a
 // thousand requests a second, since links hold messages for two seconds at most.
-func (l Life) FirstNumber() uint64 {
+func (l Incarnation) FirstRequestNumber() uint64 {
 	if Mutated("lives-alike") {
 		return 0
 	}
 	return uint64(uint32(l>>32) ^ uint32(l))
 }
 
-// Named tells whether it names a request.
-func (r RequestID) Named() bool { return r.Number > 0 }
+// IsSet tells whether it names a request.
+func (r RequestID) IsSet() bool { return r.Number > 0 }
 
-// Requests names the requests of one life.
-type Requests struct {
-	life Life
-	last uint64
+// RequestSequence names the requests of one life.
+type RequestSequence struct {
+	incarnation Incarnation
+	last        uint64
 }
 
-// NewRequests begins to name the requests of a life.
-func NewRequests(life Life) Requests {
+// NewRequestSequence begins to name the requests of a life.
+func NewRequestSequence(incarnation Incarnation) RequestSequence {
 	if Mutated("lives-alike") {
-		life = 0
+		incarnation = 0
 	}
-	return Requests{life: life}
+	return RequestSequence{incarnation: incarnation}
 }
 
 // Next names another request.
-func (r *Requests) Next() RequestID {
+func (r *RequestSequence) Next() RequestID {
 	r.last++
 	return r.Last()
 }
 
 // Last is the newest request that was named.
-func (r *Requests) Last() RequestID {
-	return RequestID{Life: r.life, Number: r.last}
+func (r *RequestSequence) Last() RequestID {
+	return RequestID{Incarnation: r.incarnation, Number: r.last}
 }
 
-// Own gives the number of a request of this life; false for any other request.
-func (r *Requests) Own(request RequestID) (uint64, bool) {
-	return request.Number, request.Life == r.life && request.Named()
+// NumberOf gives the number of a request of this life; false for any other request.
+func (r *RequestSequence) NumberOf(request RequestID) (uint64, bool) {
+	return request.Number, request.Incarnation == r.incarnation && request.IsSet()
 }
--- a/internal/statemachine/statemachine.go
+++ b/internal/statemachine/statemachine.go
@@ -31,64 +31,64 @@
 // large frame may be given by Pack, which reads nothing that changes and is called
 // by whoever writes, so that the owner need not wait for it.
 type Write struct {
-	Token   uint64
-	Entries [][]byte
-	Frame   []byte
-	Pack    func() []byte
+	Token         uint64
+	Entries       [][]byte
+	Snapshot      []byte
+	BuildSnapshot func() []byte
 }
 
-// Whole gives the frame of a write, if it has one.
-func (w Write) Whole() ([]byte, bool) {
-	if w.Pack != nil {
-		return w.Pack(), true
+// SnapshotBytes gives the frame of a write, if it has one.
+func (w Write) SnapshotBytes() ([]byte, bool) {
+	if w.BuildSnapshot != nil {
+		return w.BuildSnapshot(), true
 	}
-	return w.Frame, w.Frame != nil
+	return w.Snapshot, w.Snapshot != nil
 }
 
-// Return is the final answer to a request that an adapter brought in. One with a
+// Response is the final answer to a request that an adapter brought in. One with a
 // NotAfter may be given only until then; whoever asked is given Late after.
-type Return struct {
-	Request  uint64
-	Value    any
-	NotAfter time.Time
-	Late     any
+type Response struct {
+	Request   uint64
+	Value     any
+	NotAfter  time.Time
+	LateValue any
 }
 
-// Given is what the asker is told at a moment.
-func (r Return) Given(now time.Time) any {
-	if Departs(r.NotAfter, now) {
+// ValueAt is what the asker is told at a moment.
+func (r Response) ValueAt(now time.Time) any {
+	if BeforeDeadline(r.NotAfter, now) {
 		return r.Value
 	}
-	return r.Late
+	return r.LateValue
 }
 
-// Departs tells whether what may be said until a moment may leave now; a zero
+// BeforeDeadline tells whether what may be said until a moment may leave now; a zero
 // moment is no bound.
-func Departs(notAfter, now time.Time) bool {
+func BeforeDeadline(notAfter, now time.Time) bool {
 	return notAfter.IsZero() || now.Before(notAfter) || Mutated("leave-late")
 }
 
-// Deliver hands an event to the writer of one channel; Close ends it after.
-type Deliver struct {
-	Channel uint64
+// Delivery hands an event to the writer of one channel; Close ends it after.
+type Delivery struct {
+	Session uint64
 	Event   any
 	Close   bool
 }
 
-// Note is a numbered log event with its fields.
-type Note struct {
+// LogEvent is a numbered log event with its fields.
+type LogEvent struct {
 	Number int
 	Fields map[string]any
 }
 
 // Effects collects what a step asks of the world.
 type Effects struct {
-	Sends    []Send
-	Writes   []Write
-	Returns  []Return
-	Delivers []Deliver
-	Notes    []Note
-	Stop     bool
+	Sends      []Send
+	Writes     []Write
+	Responses  []Response
+	Deliveries []Delivery
+	LogEvents  []LogEvent
+	Stop       bool
 }
 
 // Send appends a message to be sent on.
@@ -111,24 +111,24 @@
 func (e *Effects) Append(later Effects) {
 	e.Sends = append(e.Sends, later.Sends...)
 	e.Writes = append(e.Writes, later.Writes...)
-	e.Returns = append(e.Returns, later.Returns...)
-	e.Delivers = append(e.Delivers, later.Delivers...)
-	e.Notes = append(e.Notes, later.Notes...)
+	e.Responses = append(e.Responses, later.Responses...)
+	e.Deliveries = append(e.Deliveries, later.Deliveries...)
+	e.LogEvents = append(e.LogEvents, later.LogEvents...)
 	e.Stop = e.Stop || later.Stop
 }
 
-// Return appends the answer to a request.
-func (e *Effects) Return(request uint64, value any) {
-	e.Returns = append(e.Returns, Return{Request: request, Value: value})
+// Respond appends the answer to a request.
+func (e *Effects) Respond(request uint64, value any) {
+	e.Responses = append(e.Responses, Response{Request: request, Value: value})
 }
 
-// Note appends a log event; fields come in pairs of name and value.
-func (e *Effects) Note(number int, fields ...any) {
-	note := Note{Number: number, Fields: make(map[string]any, len(fields)/2)}
+// Emit appends a log event; fields come in pairs of name and value.
+func (e *Effects) Emit(number int, fields ...any) {
+	event := LogEvent{Number: number, Fields: make(map[string]any, len(fields)/2)}
 	for index := 0; index+1 < len(fields); index += 2 {
-		note.Fields[fields[index].(string)] = fields[index+1]
+		event.Fields[fields[index].(string)] = fields[index+1]
 	}
-	e.Notes = append(e.Notes, note)
+	e.LogEvents = append(e.LogEvents, event)
 }
 
 // Synced tells a machine that a write with this token lasts.
@@ -136,23 +136,23 @@
 	Token uint64
 }
 
-// DiskRefused tells a machine that its disk takes no write, and is being tried
+// DiskUnavailable tells a machine that its disk takes no write, and is being tried
 // again; Synced comes once it does.
-type DiskRefused struct{}
+type DiskUnavailable struct{}
 
-// LinkWatcher is a machine that wants to know of addresses that refuse to be
+// LinkObserver is a machine that wants to know of addresses that refuse to be
 // dialled: no process listens there, though the machine is up. A link that was
 // merely reset is dialled anew and tells nothing.
-type LinkWatcher interface {
-	Refused(now time.Time, address string, effects *Effects)
+type LinkObserver interface {
+	ConnectionRefused(now time.Time, address string, effects *Effects)
 }
 
 // Machine is a protocol part, or a daemon made of several.
 type Machine interface {
 	Start(now time.Time, effects *Effects)
-	Message(now time.Time, meta Meta, message any, effects *Effects)
-	Command(now time.Time, command any, effects *Effects)
-	Due(now time.Time, effects *Effects)
-	NextDue() time.Time
-	Version() uint64
+	HandleMessage(now time.Time, meta Meta, message any, effects *Effects)
+	HandleCommand(now time.Time, command any, effects *Effects)
+	Tick(now time.Time, effects *Effects)
+	NextTick() time.Time
+	ConfigurationVersion() uint64
 }
--- a/internal/transport/departure.go
+++ b/internal/transport/departure.go
@@ -30,7 +30,7 @@
 	now := t.clock()
 	late := 0
 	for _, each := range turn.bounds {
-		if !statemachine.Departs(each.notAfter, now) {
+		if !statemachine.BeforeDeadline(each.notAfter, now) {
 			late++
 		}
 	}
@@ -45,7 +45,7 @@
 	for _, each := range turn.bounds {
 		kept.Write(turn.body[from:each.start])
 		from = each.end
-		if !statemachine.Departs(each.notAfter, now) {
+		if !statemachine.BeforeDeadline(each.notAfter, now) {
 			continue
 		}
 		start := kept.Len()
