--- a/cmd/fleetlab/storm.go
+++ b/cmd/fleetlab/storm.go
@@ -728,13 +728,13 @@
 			}
 			after := event.Time.Sub(from)
 			switch event.Number {
-			case logevent.MemberSuspected, logevent.TakeoverBegun, logevent.BackupLost:
+			case logevent.MemberSuspected, logevent.TakeoverStarted, logevent.BackupLost:
 				if noticed == 0 || after < noticed {
 					noticed = after
 				}
 			case logevent.MemberLost, logevent.EpochDecided, logevent.PlacementChanged:
 				decided = max(decided, after)
-			case logevent.PlacementComplete:
+			case logevent.PlacementReplicated:
 				complete = max(complete, after)
 			}
 		}
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -312,7 +312,7 @@
 	switch {
 	case !listed:
 		if w.blank || w.member() {
-			effects.Emit(logevent.StandsBy, "epoch", record.Epoch, "primary", record.Primary)
+			effects.Emit(logevent.LearnerStarted, "epoch", record.Epoch, "primary", record.Primary)
 		}
 	case record.Epoch == 1:
 		return 1
--- a/internal/consensus/lease.go
+++ b/internal/consensus/lease.go
@@ -209,7 +209,7 @@
 		w.grantedUntil = now
 	}
 	w.renewals, w.grants = map[uint64]time.Time{}, map[uint64]map[string]bool{}
-	effects.Emit(logevent.LeaseYielded, "epoch", w.durable.Record.Epoch)
+	effects.Emit(logevent.LeaseReleased, "epoch", w.durable.Record.Epoch)
 	for _, controller := range w.durable.Record.Voters {
 		if !controller.At(w.settings.Self) {
 			effects.Send(controller.Address, Yield{Epoch: w.durable.Record.Epoch, Request: w.requests.Last()})
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -273,7 +273,7 @@
 		return
 	}
 	w.copies[name].level = true
-	effects.Emit(logevent.BackupComplete, "backup", name, "index", w.index)
+	effects.Emit(logevent.BackupSynchronized, "backup", name, "index", w.index)
 	if w.level() {
 		w.whole = true
 		w.resumeQueue(now, effects)
@@ -349,7 +349,7 @@
 	lost, slow := w.failing(now)
 	leave := append(lost, slow...)
 	if name, found := w.near(now); found && len(leave) == 0 && !w.replacing {
-		effects.Emit(logevent.BackupNear, "backup", name, "epoch", record.Epoch)
+		effects.Emit(logevent.BackupInSameZone, "backup", name, "epoch", record.Epoch)
 		leave = []string{name}
 	} else if name, found := w.departingBackup(now); found && len(leave) == 0 && !w.replacing {
 		leave = []string{name}
@@ -395,7 +395,7 @@
 	}
 	if !w.takingOver {
 		w.takingOver = true
-		effects.Emit(logevent.TakeoverBegun, "epoch", w.durable.Record.Epoch, "primary", w.durable.Record.Primary)
+		effects.Emit(logevent.TakeoverStarted, "epoch", w.durable.Record.Epoch, "primary", w.durable.Record.Primary)
 	}
 	// The primary is asked as well: it may be back, and not be able to go on.
 	w.gather(now, nil, nil, effects)
--- a/internal/consensus/voters.go
+++ b/internal/consensus/voters.go
@@ -307,7 +307,7 @@
 	w.forgetful = now.Add(LeaseLength)
 	w.primaryHeard, w.decidedAt = now, now
 	w.watchCopies(now)
-	effects.Emit(logevent.Recalled, "epoch", newest.Record.Epoch)
+	effects.Emit(logevent.EpochRecovered, "epoch", newest.Record.Epoch)
 	w.saveDurable(effects, nil)
 }
 
--- a/internal/controller/control.go
+++ b/internal/controller/control.go
@@ -170,7 +170,7 @@
 		case consensus.Committed:
 			decided := c.state.result
 			if decided.outcome == Taken {
-				effects.Emit(logevent.ConfigurationTaken, "version", change.Version)
+				effects.Emit(logevent.ConfigurationAccepted, "version", change.Version)
 			}
 			c.answerNews(now, effects)
 			c.timers.ArmSooner("tend", now)
@@ -181,7 +181,7 @@
 
 func (c *Controller) answerConfiguration(decided result, give answer, effects *statemachine.Effects) {
 	if decided.outcome == Faulty {
-		effects.Emit(logevent.ConfigurationError, "faults", len(decided.faults), "first", decided.faults[0].String())
+		effects.Emit(logevent.ConfigurationRejected, "faults", len(decided.faults), "first", decided.faults[0].String())
 	}
 	status, value := c.configurationAnswer(decided)
 	give(effects, status, value)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -511,7 +511,7 @@
 		if change.Degraded {
 			effects.Emit(logevent.StoreDegraded, "store", change.Name, "delay", c.lags[change.Name].delay.String())
 		} else {
-			effects.Emit(logevent.StoreWell, "store", change.Name)
+			effects.Emit(logevent.StoreRecovered, "store", change.Name)
 		}
 	}
 	return changed
@@ -567,7 +567,7 @@
 		place, found := c.state.Places[partition]
 		if found && place.Epoch == settled.Epoch && !place.Complete {
 			command.Settled = append(command.Settled, settled)
-			effects.Emit(logevent.PlacementComplete, "partition", partition, "epoch", settled.Epoch)
+			effects.Emit(logevent.PlacementReplicated, "partition", partition, "epoch", settled.Epoch)
 		}
 	}
 	c.complete = map[string]membership.PartitionComplete{}
@@ -578,7 +578,7 @@
 		c.forgetStrangers(now)
 		command.Forgotten = c.forgettable(now)
 		for _, departure := range command.Forgotten {
-			effects.Emit(logevent.MemberForgotten, "member", departure.Name)
+			effects.Emit(logevent.MemberRemoved, "member", departure.Name)
 		}
 	}
 	if command.empty() {
--- a/internal/daemon/host.go
+++ b/internal/daemon/host.go
@@ -94,7 +94,7 @@
 		opened.clock = time.Now
 	}
 	links, err := transport.Open(settings.Address, opened.inbox, opened.urgent, func(remote string, err error) {
-		settings.Logger.Report(logevent.LinkGarbage, "remote", remote, "error", err.Error())
+		settings.Logger.Report(logevent.MalformedFrame, "remote", remote, "error", err.Error())
 	})
 	if err != nil {
 		return nil, err
@@ -166,7 +166,7 @@
 			return
 		}
 		if tries%refusedReports == 0 {
-			h.logger.Report(logevent.DiskRefused, "error", err.Error(), "tries", tries+1)
+			h.logger.Report(logevent.DiskWriteFailed, "error", err.Error(), "tries", tries+1)
 		}
 		h.Post(statemachine.DiskUnavailable{})
 		select {
@@ -442,7 +442,7 @@
 func (h *Host) carryOut(state *running, effects *statemachine.Effects) {
 	version := h.machine.ConfigurationVersion()
 	for _, note := range effects.LogEvents {
-		h.logger.Sound(note)
+		h.logger.Write(note)
 	}
 	for _, send := range effects.Sends {
 		if send.To == h.address {
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -162,7 +162,7 @@
 	}
 	book, stored, err := p.openDisk()
 	if err != nil {
-		p.logger.Report(logevent.DiskRefused, "error", err.Error())
+		p.logger.Report(logevent.DiskWriteFailed, "error", err.Error())
 		return ExitDisk
 	}
 	p.built, err = build(current, p.self, stored)
@@ -227,7 +227,7 @@
 	told := p.trafficTicks()
 	changed, err := p.source.Watch()
 	if err != nil {
-		p.logger.Report(logevent.SettingsRefused, "error", err.Error())
+		p.logger.Report(logevent.SettingsRejected, "error", err.Error())
 	}
 	for {
 		select {
@@ -241,7 +241,7 @@
 		case <-changed:
 			p.reload("file")
 		case <-told:
-			p.logger.Report(logevent.TrafficTold, p.traffic()...)
+			p.logger.Report(logevent.TrafficReported, p.traffic()...)
 		case <-p.host.Ended():
 			return
 		}
@@ -270,11 +270,11 @@
 func (p *process) reload(why string) {
 	after, err := p.source.Read()
 	if err != nil {
-		p.logger.Report(logevent.SettingsRefused, "error", err.Error(), "why", why)
+		p.logger.Report(logevent.SettingsRejected, "error", err.Error(), "why", why)
 		return
 	}
 	if differ := settings.Fixed(p.current, after); len(differ) > 0 {
-		p.logger.Report(logevent.SettingsRefused, "error", "only a restart changes "+strings.Join(differ, ", "), "why", why)
+		p.logger.Report(logevent.SettingsRejected, "error", "only a restart changes "+strings.Join(differ, ", "), "why", why)
 		return
 	}
 	p.current = after
@@ -288,7 +288,7 @@
 			return nil
 		})
 	}
-	p.logger.Report(logevent.SettingsTaken, "why", why)
+	p.logger.Report(logevent.SettingsApplied, "why", why)
 }
 
 func (p *process) impairment(settings settings.Settings) {
@@ -338,7 +338,7 @@
 			return book, recovered, err
 		}
 		if tries%refusedReports == 0 {
-			p.logger.Report(logevent.DiskRefused, "error", err.Error(), "tries", tries+1)
+			p.logger.Report(logevent.DiskWriteFailed, "error", err.Error(), "tries", tries+1)
 		}
 		time.Sleep(refusedPause)
 	}
--- a/internal/gateway/catchup.go
+++ b/internal/gateway/catchup.go
@@ -286,7 +286,7 @@
 		return
 	}
 	if len(returned.Records) > 0 {
-		effects.Emit(logevent.HoleFilled, "partition", followed.partition, "records", len(returned.Records), "until", returned.Until)
+		effects.Emit(logevent.GapFilled, "partition", followed.partition, "records", len(returned.Records), "until", returned.Until)
 	}
 	g.takeMissing(now, asked, state, returned, effects)
 	for _, taken := range slices.Clone(followed.places) {
--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -136,7 +136,7 @@
 	g.supersede(now, request.Origin, request.Channel, effects)
 	g.timers.ArmSooner("tick", now.Add(tickEvery))
 	g.ring.Record(now, "", "", request.Origin, "channel-opened", "channel", request.Name)
-	effects.Emit(logevent.ChannelOpened, "origin", request.Origin)
+	effects.Emit(logevent.SessionOpened, "origin", request.Origin)
 	effects.Respond(request.Request, accepted(nil))
 	g.emit(request.Channel, Event{
 		Event: "hello", Channel: request.Name, Daemon: g.settings.Self.Name, Zone: g.settings.Self.Zone, Version: g.ConfigurationVersion(),
@@ -181,9 +181,9 @@
 		delete(g.newest, channel.origin)
 	}
 	delete(g.channels, request.Channel)
-	number := logevent.ChannelClosed
+	number := logevent.SessionClosed
 	if request.Why == "slow" {
-		number = logevent.ChannelSlow
+		number = logevent.SessionTooSlow
 	}
 	effects.Emit(number, "origin", channel.origin, "why", request.Why)
 	g.ring.Record(now, "", "", channel.origin, "channel-closed", "why", request.Why)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -490,7 +490,7 @@
 		}
 	}
 	g.rerouteAll(now, effects)
-	effects.Emit(logevent.NewsTaken, "version", document.Version, "spaces", len(document.Spaces))
+	effects.Emit(logevent.ConfigurationApplied, "version", document.Version, "spaces", len(document.Spaces))
 	g.ring.Record(now, "", "", "", "configuration", "version", document.Version)
 }
 
@@ -675,7 +675,7 @@
 	event := Event{Event: "move", To: target.Caller, ToName: target.Name, Cursor: g.cursor(now, channel)}
 	channel.movedAt = now
 	g.ring.Record(now, "", "", channel.origin, "moved", "to", target.Name, "stopping", g.stopping)
-	effects.Emit(logevent.ChannelMoved, "origin", channel.origin, "to", target.Name)
+	effects.Emit(logevent.SessionMoved, "origin", channel.origin, "to", target.Name)
 	g.emit(id, event, effects)
 }
 
--- a/internal/gateway/routed.go
+++ b/internal/gateway/routed.go
@@ -510,7 +510,7 @@
 		return true
 	}
 	g.Counts.Holes++
-	effects.Emit(logevent.HoleFound, "partition", followed.partition, "offset", record.Offset, "prior", record.Prior)
+	effects.Emit(logevent.GapFound, "partition", followed.partition, "offset", record.Offset, "prior", record.Prior)
 	if followed.kept {
 		g.want(now, followed, record.Prior, holeAfter)
 	} else {
--- a/internal/gateway/tracker.go
+++ b/internal/gateway/tracker.go
@@ -173,7 +173,7 @@
 	g.pump(now, effects)
 	if _, waits := tracker.held[offset]; waits && tracker.began {
 		g.Counts.Holes++
-		effects.Emit(logevent.HoleFound, "partition", carry.Partition, "offset", offset, "prior", carry.Record.Prior)
+		effects.Emit(logevent.GapFound, "partition", carry.Partition, "offset", offset, "prior", carry.Record.Prior)
 		g.ring.Record(now, "", decisionlog.MessageName(tracker.space, carry.Record.Sender, carry.Record.Seq), "", "waits",
 			"partition", carry.Partition, "offset", offset, "prior", carry.Record.Prior, "before", carry.Record.Before.Marks, "verified", tracker.verified)
 		tracker.wanted = true
@@ -494,7 +494,7 @@
 		}
 	}
 	if len(records) > 0 {
-		effects.Emit(logevent.HoleFilled, "partition", round.tracker, "records", len(records), "until", until)
+		effects.Emit(logevent.GapFilled, "partition", round.tracker, "records", len(records), "until", until)
 		for _, record := range records {
 			g.ring.Record(now, "", decisionlog.MessageName(tracker.space, record.Sender, record.Seq), "", "repaired", "partition", round.tracker, "offset", record.Offset)
 		}
--- a/internal/partition/copy.go
+++ b/internal/partition/copy.go
@@ -182,7 +182,7 @@
 		s.partitions[copied.Partition] = partition
 	}
 	if copied.Epoch < partition.place.Epoch {
-		effects.Emit(logevent.PartitionOlderEpoch, "partition", copied.Partition, "epoch", copied.Epoch, "present", partition.place.Epoch)
+		effects.Emit(logevent.PartitionStaleEpoch, "partition", copied.Partition, "epoch", copied.Epoch, "present", partition.place.Epoch)
 		effects.Send(from, CopyResponse{Partition: copied.Partition, Epoch: copied.Epoch, Older: partition.place.Epoch})
 		return
 	}
@@ -339,7 +339,7 @@
 	}
 	log := newLog(frame.Partition)
 	if err := transport.Unmarshal(frame.State, log); err != nil || log.Name != frame.Partition {
-		effects.Emit(logevent.LinkGarbage, "remote", from, "partition", frame.Partition)
+		effects.Emit(logevent.MalformedFrame, "remote", from, "partition", frame.Partition)
 		return
 	}
 	if partition.log.passed(log, frame.Epoch) && !statemachine.Mutated("any-frame") {
@@ -348,7 +348,7 @@
 	log.shift(now.Sub(frame.Now))
 	partition.log = log
 	partition.synced = 0
-	effects.Emit(logevent.PartitionFrameTaken, "partition", frame.Partition, "epoch", frame.Epoch, "records", len(log.Records))
+	effects.Emit(logevent.PartitionSnapshotInstalled, "partition", frame.Partition, "epoch", frame.Epoch, "records", len(log.Records))
 	s.log(diskEntry{Partition: frame.Partition, Frame: transport.MustMarshal(log)}, nil)
 	s.confirm(partition, from, frame.Epoch)
 }
--- a/internal/partition/snapshot.go
+++ b/internal/partition/snapshot.go
@@ -59,7 +59,7 @@
 	whole.wait = min(max(2*whole.wait, snapshotLost), snapshotPatience)
 	copied.sentAt = now
 	s.Counts.Frames++
-	effects.Emit(logevent.PartitionFrameSent, "partition", partition.log.Name, "epoch", partition.place.Epoch, "bytes", whole.size)
+	effects.Emit(logevent.PartitionSnapshotSent, "partition", partition.log.Name, "epoch", partition.place.Epoch, "bytes", whole.size)
 	effects.Send(s.follower.Members[copied.name].Address, Frame{
 		Now: now, Partition: partition.log.Name, Epoch: partition.place.Epoch, State: state,
 	})
--- a/internal/partition/store.go
+++ b/internal/partition/store.go
@@ -394,7 +394,7 @@
 	}
 	if firsts != s.firsts || followers != s.followers {
 		s.firsts, s.followers = firsts, followers
-		effects.Emit(logevent.PartitionFirst, "partitions", firsts, "follower", followers)
+		effects.Emit(logevent.PartitionLeader, "partitions", firsts, "follower", followers)
 	}
 }
 
--- a/internal/simulator/storm.go
+++ b/internal/simulator/storm.go
@@ -555,7 +555,7 @@
 // note takes what daemons log as signs of a recovery's first two parts.
 func (c *Comeback) note(number int, after time.Duration) {
 	switch number {
-	case logevent.MemberSuspected, logevent.TakeoverBegun, logevent.BackupLost, logevent.Recalled:
+	case logevent.MemberSuspected, logevent.TakeoverStarted, logevent.BackupLost, logevent.EpochRecovered:
 		if c.Noticed == 0 {
 			c.Noticed = after
 		}
