--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -55,7 +55,7 @@
 			subscribing, publishing := machine.Overlay().Hosted()
 			return map[string]any{
 				"gateway": machine.Counts, "overlay": machine.Overlay().Counts, "peers_subscribing": subscribing, "peers_publishing": publishing,
-				"load": machine.Load(), "orders": machine.Follower().Orders,
+				"load": machine.Load(), "orders": machine.Follower().Directives,
 			}
 		},
 		Caller: func(at *daemon.Host) http.Handler { return httpapi.New(current.Name, callersKey, at) },
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -46,7 +46,7 @@
 type Stop struct{}
 
 type relayed struct {
-	ask    membership.Ask
+	ask    membership.ViewRequest
 	sentAt time.Time
 	open   bool
 }
@@ -59,8 +59,8 @@
 // Agent is the state machine.
 type Agent struct {
 	settings      Settings
-	follower      *membership.Follower
-	pulse         *membership.Pulse
+	follower      *membership.ViewClient
+	pulse         *membership.FailureDetector
 	controlClient *controlclient.ControlClient
 	relayed       relayed
 	local         uint64
@@ -72,10 +72,10 @@
 // New makes an agent.
 func New(settings Settings) *Agent {
 	agent := &Agent{settings: settings, carrying: map[uint64]carried{}, timers: statemachine.NewTimers()}
-	agent.follower = membership.NewFollower(settings.Self, settings.Life, settings.Seeds, func() membership.Load { return membership.Load{Ready: true} })
-	agent.pulse = membership.NewPulse(settings.Self)
+	agent.follower = membership.NewViewClient(settings.Self, settings.Life, settings.Seeds, func() membership.Load { return membership.Load{Ready: true} })
+	agent.pulse = membership.NewFailureDetector(settings.Self)
 	agent.controlClient = controlclient.New(controlclient.Settings{
-		Life: settings.Life, Acknowledge: settings.Acknowledge, Upstream: agent.follower.Upstream, Other: agent.follower.Other, Relays: agent.follower.Relays,
+		Life: settings.Life, Acknowledge: settings.Acknowledge, Upstream: agent.follower.Upstream, Other: agent.follower.NextController, Relays: agent.follower.Relays,
 	})
 	return agent
 }
@@ -84,7 +84,7 @@
 func (a *Agent) ConfigurationVersion() uint64 { return a.follower.Version }
 
 // Follower gives the agent's view, for its ctl.
-func (a *Agent) Follower() *membership.Follower { return a.follower }
+func (a *Agent) Follower() *membership.ViewClient { return a.follower }
 
 // Ready tells whether the link to the controllers stands.
 func (a *Agent) Ready() bool { return a.follower.Index > 0 }
@@ -115,7 +115,7 @@
 func (a *Agent) end(effects *statemachine.Effects) {
 	for _, member := range statemachine.Sorted(a.follower.Members) {
 		if member.Kind == membership.KindController {
-			effects.Send(member.Address, membership.Farewell{Name: a.settings.Self.Name, Incarnation: a.settings.Self.Incarnation})
+			effects.Send(member.Address, membership.GracefulLeave{Name: a.settings.Self.Name, Incarnation: a.settings.Self.Incarnation})
 		}
 	}
 	effects.Stop = true
@@ -139,10 +139,10 @@
 // HandleMessage takes what other daemons, and the gateway, say.
 func (a *Agent) HandleMessage(now time.Time, meta statemachine.Meta, message any, effects *statemachine.Effects) {
 	if meta.From != a.settings.Gateway {
-		a.pulse.Heard(now)
+		a.pulse.ReceiveFromPeer(now)
 	}
 	switch body := message.(type) {
-	case membership.Ask:
+	case membership.ViewRequest:
 		if meta.From == a.settings.Gateway {
 			a.askedAt = now
 			a.relayed = relayed{ask: body, sentAt: now, open: true}
@@ -150,15 +150,15 @@
 				effects.Send(address, body)
 			}
 		}
-	case membership.News:
+	case membership.ViewUpdate:
 		a.onNews(now, body, effects)
 	case membership.Redirect:
-		if body.For == a.settings.Self.Name {
-			a.follower.Redirected(now, body, effects)
+		if body.Recipient == a.settings.Self.Name {
+			a.follower.HandleRedirect(now, body, effects)
 			return
 		}
 		a.redirectGateway(now, body, effects)
-	case membership.Farewell:
+	case membership.GracefulLeave:
 		if meta.From != a.settings.Gateway {
 			return
 		}
@@ -166,15 +166,15 @@
 			a.end(effects)
 		}
 	case membership.Heartbeat:
-		a.pulse.Beat(now, body)
+		a.pulse.ReceiveHeartbeat(now, body)
 	case membership.ControlRequest:
 		a.local++
 		a.carrying[a.local] = carried{request: body.Request, from: meta.From}
 		a.controlClient.Relay(now, a.local<<32, body, effects)
 	case membership.ControlResponse:
 		a.controlClient.Take(now, meta.From, body, effects)
-	case membership.ConfigAsk:
-		a.follower.AnswerConfig(meta.From, body, effects)
+	case membership.ConfigurationRequest:
+		a.follower.RespondToConfigurationRequest(meta.From, body, effects)
 	}
 	a.settle(effects)
 }
@@ -196,15 +196,15 @@
 	effects.Responses = kept
 }
 
-func (a *Agent) onNews(now time.Time, news membership.News, effects *statemachine.Effects) {
-	if news.For != a.settings.Self.Name {
+func (a *Agent) onNews(now time.Time, news membership.ViewUpdate, effects *statemachine.Effects) {
+	if news.Recipient != a.settings.Self.Name {
 		a.relayed.open = a.relayed.open && news.Nonce != a.relayed.ask.Nonce
 		effects.Send(a.settings.Gateway, news)
 		return
 	}
-	taken := a.follower.Take(now, news)
+	taken := a.follower.HandleUpdate(now, news)
 	if taken.View {
-		a.pulse.Take(now, a.follower.Members, a.follower.Upstream(), a.follower.Index)
+		a.pulse.SetView(now, a.follower.Members, a.follower.Upstream(), a.follower.Index)
 	}
 }
 
@@ -217,5 +217,5 @@
 	if redirect.Primary != "" && !slices.Contains(a.follower.Upstreams(), redirect.Primary) {
 		effects.Send(redirect.Primary, a.relayed.ask)
 	}
-	a.follower.Hurry(now)
+	a.follower.PollNow(now)
 }
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -35,14 +35,14 @@
 	now := time.Unix(1000, 0)
 	made := started(now)
 	var effects statemachine.Effects
-	made.HandleMessage(now, statemachine.Meta{From: gateway}, membership.Ask{Nonce: 1}, &effects)
+	made.HandleMessage(now, statemachine.Meta{From: gateway}, membership.ViewRequest{Nonce: 1}, &effects)
 	now = now.Add(time.Second)
 	assert.Assert(t, !stop(made, now))
 	// Someone else's farewell means nothing.
 	effects = statemachine.Effects{}
-	made.HandleMessage(now, statemachine.Meta{From: "10.0.0.5:1"}, membership.Farewell{Name: "other"}, &effects)
+	made.HandleMessage(now, statemachine.Meta{From: "10.0.0.5:1"}, membership.GracefulLeave{Name: "other"}, &effects)
 	assert.Assert(t, !effects.Stop)
-	made.HandleMessage(now, statemachine.Meta{From: gateway}, membership.Farewell{Name: "gateway-1"}, &effects)
+	made.HandleMessage(now, statemachine.Meta{From: gateway}, membership.GracefulLeave{Name: "gateway-1"}, &effects)
 	assert.Assert(t, effects.Stop)
 }
 
@@ -50,7 +50,7 @@
 	now := time.Unix(1000, 0)
 	made := started(now)
 	var effects statemachine.Effects
-	made.HandleMessage(now, statemachine.Meta{From: gateway}, membership.Ask{Nonce: 1}, &effects)
+	made.HandleMessage(now, statemachine.Meta{From: gateway}, membership.ViewRequest{Nonce: 1}, &effects)
 	assert.Assert(t, !stop(made, now))
 	for until := now.Add(4 * time.Second); !effects.Stop && !now.After(until); now = now.Add(100 * time.Millisecond) {
 		made.Tick(now, &effects)
--- a/internal/consolidation/consolidation.go
+++ b/internal/consolidation/consolidation.go
@@ -84,7 +84,7 @@
 }
 
 // Decide gives each living gateway its orders.
-func (e *Economist) Decide(now time.Time, seen Observation) map[string]membership.Orders {
+func (e *Economist) Decide(now time.Time, seen Observation) map[string]membership.Directives {
 	drained := func(name string) bool { return slices.Contains(seen.Configuration.Drains, name) }
 	here := &fleet{
 		settings: seen.Configuration.Economy, links: links(seen.Configuration),
@@ -99,7 +99,7 @@
 		}
 		limit := staleAfter
 		if member.Resting {
-			limit += membership.PatientHold
+			limit += membership.LowPriorityLongPollTimeout
 			e.resting[name] = true
 		}
 		if now.Sub(seen.Heard[name]) > limit {
@@ -107,7 +107,7 @@
 		}
 		load := seen.Loads[name]
 		gateway := candidate{member: member, load: load, rate: e.observe(name, seen.Heard[name], load)}
-		here.total += load.Origins
+		here.total += load.Sessions
 		here.busy += gateway.rate.busy
 		here.gateways = append(here.gateways, gateway)
 	}
@@ -117,12 +117,12 @@
 	} else if fresh {
 		e.choose(now, here)
 	}
-	orders := map[string]membership.Orders{}
+	orders := map[string]membership.Directives{}
 	for _, gateway := range here.gateways {
 		name := gateway.member.Name
-		order := membership.Orders{Rest: here.asleep(name)}
-		if order.Rest && gateway.load.Origins > 0 {
-			order.Empty, order.Pace, order.Targets = true, pace, here.targets(gateway)
+		order := membership.Directives{Rest: here.asleep(name)}
+		if order.Rest && gateway.load.Sessions > 0 {
+			order.Drain, order.MovesPerSecond, order.Targets = true, pace, here.targets(gateway)
 		}
 		orders[name] = order
 	}
@@ -202,7 +202,7 @@
 		if order := cmp.Compare(near(left), near(right)); order != 0 {
 			return order
 		}
-		return cmp.Compare(right.load.Room, left.load.Room)
+		return cmp.Compare(right.load.FreeCapacity, left.load.FreeCapacity)
 	})
 	var names []string
 	for _, gateway := range fit {
@@ -306,7 +306,7 @@
 	bytes := -crossing
 	if far >= 1 {
 		// Every delivery to the origins that leave now crosses.
-		bytes = leaving.rate.delivered*eachBytes + float64(leaving.load.Origins)*eachBytes/5 - crossing
+		bytes = leaving.rate.delivered*eachBytes + float64(leaving.load.Sessions)*eachBytes/5 - crossing
 	}
 	return -f.settings.ProcessorWeight*work*1000 + f.settings.TrafficWeight*bytes/1000
 }
--- a/internal/consolidation/consolidation_test.go
+++ b/internal/consolidation/consolidation_test.go
@@ -39,27 +39,27 @@
 		name := fmt.Sprintf("gateway-%d", number)
 		town.order = append(town.order, name)
 		town.seen.Members[name] = membership.Member{Name: name, Kind: membership.KindGateway, Zone: fmt.Sprint(number % 3), Alive: true}
-		town.seen.Loads[name] = membership.Load{Ready: true, Room: 2000}
+		town.seen.Loads[name] = membership.Load{Ready: true, FreeCapacity: 2000}
 	}
 	return town
 }
 
 func (t *town) arrive(name string, count int) {
 	load := t.seen.Loads[name]
-	load.Origins += count
-	load.Room -= count
+	load.Sessions += count
+	load.FreeCapacity -= count
 	t.seen.Loads[name] = load
 }
 
 // second lets the fleet obey for a second: work is done, origins move.
-func (t *town) second(noise float64) map[string]membership.Orders {
+func (t *town) second(noise float64) map[string]membership.Directives {
 	t.now = t.now.Add(time.Second)
 	for _, name := range t.order {
 		load := t.seen.Loads[name]
 		wobble := 1 + noise*(t.random.Float64()-0.5)
-		load.Delivered += uint64(float64(load.Origins) * 4 * wobble)
-		load.Copies += uint64(float64(load.Origins) * wobble)
-		load.Processor += time.Duration(float64(load.Origins)*wobble*0.5) * time.Millisecond
+		load.Delivered += uint64(float64(load.Sessions) * 4 * wobble)
+		load.Copies += uint64(float64(load.Sessions) * wobble)
+		load.Processor += time.Duration(float64(load.Sessions)*wobble*0.5) * time.Millisecond
 		t.seen.Loads[name] = load
 		t.seen.Heard[name] = t.now
 	}
@@ -69,10 +69,10 @@
 		order, load, member := orders[name], t.seen.Loads[name], t.seen.Members[name]
 		moving := 0
 		switch {
-		case order.Empty:
-			moving = min(order.Pace, load.Origins)
-		case order.Keep > 0:
-			moving = min(order.Pace, max(0, load.Origins-order.Keep))
+		case order.Drain:
+			moving = min(order.MovesPerSecond, load.Sessions)
+		case order.KeepSessions > 0:
+			moving = min(order.MovesPerSecond, max(0, load.Sessions-order.KeepSessions))
 		}
 		for range moving {
 			if len(order.Targets) > 0 {
@@ -81,7 +81,7 @@
 			}
 		}
 		load = t.seen.Loads[name]
-		if rests := order.Rest && load.Origins == 0; rests != member.Resting {
+		if rests := order.Rest && load.Sessions == 0; rests != member.Resting {
 			t.changes++
 			member.Resting, load.Ready = rests, !order.Rest
 			t.seen.Members[name], t.seen.Loads[name] = member, load
@@ -91,24 +91,24 @@
 }
 
 // balance adds the orders that spread callers evenly, which controllers give besides.
-func (t *town) balance(orders map[string]membership.Orders) {
+func (t *town) balance(orders map[string]membership.Directives) {
 	var gateways []balancing.Gateway
 	for _, name := range t.order {
 		load := t.seen.Loads[name]
 		gateways = append(gateways, balancing.Gateway{
-			Name: name, Zone: t.seen.Members[name].Zone, Origins: load.Origins, Room: load.Room, Accepts: load.Ready && !orders[name].Rest,
+			Name: name, Zone: t.seen.Members[name].Zone, Origins: load.Sessions, Room: load.FreeCapacity, Accepts: load.Ready && !orders[name].Rest,
 		})
 	}
 	for name, order := range t.balancer.Plan(gateways) {
 		present := orders[name]
-		present.Keep, present.Pace, present.Targets = order.Keep, order.Pace, order.Targets
+		present.KeepSessions, present.MovesPerSecond, present.Targets = order.Keep, order.Pace, order.Targets
 		orders[name] = present
 	}
 }
 
 func (t *town) total() (total int) {
 	for _, load := range t.seen.Loads {
-		total += load.Origins
+		total += load.Sessions
 	}
 	return total
 }
@@ -122,7 +122,7 @@
 	return count
 }
 
-func (t *town) check(tb testing.TB, orders map[string]membership.Orders, each int) {
+func (t *town) check(tb testing.TB, orders map[string]membership.Directives, each int) {
 	tb.Helper()
 	places, awake, rests := map[string]int{}, 0, 0
 	for name, order := range orders {
@@ -156,7 +156,7 @@
 			}
 			for _, name := range town.order {
 				if town.random.IntN(3) == 0 {
-					town.arrive(name, -town.seen.Loads[name].Origins*town.random.IntN(100)/150)
+					town.arrive(name, -town.seen.Loads[name].Sessions*town.random.IntN(100)/150)
 				}
 			}
 			town.check(t, town.second(0.2), 100)
--- a/internal/controller/apply.go
+++ b/internal/controller/apply.go
@@ -243,7 +243,7 @@
 	}
 	given := place.Followers
 	if !found {
-		given = append([]string{place.First}, given...)
+		given = append([]string{place.Leader}, given...)
 	}
 	if slices.ContainsFunc(given, func(name string) bool { return !s.Members[name].Alive || s.Members[name].Retiring }) {
 		return
@@ -251,19 +251,19 @@
 	s.setPlace(place)
 }
 
-func (s *State) applySettled(settled membership.PartitionComplete) {
+func (s *State) applySettled(settled membership.PartitionReplicated) {
 	place, found := s.Places[settled.Partition]
 	if !found || place.Epoch != settled.Epoch || place.Complete {
 		return
 	}
 	// A store whose disk was lost meanwhile is no holder, whatever it said.
-	holders := []string{s.Members[place.First].Holder()}
+	holders := []string{s.Members[place.Leader].ReplicaID()}
 	for _, name := range place.Followers {
-		holders = append(holders, s.Members[name].Holder())
+		holders = append(holders, s.Members[name].ReplicaID())
 	}
 	if !slices.Equal(holders, settled.Holders) {
 		return
 	}
-	place.Complete, place.Safe = true, holders
+	place.Complete, place.InSync = true, holders
 	s.setPlace(place)
 }
--- a/internal/controller/command.go
+++ b/internal/controller/command.go
@@ -28,7 +28,7 @@
 	Degradations []Degradation
 	Rests        []Rest
 	Places       []membership.Placement
-	Settled      []membership.PartitionComplete
+	Settled      []membership.PartitionReplicated
 	Forgotten    []Departure
 }
 
--- a/internal/controller/control.go
+++ b/internal/controller/control.go
@@ -212,7 +212,7 @@
 		}
 		partitions := []string{}
 		for _, place := range statemachine.Sorted(c.state.Places) {
-			if place.Names(name) {
+			if place.HasReplica(name) {
 				partitions = append(partitions, place.Partition)
 			}
 		}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -69,7 +69,7 @@
 
 type held struct {
 	from  string
-	ask   membership.Ask
+	ask   membership.ViewRequest
 	limit time.Time
 	// after is when it may be answered with a view, if not yet.
 	after time.Time
@@ -86,8 +86,8 @@
 	spans         spans
 	state         *State
 	watch         *consensus.Watch
-	pulse         *membership.Pulse
-	follower      *membership.Follower
+	pulse         *membership.FailureDetector
+	follower      *membership.ViewClient
 	controlClient *controlclient.ControlClient
 	timers        *statemachine.Timers
 	held          map[string]held
@@ -97,7 +97,7 @@
 	suspected     map[string]map[string]reported
 	joining       map[string]Join
 	leaving       map[string]Departure
-	complete      map[string]membership.PartitionComplete
+	complete      map[string]membership.PartitionReplicated
 	lags          map[string]lag
 	dead          map[string]reported
 	doubts        map[string]*doubt
@@ -111,7 +111,7 @@
 	economist     *consolidation.Economist
 	balancer      *balancing.Balancer
 	lease         *consensus.Lease
-	orders        map[string]membership.Orders
+	orders        map[string]membership.Directives
 }
 
 // New makes a controller from what its disk held.
@@ -119,8 +119,8 @@
 	controller := &Controller{
 		settings: settings, spans: spansOf(settings), state: newState(), timers: statemachine.NewTimers(),
 		held: map[string]held{}, views: map[string]sentView{}, heard: map[string]time.Time{}, loads: map[string]membership.Load{},
-		suspected: map[string]map[string]reported{}, joining: map[string]Join{}, leaving: map[string]Departure{}, complete: map[string]membership.PartitionComplete{}, lags: map[string]lag{}, doubts: map[string]*doubt{}, answers: map[string]answered{},
-		orders: map[string]membership.Orders{},
+		suspected: map[string]map[string]reported{}, joining: map[string]Join{}, leaving: map[string]Departure{}, complete: map[string]membership.PartitionReplicated{}, lags: map[string]lag{}, doubts: map[string]*doubt{}, answers: map[string]answered{},
+		orders: map[string]membership.Directives{},
 	}
 	self := consensus.Controller{Name: settings.Self.Name, Address: settings.Self.Address, Zone: settings.Self.Zone}
 	tolerance := DefaultTolerance
@@ -136,10 +136,10 @@
 	controller.watch = watch
 	controller.lease = watch.NewLease("economy")
 	controller.economist, controller.balancer = consolidation.New(), balancing.New()
-	controller.pulse = membership.NewPulse(settings.Self)
-	controller.follower = membership.NewFollower(settings.Self, settings.Life, append([]string{settings.Self.Address}, settings.Seeds...), func() membership.Load { return membership.Load{} })
+	controller.pulse = membership.NewFailureDetector(settings.Self)
+	controller.follower = membership.NewViewClient(settings.Self, settings.Life, append([]string{settings.Self.Address}, settings.Seeds...), func() membership.Load { return membership.Load{} })
 	controller.controlClient = controlclient.New(controlclient.Settings{
-		Life: settings.Life, Acknowledge: settings.Acknowledge, Upstream: controller.upstream, Other: controller.follower.Other, Relays: controller.follower.Relays,
+		Life: settings.Life, Acknowledge: settings.Acknowledge, Upstream: controller.upstream, Other: controller.follower.NextController, Relays: controller.follower.Relays,
 	})
 	return controller, nil
 }
@@ -155,7 +155,7 @@
 func (c *Controller) ConfigurationVersion() uint64 { return c.follower.Version }
 
 // Follower gives the controller's own view, for its ctl.
-func (c *Controller) Follower() *membership.Follower { return c.follower }
+func (c *Controller) Follower() *membership.ViewClient { return c.follower }
 
 // Watch gives the controller's watch, for its ctl and the simulator's checks.
 func (c *Controller) Watch() *consensus.Watch { return c.watch }
@@ -216,7 +216,7 @@
 // HandleMessage takes what other daemons say.
 func (c *Controller) HandleMessage(now time.Time, meta statemachine.Meta, message any, effects *statemachine.Effects) {
 	if meta.From != c.settings.Self.Address {
-		c.pulse.Heard(now)
+		c.pulse.ReceiveFromPeer(now)
 	}
 	if c.watch.HandleMessage(now, meta, message, effects) {
 		c.answerNews(now, effects)
@@ -224,39 +224,39 @@
 		return
 	}
 	switch body := message.(type) {
-	case membership.Ask:
+	case membership.ViewRequest:
 		c.onAsk(now, meta.From, body, effects)
-	case membership.News:
-		if taken := c.follower.Take(now, body); taken.View {
-			c.pulse.Take(now, c.follower.Members, c.follower.Upstream(), c.follower.Index)
+	case membership.ViewUpdate:
+		if taken := c.follower.HandleUpdate(now, body); taken.View {
+			c.pulse.SetView(now, c.follower.Members, c.follower.Upstream(), c.follower.Index)
 		}
 	case membership.Redirect:
-		c.follower.Redirected(now, body, effects)
+		c.follower.HandleRedirect(now, body, effects)
 	case membership.Heartbeat:
-		c.pulse.Beat(now, body)
+		c.pulse.ReceiveHeartbeat(now, body)
 	case membership.Suspicion:
 		c.onSuspicion(now, body)
-	case membership.Farewell:
+	case membership.GracefulLeave:
 		c.onFarewell(now, body, effects)
-	case membership.PartitionComplete:
+	case membership.PartitionReplicated:
 		if c.watch.HoldsLease(now) {
 			c.complete[body.Partition] = body
 			c.timers.ArmSooner("tend", now)
 		}
-	case membership.Lagging:
+	case membership.SlowDiskReport:
 		c.onLagging(now, body, effects)
 	case membership.ControlRequest:
 		c.onControl(now, meta.From, body, effects)
 	case membership.ControlResponse:
 		c.takeAnswer(now, meta.From, body, effects)
-	case membership.ConfigAsk:
-		c.follower.AnswerConfig(meta.From, body, effects)
+	case membership.ConfigurationRequest:
+		c.follower.RespondToConfigurationRequest(meta.From, body, effects)
 	}
 }
 
 // Asking and answering.
 
-func (c *Controller) onAsk(now time.Time, from string, ask membership.Ask, effects *statemachine.Effects) {
+func (c *Controller) onAsk(now time.Time, from string, ask membership.ViewRequest, effects *statemachine.Effects) {
 	if !c.watch.Speaking(now) {
 		if c.watch.IsPrimary() && c.watch.HoldsLease(now) {
 			return
@@ -266,9 +266,9 @@
 	}
 	c.beginActing(now, effects)
 	c.noteMember(now, ask)
-	hold := membership.HoldAsk
-	if ask.Patient {
-		hold = membership.PatientHold
+	hold := membership.LongPollTimeout
+	if ask.LowPriority {
+		hold = membership.LowPriorityLongPollTimeout
 	}
 	item := held{from: from, ask: ask, limit: now.Add(hold), after: c.viewDue(ask)}
 	if item.after.After(now) {
@@ -284,8 +284,8 @@
 	c.timers.ArmSooner("tend", item.limit)
 }
 
-func (c *Controller) redirect(ask membership.Ask) membership.Redirect {
-	redirect := membership.Redirect{For: ask.Self.Name, Nonce: ask.Nonce, Epoch: c.watch.Record().Epoch}
+func (c *Controller) redirect(ask membership.ViewRequest) membership.Redirect {
+	redirect := membership.Redirect{Recipient: ask.Self.Name, Nonce: ask.Nonce, Epoch: c.watch.Record().Epoch}
 	if primary, found := c.watch.Primary(); found && primary.Name != c.settings.Self.Name {
 		redirect.Primary = primary.Address
 	}
@@ -298,10 +298,10 @@
 func (c *Controller) give(now time.Time, item held, effects *statemachine.Effects) {
 	c.noteAnswer(now, item.ask)
 	delete(c.held, item.ask.Self.Name)
-	news := membership.News{
-		For: item.ask.Self.Name, Nonce: item.ask.Nonce, Epoch: c.watch.Record().Epoch,
+	news := membership.ViewUpdate{
+		Recipient: item.ask.Self.Name, Nonce: item.ask.Nonce, Epoch: c.watch.Record().Epoch,
 		Primary: c.settings.Self.Address, Index: c.state.Index, Version: c.state.Version,
-		Orders: c.orders[item.ask.Self.Name],
+		Directives: c.orders[item.ask.Self.Name],
 	}
 	if item.ask.Version < c.state.Version {
 		news.Document = c.state.Document
@@ -336,7 +336,7 @@
 // noteMember notes what a member says of itself. Incarnations come from wall clocks,
 // which may have been set back across a restart: a lower one counts once the higher
 // has been silent for a while.
-func (c *Controller) noteMember(now time.Time, ask membership.Ask) {
+func (c *Controller) noteMember(now time.Time, ask membership.ViewRequest) {
 	self := ask.Self
 	c.noteHeard(ask)
 	if c.deaf(now, self.Name) {
@@ -378,7 +378,7 @@
 	}
 }
 
-func (c *Controller) onFarewell(now time.Time, farewell membership.Farewell, _ *statemachine.Effects) {
+func (c *Controller) onFarewell(now time.Time, farewell membership.GracefulLeave, _ *statemachine.Effects) {
 	member, found := c.state.Members[farewell.Name]
 	if !c.watch.HoldsLease(now) || !found || !member.Alive || member.Incarnation != farewell.Incarnation {
 		return
@@ -411,8 +411,8 @@
 	c.acting, c.began, c.busy = true, now, false
 	c.suspected = map[string]map[string]reported{}
 	c.joining, c.leaving = map[string]Join{}, map[string]Departure{}
-	c.complete = map[string]membership.PartitionComplete{}
-	c.orders = map[string]membership.Orders{}
+	c.complete = map[string]membership.PartitionReplicated{}
+	c.orders = map[string]membership.Directives{}
 	// What was reported in an earlier term is of no use any more.
 	c.loads = map[string]membership.Load{}
 	c.dead = map[string]reported{}
@@ -426,7 +426,7 @@
 	}
 }
 
-func (c *Controller) onLagging(now time.Time, told membership.Lagging, effects *statemachine.Effects) {
+func (c *Controller) onLagging(now time.Time, told membership.SlowDiskReport, effects *statemachine.Effects) {
 	if !c.watch.HoldsLease(now) || !c.copiesTo(told.Reporter, told.Name) && !statemachine.Mutated("any-reporter") {
 		return
 	}
@@ -469,7 +469,7 @@
 		return false
 	}
 	for _, place := range c.state.Places {
-		if place.First == reporter && slices.Contains(place.Followers, name) {
+		if place.Leader == reporter && slices.Contains(place.Followers, name) {
 			return true
 		}
 	}
@@ -479,11 +479,11 @@
 // doubt is what one store said of another's disk.
 type doubt struct {
 	since     time.Time
-	told      membership.Lagging
+	told      membership.SlowDiskReport
 	reporters map[string]time.Time
 }
 
-func (c *Controller) believe(now time.Time, told membership.Lagging) {
+func (c *Controller) believe(now time.Time, told membership.SlowDiskReport) {
 	delete(c.doubts, told.Name)
 	c.lags[told.Name] = lag{at: now, incarnation: told.Incarnation, delay: told.Delay}
 	if !c.state.Members[told.Name].Degraded {
@@ -570,7 +570,7 @@
 			effects.Emit(logevent.PlacementReplicated, "partition", partition, "epoch", settled.Epoch)
 		}
 	}
-	c.complete = map[string]membership.PartitionComplete{}
+	c.complete = map[string]membership.PartitionReplicated{}
 	if wanted := c.settings.Tolerance; wanted != nil && *wanted != c.state.Tolerance {
 		command.Tolerance = wanted
 	}
@@ -592,7 +592,7 @@
 			})
 		}
 		for _, place := range command.Places {
-			effects.Emit(logevent.PlacementChanged, "partition", place.Partition, "epoch", place.Epoch, "first", place.First, "followers", strings.Join(place.Followers, " "))
+			effects.Emit(logevent.PlacementChanged, "partition", place.Partition, "epoch", place.Epoch, "first", place.Leader, "followers", strings.Join(place.Followers, " "))
 		}
 	}
 	if !command.empty() {
@@ -633,7 +633,7 @@
 		unheard := now.Sub(c.heard[name])
 		limit, unasked := c.spans.unheard, c.spans.unheard/2
 		if member.Resting {
-			limit += membership.PatientHold
+			limit += membership.LowPriorityLongPollTimeout
 		}
 		if member.Kind == membership.KindStore {
 			unasked = storeUnheard
@@ -652,7 +652,7 @@
 		// an old view: to the others it is as good as lost.
 		limit := c.spans.following
 		if member.Resting {
-			limit += membership.PatientHold
+			limit += membership.LowPriorityLongPollTimeout
 		}
 		if unheard := now.Sub(c.heard[name]); member.Alive && (unheard > limit || c.deaf(now, name)) && !slices.ContainsFunc(gone, func(other Departure) bool { return other.Name == name }) {
 			gone = append(gone, Departure{Name: name, Incarnation: member.Incarnation})
--- a/internal/controller/deaf.go
+++ b/internal/controller/deaf.go
@@ -19,7 +19,7 @@
 }
 
 // noteAnswer notes that a member was answered.
-func (c *Controller) noteAnswer(now time.Time, ask membership.Ask) {
+func (c *Controller) noteAnswer(now time.Time, ask membership.ViewRequest) {
 	if ask.Self.Kind != membership.KindStore {
 		return
 	}
@@ -30,8 +30,8 @@
 }
 
 // noteHeard notes what a member has heard, by its own word.
-func (c *Controller) noteHeard(ask membership.Ask) {
-	if earlier, found := c.answers[ask.Self.Name]; found && earlier.incarnation == ask.Self.Incarnation && ask.Heard >= earlier.nonce {
+func (c *Controller) noteHeard(ask membership.ViewRequest) {
+	if earlier, found := c.answers[ask.Self.Name]; found && earlier.incarnation == ask.Self.Incarnation && ask.LastAnswered >= earlier.nonce {
 		delete(c.answers, ask.Self.Name)
 	}
 }
--- a/internal/controller/economy.go
+++ b/internal/controller/economy.go
@@ -36,7 +36,7 @@
 
 // balance adds orders that spread callers evenly over the gateways which nobody asked
 // to rest and whose reports are fresh.
-func (c *Controller) balance(now time.Time, configuration config.Configuration, decided map[string]membership.Orders) {
+func (c *Controller) balance(now time.Time, configuration config.Configuration, decided map[string]membership.Directives) {
 	var gateways []balancing.Gateway
 	for name, load := range statemachine.Sorted(c.loads) {
 		member, known := c.state.Members[name]
@@ -44,24 +44,24 @@
 			continue
 		}
 		gateways = append(gateways, balancing.Gateway{
-			Name: name, Zone: member.Zone, Origins: load.Origins, Room: load.Room,
+			Name: name, Zone: member.Zone, Origins: load.Sessions, Room: load.FreeCapacity,
 			Accepts: load.Ready && !member.Resting && !decided[name].Rest && !slices.Contains(configuration.Drains, name),
 		})
 	}
 	for name, order := range c.balancer.Plan(gateways) {
 		present := decided[name]
-		present.Keep, present.Pace, present.Targets = order.Keep, order.Pace, order.Targets
+		present.KeepSessions, present.MovesPerSecond, present.Targets = order.Keep, order.Pace, order.Targets
 		decided[name] = present
 	}
 }
 
 // giveOrders tells gateways what is asked of them, where that changed, and has the
 // state name those that rest.
-func (c *Controller) giveOrders(now time.Time, decided map[string]membership.Orders, effects *statemachine.Effects) {
+func (c *Controller) giveOrders(now time.Time, decided map[string]membership.Directives, effects *statemachine.Effects) {
 	command := Command{}
 	for name := range statemachine.Sorted(c.orders) {
 		if _, found := decided[name]; !found {
-			decided[name] = membership.Orders{}
+			decided[name] = membership.Directives{}
 		}
 	}
 	for name, orders := range statemachine.Sorted(decided) {
--- a/internal/controller/explore_test.go
+++ b/internal/controller/explore_test.go
@@ -216,7 +216,7 @@
 // controller answers as the primary would.
 func (w *storeWorld) controller(from string, message any) {
 	switch body := message.(type) {
-	case membership.Ask:
+	case membership.ViewRequest:
 		if store := w.store(from); !store.up || uint64(store.lives) != body.Self.Incarnation {
 			return
 		}
@@ -225,16 +225,16 @@
 		}
 		w.asks[from] = heldAsk{ask: body, until: w.now.Add(exploreAskHeld)}
 		w.answerNews()
-	case membership.PartitionComplete:
-		w.apply(Command{Settled: []membership.PartitionComplete{body}})
-	case membership.Lagging:
+	case membership.PartitionReplicated:
+		w.apply(Command{Settled: []membership.PartitionReplicated{body}})
+	case membership.SlowDiskReport:
 		w.lags[body.Name] = lag{at: w.now, incarnation: body.Incarnation, delay: body.Delay}
 	}
 }
 
 // heldAsk is a store's question that waits for news.
 type heldAsk struct {
-	ask   membership.Ask
+	ask   membership.ViewRequest
 	until time.Time
 }
 
@@ -245,8 +245,8 @@
 			continue
 		}
 		delete(w.asks, from)
-		news := membership.News{
-			For: from, Nonce: held.ask.Nonce, Epoch: 1, Primary: "controller", Index: w.state.Index, Version: w.state.Version, Document: w.state.Document,
+		news := membership.ViewUpdate{
+			Recipient: from, Nonce: held.ask.Nonce, Epoch: 1, Primary: "controller", Index: w.state.Index, Version: w.state.Version, Document: w.state.Document,
 		}
 		if held.ask.Index != w.state.Index {
 			w.state.view(&news, held.ask.Index)
@@ -289,7 +289,7 @@
 
 func (w *storeWorld) append(sender string, seq uint64) {
 	w.asked++
-	w.send("gateway", w.state.Places[testPartition].First, partition.Append{
+	w.send("gateway", w.state.Places[testPartition].Leader, partition.Append{
 		Partition: testPartition, Request: w.asked, Topic: "a", Sender: sender, Seq: seq, Data: fmt.Appendf(nil, "%s %d", sender, seq),
 	})
 }
@@ -517,7 +517,7 @@
 			return w.broken
 		}
 		place := w.state.Places[testPartition]
-		if first := w.store(place.First); len(w.items) > 0 || !place.Complete || !first.up || w.now.Sub(calm) < time.Second {
+		if first := w.store(place.Leader); len(w.items) > 0 || !place.Complete || !first.up || w.now.Sub(calm) < time.Second {
 			continue
 		}
 		if w.fetched[0] == "" {
@@ -526,12 +526,12 @@
 			}
 			w.asked++
 			askedAt = w.now
-			w.send("gateway", place.First, partition.Fetch{Partition: testPartition, Request: w.asked, Prefixes: []string{""}})
+			w.send("gateway", place.Leader, partition.Fetch{Partition: testPartition, Request: w.asked, Prefixes: []string{""}})
 			continue
 		}
 		for name, offset := range w.accepted {
 			if w.fetched[offset] != name {
-				return fmt.Errorf("%s was accepted at %d, where %s holds %q", name, offset, place.First, w.fetched[offset])
+				return fmt.Errorf("%s was accepted at %d, where %s holds %q", name, offset, place.Leader, w.fetched[offset])
 			}
 		}
 		return nil
@@ -556,7 +556,7 @@
 	}
 }
 
-func (w *storeWorld) leader() *exploreStore { return w.store(w.state.Places[testPartition].First) }
+func (w *storeWorld) leader() *exploreStore { return w.store(w.state.Places[testPartition].Leader) }
 
 func (w *storeWorld) follower() *exploreStore {
 	return w.store(w.state.Places[testPartition].Followers[0])
--- a/internal/controller/forget.go
+++ b/internal/controller/forget.go
@@ -74,7 +74,7 @@
 // needs tells whether any partition names a store, or any disk that it ever had.
 func (s *State) needs(store string) bool {
 	for _, place := range s.Places {
-		if place.Names(store) || slices.ContainsFunc(place.Safe, func(holder string) bool { return strings.HasPrefix(holder, store+"@") }) {
+		if place.HasReplica(store) || slices.ContainsFunc(place.InSync, func(holder string) bool { return strings.HasPrefix(holder, store+"@") }) {
 			return true
 		}
 	}
--- a/internal/controller/forget_test.go
+++ b/internal/controller/forget_test.go
@@ -57,9 +57,9 @@
 		command := Command{Places: c.state.plan(configuration)}
 		moved := len(command.Places) > 0
 		for name, place := range statemachine.Sorted(c.state.Places) {
-			settled := membership.PartitionComplete{Partition: name, Epoch: place.Epoch, Holders: []string{c.state.Members[place.First].Holder()}}
+			settled := membership.PartitionReplicated{Partition: name, Epoch: place.Epoch, Holders: []string{c.state.Members[place.Leader].ReplicaID()}}
 			for _, follower := range place.Followers {
-				settled.Holders = append(settled.Holders, c.state.Members[follower].Holder())
+				settled.Holders = append(settled.Holders, c.state.Members[follower].ReplicaID())
 			}
 			if !place.Complete {
 				moved = true
@@ -86,12 +86,12 @@
 // judge looks at what must never be forgotten.
 func (c *churn) judge() {
 	for _, place := range c.state.Places {
-		for _, name := range append([]string{place.First}, place.Followers...) {
+		for _, name := range append([]string{place.Leader}, place.Followers...) {
 			_, found := c.state.Members[name]
 			assert.Assert(c.t, found, "%s is a copy of %s and was forgotten", name, place.Partition)
 		}
-		assert.Assert(c.t, len(place.Safe) > 0, "%s has no holders", place.Partition)
-		for _, holder := range place.Safe {
+		assert.Assert(c.t, len(place.InSync) > 0, "%s has no holders", place.Partition)
+		for _, holder := range place.InSync {
 			name, _, _ := strings.Cut(holder, "@")
 			_, found := c.state.Members[name]
 			assert.Assert(c.t, found, "%s holds %s and was forgotten", holder, place.Partition)
@@ -185,18 +185,18 @@
 	}
 	_, known := run.state.member("store-1")
 	assert.Assert(t, !known)
-	var news membership.News
+	var news membership.ViewUpdate
 	run.state.view(&news, index)
 	assert.Equal(t, news.Since, uint64(0))
 	before := run.state.Index
 	run.apply(Command{Joins: []Join{{Self: old}}})
 	assert.Equal(t, run.state.Members["store-1"].Joined, before+1)
 	for _, place := range run.state.Places {
-		assert.Assert(t, !place.Names("store-1") && !slices.Contains(place.Safe, old.Holder()))
+		assert.Assert(t, !place.HasReplica("store-1") && !slices.Contains(place.InSync, old.ReplicaID()))
 	}
 	run.settle()
 	for _, place := range run.state.Places {
-		assert.Assert(t, !place.Names("store-1") || place.Epoch > before, "an epoch of its earlier time names it")
+		assert.Assert(t, !place.HasReplica("store-1") || place.Epoch > before, "an epoch of its earlier time names it")
 	}
 	run.judge()
 }
@@ -209,7 +209,7 @@
 		primary := c.primary()
 		primary.step(func(now time.Time, effects *statemachine.Effects) {
 			self := membership.Member{Name: name, Kind: membership.KindGateway, Address: name, Incarnation: life, Alive: true}
-			primary.machine.HandleMessage(now, statemachine.Meta{From: name}, membership.Ask{Self: self, Urgent: true}, effects)
+			primary.machine.HandleMessage(now, statemachine.Meta{From: name}, membership.ViewRequest{Self: self, Urgent: true}, effects)
 		})
 	}
 	for number := range 20 {
--- a/internal/controller/identity_test.go
+++ b/internal/controller/identity_test.go
@@ -56,7 +56,7 @@
 	place := made.state.Places[testPartition]
 	for _, store := range made.stores {
 		switch store.name {
-		case place.First:
+		case place.Leader:
 			made.first = store
 		case place.Followers[0]:
 			made.follower = store
@@ -112,7 +112,7 @@
 	p.first.frame, p.first.entries = nil, nil
 	p.after(0, p.tend)
 	p.run(4 * time.Second)
-	p.send("gateway", statemachine.Send{To: p.state.Places[testPartition].First, Message: partition.Fetch{Partition: testPartition, Request: 1, Prefixes: []string{""}}})
+	p.send("gateway", statemachine.Send{To: p.state.Places[testPartition].Leader, Message: partition.Fetch{Partition: testPartition, Request: 1, Prefixes: []string{""}}})
 	p.run(time.Second)
 	held, any := map[string]bool{}, false
 	for _, record := range p.records {
--- a/internal/controller/orders_test.go
+++ b/internal/controller/orders_test.go
@@ -127,7 +127,7 @@
 
 // hears has a member ask for news, as each does all along; it hears the answers.
 func (l *lone) hears(self membership.Member) {
-	l.tell(self.Address, membership.Ask{Self: self, Nonce: 1, Heard: 1})
+	l.tell(self.Address, membership.ViewRequest{Self: self, Nonce: 1, LastAnswered: 1})
 }
 
 func (l *lone) joins(kind string, names ...string) {
@@ -172,7 +172,7 @@
 	alone.joins(membership.KindGateway, "gateway-1", "gateway-2")
 	var put uint64
 	alone.held(func() {
-		alone.tell("gateway-2", membership.Farewell{Name: "gateway-2", Incarnation: 1})
+		alone.tell("gateway-2", membership.GracefulLeave{Name: "gateway-2", Incarnation: 1})
 		alone.pass(50 * time.Millisecond)
 		put = alone.order(http.MethodPut, "/v1/configuration", `{"version": 1, "spaces": [], "drains": ["gateway-1"]}`)
 	})
@@ -207,7 +207,7 @@
 		// Another command occupies the disk, so that both wait behind it.
 		alone.order(http.MethodPut, "/v1/configuration", `{"version": 1, "spaces": []}`)
 		put = alone.order(http.MethodPost, retirePath("store-1"), "")
-		alone.tell("store-1", membership.Farewell{Name: "store-1", Incarnation: 1})
+		alone.tell("store-1", membership.GracefulLeave{Name: "store-1", Incarnation: 1})
 		alone.pass(50 * time.Millisecond)
 	})
 	assert.Equal(t, alone.status(put), http.StatusAccepted)
@@ -224,7 +224,7 @@
 	alone.order(http.MethodPut, "/v1/configuration", `{"version": 1, "spaces": [{"name": "a", "promise": "kept"}]}`)
 	alone.pass(4 * time.Second)
 	alone.joins(membership.KindStore, "store-1", "store-2", "store-3")
-	leaving := alone.controller.state.Places[PartitionName("a", 1, 0)].First
+	leaving := alone.controller.state.Places[PartitionName("a", 1, 0)].Leader
 	assert.Equal(t, alone.ask(http.MethodPost, retirePath(leaving), ""), http.StatusAccepted)
 	assert.Assert(t, !alone.member(leaving).Retired, "its partitions lie nowhere else")
 	alone.hears(memberNamed(membership.KindStore, leaving, 2, "another disk"))
--- a/internal/controller/partition_test.go
+++ b/internal/controller/partition_test.go
@@ -279,22 +279,22 @@
 // controller answers as the primary would, and tends the placement.
 func (y *yard) controller(from string, message any) {
 	switch body := message.(type) {
-	case membership.Ask:
+	case membership.ViewRequest:
 		known, found := y.state.Members[from]
 		if !found || known.Incarnation < body.Self.Incarnation || known.Incarnation == body.Self.Incarnation && !known.Alive {
 			y.apply(Command{Joins: []Join{{Self: body.Self}}})
 		}
-		news := membership.News{
-			For: from, Nonce: body.Nonce, Epoch: 1, Primary: "controller", Index: y.state.Index, Version: y.state.Version,
+		news := membership.ViewUpdate{
+			Recipient: from, Nonce: body.Nonce, Epoch: 1, Primary: "controller", Index: y.state.Index, Version: y.state.Version,
 			Document: y.state.Document,
 		}
 		if body.Index != y.state.Index {
 			y.state.view(&news, body.Index)
 		}
 		y.after(50*time.Millisecond, func() { y.send("controller", statemachine.Send{To: from, Message: news}) })
-	case membership.PartitionComplete:
-		y.apply(Command{Settled: []membership.PartitionComplete{body}})
-	case membership.Lagging:
+	case membership.PartitionReplicated:
+		y.apply(Command{Settled: []membership.PartitionReplicated{body}})
+	case membership.SlowDiskReport:
 		y.lags[body.Name] = lag{at: time.Unix(0, 0).Add(y.now), incarnation: body.Incarnation, delay: body.Delay}
 	}
 }
@@ -335,7 +335,7 @@
 	writer.request, writer.busy = y.requests, true
 	request := y.requests
 	sender := fmt.Sprintf("sender-%d", number)
-	y.send("gateway", statemachine.Send{To: place.First, Message: partition.Append{
+	y.send("gateway", statemachine.Send{To: place.Leader, Message: partition.Append{
 		Partition: testPartition, Request: request, Topic: "a", Sender: sender, Seq: writer.seq, Data: fmt.Appendf(nil, "%s %d", sender, writer.seq),
 	}})
 	y.after(700*time.Millisecond, func() {
@@ -475,7 +475,7 @@
 			var got []partition.Record
 			for after := uint64(0); ; {
 				yard.fetched = nil
-				yard.send("gateway", statemachine.Send{To: yard.state.Places[testPartition].First, Message: partition.Fetch{Partition: testPartition, Request: 1, After: after, Prefixes: []string{""}}})
+				yard.send("gateway", statemachine.Send{To: yard.state.Places[testPartition].Leader, Message: partition.Fetch{Partition: testPartition, Request: 1, After: after, Prefixes: []string{""}}})
 				yard.run(200 * time.Millisecond)
 				assert.Assert(t, yard.fetched != nil, "the first does not answer")
 				got = append(got, yard.fetched.Records...)
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -116,9 +116,9 @@
 			continue
 		}
 		followers, _ := followersFor(ranked[0], ranked, s.Tolerance, func(string) int { return 0 })
-		place = membership.Placement{Partition: partition, Epoch: s.Index + 1, First: ranked[0].Name, Followers: followers, Complete: true, Safe: []string{ranked[0].Holder()}}
+		place = membership.Placement{Partition: partition, Epoch: s.Index + 1, Leader: ranked[0].Name, Followers: followers, Complete: true, InSync: []string{ranked[0].ReplicaID()}}
 		for _, name := range followers {
-			place.Safe = append(place.Safe, s.Members[name].Holder())
+			place.InSync = append(place.InSync, s.Members[name].ReplicaID())
 		}
 		changes = append(changes, place)
 	}
@@ -130,7 +130,7 @@
 func (s *State) replan(place membership.Placement, ranked []membership.Member) (membership.Placement, bool) {
 	holds := func(name string) bool {
 		member, found := s.Members[name]
-		return found && member.Alive && slices.Contains(place.Safe, member.Holder())
+		return found && member.Alive && slices.Contains(place.InSync, member.ReplicaID())
 	}
 	may := func(name string) bool {
 		return slices.ContainsFunc(ranked, func(member membership.Member) bool { return member.Name == name })
@@ -140,13 +140,13 @@
 	// partition is complete it must be one, or its disk was lost.
 	fit := func(name string) bool { return may(name) && (!place.Complete || holds(name)) }
 	unfit := slices.ContainsFunc(place.Followers, func(name string) bool { return !fit(name) })
-	if stays(place.First) && !unfit && (len(place.Followers) == s.Tolerance || !place.Complete) {
+	if stays(place.Leader) && !unfit && (len(place.Followers) == s.Tolerance || !place.Complete) {
 		return place, false
 	}
-	candidates := append([]string{place.First}, place.Followers...)
-	for _, entry := range place.Safe {
+	candidates := append([]string{place.Leader}, place.Followers...)
+	for _, entry := range place.InSync {
 		for name, member := range statemachine.Sorted(s.Members) {
-			if member.Holder() == entry {
+			if member.ReplicaID() == entry {
 				candidates = append(candidates, name)
 			}
 		}
@@ -176,14 +176,14 @@
 		}
 		return 0
 	})
-	same := first == place.First && slices.Equal(sorted(followers), sorted(place.Followers))
+	same := first == place.Leader && slices.Equal(sorted(followers), sorted(place.Followers))
 	if !enough || same && !place.Complete {
 		return place, false
 	}
-	next := membership.Placement{Partition: place.Partition, Epoch: s.Index + 1, First: first, Followers: followers}
-	for _, entry := range place.Safe {
+	next := membership.Placement{Partition: place.Partition, Epoch: s.Index + 1, Leader: first, Followers: followers}
+	for _, entry := range place.InSync {
 		if !s.replaced(entry) {
-			next.Safe = append(next.Safe, entry)
+			next.InSync = append(next.InSync, entry)
 		}
 	}
 	return next, true
@@ -199,7 +199,7 @@
 func (s *State) replaced(entry string) bool {
 	for _, member := range s.Members {
 		if len(entry) > len(member.Name) && entry[:len(member.Name)+1] == member.Name+"@" {
-			return member.Holder() != entry
+			return member.ReplicaID() != entry
 		}
 	}
 	return true
@@ -208,10 +208,10 @@
 // refers tells whether any partition still needs a store.
 func (s *State) refers(store string) bool {
 	for _, place := range s.Places {
-		if place.Names(store) {
+		if place.HasReplica(store) {
 			return true
 		}
-		if !place.Complete && !statemachine.Mutated("done-before-copied") && slices.Contains(place.Safe, s.Members[store].Holder()) {
+		if !place.Complete && !statemachine.Mutated("done-before-copied") && slices.Contains(place.InSync, s.Members[store].ReplicaID()) {
 			return true
 		}
 	}
--- a/internal/controller/placement_test.go
+++ b/internal/controller/placement_test.go
@@ -63,7 +63,7 @@
 		assert.Equal(t, len(state.Places), config.SharedPartitions)
 		assert.Equal(t, len(state.plan(configuration)), 0)
 		for _, place := range state.Places {
-			zones := map[string]bool{state.Members[place.First].Zone: true}
+			zones := map[string]bool{state.Members[place.Leader].Zone: true}
 			for _, name := range place.Followers {
 				zones[state.Members[name].Zone] = true
 			}
@@ -73,11 +73,11 @@
 		state.Apply(time.Time{}, mustPack(Command{Degradations: []Degradation{{Name: "store-4", Incarnation: 1, Degraded: true}}}))
 		for _, next := range state.plan(configuration) {
 			before := state.Places[next.Partition]
-			assert.Assert(t, before.Names("store-4"))
+			assert.Assert(t, before.HasReplica("store-4"))
 			for _, name := range next.Followers {
 				assert.Assert(t, name != "store-4")
 			}
-			assert.Equal(t, next.First == "store-4", tolerance == 0, "one that holds it acts until another does")
+			assert.Equal(t, next.Leader == "store-4", tolerance == 0, "one that holds it acts until another does")
 		}
 	}
 }
--- a/internal/controller/renewal.go
+++ b/internal/controller/renewal.go
@@ -15,7 +15,7 @@
 		return
 	}
 	for _, place := range statemachine.Sorted(s.Places) {
-		if place.First != store || len(place.Followers) == 0 {
+		if place.Leader != store || len(place.Followers) == 0 {
 			continue
 		}
 		place.Epoch = s.Index
--- a/internal/controller/restart_test.go
+++ b/internal/controller/restart_test.go
@@ -464,7 +464,7 @@
 			run.apply(Command{Configuration: configured(uint64(number+2), string(sizedDocument(uint64(number+2), 12)))})
 		}
 		for _, since := range []uint64{0, index} {
-			news := membership.News{Index: run.state.Index, Version: run.state.Version, Document: run.state.Document}
+			news := membership.ViewUpdate{Index: run.state.Index, Version: run.state.Version, Document: run.state.Document}
 			run.state.view(&news, since)
 			if bytes := len(transport.MustMarshal(news)); since == 0 {
 				blank = append(blank, bytes)
--- a/internal/controller/shared_test.go
+++ b/internal/controller/shared_test.go
@@ -69,7 +69,7 @@
 	if !line.bare {
 		request.Data = []byte(line.name(seq))
 	}
-	sy.send("gateway", statemachine.Send{To: sy.state.Places[name].First, Message: request})
+	sy.send("gateway", statemachine.Send{To: sy.state.Places[name].Leader, Message: request})
 }
 
 func (sy *sharedYard) publish(line *line) {
@@ -174,9 +174,9 @@
 	sy.after(2*time.Second, sy.follow)
 	follows := map[string]partition.Follow{}
 	for name, place := range statemachine.Sorted(sy.state.Places) {
-		follow := follows[place.First]
+		follow := follows[place.Leader]
 		follow.Partitions, follow.From = append(follow.Partitions, name), append(follow.From, sy.heads[name])
-		follows[place.First] = follow
+		follows[place.Leader] = follow
 	}
 	for first, follow := range statemachine.Sorted(follows) {
 		sy.send("gateway", statemachine.Send{To: first, Message: follow})
@@ -188,7 +188,7 @@
 	name := config.SharedPartition(topic)
 	for after := uint64(0); ; {
 		sy.requests++
-		sy.send("gateway", statemachine.Send{To: sy.state.Places[name].First, Message: partition.Fetch{Partition: name, Request: sy.requests, After: after, Topics: []string{topic}}})
+		sy.send("gateway", statemachine.Send{To: sy.state.Places[name].Leader, Message: partition.Fetch{Partition: name, Request: sy.requests, After: after, Topics: []string{topic}}})
 		sy.run(200 * time.Millisecond)
 		answer, found := sy.fetches[sy.requests]
 		assert.Assert(sy.t, found, "the first of %s does not answer", name)
--- a/internal/controller/spans.go
+++ b/internal/controller/spans.go
@@ -35,6 +35,6 @@
 		contact = defaultContact
 	}
 	return spans{
-		command: acknowledge * 2 / 5, unheard: max(contact/2, 2*membership.HoldAsk), following: max(contact*5/4, 4*membership.HoldAsk),
+		command: acknowledge * 2 / 5, unheard: max(contact/2, 2*membership.LongPollTimeout), following: max(contact*5/4, 4*membership.LongPollTimeout),
 	}
 }
--- a/internal/controller/spans_test.go
+++ b/internal/controller/spans_test.go
@@ -16,5 +16,5 @@
 	assert.Equal(t, spansOf(Settings{Acknowledge: 10 * time.Second, Contact: 8 * time.Second}),
 		spans{command: 4 * time.Second, unheard: 4 * time.Second, following: 10 * time.Second})
 	short := spansOf(Settings{Acknowledge: time.Second, Contact: time.Second})
-	assert.Assert(t, short.unheard > membership.HoldAsk && short.following > membership.PatientHold, "%+v", short)
+	assert.Assert(t, short.unheard > membership.LongPollTimeout && short.following > membership.LowPriorityLongPollTimeout, "%+v", short)
 }
--- a/internal/controller/stale_test.go
+++ b/internal/controller/stale_test.go
@@ -74,13 +74,13 @@
 		configuration, _ := config.Read(state.Document)
 		return draft{Command{Places: state.plan(configuration)}, func(before, _ membership.Member) membership.Member { return before }}
 	}
-	var settled []membership.PartitionComplete
+	var settled []membership.PartitionReplicated
 	for name, place := range statemachine.Sorted(state.Places) {
-		holders := []string{state.Members[place.First].Holder()}
+		holders := []string{state.Members[place.Leader].ReplicaID()}
 		for _, follower := range place.Followers {
-			holders = append(holders, state.Members[follower].Holder())
+			holders = append(holders, state.Members[follower].ReplicaID())
 		}
-		settled = append(settled, membership.PartitionComplete{Partition: name, Epoch: place.Epoch, Holders: holders})
+		settled = append(settled, membership.PartitionReplicated{Partition: name, Epoch: place.Epoch, Holders: holders})
 	}
 	return draft{Command{Settled: settled}, func(before, _ membership.Member) membership.Member { return before }}
 }
--- a/internal/controller/state.go
+++ b/internal/controller/state.go
@@ -67,13 +67,13 @@
 
 // view puts into news what changed after an index, or everything for whoever
 // has nothing, or something that is gone.
-func (s *State) view(news *membership.News, since uint64) {
+func (s *State) view(news *membership.ViewUpdate, since uint64) {
 	if since < s.WholeAt || since > s.Index {
 		since = 0
 	}
 	news.Changed, news.Since = true, since
 	if since <= s.BirthsAt {
-		news.Births = s.Births
+		news.SpaceCreatedAt = s.Births
 	}
 	for name, member := range statemachine.Sorted(s.Members) {
 		if at, known := s.MemberAt[name]; !known || at > since {
@@ -82,7 +82,7 @@
 	}
 	for _, gone := range s.Tombstones {
 		if since > 0 && gone.At > since {
-			news.Gone = append(news.Gone, gone.Name)
+			news.RemovedMembers = append(news.RemovedMembers, gone.Name)
 		}
 	}
 	for name, place := range statemachine.Sorted(s.Places) {
--- a/internal/controller/state_test.go
+++ b/internal/controller/state_test.go
@@ -21,9 +21,9 @@
 		random := rand.New(rand.NewPCG(seed, 0xde17a))
 		state := newState()
 		now := time.Unix(1000, 0)
-		followers := make([]*membership.Follower, 4)
+		followers := make([]*membership.ViewClient, 4)
 		for number := range followers {
-			followers[number] = membership.NewFollower(membership.Member{Name: "gateway"}, 0, []string{"controller"}, func() membership.Load { return membership.Load{} })
+			followers[number] = membership.NewViewClient(membership.Member{Name: "gateway"}, 0, []string{"controller"}, func() membership.Load { return membership.Load{} })
 			followers[number].Start(now)
 			followers[number].Tick(now, &statemachine.Effects{})
 		}
@@ -41,9 +41,9 @@
 				}
 			case 2:
 				for name, place := range statemachine.Sorted(state.Places) {
-					settled := membership.PartitionComplete{Partition: name, Epoch: place.Epoch, Holders: []string{state.Members[place.First].Holder()}}
+					settled := membership.PartitionReplicated{Partition: name, Epoch: place.Epoch, Holders: []string{state.Members[place.Leader].ReplicaID()}}
 					for _, follower := range place.Followers {
-						settled.Holders = append(settled.Holders, state.Members[follower].Holder())
+						settled.Holders = append(settled.Holders, state.Members[follower].ReplicaID())
 					}
 					if random.IntN(2) == 0 {
 						command.Settled = append(command.Settled, settled)
@@ -67,17 +67,17 @@
 			}
 			state.Apply(now, mustPack(command))
 			follower := followers[random.IntN(len(followers))]
-			news := membership.News{Nonce: 1, Epoch: 1, Primary: "controller", Index: state.Index, Version: state.Version, Document: state.Document}
+			news := membership.ViewUpdate{Nonce: 1, Epoch: 1, Primary: "controller", Index: state.Index, Version: state.Version, Document: state.Document}
 			state.view(&news, follower.Index)
 			if news.Since > 0 {
 				partial++
 			}
-			forgotten += len(news.Gone)
-			follower.Take(now.Add(time.Millisecond), news)
+			forgotten += len(news.RemovedMembers)
+			follower.HandleUpdate(now.Add(time.Millisecond), news)
 			assert.Equal(t, follower.Index, state.Index)
 			assert.DeepEqual(t, follower.Members, state.Members)
-			assert.DeepEqual(t, follower.Places, state.Places)
-			assert.DeepEqual(t, follower.Births, state.Births)
+			assert.DeepEqual(t, follower.Placements, state.Places)
+			assert.DeepEqual(t, follower.SpaceCreatedAt, state.Births)
 		}
 		assert.Assert(t, partial > 200, "only %d of 300 were told what changed alone", partial)
 	}
--- a/internal/controller/stop.go
+++ b/internal/controller/stop.go
@@ -43,7 +43,7 @@
 	}
 	for _, other := range statemachine.Sorted(c.follower.Members) {
 		if other.Kind == membership.KindController && other.Name != c.settings.Self.Name {
-			effects.Send(other.Address, membership.Farewell{Name: c.settings.Self.Name, Incarnation: c.settings.Self.Incarnation})
+			effects.Send(other.Address, membership.GracefulLeave{Name: c.settings.Self.Name, Incarnation: c.settings.Self.Incarnation})
 		}
 	}
 	effects.Stop = true
--- a/internal/controller/views.go
+++ b/internal/controller/views.go
@@ -12,7 +12,7 @@
 )
 
 // viewAgain is how long a view may be on its way before it is taken for lost.
-const viewAgain = membership.HoldAsk
+const viewAgain = membership.LongPollTimeout
 
 // sentView is a view that an asker was sent.
 type sentView struct {
@@ -24,7 +24,7 @@
 
 // viewDue gives the moment from which an asker may be sent a view: not before the one
 // that it was sent had time to come.
-func (c *Controller) viewDue(ask membership.Ask) time.Time {
+func (c *Controller) viewDue(ask membership.ViewRequest) time.Time {
 	sent, found := c.views[ask.Self.Name]
 	if !found || statemachine.Mutated("views-again") {
 		return time.Time{}
@@ -37,6 +37,6 @@
 }
 
 // noteView notes that an asker is sent a view.
-func (c *Controller) noteView(now time.Time, ask membership.Ask) {
+func (c *Controller) noteView(now time.Time, ask membership.ViewRequest) {
 	c.views[ask.Self.Name] = sentView{address: ask.Self.Address, incarnation: ask.Self.Incarnation, index: c.state.Index, at: now}
 }
--- a/internal/controller/views_test.go
+++ b/internal/controller/views_test.go
@@ -13,7 +13,7 @@
 // asker asks a lone controller over a link on which an answer takes a while.
 type asker struct {
 	*lone
-	follower *membership.Follower
+	follower *membership.ViewClient
 	self     membership.Member
 	takes    time.Duration
 	coming   []arrival
@@ -23,13 +23,13 @@
 
 type arrival struct {
 	at   time.Time
-	news membership.News
+	news membership.ViewUpdate
 }
 
 func newAsker(t *testing.T, takes time.Duration) *asker {
 	made := &asker{lone: newLone(t, false), takes: takes}
 	made.self = membership.Member{Name: "gateway-1", Kind: membership.KindGateway, Address: "gateway-1", Zone: "zone", Incarnation: 7, Alive: true}
-	made.follower = membership.NewFollower(made.self, 0, []string{"controller"}, func() membership.Load { return membership.Load{} })
+	made.follower = membership.NewViewClient(made.self, 0, []string{"controller"}, func() membership.Load { return membership.Load{} })
 	made.follower.Start(made.now)
 	return made
 }
@@ -41,7 +41,7 @@
 	a.unsynced = append(a.unsynced, effects.Writes...)
 	for _, send := range effects.Sends {
 		switch message := send.Message.(type) {
-		case membership.News:
+		case membership.ViewUpdate:
 			if message.Changed {
 				a.views++
 			}
@@ -64,7 +64,7 @@
 			a.hear(func(effects *statemachine.Effects) { a.controller.Tick(a.now, effects) })
 		}
 		for len(a.coming) > 0 && !a.coming[0].at.After(a.now) {
-			a.follower.Take(a.now, a.coming[0].news)
+			a.follower.HandleUpdate(a.now, a.coming[0].news)
 			a.coming = a.coming[1:]
 		}
 		if a.follower.Index > 0 && a.taken == 0 {
@@ -116,7 +116,7 @@
 	asker.runs(100 * time.Millisecond)
 	asker.coming, asker.takes = nil, time.Millisecond
 	asker.self.Incarnation++
-	asker.follower = membership.NewFollower(asker.self, 0, []string{"controller"}, func() membership.Load { return membership.Load{} })
+	asker.follower = membership.NewViewClient(asker.self, 0, []string{"controller"}, func() membership.Load { return membership.Load{} })
 	asker.follower.Start(asker.now)
 	asker.runs(200 * time.Millisecond)
 	assert.Assert(t, asker.taken > 0 && asker.taken < 20*time.Millisecond, "taken after %v", asker.taken)
--- a/internal/daemon/departure_test.go
+++ b/internal/daemon/departure_test.go
@@ -37,7 +37,7 @@
 func (*sleeper) ConfigurationVersion() uint64           { return 0 }
 
 func (s *sleeper) HandleMessage(_ time.Time, _ statemachine.Meta, message any, _ *statemachine.Effects) {
-	s.tasted = append(s.tasted, message.(membership.Farewell).Name)
+	s.tasted = append(s.tasted, message.(membership.GracefulLeave).Name)
 }
 
 func (s *sleeper) HandleCommand(now time.Time, command any, effects *statemachine.Effects) {
@@ -45,10 +45,10 @@
 	switch body := command.(type) {
 	case standStill:
 		until := now.Add(leaseOfTrial)
-		effects.SendBefore(s.peer, membership.Farewell{Name: "under the lease"}, until)
-		effects.Send(s.peer, membership.Farewell{Name: "at any time"})
-		effects.SendBefore(s.self, membership.Farewell{Name: "under the lease"}, until)
-		effects.Send(s.self, membership.Farewell{Name: "at any time"})
+		effects.SendBefore(s.peer, membership.GracefulLeave{Name: "under the lease"}, until)
+		effects.Send(s.peer, membership.GracefulLeave{Name: "at any time"})
+		effects.SendBefore(s.self, membership.GracefulLeave{Name: "under the lease"}, until)
+		effects.Send(s.self, membership.GracefulLeave{Name: "at any time"})
 		effects.Responses = append(effects.Responses, statemachine.Response{Request: body.request, Value: "yes", NotAfter: until, LateValue: "come back"})
 		s.clock.Add(int64(20 * time.Second))
 	case look:
@@ -96,9 +96,9 @@
 	assert.Equal(t, value, "come back")
 	select {
 	case first := <-inbox:
-		assert.Equal(t, first.Message.(membership.Farewell).Name, "at any time")
+		assert.Equal(t, first.Message.(membership.GracefulLeave).Name, "at any time")
 	case first := <-urgent:
-		assert.Equal(t, first.Message.(membership.Farewell).Name, "at any time")
+		assert.Equal(t, first.Message.(membership.GracefulLeave).Name, "at any time")
 	case <-time.After(20 * time.Second):
 		t.Fatal("nothing came")
 	}
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -58,7 +58,7 @@
 // Daemon is a machine with what ctl wants to know of it.
 type Daemon interface {
 	statemachine.Machine
-	Follower() *membership.Follower
+	Follower() *membership.ViewClient
 }
 
 // Build is what one kind of daemon brings.
--- a/internal/gateway/catchup.go
+++ b/internal/gateway/catchup.go
@@ -117,7 +117,7 @@
 	g.routed.queue = append(g.routed.queue, followed)
 	store := g.wayTo(followed.partition).address
 	if store == "" {
-		g.follower.Hurry(now)
+		g.follower.PollNow(now)
 		return
 	}
 	if !g.busy(store) {
@@ -262,8 +262,8 @@
 			continue
 		}
 		state, served := returned.State(followed.partition)
-		if placement, placed := g.follower.Places[followed.partition]; !served || !placed || state.Epoch < placement.Epoch {
-			g.follower.Hurry(now)
+		if placement, placed := g.follower.Placements[followed.partition]; !served || !placed || state.Epoch < placement.Epoch {
+			g.follower.PollNow(now)
 			g.mind(followed, now.Add(topicFetchRetry))
 			continue
 		}
--- a/internal/gateway/catchup_test.go
+++ b/internal/gateway/catchup_test.go
@@ -30,7 +30,7 @@
 	for number := range count {
 		name := fmt.Sprintf("topic-%d", number)
 		partition := config.SharedPartition(name)
-		made.gateway.follower.Places[partition] = membership.Placement{Partition: partition, Epoch: 1, First: "store-1", Complete: true}
+		made.gateway.follower.Placements[partition] = membership.Placement{Partition: partition, Epoch: 1, Leader: "store-1", Complete: true}
 		taken := &place{channel: uint64(number + 1), filling: true, request: Subscribe{Request: uint64(number + 1)}, limit: made.now.Add(time.Second)}
 		opened := &channel{origin: name, routed: map[string]*place{name: taken}}
 		made.gateway.channels[taken.channel] = opened
@@ -257,8 +257,8 @@
 	gateway := one.gateway
 	partition := config.SharedPartition("topic-0")
 	gateway.routed.bases[partition] = 3
-	gateway.follower.Index, gateway.follower.Confirmed = 1, one.now
-	gateway.pulse.Heard(one.now)
+	gateway.follower.Index, gateway.follower.ConfirmedAt = 1, one.now
+	gateway.pulse.ReceiveFromPeer(one.now)
 	gateway.config = configOf(t)
 	gateway.channels[9] = &channel{origin: "late", routed: map[string]*place{}}
 	gateway.routed.topics["topic-0"].recentFrom, gateway.routed.topics["topic-0"].last = 9, 9
--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -154,7 +154,7 @@
 // one that is only full or out of touch sends nobody on, since the others may be
 // so too and would send them back.
 func (g *Gateway) leaving() bool {
-	return g.stopping || g.follower.Orders.Rest || slices.Contains(g.config.Drains, g.settings.Self.Name)
+	return g.stopping || g.follower.Directives.Rest || slices.Contains(g.config.Drains, g.settings.Self.Name)
 }
 
 // turnAway opens a channel only to say where its origin is better served: that
@@ -567,7 +567,7 @@
 	g.timers.ArmSooner("limits", now.Add(fetchRetry))
 	address, _, found := g.firstOf(name)
 	if !found {
-		g.follower.Hurry(now)
+		g.follower.PollNow(now)
 		return
 	}
 	g.Counts.Fetches++
@@ -638,10 +638,10 @@
 	if !wanted || asked.done {
 		return
 	}
-	place, placed := g.follower.Places[returned.Partition]
+	place, placed := g.follower.Placements[returned.Partition]
 	if !returned.Ready || !placed || returned.Epoch < place.Epoch {
 		if !returned.Ready {
-			g.follower.Hurry(now)
+			g.follower.PollNow(now)
 		}
 		return
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -90,8 +90,8 @@
 // Gateway is the state machine.
 type Gateway struct {
 	settings      Settings
-	follower      *membership.Follower
-	pulse         *membership.Pulse
+	follower      *membership.ViewClient
+	pulse         *membership.FailureDetector
 	controlClient *controlclient.ControlClient
 	overlay       *overlay.Overlay
 	ring          *decisionlog.Ring
@@ -142,7 +142,7 @@
 	if settings.OriginsMost == 0 {
 		settings.OriginsMost = 2000
 	}
-	settings.ConfirmedFor = orLonger(settings.ConfirmedFor, membership.ConfirmedFor)
+	settings.ConfirmedFor = orLonger(settings.ConfirmedFor, membership.ConfirmationTimeout)
 	settings.StopWithin = orLonger(settings.StopWithin, stopLimit)
 	gateway := &Gateway{
 		settings: settings, overlay: overlay.New(settings.Self.Name), ring: decisionlog.NewRing(settings.Self.Name), timers: statemachine.NewTimers(),
@@ -152,9 +152,9 @@
 		nextRequest: settings.Life.FirstRequestNumber(), routed: newRouted(), newest: map[string]uint64{},
 	}
 	gateway.policies = standardPolicies()
-	gateway.follower = membership.NewFollower(settings.Self, settings.Life, []string{settings.Agent}, gateway.load)
-	gateway.pulse = membership.NewPulse(settings.Self)
-	gateway.follower.Fix()
+	gateway.follower = membership.NewViewClient(settings.Self, settings.Life, []string{settings.Agent}, gateway.load)
+	gateway.pulse = membership.NewFailureDetector(settings.Self)
+	gateway.follower.PinToFirstSeed()
 	upstream := func() string {
 		if primary := gateway.follower.Primary(); primary != "" {
 			return primary
@@ -162,7 +162,7 @@
 		return settings.Agent
 	}
 	gateway.controlClient = controlclient.New(controlclient.Settings{
-		Life: settings.Life, Acknowledge: settings.Acknowledge, Upstream: upstream, Other: gateway.follower.Other, Relays: gateway.follower.Relays,
+		Life: settings.Life, Acknowledge: settings.Acknowledge, Upstream: upstream, Other: gateway.follower.NextController, Relays: gateway.follower.Relays,
 	})
 	return gateway
 }
@@ -179,7 +179,7 @@
 func (g *Gateway) ConfigurationVersion() uint64 { return g.follower.Version }
 
 // Follower gives the gateway's view, for its ctl.
-func (g *Gateway) Follower() *membership.Follower { return g.follower }
+func (g *Gateway) Follower() *membership.ViewClient { return g.follower }
 
 // Overlay gives the overlay part, for counters and tests.
 func (g *Gateway) Overlay() *overlay.Overlay { return g.overlay }
@@ -194,14 +194,14 @@
 	}
 	return membership.Load{
 		Copies: g.Counts.CopiesIn, Processor: processor, Delays: g.overlay.Ways(),
-		Origins: g.staying(), Room: g.settings.OriginsMost - len(g.channels), Requests: g.Counts.Requests,
+		Sessions: g.staying(), FreeCapacity: g.settings.OriginsMost - len(g.channels), Requests: g.Counts.Requests,
 		Delivered: g.Counts.Delivered, Ready: g.wasReady, Resting: g.Resting(),
 	}
 }
 
 // Resting tells whether the gateway was asked to rest and holds nobody.
 func (g *Gateway) Resting() bool {
-	return g.follower.Orders.Rest && len(g.channels) == 0 && !g.stopping
+	return g.follower.Directives.Rest && len(g.channels) == 0 && !g.stopping
 }
 
 // Confirmed tells whether the gateway may trust that its configuration is the
@@ -212,12 +212,12 @@
 		return g.follower.Index > 0
 	}
 	return g.follower.Index > 0 && g.behind <= g.follower.Version &&
-		now.Sub(g.follower.Confirmed) <= limit && !g.pulse.Isolated(now)
+		now.Sub(g.follower.ConfirmedAt) <= limit && !g.pulse.Isolated(now)
 }
 
 // Ready tells whether the platform should send new connections here.
 func (g *Gateway) Ready(now time.Time) bool {
-	return g.Confirmed(now) && !g.stopping && !g.follower.Orders.Rest &&
+	return g.Confirmed(now) && !g.stopping && !g.follower.Directives.Rest &&
 		len(g.channels) < g.settings.OriginsMost && !slices.Contains(g.config.Drains, g.settings.Self.Name)
 }
 
@@ -275,7 +275,7 @@
 		effects.Emit(logevent.Ready, "version", g.ConfigurationVersion())
 		return
 	}
-	effects.Emit(logevent.NotReady, "isolated", g.pulse.Isolated(now), "confirmed", g.Confirmed(now), "stopping", g.stopping, "rest", g.follower.Orders.Rest)
+	effects.Emit(logevent.NotReady, "isolated", g.pulse.Isolated(now), "confirmed", g.Confirmed(now), "stopping", g.stopping, "rest", g.follower.Directives.Rest)
 }
 
 // HandleCommand takes what the adapters bring.
@@ -312,12 +312,12 @@
 // HandleMessage takes what other daemons say.
 func (g *Gateway) HandleMessage(now time.Time, meta statemachine.Meta, message any, effects *statemachine.Effects) {
 	if meta.From != g.settings.Agent && meta.From != g.settings.Self.Address {
-		g.pulse.Heard(now)
+		g.pulse.ReceiveFromPeer(now)
 	}
 	if meta.Version > g.follower.Version && meta.Version > g.behind {
 		g.behind = meta.Version
-		g.follower.Hurry(now)
-		effects.Send(meta.From, membership.ConfigAsk{Version: g.follower.Version})
+		g.follower.PollNow(now)
+		effects.Send(meta.From, membership.ConfigurationRequest{Version: g.follower.Version})
 	}
 	switch message.(type) {
 	case Carry, Pass, RoutedCopy:
@@ -334,18 +334,18 @@
 
 func (g *Gateway) take(now time.Time, meta statemachine.Meta, message any, effects *statemachine.Effects) {
 	switch body := message.(type) {
-	case membership.News:
+	case membership.ViewUpdate:
 		g.onNews(now, body, effects)
 	case membership.Redirect:
-		g.follower.Redirected(now, body, effects)
+		g.follower.HandleRedirect(now, body, effects)
 	case membership.Heartbeat:
-		g.pulse.Beat(now, body)
+		g.pulse.ReceiveHeartbeat(now, body)
 	case membership.ControlResponse:
 		g.controlClient.Take(now, meta.From, body, effects)
-	case membership.ConfigAsk:
-		g.follower.AnswerConfig(meta.From, body, effects)
-	case membership.ConfigResponse:
-		if g.follower.Adopt(body.Version, body.Document, body.Births) {
+	case membership.ConfigurationRequest:
+		g.follower.RespondToConfigurationRequest(meta.From, body, effects)
+	case membership.ConfigurationResponse:
+		if g.follower.AdoptConfiguration(body.Version, body.Document, body.SpaceCreatedAt) {
 			g.enforce(now, effects)
 			g.resume(now, effects)
 		}
@@ -389,9 +389,9 @@
 
 // News.
 
-func (g *Gateway) onNews(now time.Time, news membership.News, effects *statemachine.Effects) {
+func (g *Gateway) onNews(now time.Time, news membership.ViewUpdate, effects *statemachine.Effects) {
 	wasResting := g.Resting()
-	taken := g.follower.Take(now, news)
+	taken := g.follower.HandleUpdate(now, news)
 	if taken.View {
 		g.viewed(now, effects)
 	}
@@ -399,8 +399,8 @@
 		g.enforce(now, effects)
 	}
 	if resting := g.Resting(); resting != wasResting {
-		g.follower.Patient(now, resting)
-		g.pulse.Rest(now, resting)
+		g.follower.SetLowPriority(now, resting)
+		g.pulse.SetResting(now, resting)
 		if resting {
 			g.timers.Disarm("tick")
 			effects.Emit(logevent.GatewayRested, "gateway", g.settings.Self.Name)
@@ -409,7 +409,7 @@
 			effects.Emit(logevent.GatewayWoken, "gateway", g.settings.Self.Name)
 		}
 	}
-	if orders := g.follower.Orders; (orders.Empty || orders.Keep > 0) && !g.timers.Armed("move") {
+	if orders := g.follower.Directives; (orders.Drain || orders.KeepSessions > 0) && !g.timers.Armed("move") {
 		g.timers.Arm("move", now)
 	}
 	g.resume(now, effects)
@@ -430,7 +430,7 @@
 }
 
 func (g *Gateway) viewed(now time.Time, effects *statemachine.Effects) {
-	g.pulse.Take(now, g.follower.Members, g.follower.Upstream(), g.follower.Index)
+	g.pulse.SetView(now, g.follower.Members, g.follower.Upstream(), g.follower.Index)
 	others := map[string]overlay.Gateway{}
 	for name, member := range statemachine.Sorted(g.follower.Members) {
 		if name == g.settings.Self.Name {
@@ -452,7 +452,7 @@
 
 // spaceName names a space since its birth.
 func (g *Gateway) spaceName(name string) (string, bool) {
-	birth, found := g.follower.Births[name]
+	birth, found := g.follower.SpaceCreatedAt[name]
 	if !found {
 		return "", false
 	}
@@ -545,7 +545,7 @@
 func (g *Gateway) look(now time.Time, then func(now time.Time, effects *statemachine.Effects)) {
 	if len(g.looks) == 0 {
 		g.Counts.Looks++
-		g.follower.Hurry(now)
+		g.follower.PollNow(now)
 	}
 	until := now.Add(lookLimit)
 	g.looks = append(g.looks, lookout{until: until, then: then})
@@ -583,7 +583,7 @@
 // no takeover explains it: its agent is lost or its machine is cut off, and
 // its origins are served elsewhere. Half of them go each second.
 func (g *Gateway) letGo(now time.Time, effects *statemachine.Effects) {
-	if g.follower.Index == 0 || g.Confirmed(now) || now.Sub(g.follower.Confirmed) < letGoAfter {
+	if g.follower.Index == 0 || g.Confirmed(now) || now.Sub(g.follower.ConfirmedAt) < letGoAfter {
 		return
 	}
 	count := max(letGoLeast, len(g.channels)/2)
@@ -601,7 +601,7 @@
 // targets lists the gateways to which origins may be sent, the best first.
 func (g *Gateway) targets() []membership.Member {
 	var members []membership.Member
-	for _, name := range g.follower.Orders.Targets {
+	for _, name := range g.follower.Directives.Targets {
 		if member, found := g.follower.Members[name]; found && member.Alive {
 			members = append(members, member)
 		}
@@ -625,14 +625,14 @@
 }
 
 func (g *Gateway) moveSome(now time.Time, effects *statemachine.Effects) {
-	orders := g.follower.Orders
-	if !orders.Empty && orders.Keep == 0 && !g.stopping {
+	orders := g.follower.Directives
+	if !orders.Drain && orders.KeepSessions == 0 && !g.stopping {
 		return
 	}
-	count := max(1, orders.Pace/int(time.Second/moveEvery))
-	if orders.Keep > 0 && !orders.Empty && !g.stopping {
+	count := max(1, orders.MovesPerSecond/int(time.Second/moveEvery))
+	if orders.KeepSessions > 0 && !orders.Drain && !g.stopping {
 		// Those that were told to go and are still here are on their way.
-		count = min(count, g.staying()-orders.Keep)
+		count = min(count, g.staying()-orders.KeepSessions)
 		if count <= 0 {
 			return
 		}
@@ -718,10 +718,10 @@
 	g.overlay.LeaveAll(effects)
 	for _, member := range statemachine.Sorted(g.follower.Members) {
 		if member.Kind == membership.KindController {
-			effects.Send(member.Address, membership.Farewell{Name: g.settings.Self.Name, Incarnation: g.settings.Self.Incarnation})
+			effects.Send(member.Address, membership.GracefulLeave{Name: g.settings.Self.Name, Incarnation: g.settings.Self.Incarnation})
 		}
 	}
-	effects.Send(g.settings.Agent, membership.Farewell{Name: g.settings.Self.Name, Incarnation: g.settings.Self.Incarnation})
+	effects.Send(g.settings.Agent, membership.GracefulLeave{Name: g.settings.Self.Name, Incarnation: g.settings.Self.Incarnation})
 	effects.Stop = true
 }
 
--- a/internal/gateway/identity_test.go
+++ b/internal/gateway/identity_test.go
@@ -30,7 +30,7 @@
 	for number, name := range partitions {
 		store := string(rune('k' + number))
 		gateway.follower.Members[store] = membership.Member{Name: store, Kind: membership.KindStore, Address: store, Alive: true}
-		gateway.follower.Places[name] = membership.Placement{Partition: name, Epoch: 1, First: store}
+		gateway.follower.Placements[name] = membership.Placement{Partition: name, Epoch: 1, Leader: store}
 	}
 	gateway.spaces["boards"] = &spaceState{space: config.Space{Name: "boards", Promise: config.Kept}, name: "boards~1"}
 	item := &publication{
@@ -113,7 +113,7 @@
 	asker := newAsker(presentLife, now, partitionName("boards~1", 0), partitionName("boards~1", 1))
 	asker.gateway.spaces["boards"].space.Order = config.OrderSender
 	for number := 2; number < asker.gateway.spaces["boards"].space.Partitions(); number++ {
-		asker.gateway.follower.Places[partitionName("boards~1", number)] = membership.Placement{First: "k", Epoch: 1}
+		asker.gateway.follower.Placements[partitionName("boards~1", number)] = membership.Placement{Leader: "k", Epoch: 1}
 	}
 	sends := asker.recall(now)
 	for range len(sends) {
--- a/internal/gateway/publish.go
+++ b/internal/gateway/publish.go
@@ -268,12 +268,12 @@
 }
 
 func (g *Gateway) firstOf(name string) (address, store string, found bool) {
-	place, placed := g.follower.Places[name]
+	place, placed := g.follower.Placements[name]
 	if !placed {
 		return "", "", false
 	}
-	member, known := g.follower.Members[place.First]
-	return member.Address, place.First, known
+	member, known := g.follower.Members[place.Leader]
+	return member.Address, place.Leader, known
 }
 
 func (g *Gateway) sendAppend(now time.Time, from *sender, item *publication, effects *statemachine.Effects) {
@@ -281,7 +281,7 @@
 	g.timers.ArmSooner("limits", now.Add(appendRetry))
 	address, store, found := g.firstOf(item.partition)
 	if !found {
-		g.follower.Hurry(now)
+		g.follower.PollNow(now)
 		return
 	}
 	var before partition.Trail
@@ -296,7 +296,7 @@
 	item.open[send] = true
 	g.sends[send] = item
 	g.ring.Record(now, item.request.RequestName, decisionlog.MessageName(item.request.Space, item.request.Sender, item.request.Seq),
-		item.request.Origin, "append", "partition", item.partition, "store", store, "epoch", g.follower.Places[item.partition].Epoch)
+		item.request.Origin, "append", "partition", item.partition, "store", store, "epoch", g.follower.Placements[item.partition].Epoch)
 	effects.Send(address, partition.Append{
 		Partition: item.partition, Request: send, Topic: item.request.Topic, Sender: item.request.Sender, Seq: item.request.Seq,
 		Data: item.request.Data, Before: before, OnlyAgain: item.request.Seq <= from.lastSeq,
@@ -334,7 +334,7 @@
 		switch returned.Code {
 		case "not-first":
 			// The store or this gateway lacks news; the limit decides.
-			g.follower.Hurry(now)
+			g.follower.PollNow(now)
 			item.sentAt = now
 			g.timers.ArmSooner("limits", now.Add(appendRetry))
 		case "old-seq", "seq-reused":
@@ -358,7 +358,7 @@
 		name := partitionName(state.name, number)
 		address, _, found := g.firstOf(name)
 		if !found {
-			g.follower.Hurry(now)
+			g.follower.PollNow(now)
 			g.finish(now, item, refused(503, "not-placed", "the space's partitions are not placed yet", comeBackLater), effects)
 			return
 		}
@@ -396,7 +396,7 @@
 		return
 	}
 	if !asked.ready {
-		g.follower.Hurry(now)
+		g.follower.PollNow(now)
 		g.finish(now, from.queue[0], refused(503, "partition-moving", "a partition of the space is being taken over", comeBackLater), effects)
 		return
 	}
--- a/internal/gateway/routed.go
+++ b/internal/gateway/routed.go
@@ -680,7 +680,7 @@
 
 // onTopicHeads takes which topics of a shared partition moved.
 func (g *Gateway) onTopicHeads(now time.Time, head partition.Head, _ *statemachine.Effects) {
-	if _, used := g.routed.partitions[head.Partition]; !used || statemachine.Mutated("no-topic-heads") || head.Epoch < g.follower.Places[head.Partition].Epoch {
+	if _, used := g.routed.partitions[head.Partition]; !used || statemachine.Mutated("no-topic-heads") || head.Epoch < g.follower.Placements[head.Partition].Epoch {
 		return
 	}
 	told := g.routed.told[head.Partition]
--- a/internal/gateway/routed_publish.go
+++ b/internal/gateway/routed_publish.go
@@ -89,7 +89,7 @@
 	g.timers.ArmSooner("routed", item.due())
 	address, _, found := g.firstOf(item.partition)
 	if !found {
-		g.follower.Hurry(now)
+		g.follower.PollNow(now)
 		return
 	}
 	data := item.request.Data
@@ -124,7 +124,7 @@
 	case partition.Refused:
 		switch {
 		case returned.Code == "not-first":
-			g.follower.Hurry(now)
+			g.follower.PollNow(now)
 		case returned.Code == "old-seq" || returned.Code == "seq-reused":
 			g.answerRouted(now, item, refused(409, returned.Code, "this seq is not above the sender's newest of this topic", 0), effects)
 		case len(item.open) > 0:
--- a/internal/gateway/stopping_test.go
+++ b/internal/gateway/stopping_test.go
@@ -54,22 +54,22 @@
 // news answers what the gateway asks its agent, and tells it of heartbeats.
 func (f *fleetlab) news(effects statemachine.Effects) {
 	for _, send := range effects.Sends {
-		ask, matches := send.Message.(membership.Ask)
+		ask, matches := send.Message.(membership.ViewRequest)
 		if !matches || f.now.Sub(f.toldAt) < 300*time.Millisecond {
 			continue
 		}
 		f.toldAt = f.now
 		partitionName := config.SharedPartition("b.1")
 		f.heard = statemachine.Effects{}
-		f.gateway.HandleMessage(f.now, statemachine.Meta{From: "10.0.0.1:2", Version: 1}, membership.News{
-			For: "gateway-1", Nonce: ask.Nonce, Epoch: 1, Primary: "10.0.0.9:1", Index: 1, Version: 1, Document: []byte(document), Changed: true,
-			Births: map[string]uint64{"boards": 1},
+		f.gateway.HandleMessage(f.now, statemachine.Meta{From: "10.0.0.1:2", Version: 1}, membership.ViewUpdate{
+			Recipient: "gateway-1", Nonce: ask.Nonce, Epoch: 1, Primary: "10.0.0.9:1", Index: 1, Version: 1, Document: []byte(document), Changed: true,
+			SpaceCreatedAt: map[string]uint64{"boards": 1},
 			Members: []membership.Member{
 				{Name: "gateway-1", Kind: membership.KindGateway, Address: "10.0.0.1:1", Caller: "10.0.0.1:8000", Zone: "east", Incarnation: 1, Alive: true, Joined: 1},
 				{Name: "gateway-2", Kind: membership.KindGateway, Address: "10.0.0.2:1", Caller: "10.0.0.2:8000", Zone: "east", Incarnation: 1, Alive: true, Joined: 1},
 				{Name: "store-1", Kind: membership.KindStore, Address: "10.0.0.3:1", Zone: "east", Incarnation: 1, Alive: true, Joined: 1},
 			},
-			Placements: []membership.Placement{{Partition: partitionName, Epoch: 1, First: "store-1"}},
+			Placements: []membership.Placement{{Partition: partitionName, Epoch: 1, Leader: "store-1"}},
 		}, &f.heard)
 	}
 }
@@ -155,7 +155,7 @@
 	assert.Equal(t, ended, 40)
 	farewell := false
 	for _, send := range effects.Sends {
-		_, matches := send.Message.(membership.Farewell)
+		_, matches := send.Message.(membership.GracefulLeave)
 		farewell = farewell || matches && send.To == "10.0.0.1:2"
 	}
 	assert.Assert(t, farewell, "the agent must hear of the end")
--- a/internal/gateway/tracker.go
+++ b/internal/gateway/tracker.go
@@ -406,7 +406,7 @@
 			continue
 		}
 		tracker, found := g.trackers[head.Partition]
-		if !found || head.Epoch < g.follower.Places[head.Partition].Epoch {
+		if !found || head.Epoch < g.follower.Placements[head.Partition].Epoch {
 			continue
 		}
 		tracker.head = max(tracker.head, head.Offset)
--- a/internal/gateway/ways.go
+++ b/internal/gateway/ways.go
@@ -19,8 +19,8 @@
 
 // wayTo is the present way to a partition; the zero way where there is none.
 func (g *Gateway) wayTo(name string) way {
-	place, placed := g.follower.Places[name]
-	first, known := g.follower.Members[place.First]
+	place, placed := g.follower.Placements[name]
+	first, known := g.follower.Members[place.Leader]
 	if !placed || !known {
 		return way{}
 	}
--- a/internal/gateway/ways_test.go
+++ b/internal/gateway/ways_test.go
@@ -20,7 +20,7 @@
 	gateway := New(Settings{Self: membership.Member{Name: "gateway-1", Kind: membership.KindGateway, Address: "a:1"}, Agent: "a:2"})
 	name := config.SharedPartition("topic")
 	gateway.follower.Members["store-1"] = membership.Member{Name: "store-1", Kind: membership.KindStore, Address: "k:1", Alive: true}
-	gateway.follower.Places[name] = membership.Placement{Partition: name, Epoch: 1, First: "store-1", Complete: true}
+	gateway.follower.Placements[name] = membership.Placement{Partition: name, Epoch: 1, Leader: "store-1", Complete: true}
 	gateway.spaces["boards"] = &spaceState{space: config.Space{Name: "boards", Promise: config.Kept, Order: config.OrderTopic}, name: "boards~0"}
 	var effects statemachine.Effects
 	taken := &place{channel: 1, filling: true, limit: now.Add(time.Second)}
@@ -34,7 +34,7 @@
 	}
 	gateway.follower.Members["gateway-2"] = membership.Member{Name: "gateway-2", Kind: membership.KindGateway, Address: "b:1", Alive: true}
 	otherNews = again()
-	gateway.follower.Places[name] = membership.Placement{Partition: name, Epoch: 2, First: "store-1", Complete: true}
+	gateway.follower.Placements[name] = membership.Placement{Partition: name, Epoch: 2, Leader: "store-1", Complete: true}
 	otherEpoch = again()
 	return otherNews, otherEpoch
 }
--- a/internal/membership/follower.go
+++ b/internal/membership/follower.go
@@ -16,81 +16,81 @@
 
 // Spans of following.
 const (
-	HoldAsk     = 600 * time.Millisecond
-	PatientHold = 1500 * time.Millisecond
-	askLimit    = HoldAsk + 300*time.Millisecond
-	searchEvery = 300 * time.Millisecond
-	// searchesQuick are the searches with that pause; later ones pause for longer,
+	LongPollTimeout            = 600 * time.Millisecond
+	LowPriorityLongPollTimeout = 1500 * time.Millisecond
+	responseTimeout            = LongPollTimeout + 300*time.Millisecond
+	searchInterval             = 300 * time.Millisecond
+	// quickSearches are the searches with that pause; later ones pause for longer,
 	// since each answer takes a part of a link that may be why none came.
-	searchesQuick = 4
-	searchSlow    = 900 * time.Millisecond
-	// asksRemembered bounds the questions whose answers still count.
-	asksRemembered = 16
-	patientLimit   = PatientHold + 300*time.Millisecond
-	FreshFor       = time.Second
-	ConfirmedFor   = 2500 * time.Millisecond
+	quickSearches      = 4
+	slowSearchInterval = 900 * time.Millisecond
+	// maxOutstanding bounds the questions whose answers still count.
+	maxOutstanding             = 16
+	lowPriorityResponseTimeout = LowPriorityLongPollTimeout + 300*time.Millisecond
+	MaxFirstViewAge            = time.Second
+	ConfirmationTimeout        = 2500 * time.Millisecond
 )
 
-// Follower is the state machine.
-type Follower struct {
-	self        Member
-	seeds       []string
-	controllers []string
-	guess       int
-	primary     string
-	nonce       uint64
-	heard       uint64
-	askedAt     time.Time
-	asked       []question
-	searches    int
-	waiting     bool
-	patient     bool
-	fixed       bool
-	searching   bool
-	hurried     bool
-	Index       uint64
-	Version     uint64
-	Epoch       uint64
-	Document    []byte
-	Births      map[string]uint64
-	Members     map[string]Member
-	Places      map[string]Placement
-	Orders      Orders
-	Confirmed   time.Time
-	load        func() Load
-	timers      *statemachine.Timers
+// ViewClient is the state machine.
+type ViewClient struct {
+	self           Member
+	seeds          []string
+	controllers    []string
+	nextController int
+	primary        string
+	nonce          uint64
+	lastAnswered   uint64
+	polledAt       time.Time
+	outstanding    []viewRequest
+	searches       int
+	waiting        bool
+	lowPriority    bool
+	pinned         bool
+	searching      bool
+	urgent         bool
+	Index          uint64
+	Version        uint64
+	Epoch          uint64
+	Document       []byte
+	SpaceCreatedAt map[string]uint64
+	Members        map[string]Member
+	Placements     map[string]Placement
+	Directives     Directives
+	ConfirmedAt    time.Time
+	load           func() Load
+	timers         *statemachine.Timers
 }
 
-// question is one that was asked, and when.
-type question struct {
-	nonce uint64
-	at    time.Time
+// viewRequest is one that was asked, and when.
+type viewRequest struct {
+	nonce  uint64
+	sentAt time.Time
 }
 
-// NewFollower makes a follower that asks the given seeds first. Life names this run
+// NewViewClient makes a follower that asks the given seeds first. Life names this run
 // of the process.
-func NewFollower(self Member, life statemachine.Incarnation, seeds []string, load func() Load) *Follower {
-	return &Follower{
+func NewViewClient(self Member, life statemachine.Incarnation, seeds []string, load func() Load) *ViewClient {
+	return &ViewClient{
 		self: self, nonce: life.FirstRequestNumber(), seeds: seeds, controllers: seeds, load: load, searching: true,
-		Members: map[string]Member{}, Places: map[string]Placement{}, timers: statemachine.NewTimers(),
+		Members: map[string]Member{}, Placements: map[string]Placement{}, timers: statemachine.NewTimers(),
 	}
 }
 
 // Start begins asking.
-func (f *Follower) Start(now time.Time) { f.timers.Arm("ask", now) }
+func (f *ViewClient) Start(now time.Time) { f.timers.Arm("ask", now) }
 
 // NextTick is when the follower wants to run again.
-func (f *Follower) NextTick() time.Time { return f.timers.Next() }
+func (f *ViewClient) NextTick() time.Time { return f.timers.Next() }
 
-// Fix lets the follower ask its first seed only, as a gateway asks its agent.
-func (f *Follower) Fix() { f.fixed = true }
+// PinToFirstSeed lets the follower ask its first seed only, as a gateway asks its agent.
+func (f *ViewClient) PinToFirstSeed() { f.pinned = true }
 
 // Primary is the primary's address, as far as it is known.
-func (f *Follower) Primary() string { return f.primary }
+func (f *ViewClient) Primary() string { return f.primary }
 
 // Upstream is the address that is presently asked.
-func (f *Follower) Upstream() string {
-	if f.fixed {
+func (f *ViewClient) Upstream() string {
+	if f.pinned {
 		return f.seeds[0]
 	}
 	if f.primary != "" {
@@ -99,130 +99,130 @@
 	if len(f.controllers) == 0 {
 		return ""
 	}
-	return f.controllers[f.guess%len(f.controllers)]
+	return f.controllers[f.nextController%len(f.controllers)]
 }
 
-// Patient makes the follower content with slower answers, as a resting
+// SetLowPriority makes the follower content with slower answers, as a resting
 // gateway is.
-func (f *Follower) Patient(now time.Time, patient bool) {
-	if f.patient != patient {
-		f.patient = patient
+func (f *ViewClient) SetLowPriority(now time.Time, patient bool) {
+	if f.lowPriority != patient {
+		f.lowPriority = patient
 		f.timers.Arm("ask", now)
 	}
 }
 
-// Hurry asks at once.
-func (f *Follower) Hurry(now time.Time) {
-	if f.waiting && now.Sub(f.askedAt) < 50*time.Millisecond {
+// PollNow asks at once.
+func (f *ViewClient) PollNow(now time.Time) {
+	if f.waiting && now.Sub(f.polledAt) < 50*time.Millisecond {
 		return
 	}
-	f.hurried = true
+	f.urgent = true
 	f.timers.Arm("ask", now)
 }
 
 // Tick runs the timers that expired.
-func (f *Follower) Tick(now time.Time, effects *statemachine.Effects) {
+func (f *ViewClient) Tick(now time.Time, effects *statemachine.Effects) {
 	for _, key := range f.timers.Expired(now) {
 		switch key {
 		case "ask":
-			f.ask(now, effects)
+			f.poll(now, effects)
 		case "limit":
 			f.waiting = false
 			f.searching = true
-			f.ask(now, effects)
+			f.poll(now, effects)
 		}
 	}
 }
 
-func (f *Follower) ask(now time.Time, effects *statemachine.Effects) {
+func (f *ViewClient) poll(now time.Time, effects *statemachine.Effects) {
 	f.nonce++
-	f.askedAt, f.waiting = now, true
-	f.remember(question{nonce: f.nonce, at: now})
-	limit := f.limit()
+	f.polledAt, f.waiting = now, true
+	f.recordRequest(viewRequest{nonce: f.nonce, sentAt: now})
+	limit := f.requestTimeout()
 	f.timers.Disarm("ask")
 	f.timers.Arm("limit", now.Add(limit))
 	for _, address := range f.Upstreams() {
-		f.askAt(address, effects)
+		f.sendRequest(address, effects)
 	}
 }
 
-// limit is how long the question that is asked now may stay without an answer
+// requestTimeout is how long the question that is asked now may stay without an answer
 // before it is asked anew.
-func (f *Follower) limit() time.Duration {
+func (f *ViewClient) requestTimeout() time.Duration {
 	if f.searching {
 		f.searches++
-		if f.searches > searchesQuick {
-			return searchSlow
+		if f.searches > quickSearches {
+			return slowSearchInterval
 		}
-		return searchEvery
+		return searchInterval
 	}
-	return f.answerLimit()
+	return f.responseTimeout()
 }
 
-// answerLimit is how long an answer may take while the primary is known.
-func (f *Follower) answerLimit() time.Duration {
-	if f.patient {
-		return patientLimit
+// responseTimeout is how long an answer may take while the primary is known.
+func (f *ViewClient) responseTimeout() time.Duration {
+	if f.lowPriority {
+		return lowPriorityResponseTimeout
 	}
-	return askLimit
+	return responseTimeout
 }
 
-// remember keeps a question, so that its answer counts also if another was asked
+// recordRequest keeps a question, so that its answer counts also if another was asked
 // meanwhile: on a full link answers take longer than the pause between questions,
 // and a follower that only heard the newest one's would never hear any.
-func (f *Follower) remember(asked question) {
-	if len(f.asked) == asksRemembered {
-		f.asked = slices.Delete(f.asked, 0, 1)
+func (f *ViewClient) recordRequest(asked viewRequest) {
+	if len(f.outstanding) == maxOutstanding {
+		f.outstanding = slices.Delete(f.outstanding, 0, 1)
 	}
-	f.asked = append(f.asked, asked)
+	f.outstanding = append(f.outstanding, asked)
 }
 
-// answers tells when the question was asked that news answer.
-func (f *Follower) answers(news News) (time.Time, bool) {
-	for _, asked := range f.asked {
+// requestedAt tells when the question was asked that news answer.
+func (f *ViewClient) requestedAt(news ViewUpdate) (time.Time, bool) {
+	for _, asked := range f.outstanding {
 		if asked.nonce == news.Nonce && (asked.nonce == f.nonce || !statemachine.Mutated("late-answers-unheard")) {
-			return asked.at, true
+			return asked.sentAt, true
 		}
 	}
 	return time.Time{}, false
 }
 
-// freshFor is how old the question may be whose answer brings the first view. What a
+// maxFirstViewAge is how old the question may be whose answer brings the first view. What a
 // gateway may do on a view follows from when it asked, and an agent does nothing on
 // it; both are many, behind thin links, and a whole view takes its time there.
-func (f *Follower) freshFor() time.Duration {
+func (f *ViewClient) maxFirstViewAge() time.Duration {
 	if (f.self.Kind == KindGateway || f.self.Kind == KindAgent) && !statemachine.Mutated("late-answers-unheard") {
-		return ConfirmedFor
+		return ConfirmationTimeout
 	}
-	return FreshFor
+	return MaxFirstViewAge
 }
 
-// answered notes an answer. One to an earlier question tells that answers take
+// recordResponse notes an answer. One to an earlier question tells that answers take
 // long, and lets the newest question wait for its own.
-func (f *Follower) answered(now time.Time, nonce uint64) {
+func (f *ViewClient) recordResponse(now time.Time, nonce uint64) {
 	searched := f.searching
 	f.searching, f.searches = false, 0
 	if nonce == f.nonce {
-		f.waiting, f.hurried = false, false
+		f.waiting, f.urgent = false, false
 		f.timers.Disarm("limit")
 		f.timers.Arm("ask", now)
 	} else if searched && f.waiting {
-		f.timers.Arm("limit", f.askedAt.Add(f.answerLimit()))
+		f.timers.Arm("limit", f.polledAt.Add(f.responseTimeout()))
 	}
 }
 
-func (f *Follower) askAt(address string, effects *statemachine.Effects) {
-	effects.Send(address, Ask{
+func (f *ViewClient) sendRequest(address string, effects *statemachine.Effects) {
+	effects.Send(address, ViewRequest{
 		Self: f.self, Nonce: f.nonce, Index: f.Index, Version: f.Version,
-		Load: f.load(), Patient: f.patient, Urgent: f.searching || f.hurried,
-		Epoch: f.Epoch, Heard: f.heard,
+		Load: f.load(), LowPriority: f.lowPriority, Urgent: f.searching || f.urgent,
+		Epoch: f.Epoch, LastAnswered: f.lastAnswered,
 	})
 }
 
 // Upstreams are the addresses that are presently asked: the primary, or while
 // it is being looked for all controllers that are known.
-func (f *Follower) Upstreams() []string {
-	if f.fixed {
+func (f *ViewClient) Upstreams() []string {
+	if f.pinned {
 		return f.seeds[:1]
 	}
 	if f.primary != "" && !f.searching {
@@ -237,28 +237,28 @@
 	return addresses
 }
 
-// Redirected learns from a controller that is not primary. A primary that it names
+// HandleRedirect learns from a controller that is not primary. A primary that it names
 // and that was not asked yet is asked at once. Once the primary has answered the same
 // question, what the others say of it is of no use.
-func (f *Follower) Redirected(now time.Time, redirect Redirect, effects *statemachine.Effects) {
+func (f *ViewClient) HandleRedirect(now time.Time, redirect Redirect, effects *statemachine.Effects) {
 	if redirect.Nonce != f.nonce || !f.waiting {
 		return
 	}
 	asked := f.Upstreams()
 	f.learnControllers(redirect.Controllers)
-	if f.fixed {
+	if f.pinned {
 		return
 	}
 	if !f.searching {
 		f.searching = true
-		f.timers.Arm("limit", now.Add(searchEvery/3))
+		f.timers.Arm("limit", now.Add(searchInterval/3))
 	}
 	if redirect.Primary != "" && !slices.Contains(asked, redirect.Primary) {
-		f.askAt(redirect.Primary, effects)
+		f.sendRequest(redirect.Primary, effects)
 	}
 }
 
-func (f *Follower) learnControllers(addresses []string) {
+func (f *ViewClient) learnControllers(addresses []string) {
 	for _, address := range addresses {
 		if !slices.Contains(f.controllers, address) {
 			f.controllers = append(slices.Clone(f.controllers), address)
@@ -266,58 +266,58 @@
 	}
 }
 
-// Taken says what changed with a piece of news.
-type Taken struct {
+// UpdateResult says what changed with a piece of news.
+type UpdateResult struct {
 	Answered bool
 	View     bool
 	Document bool
 }
 
-// Take takes news that is not older than what is held.
-func (f *Follower) Take(now time.Time, news News) Taken {
+// HandleUpdate takes news that is not older than what is held.
+func (f *ViewClient) HandleUpdate(now time.Time, news ViewUpdate) UpdateResult {
 	if news.Nonce <= f.nonce {
-		f.heard = max(f.heard, news.Nonce)
+		f.lastAnswered = max(f.lastAnswered, news.Nonce)
 	}
 	if news.Epoch < f.Epoch || news.Index < f.Index || news.Version < f.Version {
-		return Taken{}
+		return UpdateResult{}
 	}
-	var taken Taken
-	askedAt, mine := f.answers(news)
+	var taken UpdateResult
+	askedAt, mine := f.requestedAt(news)
 	if mine {
-		f.answered(now, news.Nonce)
+		f.recordResponse(now, news.Nonce)
 		taken.Answered = true
 	}
-	if f.Index == 0 && (!taken.Answered || now.Sub(askedAt) > f.freshFor()) {
+	if f.Index == 0 && (!taken.Answered || now.Sub(askedAt) > f.maxFirstViewAge()) {
 		return taken
 	}
-	if taken.Answered && askedAt.After(f.Confirmed) {
-		f.Confirmed = askedAt
+	if taken.Answered && askedAt.After(f.ConfirmedAt) {
+		f.ConfirmedAt = askedAt
 	}
 	f.primary = news.Primary
 	f.Epoch = news.Epoch
-	f.Orders = news.Orders
+	f.Directives = news.Directives
 	if news.Version > f.Version && news.Document != nil {
 		f.Version, f.Document = news.Version, news.Document
 		taken.Document = true
 	}
 	if news.Changed && news.Index > f.Index && f.Index >= news.Since {
-		f.takeView(news)
+		f.applyView(news)
 		taken.View = true
 	}
 	return taken
 }
 
-// takeView replaces the view, or what changed of it.
-func (f *Follower) takeView(news News) {
+// applyView replaces the view, or what changed of it.
+func (f *ViewClient) applyView(news ViewUpdate) {
 	f.Index = news.Index
-	if news.Since == 0 || news.Births != nil {
-		f.Births = news.Births
+	if news.Since == 0 || news.SpaceCreatedAt != nil {
+		f.SpaceCreatedAt = news.SpaceCreatedAt
 	}
 	members, places := make(map[string]Member, len(news.Members)), make(map[string]Placement, len(news.Placements))
 	if news.Since > 0 {
-		members, places = maps.Clone(f.Members), maps.Clone(f.Places)
+		members, places = maps.Clone(f.Members), maps.Clone(f.Placements)
 	}
-	for _, name := range news.Gone {
+	for _, name := range news.RemovedMembers {
 		delete(members, name)
 	}
 	for _, member := range news.Members {
@@ -326,7 +326,7 @@
 	for _, place := range news.Placements {
 		places[place.Partition] = place
 	}
-	f.Members, f.Places, f.controllers = members, places, nil
+	f.Members, f.Placements, f.controllers = members, places, nil
 	for _, member := range statemachine.Sorted(members) {
 		if member.Kind == KindController && member.Alive {
 			f.controllers = append(f.controllers, member.Address)
@@ -337,27 +337,27 @@
 	}
 }
 
-// Adopt takes a configuration that another daemon had sooner.
-func (f *Follower) Adopt(version uint64, document []byte, births map[string]uint64) bool {
+// AdoptConfiguration takes a configuration that another daemon had sooner.
+func (f *ViewClient) AdoptConfiguration(version uint64, document []byte, births map[string]uint64) bool {
 	if version <= f.Version || f.Index == 0 {
 		return false
 	}
-	f.Version, f.Document, f.Births = version, document, births
+	f.Version, f.Document, f.SpaceCreatedAt = version, document, births
 	return true
 }
 
-// Other names another controller to try than the one presently asked.
-func (f *Follower) Other() string {
+// NextController names another controller to try than the one presently asked.
+func (f *ViewClient) NextController() string {
 	if len(f.controllers) == 0 {
 		return f.Upstream()
 	}
-	f.guess++
-	return f.controllers[f.guess%len(f.controllers)]
+	f.nextController++
+	return f.controllers[f.nextController%len(f.controllers)]
 }
 
 // Relays are the addresses of living agents, which carry requests to controllers:
 // they may reach one that this daemon has lost.
-func (f *Follower) Relays() []string {
+func (f *ViewClient) Relays() []string {
 	var addresses []string
 	for _, member := range statemachine.Sorted(f.Members) {
 		if member.Kind == KindAgent && member.Alive && member.Name != f.self.Name {
@@ -367,9 +367,9 @@
 	return addresses
 }
 
-// AnswerConfig gives a daemon that asks a configuration newer than its own.
-func (f *Follower) AnswerConfig(to string, ask ConfigAsk, effects *statemachine.Effects) {
+// RespondToConfigurationRequest gives a daemon that asks a configuration newer than its own.
+func (f *ViewClient) RespondToConfigurationRequest(to string, ask ConfigurationRequest, effects *statemachine.Effects) {
 	if f.Version > ask.Version {
-		effects.Send(to, ConfigResponse{Version: f.Version, Document: f.Document, Births: f.Births})
+		effects.Send(to, ConfigurationResponse{Version: f.Version, Document: f.Document, SpaceCreatedAt: f.SpaceCreatedAt})
 	}
 }
--- a/internal/membership/follower_test.go
+++ b/internal/membership/follower_test.go
@@ -13,15 +13,15 @@
 
 func TestASearchIsAnsweredThoughThereIsNoNews(t *testing.T) {
 	now := time.Unix(1000, 0)
-	follower := NewFollower(Member{Name: "gateway-1"}, 0, []string{"controller"}, func() Load { return Load{} })
+	follower := NewViewClient(Member{Name: "gateway-1"}, 0, []string{"controller"}, func() Load { return Load{} })
 	follower.Start(now)
-	answer := func(ask Ask) {
-		follower.Take(now, News{Nonce: ask.Nonce, Epoch: 1, Primary: "controller", Index: 1, Changed: true})
+	answer := func(ask ViewRequest) {
+		follower.HandleUpdate(now, ViewUpdate{Nonce: ask.Nonce, Epoch: 1, Primary: "controller", Index: 1, Changed: true})
 	}
 	// The primary answers a question without news after its hold, unless it is
 	// urgent; for three seconds it answers nothing.
 	type held struct {
-		ask Ask
+		ask ViewRequest
 		at  time.Time
 	}
 	var waiting []held
@@ -32,14 +32,14 @@
 			var effects statemachine.Effects
 			follower.Tick(now, &effects)
 			for _, send := range effects.Sends {
-				ask := send.Message.(Ask)
+				ask := send.Message.(ViewRequest)
 				if silent {
 					continue
 				}
 				if ask.Urgent || ask.Index == 0 {
 					answer(ask)
 				} else {
-					waiting = append(waiting, held{ask: ask, at: now.Add(HoldAsk)})
+					waiting = append(waiting, held{ask: ask, at: now.Add(LongPollTimeout)})
 				}
 			}
 		}
@@ -50,7 +50,7 @@
 			waiting = waiting[1:]
 		}
 	}
-	assert.Assert(t, now.Sub(follower.Confirmed) < 2*HoldAsk, "confirmed %s ago", now.Sub(follower.Confirmed))
+	assert.Assert(t, now.Sub(follower.ConfirmedAt) < 2*LongPollTimeout, "confirmed %s ago", now.Sub(follower.ConfirmedAt))
 }
 
 // lateAnswers runs a follower for six seconds of which each answer takes long, and
@@ -58,10 +58,10 @@
 // many questions it asked.
 func lateAnswers(way time.Duration) (longest time.Duration, asks int) {
 	now := time.Unix(1000, 0)
-	follower := NewFollower(Member{Name: "gateway-1"}, 0, []string{"controller"}, func() Load { return Load{} })
+	follower := NewViewClient(Member{Name: "gateway-1"}, 0, []string{"controller"}, func() Load { return Load{} })
 	follower.Start(now)
 	type answer struct {
-		ask Ask
+		ask ViewRequest
 		at  time.Time
 	}
 	var waiting []answer
@@ -76,14 +76,14 @@
 				if step > 50 {
 					took = way
 				}
-				waiting = append(waiting, answer{ask: send.Message.(Ask), at: now.Add(took)})
+				waiting = append(waiting, answer{ask: send.Message.(ViewRequest), at: now.Add(took)})
 			}
 		}
 		for len(waiting) > 0 && !waiting[0].at.After(now) {
-			follower.Take(now, News{Nonce: waiting[0].ask.Nonce, Epoch: 1, Primary: "controller", Index: 1, Changed: true})
+			follower.HandleUpdate(now, ViewUpdate{Nonce: waiting[0].ask.Nonce, Epoch: 1, Primary: "controller", Index: 1, Changed: true})
 			waiting = waiting[1:]
 		}
-		longest = max(longest, now.Sub(follower.Confirmed))
+		longest = max(longest, now.Sub(follower.ConfirmedAt))
 		if step < 50 {
 			longest = 0
 		}
@@ -93,21 +93,21 @@
 
 func TestAnswersThatTakeLongerThanThePauseBetweenQuestionsCount(t *testing.T) {
 	longest, asks := lateAnswers(1200 * time.Millisecond)
-	assert.Assert(t, longest < ConfirmedFor, "unconfirmed for %s", longest)
+	assert.Assert(t, longest < ConfirmationTimeout, "unconfirmed for %s", longest)
 	t.Logf("%d questions, unconfirmed for %s at the most", asks, longest)
 }
 
 func TestAFirstViewThatTakesLongIsTakenByWhoeverCountsFromItsQuestion(t *testing.T) {
 	for kind, wanted := range map[string]bool{KindGateway: true, KindAgent: true, KindStore: false, KindController: false} {
 		now := time.Unix(1000, 0)
-		follower := NewFollower(Member{Name: "a", Kind: kind}, 0, []string{"controller"}, func() Load { return Load{} })
+		follower := NewViewClient(Member{Name: "a", Kind: kind}, 0, []string{"controller"}, func() Load { return Load{} })
 		follower.Start(now)
 		var effects statemachine.Effects
 		follower.Tick(now, &effects)
-		nonce := effects.Sends[0].Message.(Ask).Nonce
-		taken := follower.Take(now.Add(1500*time.Millisecond), News{Nonce: nonce, Epoch: 1, Index: 1, Changed: true, Primary: "controller"})
+		nonce := effects.Sends[0].Message.(ViewRequest).Nonce
+		taken := follower.HandleUpdate(now.Add(1500*time.Millisecond), ViewUpdate{Nonce: nonce, Epoch: 1, Index: 1, Changed: true, Primary: "controller"})
 		assert.Equal(t, taken.View, wanted, kind)
-		assert.Equal(t, follower.Confirmed.Equal(now), wanted, kind)
+		assert.Equal(t, follower.ConfirmedAt.Equal(now), wanted, kind)
 	}
 }
 
@@ -115,17 +115,17 @@
 // over, and the next question goes to the primary alone.
 func TestALateRedirectionBeginsNoNewSearch(t *testing.T) {
 	now := time.Unix(1000, 0)
-	follower := NewFollower(Member{Name: "gateway-1"}, 0, []string{"controller-1", "controller-2"}, func() Load { return Load{} })
+	follower := NewViewClient(Member{Name: "gateway-1"}, 0, []string{"controller-1", "controller-2"}, func() Load { return Load{} })
 	follower.Start(now)
 	var effects statemachine.Effects
 	follower.Tick(now, &effects)
 	assert.Equal(t, len(effects.Sends), 2)
-	nonce := effects.Sends[0].Message.(Ask).Nonce
+	nonce := effects.Sends[0].Message.(ViewRequest).Nonce
 	now = now.Add(time.Millisecond)
-	follower.Take(now, News{Nonce: nonce, Epoch: 1, Primary: "controller-1", Index: 1, Changed: true})
-	follower.Redirected(now, Redirect{Nonce: nonce, Epoch: 1, Primary: "controller-1"}, &effects)
+	follower.HandleUpdate(now, ViewUpdate{Nonce: nonce, Epoch: 1, Primary: "controller-1", Index: 1, Changed: true})
+	follower.HandleRedirect(now, Redirect{Nonce: nonce, Epoch: 1, Primary: "controller-1"}, &effects)
 	effects = statemachine.Effects{}
 	follower.Tick(now, &effects)
 	assert.Equal(t, len(effects.Sends), 1)
-	assert.Assert(t, !effects.Sends[0].Message.(Ask).Urgent)
+	assert.Assert(t, !effects.Sends[0].Message.(ViewRequest).Urgent)
 }
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -44,18 +44,18 @@
 	Degraded bool `json:"degraded,omitempty"`
 }
 
-// Holder names a store together with its disk, so that a wiped store is not
+// ReplicaID names a store together with its disk, so that a wiped store is not
 // taken for a holder of what it lost.
-func (m Member) Holder() string { return m.Name + "@" + m.Disk }
+func (m Member) ReplicaID() string { return m.Name + "@" + m.Disk }
 
 // Placement is where one partition lives in one of its epochs.
 type Placement struct {
 	Partition string   `json:"partition"`
 	Epoch     uint64   `json:"epoch"`
-	First     string   `json:"first"`
+	Leader    string   `json:"first"`
 	Followers []string `json:"followers"`
 	Complete  bool     `json:"complete"`
-	Safe      []string `json:"safe"`
+	InSync    []string `json:"safe"`
 }
 
 // MarshalJSON tells the first of the followers under its own name too, as it
@@ -72,81 +72,81 @@
 	}{plain: plain(p), Follower: follower})
 }
 
-// Names tells whether a store is the partition's first or one of its followers.
-func (p Placement) Names(store string) bool {
-	return p.First == store || slices.Contains(p.Followers, store)
+// HasReplica tells whether a store is the partition's first or one of its followers.
+func (p Placement) HasReplica(store string) bool {
+	return p.Leader == store || slices.Contains(p.Followers, store)
 }
 
 // Load is what a daemon observes of itself; it is not kept, only reported.
 type Load struct {
-	_          struct{} `cbor:",toarray"`
-	Origins    int
-	Room       int
-	Requests   uint64
-	Delivered  uint64
-	Copies     uint64
-	Processor  time.Duration
-	Ready      bool
-	Resting    bool
-	Partitions []string
-	Delays     map[string]time.Duration
+	_            struct{} `cbor:",toarray"`
+	Sessions     int
+	FreeCapacity int
+	Requests     uint64
+	Delivered    uint64
+	Copies       uint64
+	Processor    time.Duration
+	Ready        bool
+	Resting      bool
+	Partitions   []string
+	Delays       map[string]time.Duration
 }
 
-// Ask is a daemon's question with what it has, and from which epoch it has it; it
+// ViewRequest is a daemon's question with what it has, and from which epoch it has it; it
 // is answered on news. Nonce numbers the questions of one life of the asker.
-type Ask struct {
-	_       struct{} `cbor:",toarray"`
-	Self    Member
-	Nonce   uint64
-	Index   uint64
-	Version uint64
-	Load    Load
-	Patient bool
+type ViewRequest struct {
+	_           struct{} `cbor:",toarray"`
+	Self        Member
+	Nonce       uint64
+	Index       uint64
+	Version     uint64
+	Load        Load
+	LowPriority bool
 	// Urgent asks to be answered at once, news or not: the asker looks for the
 	// primary, or a request waits for what there is.
 	Urgent bool
 	Epoch  uint64
-	// Heard is the newest of the asker's nonces to which it has heard an answer.
-	Heard uint64
+	// LastAnswered is the newest of the asker's nonces to which it has heard an answer.
+	LastAnswered uint64
 }
 
-// News answers an Ask. What changed after Since is told, and the rest is as the
+// ViewUpdate answers an Ask. What changed after Since is told, and the rest is as the
 // asker has it; without Since it is everything.
-type News struct {
-	_          struct{} `cbor:",toarray"`
-	For        string
-	Nonce      uint64
-	Epoch      uint64
-	Primary    string
-	Index      uint64
-	Version    uint64
-	Document   []byte
-	Changed    bool
-	Since      uint64
-	Members    []Member
-	Placements []Placement
-	Births     map[string]uint64
-	Orders     Orders
-	// Gone are the members that were forgotten.
-	Gone []string
+type ViewUpdate struct {
+	_              struct{} `cbor:",toarray"`
+	Recipient      string
+	Nonce          uint64
+	Epoch          uint64
+	Primary        string
+	Index          uint64
+	Version        uint64
+	Document       []byte
+	Changed        bool
+	Since          uint64
+	Members        []Member
+	Placements     []Placement
+	SpaceCreatedAt map[string]uint64
+	Directives     Directives
+	// RemovedMembers are the members that were forgotten.
+	RemovedMembers []string
 }
 
-// Orders are what the economy asks of one gateway.
+// Directives are what the economy asks of one gateway.
 // Rest empties it and lets it rest; Keep, if above zero, asks it to hand on
 // what it holds beyond.
-type Orders struct {
-	_       struct{} `cbor:",toarray"`
-	Rest    bool
-	Empty   bool
-	Keep    int
-	Pace    int
-	Targets []string
+type Directives struct {
+	_              struct{} `cbor:",toarray"`
+	Rest           bool
+	Drain          bool
+	KeepSessions   int
+	MovesPerSecond int
+	Targets        []string
 }
 
 // Redirect tells who is primary, as far as the sender knows.
 type Redirect struct {
 	_           struct{} `cbor:",toarray"`
-	For         string
+	Recipient   string
 	Nonce       uint64
 	Epoch       uint64
 	Primary     string
@@ -173,41 +173,41 @@
 	_           struct{} `cbor:",toarray"`
 	Name        string
 	Incarnation uint64
-	Silence     time.Duration
+	SilentFor   time.Duration
 }
 
-// ConfigAsk asks any daemon for a configuration newer than the asker's.
-type ConfigAsk struct {
+// ConfigurationRequest asks any daemon for a configuration newer than the asker's.
+type ConfigurationRequest struct {
 	_       struct{} `cbor:",toarray"`
 	Version uint64
 }
 
-// ConfigResponse gives it.
-type ConfigResponse struct {
-	_        struct{} `cbor:",toarray"`
-	Version  uint64
-	Document []byte
-	Births   map[string]uint64
+// ConfigurationResponse gives it.
+type ConfigurationResponse struct {
+	_              struct{} `cbor:",toarray"`
+	Version        uint64
+	Document       []byte
+	SpaceCreatedAt map[string]uint64
 }
 
-// Farewell comes from a daemon that is stopping on purpose.
-type Farewell struct {
+// GracefulLeave comes from a daemon that is stopping on purpose.
+type GracefulLeave struct {
 	_           struct{} `cbor:",toarray"`
 	Name        string
 	Incarnation uint64
 }
 
-// PartitionComplete comes from a first whose followers have everything. Holders
+// PartitionReplicated comes from a first whose followers have everything. Holders
 // are the stores with the disks on which it lies, the first's own among them.
-type PartitionComplete struct {
+type PartitionReplicated struct {
 	Partition string
 	Epoch     uint64
 	Holders   []string
 }
 
-// Lagging comes from a store that sees another one's disk, or its own, take far
+// SlowDiskReport comes from a store that sees another one's disk, or its own, take far
 // longer than it should, or refuse.
-type Lagging struct {
+type SlowDiskReport struct {
 	Reporter    string
 	Name        string
 	Incarnation uint64
@@ -239,24 +239,24 @@
 }
 
 func init() {
-	transport.MustRegister(307, Farewell{})
-	transport.MustRegister(308, PartitionComplete{})
-	transport.MustRegister(311, Lagging{})
+	transport.MustRegister(307, GracefulLeave{})
+	transport.MustRegister(308, PartitionReplicated{})
+	transport.MustRegister(311, SlowDiskReport{})
 	transport.MustRegister(309, ControlRequest{})
 	transport.MustRegister(310, ControlResponse{})
-	transport.MustRegister(300, Ask{})
-	transport.MustRegister(301, News{})
+	transport.MustRegister(300, ViewRequest{})
+	transport.MustRegister(301, ViewUpdate{})
 	transport.MustRegister(302, Redirect{})
 	transport.MustRegister(303, Heartbeat{})
 	transport.MustRegister(304, Suspicion{})
-	transport.MustRegister(305, ConfigAsk{})
-	transport.MustRegister(306, ConfigResponse{})
+	transport.MustRegister(305, ConfigurationRequest{})
+	transport.MustRegister(306, ConfigurationResponse{})
 }
 
 // Watchers is how many members watch each.
 const Watchers = 3
 
-func ringPlace(name string) uint64 {
+func ringPosition(name string) uint64 {
 	sum := fnv.New64a()
 	_, _ = sum.Write([]byte(name))
 	mixed := sum.Sum64()
@@ -281,7 +281,7 @@
 		}
 	}
 	slices.SortFunc(ring.members, func(left, right Member) int {
-		leftPlace, rightPlace := ringPlace(left.Name), ringPlace(right.Name)
+		leftPlace, rightPlace := ringPosition(left.Name), ringPosition(right.Name)
 		switch {
 		case leftPlace < rightPlace:
 			return -1
@@ -296,9 +296,9 @@
 // WatchersOf names the members that watch one: those that follow it on the
 // ring, at least one of them in another zone where there is any.
 func (r Ring) WatchersOf(watched Member) []Member {
-	place := ringPlace(watched.Name)
+	place := ringPosition(watched.Name)
 	start, _ := slices.BinarySearchFunc(r.members, place, func(member Member, place uint64) int {
-		if ringPlace(member.Name) <= place {
+		if ringPosition(member.Name) <= place {
 			return -1
 		}
 		return 1
@@ -331,7 +331,7 @@
 }
 
 // Equal compares orders.
-func (o Orders) Equal(other Orders) bool {
-	return o.Rest == other.Rest && o.Empty == other.Empty && o.Keep == other.Keep && o.Pace == other.Pace &&
+func (o Directives) Equal(other Directives) bool {
+	return o.Rest == other.Rest && o.Drain == other.Drain && o.KeepSessions == other.KeepSessions && o.MovesPerSecond == other.MovesPerSecond &&
 		slices.Equal(o.Targets, other.Targets)
 }
--- a/internal/membership/mutation_test.go
+++ b/internal/membership/mutation_test.go
@@ -17,5 +17,5 @@
 func TestAFollowerThatHearsTheNewestAnswerOnlyIsNeverConfirmed(t *testing.T) {
 	defer statemachine.Mutate("late-answers-unheard")()
 	longest, _ := lateAnswers(1200 * time.Millisecond)
-	assert.Assert(t, longest > ConfirmedFor, "unconfirmed for %s", longest)
+	assert.Assert(t, longest > ConfirmationTimeout, "unconfirmed for %s", longest)
 }
--- a/internal/membership/pulse.go
+++ b/internal/membership/pulse.go
@@ -15,62 +15,62 @@
 
 // Spans of watching.
 const (
-	BeatEvery    = 500 * time.Millisecond
-	SilentAfter  = 2 * time.Second
-	ownGapLimit  = time.Second
-	IsolatedFrom = 2 * time.Second
+	HeartbeatInterval = 500 * time.Millisecond
+	SuspectTimeout    = 2 * time.Second
+	maxOwnPause       = time.Second
+	IsolationTimeout  = 2 * time.Second
 	// Stores hold what publications wait for, so their silence is noticed sooner.
-	StoreBeat   = 200 * time.Millisecond
-	StoreSilent = 700 * time.Millisecond
+	StoreHeartbeatInterval = 200 * time.Millisecond
+	StoreSuspectTimeout    = 700 * time.Millisecond
 )
 
-// silentAfter is how long a member may be silent before a watcher tells of it.
-func silentAfter(member Member) time.Duration {
+// suspectTimeout is how long a member may be silent before a watcher tells of it.
+func suspectTimeout(member Member) time.Duration {
 	switch {
 	case member.Kind == KindStore:
-		return StoreSilent
+		return StoreSuspectTimeout
 	case member.Resting:
-		return 2 * SilentAfter
+		return 2 * SuspectTimeout
 	}
-	return SilentAfter
+	return SuspectTimeout
 }
 
-// Pulse is the state machine.
-type Pulse struct {
-	self      Member
-	view      map[string]Member
-	primary   string
-	index     uint64
-	beatTo    []string
-	watched   map[string]time.Time
-	suspected map[string]bool
-	lastStep  time.Time
-	beatAt    time.Time
-	watches   bool
-	heardAny  time.Time
-	timers    *statemachine.Timers
-	resting   bool
+// FailureDetector is the state machine.
+type FailureDetector struct {
+	self            Member
+	view            map[string]Member
+	primary         string
+	index           uint64
+	watchers        []string
+	watched         map[string]time.Time
+	suspected       map[string]bool
+	lastStep        time.Time
+	heartbeatSentAt time.Time
+	watches         bool
+	heardAnyAt      time.Time
+	timers          *statemachine.Timers
+	resting         bool
 }
 
-// NewPulse makes the pulse of a daemon.
-func NewPulse(self Member) *Pulse {
-	return &Pulse{
+// NewFailureDetector makes the pulse of a daemon.
+func NewFailureDetector(self Member) *FailureDetector {
+	return &FailureDetector{
 		self: self, view: map[string]Member{}, watched: map[string]time.Time{},
 		suspected: map[string]bool{}, timers: statemachine.NewTimers(),
 	}
 }
 
 // Start begins the beat.
-func (p *Pulse) Start(now time.Time) {
-	p.lastStep, p.heardAny = now, now
+func (p *FailureDetector) Start(now time.Time) {
+	p.lastStep, p.heardAnyAt = now, now
 	p.timers.Arm("beat", now)
 }
 
 // NextTick is when the pulse wants to run again.
-func (p *Pulse) NextTick() time.Time { return p.timers.Next() }
+func (p *FailureDetector) NextTick() time.Time { return p.timers.Next() }
 
-// Rest slows the beat of a resting gateway, and quickens it when it wakes.
-func (p *Pulse) Rest(now time.Time, resting bool) {
+// SetResting slows the beat of a resting gateway, and quickens it when it wakes.
+func (p *FailureDetector) SetResting(now time.Time, resting bool) {
 	if p.resting == resting {
 		return
 	}
@@ -78,12 +78,12 @@
 	p.timers.Arm("beat", now)
 }
 
-// Take follows a new view.
-func (p *Pulse) Take(now time.Time, view map[string]Member, primary string, index uint64) {
+// SetView follows a new view.
+func (p *FailureDetector) SetView(now time.Time, view map[string]Member, primary string, index uint64) {
 	ring := NewRing(view)
-	p.beatTo = nil
+	p.watchers = nil
 	for _, watcher := range ring.WatchersOf(p.self) {
-		p.beatTo = append(p.beatTo, watcher.Address)
+		p.watchers = append(p.watchers, watcher.Address)
 	}
 	watched := map[string]time.Time{}
 	for name, member := range statemachine.Sorted(view) {
@@ -111,16 +111,16 @@
 	}
 }
 
-// Heard notes that another daemon was heard.
-func (p *Pulse) Heard(now time.Time) { p.heardAny = now }
+// ReceiveFromPeer notes that another daemon was heard.
+func (p *FailureDetector) ReceiveFromPeer(now time.Time) { p.heardAnyAt = now }
 
 // Isolated tells whether this daemon has heard no other for a while.
-func (p *Pulse) Isolated(now time.Time) bool {
-	return now.Sub(p.heardAny) > IsolatedFrom
+func (p *FailureDetector) Isolated(now time.Time) bool {
+	return now.Sub(p.heardAnyAt) > IsolationTimeout
 }
 
-// Beat takes a heartbeat.
-func (p *Pulse) Beat(now time.Time, beat Heartbeat) {
+// ReceiveHeartbeat takes a heartbeat.
+func (p *FailureDetector) ReceiveHeartbeat(now time.Time, beat Heartbeat) {
 	if _, found := p.watched[beat.Name]; found {
 		p.watched[beat.Name] = now
 		delete(p.suspected, beat.Name)
@@ -128,36 +128,36 @@
 }
 
 // Tick runs the timers that expired.
-func (p *Pulse) Tick(now time.Time, effects *statemachine.Effects) {
+func (p *FailureDetector) Tick(now time.Time, effects *statemachine.Effects) {
 	for range p.timers.Expired(now) {
 		p.step(now, effects)
 	}
 }
 
-func (p *Pulse) step(now time.Time, effects *statemachine.Effects) {
-	beatEvery := BeatEvery
+func (p *FailureDetector) step(now time.Time, effects *statemachine.Effects) {
+	beatEvery := HeartbeatInterval
 	if p.resting {
-		beatEvery = 2 * BeatEvery
+		beatEvery = 2 * HeartbeatInterval
 	}
 	if p.self.Kind == KindStore {
-		beatEvery = StoreBeat
+		beatEvery = StoreHeartbeatInterval
 	}
-	every, gap := beatEvery, ownGapLimit
+	every, gap := beatEvery, maxOwnPause
 	if p.watches && !p.resting {
 		// Who is to notice a short silence must not take its own for another's.
-		every, gap = StoreBeat, StoreSilent/3
+		every, gap = StoreHeartbeatInterval, StoreSuspectTimeout/3
 	}
 	p.timers.Arm("beat", now.Add(every))
 	if now.Sub(p.lastStep) > gap+every {
 		for name := range p.watched {
 			p.watched[name] = now
 		}
-		p.heardAny = now
+		p.heardAnyAt = now
 	}
 	p.lastStep = now
-	if now.Sub(p.beatAt) > beatEvery-StoreBeat/2 {
-		p.beatAt = now
-		for _, address := range p.beatTo {
+	if now.Sub(p.heartbeatSentAt) > beatEvery-StoreHeartbeatInterval/2 {
+		p.heartbeatSentAt = now
+		for _, address := range p.watchers {
 			effects.Send(address, Heartbeat{Name: p.self.Name, Incarnation: p.self.Incarnation, Index: p.index})
 		}
 	}
@@ -167,8 +167,8 @@
 	var silent []Suspect
 	for name, heard := range statemachine.Sorted(p.watched) {
 		member := p.view[name]
-		if silence := now.Sub(heard); silence > silentAfter(member) {
-			silent = append(silent, Suspect{Name: name, Incarnation: member.Incarnation, Silence: silence})
+		if silence := now.Sub(heard); silence > suspectTimeout(member) {
+			silent = append(silent, Suspect{Name: name, Incarnation: member.Incarnation, SilentFor: silence})
 			if !p.suspected[name] {
 				p.suspected[name] = true
 				effects.Emit(logevent.MemberSuspected, "member", name, "silence", silence.String())
--- a/internal/membership/pulse_test.go
+++ b/internal/membership/pulse_test.go
@@ -12,12 +12,12 @@
 )
 
 // watching is a pulse that watches one member of a kind, and when it first told.
-func watching(kind string) (*Pulse, time.Time) {
+func watching(kind string) (*FailureDetector, time.Time) {
 	now := time.Unix(1000, 0)
 	self := Member{Name: "gateway-1", Kind: KindGateway, Address: "a:1", Zone: "east", Alive: true, Incarnation: 1}
-	pulse := NewPulse(self)
+	pulse := NewFailureDetector(self)
 	pulse.Start(now)
-	pulse.Take(now, map[string]Member{
+	pulse.SetView(now, map[string]Member{
 		self.Name:      self,
 		"other":        {Name: "other", Kind: kind, Address: "b:1", Zone: "west", Alive: true, Incarnation: 1},
 		"controller-1": {Name: "controller-1", Kind: KindController, Address: "c:1", Zone: "west", Alive: true, Incarnation: 1},
@@ -26,7 +26,7 @@
 }
 
 // told runs the pulse's own steps until it tells of the other, or a limit.
-func told(pulse *Pulse, from time.Time, limit time.Duration, hear func(now time.Time)) time.Duration {
+func told(pulse *FailureDetector, from time.Time, limit time.Duration, hear func(now time.Time)) time.Duration {
 	for now := pulse.NextTick(); now.Sub(from) <= limit; now = pulse.NextTick() {
 		hear(now)
 		var effects statemachine.Effects
@@ -42,12 +42,12 @@
 
 func TestASilentStoreIsNoticedSooner(t *testing.T) {
 	for kind, span := range map[string][2]time.Duration{
-		KindStore:   {StoreSilent, StoreSilent + 2*StoreBeat},
-		KindGateway: {SilentAfter, SilentAfter + 2*BeatEvery},
+		KindStore:   {StoreSuspectTimeout, StoreSuspectTimeout + 2*StoreHeartbeatInterval},
+		KindGateway: {SuspectTimeout, SuspectTimeout + 2*HeartbeatInterval},
 	} {
 		pulse, now := watching(kind)
-		pulse.Beat(now, Heartbeat{Name: "controller-1"})
-		after := told(pulse, now, 5*time.Second, func(now time.Time) { pulse.Beat(now, Heartbeat{Name: "controller-1"}) })
+		pulse.ReceiveHeartbeat(now, Heartbeat{Name: "controller-1"})
+		after := told(pulse, now, 5*time.Second, func(now time.Time) { pulse.ReceiveHeartbeat(now, Heartbeat{Name: "controller-1"}) })
 		assert.Assert(t, after > span[0] && after <= span[1], "%s: %s", kind, after)
 	}
 }
@@ -55,8 +55,8 @@
 func TestABeatingStoreIsNotSuspected(t *testing.T) {
 	pulse, now := watching(KindStore)
 	after := told(pulse, now, 10*time.Second, func(now time.Time) {
-		pulse.Beat(now, Heartbeat{Name: "controller-1"})
-		pulse.Beat(now, Heartbeat{Name: "other"})
+		pulse.ReceiveHeartbeat(now, Heartbeat{Name: "controller-1"})
+		pulse.ReceiveHeartbeat(now, Heartbeat{Name: "other"})
 	})
 	assert.Equal(t, after, time.Duration(0))
 }
@@ -65,7 +65,7 @@
 	pulse, now := watching(KindStore)
 	var effects statemachine.Effects
 	pulse.Tick(now, &effects)
-	for stall := StoreBeat + StoreSilent/3 + time.Millisecond; stall < 3*time.Second; stall += 100 * time.Millisecond {
+	for stall := StoreHeartbeatInterval + StoreSuspectTimeout/3 + time.Millisecond; stall < 3*time.Second; stall += 100 * time.Millisecond {
 		now = now.Add(stall)
 		effects = statemachine.Effects{}
 		pulse.Tick(now, &effects)
@@ -79,9 +79,9 @@
 func TestAStoreBeatsOftener(t *testing.T) {
 	for kind, wanted := range map[string]int{KindStore: 10, KindGateway: 4} {
 		now := time.Unix(1000, 0)
-		pulse := NewPulse(Member{Name: "self", Kind: kind, Address: "a:1", Zone: "east", Alive: true})
+		pulse := NewFailureDetector(Member{Name: "self", Kind: kind, Address: "a:1", Zone: "east", Alive: true})
 		pulse.Start(now)
-		pulse.Take(now, map[string]Member{"self": pulse.self, "controller-1": {Name: "controller-1", Kind: KindController, Address: "c:1", Zone: "west", Alive: true}}, "c:1", 1)
+		pulse.SetView(now, map[string]Member{"self": pulse.self, "controller-1": {Name: "controller-1", Kind: KindController, Address: "c:1", Zone: "west", Alive: true}}, "c:1", 1)
 		beats := 0
 		for due := pulse.NextTick(); due.Sub(now) < 2*time.Second; due = pulse.NextTick() {
 			var effects statemachine.Effects
--- a/internal/membership/ring_bench_test.go
+++ b/internal/membership/ring_bench_test.go
@@ -15,11 +15,11 @@
 				name := fmt.Sprintf("store-%d", number)
 				view[name] = Member{Name: name, Kind: KindStore, Address: name + ":1", Zone: fmt.Sprintf("zone-%d", number%3), Alive: true}
 			}
-			pulse := NewPulse(view["store-1"])
+			pulse := NewFailureDetector(view["store-1"])
 			now := time.Unix(1_700_000_000, 0)
 			pulse.Start(now)
 			for b.Loop() {
-				pulse.Take(now, view, "store-0:1", 1)
+				pulse.SetView(now, view, "store-0:1", 1)
 			}
 		})
 	}
--- a/internal/partition/append.go
+++ b/internal/partition/append.go
@@ -179,7 +179,7 @@
 		}
 		s.Counts.Accepted++
 		s.ring.Record(now, "", decisionlog.MessageName(partition.log.Name, records[0].Sender, records[0].Seq), records[0].Sender, "accepted",
-			"partition", partition.log.Name, "epoch", partition.place.Epoch, "offset", offset, "first", partition.place.First, "followers", strings.Join(partition.place.Followers, " "))
+			"partition", partition.log.Name, "epoch", partition.place.Epoch, "offset", offset, "first", partition.place.Leader, "followers", strings.Join(partition.place.Followers, " "))
 		for _, each := range waiters {
 			effects.Send(each.from, AppendResponse{
 				Partition: partition.log.Name, Request: each.request, Outcome: Accepted, Epoch: partition.place.Epoch, Record: answered(partition.log.Name, records[0]),
--- a/internal/partition/bench_test.go
+++ b/internal/partition/bench_test.go
@@ -38,14 +38,14 @@
 
 func newBench(t testing.TB, copies int) *bench {
 	run := &bench{now: began, machines: map[string]*Store{}, spent: map[string]time.Duration{}}
-	news := membership.News{Nonce: 1, Epoch: 1, Primary: "controller", Index: 1, Version: 1, Changed: true, Document: document(1, `{"name": "a", "promise": "kept", "order": "topic"}`)}
+	news := membership.ViewUpdate{Nonce: 1, Epoch: 1, Primary: "controller", Index: 1, Version: 1, Changed: true, Document: document(1, `{"name": "a", "promise": "kept", "order": "topic"}`)}
 	for number := range copies {
 		news.Members = append(news.Members, membership.Member{Name: fmt.Sprint("store-", number), Kind: membership.KindStore, Address: fmt.Sprint("store-", number), Disk: "disk", Alive: true})
 	}
 	for number := range config.SharedPartitions {
-		place := membership.Placement{Partition: config.SharedPartitionName(number), Epoch: 1, First: news.Members[0].Name, Complete: true}
+		place := membership.Placement{Partition: config.SharedPartitionName(number), Epoch: 1, Leader: news.Members[0].Name, Complete: true}
 		for position, member := range news.Members {
-			place.Safe = append(place.Safe, member.Holder())
+			place.InSync = append(place.InSync, member.ReplicaID())
 			if position > 0 {
 				place.Followers = append(place.Followers, member.Name)
 			}
--- a/internal/partition/copy.go
+++ b/internal/partition/copy.go
@@ -20,7 +20,7 @@
 	var copies []*copied
 	for _, name := range partition.place.Followers {
 		member := s.follower.Members[name]
-		present := &copied{name: name, holder: member.Holder(), incarnation: member.Incarnation}
+		present := &copied{name: name, holder: member.ReplicaID(), incarnation: member.Incarnation}
 		for _, earlier := range partition.copies {
 			if earlier.name == name && earlier.holder == present.holder && earlier.incarnation == present.incarnation {
 				present = earlier
@@ -174,8 +174,8 @@
 		return
 	}
 	if !found {
-		if _, placed := s.follower.Places[copied.Partition]; !placed || s.follower.Places[copied.Partition].Epoch >= copied.Epoch {
-			s.follower.Hurry(now)
+		if _, placed := s.follower.Placements[copied.Partition]; !placed || s.follower.Placements[copied.Partition].Epoch >= copied.Epoch {
+			s.follower.PollNow(now)
 			return
 		}
 		partition = newHeld(newLog(copied.Partition))
@@ -188,7 +188,7 @@
 	}
 	if copied.Epoch > partition.place.Epoch || !slices.Contains(partition.place.Followers, s.settings.Self.Name) {
 		// News of this epoch is on its way; the first will send again.
-		s.follower.Hurry(now)
+		s.follower.PollNow(now)
 		return
 	}
 	epoch, held := partition.log.epochAt(copied.After)
@@ -243,7 +243,7 @@
 	}
 	if returned.Older > partition.place.Epoch {
 		s.giveUp(partition, "moved", effects)
-		s.follower.Hurry(now)
+		s.follower.PollNow(now)
 		return
 	}
 	copied := s.copyAt(partition, from, returned.Holder)
@@ -325,7 +325,7 @@
 		for _, copied := range partition.copies {
 			holders = append(holders, copied.holder)
 		}
-		effects.Send(s.follower.Upstream(), membership.PartitionComplete{Partition: name, Epoch: partition.place.Epoch, Holders: holders})
+		effects.Send(s.follower.Upstream(), membership.PartitionReplicated{Partition: name, Epoch: partition.place.Epoch, Holders: holders})
 	}
 	if waits {
 		s.timers.ArmSooner("tell", now.Add(tellEvery))
--- a/internal/partition/leave.go
+++ b/internal/partition/leave.go
@@ -43,7 +43,7 @@
 		return
 	}
 	s.timers.Arm("leave", now.Add(leaveEvery))
-	effects.Send(s.follower.Upstream(), membership.Lagging{
+	effects.Send(s.follower.Upstream(), membership.SlowDiskReport{
 		Reporter: s.settings.Self.Name, Name: s.settings.Self.Name, Incarnation: s.settings.Self.Incarnation, Sure: true,
 	})
 }
@@ -52,8 +52,8 @@
 func (s *Store) needed() bool {
 	self := s.settings.Self
 	self.Disk = s.disk
-	for _, place := range s.follower.Places {
-		if place.Names(self.Name) || !place.Complete && slices.Contains(place.Safe, self.Holder()) {
+	for _, place := range s.follower.Placements {
+		if place.HasReplica(self.Name) || !place.Complete && slices.Contains(place.InSync, self.ReplicaID()) {
 			return true
 		}
 	}
@@ -63,7 +63,7 @@
 func (s *Store) endStop(effects *statemachine.Effects) {
 	for _, member := range statemachine.Sorted(s.follower.Members) {
 		if member.Kind == membership.KindController {
-			effects.Send(member.Address, membership.Farewell{Name: s.settings.Self.Name, Incarnation: s.settings.Self.Incarnation})
+			effects.Send(member.Address, membership.GracefulLeave{Name: s.settings.Self.Name, Incarnation: s.settings.Self.Incarnation})
 		}
 	}
 	effects.Stop = true
--- a/internal/partition/snapshot_test.go
+++ b/internal/partition/snapshot_test.go
@@ -56,12 +56,12 @@
 	t.Helper()
 	fresh := membership.Member{Name: "store-fresh", Kind: membership.KindStore, Address: "store-fresh", Disk: "disk", Alive: true}
 	first := b.machines["store-0"]
-	news := membership.News{Nonce: 1, Epoch: 1, Primary: "controller", Index: 2, Version: 1, Changed: true, Document: first.follower.Document}
+	news := membership.ViewUpdate{Nonce: 1, Epoch: 1, Primary: "controller", Index: 2, Version: 1, Changed: true, Document: first.follower.Document}
 	news.Members = []membership.Member{first.settings.Self, fresh}
 	for number := range config.SharedPartitions {
 		news.Placements = append(news.Placements, membership.Placement{
-			Partition: config.SharedPartitionName(number), Epoch: 2, First: "store-0",
-			Followers: []string{fresh.Name}, Safe: []string{first.holder()},
+			Partition: config.SharedPartitionName(number), Epoch: 2, Leader: "store-0",
+			Followers: []string{fresh.Name}, InSync: []string{first.holder()},
 		})
 	}
 	machine, err := New(Settings{Self: fresh, Seeds: []string{"controller"}, NewDisk: "disk"}, nil, nil)
--- a/internal/partition/spare.go
+++ b/internal/partition/spare.go
@@ -21,9 +21,9 @@
 // long and those of partitions that are no more.
 func (s *Store) release(now time.Time, effects *statemachine.Effects) {
 	for name, partition := range statemachine.Sorted(s.partitions) {
-		place, placed := s.follower.Places[name]
+		place, placed := s.follower.Placements[name]
 		switch {
-		case placed && (place.Names(s.settings.Self.Name) || slices.Contains(place.Safe, s.holder())):
+		case placed && (place.HasReplica(s.settings.Self.Name) || slices.Contains(place.InSync, s.holder())):
 			partition.spare = time.Time{}
 		case partition.spare.IsZero():
 			s.giveUp(partition, "removed", effects)
--- a/internal/partition/spare_test.go
+++ b/internal/partition/spare_test.go
@@ -15,14 +15,14 @@
 // other follows.
 func (b *bench) placeAnew(index uint64, follower string, safe ...string) {
 	first := b.machines["store-0"]
-	news := membership.News{Nonce: 1, Epoch: 1, Primary: "controller", Index: index, Version: 1, Changed: true, Document: first.follower.Document}
+	news := membership.ViewUpdate{Nonce: 1, Epoch: 1, Primary: "controller", Index: index, Version: 1, Changed: true, Document: first.follower.Document}
 	for _, machine := range statemachine.Sorted(b.machines) {
 		news.Members = append(news.Members, machine.settings.Self)
 	}
 	for number := range config.SharedPartitions {
-		place := membership.Placement{Partition: config.SharedPartitionName(number), Epoch: index, First: "store-0", Followers: []string{follower}}
+		place := membership.Placement{Partition: config.SharedPartitionName(number), Epoch: index, Leader: "store-0", Followers: []string{follower}}
 		for _, name := range safe {
-			place.Safe = append(place.Safe, b.machines[name].holder())
+			place.InSync = append(place.InSync, b.machines[name].holder())
 		}
 		news.Placements = append(news.Placements, place)
 	}
--- a/internal/partition/store.go
+++ b/internal/partition/store.go
@@ -170,8 +170,8 @@
 	disk          string
 	blank         bool
 	partitions    map[string]*held
-	follower      *membership.Follower
-	pulse         *membership.Pulse
+	follower      *membership.ViewClient
+	pulse         *membership.FailureDetector
 	controlClient *controlclient.ControlClient
 	timers        *statemachine.Timers
 	ring          *decisionlog.Ring
@@ -226,10 +226,10 @@
 		partition.synced, _ = partition.log.head()
 	}
 	store.settings.Self.Disk = store.disk
-	store.follower = membership.NewFollower(store.settings.Self, settings.Life, settings.Seeds, store.load)
-	store.pulse = membership.NewPulse(store.settings.Self)
+	store.follower = membership.NewViewClient(store.settings.Self, settings.Life, settings.Seeds, store.load)
+	store.pulse = membership.NewFailureDetector(store.settings.Self)
 	store.controlClient = controlclient.New(controlclient.Settings{
-		Life: settings.Life, Acknowledge: settings.Acknowledge, Upstream: store.follower.Upstream, Other: store.follower.Other, Relays: store.follower.Relays,
+		Life: settings.Life, Acknowledge: settings.Acknowledge, Upstream: store.follower.Upstream, Other: store.follower.NextController, Relays: store.follower.Relays,
 	})
 	return store, nil
 }
@@ -255,7 +255,7 @@
 func (s *Store) ConfigurationVersion() uint64 { return s.follower.Version }
 
 // Follower gives the store's view, for its ctl.
-func (s *Store) Follower() *membership.Follower { return s.follower }
+func (s *Store) Follower() *membership.ViewClient { return s.follower }
 
 // Disk is the name of the disk.
 func (s *Store) Disk() string { return s.disk }
@@ -322,21 +322,21 @@
 
 // HandleMessage takes what other daemons say.
 func (s *Store) HandleMessage(now time.Time, meta statemachine.Meta, message any, effects *statemachine.Effects) {
-	s.pulse.Heard(now)
+	s.pulse.ReceiveFromPeer(now)
 	if meta.Version > s.follower.Version {
-		s.follower.Hurry(now)
+		s.follower.PollNow(now)
 	}
 	switch body := message.(type) {
-	case membership.News:
+	case membership.ViewUpdate:
 		s.onNews(now, body, effects)
 	case membership.Redirect:
-		s.follower.Redirected(now, body, effects)
+		s.follower.HandleRedirect(now, body, effects)
 	case membership.Heartbeat:
-		s.pulse.Beat(now, body)
+		s.pulse.ReceiveHeartbeat(now, body)
 	case membership.ControlResponse:
 		s.controlClient.Take(now, meta.From, body, effects)
-	case membership.ConfigAsk:
-		s.follower.AnswerConfig(meta.From, body, effects)
+	case membership.ConfigurationRequest:
+		s.follower.RespondToConfigurationRequest(meta.From, body, effects)
 	case Append:
 		s.onAppend(now, meta.From, body, effects)
 	case Copy:
@@ -359,18 +359,18 @@
 
 // News.
 
-func (s *Store) onNews(now time.Time, news membership.News, effects *statemachine.Effects) {
-	taken := s.follower.Take(now, news)
+func (s *Store) onNews(now time.Time, news membership.ViewUpdate, effects *statemachine.Effects) {
+	taken := s.follower.HandleUpdate(now, news)
 	if taken.Document {
 		s.takeConfiguration(now)
 	}
 	if !taken.View {
 		return
 	}
-	s.pulse.Take(now, s.follower.Members, s.follower.Upstream(), s.follower.Index)
+	s.pulse.SetView(now, s.follower.Members, s.follower.Upstream(), s.follower.Index)
 	firsts, followers := 0, 0
-	for name, place := range statemachine.Sorted(s.follower.Places) {
-		mine := place.Names(s.settings.Self.Name)
+	for name, place := range statemachine.Sorted(s.follower.Placements) {
+		mine := place.HasReplica(s.settings.Self.Name)
 		partition, found := s.partitions[name]
 		if !found && mine {
 			partition = newHeld(newLog(name))
@@ -380,7 +380,7 @@
 		if !found {
 			continue
 		}
-		if mine && place.First == s.settings.Self.Name {
+		if mine && place.Leader == s.settings.Self.Name {
 			firsts++
 		} else if mine {
 			followers++
@@ -430,7 +430,7 @@
 	completed := place.Complete && !partition.place.Complete
 	partition.place = place
 	if changed {
-		if place.First != s.settings.Self.Name {
+		if place.Leader != s.settings.Self.Name {
 			s.giveUp(partition, "moved", effects)
 		}
 		partition.copies = nil
@@ -438,13 +438,13 @@
 		partition.firstSince = 0
 		partition.floor, _ = partition.log.head()
 	}
-	if place.First == s.settings.Self.Name {
+	if place.Leader == s.settings.Self.Name {
 		s.takeCopies(partition)
-	} else if first, found := s.follower.Members[place.First]; changed && found && slices.Contains(place.Followers, s.settings.Self.Name) {
+	} else if first, found := s.follower.Members[place.Leader]; changed && found && slices.Contains(place.Followers, s.settings.Self.Name) {
 		// The first may have asked before this news came.
 		s.tellHave(partition, first.Address, effects)
 	}
-	if completed && place.First == s.settings.Self.Name {
+	if completed && place.Leader == s.settings.Self.Name {
 		s.settle(now, partition, effects)
 	}
 }
@@ -454,7 +454,7 @@
 // does not know of it yet, and holds nothing. Nor does an epoch hold for a life
 // that is not a member yet: it was begun for an earlier one.
 func (s *Store) isFirst(partition *held) bool {
-	return partition.place.First == s.settings.Self.Name && slices.Contains(partition.place.Safe, s.holder()) && s.joined()
+	return partition.place.Leader == s.settings.Self.Name && slices.Contains(partition.place.InSync, s.holder()) && s.joined()
 }
 
 // joined tells whether the view names this life of the store.
@@ -463,7 +463,7 @@
 		statemachine.Mutated("one-epoch-for-all-lives")
 }
 
-func (s *Store) holder() string { return s.settings.Self.Holder() }
+func (s *Store) holder() string { return s.settings.Self.ReplicaID() }
 
 // Partitions tells of every partition held here, for ctl and the simulator's checks.
 func (s *Store) Partitions() map[string]PartitionStatus {
--- a/internal/scaletest/rows.go
+++ b/internal/scaletest/rows.go
@@ -22,12 +22,12 @@
 // MeasureRows lets a follower take a view with so many placements, of two copies each.
 func MeasureRows(count int) (Rows, error) {
 	rows := Rows{Count: count}
-	news := membership.News{For: "gateway-1", Nonce: 1, Epoch: 1, Primary: "controller-1:1", Index: 1, Changed: true}
+	news := membership.ViewUpdate{Recipient: "gateway-1", Nonce: 1, Epoch: 1, Primary: "controller-1:1", Index: 1, Changed: true}
 	for number := range count {
 		first, second := fmt.Sprintf("store-%d", number%430), fmt.Sprintf("store-%d", (number+7)%430)
 		news.Placements = append(news.Placements, membership.Placement{
-			Partition: fmt.Sprintf("+~0/%d", number), Epoch: 1, First: first, Followers: []string{second}, Complete: true,
-			Safe: []string{first + "@disk1", second + "@disk2"},
+			Partition: fmt.Sprintf("+~0/%d", number), Epoch: 1, Leader: first, Followers: []string{second}, Complete: true,
+			InSync: []string{first + "@disk1", second + "@disk2"},
 		})
 	}
 	frame, err := transport.Encode(statemachine.Meta{From: "controller-1:1"}, news)
@@ -36,7 +36,7 @@
 	}
 	news.Placements = nil
 	rows.Wire = int64(len(frame))
-	follower := membership.NewFollower(membership.Member{Name: "gateway-1"}, 0, []string{"controller-1:1"}, func() membership.Load { return membership.Load{} })
+	follower := membership.NewViewClient(membership.Member{Name: "gateway-1"}, 0, []string{"controller-1:1"}, func() membership.Load { return membership.Load{} })
 	now := time.Unix(1_700_000_000, 0)
 	follower.Start(now)
 	var effects statemachine.Effects
@@ -50,11 +50,11 @@
 	if err != nil {
 		return rows, err
 	}
-	taken := follower.Take(now, message.(membership.News))
+	taken := follower.HandleUpdate(now, message.(membership.ViewUpdate))
 	rows.Taking = clock.Clock() - began
 	rows.Memory = heap() - before
-	if !taken.View || len(follower.Places) != count {
-		return rows, fmt.Errorf("%d of %d placements were taken", len(follower.Places), count)
+	if !taken.View || len(follower.Placements) != count {
+		return rows, fmt.Errorf("%d of %d placements were taken", len(follower.Placements), count)
 	}
 	runtime.KeepAlive(frame)
 	return rows, nil
--- a/internal/simulator/cutoff_store_test.go
+++ b/internal/simulator/cutoff_store_test.go
@@ -24,7 +24,7 @@
 	firsts := map[string]int{}
 	var store *Node
 	for _, place := range simulation.Primary().watchedState().Places {
-		firsts[place.First]++
+		firsts[place.Leader]++
 	}
 	for _, node := range simulation.Nodes(membership.KindStore) {
 		if store == nil || firsts[node.Name] > firsts[store.Name] {
--- a/internal/simulator/departure_test.go
+++ b/internal/simulator/departure_test.go
@@ -18,7 +18,7 @@
 // that holds the lease.
 func restsOnLease(message any) bool {
 	switch body := message.(type) {
-	case membership.News:
+	case membership.ViewUpdate:
 		return true
 	case membership.ControlResponse:
 		return body.Status != http.StatusServiceUnavailable
@@ -60,7 +60,7 @@
 }
 
 func isNews(message any) bool {
-	_, news := message.(membership.News)
+	_, news := message.(membership.ViewUpdate)
 	return news
 }
 
--- a/internal/simulator/grown.go
+++ b/internal/simulator/grown.go
@@ -131,7 +131,7 @@
 	gateways := s.Nodes(membership.KindGateway)
 	for _, node := range gateways {
 		if node.Up {
-			held := node.Gateway().Load().Origins
+			held := node.Gateway().Load().Sessions
 			most, sum = max(most, held), sum+held
 		}
 	}
--- a/internal/simulator/scenario.go
+++ b/internal/simulator/scenario.go
@@ -60,7 +60,7 @@
 		if s.cutFromMost(node) || s.cutFromMost(beside) {
 			continue
 		}
-		if orders := node.Gateway().Follower().Orders; !node.Ready() && !orders.Rest && !slices.Contains(node.Gateway().Configuration().Drains, node.Name) {
+		if orders := node.Gateway().Follower().Directives; !node.Ready() && !orders.Rest && !slices.Contains(node.Gateway().Configuration().Drains, node.Name) {
 			s.unready[node.Name] += sampleEvery
 			s.Checker.NotReady(node.Name, s.calmSince(), s.Now)
 		}
@@ -571,8 +571,8 @@
 			simulation.operator.drains = []string{node.Name}
 			simulation.operator.next(func() {
 				simulation.After(10*time.Second, func() {
-					if node.Up && node.Gateway().Load().Origins > 0 && len(simulation.operator.drains) > 0 {
-						simulation.Checker.Violate("drain", "%s still holds %d origins", node.Name, node.Gateway().Load().Origins)
+					if node.Up && node.Gateway().Load().Sessions > 0 && len(simulation.operator.drains) > 0 {
+						simulation.Checker.Violate("drain", "%s still holds %d origins", node.Name, node.Gateway().Load().Sessions)
 					}
 				})
 			})
--- a/internal/simulator/simulator.go
+++ b/internal/simulator/simulator.go
@@ -182,7 +182,7 @@
 
 type hosted interface {
 	statemachine.Machine
-	Follower() *membership.Follower
+	Follower() *membership.ViewClient
 }
 
 // New lays out a fleet; nothing runs before Start.
--- a/internal/simulator/stores_test.go
+++ b/internal/simulator/stores_test.go
@@ -107,7 +107,7 @@
 		place := primary.Machine.(*controller.Controller).State().Places[config.SharedPartition(topic)]
 		gateway := run.Nodes(membership.KindGateway)[0]
 		for _, node := range run.Nodes(membership.KindStore) {
-			if node.Name == place.First {
+			if node.Name == place.Leader {
 				run.send(gateway, statemachine.Send{To: node.Address, Message: partition.Append{
 					Partition: place.Partition, Request: 1_000_000 + seq, Topic: topic, Sender: "sender", Seq: seq, Data: make([]byte, 200),
 				}}, 1)
@@ -149,7 +149,7 @@
 				began := run.Now
 				assert.Assert(t, run.RunUntil(5*time.Second, func() bool {
 					for _, place := range run.Primary().Machine.(*controller.Controller).State().Places {
-						if place.Names(store.Name) || !place.Complete {
+						if place.HasReplica(store.Name) || !place.Complete {
 							return false
 						}
 					}
--- a/internal/simulator/storm.go
+++ b/internal/simulator/storm.go
@@ -572,7 +572,7 @@
 	}
 	partitions = true
 	for _, place := range acting.Machine.(*controller.Controller).State().Places {
-		first := s.nodes[place.First]
+		first := s.nodes[place.Leader]
 		partitions = partitions && place.Complete && first.Up && !first.Frozen
 	}
 	return true, partitions, s.callersServed()
