--- a/cmd/agent/main.go
+++ b/cmd/agent/main.go
@@ -17,7 +17,7 @@
 }
 
 func build(current settings.Settings, self membership.Member, stored daemon.Stored) (daemon.Build, error) {
-	machine := agent.New(agent.Settings{Self: self, Seeds: current.Seeds, Gateway: current.Gateway, Acknowledge: current.Bounds.Acknowledge, Life: stored.Life})
+	machine := agent.New(agent.Settings{Self: self, Seeds: current.Seeds, Gateway: current.Gateway, Acknowledge: current.Bounds.Acknowledge, Incarnation: stored.Incarnation})
 	return daemon.Build{
 		Machine: machine,
 		Ready:   func(time.Time) bool { return machine.Ready() },
--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -19,7 +19,7 @@
 func build(current settings.Settings, self membership.Member, stored daemon.Stored) (daemon.Build, error) {
 	machine, err := controller.New(controller.Settings{
 		Self: self, Count: current.Controllers, Seeds: current.Seeds, Founding: current.Bootstrap, Tolerance: &current.Tolerance,
-		NewDisk: stored.NewDisk, Life: stored.Life, Acknowledge: current.Bounds.Acknowledge, Contact: current.Bounds.Contact, Highest: current.Versions == settings.VersionsHighest, Grace: current.Bounds.Grace,
+		NewDisk: stored.NewDisk, Incarnation: stored.Incarnation, Acknowledge: current.Bounds.Acknowledge, Contact: current.Bounds.Contact, Highest: current.Versions == settings.VersionsHighest, Grace: current.Bounds.Grace,
 	}, stored.Frame, stored.Entries)
 	if err != nil {
 		return daemon.Build{}, err
@@ -32,10 +32,10 @@
 			return controller.Request{Local: local, Method: method, Path: path, Body: body}
 		},
 		Counters: func() any {
-			record := machine.Watch().Record()
+			record := machine.Node().Record()
 			return map[string]any{
-				"epoch": record.Epoch, "primary": record.Primary, "backups": record.Backups, "index": machine.Watch().Index(),
-				"complete": machine.Watch().Complete(), "holds_lease": machine.Watch().HoldsLease(time.Now()),
+				"epoch": record.Epoch, "primary": record.Primary, "backups": record.Backups, "index": machine.Node().Index(),
+				"complete": machine.Node().Complete(), "holds_lease": machine.Node().HoldsLease(time.Now()),
 			}
 		},
 		Reload:  func(after settings.Settings) { machine.SetTolerance(after.Tolerance) },
--- a/cmd/store/main.go
+++ b/cmd/store/main.go
@@ -18,7 +18,7 @@
 
 func build(current settings.Settings, self membership.Member, stored daemon.Stored) (daemon.Build, error) {
 	machine, err := partition.New(partition.Settings{
-		Self: self, Seeds: current.Seeds, NewDisk: stored.NewDisk, Life: stored.Life,
+		Self: self, Seeds: current.Seeds, NewDisk: stored.NewDisk, Incarnation: stored.Incarnation,
 		Redeliver: current.Bounds.Redeliver, Acknowledge: current.Bounds.Acknowledge, Grace: current.Bounds.Grace,
 	}, stored.Frame, stored.Entries)
 	if err != nil {
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -30,8 +30,8 @@
 	Gateway string
 	// Acknowledge is within what time a proper order is to be acknowledged.
 	Acknowledge time.Duration
-	// Life names this run of the process.
-	Life statemachine.Incarnation
+	// Incarnation names this run of the process.
+	Incarnation statemachine.Incarnation
 }
 
 // Request is an operator's request at this daemon's own ctl.
@@ -72,10 +72,10 @@
 // New makes an agent.
 func New(settings Settings) *Agent {
 	agent := &Agent{settings: settings, carrying: map[uint64]carried{}, timers: statemachine.NewTimers()}
-	agent.follower = membership.NewViewClient(settings.Self, settings.Life, settings.Seeds, func() membership.Load { return membership.Load{Ready: true} })
+	agent.follower = membership.NewViewClient(settings.Self, settings.Incarnation, settings.Seeds, func() membership.Load { return membership.Load{Ready: true} })
 	agent.pulse = membership.NewFailureDetector(settings.Self)
 	agent.controlClient = controlclient.New(controlclient.Settings{
-		Life: settings.Life, Acknowledge: settings.Acknowledge, Upstream: agent.follower.Upstream, Other: agent.follower.NextController, Relays: agent.follower.Relays,
+		Incarnation: settings.Incarnation, Acknowledge: settings.Acknowledge, Upstream: agent.follower.Upstream, Next: agent.follower.NextController, Relays: agent.follower.Relays,
 	})
 	return agent
 }
@@ -83,8 +83,8 @@
 // ConfigurationVersion is the newest configuration version seen here.
 func (a *Agent) ConfigurationVersion() uint64 { return a.follower.Version }
 
-// Follower gives the agent's view, for its ctl.
-func (a *Agent) Follower() *membership.ViewClient { return a.follower }
+// ViewClient gives the agent's view, for its ctl.
+func (a *Agent) ViewClient() *membership.ViewClient { return a.follower }
 
 // Ready tells whether the link to the controllers stands.
 func (a *Agent) Ready() bool { return a.follower.Index > 0 }
@@ -125,7 +125,7 @@
 func (a *Agent) HandleCommand(now time.Time, command any, effects *statemachine.Effects) {
 	switch body := command.(type) {
 	case Request:
-		a.controlClient.Carry(now, body.Local, body.Method, body.Path, body.Body, effects)
+		a.controlClient.Forward(now, body.Local, body.Method, body.Path, body.Body, effects)
 	case Stop:
 		switch {
 		case a.askedAt.IsZero() || now.Sub(a.askedAt) > gatewayAlive:
@@ -172,7 +172,7 @@
 		a.carrying[a.local] = carried{request: body.Request, from: meta.From}
 		a.controlClient.Relay(now, a.local<<32, body, effects)
 	case membership.ControlResponse:
-		a.controlClient.Take(now, meta.From, body, effects)
+		a.controlClient.HandleResponse(now, meta.From, body, effects)
 	case membership.ConfigurationRequest:
 		a.follower.RespondToConfigurationRequest(meta.From, body, effects)
 	}
--- a/internal/config/configuration.go
+++ b/internal/config/configuration.go
@@ -38,13 +38,13 @@
 	SubscriptionsCeiling = 1 << 16
 )
 
-// Promise is what becomes of a space's messages.
-type Promise string
+// Retention is what becomes of a space's messages.
+type Retention string
 
 // The promises.
 const (
-	Kept    Promise = "kept"
-	Passing Promise = "passing"
+	Durable   Retention = "kept"
+	Ephemeral Retention = "passing"
 )
 
 // Order is which order subscribers of a space see.
@@ -62,7 +62,7 @@
 // Space is a family of topics with its own promise.
 type Space struct {
 	Name          string
-	Promise       Promise
+	Retention     Retention
 	Order         Order
 	Holding       time.Duration
 	Tolerance     int
@@ -78,7 +78,7 @@
 
 // Partitions is how many partitions hold the space's topics.
 func (s Space) Partitions() int {
-	if s.Promise != Kept || s.Order == OrderTopic {
+	if s.Retention != Durable || s.Order == OrderTopic {
 		return 0
 	}
 	if s.Order == OrderChannel {
@@ -407,17 +407,17 @@
 	if members["promise"] == nil {
 		r.Report(path+".promise", "missing", "a promise is wanted: kept or passing")
 	}
-	space.Promise = Promise(r.Choice(path+".promise", members["promise"], string(Passing), string(Kept), string(Passing)))
+	space.Retention = Retention(r.Choice(path+".promise", members["promise"], string(Ephemeral), string(Durable), string(Ephemeral)))
 	space.Order = Order(r.Choice(path+".order", members["order"], string(OrderSender), string(OrderSender), string(OrderChannel), string(OrderTopic)))
-	if space.Order == OrderChannel && space.Promise != Kept {
+	if space.Order == OrderChannel && space.Retention != Durable {
 		r.Report(path+".order", "clash", "one shared order needs the promise kept")
 	}
 	space.Holding = r.Duration(path+".holding", members["holding"], DefaultHolding, HoldingFloor, HoldingCeiling)
-	if members["holding"] != nil && space.Promise != Kept {
+	if members["holding"] != nil && space.Retention != Durable {
 		r.Report(path+".holding", "clash", "only kept spaces have a holding time")
 	}
 	space.Tolerance = int(r.Whole(path+".tolerance", members["tolerance"], 1, 1, 1))
-	if members["tolerance"] != nil && space.Promise != Kept {
+	if members["tolerance"] != nil && space.Retention != Durable {
 		r.Report(path+".tolerance", "clash", "only kept spaces have a tolerance")
 	}
 	limits := map[string]*fastjson.Value{}
--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -33,11 +33,11 @@
 	quietFor = 3 * lostAfter
 )
 
-// Ledger is the control state that is copied. Apply and Restore are
+// StateMachine is the control state that is copied. Apply and Restore are
 // deterministic.
-type Ledger interface {
+type StateMachine interface {
 	Apply(now time.Time, command []byte)
-	Frame() []byte
+	Snapshot() []byte
 	Restore(state []byte) error
 }
 
@@ -46,13 +46,13 @@
 // Tolerance is how many controllers may be lost at a time. NewDisk names the disk if
 // it is blank. Life names this run of the process.
 type Settings struct {
-	Self      Controller
-	Count     int
-	Seeds     []string
-	Founding  bool
-	Tolerance int
-	NewDisk   string
-	Life      statemachine.Incarnation
+	Self        Controller
+	Count       int
+	Seeds       []string
+	Founding    bool
+	Tolerance   int
+	NewDisk     string
+	Incarnation statemachine.Incarnation
 }
 
 // Outcome of a submitted command or a confirmation.
@@ -95,15 +95,15 @@
 	phase    int
 }
 
-// Watch is the state machine.
-type Watch struct {
-	settings Settings
-	ledger   Ledger
-	durable  Durable
-	index    uint64
-	frames   map[string]*spareFrame
-	blank    bool
-	timers   *statemachine.Timers
+// Node is the state machine.
+type Node struct {
+	settings     Settings
+	stateMachine StateMachine
+	durable      Durable
+	index        uint64
+	frames       map[string]*spareFrame
+	blank        bool
+	timers       *statemachine.Timers
 
 	token  uint64
 	synced map[uint64]continuation
@@ -162,41 +162,41 @@
 }
 
 // New makes a watch from what its disk held.
-func New(settings Settings, ledger Ledger, frame []byte, entries [][]byte) (*Watch, error) {
-	watch := &Watch{
-		settings: settings, ledger: ledger, requests: statemachine.NewRequestSequence(settings.Life), timers: statemachine.NewTimers(),
+func New(settings Settings, stateMachine StateMachine, frame []byte, entries [][]byte) (*Node, error) {
+	node := &Node{
+		settings: settings, stateMachine: stateMachine, requests: statemachine.NewRequestSequence(settings.Incarnation), timers: statemachine.NewTimers(),
 		synced: map[uint64]continuation{}, met: map[string]meeting{}, heardOf: map[string]bool{}, recalls: map[string]Durable{},
 		renewals: map[uint64]time.Time{}, grants: map[uint64]map[string]bool{},
 		frames: map[string]*spareFrame{}, copies: map[string]*copied{}, spares: map[string]*asked{},
 		lastGrant: map[string]time.Time{}, heardFrom: map[string]time.Time{}, releases: map[string]bool{}, departs: map[string]time.Time{}, confirms: map[uint64]confirmation{}, duties: map[string]duty{}, leases: map[string]*Lease{},
 	}
-	if err := watch.readDisk(frame, entries); err != nil {
+	if err := node.readDisk(frame, entries); err != nil {
 		return nil, err
 	}
-	watch.diskIndex, watch.diskComplete, watch.diskEpoch = watch.index, watch.durable.Complete, watch.durable.Record.Epoch
-	watch.blank = watch.durable.Record.Epoch == 0
-	if watch.blank && watch.durable.Disk == "" {
-		watch.durable.Disk = settings.NewDisk
+	node.diskIndex, node.diskComplete, node.diskEpoch = node.index, node.durable.Complete, node.durable.Record.Epoch
+	node.blank = node.durable.Record.Epoch == 0
+	if node.blank && node.durable.Disk == "" {
+		node.durable.Disk = settings.NewDisk
 	}
-	watch.told = watch.durable.Record
-	watch.watchCopies(time.Time{})
-	return watch, nil
+	node.told = node.durable.Record
+	node.watchCopies(time.Time{})
+	return node, nil
 }
 
 // Record is the newest decided epoch this controller knows.
-func (w *Watch) Record() Record { return w.durable.Record }
+func (w *Node) Record() Record { return w.durable.Record }
 
 // Index is how many commands the state holds.
-func (w *Watch) Index() uint64 { return w.index }
+func (w *Node) Index() uint64 { return w.index }
 
 // Blank tells whether no epoch is known yet.
-func (w *Watch) Blank() bool { return w.blank }
+func (w *Node) Blank() bool { return w.blank }
 
 // Complete is the epoch for which this controller's state is known to be whole.
-func (w *Watch) Complete() uint64 { return w.durable.Complete }
+func (w *Node) Complete() uint64 { return w.durable.Complete }
 
 // Known lists the controllers met so far, and the voters.
-func (w *Watch) Known() []Controller {
+func (w *Node) Known() []Controller {
 	if w.durable.Record.Epoch > 0 {
 		return w.durable.Record.Voters
 	}
@@ -208,26 +208,26 @@
 }
 
 // Primary tells who is primary in the newest known epoch.
-func (w *Watch) Primary() (Controller, bool) {
+func (w *Node) Primary() (Controller, bool) {
 	return w.durable.Record.Find(w.durable.Record.Primary)
 }
 
 // IsPrimary tells whether this controller is the recorded primary.
-func (w *Watch) IsPrimary() bool {
+func (w *Node) IsPrimary() bool {
 	return w.durable.Record.Primary == w.settings.Self.Name && w.member()
 }
 
-func (w *Watch) isBackup() bool {
+func (w *Node) isBackup() bool {
 	return slices.Contains(w.durable.Record.Backups, w.settings.Self.Name) && w.member()
 }
 
 // HoldsLease tells whether this controller may act as primary at this moment.
-func (w *Watch) HoldsLease(now time.Time) bool {
+func (w *Node) HoldsLease(now time.Time) bool {
 	return w.IsPrimary() && (now.Before(w.leaseUntil) || statemachine.Mutated("lease-for-ever")) && w.durable.Complete == w.durable.Record.Epoch
 }
 
 // Serving tells whether it may also answer: its backups are level and alive.
-func (w *Watch) Serving(now time.Time) bool {
+func (w *Node) Serving(now time.Time) bool {
 	if statemachine.Mutated("lease-for-ever") {
 		return w.HoldsLease(now)
 	}
@@ -240,12 +240,12 @@
 
 // Speaking tells whether what this controller's state holds was acknowledged by all
 // copies, so that it may be told on even while a backup is being replaced.
-func (w *Watch) Speaking(now time.Time) bool {
+func (w *Node) Speaking(now time.Time) bool {
 	return w.HoldsLease(now) && w.whole
 }
 
 // LeaseLeft is how long the lease still runs.
-func (w *Watch) LeaseLeft(now time.Time) time.Duration {
+func (w *Node) LeaseLeft(now time.Time) time.Duration {
 	if !w.HoldsLease(now) {
 		return 0
 	}
@@ -254,7 +254,7 @@
 
 // LeaseEnd is the moment after which nothing that rests on the lease may leave;
 // it is in the past where the lease is not held.
-func (w *Watch) LeaseEnd() time.Time {
+func (w *Node) LeaseEnd() time.Time {
 	if statemachine.Mutated("lease-for-ever") {
 		return time.Time{}
 	}
@@ -262,11 +262,11 @@
 }
 
 // NextTick is when the watch wants to run again.
-func (w *Watch) NextTick() time.Time { return w.timers.Next() }
+func (w *Node) NextTick() time.Time { return w.timers.Next() }
 
 // Start begins the watch; a controller that was restarted waits out a whole lease
 // before it lets anybody but the primary have an epoch.
-func (w *Watch) Start(now time.Time, effects *statemachine.Effects) {
+func (w *Node) Start(now time.Time, effects *statemachine.Effects) {
 	w.grantedUntil, w.grantedTo = now.Add(LeaseLength), w.durable.Record.Primary
 	w.forgetful = now.Add(LeaseLength)
 	w.primaryHeard, w.decidedAt, w.actingSince = now, now, now
@@ -277,7 +277,7 @@
 }
 
 // Tick runs the timers that expired.
-func (w *Watch) Tick(now time.Time, effects *statemachine.Effects) {
+func (w *Node) Tick(now time.Time, effects *statemachine.Effects) {
 	for _, key := range w.timers.Expired(now) {
 		switch key {
 		case "hello":
@@ -297,7 +297,7 @@
 }
 
 // HandleMessage takes what other controllers say; it tells whether it was for the watch.
-func (w *Watch) HandleMessage(now time.Time, meta statemachine.Meta, message any, effects *statemachine.Effects) bool {
+func (w *Node) HandleMessage(now time.Time, meta statemachine.Meta, message any, effects *statemachine.Effects) bool {
 	if w.nameOf(meta.From, w.durable.Record.Voters) != "" {
 		w.heardFrom[meta.From] = now
 	}
--- a/internal/consensus/consensus_test.go
+++ b/internal/consensus/consensus_test.go
@@ -32,7 +32,7 @@
 func (w *words) Apply(_ time.Time, command []byte) {
 	w.said = append(w.said, binary.BigEndian.Uint64(command))
 }
-func (w *words) Frame() []byte { return transport.MustMarshal(w.said) }
+func (w *words) Snapshot() []byte { return transport.MustMarshal(w.said) }
 func (w *words) Restore(state []byte) error {
 	w.said = nil
 	return transport.Unmarshal(state, &w.said)
@@ -62,7 +62,7 @@
 type controller struct {
 	bench  *watchBench
 	self   Controller
-	watch  *Watch
+	watch  *Node
 	ledger *words
 	duty   *Lease
 	life   int
@@ -160,7 +160,7 @@
 	assert.NilError(c.bench.t, err)
 	c.book = book
 	c.bench.lives++
-	settings.Life = c.bench.lives
+	settings.Incarnation = c.bench.lives
 	watch, err := New(settings, c.ledger, recovered.Frame, recovered.Entries)
 	assert.NilError(c.bench.t, err)
 	c.watch = watch
--- a/internal/consensus/disk.go
+++ b/internal/consensus/disk.go
@@ -10,7 +10,7 @@
 	"dahlialock/internal/transport"
 )
 
-func (w *Watch) write(effects *statemachine.Effects, entry diskEntry, then continuation) {
+func (w *Node) write(effects *statemachine.Effects, entry diskEntry, then continuation) {
 	w.token++
 	w.synced[w.token] = then
 	packed := transport.MustMarshal(entry)
@@ -18,7 +18,7 @@
 	effects.Writes = append(effects.Writes, statemachine.Write{Token: w.token, Entries: [][]byte{packed}})
 }
 
-func (w *Watch) saveDurable(effects *statemachine.Effects, then continuation) {
+func (w *Node) saveDurable(effects *statemachine.Effects, then continuation) {
 	copied := w.durable
 	w.write(effects, diskEntry{Durable: &copied}, func(now time.Time, effects *statemachine.Effects) {
 		w.diskComplete, w.diskEpoch = copied.Complete, copied.Record.Epoch
@@ -30,7 +30,7 @@
 
 // writeState puts the whole state on the disk. No command is put after it before
 // it is there.
-func (w *Watch) writeState(state []byte, effects *statemachine.Effects) {
+func (w *Node) writeState(state []byte, effects *statemachine.Effects) {
 	index := w.index
 	w.restoring++
 	w.write(effects, diskEntry{Index: index, State: state}, func(time.Time, *statemachine.Effects) {
@@ -40,7 +40,7 @@
 }
 
 // Synced goes on with what waited for the disk.
-func (w *Watch) Synced(now time.Time, token uint64, effects *statemachine.Effects) {
+func (w *Node) Synced(now time.Time, token uint64, effects *statemachine.Effects) {
 	then, found := w.synced[token]
 	if !found {
 		return
--- a/internal/consensus/duty.go
+++ b/internal/consensus/duty.go
@@ -26,7 +26,7 @@
 }
 
 // NewLease registers a duty that this controller may come to hold.
-func (w *Watch) NewLease(duty string) *Lease {
+func (w *Node) NewLease(duty string) *Lease {
 	lease := &Lease{duty: duty, givers: map[string]bool{}}
 	w.leases[duty] = lease
 	return lease
@@ -53,7 +53,7 @@
 	return now.Before(l.until)
 }
 
-func (w *Watch) onDutyAsk(now time.Time, from string, ask DutyAsk, effects *statemachine.Effects) {
+func (w *Node) onDutyAsk(now time.Time, from string, ask DutyAsk, effects *statemachine.Effects) {
 	name := w.nameOf(from, w.durable.Record.Voters)
 	if !w.member() || name == "" || w.acceptedAway() {
 		return
@@ -70,7 +70,7 @@
 }
 
 // AskDuty asks the voters for a duty's lease; the answers go to Lease.
-func (w *Watch) AskDuty(now time.Time, lease *Lease, effects *statemachine.Effects) {
+func (w *Node) AskDuty(now time.Time, lease *Lease, effects *statemachine.Effects) {
 	if !w.member() {
 		return
 	}
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -12,7 +12,7 @@
 	"dahlialock/internal/statemachine"
 )
 
-func (w *Watch) begin(now time.Time, own Record, effects *statemachine.Effects) {
+func (w *Node) begin(now time.Time, own Record, effects *statemachine.Effects) {
 	w.ballotCount = max(w.ballotCount, w.durable.Promised.Count) + 1
 	w.trying = &attempt{
 		ballot: Ballot{Count: w.ballotCount, Name: w.settings.Self.Name}, epoch: own.Epoch, own: own,
@@ -31,7 +31,7 @@
 
 // deciders are those whose majority decides what a record says: the voters
 // before it, or for the first epoch its own.
-func (w *Watch) deciders(record Record) []Controller {
+func (w *Node) deciders(record Record) []Controller {
 	if record.Epoch == 1 {
 		return record.Voters
 	}
@@ -50,7 +50,7 @@
 	return count > len(voters)/2 && (epoch > 1 || count == len(voters))
 }
 
-func (w *Watch) nameOf(address string, voters []Controller) string {
+func (w *Node) nameOf(address string, voters []Controller) string {
 	for _, controller := range voters {
 		if controller.Address == address {
 			return controller.Name
@@ -59,7 +59,7 @@
 	return ""
 }
 
-func (w *Watch) onPrepare(now time.Time, from string, prepare Prepare, effects *statemachine.Effects) {
+func (w *Node) onPrepare(now time.Time, from string, prepare Prepare, effects *statemachine.Effects) {
 	if prepare.Epoch <= w.durable.Record.Epoch {
 		w.reply(now, from, Decided{Record: w.durable.Record}, effects)
 		return
@@ -96,7 +96,7 @@
 // as one lasts: its own vote serves nobody but itself, and the others may wait for it as
 // it does for theirs. What it still asks for can become no lease any more, and what it
 // granted somebody in an earlier life has run out.
-func (w *Watch) giveWay(now time.Time, prepare Prepare) {
+func (w *Node) giveWay(now time.Time, prepare Prepare) {
 	if !w.IsPrimary() || prepare.Ballot.Name == w.settings.Self.Name || statemachine.Mutated("no-way-given") {
 		return
 	}
@@ -112,7 +112,7 @@
 }
 
 // reply sends an answer, or takes it at once where a controller asked itself.
-func (w *Watch) reply(now time.Time, to string, message any, effects *statemachine.Effects) {
+func (w *Node) reply(now time.Time, to string, message any, effects *statemachine.Effects) {
 	if to != w.settings.Self.Address {
 		effects.Send(to, message)
 		return
@@ -120,11 +120,11 @@
 	w.HandleMessage(now, statemachine.Meta{From: to}, message, effects)
 }
 
-func (w *Watch) askRecord(from string, effects *statemachine.Effects) {
+func (w *Node) askRecord(from string, effects *statemachine.Effects) {
 	effects.Send(from, w.greeting())
 }
 
-func (w *Watch) onPromise(now time.Time, from string, promise Promise, effects *statemachine.Effects) {
+func (w *Node) onPromise(now time.Time, from string, promise Promise, effects *statemachine.Effects) {
 	trying := w.trying
 	if trying == nil || trying.phase != 1 || promise.Ballot != trying.ballot || promise.Epoch != trying.epoch {
 		return
@@ -154,7 +154,7 @@
 
 // concerned are the addresses of all that a next record concerns: the present
 // voters and the next one.
-func (w *Watch) concerned(record Record) map[string]bool {
+func (w *Node) concerned(record Record) map[string]bool {
 	addresses := map[string]bool{}
 	for _, controller := range append(slices.Clone(w.durable.Record.Voters), record.Voters...) {
 		addresses[controller.Address] = true
@@ -164,13 +164,13 @@
 
 // unsure tells whether this controller, which has learned from the others what its
 // lost disk held, may still have granted something that they don't know of.
-func (w *Watch) unsure(now time.Time) bool {
+func (w *Node) unsure(now time.Time) bool {
 	return w.durable.Recalled && now.Before(w.forgetful)
 }
 
 // mayAccept tells whether this controller has a say on a next record: it is in the
 // present voters, or comes into the next one with the disk that it has.
-func (w *Watch) mayAccept(now time.Time, record Record) bool {
+func (w *Node) mayAccept(now time.Time, record Record) bool {
 	entry, listed := record.Entry(w.settings.Self)
 	if record.Epoch == 1 {
 		addresses := []string{}
@@ -185,7 +185,7 @@
 	return !w.blank && listed && entry.Disk == w.durable.Disk
 }
 
-func (w *Watch) onAccept(now time.Time, from string, accept Accept, effects *statemachine.Effects) {
+func (w *Node) onAccept(now time.Time, from string, accept Accept, effects *statemachine.Effects) {
 	if accept.Epoch <= w.durable.Record.Epoch {
 		w.reply(now, from, Decided{Record: w.durable.Record}, effects)
 		return
@@ -205,7 +205,7 @@
 	})
 }
 
-func (w *Watch) onAccepted(now time.Time, from string, accepted Accepted, effects *statemachine.Effects) {
+func (w *Node) onAccepted(now time.Time, from string, accepted Accepted, effects *statemachine.Effects) {
 	trying := w.trying
 	if trying == nil || trying.phase != 2 || accepted.Ballot != trying.ballot || accepted.Epoch != trying.epoch {
 		return
@@ -238,7 +238,7 @@
 }
 
 // learn takes a decided record that is newer than the present one.
-func (w *Watch) learn(now time.Time, record Record, effects *statemachine.Effects) {
+func (w *Node) learn(now time.Time, record Record, effects *statemachine.Effects) {
 	if record.Epoch > w.told.Epoch {
 		w.told = record
 	}
@@ -306,7 +306,7 @@
 // completeUnder gives the epoch for which the state here is whole once a record is
 // learnt, 0 if it is whole for none: whoever was level with the epoch before stays
 // level, and a spare takes the snapshot that it got for this record.
-func (w *Watch) completeUnder(record Record, listed bool, effects *statemachine.Effects) uint64 {
+func (w *Node) completeUnder(record Record, listed bool, effects *statemachine.Effects) uint64 {
 	earlier := w.durable
 	self := w.settings.Self.Name
 	switch {
@@ -319,7 +319,7 @@
 	case record.Primary != self && !slices.Contains(record.Backups, self):
 	case record.Primary != self && w.frames[record.Primary] != nil && w.frames[record.Primary].For == record.Epoch:
 		spare := w.frames[record.Primary]
-		if err := w.ledger.Restore(spare.State); err == nil {
+		if err := w.stateMachine.Restore(spare.State); err == nil {
 			w.index = spare.Index
 			w.writeState(spare.State, effects)
 			return record.Epoch
@@ -336,7 +336,7 @@
 // holdBack sees to it that this controller lets nobody but the primary have the next
 // epoch while lease that others granted may still run: a new voters's members
 // have not granted it themselves.
-func (w *Watch) holdBack(now time.Time, earlier, record Record) {
+func (w *Node) holdBack(now time.Time, earlier, record Record) {
 	if record.Epoch == 1 || !now.Before(w.grantedUntil) || w.grantedTo == record.Primary {
 		w.grantedTo = record.Primary
 	}
@@ -349,7 +349,7 @@
 	}
 }
 
-func (w *Watch) dropQueue(now time.Time, effects *statemachine.Effects) {
+func (w *Node) dropQueue(now time.Time, effects *statemachine.Effects) {
 	queue := w.queue
 	w.queue = nil
 	for _, waiting := range queue {
@@ -363,7 +363,7 @@
 }
 
 // retry starts an attempt over after it got stuck, or gives it up.
-func (w *Watch) retry(now time.Time, effects *statemachine.Effects) {
+func (w *Node) retry(now time.Time, effects *statemachine.Effects) {
 	if w.trying == nil {
 		return
 	}
--- a/internal/consensus/identity_test.go
+++ b/internal/consensus/identity_test.go
@@ -118,7 +118,7 @@
 		leaving = bench.controllers[1]
 	}
 	bench.held = func(from, _ *controller, _ any) (time.Duration, bool) { return 0, from == leaving }
-	earlier := statemachine.NewRequestSequence(leaving.watch.settings.Life)
+	earlier := statemachine.NewRequestSequence(leaving.watch.settings.Incarnation)
 	leaving.kill()
 	leaving.start()
 	leaving.step(func(now time.Time, effects *statemachine.Effects) { leaving.watch.Leave(now, effects) })
--- a/internal/consensus/lease.go
+++ b/internal/consensus/lease.go
@@ -11,7 +11,7 @@
 	"dahlialock/internal/statemachine"
 )
 
-func (w *Watch) renew(now time.Time, effects *statemachine.Effects) {
+func (w *Node) renew(now time.Time, effects *statemachine.Effects) {
 	w.timers.Arm("renew", now.Add(renewEvery))
 	if w.blank {
 		return
@@ -58,7 +58,7 @@
 // while. The voters may hear it all the same: if it went on, they would grant what
 // never arrives, and nobody would take over. Since nobody may be able to, it asks
 // again now and then.
-func (w *Watch) keepsQuiet(now time.Time, effects *statemachine.Effects) bool {
+func (w *Node) keepsQuiet(now time.Time, effects *statemachine.Effects) bool {
 	if !w.deaf(now) || statemachine.Mutated("deaf-primary") {
 		w.quietUntil = time.Time{}
 		return false
@@ -72,7 +72,7 @@
 
 // deaf tells whether this primary lost its lease and hears too few of the voters: it
 // has asked them for lease and for the next epoch, which some would have answered.
-func (w *Watch) deaf(now time.Time) bool {
+func (w *Node) deaf(now time.Time) bool {
 	since := w.leaseUntil
 	if since.Before(w.actingSince) {
 		since = w.actingSince
@@ -90,7 +90,7 @@
 }
 
 // grantOwn counts the primary's own vote, unless it has promised a ballot away.
-func (w *Watch) grantOwn(now time.Time, number uint64, effects *statemachine.Effects) {
+func (w *Node) grantOwn(now time.Time, number uint64, effects *statemachine.Effects) {
 	if !w.mayGrant(now) {
 		return
 	}
@@ -98,12 +98,12 @@
 	w.countGrant(now, w.settings.Self.Name, number, effects)
 }
 
-func (w *Watch) promisedAway() bool {
+func (w *Node) promisedAway() bool {
 	promised := w.durable.Promised
 	return promised.Count > 0 && promised.Name != w.durable.Record.Primary
 }
 
-func (w *Watch) countGrant(now time.Time, name string, number uint64, effects *statemachine.Effects) {
+func (w *Node) countGrant(now time.Time, name string, number uint64, effects *statemachine.Effects) {
 	asked, found := w.renewals[number]
 	if !found {
 		return
@@ -122,7 +122,7 @@
 	}
 }
 
-func (w *Watch) watchLease(now time.Time, effects *statemachine.Effects) {
+func (w *Node) watchLease(now time.Time, effects *statemachine.Effects) {
 	if now.Before(w.leaseUntil) {
 		w.standDown()
 		return
@@ -157,7 +157,7 @@
 // takeBack goes for the next epoch as who takes over does. The candidate that the
 // voters promised may be the backup that is lost, and a backup that lost its disk does
 // not come back level as long as nobody may grant.
-func (w *Watch) takeBack(now time.Time, effects *statemachine.Effects) {
+func (w *Node) takeBack(now time.Time, effects *statemachine.Effects) {
 	if statemachine.Mutated("primary-waits-for-backup") {
 		return
 	}
@@ -165,7 +165,7 @@
 	w.gather(now, nil, nil, effects)
 }
 
-func (w *Watch) onRenew(now time.Time, from string, renew Renew, effects *statemachine.Effects) {
+func (w *Node) onRenew(now time.Time, from string, renew Renew, effects *statemachine.Effects) {
 	w.learn(now, renew.Record, effects)
 	record := w.durable.Record
 	if w.blank || renew.Epoch < record.Epoch {
@@ -199,7 +199,7 @@
 }
 
 // Yield gives the lease back, so that a backup need not wait for its end.
-func (w *Watch) Yield(now time.Time, effects *statemachine.Effects) {
+func (w *Node) Yield(now time.Time, effects *statemachine.Effects) {
 	if !w.IsPrimary() {
 		return
 	}
@@ -217,7 +217,7 @@
 	}
 }
 
-func (w *Watch) onYield(now time.Time, from string, yield Yield, effects *statemachine.Effects) {
+func (w *Node) onYield(now time.Time, from string, yield Yield, effects *statemachine.Effects) {
 	record := w.durable.Record
 	if yield.Epoch != record.Epoch || !w.member() || w.nameOf(from, record.Voters) != record.Primary || w.grantedTo != record.Primary {
 		return
@@ -230,7 +230,7 @@
 	w.follow(now, effects)
 }
 
-func (w *Watch) onGrant(now time.Time, from string, grant Grant, effects *statemachine.Effects) {
+func (w *Node) onGrant(now time.Time, from string, grant Grant, effects *statemachine.Effects) {
 	record := w.durable.Record
 	if !w.IsPrimary() || grant.Epoch != record.Epoch {
 		return
@@ -254,7 +254,7 @@
 
 // Confirm asks a majority whether the present epoch still stands, so that an
 // answer read from the primary's state can't be an old one.
-func (w *Watch) Confirm(now time.Time, done Done, effects *statemachine.Effects) {
+func (w *Node) Confirm(now time.Time, done Done, effects *statemachine.Effects) {
 	if !w.Speaking(now) || !w.stands() {
 		done(now, effects, Refused)
 		return
@@ -276,18 +276,18 @@
 }
 
 // stands tells whether this controller has let nobody else have the next epoch.
-func (w *Watch) stands() bool {
+func (w *Node) stands() bool {
 	return w.member() && !w.promisedAway() && !w.acceptedAway() && !w.takingOver
 }
 
-func (w *Watch) onConfirm(now time.Time, from string, confirm Confirm, effects *statemachine.Effects) {
+func (w *Node) onConfirm(now time.Time, from string, confirm Confirm, effects *statemachine.Effects) {
 	if confirm.Epoch != w.durable.Record.Epoch || !w.stands() || w.unsure(now) {
 		return
 	}
 	effects.Send(from, ConfirmResponse(confirm))
 }
 
-func (w *Watch) onConfirmResponse(now time.Time, from string, returned ConfirmResponse, effects *statemachine.Effects) {
+func (w *Node) onConfirmResponse(now time.Time, from string, returned ConfirmResponse, effects *statemachine.Effects) {
 	number, own := w.requests.NumberOf(returned.Request)
 	waiting, found := w.confirms[number]
 	if !own || !found || returned.Epoch != w.durable.Record.Epoch {
@@ -297,7 +297,7 @@
 	w.confirmed(now, number, effects)
 }
 
-func (w *Watch) confirmed(now time.Time, number uint64, effects *statemachine.Effects) {
+func (w *Node) confirmed(now time.Time, number uint64, effects *statemachine.Effects) {
 	waiting := w.confirms[number]
 	if !enough(w.durable.Record.Epoch+1, w.durable.Record.Voters, waiting.givers) {
 		return
--- a/internal/consensus/leave.go
+++ b/internal/consensus/leave.go
@@ -28,7 +28,7 @@
 
 // Leave begins to take this controller out of the voters and the copies; it goes on
 // with its part until Left.
-func (w *Watch) Leave(now time.Time, effects *statemachine.Effects) {
+func (w *Node) Leave(now time.Time, effects *statemachine.Effects) {
 	if w.leaving {
 		return
 	}
@@ -38,12 +38,12 @@
 
 // Left tells whether nothing that this controller holds is needed any more, or
 // nobody can take it over.
-func (w *Watch) Left() bool {
+func (w *Node) Left() bool {
 	return w.left || statemachine.Mutated("leave-when-out") && w.leaving && !w.blank && !w.member()
 }
 
 // leaveOn asks, again and again, to be let go.
-func (w *Watch) leaveOn(now time.Time, effects *statemachine.Effects) {
+func (w *Node) leaveOn(now time.Time, effects *statemachine.Effects) {
 	if statemachine.Mutated("leave-at-once") {
 		w.Yield(now, effects)
 		w.left = true
@@ -64,14 +64,14 @@
 }
 
 // others are the voters besides this controller.
-func (w *Watch) others() []Controller {
+func (w *Node) others() []Controller {
 	return slices.DeleteFunc(slices.Clone(w.durable.Record.Voters), func(controller Controller) bool {
 		return controller.At(w.settings.Self)
 	})
 }
 
 // handOver gives the lease back once a backup that stays can go on at once.
-func (w *Watch) handOver(now time.Time, effects *statemachine.Effects) {
+func (w *Node) handOver(now time.Time, effects *statemachine.Effects) {
 	if !w.Serving(now) || w.trying != nil {
 		return
 	}
@@ -86,7 +86,7 @@
 
 // onLeave is told that a controller wants to go. Who is outside the voters may, as
 // far as this controller is concerned, once the voters without it last on this disk.
-func (w *Watch) onLeave(now time.Time, from string, leave Leave, effects *statemachine.Effects) {
+func (w *Node) onLeave(now time.Time, from string, leave Leave, effects *statemachine.Effects) {
 	record := w.durable.Record
 	switch {
 	case w.blank:
@@ -116,7 +116,7 @@
 }
 
 // noteDeparture remembers who goes, for as long as it is a voter or may come back.
-func (w *Watch) noteDeparture(now time.Time, from string) {
+func (w *Node) noteDeparture(now time.Time, from string) {
 	w.departs[from] = now
 	for address, said := range statemachine.Sorted(w.departs) {
 		if now.Sub(said) > departsKept && w.nameOf(address, w.durable.Record.Voters) == "" {
@@ -125,7 +125,7 @@
 	}
 }
 
-func (w *Watch) onLeaveResponse(from string, returned LeaveResponse) {
+func (w *Node) onLeaveResponse(from string, returned LeaveResponse) {
 	record := w.durable.Record
 	if _, own := w.requests.NumberOf(returned.Request); !own || !w.leaving || returned.Epoch < record.Epoch || w.nameOf(from, record.Voters) == "" {
 		return
@@ -142,19 +142,19 @@
 }
 
 // saidToGo tells whether a controller has just said that it goes.
-func (w *Watch) saidToGo(now time.Time, address string) bool {
+func (w *Node) saidToGo(now time.Time, address string) bool {
 	said, found := w.departs[address]
 	return found && now.Sub(said) < departsFresh
 }
 
 // departing tells whether a voter has said that it goes, and has not come back since.
-func (w *Watch) departing(now time.Time, voter Controller) bool {
+func (w *Node) departing(now time.Time, voter Controller) bool {
 	said, found := w.departs[voter.Address]
 	return found && (now.Sub(said) < departsFresh || w.lastGrant[voter.Name].Before(said.Add(departsFresh)))
 }
 
 // departingBackup is a backup that goes, where another can have its copy.
-func (w *Watch) departingBackup(now time.Time) (string, bool) {
+func (w *Node) departingBackup(now time.Time) (string, bool) {
 	record := w.durable.Record
 	if !w.level() {
 		return "", false
@@ -173,7 +173,7 @@
 
 // mayDrop tells whether a backup that goes need not be replaced: nobody else can have
 // its copy, and there are as many as are needed without it.
-func (w *Watch) mayDrop(now time.Time, backup Controller) bool {
+func (w *Node) mayDrop(now time.Time, backup Controller) bool {
 	if !w.departing(now, backup) || len(w.durable.Record.Backups) <= w.neededBackups() {
 		return false
 	}
@@ -182,7 +182,7 @@
 }
 
 // irreplaceable tells whether nobody is there to take the place of a voter.
-func (w *Watch) irreplaceable(now time.Time, name string) bool {
+func (w *Node) irreplaceable(now time.Time, name string) bool {
 	record := w.durable.Record
 	if w.trying != nil || w.replacing || w.gathered || !w.level() || len(w.Standbys(now)) > 0 || mayShrink(record) {
 		return false
--- a/internal/consensus/log.go
+++ b/internal/consensus/log.go
@@ -19,7 +19,7 @@
 )
 
 // logLimit is how many bytes of entries may follow the present snapshot.
-func (w *Watch) logLimit() int {
+func (w *Node) logLimit() int {
 	if statemachine.Mutated("log-without-end") {
 		return 1 << 40
 	}
@@ -30,12 +30,12 @@
 // moment between two steps, also while a command is under way: all entries that were
 // handed to the disk before are a part of it, and the command of a primary that is on
 // its disk but not answered yet goes along.
-func (w *Watch) keepLogShort(effects *statemachine.Effects) {
+func (w *Node) keepLogShort(effects *statemachine.Effects) {
 	if w.logBytes <= w.logLimit() {
 		return
 	}
 	packed := transport.MustMarshal(diskFrame{
-		Durable: w.durable, Index: w.index, State: w.ledger.Frame(), Spares: w.heldFrames(), Pending: w.pending(),
+		Durable: w.durable, Index: w.index, State: w.stateMachine.Snapshot(), Spares: w.heldFrames(), Pending: w.pending(),
 	})
 	w.logBytes, w.snapshotBytes = 0, len(packed)
 	w.token++
@@ -45,14 +45,14 @@
 
 // pending is the command under way, if its entry was handed to the disk: a backup may
 // hold it already, and this controller's disk counts as holding it too.
-func (w *Watch) pending() *diskEntry {
+func (w *Node) pending() *diskEntry {
 	if len(w.queue) == 0 || w.queue[0].index != w.index+1 || statemachine.Mutated("snapshot-without-pending") {
 		return nil
 	}
 	return &diskEntry{Index: w.queue[0].index, Command: w.queue[0].command}
 }
 
-func (w *Watch) heldFrames() []spareFrame {
+func (w *Node) heldFrames() []spareFrame {
 	var held []spareFrame
 	for _, frame := range statemachine.Sorted(w.frames) {
 		held = append(held, *frame)
@@ -61,7 +61,7 @@
 }
 
 // readDisk takes what the disk held: a snapshot, and the entries after it.
-func (w *Watch) readDisk(snapshot []byte, entries [][]byte) error {
+func (w *Node) readDisk(snapshot []byte, entries [][]byte) error {
 	w.snapshotBytes = len(snapshot)
 	if len(snapshot) > 0 {
 		if err := w.readSnapshot(snapshot); err != nil {
@@ -81,7 +81,7 @@
 	return nil
 }
 
-func (w *Watch) readSnapshot(packed []byte) error {
+func (w *Node) readSnapshot(packed []byte) error {
 	var held diskFrame
 	if err := transport.Unmarshal(packed, &held); err != nil {
 		return err
@@ -91,7 +91,7 @@
 		w.frames[spare.From] = &spare
 	}
 	if len(held.State) > 0 {
-		if err := w.ledger.Restore(held.State); err != nil {
+		if err := w.stateMachine.Restore(held.State); err != nil {
 			return err
 		}
 	}
@@ -101,19 +101,19 @@
 	return nil
 }
 
-func (w *Watch) readEntry(entry diskEntry) error {
+func (w *Node) readEntry(entry diskEntry) error {
 	switch {
 	case entry.Durable != nil:
 		w.durable = *entry.Durable
 	case entry.Spare != nil:
 		w.frames[entry.Spare.From] = entry.Spare
 	case entry.State != nil:
-		if err := w.ledger.Restore(entry.State); err != nil {
+		if err := w.stateMachine.Restore(entry.State); err != nil {
 			return err
 		}
 		w.index = entry.Index
 	case entry.Index == w.index+1:
-		w.ledger.Apply(time.Time{}, entry.Command)
+		w.stateMachine.Apply(time.Time{}, entry.Command)
 		w.index = entry.Index
 	}
 	return nil
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -44,12 +44,12 @@
 
 // SetTolerance takes another tolerance from changed settings; the voters and the
 // backups follow.
-func (w *Watch) SetTolerance(tolerance int) { w.settings.Tolerance = tolerance }
+func (w *Node) SetTolerance(tolerance int) { w.settings.Tolerance = tolerance }
 
 // neededBackups is how many backups must have synced what is answered, and
 // wantedBackups how many there should be: one at least, so that another controller
 // can take over.
-func (w *Watch) neededBackups() int {
+func (w *Node) neededBackups() int {
 	if w.settings.Count > 0 {
 		return max(1, w.settings.Tolerance)
 	}
@@ -59,13 +59,13 @@
 	return w.settings.Tolerance
 }
 
-func (w *Watch) wantedBackups() int {
+func (w *Node) wantedBackups() int {
 	return min(max(1, w.neededBackups()), len(w.durable.Record.Voters)-1)
 }
 
 // chooseBackups names backups of a voters without a past, in different
 // zones where possible.
-func (w *Watch) chooseBackups(voters []Controller) []string {
+func (w *Node) chooseBackups(voters []Controller) []string {
 	var chosen []string
 	for len(chosen) < min(max(1, w.neededBackups()), len(voters)-1) {
 		var others []Controller
@@ -81,7 +81,7 @@
 
 // farthest is the one of several controllers whose zone has the fewest copies:
 // this controller's own, and those of the named.
-func (w *Watch) farthest(voters, several []Controller, named []string) Controller {
+func (w *Node) farthest(voters, several []Controller, named []string) Controller {
 	copies := map[string]int{w.settings.Self.Zone: 1}
 	for _, controller := range voters {
 		if slices.Contains(named, controller.Name) {
@@ -99,13 +99,13 @@
 
 // frozen tells whether this controller has taken a next epoch with another primary or
 // other backups: nothing is added to the present one any more.
-func (w *Watch) frozen() bool {
+func (w *Node) frozen() bool {
 	record, accepted := w.durable.Record, w.durable.Accepted
 	return accepted.Epoch == record.Epoch+1 && (accepted.Primary != record.Primary || !slices.Equal(accepted.Backups, record.Backups))
 }
 
 // watchCopies begins to look after the backups that the record names.
-func (w *Watch) watchCopies(now time.Time) {
+func (w *Node) watchCopies(now time.Time) {
 	w.copies = map[string]*copied{}
 	for _, name := range w.durable.Record.Backups {
 		w.copies[name] = &copied{heard: now}
@@ -113,7 +113,7 @@
 }
 
 // level tells whether all copies that are needed are there and whole.
-func (w *Watch) level() bool {
+func (w *Node) level() bool {
 	for _, name := range w.durable.Record.Backups {
 		if !w.copies[name].level {
 			return false
@@ -126,7 +126,7 @@
 
 // Submit copies a command to all disks and then tells done. It is refused at
 // once where this controller may not act.
-func (w *Watch) Submit(now time.Time, command []byte, limit time.Duration, done Done, effects *statemachine.Effects) {
+func (w *Node) Submit(now time.Time, command []byte, limit time.Duration, done Done, effects *statemachine.Effects) {
 	if !w.HoldsLease(now) {
 		done(now, effects, Refused)
 		return
@@ -139,9 +139,9 @@
 }
 
 // Waiting tells how many commands are not yet committed.
-func (w *Watch) Waiting() int { return len(w.queue) }
+func (w *Node) Waiting() int { return len(w.queue) }
 
-func (w *Watch) resumeQueue(now time.Time, effects *statemachine.Effects) {
+func (w *Node) resumeQueue(now time.Time, effects *statemachine.Effects) {
 	if len(w.queue) == 0 {
 		return
 	}
@@ -168,13 +168,13 @@
 }
 
 // sendAppend sends the command under way to all backups that lack it.
-func (w *Watch) sendAppend(_ time.Time, effects *statemachine.Effects) {
+func (w *Node) sendAppend(_ time.Time, effects *statemachine.Effects) {
 	for _, name := range w.durable.Record.Backups {
 		w.sendAppendTo(name, effects)
 	}
 }
 
-func (w *Watch) sendAppendTo(name string, effects *statemachine.Effects) {
+func (w *Node) sendAppendTo(name string, effects *statemachine.Effects) {
 	if len(w.queue) == 0 || w.replacing || !w.queue[0].synced || w.copies[name].acked >= w.queue[0].index || statemachine.Mutated("answer-before-backup") {
 		return
 	}
@@ -183,7 +183,7 @@
 	effects.Send(backup.Address, Append{Epoch: w.durable.Record.Epoch, Index: head.index, Command: head.command})
 }
 
-func (w *Watch) onAppend(now time.Time, from string, entry Append, effects *statemachine.Effects) {
+func (w *Node) onAppend(now time.Time, from string, entry Append, effects *statemachine.Effects) {
 	record := w.durable.Record
 	if w.blank || entry.Epoch != record.Epoch {
 		if !w.blank && entry.Epoch < record.Epoch {
@@ -198,7 +198,7 @@
 	w.primaryHeard = now
 	returned := AppendResponse{Epoch: entry.Epoch, Index: entry.Index}
 	if entry.Index == w.index+1 && w.restoring == 0 {
-		w.ledger.Apply(now, entry.Command)
+		w.stateMachine.Apply(now, entry.Command)
 		w.index = entry.Index
 		w.write(effects, diskEntry{Index: entry.Index, Command: entry.Command}, func(_ time.Time, effects *statemachine.Effects) {
 			w.diskIndex = max(w.diskIndex, entry.Index)
@@ -211,7 +211,7 @@
 	}
 }
 
-func (w *Watch) onAppendResponse(now time.Time, from string, returned AppendResponse, effects *statemachine.Effects) {
+func (w *Node) onAppendResponse(now time.Time, from string, returned AppendResponse, effects *statemachine.Effects) {
 	copied, named := w.copies[w.nameOf(from, w.durable.Record.Voters)]
 	if !named || !w.IsPrimary() || returned.Epoch != w.durable.Record.Epoch {
 		return
@@ -223,7 +223,7 @@
 
 // settle ends the command under way once all backups have synced it. While a
 // backup is being replaced nothing ends: the spares hold the state before.
-func (w *Watch) settle(now time.Time, effects *statemachine.Effects) {
+func (w *Node) settle(now time.Time, effects *statemachine.Effects) {
 	if len(w.queue) == 0 || !w.IsPrimary() || w.replacing || w.frozen() {
 		return
 	}
@@ -236,7 +236,7 @@
 			return
 		}
 	}
-	w.ledger.Apply(now, head.command)
+	w.stateMachine.Apply(now, head.command)
 	w.index = head.index
 	w.queue = w.queue[1:]
 	outcome := Committed
@@ -248,7 +248,7 @@
 }
 
 // onGrantOfBackup looks how far a backup's copy reaches, and levels it.
-func (w *Watch) onGrantOfBackup(now time.Time, from, name string, grant Grant, effects *statemachine.Effects) {
+func (w *Node) onGrantOfBackup(now time.Time, from, name string, grant Grant, effects *statemachine.Effects) {
 	copied := w.copies[name]
 	copied.heard = now
 	record := w.durable.Record
@@ -260,7 +260,7 @@
 	// A backup that lost its disk can't go on from a command under way either.
 	if grant.Complete != record.Epoch || grant.Index < w.index || grant.Index > w.index && !ahead {
 		copied.level = false
-		effects.Send(from, Frame{Epoch: record.Epoch, For: record.Epoch, Index: w.index, State: w.ledger.Frame()})
+		effects.Send(from, Frame{Epoch: record.Epoch, For: record.Epoch, Index: w.index, State: w.stateMachine.Snapshot()})
 		return
 	}
 	w.copyLevel(now, name, effects)
@@ -268,7 +268,7 @@
 }
 
 // copyLevel notes that one backup's copy is whole.
-func (w *Watch) copyLevel(now time.Time, name string, effects *statemachine.Effects) {
+func (w *Node) copyLevel(now time.Time, name string, effects *statemachine.Effects) {
 	if w.copies[name].level {
 		return
 	}
@@ -284,7 +284,7 @@
 
 // follow looks after the copies: the primary after its backups, and they after
 // the primary.
-func (w *Watch) follow(now time.Time, effects *statemachine.Effects) {
+func (w *Node) follow(now time.Time, effects *statemachine.Effects) {
 	if w.durable.Complete != w.durable.Record.Epoch {
 		return
 	}
@@ -297,7 +297,7 @@
 }
 
 // failing lists the backups that are lost, or slow with the command under way.
-func (w *Watch) failing(now time.Time) (lost, slow []string) {
+func (w *Node) failing(now time.Time) (lost, slow []string) {
 	for _, name := range w.durable.Record.Backups {
 		copied := w.copies[name]
 		switch {
@@ -312,7 +312,7 @@
 
 // near is a backup in a zone that already has a copy, where there is a
 // spare in one that has none: both copies would be lost with it.
-func (w *Watch) near(now time.Time) (string, bool) {
+func (w *Node) near(now time.Time) (string, bool) {
 	if !w.level() || len(w.queue) > 0 || now.Sub(w.decidedAt) < partAfter {
 		return "", false
 	}
@@ -331,7 +331,7 @@
 	return "", false
 }
 
-func (w *Watch) hasCopy(zone string) bool {
+func (w *Node) hasCopy(zone string) bool {
 	return zone == w.settings.Self.Zone || slices.ContainsFunc(w.durable.Record.Backups, func(name string) bool {
 		backup, _ := w.durable.Record.Find(name)
 		return backup.Zone == zone
@@ -341,7 +341,7 @@
 // watchBackups replaces backups that are lost, slow or near, and names more
 // where there are too few. It goes on without, where no spare can be had and
 // the backup comes back.
-func (w *Watch) watchBackups(now time.Time, effects *statemachine.Effects) {
+func (w *Node) watchBackups(now time.Time, effects *statemachine.Effects) {
 	if !w.HoldsLease(now) || w.trying != nil || w.gathered {
 		return
 	}
@@ -384,7 +384,7 @@
 
 // watchPrimary takes over from a primary that is silent; the backup that is
 // named first goes first.
-func (w *Watch) watchPrimary(now time.Time, effects *statemachine.Effects) {
+func (w *Node) watchPrimary(now time.Time, effects *statemachine.Effects) {
 	if w.unsure(now) || statemachine.Mutated("no-takeover") {
 		return
 	}
@@ -403,7 +403,7 @@
 
 // standDown gives a takeover up that has not been asked for yet, when the
 // primary is heard again.
-func (w *Watch) standDown() {
+func (w *Node) standDown() {
 	if w.takingOver && w.trying == nil && !w.gathered {
 		w.takingOver = false
 		w.spares, w.passedOver = map[string]*asked{}, nil
@@ -412,7 +412,7 @@
 
 // limits gives up on what waited too long; a command that may already be on a
 // disk is unsettled, one that was never begun is refused.
-func (w *Watch) limits(now time.Time, effects *statemachine.Effects) {
+func (w *Node) limits(now time.Time, effects *statemachine.Effects) {
 	var next time.Time
 	for number, waiting := range statemachine.Sorted(w.confirms) {
 		if !waiting.limit.After(now) {
--- a/internal/consensus/snapshot.go
+++ b/internal/consensus/snapshot.go
@@ -12,7 +12,7 @@
 
 // chooseSpare picks a controller of the voters that holds no copy yet: not one of the
 // kept, nor of those to be left out, nor asked already, nor passed over.
-func (w *Watch) chooseSpare(now time.Time, keep, without []string) (Controller, bool) {
+func (w *Node) chooseSpare(now time.Time, keep, without []string) (Controller, bool) {
 	var several []Controller
 	taken := slices.Clone(keep)
 	for name := range statemachine.Sorted(w.spares) {
@@ -36,7 +36,7 @@
 // gather readies spares for the next epoch: each gets the whole state first, and
 // only then is a majority asked. The primary asks as many as it lacks; who takes
 // over asks all at once, since it can't know who lives.
-func (w *Watch) gather(now time.Time, keep, without []string, effects *statemachine.Effects) {
+func (w *Node) gather(now time.Time, keep, without []string, effects *statemachine.Effects) {
 	if w.trying != nil || w.gathered {
 		return
 	}
@@ -59,7 +59,7 @@
 		}
 		w.spares[chosen.Name] = &asked{at: now, ready: statemachine.Mutated("copy-counts-at-once")}
 		effects.Send(chosen.Address, Frame{
-			Epoch: w.durable.Record.Epoch, For: w.durable.Record.Epoch + 1, Index: w.index, State: w.ledger.Frame(),
+			Epoch: w.durable.Record.Epoch, For: w.durable.Record.Epoch + 1, Index: w.index, State: w.stateMachine.Snapshot(),
 		})
 	}
 	w.keep = keep
@@ -68,7 +68,7 @@
 }
 
 // conclude asks for the next epoch once enough spares are ready.
-func (w *Watch) conclude(now time.Time, effects *statemachine.Effects) {
+func (w *Node) conclude(now time.Time, effects *statemachine.Effects) {
 	var ready, leaving []Controller
 	pending := 0
 	oldest := now
@@ -107,7 +107,7 @@
 	w.begin(now, Record{Epoch: record.Epoch + 1, Primary: w.settings.Self.Name, Backups: backups, Voters: record.Voters}, effects)
 }
 
-func (w *Watch) onFrame(_ time.Time, from string, frame Frame, effects *statemachine.Effects) {
+func (w *Node) onFrame(_ time.Time, from string, frame Frame, effects *statemachine.Effects) {
 	record := w.durable.Record
 	if w.blank {
 		return
@@ -137,7 +137,7 @@
 		// An older frame that came late; what was acknowledged since stays.
 		return
 	}
-	if err := w.ledger.Restore(frame.State); err != nil {
+	if err := w.stateMachine.Restore(frame.State); err != nil {
 		return
 	}
 	w.index = frame.Index
@@ -148,7 +148,7 @@
 	})
 }
 
-func (w *Watch) onFrameResponse(now time.Time, from string, returned FrameResponse, effects *statemachine.Effects) {
+func (w *Node) onFrameResponse(now time.Time, from string, returned FrameResponse, effects *statemachine.Effects) {
 	record := w.durable.Record
 	if returned.Epoch != record.Epoch {
 		return
--- a/internal/consensus/voters.go
+++ b/internal/consensus/voters.go
@@ -41,7 +41,7 @@
 	heard time.Time
 }
 
-func (w *Watch) self() Controller {
+func (w *Node) self() Controller {
 	self := w.settings.Self
 	self.Disk = w.durable.Disk
 	return self
@@ -49,14 +49,14 @@
 
 // member tells whether this controller is in the newest voters that it knows, with
 // the disk that the voters names.
-func (w *Watch) member() bool {
+func (w *Node) member() bool {
 	entry, listed := w.durable.Record.Entry(w.settings.Self)
 	return !w.blank && listed && entry.Disk == w.durable.Disk
 }
 
 // mayEnter tells whether this controller may take its part in a decided epoch at
 // once: whatever it has granted is on this disk.
-func (w *Watch) mayEnter(record Record, entry Controller) bool {
+func (w *Node) mayEnter(record Record, entry Controller) bool {
 	if statemachine.Mutated("trust-lost-disk") {
 		return true
 	}
@@ -68,7 +68,7 @@
 
 // forget makes a controller that stood by learn from the others, since the voters
 // that it is now in names a disk that it lost.
-func (w *Watch) forget(now time.Time) {
+func (w *Node) forget(now time.Time) {
 	w.durable = Durable{Disk: w.durable.Disk}
 	w.blank, w.trying = true, nil
 	w.recalls = map[string]Durable{}
@@ -76,7 +76,7 @@
 }
 
 // Standbys lists the controllers outside the voters that were heard lately.
-func (w *Watch) Standbys(now time.Time) []Controller {
+func (w *Node) Standbys(now time.Time) []Controller {
 	var standbys []Controller
 	for _, met := range statemachine.Sorted(w.met) {
 		if _, listed := w.durable.Record.Entry(met.hello.Self); !listed && now.Sub(met.heard) < standbyFresh && !w.saidToGo(now, met.hello.Self.Address) {
@@ -88,14 +88,14 @@
 
 // Finding each other.
 
-func (w *Watch) greeting() Hello {
+func (w *Node) greeting() Hello {
 	return Hello{
 		Self: w.self(), Count: w.settings.Count, Known: w.Known(), Blank: w.blank,
 		Founding: len(w.durable.Founders) > 0, Record: w.durable.Record,
 	}
 }
 
-func (w *Watch) hello(now time.Time, effects *statemachine.Effects) {
+func (w *Node) hello(now time.Time, effects *statemachine.Effects) {
 	targets := map[string]bool{}
 	pause := helloEvery
 	switch {
@@ -143,7 +143,7 @@
 	w.found(now, effects)
 }
 
-func (w *Watch) nextInTurn(addresses []string) string {
+func (w *Node) nextInTurn(addresses []string) string {
 	if len(addresses) == 0 {
 		return ""
 	}
@@ -153,7 +153,7 @@
 
 // forgetMet drops the controllers that were not heard for long, once the founding is
 // over: each that was ever replaced would stay otherwise.
-func (w *Watch) forgetMet(now time.Time) {
+func (w *Node) forgetMet(now time.Time) {
 	if w.blank {
 		return
 	}
@@ -165,7 +165,7 @@
 	w.heardOf = map[string]bool{}
 }
 
-func (w *Watch) onHello(now time.Time, from string, hello Hello, effects *statemachine.Effects) {
+func (w *Node) onHello(now time.Time, from string, hello Hello, effects *statemachine.Effects) {
 	if hello.Self.At(w.settings.Self) {
 		return
 	}
@@ -192,13 +192,13 @@
 // Founding.
 
 // isFounder tells whether this controller may ask for the first epoch.
-func (w *Watch) isFounder() bool {
+func (w *Node) isFounder() bool {
 	return w.settings.Count > 0 || len(w.durable.Founders) > 0
 }
 
 // enlist notes on the disk that this controller is one of the founders, so that it
 // goes on founding when it is started again with other settings.
-func (w *Watch) enlist(effects *statemachine.Effects) {
+func (w *Node) enlist(effects *statemachine.Effects) {
 	if !w.blank || !w.settings.Founding || w.settings.Count > 0 || len(w.durable.Founders) > 0 ||
 		!slices.Contains(w.settings.Seeds, w.settings.Self.Address) {
 		return
@@ -208,7 +208,7 @@
 }
 
 // founders gives the first voters once all of it was met and is blank.
-func (w *Watch) founders() ([]Controller, bool) {
+func (w *Node) founders() ([]Controller, bool) {
 	voters := []Controller{w.self()}
 	for address, met := range statemachine.Sorted(w.met) {
 		switch {
@@ -230,7 +230,7 @@
 	return voters, len(voters) == wanted
 }
 
-func (w *Watch) found(now time.Time, effects *statemachine.Effects) {
+func (w *Node) found(now time.Time, effects *statemachine.Effects) {
 	if w.trying != nil || !w.isFounder() {
 		return
 	}
@@ -253,7 +253,7 @@
 
 // Recalling.
 
-func (w *Watch) recall(effects *statemachine.Effects) {
+func (w *Node) recall(effects *statemachine.Effects) {
 	if _, listed := w.told.Entry(w.settings.Self); !listed {
 		return
 	}
@@ -268,7 +268,7 @@
 // onRecallResponse gathers what the others remember. Whatever this controller granted
 // before its disk was lost, a majority with it granted; those that answer must
 // hold one other of any such majority.
-func (w *Watch) onRecallResponse(now time.Time, from string, recalled RecallResponse, effects *statemachine.Effects) {
+func (w *Node) onRecallResponse(now time.Time, from string, recalled RecallResponse, effects *statemachine.Effects) {
 	if !w.blank || recalled.Request != w.recalling || recalled.Durable.Record.Epoch == 0 {
 		return
 	}
@@ -316,13 +316,13 @@
 // acceptedAway tells whether this controller has taken a next epoch that another
 // primary or another voters begins. The present primary gets no more lease from
 // it, so that no two voters can give lease at a time.
-func (w *Watch) acceptedAway() bool {
+func (w *Node) acceptedAway() bool {
 	record, accepted := w.durable.Record, w.durable.Accepted
 	return accepted.Epoch == record.Epoch+1 && (accepted.Primary != record.Primary || !slices.Equal(accepted.Voters, record.Voters))
 }
 
 // mayGrant tells whether the recorded primary may have this controller's grant.
-func (w *Watch) mayGrant(now time.Time) bool {
+func (w *Node) mayGrant(now time.Time) bool {
 	if !w.member() || w.promisedAway() || w.acceptedAway() {
 		return false
 	}
@@ -330,7 +330,7 @@
 }
 
 // wantedVoters is how many controllers the voters should have.
-func (w *Watch) wantedVoters() int {
+func (w *Node) wantedVoters() int {
 	if w.settings.Count > 0 {
 		return w.settings.Count
 	}
@@ -338,7 +338,7 @@
 }
 
 // silence is how long a member of the voters has granted the primary nothing.
-func (w *Watch) silence(now time.Time, name string) time.Duration {
+func (w *Node) silence(now time.Time, name string) time.Duration {
 	heard := w.lastGrant[name]
 	if heard.Before(w.actingSince) {
 		heard = w.actingSince
@@ -348,7 +348,7 @@
 
 // watchVoters brings one standby controller in where the voters is too small, or in
 // place of a member that is lost.
-func (w *Watch) watchVoters(now time.Time, effects *statemachine.Effects) {
+func (w *Node) watchVoters(now time.Time, effects *statemachine.Effects) {
 	if !w.IsPrimary() || w.trying != nil || w.takingOver || w.gathered || statemachine.Mutated("fixed-voters") {
 		return
 	}
@@ -396,7 +396,7 @@
 
 // leaver is a member that goes, or is lost: silent for a while, or sooner where a
 // controller of its name stands by at another address.
-func (w *Watch) leaver(now time.Time) (Controller, bool) {
+func (w *Node) leaver(now time.Time) (Controller, bool) {
 	record := w.durable.Record
 	for _, controller := range record.Voters {
 		if controller.At(w.settings.Self) || slices.Contains(record.Backups, controller.Name) && !w.mayDrop(now, controller) {
@@ -416,7 +416,7 @@
 
 // crowded is a member that makes room for a controller of another zone: its own
 // has two members more.
-func (w *Watch) crowded(now time.Time) (Controller, bool) {
+func (w *Node) crowded(now time.Time) (Controller, bool) {
 	record := w.durable.Record
 	if w.settings.Count > 0 || !w.Serving(now) || now.Sub(w.decidedAt) < spreadAfter {
 		return Controller{}, false
@@ -437,7 +437,7 @@
 
 // joiner is the standby controller to come in: one that knows the present epoch, in
 // the zone that has the fewest of those that stay.
-func (w *Watch) joiner(now time.Time, stay []Controller) (Controller, bool) {
+func (w *Node) joiner(now time.Time, stay []Controller) (Controller, bool) {
 	var best Controller
 	found, fewest := false, 0
 	for _, standby := range w.Standbys(now) {
@@ -462,7 +462,7 @@
 }
 
 // noteVoters logs who came into the voters and who left it.
-func (w *Watch) noteVoters(earlier, record Record, effects *statemachine.Effects) {
+func (w *Node) noteVoters(earlier, record Record, effects *statemachine.Effects) {
 	var entered, left []string
 	for _, controller := range record.Voters {
 		if _, listed := earlier.Entry(controller); !listed {
--- a/internal/consensus/world_test.go
+++ b/internal/consensus/world_test.go
@@ -47,7 +47,7 @@
 	world   *world
 	number  int
 	self    Controller
-	watch   *Watch
+	watch   *Node
 	ledger  *words
 	frame   []byte
 	entries [][]byte
@@ -147,7 +147,7 @@
 		settings.NewDisk = fmt.Sprintf("%s-%d", n.self.Disk, n.lives)
 	}
 	n.lives++
-	settings.Life = statemachine.Incarnation(n.number<<8 + n.lives)
+	settings.Incarnation = statemachine.Incarnation(n.number<<8 + n.lives)
 	n.ledger = &words{}
 	watch, err := New(settings, n.ledger, n.frame, n.entries)
 	if err != nil {
--- a/internal/controlclient/controlclient.go
+++ b/internal/controlclient/controlclient.go
@@ -56,11 +56,11 @@
 
 // Settings are a control client's own settings.
 type Settings struct {
-	Life statemachine.Incarnation
+	Incarnation statemachine.Incarnation
 	// Acknowledge is within what time a proper order is to be acknowledged.
 	Acknowledge time.Duration
 	// Upstream names the controller to ask, Other the next to try.
-	Upstream, Other func() string
+	Upstream, Next func() string
 	// Relays names daemons that carry requests, too; nil where there are none.
 	Relays func() []string
 }
@@ -79,12 +79,12 @@
 		settings.Acknowledge = DefaultAcknowledge
 	}
 	return &ControlClient{
-		settings: settings, requests: statemachine.NewRequestSequence(settings.Life), carrying: map[uint64]*carried{}, timers: statemachine.NewTimers(),
+		settings: settings, requests: statemachine.NewRequestSequence(settings.Incarnation), carrying: map[uint64]*carried{}, timers: statemachine.NewTimers(),
 	}
 }
 
-// Error makes the body of an answer that is not a success.
-func Error(code, text string, more any) []byte {
+// ErrorBody makes the body of an answer that is not a success.
+func ErrorBody(code, text string, more any) []byte {
 	body, err := json.Marshal(map[string]any{"code": code, "text": text, "faults": more})
 	if err != nil {
 		panic(err)
@@ -95,8 +95,8 @@
 // NextTick is when the control client wants to run again.
 func (cc *ControlClient) NextTick() time.Time { return cc.timers.Next() }
 
-// Carry begins to carry an operator's request; its answer comes as a Return for local.
-func (cc *ControlClient) Carry(now time.Time, local uint64, method, path string, body []byte, effects *statemachine.Effects) {
+// Forward begins to carry an operator's request; its answer comes as a Return for local.
+func (cc *ControlClient) Forward(now time.Time, local uint64, method, path string, body []byte, effects *statemachine.Effects) {
 	cc.carry(now, local, membership.ControlRequest{Method: method, Path: path, Body: body}, effects)
 }
 
@@ -141,7 +141,7 @@
 func (cc *ControlClient) widen(item *carried, effects *statemachine.Effects) bool {
 	widened := false
 	for range len(item.asked) + 1 {
-		if cc.ask(item, cc.settings.Other(), effects) {
+		if cc.ask(item, cc.settings.Next(), effects) {
 			widened = true
 			break
 		}
@@ -171,8 +171,8 @@
 	effects.Respond(item.local, returned)
 }
 
-// Take takes an answer to a request of this life, or a hint where to ask.
-func (cc *ControlClient) Take(now time.Time, from string, returned membership.ControlResponse, effects *statemachine.Effects) {
+// HandleResponse takes an answer to a request of this life, or a hint where to ask.
+func (cc *ControlClient) HandleResponse(now time.Time, from string, returned membership.ControlResponse, effects *statemachine.Effects) {
 	number, own := cc.requests.NumberOf(returned.Request)
 	item, found := cc.carrying[number]
 	if !own || !found || !item.asked[from] {
@@ -216,14 +216,14 @@
 func (cc *ControlClient) refuse(item *carried, returned membership.ControlResponse, effects *statemachine.Effects) {
 	returned.RetryAfter = max(returned.RetryAfter, comeBack)
 	if item.uncertain || item.waiting > 0 && item.request.Method != http.MethodGet {
-		returned.Body = Error("unsettled", fmt.Sprintf("nobody can tell yet whether this was taken; send the same %s again", item.request.Method), nil)
+		returned.Body = ErrorBody("unsettled", fmt.Sprintf("nobody can tell yet whether this was taken; send the same %s again", item.request.Method), nil)
 	}
 	cc.finish(item, returned, effects)
 }
 
 // giveUp ends a request that nobody answered in time.
 func (cc *ControlClient) giveUp(item *carried, effects *statemachine.Effects) {
-	refusal := membership.ControlResponse{Status: http.StatusServiceUnavailable, Body: Error(codeNoAnswer, "no controller answered", nil)}
+	refusal := membership.ControlResponse{Status: http.StatusServiceUnavailable, Body: ErrorBody(codeNoAnswer, "no controller answered", nil)}
 	if item.refusal != nil {
 		refusal = *item.refusal
 	}
--- a/internal/controlclient/controlclient_test.go
+++ b/internal/controlclient/controlclient_test.go
@@ -18,14 +18,14 @@
 )
 
 func life(named statemachine.Incarnation) *ControlClient {
-	return New(Settings{Life: named, Upstream: func() string { return primary }, Other: func() string { return other }})
+	return New(Settings{Incarnation: named, Upstream: func() string { return primary }, Next: func() string { return other }})
 }
 
 // carry begins to carry a question and gives the request that goes out.
 func carry(t *testing.T, client *ControlClient, now time.Time, local uint64, method string) membership.ControlRequest {
 	t.Helper()
 	var effects statemachine.Effects
-	client.Carry(now, local, method, "/v1/configuration", nil, &effects)
+	client.Forward(now, local, method, "/v1/configuration", nil, &effects)
 	assert.Equal(t, len(effects.Sends), 1)
 	assert.Equal(t, effects.Sends[0].To, primary)
 	return effects.Sends[0].Message.(membership.ControlRequest)
@@ -34,7 +34,7 @@
 // take gives what the client returns to callers upon an answer.
 func take(client *ControlClient, now time.Time, from string, answer membership.ControlResponse) []statemachine.Response {
 	var effects statemachine.Effects
-	client.Take(now, from, answer, &effects)
+	client.HandleResponse(now, from, answer, &effects)
 	return effects.Responses
 }
 
--- a/internal/controlclient/ways_test.go
+++ b/internal/controlclient/ways_test.go
@@ -18,7 +18,7 @@
 
 func withRelays(acknowledge time.Duration) *ControlClient {
 	return New(Settings{
-		Life: 1, Acknowledge: acknowledge, Upstream: func() string { return primary }, Other: func() string { return other },
+		Incarnation: 1, Acknowledge: acknowledge, Upstream: func() string { return primary }, Next: func() string { return other },
 		Relays: func() []string { return []string{"agent-1", "agent-2"} },
 	})
 }
@@ -61,7 +61,7 @@
 func TestALargeOrderIsWaitedForLonger(t *testing.T) {
 	client := withRelays(0)
 	var effects statemachine.Effects
-	client.Carry(start, 7, "PUT", "/v1/configuration", make([]byte, 100_000), &effects)
+	client.Forward(start, 7, "PUT", "/v1/configuration", make([]byte, 100_000), &effects)
 	_, told, at := due(client, start.Add(time.Minute))
 	assert.Equal(t, len(told), 1)
 	assert.Equal(t, at.Sub(start), 1900*time.Millisecond)
@@ -72,7 +72,7 @@
 	client := withRelays(0)
 	request := carry(t, client, start, 7, "PUT")
 	var effects statemachine.Effects
-	client.Take(start, primary, membership.ControlResponse{Request: request.Request, Status: 503, Body: Error(codeNoPrimary, "", nil)}, &effects)
+	client.HandleResponse(start, primary, membership.ControlResponse{Request: request.Request, Status: 503, Body: ErrorBody(codeNoPrimary, "", nil)}, &effects)
 	assert.Equal(t, len(effects.Responses), 0)
 	assert.Equal(t, len(effects.Sends), 2)
 	relay := effects.Sends[1].To
@@ -86,7 +86,7 @@
 	client := withRelays(0)
 	request := carry(t, client, start, 7, "PUT")
 	var effects statemachine.Effects
-	client.Take(start, primary, membership.ControlResponse{Request: request.Request, Status: 503, Body: Error("unsettled", "", nil)}, &effects)
+	client.HandleResponse(start, primary, membership.ControlResponse{Request: request.Request, Status: 503, Body: ErrorBody("unsettled", "", nil)}, &effects)
 	assert.Equal(t, len(effects.Responses), 1)
 	assert.Equal(t, len(effects.Sends), 0)
 }
@@ -100,7 +100,7 @@
 	asked, _, _ := due(client, start.Add(DefaultAcknowledge/widenShare))
 	assert.Equal(t, len(asked), 1)
 	assert.Equal(t, asked[0].To, other)
-	refusal := membership.ControlResponse{Request: request, Status: 503, Body: Error(codeNoPrimary, "", nil)}
+	refusal := membership.ControlResponse{Request: request, Status: 503, Body: ErrorBody(codeNoPrimary, "", nil)}
 	assert.Equal(t, len(take(client, start, primary, refusal)), 0)
 	returned := take(client, start, other, refusal)
 	assert.Equal(t, len(returned), 1)
--- a/internal/controller/control.go
+++ b/internal/controller/control.go
@@ -41,18 +41,18 @@
 			effects.Send(from, returned)
 			return
 		}
-		effects.SendBefore(from, returned, c.watch.LeaseEnd())
+		effects.SendBefore(from, returned, c.node.LeaseEnd())
 	}
-	if !c.watch.HoldsLease(now) {
-		primary, found := c.watch.Primary()
+	if !c.node.HoldsLease(now) {
+		primary, found := c.node.Primary()
 		if found && primary.Name != c.settings.Self.Name {
 			effects.Send(from, membership.ControlResponse{
 				Request: request.Request, Status: http.StatusServiceUnavailable, Redirect: primary.Address, RetryAfter: comeBack,
-				Body: controlclient.Error("no-primary", "the primary does not answer", nil),
+				Body: controlclient.ErrorBody("no-primary", "the primary does not answer", nil),
 			})
 			return
 		}
-		give(effects, http.StatusServiceUnavailable, controlclient.Error("no-primary", "no controller can serve at this moment", nil))
+		give(effects, http.StatusServiceUnavailable, controlclient.ErrorBody("no-primary", "no controller can serve at this moment", nil))
 		return
 	}
 	c.beginActing(now, effects)
@@ -63,7 +63,7 @@
 	case request.Method == http.MethodGet && path == "/v1/configuration":
 		c.confirmed(now, give, effects, func() (int, any) {
 			if c.state.Version == 0 {
-				return http.StatusNotFound, controlclient.Error("no-configuration", "no configuration was taken yet", nil)
+				return http.StatusNotFound, controlclient.ErrorBody("no-configuration", "no configuration was taken yet", nil)
 			}
 			return http.StatusOK, map[string]any{"version": c.state.Version, "configuration": json.RawMessage(c.state.Document)}
 		})
@@ -85,13 +85,13 @@
 		})
 	case request.Method == http.MethodGet && path == "/v1/epochs":
 		c.confirmed(now, give, effects, func() (int, any) {
-			record := c.watch.Record()
+			record := c.node.Record()
 			voters := []string{}
 			for _, each := range record.Voters {
 				voters = append(voters, each.Name)
 			}
 			standbys := []string{}
-			for _, each := range c.watch.Standbys(now) {
+			for _, each := range c.node.Standbys(now) {
 				standbys = append(standbys, each.Name)
 			}
 			return http.StatusOK, map[string]any{
@@ -101,7 +101,7 @@
 	case strings.HasPrefix(path, "/v1/stores/"):
 		c.store(now, request, strings.TrimPrefix(path, "/v1/stores/"), give, effects)
 	default:
-		give(effects, http.StatusNotFound, controlclient.Error("no-such-path", request.Method+" "+path+" is not known", nil))
+		give(effects, http.StatusNotFound, controlclient.ErrorBody("no-such-path", request.Method+" "+path+" is not known", nil))
 	}
 }
 
@@ -109,24 +109,24 @@
 // controller's own is bound by its lease, as on its way to another daemon.
 func (c *Controller) takeAnswer(now time.Time, from string, returned membership.ControlResponse, effects *statemachine.Effects) {
 	earlier := len(effects.Responses)
-	c.controlClient.Take(now, from, returned, effects)
+	c.controlClient.HandleResponse(now, from, returned, effects)
 	if from != c.settings.Self.Address || returned.Status == http.StatusServiceUnavailable {
 		return
 	}
 	for position := earlier; position < len(effects.Responses); position++ {
-		effects.Responses[position].NotAfter = c.watch.LeaseEnd()
+		effects.Responses[position].NotAfter = c.node.LeaseEnd()
 		effects.Responses[position].LateValue = membership.ControlResponse{
 			Status: http.StatusServiceUnavailable, RetryAfter: comeBack,
-			Body: controlclient.Error("unsettled", "this controller may not answer any more; send the same again", nil),
+			Body: controlclient.ErrorBody("unsettled", "this controller may not answer any more; send the same again", nil),
 		}
 	}
 }
 
 // confirmed answers a question only after a majority said that the epoch stands.
 func (c *Controller) confirmed(now time.Time, give answer, effects *statemachine.Effects, read func() (int, any)) {
-	c.watch.Confirm(now, func(_ time.Time, effects *statemachine.Effects, outcome consensus.Outcome) {
+	c.node.Confirm(now, func(_ time.Time, effects *statemachine.Effects, outcome consensus.Outcome) {
 		if outcome != consensus.Committed {
-			give(effects, http.StatusServiceUnavailable, controlclient.Error("unconfirmed", "no majority confirmed this answer", nil))
+			give(effects, http.StatusServiceUnavailable, controlclient.ErrorBody("unconfirmed", "no majority confirmed this answer", nil))
 			return
 		}
 		status, value := read()
@@ -161,12 +161,12 @@
 	if change.Version > c.state.Version {
 		change.Document = document
 	}
-	c.watch.Submit(now, mustPack(Command{Configuration: &change}), c.spans.command, func(now time.Time, effects *statemachine.Effects, outcome consensus.Outcome) {
+	c.node.Submit(now, mustPack(Command{Configuration: &change}), c.spans.command, func(now time.Time, effects *statemachine.Effects, outcome consensus.Outcome) {
 		switch outcome {
 		case consensus.Refused:
-			give(effects, http.StatusServiceUnavailable, controlclient.Error("refused", "the configuration was not taken", nil))
+			give(effects, http.StatusServiceUnavailable, controlclient.ErrorBody("refused", "the configuration was not taken", nil))
 		case consensus.Unsettled:
-			give(effects, http.StatusServiceUnavailable, controlclient.Error("unsettled", "the configuration may have been taken; send the same again", nil))
+			give(effects, http.StatusServiceUnavailable, controlclient.ErrorBody("unsettled", "the configuration may have been taken; send the same again", nil))
 		case consensus.Committed:
 			decided := c.state.result
 			if decided.outcome == Taken {
@@ -191,7 +191,7 @@
 func (c *Controller) configurationAnswer(decided result) (int, any) {
 	switch {
 	case decided.outcome == Faulty:
-		return http.StatusBadRequest, controlclient.Error("faulty-configuration", "the configuration is faulty", decided.faults)
+		return http.StatusBadRequest, controlclient.ErrorBody("faulty-configuration", "the configuration is faulty", decided.faults)
 	case decided.outcome == OtherContent:
 		return http.StatusConflict, map[string]any{"code": "same-version", "text": "this version was taken with other content", "newest": c.state.Version}
 	case decided.outcome == Overtaken && !c.settings.Highest:
@@ -208,7 +208,7 @@
 	describe := func(status int) (int, any) {
 		member, found := c.state.member(name)
 		if !found || member.Kind != membership.KindStore {
-			return http.StatusNotFound, controlclient.Error("no-such-store", "no store is named "+name, nil)
+			return http.StatusNotFound, controlclient.ErrorBody("no-such-store", "no store is named "+name, nil)
 		}
 		partitions := []string{}
 		for _, place := range statemachine.Sorted(c.state.Places) {
@@ -224,21 +224,21 @@
 	case method == http.MethodPost && (verb == "retire" || verb == "return"):
 		c.retire(now, Retirement{Order: request.Order, Store: name, Retiring: verb == "retire"}, give, describe, effects)
 	default:
-		give(effects, http.StatusNotFound, controlclient.Error("no-such-path", method+" on a store knows retire and return", nil))
+		give(effects, http.StatusNotFound, controlclient.ErrorBody("no-such-path", method+" on a store knows retire and return", nil))
 	}
 }
 
 // retire takes an order to empty a store, or to use it again. Whether enough others
 // are left is decided where the order is applied.
 func (c *Controller) retire(now time.Time, order Retirement, give answer, describe func(status int) (int, any), effects *statemachine.Effects) {
-	tooFew := controlclient.Error("too-few-stores", fmt.Sprintf("%d other stores must be alive to take the partitions", c.state.Tolerance+1), nil)
+	tooFew := controlclient.ErrorBody("too-few-stores", fmt.Sprintf("%d other stores must be alive to take the partitions", c.state.Tolerance+1), nil)
 	member, found := c.state.member(order.Store)
 	if !found || member.Kind != membership.KindStore {
 		c.confirmed(now, give, effects, func() (int, any) {
 			if status, value := describe(http.StatusOK); status == http.StatusNotFound {
 				return status, value
 			}
-			return http.StatusServiceUnavailable, controlclient.Error("refused", "the store has just joined; send the same again", nil)
+			return http.StatusServiceUnavailable, controlclient.ErrorBody("refused", "the store has just joined; send the same again", nil)
 		})
 		return
 	}
@@ -250,10 +250,10 @@
 		give(effects, http.StatusConflict, tooFew)
 		return
 	}
-	c.watch.Submit(now, mustPack(Command{Retirement: &order}), c.spans.command, func(now time.Time, effects *statemachine.Effects, outcome consensus.Outcome) {
+	c.node.Submit(now, mustPack(Command{Retirement: &order}), c.spans.command, func(now time.Time, effects *statemachine.Effects, outcome consensus.Outcome) {
 		switch {
 		case outcome != consensus.Committed:
-			give(effects, http.StatusServiceUnavailable, controlclient.Error("unsettled", "send the same again", nil))
+			give(effects, http.StatusServiceUnavailable, controlclient.ErrorBody("unsettled", "send the same again", nil))
 		case c.state.result.outcome == TooFewStores:
 			give(effects, http.StatusConflict, tooFew)
 		default:
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -44,8 +44,8 @@
 	Seeds    []string
 	Founding bool
 	NewDisk  string
-	// Life names this run of the process.
-	Life statemachine.Incarnation
+	// Incarnation names this run of the process.
+	Incarnation statemachine.Incarnation
 	// Highest answers a configuration that is not above the one held as taken;
 	// otherwise it is a conflict, unless it is the same.
 	Highest bool
@@ -85,7 +85,7 @@
 	settings      Settings
 	spans         spans
 	state         *State
-	watch         *consensus.Watch
+	node          *consensus.Node
 	pulse         *membership.FailureDetector
 	follower      *membership.ViewClient
 	controlClient *controlclient.ControlClient
@@ -128,24 +128,24 @@
 		tolerance = *settings.Tolerance
 	}
 	watch, err := consensus.New(consensus.Settings{
-		Self: self, Count: settings.Count, Seeds: settings.Seeds, Founding: settings.Founding, Tolerance: tolerance, NewDisk: settings.NewDisk, Life: settings.Life,
+		Self: self, Count: settings.Count, Seeds: settings.Seeds, Founding: settings.Founding, Tolerance: tolerance, NewDisk: settings.NewDisk, Incarnation: settings.Incarnation,
 	}, controller.state, frame, entries)
 	if err != nil {
 		return nil, err
 	}
-	controller.watch = watch
+	controller.node = watch
 	controller.lease = watch.NewLease("economy")
 	controller.economist, controller.balancer = consolidation.New(), balancing.New()
 	controller.pulse = membership.NewFailureDetector(settings.Self)
-	controller.follower = membership.NewViewClient(settings.Self, settings.Life, append([]string{settings.Self.Address}, settings.Seeds...), func() membership.Load { return membership.Load{} })
+	controller.follower = membership.NewViewClient(settings.Self, settings.Incarnation, append([]string{settings.Self.Address}, settings.Seeds...), func() membership.Load { return membership.Load{} })
 	controller.controlClient = controlclient.New(controlclient.Settings{
-		Life: settings.Life, Acknowledge: settings.Acknowledge, Upstream: controller.upstream, Other: controller.follower.NextController, Relays: controller.follower.Relays,
+		Incarnation: settings.Incarnation, Acknowledge: settings.Acknowledge, Upstream: controller.upstream, Next: controller.follower.NextController, Relays: controller.follower.Relays,
 	})
 	return controller, nil
 }
 
 func (c *Controller) upstream() string {
-	if primary, found := c.watch.Primary(); found {
+	if primary, found := c.node.Primary(); found {
 		return primary.Address
 	}
 	return c.follower.Upstream()
@@ -154,27 +154,27 @@
 // ConfigurationVersion is the newest configuration version this controller can vouch for.
 func (c *Controller) ConfigurationVersion() uint64 { return c.follower.Version }
 
-// Follower gives the controller's own view, for its ctl.
-func (c *Controller) Follower() *membership.ViewClient { return c.follower }
+// ViewClient gives the controller's own view, for its ctl.
+func (c *Controller) ViewClient() *membership.ViewClient { return c.follower }
 
-// Watch gives the controller's watch, for its ctl and the simulator's checks.
-func (c *Controller) Watch() *consensus.Watch { return c.watch }
+// Node gives the controller's watch, for its ctl and the simulator's checks.
+func (c *Controller) Node() *consensus.Node { return c.node }
 
 // State gives the control state, for the simulator's checks.
 func (c *Controller) State() *State { return c.state }
 
 // Ready tells whether this controller does its part.
-func (c *Controller) Ready() bool { return !c.watch.Blank() }
+func (c *Controller) Ready() bool { return !c.node.Blank() }
 
 // SetTolerance takes another tolerance from changed settings.
 func (c *Controller) SetTolerance(tolerance int) {
 	c.settings.Tolerance = &tolerance
-	c.watch.SetTolerance(tolerance)
+	c.node.SetTolerance(tolerance)
 }
 
 // Start begins the controller's work.
 func (c *Controller) Start(now time.Time, effects *statemachine.Effects) {
-	c.watch.Start(now, effects)
+	c.node.Start(now, effects)
 	c.pulse.Start(now)
 	c.follower.Start(now)
 	c.timers.Arm("tend", now.Add(tendEvery))
@@ -182,12 +182,12 @@
 
 // NextTick is when the controller wants to run again.
 func (c *Controller) NextTick() time.Time {
-	return statemachine.Earliest(c.watch.NextTick(), c.pulse.NextTick(), c.follower.NextTick(), c.controlClient.NextTick(), c.timers.Next())
+	return statemachine.Earliest(c.node.NextTick(), c.pulse.NextTick(), c.follower.NextTick(), c.controlClient.NextTick(), c.timers.Next())
 }
 
 // Tick runs whatever is due.
 func (c *Controller) Tick(now time.Time, effects *statemachine.Effects) {
-	c.watch.Tick(now, effects)
+	c.node.Tick(now, effects)
 	c.pulse.Tick(now, effects)
 	c.follower.Tick(now, effects)
 	c.controlClient.Tick(now, effects)
@@ -203,10 +203,10 @@
 func (c *Controller) HandleCommand(now time.Time, command any, effects *statemachine.Effects) {
 	switch body := command.(type) {
 	case statemachine.Synced:
-		c.watch.Synced(now, body.Token, effects)
+		c.node.Synced(now, body.Token, effects)
 		c.answerNews(now, effects)
 	case Request:
-		c.controlClient.Carry(now, body.Local, body.Method, body.Path, body.Body, effects)
+		c.controlClient.Forward(now, body.Local, body.Method, body.Path, body.Body, effects)
 	case Stop:
 		c.beginStop(now, effects)
 	}
@@ -218,7 +218,7 @@
 	if meta.From != c.settings.Self.Address {
 		c.pulse.ReceiveFromPeer(now)
 	}
-	if c.watch.HandleMessage(now, meta, message, effects) {
+	if c.node.HandleMessage(now, meta, message, effects) {
 		c.answerNews(now, effects)
 		c.endStop(now, effects)
 		return
@@ -239,7 +239,7 @@
 	case membership.GracefulLeave:
 		c.onFarewell(now, body, effects)
 	case membership.PartitionReplicated:
-		if c.watch.HoldsLease(now) {
+		if c.node.HoldsLease(now) {
 			c.complete[body.Partition] = body
 			c.timers.ArmSooner("tend", now)
 		}
@@ -257,8 +257,8 @@
 // Asking and answering.
 
 func (c *Controller) onAsk(now time.Time, from string, ask membership.ViewRequest, effects *statemachine.Effects) {
-	if !c.watch.Speaking(now) {
-		if c.watch.IsPrimary() && c.watch.HoldsLease(now) {
+	if !c.node.Speaking(now) {
+		if c.node.IsPrimary() && c.node.HoldsLease(now) {
 			return
 		}
 		effects.Send(from, c.redirect(ask))
@@ -285,11 +285,11 @@
 }
 
 func (c *Controller) redirect(ask membership.ViewRequest) membership.Redirect {
-	redirect := membership.Redirect{Recipient: ask.Self.Name, Nonce: ask.Nonce, Epoch: c.watch.Record().Epoch}
-	if primary, found := c.watch.Primary(); found && primary.Name != c.settings.Self.Name {
+	redirect := membership.Redirect{Recipient: ask.Self.Name, Nonce: ask.Nonce, Epoch: c.node.Record().Epoch}
+	if primary, found := c.node.Primary(); found && primary.Name != c.settings.Self.Name {
 		redirect.Primary = primary.Address
 	}
-	for _, known := range c.watch.Known() {
+	for _, known := range c.node.Known() {
 		redirect.Controllers = append(redirect.Controllers, known.Address)
 	}
 	return redirect
@@ -299,7 +299,7 @@
 	c.noteAnswer(now, item.ask)
 	delete(c.held, item.ask.Self.Name)
 	news := membership.ViewUpdate{
-		Recipient: item.ask.Self.Name, Nonce: item.ask.Nonce, Epoch: c.watch.Record().Epoch,
+		Recipient: item.ask.Self.Name, Nonce: item.ask.Nonce, Epoch: c.node.Record().Epoch,
 		Primary: c.settings.Self.Address, Index: c.state.Index, Version: c.state.Version,
 		Directives: c.orders[item.ask.Self.Name],
 	}
@@ -315,12 +315,12 @@
 		c.state.view(&news, since)
 		c.noteView(now, item.ask)
 	}
-	effects.SendBefore(item.from, news, c.watch.LeaseEnd())
+	effects.SendBefore(item.from, news, c.node.LeaseEnd())
 }
 
 // answerNews answers those that wait, once there is news or their time is up.
 func (c *Controller) answerNews(now time.Time, effects *statemachine.Effects) {
-	if len(c.held) == 0 || !c.watch.Speaking(now) {
+	if len(c.held) == 0 || !c.node.Speaking(now) {
 		return
 	}
 	for _, item := range statemachine.Sorted(c.held) {
@@ -365,7 +365,7 @@
 }
 
 func (c *Controller) onSuspicion(now time.Time, suspicion membership.Suspicion) {
-	if !c.watch.HoldsLease(now) {
+	if !c.node.HoldsLease(now) {
 		return
 	}
 	for _, suspect := range suspicion.Silent {
@@ -380,7 +380,7 @@
 
 func (c *Controller) onFarewell(now time.Time, farewell membership.GracefulLeave, _ *statemachine.Effects) {
 	member, found := c.state.Members[farewell.Name]
-	if !c.watch.HoldsLease(now) || !found || !member.Alive || member.Incarnation != farewell.Incarnation {
+	if !c.node.HoldsLease(now) || !found || !member.Alive || member.Incarnation != farewell.Incarnation {
 		return
 	}
 	c.leaving[member.Name] = Departure{Name: member.Name, Incarnation: member.Incarnation}
@@ -390,7 +390,7 @@
 // ConnectionRefused is told that a daemon's address refuses to be dialled: its process has
 // ended, and nobody need wait for its silence.
 func (c *Controller) ConnectionRefused(now time.Time, address string, effects *statemachine.Effects) {
-	if !c.watch.HoldsLease(now) {
+	if !c.node.HoldsLease(now) {
 		return
 	}
 	for _, member := range statemachine.Sorted(c.state.Members) {
@@ -427,7 +427,7 @@
 }
 
 func (c *Controller) onLagging(now time.Time, told membership.SlowDiskReport, effects *statemachine.Effects) {
-	if !c.watch.HoldsLease(now) || !c.copiesTo(told.Reporter, told.Name) && !statemachine.Mutated("any-reporter") {
+	if !c.node.HoldsLease(now) || !c.copiesTo(told.Reporter, told.Name) && !statemachine.Mutated("any-reporter") {
 		return
 	}
 	if told.Sure {
@@ -535,7 +535,7 @@
 }
 
 func (c *Controller) tend(now time.Time, effects *statemachine.Effects) {
-	if !c.watch.HoldsLease(now) {
+	if !c.node.HoldsLease(now) {
 		if c.acting {
 			c.stopActing(now, effects)
 		}
@@ -545,7 +545,7 @@
 	c.timers.Arm("tend", now.Add(tendEvery))
 	c.beginActing(now, effects)
 	c.answerNews(now, effects)
-	if c.busy || !c.watch.Serving(now) {
+	if c.busy || !c.node.Serving(now) {
 		return
 	}
 	command := Command{}
@@ -604,7 +604,7 @@
 
 func (c *Controller) submit(now time.Time, command Command, effects *statemachine.Effects) {
 	c.busy = true
-	c.watch.Submit(now, mustPack(command), c.spans.command, func(now time.Time, effects *statemachine.Effects, outcome consensus.Outcome) {
+	c.node.Submit(now, mustPack(command), c.spans.command, func(now time.Time, effects *statemachine.Effects, outcome consensus.Outcome) {
 		c.busy = false
 		if outcome == consensus.Committed {
 			c.answerNews(now, effects)
--- a/internal/controller/explore_test.go
+++ b/internal/controller/explore_test.go
@@ -126,7 +126,7 @@
 func (s *exploreStore) start() {
 	s.lives++
 	machine, err := partition.New(partition.Settings{
-		Self: s.member(), Seeds: []string{"controller"}, NewDisk: fmt.Sprintf("%s-%d", s.name, s.lives), Life: statemachine.Incarnation(s.number<<8 + s.lives),
+		Self: s.member(), Seeds: []string{"controller"}, NewDisk: fmt.Sprintf("%s-%d", s.name, s.lives), Incarnation: statemachine.Incarnation(s.number<<8 + s.lives),
 	}, s.frame, s.entries)
 	if err != nil {
 		panic(err)
--- a/internal/controller/forget_test.go
+++ b/internal/controller/forget_test.go
@@ -131,7 +131,7 @@
 		run.judge()
 		if (number+1)%(replacements/4) == 0 {
 			run.settle()
-			sizes = append(sizes, len(run.state.Frame()))
+			sizes = append(sizes, len(run.state.Snapshot()))
 		}
 	}
 	return sizes
--- a/internal/controller/orders_test.go
+++ b/internal/controller/orders_test.go
@@ -43,7 +43,7 @@
 	for range 500 {
 		alone.pass(10 * time.Millisecond)
 	}
-	assert.Assert(t, made.watch.Serving(alone.now), "a controller that is alone serves within five seconds")
+	assert.Assert(t, made.node.Serving(alone.now), "a controller that is alone serves within five seconds")
 	return alone
 }
 
@@ -299,12 +299,12 @@
 	assert.Equal(t, put(2*historyLimit+1, "1s"), Repeated)
 	assert.Equal(t, put(2*historyLimit+1, "2s"), OtherContent)
 	assert.Equal(t, put(3*historyLimit, "2s"), OtherContent)
-	packed := state.Frame()
+	packed := state.Snapshot()
 	restored := newState()
 	assert.NilError(t, restored.Restore(packed))
 	assert.DeepEqual(t, transport.MustMarshal(restored.History), transport.MustMarshal(state.History))
 	state.Document = nil
-	assert.Assert(t, len(state.Frame()) < historyLimit*64, "%d bytes", len(state.Frame()))
+	assert.Assert(t, len(state.Snapshot()) < historyLimit*64, "%d bytes", len(state.Snapshot()))
 }
 
 // A number that was overtaken while it waited is not confirmed where it is refused,
--- a/internal/controller/partition_test.go
+++ b/internal/controller/partition_test.go
@@ -142,7 +142,7 @@
 	s.life++
 	s.up, s.frozen, s.waits = true, false, nil
 	s.offset = time.Duration(s.yard.random.Int64N(int64(4*time.Hour))) - 2*time.Hour
-	machine, err := partition.New(partition.Settings{Self: s.member(), Seeds: []string{"controller"}, NewDisk: fmt.Sprintf("%s-%d", s.name, s.life), Life: statemachine.Incarnation(s.yard.random.Uint64())}, s.frame, s.entries)
+	machine, err := partition.New(partition.Settings{Self: s.member(), Seeds: []string{"controller"}, NewDisk: fmt.Sprintf("%s-%d", s.name, s.life), Incarnation: statemachine.Incarnation(s.yard.random.Uint64())}, s.frame, s.entries)
 	assert.NilError(s.yard.t, err)
 	s.machine = machine
 	s.step(func(now time.Time, effects *statemachine.Effects) { machine.Start(now, effects) })
--- a/internal/controller/restart_test.go
+++ b/internal/controller/restart_test.go
@@ -141,7 +141,7 @@
 
 func (c *council) primary() *seat {
 	for _, each := range statemachine.Sorted(c.seats) {
-		if each.up && each.machine.watch.Serving(c.now) {
+		if each.up && each.machine.node.Serving(c.now) {
 			return each
 		}
 	}
@@ -362,7 +362,7 @@
 	for _, changes := range []int{10, 100, historyLimit + 100} {
 		c := newCouncil(t, 3)
 		c.change(1, changes, routes)
-		record := c.primary().machine.watch.Record()
+		record := c.primary().machine.node.Record()
 		backup := c.seats[record.Backups[0]]
 		backup.kill()
 		backup.disk.Wipe()
@@ -373,10 +373,10 @@
 		c.run(3 * time.Second)
 		backup.start(false)
 		c.run(3 * time.Second)
-		c.seats[c.primary().machine.watch.Record().Backups[0]].kill()
+		c.seats[c.primary().machine.node.Record().Backups[0]].kill()
 		begun := c.now
 		c.put(sizedDocument(uint64(changes+1), routes))
-		took, state := c.now.Sub(begun), len(c.primary().machine.state.Frame())
+		took, state := c.now.Sub(begun), len(c.primary().machine.state.Snapshot())
 		sent := 0
 		for what, bytes := range c.sent {
 			if strings.Contains(what, "consensus.Frame") || strings.Contains(what, "consensus.Append") {
@@ -400,7 +400,7 @@
 	acknowledged, wiped, documents := uint64(0), c.now, map[uint64][]byte{}
 	c.judge = func() {
 		for name, each := range statemachine.Sorted(c.seats) {
-			if !each.up || !each.machine.watch.Serving(c.now) {
+			if !each.up || !each.machine.node.Serving(c.now) {
 				continue
 			}
 			held := each.machine.state
--- a/internal/controller/stale_test.go
+++ b/internal/controller/stale_test.go
@@ -25,7 +25,7 @@
 
 func (s *State) clone(t *testing.T) *State {
 	cloned := newState()
-	assert.NilError(t, cloned.Restore(s.Frame()))
+	assert.NilError(t, cloned.Restore(s.Snapshot()))
 	return cloned
 }
 
--- a/internal/controller/state.go
+++ b/internal/controller/state.go
@@ -136,7 +136,7 @@
 	return named && found && strings.HasPrefix(partition, fmt.Sprintf("%s~%d/", space, birth))
 }
 
-func nature(space config.Space) string { return string(space.Promise) + "/" + string(space.Order) }
+func nature(space config.Space) string { return string(space.Retention) + "/" + string(space.Order) }
 
 func (s *State) partitions(configuration config.Configuration) []string {
 	var names []string
@@ -153,8 +153,8 @@
 	return names
 }
 
-// Frame is the whole state.
-func (s *State) Frame() []byte { return transport.MustMarshal(s) }
+// Snapshot is the whole state.
+func (s *State) Snapshot() []byte { return transport.MustMarshal(s) }
 
 // Restore takes a whole state in place of this one.
 func (s *State) Restore(packed []byte) error {
--- a/internal/controller/stop.go
+++ b/internal/controller/stop.go
@@ -24,7 +24,7 @@
 		c.stopBy = now.Add(c.stopLimit())
 		c.timers.Arm("stop", c.stopBy)
 	}
-	c.watch.Leave(now, effects)
+	c.node.Leave(now, effects)
 }
 
 // stopLimit leaves a quarter of the grace for the end itself.
@@ -38,7 +38,7 @@
 
 // endStop ends the daemon once it may go, or its time is up.
 func (c *Controller) endStop(now time.Time, effects *statemachine.Effects) {
-	if c.stopBy.IsZero() || !c.watch.Left() && now.Before(c.stopBy) {
+	if c.stopBy.IsZero() || !c.node.Left() && now.Before(c.stopBy) {
 		return
 	}
 	for _, other := range statemachine.Sorted(c.follower.Members) {
--- a/internal/daemon/host_test.go
+++ b/internal/daemon/host_test.go
@@ -37,7 +37,7 @@
 func (e *echo) Tick(time.Time, *statemachine.Effects)                                { e.due = time.Time{}; e.turns++ }
 func (e *echo) NextTick() time.Time                                                  { return e.due }
 func (*echo) ConfigurationVersion() uint64                                           { return 3 }
-func (*echo) Follower() *membership.ViewClient                                       { return &membership.ViewClient{} }
+func (*echo) ViewClient() *membership.ViewClient                                     { return &membership.ViewClient{} }
 
 func (e *echo) HandleCommand(now time.Time, command any, effects *statemachine.Effects) {
 	switch body := command.(type) {
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -58,7 +58,7 @@
 // Daemon is a machine with what ctl wants to know of it.
 type Daemon interface {
 	statemachine.Machine
-	Follower() *membership.ViewClient
+	ViewClient() *membership.ViewClient
 }
 
 // Build is what one kind of daemon brings.
@@ -106,10 +106,10 @@
 // Stored is what a daemon's disk held, and what was drawn for this start: a name
 // for its disk, if that is blank, and the name of this life.
 type Stored struct {
-	Frame   []byte
-	Entries [][]byte
-	NewDisk string
-	Life    statemachine.Incarnation
+	Frame       []byte
+	Entries     [][]byte
+	NewDisk     string
+	Incarnation statemachine.Incarnation
 }
 
 // Builder makes a daemon from its settings.
@@ -300,7 +300,7 @@
 // openDisk opens the data folder; a damaged one is put aside, so that the copy
 // is rebuilt from the other holder.
 func (p *process) openDisk() (*wal.Log, Stored, error) {
-	stored := Stored{NewDisk: hex.EncodeToString(mustRandom()), Life: statemachine.Incarnation(binary.BigEndian.Uint64(mustRandom()))}
+	stored := Stored{NewDisk: hex.EncodeToString(mustRandom()), Incarnation: statemachine.Incarnation(binary.BigEndian.Uint64(mustRandom()))}
 	path := p.current.Data
 	if path == "" {
 		return nil, stored, nil
@@ -373,7 +373,7 @@
 func writeJSON(writer http.ResponseWriter, status int, value any) {
 	body, err := json.Marshal(value)
 	if err != nil {
-		status, body = http.StatusInternalServerError, controlclient.Error("encoding", err.Error(), nil)
+		status, body = http.StatusInternalServerError, controlclient.ErrorBody("encoding", err.Error(), nil)
 	}
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(status)
@@ -480,7 +480,7 @@
 
 func (p *process) describe(writer http.ResponseWriter, _ *http.Request) {
 	value, alive := p.inspect(func(now time.Time) any {
-		follower := p.built.Machine.Follower()
+		follower := p.built.Machine.ViewClient()
 		return map[string]any{
 			"name": p.self.Name, "kind": p.kind, "zone": p.self.Zone, "ready": p.built.Ready(now),
 			"version": p.built.Machine.ConfigurationVersion(), "index": follower.Index, "epoch": follower.Epoch, "primary": follower.Primary(),
@@ -549,7 +549,7 @@
 	value, alive := p.host.Do(func(local uint64) any { return p.built.Request(local, method, path, body) })
 	returned, matches := value.(membership.ControlResponse)
 	if !alive || !matches {
-		return Reply{Status: http.StatusServiceUnavailable, RetryAfter: time.Second, Body: controlclient.Error("stopping", "the daemon is stopping", nil)}
+		return Reply{Status: http.StatusServiceUnavailable, RetryAfter: time.Second, Body: controlclient.ErrorBody("stopping", "the daemon is stopping", nil)}
 	}
 	return Reply{Status: returned.Status, RetryAfter: returned.RetryAfter, Body: returned.Body}
 }
--- a/internal/gateway/catchup_test.go
+++ b/internal/gateway/catchup_test.go
@@ -26,7 +26,7 @@
 	made := &crowded{now: time.Unix(1000, 0)}
 	made.gateway = New(Settings{Self: membership.Member{Name: "gateway-1", Kind: membership.KindGateway, Address: "a:1"}, Agent: "a:2"})
 	made.gateway.follower.Members["store-1"] = membership.Member{Name: "store-1", Kind: membership.KindStore, Address: "k:1", Alive: true}
-	made.gateway.spaces["boards"] = &spaceState{space: config.Space{Name: "boards", Promise: config.Kept, Order: config.OrderTopic, Subscribers: []string{"*"}}, name: "boards~0"}
+	made.gateway.spaces["boards"] = &spaceState{space: config.Space{Name: "boards", Retention: config.Durable, Order: config.OrderTopic, Subscribers: []string{"*"}}, name: "boards~0"}
 	for number := range count {
 		name := fmt.Sprintf("topic-%d", number)
 		partition := config.SharedPartition(name)
--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -433,7 +433,7 @@
 }
 
 func (g *Gateway) partitionsOf(state *spaceState, interest Interest) []string {
-	if state.space.Promise != config.Kept {
+	if state.space.Retention != config.Durable {
 		return nil
 	}
 	if !interest.Wide {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -63,8 +63,8 @@
 	Link int
 	// Processor tells the processor time used so far; it may be nil.
 	Processor func() time.Duration
-	// Life names this run of the process.
-	Life statemachine.Incarnation
+	// Incarnation names this run of the process.
+	Incarnation statemachine.Incarnation
 }
 
 type lookout struct {
@@ -149,10 +149,10 @@
 		channels: map[uint64]*channel{}, moving: map[uint64]bool{}, spaces: map[string]*spaceState{},
 		senders: map[senderKey]*sender{}, trackers: map[string]*tracker{},
 		appends: map[uint64]*publication{}, sends: map[uint64]*publication{}, recalls: map[uint64]*recall{}, fetches: map[uint64]*fetch{},
-		nextRequest: settings.Life.FirstRequestNumber(), routed: newRouted(), newest: map[string]uint64{},
+		nextRequest: settings.Incarnation.FirstRequestNumber(), routed: newRouted(), newest: map[string]uint64{},
 	}
 	gateway.policies = standardPolicies()
-	gateway.follower = membership.NewViewClient(settings.Self, settings.Life, []string{settings.Agent}, gateway.load)
+	gateway.follower = membership.NewViewClient(settings.Self, settings.Incarnation, []string{settings.Agent}, gateway.load)
 	gateway.pulse = membership.NewFailureDetector(settings.Self)
 	gateway.follower.PinToFirstSeed()
 	upstream := func() string {
@@ -162,7 +162,7 @@
 		return settings.Agent
 	}
 	gateway.controlClient = controlclient.New(controlclient.Settings{
-		Life: settings.Life, Acknowledge: settings.Acknowledge, Upstream: upstream, Other: gateway.follower.NextController, Relays: gateway.follower.Relays,
+		Incarnation: settings.Incarnation, Acknowledge: settings.Acknowledge, Upstream: upstream, Next: gateway.follower.NextController, Relays: gateway.follower.Relays,
 	})
 	return gateway
 }
@@ -178,8 +178,8 @@
 // ConfigurationVersion is the configuration version in force here.
 func (g *Gateway) ConfigurationVersion() uint64 { return g.follower.Version }
 
-// Follower gives the gateway's view, for its ctl.
-func (g *Gateway) Follower() *membership.ViewClient { return g.follower }
+// ViewClient gives the gateway's view, for its ctl.
+func (g *Gateway) ViewClient() *membership.ViewClient { return g.follower }
 
 // Overlay gives the overlay part, for counters and tests.
 func (g *Gateway) Overlay() *overlay.Overlay { return g.overlay }
@@ -300,7 +300,7 @@
 			channel.pongAt = now
 		}
 	case ControlRequest:
-		g.controlClient.Carry(now, body.Local, body.Method, body.Path, body.Body, effects)
+		g.controlClient.Forward(now, body.Local, body.Method, body.Path, body.Body, effects)
 	case FindDecisions:
 		effects.Respond(body.Local, g.ring.Find(body.Request, body.Message, body.Origin))
 	case Stop:
@@ -341,7 +341,7 @@
 	case membership.Heartbeat:
 		g.pulse.ReceiveHeartbeat(now, body)
 	case membership.ControlResponse:
-		g.controlClient.Take(now, meta.From, body, effects)
+		g.controlClient.HandleResponse(now, meta.From, body, effects)
 	case membership.ConfigurationRequest:
 		g.follower.RespondToConfigurationRequest(meta.From, body, effects)
 	case membership.ConfigurationResponse:
--- a/internal/gateway/identity_test.go
+++ b/internal/gateway/identity_test.go
@@ -26,13 +26,13 @@
 }
 
 func newAsker(life statemachine.Incarnation, now time.Time, partitions ...string) *asker {
-	gateway := New(Settings{Self: membership.Member{Name: "gateway-1", Kind: membership.KindGateway, Address: "a:1"}, Agent: "a:2", Life: life})
+	gateway := New(Settings{Self: membership.Member{Name: "gateway-1", Kind: membership.KindGateway, Address: "a:1"}, Agent: "a:2", Incarnation: life})
 	for number, name := range partitions {
 		store := string(rune('k' + number))
 		gateway.follower.Members[store] = membership.Member{Name: store, Kind: membership.KindStore, Address: store, Alive: true}
 		gateway.follower.Placements[name] = membership.Placement{Partition: name, Epoch: 1, Leader: store}
 	}
-	gateway.spaces["boards"] = &spaceState{space: config.Space{Name: "boards", Promise: config.Kept}, name: "boards~1"}
+	gateway.spaces["boards"] = &spaceState{space: config.Space{Name: "boards", Retention: config.Durable}, name: "boards~1"}
 	item := &publication{
 		request: Publish{Request: 9, Sender: "u", Origin: "u", Space: "boards", Topic: "t", Seq: 1}, key: senderKey{space: "boards", sender: "u"},
 		id: 77, partition: partitions[0], limit: now.Add(500 * time.Millisecond),
--- a/internal/gateway/opening_test.go
+++ b/internal/gateway/opening_test.go
@@ -55,7 +55,7 @@
 		var effects statemachine.Effects
 		fleetlab.gateway.Start(fleetlab.now, &effects)
 		fleetlab.pass(time.Millisecond)
-		from := fleetlab.gateway.Follower().ConfirmedAt
+		from := fleetlab.gateway.ViewClient().ConfirmedAt
 		assert.Assert(t, fleetlab.gateway.Confirmed(from.Add(min(wanted, 1900*time.Millisecond))), "%s", given)
 		assert.Assert(t, !fleetlab.gateway.Confirmed(from.Add(wanted+time.Millisecond)), "%s", given)
 	}
--- a/internal/gateway/publish.go
+++ b/internal/gateway/publish.go
@@ -189,7 +189,7 @@
 			g.settlePublication(now, item, refused(404, "no-such-space", "the space was removed", 0), effects)
 			continue
 		}
-		if state.space.Promise == config.Kept {
+		if state.space.Retention == config.Durable {
 			g.keep(now, state, from, item, effects)
 			return
 		}
--- a/internal/gateway/publish_test.go
+++ b/internal/gateway/publish_test.go
@@ -19,7 +19,7 @@
 	gateway := New(Settings{Self: membership.Member{Name: "gateway-1", Kind: membership.KindGateway, Address: "a:1"}, Agent: "a:2"})
 	gateway.follower.Members["store-1"] = membership.Member{Name: "store-1", Kind: membership.KindStore, Address: "k:1", Alive: true}
 	gateway.follower.Placements["boards~1/0"] = membership.Placement{Partition: "boards~1/0", Epoch: 1, Leader: "store-1"}
-	gateway.spaces["boards"] = &spaceState{space: config.Space{Name: "boards", Promise: config.Kept}, name: "boards~1"}
+	gateway.spaces["boards"] = &spaceState{space: config.Space{Name: "boards", Retention: config.Durable}, name: "boards~1"}
 	key := senderKey{space: "boards", sender: "u"}
 	from := &sender{recent: map[uint64]sentMemory{}}
 	item := &publication{
--- a/internal/gateway/routed.go
+++ b/internal/gateway/routed.go
@@ -245,7 +245,7 @@
 	if !found {
 		followed = &topic{
 			name: name, number: config.TopicNumber(name), partition: config.SharedPartition(name), space: space,
-			kept: g.spaces[space].space.Promise == config.Kept,
+			kept: g.spaces[space].space.Retention == config.Durable,
 		}
 		g.routed.topics[name] = followed
 		g.routed.numbers[followed.number] = followed
@@ -703,7 +703,7 @@
 	for name, followed := range statemachine.Sorted(g.routed.topics) {
 		space := g.routeOf("", name)
 		state, present := g.spaces[space]
-		if present && (state.space.Promise == config.Kept) == followed.kept {
+		if present && (state.space.Retention == config.Durable) == followed.kept {
 			followed.space = space
 			continue
 		}
--- a/internal/gateway/routed_publish.go
+++ b/internal/gateway/routed_publish.go
@@ -63,7 +63,7 @@
 		return
 	}
 	state := g.spaces[space]
-	item.bare = state.space.Promise != config.Kept
+	item.bare = state.space.Retention != config.Durable
 	item.limit = now.Add(min(patience, state.space.AnswerWithin/2))
 	g.nextRequest++
 	item.id = g.nextRequest
--- a/internal/gateway/ways_test.go
+++ b/internal/gateway/ways_test.go
@@ -21,7 +21,7 @@
 	name := config.SharedPartition("topic")
 	gateway.follower.Members["store-1"] = membership.Member{Name: "store-1", Kind: membership.KindStore, Address: "k:1", Alive: true}
 	gateway.follower.Placements[name] = membership.Placement{Partition: name, Epoch: 1, Leader: "store-1", Complete: true}
-	gateway.spaces["boards"] = &spaceState{space: config.Space{Name: "boards", Promise: config.Kept, Order: config.OrderTopic}, name: "boards~0"}
+	gateway.spaces["boards"] = &spaceState{space: config.Space{Name: "boards", Retention: config.Durable, Order: config.OrderTopic}, name: "boards~0"}
 	var effects statemachine.Effects
 	taken := &place{channel: 1, filling: true, limit: now.Add(time.Second)}
 	followed := gateway.addPlace(now, "topic", "boards", taken, &effects)
--- a/internal/partition/store.go
+++ b/internal/partition/store.go
@@ -55,8 +55,8 @@
 	Grace time.Duration
 	// Acknowledge is within what time a proper order is to be acknowledged.
 	Acknowledge time.Duration
-	// Life names this run of the process.
-	Life statemachine.Incarnation
+	// Incarnation names this run of the process.
+	Incarnation statemachine.Incarnation
 }
 
 // Request is an operator's request at this daemon's own ctl.
@@ -226,10 +226,10 @@
 		partition.synced, _ = partition.log.head()
 	}
 	store.settings.Self.Disk = store.disk
-	store.follower = membership.NewViewClient(store.settings.Self, settings.Life, settings.Seeds, store.load)
+	store.follower = membership.NewViewClient(store.settings.Self, settings.Incarnation, settings.Seeds, store.load)
 	store.pulse = membership.NewFailureDetector(store.settings.Self)
 	store.controlClient = controlclient.New(controlclient.Settings{
-		Life: settings.Life, Acknowledge: settings.Acknowledge, Upstream: store.follower.Upstream, Other: store.follower.NextController, Relays: store.follower.Relays,
+		Incarnation: settings.Incarnation, Acknowledge: settings.Acknowledge, Upstream: store.follower.Upstream, Next: store.follower.NextController, Relays: store.follower.Relays,
 	})
 	return store, nil
 }
@@ -254,8 +254,8 @@
 // ConfigurationVersion is the configuration version in force here.
 func (s *Store) ConfigurationVersion() uint64 { return s.follower.Version }
 
-// Follower gives the store's view, for its ctl.
-func (s *Store) Follower() *membership.ViewClient { return s.follower }
+// ViewClient gives the store's view, for its ctl.
+func (s *Store) ViewClient() *membership.ViewClient { return s.follower }
 
 // Disk is the name of the disk.
 func (s *Store) Disk() string { return s.disk }
@@ -286,7 +286,7 @@
 	case statemachine.DiskUnavailable:
 		s.onDiskRefused(now, effects)
 	case Request:
-		s.controlClient.Carry(now, body.Local, body.Method, body.Path, body.Body, effects)
+		s.controlClient.Forward(now, body.Local, body.Method, body.Path, body.Body, effects)
 	case FindDecisions:
 		effects.Respond(body.Local, s.ring.Find(body.Request, body.Message, body.Origin))
 	case Stop:
@@ -334,7 +334,7 @@
 	case membership.Heartbeat:
 		s.pulse.ReceiveHeartbeat(now, body)
 	case membership.ControlResponse:
-		s.controlClient.Take(now, meta.From, body, effects)
+		s.controlClient.HandleResponse(now, meta.From, body, effects)
 	case membership.ConfigurationRequest:
 		s.follower.RespondToConfigurationRequest(meta.From, body, effects)
 	case Append:
@@ -405,7 +405,7 @@
 	s.config, _ = config.Read(s.follower.Document)
 	longest := config.DefaultHolding
 	for _, space := range s.config.Spaces {
-		if space.Order == config.OrderTopic && space.Promise == config.Kept {
+		if space.Order == config.OrderTopic && space.Retention == config.Durable {
 			longest = max(longest, space.Holding)
 		}
 	}
--- a/internal/scaletest/scaletest.go
+++ b/internal/scaletest/scaletest.go
@@ -174,14 +174,14 @@
 		fleet.Put(2, spaces, 20*time.Second)
 		fleet.RunUntil(20*time.Second, func() bool {
 			for _, node := range all {
-				if node.Machine.Follower().Version != 2 {
+				if node.Machine.ViewClient().Version != 2 {
 					return false
 				}
 			}
 			return true
 		})
 		reading.InForce = fleet.Now.Sub(from)
-		reading.Document = len(all[0].Machine.Follower().Document)
+		reading.Document = len(all[0].Machine.ViewClient().Document)
 		fleet.Run(length - reading.InForce%length)
 	})
 	lost := []*simulator.Node{fleet.Node(membership.KindGateway + "-1"), fleet.Node(membership.KindAgent + "-1")}
--- a/internal/simulator/controllers_test.go
+++ b/internal/simulator/controllers_test.go
@@ -22,7 +22,7 @@
 	return size
 }
 
-func (n *Node) watch() *consensus.Watch { return n.Machine.(*controller.Controller).Watch() }
+func (n *Node) watch() *consensus.Node { return n.Machine.(*controller.Controller).Node() }
 
 func (n *Node) watchedState() *controller.State { return n.Machine.(*controller.Controller).State() }
 
--- a/internal/simulator/meter.go
+++ b/internal/simulator/meter.go
@@ -64,7 +64,7 @@
 			}
 		}
 		for _, node := range all {
-			follower := node.Machine.Follower()
+			follower := node.Machine.ViewClient()
 			if follower.Version != 1 || len(follower.Members) != len(all) {
 				return false
 			}
--- a/internal/simulator/operator.go
+++ b/internal/simulator/operator.go
@@ -54,9 +54,9 @@
 	made := document{Version: o.version, Spaces: spaces, Economy: o.economy, Drains: o.drains}
 	if world := o.simulation.world; world != nil {
 		for _, each := range world.routes() {
-			promise := config.Passing
+			promise := config.Ephemeral
 			if each.kept {
-				promise = config.Kept
+				promise = config.Durable
 			}
 			made.Spaces = append(made.Spaces, spaceDocument{Name: each.space, Promise: string(promise), Order: string(config.OrderTopic)})
 			made.Routes = append(made.Routes, routeDocument{Prefix: each.prefix, Space: each.space})
--- a/internal/simulator/scenario.go
+++ b/internal/simulator/scenario.go
@@ -60,7 +60,7 @@
 		if s.cutFromMost(node) || s.cutFromMost(beside) {
 			continue
 		}
-		if orders := node.Gateway().Follower().Directives; !node.Ready() && !orders.Rest && !slices.Contains(node.Gateway().Configuration().Drains, node.Name) {
+		if orders := node.Gateway().ViewClient().Directives; !node.Ready() && !orders.Rest && !slices.Contains(node.Gateway().Configuration().Drains, node.Name) {
 			s.unready[node.Name] += sampleEvery
 			s.Checker.NotReady(node.Name, s.calmSince(), s.Now)
 		}
@@ -341,7 +341,7 @@
 	if primary == nil {
 		return nil
 	}
-	record := primary.Machine.(*controller.Controller).Watch().Record()
+	record := primary.Machine.(*controller.Controller).Node().Record()
 	if role == "backup" {
 		if len(record.Backups) == 0 {
 			return nil
--- a/internal/simulator/simulator.go
+++ b/internal/simulator/simulator.go
@@ -182,7 +182,7 @@
 
 type hosted interface {
 	statemachine.Machine
-	Follower() *membership.ViewClient
+	ViewClient() *membership.ViewClient
 }
 
 // New lays out a fleet; nothing runs before Start.
@@ -212,7 +212,7 @@
 func (s *Simulation) addController(number int) *Node {
 	return s.add(membership.KindController, number, func(node *Node, stored stored) hosted {
 		settings := controller.Settings{
-			Self: node.member(), Count: s.Size.Controllers, Seeds: s.seeds, NewDisk: fmt.Sprintf("disk%d", node.life), Life: node.named(), Highest: s.Size.Highest,
+			Self: node.member(), Count: s.Size.Controllers, Seeds: s.seeds, NewDisk: fmt.Sprintf("disk%d", node.life), Incarnation: node.named(), Highest: s.Size.Highest,
 		}
 		if s.Size.Seeded {
 			settings.Count, settings.Tolerance = 0, &s.Size.Tolerance
@@ -227,7 +227,7 @@
 
 func (s *Simulation) addStore(number int) *Node {
 	return s.add(membership.KindStore, number, func(node *Node, stored stored) hosted {
-		machine, err := partition.New(partition.Settings{Self: node.member(), Seeds: s.seeds, NewDisk: fmt.Sprintf("disk%d", node.life), Life: node.named()}, stored.frame, stored.entries)
+		machine, err := partition.New(partition.Settings{Self: node.member(), Seeds: s.seeds, NewDisk: fmt.Sprintf("disk%d", node.life), Incarnation: node.named()}, stored.frame, stored.entries)
 		must(err)
 		return machine
 	})
@@ -236,12 +236,12 @@
 // addGateway adds a gateway and the agent beside it.
 func (s *Simulation) addGateway(number int) (*Node, *Node) {
 	gateway := s.add(membership.KindGateway, number, func(node *Node, _ stored) hosted {
-		return gateway.New(gateway.Settings{Self: node.member(), Agent: address(membership.KindAgent, number), Link: s.Size.Links[membership.KindGateway].Down, Key: []byte("simulated-key-0123"), Life: node.named(), Processor: func() time.Duration {
+		return gateway.New(gateway.Settings{Self: node.member(), Agent: address(membership.KindAgent, number), Link: s.Size.Links[membership.KindGateway].Down, Key: []byte("simulated-key-0123"), Incarnation: node.named(), Processor: func() time.Duration {
 			return time.Duration(node.Steps) * stepProcessor
 		}})
 	})
 	return gateway, s.add(membership.KindAgent, number, func(node *Node, _ stored) hosted {
-		return agent.New(agent.Settings{Self: node.member(), Seeds: s.seeds, Gateway: address(membership.KindGateway, number), Life: node.named()})
+		return agent.New(agent.Settings{Self: node.member(), Seeds: s.seeds, Gateway: address(membership.KindGateway, number), Incarnation: node.named()})
 	})
 }
 
@@ -762,7 +762,7 @@
 // Primary is the controller that may act at this moment, if there is one.
 func (s *Simulation) Primary() *Node {
 	for _, node := range s.Nodes(membership.KindController) {
-		if node.Up && !node.Frozen && node.Machine.(*controller.Controller).Watch().Serving(node.local()) {
+		if node.Up && !node.Frozen && node.Machine.(*controller.Controller).Node().Serving(node.local()) {
 			return node
 		}
 	}
