--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -86,7 +86,6 @@
 	subcommands.Register(&up{}, "")
 	subcommands.Register(&hunt{}, "")
 	subcommands.Register(&trial{}, "")
-	subcommands.Register(&scale{}, "")
 	flag.Parse()
 	os.Exit(int(subcommands.Execute(context.Background())))
 }
--- a/internal/simulator/bandwidth.go
+++ b/internal/simulator/bandwidth.go
@@ -331,10 +331,7 @@
 
 // receive reads a frame that came in.
 func (n *Node) receive(frame []byte) {
-	var meta statemachine.Meta
-	var message any
-	var err error
-	n.metered(func() { meta, message, err = transport.Decode(frame[4:]) })
+	meta, message, err := transport.Decode(frame[4:])
 	must(err)
 	n.step(func(now time.Time, effects *statemachine.Effects) { n.Machine.Message(now, meta, message, effects) })
 }
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -69,15 +69,8 @@
 	if !found {
 		return
 	}
-	var frame []byte
-	var err error
-	from.metered(func() {
-		frame, err = transport.Encode(statemachine.Meta{From: from.Address, Version: version}, send.Message)
-	})
+	frame, err := transport.Encode(statemachine.Meta{From: from.Address, Version: version}, send.Message)
 	must(err)
-	if s.Meter != nil {
-		s.Meter.Said(from, to, send.Message, len(frame))
-	}
 	s.Sent[fmt.Sprintf("%T", send.Message)]++
 	if s.cuts[link(from, to)] > 0 {
 		return
--- a/internal/simulator/simulator.go
+++ b/internal/simulator/simulator.go
@@ -91,9 +91,7 @@
 	Trace   func(line string)
 	// Departs, if there is one, is told what leaves a daemon as it leaves, and for
 	// whom: an address, or nothing where it is the answer to whoever asked there.
-	Departs func(from *Node, to string, message any)
-	// Meter, if there is one, is told what each daemon works and says.
-	Meter        Meter
+	Departs      func(from *Node, to string, message any)
 	started      time.Time
 	queue        events
 	order        uint64
@@ -561,7 +559,7 @@
 func (n *Node) step(run func(now time.Time, effects *statemachine.Effects)) {
 	n.Steps++
 	var effects statemachine.Effects
-	n.metered(func() { run(n.local(), &effects) })
+	run(n.local(), &effects)
 	if n.standsStill(&effects) {
 		return
 	}
