--- a/internal/consensus/messages.go
+++ b/internal/consensus/messages.go
@@ -13,10 +13,10 @@
 // Controller is one coordinator: its name, where it is, and the name of the disk
 // that it began with, so that one whose disk was lost is known to be another.
 type Controller struct {
-	Name    string
-	Address string
-	Zone    string
-	Disk    string
+	Name    string `cbor:"Name"`
+	Address string `cbor:"Address"`
+	Zone    string `cbor:"Zone"`
+	Disk    string `cbor:"Disk"`
 }
 
 // At tells whether both are the same controller at the same address, whatever disk
@@ -27,10 +27,10 @@
 
 // Record is an epoch: who is primary, who are its backups, and who may grant.
 type Record struct {
-	Epoch   uint64
-	Primary string
-	Backups []string
-	Voters  []Controller
+	Epoch   uint64       `cbor:"Epoch"`
+	Primary string       `cbor:"Primary"`
+	Backups []string     `cbor:"Backups"`
+	Voters  []Controller `cbor:"Voters"`
 }
 
 // Find gives the voters's entry of a name.
@@ -60,8 +60,8 @@
 
 // Ballot orders the attempts to decide one epoch.
 type Ballot struct {
-	Count uint64
-	Name  string
+	Count uint64 `cbor:"Count"`
+	Name  string `cbor:"Name"`
 }
 
 // Before orders ballots.
@@ -76,190 +76,190 @@
 // part in deciding the next one; the name of its disk; and, from its first start
 // until the first epoch, the addresses of the founders that it is one of.
 type Durable struct {
-	Disk           string
-	Founders       []string
-	Record         Record
-	Promised       Ballot
-	AcceptedBallot Ballot
-	Accepted       Record
-	Complete       uint64
-	Recalled       bool
+	Disk           string   `cbor:"Disk"`
+	Founders       []string `cbor:"Founders"`
+	Record         Record   `cbor:"Record"`
+	Promised       Ballot   `cbor:"Promised"`
+	AcceptedBallot Ballot   `cbor:"AcceptedBallot"`
+	Accepted       Record   `cbor:"Accepted"`
+	Complete       uint64   `cbor:"Complete"`
+	Recalled       bool     `cbor:"Recalled"`
 }
 
 // Hello lets controllers find each other through the seeds.
 type Hello struct {
-	Self     Controller
-	Count    int
-	Known    []Controller
-	Blank    bool
-	Founding bool
-	Record   Record
+	Self     Controller   `cbor:"Self"`
+	Count    int          `cbor:"Count"`
+	Known    []Controller `cbor:"Known"`
+	Blank    bool         `cbor:"Blank"`
+	Founding bool         `cbor:"Founding"`
+	Record   Record       `cbor:"Record"`
 }
 
 // RecallAsk comes from a controller whose disk is blank.
 type RecallAsk struct {
-	Request statemachine.RequestID
+	Request statemachine.RequestID `cbor:"Request"`
 }
 
 // RecallResponse tells it what one other controller remembers.
 type RecallResponse struct {
-	Request statemachine.RequestID
-	Durable Durable
+	Request statemachine.RequestID `cbor:"Request"`
+	Durable Durable                `cbor:"Durable"`
 }
 
 // Prepare asks for the right to decide an epoch.
 type Prepare struct {
-	Epoch  uint64
-	Ballot Ballot
+	Epoch  uint64 `cbor:"Epoch"`
+	Ballot Ballot `cbor:"Ballot"`
 }
 
 // Promise answers Prepare.
 type Promise struct {
-	Epoch          uint64
-	Ballot         Ballot
-	Given          bool
-	Wait           time.Duration
-	Promised       Ballot
-	AcceptedBallot Ballot
-	Accepted       Record
+	Epoch          uint64        `cbor:"Epoch"`
+	Ballot         Ballot        `cbor:"Ballot"`
+	Given          bool          `cbor:"Given"`
+	Wait           time.Duration `cbor:"Wait"`
+	Promised       Ballot        `cbor:"Promised"`
+	AcceptedBallot Ballot        `cbor:"AcceptedBallot"`
+	Accepted       Record        `cbor:"Accepted"`
 }
 
 // Accept asks to take a record for an epoch.
 type Accept struct {
-	Epoch  uint64
-	Ballot Ballot
-	Record Record
+	Epoch  uint64 `cbor:"Epoch"`
+	Ballot Ballot `cbor:"Ballot"`
+	Record Record `cbor:"Record"`
 }
 
 // Accepted answers Accept.
 type Accepted struct {
-	Epoch  uint64
-	Ballot Ballot
-	Taken  bool
+	Epoch  uint64 `cbor:"Epoch"`
+	Ballot Ballot `cbor:"Ballot"`
+	Taken  bool   `cbor:"Taken"`
 }
 
 // Decided spreads a decided record.
 type Decided struct {
-	Record Record
+	Record Record `cbor:"Record"`
 }
 
 // Renew asks for more lease; soon after an epoch was decided it tells the record
 // too, in case the word of it was lost.
 type Renew struct {
-	Epoch   uint64
-	Request statemachine.RequestID
-	Record  Record
+	Epoch   uint64                 `cbor:"Epoch"`
+	Request statemachine.RequestID `cbor:"Request"`
+	Record  Record                 `cbor:"Record"`
 }
 
 // Grant gives lease and tells how far the granter's state reaches; without a
 // request it only tells.
 type Grant struct {
-	Epoch    uint64
-	Request  statemachine.RequestID
-	Index    uint64
-	Complete uint64
+	Epoch    uint64                 `cbor:"Epoch"`
+	Request  statemachine.RequestID `cbor:"Request"`
+	Index    uint64                 `cbor:"Index"`
+	Complete uint64                 `cbor:"Complete"`
 }
 
 // Yield gives the rest of the lease back: the primary is stopping, or its disk
 // hangs. Request is the newest renewal that it asked for.
 type Yield struct {
-	Epoch   uint64
-	Request statemachine.RequestID
+	Epoch   uint64                 `cbor:"Epoch"`
+	Request statemachine.RequestID `cbor:"Request"`
 }
 
 // Append carries one command from the primary to each backup.
 type Append struct {
-	Epoch   uint64
-	Index   uint64
-	Command []byte
+	Epoch   uint64 `cbor:"Epoch"`
+	Index   uint64 `cbor:"Index"`
+	Command []byte `cbor:"Command"`
 }
 
 // AppendResponse says that the backup has synced it.
 type AppendResponse struct {
-	Epoch uint64
-	Index uint64
+	Epoch uint64 `cbor:"Epoch"`
+	Index uint64 `cbor:"Index"`
 }
 
 // Frame carries the whole state, either to level a backup at the present epoch
 // or to ready a spare for the next.
 type Frame struct {
-	Epoch uint64
-	For   uint64
-	Index uint64
-	State []byte
+	Epoch uint64 `cbor:"Epoch"`
+	For   uint64 `cbor:"For"`
+	Index uint64 `cbor:"Index"`
+	State []byte `cbor:"State"`
 }
 
 // FrameResponse says that the frame is synced, and whether its holder is about to
 // leave.
 type FrameResponse struct {
-	Epoch   uint64
-	For     uint64
-	Index   uint64
-	Leaving bool
+	Epoch   uint64 `cbor:"Epoch"`
+	For     uint64 `cbor:"For"`
+	Index   uint64 `cbor:"Index"`
+	Leaving bool   `cbor:"Leaving"`
 }
 
 // Confirm asks the voters whether the epoch still stands.
 type Confirm struct {
-	Epoch   uint64
-	Request statemachine.RequestID
+	Epoch   uint64                 `cbor:"Epoch"`
+	Request statemachine.RequestID `cbor:"Request"`
 }
 
 // ConfirmResponse answers for the present epoch only.
 type ConfirmResponse struct {
-	Epoch   uint64
-	Request statemachine.RequestID
+	Epoch   uint64                 `cbor:"Epoch"`
+	Request statemachine.RequestID `cbor:"Request"`
 }
 
 // DutyAsk asks a majority for the lease of a single duty.
 type DutyAsk struct {
-	Duty    string
-	Request statemachine.RequestID
+	Duty    string                 `cbor:"Duty"`
+	Request statemachine.RequestID `cbor:"Request"`
 }
 
 // DutyResponse grants it or names who holds it.
 type DutyResponse struct {
-	Duty    string
-	Request statemachine.RequestID
-	Given   bool
-	Holder  string
+	Duty    string                 `cbor:"Duty"`
+	Request statemachine.RequestID `cbor:"Request"`
+	Given   bool                   `cbor:"Given"`
+	Holder  string                 `cbor:"Holder"`
 }
 
 // Leave asks the voters to let a controller go.
 type Leave struct {
-	Epoch   uint64
-	Request statemachine.RequestID
+	Epoch   uint64                 `cbor:"Epoch"`
+	Request statemachine.RequestID `cbor:"Request"`
 }
 
 // LeaveResponse says that the voters of the epoch, without the asker, last on this
 // disk; or that nobody can take its place.
 type LeaveResponse struct {
-	Epoch         uint64
-	Request       statemachine.RequestID
-	Irreplaceable bool
+	Epoch         uint64                 `cbor:"Epoch"`
+	Request       statemachine.RequestID `cbor:"Request"`
+	Irreplaceable bool                   `cbor:"Irreplaceable"`
 }
 
 type spareFrame struct {
-	From  string
-	For   uint64
-	Index uint64
-	State []byte
+	From  string `cbor:"From"`
+	For   uint64 `cbor:"For"`
+	Index uint64 `cbor:"Index"`
+	State []byte `cbor:"State"`
 }
 
 type diskEntry struct {
-	Durable *Durable
-	Index   uint64
-	Command []byte
-	State   []byte
-	Spare   *spareFrame
+	Durable *Durable    `cbor:"Durable"`
+	Index   uint64      `cbor:"Index"`
+	Command []byte      `cbor:"Command"`
+	State   []byte      `cbor:"State"`
+	Spare   *spareFrame `cbor:"Spare"`
 }
 
 type diskFrame struct {
-	Durable Durable
-	Index   uint64
-	State   []byte
-	Spares  []spareFrame
+	Durable Durable      `cbor:"Durable"`
+	Index   uint64       `cbor:"Index"`
+	State   []byte       `cbor:"State"`
+	Spares  []spareFrame `cbor:"Spares"`
 	// Pending is the command that was under way when the snapshot was taken.
-	Pending *diskEntry
+	Pending *diskEntry `cbor:"Pending"`
 }
 
 func init() {
--- a/internal/controller/command.go
+++ b/internal/controller/command.go
@@ -18,68 +18,68 @@
 // Command is one change of the control state. Parts are applied in the order of
 // the fields.
 type Command struct {
-	Configuration *ConfigurationChange
-	Retirement    *Retirement
+	Configuration *ConfigurationChange `cbor:"Configuration"`
+	Retirement    *Retirement          `cbor:"Retirement"`
 	// Tolerance, if given, is how many stores may be lost at once from now on.
-	Tolerance    *int
-	Departures   []Departure
-	Joins        []Join
-	Emptied      []string
-	Degradations []Degradation
-	Rests        []Rest
-	Places       []membership.Placement
-	Settled      []membership.PartitionComplete
-	Forgotten    []Departure
+	Tolerance    *int                           `cbor:"Tolerance"`
+	Departures   []Departure                    `cbor:"Departures"`
+	Joins        []Join                         `cbor:"Joins"`
+	Emptied      []string                       `cbor:"Emptied"`
+	Degradations []Degradation                  `cbor:"Degradations"`
+	Rests        []Rest                         `cbor:"Rests"`
+	Places       []membership.Placement         `cbor:"Places"`
+	Settled      []membership.PartitionComplete `cbor:"Settled"`
+	Forgotten    []Departure                    `cbor:"Forgotten"`
 }
 
 // ConfigurationChange is an operator's configuration under its number. One that was
 // overtaken before it was submitted comes without its document.
 type ConfigurationChange struct {
-	Version  uint64
-	Document []byte
-	Digest   config.Digest
+	Version  uint64        `cbor:"Version"`
+	Document []byte        `cbor:"Document"`
+	Digest   config.Digest `cbor:"Digest"`
 	// Highest says that a number below the one in force is confirmed without coming
 	// into force; otherwise it is refused.
-	Highest bool
+	Highest bool `cbor:"Highest"`
 	// At is when it came, by the clock of the primary, and Through the daemon that
 	// passed it on.
-	At      time.Time
-	Through string
+	At      time.Time `cbor:"At"`
+	Through string    `cbor:"Through"`
 }
 
 // Retirement is an operator's order to empty a store, or to use it again. Order is
 // its name, by which it is known if it comes again.
 type Retirement struct {
-	Order    statemachine.RequestID
-	Store    string
-	Retiring bool
+	Order    statemachine.RequestID `cbor:"Order"`
+	Store    string                 `cbor:"Store"`
+	Retiring bool                   `cbor:"Retiring"`
 }
 
 // Join is what a daemon says of itself. It replaces an earlier life only if that is
 // not newer, or is the one that was known to be silent.
 type Join struct {
-	Self membership.Member
-	Over uint64
+	Self membership.Member `cbor:"Self"`
+	Over uint64            `cbor:"Over"`
 }
 
 // Departure ends one life of a member.
 type Departure struct {
-	Name        string
-	Incarnation uint64
+	Name        string `cbor:"Name"`
+	Incarnation uint64 `cbor:"Incarnation"`
 }
 
 // Degradation says that a store's disk lags in one of its lives, or no longer does.
 type Degradation struct {
-	Name        string
-	Incarnation uint64
-	Degraded    bool
+	Name        string `cbor:"Name"`
+	Incarnation uint64 `cbor:"Incarnation"`
+	Degraded    bool   `cbor:"Degraded"`
 }
 
 // Rest says that a gateway rests in one of its lives, or no longer does.
 type Rest struct {
-	Name        string
-	Incarnation uint64
-	Resting     bool
+	Name        string `cbor:"Name"`
+	Incarnation uint64 `cbor:"Incarnation"`
+	Resting     bool   `cbor:"Resting"`
 }
 
 // Outcome says what came of an operator's order where it was applied.
--- a/internal/controller/state.go
+++ b/internal/controller/state.go
@@ -19,35 +19,35 @@
 
 // State is the control state itself.
 type State struct {
-	Index    uint64
-	Version  uint64
-	Document []byte
-	Births   map[string]uint64
-	Natures  map[string]string
-	Members  map[string]membership.Member
-	Places   map[string]membership.Placement
+	Index    uint64                          `cbor:"Index"`
+	Version  uint64                          `cbor:"Version"`
+	Document []byte                          `cbor:"Document"`
+	Births   map[string]uint64               `cbor:"Births"`
+	Natures  map[string]string               `cbor:"Natures"`
+	Members  map[string]membership.Member    `cbor:"Members"`
+	Places   map[string]membership.Placement `cbor:"Places"`
 	// MemberAt and PlaceAt are the indexes at which each changed last, BirthsAt the
 	// one at which the births did, and WholeAt the one at which a place was taken
 	// away, or a member whose tombstone is gone: who is older than that is told
 	// everything anew.
-	MemberAt map[string]uint64
-	PlaceAt  map[string]uint64
-	BirthsAt uint64
-	WholeAt  uint64
+	MemberAt map[string]uint64 `cbor:"MemberAt"`
+	PlaceAt  map[string]uint64 `cbor:"PlaceAt"`
+	BirthsAt uint64            `cbor:"BirthsAt"`
+	WholeAt  uint64            `cbor:"WholeAt"`
 	// Shared says that a routed space was in force once: from then on the shared
 	// partitions are placed, whatever becomes of the spaces.
-	Shared bool
+	Shared bool `cbor:"Shared"`
 	// Tolerance is how many stores may be lost at once: a partition has one copy more.
-	Tolerance int
+	Tolerance int `cbor:"Tolerance"`
 	// History are the newest numbers under which a configuration was confirmed, the
 	// lowest number first.
-	History []Decision
+	History []Decision `cbor:"History"`
 	// Orders are the newest retirements that were taken, the oldest first.
-	Orders []statemachine.RequestID
+	Orders []statemachine.RequestID `cbor:"Orders"`
 	// Tombstones are what is left of the members that were forgotten, the oldest first,
 	// and Drained the gateways that the configuration in force names as drained.
-	Tombstones []Tombstone
-	Drained    []string
+	Tombstones []Tombstone `cbor:"Tombstones"`
+	Drained    []string    `cbor:"Drained"`
 	result     result
 }
 
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -200,42 +200,42 @@
 // PartitionComplete comes from a first whose followers have everything. Holders
 // are the stores with the disks on which it lies, the first's own among them.
 type PartitionComplete struct {
-	Partition string
-	Epoch     uint64
-	Holders   []string
+	Partition string   `cbor:"Partition"`
+	Epoch     uint64   `cbor:"Epoch"`
+	Holders   []string `cbor:"Holders"`
 }
 
 // Lagging comes from a store that sees another one's disk, or its own, take far
 // longer than it should, or refuse.
 type Lagging struct {
-	Reporter    string
-	Name        string
-	Incarnation uint64
-	Delay       time.Duration
+	Reporter    string        `cbor:"Reporter"`
+	Name        string        `cbor:"Name"`
+	Incarnation uint64        `cbor:"Incarnation"`
+	Delay       time.Duration `cbor:"Delay"`
 	// Sure is set for what the disk itself took; else the link may be at fault.
-	Sure bool
+	Sure bool `cbor:"Sure"`
 }
 
 // ControlRequest carries an operator's request on to the primary. Request names it
 // between two daemons; Order names it from the daemon that the operator asked on, so
 // that it is known again whichever way it comes.
 type ControlRequest struct {
-	Request statemachine.RequestID
-	Order   statemachine.RequestID
-	Method  string
-	Path    string
-	Body    []byte
+	Request statemachine.RequestID `cbor:"Request"`
+	Order   statemachine.RequestID `cbor:"Order"`
+	Method  string                 `cbor:"Method"`
+	Path    string                 `cbor:"Path"`
+	Body    []byte                 `cbor:"Body"`
 	// Relayed is set on what a daemon that is not a controller is to carry.
-	Relayed bool
+	Relayed bool `cbor:"Relayed"`
 }
 
 // ControlResponse is its answer.
 type ControlResponse struct {
-	Request    statemachine.RequestID
-	Status     int
-	Body       []byte
-	RetryAfter time.Duration
-	Redirect   string
+	Request    statemachine.RequestID `cbor:"Request"`
+	Status     int                    `cbor:"Status"`
+	Body       []byte                 `cbor:"Body"`
+	RetryAfter time.Duration          `cbor:"RetryAfter"`
+	Redirect   string                 `cbor:"Redirect"`
 }
 
 func init() {
--- a/internal/partition/messages.go
+++ b/internal/partition/messages.go
@@ -136,10 +136,10 @@
 
 // Frame carries a whole partition, its times counted from Now.
 type Frame struct {
-	Now       time.Time
-	Partition string
-	Epoch     uint64
-	State     []byte
+	Now       time.Time `cbor:"Now"`
+	Partition string    `cbor:"Partition"`
+	Epoch     uint64    `cbor:"Epoch"`
+	State     []byte    `cbor:"State"`
 }
 
 // Fetch asks for records after an offset that match an interest.
--- a/internal/partition/partition.go
+++ b/internal/partition/partition.go
@@ -61,16 +61,16 @@
 }
 
 type log struct {
-	Name      string
-	Base      uint64
-	BaseEpoch uint64
-	Records   []Record
-	Topics    map[string]uint64
-	Senders   map[string]*senderState
+	Name      string                  `cbor:"Name"`
+	Base      uint64                  `cbor:"Base"`
+	BaseEpoch uint64                  `cbor:"BaseEpoch"`
+	Records   []Record                `cbor:"Records"`
+	Topics    map[string]uint64       `cbor:"Topics"`
+	Senders   map[string]*senderState `cbor:"Senders"`
 	// Trimmed and Forgotten are kept for shared partitions only. Whatever lay at or
 	// below Forgotten of a topic that is in neither table is not known.
-	Trimmed   map[string]trimmed
-	Forgotten uint64
+	Trimmed   map[string]trimmed `cbor:"Trimmed"`
+	Forgotten uint64             `cbor:"Forgotten"`
 }
 
 func newLog(name string) *log {
--- a/internal/partition/store.go
+++ b/internal/partition/store.go
@@ -145,8 +145,8 @@
 }
 
 type diskFrame struct {
-	Disk       string
-	Partitions map[string]*log
+	Disk       string          `cbor:"Disk"`
+	Partitions map[string]*log `cbor:"Partitions"`
 }
 
 type afterSync func(now time.Time, effects *statemachine.Effects)
--- /dev/null
+++ b/internal/storedforms/fields.go
@@ -0,0 +1,168 @@
+package storedforms
+
+import (
+	"cmp"
+	"encoding"
+	"fmt"
+	"reflect"
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+)
+
+// Field is one encoded field of a struct.
+type Field struct {
+	// Index is the place of the field in its struct.
+	Index int
+	// Name is the name of the field in the code.
+	Name string
+	// Key is the key of the field in the encoding, or its position in an array.
+	Key string
+	// Explicit is set if the key doesn't follow from the field's name.
+	Explicit bool
+}
+
+var (
+	timeType        = reflect.TypeFor[time.Time]()
+	cborMarshaler   = reflect.TypeFor[cbor.Marshaler]()
+	binaryMarshaler = reflect.TypeFor[encoding.BinaryMarshaler]()
+)
+
+// leaf tells whether a type is encoded without a look at its fields.
+func leaf(kind reflect.Type) bool {
+	for _, marshaler := range []reflect.Type{cborMarshaler, binaryMarshaler} {
+		if kind.Implements(marshaler) || reflect.PointerTo(kind).Implements(marshaler) {
+			return true
+		}
+	}
+	return kind == timeType
+}
+
+// arrayStruct tells whether a struct is encoded as an array.
+func arrayStruct(kind reflect.Type) bool {
+	marker, found := kind.FieldByName("_")
+	if !found {
+		return false
+	}
+	return slices.Contains(strings.Split(marker.Tag.Get("cbor"), ","), "toarray")
+}
+
+// FieldsOf gives the encoded fields of a struct, as cbor finds them: those of an array
+// in their order, others by their keys. Embedded structs are refused, since none of
+// our forms has one.
+func FieldsOf(kind reflect.Type) ([]Field, error) {
+	array := arrayStruct(kind)
+	var fields []Field
+	for index := range kind.NumField() {
+		field := kind.Field(index)
+		if field.Anonymous {
+			return nil, fmt.Errorf("%s embeds %s", kind, field.Name)
+		}
+		if !field.IsExported() {
+			continue
+		}
+		tag := field.Tag.Get("cbor")
+		if tag == "" {
+			tag = field.Tag.Get("json")
+		}
+		if tag == "-" {
+			continue
+		}
+		key, options, _ := strings.Cut(tag, ",")
+		if strings.Contains(options, "keyasint") {
+			return nil, fmt.Errorf("%s.%s has a number as its key", kind, field.Name)
+		}
+		made := Field{Index: index, Name: field.Name, Key: key, Explicit: key != ""}
+		if key == "" {
+			made.Key = field.Name
+		}
+		if array {
+			made.Key, made.Explicit = fmt.Sprintf("#%d", len(fields)), true
+		}
+		fields = append(fields, made)
+	}
+	if !array {
+		slices.SortFunc(fields, func(left, right Field) int { return cmp.Compare(left.Key, right.Key) })
+	}
+	return fields, nil
+}
+
+// ImplicitKeys names the fields, of a type and of all that it holds, whose keys follow
+// from their names in the code.
+func ImplicitKeys(kind reflect.Type) ([]string, error) {
+	var implicit []string
+	seen := map[reflect.Type]bool{}
+	err := walk(kind, "", seen, func(owner reflect.Type, _ string, field Field) {
+		if !field.Explicit {
+			implicit = append(implicit, owner.String()+"."+field.Name)
+		}
+	})
+	return implicit, err
+}
+
+// Layout lists the encoded fields of a type and of all that it holds: each one's path
+// of keys, name in the code and kind.
+func Layout(kind reflect.Type, root string) ([]string, error) {
+	var lines []string
+	err := walk(kind, root, nil, func(owner reflect.Type, path string, field Field) {
+		lines = append(lines, fmt.Sprintf("%s\t%s\t%s", path, field.Name, shape(owner.Field(field.Index).Type)))
+	})
+	return lines, err
+}
+
+// shape names the kind of a field's value without the names of its types.
+func shape(kind reflect.Type) string {
+	if kind == timeType {
+		return "time"
+	}
+	switch kind.Kind() {
+	case reflect.Pointer, reflect.Slice:
+		return kind.Kind().String() + " of " + shape(kind.Elem())
+	case reflect.Array:
+		return fmt.Sprintf("%d of %s", kind.Len(), shape(kind.Elem()))
+	case reflect.Map:
+		return "map of " + shape(kind.Key()) + " to " + shape(kind.Elem())
+	default:
+		return kind.Kind().String()
+	}
+}
+
+// walk visits the fields of all structs that a type holds; each struct once if seen is
+// given, else wherever it occurs.
+func walk(
+	kind reflect.Type, path string, seen map[reflect.Type]bool, visit func(owner reflect.Type, path string, field Field),
+) error {
+	switch kind.Kind() {
+	case reflect.Pointer, reflect.Slice, reflect.Array:
+		return walk(kind.Elem(), path, seen, visit)
+	case reflect.Map:
+		if err := walk(kind.Key(), path+"/key", seen, visit); err != nil {
+			return err
+		}
+		return walk(kind.Elem(), path+"/value", seen, visit)
+	case reflect.Interface, reflect.Func, reflect.Chan:
+		return fmt.Errorf("%s: a %s can't be frozen", path, kind)
+	case reflect.Struct:
+	default:
+		return nil
+	}
+	if leaf(kind) || seen[kind] {
+		return nil
+	}
+	if seen != nil {
+		seen[kind] = true
+	}
+	fields, err := FieldsOf(kind)
+	if err != nil {
+		return err
+	}
+	for _, field := range fields {
+		visit(kind, path+"/"+field.Key, field)
+		if err := walk(kind.Field(field.Index).Type, path+"/"+field.Key, seen, visit); err != nil {
+			return err
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/storedforms/recorded.go
@@ -0,0 +1,205 @@
+package storedforms
+
+import (
+	"encoding/hex"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
+	"dahlialock/internal/transport"
+)
+
+// recordVariable asks for files that are not there yet.
+const recordVariable = "RECORD_FORMS"
+
+// Compare checks lines against those of a recorded file, and names each that differs.
+func Compare(t *testing.T, file string, lines []string) {
+	t.Helper()
+	recorded, found := Recorded(t, file, lines)
+	if !found {
+		return
+	}
+	for position := range max(len(lines), len(recorded)) {
+		now, before := line(lines, position), line(recorded, position)
+		if now != before {
+			t.Errorf("%s, line %d: recorded\n\t%s\nand now\n\t%s", file, position+1, before, now)
+		}
+	}
+}
+
+func line(lines []string, position int) string {
+	if position >= len(lines) {
+		return "(no line)"
+	}
+	return lines[position]
+}
+
+// Recorded reads the lines of a recorded file. If there is none it fails, or, where the
+// environment asks for it, writes the given lines.
+func Recorded(t *testing.T, file string, lines []string) ([]string, bool) {
+	t.Helper()
+	path := filepath.Join("testdata", file)
+	text, err := os.ReadFile(path)
+	if os.IsNotExist(err) && os.Getenv(recordVariable) == "1" {
+		made := strings.Join(lines, "\n") + "\n"
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, []byte(made), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		t.Logf("recorded %s", path)
+		return nil, false
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	return strings.Split(strings.TrimSuffix(string(text), "\n"), "\n"), true
+}
+
+// Form is one encoded type, by a name that is none of the code's.
+type Form struct {
+	Name string
+	Type reflect.Type
+	// Encode and Decode are the ways in and out; those of the disk if not given.
+	Encode func(value any) ([]byte, error)
+	Decode func(packed []byte) (any, error)
+}
+
+func (f Form) encode(value any) ([]byte, error) {
+	if f.Encode != nil {
+		return f.Encode(value)
+	}
+	return transport.Marshal(value)
+}
+
+func (f Form) decode(packed []byte) (any, error) {
+	if f.Decode != nil {
+		return f.Decode(packed)
+	}
+	value := reflect.New(f.Type)
+	if err := transport.Unmarshal(packed, value.Interface()); err != nil {
+		return nil, err
+	}
+	return value.Elem().Interface(), nil
+}
+
+// CheckBytes compares the bytes of samples, in which all is set, and of zero values with
+// those recorded; it also reads the recorded bytes and writes them anew.
+func CheckBytes(t *testing.T, file string, forms []Form) {
+	t.Helper()
+	var lines []string
+	for _, form := range forms {
+		sample, err := Sample(form.Type)
+		if err != nil {
+			t.Fatalf("%s: %v", form.Name, err)
+		}
+		for kind, value := range []any{sample, reflect.Zero(form.Type).Interface()} {
+			packed, err := form.encode(value)
+			if err != nil {
+				t.Fatalf("%s: %v", form.Name, err)
+			}
+			lines = append(lines, fmt.Sprintf("%s %s %s", form.Name, [2]string{"set", "zero"}[kind], hex.EncodeToString(packed)))
+		}
+	}
+	Compare(t, file, lines)
+	rewriteRecorded(t, file, lines, forms)
+}
+
+func rewriteRecorded(t *testing.T, file string, lines []string, forms []Form) {
+	t.Helper()
+	recorded, _ := Recorded(t, file, lines)
+	byName := map[string]Form{}
+	for _, form := range forms {
+		byName[form.Name] = form
+	}
+	for _, text := range recorded {
+		parts := strings.Fields(text)
+		form, found := byName[parts[0]]
+		if !found {
+			t.Errorf("%s: nothing of today's is %s", file, parts[0])
+			continue
+		}
+		packed, err := hex.DecodeString(parts[2])
+		if err != nil {
+			t.Fatal(err)
+		}
+		value, err := form.decode(packed)
+		if err != nil {
+			t.Errorf("%s %s: %v", parts[0], parts[1], err)
+			continue
+		}
+		again, err := form.encode(value)
+		if err != nil || hex.EncodeToString(again) != parts[2] {
+			t.Errorf("%s %s: read and written anew it is\n\t%x\nnot\n\t%s (%v)", parts[0], parts[1], again, parts[2], err)
+		}
+	}
+}
+
+// CheckKeys checks that no key of a type follows from a name in the code.
+func CheckKeys(t *testing.T, forms []Form) {
+	t.Helper()
+	for _, form := range forms {
+		implicit, err := ImplicitKeys(form.Type)
+		if err != nil {
+			t.Errorf("%s: %v", form.Name, err)
+		}
+		for _, name := range implicit {
+			t.Errorf("%s: %s has neither toarray nor a tag, its key would move with its name", form.Name, name)
+		}
+	}
+}
+
+// CheckLayout compares the keys, positions and kinds of all fields with those recorded.
+// Names in the code are free, but one that a struct had may not stand for another of
+// its fields: two fields of one kind that changed places would else go unseen.
+func CheckLayout(t *testing.T, file string, forms []Form) {
+	t.Helper()
+	var lines []string
+	for _, form := range forms {
+		own, err := Layout(form.Type, form.Name)
+		if err != nil {
+			t.Fatal(err)
+		}
+		lines = append(lines, own...)
+	}
+	recorded, found := Recorded(t, file, lines)
+	if !found {
+		return
+	}
+	today, before := byPath(lines), byPath(recorded)
+	for path, place := range before {
+		now, found := today[path]
+		if !found || now.kind != place.kind {
+			t.Errorf("%s: %s was a %s and is a %s", file, path, place.kind, now.kind)
+		}
+	}
+	names := map[string]string{}
+	for path, place := range before {
+		names[parent(path)+"\t"+place.name] = path
+	}
+	for path, place := range today {
+		if _, found := before[path]; !found {
+			t.Errorf("%s: %s is new", file, path)
+		}
+		if earlier, found := names[parent(path)+"\t"+place.name]; found && earlier != path {
+			t.Errorf("%s: %s was named %s, which now names %s", file, earlier, place.name, path)
+		}
+	}
+}
+
+type placed struct{ name, kind string }
+
+func byPath(lines []string) map[string]placed {
+	paths := map[string]placed{}
+	for _, text := range lines {
+		parts := strings.Split(text, "\t")
+		paths[parts[0]] = placed{name: parts[1], kind: parts[2]}
+	}
+	return paths
+}
+
+func parent(path string) string { return path[:strings.LastIndex(path, "/")] }
--- /dev/null
+++ b/internal/storedforms/storedforms_test.go
@@ -0,0 +1,96 @@
+package storedforms_test
+
+import (
+	"fmt"
+	"maps"
+	"reflect"
+	"slices"
+	"testing"
+
+	"dahlialock/internal/config"
+	"dahlialock/internal/consensus"
+	"dahlialock/internal/controller"
+	_ "dahlialock/internal/gateway"
+	"dahlialock/internal/membership"
+	_ "dahlialock/internal/overlay"
+	_ "dahlialock/internal/partition"
+	"dahlialock/internal/statemachine"
+	"dahlialock/internal/storedforms"
+	"dahlialock/internal/transport"
+)
+
+// sampleMeta is what stands before the body in each recorded frame.
+var sampleMeta = statemachine.Meta{From: "192.0.2.1:7000", Version: 300}
+
+func encodeFrame(message any) ([]byte, error) { return transport.Encode(sampleMeta, message) }
+
+// frameHeader is the size of the length before a frame.
+const frameHeader = 4
+
+func decodeFrame(packed []byte) (any, error) {
+	length, enough, err := transport.FrameLength(packed)
+	if err != nil {
+		return nil, err
+	}
+	if !enough || length != len(packed)-frameHeader {
+		return nil, fmt.Errorf("a length of %d before %d bytes", length, len(packed)-frameHeader)
+	}
+	meta, message, err := transport.Decode(packed[frameHeader:])
+	if err == nil && meta != sampleMeta {
+		return nil, fmt.Errorf("the frame is of %v", meta)
+	}
+	return message, err
+}
+
+// wireForms are all messages that have a number.
+func wireForms(t *testing.T) []storedforms.Form {
+	t.Helper()
+	var forms []storedforms.Form
+	for _, number := range slices.Sorted(maps.Keys(transport.Numbers())) {
+		message, found := transport.Prototype(number)
+		if !found {
+			t.Fatalf("number %d has no type", number)
+		}
+		forms = append(forms, storedforms.Form{
+			Name:   fmt.Sprint(number),
+			Type:   reflect.TypeOf(message),
+			Encode: encodeFrame,
+			Decode: decodeFrame,
+		})
+	}
+	return forms
+}
+
+// diskForms are what is exported of what lies on disks; the packages that keep the
+// others to themselves have such a test of their own.
+func diskForms() []storedforms.Form {
+	return []storedforms.Form{
+		{Name: "consensus-durable", Type: reflect.TypeFor[consensus.Durable]()},
+		{Name: "control-command", Type: reflect.TypeFor[controller.Command]()},
+		{Name: "control-state", Type: reflect.TypeFor[controller.State]()},
+		{Name: "control-decision", Type: reflect.TypeFor[controller.Decision]()},
+		{Name: "control-tombstone", Type: reflect.TypeFor[controller.Tombstone]()},
+		{Name: "member", Type: reflect.TypeFor[membership.Member]()},
+		{Name: "placement", Type: reflect.TypeFor[membership.Placement]()},
+		{Name: "digest", Type: reflect.TypeFor[config.Digest]()},
+		{Name: "request-id", Type: reflect.TypeFor[statemachine.RequestID]()},
+	}
+}
+
+func TestWireFormsKeepTheirBytes(t *testing.T) {
+	storedforms.CheckBytes(t, "wire.txt", wireForms(t))
+}
+
+func TestWireFormsKeepTheirLayout(t *testing.T) {
+	storedforms.CheckLayout(t, "wire-layout.txt", wireForms(t))
+}
+
+func TestWireFormsHaveExplicitKeys(t *testing.T) { storedforms.CheckKeys(t, wireForms(t)) }
+
+func TestDiskFormsKeepTheirBytes(t *testing.T) { storedforms.CheckBytes(t, "disk.txt", diskForms()) }
+
+func TestDiskFormsKeepTheirLayout(t *testing.T) {
+	storedforms.CheckLayout(t, "disk-layout.txt", diskForms())
+}
+
+func TestDiskFormsHaveExplicitKeys(t *testing.T) { storedforms.CheckKeys(t, diskForms()) }
