--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -66,12 +66,12 @@
 	local         uint64
 	carrying      map[uint64]carried
 	askedAt       time.Time
-	timers        *statemachine.Timers
+	timers        *statemachine.Timers[string]
 }
 
 // New makes an agent.
 func New(settings Settings) *Agent {
-	agent := &Agent{settings: settings, carrying: map[uint64]carried{}, timers: statemachine.NewTimers()}
+	agent := &Agent{settings: settings, carrying: map[uint64]carried{}, timers: statemachine.NewTimers[string]()}
 	agent.follower = membership.NewViewClient(settings.Self, settings.Incarnation, settings.Seeds, func() membership.Load { return membership.Load{Ready: true} })
 	agent.pulse = membership.NewFailureDetector(settings.Self)
 	agent.controlClient = controlclient.New(controlclient.Settings{
--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -103,7 +103,7 @@
 	index        uint64
 	frames       map[string]*spareFrame
 	blank        bool
-	timers       *statemachine.Timers
+	timers       *statemachine.Timers[string]
 
 	token  uint64
 	synced map[uint64]continuation
@@ -164,7 +164,7 @@
 // New makes a watch from what its disk held.
 func New(settings Settings, stateMachine StateMachine, frame []byte, entries [][]byte) (*Node, error) {
 	node := &Node{
-		settings: settings, stateMachine: stateMachine, requests: statemachine.NewRequestSequence(settings.Incarnation), timers: statemachine.NewTimers(),
+		settings: settings, stateMachine: stateMachine, requests: statemachine.NewRequestSequence(settings.Incarnation), timers: statemachine.NewTimers[string](),
 		synced: map[uint64]continuation{}, met: map[string]meeting{}, heardOf: map[string]bool{}, recalls: map[string]Durable{},
 		renewals: map[uint64]time.Time{}, grants: map[uint64]map[string]bool{},
 		frames: map[string]*spareFrame{}, copies: map[string]*copied{}, spares: map[string]*asked{},
--- a/internal/controlclient/controlclient.go
+++ b/internal/controlclient/controlclient.go
@@ -70,7 +70,7 @@
 	settings Settings
 	requests statemachine.RequestSequence
 	carrying map[uint64]*carried
-	timers   *statemachine.Timers
+	timers   *statemachine.Timers[string]
 }
 
 // New makes a control client of one life.
@@ -79,7 +79,7 @@
 		settings.Acknowledge = DefaultAcknowledge
 	}
 	return &ControlClient{
-		settings: settings, requests: statemachine.NewRequestSequence(settings.Incarnation), carrying: map[uint64]*carried{}, timers: statemachine.NewTimers(),
+		settings: settings, requests: statemachine.NewRequestSequence(settings.Incarnation), carrying: map[uint64]*carried{}, timers: statemachine.NewTimers[string](),
 	}
 }
 
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -89,7 +89,7 @@
 	pulse         *membership.FailureDetector
 	follower      *membership.ViewClient
 	controlClient *controlclient.ControlClient
-	timers        *statemachine.Timers
+	timers        *statemachine.Timers[string]
 	held          map[string]held
 	views         map[string]sentView
 	heard         map[string]time.Time
@@ -117,7 +117,7 @@
 // New makes a controller from what its disk held.
 func New(settings Settings, frame []byte, entries [][]byte) (*Controller, error) {
 	controller := &Controller{
-		settings: settings, spans: spansOf(settings), state: newState(), timers: statemachine.NewTimers(),
+		settings: settings, spans: spansOf(settings), state: newState(), timers: statemachine.NewTimers[string](),
 		held: map[string]held{}, views: map[string]sentView{}, heard: map[string]time.Time{}, loads: map[string]membership.Load{},
 		suspected: map[string]map[string]reported{}, joining: map[string]Join{}, leaving: map[string]Departure{}, complete: map[string]membership.PartitionReplicated{}, lags: map[string]lag{}, doubts: map[string]*doubt{}, answers: map[string]answered{},
 		orders: map[string]membership.Directives{},
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -95,7 +95,7 @@
 	controlClient *controlclient.ControlClient
 	overlay       *overlay.Overlay
 	ring          *decisionlog.Ring
-	timers        *statemachine.Timers
+	timers        *statemachine.Timers[string]
 	policies      []Policy
 
 	config   config.Configuration
@@ -145,7 +145,7 @@
 	settings.ConfirmedFor = orLonger(settings.ConfirmedFor, membership.ConfirmationTimeout)
 	settings.StopWithin = orLonger(settings.StopWithin, stopLimit)
 	gateway := &Gateway{
-		settings: settings, overlay: overlay.New(settings.Self.Name), ring: decisionlog.NewRing(settings.Self.Name), timers: statemachine.NewTimers(),
+		settings: settings, overlay: overlay.New(settings.Self.Name), ring: decisionlog.NewRing(settings.Self.Name), timers: statemachine.NewTimers[string](),
 		channels: map[uint64]*channel{}, moving: map[uint64]bool{}, spaces: map[string]*spaceState{},
 		senders: map[senderKey]*sender{}, trackers: map[string]*tracker{},
 		appends: map[uint64]*publication{}, sends: map[uint64]*publication{}, recalls: map[uint64]*recall{}, fetches: map[uint64]*fetch{},
--- a/internal/membership/follower.go
+++ b/internal/membership/follower.go
@@ -58,7 +58,7 @@
 	Directives     Directives
 	ConfirmedAt    time.Time
 	load           func() Load
-	timers         *statemachine.Timers
+	timers         *statemachine.Timers[string]
 }
 
 // viewRequest is one that was asked, and when.
@@ -72,7 +72,7 @@
 func NewViewClient(self Member, life statemachine.Incarnation, seeds []string, load func() Load) *ViewClient {
 	return &ViewClient{
 		self: self, nonce: life.FirstRequestNumber(), seeds: seeds, controllers: seeds, load: load, searching: true,
-		Members: map[string]Member{}, Placements: map[string]Placement{}, timers: statemachine.NewTimers(),
+		Members: map[string]Member{}, Placements: map[string]Placement{}, timers: statemachine.NewTimers[string](),
 	}
 }
 
--- a/internal/membership/pulse.go
+++ b/internal/membership/pulse.go
@@ -48,7 +48,7 @@
 	heartbeatSentAt time.Time
 	watches         bool
 	heardAnyAt      time.Time
-	timers          *statemachine.Timers
+	timers          *statemachine.Timers[string]
 	resting         bool
 }
 
@@ -56,7 +56,7 @@
 func NewFailureDetector(self Member) *FailureDetector {
 	return &FailureDetector{
 		self: self, view: map[string]Member{}, watched: map[string]time.Time{},
-		suspected: map[string]bool{}, timers: statemachine.NewTimers(),
+		suspected: map[string]bool{}, timers: statemachine.NewTimers[string](),
 	}
 }
 
--- a/internal/overlay/overlay.go
+++ b/internal/overlay/overlay.go
@@ -191,7 +191,7 @@
 	gateways map[string]Gateway
 	spaces   map[string]*space
 	planes   map[string]*plane
-	timers   *statemachine.Timers
+	timers   *statemachine.Timers[string]
 	out      map[string]*Signals
 	// paceUntil is when the next changes may go out to all, and paced counts those
 	// that waited for that.
@@ -213,7 +213,7 @@
 func New(daemon string) *Overlay {
 	return &Overlay{
 		daemon: daemon, gateways: map[string]Gateway{}, spaces: map[string]*space{}, planes: map[string]*plane{},
-		timers: statemachine.NewTimers(), out: map[string]*Signals{}, ways: map[string]time.Duration{},
+		timers: statemachine.NewTimers[string](), out: map[string]*Signals{}, ways: map[string]time.Duration{},
 	}
 }
 
--- a/internal/partition/store.go
+++ b/internal/partition/store.go
@@ -173,7 +173,7 @@
 	follower      *membership.ViewClient
 	pulse         *membership.FailureDetector
 	controlClient *controlclient.ControlClient
-	timers        *statemachine.Timers
+	timers        *statemachine.Timers[string]
 	ring          *decisionlog.Ring
 	watchers      map[string]*headWatcher
 	config        config.Configuration
@@ -200,7 +200,7 @@
 // New makes a store from what its disk held.
 func New(settings Settings, frame []byte, entries [][]byte) (*Store, error) {
 	store := &Store{
-		settings: settings, partitions: map[string]*held{}, timers: statemachine.NewTimers(), ring: decisionlog.NewRing(settings.Self.Name),
+		settings: settings, partitions: map[string]*held{}, timers: statemachine.NewTimers[string](), ring: decisionlog.NewRing(settings.Self.Name),
 		watchers: map[string]*headWatcher{}, pending: map[uint64]*batch{}, dirty: map[string]bool{},
 		logLimit: frameLogLimit, delays: map[string]time.Duration{}, lagTold: map[string]time.Time{},
 	}
--- a/internal/statemachine/timers.go
+++ b/internal/statemachine/timers.go
@@ -5,27 +5,30 @@
 package statemachine
 
 import (
-	"sort"
+	"cmp"
+	"slices"
 	"time"
 )
 
-// Timers is a small table of named moments.
-type Timers struct {
-	moments map[string]time.Time
+// Timers is a small table of timers, at most one for each key. The owner of the
+// timers gives Key a type of its own. Among timers that expire at the same moment,
+// the order of the keys decides which comes first.
+type Timers[Key cmp.Ordered] struct {
+	moments map[Key]time.Time
 }
 
-// NewTimers gives an empty table.
-func NewTimers() *Timers {
-	return &Timers{moments: map[string]time.Time{}}
+// NewTimers returns a table without any armed timer.
+func NewTimers[Key cmp.Ordered]() *Timers[Key] {
+	return &Timers[Key]{moments: map[Key]time.Time{}}
 }
 
 // Arm sets the moment of a key, in place of an earlier one.
-func (t *Timers) Arm(key string, at time.Time) {
+func (t *Timers[Key]) Arm(key Key, at time.Time) {
 	t.moments[key] = at
 }
 
 // ArmSooner sets the moment unless an earlier one is already set.
-func (t *Timers) ArmSooner(key string, at time.Time) {
+func (t *Timers[Key]) ArmSooner(key Key, at time.Time) {
 	if present, found := t.moments[key]; found && !at.Before(present) {
 		return
 	}
@@ -33,18 +36,18 @@
 }
 
 // Disarm forgets a key.
-func (t *Timers) Disarm(key string) {
+func (t *Timers[Key]) Disarm(key Key) {
 	delete(t.moments, key)
 }
 
 // Armed tells whether a key waits.
-func (t *Timers) Armed(key string) bool {
+func (t *Timers[Key]) Armed(key Key) bool {
 	_, found := t.moments[key]
 	return found
 }
 
 // Next is the earliest moment, or the zero time if none is armed.
-func (t *Timers) Next() time.Time {
+func (t *Timers[Key]) Next() time.Time {
 	var next time.Time
 	for _, at := range t.moments {
 		if next.IsZero() || at.Before(next) {
@@ -55,19 +58,18 @@
 }
 
 // Expired takes out and returns the keys that are due.
-func (t *Timers) Expired(now time.Time) []string {
-	var keys []string
+func (t *Timers[Key]) Expired(now time.Time) []Key {
+	var keys []Key
 	for key, at := range t.moments {
 		if !at.After(now) {
 			keys = append(keys, key)
 		}
 	}
-	sort.Slice(keys, func(left, right int) bool {
-		leftAt, rightAt := t.moments[keys[left]], t.moments[keys[right]]
-		if !leftAt.Equal(rightAt) {
-			return leftAt.Before(rightAt)
+	slices.SortFunc(keys, func(left, right Key) int {
+		if order := t.moments[left].Compare(t.moments[right]); order != 0 {
+			return order
 		}
-		return keys[left] < keys[right]
+		return cmp.Compare(left, right)
 	})
 	for _, key := range keys {
 		delete(t.moments, key)
