--- /dev/null
+++ b/internal/consolidation/fleet.go
@@ -0,0 +1,167 @@
+package consolidation
+
+import (
+	"cmp"
+	"math"
+	"slices"
+	"time"
+
+	"dahlialock/internal/config"
+	"dahlialock/internal/membership"
+)
+
+const (
+	// maxProcessor is the processor time, in seconds a second, beyond which a gateway is
+	// busy: the goroutine that owns its state is a single thread.
+	maxProcessor = 0.6
+
+	// distantDelay is the one-way delay from which a gateway counts as distant, and
+	// defaultZoneDelay what is assumed between two zones that nobody measured.
+	distantDelay     = 300 * time.Microsecond
+	defaultZoneDelay = 2 * distantDelay
+)
+
+// zonePair is an ordered pair of zones.
+type zonePair struct{ from, to string }
+
+// gatewayState is a live gateway with its last load and its rates.
+type gatewayState struct {
+	member membership.Member
+	load   membership.Load
+	rate   loadRate
+}
+
+// fleet is the set of live gateways that one plan is made for.
+type fleet struct {
+	settings config.Economy
+	// links holds the configured delays between zones, in both directions.
+	links map[zonePair]time.Duration
+	// gateways are in the order of their names.
+	gateways []gatewayState
+	// sessions and processor are sums over all gateways; processor is in seconds a second.
+	sessions  int
+	processor float64
+	// idle reports whether a gateway is to rest or is drained. It reads the planner's
+	// state, and so changes while the plan is made.
+	idle func(name string) bool
+}
+
+func (f *fleet) add(added gatewayState) {
+	f.gateways = append(f.gateways, added)
+	f.sessions += added.load.Sessions
+	f.processor += added.rate.processor
+}
+
+// directivesFor asks a gateway to rest if it is chosen for it, and to move its sessions
+// away as long as it has any.
+func (f *fleet) directivesFor(gateway gatewayState) membership.Directives {
+	directives := membership.Directives{Rest: f.idle(gateway.member.Name)}
+	if directives.Rest && gateway.load.Sessions > 0 {
+		directives.Drain = true
+		directives.MovesPerSecond = movesPerSecond
+		directives.Targets = f.targetsFor(gateway)
+	}
+	return directives
+}
+
+// targetsFor lists the gateways to which a gateway's sessions may move: near gateways
+// before distant ones, and among equally near ones those with most free capacity first.
+func (f *fleet) targetsFor(source gatewayState) []string {
+	var targets []gatewayState
+	for _, target := range f.awake(source.member.Name) {
+		if target.load.Ready {
+			targets = append(targets, target)
+		}
+	}
+	slices.SortStableFunc(targets, func(left, right gatewayState) int {
+		return cmp.Or(
+			cmp.Compare(f.distanceClass(source, left), f.distanceClass(source, right)),
+			cmp.Compare(right.load.FreeCapacity, left.load.FreeCapacity),
+		)
+	})
+	var names []string
+	for _, target := range targets {
+		names = append(names, target.member.Name)
+	}
+	return names
+}
+
+// distanceClass is 0 within a zone and grows with the delay to other zones.
+func (f *fleet) distanceClass(source, target gatewayState) int {
+	if source.member.Zone == target.member.Zone {
+		return 0
+	}
+	return 1 + int(f.delay(source, target)/distantDelay)
+}
+
+// delay is the delay between two gateways: as either of them measured it, else as the
+// operators configured it between their zones, else a default.
+func (f *fleet) delay(from, to gatewayState) time.Duration {
+	if measured, found := from.load.Delays[to.member.Name]; found {
+		return measured
+	}
+	if measured, found := to.load.Delays[from.member.Name]; found {
+		return measured
+	}
+	if from.member.Zone == to.member.Zone {
+		return 0
+	}
+	if configured, found := f.links[zonePair{from: from.member.Zone, to: to.member.Zone}]; found {
+		return configured
+	}
+	return defaultZoneDelay
+}
+
+// awake lists the gateways that serve sessions, except the named one.
+func (f *fleet) awake(except string) []gatewayState {
+	var found []gatewayState
+	for _, gateway := range f.gateways {
+		if name := gateway.member.Name; name != except && !f.idle(name) {
+			found = append(found, gateway)
+		}
+	}
+	return found
+}
+
+// required is how many gateways must be awake for a number of sessions and a processor
+// time: enough to stay below wakeUtilization and maxProcessor, and the configured spare
+// gateways.
+func (f *fleet) required(sessions int, processor float64) int {
+	bySessions := int(math.Ceil(float64(sessions) / (float64(f.settings.OriginsEach) * wakeUtilization)))
+	byProcessor := int(math.Ceil(processor / maxProcessor))
+	return max(bySessions, byProcessor, 1) + f.settings.SpareGateways
+}
+
+// survivesZoneLoss reports whether some awake gateways could lose any one zone and still
+// serve a number of sessions.
+func (f *fleet) survivesZoneLoss(awake []gatewayState, sessions int) bool {
+	awakeByZone := countByZone(awake)
+	if len(awakeByZone) < 2 {
+		return false
+	}
+	for _, count := range awakeByZone {
+		if (len(awake)-count)*f.settings.OriginsEach < sessions {
+			return false
+		}
+	}
+	return true
+}
+
+// countByZone counts gateways by their zones.
+func countByZone(gateways []gatewayState) map[string]int {
+	counts := map[string]int{}
+	for _, gateway := range gateways {
+		counts[gateway.member.Zone]++
+	}
+	return counts
+}
+
+// linkDelays is the table of the configured delays between zones.
+func linkDelays(configuration config.Configuration) map[zonePair]time.Duration {
+	delays := map[zonePair]time.Duration{}
+	for _, link := range configuration.Links {
+		delays[zonePair{from: link.From, to: link.To}] = link.Delay
+		delays[zonePair{from: link.To, to: link.From}] = link.Delay
+	}
+	return delays
+}
--- /dev/null
+++ b/internal/consolidation/planner.go
@@ -0,0 +1,164 @@
+package consolidation
+
+import (
+	"slices"
+	"time"
+
+	"dahlialock/internal/config"
+	"dahlialock/internal/membership"
+	"dahlialock/internal/statemachine"
+)
+
+const (
+	// reportTimeout is the age beyond which a gateway's report is outdated. A resting
+	// gateway polls less often and gets the longer poll's time in addition.
+	reportTimeout = 3 * time.Second
+
+	// movesPerSecond is the rate at which a gateway that is to rest moves its sessions.
+	movesPerSecond = 40
+
+	// minAwake is how many gateways stay awake in any case: one may be lost.
+	minAwake = 2
+
+	// wakeUtilization is the utilization of the awake gateways' sessions above which more
+	// are woken, and restUtilization the lower one that must hold before any is rested.
+	wakeUtilization = 0.75
+	restUtilization = 0.55
+)
+
+// Observation is what a plan is based on.
+type Observation struct {
+	Configuration config.Configuration
+	// Members, Loads and LastHeard are keyed by the member's name. LastHeard is when the
+	// member reported its load.
+	Members   map[string]membership.Member
+	Loads     map[string]membership.Load
+	LastHeard map[string]time.Time
+}
+
+// Planner decides which gateways rest. It may not be called from several goroutines at
+// once.
+type Planner struct {
+	// quietSince is when the fleet began to need fewer gateways than are awake, or when
+	// one was last chosen to rest; zero while the fleet is not quiet.
+	quietSince time.Time
+	// resting holds the gateways that are to rest, including those that still move their
+	// sessions away.
+	resting map[string]bool
+	// rates holds the observed rates of each live gateway.
+	rates map[string]*loadRate
+}
+
+// New makes a planner that rests no gateway yet.
+func New() *Planner {
+	return &Planner{resting: map[string]bool{}, rates: map[string]*loadRate{}}
+}
+
+// Plan returns the directives of each live gateway, by its name.
+func (p *Planner) Plan(now time.Time, observation Observation) map[string]membership.Directives {
+	observed, current := p.observeFleet(now, observation)
+	switch {
+	case !observed.settings.Enabled:
+		p.resting = map[string]bool{}
+		p.quietSince = time.Time{}
+	case current:
+		p.updateResting(now, observed)
+	}
+	directives := map[string]membership.Directives{}
+	for _, gateway := range observed.gateways {
+		directives[gateway.member.Name] = observed.directivesFor(gateway)
+	}
+	return directives
+}
+
+// observeFleet collects the live gateways with their rates, and reports whether all
+// their reports are recent enough to act on.
+func (p *Planner) observeFleet(now time.Time, observation Observation) (observed *fleet, current bool) {
+	drained := observation.Configuration.Drains
+	observed = &fleet{
+		settings: observation.Configuration.Economy,
+		links:    linkDelays(observation.Configuration),
+		idle:     func(name string) bool { return p.resting[name] || slices.Contains(drained, name) },
+	}
+	current = true
+	for name, member := range statemachine.Sorted(observation.Members) {
+		if member.Kind != membership.KindGateway || !member.Alive {
+			delete(p.resting, name)
+			delete(p.rates, name)
+			continue
+		}
+		timeout := reportTimeout
+		if member.Resting {
+			timeout += membership.LowPriorityLongPollTimeout
+			p.resting[name] = true
+		}
+		lastHeard := observation.LastHeard[name]
+		if now.Sub(lastHeard) > timeout {
+			current = false
+		}
+		load := observation.Loads[name]
+		observed.add(gatewayState{member: member, load: load, rate: p.observeRate(name, lastHeard, load)})
+	}
+	return observed, current
+}
+
+// observeRate updates the rates of a gateway by its newest load.
+func (p *Planner) observeRate(name string, reportedAt time.Time, load membership.Load) loadRate {
+	rate, found := p.rates[name]
+	if !found || rate.restarted(load) {
+		rate = &loadRate{at: reportedAt, load: load}
+		p.rates[name] = rate
+		return *rate
+	}
+	rate.update(reportedAt, load)
+	return *rate
+}
+
+// updateResting wakes gateways if too few are awake, or chooses one to rest once fewer
+// would do for long enough.
+func (p *Planner) updateResting(now time.Time, observed *fleet) {
+	awake := observed.awake("")
+	required := max(observed.required(observed.sessions, observed.processor), minAwake)
+	if len(awake) < required || !observed.survivesZoneLoss(awake, observed.sessions) {
+		p.quietSince = time.Time{}
+		p.wake(observed, max(required-len(awake), 1))
+		return
+	}
+	// A gateway is rested only if the others would suffice for a larger crowd, so that it
+	// need not be woken for a few sessions more.
+	grownSessions := int(float64(observed.sessions) * wakeUtilization / restUtilization)
+	grownProcessor := observed.processor * wakeUtilization / restUtilization
+	if len(awake) <= max(observed.required(grownSessions, grownProcessor), minAwake) {
+		p.quietSince = time.Time{}
+		return
+	}
+	if p.quietSince.IsZero() {
+		p.quietSince = now
+	}
+	if now.Sub(p.quietSince) < observed.settings.QuietFor {
+		return
+	}
+	p.quietSince = now
+	if name, found := observed.cheapestRest(awake, grownSessions); found {
+		p.resting[name] = true
+	}
+}
+
+// wake wakes up to count resting gateways, each in the zone with the fewest awake.
+func (p *Planner) wake(observed *fleet, count int) {
+	awakeByZone := countByZone(observed.awake(""))
+	for range count {
+		name, zone := "", ""
+		for _, gateway := range observed.gateways {
+			candidate := gateway.member
+			if p.resting[candidate.Name] && (name == "" || awakeByZone[candidate.Zone] < awakeByZone[zone]) {
+				name, zone = candidate.Name, candidate.Zone
+			}
+		}
+		if name == "" {
+			return
+		}
+		delete(p.resting, name)
+		awakeByZone[zone]++
+	}
+}
--- /dev/null
+++ b/internal/consolidation/planner_test.go
@@ -0,0 +1,272 @@
+// The planner against a small model of a fleet whose gateways carry directives out:
+// whatever the crowds, losses and noise, the fleet survives the loss of one zone as long
+// as any gateway rests, nothing oscillates, no choice is made on outdated reports, and
+// the weights decide which gateway rests.
+package consolidation
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"dahlialock/internal/balancing"
+	"dahlialock/internal/config"
+	"dahlialock/internal/membership"
+)
+
+// modelFleet is a fleet that works for a second at a time.
+type modelFleet struct {
+	random      *rand.Rand
+	now         time.Time
+	observation Observation
+	planner     *Planner
+	balancer    *balancing.Balancer
+	// names holds the gateways in the order in which they work.
+	names []string
+	// changes counts the gateways that began or ceased to rest.
+	changes int
+}
+
+// economySettings are settings of a fleet whose gateways serve a hundred sessions each.
+func economySettings(quietFor time.Duration) config.Economy {
+	return config.Economy{
+		Enabled:         true,
+		ProcessorWeight: 1,
+		TrafficWeight:   1,
+		OriginsEach:     100,
+		SpareGateways:   1,
+		QuietFor:        quietFor,
+	}
+}
+
+func newModelFleet(seed uint64, gateways int, settings config.Economy) *modelFleet {
+	model := &modelFleet{
+		random:   rand.New(rand.NewPCG(seed, 0xec0)),
+		now:      time.Unix(1_700_000_000, 0),
+		planner:  New(),
+		balancer: balancing.New(),
+		observation: Observation{
+			Configuration: config.Configuration{Economy: settings},
+			Members:       map[string]membership.Member{},
+			Loads:         map[string]membership.Load{},
+			LastHeard:     map[string]time.Time{},
+		},
+	}
+	for number := range gateways {
+		name := fmt.Sprintf("gateway-%d", number)
+		model.names = append(model.names, name)
+		model.observation.Members[name] = membership.Member{
+			Name:  name,
+			Kind:  membership.KindGateway,
+			Zone:  fmt.Sprint(number % 3),
+			Alive: true,
+		}
+		model.observation.Loads[name] = membership.Load{Ready: true, FreeCapacity: 2000}
+	}
+	return model
+}
+
+func (m *modelFleet) addSessions(name string, count int) {
+	load := m.observation.Loads[name]
+	load.Sessions += count
+	load.FreeCapacity -= count
+	m.observation.Loads[name] = load
+}
+
+// second lets the fleet work and carry out directives for a second.
+func (m *modelFleet) second(noise float64) map[string]membership.Directives {
+	m.now = m.now.Add(time.Second)
+	for _, name := range m.names {
+		m.work(name, noise)
+	}
+	directives := m.planner.Plan(m.now, m.observation)
+	m.balance(directives)
+	for _, name := range m.names {
+		m.move(name, directives[name])
+		m.rest(name, directives[name])
+	}
+	return directives
+}
+
+// work advances the counters of a gateway and reports them.
+func (m *modelFleet) work(name string, noise float64) {
+	load := m.observation.Loads[name]
+	factor := 1 + noise*(m.random.Float64()-0.5)
+	load.Delivered += uint64(float64(load.Sessions) * 4 * factor)
+	load.Copies += uint64(float64(load.Sessions) * factor)
+	load.Processor += time.Duration(float64(load.Sessions)*factor*0.5) * time.Millisecond
+	m.observation.Loads[name] = load
+	m.observation.LastHeard[name] = m.now
+}
+
+// move moves the sessions of one second to a gateway's targets.
+func (m *modelFleet) move(name string, directives membership.Directives) {
+	load := m.observation.Loads[name]
+	count := 0
+	switch {
+	case directives.Drain:
+		count = min(directives.MovesPerSecond, load.Sessions)
+	case directives.KeepSessions > 0:
+		count = min(directives.MovesPerSecond, max(0, load.Sessions-directives.KeepSessions))
+	}
+	for range count {
+		if len(directives.Targets) > 0 {
+			m.addSessions(name, -1)
+			m.addSessions(directives.Targets[m.random.IntN(min(3, len(directives.Targets)))], 1)
+		}
+	}
+}
+
+// rest lets a gateway rest once it is empty, or wake.
+func (m *modelFleet) rest(name string, directives membership.Directives) {
+	load, member := m.observation.Loads[name], m.observation.Members[name]
+	if resting := directives.Rest && load.Sessions == 0; resting != member.Resting {
+		m.changes++
+		member.Resting, load.Ready = resting, !directives.Rest
+		m.observation.Members[name], m.observation.Loads[name] = member, load
+	}
+}
+
+// balance adds the directives that spread sessions evenly, as controllers do.
+func (m *modelFleet) balance(directives map[string]membership.Directives) {
+	var gateways []balancing.Gateway
+	for _, name := range m.names {
+		load := m.observation.Loads[name]
+		gateways = append(gateways, balancing.Gateway{
+			Name:         name,
+			Zone:         m.observation.Members[name].Zone,
+			Sessions:     load.Sessions,
+			FreeCapacity: load.FreeCapacity,
+			Accepting:    load.Ready && !directives[name].Rest,
+		})
+	}
+	for name, directive := range m.balancer.Plan(gateways) {
+		merged := directives[name]
+		merged.KeepSessions = directive.KeepSessions
+		merged.MovesPerSecond = directive.MovesPerSecond
+		merged.Targets = directive.Targets
+		directives[name] = merged
+	}
+}
+
+func (m *modelFleet) sessions() (total int) {
+	for _, load := range m.observation.Loads {
+		total += load.Sessions
+	}
+	return total
+}
+
+func (m *modelFleet) resting() (count int) {
+	for _, member := range m.observation.Members {
+		if member.Resting {
+			count++
+		}
+	}
+	return count
+}
+
+// assertSurvivesZoneLoss checks that the awake gateways could lose any zone and still
+// serve all sessions, at a number of sessions each, while any gateway rests.
+func (m *modelFleet) assertSurvivesZoneLoss(t *testing.T, directives map[string]membership.Directives, each int) {
+	t.Helper()
+	awakeByZone, awake, resting := map[string]int{}, 0, 0
+	for name, directive := range directives {
+		if directive.Rest {
+			resting++
+			continue
+		}
+		awake++
+		awakeByZone[m.observation.Members[name].Zone]++
+	}
+	if resting == 0 {
+		return
+	}
+	assert.Assert(t, awake >= 2 && len(awakeByZone) >= 2, "%d awake in %v", awake, awakeByZone)
+	for zone, count := range awakeByZone {
+		remaining := awake - count
+		assert.Assert(t, remaining*each >= m.sessions(),
+			"without %s %d gateways are left for %d sessions", zone, remaining, m.sessions())
+	}
+}
+
+// churn lets clients come and go, wherever the platform sends them.
+func (m *modelFleet) churn() {
+	for range m.random.IntN(80) {
+		name := m.names[m.random.IntN(len(m.names))]
+		if !m.planner.resting[name] && m.observation.Loads[name].Ready {
+			m.addSessions(name, 1)
+		}
+	}
+	for _, name := range m.names {
+		if m.random.IntN(3) == 0 {
+			m.addSessions(name, -m.observation.Loads[name].Sessions*m.random.IntN(100)/150)
+		}
+	}
+}
+
+func TestPlannerSurvivesZoneLossAndDoesNotOscillate(t *testing.T) {
+	for seed := range uint64(60) {
+		model := newModelFleet(seed, 5+int(seed%5), economySettings(5*time.Second))
+		for range 120 {
+			model.churn()
+			model.assertSurvivesZoneLoss(t, model.second(0.2), 100)
+		}
+		// Left alone with noise only, the fleet becomes stable and stays so.
+		for range 120 {
+			model.second(0.3)
+		}
+		changesBefore := model.changes
+		for range 200 {
+			model.assertSurvivesZoneLoss(t, model.second(0.3), 100)
+		}
+		assert.Assert(t, model.changes == changesBefore,
+			"seed %d: %d changes without a change of load", seed, model.changes-changesBefore)
+	}
+}
+
+func TestPlannerIgnoresOutdatedReports(t *testing.T) {
+	model := newModelFleet(1, 6, economySettings(time.Second))
+	for range 3 {
+		model.second(0)
+	}
+	size := len(model.planner.resting)
+	model.now = model.now.Add(reportTimeout)
+	for range 60 {
+		model.now = model.now.Add(time.Second)
+		model.planner.Plan(model.now, model.observation)
+	}
+	assert.Equal(t, len(model.planner.resting), size)
+}
+
+// Seven gateways lie in three zones. Where processor time costs most, the last gateway of
+// a zone rests too; where traffic does, it stays awake for its zone.
+func TestPlannerFollowsWeights(t *testing.T) {
+	for _, weights := range []struct {
+		processor, traffic float64
+		allZonesAwake      bool
+	}{
+		{processor: 100, traffic: 0.01, allZonesAwake: false},
+		{processor: 0.01, traffic: 100, allZonesAwake: true},
+	} {
+		settings := economySettings(time.Second)
+		settings.ProcessorWeight, settings.TrafficWeight = weights.processor, weights.traffic
+		model := newModelFleet(3, 7, settings)
+		for _, name := range model.names {
+			model.addSessions(name, 12)
+		}
+		for range 60 {
+			model.second(0)
+		}
+		awakeByZone := map[string]int{}
+		for name, member := range model.observation.Members {
+			if !model.planner.resting[name] {
+				awakeByZone[member.Zone]++
+			}
+		}
+		assert.Assert(t, model.resting() >= 2, "%d rest", model.resting())
+		assert.Equal(t, len(awakeByZone) == 3, weights.allZonesAwake, "awake by zone: %v", awakeByZone)
+	}
+}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -108,7 +108,7 @@
 	acting        bool
 	parsed        config.Configuration
 	parsedAt      uint64
-	economist     *consolidation.Economist
+	consolidation *consolidation.Planner
 	balancer      *balancing.Balancer
 	lease         *consensus.Lease
 	orders        map[string]membership.Directives
@@ -135,7 +135,7 @@
 	}
 	controller.node = watch
 	controller.lease = watch.NewLease("economy")
-	controller.economist, controller.balancer = consolidation.New(), balancing.New()
+	controller.consolidation, controller.balancer = consolidation.New(), balancing.New()
 	controller.pulse = membership.NewFailureDetector(settings.Self)
 	controller.follower = membership.NewViewClient(settings.Self, settings.Incarnation, append([]string{settings.Self.Address}, settings.Seeds...), func() membership.Load { return membership.Load{} })
 	controller.controlClient = controlclient.New(controlclient.Settings{
--- a/internal/controller/economy.go
+++ b/internal/controller/economy.go
@@ -27,8 +27,8 @@
 	if !c.lease.Held(now) || now.Sub(c.began) < settleFor {
 		return
 	}
-	decided := c.economist.Decide(now, consolidation.Observation{
-		Configuration: configuration, Members: c.state.Members, Loads: c.loads, Heard: c.heard,
+	decided := c.consolidation.Plan(now, consolidation.Observation{
+		Configuration: configuration, Members: c.state.Members, Loads: c.loads, LastHeard: c.heard,
 	})
 	c.balance(now, configuration, decided)
 	c.giveOrders(now, decided, effects)
