--- a/internal/consolidation/cost.go
+++ b/internal/consolidation/cost.go
@@ -46,7 +46,9 @@
 	bytes := -savedBytes
 	if f.nearestDistance(resting, remaining) >= 1 {
 		// Each delivery to a session that moves crosses zones from then on.
-		bytes = resting.rate.delivered*messageBytes + float64(resting.load.Sessions)*messageBytes/sessionMessageSeconds - savedBytes
+		deliveredBytes := resting.rate.delivered * messageBytes
+		sessionBytes := float64(resting.load.Sessions) * messageBytes / sessionMessageSeconds
+		bytes = deliveredBytes + sessionBytes - savedBytes
 	}
 	return -f.settings.ProcessorWeight*processor*1000 + f.settings.TrafficWeight*bytes/1000
 }
