--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -18,8 +18,8 @@
 
 func build(current settings.Settings, self membership.Member, stored daemon.Stored) (daemon.Build, error) {
 	machine, err := controller.New(controller.Settings{
-		Self: self, Count: current.Controllers, Seeds: current.Seeds, Founding: current.Bootstrap, Tolerance: &current.Tolerance,
-		NewDisk: stored.NewDisk, Incarnation: stored.Incarnation, Acknowledge: current.Bounds.Acknowledge, Contact: current.Bounds.Contact, Highest: current.Versions == settings.VersionsHighest, Grace: current.Bounds.Grace,
+		Self: self, ControllerCount: current.Controllers, Seeds: current.Seeds, Bootstrap: current.Bootstrap, Tolerance: &current.Tolerance,
+		NewDisk: stored.NewDisk, Incarnation: stored.Incarnation, AcknowledgeTimeout: current.Bounds.Acknowledge, ContactTimeout: current.Bounds.Contact, HighestWins: current.Versions == settings.VersionsHighest, StopGracePeriod: current.Bounds.Grace,
 	}, stored.Frame, stored.Entries)
 	if err != nil {
 		return daemon.Build{}, err
--- a/internal/controller/apply.go
+++ b/internal/controller/apply.go
@@ -32,37 +32,37 @@
 	if command.Tolerance != nil {
 		s.Tolerance = *command.Tolerance
 	}
-	for _, departure := range command.Departures {
+	for _, departure := range command.Leaves {
 		s.applyDeparture(departure)
 	}
 	for _, join := range command.Joins {
 		s.applyJoin(join)
 	}
-	for _, name := range command.Emptied {
+	for _, name := range command.RetiredStores {
 		s.applyEmptied(name)
 	}
 	s.applyDegradations(command.Degradations)
-	for _, rest := range command.Rests {
+	for _, rest := range command.RestChanges {
 		s.applyRest(rest)
 	}
-	for _, place := range command.Places {
+	for _, place := range command.Placements {
 		s.applyPlace(place)
 	}
-	for _, settled := range command.Settled {
+	for _, settled := range command.Replicated {
 		s.applySettled(settled)
 	}
-	for _, departure := range command.Forgotten {
+	for _, departure := range command.Removals {
 		s.applyForget(departure)
 	}
 }
 
 func (s *State) setMember(member membership.Member) {
-	s.Members[member.Name], s.MemberAt[member.Name] = member, s.Index
+	s.Members[member.Name], s.MemberModifiedAt[member.Name] = member, s.Index
 	s.unbury(member.Name)
 }
 
 func (s *State) setPlace(place membership.Placement) {
-	s.Places[place.Partition], s.PlaceAt[place.Partition] = place, s.Index
+	s.Placements[place.Partition], s.PlacementModifiedAt[place.Partition] = place, s.Index
 }
 
 // Orders.
@@ -72,21 +72,21 @@
 		return result{outcome: outcome}
 	}
 	if change.Version <= s.Version {
-		if change.Highest {
+		if change.HighestWins {
 			s.remember(change, true)
 		}
-		return result{outcome: Overtaken}
+		return result{outcome: Superseded}
 	}
 	configuration, faults := config.Read(change.Document)
 	if len(faults) > 0 {
 		panic("a command with a faulty configuration")
 	}
 	if faults := s.drainFaults(configuration); len(faults) > 0 && !statemachine.Mutated("check-then-act") {
-		return result{outcome: Faulty, faults: faults}
+		return result{outcome: InvalidConfiguration, faults: faults}
 	}
 	s.takeConfiguration(change, configuration)
 	s.remember(change, false)
-	return result{outcome: Taken}
+	return result{outcome: Accepted}
 }
 
 // drainFaults looks at what only the cluster can tell: that the gateways to be
@@ -117,14 +117,14 @@
 	case !found || member.Kind != membership.KindStore:
 		return UnknownStore
 	case member.Retiring == order.Retiring || s.tookOrder(order.Order):
-		return Repeated
+		return Duplicate
 	case order.Retiring && !s.maySpare(order.Store) && !statemachine.Mutated("check-then-act"):
 		return TooFewStores
 	}
 	member.Retiring, member.Retired = order.Retiring, false
 	s.setMember(member)
 	s.rememberOrder(order.Order)
-	return Taken
+	return Accepted
 }
 
 // maySpare tells whether enough other stores would be left without one.
@@ -158,7 +158,7 @@
 
 func (s *State) applyJoin(join Join) {
 	known, found := s.member(join.Self.Name)
-	if found && join.Self.Incarnation < known.Incarnation && join.Over != known.Incarnation {
+	if found && join.Self.Incarnation < known.Incarnation && join.Replaces != known.Incarnation {
 		return
 	}
 	next := s.joined(join.Self)
@@ -171,7 +171,7 @@
 	}
 }
 
-func (s *State) applyDeparture(departure Departure) {
+func (s *State) applyDeparture(departure MemberIncarnation) {
 	member, found := s.Members[departure.Name]
 	if !found || !member.Alive || member.Incarnation != departure.Incarnation {
 		return
@@ -222,7 +222,7 @@
 	return count
 }
 
-func (s *State) applyRest(rest Rest) {
+func (s *State) applyRest(rest RestChange) {
 	member, found := s.Members[rest.Name]
 	if !found || !member.Alive || member.Incarnation != rest.Incarnation || member.Resting == rest.Resting {
 		return
@@ -237,8 +237,8 @@
 // unless its partition changed since or is no longer wanted, or a store that it
 // gives a copy to has been lost or ordered away.
 func (s *State) applyPlace(place membership.Placement) {
-	earlier, found := s.Places[place.Partition]
-	if found && (earlier.Epoch >= place.Epoch || s.PlaceAt[place.Partition] >= place.Epoch) || !s.wants(place.Partition) {
+	earlier, found := s.Placements[place.Partition]
+	if found && (earlier.Epoch >= place.Epoch || s.PlacementModifiedAt[place.Partition] >= place.Epoch) || !s.wants(place.Partition) {
 		return
 	}
 	given := place.Followers
@@ -252,7 +252,7 @@
 }
 
 func (s *State) applySettled(settled membership.PartitionReplicated) {
-	place, found := s.Places[settled.Partition]
+	place, found := s.Placements[settled.Partition]
 	if !found || place.Epoch != settled.Epoch || place.Complete {
 		return
 	}
--- a/internal/controller/command.go
+++ b/internal/controller/command.go
@@ -21,15 +21,15 @@
 	Configuration *ConfigurationChange `cbor:"Configuration"`
 	Retirement    *Retirement          `cbor:"Retirement"`
 	// Tolerance, if given, is how many stores may be lost at once from now on.
-	Tolerance    *int                             `cbor:"Tolerance"`
-	Departures   []Departure                      `cbor:"Departures"`
-	Joins        []Join                           `cbor:"Joins"`
-	Emptied      []string                         `cbor:"Emptied"`
-	Degradations []Degradation                    `cbor:"Degradations"`
-	Rests        []Rest                           `cbor:"Rests"`
-	Places       []membership.Placement           `cbor:"Places"`
-	Settled      []membership.PartitionReplicated `cbor:"Settled"`
-	Forgotten    []Departure                      `cbor:"Forgotten"`
+	Tolerance     *int                             `cbor:"Tolerance"`
+	Leaves        []MemberIncarnation              `cbor:"Departures"`
+	Joins         []Join                           `cbor:"Joins"`
+	RetiredStores []string                         `cbor:"Emptied"`
+	Degradations  []Degradation                    `cbor:"Degradations"`
+	RestChanges   []RestChange                     `cbor:"Rests"`
+	Placements    []membership.Placement           `cbor:"Places"`
+	Replicated    []membership.PartitionReplicated `cbor:"Settled"`
+	Removals      []MemberIncarnation              `cbor:"Forgotten"`
 }
 
 // ConfigurationChange is an operator's configuration under its number. One that was
@@ -38,13 +38,13 @@
 	Version  uint64        `cbor:"Version"`
 	Document []byte        `cbor:"Document"`
 	Digest   config.Digest `cbor:"Digest"`
-	// Highest says that a number below the one in force is confirmed without coming
+	// HighestWins says that a number below the one in force is confirmed without coming
 	// into force; otherwise it is refused.
-	Highest bool `cbor:"Highest"`
-	// At is when it came, by the clock of the primary, and Through the daemon that
+	HighestWins bool `cbor:"Highest"`
+	// ReceivedAt is when it came, by the clock of the primary, and Through the daemon that
 	// passed it on.
-	At      time.Time `cbor:"At"`
-	Through string    `cbor:"Through"`
+	ReceivedAt  time.Time `cbor:"At"`
+	ForwardedBy string    `cbor:"Through"`
 }
 
 // Retirement is an operator's order to empty a store, or to use it again. Order is
@@ -58,12 +58,12 @@
 // Join is what a daemon says of itself. It replaces an earlier life only if that is
 // not newer, or is the one that was known to be silent.
 type Join struct {
-	Self membership.Member `cbor:"Self"`
-	Over uint64            `cbor:"Over"`
+	Self     membership.Member `cbor:"Self"`
+	Replaces uint64            `cbor:"Over"`
 }
 
-// Departure ends one life of a member.
-type Departure struct {
+// MemberIncarnation ends one life of a member.
+type MemberIncarnation struct {
 	Name        string `cbor:"Name"`
 	Incarnation uint64 `cbor:"Incarnation"`
 }
@@ -75,8 +75,8 @@
 	Degraded    bool   `cbor:"Degraded"`
 }
 
-// Rest says that a gateway rests in one of its lives, or no longer does.
-type Rest struct {
+// RestChange says that a gateway rests in one of its lives, or no longer does.
+type RestChange struct {
 	Name        string `cbor:"Name"`
 	Incarnation uint64 `cbor:"Incarnation"`
 	Resting     bool   `cbor:"Resting"`
@@ -87,18 +87,18 @@
 
 // The outcomes of orders.
 const (
-	// Taken orders are in force from here on.
-	Taken Outcome = iota
-	// Repeated orders were taken before.
-	Repeated
-	// Overtaken configurations have a number below the one in force, under which
+	// Accepted orders are in force from here on.
+	Accepted Outcome = iota
+	// Duplicate orders were taken before.
+	Duplicate
+	// Superseded configurations have a number below the one in force, under which
 	// nothing else was confirmed.
-	Overtaken
-	// OtherContent is a configuration under a number that was confirmed with
+	Superseded
+	// ContentConflict is a configuration under a number that was confirmed with
 	// another content.
-	OtherContent
-	// Faulty configurations don't fit the cluster as it is.
-	Faulty
+	ContentConflict
+	// InvalidConfiguration configurations don't fit the cluster as it is.
+	InvalidConfiguration
 	// UnknownStore is an order for a store that nobody knows.
 	UnknownStore
 	// TooFewStores would be left by a retirement.
@@ -114,7 +114,7 @@
 // empty tells whether a command changes nothing.
 func (c Command) empty() bool {
 	return c.Configuration == nil && c.Retirement == nil && c.Tolerance == nil &&
-		len(c.Departures)+len(c.Joins)+len(c.Emptied)+len(c.Degradations)+len(c.Rests)+len(c.Places)+len(c.Settled)+len(c.Forgotten) == 0
+		len(c.Leaves)+len(c.Joins)+len(c.RetiredStores)+len(c.Degradations)+len(c.RestChanges)+len(c.Placements)+len(c.Replicated)+len(c.Removals) == 0
 }
 
 func mustPack(command Command) []byte { return transport.MustMarshal(command) }
--- a/internal/controller/control.go
+++ b/internal/controller/control.go
@@ -78,7 +78,7 @@
 	case request.Method == http.MethodGet && path == "/v1/placement":
 		c.confirmed(now, give, effects, func() (int, any) {
 			places := []membership.Placement{}
-			for _, place := range statemachine.Sorted(c.state.Places) {
+			for _, place := range statemachine.Sorted(c.state.Placements) {
 				places = append(places, place)
 			}
 			return http.StatusOK, map[string]any{"index": c.state.Index, "partitions": places}
@@ -146,13 +146,13 @@
 		faults = append(faults, c.state.drainFaults(configuration)...)
 	}
 	if len(faults) > 0 {
-		c.answerConfiguration(result{outcome: Faulty, faults: faults}, give, effects)
+		c.answerConfiguration(result{outcome: InvalidConfiguration, faults: faults}, give, effects)
 		return
 	}
-	change := ConfigurationChange{Version: configuration.Version, Digest: config.DigestOf(document), Highest: c.settings.Highest, At: now, Through: through}
+	change := ConfigurationChange{Version: configuration.Version, Digest: config.DigestOf(document), HighestWins: c.settings.HighestWins, ReceivedAt: now, ForwardedBy: through}
 	outcome, settled := c.state.decided(change)
-	if !settled && change.Version <= c.state.Version && !change.Highest {
-		outcome, settled = Overtaken, true
+	if !settled && change.Version <= c.state.Version && !change.HighestWins {
+		outcome, settled = Superseded, true
 	}
 	if settled {
 		c.confirmed(now, give, effects, func() (int, any) { return c.configurationAnswer(result{outcome: outcome}) })
@@ -169,7 +169,7 @@
 			give(effects, http.StatusServiceUnavailable, controlclient.ErrorBody("unsettled", "the configuration may have been taken; send the same again", nil))
 		case consensus.Committed:
 			decided := c.state.result
-			if decided.outcome == Taken {
+			if decided.outcome == Accepted {
 				effects.Emit(logevent.ConfigurationAccepted, "version", change.Version)
 			}
 			c.answerNews(now, effects)
@@ -180,7 +180,7 @@
 }
 
 func (c *Controller) answerConfiguration(decided result, give answer, effects *statemachine.Effects) {
-	if decided.outcome == Faulty {
+	if decided.outcome == InvalidConfiguration {
 		effects.Emit(logevent.ConfigurationRejected, "faults", len(decided.faults), "first", decided.faults[0].String())
 	}
 	status, value := c.configurationAnswer(decided)
@@ -190,11 +190,11 @@
 // configurationAnswer is what an operator is told of a configuration that was decided.
 func (c *Controller) configurationAnswer(decided result) (int, any) {
 	switch {
-	case decided.outcome == Faulty:
+	case decided.outcome == InvalidConfiguration:
 		return http.StatusBadRequest, controlclient.ErrorBody("faulty-configuration", "the configuration is faulty", decided.faults)
-	case decided.outcome == OtherContent:
+	case decided.outcome == ContentConflict:
 		return http.StatusConflict, map[string]any{"code": "same-version", "text": "this version was taken with other content", "newest": c.state.Version}
-	case decided.outcome == Overtaken && !c.settings.Highest:
+	case decided.outcome == Superseded && !c.settings.HighestWins:
 		return http.StatusConflict, map[string]any{"code": "older-version", "text": "a newer version was taken", "newest": c.state.Version}
 	}
 	// Where the highest version is the one, what is not above it changes nothing and
@@ -211,7 +211,7 @@
 			return http.StatusNotFound, controlclient.ErrorBody("no-such-store", "no store is named "+name, nil)
 		}
 		partitions := []string{}
-		for _, place := range statemachine.Sorted(c.state.Places) {
+		for _, place := range statemachine.Sorted(c.state.Placements) {
 			if place.HasReplica(name) {
 				partitions = append(partitions, place.Partition)
 			}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -39,24 +39,24 @@
 
 // Settings are a controller daemon's settings; see watchbill.Settings.
 type Settings struct {
-	Self     membership.Member
-	Count    int
-	Seeds    []string
-	Founding bool
-	NewDisk  string
+	Self            membership.Member
+	ControllerCount int
+	Seeds           []string
+	Bootstrap       bool
+	NewDisk         string
 	// Incarnation names this run of the process.
 	Incarnation statemachine.Incarnation
-	// Highest answers a configuration that is not above the one held as taken;
+	// HighestWins answers a configuration that is not above the one held as taken;
 	// otherwise it is a conflict, unless it is the same.
-	Highest bool
-	// Acknowledge is within what time a proper order is to be acknowledged.
-	Acknowledge time.Duration
-	// Contact is within what time a daemon is in touch again.
-	Contact time.Duration
+	HighestWins bool
+	// AcknowledgeTimeout is within what time a proper order is to be acknowledged.
+	AcknowledgeTimeout time.Duration
+	// ContactTimeout is within what time a daemon is in touch again.
+	ContactTimeout time.Duration
 	// Tolerance, if given, is how many machines with a disk may be lost at once.
 	Tolerance *int
-	// Grace is for how long a daemon that was asked to end is let run.
-	Grace time.Duration
+	// StopGracePeriod is for how long a daemon that was asked to end is let run.
+	StopGracePeriod time.Duration
 }
 
 // Request is an operator's request at this daemon's own ctl.
@@ -96,7 +96,7 @@
 	loads         map[string]membership.Load
 	suspected     map[string]map[string]reported
 	joining       map[string]Join
-	leaving       map[string]Departure
+	leaving       map[string]MemberIncarnation
 	complete      map[string]membership.PartitionReplicated
 	lags          map[string]lag
 	dead          map[string]reported
@@ -119,7 +119,7 @@
 	controller := &Controller{
 		settings: settings, spans: spansOf(settings), state: newState(), timers: statemachine.NewTimers[string](),
 		held: map[string]held{}, views: map[string]sentView{}, heard: map[string]time.Time{}, loads: map[string]membership.Load{},
-		suspected: map[string]map[string]reported{}, joining: map[string]Join{}, leaving: map[string]Departure{}, complete: map[string]membership.PartitionReplicated{}, lags: map[string]lag{}, doubts: map[string]*doubt{}, answers: map[string]answered{},
+		suspected: map[string]map[string]reported{}, joining: map[string]Join{}, leaving: map[string]MemberIncarnation{}, complete: map[string]membership.PartitionReplicated{}, lags: map[string]lag{}, doubts: map[string]*doubt{}, answers: map[string]answered{},
 		orders: map[string]membership.Directives{},
 	}
 	self := consensus.Controller{Name: settings.Self.Name, Address: settings.Self.Address, Zone: settings.Self.Zone}
@@ -128,7 +128,7 @@
 		tolerance = *settings.Tolerance
 	}
 	watch, err := consensus.New(consensus.Settings{
-		Self: self, Count: settings.Count, Seeds: settings.Seeds, Founding: settings.Founding, Tolerance: tolerance, NewDisk: settings.NewDisk, Incarnation: settings.Incarnation,
+		Self: self, Count: settings.ControllerCount, Seeds: settings.Seeds, Founding: settings.Bootstrap, Tolerance: tolerance, NewDisk: settings.NewDisk, Incarnation: settings.Incarnation,
 	}, controller.state, frame, entries)
 	if err != nil {
 		return nil, err
@@ -139,7 +139,7 @@
 	controller.pulse = membership.NewFailureDetector(settings.Self)
 	controller.follower = membership.NewViewClient(settings.Self, settings.Incarnation, append([]string{settings.Self.Address}, settings.Seeds...), func() membership.Load { return membership.Load{} })
 	controller.controlClient = controlclient.New(controlclient.Settings{
-		Incarnation: settings.Incarnation, Acknowledge: settings.Acknowledge, Upstream: controller.upstream, Next: controller.follower.NextController, Relays: controller.follower.Relays,
+		Incarnation: settings.Incarnation, Acknowledge: settings.AcknowledgeTimeout, Upstream: controller.upstream, Next: controller.follower.NextController, Relays: controller.follower.Relays,
 	})
 	return controller, nil
 }
@@ -354,7 +354,7 @@
 	if found && c.state.joined(self) == known {
 		return
 	}
-	c.joining[self.Name] = Join{Self: self, Over: known.Incarnation}
+	c.joining[self.Name] = Join{Self: self, Replaces: known.Incarnation}
 	delete(c.suspected, self.Name)
 	// Each change goes to everybody: while a fleet starts, many join in one.
 	pause := joinPause
@@ -383,7 +383,7 @@
 	if !c.node.HoldsLease(now) || !found || !member.Alive || member.Incarnation != farewell.Incarnation {
 		return
 	}
-	c.leaving[member.Name] = Departure{Name: member.Name, Incarnation: member.Incarnation}
+	c.leaving[member.Name] = MemberIncarnation{Name: member.Name, Incarnation: member.Incarnation}
 	c.timers.ArmSooner("tend", now)
 }
 
@@ -396,7 +396,7 @@
 	for _, member := range statemachine.Sorted(c.state.Members) {
 		_, joins := c.joining[member.Name]
 		if member.Address == address && member.Alive && !joins && member.Name != c.settings.Self.Name {
-			c.leaving[member.Name] = Departure{Name: member.Name, Incarnation: member.Incarnation}
+			c.leaving[member.Name] = MemberIncarnation{Name: member.Name, Incarnation: member.Incarnation}
 			c.timers.ArmSooner("tend", now)
 		}
 	}
@@ -410,7 +410,7 @@
 	}
 	c.acting, c.began, c.busy = true, now, false
 	c.suspected = map[string]map[string]reported{}
-	c.joining, c.leaving = map[string]Join{}, map[string]Departure{}
+	c.joining, c.leaving = map[string]Join{}, map[string]MemberIncarnation{}
 	c.complete = map[string]membership.PartitionReplicated{}
 	c.orders = map[string]membership.Directives{}
 	// What was reported in an earlier term is of no use any more.
@@ -468,7 +468,7 @@
 	if !c.state.Members[reporter].Alive {
 		return false
 	}
-	for _, place := range c.state.Places {
+	for _, place := range c.state.Placements {
 		if place.Leader == reporter && slices.Contains(place.Followers, name) {
 			return true
 		}
@@ -550,23 +550,23 @@
 	}
 	command := Command{}
 	for _, departure := range statemachine.Sorted(c.leaving) {
-		command.Departures = append(command.Departures, departure)
+		command.Leaves = append(command.Leaves, departure)
 		effects.Emit(logevent.MemberLost, "member", departure.Name, "why", "its process ended")
 	}
 	for _, join := range statemachine.Sorted(c.joining) {
 		command.Joins = append(command.Joins, join)
 		effects.Emit(logevent.MemberJoined, "member", join.Self.Name, "kind", join.Self.Kind, "zone", join.Self.Zone)
 	}
-	c.joining, c.leaving = map[string]Join{}, map[string]Departure{}
-	command.Departures = append(command.Departures, c.lost(now, effects)...)
-	command.Emptied = c.emptied(effects)
+	c.joining, c.leaving = map[string]Join{}, map[string]MemberIncarnation{}
+	command.Leaves = append(command.Leaves, c.lost(now, effects)...)
+	command.RetiredStores = c.emptied(effects)
 	if command.empty() {
 		command.Degradations = c.degradations(now, effects)
 	}
 	for partition, settled := range statemachine.Sorted(c.complete) {
-		place, found := c.state.Places[partition]
+		place, found := c.state.Placements[partition]
 		if found && place.Epoch == settled.Epoch && !place.Complete {
-			command.Settled = append(command.Settled, settled)
+			command.Replicated = append(command.Replicated, settled)
 			effects.Emit(logevent.PlacementReplicated, "partition", partition, "epoch", settled.Epoch)
 		}
 	}
@@ -576,22 +576,22 @@
 	}
 	if command.empty() {
 		c.forgetStrangers(now)
-		command.Forgotten = c.forgettable(now)
-		for _, departure := range command.Forgotten {
+		command.Removals = c.forgettable(now)
+		for _, departure := range command.Removals {
 			effects.Emit(logevent.MemberRemoved, "member", departure.Name)
 		}
 	}
 	if command.empty() {
-		command.Places = c.state.plan(c.configuration())
+		command.Placements = c.state.plan(c.configuration())
 		if now.Sub(c.began) <= settleFor/3 {
 			// New partitions wait until the stores that come back were heard; one
 			// whose holder came back with another disk does not.
-			command.Places = slices.DeleteFunc(command.Places, func(next membership.Placement) bool {
-				_, placed := c.state.Places[next.Partition]
+			command.Placements = slices.DeleteFunc(command.Placements, func(next membership.Placement) bool {
+				_, placed := c.state.Placements[next.Partition]
 				return !placed
 			})
 		}
-		for _, place := range command.Places {
+		for _, place := range command.Placements {
 			effects.Emit(logevent.PlacementChanged, "partition", place.Partition, "epoch", place.Epoch, "first", place.Leader, "followers", strings.Join(place.Followers, " "))
 		}
 	}
@@ -614,8 +614,8 @@
 }
 
 // lost lists the members that enough watchers no longer hear.
-func (c *Controller) lost(now time.Time, effects *statemachine.Effects) []Departure {
-	var gone []Departure
+func (c *Controller) lost(now time.Time, effects *statemachine.Effects) []MemberIncarnation {
+	var gone []MemberIncarnation
 	for name, reporters := range statemachine.Sorted(c.suspected) {
 		member, found := c.state.Members[name]
 		if !found || !member.Alive {
@@ -642,7 +642,7 @@
 		// one that still asks the primary itself is not taken for lost on two
 		// reports, but on all of them.
 		if fresh >= 2 && unheard > unasked || fresh >= 1 && unheard > limit || fresh >= membership.Watchers {
-			gone = append(gone, Departure{Name: name, Incarnation: member.Incarnation})
+			gone = append(gone, MemberIncarnation{Name: name, Incarnation: member.Incarnation})
 			delete(c.suspected, name)
 			effects.Emit(logevent.MemberLost, "member", name, "reporters", fresh, "unheard", unheard.String())
 		}
@@ -654,8 +654,8 @@
 		if member.Resting {
 			limit += membership.LowPriorityLongPollTimeout
 		}
-		if unheard := now.Sub(c.heard[name]); member.Alive && (unheard > limit || c.deaf(now, name)) && !slices.ContainsFunc(gone, func(other Departure) bool { return other.Name == name }) {
-			gone = append(gone, Departure{Name: name, Incarnation: member.Incarnation})
+		if unheard := now.Sub(c.heard[name]); member.Alive && (unheard > limit || c.deaf(now, name)) && !slices.ContainsFunc(gone, func(other MemberIncarnation) bool { return other.Name == name }) {
+			gone = append(gone, MemberIncarnation{Name: name, Incarnation: member.Incarnation})
 			why := "does not follow"
 			if c.deaf(now, name) {
 				why = "hears no answer"
--- a/internal/controller/economy.go
+++ b/internal/controller/economy.go
@@ -74,7 +74,7 @@
 		}
 		member := c.state.Members[name]
 		if rests := orders.Rest && c.loads[name].Resting; member.Resting != rests && member.Alive {
-			command.Rests = append(command.Rests, Rest{Name: name, Incarnation: member.Incarnation, Resting: rests})
+			command.RestChanges = append(command.RestChanges, RestChange{Name: name, Incarnation: member.Incarnation, Resting: rests})
 			if rests {
 				effects.Emit(logevent.GatewayRested, "gateway", name)
 			} else {
--- a/internal/controller/explore_test.go
+++ b/internal/controller/explore_test.go
@@ -101,7 +101,7 @@
 		store.start()
 	}
 	for range 500 {
-		if place, placed := w.state.Places[testPartition]; placed && place.Complete && len(w.items) == 0 && w.knownEverywhere() {
+		if place, placed := w.state.Placements[testPartition]; placed && place.Complete && len(w.items) == 0 && w.knownEverywhere() {
 			return w
 		}
 		w.ordinary()
@@ -226,7 +226,7 @@
 		w.asks[from] = heldAsk{ask: body, until: w.now.Add(exploreAskHeld)}
 		w.answerNews()
 	case membership.PartitionReplicated:
-		w.apply(Command{Settled: []membership.PartitionReplicated{body}})
+		w.apply(Command{Replicated: []membership.PartitionReplicated{body}})
 	case membership.SlowDiskReport:
 		w.lags[body.Name] = lag{at: w.now, incarnation: body.Incarnation, delay: body.Delay}
 	}
@@ -260,10 +260,10 @@
 	for _, store := range w.stores {
 		member, found := w.state.Members[store.name]
 		if found && member.Alive && !store.up && w.now.Sub(store.endedAt) >= exploreMissAfter {
-			w.apply(Command{Departures: []Departure{{Name: store.name, Incarnation: member.Incarnation}}})
+			w.apply(Command{Leaves: []MemberIncarnation{{Name: store.name, Incarnation: member.Incarnation}}})
 		}
 		if !w.state.Members[store.name].Retired {
-			w.apply(Command{Emptied: []string{store.name}})
+			w.apply(Command{RetiredStores: []string{store.name}})
 		}
 		if w.state.Members[store.name].Retired && !store.gone {
 			// It is taken away at once, disk and all.
@@ -274,7 +274,7 @@
 		w.apply(Command{Degradations: changes})
 	}
 	if changes := w.state.plan(w.config); len(changes) > 0 {
-		w.apply(Command{Places: changes})
+		w.apply(Command{Placements: changes})
 	}
 	w.answerNews()
 }
@@ -289,7 +289,7 @@
 
 func (w *storeWorld) append(sender string, seq uint64) {
 	w.asked++
-	w.send("gateway", w.state.Places[testPartition].Leader, partition.Append{
+	w.send("gateway", w.state.Placements[testPartition].Leader, partition.Append{
 		Partition: testPartition, Request: w.asked, Topic: "a", Sender: sender, Seq: seq, Data: fmt.Appendf(nil, "%s %d", sender, seq),
 	})
 }
@@ -486,7 +486,7 @@
 
 // Key names the state.
 func (w *storeWorld) Key() explore.Key {
-	parts := []any{w.left, w.lost, w.tendAt, w.state.Places, w.state.Members, w.state.Index, w.asks, w.lags, w.accepted}
+	parts := []any{w.left, w.lost, w.tendAt, w.state.Placements, w.state.Members, w.state.Index, w.asks, w.lags, w.accepted}
 	for _, store := range w.stores {
 		parts = append(parts, store.up, store.gone, store.disk, store.lives, store.endedAt)
 		if store.up {
@@ -516,7 +516,7 @@
 		if w.broken != nil {
 			return w.broken
 		}
-		place := w.state.Places[testPartition]
+		place := w.state.Placements[testPartition]
 		if first := w.store(place.Leader); len(w.items) > 0 || !place.Complete || !first.up || w.now.Sub(calm) < time.Second {
 			continue
 		}
@@ -536,7 +536,7 @@
 		}
 		return nil
 	}
-	return fmt.Errorf("the partition is not whole %s after the last trouble: %+v", exploreCalm, w.state.Places[testPartition])
+	return fmt.Errorf("the partition is not whole %s after the last trouble: %+v", exploreCalm, w.state.Placements[testPartition])
 }
 
 // storeWalk is one exploration of stores.
@@ -556,10 +556,10 @@
 	}
 }
 
-func (w *storeWorld) leader() *exploreStore { return w.store(w.state.Places[testPartition].Leader) }
+func (w *storeWorld) leader() *exploreStore { return w.store(w.state.Placements[testPartition].Leader) }
 
 func (w *storeWorld) follower() *exploreStore {
-	return w.store(w.state.Places[testPartition].Followers[0])
+	return w.store(w.state.Placements[testPartition].Followers[0])
 }
 
 func (w *storeWorld) retire(store *exploreStore) {
--- a/internal/controller/forget.go
+++ b/internal/controller/forget.go
@@ -32,7 +32,7 @@
 	Disk        string
 	Incarnation uint64
 	Retired     bool
-	At          uint64
+	RemovedAt   uint64
 }
 
 // member is the member as far as its tombstone tells.
@@ -60,7 +60,7 @@
 // mayForget tells whether nothing refers to a member any more: no process of it, no
 // order that is not done, no partition that has a copy on one of its disks or had one,
 // and no drain of the configuration in force.
-func (s *State) mayForget(departure Departure) bool {
+func (s *State) mayForget(departure MemberIncarnation) bool {
 	member, found := s.Members[departure.Name]
 	if !found || member.Alive || member.Incarnation != departure.Incarnation || member.Retiring && !member.Retired {
 		return false
@@ -68,12 +68,12 @@
 	if statemachine.Mutated("forget-holders") {
 		return true
 	}
-	return !slices.Contains(s.Drained, member.Name) && (member.Kind != membership.KindStore || !s.needs(member.Name))
+	return !slices.Contains(s.DrainedGateways, member.Name) && (member.Kind != membership.KindStore || !s.needs(member.Name))
 }
 
 // needs tells whether any partition names a store, or any disk that it ever had.
 func (s *State) needs(store string) bool {
-	for _, place := range s.Places {
+	for _, place := range s.Placements {
 		if place.HasReplica(store) || slices.ContainsFunc(place.InSync, func(holder string) bool { return strings.HasPrefix(holder, store+"@") }) {
 			return true
 		}
@@ -83,16 +83,16 @@
 
 // applyForget puts a tombstone in a member's place. With the oldest tombstone goes the
 // knowledge that it went: whoever is older than that is told everything anew.
-func (s *State) applyForget(departure Departure) {
+func (s *State) applyForget(departure MemberIncarnation) {
 	if !s.mayForget(departure) {
 		return
 	}
 	member := s.Members[departure.Name]
 	delete(s.Members, member.Name)
-	delete(s.MemberAt, member.Name)
+	delete(s.MemberModifiedAt, member.Name)
 	s.Tombstones = append(s.Tombstones, Tombstone{
 		Name: member.Name, Kind: member.Kind, Address: member.Address, Disk: member.Disk,
-		Incarnation: member.Incarnation, Retired: member.Retired, At: s.Index,
+		Incarnation: member.Incarnation, Retired: member.Retired, RemovedAt: s.Index,
 	})
 	if len(s.Tombstones) > max(tombstoneFloor, len(s.Members)) && !statemachine.Mutated("tombstones-for-ever") {
 		s.clearTombstone()
@@ -103,7 +103,7 @@
 // order last.
 func (s *State) clearTombstone() {
 	oldest := max(0, slices.IndexFunc(s.Tombstones, func(each Tombstone) bool { return !each.Retired }))
-	s.WholeAt = max(s.WholeAt, s.Tombstones[oldest].At)
+	s.CompactedAt = max(s.CompactedAt, s.Tombstones[oldest].RemovedAt)
 	s.Tombstones = slices.Delete(s.Tombstones, oldest, oldest+1)
 }
 
@@ -115,8 +115,8 @@
 }
 
 // forgettable lists the members that this primary has seen dead for long enough.
-func (c *Controller) forgettable(now time.Time) []Departure {
-	var gone []Departure
+func (c *Controller) forgettable(now time.Time) []MemberIncarnation {
+	var gone []MemberIncarnation
 	for name, member := range statemachine.Sorted(c.state.Members) {
 		if member.Alive {
 			delete(c.dead, name)
@@ -127,7 +127,7 @@
 			c.dead[name] = reported{at: now, incarnation: member.Incarnation}
 			continue
 		}
-		departure := Departure{Name: name, Incarnation: member.Incarnation}
+		departure := MemberIncarnation{Name: name, Incarnation: member.Incarnation}
 		if now.Sub(since.at) >= forgetAfter && c.state.mayForget(departure) {
 			gone = append(gone, departure)
 		}
--- a/internal/controller/forget_test.go
+++ b/internal/controller/forget_test.go
@@ -46,7 +46,7 @@
 }
 
 func (c *churn) lose(name string) {
-	c.apply(Command{Departures: []Departure{{Name: name, Incarnation: c.state.Members[name].Incarnation}}})
+	c.apply(Command{Leaves: []MemberIncarnation{{Name: name, Incarnation: c.state.Members[name].Incarnation}}})
 }
 
 // settle places and completes until nothing changes any more, and forgets all that may
@@ -54,25 +54,25 @@
 func (c *churn) settle() {
 	configuration, _ := config.Read(c.state.Document)
 	for range 20 {
-		command := Command{Places: c.state.plan(configuration)}
-		moved := len(command.Places) > 0
-		for name, place := range statemachine.Sorted(c.state.Places) {
+		command := Command{Placements: c.state.plan(configuration)}
+		moved := len(command.Placements) > 0
+		for name, place := range statemachine.Sorted(c.state.Placements) {
 			settled := membership.PartitionReplicated{Partition: name, Epoch: place.Epoch, Holders: []string{c.state.Members[place.Leader].ReplicaID()}}
 			for _, follower := range place.Followers {
 				settled.Holders = append(settled.Holders, c.state.Members[follower].ReplicaID())
 			}
 			if !place.Complete {
 				moved = true
-				command.Settled = append(command.Settled, settled)
+				command.Replicated = append(command.Replicated, settled)
 			}
 		}
 		for name, member := range statemachine.Sorted(c.state.Members) {
 			if member.Retiring && !member.Retired && !c.state.refers(name) {
 				moved = true
-				command.Emptied = append(command.Emptied, name)
+				command.RetiredStores = append(command.RetiredStores, name)
 			}
 			if !member.Alive {
-				command.Forgotten = append(command.Forgotten, Departure{Name: name, Incarnation: member.Incarnation})
+				command.Removals = append(command.Removals, MemberIncarnation{Name: name, Incarnation: member.Incarnation})
 			}
 		}
 		c.apply(command)
@@ -85,7 +85,7 @@
 
 // judge looks at what must never be forgotten.
 func (c *churn) judge() {
-	for _, place := range c.state.Places {
+	for _, place := range c.state.Placements {
 		for _, name := range append([]string{place.Leader}, place.Followers...) {
 			_, found := c.state.Members[name]
 			assert.Assert(c.t, found, "%s is a copy of %s and was forgotten", name, place.Partition)
@@ -159,7 +159,7 @@
 		run.settle()
 	}
 	run.apply(Command{Retirement: &Retirement{Store: "store-0", Retiring: true}})
-	assert.Equal(t, run.state.result.outcome, Repeated)
+	assert.Equal(t, run.state.result.outcome, Duplicate)
 	left, found := run.state.member("store-0")
 	assert.Assert(t, found && left.Retired && left.Retiring && !left.Alive)
 	// The same disk stays emptied, another machine of the name is a new one.
@@ -191,11 +191,11 @@
 	before := run.state.Index
 	run.apply(Command{Joins: []Join{{Self: old}}})
 	assert.Equal(t, run.state.Members["store-1"].Joined, before+1)
-	for _, place := range run.state.Places {
+	for _, place := range run.state.Placements {
 		assert.Assert(t, !place.HasReplica("store-1") && !slices.Contains(place.InSync, old.ReplicaID()))
 	}
 	run.settle()
-	for _, place := range run.state.Places {
+	for _, place := range run.state.Placements {
 		assert.Assert(t, !place.HasReplica("store-1") || place.Epoch > before, "an epoch of its earlier time names it")
 	}
 	run.judge()
--- a/internal/controller/history.go
+++ b/internal/controller/history.go
@@ -20,33 +20,33 @@
 // tookOrder tells whether an order of this name was taken before: it comes again from a
 // daemon that had no answer, and another may have been taken since.
 func (s *State) tookOrder(order statemachine.RequestID) bool {
-	return order.IsSet() && slices.Contains(s.Orders, order) && !statemachine.Mutated("orders-unnamed")
+	return order.IsSet() && slices.Contains(s.RecentOrders, order) && !statemachine.Mutated("orders-unnamed")
 }
 
 func (s *State) rememberOrder(order statemachine.RequestID) {
 	if !order.IsSet() {
 		return
 	}
-	s.Orders = append(s.Orders, order)
-	s.Orders = s.Orders[max(0, len(s.Orders)-ordersLimit):]
+	s.RecentOrders = append(s.RecentOrders, order)
+	s.RecentOrders = s.RecentOrders[max(0, len(s.RecentOrders)-ordersLimit):]
 }
 
 // historyLimit is how many numbers are remembered; the lowest are forgotten first.
 const historyLimit = 512
 
-// Decision is what was confirmed under one number. One that was overtaken never
+// ConfigurationDecision is what was confirmed under one number. One that was overtaken never
 // came into force.
-type Decision struct {
-	_         struct{} `cbor:",toarray"`
-	Version   uint64
-	Digest    config.Digest
-	At        time.Time
-	Through   string
-	Overtaken bool
+type ConfigurationDecision struct {
+	_           struct{} `cbor:",toarray"`
+	Version     uint64
+	Digest      config.Digest
+	ReceivedAt  time.Time
+	ForwardedBy string
+	Superseded  bool
 }
 
 func (s *State) placeInHistory(version uint64) (int, bool) {
-	return slices.BinarySearchFunc(s.History, version, func(each Decision, version uint64) int {
+	return slices.BinarySearchFunc(s.History, version, func(each ConfigurationDecision, version uint64) int {
 		return cmp.Compare(each.Version, version)
 	})
 }
@@ -62,11 +62,11 @@
 	earlier := s.History[position]
 	switch {
 	case earlier.Digest != change.Digest && !statemachine.Mutated("two-contents"):
-		return OtherContent, true
-	case earlier.Overtaken:
-		return Overtaken, true
+		return ContentConflict, true
+	case earlier.Superseded:
+		return Superseded, true
 	}
-	return Repeated, true
+	return Duplicate, true
 }
 
 // remember notes a decision, and forgets the lowest number if there are too many.
@@ -75,8 +75,8 @@
 	if found {
 		panic("a number was decided twice")
 	}
-	s.History = slices.Insert(s.History, position, Decision{
-		Version: change.Version, Digest: change.Digest, At: change.At, Through: change.Through, Overtaken: overtaken,
+	s.History = slices.Insert(s.History, position, ConfigurationDecision{
+		Version: change.Version, Digest: change.Digest, ReceivedAt: change.ReceivedAt, ForwardedBy: change.ForwardedBy, Superseded: overtaken,
 	})
 	if len(s.History) > historyLimit {
 		s.History = slices.Delete(s.History, 0, 1)
--- a/internal/controller/identity_test.go
+++ b/internal/controller/identity_test.go
@@ -51,9 +51,9 @@
 		store.start()
 	}
 	made.run(500 * time.Millisecond)
-	made.apply(Command{Places: made.state.plan(made.configuration())})
+	made.apply(Command{Placements: made.state.plan(made.configuration())})
 	made.run(3 * time.Second)
-	place := made.state.Places[testPartition]
+	place := made.state.Placements[testPartition]
 	for _, store := range made.stores {
 		switch store.name {
 		case place.Leader:
@@ -112,7 +112,7 @@
 	p.first.frame, p.first.entries = nil, nil
 	p.after(0, p.tend)
 	p.run(4 * time.Second)
-	p.send("gateway", statemachine.Send{To: p.state.Places[testPartition].Leader, Message: partition.Fetch{Partition: testPartition, Request: 1, Prefixes: []string{""}}})
+	p.send("gateway", statemachine.Send{To: p.state.Placements[testPartition].Leader, Message: partition.Fetch{Partition: testPartition, Request: 1, Prefixes: []string{""}}})
 	p.run(time.Second)
 	held, any := map[string]bool{}, false
 	for _, record := range p.records {
--- a/internal/controller/orders_test.go
+++ b/internal/controller/orders_test.go
@@ -36,7 +36,7 @@
 	tolerance := 0
 	alone := &lone{t: t, now: time.Unix(1_700_000_000, 0), answers: map[uint64]membership.ControlResponse{}}
 	self := membership.Member{Name: "controller", Kind: membership.KindController, Address: "controller", Zone: "zone", Incarnation: 1}
-	made, err := New(Settings{Self: self, Seeds: []string{"controller"}, Founding: true, NewDisk: "disk", Highest: highest, Tolerance: &tolerance}, nil, nil)
+	made, err := New(Settings{Self: self, Seeds: []string{"controller"}, Bootstrap: true, NewDisk: "disk", HighestWins: highest, Tolerance: &tolerance}, nil, nil)
 	assert.NilError(t, err)
 	alone.controller = made
 	alone.step(func(effects *statemachine.Effects) { made.Start(alone.now, effects) })
@@ -224,7 +224,7 @@
 	alone.order(http.MethodPut, "/v1/configuration", `{"version": 1, "spaces": [{"name": "a", "promise": "kept"}]}`)
 	alone.pass(4 * time.Second)
 	alone.joins(membership.KindStore, "store-1", "store-2", "store-3")
-	leaving := alone.controller.state.Places[PartitionName("a", 1, 0)].Leader
+	leaving := alone.controller.state.Placements[PartitionName("a", 1, 0)].Leader
 	assert.Equal(t, alone.ask(http.MethodPost, retirePath(leaving), ""), http.StatusAccepted)
 	assert.Assert(t, !alone.member(leaving).Retired, "its partitions lie nowhere else")
 	alone.hears(memberNamed(membership.KindStore, leaving, 2, "another disk"))
@@ -283,22 +283,22 @@
 	at := time.Unix(1_700_000_000, 0)
 	put := func(version uint64, content string) Outcome {
 		change := configured(version, configurationOf(int(version), content))
-		change.At, change.Through, change.Highest = at, operatorAddress, true
+		change.ReceivedAt, change.ForwardedBy, change.HighestWins = at, operatorAddress, true
 		state.Apply(time.Time{}, mustPack(Command{Configuration: change}))
 		return state.result.outcome
 	}
 	for version := range uint64(3 * historyLimit) {
-		assert.Equal(t, put(version+1, "1s"), Taken)
+		assert.Equal(t, put(version+1, "1s"), Accepted)
 	}
 	assert.Equal(t, len(state.History), historyLimit)
 	newest := state.History[historyLimit-1]
 	assert.Equal(t, newest.Version, uint64(3*historyLimit))
-	assert.Equal(t, newest.Through, operatorAddress)
-	assert.Assert(t, newest.At.Equal(at))
-	assert.Equal(t, put(1, "1s"), Overtaken, "what is forgotten is acknowledged where the highest number counts")
-	assert.Equal(t, put(2*historyLimit+1, "1s"), Repeated)
-	assert.Equal(t, put(2*historyLimit+1, "2s"), OtherContent)
-	assert.Equal(t, put(3*historyLimit, "2s"), OtherContent)
+	assert.Equal(t, newest.ForwardedBy, operatorAddress)
+	assert.Assert(t, newest.ReceivedAt.Equal(at))
+	assert.Equal(t, put(1, "1s"), Superseded, "what is forgotten is acknowledged where the highest number counts")
+	assert.Equal(t, put(2*historyLimit+1, "1s"), Duplicate)
+	assert.Equal(t, put(2*historyLimit+1, "2s"), ContentConflict)
+	assert.Equal(t, put(3*historyLimit, "2s"), ContentConflict)
 	packed := state.Snapshot()
 	restored := newState()
 	assert.NilError(t, restored.Restore(packed))
@@ -338,30 +338,30 @@
 	state := stateOf(5, 1)
 	apply := func(command Command) { state.Apply(time.Time{}, mustPack(command)) }
 	configuration, _ := config.Read(state.Document)
-	apply(Command{Places: state.plan(configuration)})
+	apply(Command{Placements: state.plan(configuration)})
 	earlier := state.Members["store-0"]
 	next := earlier
 	next.Incarnation, next.Alive = 2, false
 	apply(Command{Joins: []Join{{Self: next}}})
 	apply(Command{
-		Departures: []Departure{{Name: "store-0", Incarnation: 1}}, Joins: []Join{{Self: earlier}},
-		Degradations: []Degradation{{Name: "store-0", Incarnation: 1, Degraded: true}}, Rests: []Rest{{Name: "store-0", Incarnation: 1, Resting: true}},
+		Leaves: []MemberIncarnation{{Name: "store-0", Incarnation: 1}}, Joins: []Join{{Self: earlier}},
+		Degradations: []Degradation{{Name: "store-0", Incarnation: 1, Degraded: true}}, RestChanges: []RestChange{{Name: "store-0", Incarnation: 1, Resting: true}},
 	})
 	member := state.Members["store-0"]
 	assert.Assert(t, member.Alive && !member.Degraded && !member.Resting)
 	assert.Equal(t, member.Incarnation, uint64(2))
-	apply(Command{Joins: []Join{{Self: earlier, Over: 2}}})
+	apply(Command{Joins: []Join{{Self: earlier, Replaces: 2}}})
 	assert.Equal(t, state.Members["store-0"].Incarnation, uint64(1), "a clock that was set back, and the later life silent")
 
 	// A plan waits; meanwhile a store that it gives copies to is ordered away.
-	apply(Command{Departures: []Departure{{Name: "store-0", Incarnation: 1}}})
+	apply(Command{Leaves: []MemberIncarnation{{Name: "store-0", Incarnation: 1}}})
 	planned := state.plan(configuration)
 	assert.Assert(t, len(planned) > 0)
 	chosen := planned[0].Followers[0]
 	apply(Command{Retirement: &Retirement{Store: chosen, Retiring: true}})
-	assert.Equal(t, state.result.outcome, Taken)
-	apply(Command{Places: planned, Emptied: []string{chosen}})
-	assert.Assert(t, !slices.Contains(state.Places[planned[0].Partition].Followers, chosen) || state.Places[planned[0].Partition].Epoch < planned[0].Epoch)
+	assert.Equal(t, state.result.outcome, Accepted)
+	apply(Command{Placements: planned, RetiredStores: []string{chosen}})
+	assert.Assert(t, !slices.Contains(state.Placements[planned[0].Partition].Followers, chosen) || state.Placements[planned[0].Partition].Epoch < planned[0].Epoch)
 	assert.Assert(t, !state.Members[chosen].Retired, "partitions still lie there")
 
 	// Another waits while the configuration takes its space away.
@@ -370,9 +370,9 @@
 	planned = slices.DeleteFunc(state.plan(configuration), func(place membership.Placement) bool { return config.IsShared(place.Partition) })
 	assert.Assert(t, len(planned) > 0)
 	apply(Command{Configuration: configured(3, `{"version": 3, "spaces": []}`)})
-	apply(Command{Places: planned})
+	apply(Command{Placements: planned})
 	for _, place := range planned {
-		_, placed := state.Places[place.Partition]
+		_, placed := state.Placements[place.Partition]
 		assert.Assert(t, !placed, "%s came back", place.Partition)
 	}
 }
--- a/internal/controller/partition_test.go
+++ b/internal/controller/partition_test.go
@@ -293,7 +293,7 @@
 		}
 		y.after(50*time.Millisecond, func() { y.send("controller", statemachine.Send{To: from, Message: news}) })
 	case membership.PartitionReplicated:
-		y.apply(Command{Settled: []membership.PartitionReplicated{body}})
+		y.apply(Command{Replicated: []membership.PartitionReplicated{body}})
 	case membership.SlowDiskReport:
 		y.lags[body.Name] = lag{at: time.Unix(0, 0).Add(y.now), incarnation: body.Incarnation, delay: body.Delay}
 	}
@@ -306,15 +306,15 @@
 	for _, store := range y.stores {
 		member, found := y.state.Members[store.name]
 		if found && member.Alive && (!store.up || store.frozen) && y.random.IntN(6) == 0 {
-			y.apply(Command{Departures: []Departure{{Name: store.name, Incarnation: member.Incarnation}}})
+			y.apply(Command{Leaves: []MemberIncarnation{{Name: store.name, Incarnation: member.Incarnation}}})
 		}
-		y.apply(Command{Emptied: []string{store.name}})
+		y.apply(Command{RetiredStores: []string{store.name}})
 	}
 	if changes := y.state.degradations(time.Unix(0, 0).Add(y.now), y.lags); len(changes) > 0 {
 		y.apply(Command{Degradations: changes})
 	}
 	if changes := y.state.plan(y.configuration()); len(changes) > 0 {
-		y.apply(Command{Places: changes})
+		y.apply(Command{Placements: changes})
 	}
 }
 
@@ -322,7 +322,7 @@
 func (y *yard) write(number int) {
 	y.after(time.Duration(10+y.random.IntN(40))*time.Millisecond, func() { y.write(number) })
 	writer := y.writers[number]
-	place, placed := y.state.Places[testPartition]
+	place, placed := y.state.Placements[testPartition]
 	if !placed || y.calm || writer.busy {
 		return
 	}
@@ -391,12 +391,12 @@
 			return false
 		}
 	}
-	for _, place := range y.state.Places {
+	for _, place := range y.state.Placements {
 		if !place.Complete {
 			return false
 		}
 	}
-	return len(y.state.Places) > 0
+	return len(y.state.Placements) > 0
 }
 
 func (y *yard) trouble() {
@@ -470,12 +470,12 @@
 				store.start()
 			}
 			yard.run(8 * time.Second)
-			assert.Assert(t, yard.whole(), "not whole after eight quiet seconds: %+v", yard.state.Places[testPartition])
+			assert.Assert(t, yard.whole(), "not whole after eight quiet seconds: %+v", yard.state.Placements[testPartition])
 			assert.Assert(t, len(yard.accepted) > 300, "only %d were accepted", len(yard.accepted))
 			var got []partition.Record
 			for after := uint64(0); ; {
 				yard.fetched = nil
-				yard.send("gateway", statemachine.Send{To: yard.state.Places[testPartition].Leader, Message: partition.Fetch{Partition: testPartition, Request: 1, After: after, Prefixes: []string{""}}})
+				yard.send("gateway", statemachine.Send{To: yard.state.Placements[testPartition].Leader, Message: partition.Fetch{Partition: testPartition, Request: 1, After: after, Prefixes: []string{""}}})
 				yard.run(200 * time.Millisecond)
 				assert.Assert(t, yard.fetched != nil, "the first does not answer")
 				got = append(got, yard.fetched.Records...)
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -105,7 +105,7 @@
 	stores := s.stores()
 	for _, partition := range s.partitions(configuration) {
 		ranked := rankedStores(partition, stores)
-		place, placed := s.Places[partition]
+		place, placed := s.Placements[partition]
 		if placed {
 			if next, changed := s.replan(place, ranked); changed {
 				changes = append(changes, next)
@@ -207,7 +207,7 @@
 
 // refers tells whether any partition still needs a store.
 func (s *State) refers(store string) bool {
-	for _, place := range s.Places {
+	for _, place := range s.Placements {
 		if place.HasReplica(store) {
 			return true
 		}
--- a/internal/controller/placement_test.go
+++ b/internal/controller/placement_test.go
@@ -59,10 +59,10 @@
 	for tolerance := range 4 {
 		state := stateOf(9, tolerance)
 		configuration, _ := config.Read(state.Document)
-		state.Apply(time.Time{}, mustPack(Command{Places: state.plan(configuration)}))
-		assert.Equal(t, len(state.Places), config.SharedPartitions)
+		state.Apply(time.Time{}, mustPack(Command{Placements: state.plan(configuration)}))
+		assert.Equal(t, len(state.Placements), config.SharedPartitions)
 		assert.Equal(t, len(state.plan(configuration)), 0)
-		for _, place := range state.Places {
+		for _, place := range state.Placements {
 			zones := map[string]bool{state.Members[place.Leader].Zone: true}
 			for _, name := range place.Followers {
 				zones[state.Members[name].Zone] = true
@@ -72,7 +72,7 @@
 		}
 		state.Apply(time.Time{}, mustPack(Command{Degradations: []Degradation{{Name: "store-4", Incarnation: 1, Degraded: true}}}))
 		for _, next := range state.plan(configuration) {
-			before := state.Places[next.Partition]
+			before := state.Placements[next.Partition]
 			assert.Assert(t, before.HasReplica("store-4"))
 			for _, name := range next.Followers {
 				assert.Assert(t, name != "store-4")
--- a/internal/controller/renewal.go
+++ b/internal/controller/renewal.go
@@ -14,12 +14,12 @@
 	if statemachine.Mutated("one-epoch-for-all-lives") {
 		return
 	}
-	for _, place := range statemachine.Sorted(s.Places) {
+	for _, place := range statemachine.Sorted(s.Placements) {
 		if place.Leader != store || len(place.Followers) == 0 {
 			continue
 		}
 		place.Epoch = s.Index
-		s.Places[place.Partition], s.PlaceAt[place.Partition] = place, s.Index
+		s.Placements[place.Partition], s.PlacementModifiedAt[place.Partition] = place, s.Index
 	}
 }
 
--- a/internal/controller/restart_test.go
+++ b/internal/controller/restart_test.go
@@ -158,7 +158,7 @@
 func (s *seat) settings(founding bool) Settings {
 	tolerance := 1
 	self := membership.Member{Name: s.name, Kind: membership.KindController, Address: s.name, Zone: s.name, Incarnation: uint64(s.life), Alive: true}
-	return Settings{Self: self, Seeds: []string{"controller-0", "controller-1", "controller-2"}, Founding: founding, NewDisk: fmt.Sprint(s.name, ".", s.life), Highest: true, Tolerance: &tolerance}
+	return Settings{Self: self, Seeds: []string{"controller-0", "controller-1", "controller-2"}, Bootstrap: founding, NewDisk: fmt.Sprint(s.name, ".", s.life), HighestWins: true, Tolerance: &tolerance}
 }
 
 func (s *seat) start(founding bool) {
--- a/internal/controller/shared_test.go
+++ b/internal/controller/shared_test.go
@@ -69,7 +69,7 @@
 	if !line.bare {
 		request.Data = []byte(line.name(seq))
 	}
-	sy.send("gateway", statemachine.Send{To: sy.state.Places[name].Leader, Message: request})
+	sy.send("gateway", statemachine.Send{To: sy.state.Placements[name].Leader, Message: request})
 }
 
 func (sy *sharedYard) publish(line *line) {
@@ -173,7 +173,7 @@
 func (sy *sharedYard) follow() {
 	sy.after(2*time.Second, sy.follow)
 	follows := map[string]partition.Follow{}
-	for name, place := range statemachine.Sorted(sy.state.Places) {
+	for name, place := range statemachine.Sorted(sy.state.Placements) {
 		follow := follows[place.Leader]
 		follow.Partitions, follow.From = append(follow.Partitions, name), append(follow.From, sy.heads[name])
 		follows[place.Leader] = follow
@@ -188,7 +188,7 @@
 	name := config.SharedPartition(topic)
 	for after := uint64(0); ; {
 		sy.requests++
-		sy.send("gateway", statemachine.Send{To: sy.state.Places[name].Leader, Message: partition.Fetch{Partition: name, Request: sy.requests, After: after, Topics: []string{topic}}})
+		sy.send("gateway", statemachine.Send{To: sy.state.Placements[name].Leader, Message: partition.Fetch{Partition: name, Request: sy.requests, After: after, Topics: []string{topic}}})
 		sy.run(200 * time.Millisecond)
 		answer, found := sy.fetches[sy.requests]
 		assert.Assert(sy.t, found, "the first of %s does not answer", name)
@@ -241,7 +241,7 @@
 		store.start()
 	}
 	sy.run(9 * time.Second)
-	assert.Assert(sy.t, sy.whole(), "not whole after nine quiet seconds: %+v", sy.state.Places)
+	assert.Assert(sy.t, sy.whole(), "not whole after nine quiet seconds: %+v", sy.state.Placements)
 }
 
 // judge compares what the stores hold at the end with what they told.
@@ -342,7 +342,7 @@
 			yard.run(15 * time.Second)
 			retiring := yard.stores[seed%uint64(len(yard.stores))]
 			yard.apply(Command{Retirement: &Retirement{Store: retiring.name, Retiring: true}})
-			assert.Equal(t, yard.state.result.outcome, Taken)
+			assert.Equal(t, yard.state.result.outcome, Accepted)
 			began := yard.now
 			for !yard.state.Members[retiring.name].Retired {
 				yard.run(10 * time.Millisecond)
@@ -363,7 +363,7 @@
 				store.start()
 			}
 			yard.run(8 * time.Second)
-			assert.Assert(t, yard.whole(), "not whole after eight quiet seconds: %+v", yard.state.Places)
+			assert.Assert(t, yard.whole(), "not whole after eight quiet seconds: %+v", yard.state.Placements)
 			yard.judge()
 		})
 	}
--- a/internal/controller/spans.go
+++ b/internal/controller/spans.go
@@ -27,7 +27,7 @@
 // acknowledge it, and a loss is to be seen, and made good, within the time to be in
 // touch again. None is shorter than questions take that are held for news.
 func spansOf(settings Settings) spans {
-	acknowledge, contact := settings.Acknowledge, settings.Contact
+	acknowledge, contact := settings.AcknowledgeTimeout, settings.ContactTimeout
 	if acknowledge <= 0 {
 		acknowledge = controlclient.DefaultAcknowledge
 	}
--- a/internal/controller/stale_test.go
+++ b/internal/controller/stale_test.go
@@ -43,7 +43,7 @@
 			return before
 		}}
 	case 1:
-		return draft{Command{Departures: []Departure{{Name: member.Name, Incarnation: member.Incarnation}}}, func(before, after membership.Member) membership.Member {
+		return draft{Command{Leaves: []MemberIncarnation{{Name: member.Name, Incarnation: member.Incarnation}}}, func(before, after membership.Member) membership.Member {
 			before.Alive, before.Resting = after.Alive, after.Resting
 			return before
 		}}
@@ -53,7 +53,7 @@
 		if random.IntN(4) == 0 {
 			next.Disk = fmt.Sprint("disk-", step)
 		}
-		return draft{Command{Joins: []Join{{Self: next, Over: member.Incarnation}}}, func(before, after membership.Member) membership.Member {
+		return draft{Command{Joins: []Join{{Self: next, Replaces: member.Incarnation}}}, func(before, after membership.Member) membership.Member {
 			if !before.Retired {
 				after.Retiring, after.Retired = before.Retiring, before.Retired
 			}
@@ -66,23 +66,23 @@
 				return before
 			}}
 	case 4:
-		return draft{Command{Emptied: []string{member.Name}}, func(before, after membership.Member) membership.Member {
+		return draft{Command{RetiredStores: []string{member.Name}}, func(before, after membership.Member) membership.Member {
 			before.Retired = after.Retired
 			return before
 		}}
 	case 5:
 		configuration, _ := config.Read(state.Document)
-		return draft{Command{Places: state.plan(configuration)}, func(before, _ membership.Member) membership.Member { return before }}
+		return draft{Command{Placements: state.plan(configuration)}, func(before, _ membership.Member) membership.Member { return before }}
 	}
 	var settled []membership.PartitionReplicated
-	for name, place := range statemachine.Sorted(state.Places) {
+	for name, place := range statemachine.Sorted(state.Placements) {
 		holders := []string{state.Members[place.Leader].ReplicaID()}
 		for _, follower := range place.Followers {
 			holders = append(holders, state.Members[follower].ReplicaID())
 		}
 		settled = append(settled, membership.PartitionReplicated{Partition: name, Epoch: place.Epoch, Holders: holders})
 	}
-	return draft{Command{Settled: settled}, func(before, _ membership.Member) membership.Member { return before }}
+	return draft{Command{Replicated: settled}, func(before, _ membership.Member) membership.Member { return before }}
 }
 
 func TestCommandsDecidedOnAPassedStateChangeOnlyTheirFields(t *testing.T) {
@@ -108,7 +108,7 @@
 			}
 			if order := next.command.Retirement; order != nil && order.Retiring {
 				switch state.result.outcome {
-				case Taken:
+				case Accepted:
 					taken++
 					assert.Assert(t, spare, "seed %d, step %d: too few are left", seed, step)
 				case TooFewStores:
@@ -116,7 +116,7 @@
 					assert.Equal(t, state.Members[order.Store], before[order.Store])
 				}
 			}
-			if len(next.command.Places) > 0 {
+			if len(next.command.Placements) > 0 {
 				fitCopies(t, state, fmt.Sprintf("seed %d, step %d", seed, step))
 			}
 		}
@@ -129,8 +129,8 @@
 // fitCopies looks that what the last command placed lies with stores that may have it.
 func fitCopies(t *testing.T, state *State, when string) {
 	t.Helper()
-	for name, place := range state.Places {
-		if state.PlaceAt[name] < state.Index {
+	for name, place := range state.Placements {
+		if state.PlacementModifiedAt[name] < state.Index {
 			continue
 		}
 		for _, follower := range place.Followers {
--- a/internal/controller/state.go
+++ b/internal/controller/state.go
@@ -19,43 +19,43 @@
 
 // State is the control state itself.
 type State struct {
-	Index    uint64                          `cbor:"Index"`
-	Version  uint64                          `cbor:"Version"`
-	Document []byte                          `cbor:"Document"`
-	Births   map[string]uint64               `cbor:"Births"`
-	Natures  map[string]string               `cbor:"Natures"`
-	Members  map[string]membership.Member    `cbor:"Members"`
-	Places   map[string]membership.Placement `cbor:"Places"`
-	// MemberAt and PlaceAt are the indexes at which each changed last, BirthsAt the
+	Index          uint64                          `cbor:"Index"`
+	Version        uint64                          `cbor:"Version"`
+	Document       []byte                          `cbor:"Document"`
+	SpaceCreatedAt map[string]uint64               `cbor:"Births"`
+	SpaceKinds     map[string]string               `cbor:"Natures"`
+	Members        map[string]membership.Member    `cbor:"Members"`
+	Placements     map[string]membership.Placement `cbor:"Places"`
+	// MemberModifiedAt and PlaceAt are the indexes at which each changed last, BirthsAt the
 	// one at which the births did, and WholeAt the one at which a place was taken
 	// away, or a member whose tombstone is gone: who is older than that is told
 	// everything anew.
-	MemberAt map[string]uint64 `cbor:"MemberAt"`
-	PlaceAt  map[string]uint64 `cbor:"PlaceAt"`
-	BirthsAt uint64            `cbor:"BirthsAt"`
-	WholeAt  uint64            `cbor:"WholeAt"`
-	// Shared says that a routed space was in force once: from then on the shared
+	MemberModifiedAt    map[string]uint64 `cbor:"MemberAt"`
+	PlacementModifiedAt map[string]uint64 `cbor:"PlaceAt"`
+	SpacesModifiedAt    uint64            `cbor:"BirthsAt"`
+	CompactedAt         uint64            `cbor:"WholeAt"`
+	// HasSharedPartitions says that a routed space was in force once: from then on the shared
 	// partitions are placed, whatever becomes of the spaces.
-	Shared bool `cbor:"Shared"`
+	HasSharedPartitions bool `cbor:"Shared"`
 	// Tolerance is how many stores may be lost at once: a partition has one copy more.
 	Tolerance int `cbor:"Tolerance"`
 	// History are the newest numbers under which a configuration was confirmed, the
 	// lowest number first.
-	History []Decision `cbor:"History"`
-	// Orders are the newest retirements that were taken, the oldest first.
-	Orders []statemachine.RequestID `cbor:"Orders"`
+	History []ConfigurationDecision `cbor:"History"`
+	// RecentOrders are the newest retirements that were taken, the oldest first.
+	RecentOrders []statemachine.RequestID `cbor:"Orders"`
 	// Tombstones are what is left of the members that were forgotten, the oldest first,
 	// and Drained the gateways that the configuration in force names as drained.
-	Tombstones []Tombstone `cbor:"Tombstones"`
-	Drained    []string    `cbor:"Drained"`
-	result     result
+	Tombstones      []Tombstone `cbor:"Tombstones"`
+	DrainedGateways []string    `cbor:"Drained"`
+	result          result
 }
 
 func newState() *State {
 	return &State{
-		Births: map[string]uint64{}, Natures: map[string]string{},
-		Members: map[string]membership.Member{}, Places: map[string]membership.Placement{}, Tolerance: DefaultTolerance,
-		MemberAt: map[string]uint64{}, PlaceAt: map[string]uint64{},
+		SpaceCreatedAt: map[string]uint64{}, SpaceKinds: map[string]string{},
+		Members: map[string]membership.Member{}, Placements: map[string]membership.Placement{}, Tolerance: DefaultTolerance,
+		MemberModifiedAt: map[string]uint64{}, PlacementModifiedAt: map[string]uint64{},
 	}
 }
 
@@ -68,25 +68,25 @@
 // view puts into news what changed after an index, or everything for whoever
 // has nothing, or something that is gone.
 func (s *State) view(news *membership.ViewUpdate, since uint64) {
-	if since < s.WholeAt || since > s.Index {
+	if since < s.CompactedAt || since > s.Index {
 		since = 0
 	}
 	news.Changed, news.Since = true, since
-	if since <= s.BirthsAt {
-		news.SpaceCreatedAt = s.Births
+	if since <= s.SpacesModifiedAt {
+		news.SpaceCreatedAt = s.SpaceCreatedAt
 	}
 	for name, member := range statemachine.Sorted(s.Members) {
-		if at, known := s.MemberAt[name]; !known || at > since {
+		if at, known := s.MemberModifiedAt[name]; !known || at > since {
 			news.Members = append(news.Members, member)
 		}
 	}
 	for _, gone := range s.Tombstones {
-		if since > 0 && gone.At > since {
+		if since > 0 && gone.RemovedAt > since {
 			news.RemovedMembers = append(news.RemovedMembers, gone.Name)
 		}
 	}
-	for name, place := range statemachine.Sorted(s.Places) {
-		if at, known := s.PlaceAt[name]; !known || at > since {
+	for name, place := range statemachine.Sorted(s.Placements) {
+		if at, known := s.PlacementModifiedAt[name]; !known || at > since {
 			news.Placements = append(news.Placements, place)
 		}
 	}
@@ -94,34 +94,34 @@
 
 func (s *State) takeConfiguration(change ConfigurationChange, configuration config.Configuration) {
 	s.Version, s.Document = change.Version, change.Document
-	s.BirthsAt, s.Drained = s.Index, configuration.Drains
-	for name := range statemachine.Sorted(s.Births) {
+	s.SpacesModifiedAt, s.DrainedGateways = s.Index, configuration.Drains
+	for name := range statemachine.Sorted(s.SpaceCreatedAt) {
 		space, found := configuration.Spaces[name]
-		if !found || s.Natures[name] != nature(space) {
-			delete(s.Births, name)
-			delete(s.Natures, name)
+		if !found || s.SpaceKinds[name] != nature(space) {
+			delete(s.SpaceCreatedAt, name)
+			delete(s.SpaceKinds, name)
 		}
 	}
 	for name, space := range statemachine.Sorted(configuration.Spaces) {
 		if space.Order == config.OrderTopic {
 			// Its partitions outlive it, and nothing asks when it was born.
-			s.Shared = true
+			s.HasSharedPartitions = true
 			continue
 		}
-		if _, found := s.Births[name]; !found {
-			s.Births[name] = change.Version
-			s.Natures[name] = nature(space)
+		if _, found := s.SpaceCreatedAt[name]; !found {
+			s.SpaceCreatedAt[name] = change.Version
+			s.SpaceKinds[name] = nature(space)
 		}
 	}
 	wanted := map[string]bool{}
 	for _, partition := range s.partitions(configuration) {
 		wanted[partition] = true
 	}
-	for partition := range statemachine.Sorted(s.Places) {
+	for partition := range statemachine.Sorted(s.Placements) {
 		if !wanted[partition] {
-			delete(s.Places, partition)
-			delete(s.PlaceAt, partition)
-			s.WholeAt = s.Index
+			delete(s.Placements, partition)
+			delete(s.PlacementModifiedAt, partition)
+			s.CompactedAt = s.Index
 		}
 	}
 }
@@ -129,10 +129,10 @@
 // wants tells whether a partition belongs to the configuration in force.
 func (s *State) wants(partition string) bool {
 	if config.IsShared(partition) {
-		return s.Shared
+		return s.HasSharedPartitions
 	}
 	space, _, named := strings.Cut(partition, "~")
-	birth, found := s.Births[space]
+	birth, found := s.SpaceCreatedAt[space]
 	return named && found && strings.HasPrefix(partition, fmt.Sprintf("%s~%d/", space, birth))
 }
 
@@ -142,10 +142,10 @@
 	var names []string
 	for name, space := range statemachine.Sorted(configuration.Spaces) {
 		for number := range space.Partitions() {
-			names = append(names, PartitionName(name, s.Births[name], number))
+			names = append(names, PartitionName(name, s.SpaceCreatedAt[name], number))
 		}
 	}
-	if s.Shared {
+	if s.HasSharedPartitions {
 		for number := range config.SharedPartitions {
 			names = append(names, config.SharedPartitionName(number))
 		}
--- a/internal/controller/state_test.go
+++ b/internal/controller/state_test.go
@@ -37,16 +37,16 @@
 				if random.IntN(4) > 0 {
 					command.Joins = append(command.Joins, Join{Self: membership.Member{Name: name, Kind: membership.KindStore, Incarnation: uint64(step), Disk: "disk"}})
 				} else {
-					command.Departures = append(command.Departures, Departure{Name: name, Incarnation: state.Members[name].Incarnation})
+					command.Leaves = append(command.Leaves, MemberIncarnation{Name: name, Incarnation: state.Members[name].Incarnation})
 				}
 			case 2:
-				for name, place := range statemachine.Sorted(state.Places) {
+				for name, place := range statemachine.Sorted(state.Placements) {
 					settled := membership.PartitionReplicated{Partition: name, Epoch: place.Epoch, Holders: []string{state.Members[place.Leader].ReplicaID()}}
 					for _, follower := range place.Followers {
 						settled.Holders = append(settled.Holders, state.Members[follower].ReplicaID())
 					}
 					if random.IntN(2) == 0 {
-						command.Settled = append(command.Settled, settled)
+						command.Replicated = append(command.Replicated, settled)
 					}
 				}
 			case 3:
@@ -57,12 +57,12 @@
 				}
 			case 5:
 				for name, member := range statemachine.Sorted(state.Members) {
-					command.Forgotten = append(command.Forgotten, Departure{Name: name, Incarnation: member.Incarnation})
+					command.Removals = append(command.Removals, MemberIncarnation{Name: name, Incarnation: member.Incarnation})
 				}
 			case 4:
 				if version > 0 {
 					configuration, _ := config.Read(state.Document)
-					command.Places = state.plan(configuration)
+					command.Placements = state.plan(configuration)
 				}
 			}
 			state.Apply(now, mustPack(command))
@@ -76,8 +76,8 @@
 			follower.HandleUpdate(now.Add(time.Millisecond), news)
 			assert.Equal(t, follower.Index, state.Index)
 			assert.DeepEqual(t, follower.Members, state.Members)
-			assert.DeepEqual(t, follower.Placements, state.Places)
-			assert.DeepEqual(t, follower.SpaceCreatedAt, state.Births)
+			assert.DeepEqual(t, follower.Placements, state.Placements)
+			assert.DeepEqual(t, follower.SpaceCreatedAt, state.SpaceCreatedAt)
 		}
 		assert.Assert(t, partial > 200, "only %d of 300 were told what changed alone", partial)
 	}
--- a/internal/controller/stop.go
+++ b/internal/controller/stop.go
@@ -29,7 +29,7 @@
 
 // stopLimit leaves a quarter of the grace for the end itself.
 func (c *Controller) stopLimit() time.Duration {
-	grace := c.settings.Grace
+	grace := c.settings.StopGracePeriod
 	if grace == 0 {
 		grace = defaultGrace
 	}
--- a/internal/simulator/cutoff_store_test.go
+++ b/internal/simulator/cutoff_store_test.go
@@ -23,7 +23,7 @@
 	simulation.trouble = simulation.Now.Add(cutLength + contactWithin)
 	firsts := map[string]int{}
 	var store *Node
-	for _, place := range simulation.Primary().watchedState().Places {
+	for _, place := range simulation.Primary().watchedState().Placements {
 		firsts[place.Leader]++
 	}
 	for _, node := range simulation.Nodes(membership.KindStore) {
--- a/internal/simulator/simulator.go
+++ b/internal/simulator/simulator.go
@@ -210,11 +210,11 @@
 func (s *Simulation) addController(number int) *Node {
 	return s.add(membership.KindController, number, func(node *Node, stored stored) hosted {
 		settings := controller.Settings{
-			Self: node.member(), Count: s.Size.Controllers, Seeds: s.seeds, NewDisk: fmt.Sprintf("disk%d", node.life), Incarnation: node.named(), Highest: s.Size.Highest,
+			Self: node.member(), ControllerCount: s.Size.Controllers, Seeds: s.seeds, NewDisk: fmt.Sprintf("disk%d", node.life), Incarnation: node.named(), HighestWins: s.Size.Highest,
 		}
 		if s.Size.Seeded {
-			settings.Count, settings.Tolerance = 0, &s.Size.Tolerance
-			settings.Founding = !node.founded
+			settings.ControllerCount, settings.Tolerance = 0, &s.Size.Tolerance
+			settings.Bootstrap = !node.founded
 			node.founded = true
 		}
 		machine, err := controller.New(settings, stored.frame, stored.entries)
--- a/internal/simulator/stores_test.go
+++ b/internal/simulator/stores_test.go
@@ -104,7 +104,7 @@
 		}
 		seq++
 		topic := fmt.Sprintf("reading.%d", seq%200)
-		place := primary.Machine.(*controller.Controller).State().Places[config.SharedPartition(topic)]
+		place := primary.Machine.(*controller.Controller).State().Placements[config.SharedPartition(topic)]
 		gateway := run.Nodes(membership.KindGateway)[0]
 		for _, node := range run.Nodes(membership.KindStore) {
 			if node.Name == place.Leader {
@@ -148,7 +148,7 @@
 				store.slowDisk = times
 				began := run.Now
 				assert.Assert(t, run.RunUntil(5*time.Second, func() bool {
-					for _, place := range run.Primary().Machine.(*controller.Controller).State().Places {
+					for _, place := range run.Primary().Machine.(*controller.Controller).State().Placements {
 						if place.HasReplica(store.Name) || !place.Complete {
 							return false
 						}
--- a/internal/simulator/storm.go
+++ b/internal/simulator/storm.go
@@ -571,7 +571,7 @@
 		return false, false, s.callersServed()
 	}
 	partitions = true
-	for _, place := range acting.Machine.(*controller.Controller).State().Places {
+	for _, place := range acting.Machine.(*controller.Controller).State().Placements {
 		first := s.nodes[place.Leader]
 		partitions = partitions && place.Complete && first.Up && !first.Frozen
 	}
--- a/internal/storedforms/storedforms_test.go
+++ b/internal/storedforms/storedforms_test.go
@@ -68,7 +68,7 @@
 		{Name: "consensus-durable", Type: reflect.TypeFor[consensus.Durable]()},
 		{Name: "control-command", Type: reflect.TypeFor[controller.Command]()},
 		{Name: "control-state", Type: reflect.TypeFor[controller.State]()},
-		{Name: "control-decision", Type: reflect.TypeFor[controller.Decision]()},
+		{Name: "control-decision", Type: reflect.TypeFor[controller.ConfigurationDecision]()},
 		{Name: "control-tombstone", Type: reflect.TypeFor[controller.Tombstone]()},
 		{Name: "member", Type: reflect.TypeFor[membership.Member]()},
 		{Name: "placement", Type: reflect.TypeFor[membership.Placement]()},
