--- a/internal/controller/apply.go
+++ b/internal/controller/apply.go
@@ -22,71 +22,71 @@
 		panic(err)
 	}
 	s.Index++
-	s.result = result{}
+	s.result = orderResult{}
 	if command.Configuration != nil {
 		s.result = s.applyConfiguration(*command.Configuration)
 	}
 	if command.Retirement != nil {
-		s.result = result{outcome: s.applyRetirement(*command.Retirement)}
+		s.result = orderResult{outcome: s.applyRetirement(*command.Retirement)}
 	}
 	if command.Tolerance != nil {
 		s.Tolerance = *command.Tolerance
 	}
 	for _, departure := range command.Leaves {
-		s.applyDeparture(departure)
+		s.applyLeave(departure)
 	}
 	for _, join := range command.Joins {
 		s.applyJoin(join)
 	}
 	for _, name := range command.RetiredStores {
-		s.applyEmptied(name)
+		s.applyRetired(name)
 	}
 	s.applyDegradations(command.Degradations)
 	for _, rest := range command.RestChanges {
-		s.applyRest(rest)
+		s.applyRestChange(rest)
 	}
 	for _, place := range command.Placements {
-		s.applyPlace(place)
+		s.applyPlacement(place)
 	}
 	for _, settled := range command.Replicated {
-		s.applySettled(settled)
+		s.applyReplicated(settled)
 	}
 	for _, departure := range command.Removals {
-		s.applyForget(departure)
+		s.applyRemoval(departure)
 	}
 }
 
 func (s *State) setMember(member membership.Member) {
 	s.Members[member.Name], s.MemberModifiedAt[member.Name] = member, s.Index
-	s.unbury(member.Name)
+	s.dropTombstone(member.Name)
 }
 
-func (s *State) setPlace(place membership.Placement) {
+func (s *State) setPlacement(place membership.Placement) {
 	s.Placements[place.Partition], s.PlacementModifiedAt[place.Partition] = place, s.Index
 }
 
 // Orders.
 
-func (s *State) applyConfiguration(change ConfigurationChange) result {
-	if outcome, found := s.decided(change); found {
-		return result{outcome: outcome}
+func (s *State) applyConfiguration(change ConfigurationChange) orderResult {
+	if outcome, found := s.recordedOutcome(change); found {
+		return orderResult{outcome: outcome}
 	}
 	if change.Version <= s.Version {
 		if change.HighestWins {
-			s.remember(change, true)
+			s.recordDecision(change, true)
 		}
-		return result{outcome: Superseded}
+		return orderResult{outcome: Superseded}
 	}
 	configuration, faults := config.Read(change.Document)
 	if len(faults) > 0 {
 		panic("a command with a faulty configuration")
 	}
 	if faults := s.drainFaults(configuration); len(faults) > 0 && !statemachine.Mutated("check-then-act") {
-		return result{outcome: InvalidConfiguration, faults: faults}
+		return orderResult{outcome: InvalidConfiguration, faults: faults}
 	}
-	s.takeConfiguration(change, configuration)
-	s.remember(change, false)
-	return result{outcome: Accepted}
+	s.installConfiguration(change, configuration)
+	s.recordDecision(change, false)
+	return orderResult{outcome: Accepted}
 }
 
 // drainFaults looks at what only the cluster can tell: that the gateways to be
@@ -112,23 +112,23 @@
 }
 
 func (s *State) applyRetirement(order Retirement) Outcome {
-	member, found := s.member(order.Store)
+	member, found := s.memberOrTombstone(order.Store)
 	switch {
 	case !found || member.Kind != membership.KindStore:
 		return UnknownStore
-	case member.Retiring == order.Retiring || s.tookOrder(order.Order):
+	case member.Retiring == order.Retiring || s.acceptedBefore(order.Order):
 		return Duplicate
-	case order.Retiring && !s.maySpare(order.Store) && !statemachine.Mutated("check-then-act"):
+	case order.Retiring && !s.mayRetire(order.Store) && !statemachine.Mutated("check-then-act"):
 		return TooFewStores
 	}
 	member.Retiring, member.Retired = order.Retiring, false
 	s.setMember(member)
-	s.rememberOrder(order.Order)
+	s.recordOrder(order.Order)
 	return Accepted
 }
 
-// maySpare tells whether enough other stores would be left without one.
-func (s *State) maySpare(store string) bool {
+// mayRetire tells whether enough other stores would be left without one.
+func (s *State) mayRetire(store string) bool {
 	others := 0
 	for _, other := range s.Members {
 		if other.Kind == membership.KindStore && other.Name != store && other.Alive && !other.Retiring {
@@ -140,11 +140,11 @@
 
 // Members.
 
-// joined is a member's record once a life of it has joined. An order to empty a
+// joinedMember is a member's record once a life of it has joined. An order to empty a
 // store holds whatever becomes of its processes and disk, until it is done: then the
 // machine is taken away, and one of its name with another disk is a new one.
-func (s *State) joined(self membership.Member) membership.Member {
-	known, found := s.member(self.Name)
+func (s *State) joinedMember(self membership.Member) membership.Member {
+	known, found := s.memberOrTombstone(self.Name)
 	anew := !found || known.Incarnation != self.Incarnation
 	next := self
 	next.Alive = true
@@ -157,21 +157,21 @@
 }
 
 func (s *State) applyJoin(join Join) {
-	known, found := s.member(join.Self.Name)
+	known, found := s.memberOrTombstone(join.Self.Name)
 	if found && join.Self.Incarnation < known.Incarnation && join.Replaces != known.Incarnation {
 		return
 	}
-	next := s.joined(join.Self)
+	next := s.joinedMember(join.Self)
 	if !found || !known.Alive || known.Incarnation != next.Incarnation {
 		next.Joined = s.Index
 	}
 	s.setMember(next)
-	if found && beginsAnew(known, next) {
-		s.renewEpochs(next.Name)
+	if found && storeRestarted(known, next) {
+		s.advanceEpochs(next.Name)
 	}
 }
 
-func (s *State) applyDeparture(departure MemberIncarnation) {
+func (s *State) applyLeave(departure MemberIncarnation) {
 	member, found := s.Members[departure.Name]
 	if !found || !member.Alive || member.Incarnation != departure.Incarnation {
 		return
@@ -180,9 +180,9 @@
 	s.setMember(member)
 }
 
-func (s *State) applyEmptied(name string) {
+func (s *State) applyRetired(name string) {
 	member, found := s.Members[name]
-	if !found || !member.Retiring || member.Retired || s.refers(name) {
+	if !found || !member.Retiring || member.Retired || s.storeInUse(name) {
 		return
 	}
 	member.Retired = true
@@ -203,7 +203,7 @@
 			recovered++
 		case recovered > 0:
 			recovered--
-		case s.well() <= s.Tolerance+1:
+		case s.healthyStores() <= s.Tolerance+1:
 			continue
 		}
 		member.Degraded = change.Degraded
@@ -211,8 +211,8 @@
 	}
 }
 
-// well counts the stores that may be given partitions and don't lag.
-func (s *State) well() int {
+// healthyStores counts the stores that may be given partitions and don't lag.
+func (s *State) healthyStores() int {
 	count := 0
 	for _, member := range s.Members {
 		if member.Kind == membership.KindStore && member.Alive && !member.Retiring && !member.Degraded {
@@ -222,7 +222,7 @@
 	return count
 }
 
-func (s *State) applyRest(rest RestChange) {
+func (s *State) applyRestChange(rest RestChange) {
 	member, found := s.Members[rest.Name]
 	if !found || !member.Alive || member.Incarnation != rest.Incarnation || member.Resting == rest.Resting {
 		return
@@ -233,12 +233,12 @@
 
 // Placements.
 
-// applyPlace takes a placement that was decided on the index below its epoch,
+// applyPlacement takes a placement that was decided on the index below its epoch,
 // unless its partition changed since or is no longer wanted, or a store that it
 // gives a copy to has been lost or ordered away.
-func (s *State) applyPlace(place membership.Placement) {
+func (s *State) applyPlacement(place membership.Placement) {
 	earlier, found := s.Placements[place.Partition]
-	if found && (earlier.Epoch >= place.Epoch || s.PlacementModifiedAt[place.Partition] >= place.Epoch) || !s.wants(place.Partition) {
+	if found && (earlier.Epoch >= place.Epoch || s.PlacementModifiedAt[place.Partition] >= place.Epoch) || !s.expects(place.Partition) {
 		return
 	}
 	given := place.Followers
@@ -248,10 +248,10 @@
 	if slices.ContainsFunc(given, func(name string) bool { return !s.Members[name].Alive || s.Members[name].Retiring }) {
 		return
 	}
-	s.setPlace(place)
+	s.setPlacement(place)
 }
 
-func (s *State) applySettled(settled membership.PartitionReplicated) {
+func (s *State) applyReplicated(settled membership.PartitionReplicated) {
 	place, found := s.Placements[settled.Partition]
 	if !found || place.Epoch != settled.Epoch || place.Complete {
 		return
@@ -265,5 +265,5 @@
 		return
 	}
 	place.Complete, place.InSync = true, holders
-	s.setPlace(place)
+	s.setPlacement(place)
 }
--- a/internal/controller/command.go
+++ b/internal/controller/command.go
@@ -105,8 +105,8 @@
 	TooFewStores
 )
 
-// result is what came of the order in the command that was applied last.
-type result struct {
+// orderResult is what came of the order in the command that was applied last.
+type orderResult struct {
 	outcome Outcome
 	faults  []config.Fault
 }
@@ -117,4 +117,4 @@
 		len(c.Leaves)+len(c.Joins)+len(c.RetiredStores)+len(c.Degradations)+len(c.RestChanges)+len(c.Placements)+len(c.Replicated)+len(c.Removals) == 0
 }
 
-func mustPack(command Command) []byte { return transport.MustMarshal(command) }
+func encodeCommand(command Command) []byte { return transport.MustMarshal(command) }
--- a/internal/controller/control.go
+++ b/internal/controller/control.go
@@ -20,11 +20,11 @@
 	"dahlialock/internal/statemachine"
 )
 
-const comeBack = time.Second
+const retryAfter = time.Second
 
-type answer func(effects *statemachine.Effects, status int, value any)
+type respondFunc func(effects *statemachine.Effects, status int, value any)
 
-func (c *Controller) onControl(now time.Time, from string, request membership.ControlRequest, effects *statemachine.Effects) {
+func (c *Controller) handleControlRequest(now time.Time, from string, request membership.ControlRequest, effects *statemachine.Effects) {
 	give := func(effects *statemachine.Effects, status int, value any) {
 		returned := membership.ControlResponse{Request: request.Request, Status: status}
 		if packed, raw := value.([]byte); raw {
@@ -37,7 +37,7 @@
 			returned.Body = packed
 		}
 		if status == http.StatusServiceUnavailable {
-			returned.RetryAfter = comeBack
+			returned.RetryAfter = retryAfter
 			effects.Send(from, returned)
 			return
 		}
@@ -47,7 +47,7 @@
 		primary, found := c.node.Primary()
 		if found && primary.Name != c.settings.Self.Name {
 			effects.Send(from, membership.ControlResponse{
-				Request: request.Request, Status: http.StatusServiceUnavailable, Redirect: primary.Address, RetryAfter: comeBack,
+				Request: request.Request, Status: http.StatusServiceUnavailable, Redirect: primary.Address, RetryAfter: retryAfter,
 				Body: controlclient.ErrorBody("no-primary", "the primary does not answer", nil),
 			})
 			return
@@ -55,20 +55,20 @@
 		give(effects, http.StatusServiceUnavailable, controlclient.ErrorBody("no-primary", "no controller can serve at this moment", nil))
 		return
 	}
-	c.beginActing(now, effects)
+	c.beginTerm(now, effects)
 	path, _, _ := strings.Cut(request.Path, "?")
 	switch {
 	case request.Method == http.MethodPut && path == "/v1/configuration":
-		c.put(now, from, request.Body, give, effects)
+		c.putConfiguration(now, from, request.Body, give, effects)
 	case request.Method == http.MethodGet && path == "/v1/configuration":
-		c.confirmed(now, give, effects, func() (int, any) {
+		c.respondConfirmed(now, give, effects, func() (int, any) {
 			if c.state.Version == 0 {
 				return http.StatusNotFound, controlclient.ErrorBody("no-configuration", "no configuration was taken yet", nil)
 			}
 			return http.StatusOK, map[string]any{"version": c.state.Version, "configuration": json.RawMessage(c.state.Document)}
 		})
 	case request.Method == http.MethodGet && path == "/v1/cluster":
-		c.confirmed(now, give, effects, func() (int, any) {
+		c.respondConfirmed(now, give, effects, func() (int, any) {
 			members := []membership.Member{}
 			for _, member := range statemachine.Sorted(c.state.Members) {
 				members = append(members, member)
@@ -76,7 +76,7 @@
 			return http.StatusOK, map[string]any{"index": c.state.Index, "members": members, "loads": c.loads}
 		})
 	case request.Method == http.MethodGet && path == "/v1/placement":
-		c.confirmed(now, give, effects, func() (int, any) {
+		c.respondConfirmed(now, give, effects, func() (int, any) {
 			places := []membership.Placement{}
 			for _, place := range statemachine.Sorted(c.state.Placements) {
 				places = append(places, place)
@@ -84,7 +84,7 @@
 			return http.StatusOK, map[string]any{"index": c.state.Index, "partitions": places}
 		})
 	case request.Method == http.MethodGet && path == "/v1/epochs":
-		c.confirmed(now, give, effects, func() (int, any) {
+		c.respondConfirmed(now, give, effects, func() (int, any) {
 			record := c.node.Record()
 			voters := []string{}
 			for _, each := range record.Voters {
@@ -99,15 +99,15 @@
 			}
 		})
 	case strings.HasPrefix(path, "/v1/stores/"):
-		c.store(now, request, strings.TrimPrefix(path, "/v1/stores/"), give, effects)
+		c.handleStoreRequest(now, request, strings.TrimPrefix(path, "/v1/stores/"), give, effects)
 	default:
 		give(effects, http.StatusNotFound, controlclient.ErrorBody("no-such-path", request.Method+" "+path+" is not known", nil))
 	}
 }
 
-// takeAnswer hands an answer to the operator that asked here. One of this
+// handleControlResponse hands an answer to the operator that asked here. One of this
 // controller's own is bound by its lease, as on its way to another daemon.
-func (c *Controller) takeAnswer(now time.Time, from string, returned membership.ControlResponse, effects *statemachine.Effects) {
+func (c *Controller) handleControlResponse(now time.Time, from string, returned membership.ControlResponse, effects *statemachine.Effects) {
 	earlier := len(effects.Responses)
 	c.controlClient.HandleResponse(now, from, returned, effects)
 	if from != c.settings.Self.Address || returned.Status == http.StatusServiceUnavailable {
@@ -116,14 +116,14 @@
 	for position := earlier; position < len(effects.Responses); position++ {
 		effects.Responses[position].NotAfter = c.node.LeaseEnd()
 		effects.Responses[position].LateValue = membership.ControlResponse{
-			Status: http.StatusServiceUnavailable, RetryAfter: comeBack,
+			Status: http.StatusServiceUnavailable, RetryAfter: retryAfter,
 			Body: controlclient.ErrorBody("unsettled", "this controller may not answer any more; send the same again", nil),
 		}
 	}
 }
 
-// confirmed answers a question only after a majority said that the epoch stands.
-func (c *Controller) confirmed(now time.Time, give answer, effects *statemachine.Effects, read func() (int, any)) {
+// respondConfirmed answers a question only after a majority said that the epoch stands.
+func (c *Controller) respondConfirmed(now time.Time, give respondFunc, effects *statemachine.Effects, read func() (int, any)) {
 	c.node.Confirm(now, func(_ time.Time, effects *statemachine.Effects, outcome consensus.Outcome) {
 		if outcome != consensus.Committed {
 			give(effects, http.StatusServiceUnavailable, controlclient.ErrorBody("unconfirmed", "no majority confirmed this answer", nil))
@@ -134,9 +134,9 @@
 	}, effects)
 }
 
-// put takes an operator's configuration. Whether it comes into force is decided where
+// putConfiguration takes an operator's configuration. Whether it comes into force is decided where
 // it is applied, in the order of the log; what was decided before is told again.
-func (c *Controller) put(now time.Time, through string, document []byte, give answer, effects *statemachine.Effects) {
+func (c *Controller) putConfiguration(now time.Time, through string, document []byte, give respondFunc, effects *statemachine.Effects) {
 	configuration, faults := config.Read(document)
 	if len(faults) > 0 && statemachine.Mutated("accept-broken") {
 		give(effects, http.StatusOK, map[string]any{"version": configuration.Version, "taken": true})
@@ -146,22 +146,22 @@
 		faults = append(faults, c.state.drainFaults(configuration)...)
 	}
 	if len(faults) > 0 {
-		c.answerConfiguration(result{outcome: InvalidConfiguration, faults: faults}, give, effects)
+		c.respondConfiguration(orderResult{outcome: InvalidConfiguration, faults: faults}, give, effects)
 		return
 	}
 	change := ConfigurationChange{Version: configuration.Version, Digest: config.DigestOf(document), HighestWins: c.settings.HighestWins, ReceivedAt: now, ForwardedBy: through}
-	outcome, settled := c.state.decided(change)
+	outcome, settled := c.state.recordedOutcome(change)
 	if !settled && change.Version <= c.state.Version && !change.HighestWins {
 		outcome, settled = Superseded, true
 	}
 	if settled {
-		c.confirmed(now, give, effects, func() (int, any) { return c.configurationAnswer(result{outcome: outcome}) })
+		c.respondConfirmed(now, give, effects, func() (int, any) { return c.configurationResponse(orderResult{outcome: outcome}) })
 		return
 	}
 	if change.Version > c.state.Version {
 		change.Document = document
 	}
-	c.node.Submit(now, mustPack(Command{Configuration: &change}), c.spans.command, func(now time.Time, effects *statemachine.Effects, outcome consensus.Outcome) {
+	c.node.Submit(now, encodeCommand(Command{Configuration: &change}), c.timeouts.command, func(now time.Time, effects *statemachine.Effects, outcome consensus.Outcome) {
 		switch outcome {
 		case consensus.Refused:
 			give(effects, http.StatusServiceUnavailable, controlclient.ErrorBody("refused", "the configuration was not taken", nil))
@@ -172,23 +172,23 @@
 			if decided.outcome == Accepted {
 				effects.Emit(logevent.ConfigurationAccepted, "version", change.Version)
 			}
-			c.answerNews(now, effects)
+			c.answerPolls(now, effects)
 			c.timers.ArmSooner("tend", now)
-			c.answerConfiguration(decided, give, effects)
+			c.respondConfiguration(decided, give, effects)
 		}
 	}, effects)
 }
 
-func (c *Controller) answerConfiguration(decided result, give answer, effects *statemachine.Effects) {
+func (c *Controller) respondConfiguration(decided orderResult, give respondFunc, effects *statemachine.Effects) {
 	if decided.outcome == InvalidConfiguration {
 		effects.Emit(logevent.ConfigurationRejected, "faults", len(decided.faults), "first", decided.faults[0].String())
 	}
-	status, value := c.configurationAnswer(decided)
+	status, value := c.configurationResponse(decided)
 	give(effects, status, value)
 }
 
-// configurationAnswer is what an operator is told of a configuration that was decided.
-func (c *Controller) configurationAnswer(decided result) (int, any) {
+// configurationResponse is what an operator is told of a configuration that was decided.
+func (c *Controller) configurationResponse(decided orderResult) (int, any) {
 	switch {
 	case decided.outcome == InvalidConfiguration:
 		return http.StatusBadRequest, controlclient.ErrorBody("faulty-configuration", "the configuration is faulty", decided.faults)
@@ -202,11 +202,11 @@
 	return http.StatusOK, map[string]any{"version": c.state.Version, "taken": true}
 }
 
-func (c *Controller) store(now time.Time, request membership.ControlRequest, rest string, give answer, effects *statemachine.Effects) {
+func (c *Controller) handleStoreRequest(now time.Time, request membership.ControlRequest, rest string, give respondFunc, effects *statemachine.Effects) {
 	method := request.Method
 	name, verb, _ := strings.Cut(rest, "/")
 	describe := func(status int) (int, any) {
-		member, found := c.state.member(name)
+		member, found := c.state.memberOrTombstone(name)
 		if !found || member.Kind != membership.KindStore {
 			return http.StatusNotFound, controlclient.ErrorBody("no-such-store", "no store is named "+name, nil)
 		}
@@ -220,21 +220,21 @@
 	}
 	switch {
 	case method == http.MethodGet && verb == "":
-		c.confirmed(now, give, effects, func() (int, any) { return describe(http.StatusOK) })
+		c.respondConfirmed(now, give, effects, func() (int, any) { return describe(http.StatusOK) })
 	case method == http.MethodPost && (verb == "retire" || verb == "return"):
-		c.retire(now, Retirement{Order: request.Order, Store: name, Retiring: verb == "retire"}, give, describe, effects)
+		c.orderRetirement(now, Retirement{Order: request.Order, Store: name, Retiring: verb == "retire"}, give, describe, effects)
 	default:
 		give(effects, http.StatusNotFound, controlclient.ErrorBody("no-such-path", method+" on a store knows retire and return", nil))
 	}
 }
 
-// retire takes an order to empty a store, or to use it again. Whether enough others
+// orderRetirement takes an order to empty a store, or to use it again. Whether enough others
 // are left is decided where the order is applied.
-func (c *Controller) retire(now time.Time, order Retirement, give answer, describe func(status int) (int, any), effects *statemachine.Effects) {
+func (c *Controller) orderRetirement(now time.Time, order Retirement, give respondFunc, describe func(status int) (int, any), effects *statemachine.Effects) {
 	tooFew := controlclient.ErrorBody("too-few-stores", fmt.Sprintf("%d other stores must be alive to take the partitions", c.state.Tolerance+1), nil)
-	member, found := c.state.member(order.Store)
+	member, found := c.state.memberOrTombstone(order.Store)
 	if !found || member.Kind != membership.KindStore {
-		c.confirmed(now, give, effects, func() (int, any) {
+		c.respondConfirmed(now, give, effects, func() (int, any) {
 			if status, value := describe(http.StatusOK); status == http.StatusNotFound {
 				return status, value
 			}
@@ -242,15 +242,15 @@
 		})
 		return
 	}
-	if member.Retiring == order.Retiring || c.state.tookOrder(order.Order) {
-		c.confirmed(now, give, effects, func() (int, any) { return describe(http.StatusAccepted) })
+	if member.Retiring == order.Retiring || c.state.acceptedBefore(order.Order) {
+		c.respondConfirmed(now, give, effects, func() (int, any) { return describe(http.StatusAccepted) })
 		return
 	}
-	if statemachine.Mutated("check-then-act") && order.Retiring && !c.state.maySpare(order.Store) {
+	if statemachine.Mutated("check-then-act") && order.Retiring && !c.state.mayRetire(order.Store) {
 		give(effects, http.StatusConflict, tooFew)
 		return
 	}
-	c.node.Submit(now, mustPack(Command{Retirement: &order}), c.spans.command, func(now time.Time, effects *statemachine.Effects, outcome consensus.Outcome) {
+	c.node.Submit(now, encodeCommand(Command{Retirement: &order}), c.timeouts.command, func(now time.Time, effects *statemachine.Effects, outcome consensus.Outcome) {
 		switch {
 		case outcome != consensus.Committed:
 			give(effects, http.StatusServiceUnavailable, controlclient.ErrorBody("unsettled", "send the same again", nil))
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -25,16 +25,16 @@
 
 // Spans of the primary's work.
 const (
-	suspicionFresh = 1200 * time.Millisecond
-	storeUnheard   = 700 * time.Millisecond
-	tendEvery      = 200 * time.Millisecond
-	idleEvery      = 500 * time.Millisecond
-	settleFor      = 3 * time.Second
-	succeedsAfter  = 1200 * time.Millisecond
-	doubtFor       = 300 * time.Millisecond
-	doubtLong      = time.Second
-	joinPause      = 20 * time.Millisecond
-	youngPause     = 100 * time.Millisecond
+	suspicionTimeout      = 1200 * time.Millisecond
+	storeSuspicionTimeout = 700 * time.Millisecond
+	reconcileInterval     = 200 * time.Millisecond
+	standbyInterval       = 500 * time.Millisecond
+	warmupPeriod          = 3 * time.Second
+	incarnationTimeout    = 1200 * time.Millisecond
+	unconfirmedTimeout    = 300 * time.Millisecond
+	longDiskDelay         = time.Second
+	joinBatchDelay        = 20 * time.Millisecond
+	warmupJoinBatchDelay  = 100 * time.Millisecond
 )
 
 // Settings are a controller daemon's settings; see watchbill.Settings.
@@ -67,60 +67,60 @@
 	Body   []byte
 }
 
-type held struct {
-	from  string
-	ask   membership.ViewRequest
-	limit time.Time
-	// after is when it may be answered with a view, if not yet.
-	after time.Time
+type pendingPoll struct {
+	from     string
+	request  membership.ViewRequest
+	deadline time.Time
+	// notBefore is when it may be answered with a view, if not yet.
+	notBefore time.Time
 }
 
-type reported struct {
+type incarnationAt struct {
 	at          time.Time
 	incarnation uint64
 }
 
 // Controller is the state machine.
 type Controller struct {
-	settings      Settings
-	spans         spans
-	state         *State
-	node          *consensus.Node
-	pulse         *membership.FailureDetector
-	follower      *membership.ViewClient
-	controlClient *controlclient.ControlClient
-	timers        *statemachine.Timers[string]
-	held          map[string]held
-	views         map[string]sentView
-	heard         map[string]time.Time
-	loads         map[string]membership.Load
-	suspected     map[string]map[string]reported
-	joining       map[string]Join
-	leaving       map[string]MemberIncarnation
-	complete      map[string]membership.PartitionReplicated
-	lags          map[string]lag
-	dead          map[string]reported
-	doubts        map[string]*doubt
-	answers       map[string]answered
-	busy          bool
-	stopBy        time.Time
-	began         time.Time
-	acting        bool
-	parsed        config.Configuration
-	parsedAt      uint64
-	consolidation *consolidation.Planner
-	balancer      *balancing.Balancer
-	lease         *consensus.Lease
-	orders        map[string]membership.Directives
+	settings            Settings
+	timeouts            timeouts
+	state               *State
+	node                *consensus.Node
+	failureDetector     *membership.FailureDetector
+	viewClient          *membership.ViewClient
+	controlClient       *controlclient.ControlClient
+	timers              *statemachine.Timers[string]
+	pendingPolls        map[string]pendingPoll
+	sentViews           map[string]sentView
+	lastHeard           map[string]time.Time
+	loads               map[string]membership.Load
+	suspicions          map[string]map[string]incarnationAt
+	pendingJoins        map[string]Join
+	pendingLeaves       map[string]MemberIncarnation
+	pendingReplicated   map[string]membership.PartitionReplicated
+	slowDisks           map[string]slowDisk
+	deadSince           map[string]incarnationAt
+	unconfirmedReports  map[string]*unconfirmedReport
+	unacknowledged      map[string]unacknowledgedAnswer
+	commandPending      bool
+	stopDeadline        time.Time
+	termStart           time.Time
+	active              bool
+	parsedConfiguration config.Configuration
+	parsedVersion       uint64
+	planner             *consolidation.Planner
+	balancer            *balancing.Balancer
+	economyLease        *consensus.Lease
+	directives          map[string]membership.Directives
 }
 
 // New makes a controller from what its disk held.
 func New(settings Settings, frame []byte, entries [][]byte) (*Controller, error) {
 	controller := &Controller{
-		settings: settings, spans: spansOf(settings), state: newState(), timers: statemachine.NewTimers[string](),
-		held: map[string]held{}, views: map[string]sentView{}, heard: map[string]time.Time{}, loads: map[string]membership.Load{},
-		suspected: map[string]map[string]reported{}, joining: map[string]Join{}, leaving: map[string]MemberIncarnation{}, complete: map[string]membership.PartitionReplicated{}, lags: map[string]lag{}, doubts: map[string]*doubt{}, answers: map[string]answered{},
-		orders: map[string]membership.Directives{},
+		settings: settings, timeouts: timeoutsFor(settings), state: newState(), timers: statemachine.NewTimers[string](),
+		pendingPolls: map[string]pendingPoll{}, sentViews: map[string]sentView{}, lastHeard: map[string]time.Time{}, loads: map[string]membership.Load{},
+		suspicions: map[string]map[string]incarnationAt{}, pendingJoins: map[string]Join{}, pendingLeaves: map[string]MemberIncarnation{}, pendingReplicated: map[string]membership.PartitionReplicated{}, slowDisks: map[string]slowDisk{}, unconfirmedReports: map[string]*unconfirmedReport{}, unacknowledged: map[string]unacknowledgedAnswer{},
+		directives: map[string]membership.Directives{},
 	}
 	self := consensus.Controller{Name: settings.Self.Name, Address: settings.Self.Address, Zone: settings.Self.Zone}
 	tolerance := DefaultTolerance
@@ -134,12 +134,12 @@
 		return nil, err
 	}
 	controller.node = watch
-	controller.lease = watch.NewLease("economy")
-	controller.consolidation, controller.balancer = consolidation.New(), balancing.New()
-	controller.pulse = membership.NewFailureDetector(settings.Self)
-	controller.follower = membership.NewViewClient(settings.Self, settings.Incarnation, append([]string{settings.Self.Address}, settings.Seeds...), func() membership.Load { return membership.Load{} })
+	controller.economyLease = watch.NewLease("economy")
+	controller.planner, controller.balancer = consolidation.New(), balancing.New()
+	controller.failureDetector = membership.NewFailureDetector(settings.Self)
+	controller.viewClient = membership.NewViewClient(settings.Self, settings.Incarnation, append([]string{settings.Self.Address}, settings.Seeds...), func() membership.Load { return membership.Load{} })
 	controller.controlClient = controlclient.New(controlclient.Settings{
-		Incarnation: settings.Incarnation, Acknowledge: settings.AcknowledgeTimeout, Upstream: controller.upstream, Next: controller.follower.NextController, Relays: controller.follower.Relays,
+		Incarnation: settings.Incarnation, Acknowledge: settings.AcknowledgeTimeout, Upstream: controller.upstream, Next: controller.viewClient.NextController, Relays: controller.viewClient.Relays,
 	})
 	return controller, nil
 }
@@ -148,14 +148,14 @@
 	if primary, found := c.node.Primary(); found {
 		return primary.Address
 	}
-	return c.follower.Upstream()
+	return c.viewClient.Upstream()
 }
 
 // ConfigurationVersion is the newest configuration version this controller can vouch for.
-func (c *Controller) ConfigurationVersion() uint64 { return c.follower.Version }
+func (c *Controller) ConfigurationVersion() uint64 { return c.viewClient.Version }
 
 // ViewClient gives the controller's own view, for its ctl.
-func (c *Controller) ViewClient() *membership.ViewClient { return c.follower }
+func (c *Controller) ViewClient() *membership.ViewClient { return c.viewClient }
 
 // Node gives the controller's watch, for its ctl and the simulator's checks.
 func (c *Controller) Node() *consensus.Node { return c.node }
@@ -175,28 +175,28 @@
 // Start begins the controller's work.
 func (c *Controller) Start(now time.Time, effects *statemachine.Effects) {
 	c.node.Start(now, effects)
-	c.pulse.Start(now)
-	c.follower.Start(now)
-	c.timers.Arm("tend", now.Add(tendEvery))
+	c.failureDetector.Start(now)
+	c.viewClient.Start(now)
+	c.timers.Arm("tend", now.Add(reconcileInterval))
 }
 
 // NextTick is when the controller wants to run again.
 func (c *Controller) NextTick() time.Time {
-	return statemachine.Earliest(c.node.NextTick(), c.pulse.NextTick(), c.follower.NextTick(), c.controlClient.NextTick(), c.timers.Next())
+	return statemachine.Earliest(c.node.NextTick(), c.failureDetector.NextTick(), c.viewClient.NextTick(), c.controlClient.NextTick(), c.timers.Next())
 }
 
 // Tick runs whatever is due.
 func (c *Controller) Tick(now time.Time, effects *statemachine.Effects) {
 	c.node.Tick(now, effects)
-	c.pulse.Tick(now, effects)
-	c.follower.Tick(now, effects)
+	c.failureDetector.Tick(now, effects)
+	c.viewClient.Tick(now, effects)
 	c.controlClient.Tick(now, effects)
 	for _, key := range c.timers.Expired(now) {
 		if key == "tend" {
-			c.tend(now, effects)
+			c.reconcile(now, effects)
 		}
 	}
-	c.endStop(now, effects)
+	c.finishStop(now, effects)
 }
 
 // HandleCommand takes what the adapters bring: synced writes and ctl requests.
@@ -204,59 +204,59 @@
 	switch body := command.(type) {
 	case statemachine.Synced:
 		c.node.Synced(now, body.Token, effects)
-		c.answerNews(now, effects)
+		c.answerPolls(now, effects)
 	case Request:
 		c.controlClient.Forward(now, body.Local, body.Method, body.Path, body.Body, effects)
 	case Stop:
 		c.beginStop(now, effects)
 	}
-	c.endStop(now, effects)
+	c.finishStop(now, effects)
 }
 
 // HandleMessage takes what other daemons say.
 func (c *Controller) HandleMessage(now time.Time, meta statemachine.Meta, message any, effects *statemachine.Effects) {
 	if meta.From != c.settings.Self.Address {
-		c.pulse.ReceiveFromPeer(now)
+		c.failureDetector.ReceiveFromPeer(now)
 	}
 	if c.node.HandleMessage(now, meta, message, effects) {
-		c.answerNews(now, effects)
-		c.endStop(now, effects)
+		c.answerPolls(now, effects)
+		c.finishStop(now, effects)
 		return
 	}
 	switch body := message.(type) {
 	case membership.ViewRequest:
-		c.onAsk(now, meta.From, body, effects)
+		c.handleViewRequest(now, meta.From, body, effects)
 	case membership.ViewUpdate:
-		if taken := c.follower.HandleUpdate(now, body); taken.View {
-			c.pulse.SetView(now, c.follower.Members, c.follower.Upstream(), c.follower.Index)
+		if taken := c.viewClient.HandleUpdate(now, body); taken.View {
+			c.failureDetector.SetView(now, c.viewClient.Members, c.viewClient.Upstream(), c.viewClient.Index)
 		}
 	case membership.Redirect:
-		c.follower.HandleRedirect(now, body, effects)
+		c.viewClient.HandleRedirect(now, body, effects)
 	case membership.Heartbeat:
-		c.pulse.ReceiveHeartbeat(now, body)
+		c.failureDetector.ReceiveHeartbeat(now, body)
 	case membership.Suspicion:
-		c.onSuspicion(now, body)
+		c.handleSuspicion(now, body)
 	case membership.GracefulLeave:
-		c.onFarewell(now, body, effects)
+		c.handleGracefulLeave(now, body, effects)
 	case membership.PartitionReplicated:
 		if c.node.HoldsLease(now) {
-			c.complete[body.Partition] = body
+			c.pendingReplicated[body.Partition] = body
 			c.timers.ArmSooner("tend", now)
 		}
 	case membership.SlowDiskReport:
-		c.onLagging(now, body, effects)
+		c.handleSlowDiskReport(now, body, effects)
 	case membership.ControlRequest:
-		c.onControl(now, meta.From, body, effects)
+		c.handleControlRequest(now, meta.From, body, effects)
 	case membership.ControlResponse:
-		c.takeAnswer(now, meta.From, body, effects)
+		c.handleControlResponse(now, meta.From, body, effects)
 	case membership.ConfigurationRequest:
-		c.follower.RespondToConfigurationRequest(meta.From, body, effects)
+		c.viewClient.RespondToConfigurationRequest(meta.From, body, effects)
 	}
 }
 
 // Asking and answering.
 
-func (c *Controller) onAsk(now time.Time, from string, ask membership.ViewRequest, effects *statemachine.Effects) {
+func (c *Controller) handleViewRequest(now time.Time, from string, ask membership.ViewRequest, effects *statemachine.Effects) {
 	if !c.node.Speaking(now) {
 		if c.node.IsPrimary() && c.node.HoldsLease(now) {
 			return
@@ -264,24 +264,24 @@
 		effects.Send(from, c.redirect(ask))
 		return
 	}
-	c.beginActing(now, effects)
-	c.noteMember(now, ask)
+	c.beginTerm(now, effects)
+	c.recordMember(now, ask)
 	hold := membership.LongPollTimeout
 	if ask.LowPriority {
 		hold = membership.LowPriorityLongPollTimeout
 	}
-	item := held{from: from, ask: ask, limit: now.Add(hold), after: c.viewDue(ask)}
-	if item.after.After(now) {
-		c.held[ask.Self.Name] = item
-		c.timers.ArmSooner("tend", item.after)
+	item := pendingPoll{from: from, request: ask, deadline: now.Add(hold), notBefore: c.viewNotBefore(ask)}
+	if item.notBefore.After(now) {
+		c.pendingPolls[ask.Self.Name] = item
+		c.timers.ArmSooner("tend", item.notBefore)
 		return
 	}
 	if ask.Index != c.state.Index || ask.Version != c.state.Version || ask.Urgent {
-		c.give(now, item, effects)
+		c.respondWithView(now, item, effects)
 		return
 	}
-	c.held[ask.Self.Name] = item
-	c.timers.ArmSooner("tend", item.limit)
+	c.pendingPolls[ask.Self.Name] = item
+	c.timers.ArmSooner("tend", item.deadline)
 }
 
 func (c *Controller) redirect(ask membership.ViewRequest) membership.Redirect {
@@ -295,95 +295,95 @@
 	return redirect
 }
 
-func (c *Controller) give(now time.Time, item held, effects *statemachine.Effects) {
-	c.noteAnswer(now, item.ask)
-	delete(c.held, item.ask.Self.Name)
+func (c *Controller) respondWithView(now time.Time, item pendingPoll, effects *statemachine.Effects) {
+	c.recordAnswer(now, item.request)
+	delete(c.pendingPolls, item.request.Self.Name)
 	news := membership.ViewUpdate{
-		Recipient: item.ask.Self.Name, Nonce: item.ask.Nonce, Epoch: c.node.Record().Epoch,
+		Recipient: item.request.Self.Name, Nonce: item.request.Nonce, Epoch: c.node.Record().Epoch,
 		Primary: c.settings.Self.Address, Index: c.state.Index, Version: c.state.Version,
-		Directives: c.orders[item.ask.Self.Name],
+		Directives: c.directives[item.request.Self.Name],
 	}
-	if item.ask.Version < c.state.Version {
+	if item.request.Version < c.state.Version {
 		news.Document = c.state.Document
 	}
-	if item.ask.Index != c.state.Index {
+	if item.request.Index != c.state.Index {
 		// Whoever has it from an earlier epoch is told all of it once.
-		since := item.ask.Index
-		if item.ask.Epoch != news.Epoch {
+		since := item.request.Index
+		if item.request.Epoch != news.Epoch {
 			since = 0
 		}
-		c.state.view(&news, since)
-		c.noteView(now, item.ask)
+		c.state.fillView(&news, since)
+		c.recordView(now, item.request)
 	}
 	effects.SendBefore(item.from, news, c.node.LeaseEnd())
 }
 
-// answerNews answers those that wait, once there is news or their time is up.
-func (c *Controller) answerNews(now time.Time, effects *statemachine.Effects) {
-	if len(c.held) == 0 || !c.node.Speaking(now) {
+// answerPolls answers those that wait, once there is news or their time is up.
+func (c *Controller) answerPolls(now time.Time, effects *statemachine.Effects) {
+	if len(c.pendingPolls) == 0 || !c.node.Speaking(now) {
 		return
 	}
-	for _, item := range statemachine.Sorted(c.held) {
-		if item.after.After(now) {
+	for _, item := range statemachine.Sorted(c.pendingPolls) {
+		if item.notBefore.After(now) {
 			continue
 		}
-		if item.ask.Index != c.state.Index || !item.limit.After(now) {
-			c.give(now, item, effects)
+		if item.request.Index != c.state.Index || !item.deadline.After(now) {
+			c.respondWithView(now, item, effects)
 		}
 	}
 }
 
-// noteMember notes what a member says of itself. Incarnations come from wall clocks,
+// recordMember notes what a member says of itself. Incarnations come from wall clocks,
 // which may have been set back across a restart: a lower one counts once the higher
 // has been silent for a while.
-func (c *Controller) noteMember(now time.Time, ask membership.ViewRequest) {
+func (c *Controller) recordMember(now time.Time, ask membership.ViewRequest) {
 	self := ask.Self
-	c.noteHeard(ask)
+	c.recordAcknowledgement(ask)
 	if c.deaf(now, self.Name) {
 		return
 	}
-	known, found := c.state.member(self.Name)
-	if found && self.Incarnation < known.Incarnation && now.Sub(c.heard[known.Name]) <= succeedsAfter {
+	known, found := c.state.memberOrTombstone(self.Name)
+	if found && self.Incarnation < known.Incarnation && now.Sub(c.lastHeard[known.Name]) <= incarnationTimeout {
 		return
 	}
-	if waiting, joins := c.joining[self.Name]; joins && self.Incarnation < waiting.Self.Incarnation && now.Sub(c.heard[self.Name]) <= succeedsAfter {
+	if waiting, joins := c.pendingJoins[self.Name]; joins && self.Incarnation < waiting.Self.Incarnation && now.Sub(c.lastHeard[self.Name]) <= incarnationTimeout {
 		return
 	}
-	c.heard[self.Name] = now
+	c.lastHeard[self.Name] = now
 	c.loads[self.Name] = ask.Load
-	if found && c.state.joined(self) == known {
+	if found && c.state.joinedMember(self) == known {
 		return
 	}
-	c.joining[self.Name] = Join{Self: self, Replaces: known.Incarnation}
-	delete(c.suspected, self.Name)
+	c.pendingJoins[self.Name] = Join{Self: self, Replaces: known.Incarnation}
+	delete(c.suspicions, self.Name)
 	// Each change goes to everybody: while a fleet starts, many join in one.
-	pause := joinPause
-	if now.Sub(c.began) < settleFor {
-		pause = youngPause
+	pause := joinBatchDelay
+	if now.Sub(c.termStart) < warmupPeriod {
+		pause = warmupJoinBatchDelay
 	}
 	c.timers.ArmSooner("tend", now.Add(pause))
 }
 
-func (c *Controller) onSuspicion(now time.Time, suspicion membership.Suspicion) {
+func (c *Controller) handleSuspicion(now time.Time, suspicion membership.Suspicion) {
 	if !c.node.HoldsLease(now) {
 		return
 	}
 	for _, suspect := range suspicion.Silent {
-		table, found := c.suspected[suspect.Name]
+		table, found := c.suspicions[suspect.Name]
 		if !found {
-			table = map[string]reported{}
-			c.suspected[suspect.Name] = table
+			table = map[string]incarnationAt{}
+			c.suspicions[suspect.Name] = table
 		}
-		table[suspicion.Reporter] = reported{at: now, incarnation: suspect.Incarnation}
+		table[suspicion.Reporter] = incarnationAt{at: now, incarnation: suspect.Incarnation}
 	}
 }
 
-func (c *Controller) onFarewell(now time.Time, farewell membership.GracefulLeave, _ *statemachine.Effects) {
+func (c *Controller) handleGracefulLeave(now time.Time, farewell membership.GracefulLeave, _ *statemachine.Effects) {
 	member, found := c.state.Members[farewell.Name]
 	if !c.node.HoldsLease(now) || !found || !member.Alive || member.Incarnation != farewell.Incarnation {
 		return
 	}
-	c.leaving[member.Name] = MemberIncarnation{Name: member.Name, Incarnation: member.Incarnation}
+	c.pendingLeaves[member.Name] = MemberIncarnation{Name: member.Name, Incarnation: member.Incarnation}
 	c.timers.ArmSooner("tend", now)
 }
 
@@ -394,9 +394,9 @@
 		return
 	}
 	for _, member := range statemachine.Sorted(c.state.Members) {
-		_, joins := c.joining[member.Name]
+		_, joins := c.pendingJoins[member.Name]
 		if member.Address == address && member.Alive && !joins && member.Name != c.settings.Self.Name {
-			c.leaving[member.Name] = MemberIncarnation{Name: member.Name, Incarnation: member.Incarnation}
+			c.pendingLeaves[member.Name] = MemberIncarnation{Name: member.Name, Incarnation: member.Incarnation}
 			c.timers.ArmSooner("tend", now)
 		}
 	}
@@ -404,64 +404,64 @@
 
 // Tending.
 
-func (c *Controller) beginActing(now time.Time, _ *statemachine.Effects) {
-	if c.acting {
+func (c *Controller) beginTerm(now time.Time, _ *statemachine.Effects) {
+	if c.active {
 		return
 	}
-	c.acting, c.began, c.busy = true, now, false
-	c.suspected = map[string]map[string]reported{}
-	c.joining, c.leaving = map[string]Join{}, map[string]MemberIncarnation{}
-	c.complete = map[string]membership.PartitionReplicated{}
-	c.orders = map[string]membership.Directives{}
+	c.active, c.termStart, c.commandPending = true, now, false
+	c.suspicions = map[string]map[string]incarnationAt{}
+	c.pendingJoins, c.pendingLeaves = map[string]Join{}, map[string]MemberIncarnation{}
+	c.pendingReplicated = map[string]membership.PartitionReplicated{}
+	c.directives = map[string]membership.Directives{}
 	// What was reported in an earlier term is of no use any more.
 	c.loads = map[string]membership.Load{}
-	c.dead = map[string]reported{}
-	c.lags, c.doubts = map[string]lag{}, map[string]*doubt{}
-	c.answers = map[string]answered{}
+	c.deadSince = map[string]incarnationAt{}
+	c.slowDisks, c.unconfirmedReports = map[string]slowDisk{}, map[string]*unconfirmedReport{}
+	c.unacknowledged = map[string]unacknowledgedAnswer{}
 	for name, member := range c.state.Members {
-		c.heard[name] = now
+		c.lastHeard[name] = now
 		if member.Degraded {
-			c.lags[name] = lag{at: now, incarnation: member.Incarnation}
+			c.slowDisks[name] = slowDisk{at: now, incarnation: member.Incarnation}
 		}
 	}
 }
 
-func (c *Controller) onLagging(now time.Time, told membership.SlowDiskReport, effects *statemachine.Effects) {
-	if !c.node.HoldsLease(now) || !c.copiesTo(told.Reporter, told.Name) && !statemachine.Mutated("any-reporter") {
+func (c *Controller) handleSlowDiskReport(now time.Time, told membership.SlowDiskReport, effects *statemachine.Effects) {
+	if !c.node.HoldsLease(now) || !c.mayReportDiskOf(told.Reporter, told.Name) && !statemachine.Mutated("any-reporter") {
 		return
 	}
 	if told.Sure {
-		c.believe(now, told)
+		c.confirmSlowDisk(now, told)
 		return
 	}
 	// Links lag too, and between two stores either end may be at fault: then a
 	// word counts if the store does not answer the primary either, or if it goes on
 	// for long and not more is said of who says so.
-	present, found := c.doubts[told.Name]
-	if !found || present.told.Incarnation != told.Incarnation || now.Sub(present.since) > laggingFresh {
-		present = &doubt{since: now, reporters: map[string]time.Time{}}
-		c.doubts[told.Name] = present
-		if waiting, holds := c.held[told.Name]; holds {
-			c.give(now, waiting, effects)
+	present, found := c.unconfirmedReports[told.Name]
+	if !found || present.report.Incarnation != told.Incarnation || now.Sub(present.since) > slowDiskTimeout {
+		present = &unconfirmedReport{since: now, reporters: map[string]time.Time{}}
+		c.unconfirmedReports[told.Name] = present
+		if waiting, holds := c.pendingPolls[told.Name]; holds {
+			c.respondWithView(now, waiting, effects)
 		}
 	}
-	present.told, present.reporters[told.Reporter] = told, now
+	present.report, present.reporters[told.Reporter] = told, now
 	others := 0
-	if reporter, doubted := c.doubts[told.Reporter]; doubted {
+	if reporter, doubted := c.unconfirmedReports[told.Reporter]; doubted {
 		others = len(reporter.reporters)
 	}
-	if told.Delay > doubtLong && len(present.reporters) > others {
-		c.believe(now, told)
+	if told.Delay > longDiskDelay && len(present.reporters) > others {
+		c.confirmSlowDisk(now, told)
 		return
 	}
-	c.timers.ArmSooner("tend", now.Add(doubtFor))
+	c.timers.ArmSooner("tend", now.Add(unconfirmedTimeout))
 }
 
-// copiesTo tells whether a store may speak of another's disk: it is alive, and first
+// mayReportDiskOf tells whether a store may speak of another's disk: it is alive, and first
 // for a partition that the other follows; or it speaks of its own. One that was cut
 // off goes by an old view until it has heard the news, and what it waits for from
 // there is no fault of the other.
-func (c *Controller) copiesTo(reporter, name string) bool {
+func (c *Controller) mayReportDiskOf(reporter, name string) bool {
 	if reporter == name {
 		return true
 	}
@@ -476,40 +476,40 @@
 	return false
 }
 
-// doubt is what one store said of another's disk.
-type doubt struct {
+// unconfirmedReport is what one store said of another's disk.
+type unconfirmedReport struct {
 	since     time.Time
-	told      membership.SlowDiskReport
+	report    membership.SlowDiskReport
 	reporters map[string]time.Time
 }
 
-func (c *Controller) believe(now time.Time, told membership.SlowDiskReport) {
-	delete(c.doubts, told.Name)
-	c.lags[told.Name] = lag{at: now, incarnation: told.Incarnation, delay: told.Delay}
+func (c *Controller) confirmSlowDisk(now time.Time, told membership.SlowDiskReport) {
+	delete(c.unconfirmedReports, told.Name)
+	c.slowDisks[told.Name] = slowDisk{at: now, incarnation: told.Incarnation, delay: told.Delay}
 	if !c.state.Members[told.Name].Degraded {
 		c.timers.ArmSooner("tend", now)
 	}
 }
 
-// settleDoubts believes what was said of stores that have not answered since.
-func (c *Controller) settleDoubts(now time.Time) {
-	for name, present := range statemachine.Sorted(c.doubts) {
+// resolveUnconfirmed believes what was said of stores that have not answered since.
+func (c *Controller) resolveUnconfirmed(now time.Time) {
+	for name, present := range statemachine.Sorted(c.unconfirmedReports) {
 		switch {
-		case now.Sub(present.since) > laggingFresh:
-			delete(c.doubts, name)
-		case now.Sub(present.since) >= doubtFor && c.heard[name].Before(present.since):
-			c.believe(now, present.told)
+		case now.Sub(present.since) > slowDiskTimeout:
+			delete(c.unconfirmedReports, name)
+		case now.Sub(present.since) >= unconfirmedTimeout && c.lastHeard[name].Before(present.since):
+			c.confirmSlowDisk(now, present.report)
 		}
 	}
 }
 
-// degradations lists the stores that begin or cease to be taken for degraded.
-func (c *Controller) degradations(now time.Time, effects *statemachine.Effects) []Degradation {
-	c.settleDoubts(now)
-	changed := c.state.degradations(now, c.lags)
+// degradationChanges lists the stores that begin or cease to be taken for degraded.
+func (c *Controller) degradationChanges(now time.Time, effects *statemachine.Effects) []Degradation {
+	c.resolveUnconfirmed(now)
+	changed := c.state.planDegradations(now, c.slowDisks)
 	for _, change := range changed {
 		if change.Degraded {
-			effects.Emit(logevent.StoreDegraded, "store", change.Name, "delay", c.lags[change.Name].delay.String())
+			effects.Emit(logevent.StoreDegraded, "store", change.Name, "delay", c.slowDisks[change.Name].delay.String())
 		} else {
 			effects.Emit(logevent.StoreRecovered, "store", change.Name)
 		}
@@ -517,73 +517,73 @@
 	return changed
 }
 
-func (c *Controller) stopActing(_ time.Time, effects *statemachine.Effects) {
-	c.acting, c.busy = false, false
-	clear(c.views)
-	for name, item := range statemachine.Sorted(c.held) {
-		delete(c.held, name)
-		effects.Send(item.from, c.redirect(item.ask))
+func (c *Controller) endTerm(_ time.Time, effects *statemachine.Effects) {
+	c.active, c.commandPending = false, false
+	clear(c.sentViews)
+	for name, item := range statemachine.Sorted(c.pendingPolls) {
+		delete(c.pendingPolls, name)
+		effects.Send(item.from, c.redirect(item.request))
 	}
 }
 
 func (c *Controller) configuration() config.Configuration {
-	if c.parsedAt != c.state.Version {
-		c.parsed, _ = config.Read(c.state.Document)
-		c.parsedAt = c.state.Version
+	if c.parsedVersion != c.state.Version {
+		c.parsedConfiguration, _ = config.Read(c.state.Document)
+		c.parsedVersion = c.state.Version
 	}
-	return c.parsed
+	return c.parsedConfiguration
 }
 
-func (c *Controller) tend(now time.Time, effects *statemachine.Effects) {
+func (c *Controller) reconcile(now time.Time, effects *statemachine.Effects) {
 	if !c.node.HoldsLease(now) {
-		if c.acting {
-			c.stopActing(now, effects)
+		if c.active {
+			c.endTerm(now, effects)
 		}
-		c.timers.Arm("tend", now.Add(idleEvery))
+		c.timers.Arm("tend", now.Add(standbyInterval))
 		return
 	}
-	c.timers.Arm("tend", now.Add(tendEvery))
-	c.beginActing(now, effects)
-	c.answerNews(now, effects)
-	if c.busy || !c.node.Serving(now) {
+	c.timers.Arm("tend", now.Add(reconcileInterval))
+	c.beginTerm(now, effects)
+	c.answerPolls(now, effects)
+	if c.commandPending || !c.node.Serving(now) {
 		return
 	}
 	command := Command{}
-	for _, departure := range statemachine.Sorted(c.leaving) {
+	for _, departure := range statemachine.Sorted(c.pendingLeaves) {
 		command.Leaves = append(command.Leaves, departure)
 		effects.Emit(logevent.MemberLost, "member", departure.Name, "why", "its process ended")
 	}
-	for _, join := range statemachine.Sorted(c.joining) {
+	for _, join := range statemachine.Sorted(c.pendingJoins) {
 		command.Joins = append(command.Joins, join)
 		effects.Emit(logevent.MemberJoined, "member", join.Self.Name, "kind", join.Self.Kind, "zone", join.Self.Zone)
 	}
-	c.joining, c.leaving = map[string]Join{}, map[string]MemberIncarnation{}
-	command.Leaves = append(command.Leaves, c.lost(now, effects)...)
-	command.RetiredStores = c.emptied(effects)
+	c.pendingJoins, c.pendingLeaves = map[string]Join{}, map[string]MemberIncarnation{}
+	command.Leaves = append(command.Leaves, c.failedMembers(now, effects)...)
+	command.RetiredStores = c.drainedStores(effects)
 	if command.empty() {
-		command.Degradations = c.degradations(now, effects)
+		command.Degradations = c.degradationChanges(now, effects)
 	}
-	for partition, settled := range statemachine.Sorted(c.complete) {
+	for partition, settled := range statemachine.Sorted(c.pendingReplicated) {
 		place, found := c.state.Placements[partition]
 		if found && place.Epoch == settled.Epoch && !place.Complete {
 			command.Replicated = append(command.Replicated, settled)
 			effects.Emit(logevent.PlacementReplicated, "partition", partition, "epoch", settled.Epoch)
 		}
 	}
-	c.complete = map[string]membership.PartitionReplicated{}
+	c.pendingReplicated = map[string]membership.PartitionReplicated{}
 	if wanted := c.settings.Tolerance; wanted != nil && *wanted != c.state.Tolerance {
 		command.Tolerance = wanted
 	}
 	if command.empty() {
-		c.forgetStrangers(now)
-		command.Removals = c.forgettable(now)
+		c.dropUnknownMembers(now)
+		command.Removals = c.removableMembers(now)
 		for _, departure := range command.Removals {
 			effects.Emit(logevent.MemberRemoved, "member", departure.Name)
 		}
 	}
 	if command.empty() {
-		command.Placements = c.state.plan(c.configuration())
-		if now.Sub(c.began) <= settleFor/3 {
+		command.Placements = c.state.planPlacements(c.configuration())
+		if now.Sub(c.termStart) <= warmupPeriod/3 {
 			// New partitions wait until the stores that come back were heard; one
 			// whose holder came back with another disk does not.
 			command.Placements = slices.DeleteFunc(command.Placements, func(next membership.Placement) bool {
@@ -599,62 +599,62 @@
 		c.submit(now, command, effects)
 		return
 	}
-	c.economize(now, effects)
+	c.runEconomy(now, effects)
 }
 
 func (c *Controller) submit(now time.Time, command Command, effects *statemachine.Effects) {
-	c.busy = true
-	c.node.Submit(now, mustPack(command), c.spans.command, func(now time.Time, effects *statemachine.Effects, outcome consensus.Outcome) {
-		c.busy = false
+	c.commandPending = true
+	c.node.Submit(now, encodeCommand(command), c.timeouts.command, func(now time.Time, effects *statemachine.Effects, outcome consensus.Outcome) {
+		c.commandPending = false
 		if outcome == consensus.Committed {
-			c.answerNews(now, effects)
+			c.answerPolls(now, effects)
 			c.timers.ArmSooner("tend", now.Add(10*time.Millisecond))
 		}
 	}, effects)
 }
 
-// lost lists the members that enough watchers no longer hear.
-func (c *Controller) lost(now time.Time, effects *statemachine.Effects) []MemberIncarnation {
+// failedMembers lists the members that enough watchers no longer hear.
+func (c *Controller) failedMembers(now time.Time, effects *statemachine.Effects) []MemberIncarnation {
 	var gone []MemberIncarnation
-	for name, reporters := range statemachine.Sorted(c.suspected) {
+	for name, reporters := range statemachine.Sorted(c.suspicions) {
 		member, found := c.state.Members[name]
 		if !found || !member.Alive {
-			delete(c.suspected, name)
+			delete(c.suspicions, name)
 			continue
 		}
 		fresh := 0
 		for reporter, report := range statemachine.Sorted(reporters) {
-			if now.Sub(report.at) > suspicionFresh || report.incarnation != member.Incarnation {
+			if now.Sub(report.at) > suspicionTimeout || report.incarnation != member.Incarnation {
 				delete(reporters, reporter)
 				continue
 			}
 			fresh++
 		}
-		unheard := now.Sub(c.heard[name])
-		limit, unasked := c.spans.unheard, c.spans.unheard/2
+		unheard := now.Sub(c.lastHeard[name])
+		limit, unasked := c.timeouts.suspicion, c.timeouts.suspicion/2
 		if member.Resting {
 			limit += membership.LowPriorityLongPollTimeout
 		}
 		if member.Kind == membership.KindStore {
-			unasked = storeUnheard
+			unasked = storeSuspicionTimeout
 		}
 		// Watchers alone can be misled by the links between them and a member;
 		// one that still asks the primary itself is not taken for lost on two
 		// reports, but on all of them.
 		if fresh >= 2 && unheard > unasked || fresh >= 1 && unheard > limit || fresh >= membership.Watchers {
 			gone = append(gone, MemberIncarnation{Name: name, Incarnation: member.Incarnation})
-			delete(c.suspected, name)
+			delete(c.suspicions, name)
 			effects.Emit(logevent.MemberLost, "member", name, "reporters", fresh, "unheard", unheard.String())
 		}
 	}
 	for name, member := range statemachine.Sorted(c.state.Members) {
 		// A daemon that is heard by its watchers and yet follows nothing acts on
 		// an old view: to the others it is as good as lost.
-		limit := c.spans.following
+		limit := c.timeouts.silence
 		if member.Resting {
 			limit += membership.LowPriorityLongPollTimeout
 		}
-		if unheard := now.Sub(c.heard[name]); member.Alive && (unheard > limit || c.deaf(now, name)) && !slices.ContainsFunc(gone, func(other MemberIncarnation) bool { return other.Name == name }) {
+		if unheard := now.Sub(c.lastHeard[name]); member.Alive && (unheard > limit || c.deaf(now, name)) && !slices.ContainsFunc(gone, func(other MemberIncarnation) bool { return other.Name == name }) {
 			gone = append(gone, MemberIncarnation{Name: name, Incarnation: member.Incarnation})
 			why := "does not follow"
 			if c.deaf(now, name) {
@@ -666,11 +666,11 @@
 	return gone
 }
 
-// emptied lists the stores to be retired that nothing refers to any more.
-func (c *Controller) emptied(effects *statemachine.Effects) []string {
+// drainedStores lists the stores to be retired that nothing refers to any more.
+func (c *Controller) drainedStores(effects *statemachine.Effects) []string {
 	var done []string
 	for name, member := range statemachine.Sorted(c.state.Members) {
-		if member.Kind == membership.KindStore && member.Retiring && !member.Retired && !c.state.refers(name) {
+		if member.Kind == membership.KindStore && member.Retiring && !member.Retired && !c.state.storeInUse(name) {
 			done = append(done, name)
 			effects.Emit(logevent.StoreRetired, "store", name)
 		}
--- a/internal/controller/economy.go
+++ b/internal/controller/economy.go
@@ -15,32 +15,32 @@
 	"dahlialock/internal/statemachine"
 )
 
-// loadFresh is how old a report may be on which callers are moved.
-const loadFresh = 2 * time.Second
+// loadTimeout is how old a report may be on which callers are moved.
+const loadTimeout = 2 * time.Second
 
-// economize lets the economy duty act, under its own lease.
-func (c *Controller) economize(now time.Time, effects *statemachine.Effects) {
+// runEconomy lets the economy duty act, under its own lease.
+func (c *Controller) runEconomy(now time.Time, effects *statemachine.Effects) {
 	configuration := c.configuration()
-	c.node.AskDuty(now, c.lease, effects)
+	c.node.AskDuty(now, c.economyLease, effects)
 	// Right after a take-over few have reported, and after a loss of all the crowd
 	// still comes: what looks like too many then is a share of too few.
-	if !c.lease.Held(now) || now.Sub(c.began) < settleFor {
+	if !c.economyLease.Held(now) || now.Sub(c.termStart) < warmupPeriod {
 		return
 	}
-	decided := c.consolidation.Plan(now, consolidation.Observation{
-		Configuration: configuration, Members: c.state.Members, Loads: c.loads, LastHeard: c.heard,
+	decided := c.planner.Plan(now, consolidation.Observation{
+		Configuration: configuration, Members: c.state.Members, Loads: c.loads, LastHeard: c.lastHeard,
 	})
-	c.balance(now, configuration, decided)
-	c.giveOrders(now, decided, effects)
+	c.addBalancing(now, configuration, decided)
+	c.issueDirectives(now, decided, effects)
 }
 
-// balance adds orders that spread callers evenly over the gateways which nobody asked
+// addBalancing adds orders that spread callers evenly over the gateways which nobody asked
 // to rest and whose reports are fresh.
-func (c *Controller) balance(now time.Time, configuration config.Configuration, decided map[string]membership.Directives) {
+func (c *Controller) addBalancing(now time.Time, configuration config.Configuration, decided map[string]membership.Directives) {
 	var gateways []balancing.Gateway
 	for name, load := range statemachine.Sorted(c.loads) {
 		member, known := c.state.Members[name]
-		if !known || member.Kind != membership.KindGateway || !member.Alive || now.Sub(c.heard[name]) > loadFresh {
+		if !known || member.Kind != membership.KindGateway || !member.Alive || now.Sub(c.lastHeard[name]) > loadTimeout {
 			continue
 		}
 		gateways = append(gateways, balancing.Gateway{
@@ -55,21 +55,21 @@
 	}
 }
 
-// giveOrders tells gateways what is asked of them, where that changed, and has the
+// issueDirectives tells gateways what is asked of them, where that changed, and has the
 // state name those that rest.
-func (c *Controller) giveOrders(now time.Time, decided map[string]membership.Directives, effects *statemachine.Effects) {
+func (c *Controller) issueDirectives(now time.Time, decided map[string]membership.Directives, effects *statemachine.Effects) {
 	command := Command{}
-	for name := range statemachine.Sorted(c.orders) {
+	for name := range statemachine.Sorted(c.directives) {
 		if _, found := decided[name]; !found {
 			decided[name] = membership.Directives{}
 		}
 	}
 	for name, orders := range statemachine.Sorted(decided) {
-		earlier := c.orders[name]
-		c.orders[name] = orders
+		earlier := c.directives[name]
+		c.directives[name] = orders
 		if !earlier.Equal(orders) {
-			if waiting, found := c.held[name]; found {
-				c.give(now, waiting, effects)
+			if waiting, found := c.pendingPolls[name]; found {
+				c.respondWithView(now, waiting, effects)
 			}
 		}
 		member := c.state.Members[name]
--- a/internal/controller/explore_test.go
+++ b/internal/controller/explore_test.go
@@ -75,7 +75,7 @@
 	left     storeTroubles
 	lost     int
 	asks     map[string]heldAsk
-	lags     map[string]lag
+	lags     map[string]slowDisk
 	asked    uint64
 	accepted map[string]uint64
 	fetched  map[uint64]string
@@ -91,7 +91,7 @@
 
 func newStoreWorld(stores, tolerance int, left storeTroubles) *storeWorld {
 	w := &storeWorld{
-		now: exploreOrigin, tendAt: exploreOrigin, state: newState(), left: left, asks: map[string]heldAsk{}, lags: map[string]lag{}, accepted: map[string]uint64{}, fetched: map[uint64]string{},
+		now: exploreOrigin, tendAt: exploreOrigin, state: newState(), left: left, asks: map[string]heldAsk{}, lags: map[string]slowDisk{}, accepted: map[string]uint64{}, fetched: map[uint64]string{},
 	}
 	w.apply(Command{Configuration: configured(1, testConfig), Tolerance: &tolerance})
 	w.config, _ = config.Read(w.state.Document)
@@ -117,7 +117,7 @@
 	return len(w.accepted) > 0
 }
 
-func (w *storeWorld) apply(command Command) { w.state.Apply(time.Time{}, mustPack(command)) }
+func (w *storeWorld) apply(command Command) { w.state.Apply(time.Time{}, encodeCommand(command)) }
 
 func (s *exploreStore) member() membership.Member {
 	return membership.Member{Name: s.name, Kind: membership.KindStore, Address: s.name, Zone: s.name, Incarnation: uint64(s.lives), Alive: true}
@@ -228,7 +228,7 @@
 	case membership.PartitionReplicated:
 		w.apply(Command{Replicated: []membership.PartitionReplicated{body}})
 	case membership.SlowDiskReport:
-		w.lags[body.Name] = lag{at: w.now, incarnation: body.Incarnation, delay: body.Delay}
+		w.lags[body.Name] = slowDisk{at: w.now, incarnation: body.Incarnation, delay: body.Delay}
 	}
 }
 
@@ -249,7 +249,7 @@
 			Recipient: from, Nonce: held.ask.Nonce, Epoch: 1, Primary: "controller", Index: w.state.Index, Version: w.state.Version, Document: w.state.Document,
 		}
 		if held.ask.Index != w.state.Index {
-			w.state.view(&news, held.ask.Index)
+			w.state.fillView(&news, held.ask.Index)
 		}
 		w.send("controller", from, news)
 	}
@@ -270,10 +270,10 @@
 			store.remove()
 		}
 	}
-	if changes := w.state.degradations(w.now, w.lags); len(changes) > 0 {
+	if changes := w.state.planDegradations(w.now, w.lags); len(changes) > 0 {
 		w.apply(Command{Degradations: changes})
 	}
-	if changes := w.state.plan(w.config); len(changes) > 0 {
+	if changes := w.state.planPlacements(w.config); len(changes) > 0 {
 		w.apply(Command{Placements: changes})
 	}
 	w.answerNews()
--- a/internal/controller/forget.go
+++ b/internal/controller/forget.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	// forgetAfter is for how long a primary sees a member dead before it forgets it.
-	forgetAfter = time.Minute
-	// tombstoneFloor is how many tombstones are kept at least before the oldest goes;
+	// removalDelay is for how long a primary sees a member dead before it forgets it.
+	removalDelay = time.Minute
+	// minTombstones is how many tombstones are kept at least before the oldest goes;
 	// there may be as many as there are members.
-	tombstoneFloor = 128
+	minTombstones = 128
 )
 
 // Tombstone is what is left of a member that was forgotten, and since which index.
@@ -42,25 +42,25 @@
 	}
 }
 
-// member finds a member, or what is left of it.
-func (s *State) member(name string) (membership.Member, bool) {
+// memberOrTombstone finds a member, or what is left of it.
+func (s *State) memberOrTombstone(name string) (membership.Member, bool) {
 	if member, found := s.Members[name]; found {
 		return member, true
 	}
-	if position := s.tombstone(name); position >= 0 {
+	if position := s.tombstoneIndex(name); position >= 0 {
 		return s.Tombstones[position].member(), true
 	}
 	return membership.Member{}, false
 }
 
-func (s *State) tombstone(name string) int {
+func (s *State) tombstoneIndex(name string) int {
 	return slices.IndexFunc(s.Tombstones, func(each Tombstone) bool { return each.Name == name })
 }
 
-// mayForget tells whether nothing refers to a member any more: no process of it, no
+// mayRemove tells whether nothing refers to a member any more: no process of it, no
 // order that is not done, no partition that has a copy on one of its disks or had one,
 // and no drain of the configuration in force.
-func (s *State) mayForget(departure MemberIncarnation) bool {
+func (s *State) mayRemove(departure MemberIncarnation) bool {
 	member, found := s.Members[departure.Name]
 	if !found || member.Alive || member.Incarnation != departure.Incarnation || member.Retiring && !member.Retired {
 		return false
@@ -68,11 +68,11 @@
 	if statemachine.Mutated("forget-holders") {
 		return true
 	}
-	return !slices.Contains(s.DrainedGateways, member.Name) && (member.Kind != membership.KindStore || !s.needs(member.Name))
+	return !slices.Contains(s.DrainedGateways, member.Name) && (member.Kind != membership.KindStore || !s.storeReferenced(member.Name))
 }
 
-// needs tells whether any partition names a store, or any disk that it ever had.
-func (s *State) needs(store string) bool {
+// storeReferenced tells whether any partition names a store, or any disk that it ever had.
+func (s *State) storeReferenced(store string) bool {
 	for _, place := range s.Placements {
 		if place.HasReplica(store) || slices.ContainsFunc(place.InSync, func(holder string) bool { return strings.HasPrefix(holder, store+"@") }) {
 			return true
@@ -81,10 +81,10 @@
 	return false
 }
 
-// applyForget puts a tombstone in a member's place. With the oldest tombstone goes the
+// applyRemoval puts a tombstone in a member's place. With the oldest tombstone goes the
 // knowledge that it went: whoever is older than that is told everything anew.
-func (s *State) applyForget(departure MemberIncarnation) {
-	if !s.mayForget(departure) {
+func (s *State) applyRemoval(departure MemberIncarnation) {
+	if !s.mayRemove(departure) {
 		return
 	}
 	member := s.Members[departure.Name]
@@ -94,58 +94,58 @@
 		Name: member.Name, Kind: member.Kind, Address: member.Address, Disk: member.Disk,
 		Incarnation: member.Incarnation, Retired: member.Retired, RemovedAt: s.Index,
 	})
-	if len(s.Tombstones) > max(tombstoneFloor, len(s.Members)) && !statemachine.Mutated("tombstones-for-ever") {
-		s.clearTombstone()
+	if len(s.Tombstones) > max(minTombstones, len(s.Members)) && !statemachine.Mutated("tombstones-for-ever") {
+		s.evictTombstone()
 	}
 }
 
-// clearTombstone takes the oldest tombstone away, those of stores that were emptied by
+// evictTombstone takes the oldest tombstone away, those of stores that were emptied by
 // order last.
-func (s *State) clearTombstone() {
+func (s *State) evictTombstone() {
 	oldest := max(0, slices.IndexFunc(s.Tombstones, func(each Tombstone) bool { return !each.Retired }))
 	s.CompactedAt = max(s.CompactedAt, s.Tombstones[oldest].RemovedAt)
 	s.Tombstones = slices.Delete(s.Tombstones, oldest, oldest+1)
 }
 
-// unbury takes the tombstone away of a member that is there again.
-func (s *State) unbury(name string) {
-	if position := s.tombstone(name); position >= 0 {
+// dropTombstone takes the tombstone away of a member that is there again.
+func (s *State) dropTombstone(name string) {
+	if position := s.tombstoneIndex(name); position >= 0 {
 		s.Tombstones = slices.Delete(s.Tombstones, position, position+1)
 	}
 }
 
-// forgettable lists the members that this primary has seen dead for long enough.
-func (c *Controller) forgettable(now time.Time) []MemberIncarnation {
+// removableMembers lists the members that this primary has seen dead for long enough.
+func (c *Controller) removableMembers(now time.Time) []MemberIncarnation {
 	var gone []MemberIncarnation
 	for name, member := range statemachine.Sorted(c.state.Members) {
 		if member.Alive {
-			delete(c.dead, name)
+			delete(c.deadSince, name)
 			continue
 		}
-		since, seen := c.dead[name]
+		since, seen := c.deadSince[name]
 		if !seen || since.incarnation != member.Incarnation {
-			c.dead[name] = reported{at: now, incarnation: member.Incarnation}
+			c.deadSince[name] = incarnationAt{at: now, incarnation: member.Incarnation}
 			continue
 		}
 		departure := MemberIncarnation{Name: name, Incarnation: member.Incarnation}
-		if now.Sub(since.at) >= forgetAfter && c.state.mayForget(departure) {
+		if now.Sub(since.at) >= removalDelay && c.state.mayRemove(departure) {
 			gone = append(gone, departure)
 		}
 	}
 	return gone
 }
 
-// forgetStrangers drops what this primary holds of names that are no members and have
+// dropUnknownMembers drops what this primary holds of names that are no members and have
 // not been heard for a while.
-func (c *Controller) forgetStrangers(now time.Time) {
-	for name, heard := range c.heard {
-		if _, found := c.state.Members[name]; found || now.Sub(heard) < forgetAfter {
+func (c *Controller) dropUnknownMembers(now time.Time) {
+	for name, heard := range c.lastHeard {
+		if _, found := c.state.Members[name]; found || now.Sub(heard) < removalDelay {
 			continue
 		}
-		delete(c.heard, name)
+		delete(c.lastHeard, name)
 		delete(c.loads, name)
-		delete(c.orders, name)
-		delete(c.lags, name)
-		delete(c.dead, name)
+		delete(c.directives, name)
+		delete(c.slowDisks, name)
+		delete(c.deadSince, name)
 	}
 }
--- a/internal/controller/forget_test.go
+++ b/internal/controller/forget_test.go
@@ -37,7 +37,7 @@
 	return made
 }
 
-func (c *churn) apply(command Command) { c.state.Apply(time.Time{}, mustPack(command)) }
+func (c *churn) apply(command Command) { c.state.Apply(time.Time{}, encodeCommand(command)) }
 
 func (c *churn) join(kind, name string) {
 	c.life++
@@ -54,7 +54,7 @@
 func (c *churn) settle() {
 	configuration, _ := config.Read(c.state.Document)
 	for range 20 {
-		command := Command{Placements: c.state.plan(configuration)}
+		command := Command{Placements: c.state.planPlacements(configuration)}
 		moved := len(command.Placements) > 0
 		for name, place := range statemachine.Sorted(c.state.Placements) {
 			settled := membership.PartitionReplicated{Partition: name, Epoch: place.Epoch, Holders: []string{c.state.Members[place.Leader].ReplicaID()}}
@@ -67,7 +67,7 @@
 			}
 		}
 		for name, member := range statemachine.Sorted(c.state.Members) {
-			if member.Retiring && !member.Retired && !c.state.refers(name) {
+			if member.Retiring && !member.Retired && !c.state.storeInUse(name) {
 				moved = true
 				command.RetiredStores = append(command.RetiredStores, name)
 			}
@@ -97,7 +97,7 @@
 			assert.Assert(c.t, found, "%s holds %s and was forgotten", holder, place.Partition)
 		}
 	}
-	assert.Assert(c.t, len(c.state.Tombstones) <= max(tombstoneFloor, len(c.state.Members)+1), "%d tombstones", len(c.state.Tombstones))
+	assert.Assert(c.t, len(c.state.Tombstones) <= max(minTombstones, len(c.state.Members)+1), "%d tombstones", len(c.state.Tombstones))
 }
 
 // replaceMachines replaces so many machines, each by one of another name, stores in good
@@ -153,14 +153,14 @@
 	run.settle()
 	_, there := run.state.Members["store-0"]
 	assert.Assert(t, !there)
-	for number := range 3 * tombstoneFloor {
+	for number := range 3 * minTombstones {
 		run.join(membership.KindGateway, fmt.Sprint("passing-", number))
 		run.lose(fmt.Sprint("passing-", number))
 		run.settle()
 	}
 	run.apply(Command{Retirement: &Retirement{Store: "store-0", Retiring: true}})
 	assert.Equal(t, run.state.result.outcome, Duplicate)
-	left, found := run.state.member("store-0")
+	left, found := run.state.memberOrTombstone("store-0")
 	assert.Assert(t, found && left.Retired && left.Retiring && !left.Alive)
 	// The same disk stays emptied, another machine of the name is a new one.
 	run.apply(Command{Joins: []Join{{Self: membership.Member{Name: "store-0", Kind: membership.KindStore, Incarnation: 1 << 40, Disk: left.Disk}}}})
@@ -168,7 +168,7 @@
 	run.lose("store-0")
 	run.settle()
 	run.apply(Command{Joins: []Join{{Self: membership.Member{Name: "store-0", Kind: membership.KindStore, Incarnation: 1 << 41, Disk: "other"}}}})
-	assert.Assert(t, !run.state.Members["store-0"].Retired && run.state.tombstone("store-0") < 0)
+	assert.Assert(t, !run.state.Members["store-0"].Retired && run.state.tombstoneIndex("store-0") < 0)
 }
 
 // An old life that comes back after its tombstone went is a newcomer: it is told all
@@ -178,15 +178,15 @@
 	old, index := run.state.Members["store-1"], run.state.Index
 	run.lose("store-1")
 	run.settle()
-	for number := range 2 * tombstoneFloor {
+	for number := range 2 * minTombstones {
 		run.join(membership.KindGateway, fmt.Sprint("passing-", number))
 		run.lose(fmt.Sprint("passing-", number))
 		run.settle()
 	}
-	_, known := run.state.member("store-1")
+	_, known := run.state.memberOrTombstone("store-1")
 	assert.Assert(t, !known)
 	var news membership.ViewUpdate
-	run.state.view(&news, index)
+	run.state.fillView(&news, index)
 	assert.Equal(t, news.Since, uint64(0))
 	before := run.state.Index
 	run.apply(Command{Joins: []Join{{Self: old}}})
@@ -222,8 +222,8 @@
 	machine := c.primary().machine
 	assert.Equal(t, len(machine.state.Members), 3)
 	assert.Equal(t, len(machine.state.Tombstones), 20)
-	c.run(forgetAfter)
-	assert.Equal(t, len(machine.heard)+len(machine.loads), 2*3)
+	c.run(removalDelay)
+	assert.Equal(t, len(machine.lastHeard)+len(machine.loads), 2*3)
 	ask("gateway-7", 100)
 	c.run(time.Second)
 	assert.Assert(t, machine.state.Members["gateway-7"].Alive)
--- a/internal/controller/history.go
+++ b/internal/controller/history.go
@@ -13,26 +13,26 @@
 	"dahlialock/internal/statemachine"
 )
 
-// ordersLimit is how many retirements are remembered: a daemon carries an order for a
+// maxRecentOrders is how many retirements are remembered: a daemon carries an order for a
 // few seconds at most.
-const ordersLimit = 64
+const maxRecentOrders = 64
 
-// tookOrder tells whether an order of this name was taken before: it comes again from a
+// acceptedBefore tells whether an order of this name was taken before: it comes again from a
 // daemon that had no answer, and another may have been taken since.
-func (s *State) tookOrder(order statemachine.RequestID) bool {
+func (s *State) acceptedBefore(order statemachine.RequestID) bool {
 	return order.IsSet() && slices.Contains(s.RecentOrders, order) && !statemachine.Mutated("orders-unnamed")
 }
 
-func (s *State) rememberOrder(order statemachine.RequestID) {
+func (s *State) recordOrder(order statemachine.RequestID) {
 	if !order.IsSet() {
 		return
 	}
 	s.RecentOrders = append(s.RecentOrders, order)
-	s.RecentOrders = s.RecentOrders[max(0, len(s.RecentOrders)-ordersLimit):]
+	s.RecentOrders = s.RecentOrders[max(0, len(s.RecentOrders)-maxRecentOrders):]
 }
 
-// historyLimit is how many numbers are remembered; the lowest are forgotten first.
-const historyLimit = 512
+// maxHistory is how many numbers are remembered; the lowest are forgotten first.
+const maxHistory = 512
 
 // ConfigurationDecision is what was confirmed under one number. One that was overtaken never
 // came into force.
@@ -45,17 +45,17 @@
 	Superseded  bool
 }
 
-func (s *State) placeInHistory(version uint64) (int, bool) {
+func (s *State) historyIndex(version uint64) (int, bool) {
 	return slices.BinarySearchFunc(s.History, version, func(each ConfigurationDecision, version uint64) int {
 		return cmp.Compare(each.Version, version)
 	})
 }
 
-// decided tells what was confirmed under a change's number, if that is remembered:
+// recordedOutcome tells what was confirmed under a change's number, if that is remembered:
 // the same, or something else. What it says once it says for as long as it
 // remembers.
-func (s *State) decided(change ConfigurationChange) (Outcome, bool) {
-	position, found := s.placeInHistory(change.Version)
+func (s *State) recordedOutcome(change ConfigurationChange) (Outcome, bool) {
+	position, found := s.historyIndex(change.Version)
 	if !found {
 		return 0, false
 	}
@@ -69,16 +69,16 @@
 	return Duplicate, true
 }
 
-// remember notes a decision, and forgets the lowest number if there are too many.
-func (s *State) remember(change ConfigurationChange, overtaken bool) {
-	position, found := s.placeInHistory(change.Version)
+// recordDecision notes a decision, and forgets the lowest number if there are too many.
+func (s *State) recordDecision(change ConfigurationChange, overtaken bool) {
+	position, found := s.historyIndex(change.Version)
 	if found {
 		panic("a number was decided twice")
 	}
 	s.History = slices.Insert(s.History, position, ConfigurationDecision{
 		Version: change.Version, Digest: change.Digest, ReceivedAt: change.ReceivedAt, ForwardedBy: change.ForwardedBy, Superseded: overtaken,
 	})
-	if len(s.History) > historyLimit {
+	if len(s.History) > maxHistory {
 		s.History = slices.Delete(s.History, 0, 1)
 	}
 }
--- a/internal/controller/identity_test.go
+++ b/internal/controller/identity_test.go
@@ -30,7 +30,7 @@
 	made := &pair{
 		yard: &yard{
 			t: t, random: rand.New(rand.NewPCG(seed, 0x1de)), state: newState(), accepted: map[string]uint64{}, offsets: map[uint64]string{},
-			never: map[string]bool{}, wipedAt: -time.Minute, lags: map[string]lag{},
+			never: map[string]bool{}, wipedAt: -time.Minute, lags: map[string]slowDisk{},
 		},
 		answers: map[uint64]partition.AppendResponse{},
 	}
@@ -51,7 +51,7 @@
 		store.start()
 	}
 	made.run(500 * time.Millisecond)
-	made.apply(Command{Placements: made.state.plan(made.configuration())})
+	made.apply(Command{Placements: made.state.planPlacements(made.configuration())})
 	made.run(3 * time.Second)
 	place := made.state.Placements[testPartition]
 	for _, store := range made.stores {
@@ -206,7 +206,7 @@
 // that had no answer to it.
 func orderAgain() bool {
 	state := newState()
-	apply := func(command Command) { state.Apply(time.Time{}, mustPack(command)) }
+	apply := func(command Command) { state.Apply(time.Time{}, encodeCommand(command)) }
 	for _, name := range []string{"store-0", "store-1", "store-2"} {
 		apply(Command{Joins: []Join{{Self: membership.Member{Name: name, Kind: membership.KindStore, Alive: true, Incarnation: 1}}}})
 	}
--- a/internal/controller/orders_test.go
+++ b/internal/controller/orders_test.go
@@ -284,27 +284,27 @@
 	put := func(version uint64, content string) Outcome {
 		change := configured(version, configurationOf(int(version), content))
 		change.ReceivedAt, change.ForwardedBy, change.HighestWins = at, operatorAddress, true
-		state.Apply(time.Time{}, mustPack(Command{Configuration: change}))
+		state.Apply(time.Time{}, encodeCommand(Command{Configuration: change}))
 		return state.result.outcome
 	}
-	for version := range uint64(3 * historyLimit) {
+	for version := range uint64(3 * maxHistory) {
 		assert.Equal(t, put(version+1, "1s"), Accepted)
 	}
-	assert.Equal(t, len(state.History), historyLimit)
-	newest := state.History[historyLimit-1]
-	assert.Equal(t, newest.Version, uint64(3*historyLimit))
+	assert.Equal(t, len(state.History), maxHistory)
+	newest := state.History[maxHistory-1]
+	assert.Equal(t, newest.Version, uint64(3*maxHistory))
 	assert.Equal(t, newest.ForwardedBy, operatorAddress)
 	assert.Assert(t, newest.ReceivedAt.Equal(at))
 	assert.Equal(t, put(1, "1s"), Superseded, "what is forgotten is acknowledged where the highest number counts")
-	assert.Equal(t, put(2*historyLimit+1, "1s"), Duplicate)
-	assert.Equal(t, put(2*historyLimit+1, "2s"), ContentConflict)
-	assert.Equal(t, put(3*historyLimit, "2s"), ContentConflict)
+	assert.Equal(t, put(2*maxHistory+1, "1s"), Duplicate)
+	assert.Equal(t, put(2*maxHistory+1, "2s"), ContentConflict)
+	assert.Equal(t, put(3*maxHistory, "2s"), ContentConflict)
 	packed := state.Snapshot()
 	restored := newState()
 	assert.NilError(t, restored.Restore(packed))
 	assert.DeepEqual(t, transport.MustMarshal(restored.History), transport.MustMarshal(state.History))
 	state.Document = nil
-	assert.Assert(t, len(state.Snapshot()) < historyLimit*64, "%d bytes", len(state.Snapshot()))
+	assert.Assert(t, len(state.Snapshot()) < maxHistory*64, "%d bytes", len(state.Snapshot()))
 }
 
 // A number that was overtaken while it waited is not confirmed where it is refused,
@@ -336,9 +336,9 @@
 // another.
 func TestCommandsHoldForWhatTheyWereDecidedOn(t *testing.T) {
 	state := stateOf(5, 1)
-	apply := func(command Command) { state.Apply(time.Time{}, mustPack(command)) }
+	apply := func(command Command) { state.Apply(time.Time{}, encodeCommand(command)) }
 	configuration, _ := config.Read(state.Document)
-	apply(Command{Placements: state.plan(configuration)})
+	apply(Command{Placements: state.planPlacements(configuration)})
 	earlier := state.Members["store-0"]
 	next := earlier
 	next.Incarnation, next.Alive = 2, false
@@ -355,7 +355,7 @@
 
 	// A plan waits; meanwhile a store that it gives copies to is ordered away.
 	apply(Command{Leaves: []MemberIncarnation{{Name: "store-0", Incarnation: 1}}})
-	planned := state.plan(configuration)
+	planned := state.planPlacements(configuration)
 	assert.Assert(t, len(planned) > 0)
 	chosen := planned[0].Followers[0]
 	apply(Command{Retirement: &Retirement{Store: chosen, Retiring: true}})
@@ -367,7 +367,7 @@
 	// Another waits while the configuration takes its space away.
 	apply(Command{Configuration: configured(2, `{"version": 2, "spaces": [{"name": "s", "promise": "kept"}]}`)})
 	configuration, _ = config.Read(state.Document)
-	planned = slices.DeleteFunc(state.plan(configuration), func(place membership.Placement) bool { return config.IsShared(place.Partition) })
+	planned = slices.DeleteFunc(state.planPlacements(configuration), func(place membership.Placement) bool { return config.IsShared(place.Partition) })
 	assert.Assert(t, len(planned) > 0)
 	apply(Command{Configuration: configured(3, `{"version": 3, "spaces": []}`)})
 	apply(Command{Placements: planned})
--- a/internal/controller/partition_test.go
+++ b/internal/controller/partition_test.go
@@ -103,7 +103,7 @@
 	single bool
 	// told is given what the stores answer, in place of the writers' checker.
 	told func(from string, message any)
-	lags map[string]lag
+	lags map[string]slowDisk
 	// inOrder is when the gateway's last message to a store arrives, on a link
 	// that doesn't reorder.
 	inOrder map[string]time.Duration
@@ -289,17 +289,17 @@
 			Document: y.state.Document,
 		}
 		if body.Index != y.state.Index {
-			y.state.view(&news, body.Index)
+			y.state.fillView(&news, body.Index)
 		}
 		y.after(50*time.Millisecond, func() { y.send("controller", statemachine.Send{To: from, Message: news}) })
 	case membership.PartitionReplicated:
 		y.apply(Command{Replicated: []membership.PartitionReplicated{body}})
 	case membership.SlowDiskReport:
-		y.lags[body.Name] = lag{at: time.Unix(0, 0).Add(y.now), incarnation: body.Incarnation, delay: body.Delay}
+		y.lags[body.Name] = slowDisk{at: time.Unix(0, 0).Add(y.now), incarnation: body.Incarnation, delay: body.Delay}
 	}
 }
 
-func (y *yard) apply(command Command) { y.state.Apply(time.Time{}, mustPack(command)) }
+func (y *yard) apply(command Command) { y.state.Apply(time.Time{}, encodeCommand(command)) }
 
 func (y *yard) tend() {
 	y.after(150*time.Millisecond, y.tend)
@@ -310,10 +310,10 @@
 		}
 		y.apply(Command{RetiredStores: []string{store.name}})
 	}
-	if changes := y.state.degradations(time.Unix(0, 0).Add(y.now), y.lags); len(changes) > 0 {
+	if changes := y.state.planDegradations(time.Unix(0, 0).Add(y.now), y.lags); len(changes) > 0 {
 		y.apply(Command{Degradations: changes})
 	}
-	if changes := y.state.plan(y.configuration()); len(changes) > 0 {
+	if changes := y.state.planPlacements(y.configuration()); len(changes) > 0 {
 		y.apply(Command{Placements: changes})
 	}
 }
@@ -449,7 +449,7 @@
 			t.Parallel()
 			yard := &yard{
 				t: t, random: rand.New(rand.NewPCG(seed, 0x57a)), state: newState(), accepted: map[string]uint64{}, offsets: map[uint64]string{},
-				never: map[string]bool{}, wipedAt: -time.Minute, lags: map[string]lag{},
+				never: map[string]bool{}, wipedAt: -time.Minute, lags: map[string]slowDisk{},
 			}
 			yard.apply(Command{Configuration: configured(1, testConfig)})
 			for number := range 4 {
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -30,9 +30,9 @@
 	return mixed
 }
 
-// stores are those that may be given partitions; degraded ones only where there are
+// eligibleStores are those that may be given partitions; degraded ones only where there are
 // not enough others.
-func (s *State) stores() []membership.Member {
+func (s *State) eligibleStores() []membership.Member {
 	var well, degraded []membership.Member
 	for _, member := range statemachine.Sorted(s.Members) {
 		switch {
@@ -49,7 +49,7 @@
 	return well
 }
 
-func rankedStores(partition string, stores []membership.Member) []membership.Member {
+func rankStores(partition string, stores []membership.Member) []membership.Member {
 	slices.SortStableFunc(stores, func(left, right membership.Member) int {
 		leftRank, rightRank := rank(partition, left.Name), rank(partition, right.Name)
 		if leftRank > rightRank {
@@ -63,9 +63,9 @@
 	return stores
 }
 
-// followersFor chooses the stores of the other copies: those that have one
+// chooseFollowers chooses the stores of the other copies: those that have one
 // already, then those that are being given one, then other zones.
-func followersFor(first membership.Member, ranked []membership.Member, count int, points func(name string) int) ([]string, bool) {
+func chooseFollowers(first membership.Member, ranked []membership.Member, count int, points func(name string) int) ([]string, bool) {
 	var chosen []string
 	zones := map[string]bool{first.Zone: true}
 	for range count {
@@ -99,15 +99,15 @@
 	pointsHolder = 8
 )
 
-// plan lists the placements that ought to change.
-func (s *State) plan(configuration config.Configuration) []membership.Placement {
+// planPlacements lists the placements that ought to change.
+func (s *State) planPlacements(configuration config.Configuration) []membership.Placement {
 	var changes []membership.Placement
-	stores := s.stores()
-	for _, partition := range s.partitions(configuration) {
-		ranked := rankedStores(partition, stores)
+	stores := s.eligibleStores()
+	for _, partition := range s.partitionNames(configuration) {
+		ranked := rankStores(partition, stores)
 		place, placed := s.Placements[partition]
 		if placed {
-			if next, changed := s.replan(place, ranked); changed {
+			if next, changed := s.replanPlacement(place, ranked); changed {
 				changes = append(changes, next)
 			}
 			continue
@@ -115,7 +115,7 @@
 		if len(ranked) <= s.Tolerance {
 			continue
 		}
-		followers, _ := followersFor(ranked[0], ranked, s.Tolerance, func(string) int { return 0 })
+		followers, _ := chooseFollowers(ranked[0], ranked, s.Tolerance, func(string) int { return 0 })
 		place = membership.Placement{Partition: partition, Epoch: s.Index + 1, Leader: ranked[0].Name, Followers: followers, Complete: true, InSync: []string{ranked[0].ReplicaID()}}
 		for _, name := range followers {
 			place.InSync = append(place.InSync, s.Members[name].ReplicaID())
@@ -125,9 +125,9 @@
 	return changes
 }
 
-// replan gives a partition's next epoch, if it needs one: ranked are the stores
+// replanPlacement gives a partition's next epoch, if it needs one: ranked are the stores
 // that may be given partitions.
-func (s *State) replan(place membership.Placement, ranked []membership.Member) (membership.Placement, bool) {
+func (s *State) replanPlacement(place membership.Placement, ranked []membership.Member) (membership.Placement, bool) {
 	holds := func(name string) bool {
 		member, found := s.Members[name]
 		return found && member.Alive && slices.Contains(place.InSync, member.ReplicaID())
@@ -167,7 +167,7 @@
 		// Nobody that may stay has it: it must be given to one more first.
 		copies = max(copies, 1)
 	}
-	followers, enough := followersFor(s.Members[first], ranked, copies, func(name string) int {
+	followers, enough := chooseFollowers(s.Members[first], ranked, copies, func(name string) int {
 		switch {
 		case stays(name):
 			return pointsHolder
@@ -182,7 +182,7 @@
 	}
 	next := membership.Placement{Partition: place.Partition, Epoch: s.Index + 1, Leader: first, Followers: followers}
 	for _, entry := range place.InSync {
-		if !s.replaced(entry) {
+		if !s.diskReplaced(entry) {
 			next.InSync = append(next.InSync, entry)
 		}
 	}
@@ -195,8 +195,8 @@
 	return names
 }
 
-// replaced tells whether a holder's disk is known to be another one now.
-func (s *State) replaced(entry string) bool {
+// diskReplaced tells whether a holder's disk is known to be another one now.
+func (s *State) diskReplaced(entry string) bool {
 	for _, member := range s.Members {
 		if len(entry) > len(member.Name) && entry[:len(member.Name)+1] == member.Name+"@" {
 			return member.ReplicaID() != entry
@@ -205,8 +205,8 @@
 	return true
 }
 
-// refers tells whether any partition still needs a store.
-func (s *State) refers(store string) bool {
+// storeInUse tells whether any partition still needs a store.
+func (s *State) storeInUse(store string) bool {
 	for _, place := range s.Placements {
 		if place.HasReplica(store) {
 			return true
@@ -220,22 +220,22 @@
 
 // Spans of degraded: a store that was said to lag is left alone for a while.
 const (
-	laggingFresh = 1200 * time.Millisecond
-	degradedFor  = 8 * time.Second
+	slowDiskTimeout = 1200 * time.Millisecond
+	degradedPeriod  = 8 * time.Second
 )
 
-// lag is the newest word that a store lags.
-type lag struct {
+// slowDisk is the newest word that a store lags.
+type slowDisk struct {
 	at          time.Time
 	incarnation uint64
 	delay       time.Duration
 }
 
-// recovering is the degraded store that has gone longest without a complaint.
-func (s *State) recovering(now time.Time, lags map[string]lag) (membership.Member, bool) {
+// quietestDegraded is the degraded store that has gone longest without a complaint.
+func (s *State) quietestDegraded(now time.Time, lags map[string]slowDisk) (membership.Member, bool) {
 	var best membership.Member
 	for _, member := range statemachine.Sorted(s.Members) {
-		if !member.Degraded || !member.Alive || member.Retiring || now.Sub(lags[member.Name].at) < laggingFresh {
+		if !member.Degraded || !member.Alive || member.Retiring || now.Sub(lags[member.Name].at) < slowDiskTimeout {
 			continue
 		}
 		if best.Name == "" || lags[member.Name].at.Before(lags[best.Name].at) {
@@ -245,26 +245,26 @@
 	return best, best.Name != ""
 }
 
-// degradations lists the stores that begin or cease to be taken for degraded, by
+// planDegradations lists the stores that begin or cease to be taken for degraded, by
 // what is told of their disks. There are always left as many as a partition has
 // copies.
-func (s *State) degradations(now time.Time, lags map[string]lag) []Degradation {
+func (s *State) planDegradations(now time.Time, lags map[string]slowDisk) []Degradation {
 	var changed []Degradation
 	change := func(member membership.Member, degraded bool) {
 		changed = append(changed, Degradation{Name: member.Name, Incarnation: member.Incarnation, Degraded: degraded})
 	}
-	well := s.well()
+	well := s.healthyStores()
 	for _, member := range statemachine.Sorted(s.Members) {
 		told, known := lags[member.Name]
 		known = known && told.incarnation == member.Incarnation
 		switch {
 		case member.Kind != membership.KindStore || !member.Alive:
-		case member.Degraded && (!known || now.Sub(told.at) > degradedFor):
+		case member.Degraded && (!known || now.Sub(told.at) > degradedPeriod):
 			change(member, false)
-		case !member.Degraded && known && now.Sub(told.at) < laggingFresh:
+		case !member.Degraded && known && now.Sub(told.at) < slowDiskTimeout:
 			if well <= s.Tolerance+1 {
 				// Another of whom nobody complains any more is needed again.
-				recovered, found := s.recovering(now, lags)
+				recovered, found := s.quietestDegraded(now, lags)
 				if !found {
 					continue
 				}
--- a/internal/controller/placement_test.go
+++ b/internal/controller/placement_test.go
@@ -24,44 +24,44 @@
 			Name: fmt.Sprint("store-", number), Kind: membership.KindStore, Incarnation: 1, Disk: "disk", Zone: fmt.Sprint("zone-", number%3),
 		}})
 	}
-	state.Apply(time.Time{}, mustPack(command))
+	state.Apply(time.Time{}, encodeCommand(command))
 	return state
 }
 
 func TestAnDegradedStoreGivesWayToAWorseOne(t *testing.T) {
 	now := time.Unix(1000, 0)
 	state := stateOf(3, 1)
-	lags := map[string]lag{"store-0": {at: now, incarnation: 1}}
+	lags := map[string]slowDisk{"store-0": {at: now, incarnation: 1}}
 	step := func(wait time.Duration) []string {
 		now = now.Add(wait)
 		var told []string
-		changes := state.degradations(now, lags)
+		changes := state.planDegradations(now, lags)
 		for _, change := range changes {
 			told = append(told, fmt.Sprint(change.Name, " ", change.Degraded))
 		}
-		state.Apply(now, mustPack(Command{Degradations: changes}))
+		state.Apply(now, encodeCommand(Command{Degradations: changes}))
 		for _, change := range changes {
 			assert.Equal(t, state.Members[change.Name].Degraded, change.Degraded)
 		}
 		return told
 	}
 	assert.DeepEqual(t, step(0), []string{"store-0 true"})
-	lags["store-1"] = lag{at: now, incarnation: 1}
+	lags["store-1"] = slowDisk{at: now, incarnation: 1}
 	assert.Equal(t, len(step(0)), 0, "two must be left, and the first complaint is fresh")
-	lags["store-1"] = lag{at: now.Add(laggingFresh), incarnation: 1}
-	assert.DeepEqual(t, step(laggingFresh), []string{"store-0 false", "store-1 true"})
-	lags["store-2"] = lag{at: now, incarnation: 2}
+	lags["store-1"] = slowDisk{at: now.Add(slowDiskTimeout), incarnation: 1}
+	assert.DeepEqual(t, step(slowDiskTimeout), []string{"store-0 false", "store-1 true"})
+	lags["store-2"] = slowDisk{at: now, incarnation: 2}
 	assert.Equal(t, len(step(0)), 0, "another incarnation is meant")
-	assert.DeepEqual(t, step(degradedFor+time.Second), []string{"store-1 false"})
+	assert.DeepEqual(t, step(degradedPeriod+time.Second), []string{"store-1 false"})
 }
 
 func TestCopiesLieInDifferentZonesAndMoveOnlyIfNeedBe(t *testing.T) {
 	for tolerance := range 4 {
 		state := stateOf(9, tolerance)
 		configuration, _ := config.Read(state.Document)
-		state.Apply(time.Time{}, mustPack(Command{Placements: state.plan(configuration)}))
+		state.Apply(time.Time{}, encodeCommand(Command{Placements: state.planPlacements(configuration)}))
 		assert.Equal(t, len(state.Placements), config.SharedPartitions)
-		assert.Equal(t, len(state.plan(configuration)), 0)
+		assert.Equal(t, len(state.planPlacements(configuration)), 0)
 		for _, place := range state.Placements {
 			zones := map[string]bool{state.Members[place.Leader].Zone: true}
 			for _, name := range place.Followers {
@@ -70,8 +70,8 @@
 			assert.Equal(t, len(place.Followers), tolerance)
 			assert.Equal(t, len(zones), min(3, tolerance+1), "%+v", place)
 		}
-		state.Apply(time.Time{}, mustPack(Command{Degradations: []Degradation{{Name: "store-4", Incarnation: 1, Degraded: true}}}))
-		for _, next := range state.plan(configuration) {
+		state.Apply(time.Time{}, encodeCommand(Command{Degradations: []Degradation{{Name: "store-4", Incarnation: 1, Degraded: true}}}))
+		for _, next := range state.planPlacements(configuration) {
 			before := state.Placements[next.Partition]
 			assert.Assert(t, before.HasReplica("store-4"))
 			for _, name := range next.Followers {
--- a/internal/controller/restart_test.go
+++ b/internal/controller/restart_test.go
@@ -359,7 +359,7 @@
 func TestCatchingUpTakesTheStateAndNotTheChanges(t *testing.T) {
 	const routes = 12
 	document := len(sizedDocument(1, routes))
-	for _, changes := range []int{10, 100, historyLimit + 100} {
+	for _, changes := range []int{10, 100, maxHistory + 100} {
 		c := newCouncil(t, 3)
 		c.change(1, changes, routes)
 		record := c.primary().machine.node.Record()
@@ -386,7 +386,7 @@
 		t.Logf("%d changes: a state of %d bytes, %d bytes of state and commands were sent, %s", changes, state, sent, took)
 		assert.Check(t, sent <= 5*state+5*document, "%d bytes were sent of a state of %d", sent, state)
 		assert.Check(t, took < time.Second, "%s", took)
-		assert.Check(t, state < 3*document+64*historyLimit, "the state takes %d bytes after %d changes", state, changes)
+		assert.Check(t, state < 3*document+64*maxHistory, "the state takes %d bytes after %d changes", state, changes)
 	}
 }
 
@@ -465,7 +465,7 @@
 		}
 		for _, since := range []uint64{0, index} {
 			news := membership.ViewUpdate{Index: run.state.Index, Version: run.state.Version, Document: run.state.Document}
-			run.state.view(&news, since)
+			run.state.fillView(&news, since)
 			if bytes := len(transport.MustMarshal(news)); since == 0 {
 				blank = append(blank, bytes)
 			} else {
--- a/internal/controller/shared_test.go
+++ b/internal/controller/shared_test.go
@@ -203,7 +203,7 @@
 func newSharedYard(t *testing.T, seed uint64, stores, tolerance int) *sharedYard {
 	yard := &sharedYard{
 		yard: &yard{
-			t: t, random: rand.New(rand.NewPCG(seed, 0x5ea)), state: newState(), wipedAt: -time.Minute, inOrder: map[string]time.Duration{}, lags: map[string]lag{},
+			t: t, random: rand.New(rand.NewPCG(seed, 0x5ea)), state: newState(), wipedAt: -time.Minute, inOrder: map[string]time.Duration{}, lags: map[string]slowDisk{},
 		},
 		asked: map[uint64]func(partition.AppendResponse){}, accepted: map[string]uint64{}, newest: map[string]uint64{}, offsets: map[string]string{},
 		never: map[string]bool{}, fetches: map[uint64]partition.FetchResponse{}, heads: map[string]uint64{}, moved: map[uint64]uint64{},
--- a/internal/controller/stale_test.go
+++ b/internal/controller/stale_test.go
@@ -72,7 +72,7 @@
 		}}
 	case 5:
 		configuration, _ := config.Read(state.Document)
-		return draft{Command{Placements: state.plan(configuration)}, func(before, _ membership.Member) membership.Member { return before }}
+		return draft{Command{Placements: state.planPlacements(configuration)}, func(before, _ membership.Member) membership.Member { return before }}
 	}
 	var settled []membership.PartitionReplicated
 	for name, place := range statemachine.Sorted(state.Placements) {
@@ -101,8 +101,8 @@
 			next := waiting[chosen]
 			waiting = append(waiting[:chosen], waiting[chosen+1:]...)
 			before := maps.Clone(state.Members)
-			spare := next.command.Retirement != nil && state.maySpare(next.command.Retirement.Store)
-			state.Apply(time.Time{}, mustPack(next.command))
+			spare := next.command.Retirement != nil && state.mayRetire(next.command.Retirement.Store)
+			state.Apply(time.Time{}, encodeCommand(next.command))
 			for name, after := range state.Members {
 				assert.Equal(t, next.about(before[name], after), after, "seed %d, step %d, %+v", seed, step, next.command)
 			}
--- a/internal/controller/state.go
+++ b/internal/controller/state.go
@@ -48,7 +48,7 @@
 	// and Drained the gateways that the configuration in force names as drained.
 	Tombstones      []Tombstone `cbor:"Tombstones"`
 	DrainedGateways []string    `cbor:"Drained"`
-	result          result
+	result          orderResult
 }
 
 func newState() *State {
@@ -65,9 +65,9 @@
 	return fmt.Sprintf("%s~%d/%d", space, birth, number)
 }
 
-// view puts into news what changed after an index, or everything for whoever
+// fillView puts into news what changed after an index, or everything for whoever
 // has nothing, or something that is gone.
-func (s *State) view(news *membership.ViewUpdate, since uint64) {
+func (s *State) fillView(news *membership.ViewUpdate, since uint64) {
 	if since < s.CompactedAt || since > s.Index {
 		since = 0
 	}
@@ -92,12 +92,12 @@
 	}
 }
 
-func (s *State) takeConfiguration(change ConfigurationChange, configuration config.Configuration) {
+func (s *State) installConfiguration(change ConfigurationChange, configuration config.Configuration) {
 	s.Version, s.Document = change.Version, change.Document
 	s.SpacesModifiedAt, s.DrainedGateways = s.Index, configuration.Drains
 	for name := range statemachine.Sorted(s.SpaceCreatedAt) {
 		space, found := configuration.Spaces[name]
-		if !found || s.SpaceKinds[name] != nature(space) {
+		if !found || s.SpaceKinds[name] != spaceKind(space) {
 			delete(s.SpaceCreatedAt, name)
 			delete(s.SpaceKinds, name)
 		}
@@ -110,11 +110,11 @@
 		}
 		if _, found := s.SpaceCreatedAt[name]; !found {
 			s.SpaceCreatedAt[name] = change.Version
-			s.SpaceKinds[name] = nature(space)
+			s.SpaceKinds[name] = spaceKind(space)
 		}
 	}
 	wanted := map[string]bool{}
-	for _, partition := range s.partitions(configuration) {
+	for _, partition := range s.partitionNames(configuration) {
 		wanted[partition] = true
 	}
 	for partition := range statemachine.Sorted(s.Placements) {
@@ -126,8 +126,8 @@
 	}
 }
 
-// wants tells whether a partition belongs to the configuration in force.
-func (s *State) wants(partition string) bool {
+// expects tells whether a partition belongs to the configuration in force.
+func (s *State) expects(partition string) bool {
 	if config.IsShared(partition) {
 		return s.HasSharedPartitions
 	}
@@ -136,9 +136,9 @@
 	return named && found && strings.HasPrefix(partition, fmt.Sprintf("%s~%d/", space, birth))
 }
 
-func nature(space config.Space) string { return string(space.Retention) + "/" + string(space.Order) }
+func spaceKind(space config.Space) string { return string(space.Retention) + "/" + string(space.Order) }
 
-func (s *State) partitions(configuration config.Configuration) []string {
+func (s *State) partitionNames(configuration config.Configuration) []string {
 	var names []string
 	for name, space := range statemachine.Sorted(configuration.Spaces) {
 		for number := range space.Partitions() {
--- a/internal/controller/state_test.go
+++ b/internal/controller/state_test.go
@@ -62,13 +62,13 @@
 			case 4:
 				if version > 0 {
 					configuration, _ := config.Read(state.Document)
-					command.Placements = state.plan(configuration)
+					command.Placements = state.planPlacements(configuration)
 				}
 			}
-			state.Apply(now, mustPack(command))
+			state.Apply(now, encodeCommand(command))
 			follower := followers[random.IntN(len(followers))]
 			news := membership.ViewUpdate{Nonce: 1, Epoch: 1, Primary: "controller", Index: state.Index, Version: state.Version, Document: state.Document}
-			state.view(&news, follower.Index)
+			state.fillView(&news, follower.Index)
 			if news.Since > 0 {
 				partial++
 			}
--- a/internal/controller/stop.go
+++ b/internal/controller/stop.go
@@ -15,33 +15,33 @@
 // Stop asks a daemon to end in good order.
 type Stop struct{}
 
-// defaultGrace is how long a daemon that was asked to end is let run if nobody says.
-const defaultGrace = 6 * time.Second
+// defaultStopGracePeriod is how long a daemon that was asked to end is let run if nobody says.
+const defaultStopGracePeriod = 6 * time.Second
 
 // beginStop asks the other controllers to let this one go.
 func (c *Controller) beginStop(now time.Time, effects *statemachine.Effects) {
-	if c.stopBy.IsZero() {
-		c.stopBy = now.Add(c.stopLimit())
-		c.timers.Arm("stop", c.stopBy)
+	if c.stopDeadline.IsZero() {
+		c.stopDeadline = now.Add(c.stopTimeout())
+		c.timers.Arm("stop", c.stopDeadline)
 	}
 	c.node.Leave(now, effects)
 }
 
-// stopLimit leaves a quarter of the grace for the end itself.
-func (c *Controller) stopLimit() time.Duration {
+// stopTimeout leaves a quarter of the grace for the end itself.
+func (c *Controller) stopTimeout() time.Duration {
 	grace := c.settings.StopGracePeriod
 	if grace == 0 {
-		grace = defaultGrace
+		grace = defaultStopGracePeriod
 	}
 	return grace * 3 / 4
 }
 
-// endStop ends the daemon once it may go, or its time is up.
-func (c *Controller) endStop(now time.Time, effects *statemachine.Effects) {
-	if c.stopBy.IsZero() || !c.node.Left() && now.Before(c.stopBy) {
+// finishStop ends the daemon once it may go, or its time is up.
+func (c *Controller) finishStop(now time.Time, effects *statemachine.Effects) {
+	if c.stopDeadline.IsZero() || !c.node.Left() && now.Before(c.stopDeadline) {
 		return
 	}
-	for _, other := range statemachine.Sorted(c.follower.Members) {
+	for _, other := range statemachine.Sorted(c.viewClient.Members) {
 		if other.Kind == membership.KindController && other.Name != c.settings.Self.Name {
 			effects.Send(other.Address, membership.GracefulLeave{Name: c.settings.Self.Name, Incarnation: c.settings.Self.Incarnation})
 		}
--- a/internal/controller/views.go
+++ b/internal/controller/views.go
@@ -11,8 +11,8 @@
 	"dahlialock/internal/statemachine"
 )
 
-// viewAgain is how long a view may be on its way before it is taken for lost.
-const viewAgain = membership.LongPollTimeout
+// viewResendInterval is how long a view may be on its way before it is taken for lost.
+const viewResendInterval = membership.LongPollTimeout
 
 // sentView is a view that an asker was sent.
 type sentView struct {
@@ -22,21 +22,21 @@
 	at          time.Time
 }
 
-// viewDue gives the moment from which an asker may be sent a view: not before the one
+// viewNotBefore gives the moment from which an asker may be sent a view: not before the one
 // that it was sent had time to come.
-func (c *Controller) viewDue(ask membership.ViewRequest) time.Time {
-	sent, found := c.views[ask.Self.Name]
+func (c *Controller) viewNotBefore(ask membership.ViewRequest) time.Time {
+	sent, found := c.sentViews[ask.Self.Name]
 	if !found || statemachine.Mutated("views-again") {
 		return time.Time{}
 	}
 	if ask.Index >= sent.index || sent.address != ask.Self.Address || sent.incarnation != ask.Self.Incarnation {
-		delete(c.views, ask.Self.Name)
+		delete(c.sentViews, ask.Self.Name)
 		return time.Time{}
 	}
-	return sent.at.Add(viewAgain)
+	return sent.at.Add(viewResendInterval)
 }
 
-// noteView notes that an asker is sent a view.
-func (c *Controller) noteView(now time.Time, ask membership.ViewRequest) {
-	c.views[ask.Self.Name] = sentView{address: ask.Self.Address, incarnation: ask.Self.Incarnation, index: c.state.Index, at: now}
+// recordView notes that an asker is sent a view.
+func (c *Controller) recordView(now time.Time, ask membership.ViewRequest) {
+	c.sentViews[ask.Self.Name] = sentView{address: ask.Self.Address, incarnation: ask.Self.Incarnation, index: c.state.Index, at: now}
 }
--- a/internal/controller/views_test.go
+++ b/internal/controller/views_test.go
@@ -108,7 +108,7 @@
 	assert.Equal(t, asker.views, 1)
 	asker.coming, asker.takes = nil, time.Millisecond
 	asker.runs(1500 * time.Millisecond)
-	assert.Assert(t, asker.taken > 0 && asker.taken < viewAgain+tendEvery, "taken after %v", asker.taken)
+	assert.Assert(t, asker.taken > 0 && asker.taken < viewResendInterval+reconcileInterval, "taken after %v", asker.taken)
 }
 
 func TestAnAskerThatWasStartedAnewIsSentItsViewAtOnce(t *testing.T) {
