--- a/internal/controller/apply.go
+++ b/internal/controller/apply.go
@@ -1,6 +1,3 @@
-// The application of commands: each part is judged by the state that the log's
-// order has led to, and changes only the fields that it is about.
-
 package controller
 
 import (
@@ -14,11 +11,14 @@
 	"dahlialock/internal/transport"
 )
 
-// Apply changes the state by one command; what came of an operator's order in it
-// is the state's result until the next.
-func (s *State) Apply(_ time.Time, packed []byte) {
+// Apply changes the state by one committed command. The consensus node calls it in the
+// order of the log. What became of an operator's order in the command is the state's
+// result until the next command.
+//
+// Apply panics on a command that can't be read: the log is damaged, or of another program.
+func (s *State) Apply(_ time.Time, encoded []byte) {
 	var command Command
-	if err := transport.Unmarshal(packed, &command); err != nil {
+	if err := transport.Unmarshal(encoded, &command); err != nil {
 		panic(err)
 	}
 	s.Index++
@@ -32,8 +32,21 @@
 	if command.Tolerance != nil {
 		s.Tolerance = *command.Tolerance
 	}
-	for _, departure := range command.Leaves {
-		s.applyLeave(departure)
+	s.applyMemberChanges(command)
+	for _, placement := range command.Placements {
+		s.applyPlacement(placement)
+	}
+	for _, replicated := range command.Replicated {
+		s.applyReplicated(replicated)
+	}
+	for _, removal := range command.Removals {
+		s.applyRemoval(removal)
+	}
+}
+
+func (s *State) applyMemberChanges(command Command) {
+	for _, leave := range command.Leaves {
+		s.applyLeave(leave)
 	}
 	for _, join := range command.Joins {
 		s.applyJoin(join)
@@ -42,17 +55,8 @@
 		s.applyRetired(name)
 	}
 	s.applyDegradations(command.Degradations)
-	for _, rest := range command.RestChanges {
-		s.applyRestChange(rest)
-	}
-	for _, place := range command.Placements {
-		s.applyPlacement(place)
-	}
-	for _, settled := range command.Replicated {
-		s.applyReplicated(settled)
-	}
-	for _, departure := range command.Removals {
-		s.applyRemoval(departure)
+	for _, change := range command.RestChanges {
+		s.applyRestChange(change)
 	}
 }
 
@@ -61,12 +65,13 @@
 	s.dropTombstone(member.Name)
 }
 
-func (s *State) setPlacement(place membership.Placement) {
-	s.Placements[place.Partition], s.PlacementModifiedAt[place.Partition] = place, s.Index
+func (s *State) setPlacement(placement membership.Placement) {
+	s.Placements[placement.Partition] = placement
+	s.PlacementModifiedAt[placement.Partition] = s.Index
 }
 
-// Orders.
-
+// applyConfiguration decides on an operator's configuration and brings it into force if it
+// is accepted.
 func (s *State) applyConfiguration(change ConfigurationChange) orderResult {
 	if outcome, found := s.recordedOutcome(change); found {
 		return orderResult{outcome: outcome}
@@ -79,7 +84,7 @@
 	}
 	configuration, faults := config.Read(change.Document)
 	if len(faults) > 0 {
-		panic("a command with a faulty configuration")
+		panic("a command with an invalid configuration")
 	}
 	if faults := s.drainFaults(configuration); len(faults) > 0 && !statemachine.Mutated("check-then-act") {
 		return orderResult{outcome: InvalidConfiguration, faults: faults}
@@ -89,8 +94,8 @@
 	return orderResult{outcome: Accepted}
 }
 
-// drainFaults looks at what only the cluster can tell: that the gateways to be
-// drained exist, and that one would be left.
+// drainFaults checks what only the control state can tell: that the gateways to be drained
+// exist, and that a live one would be left.
 func (s *State) drainFaults(configuration config.Configuration) []config.Fault {
 	if len(configuration.Drains) == 0 {
 		return nil
@@ -99,18 +104,26 @@
 	for position, name := range configuration.Drains {
 		if member, found := s.Members[name]; !found || member.Kind != membership.KindGateway {
 			faults = append(faults, config.Fault{
-				Path: fmt.Sprintf("$.drains[%d]", position), Code: "dangling-name", Text: fmt.Sprintf("no gateway is named %q", name),
+				Path: fmt.Sprintf("$.drains[%d]", position),
+				Code: "dangling-name",
+				Text: fmt.Sprintf("no gateway is named %q", name),
 			})
 		}
 	}
 	for _, member := range s.Members {
-		if member.Kind == membership.KindGateway && member.Alive && !slices.Contains(configuration.Drains, member.Name) {
+		drained := slices.Contains(configuration.Drains, member.Name)
+		if member.Kind == membership.KindGateway && member.Alive && !drained {
 			return faults
 		}
 	}
-	return append(faults, config.Fault{Path: "$.drains", Code: "clash", Text: "no living gateway would be left"})
+	return append(faults, config.Fault{
+		Path: "$.drains",
+		Code: "clash",
+		Text: "no living gateway would be left",
+	})
 }
 
+// applyRetirement decides on an order to retire a store, or to use it again.
 func (s *State) applyRetirement(order Retirement) Outcome {
 	member, found := s.memberOrTombstone(order.Store)
 	switch {
@@ -127,7 +140,7 @@
 	return Accepted
 }
 
-// mayRetire tells whether enough other stores would be left without one.
+// mayRetire reports whether enough other stores would be left without one.
 func (s *State) mayRetire(store string) bool {
 	others := 0
 	for _, other := range s.Members {
@@ -138,22 +151,22 @@
 	return others > s.Tolerance
 }
 
-// Members.
-
-// joinedMember is a member's record once a life of it has joined. An order to empty a
-// store holds whatever becomes of its processes and disk, until it is done: then the
-// machine is taken away, and one of its name with another disk is a new one.
+// joinedMember is a member's record after an incarnation of it has joined. An order to
+// retire a store holds for whatever process and disk it comes back with, until it is
+// carried out. After that the machine is taken away, and a store of the name with another
+// disk is a new one.
 func (s *State) joinedMember(self membership.Member) membership.Member {
 	known, found := s.memberOrTombstone(self.Name)
-	anew := !found || known.Incarnation != self.Incarnation
-	next := self
-	next.Alive = true
-	next.Joined, next.Retiring, next.Retired = known.Joined, known.Retiring, known.Retired
-	next.Resting, next.Degraded = known.Resting && !anew, known.Degraded && !anew
+	sameIncarnation := found && known.Incarnation == self.Incarnation
+	joined := self
+	joined.Alive = true
+	joined.Joined, joined.Retiring, joined.Retired = known.Joined, known.Retiring, known.Retired
+	joined.Resting = known.Resting && sameIncarnation
+	joined.Degraded = known.Degraded && sameIncarnation
 	if known.Retired && known.Disk != self.Disk {
-		next.Retiring, next.Retired = false, false
+		joined.Retiring, joined.Retired = false, false
 	}
-	return next
+	return joined
 }
 
 func (s *State) applyJoin(join Join) {
@@ -161,19 +174,19 @@
 	if found && join.Self.Incarnation < known.Incarnation && join.Replaces != known.Incarnation {
 		return
 	}
-	next := s.joinedMember(join.Self)
-	if !found || !known.Alive || known.Incarnation != next.Incarnation {
-		next.Joined = s.Index
+	joined := s.joinedMember(join.Self)
+	if !found || !known.Alive || known.Incarnation != joined.Incarnation {
+		joined.Joined = s.Index
 	}
-	s.setMember(next)
-	if found && storeRestarted(known, next) {
-		s.advanceEpochs(next.Name)
+	s.setMember(joined)
+	if found && storeRestarted(known, joined) {
+		s.advanceEpochs(joined.Name)
 	}
 }
 
-func (s *State) applyLeave(departure MemberIncarnation) {
-	member, found := s.Members[departure.Name]
-	if !found || !member.Alive || member.Incarnation != departure.Incarnation {
+func (s *State) applyLeave(leave MemberIncarnation) {
+	member, found := s.Members[leave.Name]
+	if !found || !member.Alive || member.Incarnation != leave.Incarnation {
 		return
 	}
 	member.Alive, member.Resting = false, false
@@ -189,8 +202,8 @@
 	s.setMember(member)
 }
 
-// applyDegradations takes a store for degraded only where enough others are well, or
-// another one recovers in its stead.
+// applyDegradations takes a store for degraded only if enough others are healthy, or if
+// another one recovers in its place.
 func (s *State) applyDegradations(changes []Degradation) {
 	recovered := 0
 	for _, change := range changes {
@@ -211,7 +224,7 @@
 	}
 }
 
-// healthyStores counts the stores that may be given partitions and don't lag.
+// healthyStores counts the stores that may be given replicas and are not degraded.
 func (s *State) healthyStores() int {
 	count := 0
 	for _, member := range s.Members {
@@ -222,48 +235,59 @@
 	return count
 }
 
-func (s *State) applyRestChange(rest RestChange) {
-	member, found := s.Members[rest.Name]
-	if !found || !member.Alive || member.Incarnation != rest.Incarnation || member.Resting == rest.Resting {
+func (s *State) applyRestChange(change RestChange) {
+	member, found := s.Members[change.Name]
+	if !found || !member.Alive || member.Incarnation != change.Incarnation || member.Resting == change.Resting {
 		return
 	}
-	member.Resting = rest.Resting
+	member.Resting = change.Resting
 	s.setMember(member)
 }
 
-// Placements.
-
-// applyPlacement takes a placement that was decided on the index below its epoch,
-// unless its partition changed since or is no longer wanted, or a store that it
-// gives a copy to has been lost or ordered away.
-func (s *State) applyPlacement(place membership.Placement) {
-	earlier, found := s.Placements[place.Partition]
-	if found && (earlier.Epoch >= place.Epoch || s.PlacementModifiedAt[place.Partition] >= place.Epoch) || !s.expects(place.Partition) {
+// applyPlacement accepts a placement that was decided on the index below its epoch, unless
+// its partition has changed since or is no longer wanted, or a store that it gives a
+// replica to has failed or is retiring.
+func (s *State) applyPlacement(placement membership.Placement) {
+	if !s.expects(placement.Partition) {
 		return
 	}
-	given := place.Followers
+	earlier, found := s.Placements[placement.Partition]
+	if found && (earlier.Epoch >= placement.Epoch || s.PlacementModifiedAt[placement.Partition] >= placement.Epoch) {
+		return
+	}
+	given := placement.Followers
 	if !found {
-		given = append([]string{place.Leader}, given...)
+		given = append([]string{placement.Leader}, given...)
 	}
-	if slices.ContainsFunc(given, func(name string) bool { return !s.Members[name].Alive || s.Members[name].Retiring }) {
-		return
+	for _, name := range given {
+		if member := s.Members[name]; !member.Alive || member.Retiring {
+			return
+		}
 	}
-	s.setPlacement(place)
+	s.setPlacement(placement)
 }
 
-func (s *State) applyReplicated(settled membership.PartitionReplicated) {
-	place, found := s.Placements[settled.Partition]
-	if !found || place.Epoch != settled.Epoch || place.Complete {
+// applyReplicated completes a placement once all its replicas have the records.
+func (s *State) applyReplicated(replicated membership.PartitionReplicated) {
+	placement, found := s.Placements[replicated.Partition]
+	if !found || placement.Epoch != replicated.Epoch || placement.Complete {
 		return
 	}
-	// A store whose disk was lost meanwhile is no holder, whatever it said.
-	holders := []string{s.Members[place.Leader].ReplicaID()}
-	for _, name := range place.Followers {
-		holders = append(holders, s.Members[name].ReplicaID())
-	}
-	if !slices.Equal(holders, settled.Holders) {
+	replicas := s.replicaIDs(placement)
+	if !slices.Equal(replicas, replicated.Holders) {
+		// A replica's disk was lost meanwhile.
 		return
 	}
-	place.Complete, place.InSync = true, holders
-	s.setPlacement(place)
+	placement.Complete, placement.InSync = true, replicas
+	s.setPlacement(placement)
+}
+
+// replicaIDs lists the replicas of a placement, each a store on its present disk, the
+// leader first.
+func (s *State) replicaIDs(placement membership.Placement) []string {
+	replicas := []string{s.Members[placement.Leader].ReplicaID()}
+	for _, name := range placement.Followers {
+		replicas = append(replicas, s.Members[name].ReplicaID())
+	}
+	return replicas
 }
--- a/internal/controller/economy.go
+++ b/internal/controller/economy.go
@@ -1,6 +1,3 @@
-// The duties that look at what gateways report: which of them rest, and how callers
-// are spread over the others.
-
 package controller
 
 import (
@@ -15,74 +12,103 @@
 	"dahlialock/internal/statemachine"
 )
 
-// loadTimeout is how old a report may be on which callers are moved.
+// loadTimeout is the age beyond which a gateway's load is too old to move sessions by.
 const loadTimeout = 2 * time.Second
 
-// runEconomy lets the economy duty act, under its own lease.
+// runEconomy rests idle gateways and balances sessions, under the lease of the economy
+// role.
 func (c *Controller) runEconomy(now time.Time, effects *statemachine.Effects) {
 	configuration := c.configuration()
 	c.node.AskDuty(now, c.economyLease, effects)
-	// Right after a take-over few have reported, and after a loss of all the crowd
-	// still comes: what looks like too many then is a share of too few.
-	if !c.economyLease.Held(now) || now.Sub(c.termStart) < warmupPeriod {
+	// While the term warms up few gateways have reported, and after a loss of all of them
+	// clients still connect: the fair shares would be far too small.
+	if !c.economyLease.Held(now) || c.warmingUp(now, warmupPeriod) {
 		return
 	}
-	decided := c.planner.Plan(now, consolidation.Observation{
-		Configuration: configuration, Members: c.state.Members, Loads: c.loads, LastHeard: c.lastHeard,
+	directives := c.planner.Plan(now, consolidation.Observation{
+		Configuration: configuration,
+		Members:       c.state.Members,
+		Loads:         c.loads,
+		LastHeard:     c.lastHeard,
 	})
-	c.addBalancing(now, configuration, decided)
-	c.issueDirectives(now, decided, effects)
+	c.addBalancing(now, configuration, directives)
+	c.issueDirectives(now, directives, effects)
 }
 
-// addBalancing adds orders that spread callers evenly over the gateways which nobody asked
-// to rest and whose reports are fresh.
-func (c *Controller) addBalancing(now time.Time, configuration config.Configuration, decided map[string]membership.Directives) {
+// addBalancing adds directives that spread sessions over the gateways that are not to rest
+// and whose loads are recent.
+func (c *Controller) addBalancing(
+	now time.Time, configuration config.Configuration, directives map[string]membership.Directives,
+) {
 	var gateways []balancing.Gateway
 	for name, load := range statemachine.Sorted(c.loads) {
 		member, known := c.state.Members[name]
-		if !known || member.Kind != membership.KindGateway || !member.Alive || now.Sub(c.lastHeard[name]) > loadTimeout {
+		if !known || member.Kind != membership.KindGateway || !member.Alive {
+			continue
+		}
+		if now.Sub(c.lastHeard[name]) > loadTimeout {
 			continue
 		}
+		idle := member.Resting || directives[name].Rest || slices.Contains(configuration.Drains, name)
 		gateways = append(gateways, balancing.Gateway{
-			Name: name, Zone: member.Zone, Sessions: load.Sessions, FreeCapacity: load.FreeCapacity,
-			Accepting: load.Ready && !member.Resting && !decided[name].Rest && !slices.Contains(configuration.Drains, name),
+			Name:         name,
+			Zone:         member.Zone,
+			Sessions:     load.Sessions,
+			FreeCapacity: load.FreeCapacity,
+			Accepting:    load.Ready && !idle,
 		})
 	}
-	for name, order := range c.balancer.Plan(gateways) {
-		present := decided[name]
-		present.KeepSessions, present.MovesPerSecond, present.Targets = order.KeepSessions, order.MovesPerSecond, order.Targets
-		decided[name] = present
+	for name, directive := range c.balancer.Plan(gateways) {
+		merged := directives[name]
+		merged.KeepSessions = directive.KeepSessions
+		merged.MovesPerSecond = directive.MovesPerSecond
+		merged.Targets = directive.Targets
+		directives[name] = merged
 	}
 }
 
-// issueDirectives tells gateways what is asked of them, where that changed, and has the
-// state name those that rest.
-func (c *Controller) issueDirectives(now time.Time, decided map[string]membership.Directives, effects *statemachine.Effects) {
-	command := Command{}
+// issueDirectives sends each gateway its directives where these changed, and records in
+// the control state which gateways rest. A gateway without directives gets empty ones.
+func (c *Controller) issueDirectives(
+	now time.Time, planned map[string]membership.Directives, effects *statemachine.Effects,
+) {
 	for name := range statemachine.Sorted(c.directives) {
-		if _, found := decided[name]; !found {
-			decided[name] = membership.Directives{}
+		if _, found := planned[name]; !found {
+			planned[name] = membership.Directives{}
 		}
 	}
-	for name, orders := range statemachine.Sorted(decided) {
+	command := Command{}
+	for name, directives := range statemachine.Sorted(planned) {
 		earlier := c.directives[name]
-		c.directives[name] = orders
-		if !earlier.Equal(orders) {
-			if waiting, found := c.pendingPolls[name]; found {
-				c.respondWithView(now, waiting, effects)
-			}
+		c.directives[name] = directives
+		if !earlier.Equal(directives) {
+			c.answerPollOf(now, name, effects)
 		}
-		member := c.state.Members[name]
-		if rests := orders.Rest && c.loads[name].Resting; member.Resting != rests && member.Alive {
-			command.RestChanges = append(command.RestChanges, RestChange{Name: name, Incarnation: member.Incarnation, Resting: rests})
-			if rests {
-				effects.Emit(logevent.GatewayRested, "gateway", name)
-			} else {
-				effects.Emit(logevent.GatewayWoken, "gateway", name)
-			}
+		if change, changed := c.restChange(name, directives); changed {
+			command.RestChanges = append(command.RestChanges, change)
+			emitRestChange(change, effects)
 		}
 	}
 	if !command.empty() {
 		c.submit(now, command, effects)
 	}
 }
+
+// restChange is the change of a gateway that began or ceased to rest. A gateway rests once
+// it was asked to and reports that it does.
+func (c *Controller) restChange(name string, directives membership.Directives) (RestChange, bool) {
+	member := c.state.Members[name]
+	resting := directives.Rest && c.loads[name].Resting
+	if member.Resting == resting || !member.Alive {
+		return RestChange{}, false
+	}
+	return RestChange{Name: name, Incarnation: member.Incarnation, Resting: resting}, true
+}
+
+func emitRestChange(change RestChange, effects *statemachine.Effects) {
+	if change.Resting {
+		effects.Emit(logevent.GatewayRested, "gateway", change.Name)
+	} else {
+		effects.Emit(logevent.GatewayWoken, "gateway", change.Name)
+	}
+}
--- a/internal/controller/history.go
+++ b/internal/controller/history.go
@@ -1,7 +1,3 @@
-// The history of configurations: which content was confirmed under which number.
-// By it an order that was taken is known again whenever and through whichever
-// daemon it comes, and no number is confirmed with a second content.
-
 package controller
 
 import (
@@ -13,47 +9,42 @@
 	"dahlialock/internal/statemachine"
 )
 
-// maxRecentOrders is how many retirements are remembered: a daemon carries an order for a
-// few seconds at most.
-const maxRecentOrders = 64
-
-// acceptedBefore tells whether an order of this name was taken before: it comes again from a
-// daemon that had no answer, and another may have been taken since.
-func (s *State) acceptedBefore(order statemachine.RequestID) bool {
-	return order.IsSet() && slices.Contains(s.RecentOrders, order) && !statemachine.Mutated("orders-unnamed")
-}
-
-func (s *State) recordOrder(order statemachine.RequestID) {
-	if !order.IsSet() {
-		return
-	}
-	s.RecentOrders = append(s.RecentOrders, order)
-	s.RecentOrders = s.RecentOrders[max(0, len(s.RecentOrders)-maxRecentOrders):]
-}
+const (
+	// maxHistory is how many decisions on configurations are remembered. Those on the lowest
+	// versions are dropped first.
+	maxHistory = 512
 
-// maxHistory is how many numbers are remembered; the lowest are forgotten first.
-const maxHistory = 512
+	// maxRecentOrders is how many retirements are remembered. A daemon sends an order again
+	// for a few seconds at most.
+	maxRecentOrders = 64
+)
 
-// ConfigurationDecision is what was confirmed under one number. One that was overtaken never
-// came into force.
+// ConfigurationDecision records which content was confirmed under one version. By it an
+// order that was accepted is recognized whenever and through whichever daemon it comes
+// again, and no version is confirmed with a second content.
+//
+// Decisions are stored: their fields and the order of the fields never change.
 type ConfigurationDecision struct {
 	_           struct{} `cbor:",toarray"`
 	Version     uint64
 	Digest      config.Digest
 	ReceivedAt  time.Time
 	ForwardedBy string
-	Superseded  bool
+	// Superseded is set if the configuration never came into force.
+	Superseded bool
 }
 
-func (s *State) historyIndex(version uint64) (int, bool) {
-	return slices.BinarySearchFunc(s.History, version, func(each ConfigurationDecision, version uint64) int {
-		return cmp.Compare(each.Version, version)
-	})
+// historyIndex is the position of a version in the history, or the position at which it
+// would be inserted.
+func (s *State) historyIndex(version uint64) (position int, found bool) {
+	compare := func(decision ConfigurationDecision, version uint64) int {
+		return cmp.Compare(decision.Version, version)
+	}
+	return slices.BinarySearchFunc(s.History, version, compare)
 }
 
-// recordedOutcome tells what was confirmed under a change's number, if that is remembered:
-// the same, or something else. What it says once it says for as long as it
-// remembers.
+// recordedOutcome finds what was decided under a change's version, as long as that is
+// remembered.
 func (s *State) recordedOutcome(change ConfigurationChange) (Outcome, bool) {
 	position, found := s.historyIndex(change.Version)
 	if !found {
@@ -69,16 +60,37 @@
 	return Duplicate, true
 }
 
-// recordDecision notes a decision, and forgets the lowest number if there are too many.
-func (s *State) recordDecision(change ConfigurationChange, overtaken bool) {
+// recordDecision records a decision, and drops the one on the lowest version if there are
+// too many. It panics if the version was decided before, which callers rule out.
+func (s *State) recordDecision(change ConfigurationChange, superseded bool) {
 	position, found := s.historyIndex(change.Version)
 	if found {
-		panic("a number was decided twice")
+		panic("a configuration version was decided twice")
 	}
 	s.History = slices.Insert(s.History, position, ConfigurationDecision{
-		Version: change.Version, Digest: change.Digest, ReceivedAt: change.ReceivedAt, ForwardedBy: change.ForwardedBy, Superseded: overtaken,
+		Version:     change.Version,
+		Digest:      change.Digest,
+		ReceivedAt:  change.ReceivedAt,
+		ForwardedBy: change.ForwardedBy,
+		Superseded:  superseded,
 	})
 	if len(s.History) > maxHistory {
 		s.History = slices.Delete(s.History, 0, 1)
 	}
 }
+
+// acceptedBefore reports whether this very order was accepted before: a daemon that had no
+// response sends it again, and another order may have been accepted since.
+func (s *State) acceptedBefore(order statemachine.RequestID) bool {
+	return order.IsSet() && slices.Contains(s.RecentOrders, order) && !statemachine.Mutated("orders-unnamed")
+}
+
+// recordOrder records an order that was accepted, and drops the oldest if there are too
+// many.
+func (s *State) recordOrder(order statemachine.RequestID) {
+	if !order.IsSet() {
+		return
+	}
+	s.RecentOrders = append(s.RecentOrders, order)
+	s.RecentOrders = s.RecentOrders[max(0, len(s.RecentOrders)-maxRecentOrders):]
+}
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -1,23 +1,33 @@
-// Placement decides which store holds a partition first and which stand ready as
-// its followers, as many as stores may be lost at once: by rendezvous
-// hashing, in different zones where there are enough, moving nothing that
-// need not move. A store whose disk lags behind the others' is emptied, as long
-// as there are enough without it. A store counts as a holder only
-// together with the disk on which the accepted messages lie; a partition whose
-// holders are all away waits for one of them rather than begin empty.
-
 package controller
 
 import (
 	"hash/fnv"
 	"slices"
-	"time"
+	"strings"
 
 	"dahlialock/internal/config"
 	"dahlialock/internal/membership"
 	"dahlialock/internal/statemachine"
 )
 
+// Placement decides which store leads a partition and which stores follow, as many as may
+// be lost at once. Stores are ranked for each partition by rendezvous hashing, replicas
+// lie in different zones where there are enough zones, and nothing moves that need not. A
+// degraded store is emptied as long as there are enough others. A store counts as a holder
+// only together with the disk on which the accepted records lie: a partition whose holders
+// are all away waits for one of them rather than begin empty.
+
+// The score of a store as a follower.
+const (
+	// scoreZone is for a store in a zone without a replica.
+	scoreZone = 2
+	// scoreReceiving is for a store to which the records are being copied.
+	scoreReceiving = 4
+	// scoreHolder is for a store that has all records.
+	scoreHolder = 8
+)
+
+// rank is the rendezvous hash of a store for a partition.
 func rank(partition, store string) uint64 {
 	sum := fnv.New64a()
 	_, _ = sum.Write([]byte(partition))
@@ -30,25 +40,7 @@
 	return mixed
 }
 
-// eligibleStores are those that may be given partitions; degraded ones only where there are
-// not enough others.
-func (s *State) eligibleStores() []membership.Member {
-	var well, degraded []membership.Member
-	for _, member := range statemachine.Sorted(s.Members) {
-		switch {
-		case member.Kind != membership.KindStore || !member.Alive || member.Retiring:
-		case member.Degraded:
-			degraded = append(degraded, member)
-		default:
-			well = append(well, member)
-		}
-	}
-	if len(well) <= s.Tolerance {
-		return append(well, degraded...)
-	}
-	return well
-}
-
+// rankStores sorts stores in place by their rank for a partition, the highest first.
 func rankStores(partition string, stores []membership.Member) []membership.Member {
 	slices.SortStableFunc(stores, func(left, right membership.Member) int {
 		leftRank, rightRank := rank(partition, left.Name), rank(partition, right.Name)
@@ -63,27 +55,48 @@
 	return stores
 }
 
-// chooseFollowers chooses the stores of the other copies: those that have one
-// already, then those that are being given one, then other zones.
-func chooseFollowers(first membership.Member, ranked []membership.Member, count int, points func(name string) int) ([]string, bool) {
+// eligibleStores lists the stores that may be given replicas, degraded ones only if there
+// are not enough others.
+func (s *State) eligibleStores() []membership.Member {
+	var healthy, degraded []membership.Member
+	for _, member := range statemachine.Sorted(s.Members) {
+		switch {
+		case member.Kind != membership.KindStore || !member.Alive || member.Retiring:
+		case member.Degraded:
+			degraded = append(degraded, member)
+		default:
+			healthy = append(healthy, member)
+		}
+	}
+	if len(healthy) <= s.Tolerance {
+		return append(healthy, degraded...)
+	}
+	return healthy
+}
+
+// chooseFollowers chooses the followers of a leader by their score, and among equal scores
+// by rank. It reports false if there are too few stores.
+func chooseFollowers(
+	leader membership.Member, ranked []membership.Member, count int, score func(name string) int,
+) ([]string, bool) {
 	var chosen []string
-	zones := map[string]bool{first.Zone: true}
+	zones := map[string]bool{leader.Zone: true}
 	for range count {
 		var best membership.Member
-		score := -1
+		bestScore := -1
 		for _, member := range ranked {
-			if member.Name == first.Name || slices.Contains(chosen, member.Name) {
+			if member.Name == leader.Name || slices.Contains(chosen, member.Name) {
 				continue
 			}
-			sum := points(member.Name)
+			memberScore := score(member.Name)
 			if !zones[member.Zone] {
-				sum += pointsZone
+				memberScore += scoreZone
 			}
-			if sum > score {
-				best, score = member, sum
+			if memberScore > bestScore {
+				best, bestScore = member, memberScore
 			}
 		}
-		if score < 0 {
+		if bestScore < 0 {
 			return chosen, false
 		}
 		chosen = append(chosen, best.Name)
@@ -92,101 +105,148 @@
 	return chosen, true
 }
 
-// What speaks for a store as follower.
-const (
-	pointsZone   = 2
-	pointsNamed  = 4
-	pointsHolder = 8
-)
-
-// planPlacements lists the placements that ought to change.
+// planPlacements lists the placements that are to change.
 func (s *State) planPlacements(configuration config.Configuration) []membership.Placement {
 	var changes []membership.Placement
 	stores := s.eligibleStores()
 	for _, partition := range s.partitionNames(configuration) {
 		ranked := rankStores(partition, stores)
-		place, placed := s.Placements[partition]
-		if placed {
-			if next, changed := s.replanPlacement(place, ranked); changed {
+		if placement, placed := s.Placements[partition]; placed {
+			if next, changed := s.replanPlacement(placement, ranked); changed {
 				changes = append(changes, next)
 			}
 			continue
 		}
-		if len(ranked) <= s.Tolerance {
-			continue
-		}
-		followers, _ := chooseFollowers(ranked[0], ranked, s.Tolerance, func(string) int { return 0 })
-		place = membership.Placement{Partition: partition, Epoch: s.Index + 1, Leader: ranked[0].Name, Followers: followers, Complete: true, InSync: []string{ranked[0].ReplicaID()}}
-		for _, name := range followers {
-			place.InSync = append(place.InSync, s.Members[name].ReplicaID())
+		if len(ranked) > s.Tolerance {
+			changes = append(changes, s.newPlacement(partition, ranked))
 		}
-		changes = append(changes, place)
 	}
 	return changes
 }
 
-// replanPlacement gives a partition's next epoch, if it needs one: ranked are the stores
-// that may be given partitions.
-func (s *State) replanPlacement(place membership.Placement, ranked []membership.Member) (membership.Placement, bool) {
-	holds := func(name string) bool {
-		member, found := s.Members[name]
-		return found && member.Alive && slices.Contains(place.InSync, member.ReplicaID())
+// newPlacement places a partition that has no records yet, so that all its replicas are in
+// sync.
+func (s *State) newPlacement(partition string, ranked []membership.Member) membership.Placement {
+	noScore := func(string) int { return 0 }
+	followers, _ := chooseFollowers(ranked[0], ranked, s.Tolerance, noScore)
+	placement := membership.Placement{
+		Partition: partition,
+		Epoch:     s.Index + 1,
+		Leader:    ranked[0].Name,
+		Followers: followers,
+		Complete:  true,
 	}
-	may := func(name string) bool {
-		return slices.ContainsFunc(ranked, func(member membership.Member) bool { return member.Name == name })
+	placement.InSync = s.replicaIDs(placement)
+	return placement
+}
+
+// replanning is the plan for the next epoch of a partition that is placed.
+type replanning struct {
+	state     *State
+	placement membership.Placement
+	// ranked are the stores that may be given replicas.
+	ranked []membership.Member
+}
+
+// replanPlacement plans a partition's next epoch, if it needs one.
+func (s *State) replanPlacement(
+	placement membership.Placement, ranked []membership.Member,
+) (next membership.Placement, changed bool) {
+	plan := replanning{state: s, placement: placement, ranked: ranked}
+	if !plan.needed() {
+		return placement, false
 	}
-	stays := func(name string) bool { return holds(name) && may(name) }
-	// While a copy is being made a follower is not yet a holder; once the
-	// partition is complete it must be one, or its disk was lost.
-	fit := func(name string) bool { return may(name) && (!place.Complete || holds(name)) }
-	unfit := slices.ContainsFunc(place.Followers, func(name string) bool { return !fit(name) })
-	if stays(place.Leader) && !unfit && (len(place.Followers) == s.Tolerance || !place.Complete) {
-		return place, false
+	leader, found := plan.chooseLeader()
+	if !found {
+		return placement, false
 	}
-	candidates := append([]string{place.Leader}, place.Followers...)
-	for _, entry := range place.InSync {
-		for name, member := range statemachine.Sorted(s.Members) {
-			if member.ReplicaID() == entry {
-				candidates = append(candidates, name)
-			}
-		}
+	followerCount := s.Tolerance
+	if !plan.mayStay(leader) {
+		// No holder may stay. The records must be copied to a store that may, before the
+		// leader can be replaced.
+		followerCount = max(followerCount, 1)
 	}
-	first := ""
-	for _, check := range []func(string) bool{stays, holds} {
-		for _, name := range candidates {
-			if first == "" && check(name) {
-				first = name
-			}
-		}
+	followers, enough := chooseFollowers(s.Members[leader], ranked, followerCount, plan.score)
+	if !enough {
+		return placement, false
 	}
-	if first == "" {
-		return place, false
+	unchanged := leader == placement.Leader && slices.Equal(sorted(followers), sorted(placement.Followers))
+	if unchanged && !placement.Complete {
+		return placement, false
 	}
-	copies := s.Tolerance
-	if !stays(first) {
-		// Nobody that may stay has it: it must be given to one more first.
-		copies = max(copies, 1)
+	next = membership.Placement{
+		Partition: placement.Partition,
+		Epoch:     s.Index + 1,
+		Leader:    leader,
+		Followers: followers,
 	}
-	followers, enough := chooseFollowers(s.Members[first], ranked, copies, func(name string) int {
-		switch {
-		case stays(name):
-			return pointsHolder
-		case slices.Contains(place.Followers, name) && fit(name):
-			return pointsNamed
+	for _, replica := range placement.InSync {
+		if !s.diskReplaced(replica) {
+			next.InSync = append(next.InSync, replica)
 		}
-		return 0
-	})
-	same := first == place.Leader && slices.Equal(sorted(followers), sorted(place.Followers))
-	if !enough || same && !place.Complete {
-		return place, false
 	}
-	next := membership.Placement{Partition: place.Partition, Epoch: s.Index + 1, Leader: first, Followers: followers}
-	for _, entry := range place.InSync {
-		if !s.diskReplaced(entry) {
-			next.InSync = append(next.InSync, entry)
+	return next, true
+}
+
+// holds reports whether a store is alive and has all records on its present disk.
+func (r replanning) holds(name string) bool {
+	member, found := r.state.Members[name]
+	return found && member.Alive && slices.Contains(r.placement.InSync, member.ReplicaID())
+}
+
+// eligible reports whether a store may be given a replica.
+func (r replanning) eligible(name string) bool {
+	return slices.ContainsFunc(r.ranked, func(member membership.Member) bool { return member.Name == name })
+}
+
+// mayStay reports whether a store has all records and may keep its replica.
+func (r replanning) mayStay(name string) bool { return r.holds(name) && r.eligible(name) }
+
+// fit reports whether a store may remain a follower. While records are being copied a
+// follower is not a holder yet; once the placement is complete it must be one, or its disk
+// was lost.
+func (r replanning) fit(name string) bool {
+	return r.eligible(name) && (!r.placement.Complete || r.holds(name))
+}
+
+// needed reports whether the placement has to change.
+func (r replanning) needed() bool {
+	unfit := func(name string) bool { return !r.fit(name) }
+	if !r.mayStay(r.placement.Leader) || slices.ContainsFunc(r.placement.Followers, unfit) {
+		return true
+	}
+	return r.placement.Complete && len(r.placement.Followers) != r.state.Tolerance
+}
+
+// chooseLeader finds a holder to lead the partition: one that may stay, or else any. The
+// present leader comes first, then the followers, then other stores with an in-sync
+// replica. It reports false if no holder is alive.
+func (r replanning) chooseLeader() (leader string, found bool) {
+	candidates := append([]string{r.placement.Leader}, r.placement.Followers...)
+	for _, replica := range r.placement.InSync {
+		for name, member := range statemachine.Sorted(r.state.Members) {
+			if member.ReplicaID() == replica {
+				candidates = append(candidates, name)
+			}
 		}
 	}
-	return next, true
+	for _, suits := range []func(string) bool{r.mayStay, r.holds} {
+		if position := slices.IndexFunc(candidates, suits); position >= 0 {
+			return candidates[position], true
+		}
+	}
+	return "", false
+}
+
+// score is the score of a store as a follower, apart from its zone.
+func (r replanning) score(name string) int {
+	switch {
+	case r.mayStay(name):
+		return scoreHolder
+	case slices.Contains(r.placement.Followers, name) && r.fit(name):
+		return scoreReceiving
+	}
+	return 0
 }
 
 func sorted(names []string) []string {
@@ -195,84 +255,27 @@
 	return names
 }
 
-// diskReplaced tells whether a holder's disk is known to be another one now.
-func (s *State) diskReplaced(entry string) bool {
+// diskReplaced reports whether a replica's store is not known, or known to have another
+// disk now.
+func (s *State) diskReplaced(replica string) bool {
 	for _, member := range s.Members {
-		if len(entry) > len(member.Name) && entry[:len(member.Name)+1] == member.Name+"@" {
-			return member.ReplicaID() != entry
+		if strings.HasPrefix(replica, member.Name+"@") {
+			return member.ReplicaID() != replica
 		}
 	}
 	return true
 }
 
-// storeInUse tells whether any partition still needs a store.
+// storeInUse reports whether any partition still needs a store.
 func (s *State) storeInUse(store string) bool {
-	for _, place := range s.Placements {
-		if place.HasReplica(store) {
+	for _, placement := range s.Placements {
+		if placement.HasReplica(store) {
 			return true
 		}
-		if !place.Complete && !statemachine.Mutated("done-before-copied") && slices.Contains(place.InSync, s.Members[store].ReplicaID()) {
+		copying := !placement.Complete && !statemachine.Mutated("done-before-copied")
+		if copying && slices.Contains(placement.InSync, s.Members[store].ReplicaID()) {
 			return true
 		}
 	}
 	return false
 }
-
-// Spans of degraded: a store that was said to lag is left alone for a while.
-const (
-	slowDiskTimeout = 1200 * time.Millisecond
-	degradedPeriod  = 8 * time.Second
-)
-
-// slowDisk is the newest word that a store lags.
-type slowDisk struct {
-	at          time.Time
-	incarnation uint64
-	delay       time.Duration
-}
-
-// quietestDegraded is the degraded store that has gone longest without a complaint.
-func (s *State) quietestDegraded(now time.Time, lags map[string]slowDisk) (membership.Member, bool) {
-	var best membership.Member
-	for _, member := range statemachine.Sorted(s.Members) {
-		if !member.Degraded || !member.Alive || member.Retiring || now.Sub(lags[member.Name].at) < slowDiskTimeout {
-			continue
-		}
-		if best.Name == "" || lags[member.Name].at.Before(lags[best.Name].at) {
-			best = member
-		}
-	}
-	return best, best.Name != ""
-}
-
-// planDegradations lists the stores that begin or cease to be taken for degraded, by
-// what is told of their disks. There are always left as many as a partition has
-// copies.
-func (s *State) planDegradations(now time.Time, lags map[string]slowDisk) []Degradation {
-	var changed []Degradation
-	change := func(member membership.Member, degraded bool) {
-		changed = append(changed, Degradation{Name: member.Name, Incarnation: member.Incarnation, Degraded: degraded})
-	}
-	well := s.healthyStores()
-	for _, member := range statemachine.Sorted(s.Members) {
-		told, known := lags[member.Name]
-		known = known && told.incarnation == member.Incarnation
-		switch {
-		case member.Kind != membership.KindStore || !member.Alive:
-		case member.Degraded && (!known || now.Sub(told.at) > degradedPeriod):
-			change(member, false)
-		case !member.Degraded && known && now.Sub(told.at) < slowDiskTimeout:
-			if well <= s.Tolerance+1 {
-				// Another of whom nobody complains any more is needed again.
-				recovered, found := s.quietestDegraded(now, lags)
-				if !found {
-					continue
-				}
-				change(recovered, false)
-			}
-			change(member, true)
-			return changed
-		}
-	}
-	return changed
-}
--- /dev/null
+++ b/internal/controller/removal.go
@@ -0,0 +1,172 @@
+package controller
+
+import (
+	"slices"
+	"strings"
+	"time"
+
+	"dahlialock/internal/membership"
+	"dahlialock/internal/statemachine"
+)
+
+// Dead members are removed after a while, so that the control state does not grow with the
+// number of machines that were ever replaced. A tombstone of each stays for a while: by it
+// an order that was carried out is recognized, and an incarnation older than a known one
+// does not take over the name. A store that any partition may still need is not removed.
+
+const (
+	// removalDelay is how long a primary sees a member dead before it removes the member.
+	removalDelay = time.Minute
+
+	// minTombstones is how many tombstones are kept before the oldest is evicted. There may
+	// be as many as there are members.
+	minTombstones = 128
+)
+
+// Tombstone is what is left of a removed member. Tombstones are stored: their fields and
+// the order of the fields never change.
+type Tombstone struct {
+	_           struct{} `cbor:",toarray"`
+	Name        string
+	Kind        string
+	Address     string
+	Disk        string
+	Incarnation uint64
+	Retired     bool
+	// RemovedAt is the index of the command that removed the member.
+	RemovedAt uint64
+}
+
+// member is the removed member as far as its tombstone tells.
+func (t Tombstone) member() membership.Member {
+	return membership.Member{
+		Name:        t.Name,
+		Kind:        t.Kind,
+		Address:     t.Address,
+		Disk:        t.Disk,
+		Incarnation: t.Incarnation,
+		Retiring:    t.Retired,
+		Retired:     t.Retired,
+	}
+}
+
+// memberOrTombstone finds a member, or what its tombstone tells.
+func (s *State) memberOrTombstone(name string) (membership.Member, bool) {
+	if member, found := s.Members[name]; found {
+		return member, true
+	}
+	if position := s.tombstoneIndex(name); position >= 0 {
+		return s.Tombstones[position].member(), true
+	}
+	return membership.Member{}, false
+}
+
+// tombstoneIndex is the position of a member's tombstone, or -1.
+func (s *State) tombstoneIndex(name string) int {
+	return slices.IndexFunc(s.Tombstones, func(tombstone Tombstone) bool { return tombstone.Name == name })
+}
+
+// mayRemove reports whether nothing refers to a member any more: it is dead, it is not
+// being retired, no partition has or had a replica on any of its disks, and the
+// configuration in force does not drain it.
+func (s *State) mayRemove(removal MemberIncarnation) bool {
+	member, found := s.Members[removal.Name]
+	if !found || member.Alive || member.Incarnation != removal.Incarnation {
+		return false
+	}
+	if member.Retiring && !member.Retired {
+		return false
+	}
+	if statemachine.Mutated("forget-holders") {
+		return true
+	}
+	if slices.Contains(s.DrainedGateways, member.Name) {
+		return false
+	}
+	return member.Kind != membership.KindStore || !s.storeReferenced(member.Name)
+}
+
+// storeReferenced reports whether any placement names a store, or any disk that it had.
+func (s *State) storeReferenced(store string) bool {
+	ofStore := func(replica string) bool { return strings.HasPrefix(replica, store+"@") }
+	for _, placement := range s.Placements {
+		if placement.HasReplica(store) || slices.ContainsFunc(placement.InSync, ofStore) {
+			return true
+		}
+	}
+	return false
+}
+
+// applyRemoval replaces a member by its tombstone.
+func (s *State) applyRemoval(removal MemberIncarnation) {
+	if !s.mayRemove(removal) {
+		return
+	}
+	member := s.Members[removal.Name]
+	delete(s.Members, member.Name)
+	delete(s.MemberModifiedAt, member.Name)
+	s.Tombstones = append(s.Tombstones, Tombstone{
+		Name:        member.Name,
+		Kind:        member.Kind,
+		Address:     member.Address,
+		Disk:        member.Disk,
+		Incarnation: member.Incarnation,
+		Retired:     member.Retired,
+		RemovedAt:   s.Index,
+	})
+	if len(s.Tombstones) > max(minTombstones, len(s.Members)) && !statemachine.Mutated("tombstones-for-ever") {
+		s.evictTombstone()
+	}
+}
+
+// evictTombstone evicts the oldest tombstone, those of retired stores last. Views from
+// before the removal can't be brought up to date any more.
+func (s *State) evictTombstone() {
+	notRetired := func(tombstone Tombstone) bool { return !tombstone.Retired }
+	oldest := max(0, slices.IndexFunc(s.Tombstones, notRetired))
+	s.CompactedAt = max(s.CompactedAt, s.Tombstones[oldest].RemovedAt)
+	s.Tombstones = slices.Delete(s.Tombstones, oldest, oldest+1)
+}
+
+// dropTombstone drops the tombstone of a member that has joined again.
+func (s *State) dropTombstone(name string) {
+	if position := s.tombstoneIndex(name); position >= 0 {
+		s.Tombstones = slices.Delete(s.Tombstones, position, position+1)
+	}
+}
+
+// removableMembers lists the members that this primary has seen dead for long enough.
+func (c *Controller) removableMembers(now time.Time) []MemberIncarnation {
+	var removable []MemberIncarnation
+	for name, member := range statemachine.Sorted(c.state.Members) {
+		if member.Alive {
+			delete(c.deadSince, name)
+			continue
+		}
+		since, seen := c.deadSince[name]
+		if !seen || since.incarnation != member.Incarnation {
+			c.deadSince[name] = incarnationAt{at: now, incarnation: member.Incarnation}
+			continue
+		}
+		removal := MemberIncarnation{Name: name, Incarnation: member.Incarnation}
+		if now.Sub(since.at) >= removalDelay && c.state.mayRemove(removal) {
+			removable = append(removable, removal)
+		}
+	}
+	return removable
+}
+
+// dropUnknownMembers drops what this primary has observed of daemons that are not members
+// and have been silent for long.
+func (c *Controller) dropUnknownMembers(now time.Time) {
+	for name, heard := range c.lastHeard {
+		if _, found := c.state.Members[name]; found || now.Sub(heard) < removalDelay {
+			continue
+		}
+		delete(c.lastHeard, name)
+		delete(c.loads, name)
+		delete(c.directives, name)
+		delete(c.slowDisks, name)
+		delete(c.deadSince, name)
+	}
+}
--- a/internal/controller/stop.go
+++ b/internal/controller/stop.go
@@ -1,8 +1,3 @@
-// Stopping in good order: a controller that is asked to end first leaves the voters
-// and the copies of the control state by agreement, in case its machine goes with
-// it. It ends once nothing that it holds is needed, and in any case before the platform
-// loses patience.
-
 package controller
 
 import (
@@ -12,38 +7,44 @@
 	"dahlialock/internal/statemachine"
 )
 
-// Stop asks a daemon to end in good order.
+// Stop asks a controller to stop in good order, as a command of the host. The controller
+// first leaves the voters and the replicas of the control state by agreement, as its
+// machine may be taken away with it. It stops once nothing that it stores is needed, and
+// in any case before the platform ends the process.
 type Stop struct{}
 
-// defaultStopGracePeriod is how long a daemon that was asked to end is let run if nobody says.
+// defaultStopGracePeriod is how long a daemon that was asked to stop may go on running if
+// no setting says otherwise.
 const defaultStopGracePeriod = 6 * time.Second
 
-// beginStop asks the other controllers to let this one go.
+// beginStop asks the other controllers to let this one leave.
 func (c *Controller) beginStop(now time.Time, effects *statemachine.Effects) {
 	if c.stopDeadline.IsZero() {
 		c.stopDeadline = now.Add(c.stopTimeout())
-		c.timers.Arm("stop", c.stopDeadline)
+		c.timers.Arm(timerStop, c.stopDeadline)
 	}
 	c.node.Leave(now, effects)
 }
 
-// stopTimeout leaves a quarter of the grace for the end itself.
+// stopTimeout leaves a quarter of the grace period for the end of the process itself.
 func (c *Controller) stopTimeout() time.Duration {
-	grace := c.settings.StopGracePeriod
-	if grace == 0 {
-		grace = defaultStopGracePeriod
+	gracePeriod := c.settings.StopGracePeriod
+	if gracePeriod == 0 {
+		gracePeriod = defaultStopGracePeriod
 	}
-	return grace * 3 / 4
+	return gracePeriod * 3 / 4
 }
 
-// finishStop ends the daemon once it may go, or its time is up.
+// finishStop stops the daemon once it has left, or its time is over, and tells the other
+// controllers.
 func (c *Controller) finishStop(now time.Time, effects *statemachine.Effects) {
 	if c.stopDeadline.IsZero() || !c.node.Left() && now.Before(c.stopDeadline) {
 		return
 	}
+	self := c.settings.Self
 	for _, other := range statemachine.Sorted(c.viewClient.Members) {
-		if other.Kind == membership.KindController && other.Name != c.settings.Self.Name {
-			effects.Send(other.Address, membership.GracefulLeave{Name: c.settings.Self.Name, Incarnation: c.settings.Self.Incarnation})
+		if other.Kind == membership.KindController && other.Name != self.Name {
+			effects.Send(other.Address, membership.GracefulLeave{Name: self.Name, Incarnation: self.Incarnation})
 		}
 	}
 	effects.Stop = true
--- /dev/null
+++ b/internal/controller/term.go
@@ -0,0 +1,48 @@
+package controller
+
+import (
+	"time"
+
+	"dahlialock/internal/membership"
+	"dahlialock/internal/statemachine"
+)
+
+// warmupPeriod is the beginning of a term, in which the primary knows few reports yet.
+const warmupPeriod = 3 * time.Second
+
+// beginTerm resets what a primary has observed, when the controller begins to act as one.
+// What was reported in an earlier term is outdated; members have been heard as of now.
+func (c *Controller) beginTerm(now time.Time) {
+	if c.active {
+		return
+	}
+	c.active, c.termStart, c.commandPending = true, now, false
+	c.suspicions = map[string]map[string]incarnationAt{}
+	c.pendingJoins = map[string]Join{}
+	c.pendingLeaves = map[string]MemberIncarnation{}
+	c.pendingReplicated = map[string]membership.PartitionReplicated{}
+	c.directives = map[string]membership.Directives{}
+	c.loads = map[string]membership.Load{}
+	c.deadSince = map[string]incarnationAt{}
+	c.slowDisks = map[string]slowDisk{}
+	c.unconfirmedReports = map[string]*unconfirmedReport{}
+	c.unacknowledged = map[string]unacknowledgedAnswer{}
+	for name, member := range c.state.Members {
+		c.lastHeard[name] = now
+		if member.Degraded {
+			c.slowDisks[name] = slowDisk{at: now, incarnation: member.Incarnation}
+		}
+	}
+}
+
+// endTerm ends the work of a primary that has lost its lease.
+func (c *Controller) endTerm(effects *statemachine.Effects) {
+	c.active, c.commandPending = false, false
+	clear(c.sentViews)
+	c.redirectPolls(effects)
+}
+
+// warmingUp reports whether the term has lasted for less than a period.
+func (c *Controller) warmingUp(now time.Time, period time.Duration) bool {
+	return now.Sub(c.termStart) < period
+}
