--- a/internal/controller/explore_mutation_test.go
+++ b/internal/controller/explore_mutation_test.go
@@ -11,23 +11,26 @@
 	"dahlialock/internal/statemachine"
 )
 
-// Each mechanism of retiring and copying is taken away once, and a walk that is whole
-// with it must then find a broken promise.
-func TestEachMechanismOfCopiesIsNeeded(t *testing.T) {
+// Each mechanism of retirement and replication is taken away once. An exploration that
+// finds nothing with it must then find a broken promise.
+func TestReplicationMechanismsAreNeeded(t *testing.T) {
 	for _, each := range []struct {
-		mutation string
-		walk     storeWalk
-		bounds   explore.Bounds
+		mutation    string
+		exploration storeExploration
+		bounds      explore.Bounds
 	}{
-		{"store-ends-at-once", storeWalks[0], storeWalks[0].short},
-		{"done-before-copied", storeWalks[1], storeWalks[1].short},
-		// The copy must be late, and the disk lost: two troubles.
-		{"accept-on-one-disk", storeWalks[4], explore.Bounds{Depth: 6, Budget: 2, Finish: explore.FinishLast}},
+		{"store-ends-at-once", storeExplorations[0], storeExplorations[0].short},
+		{"done-before-copied", storeExplorations[1], storeExplorations[1].short},
+		// The copy must be late, and the disk lost: two faults.
+		{
+			"accept-on-one-disk", storeExplorations[4],
+			explore.Bounds{Depth: 6, Budget: 2, Finish: explore.FinishLast},
+		},
 	} {
-		t.Run(each.mutation+"/"+each.walk.name, func(t *testing.T) {
+		t.Run(each.mutation+"/"+each.exploration.name, func(t *testing.T) {
 			restore := statemachine.Mutate(each.mutation)
 			defer restore()
-			result := explore.Run(each.walk.begin, each.bounds)
+			result := explore.Run(each.exploration.begin, each.bounds)
 			t.Log(result)
 			assert.Assert(t, result.Broken != nil, "%s was not seen to matter", each.mutation)
 		})
--- a/internal/controller/failures.go
+++ b/internal/controller/failures.go
@@ -85,7 +85,12 @@
 		}
 		failed = append(failed, MemberIncarnation{Name: name, Incarnation: member.Incarnation})
 		delete(c.suspicions, name)
-		effects.Emit(logevent.MemberLost, "member", name, "reporters", len(reporters), "since_last_poll", sinceLastPoll.String())
+		effects.Emit(
+			logevent.MemberLost,
+			"member", name,
+			"reporters", len(reporters),
+			"since_last_poll", sinceLastPoll.String(),
+		)
 	}
 	return failed
 }
--- /dev/null
+++ b/internal/controller/leader_restart_mutation_test.go
@@ -0,0 +1,38 @@
+//go:build mutation
+
+// Without an epoch for each incarnation of a leader, or with any snapshot accepted, each
+// trial finds a violation.
+package controller
+
+import (
+	"testing"
+
+	"gotest.tools/v3/assert"
+
+	"dahlialock/internal/statemachine"
+)
+
+func TestOrderIDIsNeeded(t *testing.T) {
+	defer statemachine.Mutate("orders-unnamed")()
+	assert.Assert(t, retiresAfterRepeatedOrder())
+}
+
+var mutationOfRestart = map[string]string{
+	"late acknowledgement": "one-epoch-for-all-lives",
+	"late copy":            "one-epoch-for-all-lives",
+	"same offset":          "one-epoch-for-all-lives",
+	"duplicate snapshot":   "any-frame",
+}
+
+func TestEpochsOfIncarnationsAreNeeded(t *testing.T) {
+	for _, each := range leaderRestarts {
+		restore := statemachine.Mutate(mutationOfRestart[each.name])
+		violation := ""
+		for seed := uint64(0); seed < 5 && violation == ""; seed++ {
+			violation = each.run(t, seed)
+		}
+		restore()
+		assert.Check(t, violation != "", "nothing is seen by %s", each.name)
+		t.Log(each.name, violation)
+	}
+}
--- /dev/null
+++ b/internal/controller/leader_restart_test.go
@@ -0,0 +1,251 @@
+// A store whose process ends and starts anew at once still leads its partitions, and
+// assigns offsets again that its earlier incarnation assigned to messages which its disk
+// never had. What the earlier incarnation sent, and what was answered to it, may arrive
+// seconds later and must not count for the new incarnation's messages.
+package controller
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"dahlialock/internal/membership"
+	"dahlialock/internal/partition"
+	"dahlialock/internal/statemachine"
+	"dahlialock/internal/transport"
+)
+
+// replicaPair is the leader and the follower of a partition, with a gateway that collects
+// their responses.
+type replicaPair struct {
+	*storeCluster
+	leader, follower *storeNode
+	responses        map[uint64]partition.AppendResponse
+	records          []partition.Record
+}
+
+func newReplicaPair(t *testing.T, seed uint64) *replicaPair {
+	t.Helper()
+	pair := &replicaPair{
+		storeCluster: newStoreCluster(t, rand.New(rand.NewPCG(seed, 0x1de))),
+		responses:    map[uint64]partition.AppendResponse{},
+	}
+	pair.gatewayHandler = func(_ string, message any) {
+		switch body := message.(type) {
+		case partition.AppendResponse:
+			pair.responses[body.Request] = body
+		case partition.FetchResponse:
+			if body.Ready {
+				pair.records = body.Records
+			}
+		}
+	}
+	pair.apply(Command{Configuration: configured(1, testConfig)})
+	for number := range 3 {
+		pair.addStore(number).start()
+	}
+	pair.run(500 * time.Millisecond)
+	pair.apply(Command{Placements: pair.state.planPlacements(pair.configuration())})
+	pair.run(3 * time.Second)
+	placement := pair.state.Placements[testPartition]
+	for _, store := range pair.stores {
+		switch store.name {
+		case placement.Leader:
+			pair.leader = store
+		case placement.Followers[0]:
+			pair.follower = store
+		}
+	}
+	return pair
+}
+
+// publish sends a message to the leader, with a sender of its own.
+func (p *replicaPair) publish(request uint64) {
+	p.send(gatewayAddress, statemachine.Send{To: p.leader.name, Message: partition.Append{
+		Partition: testPartition,
+		Request:   request,
+		Topic:     "a",
+		Sender:    fmt.Sprint("sender-", request),
+		Seq:       1,
+		Data:      fmt.Append(nil, request),
+	}})
+}
+
+// restartUnsynced publishes while the leader's disk writes nothing, then restarts the
+// leader's process.
+func (p *replicaPair) restartUnsynced() {
+	p.leader.diskHungUntil = p.now + time.Hour
+	p.publish(1)
+	p.run(20 * time.Millisecond)
+	p.leader.kill()
+	p.run(30 * time.Millisecond)
+	p.leader.diskHungUntil, p.leader.lastWriteEnd = 0, 0
+	p.leader.start()
+}
+
+// wasAccepted reports whether a message was acknowledged as accepted.
+func (p *replicaPair) wasAccepted(request uint64) bool {
+	return p.responses[request].Outcome == partition.Accepted
+}
+
+// loseLeader loses the leader with its disk, and then looks for what was accepted.
+func (p *replicaPair) loseLeader(from, to uint64) (violation string) {
+	p.leader.kill()
+	p.leader.wipe()
+	p.after(0, p.reconcile)
+	p.run(4 * time.Second)
+	p.send(gatewayAddress, statemachine.Send{
+		To:      p.state.Placements[testPartition].Leader,
+		Message: partition.Fetch{Partition: testPartition, Request: 1, Prefixes: []string{""}},
+	})
+	p.run(time.Second)
+	stored, anyAccepted := map[string]bool{}, false
+	for _, record := range p.records {
+		stored[string(record.Data)] = true
+	}
+	for request := from; request < to; request++ {
+		anyAccepted = anyAccepted || p.wasAccepted(request)
+		if p.wasAccepted(request) && !stored[fmt.Sprint(request)] {
+			return fmt.Sprintf("message %d was accepted and is lost with the leader's disk", request)
+		}
+	}
+	if !anyAccepted {
+		return "nothing was accepted"
+	}
+	return ""
+}
+
+// sameOffset lets the leader's new incarnation accept a message before it knows what its
+// follower has: the earlier incarnation's message at the same offset. No message is late.
+// Then the leader is lost with its disk.
+func sameOffset(t *testing.T, seed uint64) (violation string) {
+	t.Helper()
+	pair := newReplicaPair(t, seed)
+	pair.restartUnsynced()
+	for request := uint64(2); request < 250; request++ {
+		pair.after(time.Duration(request)*3*time.Millisecond, func() { pair.publish(request) })
+	}
+	pair.run(time.Second)
+	return pair.loseLeader(1, 250)
+}
+
+// lateAcknowledgement lets the follower's acknowledgement of a message of the leader's
+// earlier incarnation arrive at the next one, which can copy nothing to the follower:
+// nothing may be accepted.
+func lateAcknowledgement(t *testing.T, seed uint64) (violation string) {
+	t.Helper()
+	pair := newReplicaPair(t, seed)
+	pair.linkFault = func(from, to string, message any) (time.Duration, bool) {
+		if _, acknowledges := message.(partition.CopyResponse); acknowledges &&
+			from == pair.follower.name && to == pair.leader.name {
+			return 1500 * time.Millisecond, false
+		}
+		return 0, false
+	}
+	began := pair.now
+	pair.restartUnsynced()
+	pair.linkFault = nil
+	pair.run(1400*time.Millisecond - (pair.now - began))
+	pair.linkFault = func(from, _ string, message any) (time.Duration, bool) {
+		_, copies := message.(partition.Copy)
+		return 0, copies && from == pair.leader.name
+	}
+	pair.publish(2)
+	pair.run(time.Second)
+	if pair.wasAccepted(2) {
+		return "accepted with one replica only"
+	}
+	return ""
+}
+
+// lateCopy lets a copy of the leader's earlier incarnation arrive at the follower after the
+// next incarnation has brought it up to date, and then loses the leader with its disk.
+func lateCopy(t *testing.T, seed uint64) (violation string) {
+	t.Helper()
+	pair := newReplicaPair(t, seed)
+	pair.linkFault = func(from, _ string, message any) (time.Duration, bool) {
+		if _, copies := message.(partition.Copy); copies && from == pair.leader.name {
+			return 1200 * time.Millisecond, false
+		}
+		return 0, false
+	}
+	pair.restartUnsynced()
+	pair.linkFault = nil
+	pair.run(1500 * time.Millisecond)
+	pair.publish(2)
+	pair.run(500 * time.Millisecond)
+	return pair.loseLeader(1, 3)
+}
+
+// duplicateSnapshot lets the leader's snapshot of the partition arrive at the follower a
+// second time, after more was accepted, and then loses the leader with its disk.
+func duplicateSnapshot(t *testing.T, seed uint64) (violation string) {
+	t.Helper()
+	pair := newReplicaPair(t, seed)
+	snapshots := 0
+	pair.linkFault = func(from, to string, message any) (time.Duration, bool) {
+		if _, snapshot := message.(partition.Frame); snapshot {
+			snapshots++
+			packed, err := transport.Encode(statemachine.Meta{From: from, Version: 1}, message)
+			assert.NilError(t, err)
+			pair.after(1500*time.Millisecond, func() { pair.deliver(from, to, packed) })
+		}
+		return 0, false
+	}
+	pair.restartUnsynced()
+	pair.run(time.Second)
+	for request := uint64(2); request < 10; request++ {
+		pair.publish(request)
+	}
+	pair.run(time.Second)
+	if snapshots == 0 {
+		return "no snapshot was sent"
+	}
+	return pair.loseLeader(1, 10)
+}
+
+// retiresAfterRepeatedOrder reports whether a store is being retired after an order to
+// retire it was accepted, another to use it again was accepted, and the first is sent once
+// more by a daemon that had no response to it.
+func retiresAfterRepeatedOrder() bool {
+	state := newState()
+	apply := func(command Command) { state.Apply(time.Time{}, encodeCommand(command)) }
+	for _, name := range []string{"store-0", "store-1", "store-2"} {
+		self := membership.Member{Name: name, Kind: membership.KindStore, Alive: true, Incarnation: 1}
+		apply(Command{Joins: []Join{{Self: self}}})
+	}
+	retire := Retirement{Order: statemachine.RequestID{Incarnation: 7, Number: 3}, Store: "store-0", Retiring: true}
+	useAgain := Retirement{Order: statemachine.RequestID{Incarnation: 9, Number: 3}, Store: "store-0"}
+	apply(Command{Retirement: &retire})
+	apply(Command{Retirement: &useAgain})
+	apply(Command{Retirement: &retire})
+	return state.Members["store-0"].Retiring
+}
+
+func TestStateRecognizesRepeatedOrder(t *testing.T) {
+	assert.Assert(t, !retiresAfterRepeatedOrder())
+}
+
+var leaderRestarts = []struct {
+	name string
+	run  func(t *testing.T, seed uint64) (violation string)
+}{
+	{"late acknowledgement", lateAcknowledgement},
+	{"late copy", lateCopy},
+	{"same offset", sameOffset},
+	{"duplicate snapshot", duplicateSnapshot},
+}
+
+func TestRestartedLeaderIgnoresItsEarlierIncarnation(t *testing.T) {
+	for _, each := range leaderRestarts {
+		for seed := range uint64(5) {
+			t.Run(fmt.Sprintf("%s %d", each.name, seed), func(t *testing.T) {
+				t.Parallel()
+				assert.Equal(t, each.run(t, seed), "")
+			})
+		}
+	}
+}
--- a/internal/controller/partition_test.go
+++ b/internal/controller/partition_test.go
@@ -1,12 +1,11 @@
-// Placement and partitions against a model: stores under the real placement rules,
-// with links that lose, repeat and reorder, kills that lose what was not synced,
-// freezes, retirements and one lost disk at a time. What was told accepted has
-// one offset for ever, and in the end the first holds all of it, each sender's
-// messages in order and nothing that was refused for sure on every try.
+// Placement and partitions against a model: stores under the real placement rules, with
+// links that lose, repeat and reorder, kills that lose what was not synced, suspended
+// processes, retirements and one lost disk at a time. What was acknowledged as accepted has
+// one offset for ever, and in the end the leader holds all of it, each sender's messages in
+// order, and nothing that was refused on every attempt.
 package controller
 
 import (
-	"container/heap"
 	"fmt"
 	"math/rand/v2"
 	"testing"
@@ -14,487 +13,174 @@
 
 	"gotest.tools/v3/assert"
 
-	"dahlialock/internal/config"
-	"dahlialock/internal/membership"
 	"dahlialock/internal/partition"
 	"dahlialock/internal/statemachine"
-	"dahlialock/internal/transport"
 )
 
+const testSenders = 5
+
+// The codes of refusals that are final.
 const (
-	testConfig    = `{"version": 1, "spaces": [{"name": "boards", "promise": "kept", "order": "channel"}]}`
-	testPartition = "boards~1/0"
-	testSenders   = 5
+	codeOldSeq    = "old-seq"
+	codeSeqReused = "seq-reused"
 )
 
-type store struct {
-	yard    *yard
-	name    string
-	machine *partition.Store
-	up      bool
-	frozen  bool
-	life    int
-	wrote   int
-	frame   []byte
-	entries [][]byte
-	waits   []func()
-	timer   int
-	offset  time.Duration
-	// slow is what each write takes besides; until hung none lasts, and a full
-	// disk refuses them.
-	slow time.Duration
-	hung time.Duration
-	full bool
-}
-
-type event struct {
-	at    time.Duration
-	order int
-	run   func()
-}
-
-// events are in order of time, and of when they were made.
-type events []event
-
-func (e events) Len() int             { return len(e) }
-func (e events) Swap(left, right int) { e[left], e[right] = e[right], e[left] }
-func (e *events) Push(item any)       { *e = append(*e, item.(event)) }
-func (e events) Less(left, right int) bool {
-	if e[left].at != e[right].at {
-		return e[left].at < e[right].at
-	}
-	return e[left].order < e[right].order
-}
-
-func (e *events) Pop() any {
-	last := len(*e) - 1
-	item := (*e)[last]
-	*e = (*e)[:last]
-	return item
-}
-
-type writer struct {
+// sequentialSender publishes one message after the other, each until its outcome is known.
+type sequentialSender struct {
 	seq      uint64
 	request  uint64
 	answered uint64
-	tries    int
+	attempts int
 	refused  int
-	busy     bool
-}
-
-type yard struct {
-	t        *testing.T
-	random   *rand.Rand
-	now      time.Duration
-	queue    events
-	order    int
-	state    *State
-	stores   []*store
-	writers  [testSenders]*writer
-	requests uint64
-	accepted map[string]uint64
-	offsets  map[uint64]string
-	never    map[string]bool
-	fetched  *partition.FetchResponse
-	loss     float64
-	wipedAt  time.Duration
-	calm     bool
-	// single says that there is one copy only, which must not be wiped.
-	single bool
-	// told is given what the stores answer, in place of the writers' checker.
-	told func(from string, message any)
-	lags map[string]slowDisk
-	// inOrder is when the gateway's last message to a store arrives, on a link
-	// that doesn't reorder.
-	inOrder map[string]time.Duration
-	// held, if set, tells for how long a link holds a message, which then reaches
-	// whatever life is there, and whether it is lost instead.
-	held func(from, to string, message any) (hold time.Duration, lost bool)
-}
-
-func (y *yard) after(wait time.Duration, run func()) {
-	y.order++
-	heap.Push(&y.queue, event{at: y.now + wait, order: y.order, run: run})
-}
-
-func (y *yard) run(length time.Duration) {
-	until := y.now + length
-	for len(y.queue) > 0 && y.queue[0].at <= until {
-		next := heap.Pop(&y.queue).(event)
-		y.now = next.at
-		next.run()
-	}
-	y.now = until
-}
-
-func (s *store) local() time.Time {
-	return time.Unix(1_700_000_000, 0).Add(s.offset + s.yard.now)
-}
-
-func (s *store) member() membership.Member {
-	return membership.Member{Name: s.name, Kind: membership.KindStore, Address: s.name, Zone: s.name, Incarnation: uint64(s.life), Alive: true}
-}
-
-func (s *store) start() {
-	if s.up {
-		return
-	}
-	s.life++
-	s.up, s.frozen, s.waits = true, false, nil
-	s.offset = time.Duration(s.yard.random.Int64N(int64(4*time.Hour))) - 2*time.Hour
-	machine, err := partition.New(partition.Settings{Self: s.member(), Seeds: []string{"controller"}, NewDisk: fmt.Sprintf("%s-%d", s.name, s.life), Incarnation: statemachine.Incarnation(s.yard.random.Uint64())}, s.frame, s.entries)
-	assert.NilError(s.yard.t, err)
-	s.machine = machine
-	s.step(func(now time.Time, effects *statemachine.Effects) { machine.Start(now, effects) })
-}
-
-func (s *store) kill() {
-	s.up = false
-	s.life++
-}
-
-func (s *store) thaw() {
-	if s.up && s.frozen {
-		s.frozen = false
-		waits := s.waits
-		s.waits = nil
-		for _, run := range waits {
-			run()
-		}
-	}
-}
-
-// refuse tells the store that its disk takes no write, as long as that is so.
-func (s *store) refuse() {
-	if s.full && s.up {
-		s.enter(s.life, func(now time.Time, effects *statemachine.Effects) {
-			s.machine.HandleCommand(now, statemachine.DiskUnavailable{}, effects)
-		})
-	}
-	if s.full {
-		s.yard.after(200*time.Millisecond, s.refuse)
-	}
-}
-
-func (s *store) enter(life int, run func(now time.Time, effects *statemachine.Effects)) {
-	switch {
-	case !s.up || s.life != life:
-	case s.frozen:
-		s.waits = append(s.waits, func() { s.enter(life, run) })
-	default:
-		s.step(run)
-	}
-}
-
-func (s *store) step(run func(now time.Time, effects *statemachine.Effects)) {
-	yard, life := s.yard, s.life
-	var effects statemachine.Effects
-	run(s.local(), &effects)
-	for _, send := range effects.Sends {
-		yard.send(s.name, send)
-	}
-	for _, write := range effects.Writes {
-		// Writes last in their order.
-		takes := time.Duration(1+yard.random.IntN(4))*time.Millisecond + s.slow
-		takes = max(takes, s.hung-yard.now)
-		s.wrote = max(s.wrote, int(yard.now+takes))
-		yard.after(time.Duration(s.wrote)-yard.now, func() {
-			if !s.up || s.life != life {
-				return
-			}
-			if frame, whole := write.SnapshotBytes(); whole {
-				s.frame, s.entries = frame, nil
-			}
-			s.entries = append(s.entries, write.Entries...)
-			s.enter(life, func(now time.Time, effects *statemachine.Effects) {
-				s.machine.HandleCommand(now, statemachine.Synced{Token: write.Token}, effects)
-			})
-		})
-	}
-	s.timer++
-	timer := s.timer
-	if due := s.machine.NextTick(); !due.IsZero() {
-		yard.after(max(0, due.Sub(s.local()))+time.Microsecond, func() {
-			if s.timer == timer {
-				s.enter(life, func(now time.Time, effects *statemachine.Effects) { s.machine.Tick(now, effects) })
-			}
-		})
-	}
+	waiting  bool
 }
 
-// send carries a message over a link that may lose, repeat and reorder.
-func (y *yard) send(from string, send statemachine.Send) {
-	if y.random.Float64() < y.loss {
+// sendNext lets a sender publish its next message, or the present one again.
+func (c *storeCluster) sendNext(number int) {
+	c.after(time.Duration(10+c.random.IntN(40))*time.Millisecond, func() { c.sendNext(number) })
+	sender := c.senders[number]
+	placement, placed := c.state.Placements[testPartition]
+	if !placed || c.quiet || sender.waiting {
 		return
 	}
-	packed, err := transport.Encode(statemachine.Meta{From: from, Version: 1}, send.Message)
-	assert.NilError(y.t, err)
-	if y.held != nil {
-		hold, lost := y.held(from, send.To, send.Message)
-		if lost {
-			return
-		}
-		if hold > 0 {
-			y.after(hold, func() { y.deliver(from, send.To, packed) })
-			return
-		}
-	}
-	times := 1 + y.random.IntN(15)/14
-	if y.inOrder != nil && from == "gateway" {
-		times = 1
-	}
-	for range times {
-		takes := time.Duration(200+y.random.IntN(2000)) * time.Microsecond
-		if y.inOrder != nil && from == "gateway" {
-			takes = max(takes, y.inOrder[send.To]-y.now)
-			y.inOrder[send.To] = y.now + takes
-		}
-		y.after(takes, func() { y.deliver(from, send.To, packed) })
-	}
-}
-
-// deliver brings a message to whatever life is there now.
-func (y *yard) deliver(from, to string, packed []byte) {
-	meta, message, err := transport.Decode(packed[4:])
-	assert.NilError(y.t, err)
-	for _, store := range y.stores {
-		if store.name == to {
-			store.enter(store.life, func(now time.Time, effects *statemachine.Effects) {
-				store.machine.HandleMessage(now, meta, message, effects)
-			})
-		}
-	}
-	switch to {
-	case "controller":
-		y.controller(from, message)
-	case "gateway":
-		if y.told != nil {
-			y.told(from, message)
-			return
-		}
-		y.gateway(message)
-	}
-}
-
-// controller answers as the primary would, and tends the placement.
-func (y *yard) controller(from string, message any) {
-	switch body := message.(type) {
-	case membership.ViewRequest:
-		known, found := y.state.Members[from]
-		if !found || known.Incarnation < body.Self.Incarnation || known.Incarnation == body.Self.Incarnation && !known.Alive {
-			y.apply(Command{Joins: []Join{{Self: body.Self}}})
-		}
-		news := membership.ViewUpdate{
-			Recipient: from, Nonce: body.Nonce, Epoch: 1, Primary: "controller", Index: y.state.Index, Version: y.state.Version,
-			Document: y.state.Document,
-		}
-		if body.Index != y.state.Index {
-			y.state.fillView(&news, body.Index)
-		}
-		y.after(50*time.Millisecond, func() { y.send("controller", statemachine.Send{To: from, Message: news}) })
-	case membership.PartitionReplicated:
-		y.apply(Command{Replicated: []membership.PartitionReplicated{body}})
-	case membership.SlowDiskReport:
-		y.lags[body.Name] = slowDisk{at: time.Unix(0, 0).Add(y.now), incarnation: body.Incarnation, delay: body.Delay}
-	}
-}
-
-func (y *yard) apply(command Command) { y.state.Apply(time.Time{}, encodeCommand(command)) }
-
-func (y *yard) tend() {
-	y.after(150*time.Millisecond, y.tend)
-	for _, store := range y.stores {
-		member, found := y.state.Members[store.name]
-		if found && member.Alive && (!store.up || store.frozen) && y.random.IntN(6) == 0 {
-			y.apply(Command{Leaves: []MemberIncarnation{{Name: store.name, Incarnation: member.Incarnation}}})
-		}
-		y.apply(Command{RetiredStores: []string{store.name}})
-	}
-	if changes := y.state.planDegradations(time.Unix(0, 0).Add(y.now), y.lags); len(changes) > 0 {
-		y.apply(Command{Degradations: changes})
-	}
-	if changes := y.state.planPlacements(y.configuration()); len(changes) > 0 {
-		y.apply(Command{Placements: changes})
-	}
-}
-
-// write lets each sender publish one after the other, and again until it knows.
-func (y *yard) write(number int) {
-	y.after(time.Duration(10+y.random.IntN(40))*time.Millisecond, func() { y.write(number) })
-	writer := y.writers[number]
-	place, placed := y.state.Placements[testPartition]
-	if !placed || y.calm || writer.busy {
-		return
-	}
-	if writer.request == 0 {
-		writer.seq++
-		writer.tries, writer.refused = 0, 0
-	}
-	writer.tries++
-	y.requests++
-	writer.request, writer.busy = y.requests, true
-	request := y.requests
-	sender := fmt.Sprintf("sender-%d", number)
-	y.send("gateway", statemachine.Send{To: place.Leader, Message: partition.Append{
-		Partition: testPartition, Request: request, Topic: "a", Sender: sender, Seq: writer.seq, Data: fmt.Appendf(nil, "%s %d", sender, writer.seq),
+	if sender.request == 0 {
+		sender.seq++
+		sender.attempts, sender.refused = 0, 0
+	}
+	sender.attempts++
+	c.requests++
+	sender.request, sender.waiting = c.requests, true
+	request := c.requests
+	name := fmt.Sprintf("sender-%d", number)
+	c.send(gatewayAddress, statemachine.Send{To: placement.Leader, Message: partition.Append{
+		Partition: testPartition,
+		Request:   request,
+		Topic:     "a",
+		Sender:    name,
+		Seq:       sender.seq,
+		Data:      fmt.Appendf(nil, "%s %d", name, sender.seq),
 	}})
-	y.after(700*time.Millisecond, func() {
-		if writer.request == request {
-			writer.busy = false
+	c.after(700*time.Millisecond, func() {
+		if sender.request == request {
+			sender.waiting = false
 		}
 	})
 }
 
-func (y *yard) gateway(message any) {
+// handleAsGateway checks what the stores answer to the senders.
+func (c *storeCluster) handleAsGateway(message any) {
 	switch body := message.(type) {
 	case partition.AppendResponse:
-		for number, writer := range y.writers {
-			if writer.request != body.Request || writer.answered == body.Request {
-				continue
-			}
-			writer.answered = body.Request
-			name := fmt.Sprintf("sender-%d/%d", number, writer.seq)
-			switch body.Outcome {
-			case partition.Accepted:
-				offset := body.Record.Offset
-				if earlier, had := y.accepted[name]; had && earlier != offset {
-					y.t.Fatalf("%s was accepted at %d and again at %d", name, earlier, offset)
-				}
-				if other, taken := y.offsets[offset]; taken && other != name {
-					y.t.Fatalf("offset %d was given to %s and to %s", offset, other, name)
-				}
-				y.accepted[name], y.offsets[offset] = offset, name
-				writer.request = 0
-			case partition.Refused:
-				writer.refused++
-				if body.Code == "old-seq" || body.Code == "seq-reused" {
-					y.t.Fatalf("%s, without an answer so far, was told %s", name, body.Code)
-				}
-				if writer.refused == writer.tries && writer.tries > 8 {
-					// Given up: never taken, so it may never be seen.
-					y.never[name] = true
-					writer.request = 0
-				}
+		for number, sender := range c.senders {
+			if sender.request == body.Request && sender.answered != body.Request {
+				c.handleAppendResponse(sender, fmt.Sprintf("sender-%d/%d", number, sender.seq), body)
 			}
-			writer.busy = false
 		}
 	case partition.FetchResponse:
 		if body.Ready {
-			y.fetched = &body
-		}
-	}
-}
-
-func (y *yard) whole() bool {
-	for _, store := range y.stores {
-		if !store.up || store.frozen {
-			return false
-		}
-	}
-	for _, place := range y.state.Placements {
-		if !place.Complete {
-			return false
+			c.fetched = &body
+		}
+	}
+}
+
+func (c *storeCluster) handleAppendResponse(
+	sender *sequentialSender, message string, response partition.AppendResponse,
+) {
+	sender.answered = response.Request
+	switch response.Outcome {
+	case partition.Accepted:
+		offset := response.Record.Offset
+		if earlier, found := c.accepted[message]; found && earlier != offset {
+			c.t.Fatalf("%s was accepted at %d and again at %d", message, earlier, offset)
+		}
+		if other, found := c.offsets[offset]; found && other != message {
+			c.t.Fatalf("offset %d was given to %s and to %s", offset, other, message)
+		}
+		c.accepted[message], c.offsets[offset] = offset, message
+		sender.request = 0
+	case partition.Refused:
+		sender.refused++
+		if response.Code == codeOldSeq || response.Code == codeSeqReused {
+			c.t.Fatalf("%s, without an answer so far, was refused with %s", message, response.Code)
+		}
+		if sender.refused == sender.attempts && sender.attempts > 8 {
+			// The sender gives up. No attempt was accepted, so the message may never be seen.
+			c.rejected[message] = true
+			sender.request = 0
+		}
+	}
+	sender.waiting = false
+}
+
+// fetchAll reads all records of a partition from its leader.
+func (c *storeCluster) fetchAll(partitionName string) []partition.Record {
+	c.t.Helper()
+	var records []partition.Record
+	for after := uint64(0); ; {
+		c.fetched = nil
+		c.send(gatewayAddress, statemachine.Send{
+			To: c.state.Placements[partitionName].Leader,
+			Message: partition.Fetch{
+				Partition: partitionName,
+				Request:   1,
+				After:     after,
+				Prefixes:  []string{""},
+			},
+		})
+		c.run(200 * time.Millisecond)
+		assert.Assert(c.t, c.fetched != nil, "the leader does not answer")
+		records = append(records, c.fetched.Records...)
+		if after = c.fetched.Until; after >= c.fetched.Head {
+			return records
 		}
 	}
-	return len(y.state.Placements) > 0
 }
 
-func (y *yard) trouble() {
-	y.after(time.Duration(800+y.random.IntN(2500))*time.Millisecond, y.trouble)
-	if y.calm {
-		return
+// assertHolds checks the records of the partition against what was acknowledged.
+func (c *storeCluster) assertHolds(records []partition.Record) {
+	c.t.Helper()
+	stored, lastSeq := map[string]uint64{}, map[string]uint64{}
+	for position, record := range records {
+		name := fmt.Sprintf("%s/%d", record.Sender, record.Seq)
+		assert.Assert(c.t, stored[name] == 0, "%s is stored twice", name)
+		assert.Assert(c.t, !c.rejected[name], "%s was refused on every attempt and is stored", name)
+		assert.Assert(c.t, record.Seq > lastSeq[record.Sender], "%s after seq %d", name, lastSeq[record.Sender])
+		contiguous := position == 0 || record.Offset == records[position-1].Offset+1
+		assert.Assert(c.t, contiguous, "a gap before %d", record.Offset)
+		stored[name], lastSeq[record.Sender] = record.Offset, record.Seq
 	}
-	store := y.stores[y.random.IntN(len(y.stores))]
-	length := time.Duration(100+y.random.IntN(3000)) * time.Millisecond
-	switch y.random.IntN(6) {
-	case 0, 1:
-		store.kill()
-		y.after(length, store.start)
-	case 2:
-		store.frozen = store.up
-		y.after(length, store.thaw)
-	case 3:
-		y.loss = 0.25
-		y.after(length, func() { y.loss = 0 })
-	case 4:
-		if !y.single && y.whole() && y.now-y.wipedAt > 4*time.Second {
-			y.wipedAt = y.now
-			store.kill()
-			store.frame, store.entries = nil, nil
-			y.after(length, store.start)
-		}
-	case 5:
-		retiring := 0
-		for _, member := range y.state.Members {
-			if member.Retiring {
-				retiring++
-			}
-		}
-		if retiring == 0 && y.state.Members[store.name].Alive {
-			y.apply(Command{Retirement: &Retirement{Store: store.name, Retiring: true}})
-			y.after(4*time.Second, func() { y.apply(Command{Retirement: &Retirement{Store: store.name}}) })
-		}
+	for name, offset := range c.accepted {
+		assert.Assert(c.t, stored[name] == offset, "%s was accepted at %d and is at %d", name, offset, stored[name])
 	}
 }
 
-func (y *yard) configuration() config.Configuration {
-	configuration, faults := config.Read(y.state.Document)
-	assert.Equal(y.t, len(faults), 0)
-	return configuration
-}
-
-func TestPartitionsAgainstAModel(t *testing.T) {
+func TestPartitionAgainstModel(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			yard := &yard{
-				t: t, random: rand.New(rand.NewPCG(seed, 0x57a)), state: newState(), accepted: map[string]uint64{}, offsets: map[uint64]string{},
-				never: map[string]bool{}, wipedAt: -time.Minute, lags: map[string]slowDisk{},
-			}
-			yard.apply(Command{Configuration: configured(1, testConfig)})
+			cluster := newStoreCluster(t, rand.New(rand.NewPCG(seed, 0x57a)))
+			cluster.apply(Command{Configuration: configured(1, testConfig)})
 			for number := range 4 {
-				store := &store{yard: yard, name: fmt.Sprintf("store-%d", number)}
-				yard.stores = append(yard.stores, store)
-				yard.after(time.Duration(yard.random.IntN(200))*time.Millisecond, store.start)
+				store := cluster.addStore(number)
+				cluster.after(time.Duration(cluster.random.IntN(200))*time.Millisecond, store.start)
 			}
-			yard.after(time.Second, yard.tend)
+			cluster.after(time.Second, cluster.reconcile)
 			for number := range testSenders {
-				yard.writers[number] = &writer{}
-				yard.after(2*time.Second, func() { yard.write(number) })
+				cluster.senders[number] = &sequentialSender{}
+				cluster.after(2*time.Second, func() { cluster.sendNext(number) })
 			}
-			yard.after(4*time.Second, yard.trouble)
-			yard.run(45 * time.Second)
-			yard.calm, yard.loss = true, 0
-			for _, store := range yard.stores {
-				store.thaw()
+			cluster.after(4*time.Second, cluster.injectFault)
+			cluster.run(45 * time.Second)
+			cluster.quiet, cluster.lossRate = true, 0
+			for _, store := range cluster.stores {
+				store.resume()
 				store.start()
 			}
-			yard.run(8 * time.Second)
-			assert.Assert(t, yard.whole(), "not whole after eight quiet seconds: %+v", yard.state.Placements[testPartition])
-			assert.Assert(t, len(yard.accepted) > 300, "only %d were accepted", len(yard.accepted))
-			var got []partition.Record
-			for after := uint64(0); ; {
-				yard.fetched = nil
-				yard.send("gateway", statemachine.Send{To: yard.state.Placements[testPartition].Leader, Message: partition.Fetch{Partition: testPartition, Request: 1, After: after, Prefixes: []string{""}}})
-				yard.run(200 * time.Millisecond)
-				assert.Assert(t, yard.fetched != nil, "the first does not answer")
-				got = append(got, yard.fetched.Records...)
-				if after = yard.fetched.Until; after >= yard.fetched.Head {
-					break
-				}
-			}
-			held, last := map[string]uint64{}, map[string]uint64{}
-			for position, record := range got {
-				name := fmt.Sprintf("%s/%d", record.Sender, record.Seq)
-				assert.Assert(t, held[name] == 0, "%s is kept twice", name)
-				assert.Assert(t, !yard.never[name], "%s was refused on every try and is kept", name)
-				assert.Assert(t, record.Seq > last[record.Sender], "%s after seq %d", name, last[record.Sender])
-				assert.Assert(t, position == 0 || record.Offset == got[position-1].Offset+1, "a hole before %d", record.Offset)
-				held[name], last[record.Sender] = record.Offset, record.Seq
-			}
-			for name, offset := range yard.accepted {
-				assert.Assert(t, held[name] == offset, "%s was accepted at %d and is at %d", name, offset, held[name])
-			}
+			cluster.run(8 * time.Second)
+			placement := cluster.state.Placements[testPartition]
+			assert.Assert(t, cluster.allReplicated(), "not replicated after eight quiet seconds: %+v", placement)
+			assert.Assert(t, len(cluster.accepted) > 300, "only %d were accepted", len(cluster.accepted))
+			cluster.assertHolds(cluster.fetchAll(testPartition))
 		})
 	}
 }
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -13,9 +13,9 @@
 // Placement decides which store leads a partition and which stores follow, as many as may
 // be lost at once. Stores are ranked for each partition by rendezvous hashing, replicas
 // lie in different zones where there are enough zones, and nothing moves that need not. A
-// degraded store is emptied as long as there are enough others. A store counts as a holder
-// only together with the disk on which the accepted records lie: a partition whose holders
-// are all away waits for one of them rather than begin empty.
+// degraded store is emptied as long as there are enough others. A replica is in sync only
+// together with the disk on which the accepted records lie: a partition whose in-sync
+// replicas are all away waits for one of them rather than begin empty.
 
 // The score of a store as a follower.
 const (
@@ -23,8 +23,8 @@
 	scoreZone = 2
 	// scoreReceiving is for a store to which the records are being copied.
 	scoreReceiving = 4
-	// scoreHolder is for a store that has all records.
-	scoreHolder = 8
+	// scoreInSync is for a store that has all records.
+	scoreInSync = 8
 )
 
 // rank is the rendezvous hash of a store for a partition.
@@ -162,7 +162,7 @@
 	}
 	followerCount := s.Tolerance
 	if !plan.mayStay(leader) {
-		// No holder may stay. The records must be copied to a store that may, before the
+		// No in-sync replica may stay. The records must be copied to a store that may, before the
 		// leader can be replaced.
 		followerCount = max(followerCount, 1)
 	}
@@ -188,8 +188,8 @@
 	return next, true
 }
 
-// holds reports whether a store is alive and has all records on its present disk.
-func (r replanning) holds(name string) bool {
+// inSync reports whether a store is alive and has all records on its present disk.
+func (r replanning) inSync(name string) bool {
 	member, found := r.state.Members[name]
 	return found && member.Alive && slices.Contains(r.placement.InSync, member.ReplicaID())
 }
@@ -200,13 +200,13 @@
 }
 
 // mayStay reports whether a store has all records and may keep its replica.
-func (r replanning) mayStay(name string) bool { return r.holds(name) && r.eligible(name) }
+func (r replanning) mayStay(name string) bool { return r.inSync(name) && r.eligible(name) }
 
 // fit reports whether a store may remain a follower. While records are being copied a
-// follower is not a holder yet; once the placement is complete it must be one, or its disk
-// was lost.
+// follower is not in sync yet; once the placement is complete it must be, or its disk was
+// lost.
 func (r replanning) fit(name string) bool {
-	return r.eligible(name) && (!r.placement.Complete || r.holds(name))
+	return r.eligible(name) && (!r.placement.Complete || r.inSync(name))
 }
 
 // needed reports whether the placement has to change.
@@ -218,9 +218,9 @@
 	return r.placement.Complete && len(r.placement.Followers) != r.state.Tolerance
 }
 
-// chooseLeader finds a holder to lead the partition: one that may stay, or else any. The
+// chooseLeader finds an in-sync replica to lead: one that may stay, or else any. The
 // present leader comes first, then the followers, then other stores with an in-sync
-// replica. It reports false if no holder is alive.
+// replica. It reports false if none is alive.
 func (r replanning) chooseLeader() (leader string, found bool) {
 	candidates := append([]string{r.placement.Leader}, r.placement.Followers...)
 	for _, replica := range r.placement.InSync {
@@ -230,7 +230,7 @@
 			}
 		}
 	}
-	for _, suits := range []func(string) bool{r.mayStay, r.holds} {
+	for _, suits := range []func(string) bool{r.mayStay, r.inSync} {
 		if position := slices.IndexFunc(candidates, suits); position >= 0 {
 			return candidates[position], true
 		}
@@ -242,7 +242,7 @@
 func (r replanning) score(name string) int {
 	switch {
 	case r.mayStay(name):
-		return scoreHolder
+		return scoreInSync
 	case slices.Contains(r.placement.Followers, name) && r.fit(name):
 		return scoreReceiving
 	}
--- a/internal/controller/placement_test.go
+++ b/internal/controller/placement_test.go
@@ -1,4 +1,4 @@
-// Which stores are taken for degraded, and where copies go.
+// Which stores are taken for degraded, and where replicas go.
 package controller
 
 import (
@@ -13,71 +13,81 @@
 )
 
 func configured(version uint64, document string) *ConfigurationChange {
-	return &ConfigurationChange{Version: version, Document: []byte(document), Digest: config.DigestOf([]byte(document))}
+	return &ConfigurationChange{
+		Version:  version,
+		Document: []byte(document),
+		Digest:   config.DigestOf([]byte(document)),
+	}
 }
 
+// stateOf is a state with stores in three zones and shared partitions that are not placed.
 func stateOf(stores, tolerance int) *State {
 	state := newState()
 	command := Command{Configuration: configured(1, sharedConfig), Tolerance: &tolerance}
 	for number := range stores {
 		command.Joins = append(command.Joins, Join{Self: membership.Member{
-			Name: fmt.Sprint("store-", number), Kind: membership.KindStore, Incarnation: 1, Disk: "disk", Zone: fmt.Sprint("zone-", number%3),
+			Name:        fmt.Sprint("store-", number),
+			Kind:        membership.KindStore,
+			Incarnation: 1,
+			Disk:        "disk",
+			Zone:        fmt.Sprint("zone-", number%3),
 		}})
 	}
 	state.Apply(time.Time{}, encodeCommand(command))
 	return state
 }
 
-func TestAnDegradedStoreGivesWayToAWorseOne(t *testing.T) {
+func TestDegradedStoreRecoversForAWorseOne(t *testing.T) {
 	now := time.Unix(1000, 0)
 	state := stateOf(3, 1)
-	lags := map[string]slowDisk{"store-0": {at: now, incarnation: 1}}
+	slowDisks := map[string]slowDisk{"store-0": {at: now, incarnation: 1}}
 	step := func(wait time.Duration) []string {
 		now = now.Add(wait)
-		var told []string
-		changes := state.planDegradations(now, lags)
+		var described []string
+		changes := state.planDegradations(now, slowDisks)
 		for _, change := range changes {
-			told = append(told, fmt.Sprint(change.Name, " ", change.Degraded))
+			described = append(described, fmt.Sprint(change.Name, " ", change.Degraded))
 		}
 		state.Apply(now, encodeCommand(Command{Degradations: changes}))
 		for _, change := range changes {
 			assert.Equal(t, state.Members[change.Name].Degraded, change.Degraded)
 		}
-		return told
+		return described
 	}
 	assert.DeepEqual(t, step(0), []string{"store-0 true"})
-	lags["store-1"] = slowDisk{at: now, incarnation: 1}
-	assert.Equal(t, len(step(0)), 0, "two must be left, and the first complaint is fresh")
-	lags["store-1"] = slowDisk{at: now.Add(slowDiskTimeout), incarnation: 1}
+	slowDisks["store-1"] = slowDisk{at: now, incarnation: 1}
+	assert.Equal(t, len(step(0)), 0, "two must be left, and the report on the first is recent")
+	slowDisks["store-1"] = slowDisk{at: now.Add(slowDiskTimeout), incarnation: 1}
 	assert.DeepEqual(t, step(slowDiskTimeout), []string{"store-0 false", "store-1 true"})
-	lags["store-2"] = slowDisk{at: now, incarnation: 2}
+	slowDisks["store-2"] = slowDisk{at: now, incarnation: 2}
 	assert.Equal(t, len(step(0)), 0, "another incarnation is meant")
 	assert.DeepEqual(t, step(degradedPeriod+time.Second), []string{"store-1 false"})
 }
 
-func TestCopiesLieInDifferentZonesAndMoveOnlyIfNeedBe(t *testing.T) {
+func TestPlacementSpreadsZonesAndMovesOnlyIfNeeded(t *testing.T) {
 	for tolerance := range 4 {
 		state := stateOf(9, tolerance)
 		configuration, _ := config.Read(state.Document)
 		state.Apply(time.Time{}, encodeCommand(Command{Placements: state.planPlacements(configuration)}))
 		assert.Equal(t, len(state.Placements), config.SharedPartitions)
 		assert.Equal(t, len(state.planPlacements(configuration)), 0)
-		for _, place := range state.Placements {
-			zones := map[string]bool{state.Members[place.Leader].Zone: true}
-			for _, name := range place.Followers {
+		for _, placement := range state.Placements {
+			zones := map[string]bool{state.Members[placement.Leader].Zone: true}
+			for _, name := range placement.Followers {
 				zones[state.Members[name].Zone] = true
 			}
-			assert.Equal(t, len(place.Followers), tolerance)
-			assert.Equal(t, len(zones), min(3, tolerance+1), "%+v", place)
+			assert.Equal(t, len(placement.Followers), tolerance)
+			assert.Equal(t, len(zones), min(3, tolerance+1), "%+v", placement)
 		}
-		state.Apply(time.Time{}, encodeCommand(Command{Degradations: []Degradation{{Name: "store-4", Incarnation: 1, Degraded: true}}}))
+		degradation := Degradation{Name: "store-4", Incarnation: 1, Degraded: true}
+		state.Apply(time.Time{}, encodeCommand(Command{Degradations: []Degradation{degradation}}))
 		for _, next := range state.planPlacements(configuration) {
 			before := state.Placements[next.Partition]
 			assert.Assert(t, before.HasReplica("store-4"))
 			for _, name := range next.Followers {
 				assert.Assert(t, name != "store-4")
 			}
-			assert.Equal(t, next.Leader == "store-4", tolerance == 0, "one that holds it acts until another does")
+			assert.Equal(t, next.Leader == "store-4", tolerance == 0, "a holder leads until another is one")
 		}
 	}
 }
--- a/internal/controller/removal_mutation_test.go
+++ b/internal/controller/removal_mutation_test.go
@@ -11,10 +11,10 @@
 	"dahlialock/internal/statemachine"
 )
 
-// Without the bound on tombstones the state grows, and without the question whether
-// anything refers to a member what counts is forgotten; a log without a bound grows with
-// the changes.
-func TestEachMechanismOfTheBoundedStateIsNeeded(t *testing.T) {
+// Without the bound on tombstones the state grows, and without the check whether anything
+// refers to a member what is needed is removed. A log without a bound grows with the
+// changes.
+func TestBoundsOfStateAreNeeded(t *testing.T) {
 	for mutation, run := range statemachine.Sorted(map[string]func(t assert.TestingT){
 		"tombstones-for-ever": func(t assert.TestingT) {
 			sizes := replaceMachines(t, 1, 2000)
@@ -26,26 +26,29 @@
 			}
 		},
 	}) {
-		restore := statemachine.Mutate(mutation)
-		red := tried(run)
-		restore()
-		assert.Check(t, red.Failed, "nothing is seen of %s", mutation)
-		t.Log(mutation, red.Lines)
+		assertNeeded(t, mutation, run)
 	}
 	for _, mutation := range []string{"snapshot-without-pending", "unsynced-names"} {
-		restore := statemachine.Mutate(mutation)
-		red := tried(func(t assert.TestingT) {
+		assertNeeded(t, mutation, func(t assert.TestingT) {
 			for seed := range uint64(200) {
-				restartAtAnyPoint(t.(reporter), seed)
+				powerLossAtAnyPoint(t.(reporter), seed)
 			}
 		})
-		restore()
-		assert.Check(t, red.Failed, "nothing is seen of %s", mutation)
-		t.Log(mutation, red.Lines)
 	}
 	restore := statemachine.Mutate("log-without-end")
 	defer restore()
-	c := newCouncil(t, 3)
-	c.change(1, 100, 12)
-	assert.Check(t, replayBytes(c.primary().recover()) > restartMost(0, len(sizedDocument(1, 12))))
+	cluster := newControllerCluster(t, 3)
+	cluster.putConfigurations(1, 100, 12)
+	recovered := cluster.primary().recoverDisk()
+	assert.Check(t, replayBytes(recovered) > maxReplayBytes(0, len(sizedDocument(1, 12))))
+}
+
+// assertNeeded checks that a run fails under a mutation.
+func assertNeeded(t *testing.T, mutation string, run func(t assert.TestingT)) {
+	t.Helper()
+	restore := statemachine.Mutate(mutation)
+	mutated := trialOf(run)
+	restore()
+	assert.Check(t, mutated.Failed, "nothing is seen of %s", mutation)
+	t.Log(mutation, mutated.Lines)
 }
--- a/internal/controller/removal_test.go
+++ b/internal/controller/removal_test.go
@@ -1,6 +1,5 @@
-// The control state while machines are replaced for ever: it does not grow, nothing that
-// counts is forgotten, and who comes back late is a newcomer.
-
+// The control state while machines are replaced for ever: it does not grow, nothing that is
+// needed is removed, and who comes back late is a new member.
 package controller
 
 import (
@@ -18,214 +17,248 @@
 	"dahlialock/internal/statemachine"
 )
 
-// churn is a control state whose machines are replaced one by one.
-type churn struct {
-	t      assert.TestingT
-	random *rand.Rand
-	state  *State
-	life   uint64
+// replacementRun is a control state whose machines are replaced one by one.
+type replacementRun struct {
+	t           assert.TestingT
+	random      *rand.Rand
+	state       *State
+	incarnation uint64
 }
 
-func newChurn(t assert.TestingT, seed uint64) *churn {
-	made := &churn{t: t, random: rand.New(rand.NewPCG(seed, 0xc0ffee)), state: newState()}
-	made.apply(Command{Configuration: configured(1, `{"version": 1, "spaces": [{"name": "a", "promise": "kept", "order": "topic"}]}`)})
+func newReplacementRun(t assert.TestingT, seed uint64) *replacementRun {
+	run := &replacementRun{t: t, random: rand.New(rand.NewPCG(seed, 0xc0ffee)), state: newState()}
+	const document = `{"version": 1, "spaces": [{"name": "a", "promise": "kept", "order": "topic"}]}`
+	run.apply(Command{Configuration: configured(1, document)})
 	for number := range 5 {
-		made.join(membership.KindStore, fmt.Sprint("store-", number))
-		made.join(membership.KindGateway, fmt.Sprint("gateway-", number))
+		run.join(membership.KindStore, fmt.Sprint("store-", number))
+		run.join(membership.KindGateway, fmt.Sprint("gateway-", number))
 	}
-	made.settle()
-	return made
+	run.stabilize()
+	return run
 }
 
-func (c *churn) apply(command Command) { c.state.Apply(time.Time{}, encodeCommand(command)) }
+func (r *replacementRun) apply(command Command) { r.state.Apply(time.Time{}, encodeCommand(command)) }
+
+func (r *replacementRun) join(kind, name string) {
+	r.incarnation++
+	r.apply(Command{Joins: []Join{{Self: membership.Member{
+		Name:        name,
+		Kind:        kind,
+		Address:     fmt.Sprint(name, ":", r.incarnation),
+		Zone:        fmt.Sprint("zone-", r.incarnation%3),
+		Incarnation: r.incarnation,
+		Disk:        fmt.Sprint("disk-", r.incarnation),
+	}}}})
+}
 
-func (c *churn) join(kind, name string) {
-	c.life++
-	self := membership.Member{Name: name, Kind: kind, Address: fmt.Sprint(name, ":", c.life), Zone: fmt.Sprint("zone-", c.life%3), Incarnation: c.life, Disk: fmt.Sprint("disk-", c.life)}
-	c.apply(Command{Joins: []Join{{Self: self}}})
+func (r *replacementRun) leave(name string) {
+	leave := MemberIncarnation{Name: name, Incarnation: r.state.Members[name].Incarnation}
+	r.apply(Command{Leaves: []MemberIncarnation{leave}})
 }
 
-func (c *churn) lose(name string) {
-	c.apply(Command{Leaves: []MemberIncarnation{{Name: name, Incarnation: c.state.Members[name].Incarnation}}})
+func (r *replacementRun) retire(store string) {
+	r.apply(Command{Retirement: &Retirement{Store: store, Retiring: true}})
 }
 
-// settle places and completes until nothing changes any more, and forgets all that may
-// be forgotten.
-func (c *churn) settle() {
-	configuration, _ := config.Read(c.state.Document)
+// stabilize plans and completes placements until nothing changes any more, and removes all
+// members that may be removed.
+func (r *replacementRun) stabilize() {
+	configuration, _ := config.Read(r.state.Document)
 	for range 20 {
-		command := Command{Placements: c.state.planPlacements(configuration)}
-		moved := len(command.Placements) > 0
-		for name, place := range statemachine.Sorted(c.state.Placements) {
-			settled := membership.PartitionReplicated{Partition: name, Epoch: place.Epoch, Holders: []string{c.state.Members[place.Leader].ReplicaID()}}
-			for _, follower := range place.Followers {
-				settled.Holders = append(settled.Holders, c.state.Members[follower].ReplicaID())
-			}
-			if !place.Complete {
-				moved = true
-				command.Replicated = append(command.Replicated, settled)
+		command := Command{Placements: r.state.planPlacements(configuration)}
+		for _, placement := range statemachine.Sorted(r.state.Placements) {
+			if !placement.Complete {
+				command.Replicated = append(command.Replicated, replicatedReport(r.state, placement))
 			}
 		}
-		for name, member := range statemachine.Sorted(c.state.Members) {
-			if member.Retiring && !member.Retired && !c.state.storeInUse(name) {
-				moved = true
+		for name, member := range statemachine.Sorted(r.state.Members) {
+			if member.Retiring && !member.Retired && !r.state.storeInUse(name) {
 				command.RetiredStores = append(command.RetiredStores, name)
 			}
 			if !member.Alive {
-				command.Removals = append(command.Removals, MemberIncarnation{Name: name, Incarnation: member.Incarnation})
+				removal := MemberIncarnation{Name: name, Incarnation: member.Incarnation}
+				command.Removals = append(command.Removals, removal)
 			}
 		}
-		c.apply(command)
-		c.judge()
-		if !moved {
+		r.apply(command)
+		r.assertNeededPresent()
+		if len(command.Placements)+len(command.Replicated)+len(command.RetiredStores) == 0 {
 			return
 		}
 	}
 }
 
-// judge looks at what must never be forgotten.
-func (c *churn) judge() {
-	for _, place := range c.state.Placements {
-		for _, name := range append([]string{place.Leader}, place.Followers...) {
-			_, found := c.state.Members[name]
-			assert.Assert(c.t, found, "%s is a copy of %s and was forgotten", name, place.Partition)
+// assertNeededPresent checks what must never be removed.
+func (r *replacementRun) assertNeededPresent() {
+	for _, placement := range r.state.Placements {
+		for _, name := range append([]string{placement.Leader}, placement.Followers...) {
+			_, found := r.state.Members[name]
+			assert.Assert(r.t, found, "%s has a replica of %s and was removed", name, placement.Partition)
 		}
-		assert.Assert(c.t, len(place.InSync) > 0, "%s has no holders", place.Partition)
-		for _, holder := range place.InSync {
-			name, _, _ := strings.Cut(holder, "@")
-			_, found := c.state.Members[name]
-			assert.Assert(c.t, found, "%s holds %s and was forgotten", holder, place.Partition)
+		assert.Assert(r.t, len(placement.InSync) > 0, "%s has no holders", placement.Partition)
+		for _, replica := range placement.InSync {
+			name, _, _ := strings.Cut(replica, "@")
+			_, found := r.state.Members[name]
+			assert.Assert(r.t, found, "%s holds %s and was removed", replica, placement.Partition)
 		}
 	}
-	assert.Assert(c.t, len(c.state.Tombstones) <= max(minTombstones, len(c.state.Members)+1), "%d tombstones", len(c.state.Tombstones))
+	tombstones, limit := len(r.state.Tombstones), max(minTombstones, len(r.state.Members)+1)
+	assert.Assert(r.t, tombstones <= limit, "%d tombstones", tombstones)
 }
 
-// replaceMachines replaces so many machines, each by one of another name, stores in good
-// order or after a loss, and gives the size of the state at each quarter.
+// replaceRandomMachine replaces one machine by one of another name, stores by retirement or
+// after a loss.
+func (r *replacementRun) replaceRandomMachine(number int) {
+	kinds := []string{membership.KindGateway, membership.KindAgent, membership.KindController}
+	kind := kinds[r.random.IntN(3)]
+	if number%12 == 0 {
+		kind = membership.KindStore
+	}
+	var live []string
+	for name, member := range statemachine.Sorted(r.state.Members) {
+		if member.Kind == kind && member.Alive && !member.Retiring {
+			live = append(live, name)
+		}
+	}
+	if len(live) > 4 {
+		replaced := live[r.random.IntN(len(live))]
+		if kind == membership.KindStore && r.random.IntN(2) == 0 {
+			r.retire(replaced)
+			r.stabilize()
+		}
+		r.leave(replaced)
+	}
+	r.join(kind, fmt.Sprint(kind, "-again-", number))
+	if r.random.IntN(3) == 0 {
+		r.stabilize()
+	}
+	r.assertNeededPresent()
+}
+
+// addAndRemoveGateways lets a number of gateways join, leave and be removed.
+func (r *replacementRun) addAndRemoveGateways(count int) {
+	for number := range count {
+		name := fmt.Sprint("passing-", number)
+		r.join(membership.KindGateway, name)
+		r.leave(name)
+		r.stabilize()
+	}
+}
+
+// replaceMachines replaces so many machines, and returns the size of the state at each
+// quarter.
 func replaceMachines(t assert.TestingT, seed uint64, replacements int) []int {
-	run := newChurn(t, seed)
+	run := newReplacementRun(t, seed)
 	var sizes []int
 	for number := range replacements {
-		kind := []string{membership.KindGateway, membership.KindAgent, membership.KindController}[run.random.IntN(3)]
-		if number%12 == 0 {
-			kind = membership.KindStore
-		}
-		var living []string
-		for name, member := range statemachine.Sorted(run.state.Members) {
-			if member.Kind == kind && member.Alive && !member.Retiring {
-				living = append(living, name)
-			}
-		}
-		if len(living) > 4 {
-			leaving := living[run.random.IntN(len(living))]
-			if kind == membership.KindStore && run.random.IntN(2) == 0 {
-				run.apply(Command{Retirement: &Retirement{Store: leaving, Retiring: true}})
-				run.settle()
-			}
-			run.lose(leaving)
-		}
-		run.join(kind, fmt.Sprint(kind, "-again-", number))
-		if run.random.IntN(3) == 0 {
-			run.settle()
-		}
-		run.judge()
+		run.replaceRandomMachine(number)
 		if (number+1)%(replacements/4) == 0 {
-			run.settle()
+			run.stabilize()
 			sizes = append(sizes, len(run.state.Snapshot()))
 		}
 	}
 	return sizes
 }
 
-func TestTheStateDoesNotGrowWithTheMachinesThatWereReplaced(t *testing.T) {
+func TestStateDoesNotGrowWithReplacedMachines(t *testing.T) {
 	sizes := replaceMachines(t, 1, 10_000)
 	t.Logf("bytes after each quarter of 10,000 replacements: %v", sizes)
 	assert.Assert(t, slices.Max(sizes) < slices.Min(sizes)*11/10, "%v", sizes)
 }
 
-// An order that was done is known for as long as its tombstone stays, and those of
-// stores that were emptied by order go last.
-func TestAnOrderThatWasDoneIsKnownAfterTheStoreWasForgotten(t *testing.T) {
-	run := newChurn(t, 2)
-	run.apply(Command{Retirement: &Retirement{Store: "store-0", Retiring: true}})
-	run.settle()
-	run.lose("store-0")
-	run.settle()
-	_, there := run.state.Members["store-0"]
-	assert.Assert(t, !there)
-	for number := range 3 * minTombstones {
-		run.join(membership.KindGateway, fmt.Sprint("passing-", number))
-		run.lose(fmt.Sprint("passing-", number))
-		run.settle()
-	}
-	run.apply(Command{Retirement: &Retirement{Store: "store-0", Retiring: true}})
+// An order that was carried out is recognized for as long as its tombstone stays, and the
+// tombstones of retired stores go last.
+func TestRetirementIsRecognizedAfterRemoval(t *testing.T) {
+	run := newReplacementRun(t, 2)
+	run.retire("store-0")
+	run.stabilize()
+	run.leave("store-0")
+	run.stabilize()
+	_, found := run.state.Members["store-0"]
+	assert.Assert(t, !found)
+	run.addAndRemoveGateways(3 * minTombstones)
+	run.retire("store-0")
 	assert.Equal(t, run.state.result.outcome, Duplicate)
-	left, found := run.state.memberOrTombstone("store-0")
-	assert.Assert(t, found && left.Retired && left.Retiring && !left.Alive)
-	// The same disk stays emptied, another machine of the name is a new one.
-	run.apply(Command{Joins: []Join{{Self: membership.Member{Name: "store-0", Kind: membership.KindStore, Incarnation: 1 << 40, Disk: left.Disk}}}})
+	removed, found := run.state.memberOrTombstone("store-0")
+	assert.Assert(t, found && removed.Retired && removed.Retiring && !removed.Alive)
+	// With the same disk it stays retired; with another it is a new store.
+	rejoin := func(incarnation uint64, disk string) {
+		run.apply(Command{Joins: []Join{{Self: membership.Member{
+			Name:        "store-0",
+			Kind:        membership.KindStore,
+			Incarnation: incarnation,
+			Disk:        disk,
+		}}}})
+	}
+	rejoin(1<<40, removed.Disk)
 	assert.Assert(t, run.state.Members["store-0"].Retired)
-	run.lose("store-0")
-	run.settle()
-	run.apply(Command{Joins: []Join{{Self: membership.Member{Name: "store-0", Kind: membership.KindStore, Incarnation: 1 << 41, Disk: "other"}}}})
+	run.leave("store-0")
+	run.stabilize()
+	rejoin(1<<41, "other")
 	assert.Assert(t, !run.state.Members["store-0"].Retired && run.state.tombstoneIndex("store-0") < 0)
 }
 
-// An old life that comes back after its tombstone went is a newcomer: it is told all
-// anew, holds nothing that counts, and its epochs are over.
-func TestAnOldLifeThatComesBackLateIsANewcomer(t *testing.T) {
-	run := newChurn(t, 3)
+// An old incarnation that comes back after its tombstone was evicted is a new member: it
+// gets the complete view, holds nothing that counts, and its epochs are over.
+func TestOldIncarnationComesBackAsNewMember(t *testing.T) {
+	run := newReplacementRun(t, 3)
 	old, index := run.state.Members["store-1"], run.state.Index
-	run.lose("store-1")
-	run.settle()
-	for number := range 2 * minTombstones {
-		run.join(membership.KindGateway, fmt.Sprint("passing-", number))
-		run.lose(fmt.Sprint("passing-", number))
-		run.settle()
-	}
+	run.leave("store-1")
+	run.stabilize()
+	run.addAndRemoveGateways(2 * minTombstones)
 	_, known := run.state.memberOrTombstone("store-1")
 	assert.Assert(t, !known)
-	var news membership.ViewUpdate
-	run.state.fillView(&news, index)
-	assert.Equal(t, news.Since, uint64(0))
+	var update membership.ViewUpdate
+	run.state.fillView(&update, index)
+	assert.Equal(t, update.Since, uint64(0))
 	before := run.state.Index
 	run.apply(Command{Joins: []Join{{Self: old}}})
 	assert.Equal(t, run.state.Members["store-1"].Joined, before+1)
-	for _, place := range run.state.Placements {
-		assert.Assert(t, !place.HasReplica("store-1") && !slices.Contains(place.InSync, old.ReplicaID()))
+	for _, placement := range run.state.Placements {
+		holds := placement.HasReplica("store-1") || slices.Contains(placement.InSync, old.ReplicaID())
+		assert.Assert(t, !holds)
 	}
-	run.settle()
-	for _, place := range run.state.Placements {
-		assert.Assert(t, !place.HasReplica("store-1") || place.Epoch > before, "an epoch of its earlier time names it")
+	run.stabilize()
+	for _, placement := range run.state.Placements {
+		named := placement.HasReplica("store-1")
+		assert.Assert(t, !named || placement.Epoch > before, "an epoch of its earlier time names it")
 	}
-	run.judge()
+	run.assertNeededPresent()
 }
 
-// The primary forgets who was dead for a minute, and drops what it held of them.
-func TestThePrimaryForgetsWhoIsGone(t *testing.T) {
-	c := newCouncil(t, 3)
-	c.put([]byte(`{"version": 1, "spaces": []}`))
-	ask := func(name string, life uint64) {
-		primary := c.primary()
+// The primary removes members that were dead for a minute, and drops what it observed of
+// them.
+func TestPrimaryRemovesDeadMembers(t *testing.T) {
+	cluster := newControllerCluster(t, 3)
+	cluster.putConfiguration([]byte(`{"version": 1, "spaces": []}`))
+	poll := func(name string, incarnation uint64) {
+		primary := cluster.primary()
 		primary.step(func(now time.Time, effects *statemachine.Effects) {
-			self := membership.Member{Name: name, Kind: membership.KindGateway, Address: name, Incarnation: life, Alive: true}
-			primary.machine.HandleMessage(now, statemachine.Meta{From: name}, membership.ViewRequest{Self: self, Urgent: true}, effects)
+			self := membership.Member{
+				Name:        name,
+				Kind:        membership.KindGateway,
+				Address:     name,
+				Incarnation: incarnation,
+				Alive:       true,
+			}
+			request := membership.ViewRequest{Self: self, Urgent: true}
+			primary.machine.HandleMessage(now, statemachine.Meta{From: name}, request, effects)
 		})
 	}
 	for number := range 20 {
-		ask(fmt.Sprint("gateway-", number), uint64(number+1))
+		poll(fmt.Sprint("gateway-", number), uint64(number+1))
 	}
-	c.run(time.Second)
-	assert.Equal(t, len(c.primary().machine.state.Members), 23)
-	// Nobody asks any more: all are lost, and then forgotten.
-	c.run(70 * time.Second)
-	machine := c.primary().machine
+	cluster.run(time.Second)
+	assert.Equal(t, len(cluster.primary().machine.state.Members), 23)
+	// No gateway polls any more: all fail, and are removed later.
+	cluster.run(70 * time.Second)
+	machine := cluster.primary().machine
 	assert.Equal(t, len(machine.state.Members), 3)
 	assert.Equal(t, len(machine.state.Tombstones), 20)
-	c.run(removalDelay)
+	cluster.run(removalDelay)
 	assert.Equal(t, len(machine.lastHeard)+len(machine.loads), 2*3)
-	ask("gateway-7", 100)
-	c.run(time.Second)
+	poll("gateway-7", 100)
+	cluster.run(time.Second)
 	assert.Assert(t, machine.state.Members["gateway-7"].Alive)
 	assert.Equal(t, len(machine.state.Tombstones), 19)
 }
--- a/internal/controller/shared_test.go
+++ b/internal/controller/shared_test.go
@@ -1,10 +1,9 @@
-// Shared partitions against a model: senders that publish on several topics at
-// once, with a few messages under way on each, kept and passing ones, under the
-// same troubles as a single partition. What was accepted for a topic, sender and
-// seq has one offset for ever, is never appended twice and is told again to
-// whoever resends it; what was turned away, or passed over by a later one of the
-// same sender and topic, is never seen; and whoever follows the heads knows each
-// topic's newest message.
+// Shared partitions against a model: senders that publish on several topics at once, with a
+// few messages in flight on each, durable and ephemeral ones, under the same faults as a
+// single partition. What was accepted for a topic, sender and seq has one offset for ever,
+// is never appended twice and is acknowledged again to whoever resends it. What was
+// rejected, or superseded by a later message of the same sender and topic, is never seen.
+// Whoever follows the high watermarks knows each topic's newest message.
 package controller
 
 import (
@@ -22,349 +21,408 @@
 )
 
 const (
-	sharedConfig = `{"version": 1, "spaces": [{"name": "readings", "promise": "kept", "order": "topic"}, {"name": "alarms", "promise": "passing", "order": "topic"}],
-		"routes": [{"prefix": "reading.", "space": "readings"}, {"prefix": "alarm.", "space": "alarms"}]}`
+	sharedConfig = `{
+		"version": 1,
+		"spaces": [
+			{"name": "readings", "promise": "kept", "order": "topic"},
+			{"name": "alarms", "promise": "passing", "order": "topic"}
+		],
+		"routes": [{"prefix": "reading.", "space": "readings"}, {"prefix": "alarm.", "space": "alarms"}]
+	}`
 	sharedSenders = 4
 	sharedTopics  = 6
-	underWay      = 3
+	maxInFlight   = 3
 )
 
+// publication is a message in flight.
 type publication struct {
-	seq     uint64
-	tries   int
-	refused int
-	busy    bool
+	seq      uint64
+	attempts int
+	refused  int
+	waiting  bool
 }
 
-// line is what one sender publishes on one topic.
-type line struct {
+// publisher is what one sender publishes on one topic.
+type publisher struct {
 	topic, sender string
-	bare          bool
-	seq           uint64
-	pending       []*publication
+	// ephemeral messages have no data that is stored.
+	ephemeral bool
+	seq       uint64
+	pending   []*publication
 }
 
-func (l *line) name(seq uint64) string {
-	return fmt.Sprintf("%s %s/%d", l.topic, l.sender, seq)
+func (p *publisher) name(seq uint64) string {
+	return fmt.Sprintf("%s %s/%d", p.topic, p.sender, seq)
 }
 
-type sharedYard struct {
-	*yard
-	lines    []*line
-	asked    map[uint64]func(partition.AppendResponse)
-	accepted map[string]uint64
-	newest   map[string]uint64
-	offsets  map[string]string
-	never    map[string]bool
-	fetches  map[uint64]partition.FetchResponse
-	heads    map[string]uint64
-	moved    map[uint64]uint64
+// finish drops a publication whose outcome is known.
+func (p *publisher) finish(finished *publication) {
+	if position := slices.Index(p.pending, finished); position >= 0 {
+		p.pending = append(p.pending[:position:position], p.pending[position+1:]...)
+	}
+}
+
+// sharedCluster is a store cluster with publishers on shared partitions.
+type sharedCluster struct {
+	*storeCluster
+	publishers []*publisher
+	// awaiting holds what to do on the response to each append.
+	awaiting map[uint64]func(partition.AppendResponse)
+	// acceptedAt holds the offset of each accepted message, messageAt the message at each
+	// offset of each partition, and never the messages that may not be stored.
+	acceptedAt map[string]uint64
+	messageAt  map[string]string
+	never      map[string]bool
+	// highestSeq is the highest accepted seq of each topic and sender.
+	highestSeq map[string]uint64
+	fetches    map[uint64]partition.FetchResponse
+	// highWatermarks and topicOffsets are what a follower of the stores knows of each
+	// partition and of each topic.
+	highWatermarks map[string]uint64
+	topicOffsets   map[uint64]uint64
 }
 
-func (sy *sharedYard) append(line *line, seq uint64, then func(partition.AppendResponse)) {
-	sy.requests++
-	sy.asked[sy.requests] = then
-	name := config.SharedPartition(line.topic)
-	request := partition.Append{Partition: name, Request: sy.requests, Topic: line.topic, Sender: line.sender, Seq: seq, Bare: line.bare}
-	if !line.bare {
-		request.Data = []byte(line.name(seq))
+func (c *sharedCluster) append(publisher *publisher, seq uint64, then func(partition.AppendResponse)) {
+	c.requests++
+	c.awaiting[c.requests] = then
+	name := config.SharedPartition(publisher.topic)
+	request := partition.Append{
+		Partition: name,
+		Request:   c.requests,
+		Topic:     publisher.topic,
+		Sender:    publisher.sender,
+		Seq:       seq,
+		Bare:      publisher.ephemeral,
 	}
-	sy.send("gateway", statemachine.Send{To: sy.state.Placements[name].Leader, Message: request})
+	if !publisher.ephemeral {
+		request.Data = []byte(publisher.name(seq))
+	}
+	c.send(gatewayAddress, statemachine.Send{To: c.state.Placements[name].Leader, Message: request})
 }
 
-func (sy *sharedYard) publish(line *line) {
-	sy.after(time.Duration(10+sy.random.IntN(80))*time.Millisecond, func() { sy.publish(line) })
-	if sy.calm {
+func (c *sharedCluster) publish(publisher *publisher) {
+	c.after(time.Duration(10+c.random.IntN(80))*time.Millisecond, func() { c.publish(publisher) })
+	if c.quiet {
 		return
 	}
-	if len(line.pending) < underWay {
-		line.seq += 1 + sy.random.Uint64N(3)
-		line.pending = append(line.pending, &publication{seq: line.seq})
+	if len(publisher.pending) < maxInFlight {
+		publisher.seq += 1 + c.random.Uint64N(3)
+		publisher.pending = append(publisher.pending, &publication{seq: publisher.seq})
 	}
-	for _, item := range line.pending {
-		if !item.busy {
-			sy.try(line, item)
+	for _, item := range publisher.pending {
+		if !item.waiting {
+			c.attempt(publisher, item)
 		}
 	}
 }
 
-func (sy *sharedYard) try(line *line, item *publication) {
-	item.tries++
-	item.busy = true
-	try := item.tries
-	sy.append(line, item.seq, func(answer partition.AppendResponse) { sy.answered(line, item, answer) })
-	sy.after(700*time.Millisecond, func() {
-		if item.tries == try {
-			item.busy = false
+func (c *sharedCluster) attempt(publisher *publisher, item *publication) {
+	item.attempts++
+	item.waiting = true
+	attempt := item.attempts
+	c.append(publisher, item.seq, func(response partition.AppendResponse) {
+		c.handlePublished(publisher, item, response)
+	})
+	c.after(700*time.Millisecond, func() {
+		if item.attempts == attempt {
+			item.waiting = false
 		}
 	})
 }
 
-func (sy *sharedYard) answered(line *line, item *publication, answer partition.AppendResponse) {
-	name := line.name(item.seq)
-	item.busy = false
-	end := func() {
-		for position, other := range line.pending {
-			if other == item {
-				line.pending = append(line.pending[:position:position], line.pending[position+1:]...)
-				return
-			}
-		}
-	}
-	switch answer.Outcome {
+func (c *sharedCluster) handlePublished(publisher *publisher, item *publication, response partition.AppendResponse) {
+	name := publisher.name(item.seq)
+	item.waiting = false
+	switch response.Outcome {
 	case partition.Accepted:
-		sy.noteAccepted(line, item.seq, answer)
-		end()
+		c.recordAccepted(publisher, item.seq, response)
+		publisher.finish(item)
 	case partition.Refused:
-		if answer.Code == "old-seq" {
-			_, had := sy.accepted[name]
-			assert.Assert(sy.t, !had, "%s was accepted and then told old-seq", name)
-			sy.never[name] = true
-			end()
+		if response.Code == codeOldSeq {
+			_, accepted := c.acceptedAt[name]
+			assert.Assert(c.t, !accepted, "%s was accepted and then refused with old-seq", name)
+			c.never[name] = true
+			publisher.finish(item)
 			return
 		}
-		assert.Assert(sy.t, answer.RetryAfter > 0 && answer.Code != "seq-reused", "%s was told %s", name, answer.Code)
+		mayRetry := response.RetryAfter > 0 && response.Code != codeSeqReused
+		assert.Assert(c.t, mayRetry, "%s was refused with %s", name, response.Code)
 		item.refused++
-		if item.refused == item.tries {
-			sy.never[name] = true
-			end()
+		if item.refused == item.attempts {
+			c.never[name] = true
+			publisher.finish(item)
 		}
 	}
 }
 
-func (sy *sharedYard) noteAccepted(line *line, seq uint64, answer partition.AppendResponse) {
-	name, offset := line.name(seq), answer.Record.Offset
-	assert.Assert(sy.t, !sy.never[name], "%s was turned away and is accepted", name)
-	if earlier, had := sy.accepted[name]; had {
-		assert.Assert(sy.t, earlier == offset, "%s was accepted at %d and again at %d", name, earlier, offset)
+func (c *sharedCluster) recordAccepted(publisher *publisher, seq uint64, response partition.AppendResponse) {
+	name, offset := publisher.name(seq), response.Record.Offset
+	assert.Assert(c.t, !c.never[name], "%s was rejected and is accepted", name)
+	if earlier, found := c.acceptedAt[name]; found {
+		assert.Assert(c.t, earlier == offset, "%s was accepted at %d and again at %d", name, earlier, offset)
 	}
-	spot := fmt.Sprintf("%s %d", config.SharedPartition(line.topic), offset)
-	other, taken := sy.offsets[spot]
-	assert.Assert(sy.t, !taken || other == name, "offset %s was given to %s and to %s", spot, other, name)
-	sy.accepted[name], sy.offsets[spot] = offset, name
-	key := line.topic + line.sender
-	sy.newest[key] = max(sy.newest[key], seq)
+	position := fmt.Sprintf("%s %d", config.SharedPartition(publisher.topic), offset)
+	other, found := c.messageAt[position]
+	assert.Assert(c.t, !found || other == name, "offset %s was given to %s and to %s", position, other, name)
+	c.acceptedAt[name], c.messageAt[position] = offset, name
+	key := publisher.topic + publisher.sender
+	c.highestSeq[key] = max(c.highestSeq[key], seq)
 }
 
-func (sy *sharedYard) hear(from string, message any) {
+func (c *sharedCluster) handleAsGateway(_ string, message any) {
 	switch body := message.(type) {
 	case partition.AppendResponse:
-		if then, found := sy.asked[body.Request]; found {
-			delete(sy.asked, body.Request)
+		if then, found := c.awaiting[body.Request]; found {
+			delete(c.awaiting, body.Request)
 			then(body)
 		}
 	case partition.FetchResponse:
 		if body.Ready {
-			sy.fetches[body.Request] = body
+			c.fetches[body.Request] = body
 		}
 	case partition.Heads:
 		for _, head := range body.Heads {
-			if head.From > sy.heads[head.Partition] {
+			if head.From > c.highWatermarks[head.Partition] {
 				continue
 			}
-			sy.heads[head.Partition] = max(sy.heads[head.Partition], head.Offset)
+			c.highWatermarks[head.Partition] = max(c.highWatermarks[head.Partition], head.Offset)
 			for _, topic := range head.Topics {
-				sy.moved[topic.Topic] = max(sy.moved[topic.Topic], topic.Offset)
+				c.topicOffsets[topic.Topic] = max(c.topicOffsets[topic.Topic], topic.Offset)
 			}
 		}
 	}
 }
 
-func (sy *sharedYard) follow() {
-	sy.after(2*time.Second, sy.follow)
+// follow asks the leaders for the high watermarks of their partitions.
+func (c *sharedCluster) follow() {
+	c.after(2*time.Second, c.follow)
 	follows := map[string]partition.Follow{}
-	for name, place := range statemachine.Sorted(sy.state.Placements) {
-		follow := follows[place.Leader]
-		follow.Partitions, follow.From = append(follow.Partitions, name), append(follow.From, sy.heads[name])
-		follows[place.Leader] = follow
+	for name, placement := range statemachine.Sorted(c.state.Placements) {
+		follow := follows[placement.Leader]
+		follow.Partitions = append(follow.Partitions, name)
+		follow.From = append(follow.From, c.highWatermarks[name])
+		follows[placement.Leader] = follow
 	}
-	for first, follow := range statemachine.Sorted(follows) {
-		sy.send("gateway", statemachine.Send{To: first, Message: follow})
+	for leader, follow := range statemachine.Sorted(follows) {
+		c.send(gatewayAddress, statemachine.Send{To: leader, Message: follow})
 	}
 }
 
-func (sy *sharedYard) fetch(topic string) []partition.Record {
-	var got []partition.Record
+// fetch reads all records of a topic from the leader of its partition.
+func (c *sharedCluster) fetch(topic string) []partition.Record {
+	c.t.Helper()
+	var records []partition.Record
 	name := config.SharedPartition(topic)
 	for after := uint64(0); ; {
-		sy.requests++
-		sy.send("gateway", statemachine.Send{To: sy.state.Placements[name].Leader, Message: partition.Fetch{Partition: name, Request: sy.requests, After: after, Topics: []string{topic}}})
-		sy.run(200 * time.Millisecond)
-		answer, found := sy.fetches[sy.requests]
-		assert.Assert(sy.t, found, "the first of %s does not answer", name)
-		assert.Assert(sy.t, !answer.Gone, "nothing may be gone yet")
-		got = append(got, answer.Records...)
-		if after = answer.Until; after >= answer.Head {
-			return got
+		c.requests++
+		request := partition.Fetch{Partition: name, Request: c.requests, After: after, Topics: []string{topic}}
+		c.send(gatewayAddress, statemachine.Send{To: c.state.Placements[name].Leader, Message: request})
+		c.run(200 * time.Millisecond)
+		response, found := c.fetches[c.requests]
+		assert.Assert(c.t, found, "the leader of %s does not answer", name)
+		assert.Assert(c.t, !response.Gone, "no record may be removed yet")
+		records = append(records, response.Records...)
+		if after = response.Until; after >= response.Head {
+			return records
 		}
 	}
 }
 
-func newSharedYard(t *testing.T, seed uint64, stores, tolerance int) *sharedYard {
-	yard := &sharedYard{
-		yard: &yard{
-			t: t, random: rand.New(rand.NewPCG(seed, 0x5ea)), state: newState(), wipedAt: -time.Minute, inOrder: map[string]time.Duration{}, lags: map[string]slowDisk{},
-		},
-		asked: map[uint64]func(partition.AppendResponse){}, accepted: map[string]uint64{}, newest: map[string]uint64{}, offsets: map[string]string{},
-		never: map[string]bool{}, fetches: map[uint64]partition.FetchResponse{}, heads: map[string]uint64{}, moved: map[uint64]uint64{},
+func newSharedCluster(t *testing.T, seed uint64, stores, tolerance int) *sharedCluster {
+	t.Helper()
+	cluster := &sharedCluster{
+		storeCluster:   newStoreCluster(t, rand.New(rand.NewPCG(seed, 0x5ea))),
+		awaiting:       map[uint64]func(partition.AppendResponse){},
+		acceptedAt:     map[string]uint64{},
+		messageAt:      map[string]string{},
+		never:          map[string]bool{},
+		highestSeq:     map[string]uint64{},
+		fetches:        map[uint64]partition.FetchResponse{},
+		highWatermarks: map[string]uint64{},
+		topicOffsets:   map[uint64]uint64{},
 	}
-	yard.told, yard.single = yard.hear, tolerance == 0
-	yard.apply(Command{Configuration: configured(1, sharedConfig), Tolerance: &tolerance})
+	cluster.lastArrival = map[string]time.Duration{}
+	cluster.gatewayHandler, cluster.singleReplica = cluster.handleAsGateway, tolerance == 0
+	cluster.apply(Command{Configuration: configured(1, sharedConfig), Tolerance: &tolerance})
 	for number := range stores {
-		store := &store{yard: yard.yard, name: fmt.Sprintf("store-%d", number)}
-		yard.stores = append(yard.stores, store)
-		yard.after(time.Duration(yard.random.IntN(200))*time.Millisecond, store.start)
+		store := cluster.addStore(number)
+		cluster.after(time.Duration(cluster.random.IntN(200))*time.Millisecond, store.start)
 	}
-	yard.after(time.Second, yard.tend)
+	cluster.after(time.Second, cluster.reconcile)
 	for topic := range sharedTopics {
 		for sender := range sharedSenders {
-			line := &line{topic: fmt.Sprintf("reading.%d", topic), sender: fmt.Sprintf("sender-%d", sender)}
-			if topic%3 == 2 {
-				line.topic, line.bare = fmt.Sprintf("alarm.%d", topic), true
-			}
-			yard.lines = append(yard.lines, line)
-			yard.after(2*time.Second, func() { yard.publish(line) })
+			cluster.addPublisher(topic, sender)
 		}
 	}
-	yard.after(2*time.Second, yard.follow)
-	return yard
+	cluster.after(2*time.Second, cluster.follow)
+	return cluster
+}
+
+// addPublisher adds a publisher. Each third topic is ephemeral.
+func (c *sharedCluster) addPublisher(topic, sender int) {
+	added := &publisher{topic: fmt.Sprintf("reading.%d", topic), sender: fmt.Sprintf("sender-%d", sender)}
+	if topic%3 == 2 {
+		added.topic, added.ephemeral = fmt.Sprintf("alarm.%d", topic), true
+	}
+	c.publishers = append(c.publishers, added)
+	c.after(2*time.Second, func() { c.publish(added) })
 }
 
-// settle ends all troubles, and lets the stores lose power all at once.
-func (sy *sharedYard) settle() {
-	sy.calm, sy.loss = true, 0
-	for _, store := range sy.stores {
+// recoverAll ends all faults, and lets all stores lose power at once.
+func (c *sharedCluster) recoverAll() {
+	c.t.Helper()
+	c.quiet, c.lossRate = true, 0
+	for _, store := range c.stores {
 		store.kill()
 	}
-	sy.run(500 * time.Millisecond)
-	for _, store := range sy.stores {
+	c.run(500 * time.Millisecond)
+	for _, store := range c.stores {
 		store.start()
 	}
-	sy.run(9 * time.Second)
-	assert.Assert(sy.t, sy.whole(), "not whole after nine quiet seconds: %+v", sy.state.Placements)
+	c.run(9 * time.Second)
+	assert.Assert(c.t, c.allReplicated(), "not replicated after nine quiet seconds: %+v", c.state.Placements)
 }
 
-// judge compares what the stores hold at the end with what they told.
-func (sy *sharedYard) judge() {
-	held := map[string]uint64{}
-	newest := map[string]uint64{}
-	for _, line := range sy.lines {
-		if newest[line.topic] > 0 || line.bare {
+// assertConsistent checks what the stores hold at the end against what they acknowledged.
+func (c *sharedCluster) assertConsistent() {
+	c.t.Helper()
+	stored := c.storedOffsets()
+	c.awaiting = map[uint64]func(partition.AppendResponse){}
+	for _, publisher := range c.publishers {
+		for seq := range c.highestSeq[publisher.topic+publisher.sender] {
+			name := publisher.name(seq)
+			offset, accepted := c.acceptedAt[name]
+			assert.Assert(c.t, !accepted || publisher.ephemeral || stored[name] == offset,
+				"%s was accepted at %d and is at %d", name, offset, stored[name])
+			if seq%7 == 0 || accepted {
+				c.resend(publisher, seq)
+			}
+		}
+	}
+	c.run(time.Second)
+	assert.Assert(c.t, len(c.awaiting) == 0, "%d resends were not answered", len(c.awaiting))
+	assert.Assert(c.t, len(c.acceptedAt) > 1000, "only %d were accepted", len(c.acceptedAt))
+}
+
+// storedOffsets reads the records of all durable topics, checks them, and returns the
+// offset of each message.
+func (c *sharedCluster) storedOffsets() map[string]uint64 {
+	c.t.Helper()
+	stored := map[string]uint64{}
+	seen := map[string]bool{}
+	for _, publisher := range c.publishers {
+		if seen[publisher.topic] || publisher.ephemeral {
 			continue
 		}
-		last := map[string]uint64{}
+		seen[publisher.topic] = true
+		lastSeq := map[string]uint64{}
 		prior := uint64(0)
-		for _, record := range sy.fetch(line.topic) {
+		for _, record := range c.fetch(publisher.topic) {
 			name := fmt.Sprintf("%s %s/%d", record.Topic, record.Sender, record.Seq)
-			assert.Assert(sy.t, string(record.Data) == name, "%s holds %q", name, record.Data)
-			assert.Assert(sy.t, held[name] == 0, "%s is kept twice", name)
-			assert.Assert(sy.t, !sy.never[name], "%s was turned away and is kept", name)
-			assert.Assert(sy.t, record.Seq > last[record.Sender], "%s after seq %d", name, last[record.Sender])
-			assert.Assert(sy.t, record.Prior == prior, "%s names %d before it, not %d", name, record.Prior, prior)
-			held[name], last[record.Sender], prior = record.Offset, record.Seq, record.Offset
+			assert.Assert(c.t, string(record.Data) == name, "%s holds %q", name, record.Data)
+			assert.Assert(c.t, stored[name] == 0, "%s is stored twice", name)
+			assert.Assert(c.t, !c.never[name], "%s was rejected and is stored", name)
+			assert.Assert(c.t, record.Seq > lastSeq[record.Sender], "%s after seq %d", name, lastSeq[record.Sender])
+			assert.Assert(c.t, record.Prior == prior, "%s names %d before it, not %d", name, record.Prior, prior)
+			stored[name], lastSeq[record.Sender], prior = record.Offset, record.Seq, record.Offset
 		}
-		newest[line.topic] = max(prior, 1)
-		assert.Assert(sy.t, sy.moved[config.TopicNumber(line.topic)] == prior, "followers know %d of %s, which is at %d", sy.moved[config.TopicNumber(line.topic)], line.topic, prior)
+		known := c.topicOffsets[config.TopicNumber(publisher.topic)]
+		assert.Assert(c.t, known == prior, "followers know %d of %s, which is at %d", known, publisher.topic, prior)
 	}
-	sy.asked = map[uint64]func(partition.AppendResponse){}
-	for _, line := range sy.lines {
-		for seq := range sy.newest[line.topic+line.sender] {
-			name := line.name(seq)
-			offset, had := sy.accepted[name]
-			assert.Assert(sy.t, !had || line.bare || held[name] == offset, "%s was accepted at %d and is at %d", name, offset, held[name])
-			if seq%7 != 0 && !had {
-				continue
-			}
-			sy.append(line, seq, func(answer partition.AppendResponse) {
-				switch {
-				case had:
-					assert.Assert(sy.t, answer.Outcome == partition.Accepted && answer.Again, "%s was accepted at %d and is now answered %+v", name, offset, answer)
-					sy.noteAccepted(line, seq, answer)
-				case answer.Outcome == partition.Accepted:
-					// It was under way when the troubles began, and nobody was told.
-					assert.Assert(sy.t, answer.Again && !sy.never[name], "%s is appended below a later one", name)
-				default:
-					assert.Assert(sy.t, answer.Outcome == partition.Refused && answer.Code == "old-seq", "%s is answered %+v", name, answer)
-				}
-			})
+	return stored
+}
+
+// resend publishes a message again whose sender has published later ones since.
+func (c *sharedCluster) resend(publisher *publisher, seq uint64) {
+	name := publisher.name(seq)
+	offset, accepted := c.acceptedAt[name]
+	c.append(publisher, seq, func(response partition.AppendResponse) {
+		switch {
+		case accepted:
+			again := response.Outcome == partition.Accepted && response.Again
+			assert.Assert(c.t, again, "%s was accepted at %d and is now answered %+v", name, offset, response)
+			c.recordAccepted(publisher, seq, response)
+		case response.Outcome == partition.Accepted:
+			// It was in flight when the faults began, and its sender had no response.
+			assert.Assert(c.t, response.Again && !c.never[name], "%s is appended below a later one", name)
+		default:
+			old := response.Outcome == partition.Refused && response.Code == codeOldSeq
+			assert.Assert(c.t, old, "%s is answered %+v", name, response)
 		}
-	}
-	sy.run(time.Second)
-	assert.Assert(sy.t, len(sy.asked) == 0, "%d resends were not answered", len(sy.asked))
-	assert.Assert(sy.t, len(sy.accepted) > 1000, "only %d were accepted", len(sy.accepted))
+	})
 }
 
-// ail brings about trouble with one disk: it is slow, hangs, or refuses.
-func (sy *sharedYard) ail() {
-	sy.after(time.Duration(3000+sy.random.IntN(5000))*time.Millisecond, sy.ail)
-	if sy.calm {
+// injectDiskFault lets one disk be slow, hang or refuse writes for a while.
+func (c *sharedCluster) injectDiskFault() {
+	c.after(time.Duration(3000+c.random.IntN(5000))*time.Millisecond, c.injectDiskFault)
+	if c.quiet {
 		return
 	}
-	store := sy.stores[sy.random.IntN(len(sy.stores))]
-	length := time.Duration(500+sy.random.IntN(4000)) * time.Millisecond
-	switch sy.random.IntN(3) {
+	store := c.stores[c.random.IntN(len(c.stores))]
+	duration := time.Duration(500+c.random.IntN(4000)) * time.Millisecond
+	switch c.random.IntN(3) {
 	case 0:
-		store.slow = time.Duration(20+sy.random.IntN(200)) * time.Millisecond
+		store.writeDelay = time.Duration(20+c.random.IntN(200)) * time.Millisecond
 	case 1:
-		store.hung = sy.now + length
+		store.diskHungUntil = c.now + duration
 	case 2:
-		store.hung, store.full = sy.now+length, true
-		sy.after(0, store.refuse)
+		store.diskHungUntil, store.diskFull = c.now+duration, true
+		c.after(0, store.reportFullDisk)
 	}
-	sy.after(length, func() { store.slow, store.full = 0, false })
+	c.after(duration, func() { store.writeDelay, store.diskFull = 0, false })
 }
 
-func TestSharedPartitionsAgainstAModel(t *testing.T) {
+func TestSharedPartitionsAgainstModel(t *testing.T) {
 	for seed := range uint64(16) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			tolerance := int(seed % 4)
-			yard := newSharedYard(t, seed, tolerance+3, tolerance)
-			yard.after(4*time.Second, yard.trouble)
+			cluster := newSharedCluster(t, seed, tolerance+3, tolerance)
+			cluster.after(4*time.Second, cluster.injectFault)
 			if seed%8 < 4 {
-				yard.after(5*time.Second, yard.ail)
+				cluster.after(5*time.Second, cluster.injectDiskFault)
 			}
-			yard.run(40 * time.Second)
-			yard.settle()
-			yard.judge()
+			cluster.run(40 * time.Second)
+			cluster.recoverAll()
+			cluster.assertConsistent()
 		})
 	}
 }
 
-// A retired store is taken away the moment it is done, disk and all, and that is
-// no loss: another store's disk may be lost right after.
-func TestNothingIsLostAfterAStoreIsRetired(t *testing.T) {
+// A retired store is taken away with its disk at the moment it is retired. That is no loss:
+// other stores' disks may be lost right after.
+func TestRetiredStoreIsNotNeeded(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			tolerance := 1 + int(seed%3)
-			yard := newSharedYard(t, 100+seed, tolerance+3, tolerance)
-			yard.run(15 * time.Second)
-			retiring := yard.stores[seed%uint64(len(yard.stores))]
-			yard.apply(Command{Retirement: &Retirement{Store: retiring.name, Retiring: true}})
-			assert.Equal(t, yard.state.result.outcome, Accepted)
-			began := yard.now
-			for !yard.state.Members[retiring.name].Retired {
-				yard.run(10 * time.Millisecond)
-				assert.Assert(t, yard.now-began < 3*time.Second, "not done after three seconds")
+			cluster := newSharedCluster(t, 100+seed, tolerance+3, tolerance)
+			cluster.run(15 * time.Second)
+			retiring := cluster.stores[seed%uint64(len(cluster.stores))]
+			cluster.apply(Command{Retirement: &Retirement{Store: retiring.name, Retiring: true}})
+			assert.Equal(t, cluster.state.result.outcome, Accepted)
+			began := cluster.now
+			for !cluster.state.Members[retiring.name].Retired {
+				cluster.run(10 * time.Millisecond)
+				assert.Assert(t, cluster.now-began < 3*time.Second, "not retired after three seconds")
 			}
-			t.Logf("done after %s", yard.now-began)
+			t.Logf("retired after %s", cluster.now-began)
 			retiring.kill()
-			retiring.frame, retiring.entries = nil, nil
+			retiring.wipe()
 			for step := range tolerance {
-				lost := yard.stores[(seed+1+uint64(step))%uint64(len(yard.stores))]
+				lost := cluster.stores[(seed+1+uint64(step))%uint64(len(cluster.stores))]
 				lost.kill()
-				lost.frame, lost.entries = nil, nil
+				lost.wipe()
 			}
-			yard.run(2 * time.Second)
-			yard.calm = true
-			yard.stores = slices.DeleteFunc(yard.stores, func(store *store) bool { return store == retiring })
-			for _, store := range yard.stores {
+			cluster.run(2 * time.Second)
+			cluster.quiet = true
+			cluster.stores = slices.DeleteFunc(cluster.stores, func(store *storeNode) bool { return store == retiring })
+			for _, store := range cluster.stores {
 				store.start()
 			}
-			yard.run(8 * time.Second)
-			assert.Assert(t, yard.whole(), "not whole after eight quiet seconds: %+v", yard.state.Placements)
-			yard.judge()
+			cluster.run(8 * time.Second)
+			assert.Assert(t, cluster.allReplicated(), "not replicated after eight quiet seconds: %+v", cluster.state.Placements)
+			cluster.assertConsistent()
 		})
 	}
 }
--- /dev/null
+++ b/internal/controller/single_controller_test.go
@@ -0,0 +1,188 @@
+package controller
+
+import (
+	"encoding/json"
+	"net/http"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"dahlialock/internal/membership"
+	"dahlialock/internal/statemachine"
+)
+
+const operatorAddress = "operator"
+
+// singleController is a controller without backups, whose disk syncs when the test says
+// so. What it sends to itself arrives at once.
+type singleController struct {
+	t          assert.TestingT
+	controller *Controller
+	now        time.Time
+	// syncPaused keeps the writes in unsynced.
+	syncPaused bool
+	unsynced   []statemachine.Write
+	// answers holds the responses to the operator by the number of the request.
+	answers  map[uint64]membership.ControlResponse
+	requests uint64
+}
+
+func newSingleController(t assert.TestingT, highestWins bool) *singleController {
+	tolerance := 0
+	single := &singleController{
+		t:       t,
+		now:     time.Unix(1_700_000_000, 0),
+		answers: map[uint64]membership.ControlResponse{},
+	}
+	made, err := New(Settings{
+		Self: membership.Member{
+			Name:        controllerAddress,
+			Kind:        membership.KindController,
+			Address:     controllerAddress,
+			Zone:        "zone",
+			Incarnation: 1,
+		},
+		Seeds:       []string{controllerAddress},
+		Bootstrap:   true,
+		NewDisk:     "disk",
+		HighestWins: highestWins,
+		Tolerance:   &tolerance,
+	}, nil, nil)
+	assert.NilError(t, err)
+	single.controller = made
+	single.step(func(effects *statemachine.Effects) { made.Start(single.now, effects) })
+	for range 500 {
+		single.advance(10 * time.Millisecond)
+	}
+	assert.Assert(t, made.node.Serving(single.now), "a single controller serves within five seconds")
+	return single
+}
+
+// step runs a step of the controller and carries its effects out.
+func (c *singleController) step(run func(effects *statemachine.Effects)) {
+	var effects statemachine.Effects
+	run(&effects)
+	c.unsynced = append(c.unsynced, effects.Writes...)
+	for _, send := range effects.Sends {
+		if response, answers := send.Message.(membership.ControlResponse); answers && send.To == operatorAddress {
+			c.answers[response.Request.Number] = response
+		}
+		if send.To == controllerAddress {
+			c.deliver(controllerAddress, send.Message)
+		}
+	}
+	if !c.syncPaused {
+		c.sync()
+	}
+}
+
+func (c *singleController) deliver(from string, message any) {
+	c.step(func(effects *statemachine.Effects) {
+		c.controller.HandleMessage(c.now, statemachine.Meta{From: from}, message, effects)
+	})
+}
+
+// sync ends all writes, also those that come with it.
+func (c *singleController) sync() {
+	for len(c.unsynced) > 0 {
+		write := c.unsynced[0]
+		c.unsynced = c.unsynced[1:]
+		c.step(func(effects *statemachine.Effects) {
+			c.controller.HandleCommand(c.now, statemachine.Synced{Token: write.Token}, effects)
+		})
+	}
+}
+
+func (c *singleController) advance(length time.Duration) {
+	until := c.now.Add(length)
+	for due := c.controller.NextTick(); !due.IsZero() && !due.After(until); due = c.controller.NextTick() {
+		if due.After(c.now) {
+			c.now = due
+		}
+		c.now = c.now.Add(time.Microsecond)
+		c.step(func(effects *statemachine.Effects) { c.controller.Tick(c.now, effects) })
+	}
+	c.now = until
+}
+
+// withSyncPaused lets the disk keep all writes back while something is done, and syncs them
+// then.
+func (c *singleController) withSyncPaused(do func()) {
+	c.syncPaused = true
+	do()
+	c.syncPaused = false
+	c.sync()
+	c.advance(300 * time.Millisecond)
+}
+
+// order sends an operator's order and returns its number.
+func (c *singleController) order(method, path, body string) uint64 {
+	c.requests++
+	request := c.requests
+	c.deliver(operatorAddress, membership.ControlRequest{
+		Request: statemachine.RequestID{Incarnation: 1, Number: request},
+		Method:  method,
+		Path:    path,
+		Body:    []byte(body),
+	})
+	return request
+}
+
+// putConfiguration sends a configuration and returns the number of the order.
+func (c *singleController) putConfiguration(document string) uint64 {
+	return c.order(http.MethodPut, "/v1/configuration", document)
+}
+
+// retire sends an order to retire a store and returns its number.
+func (c *singleController) retire(store string) uint64 {
+	return c.order(http.MethodPost, "/v1/stores/"+store+"/retire", "")
+}
+
+// status is the status of the response to an order.
+func (c *singleController) status(request uint64) int { return c.answers[request].Status }
+
+// finalStatus waits, and is the status that an order has then.
+func (c *singleController) finalStatus(request uint64) int {
+	c.advance(300 * time.Millisecond)
+	return c.status(request)
+}
+
+// code is the error code of the response to an order.
+func (c *singleController) code(request uint64) errorCode {
+	var refused struct {
+		Code errorCode `json:"code"`
+	}
+	assert.NilError(c.t, json.Unmarshal(c.answers[request].Body, &refused))
+	return refused.Code
+}
+
+func memberNamed(kind, name string, incarnation uint64, disk string) membership.Member {
+	return membership.Member{
+		Name:        name,
+		Kind:        kind,
+		Address:     name,
+		Zone:        "zone-" + name,
+		Incarnation: incarnation,
+		Disk:        disk,
+		Alive:       true,
+	}
+}
+
+// poll lets a member poll that receives its answers.
+func (c *singleController) poll(self membership.Member) {
+	c.deliver(self.Address, membership.ViewRequest{Self: self, Nonce: 1, LastAnswered: 1})
+}
+
+func (c *singleController) join(kind string, names ...string) {
+	for _, name := range names {
+		c.poll(memberNamed(kind, name, 1, "disk-"+name))
+	}
+	c.advance(500 * time.Millisecond)
+	for _, name := range names {
+		assert.Assert(c.t, c.member(name).Alive, "%s has joined", name)
+	}
+}
+
+func (c *singleController) member(name string) membership.Member {
+	return c.controller.state.Members[name]
+}
--- a/internal/controller/state_test.go
+++ b/internal/controller/state_test.go
@@ -1,5 +1,5 @@
-// Whoever follows the state by what changed sees the same as whoever is told all
-// of it, wherever it begins.
+// Whoever follows the state by what changed sees the same as whoever gets the complete view,
+// wherever it begins.
 package controller
 
 import (
@@ -15,71 +15,127 @@
 	"dahlialock/internal/statemachine"
 )
 
-func TestNewsOfWhatChangedGiveTheWholeView(t *testing.T) {
-	forgotten := 0
-	for seed := range uint64(20) {
-		random := rand.New(rand.NewPCG(seed, 0xde17a))
-		state := newState()
-		now := time.Unix(1000, 0)
-		followers := make([]*membership.ViewClient, 4)
-		for number := range followers {
-			followers[number] = membership.NewViewClient(membership.Member{Name: "gateway"}, 0, []string{"controller"}, func() membership.Load { return membership.Load{} })
-			followers[number].Start(now)
-			followers[number].Tick(now, &statemachine.Effects{})
+// viewRun changes a state at random while a few clients follow it.
+type viewRun struct {
+	t       *testing.T
+	random  *rand.Rand
+	now     time.Time
+	state   *State
+	clients []*membership.ViewClient
+	version uint64
+	// partial counts the updates with changes only, removed the members in them that were
+	// removed.
+	partial, removed int
+}
+
+func newViewRun(t *testing.T, seed uint64) *viewRun {
+	t.Helper()
+	run := &viewRun{
+		t:       t,
+		random:  rand.New(rand.NewPCG(seed, 0xde17a)),
+		now:     time.Unix(1000, 0),
+		state:   newState(),
+		clients: make([]*membership.ViewClient, 4),
+	}
+	noLoad := func() membership.Load { return membership.Load{} }
+	for number := range run.clients {
+		client := membership.NewViewClient(
+			membership.Member{Name: "gateway"}, 0, []string{controllerAddress}, noLoad)
+		client.Start(run.now)
+		client.Tick(run.now, &statemachine.Effects{})
+		run.clients[number] = client
+	}
+	return run
+}
+
+// drawCommand draws the command of a step.
+func (r *viewRun) drawCommand(step int) Command {
+	var command Command
+	switch r.random.IntN(6) {
+	case 0, 1:
+		r.drawMembershipChange(step, &command)
+	case 2:
+		for _, placement := range statemachine.Sorted(r.state.Placements) {
+			if r.random.IntN(2) == 0 {
+				command.Replicated = append(command.Replicated, replicatedReport(r.state, placement))
+			}
+		}
+	case 3:
+		if step%7 == 0 {
+			command.Configuration = r.drawConfiguration()
+		}
+	case 4:
+		if r.version > 0 {
+			configuration, _ := config.Read(r.state.Document)
+			command.Placements = r.state.planPlacements(configuration)
+		}
+	case 5:
+		for name, member := range statemachine.Sorted(r.state.Members) {
+			removal := MemberIncarnation{Name: name, Incarnation: member.Incarnation}
+			command.Removals = append(command.Removals, removal)
 		}
-		version := uint64(0)
-		partial := 0
+	}
+	return command
+}
+
+func (r *viewRun) drawMembershipChange(step int, command *Command) {
+	name := fmt.Sprint("store-", r.random.IntN(6))
+	if r.random.IntN(4) > 0 {
+		self := membership.Member{
+			Name:        name,
+			Kind:        membership.KindStore,
+			Incarnation: uint64(step),
+			Disk:        "disk",
+		}
+		command.Joins = append(command.Joins, Join{Self: self})
+		return
+	}
+	leave := MemberIncarnation{Name: name, Incarnation: r.state.Members[name].Incarnation}
+	command.Leaves = append(command.Leaves, leave)
+}
+
+func (r *viewRun) drawConfiguration() *ConfigurationChange {
+	r.version++
+	const spaces = `{"name": "a", "promise": "kept", "order": "topic"}, ` +
+		`{"name": "s%d", "promise": "kept", "order": "channel"}`
+	document := fmt.Sprintf(`{"version": %d, "spaces": [`+spaces+`]}`, r.version, r.random.IntN(3))
+	return configured(r.version, document)
+}
+
+// step changes the state, and brings one client up to date.
+func (r *viewRun) step(step int) {
+	r.t.Helper()
+	r.state.Apply(r.now, encodeCommand(r.drawCommand(step)))
+	client := r.clients[r.random.IntN(len(r.clients))]
+	update := membership.ViewUpdate{
+		Nonce:    1,
+		Epoch:    1,
+		Primary:  controllerAddress,
+		Index:    r.state.Index,
+		Version:  r.state.Version,
+		Document: r.state.Document,
+	}
+	r.state.fillView(&update, client.Index)
+	if update.Since > 0 {
+		r.partial++
+	}
+	r.removed += len(update.RemovedMembers)
+	client.HandleUpdate(r.now.Add(time.Millisecond), update)
+	assert.Equal(r.t, client.Index, r.state.Index)
+	assert.DeepEqual(r.t, client.Members, r.state.Members)
+	assert.DeepEqual(r.t, client.Placements, r.state.Placements)
+	assert.DeepEqual(r.t, client.SpaceCreatedAt, r.state.SpaceCreatedAt)
+}
+
+func TestViewUpdatesGiveCompleteView(t *testing.T) {
+	removed := 0
+	for seed := range uint64(20) {
+		run := newViewRun(t, seed)
 		for step := range 300 {
-			var command Command
-			switch random.IntN(6) {
-			case 0, 1:
-				name := fmt.Sprint("store-", random.IntN(6))
-				if random.IntN(4) > 0 {
-					command.Joins = append(command.Joins, Join{Self: membership.Member{Name: name, Kind: membership.KindStore, Incarnation: uint64(step), Disk: "disk"}})
-				} else {
-					command.Leaves = append(command.Leaves, MemberIncarnation{Name: name, Incarnation: state.Members[name].Incarnation})
-				}
-			case 2:
-				for name, place := range statemachine.Sorted(state.Placements) {
-					settled := membership.PartitionReplicated{Partition: name, Epoch: place.Epoch, Holders: []string{state.Members[place.Leader].ReplicaID()}}
-					for _, follower := range place.Followers {
-						settled.Holders = append(settled.Holders, state.Members[follower].ReplicaID())
-					}
-					if random.IntN(2) == 0 {
-						command.Replicated = append(command.Replicated, settled)
-					}
-				}
-			case 3:
-				if step%7 == 0 {
-					version++
-					spaces := fmt.Sprintf(`{"name": "a", "promise": "kept", "order": "topic"}, {"name": "s%d", "promise": "kept", "order": "channel"}`, random.IntN(3))
-					command.Configuration = configured(version, fmt.Sprintf(`{"version": %d, "spaces": [%s]}`, version, spaces))
-				}
-			case 5:
-				for name, member := range statemachine.Sorted(state.Members) {
-					command.Removals = append(command.Removals, MemberIncarnation{Name: name, Incarnation: member.Incarnation})
-				}
-			case 4:
-				if version > 0 {
-					configuration, _ := config.Read(state.Document)
-					command.Placements = state.planPlacements(configuration)
-				}
-			}
-			state.Apply(now, encodeCommand(command))
-			follower := followers[random.IntN(len(followers))]
-			news := membership.ViewUpdate{Nonce: 1, Epoch: 1, Primary: "controller", Index: state.Index, Version: state.Version, Document: state.Document}
-			state.fillView(&news, follower.Index)
-			if news.Since > 0 {
-				partial++
-			}
-			forgotten += len(news.RemovedMembers)
-			follower.HandleUpdate(now.Add(time.Millisecond), news)
-			assert.Equal(t, follower.Index, state.Index)
-			assert.DeepEqual(t, follower.Members, state.Members)
-			assert.DeepEqual(t, follower.Placements, state.Placements)
-			assert.DeepEqual(t, follower.SpaceCreatedAt, state.SpaceCreatedAt)
+			run.step(step)
 		}
-		assert.Assert(t, partial > 200, "only %d of 300 were told what changed alone", partial)
+		assert.Assert(t, run.partial > 200, "only %d of 300 updates had changes only", run.partial)
+		removed += run.removed
 	}
-	assert.Assert(t, forgotten > 100, "only %d were told to be gone", forgotten)
+	assert.Assert(t, removed > 100, "only %d members were removed in updates", removed)
 }
--- a/internal/controller/timeouts.go
+++ b/internal/controller/timeouts.go
@@ -36,6 +36,6 @@
 	return timeouts{
 		command:   acknowledge * 2 / 5,
 		suspicion: max(contact/2, 2*membership.LongPollTimeout),
-		poll:   max(contact*5/4, 4*membership.LongPollTimeout),
+		poll:      max(contact*5/4, 4*membership.LongPollTimeout),
 	}
 }
--- a/internal/controller/views_mutation_test.go
+++ b/internal/controller/views_mutation_test.go
@@ -10,14 +10,14 @@
 	"dahlialock/internal/statemachine"
 )
 
-func TestWhatBoundsViewsIsNeeded(t *testing.T) {
-	bounded, _ := slowView(t)
+func TestBoundOnViewsIsNeeded(t *testing.T) {
+	bounded, _ := viewsOnSlowLink(t)
 	restore := statemachine.Mutate("views-again")
-	views, _ := slowView(t)
+	views, _ := viewsOnSlowLink(t)
 	restore()
-	assert.Assert(t, views > bounded, "%d views for each question, %d bounded", views, bounded)
+	assert.Assert(t, views > bounded, "%d views for all polls, %d bounded", views, bounded)
 	restore = statemachine.Mutate("late-answers-unheard")
-	_, taken := slowView(t)
+	_, firstViewAfter := viewsOnSlowLink(t)
 	restore()
-	assert.Equal(t, int64(taken), int64(0), "a late answer was taken")
+	assert.Equal(t, int64(firstViewAfter), int64(0), "a late answer was accepted")
 }
--- a/internal/controller/views_test.go
+++ b/internal/controller/views_test.go
@@ -10,114 +10,141 @@
 	"dahlialock/internal/statemachine"
 )
 
-// asker asks a lone controller over a link on which an answer takes a while.
-type asker struct {
-	*lone
-	follower *membership.ViewClient
-	self     membership.Member
-	takes    time.Duration
-	coming   []arrival
-	views    int
-	taken    time.Duration
+// pollingGateway polls a single controller over a link on which answers take a while.
+type pollingGateway struct {
+	*singleController
+	viewClient  *membership.ViewClient
+	self        membership.Member
+	answerDelay time.Duration
+	arrivals    []arrival
+	// views counts the views that the controller sent.
+	views int
+	// firstViewAfter is when the first view was accepted, since the start of the run.
+	firstViewAfter time.Duration
 }
 
+// arrival is an answer in flight.
 type arrival struct {
-	at   time.Time
-	news membership.ViewUpdate
+	at     time.Time
+	update membership.ViewUpdate
 }
 
-func newAsker(t *testing.T, takes time.Duration) *asker {
-	made := &asker{lone: newLone(t, false), takes: takes}
-	made.self = membership.Member{Name: "gateway-1", Kind: membership.KindGateway, Address: "gateway-1", Zone: "zone", Incarnation: 7, Alive: true}
-	made.follower = membership.NewViewClient(made.self, 0, []string{"controller"}, func() membership.Load { return membership.Load{} })
-	made.follower.Start(made.now)
-	return made
+func newPollingGateway(t *testing.T, answerDelay time.Duration) *pollingGateway {
+	t.Helper()
+	gateway := &pollingGateway{
+		singleController: newSingleController(t, false),
+		answerDelay:      answerDelay,
+		self: membership.Member{
+			Name:        "gateway-1",
+			Kind:        membership.KindGateway,
+			Address:     "gateway-1",
+			Zone:        "zone",
+			Incarnation: 7,
+			Alive:       true,
+		},
+	}
+	gateway.start()
+	return gateway
+}
+
+// start begins to follow the view with nothing.
+func (g *pollingGateway) start() {
+	noLoad := func() membership.Load { return membership.Load{} }
+	g.viewClient = membership.NewViewClient(g.self, 0, []string{controllerAddress}, noLoad)
+	g.viewClient.Start(g.now)
 }
 
-// hear runs a step of the controller, and notes the views that it answers with.
-func (a *asker) hear(run func(effects *statemachine.Effects)) {
+// stepController runs a step of the controller, and records the views that it sends.
+func (g *pollingGateway) stepController(run func(effects *statemachine.Effects)) {
 	var effects statemachine.Effects
 	run(&effects)
-	a.unsynced = append(a.unsynced, effects.Writes...)
+	g.unsynced = append(g.unsynced, effects.Writes...)
 	for _, send := range effects.Sends {
 		switch message := send.Message.(type) {
 		case membership.ViewUpdate:
 			if message.Changed {
-				a.views++
+				g.views++
 			}
-			a.coming = append(a.coming, arrival{at: a.now.Add(a.takes), news: message})
+			g.arrivals = append(g.arrivals, arrival{at: g.now.Add(g.answerDelay), update: message})
 		default:
-			if send.To == "controller" {
-				a.tell("controller", send.Message)
+			if send.To == controllerAddress {
+				g.deliver(controllerAddress, send.Message)
 			}
 		}
 	}
-	a.sync()
+	g.sync()
 }
 
-// runs lets both go on for a while, in steps of a millisecond.
-func (a *asker) runs(length time.Duration) {
-	began := a.now
-	for a.now.Sub(began) < length {
-		a.now = a.now.Add(time.Millisecond)
-		if due := a.controller.NextTick(); !due.IsZero() && !due.After(a.now) {
-			a.hear(func(effects *statemachine.Effects) { a.controller.Tick(a.now, effects) })
+// runFor lets both go on for a while, in steps of a millisecond.
+func (g *pollingGateway) runFor(length time.Duration) {
+	began := g.now
+	for g.now.Sub(began) < length {
+		g.now = g.now.Add(time.Millisecond)
+		if due := g.controller.NextTick(); !due.IsZero() && !due.After(g.now) {
+			g.stepController(func(effects *statemachine.Effects) { g.controller.Tick(g.now, effects) })
 		}
-		for len(a.coming) > 0 && !a.coming[0].at.After(a.now) {
-			a.follower.HandleUpdate(a.now, a.coming[0].news)
-			a.coming = a.coming[1:]
+		for len(g.arrivals) > 0 && !g.arrivals[0].at.After(g.now) {
+			g.viewClient.HandleUpdate(g.now, g.arrivals[0].update)
+			g.arrivals = g.arrivals[1:]
 		}
-		if a.follower.Index > 0 && a.taken == 0 {
-			a.taken = a.now.Sub(began)
+		if g.viewClient.Index > 0 && g.firstViewAfter == 0 {
+			g.firstViewAfter = g.now.Sub(began)
 		}
-		if !a.follower.NextTick().After(a.now) {
-			var asked statemachine.Effects
-			a.follower.Tick(a.now, &asked)
-			for _, send := range asked.Sends {
-				a.hear(func(effects *statemachine.Effects) {
-					a.controller.HandleMessage(a.now, statemachine.Meta{From: a.self.Address}, send.Message, effects)
-				})
-			}
+		if !g.viewClient.NextTick().After(g.now) {
+			g.tickClient()
 		}
 	}
 }
 
-// An answer that takes longer than the asker's patience is of use all the same, and
-// is not sent again for each question meanwhile.
-// It gives the views that were sent before the first one came, and when that was
-// taken.
-func slowView(t *testing.T) (views int, taken time.Duration) {
-	const way = 580 * time.Millisecond
-	asker := newAsker(t, way)
-	asker.runs(way - 10*time.Millisecond)
-	views = asker.views
-	asker.runs(40 * time.Millisecond)
-	return views, asker.taken
+// tickClient ticks the view client, whose polls arrive at once.
+func (g *pollingGateway) tickClient() {
+	var polls statemachine.Effects
+	g.viewClient.Tick(g.now, &polls)
+	for _, send := range polls.Sends {
+		g.stepController(func(effects *statemachine.Effects) {
+			g.controller.HandleMessage(g.now, statemachine.Meta{From: g.self.Address}, send.Message, effects)
+		})
+	}
+}
+
+// viewsOnSlowLink lets an answer take longer than the gateway waits for it. It returns how
+// many views were sent before the first one came, and when that one was accepted.
+func viewsOnSlowLink(t *testing.T) (views int, firstViewAfter time.Duration) {
+	t.Helper()
+	const delay = 580 * time.Millisecond
+	gateway := newPollingGateway(t, delay)
+	gateway.runFor(delay - 10*time.Millisecond)
+	views = gateway.views
+	gateway.runFor(40 * time.Millisecond)
+	return views, gateway.firstViewAfter
 }
 
-func TestAViewThatIsOnItsWayIsNotSentAgain(t *testing.T) {
-	views, taken := slowView(t)
-	assert.Assert(t, taken > 0, "no view was taken")
+// An answer that takes longer than the gateway waits for it is of use all the same, and is
+// not sent again for each poll meanwhile.
+func TestViewInFlightIsNotSentAgain(t *testing.T) {
+	views, firstViewAfter := viewsOnSlowLink(t)
+	assert.Assert(t, firstViewAfter > 0, "no view was accepted")
 	assert.Equal(t, views, 1)
 }
 
-func TestAViewThatWasLostIsSentAgain(t *testing.T) {
-	asker := newAsker(t, time.Millisecond)
-	asker.takes = time.Hour
-	asker.runs(100 * time.Millisecond)
-	assert.Equal(t, asker.views, 1)
-	asker.coming, asker.takes = nil, time.Millisecond
-	asker.runs(1500 * time.Millisecond)
-	assert.Assert(t, asker.taken > 0 && asker.taken < viewResendInterval+reconcileInterval, "taken after %v", asker.taken)
+func TestLostViewIsSentAgain(t *testing.T) {
+	gateway := newPollingGateway(t, time.Millisecond)
+	gateway.answerDelay = time.Hour
+	gateway.runFor(100 * time.Millisecond)
+	assert.Equal(t, gateway.views, 1)
+	gateway.arrivals, gateway.answerDelay = nil, time.Millisecond
+	gateway.runFor(1500 * time.Millisecond)
+	soon := gateway.firstViewAfter > 0 && gateway.firstViewAfter < viewResendInterval+reconcileInterval
+	assert.Assert(t, soon, "accepted after %v", gateway.firstViewAfter)
 }
 
-func TestAnAskerThatWasStartedAnewIsSentItsViewAtOnce(t *testing.T) {
-	asker := newAsker(t, time.Hour)
-	asker.runs(100 * time.Millisecond)
-	asker.coming, asker.takes = nil, time.Millisecond
-	asker.self.Incarnation++
-	asker.follower = membership.NewViewClient(asker.self, 0, []string{"controller"}, func() membership.Load { return membership.Load{} })
-	asker.follower.Start(asker.now)
-	asker.runs(200 * time.Millisecond)
-	assert.Assert(t, asker.taken > 0 && asker.taken < 20*time.Millisecond, "taken after %v", asker.taken)
+func TestRestartedMemberIsSentItsViewAtOnce(t *testing.T) {
+	gateway := newPollingGateway(t, time.Hour)
+	gateway.runFor(100 * time.Millisecond)
+	gateway.arrivals, gateway.answerDelay = nil, time.Millisecond
+	gateway.self.Incarnation++
+	gateway.start()
+	gateway.runFor(200 * time.Millisecond)
+	soon := gateway.firstViewAfter > 0 && gateway.firstViewAfter < 20*time.Millisecond
+	assert.Assert(t, soon, "accepted after %v", gateway.firstViewAfter)
 }
