--- a/cmd/fleetlab/storm.go
+++ b/cmd/fleetlab/storm.go
@@ -20,6 +20,7 @@
 	"dahlialock/internal/faults"
 	"dahlialock/internal/logevent"
 	"dahlialock/internal/membership"
+	"dahlialock/internal/statemachine"
 	"dahlialock/internal/testfleet"
 )
 
@@ -720,8 +721,8 @@
 		lines := bufio.NewScanner(file)
 		for lines.Scan() {
 			var event struct {
-				Number int       `json:"number"`
-				Time   time.Time `json:"time"`
+				Number statemachine.EventNumber `json:"number"`
+				Time   time.Time                `json:"time"`
 			}
 			if json.Unmarshal(lines.Bytes(), &event) != nil || event.Time.Before(from) {
 				continue
--- a/internal/logevent/logevent_test.go
+++ b/internal/logevent/logevent_test.go
@@ -1,4 +1,3 @@
-// The catalogue in the code and the one in the docs are the same list.
 package logevent
 
 import (
@@ -13,7 +12,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestDocsAndCodeHaveTheSameEvents(t *testing.T) {
+func TestCatalogueMatchesDocs(t *testing.T) {
 	body, err := os.ReadFile("../../docs/events.md")
 	assert.NilError(t, err)
 	rows := map[string]bool{}
@@ -23,13 +22,13 @@
 		}
 	}
 	assert.Equal(t, len(rows), len(Catalogue))
-	for number, words := range Catalogue {
-		row := fmt.Sprintf("| %d | %s | %s |", number, strings.Replace(words.Level.String(), "warning", "warn", 1), words.Text)
+	for number, description := range Catalogue {
+		row := fmt.Sprintf("| %d | %s | %s |", number, strings.Replace(description.Level.String(), "warning", "warn", 1), description.Text)
 		assert.Assert(t, rows[row], "the docs lack %s", row)
 	}
 }
 
-func TestAnEventIsOneLineWithItsNumber(t *testing.T) {
+func TestLoggerWritesOneLinePerEvent(t *testing.T) {
 	var written bytes.Buffer
 	New(&written, "gateway-1", logrus.InfoLevel).Report(MemberLost, "member", "store-2")
 	var line map[string]any
--- a/internal/simulator/storm.go
+++ b/internal/simulator/storm.go
@@ -16,6 +16,7 @@
 	"dahlialock/internal/gateway"
 	"dahlialock/internal/logevent"
 	"dahlialock/internal/membership"
+	"dahlialock/internal/statemachine"
 )
 
 // Plot is what befalls a run: a storm, and the fault that ends it.
@@ -553,7 +554,7 @@
 }
 
 // note takes what daemons log as signs of a recovery's first two parts.
-func (c *Comeback) note(number int, after time.Duration) {
+func (c *Comeback) note(number statemachine.EventNumber, after time.Duration) {
 	switch number {
 	case logevent.MemberSuspected, logevent.TakeoverStarted, logevent.BackupLost, logevent.EpochRecovered:
 		if c.Noticed == 0 {
--- a/internal/statemachine/mutation.go
+++ b/internal/statemachine/mutation.go
@@ -1,19 +1,18 @@
 //go:build mutation
 
-// Mutations are mechanisms that a test takes away to see that the promise which
-// they keep is then broken, and that the checker sees it. This file is part of
-// builds with the tag mutation only, as the tests use it; a released daemon
-// holds none.
-
 package statemachine
 
+// mutation is the mechanism that the running test has switched off. Such tests are
+// built with the tag mutation only; they show that a promise breaks without the
+// mechanism that keeps it and that the checks notice. A released daemon has no way
+// to switch anything off.
 var mutation string
 
-// Mutated tells whether a mechanism has been taken away.
+// Mutated reports whether a mechanism is switched off.
 func Mutated(name string) bool { return mutation == name }
 
-// Mutate takes a mechanism away until the returned function is called. Tests
-// that use it run alone.
+// Mutate switches a mechanism off until restore is called. Tests that use it must
+// not run in parallel.
 func Mutate(name string) (restore func()) {
 	mutation = name
 	return func() { mutation = "" }
--- a/internal/statemachine/released.go
+++ b/internal/statemachine/released.go
@@ -1,9 +1,7 @@
 //go:build !mutation
 
-// In a released build every mechanism is there, and the compiler leaves out
-// whatever stood behind the question.
-
 package statemachine
 
-// Mutated tells whether a mechanism has been taken away: never.
+// Mutated reports whether a mechanism is switched off: never in a build without the
+// tag mutation, where the compiler removes the branches behind it.
 func Mutated(string) bool { return false }
--- a/internal/statemachine/order.go
+++ b/internal/statemachine/sorted.go
@@ -1,7 +1,3 @@
-// Iterators over snapshots of maps, in key order: the one way in which the
-// machines walk a map, so that equal inputs give equal effects and a walk may
-// change the map it walks.
-
 package statemachine
 
 import (
@@ -10,8 +6,9 @@
 	"slices"
 )
 
-// Sorted walks a copy of the map's keys in order, skipping those that are gone
-// by the time their turn comes.
+// Sorted iterates over a map in key order. Machines range over maps only in this
+// way, so that equal inputs give equal effects. The loop may change the map: keys
+// that were removed before their turn are skipped, added ones are not visited.
 func Sorted[Key cmp.Ordered, Value any](table map[Key]Value) iter.Seq2[Key, Value] {
 	return func(yield func(Key, Value) bool) {
 		keys := make([]Key, 0, len(table))
--- a/internal/statemachine/timers.go
+++ b/internal/statemachine/timers.go
@@ -1,7 +1,3 @@
-// Timers names the moments at which a machine wants to run again. Keys are
-// kept with their moment, and expired keys come out in order of moment and
-// then of key, so that a run never depends on the order of a map.
-
 package statemachine
 
 import (
@@ -11,8 +7,9 @@
 )
 
 // Timers is a small table of timers, at most one for each key. The owner of the
-// timers gives Key a type of its own. Among timers that expire at the same moment,
-// the order of the keys decides which comes first.
+// timers gives Key a type of its own. Timers expire in order of their moments, and
+// those of the same moment in order of their keys, so that a run never depends on
+// the order of a map.
 type Timers[Key cmp.Ordered] struct {
 	moments map[Key]time.Time
 }
@@ -22,12 +19,12 @@
 	return &Timers[Key]{moments: map[Key]time.Time{}}
 }
 
-// Arm sets the moment of a key, in place of an earlier one.
+// Arm sets the moment at which a key expires, replacing an earlier setting.
 func (t *Timers[Key]) Arm(key Key, at time.Time) {
 	t.moments[key] = at
 }
 
-// ArmSooner sets the moment unless an earlier one is already set.
+// ArmSooner sets the moment at which a key expires unless it expires sooner already.
 func (t *Timers[Key]) ArmSooner(key Key, at time.Time) {
 	if present, found := t.moments[key]; found && !at.Before(present) {
 		return
@@ -35,18 +32,18 @@
 	t.moments[key] = at
 }
 
-// Disarm forgets a key.
+// Disarm removes the timer of a key.
 func (t *Timers[Key]) Disarm(key Key) {
 	delete(t.moments, key)
 }
 
-// Armed tells whether a key waits.
+// Armed reports whether a key has a timer.
 func (t *Timers[Key]) Armed(key Key) bool {
 	_, found := t.moments[key]
 	return found
 }
 
-// Next is the earliest moment, or the zero time if none is armed.
+// Next returns the earliest moment, or the zero time if no timer is armed.
 func (t *Timers[Key]) Next() time.Time {
 	var next time.Time
 	for _, at := range t.moments {
@@ -57,7 +54,7 @@
 	return next
 }
 
-// Expired takes out and returns the keys that are due.
+// Expired removes the timers that are due at now and returns their keys.
 func (t *Timers[Key]) Expired(now time.Time) []Key {
 	var keys []Key
 	for key, at := range t.moments {
@@ -77,7 +74,7 @@
 	return keys
 }
 
-// Earliest is the first of several moments, leaving out zero times.
+// Earliest returns the earliest of several moments; zero times are left out.
 func Earliest(moments ...time.Time) time.Time {
 	var earliest time.Time
 	for _, at := range moments {
