--- a/internal/controller/apply.go
+++ b/internal/controller/apply.go
@@ -261,7 +261,7 @@
 	for _, name := range place.Followers {
 		holders = append(holders, s.Members[name].ReplicaID())
 	}
-	if !slices.Equal(holders, settled.Holders) {
+	if !slices.Equal(holders, settled.Replicas) {
 		return
 	}
 	place.Complete, place.InSync = true, holders
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -430,7 +430,7 @@
 	if !c.node.HoldsLease(now) || !c.copiesTo(told.Reporter, told.Name) && !statemachine.Mutated("any-reporter") {
 		return
 	}
-	if told.Sure {
+	if told.Measured {
 		c.believe(now, told)
 		return
 	}
--- a/internal/controller/forget_test.go
+++ b/internal/controller/forget_test.go
@@ -57,9 +57,9 @@
 		command := Command{Places: c.state.plan(configuration)}
 		moved := len(command.Places) > 0
 		for name, place := range statemachine.Sorted(c.state.Places) {
-			settled := membership.PartitionReplicated{Partition: name, Epoch: place.Epoch, Holders: []string{c.state.Members[place.Leader].ReplicaID()}}
+			settled := membership.PartitionReplicated{Partition: name, Epoch: place.Epoch, Replicas: []string{c.state.Members[place.Leader].ReplicaID()}}
 			for _, follower := range place.Followers {
-				settled.Holders = append(settled.Holders, c.state.Members[follower].ReplicaID())
+				settled.Replicas = append(settled.Replicas, c.state.Members[follower].ReplicaID())
 			}
 			if !place.Complete {
 				moved = true
--- a/internal/controller/stale_test.go
+++ b/internal/controller/stale_test.go
@@ -80,7 +80,7 @@
 		for _, follower := range place.Followers {
 			holders = append(holders, state.Members[follower].ReplicaID())
 		}
-		settled = append(settled, membership.PartitionReplicated{Partition: name, Epoch: place.Epoch, Holders: holders})
+		settled = append(settled, membership.PartitionReplicated{Partition: name, Epoch: place.Epoch, Replicas: holders})
 	}
 	return draft{Command{Settled: settled}, func(before, _ membership.Member) membership.Member { return before }}
 }
--- a/internal/controller/state_test.go
+++ b/internal/controller/state_test.go
@@ -41,9 +41,9 @@
 				}
 			case 2:
 				for name, place := range statemachine.Sorted(state.Places) {
-					settled := membership.PartitionReplicated{Partition: name, Epoch: place.Epoch, Holders: []string{state.Members[place.Leader].ReplicaID()}}
+					settled := membership.PartitionReplicated{Partition: name, Epoch: place.Epoch, Replicas: []string{state.Members[place.Leader].ReplicaID()}}
 					for _, follower := range place.Followers {
-						settled.Holders = append(settled.Holders, state.Members[follower].ReplicaID())
+						settled.Replicas = append(settled.Replicas, state.Members[follower].ReplicaID())
 					}
 					if random.IntN(2) == 0 {
 						command.Settled = append(command.Settled, settled)
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -202,7 +202,7 @@
 type PartitionReplicated struct {
 	Partition string   `cbor:"Partition"`
 	Epoch     uint64   `cbor:"Epoch"`
-	Holders   []string `cbor:"Holders"`
+	Replicas  []string `cbor:"Holders"`
 }
 
 // SlowDiskReport comes from a store that sees another one's disk, or its own, take far
@@ -212,8 +212,8 @@
 	Name        string        `cbor:"Name"`
 	Incarnation uint64        `cbor:"Incarnation"`
 	Delay       time.Duration `cbor:"Delay"`
-	// Sure is set for what the disk itself took; else the link may be at fault.
-	Sure bool `cbor:"Sure"`
+	// Measured is set for what the disk itself took; else the link may be at fault.
+	Measured bool `cbor:"Sure"`
 }
 
 // ControlRequest carries an operator's request on to the primary. Request names it
--- a/internal/partition/copy.go
+++ b/internal/partition/copy.go
@@ -325,7 +325,7 @@
 		for _, copied := range partition.copies {
 			holders = append(holders, copied.holder)
 		}
-		effects.Send(s.follower.Upstream(), membership.PartitionReplicated{Partition: name, Epoch: partition.place.Epoch, Holders: holders})
+		effects.Send(s.follower.Upstream(), membership.PartitionReplicated{Partition: name, Epoch: partition.place.Epoch, Replicas: holders})
 	}
 	if waits {
 		s.timers.ArmSooner("tell", now.Add(tellEvery))
--- a/internal/partition/lag.go
+++ b/internal/partition/lag.go
@@ -88,6 +88,6 @@
 	s.lagTold[name] = now
 	effects.Send(s.follower.Upstream(), membership.SlowDiskReport{
 		Reporter: s.settings.Self.Name, Name: name, Incarnation: member.Incarnation, Delay: max(delay, oldest),
-		Sure: slow || name == s.settings.Self.Name,
+		Measured: slow || name == s.settings.Self.Name,
 	})
 }
--- a/internal/partition/leave.go
+++ b/internal/partition/leave.go
@@ -44,7 +44,7 @@
 	}
 	s.timers.Arm("leave", now.Add(leaveEvery))
 	effects.Send(s.follower.Upstream(), membership.SlowDiskReport{
-		Reporter: s.settings.Self.Name, Name: s.settings.Self.Name, Incarnation: s.settings.Self.Incarnation, Sure: true,
+		Reporter: s.settings.Self.Name, Name: s.settings.Self.Name, Incarnation: s.settings.Self.Incarnation, Measured: true,
 	})
 }
 
