--- a/internal/membership/failure_detector.go
+++ b/internal/membership/failure_detector.go
@@ -1,9 +1,3 @@
-// A Pulse is one daemon's part in watching: it sends heartbeats to the few
-// watchers that the ring names, and where it is a watcher itself it tells the
-// primary whom it no longer hears. A watcher that was frozen does not blame the
-// others for its own silence: after a long gap in its own steps it begins to
-// listen anew.
-
 package membership
 
 import (
@@ -13,18 +7,24 @@
 	"dahlialock/internal/statemachine"
 )
 
-// Spans of watching.
+// Intervals and timeouts of failure detection.
 const (
+	// HeartbeatInterval is the pause between a member's heartbeats; a resting gateway's
+	// is twice as long. SuspectTimeout is how long a member may be silent.
 	HeartbeatInterval = 500 * time.Millisecond
 	SuspectTimeout    = 2 * time.Second
-	maxOwnPause       = time.Second
-	IsolationTimeout  = 2 * time.Second
-	// Stores hold what publications wait for, so their silence is noticed sooner.
+	// Publications wait for stores, so the silence of a store is noticed sooner.
 	StoreHeartbeatInterval = 200 * time.Millisecond
 	StoreSuspectTimeout    = 700 * time.Millisecond
+	// maxOwnPause is how long the detector itself may have paused without starting its
+	// timeouts anew.
+	maxOwnPause = time.Second
+	// IsolationTimeout is how long a daemon may hear no other before it counts itself as
+	// isolated.
+	IsolationTimeout = 2 * time.Second
 )
 
-// suspectTimeout is how long a member may be silent before a watcher tells of it.
+// suspectTimeout returns how long a member may be silent before its watchers report it.
 func suspectTimeout(member Member) time.Duration {
 	switch {
 	case member.Kind == KindStore:
@@ -35,151 +35,206 @@
 	return SuspectTimeout
 }
 
-// FailureDetector is the state machine.
+// detectorTimer names the timers of a FailureDetector.
+type detectorTimer int
+
+const timerStep detectorTimer = iota
+
+// FailureDetector is one daemon's part in failure detection. It sends heartbeats to the
+// members that the ring names as its watchers, and reports to the controllers those
+// members that it watches itself and no longer hears. It decides nothing. A detector
+// that was paused does not blame others for its own silence: after a long pause between
+// its own steps it starts all timeouts anew.
 type FailureDetector struct {
-	self            Member
-	view            map[string]Member
-	primary         string
-	index           uint64
-	watchers        []string
-	watched         map[string]time.Time
-	suspected       map[string]bool
+	self Member
+	// view, primary and index are those of the newest SetView.
+	view    map[string]Member
+	primary string
+	index   uint64
+	// watchers are the addresses to which heartbeats go.
+	watchers []string
+	// watched is when each watched member was heard last; suspected holds those that
+	// were logged as silent since then.
+	watched   map[string]time.Time
+	suspected map[string]bool
+	// watchesStore is set if any watched member is a store.
+	watchesStore bool
+	// heardAnyAt is when any other daemon was heard last.
+	heardAnyAt      time.Time
 	lastStep        time.Time
 	heartbeatSentAt time.Time
-	watches         bool
-	heardAnyAt      time.Time
-	timers          *statemachine.Timers[string]
 	resting         bool
+	timers          *statemachine.Timers[detectorTimer]
 }
 
-// NewFailureDetector makes the pulse of a daemon.
+// NewFailureDetector returns the detector of a daemon, without a view.
 func NewFailureDetector(self Member) *FailureDetector {
 	return &FailureDetector{
-		self: self, view: map[string]Member{}, watched: map[string]time.Time{},
-		suspected: map[string]bool{}, timers: statemachine.NewTimers[string](),
+		self:      self,
+		view:      map[string]Member{},
+		watched:   map[string]time.Time{},
+		suspected: map[string]bool{},
+		timers:    statemachine.NewTimers[detectorTimer](),
 	}
 }
 
-// Start begins the beat.
-func (p *FailureDetector) Start(now time.Time) {
-	p.lastStep, p.heardAnyAt = now, now
-	p.timers.Arm("beat", now)
+// Start sends the first heartbeat at the next Tick.
+func (d *FailureDetector) Start(now time.Time) {
+	d.lastStep, d.heardAnyAt = now, now
+	d.timers.Arm(timerStep, now)
 }
 
-// NextTick is when the pulse wants to run again.
-func (p *FailureDetector) NextTick() time.Time { return p.timers.Next() }
+// NextTick is when Tick is to be called next.
+func (d *FailureDetector) NextTick() time.Time { return d.timers.Next() }
 
-// SetResting slows the beat of a resting gateway, and quickens it when it wakes.
-func (p *FailureDetector) SetResting(now time.Time, resting bool) {
-	if p.resting == resting {
+// SetResting chooses the slow heartbeats of a resting gateway. A resting gateway
+// watches nobody.
+func (d *FailureDetector) SetResting(now time.Time, resting bool) {
+	if d.resting == resting {
 		return
 	}
-	p.resting = resting
-	p.timers.Arm("beat", now)
+	d.resting = resting
+	d.timers.Arm(timerStep, now)
 }
 
-// SetView follows a new view.
-func (p *FailureDetector) SetView(now time.Time, view map[string]Member, primary string, index uint64) {
+// SetView takes a new view. Members that stay watched keep their timeouts; those with a
+// new incarnation get new ones.
+func (d *FailureDetector) SetView(now time.Time, view map[string]Member, primary string, index uint64) {
 	ring := NewRing(view)
-	p.watchers = nil
-	for _, watcher := range ring.WatchersOf(p.self) {
-		p.watchers = append(p.watchers, watcher.Address)
+	d.watchers = nil
+	for _, watcher := range ring.WatchersOf(d.self) {
+		d.watchers = append(d.watchers, watcher.Address)
 	}
 	watched := map[string]time.Time{}
 	for name, member := range statemachine.Sorted(view) {
-		if !member.Alive || name == p.self.Name {
+		if !member.Alive || name == d.self.Name {
 			continue
 		}
 		for _, watcher := range ring.WatchersOf(member) {
-			if watcher.Name != p.self.Name {
+			if watcher.Name != d.self.Name {
 				continue
 			}
-			heard, found := p.watched[name]
-			if !found || p.view[name].Incarnation != member.Incarnation {
-				// A process that begins anew answers for its own silence only.
+			heard, found := d.watched[name]
+			if !found || d.view[name].Incarnation != member.Incarnation {
+				// A restarted process does not inherit the silence of the one before.
 				heard = now
-				delete(p.suspected, name)
+				delete(d.suspected, name)
 			}
 			watched[name] = heard
 		}
 	}
-	p.view, p.primary, p.index = view, primary, index
-	p.watched = watched
-	p.watches = false
+	d.view, d.primary, d.index = view, primary, index
+	d.watched = watched
+	d.watchesStore = false
 	for name := range watched {
-		p.watches = p.watches || view[name].Kind == KindStore
+		d.watchesStore = d.watchesStore || view[name].Kind == KindStore
 	}
 }
 
-// ReceiveFromPeer notes that another daemon was heard.
-func (p *FailureDetector) ReceiveFromPeer(now time.Time) { p.heardAnyAt = now }
+// ReceiveFromPeer is called for every message of another daemon, of whatever kind.
+func (d *FailureDetector) ReceiveFromPeer(now time.Time) { d.heardAnyAt = now }
 
-// Isolated tells whether this daemon has heard no other for a while.
-func (p *FailureDetector) Isolated(now time.Time) bool {
-	return now.Sub(p.heardAnyAt) > IsolationTimeout
+// Isolated reports whether this daemon has heard no other for IsolationTimeout.
+func (d *FailureDetector) Isolated(now time.Time) bool {
+	return now.Sub(d.heardAnyAt) > IsolationTimeout
 }
 
-// ReceiveHeartbeat takes a heartbeat.
-func (p *FailureDetector) ReceiveHeartbeat(now time.Time, beat Heartbeat) {
-	if _, found := p.watched[beat.Name]; found {
-		p.watched[beat.Name] = now
-		delete(p.suspected, beat.Name)
+// ReceiveHeartbeat takes a heartbeat of a watched member.
+func (d *FailureDetector) ReceiveHeartbeat(now time.Time, heartbeat Heartbeat) {
+	if _, found := d.watched[heartbeat.Name]; found {
+		d.watched[heartbeat.Name] = now
+		delete(d.suspected, heartbeat.Name)
 	}
 }
 
-// Tick runs the timers that expired.
-func (p *FailureDetector) Tick(now time.Time, effects *statemachine.Effects) {
-	for range p.timers.Expired(now) {
-		p.step(now, effects)
+// Tick sends heartbeats and reports silent members when they are due.
+func (d *FailureDetector) Tick(now time.Time, effects *statemachine.Effects) {
+	if len(d.timers.Expired(now)) > 0 {
+		d.step(now, effects)
 	}
 }
 
-func (p *FailureDetector) step(now time.Time, effects *statemachine.Effects) {
-	beatEvery := HeartbeatInterval
-	if p.resting {
-		beatEvery = 2 * HeartbeatInterval
+func (d *FailureDetector) step(now time.Time, effects *statemachine.Effects) {
+	interval, maxPause := d.stepInterval()
+	d.timers.Arm(timerStep, now.Add(interval))
+	if now.Sub(d.lastStep) > maxPause+interval {
+		d.restartTimeouts(now)
 	}
-	if p.self.Kind == KindStore {
-		beatEvery = StoreHeartbeatInterval
+	d.lastStep = now
+	d.sendHeartbeats(now, effects)
+	if d.resting {
+		return
 	}
-	every, gap := beatEvery, maxOwnPause
-	if p.watches && !p.resting {
-		// Who is to notice a short silence must not take its own for another's.
-		every, gap = StoreHeartbeatInterval, StoreSuspectTimeout/3
+	if silent := d.silentMembers(now, effects); len(silent) > 0 {
+		d.reportSilent(silent, effects)
 	}
-	p.timers.Arm("beat", now.Add(every))
-	if now.Sub(p.lastStep) > gap+every {
-		for name := range p.watched {
-			p.watched[name] = now
-		}
-		p.heardAnyAt = now
+}
+
+// heartbeatInterval returns the pause between this daemon's heartbeats.
+func (d *FailureDetector) heartbeatInterval() time.Duration {
+	switch {
+	case d.self.Kind == KindStore:
+		return StoreHeartbeatInterval
+	case d.resting:
+		return 2 * HeartbeatInterval
 	}
-	p.lastStep = now
-	if now.Sub(p.heartbeatSentAt) > beatEvery-StoreHeartbeatInterval/2 {
-		p.heartbeatSentAt = now
-		for _, address := range p.watchers {
-			effects.Send(address, Heartbeat{Name: p.self.Name, Incarnation: p.self.Incarnation, Index: p.index})
-		}
+	return HeartbeatInterval
+}
+
+// stepInterval returns the pause between steps, and how much longer a pause may have
+// been without being taken for one of this daemon's own. A daemon that watches stores
+// must notice a short silence, so it must notice short pauses of its own, too.
+func (d *FailureDetector) stepInterval() (interval, maxPause time.Duration) {
+	if d.watchesStore && !d.resting {
+		return StoreHeartbeatInterval, StoreSuspectTimeout / 3
 	}
-	if p.resting {
+	return d.heartbeatInterval(), maxOwnPause
+}
+
+func (d *FailureDetector) restartTimeouts(now time.Time) {
+	for name := range d.watched {
+		d.watched[name] = now
+	}
+	d.heardAnyAt = now
+}
+
+func (d *FailureDetector) sendHeartbeats(now time.Time, effects *statemachine.Effects) {
+	if now.Sub(d.heartbeatSentAt) <= d.heartbeatInterval()-StoreHeartbeatInterval/2 {
 		return
 	}
+	d.heartbeatSentAt = now
+	for _, address := range d.watchers {
+		effects.Send(address, Heartbeat{
+			Name:        d.self.Name,
+			Incarnation: d.self.Incarnation,
+			Index:       d.index,
+		})
+	}
+}
+
+// silentMembers returns the watched members whose timeouts have passed and logs those
+// that were heard until now.
+func (d *FailureDetector) silentMembers(now time.Time, effects *statemachine.Effects) []Suspect {
 	var silent []Suspect
-	for name, heard := range statemachine.Sorted(p.watched) {
-		member := p.view[name]
-		if silence := now.Sub(heard); silence > suspectTimeout(member) {
-			silent = append(silent, Suspect{Name: name, Incarnation: member.Incarnation, SilentFor: silence})
-			if !p.suspected[name] {
-				p.suspected[name] = true
-				effects.Emit(logevent.MemberSuspected, "member", name, "silence", silence.String())
-			}
+	for name, heardAt := range statemachine.Sorted(d.watched) {
+		member := d.view[name]
+		silentFor := now.Sub(heardAt)
+		if silentFor <= suspectTimeout(member) {
+			continue
+		}
+		silent = append(silent, Suspect{Name: name, Incarnation: member.Incarnation, SilentFor: silentFor})
+		if !d.suspected[name] {
+			d.suspected[name] = true
+			effects.Emit(logevent.MemberSuspected, "member", name, "silence", silentFor.String())
 		}
 	}
-	if len(silent) > 0 {
-		for _, member := range statemachine.Sorted(p.view) {
-			if member.Kind == KindController && member.Alive {
-				effects.Send(member.Address, Suspicion{Reporter: p.self.Name, Silent: silent})
-			}
+	return silent
+}
+
+func (d *FailureDetector) reportSilent(silent []Suspect, effects *statemachine.Effects) {
+	for _, member := range statemachine.Sorted(d.view) {
+		if member.Kind == KindController && member.Alive {
+			effects.Send(member.Address, Suspicion{Reporter: d.self.Name, Silent: silent})
 		}
 	}
 }
--- a/internal/membership/view_client.go
+++ b/internal/membership/view_client.go
@@ -1,9 +1,3 @@
-// A Follower keeps a daemon level with the control state: it asks with the
-// version that it has and is answered when there is news. It begins at the
-// seeds, learns the controllers from redirections and from the view, and goes round
-// them when one stays silent. Nothing older than what it holds is ever taken,
-// and the first answer counts only if it came fresh.
-
 package membership
 
 import (
@@ -14,222 +8,286 @@
 	"dahlialock/internal/statemachine"
 )
 
-// Spans of following.
+// Timeouts and intervals of the long polls.
 const (
+	// LongPollTimeout is how long the primary holds a request that has nothing newer to
+	// answer; LowPriorityLongPollTimeout applies to requests marked LowPriority.
 	LongPollTimeout            = 600 * time.Millisecond
 	LowPriorityLongPollTimeout = 1500 * time.Millisecond
+	// responseTimeout is how long a client waits for the response before it searches
+	// for the primary.
 	responseTimeout            = LongPollTimeout + 300*time.Millisecond
-	searchInterval             = 300 * time.Millisecond
-	// quickSearches are the searches with that pause; later ones pause for longer,
-	// since each answer takes a part of a link that may be why none came.
+	lowPriorityResponseTimeout = LowPriorityLongPollTimeout + 300*time.Millisecond
+	// searchInterval is the pause between the first quickSearches searches. Later ones
+	// pause longer, since each response takes up part of a link, which may be why none
+	// arrived.
+	searchInterval     = 300 * time.Millisecond
 	quickSearches      = 4
 	slowSearchInterval = 900 * time.Millisecond
-	// maxOutstanding bounds the questions whose answers still count.
-	maxOutstanding             = 16
-	lowPriorityResponseTimeout = LowPriorityLongPollTimeout + 300*time.Millisecond
-	MaxFirstViewAge            = time.Second
-	ConfirmationTimeout        = 2500 * time.Millisecond
+	// minPollInterval bounds how often PollNow has an effect.
+	minPollInterval = 50 * time.Millisecond
+	// maxOutstanding bounds the requests whose responses still count.
+	maxOutstanding = 16
+	// MaxFirstViewAge is how old the request may be whose response brings the first view.
+	MaxFirstViewAge = time.Second
+	// ConfirmationTimeout is how long after a request was sent its response confirms that
+	// the configuration is the newest.
+	ConfirmationTimeout = 2500 * time.Millisecond
+)
+
+// viewTimer names the timers of a ViewClient.
+type viewTimer int
+
+// The timers, in the order in which they expire at the same moment.
+const (
+	timerPoll viewTimer = iota
+	timerResponse
 )
 
-// ViewClient is the state machine.
+// ViewClient keeps a daemon's copy of the view and the configuration up to date. It is
+// a state machine: its owner passes it ViewUpdates and Redirects and calls Tick. It
+// begins at the seeds, learns the controllers from redirects and from the view, and
+// asks all of them while the primary does not respond. It never takes a state older
+// than what it has.
 type ViewClient struct {
-	self           Member
+	self Member
+	// seeds are the addresses to begin at; controllers those of the controllers known.
 	seeds          []string
 	controllers    []string
 	nextController int
-	primary        string
-	nonce          uint64
-	lastAnswered   uint64
-	polledAt       time.Time
-	outstanding    []viewRequest
-	searches       int
-	waiting        bool
-	lowPriority    bool
-	pinned         bool
-	searching      bool
-	urgent         bool
-	Index          uint64
-	Version        uint64
-	Epoch          uint64
-	Document       []byte
+	// primary is the address of the primary, empty if unknown.
+	primary string
+	// nonce is that of the newest request, lastAnswered the newest that was answered.
+	nonce        uint64
+	lastAnswered uint64
+	// polledAt is when the newest request was sent; waiting is set until its response.
+	polledAt time.Time
+	waiting  bool
+	// outstanding are the newest requests, oldest first, at most maxOutstanding.
+	outstanding []viewRequest
+	// searching is set while the primary does not respond; searches counts the polls
+	// since then.
+	searching bool
+	searches  int
+	// lowPriority asks for longer polls, urgent for an immediate response.
+	lowPriority bool
+	urgent      bool
+	// pinned restricts polls to the first seed.
+	pinned bool
+	load   func() Load
+	timers *statemachine.Timers[viewTimer]
+
+	// Index, Epoch and Version are those of the view, of the controllers that gave it
+	// and of the configuration. They never decrease. Index is zero without a view.
+	Index   uint64
+	Version uint64
+	Epoch   uint64
+	// Document is the configuration of that Version as the operator sent it.
+	Document []byte
+	// SpaceCreatedAt is the index at which each space was created.
 	SpaceCreatedAt map[string]uint64
-	Members        map[string]Member
-	Placements     map[string]Placement
-	Directives     Directives
-	ConfirmedAt    time.Time
-	load           func() Load
-	timers         *statemachine.Timers[string]
+	// Members and Placements are the view. They are replaced, never changed in place.
+	Members    map[string]Member
+	Placements map[string]Placement
+	Directives Directives
+	// ConfirmedAt is when the newest answered request was sent: at that moment the view
+	// and the configuration were the newest.
+	ConfirmedAt time.Time
 }
 
-// viewRequest is one that was asked, and when.
+// viewRequest is a request whose response still counts.
 type viewRequest struct {
 	nonce  uint64
 	sentAt time.Time
 }
 
-// NewViewClient makes a follower that asks the given seeds first. Life names this run
-// of the process.
-func NewViewClient(self Member, life statemachine.Incarnation, seeds []string, load func() Load) *ViewClient {
+// NewViewClient returns a client that asks the given seeds first. The load function is
+// called for every request.
+func NewViewClient(
+	self Member,
+	incarnation statemachine.Incarnation,
+	seeds []string,
+	load func() Load,
+) *ViewClient {
 	return &ViewClient{
-		self: self, nonce: life.FirstRequestNumber(), seeds: seeds, controllers: seeds, load: load, searching: true,
-		Members: map[string]Member{}, Placements: map[string]Placement{}, timers: statemachine.NewTimers[string](),
+		self:        self,
+		nonce:       incarnation.FirstRequestNumber(),
+		seeds:       seeds,
+		controllers: seeds,
+		load:        load,
+		searching:   true,
+		timers:      statemachine.NewTimers[viewTimer](),
+		Members:     map[string]Member{},
+		Placements:  map[string]Placement{},
 	}
 }
 
-// Start begins asking.
-func (f *ViewClient) Start(now time.Time) { f.timers.Arm("ask", now) }
+// Start sends the first request at the next Tick.
+func (c *ViewClient) Start(now time.Time) { c.timers.Arm(timerPoll, now) }
 
-// NextTick is when the follower wants to run again.
-func (f *ViewClient) NextTick() time.Time { return f.timers.Next() }
+// NextTick is when Tick is to be called next.
+func (c *ViewClient) NextTick() time.Time { return c.timers.Next() }
 
-// PinToFirstSeed lets the follower ask its first seed only, as a gateway asks its agent.
-func (f *ViewClient) PinToFirstSeed() { f.pinned = true }
+// PinToFirstSeed restricts the client to its first seed: a gateway asks its agent only.
+func (c *ViewClient) PinToFirstSeed() { c.pinned = true }
 
-// Primary is the primary's address, as far as it is known.
-func (f *ViewClient) Primary() string { return f.primary }
+// Primary returns the primary's address, or an empty string if it is unknown.
+func (c *ViewClient) Primary() string { return c.primary }
 
-// Upstream is the address that is presently asked.
-func (f *ViewClient) Upstream() string {
-	if f.pinned {
-		return f.seeds[0]
+// Upstream returns the address to which a request goes first; empty if none is known.
+func (c *ViewClient) Upstream() string {
+	if c.pinned {
+		return c.seeds[0]
 	}
-	if f.primary != "" {
-		return f.primary
+	if c.primary != "" {
+		return c.primary
 	}
-	if len(f.controllers) == 0 {
+	if len(c.controllers) == 0 {
 		return ""
 	}
-	return f.controllers[f.nextController%len(f.controllers)]
+	return c.controllers[c.nextController%len(c.controllers)]
 }
 
-// SetLowPriority makes the follower content with slower answers, as a resting
-// gateway is.
-func (f *ViewClient) SetLowPriority(now time.Time, patient bool) {
-	if f.lowPriority != patient {
-		f.lowPriority = patient
-		f.timers.Arm("ask", now)
+// SetLowPriority chooses between long and short polls; a resting gateway takes long ones.
+func (c *ViewClient) SetLowPriority(now time.Time, lowPriority bool) {
+	if c.lowPriority != lowPriority {
+		c.lowPriority = lowPriority
+		c.timers.Arm(timerPoll, now)
 	}
 }
 
-// PollNow asks at once.
-func (f *ViewClient) PollNow(now time.Time) {
-	if f.waiting && now.Sub(f.polledAt) < 50*time.Millisecond {
+// PollNow sends a request at the next Tick and asks for an immediate response, unless one
+// was sent just now.
+func (c *ViewClient) PollNow(now time.Time) {
+	if c.waiting && now.Sub(c.polledAt) < minPollInterval {
 		return
 	}
-	f.urgent = true
-	f.timers.Arm("ask", now)
+	c.urgent = true
+	c.timers.Arm(timerPoll, now)
 }
 
-// Tick runs the timers that expired.
-func (f *ViewClient) Tick(now time.Time, effects *statemachine.Effects) {
-	for _, key := range f.timers.Expired(now) {
+// Tick runs the timers that are due.
+func (c *ViewClient) Tick(now time.Time, effects *statemachine.Effects) {
+	for _, key := range c.timers.Expired(now) {
 		switch key {
-		case "ask":
-			f.poll(now, effects)
-		case "limit":
-			f.waiting = false
-			f.searching = true
-			f.poll(now, effects)
+		case timerPoll:
+			c.poll(now, effects)
+		case timerResponse:
+			c.waiting = false
+			c.searching = true
+			c.poll(now, effects)
 		}
 	}
 }
 
-func (f *ViewClient) poll(now time.Time, effects *statemachine.Effects) {
-	f.nonce++
-	f.polledAt, f.waiting = now, true
-	f.recordRequest(viewRequest{nonce: f.nonce, sentAt: now})
-	limit := f.requestTimeout()
-	f.timers.Disarm("ask")
-	f.timers.Arm("limit", now.Add(limit))
-	for _, address := range f.Upstreams() {
-		f.sendRequest(address, effects)
+func (c *ViewClient) poll(now time.Time, effects *statemachine.Effects) {
+	c.nonce++
+	c.polledAt, c.waiting = now, true
+	c.recordRequest(viewRequest{nonce: c.nonce, sentAt: now})
+	timeout := c.requestTimeout()
+	c.timers.Disarm(timerPoll)
+	c.timers.Arm(timerResponse, now.Add(timeout))
+	for _, address := range c.Upstreams() {
+		c.sendRequest(address, effects)
 	}
 }
 
-// requestTimeout is how long the question that is asked now may stay without an answer
-// before it is asked anew.
-func (f *ViewClient) requestTimeout() time.Duration {
-	if f.searching {
-		f.searches++
-		if f.searches > quickSearches {
+// requestTimeout returns how long to wait for the response to a request that is sent now
+// before another is sent. It counts searches.
+func (c *ViewClient) requestTimeout() time.Duration {
+	if c.searching {
+		c.searches++
+		if c.searches > quickSearches {
 			return slowSearchInterval
 		}
 		return searchInterval
 	}
-	return f.responseTimeout()
+	return c.responseTimeout()
 }
 
-// responseTimeout is how long an answer may take while the primary is known.
-func (f *ViewClient) responseTimeout() time.Duration {
-	if f.lowPriority {
+// responseTimeout returns how long a response may take while the primary is known.
+func (c *ViewClient) responseTimeout() time.Duration {
+	if c.lowPriority {
 		return lowPriorityResponseTimeout
 	}
 	return responseTimeout
 }
 
-// recordRequest keeps a question, so that its answer counts also if another was asked
-// meanwhile: on a full link answers take longer than the pause between questions,
-// and a follower that only heard the newest one's would never hear any.
-func (f *ViewClient) recordRequest(asked viewRequest) {
-	if len(f.outstanding) == maxOutstanding {
-		f.outstanding = slices.Delete(f.outstanding, 0, 1)
+// recordRequest remembers a request, so that its response counts although a later
+// request was sent: on a full link responses take longer than the pause between
+// requests, and a client that accepted the newest response only would never get one.
+func (c *ViewClient) recordRequest(request viewRequest) {
+	if len(c.outstanding) == maxOutstanding {
+		c.outstanding = slices.Delete(c.outstanding, 0, 1)
 	}
-	f.outstanding = append(f.outstanding, asked)
+	c.outstanding = append(c.outstanding, request)
 }
 
-// requestedAt tells when the question was asked that news answer.
-func (f *ViewClient) requestedAt(news ViewUpdate) (time.Time, bool) {
-	for _, asked := range f.outstanding {
-		if asked.nonce == news.Nonce && (asked.nonce == f.nonce || !statemachine.Mutated("late-answers-unheard")) {
-			return asked.sentAt, true
+// requestedAt returns when the request was sent to which an update responds; false if
+// no outstanding request has its nonce.
+func (c *ViewClient) requestedAt(update ViewUpdate) (time.Time, bool) {
+	for _, request := range c.outstanding {
+		if request.nonce != update.Nonce {
+			continue
+		}
+		if request.nonce == c.nonce || !statemachine.Mutated("late-answers-unheard") {
+			return request.sentAt, true
 		}
 	}
 	return time.Time{}, false
 }
 
-// maxFirstViewAge is how old the question may be whose answer brings the first view. What a
-// gateway may do on a view follows from when it asked, and an agent does nothing on
-// it; both are many, behind thin links, and a whole view takes its time there.
-func (f *ViewClient) maxFirstViewAge() time.Duration {
-	if (f.self.Kind == KindGateway || f.self.Kind == KindAgent) && !statemachine.Mutated("late-answers-unheard") {
+// maxFirstViewAge returns how old the request may be whose response brings the first
+// view. What a gateway may do with a view depends on when it asked, and an agent does
+// nothing with it; there are many of both, behind thin links, on which a complete view
+// takes long.
+func (c *ViewClient) maxFirstViewAge() time.Duration {
+	if (c.self.Kind == KindGateway || c.self.Kind == KindAgent) && !statemachine.Mutated("late-answers-unheard") {
 		return ConfirmationTimeout
 	}
 	return MaxFirstViewAge
 }
 
-// recordResponse notes an answer. One to an earlier question tells that answers take
-// long, and lets the newest question wait for its own.
-func (f *ViewClient) recordResponse(now time.Time, nonce uint64) {
-	searched := f.searching
-	f.searching, f.searches = false, 0
-	if nonce == f.nonce {
-		f.waiting, f.urgent = false, false
-		f.timers.Disarm("limit")
-		f.timers.Arm("ask", now)
-	} else if searched && f.waiting {
-		f.timers.Arm("limit", f.polledAt.Add(f.responseTimeout()))
+// recordResponse ends the search for the primary. The response to the newest request
+// lets the next one go out; one to an earlier request shows that responses take long,
+// and gives the newest request its full time.
+func (c *ViewClient) recordResponse(now time.Time, nonce uint64) {
+	wasSearching := c.searching
+	c.searching, c.searches = false, 0
+	if nonce == c.nonce {
+		c.waiting, c.urgent = false, false
+		c.timers.Disarm(timerResponse)
+		c.timers.Arm(timerPoll, now)
+	} else if wasSearching && c.waiting {
+		c.timers.Arm(timerResponse, c.polledAt.Add(c.responseTimeout()))
 	}
 }
 
-func (f *ViewClient) sendRequest(address string, effects *statemachine.Effects) {
+func (c *ViewClient) sendRequest(address string, effects *statemachine.Effects) {
 	effects.Send(address, ViewRequest{
-		Self: f.self, Nonce: f.nonce, Index: f.Index, Version: f.Version,
-		Load: f.load(), LowPriority: f.lowPriority, Urgent: f.searching || f.urgent,
-		Epoch: f.Epoch, LastAnswered: f.lastAnswered,
+		Self:         c.self,
+		Nonce:        c.nonce,
+		Index:        c.Index,
+		Version:      c.Version,
+		Load:         c.load(),
+		LowPriority:  c.lowPriority,
+		Urgent:       c.searching || c.urgent,
+		Epoch:        c.Epoch,
+		LastAnswered: c.lastAnswered,
 	})
 }
 
-// Upstreams are the addresses that are presently asked: the primary, or while
-// it is being looked for all controllers that are known.
-func (f *ViewClient) Upstreams() []string {
-	if f.pinned {
-		return f.seeds[:1]
+// Upstreams returns the addresses to which a request goes: the primary or, while the
+// client searches for it, all known controllers and the seeds.
+func (c *ViewClient) Upstreams() []string {
+	if c.pinned {
+		return c.seeds[:1]
 	}
-	if f.primary != "" && !f.searching {
-		return []string{f.primary}
+	if c.primary != "" && !c.searching {
+		return []string{c.primary}
 	}
-	addresses := append([]string(nil), f.controllers...)
-	for _, seed := range f.seeds {
+	addresses := append([]string(nil), c.controllers...)
+	for _, seed := range c.seeds {
 		if !slices.Contains(addresses, seed) {
 			addresses = append(addresses, seed)
 		}
@@ -237,139 +295,152 @@
 	return addresses
 }
 
-// HandleRedirect learns from a controller that is not primary. A primary that it names
-// and that was not asked yet is asked at once. Once the primary has answered the same
-// question, what the others say of it is of no use.
-func (f *ViewClient) HandleRedirect(now time.Time, redirect Redirect, effects *statemachine.Effects) {
-	if redirect.Nonce != f.nonce || !f.waiting {
+// HandleRedirect takes the response of a controller that is not the primary. If it names
+// a primary that was not asked yet, the request goes there at once. Redirects that
+// arrive after the primary's own response are ignored.
+func (c *ViewClient) HandleRedirect(now time.Time, redirect Redirect, effects *statemachine.Effects) {
+	if redirect.Nonce != c.nonce || !c.waiting {
 		return
 	}
-	asked := f.Upstreams()
-	f.learnControllers(redirect.Controllers)
-	if f.pinned {
+	upstreams := c.Upstreams()
+	c.learnControllers(redirect.Controllers)
+	if c.pinned {
 		return
 	}
-	if !f.searching {
-		f.searching = true
-		f.timers.Arm("limit", now.Add(searchInterval/3))
+	if !c.searching {
+		c.searching = true
+		c.timers.Arm(timerResponse, now.Add(searchInterval/3))
 	}
-	if redirect.Primary != "" && !slices.Contains(asked, redirect.Primary) {
-		f.sendRequest(redirect.Primary, effects)
+	if redirect.Primary != "" && !slices.Contains(upstreams, redirect.Primary) {
+		c.sendRequest(redirect.Primary, effects)
 	}
 }
 
-func (f *ViewClient) learnControllers(addresses []string) {
+func (c *ViewClient) learnControllers(addresses []string) {
 	for _, address := range addresses {
-		if !slices.Contains(f.controllers, address) {
-			f.controllers = append(slices.Clone(f.controllers), address)
+		if !slices.Contains(c.controllers, address) {
+			c.controllers = append(slices.Clone(c.controllers), address)
 		}
 	}
 }
 
-// UpdateResult says what changed with a piece of news.
+// UpdateResult reports what an update changed.
 type UpdateResult struct {
+	// Answered is set if it was the response to a request of this client.
 	Answered bool
+	// View and Document are set if the view or the configuration is newer now.
 	View     bool
 	Document bool
 }
 
-// HandleUpdate takes news that is not older than what is held.
-func (f *ViewClient) HandleUpdate(now time.Time, news ViewUpdate) UpdateResult {
-	if news.Nonce <= f.nonce {
-		f.lastAnswered = max(f.lastAnswered, news.Nonce)
+// HandleUpdate applies an update unless it is older than what the client has.
+func (c *ViewClient) HandleUpdate(now time.Time, update ViewUpdate) UpdateResult {
+	if update.Nonce <= c.nonce {
+		c.lastAnswered = max(c.lastAnswered, update.Nonce)
 	}
-	if news.Epoch < f.Epoch || news.Index < f.Index || news.Version < f.Version {
+	if update.Epoch < c.Epoch || update.Index < c.Index || update.Version < c.Version {
 		return UpdateResult{}
 	}
-	var taken UpdateResult
-	askedAt, mine := f.requestedAt(news)
-	if mine {
-		f.recordResponse(now, news.Nonce)
-		taken.Answered = true
+	var result UpdateResult
+	requestedAt, known := c.requestedAt(update)
+	if known {
+		c.recordResponse(now, update.Nonce)
+		result.Answered = true
 	}
-	if f.Index == 0 && (!taken.Answered || now.Sub(askedAt) > f.maxFirstViewAge()) {
-		return taken
+	if c.Index == 0 && (!result.Answered || now.Sub(requestedAt) > c.maxFirstViewAge()) {
+		return result
 	}
-	if taken.Answered && askedAt.After(f.ConfirmedAt) {
-		f.ConfirmedAt = askedAt
+	if result.Answered && requestedAt.After(c.ConfirmedAt) {
+		c.ConfirmedAt = requestedAt
 	}
-	f.primary = news.Primary
-	f.Epoch = news.Epoch
-	f.Directives = news.Directives
-	if news.Version > f.Version && news.Document != nil {
-		f.Version, f.Document = news.Version, news.Document
-		taken.Document = true
+	c.primary = update.Primary
+	c.Epoch = update.Epoch
+	c.Directives = update.Directives
+	if update.Version > c.Version && update.Document != nil {
+		c.Version, c.Document = update.Version, update.Document
+		result.Document = true
 	}
-	if news.Changed && news.Index > f.Index && f.Index >= news.Since {
-		f.applyView(news)
-		taken.View = true
+	if update.Changed && update.Index > c.Index && c.Index >= update.Since {
+		c.applyView(update)
+		result.View = true
 	}
-	return taken
+	return result
 }
 
-// applyView replaces the view, or what changed of it.
-func (f *ViewClient) applyView(news ViewUpdate) {
-	f.Index = news.Index
-	if news.Since == 0 || news.SpaceCreatedAt != nil {
-		f.SpaceCreatedAt = news.SpaceCreatedAt
+// applyView replaces the view, or the part of it that changed.
+func (c *ViewClient) applyView(update ViewUpdate) {
+	c.Index = update.Index
+	if update.Since == 0 || update.SpaceCreatedAt != nil {
+		c.SpaceCreatedAt = update.SpaceCreatedAt
 	}
-	members, places := make(map[string]Member, len(news.Members)), make(map[string]Placement, len(news.Placements))
-	if news.Since > 0 {
-		members, places = maps.Clone(f.Members), maps.Clone(f.Placements)
+	members := make(map[string]Member, len(update.Members))
+	placements := make(map[string]Placement, len(update.Placements))
+	if update.Since > 0 {
+		members, placements = maps.Clone(c.Members), maps.Clone(c.Placements)
 	}
-	for _, name := range news.RemovedMembers {
+	for _, name := range update.RemovedMembers {
 		delete(members, name)
 	}
-	for _, member := range news.Members {
+	for _, member := range update.Members {
 		members[member.Name] = member
 	}
-	for _, place := range news.Placements {
-		places[place.Partition] = place
+	for _, placement := range update.Placements {
+		placements[placement.Partition] = placement
 	}
-	f.Members, f.Placements, f.controllers = members, places, nil
+	c.Members, c.Placements, c.controllers = members, placements, nil
 	for _, member := range statemachine.Sorted(members) {
 		if member.Kind == KindController && member.Alive {
-			f.controllers = append(f.controllers, member.Address)
+			c.controllers = append(c.controllers, member.Address)
 		}
 	}
-	if len(f.controllers) == 0 {
-		f.controllers = f.seeds
+	if len(c.controllers) == 0 {
+		c.controllers = c.seeds
 	}
 }
 
-// AdoptConfiguration takes a configuration that another daemon had sooner.
-func (f *ViewClient) AdoptConfiguration(version uint64, document []byte, births map[string]uint64) bool {
-	if version <= f.Version || f.Index == 0 {
+// AdoptConfiguration takes a newer configuration from a daemon that had it sooner; it
+// reports whether it was newer.
+func (c *ViewClient) AdoptConfiguration(version uint64, document []byte, spaceCreatedAt map[string]uint64) bool {
+	if version <= c.Version || c.Index == 0 {
 		return false
 	}
-	f.Version, f.Document, f.SpaceCreatedAt = version, document, births
+	c.Version, c.Document, c.SpaceCreatedAt = version, document, spaceCreatedAt
 	return true
 }
 
-// NextController names another controller to try than the one presently asked.
-func (f *ViewClient) NextController() string {
-	if len(f.controllers) == 0 {
-		return f.Upstream()
+// NextController returns the address of another controller than the one asked last.
+func (c *ViewClient) NextController() string {
+	if len(c.controllers) == 0 {
+		return c.Upstream()
 	}
-	f.nextController++
-	return f.controllers[f.nextController%len(f.controllers)]
+	c.nextController++
+	return c.controllers[c.nextController%len(c.controllers)]
 }
 
-// Relays are the addresses of living agents, which carry requests to controllers:
-// they may reach one that this daemon has lost.
-func (f *ViewClient) Relays() []string {
+// Relays returns the addresses of live agents, which forward operators' requests: they
+// may reach a controller that this daemon cannot.
+func (c *ViewClient) Relays() []string {
 	var addresses []string
-	for _, member := range statemachine.Sorted(f.Members) {
-		if member.Kind == KindAgent && member.Alive && member.Name != f.self.Name {
+	for _, member := range statemachine.Sorted(c.Members) {
+		if member.Kind == KindAgent && member.Alive && member.Name != c.self.Name {
 			addresses = append(addresses, member.Address)
 		}
 	}
 	return addresses
 }
 
-// RespondToConfigurationRequest gives a daemon that asks a configuration newer than its own.
-func (f *ViewClient) RespondToConfigurationRequest(to string, ask ConfigurationRequest, effects *statemachine.Effects) {
-	if f.Version > ask.Version {
-		effects.Send(to, ConfigurationResponse{Version: f.Version, Document: f.Document, SpaceCreatedAt: f.SpaceCreatedAt})
+// RespondToConfigurationRequest sends the configuration to a daemon that has an older one.
+func (c *ViewClient) RespondToConfigurationRequest(
+	to string,
+	request ConfigurationRequest,
+	effects *statemachine.Effects,
+) {
+	if c.Version <= request.Version {
+		return
 	}
+	effects.Send(to, ConfigurationResponse{
+		Version:        c.Version,
+		Document:       c.Document,
+		SpaceCreatedAt: c.SpaceCreatedAt,
+	})
 }
