--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -204,7 +204,7 @@
 	}
 	taken := a.follower.HandleUpdate(now, news)
 	if taken.View {
-		a.pulse.SetView(now, a.follower.Members, a.follower.Upstream(), a.follower.Index)
+		a.pulse.SetView(now, a.follower.Members, a.follower.Index)
 	}
 }
 
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -228,7 +228,7 @@
 		c.onAsk(now, meta.From, body, effects)
 	case membership.ViewUpdate:
 		if taken := c.follower.HandleUpdate(now, body); taken.View {
-			c.pulse.SetView(now, c.follower.Members, c.follower.Upstream(), c.follower.Index)
+			c.pulse.SetView(now, c.follower.Members, c.follower.Index)
 		}
 	case membership.Redirect:
 		c.follower.HandleRedirect(now, body, effects)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -430,7 +430,7 @@
 }
 
 func (g *Gateway) viewed(now time.Time, effects *statemachine.Effects) {
-	g.pulse.SetView(now, g.follower.Members, g.follower.Upstream(), g.follower.Index)
+	g.pulse.SetView(now, g.follower.Members, g.follower.Index)
 	others := map[string]overlay.Gateway{}
 	for name, member := range statemachine.Sorted(g.follower.Members) {
 		if name == g.settings.Self.Name {
--- a/internal/membership/failure_detector.go
+++ b/internal/membership/failure_detector.go
@@ -47,10 +47,9 @@
 // its own steps it starts all timeouts anew.
 type FailureDetector struct {
 	self Member
-	// view, primary and index are those of the newest SetView.
-	view    map[string]Member
-	primary string
-	index   uint64
+	// view and index are those of the newest SetView.
+	view  map[string]Member
+	index uint64
 	// watchers are the addresses to which heartbeats go.
 	watchers []string
 	// watched is when each watched member was heard last; suspected holds those that
@@ -99,7 +98,7 @@
 
 // SetView takes a new view. Members that stay watched keep their timeouts; those with a
 // new incarnation get new ones.
-func (d *FailureDetector) SetView(now time.Time, view map[string]Member, primary string, index uint64) {
+func (d *FailureDetector) SetView(now time.Time, view map[string]Member, index uint64) {
 	ring := NewRing(view)
 	d.watchers = nil
 	for _, watcher := range ring.WatchersOf(d.self) {
@@ -123,7 +122,7 @@
 			watched[name] = heard
 		}
 	}
-	d.view, d.primary, d.index = view, primary, index
+	d.view, d.index = view, index
 	d.watched = watched
 	d.watchesStore = false
 	for name := range watched {
--- a/internal/membership/failure_detector_test.go
+++ b/internal/membership/failure_detector_test.go
@@ -1,5 +1,3 @@
-// A watcher tells of a silent store sooner than of anybody else, and of nobody
-// while it was silent itself.
 package membership
 
 import (
@@ -11,26 +9,33 @@
 	"dahlialock/internal/statemachine"
 )
 
-// watching is a pulse that watches one member of a kind, and when it first told.
-func watching(kind string) (*FailureDetector, time.Time) {
+// newWatchingDetector returns a detector that watches one member of the given kind, named
+// "other", and the moment of its start.
+func newWatchingDetector(kind string) (*FailureDetector, time.Time) {
 	now := time.Unix(1000, 0)
 	self := Member{Name: "gateway-1", Kind: KindGateway, Address: "a:1", Zone: "east", Alive: true, Incarnation: 1}
-	pulse := NewFailureDetector(self)
-	pulse.Start(now)
-	pulse.SetView(now, map[string]Member{
+	detector := NewFailureDetector(self)
+	detector.Start(now)
+	detector.SetView(now, map[string]Member{
 		self.Name:      self,
 		"other":        {Name: "other", Kind: kind, Address: "b:1", Zone: "west", Alive: true, Incarnation: 1},
 		"controller-1": {Name: "controller-1", Kind: KindController, Address: "c:1", Zone: "west", Alive: true, Incarnation: 1},
-	}, "c:1", 1)
-	return pulse, now
+	}, 1)
+	return detector, now
 }
 
-// told runs the pulse's own steps until it tells of the other, or a limit.
-func told(pulse *FailureDetector, from time.Time, limit time.Duration, hear func(now time.Time)) time.Duration {
-	for now := pulse.NextTick(); now.Sub(from) <= limit; now = pulse.NextTick() {
-		hear(now)
+// suspectedAfter ticks the detector until it reports the member other and returns how long
+// that took; zero if it does not within the timeout. Before each tick it calls receive.
+func suspectedAfter(
+	detector *FailureDetector,
+	from time.Time,
+	timeout time.Duration,
+	receive func(now time.Time),
+) time.Duration {
+	for now := detector.NextTick(); now.Sub(from) <= timeout; now = detector.NextTick() {
+		receive(now)
 		var effects statemachine.Effects
-		pulse.Tick(now, &effects)
+		detector.Tick(now, &effects)
 		for _, send := range effects.Sends {
 			if suspicion, matches := send.Message.(Suspicion); matches && suspicion.Silent[0].Name == "other" {
 				return now.Sub(from)
@@ -40,58 +45,63 @@
 	return 0
 }
 
-func TestASilentStoreIsNoticedSooner(t *testing.T) {
+func TestFailureDetectorSuspectsSilentStoreSooner(t *testing.T) {
 	for kind, span := range map[string][2]time.Duration{
 		KindStore:   {StoreSuspectTimeout, StoreSuspectTimeout + 2*StoreHeartbeatInterval},
 		KindGateway: {SuspectTimeout, SuspectTimeout + 2*HeartbeatInterval},
 	} {
-		pulse, now := watching(kind)
-		pulse.ReceiveHeartbeat(now, Heartbeat{Name: "controller-1"})
-		after := told(pulse, now, 5*time.Second, func(now time.Time) { pulse.ReceiveHeartbeat(now, Heartbeat{Name: "controller-1"}) })
+		detector, now := newWatchingDetector(kind)
+		detector.ReceiveHeartbeat(now, Heartbeat{Name: "controller-1"})
+		after := suspectedAfter(detector, now, 5*time.Second, func(now time.Time) {
+			detector.ReceiveHeartbeat(now, Heartbeat{Name: "controller-1"})
+		})
 		assert.Assert(t, after > span[0] && after <= span[1], "%s: %s", kind, after)
 	}
 }
 
-func TestABeatingStoreIsNotSuspected(t *testing.T) {
-	pulse, now := watching(KindStore)
-	after := told(pulse, now, 10*time.Second, func(now time.Time) {
-		pulse.ReceiveHeartbeat(now, Heartbeat{Name: "controller-1"})
-		pulse.ReceiveHeartbeat(now, Heartbeat{Name: "other"})
+func TestFailureDetectorTrustsStoreThatSendsHeartbeats(t *testing.T) {
+	detector, now := newWatchingDetector(KindStore)
+	after := suspectedAfter(detector, now, 10*time.Second, func(now time.Time) {
+		detector.ReceiveHeartbeat(now, Heartbeat{Name: "controller-1"})
+		detector.ReceiveHeartbeat(now, Heartbeat{Name: "other"})
 	})
 	assert.Equal(t, after, time.Duration(0))
 }
 
-func TestAWatcherThatWasStalledBlamesNobody(t *testing.T) {
-	pulse, now := watching(KindStore)
+func TestFailureDetectorSuspectsNobodyAfterOwnPause(t *testing.T) {
+	detector, now := newWatchingDetector(KindStore)
 	var effects statemachine.Effects
-	pulse.Tick(now, &effects)
-	for stall := StoreHeartbeatInterval + StoreSuspectTimeout/3 + time.Millisecond; stall < 3*time.Second; stall += 100 * time.Millisecond {
-		now = now.Add(stall)
+	detector.Tick(now, &effects)
+	for pause := StoreHeartbeatInterval + StoreSuspectTimeout/3 + time.Millisecond; pause < 3*time.Second; pause += 100 * time.Millisecond {
+		now = now.Add(pause)
 		effects = statemachine.Effects{}
-		pulse.Tick(now, &effects)
+		detector.Tick(now, &effects)
 		for _, send := range effects.Sends {
 			_, blames := send.Message.(Suspicion)
-			assert.Assert(t, !blames, "after a stall of %s", stall)
+			assert.Assert(t, !blames, "after a pause of %s", pause)
 		}
 	}
 }
 
-func TestAStoreBeatsOftener(t *testing.T) {
+func TestFailureDetectorOfStoreSendsHeartbeatsMoreOften(t *testing.T) {
 	for kind, wanted := range map[string]int{KindStore: 10, KindGateway: 4} {
 		now := time.Unix(1000, 0)
-		pulse := NewFailureDetector(Member{Name: "self", Kind: kind, Address: "a:1", Zone: "east", Alive: true})
-		pulse.Start(now)
-		pulse.SetView(now, map[string]Member{"self": pulse.self, "controller-1": {Name: "controller-1", Kind: KindController, Address: "c:1", Zone: "west", Alive: true}}, "c:1", 1)
-		beats := 0
-		for due := pulse.NextTick(); due.Sub(now) < 2*time.Second; due = pulse.NextTick() {
+		detector := NewFailureDetector(Member{Name: "self", Kind: kind, Address: "a:1", Zone: "east", Alive: true})
+		detector.Start(now)
+		detector.SetView(now, map[string]Member{
+			"self":         detector.self,
+			"controller-1": {Name: "controller-1", Kind: KindController, Address: "c:1", Zone: "west", Alive: true},
+		}, 1)
+		heartbeats := 0
+		for due := detector.NextTick(); due.Sub(now) < 2*time.Second; due = detector.NextTick() {
 			var effects statemachine.Effects
-			pulse.Tick(due, &effects)
+			detector.Tick(due, &effects)
 			for _, send := range effects.Sends {
 				if _, matches := send.Message.(Heartbeat); matches {
-					beats++
+					heartbeats++
 				}
 			}
 		}
-		assert.Equal(t, beats, wanted, kind)
+		assert.Equal(t, heartbeats, wanted, kind)
 	}
 }
--- a/internal/partition/store.go
+++ b/internal/partition/store.go
@@ -367,7 +367,7 @@
 	if !taken.View {
 		return
 	}
-	s.pulse.SetView(now, s.follower.Members, s.follower.Upstream(), s.follower.Index)
+	s.pulse.SetView(now, s.follower.Members, s.follower.Index)
 	firsts, followers := 0, 0
 	for name, place := range statemachine.Sorted(s.follower.Placements) {
 		mine := place.HasReplica(s.settings.Self.Name)
