--- /dev/null
+++ b/internal/controlclient/doc.go
@@ -0,0 +1,13 @@
+// Package controlclient forwards operators' requests to the primary controller, so that
+// every daemon gives operators the same answer.
+//
+// A ControlClient is a state machine owned by the daemon that the operator asked. It
+// sends the request to the controller that it takes for the primary and follows
+// redirects. Where a response is slow it hedges: it sends the same request to further
+// controllers and to relays, which are daemons that may reach a controller that this
+// one cannot. The first response counts; the primary recognizes repeated requests by
+// their Order.
+//
+// A client gives up before the operator does. A request that certainly had no effect is
+// rejected with when to retry; one that may have had an effect is answered as unsettled.
+package controlclient
--- a/internal/controlclient/mutation_test.go
+++ b/internal/controlclient/mutation_test.go
@@ -1,6 +1,5 @@
 //go:build mutation
 
-// With the lives alike, a caller gets the answer to another one.
 package controlclient
 
 import (
@@ -12,9 +11,10 @@
 	"dahlialock/internal/statemachine"
 )
 
-func TestTheLifeIsNeeded(t *testing.T) {
+// With equal incarnations, an operator gets the response to another request.
+func TestIncarnationIsNeeded(t *testing.T) {
 	defer statemachine.Mutate("lives-alike")()
-	returned := lateAnswer(t)
-	assert.Equal(t, len(returned), 1)
-	assert.Equal(t, string(returned[0].Value.(membership.ControlResponse).Body), "another's")
+	responses := responsesToEarlierIncarnation(t)
+	assert.Equal(t, len(responses), 1)
+	assert.Equal(t, string(responses[0].Value.(membership.ControlResponse).Body), "another's")
 }
