--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,10 +1,3 @@
-// Package agent is the state machine of the daemon beside each gateway.
-//
-// A Agent is the agent beside a gateway: it holds the link to the controllers and
-// feeds its gateway over loopback. It follows the control state for itself, and
-// passes its gateway's questions, heartbeats' news and operators' requests on
-// to whichever controller is primary. Asked to stop together with its gateway, it
-// outlives it, so that the gateway stays confirmed while it empties itself.
 package agent
 
 import (
@@ -17,24 +10,28 @@
 )
 
 const (
-	// gatewayAlive is how long after its last question a gateway counts as there,
-	// stopLimit how long an agent that stops waits for its farewell.
-	gatewayAlive = 2 * time.Second
-	stopLimit    = 3800 * time.Millisecond
+	// gatewayTimeout is how long after its last view request a gateway counts as running.
+	gatewayTimeout = 2 * time.Second
+	// stopTimeout is how long a stopping agent waits for its gateway to leave.
+	stopTimeout = 3800 * time.Millisecond
+	// relayedBase separates the numbers of relayed requests, which are multiples of it,
+	// from those of requests at the agent's own ctl, which are below it.
+	relayedBase = 1 << 32
 )
 
-// Settings are an agent daemon's settings.
+// Settings configure an Agent.
 type Settings struct {
-	Self    membership.Member
-	Seeds   []string
+	Self  membership.Member
+	Seeds []string
+	// Gateway is the address of the gateway that the agent serves.
 	Gateway string
-	// Acknowledge is within what time a proper order is to be acknowledged.
+	// Acknowledge is within what time operators expect a valid request to be answered.
 	Acknowledge time.Duration
-	// Incarnation names this run of the process.
 	Incarnation statemachine.Incarnation
 }
 
-// Request is an operator's request at this daemon's own ctl.
+// Request is the command for an operator's request at this daemon's own ctl. The response
+// is a membership.ControlResponse for the number Local.
 type Request struct {
 	Local  uint64
 	Method string
@@ -42,16 +39,23 @@
 	Body   []byte
 }
 
-// Stop asks the agent to end.
+// Stop is the command to end once the gateway has left, or after a timeout.
 type Stop struct{}
 
-type relayed struct {
-	ask    membership.ViewRequest
-	sentAt time.Time
-	open   bool
+// agentTimer names the timers of an Agent.
+type agentTimer int
+
+const timerStop agentTimer = iota
+
+// relayedPoll is the gateway's newest view request.
+type relayedPoll struct {
+	request membership.ViewRequest
+	// open is set until its response was passed on.
+	open bool
 }
 
-type carried struct {
+// relayedRequest is an operator's request that another daemon asked to be forwarded.
+type relayedRequest struct {
 	request statemachine.RequestID
 	from    string
 }
@@ -59,163 +63,200 @@
 // Agent is the state machine.
 type Agent struct {
 	settings      Settings
-	follower      *membership.ViewClient
-	pulse         *membership.FailureDetector
+	viewClient    *membership.ViewClient
+	detector      *membership.FailureDetector
 	controlClient *controlclient.ControlClient
-	relayed       relayed
-	local         uint64
-	carrying      map[uint64]carried
-	askedAt       time.Time
-	timers        *statemachine.Timers[string]
+	poll          relayedPoll
+	// lastRelayed numbers the relayed requests; relayed holds those without a response.
+	lastRelayed uint64
+	relayed     map[uint64]relayedRequest
+	// polledAt is when the gateway's last view request came; zero once it has left.
+	polledAt time.Time
+	timers   *statemachine.Timers[agentTimer]
 }
 
-// New makes an agent.
+// New returns an agent that knows only its seeds.
 func New(settings Settings) *Agent {
-	agent := &Agent{settings: settings, carrying: map[uint64]carried{}, timers: statemachine.NewTimers[string]()}
-	agent.follower = membership.NewViewClient(settings.Self, settings.Incarnation, settings.Seeds, func() membership.Load { return membership.Load{Ready: true} })
-	agent.pulse = membership.NewFailureDetector(settings.Self)
-	agent.controlClient = controlclient.New(controlclient.Settings{
-		Incarnation: settings.Incarnation, Acknowledge: settings.Acknowledge, Upstream: agent.follower.Upstream, Next: agent.follower.NextController, Relays: agent.follower.Relays,
-	})
-	return agent
+	load := func() membership.Load { return membership.Load{Ready: true} }
+	viewClient := membership.NewViewClient(settings.Self, settings.Incarnation, settings.Seeds, load)
+	return &Agent{
+		settings:   settings,
+		viewClient: viewClient,
+		detector:   membership.NewFailureDetector(settings.Self),
+		controlClient: controlclient.New(controlclient.Settings{
+			Incarnation: settings.Incarnation,
+			Acknowledge: settings.Acknowledge,
+			Upstream:    viewClient.Upstream,
+			Next:        viewClient.NextController,
+			Relays:      viewClient.Relays,
+		}),
+		relayed: map[uint64]relayedRequest{},
+		timers:  statemachine.NewTimers[agentTimer](),
+	}
 }
 
-// ConfigurationVersion is the newest configuration version seen here.
-func (a *Agent) ConfigurationVersion() uint64 { return a.follower.Version }
+// ConfigurationVersion is the newest configuration version known here.
+func (a *Agent) ConfigurationVersion() uint64 { return a.viewClient.Version }
 
-// ViewClient gives the agent's view, for its ctl.
-func (a *Agent) ViewClient() *membership.ViewClient { return a.follower }
+// ViewClient gives ctl access to the agent's view.
+func (a *Agent) ViewClient() *membership.ViewClient { return a.viewClient }
 
-// Ready tells whether the link to the controllers stands.
-func (a *Agent) Ready() bool { return a.follower.Index > 0 }
+// Ready reports whether the agent has a view.
+func (a *Agent) Ready() bool { return a.viewClient.Index > 0 }
 
-// Start begins the agent's work.
-func (a *Agent) Start(now time.Time, effects *statemachine.Effects) {
-	a.follower.Start(now)
-	a.pulse.Start(now)
+// Start begins to poll and to send heartbeats.
+func (a *Agent) Start(now time.Time, _ *statemachine.Effects) {
+	a.viewClient.Start(now)
+	a.detector.Start(now)
 }
 
-// NextTick is when the agent wants to run again.
+// NextTick is when Tick is to be called next.
 func (a *Agent) NextTick() time.Time {
-	return statemachine.Earliest(a.follower.NextTick(), a.pulse.NextTick(), a.controlClient.NextTick(), a.timers.Next())
+	return statemachine.Earliest(
+		a.viewClient.NextTick(),
+		a.detector.NextTick(),
+		a.controlClient.NextTick(),
+		a.timers.Next(),
+	)
 }
 
 // Tick runs whatever is due.
 func (a *Agent) Tick(now time.Time, effects *statemachine.Effects) {
-	a.follower.Tick(now, effects)
-	a.pulse.Tick(now, effects)
+	a.viewClient.Tick(now, effects)
+	a.detector.Tick(now, effects)
 	a.controlClient.Tick(now, effects)
 	if len(a.timers.Expired(now)) > 0 {
-		a.end(effects)
-	}
-	a.settle(effects)
-}
-
-// end leaves the fleet.
-func (a *Agent) end(effects *statemachine.Effects) {
-	for _, member := range statemachine.Sorted(a.follower.Members) {
-		if member.Kind == membership.KindController {
-			effects.Send(member.Address, membership.GracefulLeave{Name: a.settings.Self.Name, Incarnation: a.settings.Self.Incarnation})
-		}
+		a.leave(effects)
 	}
-	effects.Stop = true
+	a.sendRelayedResponses(effects)
 }
 
-// HandleCommand takes what the adapters bring.
+// HandleCommand takes a Request or Stop.
 func (a *Agent) HandleCommand(now time.Time, command any, effects *statemachine.Effects) {
-	switch body := command.(type) {
+	switch command := command.(type) {
 	case Request:
-		a.controlClient.Forward(now, body.Local, body.Method, body.Path, body.Body, effects)
+		a.controlClient.Forward(now, command.Local, command.Method, command.Path, command.Body, effects)
 	case Stop:
-		switch {
-		case a.askedAt.IsZero() || now.Sub(a.askedAt) > gatewayAlive:
-			a.end(effects)
-		case !a.timers.Armed("stop"):
-			a.timers.Arm("stop", now.Add(stopLimit))
+		a.stop(now, effects)
+	}
+}
+
+func (a *Agent) stop(now time.Time, effects *statemachine.Effects) {
+	gatewayRuns := !a.polledAt.IsZero() && now.Sub(a.polledAt) <= gatewayTimeout
+	switch {
+	case !gatewayRuns:
+		a.leave(effects)
+	case !a.timers.Armed(timerStop):
+		a.timers.Arm(timerStop, now.Add(stopTimeout))
+	}
+}
+
+// leave tells the controllers and ends the process.
+func (a *Agent) leave(effects *statemachine.Effects) {
+	for _, member := range statemachine.Sorted(a.viewClient.Members) {
+		if member.Kind == membership.KindController {
+			effects.Send(member.Address, membership.GracefulLeave{
+				Name:        a.settings.Self.Name,
+				Incarnation: a.settings.Self.Incarnation,
+			})
 		}
 	}
+	effects.Stop = true
 }
 
-// HandleMessage takes what other daemons, and the gateway, say.
+// HandleMessage takes a message of another daemon or of the gateway.
 func (a *Agent) HandleMessage(now time.Time, meta statemachine.Meta, message any, effects *statemachine.Effects) {
-	if meta.From != a.settings.Gateway {
-		a.pulse.ReceiveFromPeer(now)
+	fromGateway := meta.From == a.settings.Gateway
+	if !fromGateway {
+		a.detector.ReceiveFromPeer(now)
 	}
-	switch body := message.(type) {
+	switch message := message.(type) {
 	case membership.ViewRequest:
-		if meta.From == a.settings.Gateway {
-			a.askedAt = now
-			a.relayed = relayed{ask: body, sentAt: now, open: true}
-			for _, address := range a.follower.Upstreams() {
-				effects.Send(address, body)
-			}
+		if fromGateway {
+			a.relayPoll(now, message, effects)
 		}
 	case membership.ViewUpdate:
-		a.onNews(now, body, effects)
+		a.handleUpdate(now, message, effects)
 	case membership.Redirect:
-		if body.Recipient == a.settings.Self.Name {
-			a.follower.HandleRedirect(now, body, effects)
-			return
-		}
-		a.redirectGateway(now, body, effects)
+		a.handleRedirect(now, message, effects)
 	case membership.GracefulLeave:
-		if meta.From != a.settings.Gateway {
-			return
-		}
-		if a.askedAt = (time.Time{}); a.timers.Armed("stop") {
-			a.end(effects)
+		if fromGateway {
+			a.gatewayLeft(effects)
 		}
 	case membership.Heartbeat:
-		a.pulse.ReceiveHeartbeat(now, body)
+		a.detector.ReceiveHeartbeat(now, message)
 	case membership.ControlRequest:
-		a.local++
-		a.carrying[a.local] = carried{request: body.Request, from: meta.From}
-		a.controlClient.Relay(now, a.local<<32, body, effects)
+		a.lastRelayed++
+		a.relayed[a.lastRelayed] = relayedRequest{request: message.Request, from: meta.From}
+		a.controlClient.Relay(now, a.lastRelayed*relayedBase, message, effects)
 	case membership.ControlResponse:
-		a.controlClient.HandleResponse(now, meta.From, body, effects)
+		a.controlClient.HandleResponse(now, meta.From, message, effects)
 	case membership.ConfigurationRequest:
-		a.follower.RespondToConfigurationRequest(meta.From, body, effects)
+		a.viewClient.RespondToConfigurationRequest(meta.From, message, effects)
 	}
-	a.settle(effects)
+	a.sendRelayedResponses(effects)
 }
 
-// settle hands the answers to the gateway's requests on, out of the returns.
-func (a *Agent) settle(effects *statemachine.Effects) {
-	kept := effects.Responses[:0]
-	for _, returned := range effects.Responses {
-		asked, found := a.carrying[returned.Request>>32]
-		if returned.Request < 1<<32 || !found {
-			kept = append(kept, returned)
+// gatewayLeft ends a stopping agent: nothing is left to serve.
+func (a *Agent) gatewayLeft(effects *statemachine.Effects) {
+	a.polledAt = time.Time{}
+	if a.timers.Armed(timerStop) {
+		a.leave(effects)
+	}
+}
+
+// sendRelayedResponses turns the responses to relayed requests into messages to the
+// daemons that asked; the others stay.
+func (a *Agent) sendRelayedResponses(effects *statemachine.Effects) {
+	own := effects.Responses[:0]
+	for _, response := range effects.Responses {
+		number := response.Request / relayedBase
+		relayed, found := a.relayed[number]
+		if !found {
+			own = append(own, response)
 			continue
 		}
-		delete(a.carrying, returned.Request>>32)
-		answer := returned.Value.(membership.ControlResponse)
-		answer.Request, answer.Redirect = asked.request, ""
-		effects.Send(asked.from, answer)
+		delete(a.relayed, number)
+		message := response.Value.(membership.ControlResponse)
+		message.Request, message.Redirect = relayed.request, ""
+		effects.Send(relayed.from, message)
+	}
+	effects.Responses = own
+}
+
+// relayPoll sends the gateway's view request on.
+func (a *Agent) relayPoll(now time.Time, request membership.ViewRequest, effects *statemachine.Effects) {
+	a.polledAt = now
+	a.poll = relayedPoll{request: request, open: true}
+	for _, address := range a.viewClient.Upstreams() {
+		effects.Send(address, request)
 	}
-	effects.Responses = kept
 }
 
-func (a *Agent) onNews(now time.Time, news membership.ViewUpdate, effects *statemachine.Effects) {
-	if news.Recipient != a.settings.Self.Name {
-		a.relayed.open = a.relayed.open && news.Nonce != a.relayed.ask.Nonce
-		effects.Send(a.settings.Gateway, news)
+// handleUpdate takes an update for this agent and passes one for the gateway on.
+func (a *Agent) handleUpdate(now time.Time, update membership.ViewUpdate, effects *statemachine.Effects) {
+	if update.Recipient != a.settings.Self.Name {
+		a.poll.open = a.poll.open && update.Nonce != a.poll.request.Nonce
+		effects.Send(a.settings.Gateway, update)
 		return
 	}
-	taken := a.follower.HandleUpdate(now, news)
-	if taken.View {
-		a.pulse.SetView(now, a.follower.Members, a.follower.Index)
+	if result := a.viewClient.HandleUpdate(now, update); result.View {
+		a.detector.SetView(now, a.viewClient.Members, a.viewClient.Index)
 	}
 }
 
-// redirectGateway lets a controller that is not primary correct this agent's view of
-// who is, so that the gateway's next question goes the right way.
-func (a *Agent) redirectGateway(now time.Time, redirect membership.Redirect, effects *statemachine.Effects) {
-	if !a.relayed.open || redirect.Nonce != a.relayed.ask.Nonce {
+// handleRedirect lets a controller that is not the primary correct who is. The gateway's
+// open request is sent again, and its next one takes the right path.
+func (a *Agent) handleRedirect(now time.Time, redirect membership.Redirect, effects *statemachine.Effects) {
+	if redirect.Recipient == a.settings.Self.Name {
+		a.viewClient.HandleRedirect(now, redirect, effects)
+		return
+	}
+	if !a.poll.open || redirect.Nonce != a.poll.request.Nonce {
 		return
 	}
-	if redirect.Primary != "" && !slices.Contains(a.follower.Upstreams(), redirect.Primary) {
-		effects.Send(redirect.Primary, a.relayed.ask)
+	if redirect.Primary != "" && !slices.Contains(a.viewClient.Upstreams(), redirect.Primary) {
+		effects.Send(redirect.Primary, a.poll.request)
 	}
-	a.follower.PollNow(now)
+	a.viewClient.PollNow(now)
 }
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -13,32 +13,37 @@
 
 const gateway = "10.0.0.1:1"
 
-func started(at time.Time) *agent.Agent {
-	made := agent.New(agent.Settings{Self: membership.Member{Name: "agent-1", Kind: membership.KindAgent}, Seeds: []string{"10.0.0.9:1"}, Gateway: gateway})
+func startAgent(at time.Time) *agent.Agent {
+	made := agent.New(agent.Settings{
+		Self:    membership.Member{Name: "agent-1", Kind: membership.KindAgent},
+		Seeds:   []string{"10.0.0.9:1"},
+		Gateway: gateway,
+	})
 	var effects statemachine.Effects
 	made.Start(at, &effects)
 	return made
 }
 
+// stop commands an agent to stop and reports whether it does so at once.
 func stop(made *agent.Agent, at time.Time) bool {
 	var effects statemachine.Effects
 	made.HandleCommand(at, agent.Stop{}, &effects)
 	return effects.Stop
 }
 
-func TestAAgentWithoutAGatewayStopsAtOnce(t *testing.T) {
+func TestAgentWithoutGatewayStopsAtOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
-	assert.Assert(t, stop(started(now), now))
+	assert.Assert(t, stop(startAgent(now), now))
 }
 
-func TestAAgentOutlivesItsGateway(t *testing.T) {
+func TestAgentStopsAfterItsGateway(t *testing.T) {
 	now := time.Unix(1000, 0)
-	made := started(now)
+	made := startAgent(now)
 	var effects statemachine.Effects
 	made.HandleMessage(now, statemachine.Meta{From: gateway}, membership.ViewRequest{Nonce: 1}, &effects)
 	now = now.Add(time.Second)
 	assert.Assert(t, !stop(made, now))
-	// Someone else's farewell means nothing.
+	// That another daemon leaves has no effect.
 	effects = statemachine.Effects{}
 	made.HandleMessage(now, statemachine.Meta{From: "10.0.0.5:1"}, membership.GracefulLeave{Name: "other"}, &effects)
 	assert.Assert(t, !effects.Stop)
@@ -46,9 +51,9 @@
 	assert.Assert(t, effects.Stop)
 }
 
-func TestAAgentDoesNotWaitForEver(t *testing.T) {
+func TestAgentStopsAfterTimeout(t *testing.T) {
 	now := time.Unix(1000, 0)
-	made := started(now)
+	made := startAgent(now)
 	var effects statemachine.Effects
 	made.HandleMessage(now, statemachine.Meta{From: gateway}, membership.ViewRequest{Nonce: 1}, &effects)
 	assert.Assert(t, !stop(made, now))
