--- a/internal/gateway/forms_test.go
+++ b/internal/gateway/forms_test.go
@@ -22,3 +22,53 @@
 }
 
 func TestStoredFormsHaveExplicitKeys(t *testing.T) { storedforms.CheckKeys(t, storedForms()) }
+
+var cursorKey = []byte("recorded-key-0123456")
+
+// sampleCursors are places as callers hold them: of one who just came, of one who was
+// handed a part of what there was, and of one who listened to passing messages.
+func sampleCursors() []cursor {
+	begun := cursor{
+		Layout:     cursorLayout,
+		Origin:     "origin-1",
+		Interests:  []Interest{{Space: "orders", Path: "a/b"}, {Space: "orders", Path: "a", Wide: true}},
+		Partitions: map[string]position{"orders~1/0": {Floor: 17}, "orders~1/7": {}},
+		Marks:      map[string]map[string]uint64{},
+	}
+	behind := begun
+	behind.Partitions = map[string]position{
+		"orders~1/0": {Floor: 70000, Extras: []uint64{70002, 70009}, Since: map[string]uint64{"ta/b": 70001, "wa": 3}},
+	}
+	passing := begun
+	passing.Partitions = map[string]position{}
+	passing.Marks = map[string]map[string]uint64{"pulse": {"sender-1": 5, "sender-2": 1 << 40}}
+	return []cursor{begun, behind, passing}
+}
+
+func TestRecordedCursorsAreReadAndWrittenAsBefore(t *testing.T) {
+	var lines []string
+	for _, sample := range sampleCursors() {
+		lines = append(lines, seal(cursorKey, sample))
+	}
+	storedforms.Compare(t, "cursors.txt", lines)
+	recorded, _ := storedforms.Recorded(t, "cursors.txt", lines)
+	for position, text := range recorded {
+		place, code := openCursor(cursorKey, "origin-1", text)
+		if code != "" {
+			t.Errorf("cursor %d is refused as %s", position+1, code)
+			continue
+		}
+		if again := seal(cursorKey, place); again != text {
+			t.Errorf("cursor %d, read and written anew, is\n\t%s\nnot\n\t%s", position+1, again, text)
+		}
+		if !reflect.DeepEqual(place, sampleCursors()[position]) {
+			t.Errorf("cursor %d is read as %v", position+1, place)
+		}
+		if _, code := openCursor(cursorKey, "origin-2", text); code != "other-origin" {
+			t.Errorf("cursor %d of another origin is refused as %q", position+1, code)
+		}
+		if _, code := openCursor([]byte("another-key-01234567"), "origin-1", text); code != "bad-cursor" {
+			t.Errorf("cursor %d under another key is refused as %q", position+1, code)
+		}
+	}
+}
--- a/internal/partition/forms_test.go
+++ b/internal/partition/forms_test.go
@@ -1,9 +1,14 @@
 package partition
 
 import (
+	"crypto/sha256"
+	"fmt"
 	"reflect"
 	"testing"
+	"time"
 
+	"dahlialock/internal/membership"
+	"dahlialock/internal/statemachine"
 	"dahlialock/internal/storedforms"
 )
 
@@ -24,3 +29,35 @@
 }
 
 func TestStoredFormsHaveExplicitKeys(t *testing.T) { storedforms.CheckKeys(t, storedForms()) }
+
+func TestRecordedFoldersAreReadAsBefore(t *testing.T) {
+	var lines []string
+	for _, folder := range storedforms.Folders(t, "../storedforms", "store") {
+		if len(folder.Frame) > 0 {
+			storedforms.CheckRewrite[diskFrame](t, folder.Name, folder.Frame)
+		}
+		for position, packed := range folder.Entries {
+			storedforms.CheckRewrite[diskEntry](t, fmt.Sprintf("%s, entry %d", folder.Name, position), packed)
+		}
+		settings := Settings{Self: membership.Member{Name: "store-1", Address: "store-1:1"}, Life: 1}
+		store, err := New(settings, folder.Frame, folder.Entries)
+		if err != nil {
+			t.Errorf("%s: %v", folder.Name, err)
+			continue
+		}
+		lines = append(lines, fmt.Sprintf("%s: disk %s, %d entries, %d bytes torn, snapshot %x", folder.Name,
+			store.disk, len(folder.Entries), folder.Torn, sha256.Sum256(snapshotOf(store))))
+		for name, partition := range statemachine.Sorted(store.partitions) {
+			lines = append(lines, storedforms.Describe(t, name, partition.log)...)
+		}
+	}
+	storedforms.Compare(t, "folders.txt", lines)
+}
+
+// snapshotOf is the snapshot that a store writes of what it read.
+func snapshotOf(store *Store) []byte {
+	var effects statemachine.Effects
+	store.checkpoint(time.Unix(1_700_000_000, 0), &effects)
+	packed, _ := effects.Writes[0].Whole()
+	return packed
+}
--- /dev/null
+++ b/internal/storedforms/folders.go
@@ -0,0 +1,78 @@
+package storedforms
+
+import (
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"dahlialock/internal/transport"
+	"dahlialock/internal/wal"
+)
+
+// Folder is a recorded data folder and what a log read there.
+type Folder struct {
+	Name string
+	wal.Recovered
+}
+
+// Folders opens copies of the recorded data folders of a kind of daemon. They lie in
+// the testdata of this package; root is the way there from the test's own folder.
+func Folders(t *testing.T, root, kind string) []Folder {
+	t.Helper()
+	paths, err := filepath.Glob(filepath.Join(root, "testdata", "folders", kind+"-*"))
+	if err != nil || len(paths) == 0 {
+		t.Fatalf("no folders of a %s (%v)", kind, err)
+	}
+	slices.Sort(paths)
+	var folders []Folder
+	for _, path := range paths {
+		copied := t.TempDir()
+		if err := os.CopyFS(copied, os.DirFS(path)); err != nil {
+			t.Fatal(err)
+		}
+		folder, err := wal.OpenFileFolder(copied)
+		if err != nil {
+			t.Fatal(err)
+		}
+		_, recovered, err := wal.Open(folder)
+		if err != nil || recovered.Blank {
+			t.Fatalf("%s: blank %t, %v", path, recovered.Blank, err)
+		}
+		folders = append(folders, Folder{Name: filepath.Base(path), Recovered: recovered})
+	}
+	return folders
+}
+
+// Describe gives what a value encodes to as lines of text, with the keys as they lie
+// on disk.
+func Describe(t *testing.T, name string, value any) []string {
+	t.Helper()
+	packed, err := transport.Marshal(value)
+	if err != nil {
+		t.Fatal(err)
+	}
+	text, err := cbor.Diagnose(packed)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return strings.Split(name+": "+strings.ReplaceAll(text, "}, ", "},\n\t"), "\n")
+}
+
+// CheckRewrite reads recorded bytes into a value and compares what it writes anew.
+func CheckRewrite[T any](t *testing.T, name string, packed []byte) T {
+	t.Helper()
+	var value T
+	if err := transport.Unmarshal(packed, &value); err != nil {
+		t.Errorf("%s: %v", name, err)
+		return value
+	}
+	again, err := transport.Marshal(value)
+	if err != nil || string(again) != string(packed) {
+		t.Errorf("%s: read and written anew it is\n\t%x\nnot\n\t%x (%v)", name, again, packed, err)
+	}
+	return value
+}
--- /dev/null
+++ b/internal/storedforms/folders_test.go
@@ -0,0 +1,63 @@
+package storedforms_test
+
+import (
+	"fmt"
+	"testing"
+
+	"dahlialock/internal/controller"
+	"dahlialock/internal/membership"
+	"dahlialock/internal/storedforms"
+	"dahlialock/internal/transport"
+)
+
+// controlled is what an entry or a snapshot of a controller holds of the control state.
+type controlled struct {
+	Command []byte `cbor:"Command"`
+	State   []byte `cbor:"State"`
+}
+
+func TestControllerFoldersAreReadAsBefore(t *testing.T) {
+	var lines []string
+	for _, folder := range storedforms.Folders(t, ".", "controller") {
+		self := membership.Member{Name: "controller-1", Address: "controller-1:1", Zone: "zone-1"}
+		machine, err := controller.New(controller.Settings{Self: self, Count: 3, Life: 1}, folder.Frame, folder.Entries)
+		if err != nil {
+			t.Errorf("%s: %v", folder.Name, err)
+			continue
+		}
+		lines = append(lines, fmt.Sprintf("%s: %d entries, %d bytes torn, index %d, complete %d, blank %t",
+			folder.Name, len(folder.Entries), folder.Torn,
+			machine.Watch().Index(), machine.Watch().Complete(), machine.Watch().Blank()))
+		lines = append(lines, storedforms.Describe(t, "epoch", machine.Watch().Record())...)
+		lines = append(lines, storedforms.Describe(t, "state", machine.State())...)
+	}
+	storedforms.Compare(t, "folders-controller.txt", lines)
+}
+
+func TestCommandsAndStatesInFoldersAreWrittenAsBefore(t *testing.T) {
+	commands, states := 0, 0
+	for _, folder := range storedforms.Folders(t, ".", "controller") {
+		for position, packed := range append(folder.Entries, folder.Frame) {
+			if len(packed) == 0 {
+				continue
+			}
+			name := fmt.Sprintf("%s, entry %d", folder.Name, position)
+			var held controlled
+			if err := transport.Unmarshal(packed, &held); err != nil {
+				t.Errorf("%s: %v", name, err)
+				continue
+			}
+			if len(held.Command) > 0 {
+				commands++
+				storedforms.CheckRewrite[controller.Command](t, name, held.Command)
+			}
+			if len(held.State) > 0 {
+				states++
+				storedforms.CheckRewrite[controller.State](t, name, held.State)
+			}
+		}
+	}
+	if commands < 20 || states < 5 {
+		t.Errorf("only %d commands and %d states were there to read", commands, states)
+	}
+}
--- a/internal/storedforms/recorded.go
+++ b/internal/storedforms/recorded.go
@@ -149,7 +149,8 @@
 		}
 		again, err := form.encode(value)
 		if err != nil || form.written(again) != parts[2] {
-			t.Errorf("%s %s: read and written anew it is\n\t%s\nnot\n\t%s (%v)", parts[0], parts[1], form.written(again), parts[2], err)
+			t.Errorf("%s %s: read and written anew it is\n\t%s\nnot\n\t%s (%v)",
+				parts[0], parts[1], form.written(again), parts[2], err)
 		}
 	}
 }
@@ -163,7 +164,8 @@
 			t.Errorf("%s: %v", form.Name, err)
 		}
 		for _, name := range implicit {
-			t.Errorf("%s: %s has neither toarray nor a tag, its key would move with its name; or it holds any type", form.Name, name)
+			t.Errorf("%s: %s has neither toarray nor a tag, and its key would move with its name; or it holds any type",
+				form.Name, name)
 		}
 	}
 }
