--- /dev/null
+++ b/internal/storedforms/ctl_test.go
@@ -0,0 +1,230 @@
+package storedforms_test
+
+import (
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"regexp"
+	"strings"
+	"testing"
+	"time"
+
+	"dahlialock/internal/gateway"
+	"dahlialock/internal/membership"
+	"dahlialock/internal/partition"
+	"dahlialock/internal/simulator"
+	"dahlialock/internal/storedforms"
+)
+
+const ctlDocument = `{"version": %d, "spaces": [` +
+	`{"name": "readings", "promise": "kept", "order": "topic"},` +
+	`{"name": "orders", "promise": "kept", "publishers": ["origin-*"]},` +
+	`{"name": "pulse", "promise": "passing", "limits": {"data_bytes": 8}}],` +
+	` "routes": [{"prefix": "reading.", "space": "readings"}]%s}`
+
+// texts are for people and may be put better; what programs read stays.
+var texts = regexp.MustCompile(`"text":"([^"\\]|\\.)*"`)
+
+func masked(body []byte) string { return texts.ReplaceAllString(string(body), `"text":"..."`) }
+
+// spoken drives a simulated fleet and writes down what it answers.
+type spoken struct {
+	*testing.T
+	fleet *simulator.Simulation
+	lines []string
+}
+
+func speak(t *testing.T) *spoken {
+	t.Helper()
+	made := &spoken{T: t, fleet: simulator.New(11, simulator.Size{
+		Gateways: 2, Stores: 3, Controllers: 3, Places: 2, Delay: time.Millisecond,
+	})}
+	made.fleet.StartAll()
+	made.until(func() bool { return made.fleet.Primary() != nil && made.fleet.Primary().Ready() })
+	made.fleet.Run(3 * time.Second)
+	return made
+}
+
+func (s *spoken) until(holds func() bool) {
+	s.Helper()
+	if !s.fleet.RunUntil(20*time.Second, holds) {
+		s.Fatalf("it did not come about, after\n%s", strings.Join(s.lines, "\n"))
+	}
+}
+
+// control asks the ctl of a gateway and writes the answer down.
+func (s *spoken) control(method, path, body string) {
+	s.Helper()
+	answered := false
+	node := s.fleet.Nodes(membership.KindGateway)[0]
+	s.fleet.Control(node, method, path, []byte(body), func(returned membership.ControlResponse, alive bool) {
+		answered = true
+		s.lines = append(s.lines, fmt.Sprintf("%s %s: alive %t, %d, come back in %s, %s",
+			method, path, alive, returned.Status, returned.RetryAfter, masked(returned.Body)))
+	})
+	s.until(func() bool { return answered })
+}
+
+// call brings a caller's command into a gateway and writes the answer down.
+func (s *spoken) call(what string, command func(request uint64) any) {
+	s.Helper()
+	answered := false
+	node := s.fleet.Nodes(membership.KindGateway)[0]
+	s.fleet.Call(node, command, func(value any, alive bool) {
+		answered = true
+		answer, matches := value.(gateway.Answer)
+		if !matches {
+			packed, err := json.Marshal(value)
+			if err != nil {
+				s.Fatal(err)
+			}
+			s.lines = append(s.lines, what+": "+masked(packed))
+			return
+		}
+		fields, err := json.Marshal(answer.Fields)
+		if err != nil {
+			s.Fatal(err)
+		}
+		s.lines = append(s.lines, fmt.Sprintf("%s: alive %t, %d %s, code %q, come back in %s, cursor %q, number %d, %s", what,
+			alive, answer.Status, answer.Outcome, answer.Code, answer.RetryAfter, answer.Cursor, answer.Number, fields))
+	})
+	s.until(func() bool { return answered })
+}
+
+func TestAnswersAtCtlStay(t *testing.T) {
+	s := speak(t)
+	s.control(http.MethodGet, "/v1/configuration", "")
+	s.control(http.MethodPut, "/v1/configuration", `{"version": 1, "spaces": [], "spaces": 3, "no": 1}`)
+	s.control(http.MethodPut, "/v1/configuration", `not a document`)
+	s.control(http.MethodPut, "/v1/configuration", fmt.Sprintf(ctlDocument, 5, ""))
+	s.control(http.MethodPut, "/v1/configuration", fmt.Sprintf(ctlDocument, 5, ""))
+	s.control(http.MethodPut, "/v1/configuration", fmt.Sprintf(ctlDocument, 5, `, "zones": ["zone-0"]`))
+	s.control(http.MethodPut, "/v1/configuration", fmt.Sprintf(ctlDocument, 4, ""))
+	s.control(http.MethodPut, "/v1/configuration", fmt.Sprintf(ctlDocument, 6, `, "drains": ["gateway-1", "gateway-2"]`))
+	s.fleet.Run(3 * time.Second)
+	s.control(http.MethodGet, "/v1/configuration", "")
+	s.control(http.MethodGet, "/v1/cluster", "")
+	s.control(http.MethodGet, "/v1/placement", "")
+	s.control(http.MethodGet, "/v1/epochs", "")
+	s.control(http.MethodGet, "/v1/stores/store-1", "")
+	s.control(http.MethodGet, "/v1/stores/nobody", "")
+	s.control(http.MethodPost, "/v1/stores/nobody/retire", "")
+	s.control(http.MethodPost, "/v1/stores/store-1/paint", "")
+	s.control(http.MethodPost, "/v1/stores/store-3/retire", "")
+	s.control(http.MethodPost, "/v1/stores/store-2/retire", "")
+	s.fleet.Run(10 * time.Second)
+	s.control(http.MethodGet, "/v1/stores/store-3", "")
+	s.control(http.MethodPost, "/v1/stores/store-3/return", "")
+	s.control(http.MethodDelete, "/v1/cluster", "")
+	s.control(http.MethodGet, "/v1/nothing", "")
+	for _, node := range s.fleet.Nodes(membership.KindController)[:2] {
+		node.Kill()
+	}
+	s.fleet.Run(3 * time.Second)
+	s.control(http.MethodGet, "/v1/cluster", "")
+	storedforms.Compare(t, "ctl.txt", s.lines)
+}
+
+// publication is a message of origin-1, under a number.
+func publication(space, topic string, seq uint64, data string) func(request uint64) any {
+	return func(request uint64) any {
+		return gateway.Publish{
+			Request:     request,
+			RequestName: fmt.Sprintf("request-%d", seq),
+			Origin:      "origin-1",
+			Sender:      "origin-1",
+			Space:       space,
+			Topic:       topic,
+			Seq:         seq,
+			Data:        []byte(data),
+		}
+	}
+}
+
+// subscription is one of origin-1 on channel 7.
+func subscription(space, path, cursor string) func(request uint64) any {
+	return func(request uint64) any {
+		command := gateway.Subscribe{
+			Request:     request,
+			RequestName: "subscribe-" + path,
+			Channel:     7,
+			Origin:      "origin-1",
+			Cursor:      cursor,
+		}
+		if cursor == "" {
+			command.Interests = []gateway.Interest{{Space: space, Path: path}}
+		}
+		return command
+	}
+}
+
+func TestAnswersToCallersAndDecisionsStay(t *testing.T) {
+	s := speak(t)
+	open := func(request uint64) any {
+		return gateway.OpenChannel{Request: request, Channel: 7, Name: "7", Origin: "origin-1"}
+	}
+	s.call("subscribe before the channel is open", subscription("orders", "a/b", ""))
+	s.call("publish before there is a configuration", publication("orders", "a/b", 1, `"x"`))
+	s.control(http.MethodPut, "/v1/configuration", fmt.Sprintf(ctlDocument, 1, ""))
+	s.fleet.Run(3 * time.Second)
+	s.call("open", open)
+	s.call("subscribe", subscription("orders", "a/b", ""))
+	s.call("subscribe to a passing space", subscription("pulse", "p", ""))
+	s.call("subscribe to no space", subscription("nowhere", "p", ""))
+	s.call("subscribe with a forged cursor", subscription("orders", "a/b", "forged"))
+	s.call("publish", publication("orders", "a/b", 10, `"first"`))
+	s.call("publish it again", publication("orders", "a/b", 10, `"first"`))
+	s.call("publish another under its number", publication("orders", "a/b", 10, `"other"`))
+	s.call("publish under an older number", publication("orders", "a/b", 3, `"old"`))
+	s.call("publish to nobody's space", publication("nowhere", "a", 11, `"x"`))
+	s.call("publish in passing", publication("pulse", "p", 12, `"pulse"`))
+	s.call("publish too much", publication("pulse", "p", 13, `"pulses of 20 bytes"`))
+	s.call("publish without a number", publication("orders", "a/b", 0, `"x"`))
+	s.call("publish by route", publication("", "reading.1", 14, `raw`))
+	s.call("publish without a route", publication("", "writing.1", 15, `raw`))
+	s.call("subscribe by route", subscription("", "reading.1", ""))
+	s.call("count", func(request uint64) any {
+		return gateway.Count{Request: request, RequestName: "count", Channel: 7, Origin: "origin-1", Topic: "reading.1"}
+	})
+	s.call("pong", func(request uint64) any { return gateway.Pong{Request: request, Channel: 7, Origin: "origin-1"} })
+	s.call("pong of another", func(request uint64) any {
+		return gateway.Pong{Request: request, Channel: 7, Origin: "origin-2"}
+	})
+	s.call("unsubscribe", func(request uint64) any {
+		return gateway.Unsubscribe{
+			Request:     request,
+			RequestName: "unsubscribe",
+			Channel:     7,
+			Origin:      "origin-1",
+			Interests:   []gateway.Interest{{Space: "orders", Path: "a/b"}},
+		}
+	})
+	s.fleet.Run(time.Second)
+	s.decisions()
+	storedforms.Compare(t, "callers.txt", s.lines)
+}
+
+// decisions writes down what a gateway and the stores remember of origin-1.
+func (s *spoken) decisions() {
+	s.Helper()
+	s.call("decisions of a gateway", func(request uint64) any {
+		return gateway.FindDecisions{Local: request, Origin: "origin-1"}
+	})
+	s.call("decisions on a message", func(request uint64) any {
+		return gateway.FindDecisions{Local: request, Message: "orders/origin-1/10"}
+	})
+	for _, node := range s.fleet.Nodes(membership.KindStore) {
+		answered := false
+		s.fleet.Call(node, func(request uint64) any {
+			return partition.FindDecisions{Local: request, Origin: "origin-1"}
+		}, func(value any, _ bool) {
+			answered = true
+			packed, err := json.Marshal(value)
+			if err != nil {
+				s.Fatal(err)
+			}
+			s.lines = append(s.lines, "decisions of "+node.Name+": "+string(packed))
+		})
+		s.until(func() bool { return answered })
+	}
+}
