--- /dev/null
+++ b/cmd/gateway/forms_test.go
@@ -0,0 +1,41 @@
+package main
+
+import (
+	"encoding/json"
+	"regexp"
+	"testing"
+
+	"dahlialock/internal/daemon"
+	"dahlialock/internal/membership"
+	"dahlialock/internal/settings"
+	"dahlialock/internal/storedforms"
+)
+
+// processor is the time that this very process used.
+var processor = regexp.MustCompile(`"Processor":[0-9]+`)
+
+// TestCountersKeepTheirKeys holds what ctl tells of a daemon that has just been made.
+func TestCountersKeepTheirKeys(t *testing.T) {
+	var lines []string
+	for _, callers := range []string{settings.CallersJSON, settings.CallersLines} {
+		current := settings.Settings{
+			Name:      "gateway-1",
+			Kind:      membership.KindGateway,
+			Operators: settings.OperatorsJSON,
+			Callers:   callers,
+			Admission: settings.AdmissionOpen,
+			Bounds:    settings.DefaultBounds(),
+		}
+		self := membership.Member{Name: current.Name, Kind: current.Kind, Address: "127.0.0.1:1"}
+		built, err := build(current, self, daemon.Stored{NewDisk: "disk", Life: 1})
+		if err != nil {
+			t.Fatal(err)
+		}
+		text, err := json.Marshal(built.Counters())
+		if err != nil {
+			t.Fatal(err)
+		}
+		lines = append(lines, callers+" "+processor.ReplaceAllString(string(text), `"Processor":0`))
+	}
+	storedforms.Compare(t, "counters.txt", lines)
+}
--- /dev/null
+++ b/internal/settings/forms_test.go
@@ -0,0 +1,104 @@
+package settings
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+
+	"dahlialock/internal/storedforms"
+)
+
+// byKey gives what each key of a daemon's settings brought about.
+func byKey(read Settings) []string {
+	bounds := read.Bounds
+	return []string{
+		fmt.Sprint("name ", read.Name), fmt.Sprint("zone ", read.Zone), fmt.Sprint("address ", read.Address),
+		fmt.Sprint("ctl ", read.Control), fmt.Sprint("caller ", read.Caller), fmt.Sprint("agent ", read.Agent),
+		fmt.Sprint("gateway ", read.Gateway), fmt.Sprint("seeds, seeds_port ", read.Seeds, read.SeedsPort),
+		fmt.Sprint("data ", read.Data), fmt.Sprint("controllers ", read.Controllers), fmt.Sprint("key ", read.Key),
+		fmt.Sprint("origins_most, descriptors ", read.OriginsMost), fmt.Sprint("log_level ", read.LogLevel),
+		fmt.Sprint("bootstrap ", read.Bootstrap), fmt.Sprint("tolerance, tolerance_zones ", read.Tolerance),
+		fmt.Sprint("callers ", read.Callers), fmt.Sprint("admission ", read.Admission),
+		fmt.Sprint("versions ", read.Versions), fmt.Sprint("operators ", read.Operators),
+		fmt.Sprint("compression ", read.Compression), fmt.Sprint("traffic ", read.Traffic),
+		fmt.Sprint("memory ", read.Memory), fmt.Sprint("link ", read.Link),
+		fmt.Sprint("bounds.contact ", bounds.Contact), fmt.Sprint("bounds.acknowledge ", bounds.Acknowledge),
+		fmt.Sprint("bounds.catch_up ", bounds.CatchUp), fmt.Sprint("bounds.drain ", bounds.Drain),
+		fmt.Sprint("bounds.grace ", bounds.Grace), fmt.Sprint("bounds.apply ", bounds.Apply),
+		fmt.Sprint("bounds.revert_slack ", bounds.RevertSlack), fmt.Sprint("bounds.recovery ", bounds.Recovery),
+		fmt.Sprint("bounds.ping ", bounds.Ping), fmt.Sprint("bounds.resume ", bounds.Resume),
+		fmt.Sprint("bounds.redeliver ", bounds.Redeliver), fmt.Sprint("bounds.presence ", bounds.Presence),
+		fmt.Sprint("trial.delays ", read.Trial.Delays), fmt.Sprint("trial.loss ", read.Trial.Loss),
+		fmt.Sprint("trial.cuts ", read.Trial.Cuts), fmt.Sprint("trial.mutes ", read.Trial.Mutes),
+		fmt.Sprint("trial.deaf ", read.Trial.Deaf), fmt.Sprint("trial.disk ", read.Trial.Disk),
+	}
+}
+
+const least = `{"name":"d-1","zone":"east","address":"10.1.0.2:1","ctl":"10.1.0.2:2","caller":"10.1.0.2:3",
+	"seeds":["10.1.0.9:1"],"data":"/data","agent":"10.1.0.2:4","gateway":"10.1.0.2:5","key":"a-key-of-16-bytes-or-more"}`
+
+// all has every key but two that give way to others: see the last two documents.
+const all = `{"name":"d-1","zone":"east","address":"10.1.0.2:1","ctl":"10.1.0.2:2","caller":"10.1.0.2:3",
+	"seeds":["10.1.0.9:1","10.1.0.8:1"],"seeds_port":7,"data":"/data","agent":"10.1.0.2:4","gateway":"10.1.0.2:5",
+	"key":"a-key-of-16-bytes-or-more","controllers":7,"bootstrap":true,"tolerance":2,"callers":"lines",
+	"admission":"open","versions":"highest","operators":"json","compression":"far","traffic":"3s","memory":"64MiB",
+	"link":"2.6Mbit/s","origins_most":77,"log_level":"debug",
+	"bounds":{"contact":"1s","acknowledge":"2s","catch_up":"3s","drain":"4s","grace":"5s","apply":"6s",
+		"revert_slack":"7s","recovery":"8s","ping":"9s","resume":"10s","redeliver":"11s","presence":"12s"},
+	"trial":{"delays":{"10.":"1ms"},"loss":{"11.":0.25},"cuts":["12."],"mutes":["13."],"deaf":["14."],"disk":"5ms"}}`
+
+func TestSettingsKeepTheirKeysAndDefaults(t *testing.T) {
+	var lines []string
+	for _, kind := range []string{"agent", "controller", "gateway", "store"} {
+		for name, text := range []string{
+			least, all,
+			strings.Replace(least, `{`, `{"descriptors":1000,"tolerance_zones":3,`, 1),
+			`{}`, `{"no":1,"bounds":{"no":"1s"},"trial":{"no":1},"callers":"x","log_level":"loud","memory":"1X"}`,
+		} {
+			lines = append(lines, fmt.Sprintf("%s, document %d", kind, name+1))
+			lines = append(lines, readLines(t, kind, text)...)
+		}
+	}
+	storedforms.Compare(t, "forms.txt", lines)
+}
+
+// readLines reads a document as a daemon of a kind does; of a refusal only the paths
+// are held.
+func readLines(t *testing.T, kind, text string) []string {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "settings.json")
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	source, err := FromFlags(kind, []string{"-trial", "-settings", path})
+	if err != nil {
+		t.Fatal(err)
+	}
+	read, err := source.Read()
+	if err == nil {
+		return byKey(read)
+	}
+	var paths []string
+	for _, fault := range strings.Split(err.Error(), "; ") {
+		path, _, _ := strings.Cut(fault[strings.Index(fault, "$"):], ":")
+		paths = append(paths, "faulty at "+path)
+	}
+	return paths
+}
+
+func TestSettingsKeepTheirFlagsAndWords(t *testing.T) {
+	flags := slices.Clone(keys)
+	slices.Sort(flags)
+	lines := []string{
+		"keys " + strings.Join(flags, " "),
+		"callers " + CallersJSON + " " + CallersLines,
+		"admission " + AdmissionToken + " " + AdmissionOpen,
+		"versions " + VersionsStrict + " " + VersionsHighest,
+		"operators " + OperatorsJSON,
+		"compression " + CompressionNone + " " + CompressionFar,
+	}
+	storedforms.Compare(t, "forms-words.txt", lines)
+}
--- /dev/null
+++ b/internal/storedforms/words_test.go
@@ -0,0 +1,98 @@
+package storedforms_test
+
+import (
+	"fmt"
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"maps"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+
+	"dahlialock/internal/daemon"
+	"dahlialock/internal/logevent"
+	"dahlialock/internal/storedforms"
+)
+
+func TestNumbersOfEventsStay(t *testing.T) {
+	var lines []string
+	for _, number := range slices.Sorted(maps.Keys(logevent.Catalogue)) {
+		lines = append(lines, fmt.Sprintf("%d %s", number, logevent.Catalogue[number].Level))
+	}
+	storedforms.Compare(t, "events.txt", lines)
+}
+
+func TestExitCodesOfDaemonsStay(t *testing.T) {
+	codes := []int{daemon.ExitFine, daemon.ExitFailed, daemon.ExitInvariant, daemon.ExitDisk, daemon.ExitSettings}
+	if !slices.Equal(codes, []int{0, 1, 2, 3, 64}) {
+		t.Errorf("the exit codes are %v", codes)
+	}
+}
+
+// word is what a code, a step of a decision, a reason or a key looks like.
+var word = regexp.MustCompile(`^[A-Za-z][A-Za-z0-9]*([-_][a-z0-9]+)*$`)
+
+// tagKey is a key in the tag of a struct's field.
+var tagKey = regexp.MustCompile(`json:"([^",]+)`)
+
+// addWords adds a literal that is a word, or the key in one that is a tag.
+func addWords(found map[string]bool, literal string) {
+	text, err := strconv.Unquote(literal)
+	if err != nil {
+		return
+	}
+	if word.MatchString(text) {
+		found[text] = true
+	}
+	if key := tagKey.FindStringSubmatch(text); key != nil {
+		found[key[1]] = true
+	}
+}
+
+// words are the string literals and tags of the programs that look like one, tests left
+// out.
+func words(t *testing.T) map[string]bool {
+	t.Helper()
+	found := map[string]bool{}
+	for _, root := range []string{"../../internal", "../../cmd", "../../platform"} {
+		err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
+			if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
+				return err
+			}
+			tree, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
+			if err != nil {
+				return err
+			}
+			ast.Inspect(tree, func(node ast.Node) bool {
+				if literal, matches := node.(*ast.BasicLit); matches && literal.Kind == token.STRING {
+					addWords(found, literal.Value)
+				}
+				return true
+			})
+			return nil
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	return found
+}
+
+// TestWordsOfOperatorsAndCallersStay holds what programs of others compare with and the
+// other tests of forms don't bring about: each must still be written somewhere.
+func TestWordsOfOperatorsAndCallersStay(t *testing.T) {
+	found := words(t)
+	recorded, _ := storedforms.Recorded(t, "words.txt", nil)
+	for _, text := range recorded {
+		for _, each := range strings.Fields(text)[1:] {
+			if !found[each] {
+				t.Errorf("%s %s is written nowhere any more", strings.Fields(text)[0], each)
+			}
+		}
+	}
+}
