--- a/internal/membership/messages.go
+++ b/internal/membership/messages.go
@@ -13,20 +13,20 @@
 type Load struct {
 	_ struct{} `cbor:",toarray"`
 	// Sessions is how many client sessions are open, FreeCapacity how many more may be.
-	Sessions     int
-	FreeCapacity int
-	Requests     uint64
-	Delivered    uint64
+	Sessions     int    `json:"Origins"`
+	FreeCapacity int    `json:"Room"`
+	Requests     uint64 `json:"Requests"`
+	Delivered    uint64 `json:"Delivered"`
 	// Copies counts the messages that other gateways forwarded to this one.
-	Copies uint64
+	Copies uint64 `json:"Copies"`
 	// Processor is the processor time used.
-	Processor time.Duration
-	Ready     bool
-	Resting   bool
+	Processor time.Duration `json:"Processor"`
+	Ready     bool          `json:"Ready"`
+	Resting   bool          `json:"Resting"`
 	// Partitions is not filled in any more; it keeps its position in the message.
-	Partitions []string
+	Partitions []string `json:"Partitions"`
 	// Delays are observed round trips to other daemons, by name.
-	Delays map[string]time.Duration
+	Delays map[string]time.Duration `json:"Delays"`
 }
 
 // ViewRequest is a long poll: a daemon asks the primary for what is newer than what
@@ -83,13 +83,13 @@
 type Directives struct {
 	_ struct{} `cbor:",toarray"`
 	// Rest lets an empty gateway rest; Drain empties it first.
-	Rest  bool
-	Drain bool
+	Rest  bool `json:"Rest"`
+	Drain bool `json:"Empty"`
 	// KeepSessions, if above zero, asks it to move its sessions beyond that number.
-	KeepSessions   int
-	MovesPerSecond int
+	KeepSessions   int `json:"Keep"`
+	MovesPerSecond int `json:"Pace"`
 	// Targets are the gateways to move sessions to.
-	Targets []string
+	Targets []string `json:"Targets"`
 }
 
 // Equal reports whether two directives ask the same.
