--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -35,7 +35,7 @@
 	if current.Admission == settings.AdmissionOpen {
 		callersKey = nil
 	}
-	machine := gateway.New(gateway.Settings{Self: self, Agent: current.Agent, Key: key, OriginsMost: current.OriginsMost, Link: current.Link, Processor: processorTime, Incarnation: stored.Incarnation,
+	machine := gateway.New(gateway.Settings{Self: self, Agent: current.Agent, Key: key, MaxClients: current.OriginsMost, Link: current.Link, Processor: processorTime, Incarnation: stored.Incarnation,
 		// A sixth of the time in which a version is to be in force is left for news
 		// on its way, and two fifths of the grace for what comes after the callers.
 		ConfirmedFor: current.Bounds.Apply * 5 / 6, StopWithin: current.Bounds.Grace * 3 / 5, Acknowledge: current.Bounds.Acknowledge,
@@ -44,12 +44,12 @@
 		Machine: machine,
 		Ready:   func(now time.Time) bool { return machine.Ready(now) },
 		Stop:    gateway.Stop{},
-		Slow:    func(channel uint64) any { return gateway.CloseChannel{Channel: channel, Why: "slow"} },
+		Slow:    func(channel uint64) any { return gateway.CloseSession{Session: channel, Reason: "slow"} },
 		Request: func(local uint64, method, path string, body []byte) any {
 			return gateway.ControlRequest{Local: local, Method: method, Path: path, Body: body}
 		},
 		Find: func(local uint64, request, message, origin string) any {
-			return gateway.FindDecisions{Local: local, Request: request, Message: message, Origin: origin}
+			return gateway.FindDecisions{Local: local, Request: request, Message: message, Client: origin}
 		},
 		Counters: func() any {
 			subscribing, publishing := machine.Overlay().Hosted()
@@ -60,7 +60,7 @@
 		},
 		Caller: func(at *daemon.Host) http.Handler { return httpapi.New(current.Name, callersKey, at) },
 		Reload: func(after settings.Settings) {
-			machine.SetOriginsMost(after.OriginsMost)
+			machine.SetMaxClients(after.OriginsMost)
 			machine.SetLink(after.Link)
 		},
 		Adapter: platform.Adapter(current),
--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -20,8 +20,8 @@
 	admitShare   = 0.5
 	// admitBurst is for how long sessions may be saved up, and admitLeast how many are
 	// let in at once in any case.
-	admitBurst = 300 * time.Millisecond
-	admitLeast = 16
+	admitBurst  = 300 * time.Millisecond
+	minAdmitted = 16
 	// backlogAhead is how much of the link's time the records may take that are known
 	// to lack here before nobody else is let in.
 	backlogAhead = time.Second
@@ -39,7 +39,7 @@
 		return true
 	}
 	rate := float64(g.settings.Link) * admitShare / sessionBytes
-	most := max(rate*admitBurst.Seconds(), admitLeast)
+	most := max(rate*admitBurst.Seconds(), minAdmitted)
 	if g.admission.at.IsZero() {
 		g.admission = admission{left: most, at: now}
 	}
@@ -57,8 +57,8 @@
 func (g *Gateway) backlog(now time.Time) int {
 	sum := 0
 	count := func(waits *topic) {
-		if _, lacking := waits.lacks(now); lacking {
-			sum += waits.left
+		if _, lacking := waits.missingAfter(now); lacking {
+			sum += waits.missingBytes
 		}
 	}
 	for _, queued := range g.routed.queue {
--- a/internal/gateway/catchup.go
+++ b/internal/gateway/catchup.go
@@ -37,48 +37,48 @@
 type topicFetch struct {
 	topic  *topic
 	after  uint64
-	sentBy way
+	sentBy route
 }
 
 // batch is what was asked of one store and not answered yet.
 type batch struct {
-	request uint64
-	store   string
-	fetches []*topicFetch
-	bytes   int
-	sentAt  time.Time
-	tries   int
+	request  uint64
+	store    string
+	fetches  []*topicFetch
+	bytes    int
+	sentAt   time.Time
+	attempts int
 }
 
 // due is when the batch is sent again.
-func (b *batch) due() time.Time { return b.sentAt.Add(longer(batchRetry, b.tries)) }
+func (b *batch) due() time.Time { return b.sentAt.Add(backoff(batchRetry, b.attempts)) }
 
 // wanted tells whether anybody still waits for an answer to the batch.
 func (b *batch) wanted() bool {
 	return slices.ContainsFunc(b.fetches, func(asked *topicFetch) bool { return asked.topic.fetch == asked })
 }
 
-// longer is how long to wait for the answer to a try.
-func longer(first time.Duration, tries int) time.Duration {
+// backoff is how long to wait for the answer to a try.
+func backoff(first time.Duration, tries int) time.Duration {
 	if statemachine.Mutated("no-retry-pauses") {
 		return first
 	}
 	return first << min(max(0, tries-1), retryDoubles)
 }
 
-// lacks gives the offset after which a topic's records are wanted, if any are.
-func (t *topic) lacks(now time.Time) (after uint64, lacking bool) {
+// missingAfter gives the offset after which a topic's records are wanted, if any are.
+func (t *topic) missingAfter(now time.Time) (after uint64, lacking bool) {
 	after = everything
 	if t.live && t.wanted > t.last {
-		after, lacking = t.last, len(t.places) > 0
+		after, lacking = t.last, len(t.subscriptions) > 0
 	}
-	for _, taken := range t.places {
+	for _, taken := range t.subscriptions {
 		if !taken.filling {
 			continue
 		}
 		lacking = true
 		if taken.resumes {
-			after = min(after, taken.upTo)
+			after = min(after, taken.deliveredUpTo)
 		}
 	}
 	if t.reserved(now) {
@@ -96,14 +96,14 @@
 
 // reserve keeps the turn of a subscription that is refused because its answer did
 // not come in time: what it lacks is fetched all the same, for its next try.
-func (t *topic) reserve(now time.Time, taken *place) {
+func (t *topic) reserve(now time.Time, taken *topicSubscription) {
 	if statemachine.Mutated("refused-loses-turn") || !taken.resumes {
 		return
 	}
 	if !t.reservedUntil.After(now) {
-		t.reservedAfter = taken.upTo
+		t.reservedAfter = taken.deliveredUpTo
 	}
-	t.reservedAfter = min(t.reservedAfter, taken.upTo)
+	t.reservedAfter = min(t.reservedAfter, taken.deliveredUpTo)
 	t.reservedUntil = now.Add(reservedFor)
 }
 
@@ -115,9 +115,9 @@
 	}
 	followed.queued = true
 	g.routed.queue = append(g.routed.queue, followed)
-	store := g.wayTo(followed.partition).address
+	store := g.routeTo(followed.partition).address
 	if store == "" {
-		g.follower.PollNow(now)
+		g.viewClient.PollNow(now)
 		return
 	}
 	if !g.busy(store) {
@@ -127,7 +127,7 @@
 
 // busy tells whether a batch is on its way to a store.
 func (g *Gateway) busy(store string) bool {
-	_, busy := g.routed.underway[store]
+	_, busy := g.routed.batchInFlight[store]
 	return busy && !statemachine.Mutated("fetches-without-credit")
 }
 
@@ -136,13 +136,13 @@
 	chosen := map[string][]*topicFetch{}
 	var waiting []*topic
 	for _, next := range g.routed.queue {
-		after, lacking := next.lacks(now)
+		after, lacking := next.missingAfter(now)
 		if !lacking || g.routed.topics[next.name] != next {
 			next.queued = false
 			continue
 		}
-		present := g.wayTo(next.partition)
-		if present == (way{}) || g.busy(present.address) || len(chosen[present.address]) >= batchTopicsMost {
+		present := g.routeTo(next.partition)
+		if present == (route{}) || g.busy(present.address) || len(chosen[present.address]) >= batchTopicsMost {
 			waiting = append(waiting, next)
 			continue
 		}
@@ -151,20 +151,20 @@
 		chosen[present.address] = append(chosen[present.address], next.fetch)
 	}
 	g.routed.queue = waiting
-	bytes := g.batchBytes(len(g.routed.underway) + len(chosen))
+	bytes := g.batchBytes(len(g.routed.batchInFlight) + len(chosen))
 	for store, fetches := range statemachine.Sorted(chosen) {
 		g.nextRequest++
-		shortestFirst(fetches)
+		sortByMissingBytes(fetches)
 		made := &batch{request: g.nextRequest, store: store, fetches: fetches, bytes: bytes}
 		g.routed.batches[made.request] = made
-		g.routed.underway[store] = made.request
+		g.routed.batchInFlight[store] = made.request
 		g.sendBatch(now, made, effects)
 	}
 }
 
 func (g *Gateway) sendBatch(now time.Time, sent *batch, effects *statemachine.Effects) {
 	sent.sentAt = now
-	sent.tries++
+	sent.attempts++
 	g.timers.ArmSooner("routed", sent.due())
 	asked := partition.FetchTopics{Request: sent.request, Bytes: sent.bytes}
 	for _, each := range sent.fetches {
@@ -174,14 +174,16 @@
 	effects.Send(sent.store, asked)
 }
 
-// shortestFirst orders topics by what they are known to lack, since the records of an
+// sortByMissingBytes orders topics by what they are known to lack, since the records of an
 // answer go to the first of them: one that lacks a single message must not wait for those
 // that lack hundreds. What is not known yet goes first.
-func shortestFirst(fetches []*topicFetch) {
+func sortByMissingBytes(fetches []*topicFetch) {
 	if statemachine.Mutated("first-come-first") {
 		return
 	}
-	slices.SortStableFunc(fetches, func(left, right *topicFetch) int { return cmp.Compare(left.topic.left, right.topic.left) })
+	slices.SortStableFunc(fetches, func(left, right *topicFetch) int {
+		return cmp.Compare(left.topic.missingBytes, right.topic.missingBytes)
+	})
 }
 
 // batchBytes is the credit of a batch while so many stores are asked: their answers
@@ -197,14 +199,14 @@
 // endBatch gives the store's credit back.
 func (g *Gateway) endBatch(ended *batch) {
 	delete(g.routed.batches, ended.request)
-	if g.routed.underway[ended.store] == ended.request {
-		delete(g.routed.underway, ended.store)
+	if g.routed.batchInFlight[ended.store] == ended.request {
+		delete(g.routed.batchInFlight, ended.store)
 	}
 }
 
-// tendBatches sends again what stayed without an answer, and lets go of batches for
+// retryBatches sends again what stayed without an answer, and lets go of batches for
 // which nobody waits any more.
-func (g *Gateway) tendBatches(now time.Time, effects *statemachine.Effects) {
+func (g *Gateway) retryBatches(now time.Time, effects *statemachine.Effects) {
 	for _, sent := range statemachine.Sorted(g.routed.batches) {
 		switch {
 		case sent.due().After(now):
@@ -227,7 +229,7 @@
 	for _, sent := range statemachine.Sorted(g.routed.batches) {
 		for _, asked := range sent.fetches {
 			followed := asked.topic
-			if followed.fetch == asked && asked.sentBy.changed(g.wayTo(followed.partition)) {
+			if followed.fetch == asked && asked.sentBy.changed(g.routeTo(followed.partition)) {
 				followed.fetch, followed.queued = nil, true
 				moved = append(moved, followed)
 			}
@@ -242,8 +244,8 @@
 	}
 }
 
-// onTopicsFetched takes the answer to a batch.
-func (g *Gateway) onTopicsFetched(now time.Time, returned partition.FetchTopicsResponse, effects *statemachine.Effects) {
+// handleTopicsFetched takes the answer to a batch.
+func (g *Gateway) handleTopicsFetched(now time.Time, returned partition.FetchTopicsResponse, effects *statemachine.Effects) {
 	answered, found := g.routed.batches[returned.Request]
 	if !found || len(returned.Topics) != len(answered.fetches) {
 		for _, each := range returned.Topics {
@@ -262,36 +264,36 @@
 			continue
 		}
 		state, served := returned.State(followed.partition)
-		if placement, placed := g.follower.Placements[followed.partition]; !served || !placed || state.Epoch < placement.Epoch {
-			g.follower.PollNow(now)
-			g.mind(followed, now.Add(topicFetchRetry))
+		if placement, placed := g.viewClient.Placements[followed.partition]; !served || !placed || state.Epoch < placement.Epoch {
+			g.viewClient.PollNow(now)
+			g.scheduleTopic(followed, now.Add(topicFetchRetry))
 			continue
 		}
-		g.takeRecords(now, asked, state, records, effects)
+		g.applyFetchedTopic(now, asked, state, records, effects)
 	}
 	// Only now, so that the next batch carries all that is still lacking.
 	g.endBatch(answered)
 	g.sendBatches(now, effects)
 }
 
-// takeRecords takes what a store told of one topic.
-func (g *Gateway) takeRecords(now time.Time, asked *topicFetch, state partition.PartitionState, returned partition.TopicRecords, effects *statemachine.Effects) {
+// applyFetchedTopic takes what a store told of one topic.
+func (g *Gateway) applyFetchedTopic(now time.Time, asked *topicFetch, state partition.PartitionState, returned partition.TopicRecords, effects *statemachine.Effects) {
 	followed := asked.topic
 	g.routed.bases[followed.partition] = state.Base
-	followed.left = returned.Left
+	followed.missingBytes = returned.Left
 	if returned.Gone {
 		followed.reservedUntil = time.Time{}
-		g.losePlaces(now, followed, asked.after, effects)
-		g.tendTopic(now, followed, effects)
+		g.expireSubscriptions(now, followed, asked.after, effects)
+		g.tickTopic(now, followed, effects)
 		return
 	}
 	if len(returned.Records) > 0 {
 		effects.Emit(logevent.GapFilled, "partition", followed.partition, "records", len(returned.Records), "until", returned.Until)
 	}
-	g.takeMissing(now, asked, state, returned, effects)
-	for _, taken := range slices.Clone(followed.places) {
+	g.applyRecords(now, asked, state, returned, effects)
+	for _, taken := range slices.Clone(followed.subscriptions) {
 		if taken.filling {
-			g.advancePlace(now, taken, asked.after, returned, effects)
+			g.advanceSubscription(now, taken, asked.after, returned, effects)
 		}
 	}
 	g.release(now, followed, effects)
@@ -299,11 +301,11 @@
 		// One answer did not hold all.
 		g.want(now, followed, state.Head, 0)
 	}
-	g.tendTopic(now, followed, effects)
+	g.tickTopic(now, followed, effects)
 }
 
-// takeMissing adds fetched records to the topic's own sequence.
-func (g *Gateway) takeMissing(now time.Time, asked *topicFetch, state partition.PartitionState, returned partition.TopicRecords, effects *statemachine.Effects) {
+// applyRecords adds fetched records to the topic's own sequence.
+func (g *Gateway) applyRecords(now time.Time, asked *topicFetch, state partition.PartitionState, returned partition.TopicRecords, effects *statemachine.Effects) {
 	followed := asked.topic
 	if !followed.live {
 		followed.live = true
@@ -314,7 +316,7 @@
 		if followed.reservedUntil.After(now) {
 			followed.recentUntil = followed.reservedUntil
 		}
-		g.beginTold(now, followed.partition, state.Head)
+		g.startReports(now, followed.partition, state.Head)
 	}
 	if asked.after == everything {
 		return
@@ -348,15 +350,15 @@
 	t.recentFrom, t.recentUntil = after, now.Add(reservedFor)
 }
 
-// advancePlace confirms a place that a store still holds, and hands over what came
+// advanceSubscription confirms a place that a store still holds, and hands over what came
 // for it.
-func (g *Gateway) advancePlace(now time.Time, taken *place, after uint64, returned partition.TopicRecords, effects *statemachine.Effects) {
-	if taken.resumes && after <= taken.upTo {
-		g.beginPlace(now, taken, effects)
+func (g *Gateway) advanceSubscription(now time.Time, taken *topicSubscription, after uint64, returned partition.TopicRecords, effects *statemachine.Effects) {
+	if taken.resumes && after <= taken.deliveredUpTo {
+		g.startTopicSubscription(now, taken, effects)
 		for _, record := range returned.Records {
-			g.passTo(now, taken, record, effects)
+			g.skipTo(now, taken, record, effects)
 		}
-		taken.upTo = max(taken.upTo, returned.Until)
+		taken.deliveredUpTo = max(taken.deliveredUpTo, returned.Until)
 	}
 	g.fill(now, taken, effects)
 }
--- a/internal/gateway/catchup_test.go
+++ b/internal/gateway/catchup_test.go
@@ -19,23 +19,23 @@
 	now      time.Time
 	gateway  *Gateway
 	effects  statemachine.Effects
-	channels []*channel
+	channels []*session
 }
 
 func newCrowded(count int) *crowded {
 	made := &crowded{now: time.Unix(1000, 0)}
 	made.gateway = New(Settings{Self: membership.Member{Name: "gateway-1", Kind: membership.KindGateway, Address: "a:1"}, Agent: "a:2"})
-	made.gateway.follower.Members["store-1"] = membership.Member{Name: "store-1", Kind: membership.KindStore, Address: "k:1", Alive: true}
+	made.gateway.viewClient.Members["store-1"] = membership.Member{Name: "store-1", Kind: membership.KindStore, Address: "k:1", Alive: true}
 	made.gateway.spaces["boards"] = &spaceState{space: config.Space{Name: "boards", Retention: config.Durable, Order: config.OrderTopic, Subscribers: []string{"*"}}, name: "boards~0"}
 	for number := range count {
 		name := fmt.Sprintf("topic-%d", number)
 		partition := config.SharedPartition(name)
-		made.gateway.follower.Placements[partition] = membership.Placement{Partition: partition, Epoch: 1, Leader: "store-1", Complete: true}
-		taken := &place{channel: uint64(number + 1), filling: true, request: Subscribe{Request: uint64(number + 1)}, limit: made.now.Add(time.Second)}
-		opened := &channel{origin: name, routed: map[string]*place{name: taken}}
-		made.gateway.channels[taken.channel] = opened
+		made.gateway.viewClient.Placements[partition] = membership.Placement{Partition: partition, Epoch: 1, Leader: "store-1", Complete: true}
+		taken := &topicSubscription{session: uint64(number + 1), filling: true, request: Subscribe{Request: uint64(number + 1)}, deadline: made.now.Add(time.Second)}
+		opened := &session{client: name, routed: map[string]*topicSubscription{name: taken}}
+		made.gateway.sessions[taken.session] = opened
 		made.channels = append(made.channels, opened)
-		followed := made.gateway.addPlace(made.now, name, "boards", taken, &made.effects)
+		followed := made.gateway.addTopicSubscription(made.now, name, "boards", taken, &made.effects)
 		made.gateway.fetchTopic(made.now, followed, &made.effects)
 	}
 	return made
@@ -65,7 +65,7 @@
 		}
 		answer.Topics = append(answer.Topics, partition.TopicRecords{Until: 5})
 	}
-	c.gateway.onTopicsFetched(c.now, answer, &c.effects)
+	c.gateway.handleTopicsFetched(c.now, answer, &c.effects)
 }
 
 const crowdedTopics = 24
@@ -82,36 +82,36 @@
 	many.answer(second[0])
 	assert.Equal(t, len(many.asked()), 0)
 	for _, opened := range many.channels {
-		assert.Assert(t, !opened.routed[opened.origin].filling, opened.origin)
+		assert.Assert(t, !opened.routed[opened.client].filling, opened.client)
 	}
 }
 
 func TestABatchForWhichNobodyWaitsKeepsItsCreditUntilItsAnswer(t *testing.T) {
 	many := newCrowded(2)
 	batches := many.asked()
-	many.gateway.dropPlace(many.now, many.channels[0], batches[0].Topics[0].Topic, &many.effects)
+	many.gateway.dropTopicSubscription(many.now, many.channels[0], batches[0].Topics[0].Topic, &many.effects)
 	assert.Equal(t, len(many.asked()), 0)
 	many.answer(batches[0])
 	next := many.asked()
 	assert.Equal(t, len(next), 1)
 	// One whose answer never comes, and for which nobody waits, is not sent again.
-	many.gateway.dropPlace(many.now, many.channels[1], next[0].Topics[0].Topic, &many.effects)
+	many.gateway.dropTopicSubscription(many.now, many.channels[1], next[0].Topics[0].Topic, &many.effects)
 	many.now = many.now.Add(batchRetry)
-	many.gateway.tendBatches(many.now, &many.effects)
+	many.gateway.retryBatches(many.now, &many.effects)
 	assert.Equal(t, len(many.asked()), 0)
-	assert.Equal(t, len(many.gateway.routed.underway), 0)
+	assert.Equal(t, len(many.gateway.routed.batchInFlight), 0)
 }
 
 func TestATopicThatNobodyWantsAnyMoreIsNotFetched(t *testing.T) {
 	many := newCrowded(3)
 	batches := many.asked()
 	waiting := many.channels[1]
-	many.gateway.dropPlace(many.now, waiting, waiting.origin, &many.effects)
+	many.gateway.dropTopicSubscription(many.now, waiting, waiting.client, &many.effects)
 	many.answer(batches[0])
 	next := many.asked()
 	assert.Equal(t, len(next), 1)
 	assert.Equal(t, len(next[0].Topics), 1)
-	assert.Equal(t, next[0].Topics[0].Topic, many.channels[2].origin)
+	assert.Equal(t, next[0].Topics[0].Topic, many.channels[2].client)
 }
 
 // refusedTurn tells which topics the next batch asks for after a subscription behind a
@@ -120,12 +120,12 @@
 func refusedTurn(t *testing.T) (topics int, confirmed bool) {
 	many := newCrowded(2)
 	slow := many.asked()[0]
-	behind := many.channels[1].routed[many.channels[1].origin]
-	behind.resumes, behind.upTo = true, 3
-	many.now = behind.limit
-	many.gateway.tendTopic(many.now, behind.topic, &many.effects)
+	behind := many.channels[1].routed[many.channels[1].client]
+	behind.resumes, behind.deliveredUpTo = true, 3
+	many.now = behind.deadline
+	many.gateway.tickTopic(many.now, behind.topic, &many.effects)
 	assert.Equal(t, len(many.effects.Responses), 1)
-	assert.Equal(t, many.effects.Responses[0].Value.(Answer).Code, "no-answer")
+	assert.Equal(t, many.effects.Responses[0].Value.(Reply).Code, "no-answer")
 	many.effects = statemachine.Effects{}
 	many.answer(slow)
 	next := many.asked()
@@ -134,8 +134,8 @@
 	}
 	many.answer(next[0])
 	many.effects = statemachine.Effects{}
-	again := &place{channel: behind.channel, filling: true, resumes: true, upTo: 3, request: Subscribe{Request: 99}, limit: many.now.Add(time.Second)}
-	many.gateway.addPlace(many.now, many.channels[1].origin, "boards", again, &many.effects)
+	again := &topicSubscription{session: behind.session, filling: true, resumes: true, deliveredUpTo: 3, request: Subscribe{Request: 99}, deadline: many.now.Add(time.Second)}
+	many.gateway.addTopicSubscription(many.now, many.channels[1].client, "boards", again, &many.effects)
 	return len(next[0].Topics), many.gateway.fill(many.now, again, &many.effects)
 }
 
@@ -147,13 +147,13 @@
 
 func TestAReservedTurnEnds(t *testing.T) {
 	many := newCrowded(1)
-	taken := many.channels[0].routed[many.channels[0].origin]
-	taken.resumes, taken.upTo = true, 3
-	many.now = taken.limit
-	many.gateway.tendTopic(many.now, taken.topic, &many.effects)
+	taken := many.channels[0].routed[many.channels[0].client]
+	taken.resumes, taken.deliveredUpTo = true, 3
+	many.now = taken.deadline
+	many.gateway.tickTopic(many.now, taken.topic, &many.effects)
 	assert.Equal(t, len(many.gateway.routed.topics), 1)
 	many.now = many.now.Add(reservedFor)
-	many.gateway.tendRouted(many.now, &many.effects)
+	many.gateway.tickRouted(many.now, &many.effects)
 	assert.Equal(t, len(many.gateway.routed.topics), 0)
 	assert.Equal(t, len(many.gateway.routed.partitions), 0)
 }
@@ -161,18 +161,18 @@
 // A subscription without a cursor has no turn to keep: its topic goes, once.
 func TestAPartitionIsFollowedAsLongAsATopicOfItIsHeld(t *testing.T) {
 	many := newCrowded(1)
-	refused := many.channels[0].routed[many.channels[0].origin]
+	refused := many.channels[0].routed[many.channels[0].client]
 	name := refused.topic.partition
 	kept := 0
 	for number := 1; kept == 0; number++ {
 		if topic := fmt.Sprintf("topic-%d", number); config.SharedPartition(topic) == name {
-			many.gateway.addPlace(many.now, topic, "boards", &place{channel: 9, limit: many.now.Add(time.Hour)}, &many.effects)
+			many.gateway.addTopicSubscription(many.now, topic, "boards", &topicSubscription{session: 9, deadline: many.now.Add(time.Hour)}, &many.effects)
 			kept = number
 		}
 	}
 	assert.Equal(t, many.gateway.routed.partitions[name], 2)
-	many.now = refused.limit
-	many.gateway.tendTopic(many.now, refused.topic, &many.effects)
+	many.now = refused.deadline
+	many.gateway.tickTopic(many.now, refused.topic, &many.effects)
 	assert.Equal(t, many.gateway.routed.partitions[name], 1)
 }
 
@@ -192,20 +192,20 @@
 func TestASubscriptionIsConfirmedBeforeItsRecordsCome(t *testing.T) {
 	one := newCrowded(1)
 	taken := one.channels[0].routed["topic-0"]
-	taken.resumes, taken.upTo = true, 2
+	taken.resumes, taken.deliveredUpTo = true, 2
 	one.gateway.routed.topics["topic-0"].fetch.after = 2
 	asked := one.asked()[0]
 	name := config.SharedPartition("topic-0")
 	partitions := []partition.PartitionState{{Partition: name, Epoch: 1, Head: 9}}
-	one.gateway.onTopicsFetched(one.now, partition.FetchTopicsResponse{
+	one.gateway.handleTopicsFetched(one.now, partition.FetchTopicsResponse{
 		Request: asked.Request, Partitions: partitions, Topics: []partition.TopicRecords{{Until: 2}},
 	}, &one.effects)
 	assert.Equal(t, len(one.effects.Responses), 1)
-	assert.Equal(t, one.effects.Responses[0].Value.(Answer).Outcome, OutcomeAccepted)
+	assert.Equal(t, one.effects.Responses[0].Value.(Reply).Outcome, OutcomeAccepted)
 	next := one.asked()
 	assert.Equal(t, len(next), 1)
 	assert.DeepEqual(t, next[0].Topics, []partition.TopicAfter{{Topic: "topic-0", After: 2}})
-	one.gateway.onTopicsFetched(one.now, partition.FetchTopicsResponse{
+	one.gateway.handleTopicsFetched(one.now, partition.FetchTopicsResponse{
 		Request: next[0].Request, Partitions: partitions,
 		Topics: []partition.TopicRecords{{Until: 9, Records: []partition.Record{{Offset: 7, Topic: "topic-0", Sender: "u", Seq: 1}}}},
 	}, &one.effects)
@@ -220,17 +220,17 @@
 	one := newCrowded(1)
 	asked := one.asked()[0]
 	followed := one.gateway.routed.topics["topic-0"]
-	one.gateway.routed.told[followed.partition] = 5
-	one.gateway.onTopicHeads(one.now, partition.Head{
+	one.gateway.routed.reportedUpTo[followed.partition] = 5
+	one.gateway.handleTopicHighWatermarks(one.now, partition.Head{
 		Partition: followed.partition, Epoch: 1, From: 5, Offset: 8, Topics: []partition.TopicHead{{Topic: followed.number, Offset: 8}},
 	}, &one.effects)
 	one.answer(asked)
-	one.now = one.now.Add(headGrace)
-	one.gateway.tendRouted(one.now, &one.effects)
+	one.now = one.now.Add(highWatermarkGrace)
+	one.gateway.tickRouted(one.now, &one.effects)
 	next := one.asked()
 	assert.Equal(t, len(next), 1)
 	assert.DeepEqual(t, next[0].Topics, []partition.TopicAfter{{Topic: "topic-0", After: 5}})
-	assert.Equal(t, one.gateway.routed.told[followed.partition], uint64(8))
+	assert.Equal(t, one.gateway.routed.reportedUpTo[followed.partition], uint64(8))
 }
 
 // toldWhileWaiting is how many subscribers others are told of while one waits for
@@ -238,9 +238,9 @@
 func toldWhileWaiting() (waiting, filled int) {
 	one := newCrowded(1)
 	followed := one.gateway.routed.topics["topic-0"]
-	waiting = followed.told
+	waiting = followed.announcedCount
 	one.answer(one.asked()[0])
-	return waiting, followed.told
+	return waiting, followed.announcedCount
 }
 
 func TestNobodyIsToldOfWhoWaitsForItsPlace(t *testing.T) {
@@ -257,18 +257,18 @@
 	gateway := one.gateway
 	partition := config.SharedPartition("topic-0")
 	gateway.routed.bases[partition] = 3
-	gateway.follower.Index, gateway.follower.ConfirmedAt = 1, one.now
-	gateway.pulse.ReceiveFromPeer(one.now)
+	gateway.viewClient.Index, gateway.viewClient.ConfirmedAt = 1, one.now
+	gateway.detector.ReceiveFromPeer(one.now)
 	gateway.config = configOf(t)
-	gateway.channels[9] = &channel{origin: "late", routed: map[string]*place{}}
+	gateway.sessions[9] = &session{client: "late", routed: map[string]*topicSubscription{}}
 	gateway.routed.topics["topic-0"].recentFrom, gateway.routed.topics["topic-0"].last = 9, 9
 	one.effects = statemachine.Effects{}
-	gateway.subscribeRouted(one.now, Subscribe{Request: 77, Channel: 9, Origin: "late", Interests: []Interest{{Path: "topic-0"}}, Cursor: placeText(cursor)}, true, &one.effects)
+	gateway.subscribeRouted(one.now, Subscribe{Request: 77, Session: 9, Client: "late", Interests: []Interest{{Path: "topic-0"}}, Cursor: formatTopicCursor(cursor)}, true, &one.effects)
 	for _, returned := range one.effects.Responses {
 		if returned.Request == 77 {
-			answer := returned.Value.(Answer)
+			answer := returned.Value.(Reply)
 			assert.Equal(t, answer.Outcome, OutcomeAccepted, "%v", answer)
-			assert.Equal(t, answer.Cursor, placeText(cursor))
+			assert.Equal(t, answer.Cursor, formatTopicCursor(cursor))
 			return true
 		}
 	}
@@ -298,7 +298,7 @@
 		}
 		answer.Topics = append(answer.Topics, records)
 	}
-	c.gateway.onTopicsFetched(c.now, answer, &c.effects)
+	c.gateway.handleTopicsFetched(c.now, answer, &c.effects)
 }
 
 // orderOfRest gives the topics of the batch that follows an answer without room, when
@@ -308,17 +308,17 @@
 	many := newCrowded(4)
 	left := map[string]int{}
 	for number, opened := range many.channels {
-		taken := opened.routed[opened.origin]
-		taken.resumes, taken.upTo = true, 1
+		taken := opened.routed[opened.client]
+		taken.resumes, taken.deliveredUpTo = true, 1
 		taken.topic.fetch, taken.topic.queued = nil, false
-		left[opened.origin] = 1000 * (len(many.channels) - number)
+		left[opened.client] = 1000 * (len(many.channels) - number)
 	}
 	clear(many.gateway.routed.batches)
-	clear(many.gateway.routed.underway)
+	clear(many.gateway.routed.batchInFlight)
 	many.gateway.routed.queue = nil
 	many.asked()
 	for _, opened := range many.channels {
-		taken := opened.routed[opened.origin]
+		taken := opened.routed[opened.client]
 		taken.topic.queued = true
 		many.gateway.routed.queue = append(many.gateway.routed.queue, taken.topic)
 	}
@@ -345,12 +345,12 @@
 	one.gateway.SetLink(thinRate)
 	assert.Assert(t, one.gateway.admits(one.now))
 	asked := one.asked()[0]
-	one.gateway.onTopicsFetched(one.now, partition.FetchTopicsResponse{
+	one.gateway.handleTopicsFetched(one.now, partition.FetchTopicsResponse{
 		Request: asked.Request, Partitions: []partition.PartitionState{{Partition: followed.partition, Epoch: 1, Head: 9}},
 		Topics: []partition.TopicRecords{{Until: 0, Left: thinRate + 1}},
 	}, &one.effects)
 	assert.Assert(t, !one.gateway.admits(one.now))
-	one.gateway.dropPlace(one.now, one.channels[0], "topic-0", &one.effects)
+	one.gateway.dropTopicSubscription(one.now, one.channels[0], "topic-0", &one.effects)
 	assert.Assert(t, one.gateway.admits(one.now), "nobody wants it any more")
 }
 
@@ -363,19 +363,19 @@
 	gateway, followed := one.gateway, one.gateway.routed.topics["topic-0"]
 	one.answer(one.asked()[0])
 	gateway.SetLink(thinRate)
-	late := &place{channel: 9, filling: true, resumes: true, request: Subscribe{Request: 9}, limit: one.now.Add(time.Second)}
-	gateway.channels[9] = &channel{origin: "late", routed: map[string]*place{"topic-0": late}}
-	gateway.addPlace(one.now, "topic-0", "boards", late, &one.effects)
+	late := &topicSubscription{session: 9, filling: true, resumes: true, request: Subscribe{Request: 9}, deadline: one.now.Add(time.Second)}
+	gateway.sessions[9] = &session{client: "late", routed: map[string]*topicSubscription{"topic-0": late}}
+	gateway.addTopicSubscription(one.now, "topic-0", "boards", late, &one.effects)
 	gateway.fetchTopic(one.now, followed, &one.effects)
 	for range 2 {
 		asked := one.asked()[0]
-		gateway.onTopicsFetched(one.now, partition.FetchTopicsResponse{
+		gateway.handleTopicsFetched(one.now, partition.FetchTopicsResponse{
 			Request: asked.Request, Partitions: []partition.PartitionState{{Partition: followed.partition, Epoch: 1, Head: 5}},
 			Topics: []partition.TopicRecords{{Until: 1, Left: thinRate + 1}},
 		}, &one.effects)
-		if _, held := gateway.channels[9].routed["topic-0"]; held {
+		if _, held := gateway.sessions[9].routed["topic-0"]; held {
 			assert.Assert(t, !gateway.admits(one.now))
-			gateway.dropPlace(one.now, gateway.channels[9], "topic-0", &one.effects)
+			gateway.dropTopicSubscription(one.now, gateway.sessions[9], "topic-0", &one.effects)
 		}
 	}
 	assert.Assert(t, gateway.admits(one.now))
--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -29,7 +29,7 @@
 	refetchMost  = 64
 )
 
-type mark struct {
+type senderSequence struct {
 	seq uint64
 	at  time.Time
 }
@@ -41,26 +41,26 @@
 	resumedAt time.Time
 }
 
-type channel struct {
-	name          string
-	origin        string
-	subscriptions map[Interest]*subscription
-	routed        map[string]*place
-	got           map[string]map[uint64]time.Time
-	above         map[string]map[uint64]bool
-	marks         map[string]map[string]mark
-	buffer        []Carry
-	floors        map[string]uint64
-	passBuffer    []Pass
-	pongAt        time.Time
-	pingAt        time.Time
-	movedAt       time.Time
-	// lines is set where the adapter itself watches whether the caller lives.
-	lines bool
+type session struct {
+	name            string
+	client          string
+	subscriptions   map[Interest]*subscription
+	routed          map[string]*topicSubscription
+	delivered       map[string]map[uint64]time.Time
+	deliveredAbove  map[string]map[uint64]bool
+	sequences       map[string]map[string]senderSequence
+	buffer          []RecordCopy
+	floors          map[string]uint64
+	ephemeralBuffer []EphemeralCopy
+	pongAt          time.Time
+	pingAt          time.Time
+	movedAt         time.Time
+	// adapterPings is set where the adapter itself watches whether the caller lives.
+	adapterPings bool
 }
 
 // interests lists what a channel subscribes to, in order.
-func (c *channel) interests() []Interest {
+func (c *session) interests() []Interest {
 	interests := make([]Interest, 0, len(c.subscriptions))
 	for interest := range c.subscriptions {
 		interests = append(interests, interest)
@@ -69,7 +69,7 @@
 	return interests
 }
 
-func (c *channel) filling() bool {
+func (c *session) filling() bool {
 	for _, subscription := range c.subscriptions {
 		if subscription.filling {
 			return true
@@ -79,7 +79,7 @@
 }
 
 // catchingUp tells whether a subscription to a routed topic still lacks something.
-func (c *channel) catchingUp() bool {
+func (c *session) catchingUp() bool {
 	for _, taken := range c.routed {
 		if taken.filling {
 			return true
@@ -94,110 +94,110 @@
 }
 
 // emitLast tells a channel why it ends and where its origin may resume.
-func (g *Gateway) emitLast(now time.Time, id uint64, channel *channel, code string, effects *statemachine.Effects) {
+func (g *Gateway) emitLast(now time.Time, id uint64, channel *session, code string, effects *statemachine.Effects) {
 	effects.Deliveries = append(effects.Deliveries, statemachine.Delivery{
 		Session: id, Event: Event{Event: "gone", Code: code, Cursor: g.cursor(now, channel)}, Close: true,
 	})
 }
 
-func (g *Gateway) openChannel(now time.Time, request OpenChannel, effects *statemachine.Effects) {
+func (g *Gateway) openSession(now time.Time, request OpenSession, effects *statemachine.Effects) {
 	g.Counts.Requests++
-	if request.Lines && !g.stopping && !g.Confirmed(now) {
+	if request.AdapterPings && !g.stopping && !g.Confirmed(now) {
 		// Its first news, or the next, may be on the way: one look spares a caller
 		// that comes right after a start the pause that follows a refusal.
-		g.look(now, func(now time.Time, effects *statemachine.Effects) { g.takeChannel(now, request, effects) })
+		g.refreshThen(now, func(now time.Time, effects *statemachine.Effects) { g.admitSession(now, request, effects) })
 		return
 	}
-	g.takeChannel(now, request, effects)
+	g.admitSession(now, request, effects)
 }
 
-func (g *Gateway) takeChannel(now time.Time, request OpenChannel, effects *statemachine.Effects) {
-	if request.Lines && g.leaving() && g.Confirmed(now) {
+func (g *Gateway) admitSession(now time.Time, request OpenSession, effects *statemachine.Effects) {
+	if request.AdapterPings && g.draining() && g.Confirmed(now) {
 		if targets := g.targets(); len(targets) > 0 {
-			g.turnAway(now, request, targets, effects)
+			g.redirectClient(now, request, targets, effects)
 			return
 		}
 	}
 	switch {
 	case g.stopping:
-		effects.Respond(request.Request, refused(503, "stopping", "this daemon is stopping", comeBackSoon))
+		effects.Respond(request.Request, rejectedReply(503, "stopping", "this daemon is stopping", retrySoon))
 		return
 	case !g.Confirmed(now):
-		effects.Respond(request.Request, refused(503, "unconfirmed", "this daemon can't confirm its configuration", comeBackLater))
+		effects.Respond(request.Request, rejectedReply(503, "unconfirmed", "this daemon can't confirm its configuration", retryLater))
 		return
-	case request.Lines && !g.admits(now):
-		effects.Respond(request.Request, refused(503, "busy", "this daemon's link can't serve more callers at once", comeBackSoon))
+	case request.AdapterPings && !g.admits(now):
+		effects.Respond(request.Request, rejectedReply(503, "busy", "this daemon's link can't serve more callers at once", retrySoon))
 		return
-	case len(g.channels) >= g.settings.OriginsMost:
-		effects.Respond(request.Request, refused(503, "full", "this daemon holds all the channels it may", comeBackSoon))
+	case len(g.sessions) >= g.settings.MaxClients:
+		effects.Respond(request.Request, rejectedReply(503, "full", "this daemon holds all the channels it may", retrySoon))
 		return
 	}
-	g.channels[request.Channel] = newChannel(now, request)
-	g.supersede(now, request.Origin, request.Channel, effects)
-	g.timers.ArmSooner("tick", now.Add(tickEvery))
-	g.ring.Record(now, "", "", request.Origin, "channel-opened", "channel", request.Name)
-	effects.Emit(logevent.SessionOpened, "origin", request.Origin)
-	effects.Respond(request.Request, accepted(nil))
-	g.emit(request.Channel, Event{
-		Event: "hello", Channel: request.Name, Daemon: g.settings.Self.Name, Zone: g.settings.Self.Zone, Version: g.ConfigurationVersion(),
+	g.sessions[request.Session] = newSession(now, request)
+	g.supersede(now, request.Client, request.Session, effects)
+	g.timers.ArmSooner("tick", now.Add(tickInterval))
+	g.ring.Record(now, "", "", request.Client, "channel-opened", "channel", request.Name)
+	effects.Emit(logevent.SessionOpened, "origin", request.Client)
+	effects.Respond(request.Request, acceptedReply(nil))
+	g.emit(request.Session, Event{
+		Event: "hello", Session: request.Name, Daemon: g.settings.Self.Name, Zone: g.settings.Self.Zone, Version: g.ConfigurationVersion(),
 	}, effects)
 }
 
-func newChannel(now time.Time, request OpenChannel) *channel {
-	return &channel{
-		name: request.Name, origin: request.Origin, subscriptions: map[Interest]*subscription{}, routed: map[string]*place{}, lines: request.Lines,
-		got: map[string]map[uint64]time.Time{}, above: map[string]map[uint64]bool{}, marks: map[string]map[string]mark{}, pongAt: now, pingAt: now,
+func newSession(now time.Time, request OpenSession) *session {
+	return &session{
+		name: request.Name, client: request.Client, subscriptions: map[Interest]*subscription{}, routed: map[string]*topicSubscription{}, adapterPings: request.AdapterPings,
+		delivered: map[string]map[uint64]time.Time{}, deliveredAbove: map[string]map[uint64]bool{}, sequences: map[string]map[string]senderSequence{}, pongAt: now, pingAt: now,
 	}
 }
 
-// leaving tells whether this gateway is to be empty soon while others are not:
+// draining tells whether this gateway is to be empty soon while others are not:
 // one that is only full or out of touch sends nobody on, since the others may be
 // so too and would send them back.
-func (g *Gateway) leaving() bool {
-	return g.stopping || g.follower.Directives.Rest || slices.Contains(g.config.Drains, g.settings.Self.Name)
+func (g *Gateway) draining() bool {
+	return g.stopping || g.viewClient.Directives.Rest || slices.Contains(g.config.Drains, g.settings.Self.Name)
 }
 
-// turnAway opens a channel only to say where its origin is better served: that
+// redirectClient opens a channel only to say where its origin is better served: that
 // is found sooner so than by trying.
-func (g *Gateway) turnAway(now time.Time, request OpenChannel, targets []membership.Member, effects *statemachine.Effects) {
-	opened := newChannel(now, request)
-	g.channels[request.Channel] = opened
-	g.timers.ArmSooner("tick", now.Add(tickEvery))
-	effects.Respond(request.Request, accepted(nil))
+func (g *Gateway) redirectClient(now time.Time, request OpenSession, targets []membership.Member, effects *statemachine.Effects) {
+	opened := newSession(now, request)
+	g.sessions[request.Session] = opened
+	g.timers.ArmSooner("tick", now.Add(tickInterval))
+	effects.Respond(request.Request, acceptedReply(nil))
 	g.turn++
-	g.move(now, request.Channel, opened, targets[g.turn%min(len(targets), 3)], effects)
+	g.move(now, request.Session, opened, targets[g.turn%min(len(targets), 3)], effects)
 }
 
-func (g *Gateway) closeChannel(now time.Time, request CloseChannel, effects *statemachine.Effects) {
-	channel, found := g.channels[request.Channel]
+func (g *Gateway) closeSession(now time.Time, request CloseSession, effects *statemachine.Effects) {
+	channel, found := g.sessions[request.Session]
 	if !found {
 		return
 	}
 	for _, interest := range channel.interests() {
-		g.dropSubscription(now, request.Channel, interest, true, effects)
+		g.dropSubscription(now, request.Session, interest, true, effects)
 	}
 	g.dropRouted(now, channel, effects)
-	if g.newest[channel.origin] == request.Channel {
-		delete(g.newest, channel.origin)
+	if g.newest[channel.client] == request.Session {
+		delete(g.newest, channel.client)
 	}
-	delete(g.channels, request.Channel)
+	delete(g.sessions, request.Session)
 	number := logevent.SessionClosed
-	if request.Why == "slow" {
+	if request.Reason == "slow" {
 		number = logevent.SessionTooSlow
 	}
-	effects.Emit(number, "origin", channel.origin, "why", request.Why)
-	g.ring.Record(now, "", "", channel.origin, "channel-closed", "why", request.Why)
+	effects.Emit(number, "origin", channel.client, "why", request.Reason)
+	g.ring.Record(now, "", "", channel.client, "channel-closed", "why", request.Reason)
 }
 
-func (g *Gateway) tendChannel(now time.Time, id uint64, channel *channel, effects *statemachine.Effects) {
-	for _, got := range channel.got {
+func (g *Gateway) checkSession(now time.Time, id uint64, channel *session, effects *statemachine.Effects) {
+	for _, got := range channel.delivered {
 		for offset, at := range got {
 			if now.Sub(at) > gotMemory {
 				delete(got, offset)
 			}
 		}
 	}
-	for _, marks := range channel.marks {
+	for _, marks := range channel.sequences {
 		for sender, mark := range marks {
 			if now.Sub(mark.at) > markMemory {
 				delete(marks, sender)
@@ -207,32 +207,32 @@
 	if !channel.movedAt.IsZero() {
 		if now.Sub(channel.movedAt) > moveLinger {
 			effects.Deliveries = append(effects.Deliveries, statemachine.Delivery{Session: id, Event: Event{Event: "gone", Code: "moved"}, Close: true})
-			g.closeChannel(now, CloseChannel{Channel: id, Why: "moved"}, effects)
+			g.closeSession(now, CloseSession{Session: id, Reason: "moved"}, effects)
 		}
 		return
 	}
-	if channel.lines {
+	if channel.adapterPings {
 		return
 	}
-	if now.Sub(channel.pongAt) > pongLimit {
+	if now.Sub(channel.pongAt) > pongTimeout {
 		g.emitLast(now, id, channel, "no-pong", effects)
-		g.closeChannel(now, CloseChannel{Channel: id, Why: "no-pong"}, effects)
+		g.closeSession(now, CloseSession{Session: id, Reason: "no-pong"}, effects)
 		return
 	}
-	if now.Sub(channel.pingAt) >= pingEvery {
+	if now.Sub(channel.pingAt) >= pingInterval {
 		channel.pingAt = now
 		g.emit(id, Event{Event: "ping", Cursor: g.cursor(now, channel)}, effects)
 	}
 }
 
 func (g *Gateway) pong(now time.Time, request Pong, effects *statemachine.Effects) {
-	channel, found := g.channels[request.Channel]
-	if !found || channel.origin != request.Origin {
-		effects.Respond(request.Request, refused(404, "no-such-channel", "this channel is not open here", 0))
+	channel, found := g.sessions[request.Session]
+	if !found || channel.client != request.Client {
+		effects.Respond(request.Request, rejectedReply(404, "no-such-channel", "this channel is not open here", 0))
 		return
 	}
 	channel.pongAt = now
-	effects.Respond(request.Request, accepted(nil))
+	effects.Respond(request.Request, acceptedReply(nil))
 }
 
 // Subscribing.
@@ -272,55 +272,55 @@
 		g.subscribeRouted(now, request, false, effects)
 		return
 	}
-	g.trySubscribe(now, request, false, effects)
+	g.subscribeAttempt(now, request, false, effects)
 }
 
-func (g *Gateway) answerSubscribe(now time.Time, request Subscribe, answer Answer, effects *statemachine.Effects) {
+func (g *Gateway) answerSubscribe(now time.Time, request Subscribe, answer Reply, effects *statemachine.Effects) {
 	switch answer.Outcome {
 	case OutcomeAccepted:
 		g.Counts.Accepted++
 	default:
-		g.Counts.RefusedRequests++
+		g.Counts.RejectedRequests++
 	}
-	g.ring.Record(now, request.RequestName, "", request.Origin, "answered", "outcome", answer.Outcome, "code", answer.Code)
+	g.ring.Record(now, request.RequestName, "", request.Client, "answered", "outcome", answer.Outcome, "code", answer.Code)
 	effects.Respond(request.Request, answer)
 }
 
-func (g *Gateway) trySubscribe(now time.Time, request Subscribe, looked bool, effects *statemachine.Effects) {
-	answer := func(returned Answer) { g.answerSubscribe(now, request, returned, effects) }
-	channel, found := g.channels[request.Channel]
-	if !found || channel.origin != request.Origin {
-		answer(refused(404, "no-such-channel", "this channel is not open here", 0))
+func (g *Gateway) subscribeAttempt(now time.Time, request Subscribe, looked bool, effects *statemachine.Effects) {
+	answer := func(returned Reply) { g.answerSubscribe(now, request, returned, effects) }
+	channel, found := g.sessions[request.Session]
+	if !found || channel.client != request.Client {
+		answer(rejectedReply(404, "no-such-channel", "this channel is not open here", 0))
 		return
 	}
 	channel.pongAt = now
 	if !channel.movedAt.IsZero() {
-		answer(refused(409, "moved", "this channel was asked to move", 0))
+		answer(rejectedReply(409, "moved", "this channel was asked to move", 0))
 		return
 	}
 	var place cursor
 	if request.Cursor != "" {
 		var code string
-		if place, code = openCursor(g.settings.Key, request.Origin, request.Cursor); code != "" {
-			answer(refused(400, code, "the cursor is not one of this origin's", 0))
+		if place, code = openCursor(g.settings.Key, request.Client, request.Cursor); code != "" {
+			answer(rejectedReply(400, code, "the cursor is not one of this origin's", 0))
 			return
 		}
 		if len(request.Interests) == 0 {
-			request.Interests = g.living(place.Interests)
+			request.Interests = g.existingInterests(place.Interests)
 		}
 	}
-	judged := &Judged{Kind: "subscribe", Origin: request.Origin, Paths: request.Interests, Looked: looked}
-	retry := func(now time.Time, effects *statemachine.Effects) { g.trySubscribe(now, request, true, effects) }
-	if !g.judge(now, judged, request.RequestName, retry, answer) {
+	judged := &PolicyRequest{Kind: "subscribe", Client: request.Client, Paths: request.Interests, Refreshed: looked}
+	retry := func(now time.Time, effects *statemachine.Effects) { g.subscribeAttempt(now, request, true, effects) }
+	if !g.authorize(now, judged, request.RequestName, retry, answer) {
 		return
 	}
-	if len(channel.subscriptions)+len(request.Interests) > interestsMost {
-		answer(refused(429, "too-many-subscriptions", "a channel holds 256 subscriptions at most", 0))
+	if len(channel.subscriptions)+len(request.Interests) > maxInterests {
+		answer(rejectedReply(429, "too-many-subscriptions", "a channel holds 256 subscriptions at most", 0))
 		return
 	}
 	round := &fetch{
-		channel: request.Channel, request: request, resumes: request.Cursor != "", partitions: map[string]*fetched{},
-		records: map[string][]partition.Record{}, limit: now.Add(subscribeLimit),
+		channel: request.Session, request: request, resumes: request.Cursor != "", partitions: map[string]*fetched{},
+		records: map[string][]partition.Record{}, limit: now.Add(defaultSubscribeTimeout),
 	}
 	for space, marks := range place.Marks {
 		for sender, seq := range marks {
@@ -334,7 +334,7 @@
 		round.interests = append(round.interests, interest)
 	}
 	if len(round.interests) == 0 {
-		answer(accepted(map[string]any{"subscriptions": len(channel.subscriptions), "cursor": g.cursor(now, channel)}))
+		answer(acceptedReply(map[string]any{"subscriptions": len(channel.subscriptions), "cursor": g.cursor(now, channel)}))
 		return
 	}
 	g.nextRequest++
@@ -343,7 +343,7 @@
 	round.joins = 1
 	g.timers.ArmSooner("limits", round.limit)
 	for _, interest := range round.interests {
-		g.addSubscription(now, channel, request.Channel, interest)
+		g.addSubscription(now, channel, request.Session, interest)
 	}
 	for _, interest := range round.interests {
 		state := g.spaces[interest.Space]
@@ -355,12 +355,12 @@
 			}
 			if at, resumes := place.Partitions[name]; resumes {
 				asked.from, asked.after, asked.skip = at.Floor, at.Floor, at.Extras
-				channel.hadAlready(now, name, at.Extras)
+				channel.markDelivered(now, name, at.Extras)
 				if since, later := at.Since[interest.key()]; later {
 					channel.notBefore(interest, name, since)
 				}
 			}
-			if interest.Wide {
+			if interest.Prefix {
 				asked.prefixes = append(asked.prefixes, interest.Path)
 			} else {
 				asked.topics = append(asked.topics, interest.Path)
@@ -373,13 +373,13 @@
 			g.advanceFetch(now, id, round, place, effects)
 		}, effects)
 	}
-	g.ring.Record(now, request.RequestName, "", request.Origin, "joining", "interests", len(round.interests), "resumes", round.resumes)
+	g.ring.Record(now, request.RequestName, "", request.Client, "joining", "interests", len(round.interests), "resumes", round.resumes)
 	round.joins--
 	g.advanceFetch(now, id, round, place, effects)
 }
 
-// living leaves out interests of a cursor whose space is gone.
-func (g *Gateway) living(interests []Interest) []Interest {
+// existingInterests leaves out interests of a cursor whose space is gone.
+func (g *Gateway) existingInterests(interests []Interest) []Interest {
 	var found []Interest
 	for _, interest := range interests {
 		if _, present := g.spaces[interest.Space]; present {
@@ -389,29 +389,29 @@
 	return found
 }
 
-// hadAlready notes offsets that the origin had before it came here.
-func (c *channel) hadAlready(now time.Time, name string, offsets []uint64) {
+// markDelivered notes offsets that the origin had before it came here.
+func (c *session) markDelivered(now time.Time, name string, offsets []uint64) {
 	for _, offset := range offsets {
-		c.takes(now, name, offset)
+		c.firstDelivery(now, name, offset)
 	}
 }
 
-// takes notes that the origin has a message now, and tells whether it had not.
+// firstDelivery notes that the origin has a message now, and tells whether it had not.
 // What is above the place's floor is kept apart, since every cursor names it.
-func (c *channel) takes(now time.Time, name string, offset uint64) bool {
-	if c.got[name] == nil {
-		c.got[name], c.above[name] = map[uint64]time.Time{}, map[uint64]bool{}
+func (c *session) firstDelivery(now time.Time, name string, offset uint64) bool {
+	if c.delivered[name] == nil {
+		c.delivered[name], c.deliveredAbove[name] = map[uint64]time.Time{}, map[uint64]bool{}
 	}
-	if _, had := c.got[name][offset]; had {
+	if _, had := c.delivered[name][offset]; had {
 		return false
 	}
-	c.got[name][offset] = now
-	c.above[name][offset] = true
+	c.delivered[name][offset] = now
+	c.deliveredAbove[name][offset] = true
 	return true
 }
 
 // notBefore notes that an interest began above the place's floor.
-func (c *channel) notBefore(interest Interest, name string, since uint64) {
+func (c *session) notBefore(interest Interest, name string, since uint64) {
 	subscription := c.subscriptions[interest]
 	if subscription.notBefore == nil {
 		subscription.notBefore = map[string]uint64{}
@@ -419,9 +419,9 @@
 	subscription.notBefore[name] = since
 }
 
-// asksFor tells whether a missed message is one that an interest asked for at
+// subscribesTo tells whether a missed message is one that an interest asked for at
 // the time.
-func (c *channel) asksFor(interests []Interest, carry Carry) bool {
+func (c *session) subscribesTo(interests []Interest, carry RecordCopy) bool {
 	space, _ := spaceOf(carry.Partition)
 	for _, interest := range interests {
 		subscription, found := c.subscriptions[interest]
@@ -436,7 +436,7 @@
 	if state.space.Retention != config.Durable {
 		return nil
 	}
-	if !interest.Wide {
+	if !interest.Prefix {
 		return []string{g.partitionOf(state, interest.Path)}
 	}
 	var names []string
@@ -446,12 +446,12 @@
 	return names
 }
 
-func (g *Gateway) addSubscription(now time.Time, channel *channel, id uint64, interest Interest) {
+func (g *Gateway) addSubscription(now time.Time, channel *session, id uint64, interest Interest) {
 	state := g.spaces[interest.Space]
 	channel.subscriptions[interest] = &subscription{since: map[string]uint64{}, filling: true}
 	table := state.topics
-	if interest.Wide {
-		table = state.wides
+	if interest.Prefix {
+		table = state.prefixes
 	}
 	if table[interest.Path] == nil {
 		table[interest.Path] = map[uint64]bool{}
@@ -468,15 +468,15 @@
 // interest, is likely to come back, and a next try finds the peer further on
 // instead of beginning anew.
 func (g *Gateway) dropSubscription(now time.Time, id uint64, interest Interest, linger bool, effects *statemachine.Effects) {
-	channel := g.channels[id]
+	channel := g.sessions[id]
 	delete(channel.subscriptions, interest)
 	state, found := g.spaces[interest.Space]
 	if !found {
 		return
 	}
 	table := state.topics
-	if interest.Wide {
-		table = state.wides
+	if interest.Prefix {
+		table = state.prefixes
 	}
 	delete(table[interest.Path], id)
 	if len(table[interest.Path]) == 0 {
@@ -524,17 +524,17 @@
 		g.unsubscribeRouted(now, request, effects)
 		return
 	}
-	channel, found := g.channels[request.Channel]
-	if !found || channel.origin != request.Origin {
-		effects.Respond(request.Request, refused(404, "no-such-channel", "this channel is not open here", 0))
+	channel, found := g.sessions[request.Session]
+	if !found || channel.client != request.Client {
+		effects.Respond(request.Request, rejectedReply(404, "no-such-channel", "this channel is not open here", 0))
 		return
 	}
 	for _, interest := range request.Interests {
 		if _, present := channel.subscriptions[interest]; present {
-			g.dropSubscription(now, request.Channel, interest, false, effects)
+			g.dropSubscription(now, request.Session, interest, false, effects)
 		}
 	}
-	effects.Respond(request.Request, accepted(map[string]any{"subscriptions": len(channel.subscriptions)}))
+	effects.Respond(request.Request, acceptedReply(map[string]any{"subscriptions": len(channel.subscriptions)}))
 }
 
 // advanceFetch goes on once the overlay peers have settled: it asks the first
@@ -567,7 +567,7 @@
 	g.timers.ArmSooner("limits", now.Add(fetchRetry))
 	address, _, found := g.firstOf(name)
 	if !found {
-		g.follower.PollNow(now)
+		g.viewClient.PollNow(now)
 		return
 	}
 	g.Counts.Fetches++
@@ -576,7 +576,7 @@
 	})
 }
 
-func (g *Gateway) tendFetch(now time.Time, id uint64, round *fetch, effects *statemachine.Effects) time.Time {
+func (g *Gateway) retryFetch(now time.Time, id uint64, round *fetch, effects *statemachine.Effects) time.Time {
 	if !round.limit.After(now) {
 		g.failFetch(now, id, round, "no-answer", effects)
 		return time.Time{}
@@ -607,11 +607,11 @@
 		}
 		return
 	}
-	if channel, found := g.channels[round.channel]; found {
+	if channel, found := g.sessions[round.channel]; found {
 		g.dropFilling(now, round, channel, effects)
 		g.drain(now, round.channel, channel, effects)
 	}
-	g.answerSubscribe(now, round.request, refused(503, code, "the place could not be found in time; nothing is subscribed", comeBackSoon), effects)
+	g.answerSubscribe(now, round.request, rejectedReply(503, code, "the place could not be found in time; nothing is subscribed", retrySoon), effects)
 }
 
 // had tells whether an answer is one that came before, to an earlier part of what is
@@ -638,16 +638,16 @@
 	if !wanted || asked.done {
 		return
 	}
-	place, placed := g.follower.Placements[returned.Partition]
+	place, placed := g.viewClient.Placements[returned.Partition]
 	if !returned.Ready || !placed || returned.Epoch < place.Epoch {
 		if !returned.Ready {
-			g.follower.PollNow(now)
+			g.viewClient.PollNow(now)
 		}
 		return
 	}
 	if asked.after != everything && asked.after < returned.Base && round.tracker == "" {
 		// What lies between was kept for the holding time and is gone.
-		g.lostPlace(now, returned.Request, round, effects)
+		g.loseHistory(now, returned.Request, round, effects)
 		return
 	}
 	if asked.had(returned) {
@@ -670,7 +670,7 @@
 }
 
 // dropFilling ends the subscriptions that a round did not come to fill.
-func (g *Gateway) dropFilling(now time.Time, round *fetch, channel *channel, effects *statemachine.Effects) {
+func (g *Gateway) dropFilling(now time.Time, round *fetch, channel *session, effects *statemachine.Effects) {
 	for _, interest := range round.interests {
 		if subscription, present := channel.subscriptions[interest]; present && subscription.filling {
 			g.dropSubscription(now, round.channel, interest, true, effects)
@@ -678,12 +678,12 @@
 	}
 }
 
-func (g *Gateway) lostPlace(now time.Time, id uint64, round *fetch, effects *statemachine.Effects) {
+func (g *Gateway) loseHistory(now time.Time, id uint64, round *fetch, effects *statemachine.Effects) {
 	delete(g.fetches, id)
-	if channel, found := g.channels[round.channel]; found {
+	if channel, found := g.sessions[round.channel]; found {
 		g.dropFilling(now, round, channel, effects)
 	}
-	g.answerSubscribe(now, round.request, refused(410, "place-lost", "what was missed is older than the space holds; subscribe without the cursor", 0), effects)
+	g.answerSubscribe(now, round.request, rejectedReply(410, "place-lost", "what was missed is older than the space holds; subscribe without the cursor", 0), effects)
 }
 
 // completeFetch ends a round: for a tracker it takes what was missed; for a
@@ -694,7 +694,7 @@
 		g.verified(now, round, effects)
 		return
 	}
-	channel, found := g.channels[round.channel]
+	channel, found := g.sessions[round.channel]
 	if !found {
 		delete(g.fetches, id)
 		return
@@ -748,13 +748,13 @@
 	}
 	missed := 0
 	for _, each := range ordered {
-		if channel.asksFor(round.interests, each) {
+		if channel.subscribesTo(round.interests, each) {
 			missed++
-			g.hand(now, round.channel, channel, each, effects)
+			g.deliverTo(now, round.channel, channel, each, effects)
 		}
 	}
 	channel.floors = nil
-	g.answerSubscribe(now, round.request, accepted(map[string]any{
+	g.answerSubscribe(now, round.request, acceptedReply(map[string]any{
 		"subscriptions": len(channel.subscriptions), "resumed": round.resumes, "missed": missed, "cursor": g.cursor(now, channel),
 	}), effects)
 	if round.resumes {
@@ -768,7 +768,7 @@
 // merge puts the records of several partitions in an order in which each partition's
 // records and each sender's messages follow each other. It names the partitions
 // that must be asked again for a record that another one refers to.
-func merge(round *fetch) (ordered []Carry, again []string) {
+func merge(round *fetch) (ordered []RecordCopy, again []string) {
 	at := map[string]int{}
 	// What is older than a trail is ordered by the sender's seq alone.
 	turns := map[string][]uint64{}
@@ -798,7 +798,7 @@
 					break
 				}
 				turns[turn] = turns[turn][1:]
-				ordered = append(ordered, Carry{Partition: name, Record: record})
+				ordered = append(ordered, RecordCopy{Partition: name, Record: record})
 				at[name]++
 				progress = true
 			}
@@ -819,14 +819,14 @@
 }
 
 // leftOver lists what could not be ordered, by the time at which it was kept.
-func leftOver(round *fetch, at map[string]int) []Carry {
-	var rest []Carry
+func leftOver(round *fetch, at map[string]int) []RecordCopy {
+	var rest []RecordCopy
 	for name, records := range statemachine.Sorted(round.records) {
 		for _, record := range records[at[name]:] {
-			rest = append(rest, Carry{Partition: name, Record: record})
+			rest = append(rest, RecordCopy{Partition: name, Record: record})
 		}
 	}
-	slices.SortStableFunc(rest, func(left, right Carry) int { return left.Record.At.Compare(right.Record.At) })
+	slices.SortStableFunc(rest, func(left, right RecordCopy) int { return left.Record.At.Compare(right.Record.At) })
 	return rest
 }
 
@@ -864,7 +864,7 @@
 }
 
 // drain hands over what waited while a channel was being filled.
-func (g *Gateway) drain(now time.Time, id uint64, channel *channel, effects *statemachine.Effects) {
+func (g *Gateway) drain(now time.Time, id uint64, channel *session, effects *statemachine.Effects) {
 	if channel.filling() {
 		return
 	}
@@ -872,20 +872,20 @@
 	for len(channel.buffer) > 0 {
 		carry := channel.buffer[0]
 		channel.buffer = channel.buffer[1:]
-		g.offer(now, id, channel, carry, effects)
+		g.offerRecord(now, id, channel, carry, effects)
 	}
-	passes := channel.passBuffer
-	channel.passBuffer = nil
+	passes := channel.ephemeralBuffer
+	channel.ephemeralBuffer = nil
 	for _, message := range passes {
-		g.offerPass(now, id, channel, message, effects)
+		g.offerEphemeral(now, id, channel, message, effects)
 	}
 }
 
 // Handing over.
 
-// offer gives a kept message to a channel, if one of its subscriptions wants it
+// offerRecord gives a kept message to a channel, if one of its subscriptions wants it
 // and it has not had it.
-func (g *Gateway) offer(now time.Time, id uint64, channel *channel, carry Carry, effects *statemachine.Effects) {
+func (g *Gateway) offerRecord(now time.Time, id uint64, channel *session, carry RecordCopy, effects *statemachine.Effects) {
 	space, _ := spaceOf(carry.Partition)
 	wanted, waits := false, false
 	for interest, subscription := range channel.subscriptions {
@@ -906,25 +906,25 @@
 		return
 	}
 	if wanted {
-		g.hand(now, id, channel, carry, effects)
+		g.deliverTo(now, id, channel, carry, effects)
 	}
 }
 
 func (i Interest) matches(topic string) bool {
-	if i.Wide {
+	if i.Prefix {
 		return partition.Under(topic, i.Path)
 	}
 	return topic == i.Path
 }
 
-// hand gives a kept message to a channel once.
-func (g *Gateway) hand(now time.Time, id uint64, channel *channel, carry Carry, effects *statemachine.Effects) {
-	if !channel.movedAt.IsZero() || !channel.takes(now, carry.Partition, carry.Record.Offset) {
+// deliverTo gives a kept message to a channel once.
+func (g *Gateway) deliverTo(now time.Time, id uint64, channel *session, carry RecordCopy, effects *statemachine.Effects) {
+	if !channel.movedAt.IsZero() || !channel.firstDelivery(now, carry.Partition, carry.Record.Offset) {
 		return
 	}
 	space, _ := spaceOf(carry.Partition)
 	g.Counts.Delivered++
-	g.ring.Record(now, "", decisionlog.MessageName(space, carry.Record.Sender, carry.Record.Seq), channel.origin, "delivered",
+	g.ring.Record(now, "", decisionlog.MessageName(space, carry.Record.Sender, carry.Record.Seq), channel.client, "delivered",
 		"partition", carry.Partition, "offset", carry.Record.Offset)
 	g.emit(id, Event{
 		Event: "message", Space: space, Topic: carry.Record.Topic, Sender: carry.Record.Sender, Seq: carry.Record.Seq,
@@ -932,20 +932,20 @@
 	}, effects)
 }
 
-func (c *channel) markSeen(now time.Time, space, sender string, seq uint64) bool {
-	marks := c.marks[space]
+func (c *session) markSeen(now time.Time, space, sender string, seq uint64) bool {
+	marks := c.sequences[space]
 	if marks == nil {
-		marks = map[string]mark{}
-		c.marks[space] = marks
+		marks = map[string]senderSequence{}
+		c.sequences[space] = marks
 	}
 	if marks[sender].seq >= seq {
 		return false
 	}
-	marks[sender] = mark{seq: seq, at: now}
+	marks[sender] = senderSequence{seq: seq, at: now}
 	return true
 }
 
-func (g *Gateway) offerPass(now time.Time, id uint64, channel *channel, message Pass, effects *statemachine.Effects) {
+func (g *Gateway) offerEphemeral(now time.Time, id uint64, channel *session, message EphemeralCopy, effects *statemachine.Effects) {
 	if !channel.movedAt.IsZero() {
 		return
 	}
@@ -954,19 +954,19 @@
 	for interest, subscription := range channel.subscriptions {
 		if interest.Space == space && interest.matches(message.Topic) {
 			if subscription.filling || channel.filling() {
-				channel.passBuffer = append(channel.passBuffer, message)
+				channel.ephemeralBuffer = append(channel.ephemeralBuffer, message)
 				return
 			}
 			// What is offered late is for those who were away, not for those
 			// who had not asked yet.
-			wanted = wanted || !message.Late || now.Sub(subscription.resumedAt) <= resumedFor
+			wanted = wanted || !message.Repeated || now.Sub(subscription.resumedAt) <= resumedFor
 		}
 	}
 	if !wanted || !channel.markSeen(now, message.Space, message.Sender, message.Seq) {
 		return
 	}
 	g.Counts.Delivered++
-	g.ring.Record(now, "", decisionlog.MessageName(space, message.Sender, message.Seq), channel.origin, "delivered")
+	g.ring.Record(now, "", decisionlog.MessageName(space, message.Sender, message.Seq), channel.client, "delivered")
 	g.emit(id, Event{
 		Event: "message", Space: space, Topic: message.Topic, Sender: message.Sender, Seq: message.Seq,
 		Data: json.RawMessage(message.Data), Cursor: g.cursor(now, channel),
--- a/internal/gateway/cursor.go
+++ b/internal/gateway/cursor.go
@@ -72,11 +72,11 @@
 
 // cursor tells a channel's present place. A channel that is still being filled,
 // or holds nothing, has none: its origin's earlier place still stands.
-func (g *Gateway) cursor(now time.Time, channel *channel) string {
+func (g *Gateway) cursor(now time.Time, channel *session) string {
 	if len(channel.subscriptions) == 0 || channel.floors == nil && channel.filling() {
 		return ""
 	}
-	place := cursor{Layout: cursorLayout, Origin: channel.origin, Partitions: map[string]position{}, Marks: map[string]map[string]uint64{}}
+	place := cursor{Layout: cursorLayout, Origin: channel.client, Partitions: map[string]position{}, Marks: map[string]map[string]uint64{}}
 	floor := func(name string, at uint64) {
 		present, found := place.Partitions[name]
 		if !found || at < present.Floor {
@@ -120,7 +120,7 @@
 		}
 		place.Partitions[name] = at
 	}
-	for space, marks := range channel.marks {
+	for space, marks := range channel.sequences {
 		copied := map[string]uint64{}
 		for sender, mark := range marks {
 			if now.Sub(mark.at) < markMemory {
@@ -136,7 +136,7 @@
 
 func (i Interest) key() string {
 	wide := "t"
-	if i.Wide {
+	if i.Prefix {
 		wide = "w"
 	}
 	return wide + i.Path
@@ -152,24 +152,24 @@
 // extras lists what the origin has above a floor. In the ordinary case floors
 // only rise, and what falls below one is let go; while a backlog is handed over
 // the floor is an older one, and all that is remembered counts.
-func (c *channel) extras(name string, floor uint64) []uint64 {
+func (c *session) extras(name string, floor uint64) []uint64 {
 	var extras []uint64
 	if statemachine.Mutated("no-client-memory") {
 		return nil
 	}
 	if c.floors != nil {
-		for offset := range c.got[name] {
+		for offset := range c.delivered[name] {
 			if offset > floor {
 				extras = append(extras, offset)
 			}
 		}
 		return extras
 	}
-	for offset := range c.above[name] {
+	for offset := range c.deliveredAbove[name] {
 		if offset > floor {
 			extras = append(extras, offset)
 		} else {
-			delete(c.above[name], offset)
+			delete(c.deliveredAbove[name], offset)
 		}
 	}
 	return extras
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -27,31 +27,31 @@
 
 // Spans and bounds of a gateway.
 const (
-	pingEvery      = 5 * time.Second
-	pongLimit      = 16 * time.Second
-	tickEvery      = time.Second
-	moveEvery      = 100 * time.Millisecond
-	moveLinger     = 1500 * time.Millisecond
-	stopLimit      = 3500 * time.Millisecond
-	stopMoves      = 25
-	movedLong      = 600 * time.Millisecond
-	heldMost       = 20000
-	interestsMost  = 256
-	comeBackSoon   = 250 * time.Millisecond
-	comeBackLater  = time.Second
-	patience       = 700 * time.Millisecond
-	lookLimit      = 600 * time.Millisecond
-	subscribeLimit = 1500 * time.Millisecond
-	letGoAfter     = 5500 * time.Millisecond
-	letGoLeast     = 10
+	pingInterval            = 5 * time.Second
+	pongTimeout             = 16 * time.Second
+	tickInterval            = time.Second
+	moveInterval            = 100 * time.Millisecond
+	moveLinger              = 1500 * time.Millisecond
+	stopTimeout             = 3500 * time.Millisecond
+	stopMoves               = 25
+	moveTimeout             = 600 * time.Millisecond
+	maxPendingRecords       = 20000
+	maxInterests            = 256
+	retrySoon               = 250 * time.Millisecond
+	retryLater              = time.Second
+	requestTimeout          = 700 * time.Millisecond
+	refreshTimeout          = 600 * time.Millisecond
+	defaultSubscribeTimeout = 1500 * time.Millisecond
+	disconnectAfter         = 5500 * time.Millisecond
+	minDisconnects          = 10
 )
 
 // Settings are a gateway daemon's settings.
 type Settings struct {
-	Self        membership.Member
-	Agent       string
-	Key         []byte
-	OriginsMost int
+	Self       membership.Member
+	Agent      string
+	Key        []byte
+	MaxClients int
 	// ConfirmedFor is how long a gateway serves after it last knew that its
 	// configuration is the newest, StopWithin how long it takes to stop; both
 	// have a longest value, which holds if nothing is given.
@@ -67,7 +67,7 @@
 	Incarnation statemachine.Incarnation
 }
 
-type lookout struct {
+type refreshWaiter struct {
 	until time.Time
 	then  func(now time.Time, effects *statemachine.Effects)
 }
@@ -81,18 +81,18 @@
 type Counts struct {
 	Requests          uint64 `json:"Requests"`
 	Accepted          uint64 `json:"Accepted"`
-	RefusedRequests   uint64 `json:"RefusedRequests"`
+	RejectedRequests  uint64 `json:"RefusedRequests"`
 	UnsettledRequests uint64 `json:"UnsettledRequests"`
 	CopiesOut         uint64 `json:"CopiesOut"`
 	CopiesIn          uint64 `json:"CopiesIn"`
 	CopiesStray       uint64 `json:"CopiesStray"`
 	Delivered         uint64 `json:"Delivered"`
-	Holes             uint64 `json:"Holes"`
+	Gaps              uint64 `json:"Holes"`
 	Fetches           uint64 `json:"Fetches"`
 	Verifies          uint64 `json:"Verifies"`
 	Moves             uint64 `json:"Moves"`
-	Looks             uint64 `json:"Looks"`
-	Offered           uint64 `json:"Offered"`
+	Refreshes         uint64 `json:"Looks"`
+	Repeated          uint64 `json:"Offered"`
 	// Fetched counts the records of routed topics that came for fetches, and Late
 	// those for which nobody waited any more.
 	Fetched uint64 `json:"Fetched"`
@@ -102,21 +102,21 @@
 // Gateway is the state machine.
 type Gateway struct {
 	settings      Settings
-	follower      *membership.ViewClient
-	pulse         *membership.FailureDetector
+	viewClient    *membership.ViewClient
+	detector      *membership.FailureDetector
 	controlClient *controlclient.ControlClient
 	overlay       *overlay.Overlay
 	ring          *decisionlog.Ring
 	timers        *statemachine.Timers[string]
 	policies      []Policy
 
-	config   config.Configuration
-	life     uint64
-	channels map[uint64]*channel
-	moving   map[uint64]bool
-	spaces   map[string]*spaceState
-	senders  map[senderKey]*sender
-	trackers map[string]*tracker
+	config      config.Configuration
+	incarnation uint64
+	sessions    map[uint64]*session
+	moving      map[uint64]bool
+	spaces      map[string]*spaceState
+	senders     map[senderKey]*sender
+	trackers    map[string]*tracker
 
 	nextRequest uint64
 	appends     map[uint64]*publication
@@ -124,57 +124,57 @@
 	recalls     map[uint64]*recall
 	fetches     map[uint64]*fetch
 	routed      *routed
-	// subscribePatience follows from the configuration in force.
-	subscribePatience time.Duration
-	newest            map[string]uint64
-
-	followedAt time.Time
-	behind     uint64
-	deferred   []deferred
-	looks      []lookout
-	lingering  []lingered
-	stopping   bool
-	stopUntil  time.Time
-	admission  admission
-	wasReady   bool
-	turn       int
-	Counts     Counts
+	// subscribeTimeout follows from the configuration in force.
+	subscribeTimeout time.Duration
+	newest           map[string]uint64
+
+	highWatermarksRequestedAt time.Time
+	newerVersion              uint64
+	deferred                  []deferred
+	refreshWaiters            []refreshWaiter
+	lingering                 []lingered
+	stopping                  bool
+	stopUntil                 time.Time
+	admission                 admission
+	wasReady                  bool
+	turn                      int
+	Counts                    Counts
 }
 
 type spaceState struct {
-	space  config.Space
-	name   string
-	topics map[string]map[uint64]bool
-	wides  map[string]map[uint64]bool
-	recent []recentPass
+	space    config.Space
+	name     string
+	topics   map[string]map[uint64]bool
+	prefixes map[string]map[uint64]bool
+	recent   []recentEphemeral
 }
 
 // New makes a gateway.
 func New(settings Settings) *Gateway {
-	if settings.OriginsMost == 0 {
-		settings.OriginsMost = 2000
+	if settings.MaxClients == 0 {
+		settings.MaxClients = 2000
 	}
 	settings.ConfirmedFor = orLonger(settings.ConfirmedFor, membership.ConfirmationTimeout)
-	settings.StopWithin = orLonger(settings.StopWithin, stopLimit)
+	settings.StopWithin = orLonger(settings.StopWithin, stopTimeout)
 	gateway := &Gateway{
 		settings: settings, overlay: overlay.New(settings.Self.Name), ring: decisionlog.NewRing(settings.Self.Name), timers: statemachine.NewTimers[string](),
-		channels: map[uint64]*channel{}, moving: map[uint64]bool{}, spaces: map[string]*spaceState{},
+		sessions: map[uint64]*session{}, moving: map[uint64]bool{}, spaces: map[string]*spaceState{},
 		senders: map[senderKey]*sender{}, trackers: map[string]*tracker{},
 		appends: map[uint64]*publication{}, sends: map[uint64]*publication{}, recalls: map[uint64]*recall{}, fetches: map[uint64]*fetch{},
 		nextRequest: settings.Incarnation.FirstRequestNumber(), routed: newRouted(), newest: map[string]uint64{},
 	}
 	gateway.policies = standardPolicies()
-	gateway.follower = membership.NewViewClient(settings.Self, settings.Incarnation, []string{settings.Agent}, gateway.load)
-	gateway.pulse = membership.NewFailureDetector(settings.Self)
-	gateway.follower.PinToFirstSeed()
+	gateway.viewClient = membership.NewViewClient(settings.Self, settings.Incarnation, []string{settings.Agent}, gateway.load)
+	gateway.detector = membership.NewFailureDetector(settings.Self)
+	gateway.viewClient.PinToFirstSeed()
 	upstream := func() string {
-		if primary := gateway.follower.Primary(); primary != "" {
+		if primary := gateway.viewClient.Primary(); primary != "" {
 			return primary
 		}
 		return settings.Agent
 	}
 	gateway.controlClient = controlclient.New(controlclient.Settings{
-		Incarnation: settings.Incarnation, Acknowledge: settings.Acknowledge, Upstream: upstream, Next: gateway.follower.NextController, Relays: gateway.follower.Relays,
+		Incarnation: settings.Incarnation, Acknowledge: settings.Acknowledge, Upstream: upstream, Next: gateway.viewClient.NextController, Relays: gateway.viewClient.Relays,
 	})
 	return gateway
 }
@@ -188,10 +188,10 @@
 }
 
 // ConfigurationVersion is the configuration version in force here.
-func (g *Gateway) ConfigurationVersion() uint64 { return g.follower.Version }
+func (g *Gateway) ConfigurationVersion() uint64 { return g.viewClient.Version }
 
 // ViewClient gives the gateway's view, for its ctl.
-func (g *Gateway) ViewClient() *membership.ViewClient { return g.follower }
+func (g *Gateway) ViewClient() *membership.ViewClient { return g.viewClient }
 
 // Overlay gives the overlay part, for counters and tests.
 func (g *Gateway) Overlay() *overlay.Overlay { return g.overlay }
@@ -206,14 +206,14 @@
 	}
 	return membership.Load{
 		Copies: g.Counts.CopiesIn, Processor: processor, Delays: g.overlay.Ways(),
-		Sessions: g.staying(), FreeCapacity: g.settings.OriginsMost - len(g.channels), Requests: g.Counts.Requests,
+		Sessions: g.remainingSessions(), FreeCapacity: g.settings.MaxClients - len(g.sessions), Requests: g.Counts.Requests,
 		Delivered: g.Counts.Delivered, Ready: g.wasReady, Resting: g.Resting(),
 	}
 }
 
 // Resting tells whether the gateway was asked to rest and holds nobody.
 func (g *Gateway) Resting() bool {
-	return g.follower.Directives.Rest && len(g.channels) == 0 && !g.stopping
+	return g.viewClient.Directives.Rest && len(g.sessions) == 0 && !g.stopping
 }
 
 // Confirmed tells whether the gateway may trust that its configuration is the
@@ -221,35 +221,35 @@
 func (g *Gateway) Confirmed(now time.Time) bool {
 	limit := g.settings.ConfirmedFor
 	if statemachine.Mutated("never-unconfirmed") {
-		return g.follower.Index > 0
+		return g.viewClient.Index > 0
 	}
-	return g.follower.Index > 0 && g.behind <= g.follower.Version &&
-		now.Sub(g.follower.ConfirmedAt) <= limit && !g.pulse.Isolated(now)
+	return g.viewClient.Index > 0 && g.newerVersion <= g.viewClient.Version &&
+		now.Sub(g.viewClient.ConfirmedAt) <= limit && !g.detector.Isolated(now)
 }
 
 // Ready tells whether the platform should send new connections here.
 func (g *Gateway) Ready(now time.Time) bool {
-	return g.Confirmed(now) && !g.stopping && !g.follower.Directives.Rest &&
-		len(g.channels) < g.settings.OriginsMost && !slices.Contains(g.config.Drains, g.settings.Self.Name)
+	return g.Confirmed(now) && !g.stopping && !g.viewClient.Directives.Rest &&
+		len(g.sessions) < g.settings.MaxClients && !slices.Contains(g.config.Drains, g.settings.Self.Name)
 }
 
 // Start begins the gateway's work.
 func (g *Gateway) Start(now time.Time, effects *statemachine.Effects) {
-	g.follower.Start(now)
-	g.pulse.Start(now)
-	g.timers.Arm("tick", now.Add(tickEvery))
+	g.viewClient.Start(now)
+	g.detector.Start(now)
+	g.timers.Arm("tick", now.Add(tickInterval))
 }
 
 // NextTick is when the gateway wants to run again.
 func (g *Gateway) NextTick() time.Time {
-	return statemachine.Earliest(g.follower.NextTick(), g.pulse.NextTick(), g.controlClient.NextTick(),
+	return statemachine.Earliest(g.viewClient.NextTick(), g.detector.NextTick(), g.controlClient.NextTick(),
 		g.overlay.NextTick(), g.timers.Next())
 }
 
 // Tick runs whatever is due.
 func (g *Gateway) Tick(now time.Time, effects *statemachine.Effects) {
-	g.follower.Tick(now, effects)
-	g.pulse.Tick(now, effects)
+	g.viewClient.Tick(now, effects)
+	g.detector.Tick(now, effects)
 	g.controlClient.Tick(now, effects)
 	g.runOverlay(now, effects, g.overlay.Tick)
 	for _, key := range g.timers.Expired(now) {
@@ -259,7 +259,7 @@
 		case "move":
 			g.moveSome(now, effects)
 		case "looks":
-			g.endLooks(now, effects)
+			g.completeRefresh(now, effects)
 		case "limits":
 			g.limits(now, effects)
 		case "verify":
@@ -267,17 +267,17 @@
 		case "pump":
 			g.pumpAll(now, effects)
 		case "follow":
-			g.followHeads(now, effects)
+			g.followHighWatermarks(now, effects)
 		case "routed":
-			g.tendRouted(now, effects)
+			g.tickRouted(now, effects)
 		case "stop":
 			g.stopStep(now, effects)
 		}
 	}
-	g.noteReady(now, effects)
+	g.logReadiness(now, effects)
 }
 
-func (g *Gateway) noteReady(now time.Time, effects *statemachine.Effects) {
+func (g *Gateway) logReadiness(now time.Time, effects *statemachine.Effects) {
 	ready := g.Ready(now)
 	if ready == g.wasReady {
 		return
@@ -287,16 +287,16 @@
 		effects.Emit(logevent.Ready, "version", g.ConfigurationVersion())
 		return
 	}
-	effects.Emit(logevent.NotReady, "isolated", g.pulse.Isolated(now), "confirmed", g.Confirmed(now), "stopping", g.stopping, "rest", g.follower.Directives.Rest)
+	effects.Emit(logevent.NotReady, "isolated", g.detector.Isolated(now), "confirmed", g.Confirmed(now), "stopping", g.stopping, "rest", g.viewClient.Directives.Rest)
 }
 
 // HandleCommand takes what the adapters bring.
 func (g *Gateway) HandleCommand(now time.Time, command any, effects *statemachine.Effects) {
 	switch body := command.(type) {
-	case OpenChannel:
-		g.openChannel(now, body, effects)
-	case CloseChannel:
-		g.closeChannel(now, body, effects)
+	case OpenSession:
+		g.openSession(now, body, effects)
+	case CloseSession:
+		g.closeSession(now, body, effects)
 	case Subscribe:
 		g.subscribe(now, body, effects)
 	case Unsubscribe:
@@ -305,80 +305,80 @@
 		g.publish(now, body, effects)
 	case Pong:
 		g.pong(now, body, effects)
-	case Count:
+	case CountSubscribers:
 		g.count(now, body, false, effects)
-	case Heard:
-		if channel, found := g.channels[body.Channel]; found {
+	case ClientActive:
+		if channel, found := g.sessions[body.Session]; found {
 			channel.pongAt = now
 		}
 	case ControlRequest:
 		g.controlClient.Forward(now, body.Local, body.Method, body.Path, body.Body, effects)
 	case FindDecisions:
-		effects.Respond(body.Local, g.ring.Find(body.Request, body.Message, body.Origin))
+		effects.Respond(body.Local, g.ring.Find(body.Request, body.Message, body.Client))
 	case Stop:
 		g.beginStop(now, effects)
 	}
-	g.noteReady(now, effects)
+	g.logReadiness(now, effects)
 }
 
 // HandleMessage takes what other daemons say.
 func (g *Gateway) HandleMessage(now time.Time, meta statemachine.Meta, message any, effects *statemachine.Effects) {
 	if meta.From != g.settings.Agent && meta.From != g.settings.Self.Address {
-		g.pulse.ReceiveFromPeer(now)
+		g.detector.ReceiveFromPeer(now)
 	}
-	if meta.Version > g.follower.Version && meta.Version > g.behind {
-		g.behind = meta.Version
-		g.follower.PollNow(now)
-		effects.Send(meta.From, membership.ConfigurationRequest{Version: g.follower.Version})
+	if meta.Version > g.viewClient.Version && meta.Version > g.newerVersion {
+		g.newerVersion = meta.Version
+		g.viewClient.PollNow(now)
+		effects.Send(meta.From, membership.ConfigurationRequest{Version: g.viewClient.Version})
 	}
 	switch message.(type) {
-	case Carry, Pass, RoutedCopy:
+	case RecordCopy, EphemeralCopy, RoutedCopy:
 		if !g.Confirmed(now) {
-			if len(g.deferred) < heldMost {
+			if len(g.deferred) < maxPendingRecords {
 				g.deferred = append(g.deferred, deferred{meta: meta, message: message})
 			}
 			return
 		}
 	}
-	g.take(now, meta, message, effects)
-	g.noteReady(now, effects)
+	g.dispatch(now, meta, message, effects)
+	g.logReadiness(now, effects)
 }
 
-func (g *Gateway) take(now time.Time, meta statemachine.Meta, message any, effects *statemachine.Effects) {
+func (g *Gateway) dispatch(now time.Time, meta statemachine.Meta, message any, effects *statemachine.Effects) {
 	switch body := message.(type) {
 	case membership.ViewUpdate:
-		g.onNews(now, body, effects)
+		g.handleViewUpdate(now, body, effects)
 	case membership.Redirect:
-		g.follower.HandleRedirect(now, body, effects)
+		g.viewClient.HandleRedirect(now, body, effects)
 	case membership.Heartbeat:
-		g.pulse.ReceiveHeartbeat(now, body)
+		g.detector.ReceiveHeartbeat(now, body)
 	case membership.ControlResponse:
 		g.controlClient.HandleResponse(now, meta.From, body, effects)
 	case membership.ConfigurationRequest:
-		g.follower.RespondToConfigurationRequest(meta.From, body, effects)
+		g.viewClient.RespondToConfigurationRequest(meta.From, body, effects)
 	case membership.ConfigurationResponse:
-		if g.follower.AdoptConfiguration(body.Version, body.Document, body.SpaceCreatedAt) {
-			g.enforce(now, effects)
+		if g.viewClient.AdoptConfiguration(body.Version, body.Document, body.SpaceCreatedAt) {
+			g.applyConfiguration(now, effects)
 			g.resume(now, effects)
 		}
 	case overlay.Signals:
 		g.runOverlay(now, effects, func(now time.Time, effects *statemachine.Effects) { g.overlay.Take(now, body, effects) })
-	case Carry:
+	case RecordCopy:
 		g.countCopy(g.onCarry(now, body, effects))
 	case RoutedCopy:
-		g.countCopy(g.onRouted(now, body.record(), effects))
-	case Pass:
-		g.countCopy(g.onPass(now, body, effects))
+		g.countCopy(g.handleRoutedCopy(now, body.record(), effects))
+	case EphemeralCopy:
+		g.countCopy(g.handleEphemeralCopy(now, body, effects))
 	case partition.AppendResponse:
 		g.onAppendResponse(now, body, effects)
 	case partition.FetchResponse:
 		g.onFetchResponse(now, body, effects)
 	case partition.FetchTopicsResponse:
-		g.onTopicsFetched(now, body, effects)
+		g.handleTopicsFetched(now, body, effects)
 	case partition.SenderResponse:
 		g.onSenderResponse(now, meta.From, body, effects)
 	case partition.Heads:
-		g.onHeads(now, body, effects)
+		g.handleHighWatermarks(now, body, effects)
 	}
 }
 
@@ -387,7 +387,7 @@
 func (g *Gateway) runOverlay(now time.Time, effects *statemachine.Effects, run func(now time.Time, effects *statemachine.Effects)) {
 	var later statemachine.Effects
 	run(now, &later)
-	g.offerRecent(now, effects)
+	g.repeatRecent(now, effects)
 	effects.Append(later)
 }
 
@@ -401,27 +401,27 @@
 
 // News.
 
-func (g *Gateway) onNews(now time.Time, news membership.ViewUpdate, effects *statemachine.Effects) {
+func (g *Gateway) handleViewUpdate(now time.Time, news membership.ViewUpdate, effects *statemachine.Effects) {
 	wasResting := g.Resting()
-	taken := g.follower.HandleUpdate(now, news)
+	taken := g.viewClient.HandleUpdate(now, news)
 	if taken.View {
-		g.viewed(now, effects)
+		g.applyView(now, effects)
 	}
 	if taken.Document && (!statemachine.Mutated("deaf-gateway") || g.settings.Self.Name != "gateway-1" || g.config.Version <= 0) {
-		g.enforce(now, effects)
+		g.applyConfiguration(now, effects)
 	}
 	if resting := g.Resting(); resting != wasResting {
-		g.follower.SetLowPriority(now, resting)
-		g.pulse.SetResting(now, resting)
+		g.viewClient.SetLowPriority(now, resting)
+		g.detector.SetResting(now, resting)
 		if resting {
 			g.timers.Disarm("tick")
 			effects.Emit(logevent.GatewayRested, "gateway", g.settings.Self.Name)
 		} else {
-			g.timers.ArmSooner("tick", now.Add(tickEvery))
+			g.timers.ArmSooner("tick", now.Add(tickInterval))
 			effects.Emit(logevent.GatewayWoken, "gateway", g.settings.Self.Name)
 		}
 	}
-	if orders := g.follower.Directives; (orders.Drain || orders.KeepSessions > 0) && !g.timers.Armed("move") {
+	if orders := g.viewClient.Directives; (orders.Drain || orders.KeepSessions > 0) && !g.timers.Armed("move") {
 		g.timers.Arm("move", now)
 	}
 	g.resume(now, effects)
@@ -436,18 +436,18 @@
 	held := g.deferred
 	g.deferred = nil
 	for _, each := range held {
-		g.take(now, each.meta, each.message, effects)
+		g.dispatch(now, each.meta, each.message, effects)
 	}
-	g.endLooks(now, effects)
+	g.completeRefresh(now, effects)
 }
 
-func (g *Gateway) viewed(now time.Time, effects *statemachine.Effects) {
-	g.pulse.SetView(now, g.follower.Members, g.follower.Index)
+func (g *Gateway) applyView(now time.Time, effects *statemachine.Effects) {
+	g.detector.SetView(now, g.viewClient.Members, g.viewClient.Index)
 	others := map[string]overlay.Gateway{}
-	for name, member := range statemachine.Sorted(g.follower.Members) {
+	for name, member := range statemachine.Sorted(g.viewClient.Members) {
 		if name == g.settings.Self.Name {
 			if member.Alive && member.Incarnation == g.settings.Self.Incarnation {
-				g.life = member.Joined
+				g.incarnation = member.Joined
 			}
 			continue
 		}
@@ -456,15 +456,15 @@
 		}
 	}
 	g.overlay.View(now, others, effects)
-	if g.life > 0 {
-		g.overlay.Live(now, g.life, effects)
+	if g.incarnation > 0 {
+		g.overlay.Live(now, g.incarnation, effects)
 	}
-	g.placesChanged(now, effects)
+	g.placementsChanged(now, effects)
 }
 
 // spaceName names a space since its birth.
 func (g *Gateway) spaceName(name string) (string, bool) {
-	birth, found := g.follower.SpaceCreatedAt[name]
+	birth, found := g.viewClient.SpaceCreatedAt[name]
 	if !found {
 		return "", false
 	}
@@ -472,14 +472,14 @@
 	return full[:strings.LastIndex(full, "/")], true
 }
 
-// enforce puts the newest configuration in force. It is only ever called with
+// applyConfiguration puts the newest configuration in force. It is only ever called with
 // a version above the one before.
-func (g *Gateway) enforce(now time.Time, effects *statemachine.Effects) {
-	document, faults := config.Read(g.follower.Document)
+func (g *Gateway) applyConfiguration(now time.Time, effects *statemachine.Effects) {
+	document, faults := config.Read(g.viewClient.Document)
 	if len(faults) > 0 || document.Version < g.config.Version {
 		panic("a configuration was handed on that may not be in force")
 	}
-	g.config, g.subscribePatience = document, patienceOf(document)
+	g.config, g.subscribeTimeout = document, subscribeTimeoutOf(document)
 	for name, state := range statemachine.Sorted(g.spaces) {
 		space, found := document.Spaces[name]
 		full, born := g.spaceName(name)
@@ -498,7 +498,7 @@
 			continue
 		}
 		if full, born := g.spaceName(name); born {
-			g.spaces[name] = &spaceState{space: space, name: full, topics: map[string]map[uint64]bool{}, wides: map[string]map[uint64]bool{}}
+			g.spaces[name] = &spaceState{space: space, name: full, topics: map[string]map[uint64]bool{}, prefixes: map[string]map[uint64]bool{}}
 		}
 	}
 	g.rerouteAll(now, effects)
@@ -511,7 +511,7 @@
 	if state.space.Order == config.OrderTopic {
 		return
 	}
-	for id, channel := range statemachine.Sorted(g.channels) {
+	for id, channel := range statemachine.Sorted(g.sessions) {
 		ended := false
 		for interest := range channel.subscriptions {
 			if interest.Space == name {
@@ -530,7 +530,7 @@
 	}
 	for _, sender := range statemachine.Sorted(g.sendersOf(name)) {
 		for _, waiting := range sender.queue {
-			g.settlePublication(now, waiting, refused(404, "no-such-space", "the space was removed", 0), effects)
+			g.settlePublication(now, waiting, rejectedReply(404, "no-such-space", "the space was removed", 0), effects)
 		}
 		sender.queue = nil
 	}
@@ -552,21 +552,21 @@
 	return found
 }
 
-// look asks for news once, for all requests that met an unknown space meanwhile,
+// refreshThen asks for news once, for all requests that met an unknown space meanwhile,
 // and then lets them go on.
-func (g *Gateway) look(now time.Time, then func(now time.Time, effects *statemachine.Effects)) {
-	if len(g.looks) == 0 {
-		g.Counts.Looks++
-		g.follower.PollNow(now)
+func (g *Gateway) refreshThen(now time.Time, then func(now time.Time, effects *statemachine.Effects)) {
+	if len(g.refreshWaiters) == 0 {
+		g.Counts.Refreshes++
+		g.viewClient.PollNow(now)
 	}
-	until := now.Add(lookLimit)
-	g.looks = append(g.looks, lookout{until: until, then: then})
+	until := now.Add(refreshTimeout)
+	g.refreshWaiters = append(g.refreshWaiters, refreshWaiter{until: until, then: then})
 	g.timers.ArmSooner("looks", until)
 }
 
-func (g *Gateway) endLooks(now time.Time, effects *statemachine.Effects) {
-	looks := g.looks
-	g.looks = nil
+func (g *Gateway) completeRefresh(now time.Time, effects *statemachine.Effects) {
+	looks := g.refreshWaiters
+	g.refreshWaiters = nil
 	for _, look := range looks {
 		look.then(now, effects)
 	}
@@ -574,12 +574,12 @@
 
 // tick does the slow periodic work: pings, silent channels, idle senders.
 func (g *Gateway) tick(now time.Time, effects *statemachine.Effects) {
-	g.timers.Arm("tick", now.Add(tickEvery))
-	for id, channel := range statemachine.Sorted(g.channels) {
-		g.tendChannel(now, id, channel, effects)
+	g.timers.Arm("tick", now.Add(tickInterval))
+	for id, channel := range statemachine.Sorted(g.sessions) {
+		g.checkSession(now, id, channel, effects)
 	}
 	g.endLingering(now, effects)
-	g.letGo(now, effects)
+	g.disconnectSome(now, effects)
 	for key, sender := range g.senders {
 		if len(sender.queue) == 0 && now.Sub(sender.lastUse) > senderIdle {
 			delete(g.senders, key)
@@ -591,20 +591,20 @@
 	g.forgetRouted(now)
 }
 
-// letGo ends channels of a gateway that nobody has confirmed for so long that
+// disconnectSome ends channels of a gateway that nobody has confirmed for so long that
 // no takeover explains it: its agent is lost or its machine is cut off, and
 // its origins are served elsewhere. Half of them go each second.
-func (g *Gateway) letGo(now time.Time, effects *statemachine.Effects) {
-	if g.follower.Index == 0 || g.Confirmed(now) || now.Sub(g.follower.ConfirmedAt) < letGoAfter {
+func (g *Gateway) disconnectSome(now time.Time, effects *statemachine.Effects) {
+	if g.viewClient.Index == 0 || g.Confirmed(now) || now.Sub(g.viewClient.ConfirmedAt) < disconnectAfter {
 		return
 	}
-	count := max(letGoLeast, len(g.channels)/2)
-	for id, channel := range statemachine.Sorted(g.channels) {
+	count := max(minDisconnects, len(g.sessions)/2)
+	for id, channel := range statemachine.Sorted(g.sessions) {
 		if count--; count < 0 {
 			return
 		}
 		g.emitLast(now, id, channel, "unconfirmed", effects)
-		g.closeChannel(now, CloseChannel{Channel: id, Why: "unconfirmed"}, effects)
+		g.closeSession(now, CloseSession{Session: id, Reason: "unconfirmed"}, effects)
 	}
 }
 
@@ -613,8 +613,8 @@
 // targets lists the gateways to which origins may be sent, the best first.
 func (g *Gateway) targets() []membership.Member {
 	var members []membership.Member
-	for _, name := range g.follower.Directives.Targets {
-		if member, found := g.follower.Members[name]; found && member.Alive {
+	for _, name := range g.viewClient.Directives.Targets {
+		if member, found := g.viewClient.Members[name]; found && member.Alive {
 			members = append(members, member)
 		}
 	}
@@ -622,7 +622,7 @@
 		return members
 	}
 	for pass := range 2 {
-		for name, member := range statemachine.Sorted(g.follower.Members) {
+		for name, member := range statemachine.Sorted(g.viewClient.Members) {
 			near := member.Zone == g.settings.Self.Zone
 			if name != g.settings.Self.Name && member.Kind == membership.KindGateway && member.Alive && !member.Resting &&
 				!slices.Contains(g.config.Drains, name) && near == (pass == 0) {
@@ -637,28 +637,28 @@
 }
 
 func (g *Gateway) moveSome(now time.Time, effects *statemachine.Effects) {
-	orders := g.follower.Directives
+	orders := g.viewClient.Directives
 	if !orders.Drain && orders.KeepSessions == 0 && !g.stopping {
 		return
 	}
-	count := max(1, orders.MovesPerSecond/int(time.Second/moveEvery))
+	count := max(1, orders.MovesPerSecond/int(time.Second/moveInterval))
 	if orders.KeepSessions > 0 && !orders.Drain && !g.stopping {
 		// Those that were told to go and are still here are on their way.
-		count = min(count, g.staying()-orders.KeepSessions)
+		count = min(count, g.remainingSessions()-orders.KeepSessions)
 		if count <= 0 {
 			return
 		}
 	}
 	if g.stopping {
-		count = max(count, stopMoves, (len(g.channels)+9)/10)
+		count = max(count, stopMoves, (len(g.sessions)+9)/10)
 	}
 	targets := g.targets()
 	if len(targets) == 0 {
-		g.timers.Arm("move", now.Add(5*moveEvery))
+		g.timers.Arm("move", now.Add(5*moveInterval))
 		return
 	}
-	for id, channel := range statemachine.Sorted(g.channels) {
-		if channel.movedAt.IsZero() && !channel.filling() && (g.leaving() || !channel.catchingUp()) {
+	for id, channel := range statemachine.Sorted(g.sessions) {
+		if channel.movedAt.IsZero() && !channel.filling() && (g.draining() || !channel.catchingUp()) {
 			g.turn++
 			g.move(now, id, channel, targets[g.turn%min(len(targets), 3)], effects)
 			if count--; count == 0 {
@@ -666,15 +666,15 @@
 			}
 		}
 	}
-	if len(g.channels) > 0 {
-		g.timers.Arm("move", now.Add(moveEvery))
+	if len(g.sessions) > 0 {
+		g.timers.Arm("move", now.Add(moveInterval))
 	}
 }
 
-// staying counts the channels that were not told to move.
-func (g *Gateway) staying() int {
+// remainingSessions counts the channels that were not told to move.
+func (g *Gateway) remainingSessions() int {
 	count := 0
-	for _, channel := range g.channels {
+	for _, channel := range g.sessions {
 		if channel.movedAt.IsZero() {
 			count++
 		}
@@ -682,12 +682,12 @@
 	return count
 }
 
-func (g *Gateway) move(now time.Time, id uint64, channel *channel, target membership.Member, effects *statemachine.Effects) {
+func (g *Gateway) move(now time.Time, id uint64, channel *session, target membership.Member, effects *statemachine.Effects) {
 	g.Counts.Moves++
 	event := Event{Event: "move", To: target.Caller, ToName: target.Name, Cursor: g.cursor(now, channel)}
 	channel.movedAt = now
-	g.ring.Record(now, "", "", channel.origin, "moved", "to", target.Name, "stopping", g.stopping)
-	effects.Emit(logevent.SessionMoved, "origin", channel.origin, "to", target.Name)
+	g.ring.Record(now, "", "", channel.client, "moved", "to", target.Name, "stopping", g.stopping)
+	effects.Emit(logevent.SessionMoved, "origin", channel.client, "to", target.Name)
 	g.emit(id, event, effects)
 }
 
@@ -698,7 +698,7 @@
 	g.stopping = true
 	g.stopUntil = now.Add(g.settings.StopWithin)
 	g.timers.Arm("move", now)
-	g.timers.Arm("stop", now.Add(moveEvery))
+	g.timers.Arm("stop", now.Add(moveInterval))
 }
 
 // servesOn tells whether a gateway that stops has time left to serve those who
@@ -710,8 +710,8 @@
 // staysFor tells whether anybody is left who may yet leave by itself: on lines a
 // caller that was told where to go and is long still here won't.
 func (g *Gateway) staysFor(now time.Time) bool {
-	for _, channel := range g.channels {
-		if !channel.lines || channel.movedAt.IsZero() || now.Sub(channel.movedAt) < movedLong {
+	for _, channel := range g.sessions {
+		if !channel.adapterPings || channel.movedAt.IsZero() || now.Sub(channel.movedAt) < moveTimeout {
 			return true
 		}
 	}
@@ -721,14 +721,14 @@
 // stopStep ends the gateway once its origins are gone, or its time is up.
 func (g *Gateway) stopStep(now time.Time, effects *statemachine.Effects) {
 	if g.staysFor(now) && now.Before(g.stopUntil) || len(g.appends)+len(g.routed.appends) > 0 && now.Before(g.stopUntil.Add(-time.Second)) {
-		g.timers.Arm("stop", now.Add(moveEvery))
+		g.timers.Arm("stop", now.Add(moveInterval))
 		return
 	}
-	for id, channel := range statemachine.Sorted(g.channels) {
+	for id, channel := range statemachine.Sorted(g.sessions) {
 		g.emitLast(now, id, channel, "stopping", effects)
 	}
 	g.overlay.LeaveAll(effects)
-	for _, member := range statemachine.Sorted(g.follower.Members) {
+	for _, member := range statemachine.Sorted(g.viewClient.Members) {
 		if member.Kind == membership.KindController {
 			effects.Send(member.Address, membership.GracefulLeave{Name: g.settings.Self.Name, Incarnation: g.settings.Self.Incarnation})
 		}
@@ -742,8 +742,8 @@
 // Load is what the gateway reports of itself.
 func (g *Gateway) Load() membership.Load { return g.load() }
 
-// SetOriginsMost changes how many channels the gateway may hold.
-func (g *Gateway) SetOriginsMost(most int) { g.settings.OriginsMost = most }
+// SetMaxClients changes how many channels the gateway may hold.
+func (g *Gateway) SetMaxClients(most int) { g.settings.MaxClients = most }
 
 // SetLink changes how many bytes a second the machine's link takes.
 func (g *Gateway) SetLink(rate int) { g.settings.Link = rate }
--- a/internal/gateway/identity_mutation_test.go
+++ b/internal/gateway/identity_mutation_test.go
@@ -16,7 +16,7 @@
 	restore := statemachine.Mutate("lives-alike")
 	returned := lateAppend()
 	assert.Equal(t, len(returned), 1)
-	assert.Equal(t, returned[0].Value.(Answer).Outcome, OutcomeAccepted)
+	assert.Equal(t, returned[0].Value.(Reply).Outcome, OutcomeAccepted)
 	assert.Assert(t, lateFetch())
 	restore()
 	restore = statemachine.Mutate("any-answer")
--- a/internal/gateway/identity_test.go
+++ b/internal/gateway/identity_test.go
@@ -29,12 +29,12 @@
 	gateway := New(Settings{Self: membership.Member{Name: "gateway-1", Kind: membership.KindGateway, Address: "a:1"}, Agent: "a:2", Incarnation: life})
 	for number, name := range partitions {
 		store := string(rune('k' + number))
-		gateway.follower.Members[store] = membership.Member{Name: store, Kind: membership.KindStore, Address: store, Alive: true}
-		gateway.follower.Placements[name] = membership.Placement{Partition: name, Epoch: 1, Leader: store}
+		gateway.viewClient.Members[store] = membership.Member{Name: store, Kind: membership.KindStore, Address: store, Alive: true}
+		gateway.viewClient.Placements[name] = membership.Placement{Partition: name, Epoch: 1, Leader: store}
 	}
 	gateway.spaces["boards"] = &spaceState{space: config.Space{Name: "boards", Retention: config.Durable}, name: "boards~1"}
 	item := &publication{
-		request: Publish{Request: 9, Sender: "u", Origin: "u", Space: "boards", Topic: "t", Seq: 1}, key: senderKey{space: "boards", sender: "u"},
+		request: Publish{Request: 9, Sender: "u", Client: "u", Space: "boards", Topic: "t", Seq: 1}, key: senderKey{space: "boards", sender: "u"},
 		id: 77, partition: partitions[0], limit: now.Add(500 * time.Millisecond),
 	}
 	gateway.senders[item.key] = &sender{recent: map[uint64]sentMemory{}, queue: []*publication{item}}
@@ -56,8 +56,8 @@
 }
 
 func (a *asker) fetch(now time.Time) partition.FetchTopics {
-	followed := &topic{name: "t", partition: a.item.partition, kept: true}
-	followed.places = []*place{{topic: followed, filling: true}}
+	followed := &topic{name: "t", partition: a.item.partition, durable: true}
+	followed.subscriptions = []*topicSubscription{{topic: followed, filling: true}}
 	a.gateway.routed.topics[followed.name] = followed
 	return a.ask(func(effects *statemachine.Effects) { a.gateway.fetchTopic(now, followed, effects) })[0].Message.(partition.FetchTopics)
 }
@@ -71,7 +71,7 @@
 // take hands a store's answer to the gateway, and gives what it tells callers.
 func (a *asker) take(now time.Time, answer any) []statemachine.Response {
 	var effects statemachine.Effects
-	a.gateway.take(now, statemachine.Meta{From: "k"}, answer, &effects)
+	a.gateway.dispatch(now, statemachine.Meta{From: "k"}, answer, &effects)
 	return effects.Responses
 }
 
@@ -113,7 +113,7 @@
 	asker := newAsker(presentLife, now, partitionName("boards~1", 0), partitionName("boards~1", 1))
 	asker.gateway.spaces["boards"].space.Order = config.OrderSender
 	for number := 2; number < asker.gateway.spaces["boards"].space.Partitions(); number++ {
-		asker.gateway.follower.Placements[partitionName("boards~1", number)] = membership.Placement{Leader: "k", Epoch: 1}
+		asker.gateway.viewClient.Placements[partitionName("boards~1", number)] = membership.Placement{Leader: "k", Epoch: 1}
 	}
 	sends := asker.recall(now)
 	for range len(sends) {
--- a/internal/gateway/messages.go
+++ b/internal/gateway/messages.go
@@ -11,23 +11,23 @@
 	"dahlialock/internal/transport"
 )
 
-// Carry is the one copy of a kept message for one destination daemon.
-type Carry struct {
+// RecordCopy is the one copy of a kept message for one destination daemon.
+type RecordCopy struct {
 	_         struct{} `cbor:",toarray"`
 	Partition string
 	Record    partition.Record
 }
 
-// Pass is the one copy of a passing message for one destination daemon.
-type Pass struct {
+// EphemeralCopy is the one copy of a passing message for one destination daemon.
+type EphemeralCopy struct {
 	_      struct{} `cbor:",toarray"`
 	Space  string
 	Topic  string
 	Sender string
 	Seq    uint64
 	Data   []byte
-	// Late is set where it is offered again, to a gateway that was just found.
-	Late bool
+	// Repeated is set where it is offered again, to a gateway that was just found.
+	Repeated bool
 }
 
 // RoutedCopy is the one copy of a message of a routed topic for one destination
@@ -38,16 +38,16 @@
 	Sender string
 	Seq    uint64
 	Offset uint64
-	// Behind is how far the topic's record before it lies below Offset.
-	Behind uint64
-	Data   []byte
-	// Passing tells that nothing of it is kept.
-	Passing bool
+	// PriorDistance is how far the topic's record before it lies below Offset.
+	PriorDistance uint64
+	Data          []byte
+	// Ephemeral tells that nothing of it is kept.
+	Ephemeral bool
 }
 
 // LinkClass tells that a passing message is of use now or never.
 func (rc RoutedCopy) LinkClass() transport.Class {
-	if rc.Passing {
+	if rc.Ephemeral {
 		return transport.ClassUrgent
 	}
 	return transport.ClassLive
@@ -55,46 +55,46 @@
 
 func (rc RoutedCopy) record() partition.Record {
 	return partition.Record{
-		Topic: rc.Topic, Sender: rc.Sender, Seq: rc.Seq, Offset: rc.Offset, Prior: rc.Offset - rc.Behind, Data: rc.Data,
+		Topic: rc.Topic, Sender: rc.Sender, Seq: rc.Seq, Offset: rc.Offset, Prior: rc.Offset - rc.PriorDistance, Data: rc.Data,
 	}
 }
 
 func init() {
 	transport.MustRegister(602, RoutedCopy{})
-	transport.MustRegister(600, Carry{})
-	transport.MustRegister(601, Pass{})
+	transport.MustRegister(600, RecordCopy{})
+	transport.MustRegister(601, EphemeralCopy{})
 }
 
 // Interest is what a subscription asks for: one topic, or all under a prefix.
 type Interest struct {
-	_     struct{} `cbor:",toarray"`
-	Space string
-	Path  string
-	Wide  bool
+	_      struct{} `cbor:",toarray"`
+	Space  string
+	Path   string
+	Prefix bool
 }
 
 // Commands from the adapters.
 type (
-	// OpenChannel begins a channel for an origin.
-	OpenChannel struct {
+	// OpenSession begins a channel for an origin.
+	OpenSession struct {
 		Request uint64
-		Channel uint64
+		Session uint64
 		Name    string
-		Origin  string
-		// Lines tells that the adapter itself watches whether the caller lives.
-		Lines bool
+		Client  string
+		// AdapterPings tells that the adapter itself watches whether the caller lives.
+		AdapterPings bool
 	}
-	// CloseChannel ends it.
-	CloseChannel struct {
-		Channel uint64
-		Why     string
+	// CloseSession ends it.
+	CloseSession struct {
+		Session uint64
+		Reason  string
 	}
 	// Subscribe adds interests to a channel, from a cursor on if there is one.
 	Subscribe struct {
 		Request     uint64
 		RequestName string
-		Channel     uint64
-		Origin      string
+		Session     uint64
+		Client      string
 		Interests   []Interest
 		Cursor      string
 	}
@@ -102,36 +102,36 @@
 	Unsubscribe struct {
 		Request     uint64
 		RequestName string
-		Channel     uint64
-		Origin      string
+		Session     uint64
+		Client      string
 		Interests   []Interest
 	}
 	// Publish sends a message on.
 	Publish struct {
 		Request     uint64
 		RequestName string
-		Origin      string
+		Client      string
 		Sender      string
 		Space       string
 		Topic       string
 		Seq         uint64
 		Data        []byte
 	}
-	// Count asks how many origins subscribe to a routed topic, over all gateways.
-	Count struct {
+	// CountSubscribers asks how many origins subscribe to a routed topic, over all gateways.
+	CountSubscribers struct {
 		Request     uint64
 		RequestName string
-		Channel     uint64
-		Origin      string
+		Session     uint64
+		Client      string
 		Topic       string
 	}
-	// Heard tells that a channel's caller said something.
-	Heard struct{ Channel uint64 }
+	// ClientActive tells that a channel's caller said something.
+	ClientActive struct{ Session uint64 }
 	// Pong answers a ping.
 	Pong struct {
 		Request uint64
-		Channel uint64
-		Origin  string
+		Session uint64
+		Client  string
 	}
 	// ControlRequest is an operator's request at this daemon's own ctl.
 	ControlRequest struct {
@@ -143,14 +143,14 @@
 	// FindDecisions asks the ring of recorded decisions.
 	FindDecisions struct {
 		Local                    uint64
-		Request, Message, Origin string
+		Request, Message, Client string
 	}
 	// Stop asks the gateway to end in good order.
 	Stop struct{}
 )
 
-// Answer goes back to a caller: accepted, refused for sure, or unsettled.
-type Answer struct {
+// Reply goes back to a caller: accepted, refused for sure, or unsettled.
+type Reply struct {
 	Status     int
 	Outcome    string
 	Code       string
@@ -159,33 +159,33 @@
 	Fields     map[string]any
 	// Cursor is the place of a subscription to a routed topic, Number a count of
 	// its subscribers.
-	Cursor string
-	Number int
+	Cursor          string
+	SubscriberCount int
 }
 
 // Outcomes as callers see them.
 const (
 	OutcomeAccepted  = "accepted"
-	OutcomeRefused   = "refused"
+	OutcomeRejected  = "refused"
 	OutcomeUnsettled = "unsettled"
 )
 
-func accepted(fields map[string]any) Answer {
-	return Answer{Status: 200, Outcome: OutcomeAccepted, Fields: fields}
+func acceptedReply(fields map[string]any) Reply {
+	return Reply{Status: 200, Outcome: OutcomeAccepted, Fields: fields}
 }
 
-func refused(status int, code, text string, back time.Duration) Answer {
-	return Answer{Status: status, Outcome: OutcomeRefused, Code: code, Text: text, RetryAfter: back}
+func rejectedReply(status int, code, text string, back time.Duration) Reply {
+	return Reply{Status: status, Outcome: OutcomeRejected, Code: code, Text: text, RetryAfter: back}
 }
 
-func unsettled(code, text string, back time.Duration) Answer {
-	return Answer{Status: 503, Outcome: OutcomeUnsettled, Code: code, Text: text, RetryAfter: back}
+func unsettledReply(code, text string, back time.Duration) Reply {
+	return Reply{Status: 503, Outcome: OutcomeUnsettled, Code: code, Text: text, RetryAfter: back}
 }
 
 // Event is one line on a channel.
 type Event struct {
 	Event   string          `json:"event"`
-	Channel string          `json:"channel,omitempty"`
+	Session string          `json:"channel,omitempty"`
 	Daemon  string          `json:"daemon,omitempty"`
 	Zone    string          `json:"zone,omitempty"`
 	Version uint64          `json:"version,omitempty"`
--- a/internal/gateway/opening_test.go
+++ b/internal/gateway/opening_test.go
@@ -41,7 +41,7 @@
 		fleetlab.gateway.Tick(fleetlab.now, &refused)
 	}
 	answer := outcome(t, refused)
-	assert.Equal(t, answer.Outcome, gateway.OutcomeRefused)
+	assert.Equal(t, answer.Outcome, gateway.OutcomeRejected)
 	assert.Assert(t, answer.RetryAfter > 0)
 	assert.Assert(t, fleetlab.now.Sub(from) <= 600*time.Millisecond, "after %s", fleetlab.now.Sub(from))
 }
--- a/internal/gateway/policies.go
+++ b/internal/gateway/policies.go
@@ -12,17 +12,17 @@
 	"dahlialock/internal/statemachine"
 )
 
-// Judged is a request as the policies see it.
-type Judged struct {
-	Kind   string
-	Origin string
-	Sender string
-	Space  string
-	Paths  []Interest
-	Topic  string
-	Seq    uint64
-	Data   []byte
-	Looked bool
+// PolicyRequest is a request as the policies see it.
+type PolicyRequest struct {
+	Kind      string
+	Client    string
+	Sender    string
+	Space     string
+	Paths     []Interest
+	Topic     string
+	Seq       uint64
+	Data      []byte
+	Refreshed bool
 	// Routed tells that the space was found by the routes: its topics are plain
 	// names.
 	Routed  bool
@@ -31,38 +31,38 @@
 
 // Verdict is what a policy says.
 type Verdict struct {
-	Pass   bool
-	Look   bool
-	Answer Answer
+	Allowed      bool
+	NeedsRefresh bool
+	Reply        Reply
 }
 
-var pass = Verdict{Pass: true}
+var pass = Verdict{Allowed: true}
 
 // Policy judges requests.
 type Policy interface {
 	Name() string
-	Judge(now time.Time, request *Judged) Verdict
+	Evaluate(now time.Time, request *PolicyRequest) Verdict
 }
 
 func standardPolicies() []Policy {
 	return []Policy{servingPolicy{}, senderPolicy{}, topicPolicy{}, spacePolicy{}, rightsPolicy{}, sizePolicy{}, newRatePolicy()}
 }
 
-// judge asks all policies in turn; look is called where news may help.
-func (g *Gateway) judge(now time.Time, request *Judged, requestName string, retry func(now time.Time, effects *statemachine.Effects), answer func(Answer)) bool {
+// authorize asks all policies in turn; look is called where news may help.
+func (g *Gateway) authorize(now time.Time, request *PolicyRequest, requestName string, retry func(now time.Time, effects *statemachine.Effects), answer func(Reply)) bool {
 	request.Gateway = g
 	for _, policy := range g.policies {
-		verdict := policy.Judge(now, request)
-		if verdict.Pass {
+		verdict := policy.Evaluate(now, request)
+		if verdict.Allowed {
 			continue
 		}
-		if verdict.Look && !request.Looked {
-			g.ring.Record(now, requestName, "", request.Origin, "look", "policy", policy.Name(), "space", request.Space)
-			g.look(now, retry)
+		if verdict.NeedsRefresh && !request.Refreshed {
+			g.ring.Record(now, requestName, "", request.Client, "look", "policy", policy.Name(), "space", request.Space)
+			g.refreshThen(now, retry)
 			return false
 		}
-		g.ring.Record(now, requestName, g.messageOf(request), request.Origin, "refused", "policy", policy.Name(), "code", verdict.Answer.Code)
-		answer(verdict.Answer)
+		g.ring.Record(now, requestName, g.messageOf(request), request.Client, "refused", "policy", policy.Name(), "code", verdict.Reply.Code)
+		answer(verdict.Reply)
 		return false
 	}
 	return true
@@ -72,15 +72,15 @@
 
 func (servingPolicy) Name() string { return "serving" }
 
-func (servingPolicy) Judge(now time.Time, request *Judged) Verdict {
+func (servingPolicy) Evaluate(now time.Time, request *PolicyRequest) Verdict {
 	gateway := request.Gateway
 	switch {
 	case gateway.stopping && (!request.Routed || !gateway.servesOn(now)):
-		return Verdict{Answer: refused(503, "stopping", "this daemon is stopping", comeBackSoon)}
-	case gateway.behind > gateway.follower.Version:
-		return Verdict{Look: true, Answer: refused(503, "behind", "this daemon is catching up with the configuration", comeBackSoon)}
+		return Verdict{Reply: rejectedReply(503, "stopping", "this daemon is stopping", retrySoon)}
+	case gateway.newerVersion > gateway.viewClient.Version:
+		return Verdict{NeedsRefresh: true, Reply: rejectedReply(503, "behind", "this daemon is catching up with the configuration", retrySoon)}
 	case !gateway.Confirmed(now):
-		return Verdict{Answer: refused(503, "unconfirmed", "this daemon can't confirm its configuration", comeBackLater)}
+		return Verdict{Reply: rejectedReply(503, "unconfirmed", "this daemon can't confirm its configuration", retryLater)}
 	}
 	return pass
 }
@@ -89,9 +89,9 @@
 
 func (senderPolicy) Name() string { return "sender" }
 
-func (senderPolicy) Judge(_ time.Time, request *Judged) Verdict {
-	if request.Kind == "publish" && request.Sender != request.Origin {
-		return Verdict{Answer: refused(403, "wrong-sender", "an origin publishes under its own name only", 0)}
+func (senderPolicy) Evaluate(_ time.Time, request *PolicyRequest) Verdict {
+	if request.Kind == "publish" && request.Sender != request.Client {
+		return Verdict{Reply: rejectedReply(403, "wrong-sender", "an origin publishes under its own name only", 0)}
 	}
 	return pass
 }
@@ -100,26 +100,26 @@
 
 func (topicPolicy) Name() string { return "topic" }
 
-func (topicPolicy) Judge(_ time.Time, request *Judged) Verdict {
+func (topicPolicy) Evaluate(_ time.Time, request *PolicyRequest) Verdict {
 	if request.Routed {
-		if request.Kind == "publish" && !FitRouted(request.Topic) || len(request.Paths) > 0 && !FitRouted(request.Paths[0].Path) {
-			return Verdict{Answer: refused(400, "bad-topic", "a routed topic is a name without blanks", 0)}
+		if request.Kind == "publish" && !ValidRoutedTopic(request.Topic) || len(request.Paths) > 0 && !ValidRoutedTopic(request.Paths[0].Path) {
+			return Verdict{Reply: rejectedReply(400, "bad-topic", "a routed topic is a name without blanks", 0)}
 		}
 		return pass
 	}
-	if request.Kind == "publish" && !FitTopic(request.Topic) {
-		return Verdict{Answer: refused(400, "bad-topic", "a topic is a path of parts that are not empty", 0)}
+	if request.Kind == "publish" && !ValidTopic(request.Topic) {
+		return Verdict{Reply: rejectedReply(400, "bad-topic", "a topic is a path of parts that are not empty", 0)}
 	}
 	for _, interest := range request.Paths {
-		if !FitTopic(interest.Path) && (!interest.Wide || interest.Path != "") {
-			return Verdict{Answer: refused(400, "bad-topic", "a topic is a path of parts that are not empty", 0)}
+		if !ValidTopic(interest.Path) && (!interest.Prefix || interest.Path != "") {
+			return Verdict{Reply: rejectedReply(400, "bad-topic", "a topic is a path of parts that are not empty", 0)}
 		}
 	}
 	return pass
 }
 
-// FitRouted tells whether a name may be a routed topic.
-func FitRouted(name string) bool {
+// ValidRoutedTopic tells whether a name may be a routed topic.
+func ValidRoutedTopic(name string) bool {
 	if name == "" || len(name) > 256 {
 		return false
 	}
@@ -131,8 +131,8 @@
 	return true
 }
 
-// FitTopic tells whether a path may be a topic.
-func FitTopic(path string) bool {
+// ValidTopic tells whether a path may be a topic.
+func ValidTopic(path string) bool {
 	if path == "" || len(path) > 256 || strings.HasPrefix(path, "/") || strings.HasSuffix(path, "/") || strings.Contains(path, "//") {
 		return false
 	}
@@ -148,16 +148,16 @@
 
 func (spacePolicy) Name() string { return "space" }
 
-func (spacePolicy) Judge(_ time.Time, request *Judged) Verdict {
+func (spacePolicy) Evaluate(_ time.Time, request *PolicyRequest) Verdict {
 	for _, name := range request.spaces() {
 		if _, found := request.Gateway.spaces[name]; !found {
-			return Verdict{Look: true, Answer: refused(404, "no-such-space", fmt.Sprintf("no space is named %q", name), 0)}
+			return Verdict{NeedsRefresh: true, Reply: rejectedReply(404, "no-such-space", fmt.Sprintf("no space is named %q", name), 0)}
 		}
 	}
 	return pass
 }
 
-func (j *Judged) spaces() []string {
+func (j *PolicyRequest) spaces() []string {
 	if j.Kind == "publish" {
 		return []string{j.Space}
 	}
@@ -172,11 +172,11 @@
 
 func (rightsPolicy) Name() string { return "rights" }
 
-func (rightsPolicy) Judge(_ time.Time, request *Judged) Verdict {
+func (rightsPolicy) Evaluate(_ time.Time, request *PolicyRequest) Verdict {
 	for _, name := range request.spaces() {
 		space := request.Gateway.spaces[name].space
-		if request.Kind == "publish" && !space.MayPublish(request.Sender) || request.Kind == "subscribe" && !space.MaySubscribe(request.Origin) {
-			return Verdict{Answer: refused(403, "not-allowed", fmt.Sprintf("the space %q does not let this origin %s", name, request.Kind), 0)}
+		if request.Kind == "publish" && !space.MayPublish(request.Sender) || request.Kind == "subscribe" && !space.MaySubscribe(request.Client) {
+			return Verdict{Reply: rejectedReply(403, "not-allowed", fmt.Sprintf("the space %q does not let this origin %s", name, request.Kind), 0)}
 		}
 	}
 	return pass
@@ -186,15 +186,15 @@
 
 func (sizePolicy) Name() string { return "size" }
 
-func (sizePolicy) Judge(_ time.Time, request *Judged) Verdict {
+func (sizePolicy) Evaluate(_ time.Time, request *PolicyRequest) Verdict {
 	if request.Kind != "publish" {
 		return pass
 	}
 	if most := request.Gateway.spaces[request.Space].space.DataBytes; len(request.Data) > most {
-		return Verdict{Answer: refused(413, "too-large", fmt.Sprintf("%d bytes are more than %d", len(request.Data), most), 0)}
+		return Verdict{Reply: rejectedReply(413, "too-large", fmt.Sprintf("%d bytes are more than %d", len(request.Data), most), 0)}
 	}
 	if request.Seq == 0 {
-		return Verdict{Answer: refused(400, "bad-seq", "a seq begins at 1", 0)}
+		return Verdict{Reply: rejectedReply(400, "bad-seq", "a seq begins at 1", 0)}
 	}
 	return pass
 }
@@ -212,7 +212,7 @@
 
 func (*ratePolicy) Name() string { return "rate" }
 
-func (rp *ratePolicy) Judge(now time.Time, request *Judged) Verdict {
+func (rp *ratePolicy) Evaluate(now time.Time, request *PolicyRequest) Verdict {
 	if request.Kind != "publish" {
 		return pass
 	}
@@ -225,7 +225,7 @@
 	}
 	if rp.count[request.Space] >= most {
 		back := now.Truncate(time.Second).Add(time.Second).Sub(now)
-		return Verdict{Answer: refused(429, "too-many", "the space's rate is used up", back)}
+		return Verdict{Reply: rejectedReply(429, "too-many", "the space's rate is used up", back)}
 	}
 	rp.count[request.Space]++
 	return pass
--- a/internal/gateway/publish.go
+++ b/internal/gateway/publish.go
@@ -101,7 +101,7 @@
 	limit    time.Time
 }
 
-func (g *Gateway) messageOf(request *Judged) string {
+func (g *Gateway) messageOf(request *PolicyRequest) string {
 	if request.Kind != "publish" {
 		return ""
 	}
@@ -118,14 +118,14 @@
 }
 
 func (g *Gateway) tryPublish(now time.Time, request Publish, looked bool, effects *statemachine.Effects) {
-	judged := &Judged{
-		Kind: "publish", Origin: request.Origin, Sender: request.Sender, Space: request.Space, Topic: request.Topic,
-		Seq: request.Seq, Data: request.Data, Looked: looked,
+	judged := &PolicyRequest{
+		Kind: "publish", Client: request.Client, Sender: request.Sender, Space: request.Space, Topic: request.Topic,
+		Seq: request.Seq, Data: request.Data, Refreshed: looked,
 	}
 	item := &publication{request: request, key: senderKey{space: request.Space, sender: request.Sender}}
-	answer := func(returned Answer) { g.settlePublication(now, item, returned, effects) }
+	answer := func(returned Reply) { g.settlePublication(now, item, returned, effects) }
 	retry := func(now time.Time, effects *statemachine.Effects) { g.tryPublish(now, request, true, effects) }
-	if !g.judge(now, judged, request.RequestName, retry, answer) {
+	if !g.authorize(now, judged, request.RequestName, retry, answer) {
 		return
 	}
 	from, found := g.senders[item.key]
@@ -136,18 +136,18 @@
 	from.lastUse = now
 	if from.blocked > 0 && request.Seq > from.blocked {
 		if now.Sub(from.blockedAt) < blockFor {
-			answer(refused(503, "earlier-refused", "an earlier seq of this sender has no accepted answer; send that one first", comeBackLater))
+			answer(rejectedReply(503, "earlier-refused", "an earlier seq of this sender has no accepted answer; send that one first", retryLater))
 			return
 		}
 		from.blocked = 0
 	}
 	if len(from.queue) >= queueMost {
-		answer(refused(429, "queue-full", "too many publications of this sender wait", comeBackLater))
+		answer(rejectedReply(429, "queue-full", "too many publications of this sender wait", retryLater))
 		return
 	}
-	g.ring.Record(now, request.RequestName, g.messageOf(judged), request.Origin, "judged", "topic", request.Topic,
-		"version", g.follower.Version, "queued", len(from.queue))
-	item.limit = now.Add(min(patience, g.spaces[request.Space].space.AnswerWithin*7/10))
+	g.ring.Record(now, request.RequestName, g.messageOf(judged), request.Client, "judged", "topic", request.Topic,
+		"version", g.viewClient.Version, "queued", len(from.queue))
+	item.limit = now.Add(min(requestTimeout, g.spaces[request.Space].space.AnswerWithin*7/10))
 	from.queue = append(from.queue, item)
 	g.timers.ArmSooner("limits", item.limit)
 	if len(from.queue) == 1 {
@@ -156,26 +156,26 @@
 }
 
 // countOutcome counts the final answer of a publication.
-func (g *Gateway) countOutcome(answer Answer) {
+func (g *Gateway) countOutcome(answer Reply) {
 	switch answer.Outcome {
 	case OutcomeAccepted:
 		g.Counts.Accepted++
-	case OutcomeRefused:
-		g.Counts.RefusedRequests++
+	case OutcomeRejected:
+		g.Counts.RejectedRequests++
 	case OutcomeUnsettled:
 		g.Counts.UnsettledRequests++
 	}
 }
 
 // settlePublication gives a publication its final answer.
-func (g *Gateway) settlePublication(now time.Time, item *publication, answer Answer, effects *statemachine.Effects) {
+func (g *Gateway) settlePublication(now time.Time, item *publication, answer Reply, effects *statemachine.Effects) {
 	if item.answered {
 		return
 	}
 	item.answered = true
 	g.countOutcome(answer)
 	g.ring.Record(now, item.request.RequestName, decisionlog.MessageName(item.request.Space, item.request.Sender, item.request.Seq),
-		item.request.Origin, "answered", "outcome", answer.Outcome, "code", answer.Code)
+		item.request.Client, "answered", "outcome", answer.Outcome, "code", answer.Code)
 	effects.Respond(item.request.Request, answer)
 }
 
@@ -186,7 +186,7 @@
 		state, found := g.spaces[item.request.Space]
 		if !found {
 			from.queue = from.queue[1:]
-			g.settlePublication(now, item, refused(404, "no-such-space", "the space was removed", 0), effects)
+			g.settlePublication(now, item, rejectedReply(404, "no-such-space", "the space was removed", 0), effects)
 			continue
 		}
 		if state.space.Retention == config.Durable {
@@ -200,7 +200,7 @@
 
 // finish ends the head of a queue. Where it was not accepted, those behind it
 // are refused, and later seqs are held off until this one is sent again.
-func (g *Gateway) finish(now time.Time, item *publication, answer Answer, effects *statemachine.Effects) {
+func (g *Gateway) finish(now time.Time, item *publication, answer Reply, effects *statemachine.Effects) {
 	delete(g.appends, item.id)
 	for send := range item.open {
 		delete(g.sends, send)
@@ -223,7 +223,7 @@
 		waiting := from.queue
 		from.queue = nil
 		for _, behind := range waiting {
-			g.settlePublication(now, behind, refused(503, "earlier-refused", "an earlier seq of this sender was not accepted", comeBackLater), effects)
+			g.settlePublication(now, behind, rejectedReply(503, "earlier-refused", "an earlier seq of this sender was not accepted", retryLater), effects)
 		}
 		return
 	}
@@ -268,11 +268,11 @@
 }
 
 func (g *Gateway) firstOf(name string) (address, store string, found bool) {
-	place, placed := g.follower.Placements[name]
+	place, placed := g.viewClient.Placements[name]
 	if !placed {
 		return "", "", false
 	}
-	member, known := g.follower.Members[place.Leader]
+	member, known := g.viewClient.Members[place.Leader]
 	return member.Address, place.Leader, known
 }
 
@@ -281,7 +281,7 @@
 	g.timers.ArmSooner("limits", now.Add(appendRetry))
 	address, store, found := g.firstOf(item.partition)
 	if !found {
-		g.follower.PollNow(now)
+		g.viewClient.PollNow(now)
 		return
 	}
 	var before partition.Trail
@@ -296,7 +296,7 @@
 	item.open[send] = true
 	g.sends[send] = item
 	g.ring.Record(now, item.request.RequestName, decisionlog.MessageName(item.request.Space, item.request.Sender, item.request.Seq),
-		item.request.Origin, "append", "partition", item.partition, "store", store, "epoch", g.follower.Placements[item.partition].Epoch)
+		item.request.Client, "append", "partition", item.partition, "store", store, "epoch", g.viewClient.Placements[item.partition].Epoch)
 	effects.Send(address, partition.Append{
 		Partition: item.partition, Request: send, Topic: item.request.Topic, Sender: item.request.Sender, Seq: item.request.Seq,
 		Data: item.request.Data, Before: before, OnlyAgain: item.request.Seq <= from.lastSeq,
@@ -305,7 +305,7 @@
 
 func (g *Gateway) onAppendResponse(now time.Time, returned partition.AppendResponse, effects *statemachine.Effects) {
 	if item, routed := g.routed.sends[returned.Request]; routed && item.partition == returned.Partition {
-		g.onRoutedResponse(now, item, returned, effects)
+		g.handleRoutedResponse(now, item, returned, effects)
 		return
 	}
 	item, found := g.sends[returned.Request]
@@ -315,7 +315,7 @@
 	delete(item.open, returned.Request)
 	delete(g.sends, returned.Request)
 	message := decisionlog.MessageName(item.request.Space, item.request.Sender, item.request.Seq)
-	g.ring.Record(now, item.request.RequestName, message, item.request.Origin, "kept", "outcome", returned.Outcome,
+	g.ring.Record(now, item.request.RequestName, message, item.request.Client, "kept", "outcome", returned.Outcome,
 		"code", returned.Code, "partition", returned.Partition, "epoch", returned.Epoch, "offset", returned.Record.Offset, "again", returned.Again)
 	switch returned.Outcome {
 	case partition.Accepted:
@@ -329,26 +329,26 @@
 		if state, present := g.spaces[item.request.Space]; present && !returned.Again {
 			g.fanOutKept(now, state, returned.Partition, returned.Record, item, effects)
 		}
-		g.finish(now, item, accepted(map[string]any{"again": returned.Again}), effects)
+		g.finish(now, item, acceptedReply(map[string]any{"again": returned.Again}), effects)
 	case partition.Refused:
 		switch returned.Code {
 		case "not-first":
 			// The store or this gateway lacks news; the limit decides.
-			g.follower.PollNow(now)
+			g.viewClient.PollNow(now)
 			item.sentAt = now
 			g.timers.ArmSooner("limits", now.Add(appendRetry))
 		case "old-seq", "seq-reused":
-			g.finish(now, item, refused(409, returned.Code, "this seq is not above the sender's newest", 0), effects)
+			g.finish(now, item, rejectedReply(409, returned.Code, "this seq is not above the sender's newest", 0), effects)
 		default:
 			if len(item.open) > 0 {
 				// An earlier try has no answer; it may yet be kept.
-				g.finish(now, item, unsettled(returned.Code, "send the same seq again", returned.RetryAfter), effects)
+				g.finish(now, item, unsettledReply(returned.Code, "send the same seq again", returned.RetryAfter), effects)
 				return
 			}
-			g.finish(now, item, refused(503, returned.Code, "the partition can't keep two copies at this moment", returned.RetryAfter), effects)
+			g.finish(now, item, rejectedReply(503, returned.Code, "the partition can't keep two copies at this moment", returned.RetryAfter), effects)
 		}
 	default:
-		g.finish(now, item, unsettled(returned.Code, "send the same seq again", comeBackLater), effects)
+		g.finish(now, item, unsettledReply(returned.Code, "send the same seq again", retryLater), effects)
 	}
 }
 
@@ -358,8 +358,8 @@
 		name := partitionName(state.name, number)
 		address, _, found := g.firstOf(name)
 		if !found {
-			g.follower.PollNow(now)
-			g.finish(now, item, refused(503, "not-placed", "the space's partitions are not placed yet", comeBackLater), effects)
+			g.viewClient.PollNow(now)
+			g.finish(now, item, rejectedReply(503, "not-placed", "the space's partitions are not placed yet", retryLater), effects)
 			return
 		}
 		byStore[address] = append(byStore[address], name)
@@ -396,8 +396,8 @@
 		return
 	}
 	if !asked.ready {
-		g.follower.PollNow(now)
-		g.finish(now, from.queue[0], refused(503, "partition-moving", "a partition of the space is being taken over", comeBackLater), effects)
+		g.viewClient.PollNow(now)
+		g.finish(now, from.queue[0], rejectedReply(503, "partition-moving", "a partition of the space is being taken over", retryLater), effects)
 		return
 	}
 	from.recalled, from.lastSeq, from.trail = true, asked.lastSeq, nil
@@ -412,7 +412,7 @@
 // to this daemon's own subscribers.
 func (g *Gateway) fanOutKept(now time.Time, state *spaceState, name string, record partition.Record, item *publication, effects *statemachine.Effects) {
 	area := areaOf(state.space, record.Topic)
-	carry := Carry{Partition: name, Record: record}
+	carry := RecordCopy{Partition: name, Record: record}
 	spread := func(now time.Time, effects *statemachine.Effects, settled bool) {
 		destinations := g.overlay.Destinations(state.name, area)
 		g.spread(now, item, destinations, settled, carry, effects)
@@ -429,13 +429,13 @@
 
 func (g *Gateway) spread(now time.Time, item *publication, destinations []string, settled bool, message any, effects *statemachine.Effects) {
 	for _, name := range destinations {
-		if member, found := g.follower.Members[name]; found {
+		if member, found := g.viewClient.Members[name]; found {
 			g.Counts.CopiesOut++
 			effects.Send(member.Address, message)
 		}
 	}
 	g.ring.Record(now, item.request.RequestName, decisionlog.MessageName(item.request.Space, item.request.Sender, item.request.Seq),
-		item.request.Origin, "fanned-out", "destinations", destinations, "why", "subscriber list of the peer at the topic's area", "settled", settled)
+		item.request.Client, "fanned-out", "destinations", destinations, "why", "subscriber list of the peer at the topic's area", "settled", settled)
 }
 
 // Passing messages.
@@ -444,14 +444,14 @@
 	request := item.request
 	if memory, known := from.recent[request.Seq]; known {
 		if memory.digest != partition.Digest(request.Topic, request.Data) {
-			g.finish(now, item, refused(409, "seq-reused", "this seq was used for another message", 0), effects)
+			g.finish(now, item, rejectedReply(409, "seq-reused", "this seq was used for another message", 0), effects)
 			return
 		}
-		g.finish(now, item, accepted(map[string]any{"again": true}), effects)
+		g.finish(now, item, acceptedReply(map[string]any{"again": true}), effects)
 		return
 	}
 	if request.Seq <= from.lastSeq && now.Sub(from.arrived) > seqMemory {
-		g.finish(now, item, refused(409, "old-seq", "this seq is not above the sender's newest", 0), effects)
+		g.finish(now, item, rejectedReply(409, "old-seq", "this seq is not above the sender's newest", 0), effects)
 		return
 	}
 	// A sender that came here a moment ago may send again what another gateway
@@ -463,7 +463,7 @@
 			return
 		}
 		if !settled {
-			g.finish(now, item, refused(503, "no-neighbours", "the overlay is being mended", comeBackSoon), effects)
+			g.finish(now, item, rejectedReply(503, "no-neighbours", "the overlay is being mended", retrySoon), effects)
 			return
 		}
 		if request.Seq > from.lastSeq+1 {
@@ -476,11 +476,11 @@
 				delete(from.recent, seq)
 			}
 		}
-		message := Pass{Space: state.name, Topic: request.Topic, Sender: request.Sender, Seq: request.Seq, Data: request.Data}
+		message := EphemeralCopy{Space: state.name, Topic: request.Topic, Sender: request.Sender, Seq: request.Seq, Data: request.Data}
 		state.remember(now, message, true)
-		g.passHere(now, state, message, effects)
+		g.deliverEphemeral(now, state, message, effects)
 		g.spread(now, item, g.overlay.Destinations(state.name, area), true, message, effects)
-		g.finish(now, item, accepted(map[string]any{"again": false}), effects)
+		g.finish(now, item, acceptedReply(map[string]any{"again": false}), effects)
 	}, effects)
 }
 
@@ -508,11 +508,11 @@
 		for len(from.queue) > 0 && !from.queue[0].limit.After(now) {
 			item := from.queue[0]
 			if statemachine.Mutated("refuse-what-is-open") {
-				g.finish(now, item, refused(503, "no-answer", "", 0), effects)
+				g.finish(now, item, rejectedReply(503, "no-answer", "", 0), effects)
 			} else if len(item.open) > 0 {
-				g.finish(now, item, unsettled("no-answer", "the store did not answer; send the same seq again", comeBackLater), effects)
+				g.finish(now, item, unsettledReply("no-answer", "the store did not answer; send the same seq again", retryLater), effects)
 			} else {
-				g.finish(now, item, refused(503, "no-answer", "the message was not kept", comeBackLater), effects)
+				g.finish(now, item, rejectedReply(503, "no-answer", "the message was not kept", retryLater), effects)
 			}
 		}
 		if len(from.queue) > 0 {
@@ -520,7 +520,7 @@
 		}
 	}
 	for id, fetch := range statemachine.Sorted(g.fetches) {
-		next = statemachine.Earliest(next, g.tendFetch(now, id, fetch, effects))
+		next = statemachine.Earliest(next, g.retryFetch(now, id, fetch, effects))
 	}
 	if !next.IsZero() {
 		g.timers.ArmSooner("limits", next)
--- a/internal/gateway/publish_test.go
+++ b/internal/gateway/publish_test.go
@@ -17,13 +17,13 @@
 func TestAnAnswerThatComesTwiceSettlesOneSend(t *testing.T) {
 	now := time.Unix(1000, 0)
 	gateway := New(Settings{Self: membership.Member{Name: "gateway-1", Kind: membership.KindGateway, Address: "a:1"}, Agent: "a:2"})
-	gateway.follower.Members["store-1"] = membership.Member{Name: "store-1", Kind: membership.KindStore, Address: "k:1", Alive: true}
-	gateway.follower.Placements["boards~1/0"] = membership.Placement{Partition: "boards~1/0", Epoch: 1, Leader: "store-1"}
+	gateway.viewClient.Members["store-1"] = membership.Member{Name: "store-1", Kind: membership.KindStore, Address: "k:1", Alive: true}
+	gateway.viewClient.Placements["boards~1/0"] = membership.Placement{Partition: "boards~1/0", Epoch: 1, Leader: "store-1"}
 	gateway.spaces["boards"] = &spaceState{space: config.Space{Name: "boards", Retention: config.Durable}, name: "boards~1"}
 	key := senderKey{space: "boards", sender: "u"}
 	from := &sender{recent: map[uint64]sentMemory{}}
 	item := &publication{
-		request: Publish{Request: 9, Sender: "u", Origin: "u", Space: "boards", Topic: "t", Seq: 1}, key: key, id: 77, partition: "boards~1/0",
+		request: Publish{Request: 9, Sender: "u", Client: "u", Space: "boards", Topic: "t", Seq: 1}, key: key, id: 77, partition: "boards~1/0",
 		limit: now.Add(500 * time.Millisecond),
 	}
 	from.queue = []*publication{item}
@@ -39,6 +39,6 @@
 	effects = statemachine.Effects{}
 	gateway.limits(item.limit, &effects)
 	assert.Equal(t, len(effects.Responses), 1)
-	assert.Equal(t, effects.Responses[0].Value.(Answer).Outcome, OutcomeUnsettled)
+	assert.Equal(t, effects.Responses[0].Value.(Reply).Outcome, OutcomeUnsettled)
 	assert.Equal(t, len(gateway.sends), 0)
 }
--- a/internal/gateway/recent.go
+++ b/internal/gateway/recent.go
@@ -16,21 +16,21 @@
 )
 
 const (
-	recentFor  = 3 * time.Second
-	recentMost = 8192
-	resumedFor = 5 * time.Second
+	recentFor          = 3 * time.Second
+	maxRecentEphemeral = 8192
+	resumedFor         = 5 * time.Second
 )
 
-type recentPass struct {
+type recentEphemeral struct {
 	at      time.Time
 	own     bool
-	message Pass
+	message EphemeralCopy
 }
 
-func (ss *spaceState) remember(now time.Time, message Pass, own bool) {
-	ss.recent = append(ss.recent, recentPass{at: now, own: own, message: message})
+func (ss *spaceState) remember(now time.Time, message EphemeralCopy, own bool) {
+	ss.recent = append(ss.recent, recentEphemeral{at: now, own: own, message: message})
 	old := 0
-	for old < len(ss.recent) && (now.Sub(ss.recent[old].at) > recentFor || len(ss.recent)-old > recentMost) {
+	for old < len(ss.recent) && (now.Sub(ss.recent[old].at) > recentFor || len(ss.recent)-old > maxRecentEphemeral) {
 		old++
 	}
 	if old > 0 {
@@ -38,10 +38,10 @@
 	}
 }
 
-// offerRecent sends newly found destinations what was passed on just before.
-func (g *Gateway) offerRecent(now time.Time, effects *statemachine.Effects) {
+// repeatRecent sends newly found destinations what was passed on just before.
+func (g *Gateway) repeatRecent(now time.Time, effects *statemachine.Effects) {
 	for _, found := range g.overlay.TakeFound() {
-		member, known := g.follower.Members[found.Daemon]
+		member, known := g.viewClient.Members[found.Daemon]
 		space, _ := spaceOf(found.Space + "/")
 		state, present := g.spaces[space]
 		if !known || !present || state.name != found.Space || statemachine.Mutated("no-recent") {
@@ -50,8 +50,8 @@
 		for _, each := range state.recent {
 			if each.own && now.Sub(each.at) <= recentFor && areaOf(state.space, each.message.Topic) == found.Area {
 				late := each.message
-				late.Late = true
-				g.Counts.Offered++
+				late.Repeated = true
+				g.Counts.Repeated++
 				effects.Send(member.Address, late)
 			}
 		}
@@ -60,8 +60,8 @@
 
 // replay puts what passed by here just before an origin resumed in front of what
 // came while it did, each sender's messages in order.
-func (g *Gateway) replay(now time.Time, channel *channel, interests []Interest) {
-	var replayed []Pass
+func (g *Gateway) replay(now time.Time, channel *session, interests []Interest) {
+	var replayed []EphemeralCopy
 	for _, interest := range interests {
 		state, present := g.spaces[interest.Space]
 		if !present || statemachine.Mutated("no-recent") {
@@ -73,8 +73,8 @@
 			}
 		}
 	}
-	channel.passBuffer = append(replayed, channel.passBuffer...)
-	slices.SortStableFunc(channel.passBuffer, func(left, right Pass) int {
+	channel.ephemeralBuffer = append(replayed, channel.ephemeralBuffer...)
+	slices.SortStableFunc(channel.ephemeralBuffer, func(left, right EphemeralCopy) int {
 		return cmp.Or(cmp.Compare(left.Sender, right.Sender), cmp.Compare(left.Seq, right.Seq))
 	})
 }
--- a/internal/gateway/routed.go
+++ b/internal/gateway/routed.go
@@ -21,13 +21,13 @@
 )
 
 const (
-	routedPlane   = config.SharedSpace
-	placeMark     = "t"
-	headGrace     = 120 * time.Millisecond
-	passingGap    = 50 * time.Millisecond
-	passingReach  = 300 * time.Millisecond
-	recentRecords = 32
-	recentBytes   = 32 << 10
+	routedPlane           = config.SharedSpace
+	topicCursorPrefix     = "t"
+	highWatermarkGrace    = 120 * time.Millisecond
+	ephemeralGapTimeout   = 50 * time.Millisecond
+	ephemeralReachTimeout = 300 * time.Millisecond
+	recentRecords         = 32
+	recentBytes           = 32 << 10
 	// backlogBytes bounds the recent records of a topic that was just caught up.
 	backlogBytes = 256 << 10
 	// topicFetchRetry is how long to wait before a store is asked again that does not
@@ -35,24 +35,24 @@
 	topicFetchRetry = 200 * time.Millisecond
 	// retryDoubles is how often the wait for a store's answer doubles: one that is
 	// late because a link is full must not be asked for again and again.
-	retryDoubles  = 3
-	topicHeldMost = 4096
+	retryDoubles           = 3
+	maxPendingTopicRecords = 4096
 )
 
 // topic is a routed topic as this gateway follows it for its channels. Once it
 // is live, all of it up to last was handed over to every place that is filled.
 type topic struct {
-	name      string
-	number    uint64
-	partition string
-	space     string
-	kept      bool
-	places    []*place
-	told      int
-	live      bool
-	last      uint64
-	held      []partition.Record
-	heldAt    time.Time
+	name           string
+	number         uint64
+	partition      string
+	space          string
+	durable        bool
+	subscriptions  []*topicSubscription
+	announcedCount int
+	live           bool
+	last           uint64
+	pending        []partition.Record
+	pendingSince   time.Time
 	// queued is set while it waits for a batch to its store, fetch while it is in one.
 	queued bool
 	fetch  *topicFetch
@@ -64,24 +64,24 @@
 	recentUntil time.Time
 	wanted      uint64
 	checkAt     time.Time
-	// left is how many bytes of its records are known to lack here.
-	left int
+	// missingBytes is how many bytes of its records are known to lack here.
+	missingBytes int
 	// reservedAfter is the lowest cursor of subscriptions that were refused without
 	// an answer of the store, and keep their turn until reservedUntil.
 	reservedAfter uint64
 	reservedUntil time.Time
 }
 
-// place is one channel's subscription to a topic, and how far it was handed over.
-type place struct {
-	topic   *topic
-	channel uint64
-	index   int
-	upTo    uint64
-	resumes bool
-	filling bool
-	request Subscribe
-	limit   time.Time
+// topicSubscription is one channel's subscription to a topic, and how far it was handed over.
+type topicSubscription struct {
+	topic         *topic
+	session       uint64
+	index         int
+	deliveredUpTo uint64
+	resumes       bool
+	filling       bool
+	request       Subscribe
+	deadline      time.Time
 }
 
 // routed is all that a gateway holds of routed topics.
@@ -89,21 +89,21 @@
 	topics     map[string]*topic
 	numbers    map[uint64]*topic
 	partitions map[string]int
-	// told is how far each partition's first told this gateway what moved. It begins
+	// reportedUpTo is how far each partition's first told this gateway what moved. It begins
 	// with the first topic that is fetched from there: what moved before that is of
 	// no use here, and is not asked for.
-	told map[string]uint64
-	// followed is how heads were last asked for.
-	followed map[string]way
+	reportedUpTo map[string]uint64
+	// followRoutes is how heads were last asked for.
+	followRoutes map[string]route
 	// bases are the offsets above which partitions held all when last heard of.
 	bases map[string]uint64
 	// batches are what was asked of stores, underway names the one to each store, and
 	// queue holds the topics that wait for the next.
-	batches  map[uint64]*batch
-	underway map[string]uint64
-	queue    []*topic
-	appends  map[uint64]*routedPublication
-	sends    map[uint64]*routedPublication
+	batches       map[uint64]*batch
+	batchInFlight map[string]uint64
+	queue         []*topic
+	appends       map[uint64]*routedPublication
+	sends         map[uint64]*routedPublication
 	// accepted is when a publication of this gateway's callers was accepted.
 	accepted map[routedKey]time.Time
 	// busy are the topics with something that waits for a moment to come.
@@ -112,21 +112,21 @@
 
 func newRouted() *routed {
 	return &routed{
-		topics: map[string]*topic{}, numbers: map[uint64]*topic{}, partitions: map[string]int{}, told: map[string]uint64{}, followed: map[string]way{}, bases: map[string]uint64{},
-		batches: map[uint64]*batch{}, underway: map[string]uint64{}, appends: map[uint64]*routedPublication{}, sends: map[uint64]*routedPublication{}, accepted: map[routedKey]time.Time{}, busy: map[string]*topic{},
+		topics: map[string]*topic{}, numbers: map[uint64]*topic{}, partitions: map[string]int{}, reportedUpTo: map[string]uint64{}, followRoutes: map[string]route{}, bases: map[string]uint64{},
+		batches: map[uint64]*batch{}, batchInFlight: map[string]uint64{}, appends: map[uint64]*routedPublication{}, sends: map[uint64]*routedPublication{}, accepted: map[routedKey]time.Time{}, busy: map[string]*topic{},
 	}
 }
 
-// placeText is a topic's cursor: the offset of the message before it.
-func placeText(offset uint64) string {
+// formatTopicCursor is a topic's cursor: the offset of the message before it.
+func formatTopicCursor(offset uint64) string {
 	if statemachine.Mutated("place-skips-one") {
 		offset++
 	}
-	return placeMark + strconv.FormatUint(offset, 36)
+	return topicCursorPrefix + strconv.FormatUint(offset, 36)
 }
 
-func readPlace(text string) (uint64, bool) {
-	if len(text) < 2 || text[:1] != placeMark {
+func parseTopicCursor(text string) (uint64, bool) {
+	if len(text) < 2 || text[:1] != topicCursorPrefix {
 		return 0, false
 	}
 	offset, err := strconv.ParseUint(text[1:], 36, 63)
@@ -155,111 +155,111 @@
 // Subscribing.
 
 func (g *Gateway) subscribeRouted(now time.Time, request Subscribe, looked bool, effects *statemachine.Effects) {
-	answer := func(returned Answer) { g.answerSubscribe(now, request, returned, effects) }
-	channel, found := g.channels[request.Channel]
+	answer := func(returned Reply) { g.answerSubscribe(now, request, returned, effects) }
+	channel, found := g.sessions[request.Session]
 	switch {
-	case !found || channel.origin != request.Origin:
-		answer(refused(404, "no-such-channel", "this channel is not open here", 0))
+	case !found || channel.client != request.Client:
+		answer(rejectedReply(404, "no-such-channel", "this channel is not open here", 0))
 		return
-	case len(request.Interests) != 1 || request.Interests[0].Wide:
-		answer(refused(400, "one-topic", "routed topics are subscribed to one by one", 0))
+	case len(request.Interests) != 1 || request.Interests[0].Prefix:
+		answer(rejectedReply(400, "one-topic", "routed topics are subscribed to one by one", 0))
 		return
 	}
 	channel.pongAt = now
 	if !channel.movedAt.IsZero() {
-		answer(refused(409, "moved", "this channel was asked to move", comeBackSoon))
+		answer(rejectedReply(409, "moved", "this channel was asked to move", retrySoon))
 		return
 	}
 	name := request.Interests[0].Path
 	interest := Interest{Space: g.routeOf(request.Interests[0].Space, name), Path: name}
-	judged := &Judged{Kind: "subscribe", Origin: request.Origin, Paths: []Interest{interest}, Looked: looked, Routed: true}
+	judged := &PolicyRequest{Kind: "subscribe", Client: request.Client, Paths: []Interest{interest}, Refreshed: looked, Routed: true}
 	retry := func(now time.Time, effects *statemachine.Effects) {
 		g.subscribeRouted(now, request, true, effects)
 	}
-	if !g.judge(now, judged, request.RequestName, retry, answer) {
+	if !g.authorize(now, judged, request.RequestName, retry, answer) {
 		return
 	}
 	if present, subscribed := channel.routed[name]; subscribed {
 		if present.filling {
-			answer(refused(409, "underway", "this subscription is being taken up", comeBackSoon))
+			answer(rejectedReply(409, "underway", "this subscription is being taken up", retrySoon))
 			return
 		}
-		g.answerPlace(now, present, request, placeText(present.upTo), effects)
+		g.replyTopicSubscription(now, present, request, formatTopicCursor(present.deliveredUpTo), effects)
 		return
 	}
 	if len(channel.routed)+len(channel.subscriptions) >= g.config.SubscriptionsEach {
-		answer(refused(429, "too-many-subscriptions", "the channel holds all the subscriptions it may", 0))
+		answer(rejectedReply(429, "too-many-subscriptions", "the channel holds all the subscriptions it may", 0))
 		return
 	}
-	taken := &place{channel: request.Channel, filling: true, request: request, limit: now.Add(g.subscribePatience)}
+	taken := &topicSubscription{session: request.Session, filling: true, request: request, deadline: now.Add(g.subscribeTimeout)}
 	if request.Cursor != "" && request.Cursor != "-" {
-		offset, fit := readPlace(request.Cursor)
+		offset, fit := parseTopicCursor(request.Cursor)
 		if !fit {
-			answer(refused(400, "bad-cursor", "the cursor is not one of this fleet's", 0))
+			answer(rejectedReply(400, "bad-cursor", "the cursor is not one of this fleet's", 0))
 			return
 		}
-		taken.upTo, taken.resumes = offset, true
+		taken.deliveredUpTo, taken.resumes = offset, true
 	}
-	followed := g.addPlace(now, name, interest.Space, taken, effects)
+	followed := g.addTopicSubscription(now, name, interest.Space, taken, effects)
 	channel.routed[name] = taken
-	if !followed.kept {
+	if !followed.durable {
 		g.overlay.Reach(now, routedPlane, name, func(now time.Time, effects *statemachine.Effects, _ bool) {
-			g.fillPassing(now, taken, effects)
+			g.startEphemeral(now, taken, effects)
 		}, effects)
 		if taken.filling {
-			taken.limit = now.Add(passingReach)
-			g.mind(followed, taken.limit)
+			taken.deadline = now.Add(ephemeralReachTimeout)
+			g.scheduleTopic(followed, taken.deadline)
 		}
 		return
 	}
 	if !g.fill(now, taken, effects) {
-		if g.surelyHeld(followed, taken) {
-			g.beginPlace(now, taken, effects)
-			g.tellCount(now, followed, effects)
+		if g.certainlyRetained(followed, taken) {
+			g.startTopicSubscription(now, taken, effects)
+			g.announceSubscriberCount(now, followed, effects)
 		}
-		g.mind(followed, taken.limit)
+		g.scheduleTopic(followed, taken.deadline)
 		g.fetchTopic(now, followed, effects)
 	}
 }
 
-// surelyHeld tells whether all that a place may lack is still held: then it is
+// certainlyRetained tells whether all that a place may lack is still held: then it is
 // confirmed before that is fetched, which may take its time, and is not refused
 // while the answer is on its way.
-func (g *Gateway) surelyHeld(followed *topic, taken *place) bool {
+func (g *Gateway) certainlyRetained(followed *topic, taken *topicSubscription) bool {
 	base, known := g.routed.bases[followed.partition]
-	return known && taken.resumes && taken.upTo >= base && !statemachine.Mutated("places-confirmed-late")
+	return known && taken.resumes && taken.deliveredUpTo >= base && !statemachine.Mutated("places-confirmed-late")
 }
 
-// patienceOf is how long a subscription may look for its place under a
+// subscribeTimeoutOf is how long a subscription may look for its place under a
 // configuration.
-func patienceOf(config config.Configuration) time.Duration {
+func subscribeTimeoutOf(config config.Configuration) time.Duration {
 	longest := time.Second
 	for _, space := range config.Spaces {
 		longest = max(longest, space.AnswerWithin)
 	}
-	return min(longest*6/10, subscribeLimit)
+	return min(longest*6/10, defaultSubscribeTimeout)
 }
 
-func (g *Gateway) addPlace(now time.Time, name, space string, taken *place, effects *statemachine.Effects) *topic {
+func (g *Gateway) addTopicSubscription(now time.Time, name, space string, taken *topicSubscription, effects *statemachine.Effects) *topic {
 	followed, found := g.routed.topics[name]
 	if !found {
 		followed = &topic{
 			name: name, number: config.TopicNumber(name), partition: config.SharedPartition(name), space: space,
-			kept: g.spaces[space].space.Retention == config.Durable,
+			durable: g.spaces[space].space.Retention == config.Durable,
 		}
 		g.routed.topics[name] = followed
 		g.routed.numbers[followed.number] = followed
-		if followed.kept {
+		if followed.durable {
 			g.routed.partitions[followed.partition]++
 		}
 	}
-	if found && len(followed.places) == 0 && followed.wanted > followed.last {
+	if found && len(followed.subscriptions) == 0 && followed.wanted > followed.last {
 		followed.checkAt = now
-		g.mind(followed, now)
+		g.scheduleTopic(followed, now)
 	}
-	taken.topic, taken.index = followed, len(followed.places)
-	followed.places = append(followed.places, taken)
-	g.tellCount(now, followed, effects)
+	taken.topic, taken.index = followed, len(followed.subscriptions)
+	followed.subscriptions = append(followed.subscriptions, taken)
+	g.announceSubscriberCount(now, followed, effects)
 	return followed
 }
 
@@ -268,11 +268,11 @@
 // telling all others of that each time takes more of a link than its messages. A
 // passing topic's messages are lost to whoever is not told of.
 func (t *topic) subscribers() int {
-	if !t.kept || statemachine.Mutated("waiting-counts") {
-		return len(t.places)
+	if !t.durable || statemachine.Mutated("waiting-counts") {
+		return len(t.subscriptions)
 	}
 	count := 0
-	for _, taken := range t.places {
+	for _, taken := range t.subscriptions {
 		if !taken.filling || taken.request.Request == 0 {
 			count++
 		}
@@ -280,28 +280,28 @@
 	return count
 }
 
-// tellCount lets the overlay know how many origins here subscribe to a topic.
-func (g *Gateway) tellCount(now time.Time, followed *topic, effects *statemachine.Effects) {
-	if count := followed.subscribers(); count != followed.told {
-		followed.told = count
+// announceSubscriberCount lets the overlay know how many origins here subscribe to a topic.
+func (g *Gateway) announceSubscriberCount(now time.Time, followed *topic, effects *statemachine.Effects) {
+	if count := followed.subscribers(); count != followed.announcedCount {
+		followed.announcedCount = count
 		g.overlay.Tell(now, routedPlane, followed.name, count, effects)
 	}
 }
 
-// dropPlace ends a channel's subscription to a routed topic.
-func (g *Gateway) dropPlace(now time.Time, channel *channel, name string, effects *statemachine.Effects) {
+// dropTopicSubscription ends a channel's subscription to a routed topic.
+func (g *Gateway) dropTopicSubscription(now time.Time, channel *session, name string, effects *statemachine.Effects) {
 	gone, found := channel.routed[name]
 	if !found {
 		return
 	}
 	delete(channel.routed, name)
 	followed := gone.topic
-	last := followed.places[len(followed.places)-1]
-	followed.places[gone.index], last.index = last, gone.index
-	followed.places = followed.places[:len(followed.places)-1]
-	g.tellCount(now, followed, effects)
+	last := followed.subscriptions[len(followed.subscriptions)-1]
+	followed.subscriptions[gone.index], last.index = last, gone.index
+	followed.subscriptions = followed.subscriptions[:len(followed.subscriptions)-1]
+	g.announceSubscriberCount(now, followed, effects)
 	if followed.reserved(now) {
-		g.mind(followed, followed.reservedUntil)
+		g.scheduleTopic(followed, followed.reservedUntil)
 		return
 	}
 	g.dropTopic(followed)
@@ -309,25 +309,25 @@
 
 // dropTopic forgets a topic that nobody holds.
 func (g *Gateway) dropTopic(followed *topic) {
-	if len(followed.places) > 0 || g.routed.topics[followed.name] != followed {
+	if len(followed.subscriptions) > 0 || g.routed.topics[followed.name] != followed {
 		return
 	}
 	followed.fetch = nil
 	delete(g.routed.topics, followed.name)
 	delete(g.routed.numbers, followed.number)
 	delete(g.routed.busy, followed.name)
-	if followed.kept {
+	if followed.durable {
 		if g.routed.partitions[followed.partition]--; g.routed.partitions[followed.partition] == 0 {
 			delete(g.routed.partitions, followed.partition)
-			delete(g.routed.told, followed.partition)
-			delete(g.routed.followed, followed.partition)
+			delete(g.routed.reportedUpTo, followed.partition)
+			delete(g.routed.followRoutes, followed.partition)
 		}
 	}
 }
 
-func (g *Gateway) dropRouted(now time.Time, channel *channel, effects *statemachine.Effects) {
+func (g *Gateway) dropRouted(now time.Time, channel *session, effects *statemachine.Effects) {
 	for name := range statemachine.Sorted(channel.routed) {
-		g.dropPlace(now, channel, name, effects)
+		g.dropTopicSubscription(now, channel, name, effects)
 	}
 }
 
@@ -335,106 +335,106 @@
 // its newest channel is the one.
 func (g *Gateway) supersede(now time.Time, origin string, newest uint64, effects *statemachine.Effects) {
 	if earlier, found := g.newest[origin]; found && earlier != newest {
-		if channel, open := g.channels[earlier]; open {
+		if channel, open := g.sessions[earlier]; open {
 			g.dropRouted(now, channel, effects)
 		}
 	}
 	g.newest[origin] = newest
 }
 
-// fillPassing ends the taking up of a passing topic.
-func (g *Gateway) fillPassing(now time.Time, taken *place, effects *statemachine.Effects) {
+// startEphemeral ends the taking up of a passing topic.
+func (g *Gateway) startEphemeral(now time.Time, taken *topicSubscription, effects *statemachine.Effects) {
 	if !taken.filling {
 		return
 	}
-	if channel, open := g.channels[taken.channel]; !open || channel.routed[taken.topic.name] != taken {
+	if channel, open := g.sessions[taken.session]; !open || channel.routed[taken.topic.name] != taken {
 		return
 	}
 	taken.filling = false
 	taken.topic.live = true
 	if !taken.resumes {
-		taken.upTo = taken.topic.last
+		taken.deliveredUpTo = taken.topic.last
 	}
-	g.answerPlace(now, taken, taken.request, placeText(taken.upTo), effects)
+	g.replyTopicSubscription(now, taken, taken.request, formatTopicCursor(taken.deliveredUpTo), effects)
 	for _, record := range taken.topic.recent {
-		g.handRouted(now, taken, record, effects)
+		g.deliverRouted(now, taken, record, effects)
 	}
 }
 
 // fill ends the taking up of a kept topic where this gateway has all that the
 // place lacks, and tells whether it does.
-func (g *Gateway) fill(now time.Time, taken *place, effects *statemachine.Effects) bool {
+func (g *Gateway) fill(now time.Time, taken *topicSubscription, effects *statemachine.Effects) bool {
 	followed := taken.topic
-	if told, known := g.routed.told[followed.partition]; known && !followed.live && !taken.resumes && followed.fetch == nil {
+	if told, known := g.routed.reportedUpTo[followed.partition]; known && !followed.live && !taken.resumes && followed.fetch == nil {
 		// Who begins here may begin where the first last told that the partition
 		// was: what moves after that will be told.
 		followed.live = true
 		followed.last, followed.recentFrom = told, told
 		g.release(now, followed, effects)
 	}
-	if !followed.live || taken.resumes && taken.upTo < followed.recentFrom && taken.upTo < followed.last {
+	if !followed.live || taken.resumes && taken.deliveredUpTo < followed.recentFrom && taken.deliveredUpTo < followed.last {
 		return false
 	}
 	taken.filling = false
-	g.tellCount(now, followed, effects)
-	from := taken.upTo
+	g.announceSubscriberCount(now, followed, effects)
+	from := taken.deliveredUpTo
 	if !taken.resumes {
 		// What was told of as moved came before this subscription, though the topic
 		// may not have caught up with it.
-		from = max(followed.last, g.routed.told[followed.partition])
-		taken.upTo = from
+		from = max(followed.last, g.routed.reportedUpTo[followed.partition])
+		taken.deliveredUpTo = from
 	}
 	if taken.request.Request != 0 {
-		g.answerPlace(now, taken, taken.request, placeText(from), effects)
+		g.replyTopicSubscription(now, taken, taken.request, formatTopicCursor(from), effects)
 	}
 	for _, record := range followed.recent {
-		g.handRouted(now, taken, record, effects)
+		g.deliverRouted(now, taken, record, effects)
 	}
 	return true
 }
 
-func (g *Gateway) answerPlace(now time.Time, _ *place, request Subscribe, cursor string, effects *statemachine.Effects) {
-	returned := accepted(nil)
+func (g *Gateway) replyTopicSubscription(now time.Time, _ *topicSubscription, request Subscribe, cursor string, effects *statemachine.Effects) {
+	returned := acceptedReply(nil)
 	returned.Cursor = cursor
 	g.answerSubscribe(now, request, returned, effects)
 }
 
 func (g *Gateway) unsubscribeRouted(now time.Time, request Unsubscribe, effects *statemachine.Effects) {
-	channel, found := g.channels[request.Channel]
-	if !found || channel.origin != request.Origin {
-		effects.Respond(request.Request, refused(404, "no-such-channel", "this channel is not open here", 0))
+	channel, found := g.sessions[request.Session]
+	if !found || channel.client != request.Client {
+		effects.Respond(request.Request, rejectedReply(404, "no-such-channel", "this channel is not open here", 0))
 		return
 	}
 	channel.pongAt = now
 	for _, interest := range request.Interests {
 		if taken, present := channel.routed[interest.Path]; present && taken.filling && taken.request.Request != 0 {
-			g.answerSubscribe(now, taken.request, refused(409, "unsubscribed", "the subscription was ended before it was taken up", comeBackSoon), effects)
+			g.answerSubscribe(now, taken.request, rejectedReply(409, "unsubscribed", "the subscription was ended before it was taken up", retrySoon), effects)
 		}
-		g.dropPlace(now, channel, interest.Path, effects)
+		g.dropTopicSubscription(now, channel, interest.Path, effects)
 	}
-	effects.Respond(request.Request, accepted(nil))
+	effects.Respond(request.Request, acceptedReply(nil))
 }
 
 // count tells how many origins subscribe to a topic, over all gateways, from
 // what the overlay's peers tell each other.
-func (g *Gateway) count(now time.Time, request Count, looked bool, effects *statemachine.Effects) {
+func (g *Gateway) count(now time.Time, request CountSubscribers, looked bool, effects *statemachine.Effects) {
 	g.Counts.Requests++
-	if channel, found := g.channels[request.Channel]; found {
+	if channel, found := g.sessions[request.Session]; found {
 		channel.pongAt = now
 	}
-	judged := &Judged{
-		Kind: "count", Origin: request.Origin, Paths: []Interest{{Space: g.routeOf("", request.Topic), Path: request.Topic}}, Looked: looked, Routed: true,
+	judged := &PolicyRequest{
+		Kind: "count", Client: request.Client, Paths: []Interest{{Space: g.routeOf("", request.Topic), Path: request.Topic}}, Refreshed: looked, Routed: true,
 	}
 	retry := func(now time.Time, effects *statemachine.Effects) { g.count(now, request, true, effects) }
-	answer := func(returned Answer) { effects.Respond(request.Request, returned) }
-	if !g.judge(now, judged, request.RequestName, retry, answer) {
+	answer := func(returned Reply) { effects.Respond(request.Request, returned) }
+	if !g.authorize(now, judged, request.RequestName, retry, answer) {
 		return
 	}
 	g.overlay.Reach(now, routedPlane, request.Topic, func(_ time.Time, effects *statemachine.Effects, _ bool) {
-		returned := accepted(nil)
-		returned.Number = g.overlay.Presence(routedPlane, request.Topic)
+		returned := acceptedReply(nil)
+		returned.SubscriberCount = g.overlay.Presence(routedPlane, request.Topic)
 		if followed, found := g.routed.topics[request.Topic]; found {
-			returned.Number += followed.subscribers()
+			returned.SubscriberCount += followed.subscribers()
 		}
 		effects.Respond(request.Request, returned)
 	}, effects)
@@ -442,20 +442,20 @@
 
 // Handing over.
 
-// handRouted gives a message to a place that is filled and lacks it.
-func (g *Gateway) handRouted(_ time.Time, taken *place, record partition.Record, effects *statemachine.Effects) {
-	if taken.filling || record.Offset <= taken.upTo && (taken.topic.kept || !statemachine.Mutated("no-passing-offsets")) {
+// deliverRouted gives a message to a place that is filled and lacks it.
+func (g *Gateway) deliverRouted(_ time.Time, taken *topicSubscription, record partition.Record, effects *statemachine.Effects) {
+	if taken.filling || record.Offset <= taken.deliveredUpTo && (taken.topic.durable || !statemachine.Mutated("no-passing-offsets")) {
 		return
 	}
-	channel, open := g.channels[taken.channel]
+	channel, open := g.sessions[taken.session]
 	if !open || !channel.movedAt.IsZero() {
 		return
 	}
-	taken.upTo = record.Offset
+	taken.deliveredUpTo = record.Offset
 	g.Counts.Delivered++
-	g.emit(taken.channel, Event{
+	g.emit(taken.session, Event{
 		Event: "message", Space: taken.topic.space, Topic: record.Topic, Sender: record.Sender, Seq: record.Seq, Body: record.Data,
-		Cursor: placeText(record.Offset),
+		Cursor: formatTopicCursor(record.Offset),
 	}, effects)
 }
 
@@ -469,8 +469,8 @@
 		followed.recentSize -= len(followed.recent[0].Data)
 		followed.recent = followed.recent[1:]
 	}
-	for _, taken := range followed.places {
-		g.handRouted(now, taken, record, effects)
+	for _, taken := range followed.subscriptions {
+		g.deliverRouted(now, taken, record, effects)
 	}
 }
 
@@ -482,57 +482,57 @@
 	return len(t.recent) > recentRecords || t.recentSize > recentBytes
 }
 
-// onRouted takes a message of a routed topic, and tells whether anybody here
+// handleRoutedCopy takes a message of a routed topic, and tells whether anybody here
 // wants it.
-func (g *Gateway) onRouted(now time.Time, record partition.Record, effects *statemachine.Effects) bool {
+func (g *Gateway) handleRoutedCopy(now time.Time, record partition.Record, effects *statemachine.Effects) bool {
 	followed, found := g.routed.topics[record.Topic]
 	if !found {
 		return false
 	}
-	if followed.live && record.Offset <= followed.last && (followed.kept || !statemachine.Mutated("no-passing-offsets")) {
+	if followed.live && record.Offset <= followed.last && (followed.durable || !statemachine.Mutated("no-passing-offsets")) {
 		return true
 	}
-	follows := statemachine.Mutated("no-topic-prior") || record.Prior <= followed.last || !followed.kept && followed.last == 0
+	follows := statemachine.Mutated("no-topic-prior") || record.Prior <= followed.last || !followed.durable && followed.last == 0
 	if followed.live && follows {
 		g.process(now, followed, record, effects)
 		g.release(now, followed, effects)
 		return true
 	}
-	position, held := slices.BinarySearchFunc(followed.held, record.Offset, func(each partition.Record, offset uint64) int { return cmp.Compare(each.Offset, offset) })
-	if held || len(followed.held) >= topicHeldMost {
+	position, held := slices.BinarySearchFunc(followed.pending, record.Offset, func(each partition.Record, offset uint64) int { return cmp.Compare(each.Offset, offset) })
+	if held || len(followed.pending) >= maxPendingTopicRecords {
 		return true
 	}
-	if len(followed.held) == 0 {
-		followed.heldAt = now
+	if len(followed.pending) == 0 {
+		followed.pendingSince = now
 	}
-	followed.held = slices.Insert(followed.held, position, record)
+	followed.pending = slices.Insert(followed.pending, position, record)
 	if !followed.live {
 		return true
 	}
-	g.Counts.Holes++
+	g.Counts.Gaps++
 	effects.Emit(logevent.GapFound, "partition", followed.partition, "offset", record.Offset, "prior", record.Prior)
-	if followed.kept {
+	if followed.durable {
 		g.want(now, followed, record.Prior, holeAfter)
 	} else {
-		g.mind(followed, now.Add(passingGap))
+		g.scheduleTopic(followed, now.Add(ephemeralGapTimeout))
 	}
 	return true
 }
 
 // release hands over what was held for something that has come.
 func (g *Gateway) release(now time.Time, followed *topic, effects *statemachine.Effects) {
-	for len(followed.held) > 0 {
-		next := followed.held[0]
+	for len(followed.pending) > 0 {
+		next := followed.pending[0]
 		if next.Offset > followed.last && next.Prior > followed.last {
 			return
 		}
-		followed.held = followed.held[1:]
-		followed.heldAt = now
+		followed.pending = followed.pending[1:]
+		followed.pendingSince = now
 		if next.Offset > followed.last {
 			g.process(now, followed, next, effects)
 		}
 	}
-	followed.held = nil
+	followed.pending = nil
 }
 
 // want notes that a topic has more than was handed over; unless it comes by
@@ -546,109 +546,109 @@
 	if followed.checkAt.IsZero() || at.Before(followed.checkAt) {
 		followed.checkAt = at
 	}
-	g.mind(followed, followed.checkAt)
+	g.scheduleTopic(followed, followed.checkAt)
 }
 
-// mind notes that a topic wants to be looked at.
-func (g *Gateway) mind(followed *topic, at time.Time) {
+// scheduleTopic notes that a topic wants to be looked at.
+func (g *Gateway) scheduleTopic(followed *topic, at time.Time) {
 	g.routed.busy[followed.name] = followed
 	g.timers.ArmSooner("routed", at)
 }
 
 // Fetching.
 
-// beginTold lets a partition's first tell what moved after an offset up to which
+// startReports lets a partition's first tell what moved after an offset up to which
 // one of its topics is known here. What is told while further topics are fetched is
 // noted for them too, so that nothing is to be told again for their sake.
-func (g *Gateway) beginTold(now time.Time, name string, until uint64) {
-	if _, begun := g.routed.told[name]; begun {
+func (g *Gateway) startReports(now time.Time, name string, until uint64) {
+	if _, begun := g.routed.reportedUpTo[name]; begun {
 		return
 	}
-	g.routed.told[name] = until
+	g.routed.reportedUpTo[name] = until
 	g.timers.ArmSooner("follow", now.Add(holeAfter))
 }
 
-// beginPlace answers a subscription whose missed messages are about to come.
-func (g *Gateway) beginPlace(now time.Time, taken *place, effects *statemachine.Effects) {
+// startTopicSubscription answers a subscription whose missed messages are about to come.
+func (g *Gateway) startTopicSubscription(now time.Time, taken *topicSubscription, effects *statemachine.Effects) {
 	if taken.request.Request == 0 {
 		return
 	}
-	g.answerPlace(now, taken, taken.request, placeText(taken.upTo), effects)
+	g.replyTopicSubscription(now, taken, taken.request, formatTopicCursor(taken.deliveredUpTo), effects)
 	taken.request.Request = 0
 }
 
-// passTo gives a missed message to a place that is being filled.
-func (g *Gateway) passTo(now time.Time, taken *place, record partition.Record, effects *statemachine.Effects) {
+// skipTo gives a missed message to a place that is being filled.
+func (g *Gateway) skipTo(now time.Time, taken *topicSubscription, record partition.Record, effects *statemachine.Effects) {
 	taken.filling = false
-	g.handRouted(now, taken, record, effects)
+	g.deliverRouted(now, taken, record, effects)
 	taken.filling = true
 }
 
-// losePlaces refuses the places from which something is no longer held.
-func (g *Gateway) losePlaces(now time.Time, followed *topic, after uint64, effects *statemachine.Effects) {
-	for _, taken := range slices.Clone(followed.places) {
-		if taken.filling && taken.resumes && taken.upTo <= after {
-			g.refusePlace(now, taken, refused(410, "place-lost", "what was missed is older than the space holds; subscribe without the cursor", 0), effects)
+// expireSubscriptions refuses the places from which something is no longer held.
+func (g *Gateway) expireSubscriptions(now time.Time, followed *topic, after uint64, effects *statemachine.Effects) {
+	for _, taken := range slices.Clone(followed.subscriptions) {
+		if taken.filling && taken.resumes && taken.deliveredUpTo <= after {
+			g.rejectTopicSubscription(now, taken, rejectedReply(410, "place-lost", "what was missed is older than the space holds; subscribe without the cursor", 0), effects)
 		}
 	}
 }
 
-// refusePlace refuses a subscription. One that was confirmed before can't be
+// rejectTopicSubscription refuses a subscription. One that was confirmed before can't be
 // refused any more: its caller is cut off instead, and asks again.
-func (g *Gateway) refusePlace(now time.Time, taken *place, returned Answer, effects *statemachine.Effects) {
-	if channel, open := g.channels[taken.channel]; open && taken.request.Request == 0 && returned.Code == "place-lost" {
-		g.emitLast(now, taken.channel, channel, returned.Code, effects)
-		g.closeChannel(now, CloseChannel{Channel: taken.channel, Why: returned.Code}, effects)
+func (g *Gateway) rejectTopicSubscription(now time.Time, taken *topicSubscription, returned Reply, effects *statemachine.Effects) {
+	if channel, open := g.sessions[taken.session]; open && taken.request.Request == 0 && returned.Code == "place-lost" {
+		g.emitLast(now, taken.session, channel, returned.Code, effects)
+		g.closeSession(now, CloseSession{Session: taken.session, Reason: returned.Code}, effects)
 	} else if open {
-		g.dropPlace(now, channel, taken.topic.name, effects)
+		g.dropTopicSubscription(now, channel, taken.topic.name, effects)
 	}
 	if taken.request.Request != 0 {
 		g.answerSubscribe(now, taken.request, returned, effects)
 	}
 }
 
-// tendRouted looks at the topics with something that waits.
-func (g *Gateway) tendRouted(now time.Time, effects *statemachine.Effects) {
+// tickRouted looks at the topics with something that waits.
+func (g *Gateway) tickRouted(now time.Time, effects *statemachine.Effects) {
 	for _, followed := range statemachine.Sorted(g.routed.busy) {
-		g.tendTopic(now, followed, effects)
+		g.tickTopic(now, followed, effects)
 	}
-	g.tendBatches(now, effects)
-	g.tendPublications(now, effects)
+	g.retryBatches(now, effects)
+	g.retryPublications(now, effects)
 }
 
-// tendTopic does what is due for a topic and notes when it is to be looked at
+// tickTopic does what is due for a topic and notes when it is to be looked at
 // again.
-func (g *Gateway) tendTopic(now time.Time, followed *topic, effects *statemachine.Effects) {
+func (g *Gateway) tickTopic(now time.Time, followed *topic, effects *statemachine.Effects) {
 	delete(g.routed.busy, followed.name)
 	if g.routed.topics[followed.name] != followed {
 		return
 	}
 	var next time.Time
 	filling := false
-	for _, taken := range slices.Clone(followed.places) {
+	for _, taken := range slices.Clone(followed.subscriptions) {
 		switch {
 		case !taken.filling:
-		case !taken.limit.After(now) && !followed.kept:
-			g.fillPassing(now, taken, effects)
-		case !taken.limit.After(now) && taken.request.Request == 0:
+		case !taken.deadline.After(now) && !followed.durable:
+			g.startEphemeral(now, taken, effects)
+		case !taken.deadline.After(now) && taken.request.Request == 0:
 			// It was confirmed, and some of what it missed has come: the rest is
 			// fetched however long that takes.
 			filling = true
-		case !taken.limit.After(now):
+		case !taken.deadline.After(now):
 			followed.reserve(now, taken)
-			g.refusePlace(now, taken, refused(503, "no-answer", "the place could not be found in time; nothing is subscribed", comeBackSoon), effects)
+			g.rejectTopicSubscription(now, taken, rejectedReply(503, "no-answer", "the place could not be found in time; nothing is subscribed", retrySoon), effects)
 		default:
-			filling = filling || followed.kept
-			next = statemachine.Earliest(next, taken.limit)
+			filling = filling || followed.durable
+			next = statemachine.Earliest(next, taken.deadline)
 		}
 	}
-	if !followed.kept {
-		if len(followed.held) > 0 && !followed.heldAt.Add(passingGap).After(now) {
-			followed.last = max(followed.last, followed.held[0].Prior)
+	if !followed.durable {
+		if len(followed.pending) > 0 && !followed.pendingSince.Add(ephemeralGapTimeout).After(now) {
+			followed.last = max(followed.last, followed.pending[0].Prior)
 			g.release(now, followed, effects)
 		}
-		if len(followed.held) > 0 {
-			next = statemachine.Earliest(next, followed.heldAt.Add(passingGap))
+		if len(followed.pending) > 0 {
+			next = statemachine.Earliest(next, followed.pendingSince.Add(ephemeralGapTimeout))
 		}
 	} else {
 		if followed.wanted <= followed.last {
@@ -663,7 +663,7 @@
 		default:
 			next = statemachine.Earliest(next, followed.checkAt)
 		}
-		if len(followed.places) == 0 {
+		if len(followed.subscriptions) == 0 {
 			if !followed.reservedUntil.After(now) {
 				g.dropTopic(followed)
 				return
@@ -672,21 +672,21 @@
 		}
 	}
 	if !next.IsZero() && g.routed.topics[followed.name] == followed {
-		g.mind(followed, next)
+		g.scheduleTopic(followed, next)
 	}
 }
 
 // Heads.
 
-// onTopicHeads takes which topics of a shared partition moved.
-func (g *Gateway) onTopicHeads(now time.Time, head partition.Head, _ *statemachine.Effects) {
-	if _, used := g.routed.partitions[head.Partition]; !used || statemachine.Mutated("no-topic-heads") || head.Epoch < g.follower.Placements[head.Partition].Epoch {
+// handleTopicHighWatermarks takes which topics of a shared partition moved.
+func (g *Gateway) handleTopicHighWatermarks(now time.Time, head partition.Head, _ *statemachine.Effects) {
+	if _, used := g.routed.partitions[head.Partition]; !used || statemachine.Mutated("no-topic-heads") || head.Epoch < g.viewClient.Placements[head.Partition].Epoch {
 		return
 	}
-	told := g.routed.told[head.Partition]
+	told := g.routed.reportedUpTo[head.Partition]
 	for _, each := range head.Topics {
-		if followed, found := g.routed.numbers[each.Topic]; found && followed.kept && each.Offset > followed.last {
-			g.want(now, followed, each.Offset, headGrace)
+		if followed, found := g.routed.numbers[each.Topic]; found && followed.durable && each.Offset > followed.last {
+			g.want(now, followed, each.Offset, highWatermarkGrace)
 		}
 	}
 	if head.From > told {
@@ -694,7 +694,7 @@
 		g.timers.ArmSooner("follow", now)
 		return
 	}
-	g.routed.told[head.Partition] = max(told, head.Offset)
+	g.routed.reportedUpTo[head.Partition] = max(told, head.Offset)
 }
 
 // rerouteAll puts changed routes in force: what leads elsewhere now, or nowhere,
@@ -703,19 +703,19 @@
 	for name, followed := range statemachine.Sorted(g.routed.topics) {
 		space := g.routeOf("", name)
 		state, present := g.spaces[space]
-		if present && (state.space.Retention == config.Durable) == followed.kept {
+		if present && (state.space.Retention == config.Durable) == followed.durable {
 			followed.space = space
 			continue
 		}
 		followed.reservedUntil = time.Time{}
-		for _, taken := range slices.Clone(followed.places) {
+		for _, taken := range slices.Clone(followed.subscriptions) {
 			if taken.filling {
-				g.refusePlace(now, taken, refused(404, "no-such-space", "the space was removed", 0), effects)
+				g.rejectTopicSubscription(now, taken, rejectedReply(404, "no-such-space", "the space was removed", 0), effects)
 				continue
 			}
-			if channel, open := g.channels[taken.channel]; open {
-				g.dropPlace(now, channel, name, effects)
-				g.emit(taken.channel, Event{Event: "ended", Space: followed.space, Topic: name, Code: "space-removed"}, effects)
+			if channel, open := g.sessions[taken.session]; open {
+				g.dropTopicSubscription(now, channel, name, effects)
+				g.emit(taken.session, Event{Event: "ended", Space: followed.space, Topic: name, Code: "space-removed"}, effects)
 			}
 		}
 		g.dropTopic(followed)
--- a/internal/gateway/routed_publish.go
+++ b/internal/gateway/routed_publish.go
@@ -34,7 +34,7 @@
 	partition string
 	bare      bool
 	sentAt    time.Time
-	sentBy    way
+	sentBy    route
 	limit     time.Time
 	sends     int
 	// open are the numbers of the sends without an answer. An answer settles the
@@ -43,28 +43,30 @@
 }
 
 // due is when it is sent again: the later, the more of its sends have no answer.
-func (rp *routedPublication) due() time.Time { return rp.sentAt.Add(longer(routedRetry, len(rp.open))) }
+func (rp *routedPublication) due() time.Time {
+	return rp.sentAt.Add(backoff(routedRetry, len(rp.open)))
+}
 
 func (g *Gateway) publishRouted(now time.Time, request Publish, looked bool, effects *statemachine.Effects) {
 	space := g.routeOf(request.Space, request.Topic)
-	judged := &Judged{
-		Kind: "publish", Origin: request.Origin, Sender: request.Sender, Space: space, Topic: request.Topic,
-		Seq: request.Seq, Data: request.Data, Looked: looked, Routed: true,
+	judged := &PolicyRequest{
+		Kind: "publish", Client: request.Client, Sender: request.Sender, Space: space, Topic: request.Topic,
+		Seq: request.Seq, Data: request.Data, Refreshed: looked, Routed: true,
 	}
 	item := &routedPublication{request: request, space: space, partition: config.SharedPartition(request.Topic), open: map[uint64]bool{}}
-	answer := func(returned Answer) { g.answerRouted(now, item, returned, effects) }
+	answer := func(returned Reply) { g.answerRouted(now, item, returned, effects) }
 	retry := func(now time.Time, effects *statemachine.Effects) { g.publishRouted(now, request, true, effects) }
-	if !g.judge(now, judged, request.RequestName, retry, answer) {
+	if !g.authorize(now, judged, request.RequestName, retry, answer) {
 		return
 	}
 	key := routedKey{topic: request.Topic, sender: request.Sender, seq: request.Seq}
 	if _, known := g.routed.accepted[key]; known {
-		answer(accepted(nil))
+		answer(acceptedReply(nil))
 		return
 	}
 	state := g.spaces[space]
 	item.bare = state.space.Retention != config.Durable
-	item.limit = now.Add(min(patience, state.space.AnswerWithin/2))
+	item.limit = now.Add(min(requestTimeout, state.space.AnswerWithin/2))
 	g.nextRequest++
 	item.id = g.nextRequest
 	g.routed.appends[item.id] = item
@@ -73,14 +75,14 @@
 	g.timers.ArmSooner("routed", item.limit)
 }
 
-func (g *Gateway) answerRouted(now time.Time, item *routedPublication, returned Answer, effects *statemachine.Effects) {
+func (g *Gateway) answerRouted(now time.Time, item *routedPublication, returned Reply, effects *statemachine.Effects) {
 	g.countOutcome(returned)
 	delete(g.routed.appends, item.id)
 	for send := range item.open {
 		delete(g.routed.sends, send)
 	}
 	g.ring.Record(now, item.request.RequestName, decisionlog.MessageName(item.space, item.request.Sender, item.request.Seq),
-		item.request.Origin, "answered", "outcome", returned.Outcome, "code", returned.Code, "topic", item.request.Topic, "tries", item.sends)
+		item.request.Client, "answered", "outcome", returned.Outcome, "code", returned.Code, "topic", item.request.Topic, "tries", item.sends)
 	effects.Respond(item.request.Request, returned)
 }
 
@@ -89,7 +91,7 @@
 	g.timers.ArmSooner("routed", item.due())
 	address, _, found := g.firstOf(item.partition)
 	if !found {
-		g.follower.PollNow(now)
+		g.viewClient.PollNow(now)
 		return
 	}
 	data := item.request.Data
@@ -97,7 +99,7 @@
 		data = nil
 	}
 	item.sends++
-	item.sentBy = g.wayTo(item.partition)
+	item.sentBy = g.routeTo(item.partition)
 	g.nextRequest++
 	item.open[g.nextRequest] = true
 	g.routed.sends[g.nextRequest] = item
@@ -106,7 +108,7 @@
 	})
 }
 
-func (g *Gateway) onRoutedResponse(now time.Time, item *routedPublication, returned partition.AppendResponse, effects *statemachine.Effects) {
+func (g *Gateway) handleRoutedResponse(now time.Time, item *routedPublication, returned partition.AppendResponse, effects *statemachine.Effects) {
 	delete(item.open, returned.Request)
 	delete(g.routed.sends, returned.Request)
 	switch returned.Outcome {
@@ -120,56 +122,56 @@
 			// later one, lets it fall.
 			g.fanOutRouted(now, item, record, effects)
 		}
-		g.answerRouted(now, item, accepted(nil), effects)
+		g.answerRouted(now, item, acceptedReply(nil), effects)
 	case partition.Refused:
 		switch {
 		case returned.Code == "not-first":
-			g.follower.PollNow(now)
+			g.viewClient.PollNow(now)
 		case returned.Code == "old-seq" || returned.Code == "seq-reused":
-			g.answerRouted(now, item, refused(409, returned.Code, "this seq is not above the sender's newest of this topic", 0), effects)
+			g.answerRouted(now, item, rejectedReply(409, returned.Code, "this seq is not above the sender's newest of this topic", 0), effects)
 		case len(item.open) > 0:
 			// An earlier try has no answer; it may yet be kept.
-			g.answerRouted(now, item, unsettled(returned.Code, "send the same seq again", comeBackSoon), effects)
+			g.answerRouted(now, item, unsettledReply(returned.Code, "send the same seq again", retrySoon), effects)
 		default:
-			g.answerRouted(now, item, refused(503, returned.Code, "the partition can't keep all its copies at this moment", max(returned.RetryAfter, comeBackSoon)), effects)
+			g.answerRouted(now, item, rejectedReply(503, returned.Code, "the partition can't keep all its copies at this moment", max(returned.RetryAfter, retrySoon)), effects)
 		}
 	default:
-		g.answerRouted(now, item, unsettled(returned.Code, "send the same seq again", comeBackSoon), effects)
+		g.answerRouted(now, item, unsettledReply(returned.Code, "send the same seq again", retrySoon), effects)
 	}
 }
 
 // fanOutRouted hands a message to the subscribers here and sends one copy to
 // each gateway that has any.
 func (g *Gateway) fanOutRouted(now time.Time, item *routedPublication, record partition.Record, effects *statemachine.Effects) {
-	g.onRouted(now, record, effects)
+	g.handleRoutedCopy(now, record, effects)
 	copied := RoutedCopy{
-		Topic: record.Topic, Sender: record.Sender, Seq: record.Seq, Offset: record.Offset, Behind: record.Offset - record.Prior, Data: record.Data,
-		Passing: item.bare,
+		Topic: record.Topic, Sender: record.Sender, Seq: record.Seq, Offset: record.Offset, PriorDistance: record.Offset - record.Prior, Data: record.Data,
+		Ephemeral: item.bare,
 	}
 	g.overlay.Reach(now, routedPlane, item.request.Topic, func(now time.Time, effects *statemachine.Effects, settled bool) {
 		destinations := g.overlay.Listeners(routedPlane, item.request.Topic)
 		for _, name := range destinations {
-			if member, found := g.follower.Members[name]; found {
+			if member, found := g.viewClient.Members[name]; found {
 				g.Counts.CopiesOut++
 				effects.Send(member.Address, copied)
 			}
 		}
 		g.ring.Record(now, item.request.RequestName, decisionlog.MessageName(item.space, item.request.Sender, item.request.Seq),
-			item.request.Origin, "fanned-out", "destinations", destinations, "why", "subscriber list of the peer at the topic's cell",
+			item.request.Client, "fanned-out", "destinations", destinations, "why", "subscriber list of the peer at the topic's cell",
 			"settled", settled, "partition", item.partition, "offset", record.Offset)
 	}, effects)
 }
 
-// tendPublications sends again what stayed without an answer, and gives up at
+// retryPublications sends again what stayed without an answer, and gives up at
 // once on what can't be had in time.
-func (g *Gateway) tendPublications(now time.Time, effects *statemachine.Effects) {
+func (g *Gateway) retryPublications(now time.Time, effects *statemachine.Effects) {
 	var next time.Time
 	for _, item := range statemachine.Sorted(g.routed.appends) {
 		if !item.limit.After(now) {
 			if len(item.open) > 0 {
-				g.answerRouted(now, item, unsettled("no-answer", "the store did not answer; send the same seq again", comeBackSoon), effects)
+				g.answerRouted(now, item, unsettledReply("no-answer", "the store did not answer; send the same seq again", retrySoon), effects)
 			} else {
-				g.answerRouted(now, item, refused(503, "no-answer", "the message was not kept", comeBackSoon), effects)
+				g.answerRouted(now, item, rejectedReply(503, "no-answer", "the message was not kept", retrySoon), effects)
 			}
 			continue
 		}
--- a/internal/gateway/stopping_test.go
+++ b/internal/gateway/stopping_test.go
@@ -90,13 +90,13 @@
 func (f *fleetlab) greet(t *testing.T, channel uint64, origin string) statemachine.Effects {
 	t.Helper()
 	f.request++
-	return f.do(gateway.OpenChannel{Request: f.request, Channel: channel, Name: origin, Origin: origin, Lines: true})
+	return f.do(gateway.OpenSession{Request: f.request, Session: channel, Name: origin, Client: origin, AdapterPings: true})
 }
 
-func outcome(t *testing.T, effects statemachine.Effects) gateway.Answer {
+func outcome(t *testing.T, effects statemachine.Effects) gateway.Reply {
 	t.Helper()
 	assert.Equal(t, len(effects.Responses), 1)
-	return effects.Responses[0].Value.(gateway.Answer)
+	return effects.Responses[0].Value.(gateway.Reply)
 }
 
 func moves(effects statemachine.Effects) int {
@@ -116,7 +116,7 @@
 	assert.Equal(t, outcome(t, effects).Outcome, gateway.OutcomeAccepted)
 	assert.Equal(t, moves(effects), 1)
 	fleetlab.request++
-	other := fleetlab.do(gateway.OpenChannel{Request: fleetlab.request, Channel: 2, Name: "u2", Origin: "u2"})
+	other := fleetlab.do(gateway.OpenSession{Request: fleetlab.request, Session: 2, Name: "u2", Client: "u2"})
 	assert.Equal(t, outcome(t, other).Code, "stopping")
 }
 
@@ -125,7 +125,7 @@
 	fleetlab.greet(t, 1, "u1")
 	fleetlab.do(gateway.Stop{})
 	fleetlab.request++
-	effects := fleetlab.do(gateway.Publish{Request: fleetlab.request, Origin: "u1", Sender: "u1", Topic: "b.1", Seq: 1, Data: []byte("x")})
+	effects := fleetlab.do(gateway.Publish{Request: fleetlab.request, Client: "u1", Sender: "u1", Topic: "b.1", Seq: 1, Data: []byte("x")})
 	assert.Equal(t, len(effects.Responses), 0)
 	found := false
 	for _, send := range effects.Sends {
--- a/internal/gateway/tracker.go
+++ b/internal/gateway/tracker.go
@@ -151,7 +151,7 @@
 }
 
 // onCarry takes a kept message, and tells whether anybody here wants it.
-func (g *Gateway) onCarry(now time.Time, carry Carry, effects *statemachine.Effects) bool {
+func (g *Gateway) onCarry(now time.Time, carry RecordCopy, effects *statemachine.Effects) bool {
 	tracker, found := g.trackers[carry.Partition]
 	if !found {
 		return false
@@ -163,7 +163,7 @@
 	if _, matters := tracker.startOf(carry.Record.Topic); !matters {
 		return false
 	}
-	if len(tracker.held) < heldMost {
+	if len(tracker.held) < maxPendingRecords {
 		tracker.held[offset] = carry.Record
 	}
 	tracker.head = max(tracker.head, offset)
@@ -172,7 +172,7 @@
 	}
 	g.pump(now, effects)
 	if _, waits := tracker.held[offset]; waits && tracker.began {
-		g.Counts.Holes++
+		g.Counts.Gaps++
 		effects.Emit(logevent.GapFound, "partition", carry.Partition, "offset", offset, "prior", carry.Record.Prior)
 		g.ring.Record(now, "", decisionlog.MessageName(tracker.space, carry.Record.Sender, carry.Record.Seq), "", "waits",
 			"partition", carry.Partition, "offset", offset, "prior", carry.Record.Prior, "before", carry.Record.Before.Marks, "verified", tracker.verified)
@@ -339,16 +339,16 @@
 	if !found {
 		return
 	}
-	for id := range statemachine.Sorted(state.holders(record.Topic)) {
-		if channel, open := g.channels[id]; open {
-			g.offer(now, id, channel, Carry{Partition: tracker.name, Record: record}, effects)
+	for id := range statemachine.Sorted(state.subscribedSessions(record.Topic)) {
+		if channel, open := g.sessions[id]; open {
+			g.offerRecord(now, id, channel, RecordCopy{Partition: tracker.name, Record: record}, effects)
 		}
 	}
 }
 
-// holders lists the channels with a subscription that matches a topic exactly,
+// subscribedSessions lists the channels with a subscription that matches a topic exactly,
 // whatever else shares the topic's square.
-func (ss *spaceState) holders(topic string) map[uint64]bool {
+func (ss *spaceState) subscribedSessions(topic string) map[uint64]bool {
 	found := map[uint64]bool{}
 	if statemachine.Mutated("no-exact-match") {
 		for _, ids := range ss.topics {
@@ -360,12 +360,12 @@
 	for id := range ss.topics[topic] {
 		found[id] = true
 	}
-	if len(ss.wides) == 0 {
+	if len(ss.prefixes) == 0 {
 		return found
 	}
 	for end := len(topic); end >= 0; end-- {
 		if end == len(topic) || end == 0 || topic[end] == '/' {
-			for id := range ss.wides[topic[:end]] {
+			for id := range ss.prefixes[topic[:end]] {
 				found[id] = true
 			}
 		}
@@ -373,25 +373,25 @@
 	return found
 }
 
-// onPass takes a passing message, and tells whether anybody here wants it.
-func (g *Gateway) onPass(now time.Time, message Pass, effects *statemachine.Effects) bool {
+// handleEphemeralCopy takes a passing message, and tells whether anybody here wants it.
+func (g *Gateway) handleEphemeralCopy(now time.Time, message EphemeralCopy, effects *statemachine.Effects) bool {
 	space, _ := spaceOf(message.Space + "/")
 	state, found := g.spaces[space]
 	if !found || state.name != message.Space {
 		return false
 	}
-	if !message.Late {
+	if !message.Repeated {
 		state.remember(now, message, false)
 	}
-	return g.passHere(now, state, message, effects)
+	return g.deliverEphemeral(now, state, message, effects)
 }
 
-// passHere hands a passing message to this gateway's own channels.
-func (g *Gateway) passHere(now time.Time, state *spaceState, message Pass, effects *statemachine.Effects) bool {
-	holders := state.holders(message.Topic)
+// deliverEphemeral hands a passing message to this gateway's own channels.
+func (g *Gateway) deliverEphemeral(now time.Time, state *spaceState, message EphemeralCopy, effects *statemachine.Effects) bool {
+	holders := state.subscribedSessions(message.Topic)
 	for id := range statemachine.Sorted(holders) {
-		if channel, open := g.channels[id]; open {
-			g.offerPass(now, id, channel, message, effects)
+		if channel, open := g.sessions[id]; open {
+			g.offerEphemeral(now, id, channel, message, effects)
 		}
 	}
 	return len(holders) > 0
@@ -399,14 +399,14 @@
 
 // Verifying.
 
-func (g *Gateway) onHeads(now time.Time, heads partition.Heads, effects *statemachine.Effects) {
+func (g *Gateway) handleHighWatermarks(now time.Time, heads partition.Heads, effects *statemachine.Effects) {
 	for _, head := range heads.Heads {
 		if config.IsShared(head.Partition) {
-			g.onTopicHeads(now, head, effects)
+			g.handleTopicHighWatermarks(now, head, effects)
 			continue
 		}
 		tracker, found := g.trackers[head.Partition]
-		if !found || head.Epoch < g.follower.Placements[head.Partition].Epoch {
+		if !found || head.Epoch < g.viewClient.Placements[head.Partition].Epoch {
 			continue
 		}
 		tracker.head = max(tracker.head, head.Offset)
@@ -414,7 +414,7 @@
 			tracker.wanted = true
 			g.timers.ArmSooner("verify", now.Add(verifyEvery/2))
 		} else if tracker.began {
-			tracker.freshen(g.followedAt)
+			tracker.freshen(g.highWatermarksRequestedAt)
 		}
 	}
 	g.pump(now, effects)
@@ -449,7 +449,7 @@
 			asked.prefixes = []string{""}
 			break
 		}
-		if interest.Wide {
+		if interest.Prefix {
 			asked.prefixes = append(asked.prefixes, interest.Path)
 		} else {
 			asked.topics = append(asked.topics, interest.Path)
@@ -471,7 +471,7 @@
 	g.nextRequest++
 	round := &fetch{
 		tracker: name, version: tracker.version, partitions: map[string]*fetched{name: asked}, records: map[string][]partition.Record{},
-		limit: now.Add(subscribeLimit),
+		limit: now.Add(defaultSubscribeTimeout),
 	}
 	g.fetches[g.nextRequest] = round
 	g.timers.ArmSooner("limits", round.limit)
@@ -527,11 +527,11 @@
 	}
 }
 
-// followHeads asks the stores that are first for the partitions followed here to
+// followHighWatermarks asks the stores that are first for the partitions followed here to
 // tell their heads, and asks again before they forget.
-func (g *Gateway) followHeads(now time.Time, effects *statemachine.Effects) {
+func (g *Gateway) followHighWatermarks(now time.Time, effects *statemachine.Effects) {
 	byStore := map[string]partition.Follow{}
-	g.followedAt = now
+	g.highWatermarksRequestedAt = now
 	add := func(name string, from uint64) {
 		if address, _, found := g.firstOf(name); found {
 			follow := byStore[address]
@@ -543,8 +543,8 @@
 		add(name, 0)
 	}
 	for name := range statemachine.Sorted(g.routed.partitions) {
-		if from, begun := g.routed.told[name]; begun {
-			g.routed.followed[name] = g.wayTo(name)
+		if from, begun := g.routed.reportedUpTo[name]; begun {
+			g.routed.followRoutes[name] = g.routeTo(name)
 			add(name, from)
 		}
 	}
@@ -556,29 +556,29 @@
 	}
 }
 
-// placesChanged sends what waits for a store to the partition's new first.
-func (g *Gateway) placesChanged(now time.Time, effects *statemachine.Effects) {
+// placementsChanged sends what waits for a store to the partition's new first.
+func (g *Gateway) placementsChanged(now time.Time, effects *statemachine.Effects) {
 	for _, item := range statemachine.Sorted(g.appends) {
 		if from, known := g.senders[item.key]; known && now.Sub(item.sentAt) > 50*time.Millisecond {
 			g.sendAppend(now, from, item, effects)
 		}
 	}
 	g.resendRouted(now, effects)
-	if g.waysChanged() {
+	if g.routesChanged() {
 		g.timers.ArmSooner("follow", now)
 	}
 }
 
 // TrackerStatus is one partition as it is followed here.
 type TrackerStatus struct {
-	Verified  uint64        `json:"verified"`
-	Head      uint64        `json:"head"`
-	Held      int           `json:"held"`
-	Began     bool          `json:"began"`
-	Verifying bool          `json:"verifying"`
-	Wanted    bool          `json:"wanted"`
-	Fresh     time.Duration `json:"fresh"`
-	Interests int           `json:"interests"`
+	Verified    uint64        `json:"verified"`
+	Head        uint64        `json:"head"`
+	Pending     int           `json:"held"`
+	Started     bool          `json:"began"`
+	Verifying   bool          `json:"verifying"`
+	Wanted      bool          `json:"wanted"`
+	VerifiedAgo time.Duration `json:"fresh"`
+	Interests   int           `json:"interests"`
 }
 
 // Trackers tells of every partition followed here, for ctl and the simulator.
@@ -586,8 +586,8 @@
 	statuses := map[string]TrackerStatus{}
 	for name, tracker := range g.trackers {
 		statuses[name] = TrackerStatus{
-			Verified: tracker.verified, Head: tracker.head, Held: len(tracker.held), Began: tracker.began, Verifying: tracker.verifying,
-			Wanted: tracker.wanted, Fresh: now.Sub(tracker.freshAt), Interests: len(tracker.interests),
+			Verified: tracker.verified, Head: tracker.head, Pending: len(tracker.held), Started: tracker.began, Verifying: tracker.verifying,
+			Wanted: tracker.wanted, VerifiedAgo: now.Sub(tracker.freshAt), Interests: len(tracker.interests),
 		}
 	}
 	return statuses
--- a/internal/gateway/ways.go
+++ b/internal/gateway/ways.go
@@ -9,37 +9,37 @@
 	"dahlialock/internal/statemachine"
 )
 
-// way is where a partition is asked, and whether it can answer.
-type way struct {
+// route is where a partition is asked, and whether it can answer.
+type route struct {
 	address     string
 	incarnation uint64
 	epoch       uint64
 	complete    bool
 }
 
-// wayTo is the present way to a partition; the zero way where there is none.
-func (g *Gateway) wayTo(name string) way {
-	place, placed := g.follower.Placements[name]
-	first, known := g.follower.Members[place.Leader]
+// routeTo is the present way to a partition; the zero way where there is none.
+func (g *Gateway) routeTo(name string) route {
+	place, placed := g.viewClient.Placements[name]
+	first, known := g.viewClient.Members[place.Leader]
 	if !placed || !known {
-		return way{}
+		return route{}
 	}
-	return way{address: first.Address, incarnation: first.Incarnation, epoch: place.Epoch, complete: place.Complete}
+	return route{address: first.Address, incarnation: first.Incarnation, epoch: place.Epoch, complete: place.Complete}
 }
 
 // changed tells whether something that went one way should go another now.
-func (w way) changed(present way) bool {
-	return present != (way{}) && w != present || statemachine.Mutated("all-sent-again-at-news")
+func (w route) changed(present route) bool {
+	return present != (route{}) && w != present || statemachine.Mutated("all-sent-again-at-news")
 }
 
-// waysChanged tells whether heads are to be asked for anew: a partition that topics
+// routesChanged tells whether heads are to be asked for anew: a partition that topics
 // here lie in has another way than when they were last asked for.
-func (g *Gateway) waysChanged() bool {
+func (g *Gateway) routesChanged() bool {
 	if len(g.trackers) > 0 {
 		return true
 	}
 	for name := range g.routed.partitions {
-		if g.routed.followed[name].changed(g.wayTo(name)) {
+		if g.routed.followRoutes[name].changed(g.routeTo(name)) {
 			return true
 		}
 	}
@@ -49,7 +49,7 @@
 // resendRouted sends what waits for a store to the partition's new first.
 func (g *Gateway) resendRouted(now time.Time, effects *statemachine.Effects) {
 	for _, item := range statemachine.Sorted(g.routed.appends) {
-		if item.sentBy.changed(g.wayTo(item.partition)) && now.Sub(item.sentAt) > 20*time.Millisecond {
+		if item.sentBy.changed(g.routeTo(item.partition)) && now.Sub(item.sentAt) > 20*time.Millisecond {
 			g.sendRouted(now, item, effects)
 		}
 	}
