--- a/internal/gateway/ways_test.go
+++ b/internal/gateway/ways_test.go
@@ -19,22 +19,22 @@
 	now := time.Unix(1000, 0)
 	gateway := New(Settings{Self: membership.Member{Name: "gateway-1", Kind: membership.KindGateway, Address: "a:1"}, Agent: "a:2"})
 	name := config.SharedPartition("topic")
-	gateway.follower.Members["store-1"] = membership.Member{Name: "store-1", Kind: membership.KindStore, Address: "k:1", Alive: true}
-	gateway.follower.Placements[name] = membership.Placement{Partition: name, Epoch: 1, Leader: "store-1", Complete: true}
+	gateway.viewClient.Members["store-1"] = membership.Member{Name: "store-1", Kind: membership.KindStore, Address: "k:1", Alive: true}
+	gateway.viewClient.Placements[name] = membership.Placement{Partition: name, Epoch: 1, Leader: "store-1", Complete: true}
 	gateway.spaces["boards"] = &spaceState{space: config.Space{Name: "boards", Retention: config.Durable, Order: config.OrderTopic}, name: "boards~0"}
 	var effects statemachine.Effects
-	taken := &place{channel: 1, filling: true, limit: now.Add(time.Second)}
-	followed := gateway.addPlace(now, "topic", "boards", taken, &effects)
+	taken := &topicSubscription{session: 1, filling: true, deadline: now.Add(time.Second)}
+	followed := gateway.addTopicSubscription(now, "topic", "boards", taken, &effects)
 	gateway.fetchTopic(now, followed, &effects)
 	again := func() int {
 		now = now.Add(30 * time.Millisecond)
 		var effects statemachine.Effects
-		gateway.placesChanged(now, &effects)
+		gateway.placementsChanged(now, &effects)
 		return len(effects.Sends)
 	}
-	gateway.follower.Members["gateway-2"] = membership.Member{Name: "gateway-2", Kind: membership.KindGateway, Address: "b:1", Alive: true}
+	gateway.viewClient.Members["gateway-2"] = membership.Member{Name: "gateway-2", Kind: membership.KindGateway, Address: "b:1", Alive: true}
 	otherNews = again()
-	gateway.follower.Placements[name] = membership.Placement{Partition: name, Epoch: 2, Leader: "store-1", Complete: true}
+	gateway.viewClient.Placements[name] = membership.Placement{Partition: name, Epoch: 2, Leader: "store-1", Complete: true}
 	otherEpoch = again()
 	return otherNews, otherEpoch
 }
@@ -48,7 +48,7 @@
 func TestABatchWithoutAnAnswerIsSentEverMoreSeldom(t *testing.T) {
 	sent := &batch{}
 	var waits []time.Duration
-	for sent.tries = 1; sent.tries < 7; sent.tries++ {
+	for sent.attempts = 1; sent.attempts < 7; sent.attempts++ {
 		waits = append(waits, sent.due().Sub(sent.sentAt))
 	}
 	assert.DeepEqual(t, waits, []time.Duration{
--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -85,7 +85,7 @@
 	return fmt.Sprintf("%s-%s-%d", s.name, s.started, s.requests.Add(1))
 }
 
-func (s *Server) give(writer http.ResponseWriter, request string, answer gateway.Answer) {
+func (s *Server) give(writer http.ResponseWriter, request string, answer gateway.Reply) {
 	body := map[string]any{"outcome": answer.Outcome, "visit": request}
 	if answer.Code != "" {
 		body["code"], body["text"] = answer.Code, answer.Text
@@ -112,8 +112,8 @@
 	_, _ = writer.Write(append(packed, '\n'))
 }
 
-func refuse(status int, code, text string) gateway.Answer {
-	return gateway.Answer{Status: status, Outcome: gateway.OutcomeRefused, Code: code, Text: text}
+func refuse(status int, code, text string) gateway.Reply {
+	return gateway.Reply{Status: status, Outcome: gateway.OutcomeRejected, Code: code, Text: text}
 }
 
 // admit reads the caller's pass.
@@ -175,7 +175,7 @@
 
 func (s *Server) do(writer http.ResponseWriter, name string, command func(request uint64) any) {
 	value, alive := s.host.Do(command)
-	answer, matches := value.(gateway.Answer)
+	answer, matches := value.(gateway.Reply)
 	if !alive || !matches {
 		answer = refuse(http.StatusServiceUnavailable, "stopping", "this daemon is stopping")
 		answer.Outcome, answer.RetryAfter = gateway.OutcomeUnsettled, 250*time.Millisecond
@@ -216,9 +216,9 @@
 	sink := make(chan statemachine.Delivery, sinkSize)
 	s.host.Attach(number, sink)
 	value, alive := s.host.Do(func(local uint64) any {
-		return gateway.OpenChannel{Request: local, Channel: number, Name: channel, Origin: origin}
+		return gateway.OpenSession{Request: local, Session: number, Name: channel, Client: origin}
 	})
-	answer, matches := value.(gateway.Answer)
+	answer, matches := value.(gateway.Reply)
 	if !alive || !matches || answer.Outcome != gateway.OutcomeAccepted {
 		s.host.Detach(number)
 		if !matches {
@@ -234,7 +234,7 @@
 	writer.WriteHeader(http.StatusOK)
 	why := s.stream(writer, request, sink)
 	s.host.Detach(number)
-	s.host.Post(gateway.CloseChannel{Channel: number, Why: why})
+	s.host.Post(gateway.CloseSession{Session: number, Reason: why})
 }
 
 func (s *Server) stream(writer http.ResponseWriter, request *http.Request, sink chan statemachine.Delivery) string {
@@ -339,7 +339,7 @@
 		case members["topic"] != nil:
 			interest.Path = walk.Text(path+".topic", members["topic"], "")
 		default:
-			interest.Path, interest.Wide = walk.Text(path+".prefix", members["prefix"], ""), true
+			interest.Path, interest.Prefix = walk.Text(path+".prefix", members["prefix"], ""), true
 		}
 		found = append(found, interest)
 	}
@@ -358,7 +358,7 @@
 	}
 	channel, fit := channelNumber(walk.Text("$.channel", members["channel"], ""))
 	command := gateway.Subscribe{
-		RequestName: name, Channel: channel, Origin: origin, Interests: interests(&walk, members["subscriptions"]),
+		RequestName: name, Session: channel, Client: origin, Interests: interests(&walk, members["subscriptions"]),
 		Cursor: walk.Text("$.cursor", members["cursor"], ""),
 	}
 	if len(walk.Faults) > 0 {
@@ -384,7 +384,7 @@
 	need(&walk, members, "channel")
 	need(&walk, members, "subscriptions")
 	channel, _ := channelNumber(walk.Text("$.channel", members["channel"], ""))
-	command := gateway.Unsubscribe{RequestName: name, Channel: channel, Origin: origin, Interests: interests(&walk, members["subscriptions"])}
+	command := gateway.Unsubscribe{RequestName: name, Session: channel, Client: origin, Interests: interests(&walk, members["subscriptions"])}
 	if len(walk.Faults) > 0 {
 		s.faulty(writer, name, &walk)
 		return
@@ -409,7 +409,7 @@
 		need(&walk, members, "data")
 	}
 	command := gateway.Publish{
-		RequestName: name, Origin: origin, Sender: walk.Text("$.sender", members["sender"], origin),
+		RequestName: name, Client: origin, Sender: walk.Text("$.sender", members["sender"], origin),
 		Space: walk.Text("$.space", members["space"], ""), Topic: walk.Text("$.topic", members["topic"], ""),
 		Seq: uint64(walk.Whole("$.seq", members["seq"], 0, 1, math.MaxInt64)),
 	}
@@ -441,7 +441,7 @@
 		s.faulty(writer, name, &walk)
 		return
 	}
-	s.do(writer, name, func(local uint64) any { return gateway.Pong{Request: local, Channel: channel, Origin: origin} })
+	s.do(writer, name, func(local uint64) any { return gateway.Pong{Request: local, Session: channel, Client: origin} })
 }
 
 // count tells how many origins subscribe to a routed topic.
@@ -454,7 +454,7 @@
 	need(&walk, members, "channel")
 	need(&walk, members, "topic")
 	channel, _ := channelNumber(walk.Text("$.channel", members["channel"], ""))
-	command := gateway.Count{RequestName: name, Channel: channel, Origin: origin, Topic: walk.Text("$.topic", members["topic"], "")}
+	command := gateway.CountSubscribers{RequestName: name, Session: channel, Client: origin, Topic: walk.Text("$.topic", members["topic"], "")}
 	if len(walk.Faults) > 0 {
 		s.faulty(writer, name, &walk)
 		return
@@ -463,12 +463,12 @@
 		command.Request = local
 		return command
 	})
-	answer, matches := value.(gateway.Answer)
+	answer, matches := value.(gateway.Reply)
 	if !alive || !matches {
 		answer = refuse(http.StatusServiceUnavailable, "stopping", "this daemon is stopping")
 		answer.RetryAfter = 250 * time.Millisecond
 	} else if answer.Outcome == gateway.OutcomeAccepted {
-		answer.Fields = map[string]any{"count": answer.Number}
+		answer.Fields = map[string]any{"count": answer.SubscriberCount}
 	}
 	s.give(writer, name, answer)
 }
--- a/internal/httpapi/httpapi_test.go
+++ b/internal/httpapi/httpapi_test.go
@@ -36,20 +36,20 @@
 type stopNow struct{}
 
 func (s *stub) HandleCommand(_ time.Time, command any, effects *statemachine.Effects) {
-	done := gateway.Answer{Status: 200, Outcome: gateway.OutcomeAccepted}
+	done := gateway.Reply{Status: 200, Outcome: gateway.OutcomeAccepted}
 	switch body := command.(type) {
-	case gateway.OpenChannel:
-		s.channels[body.Channel] = true
+	case gateway.OpenSession:
+		s.channels[body.Session] = true
 		effects.Respond(body.Request, done)
-		effects.Deliveries = append(effects.Deliveries, statemachine.Delivery{Session: body.Channel, Event: gateway.Event{Event: "hello", Channel: body.Name}})
-	case gateway.CloseChannel:
-		delete(s.channels, body.Channel)
+		effects.Deliveries = append(effects.Deliveries, statemachine.Delivery{Session: body.Session, Event: gateway.Event{Event: "hello", Session: body.Name}})
+	case gateway.CloseSession:
+		delete(s.channels, body.Session)
 	case gateway.Subscribe:
 		s.subscribe = append(s.subscribe, body)
 		done.Cursor = "t1"
 		effects.Respond(body.Request, done)
-	case gateway.Count:
-		done.Number = 12
+	case gateway.CountSubscribers:
+		done.SubscriberCount = 12
 		effects.Respond(body.Request, done)
 	case gateway.Publish:
 		s.published = append(s.published, body)
--- a/internal/lineserver/command.go
+++ b/internal/lineserver/command.go
@@ -70,7 +70,7 @@
 	// more must come first, and more than there are if bytes yet to come belong to
 	// a command that is not wanted whole.
 	Read(bytes []byte) (Command, int)
-	AppendAnswer(buffer []byte, about About, answer gateway.Answer) []byte
+	AppendAnswer(buffer []byte, about About, answer gateway.Reply) []byte
 	AppendEvent(buffer []byte, event gateway.Event) []byte
 	AppendPong(buffer []byte) []byte
 }
--- a/internal/lineserver/owner.go
+++ b/internal/lineserver/owner.go
@@ -106,7 +106,7 @@
 	}
 }
 
-func (s *Server) answer(to *connection, about About, answer gateway.Answer) {
+func (s *Server) answer(to *connection, about About, answer gateway.Reply) {
 	to.waiting.Add(-1)
 	if to.state == ended {
 		return
@@ -114,8 +114,8 @@
 	s.gather(to, saidKind{kindNames[about.Kind], answer.Outcome}, s.settings.Protocol.AppendAnswer(to.output, about, answer))
 }
 
-func refused(code string, back time.Duration) gateway.Answer {
-	return gateway.Answer{Outcome: gateway.OutcomeRefused, Code: code, RetryAfter: back}
+func refused(code string, back time.Duration) gateway.Reply {
+	return gateway.Reply{Outcome: gateway.OutcomeRejected, Code: code, RetryAfter: back}
 }
 
 // take does what one read of a connection brought.
@@ -154,7 +154,7 @@
 	from.state, from.origin = opening, command.origin
 	owner.Attach(from.channel, func(deliver statemachine.Delivery) { s.deliver(from, deliver) })
 	owner.Ask(func(request uint64) any {
-		return gateway.OpenChannel{Request: request, Channel: from.channel, Name: strconv.FormatUint(from.channel, 16), Origin: command.origin, Lines: true}
+		return gateway.OpenSession{Request: request, Session: from.channel, Name: strconv.FormatUint(from.channel, 16), Client: command.origin, AdapterPings: true}
 	}, func(value any) {
 		answer := answerOf(value)
 		if from.state == opening {
@@ -168,7 +168,7 @@
 			owner.Detach(from.channel)
 		}
 		if from.state == ended && answer.Outcome == gateway.OutcomeAccepted {
-			owner.Post(gateway.CloseChannel{Channel: from.channel, Why: from.why})
+			owner.Post(gateway.CloseSession{Session: from.channel, Reason: from.why})
 		}
 		s.answer(from, about, answer)
 	})
@@ -176,11 +176,11 @@
 
 // answerOf is the gateway's answer; where it ended, nobody can tell what became
 // of what it was asked.
-func answerOf(value any) gateway.Answer {
-	if answer, matches := value.(gateway.Answer); matches {
+func answerOf(value any) gateway.Reply {
+	if answer, matches := value.(gateway.Reply); matches {
 		return answer
 	}
-	return gateway.Answer{Outcome: gateway.OutcomeUnsettled, Code: CodeStopping, RetryAfter: comeBack}
+	return gateway.Reply{Outcome: gateway.OutcomeUnsettled, Code: CodeStopping, RetryAfter: comeBack}
 }
 
 func (s *Server) carry(owner daemon.Owner, from *connection, command *asked) {
@@ -189,14 +189,14 @@
 		switch about.Kind {
 		case Subscribe:
 			return gateway.Subscribe{
-				Request: request, Channel: from.channel, Origin: from.origin, Interests: []gateway.Interest{{Path: about.Topic}}, Cursor: command.cursor,
+				Request: request, Session: from.channel, Client: from.origin, Interests: []gateway.Interest{{Path: about.Topic}}, Cursor: command.cursor,
 			}
 		case Unsubscribe:
-			return gateway.Unsubscribe{Request: request, Channel: from.channel, Origin: from.origin, Interests: []gateway.Interest{{Path: about.Topic}}}
+			return gateway.Unsubscribe{Request: request, Session: from.channel, Client: from.origin, Interests: []gateway.Interest{{Path: about.Topic}}}
 		case Publish:
-			return gateway.Publish{Request: request, Origin: from.origin, Sender: from.origin, Topic: about.Topic, Seq: about.Seq, Data: command.body}
+			return gateway.Publish{Request: request, Client: from.origin, Sender: from.origin, Topic: about.Topic, Seq: about.Seq, Data: command.body}
 		default:
-			return gateway.Count{Request: request, Channel: from.channel, Origin: from.origin, Topic: about.Topic}
+			return gateway.CountSubscribers{Request: request, Session: from.channel, Client: from.origin, Topic: about.Topic}
 		}
 	}, func(value any) { s.answer(from, about, answerOf(value)) })
 }
@@ -235,7 +235,7 @@
 		gone.why = "closed"
 	}
 	owner.Detach(gone.channel)
-	owner.Post(gateway.CloseChannel{Channel: gone.channel, Why: gone.why})
+	owner.Post(gateway.CloseSession{Session: gone.channel, Reason: gone.why})
 }
 
 // name keeps one text for each name that comes again and again.
--- a/internal/simulator/client.go
+++ b/internal/simulator/client.go
@@ -58,7 +58,7 @@
 	client := &Client{simulation: s, Name: name, Place: place, interests: interests, seqs: map[string]uint64{}, pipeline: 1}
 	s.clients = append(s.clients, client)
 	for _, interest := range interests {
-		s.Checker.Asked(name, checker.Interest{Space: interest.Space, Path: interest.Path, Wide: interest.Wide}, s.Now)
+		s.Checker.Asked(name, checker.Interest{Space: interest.Space, Path: interest.Path, Wide: interest.Prefix}, s.Now)
 	}
 	s.After(time.Duration(s.Random.IntN(400))*time.Millisecond, func() { client.connect() })
 	return client
@@ -130,13 +130,13 @@
 	})
 	answered := false
 	simulation.Call(node, func(request uint64) any {
-		return gateway.OpenChannel{Request: request, Channel: c.channel, Name: fmt.Sprint(c.channel), Origin: c.Name}
+		return gateway.OpenSession{Request: request, Session: c.channel, Name: fmt.Sprint(c.channel), Client: c.Name}
 	}, func(value any, alive bool) {
 		answered = true
 		if c.turn != turn {
 			return
 		}
-		answer, matches := value.(gateway.Answer)
+		answer, matches := value.(gateway.Reply)
 		if !alive || !matches || answer.Outcome != gateway.OutcomeAccepted {
 			c.cut(turn, 50*time.Millisecond)
 			return
@@ -169,7 +169,7 @@
 		simulation.After(300*time.Microsecond, func() {
 			node.enter(func() {
 				node.step(func(now time.Time, effects *statemachine.Effects) {
-					node.Machine.HandleCommand(now, gateway.CloseChannel{Channel: channel, Why: "closed"}, effects)
+					node.Machine.HandleCommand(now, gateway.CloseSession{Session: channel, Reason: "closed"}, effects)
 				})
 			})
 		})
@@ -199,7 +199,7 @@
 	resumes := c.cursor != ""
 	answered := false
 	simulation.Call(c.node, func(request uint64) any {
-		command := gateway.Subscribe{Request: request, Channel: c.channel, Origin: c.Name, Cursor: c.cursor}
+		command := gateway.Subscribe{Request: request, Session: c.channel, Client: c.Name, Cursor: c.cursor}
 		if !resumes {
 			command.Interests = c.interests
 		}
@@ -209,7 +209,7 @@
 		if c.turn != turn {
 			return
 		}
-		answer, matches := value.(gateway.Answer)
+		answer, matches := value.(gateway.Reply)
 		simulation.trace("%s at %s subscribes, resumes %v: %s %s %v", c.Name, c.node.Name, resumes, answer.Outcome, answer.Code, answer.Fields["missed"])
 		switch {
 		case !alive || !matches:
@@ -219,7 +219,7 @@
 			c.takeCursor(answer.Fields["cursor"].(string))
 			if !resumes {
 				for _, interest := range c.interests {
-					simulation.Checker.Subscribed(c.Name, checker.Interest{Space: interest.Space, Path: interest.Path, Wide: interest.Wide}, simulation.Now)
+					simulation.Checker.Subscribed(c.Name, checker.Interest{Space: interest.Space, Path: interest.Path, Wide: interest.Prefix}, simulation.Now)
 				}
 			}
 		case answer.Code == "place-lost":
@@ -272,7 +272,7 @@
 			simulation.Checker.Showed(event.Daemon, event.Version, c.openedAt, simulation.Now)
 		case "ping":
 			simulation.Call(c.node, func(request uint64) any {
-				return gateway.Pong{Request: request, Channel: c.channel, Origin: c.Name}
+				return gateway.Pong{Request: request, Session: c.channel, Client: c.Name}
 			}, func(any, bool) {})
 		case "move":
 			c.moveTo = event.To
@@ -389,11 +389,11 @@
 	}
 	simulation.Call(c.node, func(request uint64) any {
 		return gateway.Publish{
-			Request: request, RequestName: message.String(), Origin: c.Name, Sender: c.Name, Space: message.Space, Topic: item.topic,
+			Request: request, RequestName: message.String(), Client: c.Name, Sender: c.Name, Space: message.Space, Topic: item.topic,
 			Seq: message.Seq, Data: []byte(item.data),
 		}
 	}, func(value any, alive bool) {
-		answer, matches := value.(gateway.Answer)
+		answer, matches := value.(gateway.Reply)
 		switch {
 		case !alive || !matches:
 			finish("unsettled", "cut-off", 50*time.Millisecond)
@@ -421,12 +421,12 @@
 		}
 		simulation.Call(c.node, func(request uint64) any {
 			return gateway.Publish{
-				Request: request, RequestName: item.message.String(), Origin: c.Name, Sender: c.Name, Space: item.message.Space,
+				Request: request, RequestName: item.message.String(), Client: c.Name, Sender: c.Name, Space: item.message.Space,
 				Topic: item.topic, Seq: item.message.Seq, Data: []byte(item.data),
 			}
 		}, func(value any, alive bool) {
-			answer, matches := value.(gateway.Answer)
-			if alive && matches && answer.Outcome == gateway.OutcomeRefused && answer.RetryAfter == 0 && answer.Code != "no-such-space" {
+			answer, matches := value.(gateway.Reply)
+			if alive && matches && answer.Outcome == gateway.OutcomeRejected && answer.RetryAfter == 0 && answer.Code != "no-such-space" {
 				simulation.Checker.Violate(checker.Twice, "%s was accepted, and its resend refused: %s", item.message, answer.Code)
 			}
 		})
--- a/internal/simulator/grown.go
+++ b/internal/simulator/grown.go
@@ -143,7 +143,7 @@
 	count := 0
 	for _, node := range s.Nodes(membership.KindGateway) {
 		if node.Up {
-			count += int(node.Gateway().Counts.RefusedRequests)
+			count += int(node.Gateway().Counts.RejectedRequests)
 		}
 	}
 	return count
--- a/internal/simulator/scenario.go
+++ b/internal/simulator/scenario.go
@@ -135,12 +135,12 @@
 		place := number % s.Size.Places
 		random := s.Random
 		interests := []gateway.Interest{
-			{Space: "boards", Path: topics[random.IntN(len(topics))]}, {Space: "boards", Path: fmt.Sprintf("p%d", random.IntN(3)), Wide: true},
-			{Space: "cursors", Path: topics[random.IntN(len(topics))]}, {Space: "decisions", Path: "", Wide: true},
+			{Space: "boards", Path: topics[random.IntN(len(topics))]}, {Space: "boards", Path: fmt.Sprintf("p%d", random.IntN(3)), Prefix: true},
+			{Space: "cursors", Path: topics[random.IntN(len(topics))]}, {Space: "decisions", Path: "", Prefix: true},
 		}
 		switch number % 4 {
 		case 1:
-			interests = append(interests, gateway.Interest{Space: "boards", Wide: true})
+			interests = append(interests, gateway.Interest{Space: "boards", Prefix: true})
 		case 2:
 			interests = interests[:2]
 		}
@@ -540,7 +540,7 @@
 				if number%2 == 0 {
 					place = 0
 				}
-				simulation.AddClient(fmt.Sprintf("crowd-%d", number), place, gateway.Interest{Space: "boards", Path: "p1", Wide: true})
+				simulation.AddClient(fmt.Sprintf("crowd-%d", number), place, gateway.Interest{Space: "boards", Path: "p1", Prefix: true})
 			}
 			simulation.ServiceBack("a crowd on a rested fleet")
 		})
@@ -677,7 +677,7 @@
 	operator.next(func() {
 		var users []*Client
 		for number := range 4 {
-			client := s.AddClient(fmt.Sprintf("brief-%d", number), number%s.Size.Places, gateway.Interest{Space: "brief", Wide: true})
+			client := s.AddClient(fmt.Sprintf("brief-%d", number), number%s.Size.Places, gateway.Interest{Space: "brief", Prefix: true})
 			client.Publishes(1, Plan{Space: "brief", Topics: []string{"a/b", "c"}, Every: 150 * time.Millisecond})
 			users = append(users, client)
 		}
--- a/internal/simulator/storm.go
+++ b/internal/simulator/storm.go
@@ -417,7 +417,7 @@
 				place = number
 			}
 			crowd = append(crowd, simulation.AddClient(fmt.Sprintf("crowd-%d-%d", fault.Pick, len(simulation.clients)), place%simulation.Size.Places,
-				gateway.Interest{Space: "boards", Path: fmt.Sprintf("p%d", number%3), Wide: true}))
+				gateway.Interest{Space: "boards", Path: fmt.Sprintf("p%d", number%3), Prefix: true}))
 		}
 		over(fault, simulation, end, func() {
 			for _, client := range crowd {
@@ -446,10 +446,10 @@
 	}),
 	"edit-settings": on(membership.KindGateway, func(simulation *Simulation, node *Node, fault faults.Fault, end func()) {
 		life := node.life
-		node.Gateway().SetOriginsMost(1)
+		node.Gateway().SetMaxClients(1)
 		over(fault, simulation, end, func() {
 			if node.Up && node.life == life {
-				node.Gateway().SetOriginsMost(2000)
+				node.Gateway().SetMaxClients(2000)
 			}
 		})
 	}),
@@ -480,7 +480,7 @@
 	var users []*Client
 	operator.next(func() {
 		for number := range 4 {
-			client := s.AddClient(fmt.Sprintf("%s-%d", name, number), number%s.Size.Places, gateway.Interest{Space: name, Wide: true})
+			client := s.AddClient(fmt.Sprintf("%s-%d", name, number), number%s.Size.Places, gateway.Interest{Space: name, Prefix: true})
 			client.brief = name
 			client.Publishes(1, Plan{Space: name, Topics: []string{"a/b", "c"}, Every: 150 * time.Millisecond})
 			users = append(users, client)
--- a/internal/simulator/topic_client.go
+++ b/internal/simulator/topic_client.go
@@ -167,7 +167,7 @@
 
 // say sends a command of a size on the line; done is called with its answer if that comes
 // while the connection lasts.
-func (tc *TopicClient) say(size int, command func(request uint64) any, done func(answer gateway.Answer)) {
+func (tc *TopicClient) say(size int, command func(request uint64) any, done func(answer gateway.Reply)) {
 	simulation, node, turn, life, line := tc.simulation, tc.node, tc.turn, tc.life, tc.line
 	tc.saidAt = simulation.Now
 	lost := func() {
@@ -189,7 +189,7 @@
 					lost()
 					return
 				}
-				answer := value.(gateway.Answer)
+				answer := value.(gateway.Reply)
 				line.toCaller(simulation, node, lineAnswer, len(answer.Cursor), func() {
 					if tc.turn == turn {
 						tc.heardAt = simulation.Now
@@ -236,8 +236,8 @@
 		node.sinks[channel] = func(deliver statemachine.Delivery) {
 			line.toCaller(simulation, node, lineEvent, deliveredSize(deliver), func() { tc.event(turn, deliver) })
 		}
-		return gateway.OpenChannel{Request: request, Channel: channel, Name: fmt.Sprint(channel), Origin: tc.Name, Lines: true}
-	}, func(answer gateway.Answer) {
+		return gateway.OpenSession{Request: request, Session: channel, Name: fmt.Sprint(channel), Client: tc.Name, AdapterPings: true}
+	}, func(answer gateway.Reply) {
 		if answer.Outcome != gateway.OutcomeAccepted {
 			simulation.trace("%s is not let in by %s: %s", tc.Name, node.Name, answer.Code)
 			tc.blame(answer.Code, "hello of "+tc.Name)
@@ -310,7 +310,7 @@
 				}
 				delete(node.sinks, channel)
 				node.step(func(now time.Time, effects *statemachine.Effects) {
-					node.Machine.HandleCommand(now, gateway.CloseChannel{Channel: channel, Why: "closed"}, effects)
+					node.Machine.HandleCommand(now, gateway.CloseSession{Session: channel, Reason: "closed"}, effects)
 				})
 			})
 		})
@@ -366,7 +366,7 @@
 				return
 			}
 			node.step(func(now time.Time, effects *statemachine.Effects) {
-				node.Machine.HandleCommand(now, gateway.Heard{Channel: channel}, effects)
+				node.Machine.HandleCommand(now, gateway.ClientActive{Session: channel}, effects)
 			})
 			line.toCaller(simulation, node, lineAnswer, 0, func() {
 				if tc.turn == turn {
@@ -414,8 +414,8 @@
 	present.leaving = true
 	turn := tc.turn
 	tc.say(len(topic), func(request uint64) any {
-		return gateway.Unsubscribe{Request: request, Channel: tc.channel, Origin: tc.Name, Interests: []gateway.Interest{{Path: topic}}}
-	}, func(answer gateway.Answer) {
+		return gateway.Unsubscribe{Request: request, Session: tc.channel, Client: tc.Name, Interests: []gateway.Interest{{Path: topic}}}
+	}, func(answer gateway.Reply) {
 		if answer.Outcome != gateway.OutcomeAccepted {
 			tc.cut(turn, true, 0)
 			return
@@ -437,8 +437,8 @@
 	each.asked, each.askedAt = true, simulation.Now
 	entry, sent := each.entry, simulation.Now
 	tc.say(len(topic)+len(each.cursor), func(request uint64) any {
-		return gateway.Subscribe{Request: request, Channel: tc.channel, Origin: tc.Name, Interests: []gateway.Interest{{Path: topic}}, Cursor: each.cursor}
-	}, func(answer gateway.Answer) {
+		return gateway.Subscribe{Request: request, Session: tc.channel, Client: tc.Name, Interests: []gateway.Interest{{Path: topic}}, Cursor: each.cursor}
+	}, func(answer gateway.Reply) {
 		if tc.topics[topic] != each {
 			return
 		}
@@ -573,12 +573,12 @@
 	}
 	simulation, sent := tc.simulation, tc.simulation.Now
 	tc.say(len(topic), func(request uint64) any {
-		return gateway.Count{Request: request, Channel: tc.channel, Origin: tc.Name, Topic: topic}
-	}, func(answer gateway.Answer) {
+		return gateway.CountSubscribers{Request: request, Session: tc.channel, Client: tc.Name, Topic: topic}
+	}, func(answer gateway.Reply) {
 		switch {
 		case answer.Outcome == gateway.OutcomeAccepted:
 			simulation.Checker.Handled("a count", topic, true, sent, simulation.Now)
-			simulation.Checker.Counted(topic, answer.Number, simulation.calmSince(), simulation.Now)
+			simulation.Checker.Counted(topic, answer.SubscriberCount, simulation.calmSince(), simulation.Now)
 		case answer.Code == "no-such-space":
 			simulation.Checker.Handled("a count", topic, false, sent, simulation.Now)
 		default:
@@ -656,7 +656,7 @@
 			}
 		})
 	}
-	tc.post(item, func(answer gateway.Answer) {
+	tc.post(item, func(answer gateway.Reply) {
 		simulation.trace("%s/%d try %d at %s on %s: %s %s", name.Sender, name.Seq, tries, node.Name, item.topic, answer.Outcome, answer.Code)
 		tc.settled(item, answer.Outcome, answer.Code)
 		switch {
@@ -699,11 +699,11 @@
 	})
 }
 
-func (tc *TopicClient) post(item *posting, done func(answer gateway.Answer)) {
+func (tc *TopicClient) post(item *posting, done func(answer gateway.Reply)) {
 	name, topic, body := item.name, item.topic, item.body
 	tc.say(len(topic)+len(body), func(request uint64) any {
 		return gateway.Publish{
-			Request: request, RequestName: fmt.Sprintf("%s/%d", name.Sender, name.Seq), Origin: tc.Name, Sender: tc.Name,
+			Request: request, RequestName: fmt.Sprintf("%s/%d", name.Sender, name.Seq), Client: tc.Name, Sender: tc.Name,
 			Topic: topic, Seq: name.Seq, Data: []byte(body),
 		}
 	}, done)
@@ -716,8 +716,8 @@
 		if !tc.connected || tc.Gone {
 			return
 		}
-		tc.post(item, func(answer gateway.Answer) {
-			if answer.Outcome == gateway.OutcomeRefused && answer.RetryAfter == 0 && answer.Code != "no-such-space" && simulation.Now.Sub(accepted) < accountableSpan {
+		tc.post(item, func(answer gateway.Reply) {
+			if answer.Outcome == gateway.OutcomeRejected && answer.RetryAfter == 0 && answer.Code != "no-such-space" && simulation.Now.Sub(accepted) < accountableSpan {
 				simulation.Checker.Resent(item.name, answer.Code)
 			}
 		})
--- a/internal/storedforms/ctl_test.go
+++ b/internal/storedforms/ctl_test.go
@@ -72,7 +72,7 @@
 	node := s.fleet.Nodes(membership.KindGateway)[0]
 	s.fleet.Call(node, command, func(value any, alive bool) {
 		answered = true
-		answer, matches := value.(gateway.Answer)
+		answer, matches := value.(gateway.Reply)
 		if !matches {
 			packed, err := json.Marshal(value)
 			if err != nil {
@@ -86,7 +86,7 @@
 			s.Fatal(err)
 		}
 		s.lines = append(s.lines, fmt.Sprintf("%s: alive %t, %d %s, code %q, come back in %s, cursor %q, number %d, %s", what,
-			alive, answer.Status, answer.Outcome, answer.Code, answer.RetryAfter, answer.Cursor, answer.Number, fields))
+			alive, answer.Status, answer.Outcome, answer.Code, answer.RetryAfter, answer.Cursor, answer.SubscriberCount, fields))
 	})
 	s.until(func() bool { return answered })
 }
@@ -131,7 +131,7 @@
 		return gateway.Publish{
 			Request:     request,
 			RequestName: fmt.Sprintf("request-%d", seq),
-			Origin:      "origin-1",
+			Client:      "origin-1",
 			Sender:      "origin-1",
 			Space:       space,
 			Topic:       topic,
@@ -147,8 +147,8 @@
 		command := gateway.Subscribe{
 			Request:     request,
 			RequestName: "subscribe-" + path,
-			Channel:     7,
-			Origin:      "origin-1",
+			Session:     7,
+			Client:      "origin-1",
 			Cursor:      cursor,
 		}
 		if cursor == "" {
@@ -161,7 +161,7 @@
 func TestAnswersToCallersAndDecisionsStay(t *testing.T) {
 	s := speak(t)
 	open := func(request uint64) any {
-		return gateway.OpenChannel{Request: request, Channel: 7, Name: "7", Origin: "origin-1"}
+		return gateway.OpenSession{Request: request, Session: 7, Name: "7", Client: "origin-1"}
 	}
 	s.call("subscribe before the channel is open", subscription("orders", "a/b", ""))
 	s.call("publish before there is a configuration", publication("orders", "a/b", 1, `"x"`))
@@ -184,18 +184,18 @@
 	s.call("publish without a route", publication("", "writing.1", 15, `raw`))
 	s.call("subscribe by route", subscription("", "reading.1", ""))
 	s.call("count", func(request uint64) any {
-		return gateway.Count{Request: request, RequestName: "count", Channel: 7, Origin: "origin-1", Topic: "reading.1"}
+		return gateway.CountSubscribers{Request: request, RequestName: "count", Session: 7, Client: "origin-1", Topic: "reading.1"}
 	})
-	s.call("pong", func(request uint64) any { return gateway.Pong{Request: request, Channel: 7, Origin: "origin-1"} })
+	s.call("pong", func(request uint64) any { return gateway.Pong{Request: request, Session: 7, Client: "origin-1"} })
 	s.call("pong of another", func(request uint64) any {
-		return gateway.Pong{Request: request, Channel: 7, Origin: "origin-2"}
+		return gateway.Pong{Request: request, Session: 7, Client: "origin-2"}
 	})
 	s.call("unsubscribe", func(request uint64) any {
 		return gateway.Unsubscribe{
 			Request:     request,
 			RequestName: "unsubscribe",
-			Channel:     7,
-			Origin:      "origin-1",
+			Session:     7,
+			Client:      "origin-1",
 			Interests:   []gateway.Interest{{Space: "orders", Path: "a/b"}},
 		}
 	})
@@ -208,7 +208,7 @@
 func (s *spoken) decisions() {
 	s.Helper()
 	s.call("decisions of a gateway", func(request uint64) any {
-		return gateway.FindDecisions{Local: request, Origin: "origin-1"}
+		return gateway.FindDecisions{Local: request, Client: "origin-1"}
 	})
 	s.call("decisions on a message", func(request uint64) any {
 		return gateway.FindDecisions{Local: request, Message: "orders/origin-1/10"}
--- a/internal/transport/classes_test.go
+++ b/internal/transport/classes_test.go
@@ -33,5 +33,5 @@
 	}
 	assert.Equal(t, transport.ClassOf(partition.Append{Bare: true}), transport.ClassUrgent)
 	assert.Equal(t, transport.ClassOf(gateway.RoutedCopy{}), transport.ClassLive)
-	assert.Equal(t, transport.ClassOf(gateway.RoutedCopy{Passing: true}), transport.ClassUrgent)
+	assert.Equal(t, transport.ClassOf(gateway.RoutedCopy{Ephemeral: true}), transport.ClassUrgent)
 }
