--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -56,7 +56,7 @@
 // for a batch or are in one.
 func (g *Gateway) backlog(now time.Time) int {
 	sum := 0
-	count := func(waits *topic) {
+	count := func(waits *topicState) {
 		if _, lacking := waits.missingAfter(now); lacking {
 			sum += waits.missingBytes
 		}
--- a/internal/gateway/catchup.go
+++ b/internal/gateway/catchup.go
@@ -35,7 +35,7 @@
 
 // topicFetch is a topic in a batch. Its records are wanted after an offset.
 type topicFetch struct {
-	topic  *topic
+	topic  *topicState
 	after  uint64
 	sentBy route
 }
@@ -67,18 +67,18 @@
 }
 
 // missingAfter gives the offset after which a topic's records are wanted, if any are.
-func (t *topic) missingAfter(now time.Time) (after uint64, lacking bool) {
+func (t *topicState) missingAfter(now time.Time) (after uint64, lacking bool) {
 	after = everything
 	if t.live && t.wanted > t.last {
 		after, lacking = t.last, len(t.subscriptions) > 0
 	}
-	for _, taken := range t.subscriptions {
-		if !taken.filling {
+	for _, subscription := range t.subscriptions {
+		if !subscription.filling {
 			continue
 		}
 		lacking = true
-		if taken.resumes {
-			after = min(after, taken.deliveredUpTo)
+		if subscription.resumes {
+			after = min(after, subscription.deliveredUpTo)
 		}
 	}
 	if t.reserved(now) {
@@ -89,33 +89,33 @@
 
 // reserved tells whether a refused subscription to the topic keeps its turn, and
 // what it lacks is not here.
-func (t *topic) reserved(now time.Time) bool {
+func (t *topicState) reserved(now time.Time) bool {
 	here := t.live && t.recentFrom <= t.reservedAfter
 	return t.reservedUntil.After(now) && !here
 }
 
 // reserve keeps the turn of a subscription that is refused because its answer did
 // not come in time: what it lacks is fetched all the same, for its next try.
-func (t *topic) reserve(now time.Time, taken *topicSubscription) {
-	if statemachine.Mutated("refused-loses-turn") || !taken.resumes {
+func (t *topicState) reserve(now time.Time, subscription *topicSubscription) {
+	if statemachine.Mutated("refused-loses-turn") || !subscription.resumes {
 		return
 	}
 	if !t.reservedUntil.After(now) {
-		t.reservedAfter = taken.deliveredUpTo
+		t.reservedAfter = subscription.deliveredUpTo
 	}
-	t.reservedAfter = min(t.reservedAfter, taken.deliveredUpTo)
+	t.reservedAfter = min(t.reservedAfter, subscription.deliveredUpTo)
 	t.reservedUntil = now.Add(reservedFor)
 }
 
 // fetchTopic queues a topic for the next batch to its store, which is sent at once
 // if none is on its way there.
-func (g *Gateway) fetchTopic(now time.Time, followed *topic, effects *statemachine.Effects) {
-	if followed.fetch != nil || followed.queued {
+func (g *Gateway) fetchTopic(now time.Time, topic *topicState, effects *statemachine.Effects) {
+	if topic.fetch != nil || topic.queued {
 		return
 	}
-	followed.queued = true
-	g.routed.queue = append(g.routed.queue, followed)
-	store := g.routeTo(followed.partition).address
+	topic.queued = true
+	g.routed.queue = append(g.routed.queue, topic)
+	store := g.routeTo(topic.partition).address
 	if store == "" {
 		g.viewClient.PollNow(now)
 		return
@@ -134,7 +134,7 @@
 // sendBatches sends what is queued to the stores to which no batch is on its way.
 func (g *Gateway) sendBatches(now time.Time, effects *statemachine.Effects) {
 	chosen := map[string][]*topicFetch{}
-	var waiting []*topic
+	var waiting []*topicState
 	for _, next := range g.routed.queue {
 		after, lacking := next.missingAfter(now)
 		if !lacking || g.routed.topics[next.name] != next {
@@ -225,13 +225,13 @@
 // rerouteFetches takes topics whose partition is led elsewhere now out of their
 // batches, and queues them in front.
 func (g *Gateway) rerouteFetches(now time.Time, effects *statemachine.Effects) {
-	var moved []*topic
+	var moved []*topicState
 	for _, sent := range statemachine.Sorted(g.routed.batches) {
 		for _, asked := range sent.fetches {
-			followed := asked.topic
-			if followed.fetch == asked && asked.sentBy.changed(g.routeTo(followed.partition)) {
-				followed.fetch, followed.queued = nil, true
-				moved = append(moved, followed)
+			topic := asked.topic
+			if topic.fetch == asked && asked.sentBy.changed(g.routeTo(topic.partition)) {
+				topic.fetch, topic.queued = nil, true
+				moved = append(moved, topic)
 			}
 		}
 		if !sent.wanted() {
@@ -245,28 +245,28 @@
 }
 
 // handleTopicsFetched takes the answer to a batch.
-func (g *Gateway) handleTopicsFetched(now time.Time, returned partition.FetchTopicsResponse, effects *statemachine.Effects) {
-	answered, found := g.routed.batches[returned.Request]
-	if !found || len(returned.Topics) != len(answered.fetches) {
-		for _, each := range returned.Topics {
+func (g *Gateway) handleTopicsFetched(now time.Time, response partition.FetchTopicsResponse, effects *statemachine.Effects) {
+	answered, found := g.routed.batches[response.Request]
+	if !found || len(response.Topics) != len(answered.fetches) {
+		for _, each := range response.Topics {
 			g.Counts.Late += uint64(len(each.Records))
 		}
 		return
 	}
 	for position, asked := range answered.fetches {
-		followed, records := asked.topic, returned.Topics[position]
+		topic, records := asked.topic, response.Topics[position]
 		g.Counts.Fetched += uint64(len(records.Records))
-		if followed.fetch != asked {
+		if topic.fetch != asked {
 			continue
 		}
-		followed.fetch = nil
-		if g.routed.topics[followed.name] != followed {
+		topic.fetch = nil
+		if g.routed.topics[topic.name] != topic {
 			continue
 		}
-		state, served := returned.State(followed.partition)
-		if placement, placed := g.viewClient.Placements[followed.partition]; !served || !placed || state.Epoch < placement.Epoch {
+		state, served := response.State(topic.partition)
+		if placement, placed := g.viewClient.Placements[topic.partition]; !served || !placed || state.Epoch < placement.Epoch {
 			g.viewClient.PollNow(now)
-			g.scheduleTopic(followed, now.Add(topicFetchRetry))
+			g.scheduleTopic(topic, now.Add(topicFetchRetry))
 			continue
 		}
 		g.applyFetchedTopic(now, asked, state, records, effects)
@@ -277,70 +277,70 @@
 }
 
 // applyFetchedTopic takes what a store told of one topic.
-func (g *Gateway) applyFetchedTopic(now time.Time, asked *topicFetch, state partition.PartitionState, returned partition.TopicRecords, effects *statemachine.Effects) {
-	followed := asked.topic
-	g.routed.bases[followed.partition] = state.Base
-	followed.missingBytes = returned.Left
-	if returned.Gone {
-		followed.reservedUntil = time.Time{}
-		g.expireSubscriptions(now, followed, asked.after, effects)
-		g.tickTopic(now, followed, effects)
+func (g *Gateway) applyFetchedTopic(now time.Time, asked *topicFetch, state partition.PartitionState, response partition.TopicRecords, effects *statemachine.Effects) {
+	topic := asked.topic
+	g.routed.bases[topic.partition] = state.Base
+	topic.missingBytes = response.Left
+	if response.Gone {
+		topic.reservedUntil = time.Time{}
+		g.expireSubscriptions(now, topic, asked.after, effects)
+		g.tickTopic(now, topic, effects)
 		return
 	}
-	if len(returned.Records) > 0 {
-		effects.Emit(logevent.GapFilled, "partition", followed.partition, "records", len(returned.Records), "until", returned.Until)
+	if len(response.Records) > 0 {
+		effects.Emit(logevent.GapFilled, "partition", topic.partition, "records", len(response.Records), "until", response.Until)
 	}
-	g.applyRecords(now, asked, state, returned, effects)
-	for _, taken := range slices.Clone(followed.subscriptions) {
-		if taken.filling {
-			g.advanceSubscription(now, taken, asked.after, returned, effects)
+	g.applyRecords(now, asked, state, response, effects)
+	for _, subscription := range slices.Clone(topic.subscriptions) {
+		if subscription.filling {
+			g.advanceSubscription(now, subscription, asked.after, response, effects)
 		}
 	}
-	g.release(now, followed, effects)
-	if returned.Until < state.Head {
+	g.release(now, topic, effects)
+	if response.Until < state.Head {
 		// One answer did not hold all.
-		g.want(now, followed, state.Head, 0)
+		g.want(now, topic, state.Head, 0)
 	}
-	g.tickTopic(now, followed, effects)
+	g.tickTopic(now, topic, effects)
 }
 
 // applyRecords adds fetched records to the topic's own sequence.
-func (g *Gateway) applyRecords(now time.Time, asked *topicFetch, state partition.PartitionState, returned partition.TopicRecords, effects *statemachine.Effects) {
-	followed := asked.topic
-	if !followed.live {
-		followed.live = true
-		followed.last, followed.recentFrom = returned.Until, returned.Until
+func (g *Gateway) applyRecords(now time.Time, asked *topicFetch, state partition.PartitionState, response partition.TopicRecords, effects *statemachine.Effects) {
+	topic := asked.topic
+	if !topic.live {
+		topic.live = true
+		topic.last, topic.recentFrom = response.Until, response.Until
 		if asked.after != everything {
-			followed.last, followed.recentFrom = asked.after, asked.after
+			topic.last, topic.recentFrom = asked.after, asked.after
 		}
-		if followed.reservedUntil.After(now) {
-			followed.recentUntil = followed.reservedUntil
+		if topic.reservedUntil.After(now) {
+			topic.recentUntil = topic.reservedUntil
 		}
-		g.startReports(now, followed.partition, state.Head)
+		g.startReports(now, topic.partition, state.Head)
 	}
 	if asked.after == everything {
 		return
 	}
-	followed.extendRecent(now, asked.after, returned)
-	if asked.after > followed.last {
+	topic.extendRecent(now, asked.after, response)
+	if asked.after > topic.last {
 		return
 	}
-	for _, record := range returned.Records {
-		if record.Offset > followed.last {
-			g.process(now, followed, record, effects)
+	for _, record := range response.Records {
+		if record.Offset > topic.last {
+			g.process(now, topic, record, effects)
 		}
 	}
-	followed.last = max(followed.last, returned.Until)
+	topic.last = max(topic.last, response.Until)
 }
 
 // extendRecent keeps fetched records that lie before the recent ones, for whoever
 // asks next.
-func (t *topic) extendRecent(now time.Time, after uint64, returned partition.TopicRecords) {
-	if after >= t.recentFrom || returned.Until < t.recentFrom {
+func (t *topicState) extendRecent(now time.Time, after uint64, response partition.TopicRecords) {
+	if after >= t.recentFrom || response.Until < t.recentFrom {
 		return
 	}
 	var earlier []partition.Record
-	for _, record := range returned.Records {
+	for _, record := range response.Records {
 		if record.Offset <= t.recentFrom {
 			earlier = append(earlier, record)
 			t.recentSize += len(record.Data)
@@ -352,13 +352,13 @@
 
 // advanceSubscription confirms a place that a store still holds, and hands over what came
 // for it.
-func (g *Gateway) advanceSubscription(now time.Time, taken *topicSubscription, after uint64, returned partition.TopicRecords, effects *statemachine.Effects) {
-	if taken.resumes && after <= taken.deliveredUpTo {
-		g.startTopicSubscription(now, taken, effects)
-		for _, record := range returned.Records {
-			g.skipTo(now, taken, record, effects)
+func (g *Gateway) advanceSubscription(now time.Time, subscription *topicSubscription, after uint64, response partition.TopicRecords, effects *statemachine.Effects) {
+	if subscription.resumes && after <= subscription.deliveredUpTo {
+		g.startTopicSubscription(now, subscription, effects)
+		for _, record := range response.Records {
+			g.skipTo(now, subscription, record, effects)
 		}
-		taken.deliveredUpTo = max(taken.deliveredUpTo, returned.Until)
+		subscription.deliveredUpTo = max(subscription.deliveredUpTo, response.Until)
 	}
-	g.fill(now, taken, effects)
+	g.fill(now, subscription, effects)
 }
--- a/internal/gateway/catchup_test.go
+++ b/internal/gateway/catchup_test.go
@@ -31,12 +31,12 @@
 		name := fmt.Sprintf("topic-%d", number)
 		partition := config.SharedPartition(name)
 		made.gateway.viewClient.Placements[partition] = membership.Placement{Partition: partition, Epoch: 1, Leader: "store-1", Complete: true}
-		taken := &topicSubscription{session: uint64(number + 1), filling: true, request: Subscribe{Request: uint64(number + 1)}, deadline: made.now.Add(time.Second)}
-		opened := &session{client: name, routed: map[string]*topicSubscription{name: taken}}
-		made.gateway.sessions[taken.session] = opened
+		subscription := &topicSubscription{session: uint64(number + 1), filling: true, request: Subscribe{Request: uint64(number + 1)}, deadline: made.now.Add(time.Second)}
+		opened := &session{client: name, routed: map[string]*topicSubscription{name: subscription}}
+		made.gateway.sessions[subscription.session] = opened
 		made.channels = append(made.channels, opened)
-		followed := made.gateway.addTopicSubscription(made.now, name, "boards", taken, &made.effects)
-		made.gateway.fetchTopic(made.now, followed, &made.effects)
+		topic := made.gateway.addTopicSubscription(made.now, name, "boards", subscription, &made.effects)
+		made.gateway.fetchTopic(made.now, topic, &made.effects)
 	}
 	return made
 }
@@ -147,10 +147,10 @@
 
 func TestAReservedTurnEnds(t *testing.T) {
 	many := newCrowded(1)
-	taken := many.channels[0].routed[many.channels[0].client]
-	taken.resumes, taken.deliveredUpTo = true, 3
-	many.now = taken.deadline
-	many.gateway.tickTopic(many.now, taken.topic, &many.effects)
+	subscription := many.channels[0].routed[many.channels[0].client]
+	subscription.resumes, subscription.deliveredUpTo = true, 3
+	many.now = subscription.deadline
+	many.gateway.tickTopic(many.now, subscription.topic, &many.effects)
 	assert.Equal(t, len(many.gateway.routed.topics), 1)
 	many.now = many.now.Add(reservedFor)
 	many.gateway.tickRouted(many.now, &many.effects)
@@ -191,8 +191,8 @@
 // follows with later batches.
 func TestASubscriptionIsConfirmedBeforeItsRecordsCome(t *testing.T) {
 	one := newCrowded(1)
-	taken := one.channels[0].routed["topic-0"]
-	taken.resumes, taken.deliveredUpTo = true, 2
+	subscription := one.channels[0].routed["topic-0"]
+	subscription.resumes, subscription.deliveredUpTo = true, 2
 	one.gateway.routed.topics["topic-0"].fetch.after = 2
 	asked := one.asked()[0]
 	name := config.SharedPartition("topic-0")
@@ -211,7 +211,7 @@
 	}, &one.effects)
 	assert.Equal(t, len(one.effects.Deliveries), 1)
 	assert.Equal(t, len(one.effects.Responses), 0)
-	assert.Assert(t, !taken.filling)
+	assert.Assert(t, !subscription.filling)
 }
 
 // What is told to have moved while a topic is still being fetched is not to be told
@@ -219,10 +219,10 @@
 func TestWhatMovedWhileATopicWasFetchedIsFetchedToo(t *testing.T) {
 	one := newCrowded(1)
 	asked := one.asked()[0]
-	followed := one.gateway.routed.topics["topic-0"]
-	one.gateway.routed.reportedUpTo[followed.partition] = 5
+	topic := one.gateway.routed.topics["topic-0"]
+	one.gateway.routed.reportedUpTo[topic.partition] = 5
 	one.gateway.handleTopicHighWatermarks(one.now, partition.Head{
-		Partition: followed.partition, Epoch: 1, From: 5, Offset: 8, Topics: []partition.TopicHead{{Topic: followed.number, Offset: 8}},
+		Partition: topic.partition, Epoch: 1, From: 5, Offset: 8, Topics: []partition.TopicHead{{Topic: topic.number, Offset: 8}},
 	}, &one.effects)
 	one.answer(asked)
 	one.now = one.now.Add(highWatermarkGrace)
@@ -230,17 +230,17 @@
 	next := one.asked()
 	assert.Equal(t, len(next), 1)
 	assert.DeepEqual(t, next[0].Topics, []partition.TopicAfter{{Topic: "topic-0", After: 5}})
-	assert.Equal(t, one.gateway.routed.reportedUpTo[followed.partition], uint64(8))
+	assert.Equal(t, one.gateway.routed.reportedUpTo[topic.partition], uint64(8))
 }
 
 // toldWhileWaiting is how many subscribers others are told of while one waits for
 // its place, and once it has it.
 func toldWhileWaiting() (waiting, filled int) {
 	one := newCrowded(1)
-	followed := one.gateway.routed.topics["topic-0"]
-	waiting = followed.announcedCount
+	topic := one.gateway.routed.topics["topic-0"]
+	waiting = topic.announcedCount
 	one.answer(one.asked()[0])
-	return waiting, followed.announcedCount
+	return waiting, topic.announcedCount
 }
 
 func TestNobodyIsToldOfWhoWaitsForItsPlace(t *testing.T) {
@@ -264,9 +264,9 @@
 	gateway.routed.topics["topic-0"].recentFrom, gateway.routed.topics["topic-0"].last = 9, 9
 	one.effects = statemachine.Effects{}
 	gateway.subscribeRouted(one.now, Subscribe{Request: 77, Session: 9, Client: "late", Interests: []Interest{{Path: "topic-0"}}, Cursor: formatTopicCursor(cursor)}, true, &one.effects)
-	for _, returned := range one.effects.Responses {
-		if returned.Request == 77 {
-			answer := returned.Value.(Reply)
+	for _, response := range one.effects.Responses {
+		if response.Request == 77 {
+			answer := response.Value.(Reply)
 			assert.Equal(t, answer.Outcome, OutcomeAccepted, "%v", answer)
 			assert.Equal(t, answer.Cursor, formatTopicCursor(cursor))
 			return true
@@ -308,9 +308,9 @@
 	many := newCrowded(4)
 	left := map[string]int{}
 	for number, opened := range many.channels {
-		taken := opened.routed[opened.client]
-		taken.resumes, taken.deliveredUpTo = true, 1
-		taken.topic.fetch, taken.topic.queued = nil, false
+		subscription := opened.routed[opened.client]
+		subscription.resumes, subscription.deliveredUpTo = true, 1
+		subscription.topic.fetch, subscription.topic.queued = nil, false
 		left[opened.client] = 1000 * (len(many.channels) - number)
 	}
 	clear(many.gateway.routed.batches)
@@ -318,9 +318,9 @@
 	many.gateway.routed.queue = nil
 	many.asked()
 	for _, opened := range many.channels {
-		taken := opened.routed[opened.client]
-		taken.topic.queued = true
-		many.gateway.routed.queue = append(many.gateway.routed.queue, taken.topic)
+		subscription := opened.routed[opened.client]
+		subscription.topic.queued = true
+		many.gateway.routed.queue = append(many.gateway.routed.queue, subscription.topic)
 	}
 	many.gateway.sendBatches(many.now, &many.effects)
 	many.answerLeft(many.asked()[0], left)
@@ -341,12 +341,12 @@
 // While more is known to lack than the link takes in a second nobody else is let in.
 func TestABacklogClosesTheGate(t *testing.T) {
 	one := newCrowded(1)
-	followed := one.gateway.routed.topics["topic-0"]
+	topic := one.gateway.routed.topics["topic-0"]
 	one.gateway.SetLink(thinRate)
 	assert.Assert(t, one.gateway.admits(one.now))
 	asked := one.asked()[0]
 	one.gateway.handleTopicsFetched(one.now, partition.FetchTopicsResponse{
-		Request: asked.Request, Partitions: []partition.PartitionState{{Partition: followed.partition, Epoch: 1, Head: 9}},
+		Request: asked.Request, Partitions: []partition.PartitionState{{Partition: topic.partition, Epoch: 1, Head: 9}},
 		Topics: []partition.TopicRecords{{Until: 0, Left: thinRate + 1}},
 	}, &one.effects)
 	assert.Assert(t, !one.gateway.admits(one.now))
@@ -360,17 +360,17 @@
 // the answer is still on its way.
 func TestABacklogGoesWithWhoeverLackedIt(t *testing.T) {
 	one := newCrowded(1)
-	gateway, followed := one.gateway, one.gateway.routed.topics["topic-0"]
+	gateway, topic := one.gateway, one.gateway.routed.topics["topic-0"]
 	one.answer(one.asked()[0])
 	gateway.SetLink(thinRate)
 	late := &topicSubscription{session: 9, filling: true, resumes: true, request: Subscribe{Request: 9}, deadline: one.now.Add(time.Second)}
 	gateway.sessions[9] = &session{client: "late", routed: map[string]*topicSubscription{"topic-0": late}}
 	gateway.addTopicSubscription(one.now, "topic-0", "boards", late, &one.effects)
-	gateway.fetchTopic(one.now, followed, &one.effects)
+	gateway.fetchTopic(one.now, topic, &one.effects)
 	for range 2 {
 		asked := one.asked()[0]
 		gateway.handleTopicsFetched(one.now, partition.FetchTopicsResponse{
-			Request: asked.Request, Partitions: []partition.PartitionState{{Partition: followed.partition, Epoch: 1, Head: 5}},
+			Request: asked.Request, Partitions: []partition.PartitionState{{Partition: topic.partition, Epoch: 1, Head: 5}},
 			Topics: []partition.TopicRecords{{Until: 1, Left: thinRate + 1}},
 		}, &one.effects)
 		if _, held := gateway.sessions[9].routed["topic-0"]; held {
--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -80,8 +80,8 @@
 
 // catchingUp tells whether a subscription to a routed topic still lacks something.
 func (c *session) catchingUp() bool {
-	for _, taken := range c.routed {
-		if taken.filling {
+	for _, subscription := range c.routed {
+		if subscription.filling {
 			return true
 		}
 	}
@@ -94,9 +94,9 @@
 }
 
 // emitLast tells a channel why it ends and where its origin may resume.
-func (g *Gateway) emitLast(now time.Time, id uint64, channel *session, code string, effects *statemachine.Effects) {
+func (g *Gateway) emitLast(now time.Time, id uint64, session *session, code string, effects *statemachine.Effects) {
 	effects.Deliveries = append(effects.Deliveries, statemachine.Delivery{
-		Session: id, Event: Event{Event: "gone", Code: code, Cursor: g.cursor(now, channel)}, Close: true,
+		Session: id, Event: Event{Event: "gone", Code: code, Cursor: g.cursor(now, session)}, Close: true,
 	})
 }
 
@@ -169,69 +169,69 @@
 }
 
 func (g *Gateway) closeSession(now time.Time, request CloseSession, effects *statemachine.Effects) {
-	channel, found := g.sessions[request.Session]
+	session, found := g.sessions[request.Session]
 	if !found {
 		return
 	}
-	for _, interest := range channel.interests() {
+	for _, interest := range session.interests() {
 		g.dropSubscription(now, request.Session, interest, true, effects)
 	}
-	g.dropRouted(now, channel, effects)
-	if g.newest[channel.client] == request.Session {
-		delete(g.newest, channel.client)
+	g.dropRouted(now, session, effects)
+	if g.newest[session.client] == request.Session {
+		delete(g.newest, session.client)
 	}
 	delete(g.sessions, request.Session)
 	number := logevent.SessionClosed
 	if request.Reason == "slow" {
 		number = logevent.SessionTooSlow
 	}
-	effects.Emit(number, "origin", channel.client, "why", request.Reason)
-	g.ring.Record(now, "", "", channel.client, "channel-closed", "why", request.Reason)
+	effects.Emit(number, "origin", session.client, "why", request.Reason)
+	g.ring.Record(now, "", "", session.client, "channel-closed", "why", request.Reason)
 }
 
-func (g *Gateway) checkSession(now time.Time, id uint64, channel *session, effects *statemachine.Effects) {
-	for _, got := range channel.delivered {
+func (g *Gateway) checkSession(now time.Time, id uint64, session *session, effects *statemachine.Effects) {
+	for _, got := range session.delivered {
 		for offset, at := range got {
 			if now.Sub(at) > gotMemory {
 				delete(got, offset)
 			}
 		}
 	}
-	for _, marks := range channel.sequences {
+	for _, marks := range session.sequences {
 		for sender, mark := range marks {
 			if now.Sub(mark.at) > markMemory {
 				delete(marks, sender)
 			}
 		}
 	}
-	if !channel.movedAt.IsZero() {
-		if now.Sub(channel.movedAt) > moveLinger {
+	if !session.movedAt.IsZero() {
+		if now.Sub(session.movedAt) > moveLinger {
 			effects.Deliveries = append(effects.Deliveries, statemachine.Delivery{Session: id, Event: Event{Event: "gone", Code: "moved"}, Close: true})
 			g.closeSession(now, CloseSession{Session: id, Reason: "moved"}, effects)
 		}
 		return
 	}
-	if channel.adapterPings {
+	if session.adapterPings {
 		return
 	}
-	if now.Sub(channel.pongAt) > pongTimeout {
-		g.emitLast(now, id, channel, "no-pong", effects)
+	if now.Sub(session.pongAt) > pongTimeout {
+		g.emitLast(now, id, session, "no-pong", effects)
 		g.closeSession(now, CloseSession{Session: id, Reason: "no-pong"}, effects)
 		return
 	}
-	if now.Sub(channel.pingAt) >= pingInterval {
-		channel.pingAt = now
-		g.emit(id, Event{Event: "ping", Cursor: g.cursor(now, channel)}, effects)
+	if now.Sub(session.pingAt) >= pingInterval {
+		session.pingAt = now
+		g.emit(id, Event{Event: "ping", Cursor: g.cursor(now, session)}, effects)
 	}
 }
 
 func (g *Gateway) pong(now time.Time, request Pong, effects *statemachine.Effects) {
-	channel, found := g.sessions[request.Session]
-	if !found || channel.client != request.Client {
+	session, found := g.sessions[request.Session]
+	if !found || session.client != request.Client {
 		effects.Respond(request.Request, rejectedReply(404, "no-such-channel", "this channel is not open here", 0))
 		return
 	}
-	channel.pongAt = now
+	session.pongAt = now
 	effects.Respond(request.Request, acceptedReply(nil))
 }
 
@@ -287,14 +287,14 @@
 }
 
 func (g *Gateway) subscribeAttempt(now time.Time, request Subscribe, looked bool, effects *statemachine.Effects) {
-	answer := func(returned Reply) { g.answerSubscribe(now, request, returned, effects) }
-	channel, found := g.sessions[request.Session]
-	if !found || channel.client != request.Client {
+	answer := func(response Reply) { g.answerSubscribe(now, request, response, effects) }
+	session, found := g.sessions[request.Session]
+	if !found || session.client != request.Client {
 		answer(rejectedReply(404, "no-such-channel", "this channel is not open here", 0))
 		return
 	}
-	channel.pongAt = now
-	if !channel.movedAt.IsZero() {
+	session.pongAt = now
+	if !session.movedAt.IsZero() {
 		answer(rejectedReply(409, "moved", "this channel was asked to move", 0))
 		return
 	}
@@ -314,7 +314,7 @@
 	if !g.authorize(now, judged, request.RequestName, retry, answer) {
 		return
 	}
-	if len(channel.subscriptions)+len(request.Interests) > maxInterests {
+	if len(session.subscriptions)+len(request.Interests) > maxInterests {
 		answer(rejectedReply(429, "too-many-subscriptions", "a channel holds 256 subscriptions at most", 0))
 		return
 	}
@@ -324,17 +324,17 @@
 	}
 	for space, marks := range place.Marks {
 		for sender, seq := range marks {
-			channel.markSeen(now, space, sender, seq)
+			session.markSeen(now, space, sender, seq)
 		}
 	}
 	for _, interest := range request.Interests {
-		if _, present := channel.subscriptions[interest]; present {
+		if _, present := session.subscriptions[interest]; present {
 			continue
 		}
 		round.interests = append(round.interests, interest)
 	}
 	if len(round.interests) == 0 {
-		answer(acceptedReply(map[string]any{"subscriptions": len(channel.subscriptions), "cursor": g.cursor(now, channel)}))
+		answer(acceptedReply(map[string]any{"subscriptions": len(session.subscriptions), "cursor": g.cursor(now, session)}))
 		return
 	}
 	g.nextRequest++
@@ -343,7 +343,7 @@
 	round.joins = 1
 	g.timers.ArmSooner("limits", round.limit)
 	for _, interest := range round.interests {
-		g.addSubscription(now, channel, request.Session, interest)
+		g.addSubscription(now, session, request.Session, interest)
 	}
 	for _, interest := range round.interests {
 		state := g.spaces[interest.Space]
@@ -355,9 +355,9 @@
 			}
 			if at, resumes := place.Partitions[name]; resumes {
 				asked.from, asked.after, asked.skip = at.Floor, at.Floor, at.Extras
-				channel.markDelivered(now, name, at.Extras)
+				session.markDelivered(now, name, at.Extras)
 				if since, later := at.Since[interest.key()]; later {
-					channel.notBefore(interest, name, since)
+					session.notBefore(interest, name, since)
 				}
 			}
 			if interest.Prefix {
@@ -421,11 +421,11 @@
 
 // subscribesTo tells whether a missed message is one that an interest asked for at
 // the time.
-func (c *session) subscribesTo(interests []Interest, carry RecordCopy) bool {
-	space, _ := spaceOf(carry.Partition)
+func (c *session) subscribesTo(interests []Interest, recordCopy RecordCopy) bool {
+	space, _ := spaceOf(recordCopy.Partition)
 	for _, interest := range interests {
 		subscription, found := c.subscriptions[interest]
-		if found && interest.Space == space && interest.matches(carry.Record.Topic) && carry.Record.Offset > subscription.notBefore[carry.Partition] {
+		if found && interest.Space == space && interest.matches(recordCopy.Record.Topic) && recordCopy.Record.Offset > subscription.notBefore[recordCopy.Partition] {
 			return true
 		}
 	}
@@ -446,9 +446,9 @@
 	return names
 }
 
-func (g *Gateway) addSubscription(now time.Time, channel *session, id uint64, interest Interest) {
+func (g *Gateway) addSubscription(now time.Time, session *session, id uint64, interest Interest) {
 	state := g.spaces[interest.Space]
-	channel.subscriptions[interest] = &subscription{since: map[string]uint64{}, filling: true}
+	session.subscriptions[interest] = &subscription{since: map[string]uint64{}, filling: true}
 	table := state.topics
 	if interest.Prefix {
 		table = state.prefixes
@@ -458,7 +458,7 @@
 	}
 	table[interest.Path][id] = true
 	for _, name := range g.partitionsOf(state, interest) {
-		channel.subscriptions[interest].since[name] = everything
+		session.subscriptions[interest].since[name] = everything
 		g.follow(now, name).add(interest)
 	}
 }
@@ -468,8 +468,8 @@
 // interest, is likely to come back, and a next try finds the peer further on
 // instead of beginning anew.
 func (g *Gateway) dropSubscription(now time.Time, id uint64, interest Interest, linger bool, effects *statemachine.Effects) {
-	channel := g.sessions[id]
-	delete(channel.subscriptions, interest)
+	session := g.sessions[id]
+	delete(session.subscriptions, interest)
 	state, found := g.spaces[interest.Space]
 	if !found {
 		return
@@ -483,7 +483,7 @@
 		delete(table, interest.Path)
 	}
 	for _, name := range g.partitionsOf(state, interest) {
-		if tracker, followed := g.trackers[name]; followed && tracker.remove(interest) {
+		if tracker, topic := g.trackers[name]; topic && tracker.remove(interest) {
 			delete(g.trackers, name)
 		}
 	}
@@ -524,17 +524,17 @@
 		g.unsubscribeRouted(now, request, effects)
 		return
 	}
-	channel, found := g.sessions[request.Session]
-	if !found || channel.client != request.Client {
+	session, found := g.sessions[request.Session]
+	if !found || session.client != request.Client {
 		effects.Respond(request.Request, rejectedReply(404, "no-such-channel", "this channel is not open here", 0))
 		return
 	}
 	for _, interest := range request.Interests {
-		if _, present := channel.subscriptions[interest]; present {
+		if _, present := session.subscriptions[interest]; present {
 			g.dropSubscription(now, request.Session, interest, false, effects)
 		}
 	}
-	effects.Respond(request.Request, acceptedReply(map[string]any{"subscriptions": len(channel.subscriptions)}))
+	effects.Respond(request.Request, acceptedReply(map[string]any{"subscriptions": len(session.subscriptions)}))
 }
 
 // advanceFetch goes on once the overlay peers have settled: it asks the first
@@ -607,17 +607,17 @@
 		}
 		return
 	}
-	if channel, found := g.sessions[round.channel]; found {
-		g.dropFilling(now, round, channel, effects)
-		g.drain(now, round.channel, channel, effects)
+	if session, found := g.sessions[round.channel]; found {
+		g.dropFilling(now, round, session, effects)
+		g.drain(now, round.channel, session, effects)
 	}
 	g.answerSubscribe(now, round.request, rejectedReply(503, code, "the place could not be found in time; nothing is subscribed", retrySoon), effects)
 }
 
 // had tells whether an answer is one that came before, to an earlier part of what is
 // asked.
-func (f *fetched) had(returned partition.FetchResponse) bool {
-	return f.after != everything && returned.Until <= f.after && f.after < returned.Head && !statemachine.Mutated("any-answer")
+func (f *fetched) had(response partition.FetchResponse) bool {
+	return f.after != everything && response.Until <= f.after && f.after < response.Head && !statemachine.Mutated("any-answer")
 }
 
 // lacked are the records beyond what was had before.
@@ -628,51 +628,51 @@
 	return slices.DeleteFunc(records, func(record partition.Record) bool { return record.Offset <= f.after })
 }
 
-func (g *Gateway) onFetchResponse(now time.Time, returned partition.FetchResponse, effects *statemachine.Effects) {
-	round, found := g.fetches[returned.Request]
+func (g *Gateway) onFetchResponse(now time.Time, response partition.FetchResponse, effects *statemachine.Effects) {
+	round, found := g.fetches[response.Request]
 	if !found {
-		g.Counts.Late += uint64(len(returned.Records))
+		g.Counts.Late += uint64(len(response.Records))
 		return
 	}
-	asked, wanted := round.partitions[returned.Partition]
+	asked, wanted := round.partitions[response.Partition]
 	if !wanted || asked.done {
 		return
 	}
-	place, placed := g.viewClient.Placements[returned.Partition]
-	if !returned.Ready || !placed || returned.Epoch < place.Epoch {
-		if !returned.Ready {
+	place, placed := g.viewClient.Placements[response.Partition]
+	if !response.Ready || !placed || response.Epoch < place.Epoch {
+		if !response.Ready {
 			g.viewClient.PollNow(now)
 		}
 		return
 	}
-	if asked.after != everything && asked.after < returned.Base && round.tracker == "" {
+	if asked.after != everything && asked.after < response.Base && round.tracker == "" {
 		// What lies between was kept for the holding time and is gone.
-		g.loseHistory(now, returned.Request, round, effects)
+		g.loseHistory(now, response.Request, round, effects)
 		return
 	}
-	if asked.had(returned) {
+	if asked.had(response) {
 		return
 	}
 	asked.waiting = false
 	if asked.after == everything {
-		asked.until = returned.Head
+		asked.until = response.Head
 	} else {
-		asked.until = max(returned.Until, min(asked.after, returned.Head))
-		round.records[returned.Partition] = append(round.records[returned.Partition], asked.lacked(returned.Records)...)
-		if asked.until < returned.Head {
+		asked.until = max(response.Until, min(asked.after, response.Head))
+		round.records[response.Partition] = append(round.records[response.Partition], asked.lacked(response.Records)...)
+		if asked.until < response.Head {
 			asked.after = asked.until
-			g.ask(now, returned.Request, returned.Partition, asked, effects)
+			g.ask(now, response.Request, response.Partition, asked, effects)
 			return
 		}
 	}
 	asked.done = true
-	g.advanceFetch(now, returned.Request, round, cursor{}, effects)
+	g.advanceFetch(now, response.Request, round, cursor{}, effects)
 }
 
 // dropFilling ends the subscriptions that a round did not come to fill.
-func (g *Gateway) dropFilling(now time.Time, round *fetch, channel *session, effects *statemachine.Effects) {
+func (g *Gateway) dropFilling(now time.Time, round *fetch, session *session, effects *statemachine.Effects) {
 	for _, interest := range round.interests {
-		if subscription, present := channel.subscriptions[interest]; present && subscription.filling {
+		if subscription, present := session.subscriptions[interest]; present && subscription.filling {
 			g.dropSubscription(now, round.channel, interest, true, effects)
 		}
 	}
@@ -680,8 +680,8 @@
 
 func (g *Gateway) loseHistory(now time.Time, id uint64, round *fetch, effects *statemachine.Effects) {
 	delete(g.fetches, id)
-	if channel, found := g.sessions[round.channel]; found {
-		g.dropFilling(now, round, channel, effects)
+	if session, found := g.sessions[round.channel]; found {
+		g.dropFilling(now, round, session, effects)
 	}
 	g.answerSubscribe(now, round.request, rejectedReply(410, "place-lost", "what was missed is older than the space holds; subscribe without the cursor", 0), effects)
 }
@@ -694,7 +694,7 @@
 		g.verified(now, round, effects)
 		return
 	}
-	channel, found := g.sessions[round.channel]
+	session, found := g.sessions[round.channel]
 	if !found {
 		delete(g.fetches, id)
 		return
@@ -703,7 +703,7 @@
 	for name, asked := range statemachine.Sorted(round.partitions) {
 		// The partition was verified further for others meanwhile; what lies
 		// between was not kept here for this channel.
-		if tracker, followed := g.trackers[name]; followed && tracker.began && asked.until < tracker.verified {
+		if tracker, topic := g.trackers[name]; topic && tracker.began && asked.until < tracker.verified {
 			again = append(again, name)
 		}
 	}
@@ -722,7 +722,7 @@
 	}
 	delete(g.fetches, id)
 	for _, interest := range round.interests {
-		subscription, present := channel.subscriptions[interest]
+		subscription, present := session.subscriptions[interest]
 		if !present {
 			continue
 		}
@@ -733,34 +733,34 @@
 		for name := range subscription.since {
 			if asked, wanted := round.partitions[name]; wanted {
 				subscription.since[name] = asked.until
-				if tracker, followed := g.trackers[name]; followed {
+				if tracker, topic := g.trackers[name]; topic {
 					tracker.begin(interest, asked.until)
 				}
 			}
 		}
 	}
 	// Until all of it is handed over, a cursor must still say where it began.
-	channel.floors = map[string]uint64{}
+	session.floors = map[string]uint64{}
 	for name, asked := range round.partitions {
 		if asked.from != everything {
-			channel.floors[name] = asked.from
+			session.floors[name] = asked.from
 		}
 	}
 	missed := 0
 	for _, each := range ordered {
-		if channel.subscribesTo(round.interests, each) {
+		if session.subscribesTo(round.interests, each) {
 			missed++
-			g.deliverTo(now, round.channel, channel, each, effects)
+			g.deliverTo(now, round.channel, session, each, effects)
 		}
 	}
-	channel.floors = nil
+	session.floors = nil
 	g.answerSubscribe(now, round.request, acceptedReply(map[string]any{
-		"subscriptions": len(channel.subscriptions), "resumed": round.resumes, "missed": missed, "cursor": g.cursor(now, channel),
+		"subscriptions": len(session.subscriptions), "resumed": round.resumes, "missed": missed, "cursor": g.cursor(now, session),
 	}), effects)
 	if round.resumes {
-		g.replay(now, channel, round.interests)
+		g.replay(now, session, round.interests)
 	}
-	g.drain(now, round.channel, channel, effects)
+	g.drain(now, round.channel, session, effects)
 	g.timers.ArmSooner("follow", now)
 	g.pump(now, effects)
 }
@@ -864,20 +864,20 @@
 }
 
 // drain hands over what waited while a channel was being filled.
-func (g *Gateway) drain(now time.Time, id uint64, channel *session, effects *statemachine.Effects) {
-	if channel.filling() {
+func (g *Gateway) drain(now time.Time, id uint64, session *session, effects *statemachine.Effects) {
+	if session.filling() {
 		return
 	}
 	// What is left in the buffer keeps the cursor's floor below it.
-	for len(channel.buffer) > 0 {
-		carry := channel.buffer[0]
-		channel.buffer = channel.buffer[1:]
-		g.offerRecord(now, id, channel, carry, effects)
+	for len(session.buffer) > 0 {
+		recordCopy := session.buffer[0]
+		session.buffer = session.buffer[1:]
+		g.offerRecord(now, id, session, recordCopy, effects)
 	}
-	passes := channel.ephemeralBuffer
-	channel.ephemeralBuffer = nil
+	passes := session.ephemeralBuffer
+	session.ephemeralBuffer = nil
 	for _, message := range passes {
-		g.offerEphemeral(now, id, channel, message, effects)
+		g.offerEphemeral(now, id, session, message, effects)
 	}
 }
 
@@ -885,28 +885,28 @@
 
 // offerRecord gives a kept message to a channel, if one of its subscriptions wants it
 // and it has not had it.
-func (g *Gateway) offerRecord(now time.Time, id uint64, channel *session, carry RecordCopy, effects *statemachine.Effects) {
-	space, _ := spaceOf(carry.Partition)
+func (g *Gateway) offerRecord(now time.Time, id uint64, session *session, recordCopy RecordCopy, effects *statemachine.Effects) {
+	space, _ := spaceOf(recordCopy.Partition)
 	wanted, waits := false, false
-	for interest, subscription := range channel.subscriptions {
-		if interest.Space != space || !interest.matches(carry.Record.Topic) {
+	for interest, subscription := range session.subscriptions {
+		if interest.Space != space || !interest.matches(recordCopy.Record.Topic) {
 			continue
 		}
 		if subscription.filling {
 			waits = true
 			continue
 		}
-		wanted = wanted || carry.Record.Offset > subscription.since[carry.Partition]
+		wanted = wanted || recordCopy.Record.Offset > subscription.since[recordCopy.Partition]
 	}
 	wanted = wanted || statemachine.Mutated("no-exact-match")
-	if channel.filling() && (wanted || waits) {
+	if session.filling() && (wanted || waits) {
 		// While any part is being filled the whole channel waits, since a
 		// sender's order runs across its subscriptions.
-		channel.buffer = append(channel.buffer, carry)
+		session.buffer = append(session.buffer, recordCopy)
 		return
 	}
 	if wanted {
-		g.deliverTo(now, id, channel, carry, effects)
+		g.deliverTo(now, id, session, recordCopy, effects)
 	}
 }
 
@@ -918,17 +918,17 @@
 }
 
 // deliverTo gives a kept message to a channel once.
-func (g *Gateway) deliverTo(now time.Time, id uint64, channel *session, carry RecordCopy, effects *statemachine.Effects) {
-	if !channel.movedAt.IsZero() || !channel.firstDelivery(now, carry.Partition, carry.Record.Offset) {
+func (g *Gateway) deliverTo(now time.Time, id uint64, session *session, recordCopy RecordCopy, effects *statemachine.Effects) {
+	if !session.movedAt.IsZero() || !session.firstDelivery(now, recordCopy.Partition, recordCopy.Record.Offset) {
 		return
 	}
-	space, _ := spaceOf(carry.Partition)
+	space, _ := spaceOf(recordCopy.Partition)
 	g.Counts.Delivered++
-	g.ring.Record(now, "", decisionlog.MessageName(space, carry.Record.Sender, carry.Record.Seq), channel.client, "delivered",
-		"partition", carry.Partition, "offset", carry.Record.Offset)
+	g.ring.Record(now, "", decisionlog.MessageName(space, recordCopy.Record.Sender, recordCopy.Record.Seq), session.client, "delivered",
+		"partition", recordCopy.Partition, "offset", recordCopy.Record.Offset)
 	g.emit(id, Event{
-		Event: "message", Space: space, Topic: carry.Record.Topic, Sender: carry.Record.Sender, Seq: carry.Record.Seq,
-		Data: json.RawMessage(carry.Record.Data), Cursor: g.cursor(now, channel),
+		Event: "message", Space: space, Topic: recordCopy.Record.Topic, Sender: recordCopy.Record.Sender, Seq: recordCopy.Record.Seq,
+		Data: json.RawMessage(recordCopy.Record.Data), Cursor: g.cursor(now, session),
 	}, effects)
 }
 
@@ -945,16 +945,16 @@
 	return true
 }
 
-func (g *Gateway) offerEphemeral(now time.Time, id uint64, channel *session, message EphemeralCopy, effects *statemachine.Effects) {
-	if !channel.movedAt.IsZero() {
+func (g *Gateway) offerEphemeral(now time.Time, id uint64, session *session, message EphemeralCopy, effects *statemachine.Effects) {
+	if !session.movedAt.IsZero() {
 		return
 	}
 	space, _ := spaceOf(message.Space + "/")
 	wanted := false
-	for interest, subscription := range channel.subscriptions {
+	for interest, subscription := range session.subscriptions {
 		if interest.Space == space && interest.matches(message.Topic) {
-			if subscription.filling || channel.filling() {
-				channel.ephemeralBuffer = append(channel.ephemeralBuffer, message)
+			if subscription.filling || session.filling() {
+				session.ephemeralBuffer = append(session.ephemeralBuffer, message)
 				return
 			}
 			// What is offered late is for those who were away, not for those
@@ -962,13 +962,13 @@
 			wanted = wanted || !message.Repeated || now.Sub(subscription.resumedAt) <= resumedFor
 		}
 	}
-	if !wanted || !channel.markSeen(now, message.Space, message.Sender, message.Seq) {
+	if !wanted || !session.markSeen(now, message.Space, message.Sender, message.Seq) {
 		return
 	}
 	g.Counts.Delivered++
-	g.ring.Record(now, "", decisionlog.MessageName(space, message.Sender, message.Seq), channel.client, "delivered")
+	g.ring.Record(now, "", decisionlog.MessageName(space, message.Sender, message.Seq), session.client, "delivered")
 	g.emit(id, Event{
 		Event: "message", Space: space, Topic: message.Topic, Sender: message.Sender, Seq: message.Seq,
-		Data: json.RawMessage(message.Data), Cursor: g.cursor(now, channel),
+		Data: json.RawMessage(message.Data), Cursor: g.cursor(now, session),
 	}, effects)
 }
--- a/internal/gateway/cursor.go
+++ b/internal/gateway/cursor.go
@@ -72,11 +72,11 @@
 
 // cursor tells a channel's present place. A channel that is still being filled,
 // or holds nothing, has none: its origin's earlier place still stands.
-func (g *Gateway) cursor(now time.Time, channel *session) string {
-	if len(channel.subscriptions) == 0 || channel.floors == nil && channel.filling() {
+func (g *Gateway) cursor(now time.Time, session *session) string {
+	if len(session.subscriptions) == 0 || session.floors == nil && session.filling() {
 		return ""
 	}
-	place := cursor{Layout: cursorLayout, Origin: channel.client, Partitions: map[string]position{}, Marks: map[string]map[string]uint64{}}
+	place := cursor{Layout: cursorLayout, Origin: session.client, Partitions: map[string]position{}, Marks: map[string]map[string]uint64{}}
 	floor := func(name string, at uint64) {
 		present, found := place.Partitions[name]
 		if !found || at < present.Floor {
@@ -84,13 +84,13 @@
 		}
 		place.Partitions[name] = present
 	}
-	for interest, subscription := range channel.subscriptions {
+	for interest, subscription := range session.subscriptions {
 		if subscription.filling {
 			continue
 		}
 		place.Interests = append(place.Interests, interest)
 		for name, since := range subscription.since {
-			if tracker, followed := g.trackers[name]; followed {
+			if tracker, topic := g.trackers[name]; topic {
 				since = max(since, tracker.verified)
 			}
 			floor(name, since)
@@ -99,19 +99,19 @@
 	slices.SortFunc(place.Interests, compareInterests)
 	// What waits in the buffer, or in a backlog that is being handed over, was
 	// not yet given.
-	for _, carry := range channel.buffer {
-		if _, live := place.Partitions[carry.Partition]; live {
-			floor(carry.Partition, carry.Record.Offset-1)
+	for _, recordCopy := range session.buffer {
+		if _, live := place.Partitions[recordCopy.Partition]; live {
+			floor(recordCopy.Partition, recordCopy.Record.Offset-1)
 		}
 	}
-	for name, at := range channel.floors {
+	for name, at := range session.floors {
 		floor(name, at)
 	}
 	for name, at := range place.Partitions {
-		at.Extras = channel.extras(name, at.Floor)
+		at.Extras = session.extras(name, at.Floor)
 		slices.Sort(at.Extras)
-		for interest, subscription := range channel.subscriptions {
-			if since, found := subscription.since[name]; found && !subscription.filling && since > at.Floor && channel.floors == nil {
+		for interest, subscription := range session.subscriptions {
+			if since, found := subscription.since[name]; found && !subscription.filling && since > at.Floor && session.floors == nil {
 				if at.Since == nil {
 					at.Since = map[string]uint64{}
 				}
@@ -120,7 +120,7 @@
 		}
 		place.Partitions[name] = at
 	}
-	for space, marks := range channel.sequences {
+	for space, marks := range session.sequences {
 		copied := map[string]uint64{}
 		for sender, mark := range marks {
 			if now.Sub(mark.at) < markMemory {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -308,8 +308,8 @@
 	case CountSubscribers:
 		g.count(now, body, false, effects)
 	case ClientActive:
-		if channel, found := g.sessions[body.Session]; found {
-			channel.pongAt = now
+		if session, found := g.sessions[body.Session]; found {
+			session.pongAt = now
 		}
 	case ControlRequest:
 		g.controlClient.Forward(now, body.Local, body.Method, body.Path, body.Body, effects)
@@ -403,11 +403,11 @@
 
 func (g *Gateway) handleViewUpdate(now time.Time, news membership.ViewUpdate, effects *statemachine.Effects) {
 	wasResting := g.Resting()
-	taken := g.viewClient.HandleUpdate(now, news)
-	if taken.View {
+	subscription := g.viewClient.HandleUpdate(now, news)
+	if subscription.View {
 		g.applyView(now, effects)
 	}
-	if taken.Document && (!statemachine.Mutated("deaf-gateway") || g.settings.Self.Name != "gateway-1" || g.config.Version <= 0) {
+	if subscription.Document && (!statemachine.Mutated("deaf-gateway") || g.settings.Self.Name != "gateway-1" || g.config.Version <= 0) {
 		g.applyConfiguration(now, effects)
 	}
 	if resting := g.Resting(); resting != wasResting {
@@ -511,11 +511,11 @@
 	if state.space.Order == config.OrderTopic {
 		return
 	}
-	for id, channel := range statemachine.Sorted(g.sessions) {
+	for id, session := range statemachine.Sorted(g.sessions) {
 		ended := false
-		for interest := range channel.subscriptions {
+		for interest := range session.subscriptions {
 			if interest.Space == name {
-				delete(channel.subscriptions, interest)
+				delete(session.subscriptions, interest)
 				ended = true
 			}
 		}
@@ -575,8 +575,8 @@
 // tick does the slow periodic work: pings, silent channels, idle senders.
 func (g *Gateway) tick(now time.Time, effects *statemachine.Effects) {
 	g.timers.Arm("tick", now.Add(tickInterval))
-	for id, channel := range statemachine.Sorted(g.sessions) {
-		g.checkSession(now, id, channel, effects)
+	for id, session := range statemachine.Sorted(g.sessions) {
+		g.checkSession(now, id, session, effects)
 	}
 	g.endLingering(now, effects)
 	g.disconnectSome(now, effects)
@@ -599,11 +599,11 @@
 		return
 	}
 	count := max(minDisconnects, len(g.sessions)/2)
-	for id, channel := range statemachine.Sorted(g.sessions) {
+	for id, session := range statemachine.Sorted(g.sessions) {
 		if count--; count < 0 {
 			return
 		}
-		g.emitLast(now, id, channel, "unconfirmed", effects)
+		g.emitLast(now, id, session, "unconfirmed", effects)
 		g.closeSession(now, CloseSession{Session: id, Reason: "unconfirmed"}, effects)
 	}
 }
@@ -657,10 +657,10 @@
 		g.timers.Arm("move", now.Add(5*moveInterval))
 		return
 	}
-	for id, channel := range statemachine.Sorted(g.sessions) {
-		if channel.movedAt.IsZero() && !channel.filling() && (g.draining() || !channel.catchingUp()) {
+	for id, session := range statemachine.Sorted(g.sessions) {
+		if session.movedAt.IsZero() && !session.filling() && (g.draining() || !session.catchingUp()) {
 			g.turn++
-			g.move(now, id, channel, targets[g.turn%min(len(targets), 3)], effects)
+			g.move(now, id, session, targets[g.turn%min(len(targets), 3)], effects)
 			if count--; count == 0 {
 				break
 			}
@@ -674,20 +674,20 @@
 // remainingSessions counts the channels that were not told to move.
 func (g *Gateway) remainingSessions() int {
 	count := 0
-	for _, channel := range g.sessions {
-		if channel.movedAt.IsZero() {
+	for _, session := range g.sessions {
+		if session.movedAt.IsZero() {
 			count++
 		}
 	}
 	return count
 }
 
-func (g *Gateway) move(now time.Time, id uint64, channel *session, target membership.Member, effects *statemachine.Effects) {
+func (g *Gateway) move(now time.Time, id uint64, session *session, target membership.Member, effects *statemachine.Effects) {
 	g.Counts.Moves++
-	event := Event{Event: "move", To: target.Caller, ToName: target.Name, Cursor: g.cursor(now, channel)}
-	channel.movedAt = now
-	g.ring.Record(now, "", "", channel.client, "moved", "to", target.Name, "stopping", g.stopping)
-	effects.Emit(logevent.SessionMoved, "origin", channel.client, "to", target.Name)
+	event := Event{Event: "move", To: target.Caller, ToName: target.Name, Cursor: g.cursor(now, session)}
+	session.movedAt = now
+	g.ring.Record(now, "", "", session.client, "moved", "to", target.Name, "stopping", g.stopping)
+	effects.Emit(logevent.SessionMoved, "origin", session.client, "to", target.Name)
 	g.emit(id, event, effects)
 }
 
@@ -710,8 +710,8 @@
 // staysFor tells whether anybody is left who may yet leave by itself: on lines a
 // caller that was told where to go and is long still here won't.
 func (g *Gateway) staysFor(now time.Time) bool {
-	for _, channel := range g.sessions {
-		if !channel.adapterPings || channel.movedAt.IsZero() || now.Sub(channel.movedAt) < moveTimeout {
+	for _, session := range g.sessions {
+		if !session.adapterPings || session.movedAt.IsZero() || now.Sub(session.movedAt) < moveTimeout {
 			return true
 		}
 	}
@@ -724,8 +724,8 @@
 		g.timers.Arm("stop", now.Add(moveInterval))
 		return
 	}
-	for id, channel := range statemachine.Sorted(g.sessions) {
-		g.emitLast(now, id, channel, "stopping", effects)
+	for id, session := range statemachine.Sorted(g.sessions) {
+		g.emitLast(now, id, session, "stopping", effects)
 	}
 	g.overlay.LeaveAll(effects)
 	for _, member := range statemachine.Sorted(g.viewClient.Members) {
--- a/internal/gateway/identity_mutation_test.go
+++ b/internal/gateway/identity_mutation_test.go
@@ -14,9 +14,9 @@
 
 func TestTheIdentityOfAnswersIsNeeded(t *testing.T) {
 	restore := statemachine.Mutate("lives-alike")
-	returned := lateAppend()
-	assert.Equal(t, len(returned), 1)
-	assert.Equal(t, returned[0].Value.(Reply).Outcome, OutcomeAccepted)
+	response := lateAppend()
+	assert.Equal(t, len(response), 1)
+	assert.Equal(t, response[0].Value.(Reply).Outcome, OutcomeAccepted)
 	assert.Assert(t, lateFetch())
 	restore()
 	restore = statemachine.Mutate("any-answer")
--- a/internal/gateway/identity_test.go
+++ b/internal/gateway/identity_test.go
@@ -56,10 +56,10 @@
 }
 
 func (a *asker) fetch(now time.Time) partition.FetchTopics {
-	followed := &topic{name: "t", partition: a.item.partition, durable: true}
-	followed.subscriptions = []*topicSubscription{{topic: followed, filling: true}}
-	a.gateway.routed.topics[followed.name] = followed
-	return a.ask(func(effects *statemachine.Effects) { a.gateway.fetchTopic(now, followed, effects) })[0].Message.(partition.FetchTopics)
+	topic := &topicState{name: "t", partition: a.item.partition, durable: true}
+	topic.subscriptions = []*topicSubscription{{topic: topic, filling: true}}
+	a.gateway.routed.topics[topic.name] = topic
+	return a.ask(func(effects *statemachine.Effects) { a.gateway.fetchTopic(now, topic, effects) })[0].Message.(partition.FetchTopics)
 }
 
 func (a *asker) recall(now time.Time) []statemachine.Send {
--- a/internal/gateway/publish.go
+++ b/internal/gateway/publish.go
@@ -123,7 +123,7 @@
 		Seq: request.Seq, Data: request.Data, Refreshed: looked,
 	}
 	item := &publication{request: request, key: senderKey{space: request.Space, sender: request.Sender}}
-	answer := func(returned Reply) { g.settlePublication(now, item, returned, effects) }
+	answer := func(response Reply) { g.settlePublication(now, item, response, effects) }
 	retry := func(now time.Time, effects *statemachine.Effects) { g.tryPublish(now, request, true, effects) }
 	if !g.authorize(now, judged, request.RequestName, retry, answer) {
 		return
@@ -303,52 +303,52 @@
 	})
 }
 
-func (g *Gateway) onAppendResponse(now time.Time, returned partition.AppendResponse, effects *statemachine.Effects) {
-	if item, routed := g.routed.sends[returned.Request]; routed && item.partition == returned.Partition {
-		g.handleRoutedResponse(now, item, returned, effects)
+func (g *Gateway) onAppendResponse(now time.Time, response partition.AppendResponse, effects *statemachine.Effects) {
+	if item, routed := g.routed.sends[response.Request]; routed && item.partition == response.Partition {
+		g.handleRoutedResponse(now, item, response, effects)
 		return
 	}
-	item, found := g.sends[returned.Request]
-	if !found || item.partition != returned.Partition {
+	item, found := g.sends[response.Request]
+	if !found || item.partition != response.Partition {
 		return
 	}
-	delete(item.open, returned.Request)
-	delete(g.sends, returned.Request)
+	delete(item.open, response.Request)
+	delete(g.sends, response.Request)
 	message := decisionlog.MessageName(item.request.Space, item.request.Sender, item.request.Seq)
-	g.ring.Record(now, item.request.RequestName, message, item.request.Client, "kept", "outcome", returned.Outcome,
-		"code", returned.Code, "partition", returned.Partition, "epoch", returned.Epoch, "offset", returned.Record.Offset, "again", returned.Again)
-	switch returned.Outcome {
+	g.ring.Record(now, item.request.RequestName, message, item.request.Client, "kept", "outcome", response.Outcome,
+		"code", response.Code, "partition", response.Partition, "epoch", response.Epoch, "offset", response.Record.Offset, "again", response.Again)
+	switch response.Outcome {
 	case partition.Accepted:
 		if from, known := g.senders[item.key]; known {
 			from.lastSeq = max(from.lastSeq, item.request.Seq)
 			from.trail = append(from.trail, trailed{
-				mark: partition.Mark{Partition: partition.NumberIn(returned.Partition), Offset: returned.Record.Offset, Topic: item.request.Topic},
+				mark: partition.Mark{Partition: partition.NumberIn(response.Partition), Offset: response.Record.Offset, Topic: item.request.Topic},
 				seq:  item.request.Seq, at: now,
 			})
 		}
-		if state, present := g.spaces[item.request.Space]; present && !returned.Again {
-			g.fanOutKept(now, state, returned.Partition, returned.Record, item, effects)
+		if state, present := g.spaces[item.request.Space]; present && !response.Again {
+			g.fanOutKept(now, state, response.Partition, response.Record, item, effects)
 		}
-		g.finish(now, item, acceptedReply(map[string]any{"again": returned.Again}), effects)
+		g.finish(now, item, acceptedReply(map[string]any{"again": response.Again}), effects)
 	case partition.Refused:
-		switch returned.Code {
+		switch response.Code {
 		case "not-first":
 			// The store or this gateway lacks news; the limit decides.
 			g.viewClient.PollNow(now)
 			item.sentAt = now
 			g.timers.ArmSooner("limits", now.Add(appendRetry))
 		case "old-seq", "seq-reused":
-			g.finish(now, item, rejectedReply(409, returned.Code, "this seq is not above the sender's newest", 0), effects)
+			g.finish(now, item, rejectedReply(409, response.Code, "this seq is not above the sender's newest", 0), effects)
 		default:
 			if len(item.open) > 0 {
 				// An earlier try has no answer; it may yet be kept.
-				g.finish(now, item, unsettledReply(returned.Code, "send the same seq again", returned.RetryAfter), effects)
+				g.finish(now, item, unsettledReply(response.Code, "send the same seq again", response.RetryAfter), effects)
 				return
 			}
-			g.finish(now, item, rejectedReply(503, returned.Code, "the partition can't keep two copies at this moment", returned.RetryAfter), effects)
+			g.finish(now, item, rejectedReply(503, response.Code, "the partition can't keep two copies at this moment", response.RetryAfter), effects)
 		}
 	default:
-		g.finish(now, item, unsettledReply(returned.Code, "send the same seq again", retryLater), effects)
+		g.finish(now, item, unsettledReply(response.Code, "send the same seq again", retryLater), effects)
 	}
 }
 
@@ -374,8 +374,8 @@
 }
 
 // onSenderResponse counts one answer of each store that was asked.
-func (g *Gateway) onSenderResponse(now time.Time, store string, returned partition.SenderResponse, effects *statemachine.Effects) {
-	asked, found := g.recalls[returned.Request]
+func (g *Gateway) onSenderResponse(now time.Time, store string, response partition.SenderResponse, effects *statemachine.Effects) {
+	asked, found := g.recalls[response.Request]
 	if !found {
 		return
 	}
@@ -384,13 +384,13 @@
 	}
 	asked.answered[store] = true
 	asked.waiting--
-	asked.ready = asked.ready && returned.Ready
-	asked.lastSeq = max(asked.lastSeq, returned.LastSeq)
-	asked.recent = append(asked.recent, returned.Recent...)
+	asked.ready = asked.ready && response.Ready
+	asked.lastSeq = max(asked.lastSeq, response.LastSeq)
+	asked.recent = append(asked.recent, response.Recent...)
 	if asked.waiting > 0 {
 		return
 	}
-	delete(g.recalls, returned.Request)
+	delete(g.recalls, response.Request)
 	from, known := g.senders[asked.key]
 	if !known || len(from.queue) == 0 {
 		return
@@ -412,13 +412,13 @@
 // to this daemon's own subscribers.
 func (g *Gateway) fanOutKept(now time.Time, state *spaceState, name string, record partition.Record, item *publication, effects *statemachine.Effects) {
 	area := areaOf(state.space, record.Topic)
-	carry := RecordCopy{Partition: name, Record: record}
+	recordCopy := RecordCopy{Partition: name, Record: record}
 	spread := func(now time.Time, effects *statemachine.Effects, settled bool) {
 		destinations := g.overlay.Destinations(state.name, area)
-		g.spread(now, item, destinations, settled, carry, effects)
+		g.spread(now, item, destinations, settled, recordCopy, effects)
 	}
-	if _, followed := g.trackers[name]; followed {
-		g.onCarry(now, carry, effects)
+	if _, topic := g.trackers[name]; topic {
+		g.onCarry(now, recordCopy, effects)
 	}
 	if g.overlay.Settled(state.name, area) {
 		spread(now, effects, true)
--- a/internal/gateway/recent.go
+++ b/internal/gateway/recent.go
@@ -60,7 +60,7 @@
 
 // replay puts what passed by here just before an origin resumed in front of what
 // came while it did, each sender's messages in order.
-func (g *Gateway) replay(now time.Time, channel *session, interests []Interest) {
+func (g *Gateway) replay(now time.Time, session *session, interests []Interest) {
 	var replayed []EphemeralCopy
 	for _, interest := range interests {
 		state, present := g.spaces[interest.Space]
@@ -73,8 +73,8 @@
 			}
 		}
 	}
-	channel.ephemeralBuffer = append(replayed, channel.ephemeralBuffer...)
-	slices.SortStableFunc(channel.ephemeralBuffer, func(left, right EphemeralCopy) int {
+	session.ephemeralBuffer = append(replayed, session.ephemeralBuffer...)
+	slices.SortStableFunc(session.ephemeralBuffer, func(left, right EphemeralCopy) int {
 		return cmp.Or(cmp.Compare(left.Sender, right.Sender), cmp.Compare(left.Seq, right.Seq))
 	})
 }
--- a/internal/gateway/routed.go
+++ b/internal/gateway/routed.go
@@ -39,9 +39,9 @@
 	maxPendingTopicRecords = 4096
 )
 
-// topic is a routed topic as this gateway follows it for its channels. Once it
+// topicState is a routed topic as this gateway follows it for its channels. Once it
 // is live, all of it up to last was handed over to every place that is filled.
-type topic struct {
+type topicState struct {
 	name           string
 	number         uint64
 	partition      string
@@ -74,7 +74,7 @@
 
 // topicSubscription is one channel's subscription to a topic, and how far it was handed over.
 type topicSubscription struct {
-	topic         *topic
+	topic         *topicState
 	session       uint64
 	index         int
 	deliveredUpTo uint64
@@ -86,8 +86,8 @@
 
 // routed is all that a gateway holds of routed topics.
 type routed struct {
-	topics     map[string]*topic
-	numbers    map[uint64]*topic
+	topics     map[string]*topicState
+	numbers    map[uint64]*topicState
 	partitions map[string]int
 	// reportedUpTo is how far each partition's first told this gateway what moved. It begins
 	// with the first topic that is fetched from there: what moved before that is of
@@ -101,19 +101,19 @@
 	// queue holds the topics that wait for the next.
 	batches       map[uint64]*batch
 	batchInFlight map[string]uint64
-	queue         []*topic
+	queue         []*topicState
 	appends       map[uint64]*routedPublication
 	sends         map[uint64]*routedPublication
 	// accepted is when a publication of this gateway's callers was accepted.
 	accepted map[routedKey]time.Time
 	// busy are the topics with something that waits for a moment to come.
-	busy map[string]*topic
+	busy map[string]*topicState
 }
 
 func newRouted() *routed {
 	return &routed{
-		topics: map[string]*topic{}, numbers: map[uint64]*topic{}, partitions: map[string]int{}, reportedUpTo: map[string]uint64{}, followRoutes: map[string]route{}, bases: map[string]uint64{},
-		batches: map[uint64]*batch{}, batchInFlight: map[string]uint64{}, appends: map[uint64]*routedPublication{}, sends: map[uint64]*routedPublication{}, accepted: map[routedKey]time.Time{}, busy: map[string]*topic{},
+		topics: map[string]*topicState{}, numbers: map[uint64]*topicState{}, partitions: map[string]int{}, reportedUpTo: map[string]uint64{}, followRoutes: map[string]route{}, bases: map[string]uint64{},
+		batches: map[uint64]*batch{}, batchInFlight: map[string]uint64{}, appends: map[uint64]*routedPublication{}, sends: map[uint64]*routedPublication{}, accepted: map[routedKey]time.Time{}, busy: map[string]*topicState{},
 	}
 }
 
@@ -155,18 +155,18 @@
 // Subscribing.
 
 func (g *Gateway) subscribeRouted(now time.Time, request Subscribe, looked bool, effects *statemachine.Effects) {
-	answer := func(returned Reply) { g.answerSubscribe(now, request, returned, effects) }
-	channel, found := g.sessions[request.Session]
+	answer := func(response Reply) { g.answerSubscribe(now, request, response, effects) }
+	session, found := g.sessions[request.Session]
 	switch {
-	case !found || channel.client != request.Client:
+	case !found || session.client != request.Client:
 		answer(rejectedReply(404, "no-such-channel", "this channel is not open here", 0))
 		return
 	case len(request.Interests) != 1 || request.Interests[0].Prefix:
 		answer(rejectedReply(400, "one-topic", "routed topics are subscribed to one by one", 0))
 		return
 	}
-	channel.pongAt = now
-	if !channel.movedAt.IsZero() {
+	session.pongAt = now
+	if !session.movedAt.IsZero() {
 		answer(rejectedReply(409, "moved", "this channel was asked to move", retrySoon))
 		return
 	}
@@ -179,7 +179,7 @@
 	if !g.authorize(now, judged, request.RequestName, retry, answer) {
 		return
 	}
-	if present, subscribed := channel.routed[name]; subscribed {
+	if present, subscribed := session.routed[name]; subscribed {
 		if present.filling {
 			answer(rejectedReply(409, "underway", "this subscription is being taken up", retrySoon))
 			return
@@ -187,47 +187,47 @@
 		g.replyTopicSubscription(now, present, request, formatTopicCursor(present.deliveredUpTo), effects)
 		return
 	}
-	if len(channel.routed)+len(channel.subscriptions) >= g.config.SubscriptionsEach {
+	if len(session.routed)+len(session.subscriptions) >= g.config.SubscriptionsEach {
 		answer(rejectedReply(429, "too-many-subscriptions", "the channel holds all the subscriptions it may", 0))
 		return
 	}
-	taken := &topicSubscription{session: request.Session, filling: true, request: request, deadline: now.Add(g.subscribeTimeout)}
+	subscription := &topicSubscription{session: request.Session, filling: true, request: request, deadline: now.Add(g.subscribeTimeout)}
 	if request.Cursor != "" && request.Cursor != "-" {
 		offset, fit := parseTopicCursor(request.Cursor)
 		if !fit {
 			answer(rejectedReply(400, "bad-cursor", "the cursor is not one of this fleet's", 0))
 			return
 		}
-		taken.deliveredUpTo, taken.resumes = offset, true
+		subscription.deliveredUpTo, subscription.resumes = offset, true
 	}
-	followed := g.addTopicSubscription(now, name, interest.Space, taken, effects)
-	channel.routed[name] = taken
-	if !followed.durable {
+	topic := g.addTopicSubscription(now, name, interest.Space, subscription, effects)
+	session.routed[name] = subscription
+	if !topic.durable {
 		g.overlay.Reach(now, routedPlane, name, func(now time.Time, effects *statemachine.Effects, _ bool) {
-			g.startEphemeral(now, taken, effects)
+			g.startEphemeral(now, subscription, effects)
 		}, effects)
-		if taken.filling {
-			taken.deadline = now.Add(ephemeralReachTimeout)
-			g.scheduleTopic(followed, taken.deadline)
+		if subscription.filling {
+			subscription.deadline = now.Add(ephemeralReachTimeout)
+			g.scheduleTopic(topic, subscription.deadline)
 		}
 		return
 	}
-	if !g.fill(now, taken, effects) {
-		if g.certainlyRetained(followed, taken) {
-			g.startTopicSubscription(now, taken, effects)
-			g.announceSubscriberCount(now, followed, effects)
+	if !g.fill(now, subscription, effects) {
+		if g.certainlyRetained(topic, subscription) {
+			g.startTopicSubscription(now, subscription, effects)
+			g.announceSubscriberCount(now, topic, effects)
 		}
-		g.scheduleTopic(followed, taken.deadline)
-		g.fetchTopic(now, followed, effects)
+		g.scheduleTopic(topic, subscription.deadline)
+		g.fetchTopic(now, topic, effects)
 	}
 }
 
 // certainlyRetained tells whether all that a place may lack is still held: then it is
 // confirmed before that is fetched, which may take its time, and is not refused
 // while the answer is on its way.
-func (g *Gateway) certainlyRetained(followed *topic, taken *topicSubscription) bool {
-	base, known := g.routed.bases[followed.partition]
-	return known && taken.resumes && taken.deliveredUpTo >= base && !statemachine.Mutated("places-confirmed-late")
+func (g *Gateway) certainlyRetained(topic *topicState, subscription *topicSubscription) bool {
+	base, known := g.routed.bases[topic.partition]
+	return known && subscription.resumes && subscription.deliveredUpTo >= base && !statemachine.Mutated("places-confirmed-late")
 }
 
 // subscribeTimeoutOf is how long a subscription may look for its place under a
@@ -240,40 +240,40 @@
 	return min(longest*6/10, defaultSubscribeTimeout)
 }
 
-func (g *Gateway) addTopicSubscription(now time.Time, name, space string, taken *topicSubscription, effects *statemachine.Effects) *topic {
-	followed, found := g.routed.topics[name]
+func (g *Gateway) addTopicSubscription(now time.Time, name, space string, subscription *topicSubscription, effects *statemachine.Effects) *topicState {
+	topic, found := g.routed.topics[name]
 	if !found {
-		followed = &topic{
+		topic = &topicState{
 			name: name, number: config.TopicNumber(name), partition: config.SharedPartition(name), space: space,
 			durable: g.spaces[space].space.Retention == config.Durable,
 		}
-		g.routed.topics[name] = followed
-		g.routed.numbers[followed.number] = followed
-		if followed.durable {
-			g.routed.partitions[followed.partition]++
+		g.routed.topics[name] = topic
+		g.routed.numbers[topic.number] = topic
+		if topic.durable {
+			g.routed.partitions[topic.partition]++
 		}
 	}
-	if found && len(followed.subscriptions) == 0 && followed.wanted > followed.last {
-		followed.checkAt = now
-		g.scheduleTopic(followed, now)
+	if found && len(topic.subscriptions) == 0 && topic.wanted > topic.last {
+		topic.checkAt = now
+		g.scheduleTopic(topic, now)
 	}
-	taken.topic, taken.index = followed, len(followed.subscriptions)
-	followed.subscriptions = append(followed.subscriptions, taken)
-	g.announceSubscriberCount(now, followed, effects)
-	return followed
+	subscription.topic, subscription.index = topic, len(topic.subscriptions)
+	topic.subscriptions = append(topic.subscriptions, subscription)
+	g.announceSubscriberCount(now, topic, effects)
+	return topic
 }
 
 // subscribers counts the origins here that subscribe to a topic. Who was not yet
 // confirmed in a kept topic does not count: it may be refused and come again, and
 // telling all others of that each time takes more of a link than its messages. A
 // passing topic's messages are lost to whoever is not told of.
-func (t *topic) subscribers() int {
+func (t *topicState) subscribers() int {
 	if !t.durable || statemachine.Mutated("waiting-counts") {
 		return len(t.subscriptions)
 	}
 	count := 0
-	for _, taken := range t.subscriptions {
-		if !taken.filling || taken.request.Request == 0 {
+	for _, subscription := range t.subscriptions {
+		if !subscription.filling || subscription.request.Request == 0 {
 			count++
 		}
 	}
@@ -281,53 +281,53 @@
 }
 
 // announceSubscriberCount lets the overlay know how many origins here subscribe to a topic.
-func (g *Gateway) announceSubscriberCount(now time.Time, followed *topic, effects *statemachine.Effects) {
-	if count := followed.subscribers(); count != followed.announcedCount {
-		followed.announcedCount = count
-		g.overlay.Tell(now, routedPlane, followed.name, count, effects)
+func (g *Gateway) announceSubscriberCount(now time.Time, topic *topicState, effects *statemachine.Effects) {
+	if count := topic.subscribers(); count != topic.announcedCount {
+		topic.announcedCount = count
+		g.overlay.Tell(now, routedPlane, topic.name, count, effects)
 	}
 }
 
 // dropTopicSubscription ends a channel's subscription to a routed topic.
-func (g *Gateway) dropTopicSubscription(now time.Time, channel *session, name string, effects *statemachine.Effects) {
-	gone, found := channel.routed[name]
+func (g *Gateway) dropTopicSubscription(now time.Time, session *session, name string, effects *statemachine.Effects) {
+	gone, found := session.routed[name]
 	if !found {
 		return
 	}
-	delete(channel.routed, name)
-	followed := gone.topic
-	last := followed.subscriptions[len(followed.subscriptions)-1]
-	followed.subscriptions[gone.index], last.index = last, gone.index
-	followed.subscriptions = followed.subscriptions[:len(followed.subscriptions)-1]
-	g.announceSubscriberCount(now, followed, effects)
-	if followed.reserved(now) {
-		g.scheduleTopic(followed, followed.reservedUntil)
+	delete(session.routed, name)
+	topic := gone.topic
+	last := topic.subscriptions[len(topic.subscriptions)-1]
+	topic.subscriptions[gone.index], last.index = last, gone.index
+	topic.subscriptions = topic.subscriptions[:len(topic.subscriptions)-1]
+	g.announceSubscriberCount(now, topic, effects)
+	if topic.reserved(now) {
+		g.scheduleTopic(topic, topic.reservedUntil)
 		return
 	}
-	g.dropTopic(followed)
+	g.dropTopic(topic)
 }
 
 // dropTopic forgets a topic that nobody holds.
-func (g *Gateway) dropTopic(followed *topic) {
-	if len(followed.subscriptions) > 0 || g.routed.topics[followed.name] != followed {
+func (g *Gateway) dropTopic(topic *topicState) {
+	if len(topic.subscriptions) > 0 || g.routed.topics[topic.name] != topic {
 		return
 	}
-	followed.fetch = nil
-	delete(g.routed.topics, followed.name)
-	delete(g.routed.numbers, followed.number)
-	delete(g.routed.busy, followed.name)
-	if followed.durable {
-		if g.routed.partitions[followed.partition]--; g.routed.partitions[followed.partition] == 0 {
-			delete(g.routed.partitions, followed.partition)
-			delete(g.routed.reportedUpTo, followed.partition)
-			delete(g.routed.followRoutes, followed.partition)
+	topic.fetch = nil
+	delete(g.routed.topics, topic.name)
+	delete(g.routed.numbers, topic.number)
+	delete(g.routed.busy, topic.name)
+	if topic.durable {
+		if g.routed.partitions[topic.partition]--; g.routed.partitions[topic.partition] == 0 {
+			delete(g.routed.partitions, topic.partition)
+			delete(g.routed.reportedUpTo, topic.partition)
+			delete(g.routed.followRoutes, topic.partition)
 		}
 	}
 }
 
-func (g *Gateway) dropRouted(now time.Time, channel *session, effects *statemachine.Effects) {
-	for name := range statemachine.Sorted(channel.routed) {
-		g.dropTopicSubscription(now, channel, name, effects)
+func (g *Gateway) dropRouted(now time.Time, session *session, effects *statemachine.Effects) {
+	for name := range statemachine.Sorted(session.routed) {
+		g.dropTopicSubscription(now, session, name, effects)
 	}
 }
 
@@ -335,82 +335,82 @@
 // its newest channel is the one.
 func (g *Gateway) supersede(now time.Time, origin string, newest uint64, effects *statemachine.Effects) {
 	if earlier, found := g.newest[origin]; found && earlier != newest {
-		if channel, open := g.sessions[earlier]; open {
-			g.dropRouted(now, channel, effects)
+		if session, open := g.sessions[earlier]; open {
+			g.dropRouted(now, session, effects)
 		}
 	}
 	g.newest[origin] = newest
 }
 
 // startEphemeral ends the taking up of a passing topic.
-func (g *Gateway) startEphemeral(now time.Time, taken *topicSubscription, effects *statemachine.Effects) {
-	if !taken.filling {
+func (g *Gateway) startEphemeral(now time.Time, subscription *topicSubscription, effects *statemachine.Effects) {
+	if !subscription.filling {
 		return
 	}
-	if channel, open := g.sessions[taken.session]; !open || channel.routed[taken.topic.name] != taken {
+	if session, open := g.sessions[subscription.session]; !open || session.routed[subscription.topic.name] != subscription {
 		return
 	}
-	taken.filling = false
-	taken.topic.live = true
-	if !taken.resumes {
-		taken.deliveredUpTo = taken.topic.last
+	subscription.filling = false
+	subscription.topic.live = true
+	if !subscription.resumes {
+		subscription.deliveredUpTo = subscription.topic.last
 	}
-	g.replyTopicSubscription(now, taken, taken.request, formatTopicCursor(taken.deliveredUpTo), effects)
-	for _, record := range taken.topic.recent {
-		g.deliverRouted(now, taken, record, effects)
+	g.replyTopicSubscription(now, subscription, subscription.request, formatTopicCursor(subscription.deliveredUpTo), effects)
+	for _, record := range subscription.topic.recent {
+		g.deliverRouted(now, subscription, record, effects)
 	}
 }
 
 // fill ends the taking up of a kept topic where this gateway has all that the
 // place lacks, and tells whether it does.
-func (g *Gateway) fill(now time.Time, taken *topicSubscription, effects *statemachine.Effects) bool {
-	followed := taken.topic
-	if told, known := g.routed.reportedUpTo[followed.partition]; known && !followed.live && !taken.resumes && followed.fetch == nil {
+func (g *Gateway) fill(now time.Time, subscription *topicSubscription, effects *statemachine.Effects) bool {
+	topic := subscription.topic
+	if told, known := g.routed.reportedUpTo[topic.partition]; known && !topic.live && !subscription.resumes && topic.fetch == nil {
 		// Who begins here may begin where the first last told that the partition
 		// was: what moves after that will be told.
-		followed.live = true
-		followed.last, followed.recentFrom = told, told
-		g.release(now, followed, effects)
+		topic.live = true
+		topic.last, topic.recentFrom = told, told
+		g.release(now, topic, effects)
 	}
-	if !followed.live || taken.resumes && taken.deliveredUpTo < followed.recentFrom && taken.deliveredUpTo < followed.last {
+	if !topic.live || subscription.resumes && subscription.deliveredUpTo < topic.recentFrom && subscription.deliveredUpTo < topic.last {
 		return false
 	}
-	taken.filling = false
-	g.announceSubscriberCount(now, followed, effects)
-	from := taken.deliveredUpTo
-	if !taken.resumes {
+	subscription.filling = false
+	g.announceSubscriberCount(now, topic, effects)
+	from := subscription.deliveredUpTo
+	if !subscription.resumes {
 		// What was told of as moved came before this subscription, though the topic
 		// may not have caught up with it.
-		from = max(followed.last, g.routed.reportedUpTo[followed.partition])
-		taken.deliveredUpTo = from
+		from = max(topic.last, g.routed.reportedUpTo[topic.partition])
+		subscription.deliveredUpTo = from
 	}
-	if taken.request.Request != 0 {
-		g.replyTopicSubscription(now, taken, taken.request, formatTopicCursor(from), effects)
+	if subscription.request.Request != 0 {
+		g.replyTopicSubscription(now, subscription, subscription.request, formatTopicCursor(from), effects)
 	}
-	for _, record := range followed.recent {
-		g.deliverRouted(now, taken, record, effects)
+	for _, record := range topic.recent {
+		g.deliverRouted(now, subscription, record, effects)
 	}
 	return true
 }
 
 func (g *Gateway) replyTopicSubscription(now time.Time, _ *topicSubscription, request Subscribe, cursor string, effects *statemachine.Effects) {
-	returned := acceptedReply(nil)
-	returned.Cursor = cursor
-	g.answerSubscribe(now, request, returned, effects)
+	response := acceptedReply(nil)
+	response.Cursor = cursor
+	g.answerSubscribe(now, request, response, effects)
 }
 
 func (g *Gateway) unsubscribeRouted(now time.Time, request Unsubscribe, effects *statemachine.Effects) {
-	channel, found := g.sessions[request.Session]
-	if !found || channel.client != request.Client {
+	session, found := g.sessions[request.Session]
+	if !found || session.client != request.Client {
 		effects.Respond(request.Request, rejectedReply(404, "no-such-channel", "this channel is not open here", 0))
 		return
 	}
-	channel.pongAt = now
+	session.pongAt = now
 	for _, interest := range request.Interests {
-		if taken, present := channel.routed[interest.Path]; present && taken.filling && taken.request.Request != 0 {
-			g.answerSubscribe(now, taken.request, rejectedReply(409, "unsubscribed", "the subscription was ended before it was taken up", retrySoon), effects)
+		if subscription, present := session.routed[interest.Path]; present && subscription.filling && subscription.request.Request != 0 {
+			g.answerSubscribe(now, subscription.request, rejectedReply(409, "unsubscribed", "the subscription was ended before it was taken up", retrySoon), effects)
 		}
-		g.dropTopicSubscription(now, channel, interest.Path, effects)
+		g.dropTopicSubscription(now, session, interest.Path, effects)
 	}
 	effects.Respond(request.Request, acceptedReply(nil))
 }
@@ -419,63 +419,63 @@
 // what the overlay's peers tell each other.
 func (g *Gateway) count(now time.Time, request CountSubscribers, looked bool, effects *statemachine.Effects) {
 	g.Counts.Requests++
-	if channel, found := g.sessions[request.Session]; found {
-		channel.pongAt = now
+	if session, found := g.sessions[request.Session]; found {
+		session.pongAt = now
 	}
 	judged := &PolicyRequest{
 		Kind: "count", Client: request.Client, Paths: []Interest{{Space: g.routeOf("", request.Topic), Path: request.Topic}}, Refreshed: looked, Routed: true,
 	}
 	retry := func(now time.Time, effects *statemachine.Effects) { g.count(now, request, true, effects) }
-	answer := func(returned Reply) { effects.Respond(request.Request, returned) }
+	answer := func(response Reply) { effects.Respond(request.Request, response) }
 	if !g.authorize(now, judged, request.RequestName, retry, answer) {
 		return
 	}
 	g.overlay.Reach(now, routedPlane, request.Topic, func(_ time.Time, effects *statemachine.Effects, _ bool) {
-		returned := acceptedReply(nil)
-		returned.SubscriberCount = g.overlay.Presence(routedPlane, request.Topic)
-		if followed, found := g.routed.topics[request.Topic]; found {
-			returned.SubscriberCount += followed.subscribers()
+		response := acceptedReply(nil)
+		response.SubscriberCount = g.overlay.Presence(routedPlane, request.Topic)
+		if topic, found := g.routed.topics[request.Topic]; found {
+			response.SubscriberCount += topic.subscribers()
 		}
-		effects.Respond(request.Request, returned)
+		effects.Respond(request.Request, response)
 	}, effects)
 }
 
 // Handing over.
 
 // deliverRouted gives a message to a place that is filled and lacks it.
-func (g *Gateway) deliverRouted(_ time.Time, taken *topicSubscription, record partition.Record, effects *statemachine.Effects) {
-	if taken.filling || record.Offset <= taken.deliveredUpTo && (taken.topic.durable || !statemachine.Mutated("no-passing-offsets")) {
+func (g *Gateway) deliverRouted(_ time.Time, subscription *topicSubscription, record partition.Record, effects *statemachine.Effects) {
+	if subscription.filling || record.Offset <= subscription.deliveredUpTo && (subscription.topic.durable || !statemachine.Mutated("no-passing-offsets")) {
 		return
 	}
-	channel, open := g.sessions[taken.session]
-	if !open || !channel.movedAt.IsZero() {
+	session, open := g.sessions[subscription.session]
+	if !open || !session.movedAt.IsZero() {
 		return
 	}
-	taken.deliveredUpTo = record.Offset
+	subscription.deliveredUpTo = record.Offset
 	g.Counts.Delivered++
-	g.emit(taken.session, Event{
-		Event: "message", Space: taken.topic.space, Topic: record.Topic, Sender: record.Sender, Seq: record.Seq, Body: record.Data,
+	g.emit(subscription.session, Event{
+		Event: "message", Space: subscription.topic.space, Topic: record.Topic, Sender: record.Sender, Seq: record.Seq, Body: record.Data,
 		Cursor: formatTopicCursor(record.Offset),
 	}, effects)
 }
 
 // process hands the topic's next message to everybody here.
-func (g *Gateway) process(now time.Time, followed *topic, record partition.Record, effects *statemachine.Effects) {
-	followed.last = record.Offset
-	followed.recent = append(followed.recent, record)
-	followed.recentSize += len(record.Data)
-	for len(followed.recent) > 1 && followed.tooMuchRecent(now) {
-		followed.recentFrom = followed.recent[0].Offset
-		followed.recentSize -= len(followed.recent[0].Data)
-		followed.recent = followed.recent[1:]
+func (g *Gateway) process(now time.Time, topic *topicState, record partition.Record, effects *statemachine.Effects) {
+	topic.last = record.Offset
+	topic.recent = append(topic.recent, record)
+	topic.recentSize += len(record.Data)
+	for len(topic.recent) > 1 && topic.tooMuchRecent(now) {
+		topic.recentFrom = topic.recent[0].Offset
+		topic.recentSize -= len(topic.recent[0].Data)
+		topic.recent = topic.recent[1:]
 	}
-	for _, taken := range followed.subscriptions {
-		g.deliverRouted(now, taken, record, effects)
+	for _, subscription := range topic.subscriptions {
+		g.deliverRouted(now, subscription, record, effects)
 	}
 }
 
 // tooMuchRecent tells whether the oldest of the recent records is to be let go.
-func (t *topic) tooMuchRecent(now time.Time) bool {
+func (t *topicState) tooMuchRecent(now time.Time) bool {
 	if t.recentUntil.After(now) {
 		return t.recentSize > backlogBytes
 	}
@@ -485,73 +485,73 @@
 // handleRoutedCopy takes a message of a routed topic, and tells whether anybody here
 // wants it.
 func (g *Gateway) handleRoutedCopy(now time.Time, record partition.Record, effects *statemachine.Effects) bool {
-	followed, found := g.routed.topics[record.Topic]
+	topic, found := g.routed.topics[record.Topic]
 	if !found {
 		return false
 	}
-	if followed.live && record.Offset <= followed.last && (followed.durable || !statemachine.Mutated("no-passing-offsets")) {
+	if topic.live && record.Offset <= topic.last && (topic.durable || !statemachine.Mutated("no-passing-offsets")) {
 		return true
 	}
-	follows := statemachine.Mutated("no-topic-prior") || record.Prior <= followed.last || !followed.durable && followed.last == 0
-	if followed.live && follows {
-		g.process(now, followed, record, effects)
-		g.release(now, followed, effects)
+	follows := statemachine.Mutated("no-topic-prior") || record.Prior <= topic.last || !topic.durable && topic.last == 0
+	if topic.live && follows {
+		g.process(now, topic, record, effects)
+		g.release(now, topic, effects)
 		return true
 	}
-	position, held := slices.BinarySearchFunc(followed.pending, record.Offset, func(each partition.Record, offset uint64) int { return cmp.Compare(each.Offset, offset) })
-	if held || len(followed.pending) >= maxPendingTopicRecords {
+	position, held := slices.BinarySearchFunc(topic.pending, record.Offset, func(each partition.Record, offset uint64) int { return cmp.Compare(each.Offset, offset) })
+	if held || len(topic.pending) >= maxPendingTopicRecords {
 		return true
 	}
-	if len(followed.pending) == 0 {
-		followed.pendingSince = now
+	if len(topic.pending) == 0 {
+		topic.pendingSince = now
 	}
-	followed.pending = slices.Insert(followed.pending, position, record)
-	if !followed.live {
+	topic.pending = slices.Insert(topic.pending, position, record)
+	if !topic.live {
 		return true
 	}
 	g.Counts.Gaps++
-	effects.Emit(logevent.GapFound, "partition", followed.partition, "offset", record.Offset, "prior", record.Prior)
-	if followed.durable {
-		g.want(now, followed, record.Prior, holeAfter)
+	effects.Emit(logevent.GapFound, "partition", topic.partition, "offset", record.Offset, "prior", record.Prior)
+	if topic.durable {
+		g.want(now, topic, record.Prior, holeAfter)
 	} else {
-		g.scheduleTopic(followed, now.Add(ephemeralGapTimeout))
+		g.scheduleTopic(topic, now.Add(ephemeralGapTimeout))
 	}
 	return true
 }
 
 // release hands over what was held for something that has come.
-func (g *Gateway) release(now time.Time, followed *topic, effects *statemachine.Effects) {
-	for len(followed.pending) > 0 {
-		next := followed.pending[0]
-		if next.Offset > followed.last && next.Prior > followed.last {
+func (g *Gateway) release(now time.Time, topic *topicState, effects *statemachine.Effects) {
+	for len(topic.pending) > 0 {
+		next := topic.pending[0]
+		if next.Offset > topic.last && next.Prior > topic.last {
 			return
 		}
-		followed.pending = followed.pending[1:]
-		followed.pendingSince = now
-		if next.Offset > followed.last {
-			g.process(now, followed, next, effects)
+		topic.pending = topic.pending[1:]
+		topic.pendingSince = now
+		if next.Offset > topic.last {
+			g.process(now, topic, next, effects)
 		}
 	}
-	followed.pending = nil
+	topic.pending = nil
 }
 
 // want notes that a topic has more than was handed over; unless it comes by
 // itself in a moment, it is fetched.
-func (g *Gateway) want(now time.Time, followed *topic, offset uint64, grace time.Duration) {
-	if offset <= followed.wanted && offset <= followed.last {
+func (g *Gateway) want(now time.Time, topic *topicState, offset uint64, grace time.Duration) {
+	if offset <= topic.wanted && offset <= topic.last {
 		return
 	}
-	followed.wanted = max(followed.wanted, offset)
+	topic.wanted = max(topic.wanted, offset)
 	at := now.Add(grace)
-	if followed.checkAt.IsZero() || at.Before(followed.checkAt) {
-		followed.checkAt = at
+	if topic.checkAt.IsZero() || at.Before(topic.checkAt) {
+		topic.checkAt = at
 	}
-	g.scheduleTopic(followed, followed.checkAt)
+	g.scheduleTopic(topic, topic.checkAt)
 }
 
 // scheduleTopic notes that a topic wants to be looked at.
-func (g *Gateway) scheduleTopic(followed *topic, at time.Time) {
-	g.routed.busy[followed.name] = followed
+func (g *Gateway) scheduleTopic(topic *topicState, at time.Time) {
+	g.routed.busy[topic.name] = topic
 	g.timers.ArmSooner("routed", at)
 }
 
@@ -569,48 +569,48 @@
 }
 
 // startTopicSubscription answers a subscription whose missed messages are about to come.
-func (g *Gateway) startTopicSubscription(now time.Time, taken *topicSubscription, effects *statemachine.Effects) {
-	if taken.request.Request == 0 {
+func (g *Gateway) startTopicSubscription(now time.Time, subscription *topicSubscription, effects *statemachine.Effects) {
+	if subscription.request.Request == 0 {
 		return
 	}
-	g.replyTopicSubscription(now, taken, taken.request, formatTopicCursor(taken.deliveredUpTo), effects)
-	taken.request.Request = 0
+	g.replyTopicSubscription(now, subscription, subscription.request, formatTopicCursor(subscription.deliveredUpTo), effects)
+	subscription.request.Request = 0
 }
 
 // skipTo gives a missed message to a place that is being filled.
-func (g *Gateway) skipTo(now time.Time, taken *topicSubscription, record partition.Record, effects *statemachine.Effects) {
-	taken.filling = false
-	g.deliverRouted(now, taken, record, effects)
-	taken.filling = true
+func (g *Gateway) skipTo(now time.Time, subscription *topicSubscription, record partition.Record, effects *statemachine.Effects) {
+	subscription.filling = false
+	g.deliverRouted(now, subscription, record, effects)
+	subscription.filling = true
 }
 
 // expireSubscriptions refuses the places from which something is no longer held.
-func (g *Gateway) expireSubscriptions(now time.Time, followed *topic, after uint64, effects *statemachine.Effects) {
-	for _, taken := range slices.Clone(followed.subscriptions) {
-		if taken.filling && taken.resumes && taken.deliveredUpTo <= after {
-			g.rejectTopicSubscription(now, taken, rejectedReply(410, "place-lost", "what was missed is older than the space holds; subscribe without the cursor", 0), effects)
+func (g *Gateway) expireSubscriptions(now time.Time, topic *topicState, after uint64, effects *statemachine.Effects) {
+	for _, subscription := range slices.Clone(topic.subscriptions) {
+		if subscription.filling && subscription.resumes && subscription.deliveredUpTo <= after {
+			g.rejectTopicSubscription(now, subscription, rejectedReply(410, "place-lost", "what was missed is older than the space holds; subscribe without the cursor", 0), effects)
 		}
 	}
 }
 
 // rejectTopicSubscription refuses a subscription. One that was confirmed before can't be
 // refused any more: its caller is cut off instead, and asks again.
-func (g *Gateway) rejectTopicSubscription(now time.Time, taken *topicSubscription, returned Reply, effects *statemachine.Effects) {
-	if channel, open := g.sessions[taken.session]; open && taken.request.Request == 0 && returned.Code == "place-lost" {
-		g.emitLast(now, taken.session, channel, returned.Code, effects)
-		g.closeSession(now, CloseSession{Session: taken.session, Reason: returned.Code}, effects)
+func (g *Gateway) rejectTopicSubscription(now time.Time, subscription *topicSubscription, response Reply, effects *statemachine.Effects) {
+	if session, open := g.sessions[subscription.session]; open && subscription.request.Request == 0 && response.Code == "place-lost" {
+		g.emitLast(now, subscription.session, session, response.Code, effects)
+		g.closeSession(now, CloseSession{Session: subscription.session, Reason: response.Code}, effects)
 	} else if open {
-		g.dropTopicSubscription(now, channel, taken.topic.name, effects)
+		g.dropTopicSubscription(now, session, subscription.topic.name, effects)
 	}
-	if taken.request.Request != 0 {
-		g.answerSubscribe(now, taken.request, returned, effects)
+	if subscription.request.Request != 0 {
+		g.answerSubscribe(now, subscription.request, response, effects)
 	}
 }
 
 // tickRouted looks at the topics with something that waits.
 func (g *Gateway) tickRouted(now time.Time, effects *statemachine.Effects) {
-	for _, followed := range statemachine.Sorted(g.routed.busy) {
-		g.tickTopic(now, followed, effects)
+	for _, topic := range statemachine.Sorted(g.routed.busy) {
+		g.tickTopic(now, topic, effects)
 	}
 	g.retryBatches(now, effects)
 	g.retryPublications(now, effects)
@@ -618,61 +618,61 @@
 
 // tickTopic does what is due for a topic and notes when it is to be looked at
 // again.
-func (g *Gateway) tickTopic(now time.Time, followed *topic, effects *statemachine.Effects) {
-	delete(g.routed.busy, followed.name)
-	if g.routed.topics[followed.name] != followed {
+func (g *Gateway) tickTopic(now time.Time, topic *topicState, effects *statemachine.Effects) {
+	delete(g.routed.busy, topic.name)
+	if g.routed.topics[topic.name] != topic {
 		return
 	}
 	var next time.Time
 	filling := false
-	for _, taken := range slices.Clone(followed.subscriptions) {
+	for _, subscription := range slices.Clone(topic.subscriptions) {
 		switch {
-		case !taken.filling:
-		case !taken.deadline.After(now) && !followed.durable:
-			g.startEphemeral(now, taken, effects)
-		case !taken.deadline.After(now) && taken.request.Request == 0:
+		case !subscription.filling:
+		case !subscription.deadline.After(now) && !topic.durable:
+			g.startEphemeral(now, subscription, effects)
+		case !subscription.deadline.After(now) && subscription.request.Request == 0:
 			// It was confirmed, and some of what it missed has come: the rest is
 			// fetched however long that takes.
 			filling = true
-		case !taken.deadline.After(now):
-			followed.reserve(now, taken)
-			g.rejectTopicSubscription(now, taken, rejectedReply(503, "no-answer", "the place could not be found in time; nothing is subscribed", retrySoon), effects)
+		case !subscription.deadline.After(now):
+			topic.reserve(now, subscription)
+			g.rejectTopicSubscription(now, subscription, rejectedReply(503, "no-answer", "the place could not be found in time; nothing is subscribed", retrySoon), effects)
 		default:
-			filling = filling || followed.durable
-			next = statemachine.Earliest(next, taken.deadline)
+			filling = filling || topic.durable
+			next = statemachine.Earliest(next, subscription.deadline)
 		}
 	}
-	if !followed.durable {
-		if len(followed.pending) > 0 && !followed.pendingSince.Add(ephemeralGapTimeout).After(now) {
-			followed.last = max(followed.last, followed.pending[0].Prior)
-			g.release(now, followed, effects)
+	if !topic.durable {
+		if len(topic.pending) > 0 && !topic.pendingSince.Add(ephemeralGapTimeout).After(now) {
+			topic.last = max(topic.last, topic.pending[0].Prior)
+			g.release(now, topic, effects)
 		}
-		if len(followed.pending) > 0 {
-			next = statemachine.Earliest(next, followed.pendingSince.Add(ephemeralGapTimeout))
+		if len(topic.pending) > 0 {
+			next = statemachine.Earliest(next, topic.pendingSince.Add(ephemeralGapTimeout))
 		}
 	} else {
-		if followed.wanted <= followed.last {
-			followed.checkAt = time.Time{}
+		if topic.wanted <= topic.last {
+			topic.checkAt = time.Time{}
 		}
-		due := !followed.checkAt.IsZero() && !followed.checkAt.After(now)
+		due := !topic.checkAt.IsZero() && !topic.checkAt.After(now)
 		switch {
-		case followed.fetch != nil || followed.queued:
-		case filling || due || followed.reserved(now):
-			followed.checkAt = time.Time{}
-			g.fetchTopic(now, followed, effects)
+		case topic.fetch != nil || topic.queued:
+		case filling || due || topic.reserved(now):
+			topic.checkAt = time.Time{}
+			g.fetchTopic(now, topic, effects)
 		default:
-			next = statemachine.Earliest(next, followed.checkAt)
+			next = statemachine.Earliest(next, topic.checkAt)
 		}
-		if len(followed.subscriptions) == 0 {
-			if !followed.reservedUntil.After(now) {
-				g.dropTopic(followed)
+		if len(topic.subscriptions) == 0 {
+			if !topic.reservedUntil.After(now) {
+				g.dropTopic(topic)
 				return
 			}
-			next = statemachine.Earliest(next, followed.reservedUntil)
+			next = statemachine.Earliest(next, topic.reservedUntil)
 		}
 	}
-	if !next.IsZero() && g.routed.topics[followed.name] == followed {
-		g.scheduleTopic(followed, next)
+	if !next.IsZero() && g.routed.topics[topic.name] == topic {
+		g.scheduleTopic(topic, next)
 	}
 }
 
@@ -685,8 +685,8 @@
 	}
 	told := g.routed.reportedUpTo[head.Partition]
 	for _, each := range head.Topics {
-		if followed, found := g.routed.numbers[each.Topic]; found && followed.durable && each.Offset > followed.last {
-			g.want(now, followed, each.Offset, highWatermarkGrace)
+		if topic, found := g.routed.numbers[each.Topic]; found && topic.durable && each.Offset > topic.last {
+			g.want(now, topic, each.Offset, highWatermarkGrace)
 		}
 	}
 	if head.From > told {
@@ -700,24 +700,24 @@
 // rerouteAll puts changed routes in force: what leads elsewhere now, or nowhere,
 // ends.
 func (g *Gateway) rerouteAll(now time.Time, effects *statemachine.Effects) {
-	for name, followed := range statemachine.Sorted(g.routed.topics) {
+	for name, topic := range statemachine.Sorted(g.routed.topics) {
 		space := g.routeOf("", name)
 		state, present := g.spaces[space]
-		if present && (state.space.Retention == config.Durable) == followed.durable {
-			followed.space = space
+		if present && (state.space.Retention == config.Durable) == topic.durable {
+			topic.space = space
 			continue
 		}
-		followed.reservedUntil = time.Time{}
-		for _, taken := range slices.Clone(followed.subscriptions) {
-			if taken.filling {
-				g.rejectTopicSubscription(now, taken, rejectedReply(404, "no-such-space", "the space was removed", 0), effects)
+		topic.reservedUntil = time.Time{}
+		for _, subscription := range slices.Clone(topic.subscriptions) {
+			if subscription.filling {
+				g.rejectTopicSubscription(now, subscription, rejectedReply(404, "no-such-space", "the space was removed", 0), effects)
 				continue
 			}
-			if channel, open := g.sessions[taken.session]; open {
-				g.dropTopicSubscription(now, channel, name, effects)
-				g.emit(taken.session, Event{Event: "ended", Space: followed.space, Topic: name, Code: "space-removed"}, effects)
+			if session, open := g.sessions[subscription.session]; open {
+				g.dropTopicSubscription(now, session, name, effects)
+				g.emit(subscription.session, Event{Event: "ended", Space: topic.space, Topic: name, Code: "space-removed"}, effects)
 			}
 		}
-		g.dropTopic(followed)
+		g.dropTopic(topic)
 	}
 }
--- a/internal/gateway/routed_publish.go
+++ b/internal/gateway/routed_publish.go
@@ -54,7 +54,7 @@
 		Seq: request.Seq, Data: request.Data, Refreshed: looked, Routed: true,
 	}
 	item := &routedPublication{request: request, space: space, partition: config.SharedPartition(request.Topic), open: map[uint64]bool{}}
-	answer := func(returned Reply) { g.answerRouted(now, item, returned, effects) }
+	answer := func(response Reply) { g.answerRouted(now, item, response, effects) }
 	retry := func(now time.Time, effects *statemachine.Effects) { g.publishRouted(now, request, true, effects) }
 	if !g.authorize(now, judged, request.RequestName, retry, answer) {
 		return
@@ -75,15 +75,15 @@
 	g.timers.ArmSooner("routed", item.limit)
 }
 
-func (g *Gateway) answerRouted(now time.Time, item *routedPublication, returned Reply, effects *statemachine.Effects) {
-	g.countOutcome(returned)
+func (g *Gateway) answerRouted(now time.Time, item *routedPublication, response Reply, effects *statemachine.Effects) {
+	g.countOutcome(response)
 	delete(g.routed.appends, item.id)
 	for send := range item.open {
 		delete(g.routed.sends, send)
 	}
 	g.ring.Record(now, item.request.RequestName, decisionlog.MessageName(item.space, item.request.Sender, item.request.Seq),
-		item.request.Client, "answered", "outcome", returned.Outcome, "code", returned.Code, "topic", item.request.Topic, "tries", item.sends)
-	effects.Respond(item.request.Request, returned)
+		item.request.Client, "answered", "outcome", response.Outcome, "code", response.Code, "topic", item.request.Topic, "tries", item.sends)
+	effects.Respond(item.request.Request, response)
 }
 
 func (g *Gateway) sendRouted(now time.Time, item *routedPublication, effects *statemachine.Effects) {
@@ -108,15 +108,15 @@
 	})
 }
 
-func (g *Gateway) handleRoutedResponse(now time.Time, item *routedPublication, returned partition.AppendResponse, effects *statemachine.Effects) {
-	delete(item.open, returned.Request)
-	delete(g.routed.sends, returned.Request)
-	switch returned.Outcome {
+func (g *Gateway) handleRoutedResponse(now time.Time, item *routedPublication, response partition.AppendResponse, effects *statemachine.Effects) {
+	delete(item.open, response.Request)
+	delete(g.routed.sends, response.Request)
+	switch response.Outcome {
 	case partition.Accepted:
 		g.routed.accepted[routedKey{topic: item.request.Topic, sender: item.request.Sender, seq: item.request.Seq}] = now
-		record := returned.Record
+		record := response.Record
 		record.Topic, record.Sender, record.Seq, record.Data = item.request.Topic, item.request.Sender, item.request.Seq, item.request.Data
-		if !returned.Again || item.bare || item.sends > 1 {
+		if !response.Again || item.bare || item.sends > 1 {
 			// What was kept before and is not passed on now is found by the
 			// partition's heads; a passing message is not, and who had it, or a
 			// later one, lets it fall.
@@ -125,18 +125,18 @@
 		g.answerRouted(now, item, acceptedReply(nil), effects)
 	case partition.Refused:
 		switch {
-		case returned.Code == "not-first":
+		case response.Code == "not-first":
 			g.viewClient.PollNow(now)
-		case returned.Code == "old-seq" || returned.Code == "seq-reused":
-			g.answerRouted(now, item, rejectedReply(409, returned.Code, "this seq is not above the sender's newest of this topic", 0), effects)
+		case response.Code == "old-seq" || response.Code == "seq-reused":
+			g.answerRouted(now, item, rejectedReply(409, response.Code, "this seq is not above the sender's newest of this topic", 0), effects)
 		case len(item.open) > 0:
 			// An earlier try has no answer; it may yet be kept.
-			g.answerRouted(now, item, unsettledReply(returned.Code, "send the same seq again", retrySoon), effects)
+			g.answerRouted(now, item, unsettledReply(response.Code, "send the same seq again", retrySoon), effects)
 		default:
-			g.answerRouted(now, item, rejectedReply(503, returned.Code, "the partition can't keep all its copies at this moment", max(returned.RetryAfter, retrySoon)), effects)
+			g.answerRouted(now, item, rejectedReply(503, response.Code, "the partition can't keep all its copies at this moment", max(response.RetryAfter, retrySoon)), effects)
 		}
 	default:
-		g.answerRouted(now, item, unsettledReply(returned.Code, "send the same seq again", retrySoon), effects)
+		g.answerRouted(now, item, unsettledReply(response.Code, "send the same seq again", retrySoon), effects)
 	}
 }
 
--- a/internal/gateway/stopping_test.go
+++ b/internal/gateway/stopping_test.go
@@ -87,10 +87,10 @@
 	return fleetlab
 }
 
-func (f *fleetlab) greet(t *testing.T, channel uint64, origin string) statemachine.Effects {
+func (f *fleetlab) greet(t *testing.T, session uint64, origin string) statemachine.Effects {
 	t.Helper()
 	f.request++
-	return f.do(gateway.OpenSession{Request: f.request, Session: channel, Name: origin, Client: origin, AdapterPings: true})
+	return f.do(gateway.OpenSession{Request: f.request, Session: session, Name: origin, Client: origin, AdapterPings: true})
 }
 
 func outcome(t *testing.T, effects statemachine.Effects) gateway.Reply {
@@ -137,8 +137,8 @@
 
 func TestAStoppingGatewayDoesNotWaitForThoseWhoDoNotGo(t *testing.T) {
 	fleetlab := open(t)
-	for channel := range uint64(40) {
-		fleetlab.greet(t, channel+1, "u")
+	for session := range uint64(40) {
+		fleetlab.greet(t, session+1, "u")
 	}
 	effects := fleetlab.do(gateway.Stop{})
 	effects.Append(fleetlab.pass(250 * time.Millisecond))
--- a/internal/gateway/tracker.go
+++ b/internal/gateway/tracker.go
@@ -151,20 +151,20 @@
 }
 
 // onCarry takes a kept message, and tells whether anybody here wants it.
-func (g *Gateway) onCarry(now time.Time, carry RecordCopy, effects *statemachine.Effects) bool {
-	tracker, found := g.trackers[carry.Partition]
+func (g *Gateway) onCarry(now time.Time, recordCopy RecordCopy, effects *statemachine.Effects) bool {
+	tracker, found := g.trackers[recordCopy.Partition]
 	if !found {
 		return false
 	}
-	offset := carry.Record.Offset
+	offset := recordCopy.Record.Offset
 	if _, had := tracker.delivered[offset]; had || tracker.began && offset <= tracker.verified {
 		return true
 	}
-	if _, matters := tracker.startOf(carry.Record.Topic); !matters {
+	if _, matters := tracker.startOf(recordCopy.Record.Topic); !matters {
 		return false
 	}
 	if len(tracker.held) < maxPendingRecords {
-		tracker.held[offset] = carry.Record
+		tracker.held[offset] = recordCopy.Record
 	}
 	tracker.head = max(tracker.head, offset)
 	if g.pumpLater(now) {
@@ -173,12 +173,12 @@
 	g.pump(now, effects)
 	if _, waits := tracker.held[offset]; waits && tracker.began {
 		g.Counts.Gaps++
-		effects.Emit(logevent.GapFound, "partition", carry.Partition, "offset", offset, "prior", carry.Record.Prior)
-		g.ring.Record(now, "", decisionlog.MessageName(tracker.space, carry.Record.Sender, carry.Record.Seq), "", "waits",
-			"partition", carry.Partition, "offset", offset, "prior", carry.Record.Prior, "before", carry.Record.Before.Marks, "verified", tracker.verified)
+		effects.Emit(logevent.GapFound, "partition", recordCopy.Partition, "offset", offset, "prior", recordCopy.Record.Prior)
+		g.ring.Record(now, "", decisionlog.MessageName(tracker.space, recordCopy.Record.Sender, recordCopy.Record.Seq), "", "waits",
+			"partition", recordCopy.Partition, "offset", offset, "prior", recordCopy.Record.Prior, "before", recordCopy.Record.Before.Marks, "verified", tracker.verified)
 		tracker.wanted = true
 		g.timers.ArmSooner("verify", now.Add(holeAfter))
-		g.wantBefore(tracker, carry.Record)
+		g.wantBefore(tracker, recordCopy.Record)
 	}
 	return true
 }
@@ -340,8 +340,8 @@
 		return
 	}
 	for id := range statemachine.Sorted(state.subscribedSessions(record.Topic)) {
-		if channel, open := g.sessions[id]; open {
-			g.offerRecord(now, id, channel, RecordCopy{Partition: tracker.name, Record: record}, effects)
+		if session, open := g.sessions[id]; open {
+			g.offerRecord(now, id, session, RecordCopy{Partition: tracker.name, Record: record}, effects)
 		}
 	}
 }
@@ -390,8 +390,8 @@
 func (g *Gateway) deliverEphemeral(now time.Time, state *spaceState, message EphemeralCopy, effects *statemachine.Effects) bool {
 	holders := state.subscribedSessions(message.Topic)
 	for id := range statemachine.Sorted(holders) {
-		if channel, open := g.sessions[id]; open {
-			g.offerEphemeral(now, id, channel, message, effects)
+		if session, open := g.sessions[id]; open {
+			g.offerEphemeral(now, id, session, message, effects)
 		}
 	}
 	return len(holders) > 0
--- a/internal/gateway/ways_test.go
+++ b/internal/gateway/ways_test.go
@@ -23,9 +23,9 @@
 	gateway.viewClient.Placements[name] = membership.Placement{Partition: name, Epoch: 1, Leader: "store-1", Complete: true}
 	gateway.spaces["boards"] = &spaceState{space: config.Space{Name: "boards", Retention: config.Durable, Order: config.OrderTopic}, name: "boards~0"}
 	var effects statemachine.Effects
-	taken := &topicSubscription{session: 1, filling: true, deadline: now.Add(time.Second)}
-	followed := gateway.addTopicSubscription(now, "topic", "boards", taken, &effects)
-	gateway.fetchTopic(now, followed, &effects)
+	subscription := &topicSubscription{session: 1, filling: true, deadline: now.Add(time.Second)}
+	topic := gateway.addTopicSubscription(now, "topic", "boards", subscription, &effects)
+	gateway.fetchTopic(now, topic, &effects)
 	again := func() int {
 		now = now.Add(30 * time.Millisecond)
 		var effects statemachine.Effects
