--- /dev/null
+++ b/internal/simulator/canonical.go
@@ -0,0 +1,247 @@
+// The canonical form of Go values that are given to callers. Names of Go types and of
+// fields without a json tag have no part in it, contents have:
+//
+//   - a map with string keys, and a struct with json tags, are their pairs of key and
+//     value, in the order of keys; fields that JSON leaves out follow in their order;
+//   - another struct is its fields in their order, those of embedded structs in place;
+//   - a number is its decimal text, whatever its type;
+//   - a moment is its nanoseconds, an error its text, a function whether there is one.
+
+package simulator
+
+import (
+	"bytes"
+	"encoding/binary"
+	"fmt"
+	"reflect"
+	"slices"
+	"strconv"
+	"strings"
+	"sync"
+	"time"
+)
+
+// Marks of the kinds of values in the canonical form.
+const (
+	markNil      = 'z'
+	markFlag     = 'b'
+	markNumber   = 'n'
+	markText     = 's'
+	markBytes    = 'y'
+	markMoment   = 't'
+	markError    = 'e'
+	markFunction = 'f'
+	markList     = '['
+	markObject   = '{'
+	markFields   = '('
+	markEnd      = ')'
+)
+
+var (
+	typeOfTime  = reflect.TypeFor[time.Time]()
+	typeOfError = reflect.TypeFor[error]()
+)
+
+func appendFlag(body []byte, set bool) []byte {
+	if set {
+		return append(body, 1)
+	}
+	return append(body, 0)
+}
+
+func appendSized[T string | []byte](body []byte, mark byte, value T) []byte {
+	body = append(body, mark)
+	body = binary.AppendUvarint(body, uint64(len(value)))
+	return append(body, value...)
+}
+
+// appendValue adds the canonical form of a value.
+func appendValue(body []byte, value any) []byte {
+	return appendReflected(body, reflect.ValueOf(value))
+}
+
+func appendReflected(body []byte, value reflect.Value) []byte {
+	if !value.IsValid() {
+		return append(body, markNil)
+	}
+	if value.Type() == typeOfTime {
+		moment := value.Interface().(time.Time)
+		return binary.BigEndian.AppendUint64(append(body, markMoment), uint64(moment.UnixNano()))
+	}
+	if value.Type().Implements(typeOfError) && !isNil(value) {
+		return appendSized(body, markError, value.Interface().(error).Error())
+	}
+	switch value.Kind() {
+	case reflect.Bool:
+		return appendFlag(append(body, markFlag), value.Bool())
+	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
+		return appendSized(body, markNumber, strconv.FormatInt(value.Int(), 10))
+	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64, reflect.Uintptr:
+		return appendSized(body, markNumber, strconv.FormatUint(value.Uint(), 10))
+	case reflect.Float32, reflect.Float64:
+		return appendSized(body, markNumber, strconv.FormatFloat(value.Float(), 'f', -1, 64))
+	case reflect.String:
+		return appendSized(body, markText, value.String())
+	case reflect.Func, reflect.Chan:
+		return appendFlag(append(body, markFunction), !value.IsNil())
+	case reflect.Interface:
+		return appendReflected(body, value.Elem())
+	case reflect.Pointer:
+		return appendPointer(body, value)
+	case reflect.Slice, reflect.Array:
+		return appendList(body, value)
+	case reflect.Map:
+		return appendMap(body, value)
+	case reflect.Struct:
+		return appendStruct(body, value)
+	}
+	panic(fmt.Sprintf("a %s has no canonical form", value.Type()))
+}
+
+func isNil(value reflect.Value) bool {
+	return (value.Kind() == reflect.Pointer || value.Kind() == reflect.Interface) && value.IsNil()
+}
+
+// appendPointer adds what a pointer points to. One to an object that is not there is
+// an object without pairs, as a nil map is.
+func appendPointer(body []byte, value reflect.Value) []byte {
+	if !value.IsNil() {
+		return appendReflected(body, value.Elem())
+	}
+	if target := value.Type().Elem(); target.Kind() == reflect.Struct && formOf(target).tagged {
+		return appendPairs(body, nil)
+	}
+	return append(body, markNil)
+}
+
+func appendList(body []byte, value reflect.Value) []byte {
+	if value.Type().Elem().Kind() == reflect.Uint8 && value.Kind() == reflect.Slice {
+		return appendSized(body, markBytes, value.Bytes())
+	}
+	if value.Kind() == reflect.Slice && value.IsNil() {
+		return append(body, markNil)
+	}
+	body = binary.AppendUvarint(append(body, markList), uint64(value.Len()))
+	for index := range value.Len() {
+		body = appendReflected(body, value.Index(index))
+	}
+	return body
+}
+
+// pair is a key and a value of an object; the key of a map that isn't a text is
+// its canonical form.
+type pair struct {
+	key   string
+	value reflect.Value
+}
+
+func appendPairs(body []byte, pairs []pair) []byte {
+	body = binary.AppendUvarint(append(body, markObject), uint64(len(pairs)))
+	for _, each := range pairs {
+		body = appendSized(body, markText, each.key)
+		body = appendReflected(body, each.value)
+	}
+	return body
+}
+
+func appendMap(body []byte, value reflect.Value) []byte {
+	pairs := make([]pair, 0, value.Len())
+	for entries := value.MapRange(); entries.Next(); {
+		key := entries.Key().String()
+		if entries.Key().Kind() != reflect.String {
+			key = string(appendReflected(nil, entries.Key()))
+		}
+		pairs = append(pairs, pair{key: key, value: entries.Value()})
+	}
+	slices.SortFunc(pairs, func(left, right pair) int { return bytes.Compare([]byte(left.key), []byte(right.key)) })
+	return appendPairs(body, pairs)
+}
+
+func appendStruct(body []byte, value reflect.Value) []byte {
+	form := formOf(value.Type())
+	if form.tagged {
+		pairs := make([]pair, 0, len(form.keyed))
+		for _, field := range form.keyed {
+			content := value.FieldByIndex(field.index)
+			if !field.omitEmpty || !isEmpty(content) {
+				pairs = append(pairs, pair{key: field.key, value: content})
+			}
+		}
+		body = appendPairs(body, pairs)
+		if len(form.rest) == 0 {
+			return body
+		}
+	}
+	body = append(body, markFields)
+	for _, index := range form.rest {
+		body = appendReflected(body, value.FieldByIndex(index))
+	}
+	return append(body, markEnd)
+}
+
+// isEmpty is what encoding/json leaves out under omitempty.
+func isEmpty(value reflect.Value) bool {
+	switch value.Kind() {
+	case reflect.Array, reflect.Map, reflect.Slice, reflect.String:
+		return value.Len() == 0
+	case reflect.Struct:
+		return false
+	}
+	return value.IsZero()
+}
+
+// keyedField is a field that has a key in JSON.
+type keyedField struct {
+	key       string
+	index     []int
+	omitEmpty bool
+}
+
+// structForm says how the fields of a struct are taken: keyed are those with a key, by
+// key, and rest the others in their order. Without a json tag all are in rest.
+type structForm struct {
+	tagged bool
+	keyed  []keyedField
+	rest   [][]int
+}
+
+var structForms sync.Map
+
+func formOf(kind reflect.Type) structForm {
+	if known, found := structForms.Load(kind); found {
+		return known.(structForm)
+	}
+	fields := flatFields(kind, nil)
+	form := structForm{tagged: slices.ContainsFunc(fields, func(field reflect.StructField) bool {
+		return field.Tag.Get("json") != ""
+	})}
+	for _, field := range fields {
+		name, options, _ := strings.Cut(field.Tag.Get("json"), ",")
+		if !form.tagged || !field.IsExported() || name == "-" {
+			form.rest = append(form.rest, field.Index)
+			continue
+		}
+		if name == "" {
+			name = field.Name
+		}
+		form.keyed = append(form.keyed, keyedField{key: name, index: field.Index, omitEmpty: strings.Contains(options, "omitempty")})
+	}
+	slices.SortFunc(form.keyed, func(left, right keyedField) int { return strings.Compare(left.key, right.key) })
+	structForms.Store(kind, form)
+	return form
+}
+
+// flatFields lists the fields of a struct, those of an embedded one in its place.
+func flatFields(kind reflect.Type, path []int) []reflect.StructField {
+	var fields []reflect.StructField
+	for number := range kind.NumField() {
+		field := kind.Field(number)
+		field.Index = append(slices.Clone(path), number)
+		if field.Anonymous && field.Type.Kind() == reflect.Struct && field.Type != typeOfTime && field.Tag.Get("json") == "" {
+			fields = append(fields, flatFields(field.Type, field.Index)...)
+			continue
+		}
+		fields = append(fields, field)
+	}
+	return fields
+}
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -75,6 +75,7 @@
 		frame, err = transport.Encode(statemachine.Meta{From: from.Address, Version: version}, send.Message)
 	})
 	must(err)
+	s.Size.Recorder.frame(from, to, frame)
 	if s.Meter != nil {
 		s.Meter.Said(from, to, send.Message, len(frame))
 	}
--- a/internal/simulator/simulator.go
+++ b/internal/simulator/simulator.go
@@ -36,6 +36,8 @@
 	Tolerance int
 	Links     map[string]Bandwidth
 	Window    int
+	// Recorder, if there is one, records all that the daemons put into the world.
+	Recorder *Recorder
 }
 
 // stepProcessor stands for the processor time of one step of a machine.
@@ -619,6 +621,7 @@
 			simulation.trace("%s: %d %v", n.Name, note.Number, note.Fields)
 		}
 	}
+	simulation.Size.Recorder.answers(n, effects)
 	version := n.Machine.Version()
 	for _, send := range effects.Sends {
 		if statemachine.Departs(send.NotAfter, n.local()) {
@@ -667,7 +670,9 @@
 
 func (n *Node) tryWrite(write statemachine.Write) error {
 	n.Syncs++
-	if frame, whole := write.Whole(); whole {
+	frame, whole := write.Whole()
+	n.simulation.Size.Recorder.write(n, frame, whole, write.Entries)
+	if whole {
 		if err := n.book.Checkpoint(frame); err != nil {
 			return err
 		}
