--- /dev/null
+++ b/cmd/fleetlab/recorded.go
@@ -0,0 +1,134 @@
+// Digests of simulated runs, printed or compared with those that were recorded.
+package main
+
+import (
+	"flag"
+	"fmt"
+	"maps"
+	"os"
+	"slices"
+	"strings"
+
+	"github.com/google/subcommands"
+
+	"dahlialock/internal/simulator"
+)
+
+// everything selects all scenarios, or all shapes.
+const everything = "all"
+
+// record prints the digest of each run that the flags select, or, with a table to
+// compare with, the lines of it that no longer hold.
+func (h *hunt) record(set *flag.FlagSet) subcommands.ExitStatus {
+	var wanted []simulator.Recording
+	if h.compare == "" {
+		for _, run := range h.chosenRuns() {
+			wanted = append(wanted, simulator.Recording{RecordedRun: run})
+		}
+	} else {
+		recorded, err := readTable(h.compare)
+		if err != nil {
+			fmt.Fprintln(os.Stderr, "fleetlab:", err)
+			return subcommands.ExitUsageError
+		}
+		wanted = slices.DeleteFunc(recorded, h.leftOut(set))
+	}
+	if len(wanted) == 0 {
+		fmt.Fprintln(os.Stderr, "fleetlab: no run is selected")
+		return subcommands.ExitUsageError
+	}
+	differing := 0
+	for number, result := range h.recordAll(wanted) {
+		made := <-result
+		if made.err != nil {
+			fmt.Fprintln(os.Stderr, "fleetlab:", made.err)
+			return subcommands.ExitUsageError
+		}
+		switch {
+		case h.compare == "":
+			fmt.Println(made.recording)
+		case made.recording != wanted[number]:
+			differing++
+			fmt.Printf("%s, recorded %s\n", made.recording, wanted[number].Digest)
+		}
+	}
+	if h.compare != "" {
+		fmt.Printf("%d of %d runs differ\n", differing, len(wanted))
+	}
+	if differing > 0 {
+		return subcommands.ExitFailure
+	}
+	return subcommands.ExitSuccess
+}
+
+func readTable(name string) ([]simulator.Recording, error) {
+	file, err := os.Open(name)
+	if err != nil {
+		return nil, err
+	}
+	defer file.Close()
+	return simulator.ReadRecordings(file)
+}
+
+// chosenRuns lists the runs that -scenario, -size, -from and -seeds select.
+func (h *hunt) chosenRuns() []simulator.RecordedRun {
+	scenarios, shapes := strings.Split(h.scenario, ","), strings.Split(h.size, ",")
+	if h.scenario == everything {
+		scenarios = nil
+		for _, scenario := range simulator.Scenarios() {
+			scenarios = append(scenarios, scenario.Name)
+		}
+	}
+	if h.size == everything {
+		shapes = slices.Sorted(maps.Keys(simulator.Sizes))
+	}
+	var chosen []simulator.RecordedRun
+	for _, scenario := range scenarios {
+		for _, shape := range shapes {
+			for seed := h.from; seed < h.from+h.seeds; seed++ {
+				chosen = append(chosen, simulator.RecordedRun{Scenario: scenario, Shape: shape, Seed: seed})
+			}
+		}
+	}
+	return chosen
+}
+
+// leftOut tells whether the flags that were given leave out a line of a table.
+func (h *hunt) leftOut(set *flag.FlagSet) func(simulator.Recording) bool {
+	given := map[string]bool{}
+	set.Visit(func(each *flag.Flag) { given[each.Name] = true })
+	lacks := func(list, name string) bool {
+		return list != everything && !slices.Contains(strings.Split(list, ","), name)
+	}
+	return func(line simulator.Recording) bool {
+		return lacks(h.scenario, line.Scenario) ||
+			given["size"] && lacks(h.size, line.Shape) ||
+			given["from"] && line.Seed < h.from ||
+			given["seeds"] && line.Seed >= h.from+h.seeds
+	}
+}
+
+type recordingResult struct {
+	recording simulator.Recording
+	err       error
+}
+
+// recordAll records runs on all workers, and gives a channel for each, in their order.
+func (h *hunt) recordAll(wanted []simulator.Recording) []chan recordingResult {
+	results := make([]chan recordingResult, len(wanted))
+	pending := make(chan int, len(wanted))
+	for number := range wanted {
+		results[number] = make(chan recordingResult, 1)
+		pending <- number
+	}
+	close(pending)
+	for range h.workers {
+		go func() {
+			for number := range pending {
+				recording, err := wanted[number].Record()
+				results[number] <- recordingResult{recording: recording, err: err}
+			}
+		}()
+	}
+	return results
+}
--- a/cmd/fleetlab/simulate.go
+++ b/cmd/fleetlab/simulate.go
@@ -31,12 +31,15 @@
 	last     string
 	shorten  bool
 	parts    bool
+	digest   bool
+	compare  string
 }
 
 func (*hunt) Name() string     { return "simulate" }
 func (*hunt) Synopsis() string { return "run simulated scenarios over many seeds" }
 func (*hunt) Usage() string {
-	return "simulate [-scenario NAME|all] [-from N] [-seeds N] [-trace]\n"
+	return "simulate [-scenario NAME|all] [-from N] [-seeds N] [-trace]\n" +
+		"simulate -digest [-scenario NAME,NAME|all] [-size NAME,NAME|all] [-from N] [-seeds N] [-compare FILE]\n"
 }
 func (h *hunt) SetFlags(set *flag.FlagSet) {
 	set.StringVar(&h.scenario, "scenario", "all", "`name` of the scenario, or all")
@@ -50,6 +53,8 @@
 	set.BoolVar(&h.shorten, "shorten", false, "shorten the list of faults of a failing seed")
 	set.BoolVar(&h.parts, "parts", false, "tell how long each part of coming back took, over all seeds")
 	set.IntVar(&h.most, "most", 3, "how `many` violations to print of a run")
+	set.BoolVar(&h.digest, "digest", false, "print scenario, shape, seed and digest of each run; -scenario and -size take lists here")
+	set.StringVar(&h.compare, "compare", "", "with -digest, run what a `file` has recorded and print the lines that differ")
 }
 
 type ran struct {
@@ -60,10 +65,13 @@
 	broken     any
 }
 
-func (h *hunt) Execute(_ context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
+func (h *hunt) Execute(_ context.Context, set *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	// Runs are short and there is memory enough: the collector took a quarter of
 	// a hunt's time.
 	debug.SetGCPercent(800)
+	if h.digest || h.compare != "" {
+		return h.record(set)
+	}
 	scenarios := simulator.Scenarios()
 	if _, found := simulator.Sizes[h.size]; !found {
 		fmt.Fprintf(os.Stderr, "fleetlab: no size is named %q\n", h.size)
