--- /dev/null
+++ b/internal/simulator/closing_test.go
@@ -0,0 +1,232 @@
+// The closing fault of a day: as many stores and as many controllers as the
+// tolerance allows lose their disks, and at the same moment every other machine
+// loses power, also those that hold nothing durable (gateways and agents). Whatever
+// was acknowledged before must be there when they are back.
+//
+// More seeds: go test -run AtTheEndOfADay ./internal/simulator -closing.seeds 20 -closing.from 20000
+package simulator
+
+import (
+	"flag"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"dahlialock/internal/checker"
+	"dahlialock/internal/controller"
+	"dahlialock/internal/faults"
+	"dahlialock/internal/membership"
+)
+
+var (
+	closingSeeds = flag.Uint64("closing.seeds", 1, "seeds of each row of TestDisksAndAllPowerLostAtTheEndOfADay")
+	closingFrom  = flag.Uint64("closing.from", 1, "the first of these seeds")
+)
+
+// closingFault is one way in which a day ends.
+type closingFault struct {
+	name string
+	// day is how many faults are drawn before the closing one.
+	day int
+	// wiped chooses the machines of a kind whose disks are lost.
+	wiped func(run *Simulation, kind string, count int) []*Node
+	// delay is how long after the others the machines with lost disks come back, empty.
+	delay time.Duration
+}
+
+var closingFaults = []closingFault{
+	{name: "any disks", wiped: anyDisks},
+	{name: "the disks of those that lead", wiped: disksOfLeaders},
+	{name: "the disks of those that follow", wiped: disksOfFollowers},
+	{name: "the disks of those that lead, back late", wiped: disksOfLeaders, delay: 4 * time.Second},
+	{name: "any disks after faults", wiped: anyDisks, day: 4},
+	{name: "the disks of those that lead after faults", wiped: disksOfLeaders, day: 4},
+}
+
+// closingCrowd is a kind of callers, and how a run with them begins and ends.
+type closingCrowd struct {
+	name  string
+	begin func(seed uint64, size Size) (*Simulation, *Operator)
+	close func(run *Simulation)
+}
+
+var closingCrowds = []closingCrowd{
+	{name: "routed topics", begin: beginRouted, close: (*Simulation).closeTopics},
+	{name: "spaces", begin: beginSpaces, close: closeSpaces},
+}
+
+func beginRouted(seed uint64, size Size) (*Simulation, *Operator) {
+	run, operator := prepareTopics(seed, size, 0, nil)
+	run.TopicCrowd(size.Callers)
+	return run, operator
+}
+
+func beginSpaces(seed uint64, size Size) (*Simulation, *Operator) {
+	run, operator := Prepare(seed, size, nil)
+	run.Crowd(size.Callers)
+	return run, operator
+}
+
+func closeSpaces(run *Simulation) {
+	for range 4 {
+		run.operator.read()
+		run.Run(500 * time.Millisecond)
+	}
+	run.close(6 * time.Second)
+}
+
+// closingShapes are fleets whose controllers are founded by the seeds, with the least
+// number of machines for their tolerance and with spares, and the small fleet with a
+// fixed number of controllers.
+func closingShapes() map[string]Size {
+	shapes := map[string]Size{}
+	add := func(name string, size Size, stores int) {
+		size.Stores, size.Callers, size.Gateways = stores, 6, 3
+		shapes[name] = size
+	}
+	add("fixed", Small, 3)
+	add("seeded, one may be lost", seeded(3, 1), 3)
+	add("seeded with spares, one may be lost", seeded(5, 1), 4)
+	add("seeded, two may be lost", seeded(5, 2), 4)
+	add("seeded with spares, two may be lost", seeded(9, 2), 5)
+	return shapes
+}
+
+// tolerated is how many machines of a kind with a disk may be lost in a shape.
+func tolerated(size Size) int {
+	if !size.Seeded {
+		return controller.DefaultTolerance
+	}
+	return size.Tolerance
+}
+
+// anyDisks chooses among all machines of a kind, also those that are down.
+func anyDisks(run *Simulation, kind string, count int) []*Node {
+	nodes := run.Nodes(kind)
+	run.Random.Shuffle(len(nodes), func(left, right int) { nodes[left], nodes[right] = nodes[right], nodes[left] })
+	return nodes[:count]
+}
+
+// disksOfLeaders chooses the primary and its backups, and the stores that lead most
+// partitions.
+func disksOfLeaders(run *Simulation, kind string, count int) []*Node {
+	return byRank(run, kind)[:count]
+}
+
+// disksOfFollowers leaves out the primary, or the store that leads most partitions.
+func disksOfFollowers(run *Simulation, kind string, count int) []*Node {
+	return byRank(run, kind)[1 : count+1]
+}
+
+// byRank sorts the machines of a kind by how much depends on them.
+func byRank(run *Simulation, kind string) []*Node {
+	rank := map[string]int{}
+	if primary := run.Primary(); primary != nil {
+		record := primary.watch().Record()
+		rank[record.Primary] = 2
+		for _, backup := range record.Backups {
+			rank[backup] = 1
+		}
+		for _, placement := range primary.watchedState().Places {
+			rank[placement.First]++
+		}
+	}
+	nodes := run.Nodes(kind)
+	slices.SortStableFunc(nodes, func(left, right *Node) int { return rank[right.Name] - rank[left.Name] })
+	return nodes
+}
+
+// losePowerAndDisks ends every process at one moment, and empties some disks.
+func (s *Simulation) losePowerAndDisks(wiped []*Node, delay time.Duration) {
+	for _, node := range s.Nodes("") {
+		late := time.Duration(0)
+		if node.Up {
+			node.Kill()
+		}
+		if slices.Contains(wiped, node) {
+			node.Wipe()
+			late = delay
+		}
+		s.After(late+s.between(300*time.Millisecond, 1500*time.Millisecond), node.Start)
+	}
+}
+
+func TestDisksAndAllPowerLostAtTheEndOfADay(t *testing.T) {
+	for shape, size := range closingShapes() {
+		for _, fault := range closingFaults {
+			for _, callers := range closingCrowds {
+				t.Run(shape+"/"+callers.name+"/"+fault.name, func(t *testing.T) {
+					t.Parallel()
+					for seed := range *closingSeeds {
+						closeDay(t, *closingFrom+seed, size, callers, fault)
+					}
+				})
+			}
+		}
+	}
+}
+
+// closeDay runs a day with both kinds of callers, ends it with a fault, and judges it.
+func closeDay(t *testing.T, seed uint64, size Size, callers closingCrowd, fault closingFault) {
+	t.Helper()
+	run, operator := callers.begin(seed, size)
+	run.Run(2 * time.Second)
+	operator.work(run.Now.Add(topicStorm + 40*time.Second))
+	run.trouble = run.Now.Add(-checker.TroubleFor)
+	if fault.day > 0 {
+		run.day(t, faults.Draw(rand.New(rand.NewPCG(seed, 0xc105)), faults.Names, topicStorm, fault.day))
+	}
+
+	acknowledged := run.acknowledgeMore(t, seed)
+	accepted := run.Checker.Accepted
+	count := tolerated(size)
+	wiped := append(fault.wiped(run, membership.KindStore, count), fault.wiped(run, membership.KindController, count)...)
+	run.open++
+	run.losePowerAndDisks(wiped, fault.delay)
+	run.Run(fault.delay + 1500*time.Millisecond)
+	run.open--
+	run.trouble = run.Now
+	run.Run(checker.TroubleFor + 2*time.Second)
+
+	primary := run.Primary()
+	if primary == nil {
+		t.Fatalf("seed %d: no controller serves: %s", seed, records(run))
+	}
+	version := primary.watchedState().Version
+	assert.Check(t, version >= acknowledged, "seed %d: %d is in force, %d was acknowledged", seed, version, acknowledged)
+	callers.close(run)
+	for _, line := range run.Checker.Violations() {
+		t.Errorf("seed %d: %s", seed, line)
+	}
+	enough := run.Checker.Accepted > accepted+50
+	assert.Check(t, enough, "seed %d: little was accepted after the fault: %s", seed, run.Checker.Summary())
+}
+
+// day brings faults about and waits until their traces are gone.
+func (s *Simulation) day(t *testing.T, schedule []faults.Fault) {
+	t.Helper()
+	for _, fault := range schedule {
+		s.After(fault.Start, func() { s.bring(fault) })
+	}
+	s.Run(topicStorm)
+	ended := s.RunUntil(time.Minute, func() bool { return s.open == 0 })
+	assert.Check(t, ended, "a fault has not ended: %s", faults.Format(schedule))
+	s.Run(checker.TroubleFor + 4*time.Second)
+}
+
+// acknowledgeMore waits until a configuration and a message after it are acknowledged,
+// and gives the number of the configuration.
+func (s *Simulation) acknowledgeMore(t *testing.T, seed uint64) uint64 {
+	t.Helper()
+	taken := false
+	s.operator.next(func() { taken = true })
+	version := s.operator.version
+	assert.Check(t, s.RunUntil(10*time.Second, func() bool { return taken }), "seed %d: no configuration is taken", seed)
+	accepted := s.Checker.Accepted
+	more := s.RunUntil(2*time.Second, func() bool { return s.Checker.Accepted > accepted })
+	assert.Check(t, more, "seed %d: nothing is accepted", seed)
+	return version
+}
