--- a/internal/simulator/closing_test.go
+++ b/internal/simulator/closing_test.go
@@ -131,7 +131,7 @@
 			rank[backup] = 1
 		}
 		for _, placement := range primary.watchedState().Places {
-			rank[placement.First]++
+			rank[placement.Leader]++
 		}
 	}
 	nodes := run.Nodes(kind)
