--- a/internal/controller/apply.go
+++ b/internal/controller/apply.go
@@ -274,7 +274,7 @@
 		return
 	}
 	replicas := s.replicaIDs(placement)
-	if !slices.Equal(replicas, replicated.Holders) {
+	if !slices.Equal(replicas, replicated.Replicas) {
 		// A replica's disk was lost meanwhile.
 		return
 	}
--- a/internal/controller/apply_test.go
+++ b/internal/controller/apply_test.go
@@ -36,10 +36,10 @@
 	report := membership.PartitionReplicated{
 		Partition: placement.Partition,
 		Epoch:     placement.Epoch,
-		Holders:   []string{state.Members[placement.Leader].ReplicaID()},
+		Replicas:  []string{state.Members[placement.Leader].ReplicaID()},
 	}
 	for _, follower := range placement.Followers {
-		report.Holders = append(report.Holders, state.Members[follower].ReplicaID())
+		report.Replicas = append(report.Replicas, state.Members[follower].ReplicaID())
 	}
 	return report
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -276,7 +276,7 @@
 	switch body := message.(type) {
 	case membership.ViewUpdate:
 		if changed := c.viewClient.HandleUpdate(now, body); changed.View {
-			c.failureDetector.SetView(now, c.viewClient.Members, c.viewClient.Upstream(), c.viewClient.Index)
+			c.failureDetector.SetView(now, c.viewClient.Members, c.viewClient.Index)
 		}
 	case membership.Redirect:
 		c.viewClient.HandleRedirect(now, body, effects)
--- a/internal/controller/slowdisk.go
+++ b/internal/controller/slowdisk.go
@@ -56,7 +56,7 @@
 	if !c.mayReportDiskOf(report.Reporter, report.Name) && !statemachine.Mutated("any-reporter") {
 		return
 	}
-	if report.Sure {
+	if report.Measured {
 		c.confirmSlowDisk(now, report)
 		return
 	}
