--- /dev/null
+++ b/internal/testfleet/versions_test.go
@@ -0,0 +1,293 @@
+// Daemons of two versions in one fleet, under load: what each writes to the wire and to
+// its disk, the other reads.
+package testfleet
+
+import (
+	"context"
+	"fmt"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+	"gotest.tools/v3/poll"
+
+	"dahlialock/internal/client"
+)
+
+// earlierCommit is the last one before names in the code were changed for readers.
+const earlierCommit = "9cc32dd"
+
+// pace is how often the writer sends, and how soon whoever failed tries again.
+const pace = 10 * time.Millisecond
+
+// build makes all programs of a source tree.
+func build(t *testing.T, tree string) string {
+	t.Helper()
+	binaries := t.TempDir()
+	command := exec.Command("go", "build", "-trimpath", "-buildvcs=false", "-o", binaries,
+		"./cmd/agent", "./cmd/controller", "./cmd/dahlialock", "./cmd/gateway", "./cmd/store")
+	command.Dir = tree
+	output, err := command.CombinedOutput()
+	assert.NilError(t, err, "%s", output)
+	return binaries
+}
+
+// treeOf unpacks a commit.
+func treeOf(t *testing.T, commit string) string {
+	t.Helper()
+	tree := t.TempDir()
+	archive := filepath.Join(t.TempDir(), "tree.tar")
+	git := exec.Command("git", "archive", "-o", archive, commit)
+	git.Dir = filepath.Join("..", "..")
+	output, err := git.CombinedOutput()
+	assert.NilError(t, err, "the history must hold %s: %s", commit, output)
+	output, err = exec.Command("tar", "-x", "-f", archive, "-C", tree).CombinedOutput()
+	assert.NilError(t, err, "%s", output)
+	return tree
+}
+
+// sent is a message that was accepted.
+type sent struct {
+	space string
+	seq   uint64
+}
+
+// write publishes one message after another through one gateway after the other, each
+// until it is accepted, and gives them all once it is asked to end.
+func write(within context.Context, b *bench, end <-chan struct{}, accepted chan<- []sent) {
+	var done []sent
+	defer func() { accepted <- done }()
+	origin, gateways := b.origin("ada"), b.fleet.OfKind("gateway")
+	ticks := time.NewTicker(pace)
+	defer ticks.Stop()
+	tries := 0
+	for seq := uint64(1); ; {
+		select {
+		case <-end:
+			return
+		case <-within.Done():
+			return
+		case <-ticks.C:
+		}
+		message := sent{space: []string{"boards", "decisions"}[seq%2], seq: seq}
+		topic := fmt.Sprintf("project%d/x", seq%5)
+		trying, cancel := context.WithTimeout(within, 2*time.Second)
+		answer, err := origin.Publish(trying, gateways[tries%len(gateways)].Caller, message.space, topic, seq, seq)
+		cancel()
+		if err != nil || answer.Outcome != "accepted" {
+			tries++
+			continue
+		}
+		done = append(done, message)
+		if seq++; seq%20 == 0 {
+			tries++
+		}
+	}
+}
+
+// reader keeps a channel open, wherever there is a gateway, from its cursor on.
+type reader struct {
+	bench  *bench
+	origin *client.Caller
+	cursor string
+	got    map[sent]int
+	last   map[string]uint64
+	fault  error
+}
+
+// open opens a channel at one gateway after the other, and goes on there.
+func (r *reader) open(within context.Context, tries int) *client.Channel {
+	gateways := r.bench.fleet.OfKind("gateway")
+	channel, err := r.origin.Open(within, gateways[tries%len(gateways)].Caller)
+	if err != nil {
+		return nil
+	}
+	var wanted []client.Subscription
+	if r.cursor == "" {
+		wanted = []client.Subscription{{Space: "boards", Prefix: new(string)}, {Space: "decisions", Prefix: new(string)}}
+	}
+	asking, cancel := context.WithTimeout(within, 5*time.Second)
+	defer cancel()
+	answer, err := r.origin.Subscribe(asking, channel, wanted, r.cursor)
+	if err == nil && answer.Outcome == "accepted" {
+		r.cursor = answer.Cursor
+		return channel
+	}
+	if answer.Code == "place-lost" || answer.Code == "bad-cursor" {
+		r.fault = fmt.Errorf("its cursor is refused: %+v", answer)
+	}
+	channel.Close()
+	return nil
+}
+
+func (r *reader) take(event client.Event) {
+	if event.Cursor != "" {
+		r.cursor = event.Cursor
+	}
+	if event.Event != "message" {
+		return
+	}
+	message := sent{space: event.Space, seq: event.Seq}
+	if r.got[message]++; r.got[message] > 1 {
+		return
+	}
+	if event.Seq < r.last[event.Space] {
+		r.fault = fmt.Errorf("%v came after %d", message, r.last[event.Space])
+	}
+	r.last[event.Space] = event.Seq
+}
+
+// lacks names the messages that have not come.
+func (r *reader) lacks(owed []sent) []sent {
+	var missing []sent
+	for _, message := range owed {
+		if r.got[message] == 0 {
+			missing = append(missing, message)
+		}
+	}
+	return missing
+}
+
+// read reads until it has all that it is owed, and tells what is wrong.
+func (r *reader) read(within context.Context, subscribed chan<- struct{}, owing <-chan []sent, ended chan<- error) {
+	var owed []sent
+	settled := false
+	ticks := time.NewTicker(pace)
+	defer ticks.Stop()
+	for tries := 0; r.fault == nil && (!settled || len(r.lacks(owed)) > 0); tries++ {
+		select {
+		case <-within.Done():
+			ended <- fmt.Errorf("%d messages are missing: %v", len(r.lacks(owed)), r.lacks(owed))
+			return
+		case <-ticks.C:
+		}
+		channel := r.open(within, tries)
+		if channel == nil {
+			continue
+		}
+		if subscribed != nil {
+			close(subscribed)
+			subscribed = nil
+		}
+		owed, settled = r.readChannel(within, channel, owing, owed, settled)
+		channel.Close()
+	}
+	ended <- r.fault
+}
+
+// readChannel reads one channel until it ends or has given all.
+func (r *reader) readChannel(
+	within context.Context, channel *client.Channel, owing <-chan []sent, owed []sent, settled bool,
+) ([]sent, bool) {
+	for r.fault == nil && (!settled || len(r.lacks(owed)) > 0) {
+		select {
+		case <-within.Done():
+			return owed, settled
+		case owed = <-owing:
+			settled = true
+		case event, open := <-channel.Events:
+			if !open {
+				return owed, settled
+			}
+			r.take(event)
+			if event.Event == "ping" && r.origin.Pong(within, channel) != nil {
+				return owed, settled
+			}
+			if event.Event == "move" || event.Event == "gone" {
+				return owed, settled
+			}
+		}
+	}
+	return owed, settled
+}
+
+// replace stops one daemon after the other and starts it from other programs. An agent
+// takes its time to leave, and does so while the controller and the store beside it are
+// replaced.
+func (b *bench) replace(binaries string) {
+	b.t.Helper()
+	for _, number := range []string{"-1", "-2", "-3"} {
+		b.fleet.Signal("agent"+number, syscall.SIGTERM)
+		for _, kind := range []string{"controller", "store", "agent", "gateway"} {
+			b.restart(kind+number, filepath.Join(binaries, kind))
+		}
+	}
+}
+
+// restart stops a daemon, with force after six seconds as the platform does, starts it
+// from another program, and waits until the fleet has recovered from that.
+func (b *bench) restart(name, binary string) {
+	b.t.Helper()
+	if length, forced := b.fleet.Stop(name); forced {
+		b.t.Logf("%s was killed after %s", name, length)
+	} else {
+		assert.Equal(b.t, b.fleet.Daemons[name].ExitCode(), 0, name)
+	}
+	b.fleet.Daemons[name].binary = binary
+	assert.NilError(b.t, b.fleet.Start(name))
+	assert.NilError(b.t, b.fleet.WaitReady(wide, name))
+	b.complete()
+}
+
+// complete waits until every partition has all its copies.
+func (b *bench) complete() {
+	b.t.Helper()
+	poll.WaitOn(b.t, func(poll.LogT) poll.Result {
+		_, output := b.command("dahlialock", "placement", "-ctl", b.fleet.Daemons["gateway-3"].Control)
+		if strings.Contains(output, "false") || !strings.Contains(output, "true") {
+			return poll.Continue("not all partitions are complete:\n%s", output)
+		}
+		return poll.Success()
+	}, poll.WithTimeout(wide), poll.WithDelay(50*time.Millisecond))
+}
+
+func TestDaemonsOfTwoVersionsServeTogether(t *testing.T) {
+	earlier, today := build(t, treeOf(t, earlierCommit)), build(t, filepath.Join("..", ".."))
+	deployment := Deployments["small"]
+	deployment.Port = 25300
+	fleet, err := New(deployment, t.TempDir(), earlier)
+	assert.NilError(t, err)
+	assert.NilError(t, fleet.StartAll())
+	t.Cleanup(fleet.StopAll)
+	assert.NilError(t, fleet.WaitReady(wide, fleet.Names()...))
+	b := &bench{t: t, fleet: fleet, binaries: today}
+	code, output := b.command("dahlialock", "put", "-wait", "20s", "-ctl", fleet.Daemons["gateway-1"].Control,
+		b.file(fmt.Sprintf(configuration, 1)))
+	assert.Equal(t, code, 0, output)
+	b.complete()
+
+	within, cancel := context.WithTimeout(context.Background(), 2*wide)
+	defer cancel()
+	end, accepted := make(chan struct{}), make(chan []sent, 1)
+	subscribed, owing, ended := make(chan struct{}), make(chan []sent, 1), make(chan error, 1)
+	follower := &reader{bench: b, origin: b.origin("bob"), got: map[sent]int{}, last: map[string]uint64{}}
+	go follower.read(within, subscribed, owing, ended)
+	select {
+	case <-subscribed:
+	case err := <-ended:
+		t.Fatal(err)
+	}
+	go write(within, b, end, accepted)
+	b.replace(today)
+	b.replace(earlier)
+	close(end)
+	owed := <-accepted
+	owing <- owed
+	assert.NilError(t, <-ended)
+	assert.Assert(t, len(owed) > 100, "only %d messages were accepted", len(owed))
+	t.Logf("%d messages were accepted and came, %d of them twice", len(owed), twice(follower.got))
+}
+
+func twice(got map[sent]int) int {
+	count := 0
+	for _, times := range got {
+		if times > 1 {
+			count++
+		}
+	}
+	return count
+}
