--- a/cmd/dahlialock/main.go
+++ b/cmd/dahlialock/main.go
@@ -145,12 +145,14 @@
 func (c *command) Usage() string {
 	return c.name + " " + c.usage + "\n  " + c.synopsis + "\n"
 }
+
 func (c *command) SetFlags(set *flag.FlagSet) {
 	c.declare(set)
 	if c.flags != nil {
 		c.flags(set)
 	}
 }
+
 func (c *command) Execute(_ context.Context, set *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	return c.run(c, set.Args())
 }
--- a/cmd/fleetlab/simulate.go
+++ b/cmd/fleetlab/simulate.go
@@ -38,6 +38,7 @@
 func (*hunt) Usage() string {
 	return "simulate [-scenario NAME|all] [-from N] [-seeds N] [-trace]\n"
 }
+
 func (h *hunt) SetFlags(set *flag.FlagSet) {
 	set.StringVar(&h.scenario, "scenario", "all", "`name` of the scenario, or all")
 	set.Uint64Var(&h.from, "from", 0, "the first `seed`")
--- a/cmd/fleetlab/trial.go
+++ b/cmd/fleetlab/trial.go
@@ -37,6 +37,7 @@
 func (*trial) Usage() string {
 	return "trial [-deployment D] [-length 2m] [-faults all|NAMES|pair] [-count N] [-last NAME] [-seed N]\n"
 }
+
 func (t *trial) SetFlags(set *flag.FlagSet) {
 	set.StringVar(&t.deployment, "deployment", "fjordlys", "the `size`: small, fjordlys or qureshi")
 	set.StringVar(&t.folder, "folder", "", "`folder` for settings, logs and data; a new one if not given")
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -35,7 +35,8 @@
 	if current.Admission == settings.AdmissionOpen {
 		callersKey = nil
 	}
-	machine := gateway.New(gateway.Settings{Self: self, Agent: current.Agent, Key: key, OriginsMost: current.OriginsMost, Link: current.Link, Processor: processorTime, Life: stored.Life,
+	machine := gateway.New(gateway.Settings{
+		Self: self, Agent: current.Agent, Key: key, OriginsMost: current.OriginsMost, Link: current.Link, Processor: processorTime, Life: stored.Life,
 		// A sixth of the time in which a version is to be in force is left for news
 		// on its way, and two fifths of the grace for what comes after the callers.
 		ConfirmedFor: current.Bounds.Apply * 5 / 6, StopWithin: current.Bounds.Grace * 3 / 5, Acknowledge: current.Bounds.Acknowledge,
--- a/internal/checker/register_test.go
+++ b/internal/checker/register_test.go
@@ -59,21 +59,28 @@
 	{"nothing yet", false, true, []operation{reads(0, "", 0, 5), ordered(1, "a", 1, 9, Acknowledged)}},
 	{"two contents under one number", false, false, []operation{ordered(1, "a", 0, 9, Acknowledged), ordered(1, "b", 0, 9, Acknowledged)}},
 	{"two contents under a number that was overtaken", false, false, []operation{
-		ordered(5, "x", 0, 1, Acknowledged), ordered(4, "a", 2, 3, Acknowledged), ordered(4, "b", 4, 5, Acknowledged)}},
+		ordered(5, "x", 0, 1, Acknowledged), ordered(4, "a", 2, 3, Acknowledged), ordered(4, "b", 4, 5, Acknowledged),
+	}},
 	{"one of a pair is refused", false, true, []operation{ordered(1, "a", 0, 9, Acknowledged), ordered(1, "b", 0, 9, RefusedOther)}},
 	{"what was taken is refused", false, false, []operation{ordered(1, "a", 0, 1, Acknowledged), ordered(1, "a", 2, 3, RefusedOther)}},
 	{"what was taken is refused as older", true, false, []operation{
-		ordered(1, "a", 0, 1, Acknowledged), ordered(2, "b", 2, 3, Acknowledged), ordered(1, "a", 4, 5, RefusedOlder)}},
+		ordered(1, "a", 0, 1, Acknowledged), ordered(2, "b", 2, 3, Acknowledged), ordered(1, "a", 4, 5, RefusedOlder),
+	}},
 	{"what was taken is acknowledged again later", true, true, []operation{
-		ordered(1, "a", 0, 1, Acknowledged), ordered(2, "b", 2, 3, Acknowledged), ordered(1, "a", 4, 5, Acknowledged)}},
+		ordered(1, "a", 0, 1, Acknowledged), ordered(2, "b", 2, 3, Acknowledged), ordered(1, "a", 4, 5, Acknowledged),
+	}},
 	{"a read of what was overtaken before", false, false, []operation{
-		ordered(1, "a", 0, 1, Acknowledged), ordered(2, "b", 2, 3, Acknowledged), reads(1, "a", 4, 5)}},
+		ordered(1, "a", 0, 1, Acknowledged), ordered(2, "b", 2, 3, Acknowledged), reads(1, "a", 4, 5),
+	}},
 	{"a read while the next is put", false, true, []operation{
-		ordered(1, "a", 0, 1, Acknowledged), ordered(2, "b", 2, 5, Acknowledged), reads(1, "a", 3, 4)}},
+		ordered(1, "a", 0, 1, Acknowledged), ordered(2, "b", 2, 5, Acknowledged), reads(1, "a", 3, 4),
+	}},
 	{"a read that goes back", false, false, []operation{
-		ordered(1, "a", 0, 1, Acknowledged), lost(2, "b", 2), reads(2, "b", 3, 4), reads(1, "a", 5, 6)}},
+		ordered(1, "a", 0, 1, Acknowledged), lost(2, "b", 2), reads(2, "b", 3, 4), reads(1, "a", 5, 6),
+	}},
 	{"an order without an answer takes effect later", false, true, []operation{
-		ordered(1, "a", 0, 1, Acknowledged), lost(2, "b", 2), reads(1, "a", 3, 4), reads(2, "b", 5, 6)}},
+		ordered(1, "a", 0, 1, Acknowledged), lost(2, "b", 2), reads(1, "a", 3, 4), reads(2, "b", 5, 6),
+	}},
 	{"a read of what nobody had put yet", false, false, []operation{reads(1, "a", 0, 1), ordered(1, "a", 2, 3, Acknowledged)}},
 	{"a read of what nobody put", false, false, []operation{ordered(1, "a", 0, 1, Acknowledged), reads(2, "b", 2, 3)}},
 	{"read back different from what was taken", false, false, []operation{ordered(1, "a", 0, 1, Acknowledged), lost(1, "b", 0), reads(1, "b", 2, 3)}},
@@ -83,7 +90,8 @@
 	{"refused for one whose answer was lost", false, true, []operation{lost(1, "b", 0), ordered(1, "a", 1, 2, RefusedOther)}},
 	{"each refused for the other", false, false, []operation{ordered(1, "a", 0, 5, RefusedOther), ordered(1, "b", 0, 5, RefusedOther)}},
 	{"refused for a third whose answer was lost", false, true, []operation{
-		ordered(1, "a", 0, 5, RefusedOther), ordered(1, "b", 0, 5, RefusedOther), lost(1, "c", 4)}},
+		ordered(1, "a", 0, 5, RefusedOther), ordered(1, "b", 0, 5, RefusedOther), lost(1, "c", 4),
+	}},
 	{"a lower number is decided after a higher one", true, false, []operation{ordered(2, "b", 0, 1, Acknowledged), ordered(1, "a", 2, 3, Acknowledged)}},
 	{"a lower number is acknowledged after a higher one", false, true, []operation{ordered(2, "b", 0, 1, Acknowledged), ordered(1, "a", 2, 3, Acknowledged)}},
 	{"older than nothing", true, false, []operation{ordered(1, "a", 0, 1, RefusedOlder), ordered(2, "b", 2, 3, Acknowledged)}},
