--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -79,17 +79,17 @@
 
 // Load is what a daemon observes of itself; it is not kept, only reported.
 type Load struct {
-	_          struct{} `cbor:",toarray"`
-	Origins    int
-	Room       int
-	Requests   uint64
-	Delivered  uint64
-	Copies     uint64
-	Processor  time.Duration
-	Ready      bool
-	Resting    bool
-	Partitions []string
-	Delays     map[string]time.Duration
+	_          struct{}                 `cbor:",toarray"`
+	Origins    int                      `json:"Origins"`
+	Room       int                      `json:"Room"`
+	Requests   uint64                   `json:"Requests"`
+	Delivered  uint64                   `json:"Delivered"`
+	Copies     uint64                   `json:"Copies"`
+	Processor  time.Duration            `json:"Processor"`
+	Ready      bool                     `json:"Ready"`
+	Resting    bool                     `json:"Resting"`
+	Partitions []string                 `json:"Partitions"`
+	Delays     map[string]time.Duration `json:"Delays"`
 }
 
 // Ask is a daemon's question with what it has, and from which epoch it has it; it
@@ -136,11 +136,11 @@
 // what it holds beyond.
 type Orders struct {
 	_       struct{} `cbor:",toarray"`
-	Rest    bool
-	Empty   bool
-	Keep    int
-	Pace    int
-	Targets []string
+	Rest    bool     `json:"Rest"`
+	Empty   bool     `json:"Empty"`
+	Keep    int      `json:"Keep"`
+	Pace    int      `json:"Pace"`
+	Targets []string `json:"Targets"`
 }
 
 // Redirect tells who is primary, as far as the sender knows.
@@ -200,42 +200,42 @@
 // PartitionComplete comes from a first whose followers have everything. Holders
 // are the stores with the disks on which it lies, the first's own among them.
 type PartitionComplete struct {
-	Partition string
-	Epoch     uint64
-	Holders   []string
+	Partition string   `cbor:"Partition"`
+	Epoch     uint64   `cbor:"Epoch"`
+	Holders   []string `cbor:"Holders"`
 }
 
 // Lagging comes from a store that sees another one's disk, or its own, take far
 // longer than it should, or refuse.
 type Lagging struct {
-	Reporter    string
-	Name        string
-	Incarnation uint64
-	Delay       time.Duration
+	Reporter    string        `cbor:"Reporter"`
+	Name        string        `cbor:"Name"`
+	Incarnation uint64        `cbor:"Incarnation"`
+	Delay       time.Duration `cbor:"Delay"`
 	// Sure is set for what the disk itself took; else the link may be at fault.
-	Sure bool
+	Sure bool `cbor:"Sure"`
 }
 
 // ControlRequest carries an operator's request on to the primary. Request names it
 // between two daemons; Order names it from the daemon that the operator asked on, so
 // that it is known again whichever way it comes.
 type ControlRequest struct {
-	Request statemachine.RequestID
-	Order   statemachine.RequestID
-	Method  string
-	Path    string
-	Body    []byte
+	Request statemachine.RequestID `cbor:"Request"`
+	Order   statemachine.RequestID `cbor:"Order"`
+	Method  string                 `cbor:"Method"`
+	Path    string                 `cbor:"Path"`
+	Body    []byte                 `cbor:"Body"`
 	// Relayed is set on what a daemon that is not a controller is to carry.
-	Relayed bool
+	Relayed bool `cbor:"Relayed"`
 }
 
 // ControlResponse is its answer.
 type ControlResponse struct {
-	Request    statemachine.RequestID
-	Status     int
-	Body       []byte
-	RetryAfter time.Duration
-	Redirect   string
+	Request    statemachine.RequestID `cbor:"Request"`
+	Status     int                    `cbor:"Status"`
+	Body       []byte                 `cbor:"Body"`
+	RetryAfter time.Duration          `cbor:"RetryAfter"`
+	Redirect   string                 `cbor:"Redirect"`
 }
 
 func init() {
