--- a/internal/logevent/logevent_test.go
+++ b/internal/logevent/logevent_test.go
@@ -23,7 +23,8 @@
 	}
 	assert.Equal(t, len(rows), len(Catalogue))
 	for number, description := range Catalogue {
-		row := fmt.Sprintf("| %d | %s | %s |", number, strings.Replace(description.Level.String(), "warning", "warn", 1), description.Text)
+		level := strings.Replace(description.Level.String(), "warning", "warn", 1)
+		row := fmt.Sprintf("| %d | %s | %s |", number, level, description.Text)
 		assert.Assert(t, rows[row], "the docs lack %s", row)
 	}
 }
--- a/internal/membership/failure_detector_test.go
+++ b/internal/membership/failure_detector_test.go
@@ -14,12 +14,15 @@
 func newWatchingDetector(kind string) (*FailureDetector, time.Time) {
 	now := time.Unix(1000, 0)
 	self := Member{Name: "gateway-1", Kind: KindGateway, Address: "a:1", Zone: "east", Alive: true, Incarnation: 1}
+	controller := Member{
+		Name: "controller-1", Kind: KindController, Address: "c:1", Zone: "west", Alive: true, Incarnation: 1,
+	}
 	detector := NewFailureDetector(self)
 	detector.Start(now)
 	detector.SetView(now, map[string]Member{
-		self.Name:      self,
-		"other":        {Name: "other", Kind: kind, Address: "b:1", Zone: "west", Alive: true, Incarnation: 1},
-		"controller-1": {Name: "controller-1", Kind: KindController, Address: "c:1", Zone: "west", Alive: true, Incarnation: 1},
+		self.Name:       self,
+		"other":         {Name: "other", Kind: kind, Address: "b:1", Zone: "west", Alive: true, Incarnation: 1},
+		controller.Name: controller,
 	}, 1)
 	return detector, now
 }
@@ -72,7 +75,8 @@
 	detector, now := newWatchingDetector(KindStore)
 	var effects statemachine.Effects
 	detector.Tick(now, &effects)
-	for pause := StoreHeartbeatInterval + StoreSuspectTimeout/3 + time.Millisecond; pause < 3*time.Second; pause += 100 * time.Millisecond {
+	shortest := StoreHeartbeatInterval + StoreSuspectTimeout/3 + time.Millisecond
+	for pause := shortest; pause < 3*time.Second; pause += 100 * time.Millisecond {
 		now = now.Add(pause)
 		effects = statemachine.Effects{}
 		detector.Tick(now, &effects)
--- a/internal/membership/view_client.go
+++ b/internal/membership/view_client.go
@@ -338,7 +338,7 @@
 	if update.Nonce <= c.nonce {
 		c.lastAnswered = max(c.lastAnswered, update.Nonce)
 	}
-	if update.Epoch < c.Epoch || update.Index < c.Index || update.Version < c.Version {
+	if c.isStale(update) {
 		return UpdateResult{}
 	}
 	var result UpdateResult
@@ -367,6 +367,11 @@
 	return result
 }
 
+// isStale reports whether an update comes from an older state than the client has.
+func (c *ViewClient) isStale(update ViewUpdate) bool {
+	return update.Epoch < c.Epoch || update.Index < c.Index || update.Version < c.Version
+}
+
 // applyView replaces the view, or the part of it that changed.
 func (c *ViewClient) applyView(update ViewUpdate) {
 	c.Index = update.Index
