--- /dev/null
+++ b/internal/gateway/delivery.go
@@ -0,0 +1,152 @@
+package gateway
+
+import (
+	"dahlialock/internal/decisionlog"
+	"dahlialock/internal/statemachine"
+	"encoding/json"
+	"time"
+)
+
+// drain hands over what waited while a channel was being filled.
+func (g *Gateway) drain(now time.Time, id uint64, session *session, effects *statemachine.Effects) {
+	if session.filling() {
+		return
+	}
+	// What is left in the buffer keeps the cursor's floor below it.
+	for len(session.buffer) > 0 {
+		recordCopy := session.buffer[0]
+		session.buffer = session.buffer[1:]
+		g.offerRecord(now, id, session, recordCopy, effects)
+	}
+	passes := session.ephemeralBuffer
+	session.ephemeralBuffer = nil
+	for _, message := range passes {
+		g.offerEphemeral(now, id, session, message, effects)
+	}
+}
+
+// offerRecord gives a kept message to a channel, if one of its subscriptions wants it
+// and it has not had it.
+func (g *Gateway) offerRecord(now time.Time, id uint64, session *session, recordCopy RecordCopy, effects *statemachine.Effects) {
+	space, _ := spaceOf(recordCopy.Partition)
+	wanted, waits := false, false
+	for interest, subscription := range session.subscriptions {
+		if interest.Space != space || !interest.matches(recordCopy.Record.Topic) {
+			continue
+		}
+		if subscription.filling {
+			waits = true
+			continue
+		}
+		wanted = wanted || recordCopy.Record.Offset > subscription.since[recordCopy.Partition]
+	}
+	wanted = wanted || statemachine.Mutated("no-exact-match")
+	if session.filling() && (wanted || waits) {
+		// While any part is being filled the whole channel waits, since a
+		// sender's order runs across its subscriptions.
+		session.buffer = append(session.buffer, recordCopy)
+		return
+	}
+	if wanted {
+		g.deliverTo(now, id, session, recordCopy, effects)
+	}
+}
+
+// deliverTo gives a kept message to a channel once.
+func (g *Gateway) deliverTo(now time.Time, id uint64, session *session, recordCopy RecordCopy, effects *statemachine.Effects) {
+	if !session.movedAt.IsZero() || !session.firstDelivery(now, recordCopy.Partition, recordCopy.Record.Offset) {
+		return
+	}
+	space, _ := spaceOf(recordCopy.Partition)
+	g.Counts.Delivered++
+	g.ring.Record(now, "", decisionlog.MessageName(space, recordCopy.Record.Sender, recordCopy.Record.Seq), session.client, "delivered",
+		"partition", recordCopy.Partition, "offset", recordCopy.Record.Offset)
+	g.emit(id, Event{
+		Event: "message", Space: space, Topic: recordCopy.Record.Topic, Sender: recordCopy.Record.Sender, Seq: recordCopy.Record.Seq,
+		Data: json.RawMessage(recordCopy.Record.Data), Cursor: g.cursor(now, session),
+	}, effects)
+}
+
+func (c *session) markSeen(now time.Time, space, sender string, seq uint64) bool {
+	marks := c.sequences[space]
+	if marks == nil {
+		marks = map[string]senderSequence{}
+		c.sequences[space] = marks
+	}
+	if marks[sender].seq >= seq {
+		return false
+	}
+	marks[sender] = senderSequence{seq: seq, at: now}
+	return true
+}
+
+func (g *Gateway) offerEphemeral(now time.Time, id uint64, session *session, message EphemeralCopy, effects *statemachine.Effects) {
+	if !session.movedAt.IsZero() {
+		return
+	}
+	space, _ := spaceOf(message.Space + "/")
+	wanted := false
+	for interest, subscription := range session.subscriptions {
+		if interest.Space == space && interest.matches(message.Topic) {
+			if subscription.filling || session.filling() {
+				session.ephemeralBuffer = append(session.ephemeralBuffer, message)
+				return
+			}
+			// What is offered late is for those who were away, not for those
+			// who had not asked yet.
+			wanted = wanted || !message.Repeated || now.Sub(subscription.resumedAt) <= resumedFor
+		}
+	}
+	if !wanted || !session.markSeen(now, message.Space, message.Sender, message.Seq) {
+		return
+	}
+	g.Counts.Delivered++
+	g.ring.Record(now, "", decisionlog.MessageName(space, message.Sender, message.Seq), session.client, "delivered")
+	g.emit(id, Event{
+		Event: "message", Space: space, Topic: message.Topic, Sender: message.Sender, Seq: message.Seq,
+		Data: json.RawMessage(message.Data), Cursor: g.cursor(now, session),
+	}, effects)
+}
+
+// markDelivered notes offsets that the origin had before it came here.
+func (c *session) markDelivered(now time.Time, name string, offsets []uint64) {
+	for _, offset := range offsets {
+		c.firstDelivery(now, name, offset)
+	}
+}
+
+// firstDelivery notes that the origin has a message now, and tells whether it had not.
+// What is above the place's floor is kept apart, since every cursor names it.
+func (c *session) firstDelivery(now time.Time, name string, offset uint64) bool {
+	if c.delivered[name] == nil {
+		c.delivered[name], c.deliveredAbove[name] = map[uint64]time.Time{}, map[uint64]bool{}
+	}
+	if _, had := c.delivered[name][offset]; had {
+		return false
+	}
+	c.delivered[name][offset] = now
+	c.deliveredAbove[name][offset] = true
+	return true
+}
+
+// notBefore notes that an interest began above the place's floor.
+func (c *session) notBefore(interest Interest, name string, since uint64) {
+	subscription := c.subscriptions[interest]
+	if subscription.notBefore == nil {
+		subscription.notBefore = map[string]uint64{}
+	}
+	subscription.notBefore[name] = since
+}
+
+// subscribesTo tells whether a missed message is one that an interest asked for at
+// the time.
+func (c *session) subscribesTo(interests []Interest, recordCopy RecordCopy) bool {
+	space, _ := spaceOf(recordCopy.Partition)
+	for _, interest := range interests {
+		subscription, found := c.subscriptions[interest]
+		if found && interest.Space == space && interest.matches(recordCopy.Record.Topic) && recordCopy.Record.Offset > subscription.notBefore[recordCopy.Partition] {
+			return true
+		}
+	}
+	return false
+}
--- /dev/null
+++ b/internal/gateway/draining.go
@@ -0,0 +1,153 @@
+package gateway
+
+import (
+	"dahlialock/internal/logevent"
+	"dahlialock/internal/membership"
+	"dahlialock/internal/statemachine"
+	"slices"
+	"time"
+)
+
+// disconnectSome ends channels of a gateway that nobody has confirmed for so long that
+// no takeover explains it: its agent is lost or its machine is cut off, and
+// its origins are served elsewhere. Half of them go each second.
+func (g *Gateway) disconnectSome(now time.Time, effects *statemachine.Effects) {
+	if g.viewClient.Index == 0 || g.Confirmed(now) || now.Sub(g.viewClient.ConfirmedAt) < disconnectAfter {
+		return
+	}
+	count := max(minDisconnects, len(g.sessions)/2)
+	for id, session := range statemachine.Sorted(g.sessions) {
+		if count--; count < 0 {
+			return
+		}
+		g.emitLast(now, id, session, "unconfirmed", effects)
+		g.closeSession(now, CloseSession{Session: id, Reason: "unconfirmed"}, effects)
+	}
+}
+
+// targets lists the gateways to which origins may be sent, the best first.
+func (g *Gateway) targets() []membership.Member {
+	var members []membership.Member
+	for _, name := range g.viewClient.Directives.Targets {
+		if member, found := g.viewClient.Members[name]; found && member.Alive {
+			members = append(members, member)
+		}
+	}
+	if len(members) > 0 {
+		return members
+	}
+	for pass := range 2 {
+		for name, member := range statemachine.Sorted(g.viewClient.Members) {
+			near := member.Zone == g.settings.Self.Zone
+			if name != g.settings.Self.Name && member.Kind == membership.KindGateway && member.Alive && !member.Resting &&
+				!slices.Contains(g.config.Drains, name) && near == (pass == 0) {
+				members = append(members, member)
+			}
+		}
+		if len(members) >= 2 {
+			break
+		}
+	}
+	return members
+}
+
+func (g *Gateway) moveSome(now time.Time, effects *statemachine.Effects) {
+	orders := g.viewClient.Directives
+	if !orders.Drain && orders.KeepSessions == 0 && !g.stopping {
+		return
+	}
+	count := max(1, orders.MovesPerSecond/int(time.Second/moveInterval))
+	if orders.KeepSessions > 0 && !orders.Drain && !g.stopping {
+		// Those that were told to go and are still here are on their way.
+		count = min(count, g.remainingSessions()-orders.KeepSessions)
+		if count <= 0 {
+			return
+		}
+	}
+	if g.stopping {
+		count = max(count, stopMoves, (len(g.sessions)+9)/10)
+	}
+	targets := g.targets()
+	if len(targets) == 0 {
+		g.timers.Arm("move", now.Add(5*moveInterval))
+		return
+	}
+	for id, session := range statemachine.Sorted(g.sessions) {
+		if session.movedAt.IsZero() && !session.filling() && (g.draining() || !session.catchingUp()) {
+			g.turn++
+			g.move(now, id, session, targets[g.turn%min(len(targets), 3)], effects)
+			if count--; count == 0 {
+				break
+			}
+		}
+	}
+	if len(g.sessions) > 0 {
+		g.timers.Arm("move", now.Add(moveInterval))
+	}
+}
+
+// remainingSessions counts the channels that were not told to move.
+func (g *Gateway) remainingSessions() int {
+	count := 0
+	for _, session := range g.sessions {
+		if session.movedAt.IsZero() {
+			count++
+		}
+	}
+	return count
+}
+
+func (g *Gateway) move(now time.Time, id uint64, session *session, target membership.Member, effects *statemachine.Effects) {
+	g.Counts.Moves++
+	event := Event{Event: "move", To: target.Caller, ToName: target.Name, Cursor: g.cursor(now, session)}
+	session.movedAt = now
+	g.ring.Record(now, "", "", session.client, "moved", "to", target.Name, "stopping", g.stopping)
+	effects.Emit(logevent.SessionMoved, "origin", session.client, "to", target.Name)
+	g.emit(id, event, effects)
+}
+
+func (g *Gateway) beginStop(now time.Time, _ *statemachine.Effects) {
+	if g.stopping {
+		return
+	}
+	g.stopping = true
+	g.stopUntil = now.Add(g.settings.StopWithin)
+	g.timers.Arm("move", now)
+	g.timers.Arm("stop", now.Add(moveInterval))
+}
+
+// servesOn tells whether a gateway that stops has time left to serve those who
+// are still here.
+func (g *Gateway) servesOn(now time.Time) bool {
+	return now.Before(g.stopUntil.Add(-time.Second))
+}
+
+// staysFor tells whether anybody is left who may yet leave by itself: on lines a
+// caller that was told where to go and is long still here won't.
+func (g *Gateway) staysFor(now time.Time) bool {
+	for _, session := range g.sessions {
+		if !session.adapterPings || session.movedAt.IsZero() || now.Sub(session.movedAt) < moveTimeout {
+			return true
+		}
+	}
+	return false
+}
+
+// stopStep ends the gateway once its origins are gone, or its time is up.
+func (g *Gateway) stopStep(now time.Time, effects *statemachine.Effects) {
+	if g.staysFor(now) && now.Before(g.stopUntil) || len(g.appends)+len(g.routed.appends) > 0 && now.Before(g.stopUntil.Add(-time.Second)) {
+		g.timers.Arm("stop", now.Add(moveInterval))
+		return
+	}
+	for id, session := range statemachine.Sorted(g.sessions) {
+		g.emitLast(now, id, session, "stopping", effects)
+	}
+	g.overlay.LeaveAll(effects)
+	for _, member := range statemachine.Sorted(g.viewClient.Members) {
+		if member.Kind == membership.KindController {
+			effects.Send(member.Address, membership.GracefulLeave{Name: g.settings.Self.Name, Incarnation: g.settings.Self.Incarnation})
+		}
+	}
+	effects.Send(g.settings.Agent, membership.GracefulLeave{Name: g.settings.Self.Name, Incarnation: g.settings.Self.Incarnation})
+	effects.Stop = true
+}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -11,12 +11,10 @@
 import (
 	"math"
 	"slices"
-	"strings"
 	"time"
 
 	"dahlialock/internal/config"
 	"dahlialock/internal/controlclient"
-	"dahlialock/internal/controller"
 	"dahlialock/internal/decisionlog"
 	"dahlialock/internal/logevent"
 	"dahlialock/internal/membership"
@@ -67,38 +65,6 @@
 	Incarnation statemachine.Incarnation
 }
 
-type refreshWaiter struct {
-	until time.Time
-	then  func(now time.Time, effects *statemachine.Effects)
-}
-
-type deferred struct {
-	meta    statemachine.Meta
-	message any
-}
-
-// Counts are running sums for measurements and tests.
-type Counts struct {
-	Requests          uint64 `json:"Requests"`
-	Accepted          uint64 `json:"Accepted"`
-	RejectedRequests  uint64 `json:"RefusedRequests"`
-	UnsettledRequests uint64 `json:"UnsettledRequests"`
-	CopiesOut         uint64 `json:"CopiesOut"`
-	CopiesIn          uint64 `json:"CopiesIn"`
-	CopiesStray       uint64 `json:"CopiesStray"`
-	Delivered         uint64 `json:"Delivered"`
-	Gaps              uint64 `json:"Holes"`
-	Fetches           uint64 `json:"Fetches"`
-	Verifies          uint64 `json:"Verifies"`
-	Moves             uint64 `json:"Moves"`
-	Refreshes         uint64 `json:"Looks"`
-	Repeated          uint64 `json:"Offered"`
-	// Fetched counts the records of routed topics that came for fetches, and Late
-	// those for which nobody waited any more.
-	Fetched uint64 `json:"Fetched"`
-	Late    uint64 `json:"Late"`
-}
-
 // Gateway is the state machine.
 type Gateway struct {
 	settings      Settings
@@ -199,18 +165,6 @@
 // Configuration is the one in force, for the simulator's checks.
 func (g *Gateway) Configuration() config.Configuration { return g.config }
 
-func (g *Gateway) load() membership.Load {
-	var processor time.Duration
-	if g.settings.Processor != nil {
-		processor = g.settings.Processor()
-	}
-	return membership.Load{
-		Copies: g.Counts.CopiesIn, Processor: processor, Delays: g.overlay.Ways(),
-		Sessions: g.remainingSessions(), FreeCapacity: g.settings.MaxClients - len(g.sessions), Requests: g.Counts.Requests,
-		Delivered: g.Counts.Delivered, Ready: g.wasReady, Resting: g.Resting(),
-	}
-}
-
 // Resting tells whether the gateway was asked to rest and holds nobody.
 func (g *Gateway) Resting() bool {
 	return g.viewClient.Directives.Rest && len(g.sessions) == 0 && !g.stopping
@@ -401,177 +355,6 @@
 
 // News.
 
-func (g *Gateway) handleViewUpdate(now time.Time, news membership.ViewUpdate, effects *statemachine.Effects) {
-	wasResting := g.Resting()
-	subscription := g.viewClient.HandleUpdate(now, news)
-	if subscription.View {
-		g.applyView(now, effects)
-	}
-	if subscription.Document && (!statemachine.Mutated("deaf-gateway") || g.settings.Self.Name != "gateway-1" || g.config.Version <= 0) {
-		g.applyConfiguration(now, effects)
-	}
-	if resting := g.Resting(); resting != wasResting {
-		g.viewClient.SetLowPriority(now, resting)
-		g.detector.SetResting(now, resting)
-		if resting {
-			g.timers.Disarm("tick")
-			effects.Emit(logevent.GatewayRested, "gateway", g.settings.Self.Name)
-		} else {
-			g.timers.ArmSooner("tick", now.Add(tickInterval))
-			effects.Emit(logevent.GatewayWoken, "gateway", g.settings.Self.Name)
-		}
-	}
-	if orders := g.viewClient.Directives; (orders.Drain || orders.KeepSessions > 0) && !g.timers.Armed("move") {
-		g.timers.Arm("move", now)
-	}
-	g.resume(now, effects)
-}
-
-// resume goes on with what was held back, and with requests that waited for a
-// look at the news.
-func (g *Gateway) resume(now time.Time, effects *statemachine.Effects) {
-	if !g.Confirmed(now) {
-		return
-	}
-	held := g.deferred
-	g.deferred = nil
-	for _, each := range held {
-		g.dispatch(now, each.meta, each.message, effects)
-	}
-	g.completeRefresh(now, effects)
-}
-
-func (g *Gateway) applyView(now time.Time, effects *statemachine.Effects) {
-	g.detector.SetView(now, g.viewClient.Members, g.viewClient.Index)
-	others := map[string]overlay.Gateway{}
-	for name, member := range statemachine.Sorted(g.viewClient.Members) {
-		if name == g.settings.Self.Name {
-			if member.Alive && member.Incarnation == g.settings.Self.Incarnation {
-				g.incarnation = member.Joined
-			}
-			continue
-		}
-		if member.Kind == membership.KindGateway && member.Alive {
-			others[name] = overlay.Gateway{Name: name, Address: member.Address, Joined: member.Joined}
-		}
-	}
-	g.overlay.View(now, others, effects)
-	if g.incarnation > 0 {
-		g.overlay.Live(now, g.incarnation, effects)
-	}
-	g.placementsChanged(now, effects)
-}
-
-// spaceName names a space since its birth.
-func (g *Gateway) spaceName(name string) (string, bool) {
-	birth, found := g.viewClient.SpaceCreatedAt[name]
-	if !found {
-		return "", false
-	}
-	full := controller.PartitionName(name, birth, 0)
-	return full[:strings.LastIndex(full, "/")], true
-}
-
-// applyConfiguration puts the newest configuration in force. It is only ever called with
-// a version above the one before.
-func (g *Gateway) applyConfiguration(now time.Time, effects *statemachine.Effects) {
-	document, faults := config.Read(g.viewClient.Document)
-	if len(faults) > 0 || document.Version < g.config.Version {
-		panic("a configuration was handed on that may not be in force")
-	}
-	g.config, g.subscribeTimeout = document, subscribeTimeoutOf(document)
-	for name, state := range statemachine.Sorted(g.spaces) {
-		space, found := document.Spaces[name]
-		full, born := g.spaceName(name)
-		if found && (space.Order == config.OrderTopic && state.space.Order == config.OrderTopic || born && full == state.name) {
-			state.space = space
-			continue
-		}
-		g.endSpace(now, name, state, effects)
-	}
-	for name, space := range statemachine.Sorted(document.Spaces) {
-		if _, found := g.spaces[name]; found {
-			continue
-		}
-		if space.Order == config.OrderTopic {
-			g.spaces[name] = &spaceState{space: space, name: name + "~0"}
-			continue
-		}
-		if full, born := g.spaceName(name); born {
-			g.spaces[name] = &spaceState{space: space, name: full, topics: map[string]map[uint64]bool{}, prefixes: map[string]map[uint64]bool{}}
-		}
-	}
-	g.rerouteAll(now, effects)
-	effects.Emit(logevent.ConfigurationApplied, "version", document.Version, "spaces", len(document.Spaces))
-	g.ring.Record(now, "", "", "", "configuration", "version", document.Version)
-}
-
-func (g *Gateway) endSpace(now time.Time, name string, state *spaceState, effects *statemachine.Effects) {
-	delete(g.spaces, name)
-	if state.space.Order == config.OrderTopic {
-		return
-	}
-	for id, session := range statemachine.Sorted(g.sessions) {
-		ended := false
-		for interest := range session.subscriptions {
-			if interest.Space == name {
-				delete(session.subscriptions, interest)
-				ended = true
-			}
-		}
-		if ended {
-			g.emit(id, Event{Event: "ended", Space: name, Code: "space-removed"}, effects)
-		}
-	}
-	for full := range statemachine.Sorted(g.trackers) {
-		if strings.HasPrefix(full, state.name+"/") {
-			delete(g.trackers, full)
-		}
-	}
-	for _, sender := range statemachine.Sorted(g.sendersOf(name)) {
-		for _, waiting := range sender.queue {
-			g.settlePublication(now, waiting, rejectedReply(404, "no-such-space", "the space was removed", 0), effects)
-		}
-		sender.queue = nil
-	}
-	for key := range g.senders {
-		if key.space == name {
-			delete(g.senders, key)
-		}
-	}
-	g.overlay.Forget(now, state.name, effects)
-}
-
-func (g *Gateway) sendersOf(space string) map[string]*sender {
-	found := map[string]*sender{}
-	for key, sender := range g.senders {
-		if key.space == space {
-			found[key.sender] = sender
-		}
-	}
-	return found
-}
-
-// refreshThen asks for news once, for all requests that met an unknown space meanwhile,
-// and then lets them go on.
-func (g *Gateway) refreshThen(now time.Time, then func(now time.Time, effects *statemachine.Effects)) {
-	if len(g.refreshWaiters) == 0 {
-		g.Counts.Refreshes++
-		g.viewClient.PollNow(now)
-	}
-	until := now.Add(refreshTimeout)
-	g.refreshWaiters = append(g.refreshWaiters, refreshWaiter{until: until, then: then})
-	g.timers.ArmSooner("looks", until)
-}
-
-func (g *Gateway) completeRefresh(now time.Time, effects *statemachine.Effects) {
-	looks := g.refreshWaiters
-	g.refreshWaiters = nil
-	for _, look := range looks {
-		look.then(now, effects)
-	}
-}
-
 // tick does the slow periodic work: pings, silent channels, idle senders.
 func (g *Gateway) tick(now time.Time, effects *statemachine.Effects) {
 	g.timers.Arm("tick", now.Add(tickInterval))
@@ -591,157 +374,10 @@
 	g.forgetRouted(now)
 }
 
-// disconnectSome ends channels of a gateway that nobody has confirmed for so long that
-// no takeover explains it: its agent is lost or its machine is cut off, and
-// its origins are served elsewhere. Half of them go each second.
-func (g *Gateway) disconnectSome(now time.Time, effects *statemachine.Effects) {
-	if g.viewClient.Index == 0 || g.Confirmed(now) || now.Sub(g.viewClient.ConfirmedAt) < disconnectAfter {
-		return
-	}
-	count := max(minDisconnects, len(g.sessions)/2)
-	for id, session := range statemachine.Sorted(g.sessions) {
-		if count--; count < 0 {
-			return
-		}
-		g.emitLast(now, id, session, "unconfirmed", effects)
-		g.closeSession(now, CloseSession{Session: id, Reason: "unconfirmed"}, effects)
-	}
-}
-
 // Moving and stopping.
 
-// targets lists the gateways to which origins may be sent, the best first.
-func (g *Gateway) targets() []membership.Member {
-	var members []membership.Member
-	for _, name := range g.viewClient.Directives.Targets {
-		if member, found := g.viewClient.Members[name]; found && member.Alive {
-			members = append(members, member)
-		}
-	}
-	if len(members) > 0 {
-		return members
-	}
-	for pass := range 2 {
-		for name, member := range statemachine.Sorted(g.viewClient.Members) {
-			near := member.Zone == g.settings.Self.Zone
-			if name != g.settings.Self.Name && member.Kind == membership.KindGateway && member.Alive && !member.Resting &&
-				!slices.Contains(g.config.Drains, name) && near == (pass == 0) {
-				members = append(members, member)
-			}
-		}
-		if len(members) >= 2 {
-			break
-		}
-	}
-	return members
-}
-
-func (g *Gateway) moveSome(now time.Time, effects *statemachine.Effects) {
-	orders := g.viewClient.Directives
-	if !orders.Drain && orders.KeepSessions == 0 && !g.stopping {
-		return
-	}
-	count := max(1, orders.MovesPerSecond/int(time.Second/moveInterval))
-	if orders.KeepSessions > 0 && !orders.Drain && !g.stopping {
-		// Those that were told to go and are still here are on their way.
-		count = min(count, g.remainingSessions()-orders.KeepSessions)
-		if count <= 0 {
-			return
-		}
-	}
-	if g.stopping {
-		count = max(count, stopMoves, (len(g.sessions)+9)/10)
-	}
-	targets := g.targets()
-	if len(targets) == 0 {
-		g.timers.Arm("move", now.Add(5*moveInterval))
-		return
-	}
-	for id, session := range statemachine.Sorted(g.sessions) {
-		if session.movedAt.IsZero() && !session.filling() && (g.draining() || !session.catchingUp()) {
-			g.turn++
-			g.move(now, id, session, targets[g.turn%min(len(targets), 3)], effects)
-			if count--; count == 0 {
-				break
-			}
-		}
-	}
-	if len(g.sessions) > 0 {
-		g.timers.Arm("move", now.Add(moveInterval))
-	}
-}
-
-// remainingSessions counts the channels that were not told to move.
-func (g *Gateway) remainingSessions() int {
-	count := 0
-	for _, session := range g.sessions {
-		if session.movedAt.IsZero() {
-			count++
-		}
-	}
-	return count
-}
-
-func (g *Gateway) move(now time.Time, id uint64, session *session, target membership.Member, effects *statemachine.Effects) {
-	g.Counts.Moves++
-	event := Event{Event: "move", To: target.Caller, ToName: target.Name, Cursor: g.cursor(now, session)}
-	session.movedAt = now
-	g.ring.Record(now, "", "", session.client, "moved", "to", target.Name, "stopping", g.stopping)
-	effects.Emit(logevent.SessionMoved, "origin", session.client, "to", target.Name)
-	g.emit(id, event, effects)
-}
-
-func (g *Gateway) beginStop(now time.Time, _ *statemachine.Effects) {
-	if g.stopping {
-		return
-	}
-	g.stopping = true
-	g.stopUntil = now.Add(g.settings.StopWithin)
-	g.timers.Arm("move", now)
-	g.timers.Arm("stop", now.Add(moveInterval))
-}
-
-// servesOn tells whether a gateway that stops has time left to serve those who
-// are still here.
-func (g *Gateway) servesOn(now time.Time) bool {
-	return now.Before(g.stopUntil.Add(-time.Second))
-}
-
-// staysFor tells whether anybody is left who may yet leave by itself: on lines a
-// caller that was told where to go and is long still here won't.
-func (g *Gateway) staysFor(now time.Time) bool {
-	for _, session := range g.sessions {
-		if !session.adapterPings || session.movedAt.IsZero() || now.Sub(session.movedAt) < moveTimeout {
-			return true
-		}
-	}
-	return false
-}
-
-// stopStep ends the gateway once its origins are gone, or its time is up.
-func (g *Gateway) stopStep(now time.Time, effects *statemachine.Effects) {
-	if g.staysFor(now) && now.Before(g.stopUntil) || len(g.appends)+len(g.routed.appends) > 0 && now.Before(g.stopUntil.Add(-time.Second)) {
-		g.timers.Arm("stop", now.Add(moveInterval))
-		return
-	}
-	for id, session := range statemachine.Sorted(g.sessions) {
-		g.emitLast(now, id, session, "stopping", effects)
-	}
-	g.overlay.LeaveAll(effects)
-	for _, member := range statemachine.Sorted(g.viewClient.Members) {
-		if member.Kind == membership.KindController {
-			effects.Send(member.Address, membership.GracefulLeave{Name: g.settings.Self.Name, Incarnation: g.settings.Self.Incarnation})
-		}
-	}
-	effects.Send(g.settings.Agent, membership.GracefulLeave{Name: g.settings.Self.Name, Incarnation: g.settings.Self.Incarnation})
-	effects.Stop = true
-}
-
 const everything = uint64(math.MaxUint64)
 
-// Load is what the gateway reports of itself.
-func (g *Gateway) Load() membership.Load { return g.load() }
-
 // SetMaxClients changes how many channels the gateway may hold.
 func (g *Gateway) SetMaxClients(most int) { g.settings.MaxClients = most }
 
--- /dev/null
+++ b/internal/gateway/session.go
@@ -0,0 +1,228 @@
+// Channels and what they subscribe to. A subscription to kept topics begins by
+// learning the heads of its partitions, or, with a cursor, by fetching all that was
+// missed; until that is done its live messages wait, so that nothing is handed
+// over twice, skipped or out of order. Several interests resumed together are
+// filled as one, since a sender's order runs across them.
+
+package gateway
+
+import (
+	"slices"
+	"time"
+
+	"dahlialock/internal/logevent"
+	"dahlialock/internal/membership"
+	"dahlialock/internal/statemachine"
+)
+
+const (
+	gotMemory    = 100 * time.Second
+	markMemory   = 40 * time.Second
+	fetchRetry   = 250 * time.Millisecond
+	lingerFor    = 6 * time.Second
+	lingerSpread = 24
+	refetchMost  = 64
+)
+
+type senderSequence struct {
+	seq uint64
+	at  time.Time
+}
+
+type session struct {
+	name            string
+	client          string
+	subscriptions   map[Interest]*subscription
+	routed          map[string]*topicSubscription
+	delivered       map[string]map[uint64]time.Time
+	deliveredAbove  map[string]map[uint64]bool
+	sequences       map[string]map[string]senderSequence
+	buffer          []RecordCopy
+	floors          map[string]uint64
+	ephemeralBuffer []EphemeralCopy
+	pongAt          time.Time
+	pingAt          time.Time
+	movedAt         time.Time
+	// adapterPings is set where the adapter itself watches whether the caller lives.
+	adapterPings bool
+}
+
+// interests lists what a channel subscribes to, in order.
+func (c *session) interests() []Interest {
+	interests := make([]Interest, 0, len(c.subscriptions))
+	for interest := range c.subscriptions {
+		interests = append(interests, interest)
+	}
+	slices.SortFunc(interests, compareInterests)
+	return interests
+}
+
+func (c *session) filling() bool {
+	for _, subscription := range c.subscriptions {
+		if subscription.filling {
+			return true
+		}
+	}
+	return false
+}
+
+// catchingUp tells whether a subscription to a routed topic still lacks something.
+func (c *session) catchingUp() bool {
+	for _, subscription := range c.routed {
+		if subscription.filling {
+			return true
+		}
+	}
+	return false
+}
+
+// emit hands an event to a channel's writer.
+func (g *Gateway) emit(id uint64, event Event, effects *statemachine.Effects) {
+	effects.Deliveries = append(effects.Deliveries, statemachine.Delivery{Session: id, Event: event})
+}
+
+// emitLast tells a channel why it ends and where its origin may resume.
+func (g *Gateway) emitLast(now time.Time, id uint64, session *session, code string, effects *statemachine.Effects) {
+	effects.Deliveries = append(effects.Deliveries, statemachine.Delivery{
+		Session: id, Event: Event{Event: "gone", Code: code, Cursor: g.cursor(now, session)}, Close: true,
+	})
+}
+
+func (g *Gateway) openSession(now time.Time, request OpenSession, effects *statemachine.Effects) {
+	g.Counts.Requests++
+	if request.AdapterPings && !g.stopping && !g.Confirmed(now) {
+		// Its first news, or the next, may be on the way: one look spares a caller
+		// that comes right after a start the pause that follows a refusal.
+		g.refreshThen(now, func(now time.Time, effects *statemachine.Effects) { g.admitSession(now, request, effects) })
+		return
+	}
+	g.admitSession(now, request, effects)
+}
+
+func (g *Gateway) admitSession(now time.Time, request OpenSession, effects *statemachine.Effects) {
+	if request.AdapterPings && g.draining() && g.Confirmed(now) {
+		if targets := g.targets(); len(targets) > 0 {
+			g.redirectClient(now, request, targets, effects)
+			return
+		}
+	}
+	switch {
+	case g.stopping:
+		effects.Respond(request.Request, rejectedReply(503, "stopping", "this daemon is stopping", retrySoon))
+		return
+	case !g.Confirmed(now):
+		effects.Respond(request.Request, rejectedReply(503, "unconfirmed", "this daemon can't confirm its configuration", retryLater))
+		return
+	case request.AdapterPings && !g.admits(now):
+		effects.Respond(request.Request, rejectedReply(503, "busy", "this daemon's link can't serve more callers at once", retrySoon))
+		return
+	case len(g.sessions) >= g.settings.MaxClients:
+		effects.Respond(request.Request, rejectedReply(503, "full", "this daemon holds all the channels it may", retrySoon))
+		return
+	}
+	g.sessions[request.Session] = newSession(now, request)
+	g.supersede(now, request.Client, request.Session, effects)
+	g.timers.ArmSooner("tick", now.Add(tickInterval))
+	g.ring.Record(now, "", "", request.Client, "channel-opened", "channel", request.Name)
+	effects.Emit(logevent.SessionOpened, "origin", request.Client)
+	effects.Respond(request.Request, acceptedReply(nil))
+	g.emit(request.Session, Event{
+		Event: "hello", Session: request.Name, Daemon: g.settings.Self.Name, Zone: g.settings.Self.Zone, Version: g.ConfigurationVersion(),
+	}, effects)
+}
+
+func newSession(now time.Time, request OpenSession) *session {
+	return &session{
+		name: request.Name, client: request.Client, subscriptions: map[Interest]*subscription{}, routed: map[string]*topicSubscription{}, adapterPings: request.AdapterPings,
+		delivered: map[string]map[uint64]time.Time{}, deliveredAbove: map[string]map[uint64]bool{}, sequences: map[string]map[string]senderSequence{}, pongAt: now, pingAt: now,
+	}
+}
+
+// draining tells whether this gateway is to be empty soon while others are not:
+// one that is only full or out of touch sends nobody on, since the others may be
+// so too and would send them back.
+func (g *Gateway) draining() bool {
+	return g.stopping || g.viewClient.Directives.Rest || slices.Contains(g.config.Drains, g.settings.Self.Name)
+}
+
+// redirectClient opens a channel only to say where its origin is better served: that
+// is found sooner so than by trying.
+func (g *Gateway) redirectClient(now time.Time, request OpenSession, targets []membership.Member, effects *statemachine.Effects) {
+	opened := newSession(now, request)
+	g.sessions[request.Session] = opened
+	g.timers.ArmSooner("tick", now.Add(tickInterval))
+	effects.Respond(request.Request, acceptedReply(nil))
+	g.turn++
+	g.move(now, request.Session, opened, targets[g.turn%min(len(targets), 3)], effects)
+}
+
+func (g *Gateway) closeSession(now time.Time, request CloseSession, effects *statemachine.Effects) {
+	session, found := g.sessions[request.Session]
+	if !found {
+		return
+	}
+	for _, interest := range session.interests() {
+		g.dropSubscription(now, request.Session, interest, true, effects)
+	}
+	g.dropRouted(now, session, effects)
+	if g.newest[session.client] == request.Session {
+		delete(g.newest, session.client)
+	}
+	delete(g.sessions, request.Session)
+	number := logevent.SessionClosed
+	if request.Reason == "slow" {
+		number = logevent.SessionTooSlow
+	}
+	effects.Emit(number, "origin", session.client, "why", request.Reason)
+	g.ring.Record(now, "", "", session.client, "channel-closed", "why", request.Reason)
+}
+
+func (g *Gateway) checkSession(now time.Time, id uint64, session *session, effects *statemachine.Effects) {
+	for _, got := range session.delivered {
+		for offset, at := range got {
+			if now.Sub(at) > gotMemory {
+				delete(got, offset)
+			}
+		}
+	}
+	for _, marks := range session.sequences {
+		for sender, mark := range marks {
+			if now.Sub(mark.at) > markMemory {
+				delete(marks, sender)
+			}
+		}
+	}
+	if !session.movedAt.IsZero() {
+		if now.Sub(session.movedAt) > moveLinger {
+			effects.Deliveries = append(effects.Deliveries, statemachine.Delivery{Session: id, Event: Event{Event: "gone", Code: "moved"}, Close: true})
+			g.closeSession(now, CloseSession{Session: id, Reason: "moved"}, effects)
+		}
+		return
+	}
+	if session.adapterPings {
+		return
+	}
+	if now.Sub(session.pongAt) > pongTimeout {
+		g.emitLast(now, id, session, "no-pong", effects)
+		g.closeSession(now, CloseSession{Session: id, Reason: "no-pong"}, effects)
+		return
+	}
+	if now.Sub(session.pingAt) >= pingInterval {
+		session.pingAt = now
+		g.emit(id, Event{Event: "ping", Cursor: g.cursor(now, session)}, effects)
+	}
+}
+
+func (g *Gateway) pong(now time.Time, request Pong, effects *statemachine.Effects) {
+	session, found := g.sessions[request.Session]
+	if !found || session.client != request.Client {
+		effects.Respond(request.Request, rejectedReply(404, "no-such-channel", "this channel is not open here", 0))
+		return
+	}
+	session.pongAt = now
+	effects.Respond(request.Request, acceptedReply(nil))
+}
+
+// Subscribing.
+
+// Handing over.
--- /dev/null
+++ b/internal/gateway/stats.go
@@ -0,0 +1,43 @@
+package gateway
+
+import (
+	"dahlialock/internal/membership"
+	"time"
+)
+
+// Counts are running sums for measurements and tests.
+type Counts struct {
+	Requests          uint64 `json:"Requests"`
+	Accepted          uint64 `json:"Accepted"`
+	RejectedRequests  uint64 `json:"RefusedRequests"`
+	UnsettledRequests uint64 `json:"UnsettledRequests"`
+	CopiesOut         uint64 `json:"CopiesOut"`
+	CopiesIn          uint64 `json:"CopiesIn"`
+	CopiesStray       uint64 `json:"CopiesStray"`
+	Delivered         uint64 `json:"Delivered"`
+	Gaps              uint64 `json:"Holes"`
+	Fetches           uint64 `json:"Fetches"`
+	Verifies          uint64 `json:"Verifies"`
+	Moves             uint64 `json:"Moves"`
+	Refreshes         uint64 `json:"Looks"`
+	Repeated          uint64 `json:"Offered"`
+	// Fetched counts the records of routed topics that came for fetches, and Late
+	// those for which nobody waited any more.
+	Fetched uint64 `json:"Fetched"`
+	Late    uint64 `json:"Late"`
+}
+
+func (g *Gateway) load() membership.Load {
+	var processor time.Duration
+	if g.settings.Processor != nil {
+		processor = g.settings.Processor()
+	}
+	return membership.Load{
+		Copies: g.Counts.CopiesIn, Processor: processor, Delays: g.overlay.Ways(),
+		Sessions: g.remainingSessions(), FreeCapacity: g.settings.MaxClients - len(g.sessions), Requests: g.Counts.Requests,
+		Delivered: g.Counts.Delivered, Ready: g.wasReady, Resting: g.Resting(),
+	}
+}
+
+// Load is what the gateway reports of itself.
+func (g *Gateway) Load() membership.Load { return g.load() }
--- /dev/null
+++ b/internal/gateway/view.go
@@ -0,0 +1,168 @@
+package gateway
+
+import (
+	"dahlialock/internal/config"
+	"dahlialock/internal/controller"
+	"dahlialock/internal/logevent"
+	"dahlialock/internal/membership"
+	"dahlialock/internal/overlay"
+	"dahlialock/internal/statemachine"
+	"strings"
+	"time"
+)
+
+type deferred struct {
+	meta    statemachine.Meta
+	message any
+}
+
+func (g *Gateway) handleViewUpdate(now time.Time, news membership.ViewUpdate, effects *statemachine.Effects) {
+	wasResting := g.Resting()
+	subscription := g.viewClient.HandleUpdate(now, news)
+	if subscription.View {
+		g.applyView(now, effects)
+	}
+	if subscription.Document && (!statemachine.Mutated("deaf-gateway") || g.settings.Self.Name != "gateway-1" || g.config.Version <= 0) {
+		g.applyConfiguration(now, effects)
+	}
+	if resting := g.Resting(); resting != wasResting {
+		g.viewClient.SetLowPriority(now, resting)
+		g.detector.SetResting(now, resting)
+		if resting {
+			g.timers.Disarm("tick")
+			effects.Emit(logevent.GatewayRested, "gateway", g.settings.Self.Name)
+		} else {
+			g.timers.ArmSooner("tick", now.Add(tickInterval))
+			effects.Emit(logevent.GatewayWoken, "gateway", g.settings.Self.Name)
+		}
+	}
+	if orders := g.viewClient.Directives; (orders.Drain || orders.KeepSessions > 0) && !g.timers.Armed("move") {
+		g.timers.Arm("move", now)
+	}
+	g.resume(now, effects)
+}
+
+// resume goes on with what was held back, and with requests that waited for a
+// look at the news.
+func (g *Gateway) resume(now time.Time, effects *statemachine.Effects) {
+	if !g.Confirmed(now) {
+		return
+	}
+	held := g.deferred
+	g.deferred = nil
+	for _, each := range held {
+		g.dispatch(now, each.meta, each.message, effects)
+	}
+	g.completeRefresh(now, effects)
+}
+
+func (g *Gateway) applyView(now time.Time, effects *statemachine.Effects) {
+	g.detector.SetView(now, g.viewClient.Members, g.viewClient.Index)
+	others := map[string]overlay.Gateway{}
+	for name, member := range statemachine.Sorted(g.viewClient.Members) {
+		if name == g.settings.Self.Name {
+			if member.Alive && member.Incarnation == g.settings.Self.Incarnation {
+				g.incarnation = member.Joined
+			}
+			continue
+		}
+		if member.Kind == membership.KindGateway && member.Alive {
+			others[name] = overlay.Gateway{Name: name, Address: member.Address, Joined: member.Joined}
+		}
+	}
+	g.overlay.View(now, others, effects)
+	if g.incarnation > 0 {
+		g.overlay.Live(now, g.incarnation, effects)
+	}
+	g.placementsChanged(now, effects)
+}
+
+// spaceName names a space since its birth.
+func (g *Gateway) spaceName(name string) (string, bool) {
+	birth, found := g.viewClient.SpaceCreatedAt[name]
+	if !found {
+		return "", false
+	}
+	full := controller.PartitionName(name, birth, 0)
+	return full[:strings.LastIndex(full, "/")], true
+}
+
+// applyConfiguration puts the newest configuration in force. It is only ever called with
+// a version above the one before.
+func (g *Gateway) applyConfiguration(now time.Time, effects *statemachine.Effects) {
+	document, faults := config.Read(g.viewClient.Document)
+	if len(faults) > 0 || document.Version < g.config.Version {
+		panic("a configuration was handed on that may not be in force")
+	}
+	g.config, g.subscribeTimeout = document, subscribeTimeoutOf(document)
+	for name, state := range statemachine.Sorted(g.spaces) {
+		space, found := document.Spaces[name]
+		full, born := g.spaceName(name)
+		if found && (space.Order == config.OrderTopic && state.space.Order == config.OrderTopic || born && full == state.name) {
+			state.space = space
+			continue
+		}
+		g.endSpace(now, name, state, effects)
+	}
+	for name, space := range statemachine.Sorted(document.Spaces) {
+		if _, found := g.spaces[name]; found {
+			continue
+		}
+		if space.Order == config.OrderTopic {
+			g.spaces[name] = &spaceState{space: space, name: name + "~0"}
+			continue
+		}
+		if full, born := g.spaceName(name); born {
+			g.spaces[name] = &spaceState{space: space, name: full, topics: map[string]map[uint64]bool{}, prefixes: map[string]map[uint64]bool{}}
+		}
+	}
+	g.rerouteAll(now, effects)
+	effects.Emit(logevent.ConfigurationApplied, "version", document.Version, "spaces", len(document.Spaces))
+	g.ring.Record(now, "", "", "", "configuration", "version", document.Version)
+}
+
+func (g *Gateway) endSpace(now time.Time, name string, state *spaceState, effects *statemachine.Effects) {
+	delete(g.spaces, name)
+	if state.space.Order == config.OrderTopic {
+		return
+	}
+	for id, session := range statemachine.Sorted(g.sessions) {
+		ended := false
+		for interest := range session.subscriptions {
+			if interest.Space == name {
+				delete(session.subscriptions, interest)
+				ended = true
+			}
+		}
+		if ended {
+			g.emit(id, Event{Event: "ended", Space: name, Code: "space-removed"}, effects)
+		}
+	}
+	for full := range statemachine.Sorted(g.trackers) {
+		if strings.HasPrefix(full, state.name+"/") {
+			delete(g.trackers, full)
+		}
+	}
+	for _, sender := range statemachine.Sorted(g.sendersOf(name)) {
+		for _, waiting := range sender.queue {
+			g.settlePublication(now, waiting, rejectedReply(404, "no-such-space", "the space was removed", 0), effects)
+		}
+		sender.queue = nil
+	}
+	for key := range g.senders {
+		if key.space == name {
+			delete(g.senders, key)
+		}
+	}
+	g.overlay.Forget(now, state.name, effects)
+}
+
+func (g *Gateway) sendersOf(space string) map[string]*sender {
+	found := map[string]*sender{}
+	for key, sender := range g.senders {
+		if key.space == space {
+			found[key.sender] = sender
+		}
+	}
+	return found
+}
