--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -52,7 +52,7 @@
 			return gateway.FindDecisions{Local: local, Request: request, Message: message, Client: origin}
 		},
 		Counters: func() any {
-			subscribing, publishing := machine.Overlay().Hosted()
+			subscribing, publishing := machine.Overlay().PeerCounts()
 			return map[string]any{
 				"gateway": machine.Counts, "overlay": machine.Overlay().Counts, "peers_subscribing": subscribing, "peers_publishing": publishing,
 				"load": machine.Load(), "orders": machine.ViewClient().Directives,
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -316,7 +316,7 @@
 			g.resume(now, effects)
 		}
 	case overlay.Signals:
-		g.runOverlay(now, effects, func(now time.Time, effects *statemachine.Effects) { g.overlay.Take(now, body, effects) })
+		g.runOverlay(now, effects, func(now time.Time, effects *statemachine.Effects) { g.overlay.HandleSignals(now, body, effects) })
 	case RecordCopy:
 		g.countCopy(g.onCarry(now, body, effects))
 	case RoutedCopy:
--- a/internal/gateway/presence.go
+++ b/internal/gateway/presence.go
@@ -26,7 +26,7 @@
 func (g *Gateway) announceSubscriberCount(now time.Time, topic *topicState, effects *statemachine.Effects) {
 	if count := topic.subscribers(); count != topic.announcedCount {
 		topic.announcedCount = count
-		g.overlay.Tell(now, routedPlane, topic.name, count, effects)
+		g.overlay.SetSubscribers(now, routedPlane, topic.name, count, effects)
 	}
 }
 
@@ -45,9 +45,9 @@
 	if !g.authorize(now, judged, request.RequestName, retry, answer) {
 		return
 	}
-	g.overlay.Reach(now, routedPlane, request.Topic, func(_ time.Time, effects *statemachine.Effects, _ bool) {
+	g.overlay.AwaitCell(now, routedPlane, request.Topic, func(_ time.Time, effects *statemachine.Effects, _ bool) {
 		response := acceptedReply(nil)
-		response.SubscriberCount = g.overlay.Presence(routedPlane, request.Topic)
+		response.SubscriberCount = g.overlay.Subscribers(routedPlane, request.Topic)
 		if topic, found := g.routed.topics[request.Topic]; found {
 			response.SubscriberCount += topic.subscribers()
 		}
--- a/internal/gateway/publish.go
+++ b/internal/gateway/publish.go
@@ -245,7 +245,7 @@
 // that all who hold a part of it receive the whole of it.
 func areaOf(space config.Space, path string) overlay.Area {
 	if space.Order == config.OrderChannel {
-		return overlay.Whole
+		return overlay.WholeSquare
 	}
 	return overlay.AreaOf(path)
 }
@@ -420,7 +420,7 @@
 	if _, topic := g.trackers[name]; topic {
 		g.onCarry(now, recordCopy, effects)
 	}
-	if g.overlay.Settled(state.name, area) {
+	if g.overlay.Joined(state.name, area) {
 		spread(now, effects, true)
 		return
 	}
--- a/internal/gateway/recent_ephemeral.go
+++ b/internal/gateway/recent_ephemeral.go
@@ -40,7 +40,7 @@
 
 // repeatRecent sends newly found destinations what was passed on just before.
 func (g *Gateway) repeatRecent(now time.Time, effects *statemachine.Effects) {
-	for _, found := range g.overlay.TakeFound() {
+	for _, found := range g.overlay.TakeDiscovered() {
 		member, known := g.viewClient.Members[found.Daemon]
 		space, _ := spaceOf(found.Space + "/")
 		state, present := g.spaces[space]
--- a/internal/gateway/routed_publish.go
+++ b/internal/gateway/routed_publish.go
@@ -70,7 +70,7 @@
 	g.nextRequest++
 	item.id = g.nextRequest
 	g.routed.appends[item.id] = item
-	g.overlay.Reach(now, routedPlane, request.Topic, func(time.Time, *statemachine.Effects, bool) {}, effects)
+	g.overlay.AwaitCell(now, routedPlane, request.Topic, func(time.Time, *statemachine.Effects, bool) {}, effects)
 	g.sendRouted(now, item, effects)
 	g.timers.ArmSooner("routed", item.limit)
 }
@@ -148,8 +148,8 @@
 		Topic: record.Topic, Sender: record.Sender, Seq: record.Seq, Offset: record.Offset, PriorDistance: record.Offset - record.Prior, Data: record.Data,
 		Ephemeral: item.bare,
 	}
-	g.overlay.Reach(now, routedPlane, item.request.Topic, func(now time.Time, effects *statemachine.Effects, settled bool) {
-		destinations := g.overlay.Listeners(routedPlane, item.request.Topic)
+	g.overlay.AwaitCell(now, routedPlane, item.request.Topic, func(now time.Time, effects *statemachine.Effects, settled bool) {
+		destinations := g.overlay.SubscribedDaemons(routedPlane, item.request.Topic)
 		for _, name := range destinations {
 			if member, found := g.viewClient.Members[name]; found {
 				g.Counts.CopiesOut++
--- a/internal/gateway/topic_subscription.go
+++ b/internal/gateway/topic_subscription.go
@@ -57,7 +57,7 @@
 	topic := g.addTopicSubscription(now, name, interest.Space, subscription, effects)
 	session.routed[name] = subscription
 	if !topic.durable {
-		g.overlay.Reach(now, routedPlane, name, func(now time.Time, effects *statemachine.Effects, _ bool) {
+		g.overlay.AwaitCell(now, routedPlane, name, func(now time.Time, effects *statemachine.Effects, _ bool) {
 			g.startEphemeral(now, subscription, effects)
 		}, effects)
 		if subscription.filling {
--- a/internal/gateway/view.go
+++ b/internal/gateway/view.go
@@ -70,9 +70,9 @@
 			others[name] = overlay.Gateway{Name: name, Address: member.Address, Joined: member.Joined}
 		}
 	}
-	g.overlay.View(now, others, effects)
+	g.overlay.SetView(now, others, effects)
 	if g.incarnation > 0 {
-		g.overlay.Live(now, g.incarnation, effects)
+		g.overlay.SetIncarnation(now, g.incarnation, effects)
 	}
 	g.placementsChanged(now, effects)
 }
@@ -154,7 +154,7 @@
 			delete(g.senders, key)
 		}
 	}
-	g.overlay.Forget(now, state.name, effects)
+	g.overlay.RemoveSpace(now, state.name, effects)
 }
 
 func (g *Gateway) sendersOf(space string) map[string]*sender {
--- a/internal/overlay/churn_test.go
+++ b/internal/overlay/churn_test.go
@@ -21,7 +21,7 @@
 // healedAfter bounds how long wrong knowledge may outlast the last fault: the
 // latest view, a comparison whose answers ask for wholes, members compared
 // after it, and the last changes of counts.
-const healedAfter = viewLag + 2*checkEvery + countsWait + time.Second
+const healedAfter = viewLag + 2*checkInterval + countsDelay + time.Second
 
 const viewLag = 300 * time.Millisecond
 
@@ -102,9 +102,9 @@
 		}
 	}
 	var effects statemachine.Effects
-	part.View(s.now, others, &effects)
+	part.SetView(s.now, others, &effects)
 	if life, member := s.members[name]; member {
-		part.Live(s.now, life, &effects)
+		part.SetIncarnation(s.now, life, &effects)
 	}
 	s.carry(name, &effects)
 }
@@ -254,14 +254,14 @@
 		for range 2500 {
 			strait.turn()
 			strait.sail(time.Duration(strait.random.IntN(4)) * time.Millisecond)
-			if longest := strait.watch(since); strait.now.Sub(began) < checkEvery {
+			if longest := strait.watch(since); strait.now.Sub(began) < checkInterval {
 				starting = max(starting, longest)
 			} else {
 				later = max(later, longest)
 			}
 		}
 		// At first views differ and cells are joined at the same time.
-		assert.Assert(t, starting <= checkEvery, "seed %d: %v", seed, starting)
+		assert.Assert(t, starting <= checkInterval, "seed %d: %v", seed, starting)
 		// Later it takes the gathering and the pace, or a join and both wholes.
 		assert.Assert(t, later <= 2*gatherFor+2*paceEach*8+10*time.Millisecond, "seed %d: %v", seed, later)
 		t.Logf("seed %d: %v at first, %v later", seed, starting, later)
--- a/internal/overlay/cost_test.go
+++ b/internal/overlay/cost_test.go
@@ -108,7 +108,7 @@
 				if err != nil {
 					panic(err)
 				}
-				part.Take(y.now, message.(Signals), effects)
+				part.HandleSignals(y.now, message.(Signals), effects)
 			})
 			continue
 		}
@@ -132,8 +132,8 @@
 			}
 		}
 		y.step(name, func(part *Overlay, effects *statemachine.Effects) {
-			part.View(y.now, others, effects)
-			part.Live(y.now, y.lives[name], effects)
+			part.SetView(y.now, others, effects)
+			part.SetIncarnation(y.now, y.lives[name], effects)
 		})
 	}
 }
@@ -157,7 +157,7 @@
 	at := seat{name, topic}
 	h.counts[at] += step
 	h.step(name, func(part *Overlay, effects *statemachine.Effects) {
-		part.Tell(h.now, trialPlane, topic, h.counts[at], effects)
+		part.SetSubscribers(h.now, trialPlane, topic, h.counts[at], effects)
 	})
 }
 
@@ -352,7 +352,7 @@
 	b.ResetTimer()
 	for turn := range b.N {
 		var effects statemachine.Effects
-		part.Tell(house.now, trialPlane, topics[turn%topicsAll], turn/topicsAll%3, &effects)
+		part.SetSubscribers(house.now, trialPlane, topics[turn%topicsAll], turn/topicsAll%3, &effects)
 	}
 }
 
@@ -365,7 +365,7 @@
 	topics := someTopics(topicsAll)
 	b.ResetTimer()
 	for turn := range b.N {
-		part.Listeners(trialPlane, topics[turn%topicsAll])
+		part.SubscribedDaemons(trialPlane, topics[turn%topicsAll])
 	}
 }
 
@@ -398,7 +398,7 @@
 				spent.names = house.names
 				for _, part := range house.parts {
 					signals += part.Counts.SignalsOut
-					tells += part.Counts.ByKind[SignalTell]
+					tells += part.Counts.ByKind[SignalAnnounce]
 					greets += part.Counts.ByKind[SignalGreet]
 				}
 			}
--- a/internal/overlay/crowded_test.go
+++ b/internal/overlay/crowded_test.go
@@ -57,12 +57,12 @@
 			net.tell(truth, name, topic, 1)
 		}
 	}
-	net.run(3 * checkEvery)
+	net.run(3 * checkInterval)
 	before, levels := net.notices(NoticeCheck), net.levels()
-	net.run(numbersEach * checkEvery)
+	net.run(numbersEveryChecks * checkInterval)
 	// Each tells the six others its numbers once, and its level the other times.
 	assert.Assert(t, net.notices(NoticeCheck)-before <= 7*6*CellCount, "%d", net.notices(NoticeCheck)-before)
-	assert.Equal(t, net.levels()-levels, uint64(7*6*(numbersEach-1)))
+	assert.Equal(t, net.levels()-levels, uint64(7*6*(numbersEveryChecks-1)))
 }
 
 // notices counts the notices of a kind that all parts sent.
--- a/internal/overlay/identity_test.go
+++ b/internal/overlay/identity_test.go
@@ -34,7 +34,7 @@
 	net.run(2 * time.Second)
 	for _, signals := range late {
 		effects = statemachine.Effects{}
-		net.parts["a"].Take(net.now, signals, &effects)
+		net.parts["a"].HandleSignals(net.now, signals, &effects)
 		net.carry("a", &effects)
 	}
 	return net.parts["a"].Destinations(space, area)
--- a/internal/overlay/notices.go
+++ b/internal/overlay/notices.go
@@ -40,50 +40,50 @@
 	gatherFor = 2 * time.Millisecond
 	// paceEach spaces the frames to all others so that their number in a second
 	// is bounded, however many gateways there are.
-	paceEach   = time.Millisecond
-	countsWait = 200 * time.Millisecond
-	checkEvery = 2 * time.Second
-	// numbersEach is in how many checks one tells the numbers also to those that
+	paceEach      = time.Millisecond
+	countsDelay   = 200 * time.Millisecond
+	checkInterval = 2 * time.Second
+	// numbersEveryChecks is in how many checks one tells the numbers also to those that
 	// may know them, which shows them neighbours in cells that they have no part in.
-	numbersEach = 5
-	checkAfter  = 10 * time.Millisecond
-	checkAgain  = 250 * time.Millisecond
-	askAgain    = 300 * time.Millisecond
-	// asksDouble bounds how long a question waits for another.
-	asksDouble = 3
+	numbersEveryChecks = 5
+	checkAfter         = 10 * time.Millisecond
+	checkAgain         = 250 * time.Millisecond
+	requestRetry       = 300 * time.Millisecond
+	// maxRequestDoublings bounds how long a question waits for another.
+	maxRequestDoublings = 3
 	// membersWait lets joins settle before peers compare whom they know.
 	membersWait = 100 * time.Millisecond
 	// membersQuiet is for how long whom a cell knows must have stayed the same
 	// before it is compared: while many join, all differ from all, and the checks
 	// that each sends to all others make them level by themselves.
 	membersQuiet = 400 * time.Millisecond
-	reachLimit   = time.Second
+	reachTimeout = time.Second
 	keepFor      = 10 * time.Minute
-	// strangersEach is how many daemons of which no peer is known are told in
+	// unknownDaemonsPerCheck is how many daemons of which no peer is known are told in
 	// one comparison, in turn.
-	strangersEach = 16
+	unknownDaemonsPerCheck = 16
 )
 
 // Kinds of notices.
 const (
-	// NoticeWhole tells all counts of a peer.
-	NoticeWhole uint8 = iota + 1
+	// NoticeComplete tells all counts of a peer.
+	NoticeComplete uint8 = iota + 1
 	// NoticeChanges tells those that changed since the notice before.
 	NoticeChanges
 	// NoticeCheck tells the number of the newest notice.
 	NoticeCheck
 	// NoticeAsk asks for the whole.
 	NoticeAsk
-	// NoticeGone tells that there is no peer in the cell.
-	NoticeGone
+	// NoticeAbsent tells that there is no peer in the cell.
+	NoticeAbsent
 	// NoticeDiffers sums up each of the others of the cell that a peer knows, in
 	// Counts, to one that seems to know others.
 	NoticeDiffers
 	// NoticeMembers names those that were not summed up there.
 	NoticeMembers
-	// NoticeLacks is the answer of who found sums there that it does not know: its
+	// NoticeMissing is the answer of who found sums there that it does not know: its
 	// own.
-	NoticeLacks
+	NoticeMissing
 )
 
 // Notice is what one daemon's peer in a cell tells another's.
@@ -107,11 +107,11 @@
 // Notices is what the peers of one daemon, in one of its lives, tell those of
 // another.
 type Notices struct {
-	_      struct{} `cbor:",toarray"`
-	Daemon string
-	Life   uint64
-	Plane  string
-	Answer bool
+	_           struct{} `cbor:",toarray"`
+	Daemon      string
+	Incarnation uint64
+	Plane       string
+	Answer      bool
 	// Level sums up the cells there, for whoever can tell from it that it knows
 	// them; who does not asks for the numbers.
 	Level   uint64
@@ -157,7 +157,7 @@
 	owed  map[string]bool
 	// digest sums up the members' keys.
 	digest  uint64
-	waiting []Settled
+	waiting []Completion
 	// changedAt is when whom it knows last changed.
 	changedAt time.Time
 	// reached is set once it was settled, or somebody waited long enough.
@@ -186,9 +186,9 @@
 	comparedAt time.Time
 }
 
-// Tell says that this daemon now has so many subscribers of a topic; none ends
+// SetSubscribers says that this daemon now has so many subscribers of a topic; none ends
 // it.
-func (o *Overlay) Tell(now time.Time, planeName, topic string, count int, effects *statemachine.Effects) {
+func (o *Overlay) SetSubscribers(now time.Time, planeName, topic string, count int, effects *statemachine.Effects) {
 	number := config.TopicNumber(topic)
 	if o.parted || count == 0 && o.cellAt(planeName, number) == nil {
 		return
@@ -209,7 +209,7 @@
 		told = earlier
 		here.changed[number] = told
 	}
-	due := now.Add(countsWait)
+	due := now.Add(countsDelay)
 	switch {
 	case told == uint32(count):
 		delete(here.changed, number)
@@ -224,28 +224,28 @@
 	o.timers.ArmSooner("notices", here.due)
 }
 
-// Reach makes sure that a topic's cell has a peer here that knows the others of
+// AwaitCell makes sure that a topic's cell has a peer here that knows the others of
 // the cell and their subscribers, and then calls; at once, if it does.
-func (o *Overlay) Reach(now time.Time, planeName, topic string, then Settled, effects *statemachine.Effects) {
+func (o *Overlay) AwaitCell(now time.Time, planeName, topic string, then Completion, effects *statemachine.Effects) {
 	if o.parted {
 		then(now, effects, false)
 		return
 	}
 	here := o.cell(now, planeName, CellOf(config.TopicNumber(topic)), effects)
 	here.lastUse = now
-	if here.settled() {
+	if here.joined() {
 		then(now, effects, true)
 		return
 	}
 	if len(here.waiting) == 0 {
-		here.until = now.Add(reachLimit)
+		here.until = now.Add(reachTimeout)
 		o.timers.ArmSooner("reach", here.until)
 	}
 	here.waiting = append(here.waiting, then)
 }
 
-// Listeners lists the other daemons that have subscribers of a topic, in order.
-func (o *Overlay) Listeners(planeName, topic string) []string {
+// SubscribedDaemons lists the other daemons that have subscribers of a topic, in order.
+func (o *Overlay) SubscribedDaemons(planeName, topic string) []string {
 	number := config.TopicNumber(topic)
 	here := o.cellAt(planeName, number)
 	if here == nil {
@@ -260,8 +260,8 @@
 	return names
 }
 
-// Presence counts the subscribers of a topic on all other daemons.
-func (o *Overlay) Presence(planeName, topic string) int {
+// Subscribers counts the subscribers of a topic on all other daemons.
+func (o *Overlay) Subscribers(planeName, topic string) int {
 	number := config.TopicNumber(topic)
 	here := o.cellAt(planeName, number)
 	if here == nil {
@@ -303,13 +303,13 @@
 	peer.region = newRegion(peer.self.At)
 	peer.cell, here.peer = here, peer
 	peer.holders++
-	o.await(now, peer, true, nil, effects)
-	o.checkSoon(now)
+	o.whenJoined(now, peer, true, nil, effects)
+	o.scheduleCheck(now)
 	return here
 }
 
-// settled tells whether the peer has joined and was told by all it knows.
-func (c *cell) settled() bool {
+// joined tells whether the peer has joined and was told by all it knows.
+func (c *cell) joined() bool {
 	if c.reached {
 		return true
 	}
@@ -325,14 +325,14 @@
 	return true
 }
 
-// settleCells calls those who waited for a cell.
-func (o *Overlay) settleCells(now time.Time, effects *statemachine.Effects) {
+// completeWaiting calls those who waited for a cell.
+func (o *Overlay) completeWaiting(now time.Time, effects *statemachine.Effects) {
 	for _, where := range statemachine.Sorted(o.planes) {
 		for _, here := range where.cells {
 			if here == nil || len(here.waiting) == 0 {
 				continue
 			}
-			settled := here.settled()
+			settled := here.joined()
 			if !settled && here.until.After(now) {
 				o.timers.ArmSooner("reach", here.until)
 				continue
@@ -350,7 +350,7 @@
 // meet notes another daemon's peer in the cell, which gets the whole.
 func (o *Overlay) meet(now time.Time, here *cell, key PeerKey) {
 	earlier, found := here.members[key.Daemon]
-	if found && (earlier.key == key || earlier.key.Life > key.Life || earlier.key.Life == key.Life && earlier.key.Number > key.Number) {
+	if found && (earlier.key == key || earlier.key.Incarnation > key.Incarnation || earlier.key.Incarnation == key.Incarnation && earlier.key.Number > key.Number) {
 		return
 	}
 	if found {
@@ -387,8 +387,8 @@
 	}
 }
 
-// afresh forgets all others of the cell; they are to be found and told anew.
-func (c *cell) afresh() {
+// reset forgets all others of the cell; they are to be found and told anew.
+func (c *cell) reset() {
 	c.members, c.order, c.owed = map[string]*member{}, nil, map[string]bool{}
 	c.reached, c.digest = false, 0
 }
@@ -408,7 +408,7 @@
 			return &frame.Notices[position]
 		}
 	}
-	frame.Notices = append(frame.Notices, Notices{Daemon: o.daemon, Life: o.life, Plane: planeName, Notices: []Notice{notice}})
+	frame.Notices = append(frame.Notices, Notices{Daemon: o.daemon, Incarnation: o.life, Plane: planeName, Notices: []Notice{notice}})
 	return &frame.Notices[len(frame.Notices)-1]
 }
 
@@ -423,7 +423,7 @@
 func keyHash(key PeerKey) uint64 {
 	sum := fnv.New64a()
 	_, _ = sum.Write([]byte(key.Daemon))
-	return mix(sum.Sum64() ^ mix(key.Life^mix(key.Number)))
+	return mix(sum.Sum64() ^ mix(key.Incarnation^mix(key.Number)))
 }
 
 func mix(value uint64) uint64 {
@@ -434,9 +434,9 @@
 	return value ^ value>>31
 }
 
-// whole tells all counts, as of the newest notice.
-func (c *cell) whole() Notice {
-	notice := c.notice(NoticeWhole)
+// completeNotice tells all counts, as of the newest notice.
+func (c *cell) completeNotice() Notice {
+	notice := c.notice(NoticeComplete)
 	for topic := range statemachine.Sorted(c.counts) {
 		count := c.counts[topic]
 		if told, changed := c.changed[topic]; changed {
@@ -453,19 +453,19 @@
 }
 
 func (n *Notice) add(topic uint64, count uint32) {
-	if count > 0 || n.Kind != NoticeWhole {
+	if count > 0 || n.Kind != NoticeComplete {
 		n.Topics, n.Counts = append(n.Topics, topic), append(n.Counts, count)
 	}
 }
 
-// giveOwed tells the whole to all who are newly known or asked for it.
-func (o *Overlay) giveOwed() {
+// sendOwed tells the whole to all who are newly known or asked for it.
+func (o *Overlay) sendOwed() {
 	for _, where := range statemachine.Sorted(o.planes) {
 		for _, here := range where.cells {
 			if here == nil || len(here.owed) == 0 {
 				continue
 			}
-			whole := here.whole()
+			whole := here.completeNotice()
 			for daemon := range statemachine.Sorted(here.owed) {
 				o.notify(daemon, where.name, whole)
 			}
@@ -474,9 +474,9 @@
 	}
 }
 
-// tellChanges sends the changes of the cells that are due. With one that is due
+// sendChanges sends the changes of the cells that are due. With one that is due
 // go those of the others, since the frames go out anyhow.
-func (o *Overlay) tellChanges(now time.Time) {
+func (o *Overlay) sendChanges(now time.Time) {
 	var next time.Time
 	any := false
 	for _, where := range o.planes {
@@ -505,7 +505,7 @@
 				continue
 			}
 			// The whole that is owed goes first, so that the changes follow it.
-			o.giveOwed()
+			o.sendOwed()
 			here.sequence++
 			notice := here.notice(NoticeChanges)
 			notice.Digest = 0
@@ -529,13 +529,13 @@
 	} else {
 		o.paced = 0
 	}
-	o.paceUntil = now.Add(min(longer(paceEach*time.Duration(len(o.gateways)), o.paced), max(countsWait, paceEach*time.Duration(len(o.gateways)))))
+	o.paceUntil = now.Add(min(backoff(paceEach*time.Duration(len(o.gateways)), o.paced), max(countsDelay, paceEach*time.Duration(len(o.gateways)))))
 }
 
 // check tells others the numbers of the newest notices here: all those that
 // share a cell, and some of the rest in turn.
 func (o *Overlay) check(now time.Time) {
-	if o.checks++; now.Sub(o.checked) >= checkEvery {
+	if o.checks++; now.Sub(o.checked) >= checkInterval {
 		o.checks = 0
 	}
 	o.checked = now
@@ -557,7 +557,7 @@
 		}
 		var strangers []string
 		for daemon := range statemachine.Sorted(o.gateways) {
-			if sharing[daemon] && o.checkTurn%numbersEach != 0 {
+			if sharing[daemon] && o.checkTurn%numbersEveryChecks != 0 {
 				o.levelWith(daemon, where)
 			} else if sharing[daemon] {
 				o.checkWith(daemon, where, false)
@@ -565,13 +565,13 @@
 				strangers = append(strangers, daemon)
 			}
 		}
-		for range min(len(strangers), strangersEach) {
+		for range min(len(strangers), unknownDaemonsPerCheck) {
 			o.checkWith(strangers[where.turn%len(strangers)], where, true)
 			where.turn++
 		}
 	}
 	if any {
-		o.timers.Arm("checks", now.Add(checkEvery))
+		o.timers.Arm("checks", now.Add(checkInterval))
 	}
 }
 
@@ -587,7 +587,7 @@
 	level := where.level(func(here *cell) (levelPart, bool) {
 		return levelPart{number: here.peer.self.Key.Number, sequence: here.sequence}, true
 	})
-	frame.Notices = append(frame.Notices, Notices{Daemon: o.daemon, Life: o.life, Plane: where.name, Level: level})
+	frame.Notices = append(frame.Notices, Notices{Daemon: o.daemon, Incarnation: o.life, Plane: where.name, Level: level})
 }
 
 // levelPart is what a daemon's level says of one cell.
@@ -614,27 +614,27 @@
 func (p *plane) levelOf(daemon string, life uint64) uint64 {
 	return p.level(func(here *cell) (levelPart, bool) {
 		known, found := here.members[daemon]
-		if !found || !known.heard || known.key.Life != life {
+		if !found || !known.heard || known.key.Incarnation != life {
 			return levelPart{}, false
 		}
 		return levelPart{number: known.key.Number, sequence: known.sequence}, true
 	})
 }
 
-// takeLevel asks for the numbers of the newest notices unless all are known.
-func (o *Overlay) takeLevel(where *plane, told Notices) {
+// handleLevel asks for the numbers of the newest notices unless all are known.
+func (o *Overlay) handleLevel(where *plane, told Notices) {
 	gateway := o.gateways[told.Daemon]
-	if where != nil && where.levelOf(told.Daemon, told.Life) == told.Level {
+	if where != nil && where.levelOf(told.Daemon, told.Incarnation) == told.Level {
 		return
 	}
 	frame := o.frame(gateway.Address)
-	frame.Notices = append(frame.Notices, Notices{Daemon: o.daemon, Life: o.life, Plane: told.Plane, Answer: true})
+	frame.Notices = append(frame.Notices, Notices{Daemon: o.daemon, Incarnation: o.life, Plane: told.Plane, Answer: true})
 }
 
-// checkSoon lets a comparison follow a change in whom this daemon knows, so
+// scheduleCheck lets a comparison follow a change in whom this daemon knows, so
 // that joins at the same time find each other.
-func (o *Overlay) checkSoon(now time.Time) {
-	at := o.checked.Add(longer(checkAgain, o.checks))
+func (o *Overlay) scheduleCheck(now time.Time) {
+	at := o.checked.Add(backoff(checkAgain, o.checks))
 	if soon := now.Add(checkAfter); at.Before(soon) {
 		at = soon
 	}
@@ -654,31 +654,31 @@
 	}
 }
 
-// takeNotices handles what another daemon's peers tell.
-func (o *Overlay) takeNotices(now time.Time, told Notices) {
+// handleNotices handles what another daemon's peers tell.
+func (o *Overlay) handleNotices(now time.Time, told Notices) {
 	gateway, alive := o.gateways[told.Daemon]
-	if !alive || told.Life < gateway.Joined || told.Daemon == o.daemon {
+	if !alive || told.Incarnation < gateway.Joined || told.Daemon == o.daemon {
 		return
 	}
 	where, found := o.planes[told.Plane]
 	if told.Level != 0 {
-		o.takeLevel(where, told)
+		o.handleLevel(where, told)
 	}
 	for _, notice := range told.Notices {
 		if notice.Cell >= CellCount || !notice.fits() {
 			continue
 		}
-		key := PeerKey{Daemon: told.Daemon, Life: told.Life, Number: notice.Number}
+		key := PeerKey{Daemon: told.Daemon, Incarnation: told.Incarnation, Number: notice.Number}
 		if found && notice.Kind == NoticeCheck {
 			o.border(now, where, key, notice)
 		}
 		if !found || where.cells[notice.Cell] == nil {
-			if notice.Kind != NoticeGone && notice.Kind != NoticeCheck {
-				o.notify(told.Daemon, told.Plane, Notice{Kind: NoticeGone, Cell: notice.Cell})
+			if notice.Kind != NoticeAbsent && notice.Kind != NoticeCheck {
+				o.notify(told.Daemon, told.Plane, Notice{Kind: NoticeAbsent, Cell: notice.Cell})
 			}
 			continue
 		}
-		o.takeNotice(now, where.cells[notice.Cell], key, notice)
+		o.handleNotice(now, where.cells[notice.Cell], key, notice)
 	}
 	if found && told.Answer {
 		o.checkWith(told.Daemon, where, false)
@@ -687,7 +687,7 @@
 
 // fits tells whether a notice has as many counts as it should.
 func (n *Notice) fits() bool {
-	return n.Kind == NoticeDiffers || n.Kind == NoticeLacks || len(n.Topics) == len(n.Counts)
+	return n.Kind == NoticeDiffers || n.Kind == NoticeMissing || len(n.Topics) == len(n.Counts)
 }
 
 // border lets the peers here whose regions a peer of another cell would cut
@@ -704,16 +704,16 @@
 	}
 }
 
-func (o *Overlay) takeNotice(now time.Time, here *cell, key PeerKey, notice Notice) {
+func (o *Overlay) handleNotice(now time.Time, here *cell, key PeerKey, notice Notice) {
 	known, found := here.members[key.Daemon]
-	if notice.Kind == NoticeGone {
+	if notice.Kind == NoticeAbsent {
 		if found {
 			o.drop(now, here.peer, known.key)
 		}
 		return
 	}
 	if !found || known.key != key {
-		if found && known.key.Life == key.Life && known.key.Number > key.Number {
+		if found && known.key.Incarnation == key.Incarnation && known.key.Number > key.Number {
 			return
 		}
 		o.learn(now, here.peer, key, []Peer{cellPeer(key, here.number, notice.Change)}, true)
@@ -722,13 +722,13 @@
 		}
 	}
 	switch notice.Kind {
-	case NoticeWhole:
+	case NoticeComplete:
 		if known.heard && notice.Sequence < known.sequence {
 			return
 		}
 		known.heard, known.sequence, known.asks, known.wanted = true, notice.Sequence, 0, false
 		known.counts = make(map[uint64]uint32, len(notice.Topics))
-		known.take(notice)
+		known.apply(notice)
 	case NoticeChanges:
 		if statemachine.Mutated("gaps-unheeded") && known.heard {
 			known.sequence = max(known.sequence, notice.Sequence-1)
@@ -737,17 +737,17 @@
 		case known.heard && notice.Sequence <= known.sequence:
 		case known.heard && notice.Sequence == known.sequence+1:
 			known.sequence = notice.Sequence
-			known.take(notice)
+			known.apply(notice)
 		default:
-			o.ask(now, here, known)
+			o.requestComplete(now, here, known)
 		}
 	case NoticeCheck:
 		if !known.heard || notice.Sequence > known.sequence {
-			o.ask(now, here, known)
+			o.requestComplete(now, here, known)
 		}
 	case NoticeAsk:
 		o.owe(now, here, key.Daemon)
-	case NoticeDiffers, NoticeLacks:
+	case NoticeDiffers, NoticeMissing:
 		o.level(here, key, notice)
 		// It knows now, or soon, what is known here.
 		notice.Digest = here.digestHere()
@@ -763,7 +763,7 @@
 	}
 }
 
-func (m *member) take(notice Notice) {
+func (m *member) apply(notice Notice) {
 	if m.counts == nil {
 		m.counts = map[uint64]uint32{}
 	}
@@ -777,14 +777,14 @@
 }
 
 // merge learns the peers of a cell that another one names.
-func (o *Overlay) merge(now time.Time, here *cell, teller PeerKey, members []PeerKey) {
+func (o *Overlay) merge(now time.Time, here *cell, sender PeerKey, members []PeerKey) {
 	var others []Peer
 	for _, each := range members {
 		if known, met := here.members[each.Daemon]; !met || known.key != each {
 			others = append(others, cellPeer(each, here.number, 0))
 		}
 	}
-	o.learn(now, here.peer, teller, others, false)
+	o.learn(now, here.peer, sender, others, false)
 }
 
 // shortHash sums a peer's key up in a comparison.
@@ -814,7 +814,7 @@
 		o.notify(key.Daemon, here.plane.name, answer)
 	}
 	if matched < len(summed) && notice.Kind == NoticeDiffers {
-		o.notify(key.Daemon, here.plane.name, here.sums(NoticeLacks, key))
+		o.notify(key.Daemon, here.plane.name, here.sums(NoticeMissing, key))
 	}
 }
 
@@ -853,7 +853,7 @@
 					// whether they still differ.
 					continue
 				}
-				if known.compared == digest^known.digest && now.Sub(known.comparedAt) < checkEvery {
+				if known.compared == digest^known.digest && now.Sub(known.comparedAt) < checkInterval {
 					continue
 				}
 				differing = append(differing, known)
@@ -869,10 +869,10 @@
 	}
 }
 
-// ask asks a peer for the whole, at once or when the answer to an earlier question
+// requestComplete asks a peer for the whole, at once or when the answer to an earlier question
 // is overdue.
-func (o *Overlay) ask(now time.Time, here *cell, known *member) {
-	if due := known.askAgainAt(); due.After(now) {
+func (o *Overlay) requestComplete(now time.Time, here *cell, known *member) {
+	if due := known.nextRequestAt(); due.After(now) {
 		known.wanted = true
 		o.timers.ArmSooner("asks", due)
 		return
@@ -882,16 +882,16 @@
 	o.notify(known.key.Daemon, here.plane.name, here.notice(NoticeAsk))
 }
 
-// askAgainAt is when it may be asked for the whole.
-func (m *member) askAgainAt() time.Time {
+// nextRequestAt is when it may be asked for the whole.
+func (m *member) nextRequestAt() time.Time {
 	if m.asked.IsZero() {
 		return m.asked
 	}
-	return m.asked.Add(longer(askAgain, min(m.asks, asksDouble)))
+	return m.asked.Add(backoff(requestRetry, min(m.asks, maxRequestDoublings)))
 }
 
-// askOverdue asks those again whose answers are overdue.
-func (o *Overlay) askOverdue(now time.Time) {
+// retryRequests asks those again whose answers are overdue.
+func (o *Overlay) retryRequests(now time.Time) {
 	for _, where := range statemachine.Sorted(o.planes) {
 		for _, here := range where.cells {
 			if here == nil {
@@ -899,7 +899,7 @@
 			}
 			for _, name := range here.order {
 				if known := here.members[name]; known.wanted {
-					o.ask(now, here, known)
+					o.requestComplete(now, here, known)
 				}
 			}
 		}
--- a/internal/overlay/notices_test.go
+++ b/internal/overlay/notices_test.go
@@ -34,7 +34,7 @@
 func (n *net) tell(truth crowd, name, topic string, count int) {
 	truth[name][topic] = count
 	var effects statemachine.Effects
-	n.parts[name].Tell(n.now, trialPlane, topic, count, &effects)
+	n.parts[name].SetSubscribers(n.now, trialPlane, topic, count, &effects)
 	n.carry(name, &effects)
 }
 
@@ -56,10 +56,10 @@
 				listeners = append(listeners, other)
 				present += counts[topic]
 			}
-			if got := part.Listeners(trialPlane, topic); !slices.Equal(got, listeners) {
+			if got := part.SubscribedDaemons(trialPlane, topic); !slices.Equal(got, listeners) {
 				wrong = append(wrong, fmt.Sprintf("%s, listeners of %s: got %v, wanted %v", name, topic, got, listeners))
 			}
-			if got := part.Presence(trialPlane, topic); got != present {
+			if got := part.Subscribers(trialPlane, topic); got != present {
 				wrong = append(wrong, fmt.Sprintf("%s, presence of %s: got %d, wanted %d", name, topic, got, present))
 			}
 		}
@@ -138,10 +138,10 @@
 		for _, topic := range topics {
 			called := false
 			var effects statemachine.Effects
-			net.parts[names[0]].Reach(net.now, trialPlane, topic, func(_ time.Time, _ *statemachine.Effects, settled bool) {
+			net.parts[names[0]].AwaitCell(net.now, trialPlane, topic, func(_ time.Time, _ *statemachine.Effects, settled bool) {
 				called = true
 				assert.Assert(t, settled)
-				assert.DeepEqual(t, net.parts[names[0]].Listeners(trialPlane, topic), names[1:])
+				assert.DeepEqual(t, net.parts[names[0]].SubscribedDaemons(trialPlane, topic), names[1:])
 			}, &effects)
 			net.carry(names[0], &effects)
 			for range 200 {
@@ -216,7 +216,7 @@
 			net.run(time.Duration(net.random.IntN(20)) * time.Millisecond)
 		}
 		net.loss = 0
-		net.run(countsWait + checkEvery + 100*time.Millisecond)
+		net.run(countsDelay + checkInterval + 100*time.Millisecond)
 		assert.DeepEqual(t, net.wrongNotices(truth, topics), []string(nil))
 	}
 }
--- a/internal/overlay/overlay.go
+++ b/internal/overlay/overlay.go
@@ -25,40 +25,40 @@
 
 // Spans and bounds of the overlay.
 const (
-	greetLimit = 300 * time.Millisecond
-	greetTries = 4
-	joinLimit  = 400 * time.Millisecond
-	// joinFresh is how long a try to join is not yet taken for lost with a daemon.
-	joinFresh = 100 * time.Millisecond
-	// retryDoubles is how often the wait of a join, a greeting or a question to a
+	greetTimeout     = 300 * time.Millisecond
+	maxGreetAttempts = 4
+	joinTimeout      = 400 * time.Millisecond
+	// joinAttemptValid is how long a try to join is not yet taken for lost with a daemon.
+	joinAttemptValid = 100 * time.Millisecond
+	// maxDoublings is how often the wait of a join, a greeting or a question to a
 	// peer doubles. An answer that is late because links are full must not be asked
 	// for again and again, which keeps them full.
-	retryDoubles = 3
-	hopLimit     = 48
-	askedFirst   = 3
-	healing      = 1
-	healFor      = 2 * time.Second
-	freshFor     = 3 * time.Second
-	goneFor      = 30 * time.Second
-	compareEvery = 4 * time.Second
-	quietFor     = 4 * time.Minute
-	sweepEvery   = 5 * time.Second
+	maxDoublings      = 3
+	maxHops           = 48
+	firstJoinTargets  = 3
+	healing           = 1
+	healFor           = 2 * time.Second
+	rejoinWindow      = 3 * time.Second
+	tombstoneLifetime = 30 * time.Second
+	compareInterval   = 4 * time.Second
+	quietFor          = 4 * time.Minute
+	sweepInterval     = 5 * time.Second
 )
 
 // PeerKey names one peer for ever.
 type PeerKey struct {
-	_      struct{} `cbor:",toarray"`
-	Daemon string
-	Life   uint64
-	Number uint64
+	_           struct{} `cbor:",toarray"`
+	Daemon      string
+	Incarnation uint64
+	Number      uint64
 }
 
 func (pk PeerKey) compare(other PeerKey) int {
 	if order := strings.Compare(pk.Daemon, other.Daemon); order != 0 {
 		return order
 	}
-	if pk.Life != other.Life {
-		if pk.Life < other.Life {
+	if pk.Incarnation != other.Incarnation {
+		if pk.Incarnation < other.Incarnation {
 			return -1
 		}
 		return 1
@@ -89,9 +89,9 @@
 	SignalGreet
 	SignalGreeted
 	SignalLeave
-	SignalGone
+	SignalLeft
 	SignalNobody
-	SignalTell
+	SignalAnnounce
 )
 
 // Signal is one message from peer to peer.
@@ -104,7 +104,7 @@
 	Peers    []Peer
 	Boundary []Peer
 	Hops     uint8
-	Tries    uint8
+	Attempts uint8
 }
 
 // Signals is what one daemon's peers say to another daemon's in one step: one
@@ -126,8 +126,8 @@
 	Joined  uint64
 }
 
-// Settled is called once a peer knows its surroundings, or gave up waiting.
-type Settled func(now time.Time, effects *statemachine.Effects, settled bool)
+// Completion is called once a peer knows its surroundings, or gave up waiting.
+type Completion func(now time.Time, effects *statemachine.Effects, settled bool)
 
 type outstanding struct {
 	until time.Time
@@ -150,7 +150,7 @@
 	joining   *outstanding
 	joinAsked map[string]bool
 	askedAll  bool
-	waiting   []Settled
+	waiting   []Completion
 	holders   int
 	lastUse   time.Time
 	publishes bool
@@ -181,12 +181,12 @@
 	Leaves     uint64 `json:"Leaves"`
 	Probes     uint64 `json:"Probes"`
 	// ByKind counts the signals that went out, by their kind.
-	ByKind [SignalTell + 1]uint64 `json:"ByKind"`
+	ByKind [SignalAnnounce + 1]uint64 `json:"ByKind"`
 	// Notices counts the notices that went out by their kind, Told the topics and
 	// members that they told, and Levels the sums.
-	Notices [NoticeLacks + 1]uint64 `json:"Notices"`
-	Told    [NoticeLacks + 1]uint64 `json:"Told"`
-	Levels  uint64                  `json:"Levels"`
+	Notices [NoticeMissing + 1]uint64 `json:"Notices"`
+	Told    [NoticeMissing + 1]uint64 `json:"Told"`
+	Levels  uint64                    `json:"Levels"`
 }
 
 // Overlay is one daemon's part of the overlay.
@@ -209,18 +209,18 @@
 	// checked is when this daemon last compared its cells with others.
 	checked time.Time
 	// checks counts the comparisons that followed another within checkEvery.
-	checks    int
-	checkTurn uint64
-	ways      map[string]time.Duration
-	found     []Found
-	Counts    Counts
+	checks     int
+	checkTurn  uint64
+	roundTrips map[string]time.Duration
+	found      []Discovery
+	Counts     Counts
 }
 
 // New makes the overlay part of one daemon; Live and View come before any peer.
 func New(daemon string) *Overlay {
 	return &Overlay{
 		daemon: daemon, gateways: map[string]Gateway{}, spaces: map[string]*space{}, planes: map[string]*plane{},
-		timers: statemachine.NewTimers[string](), out: map[string]*Signals{}, ways: map[string]time.Duration{},
+		timers: statemachine.NewTimers[string](), out: map[string]*Signals{}, roundTrips: map[string]time.Duration{},
 	}
 }
 
@@ -228,7 +228,7 @@
 func (o *Overlay) NextTick() time.Time { return o.timers.Next() }
 
 // Subscribe adds one holder to the subscribing peer of an area.
-func (o *Overlay) Subscribe(now time.Time, spaceName string, area Area, settled Settled, effects *statemachine.Effects) {
+func (o *Overlay) Subscribe(now time.Time, spaceName string, area Area, settled Completion, effects *statemachine.Effects) {
 	peer, made := o.peer(now, spaceName, area)
 	peer.holders++
 	if !peer.self.Subscribes {
@@ -239,7 +239,7 @@
 			o.regreet(now, peer)
 		}
 	}
-	o.await(now, peer, made, settled, effects)
+	o.whenJoined(now, peer, made, settled, effects)
 }
 
 // Unsubscribe takes one holder away; with the last the peer stops subscribing,
@@ -273,11 +273,11 @@
 
 // Publish makes sure that an area has a publishing peer and tells when its
 // subscriber list is there.
-func (o *Overlay) Publish(now time.Time, spaceName string, area Area, settled Settled, effects *statemachine.Effects) {
+func (o *Overlay) Publish(now time.Time, spaceName string, area Area, settled Completion, effects *statemachine.Effects) {
 	peer, made := o.peer(now, spaceName, area)
 	peer.publishes = true
 	peer.lastUse = now
-	o.await(now, peer, made, settled, effects)
+	o.whenJoined(now, peer, made, settled, effects)
 }
 
 // Destinations lists the daemons, this one left out, that hold subscribers of
@@ -309,19 +309,19 @@
 // observe notes how long a greeting and its answer took; what is short counts
 // more, since a busy daemon only makes the way look longer.
 func (o *Overlay) observe(daemon string, length time.Duration) {
-	present, found := o.ways[daemon]
+	present, found := o.roundTrips[daemon]
 	switch {
 	case !found || length < present:
-		o.ways[daemon] = length
+		o.roundTrips[daemon] = length
 	default:
-		o.ways[daemon] = present + (length-present)/64
+		o.roundTrips[daemon] = present + (length-present)/64
 	}
 }
 
-// Ways tells the round trips observed to the other living daemons.
-func (o *Overlay) Ways() map[string]time.Duration {
-	ways := make(map[string]time.Duration, len(o.ways))
-	for name, length := range o.ways {
+// RoundTrips tells the round trips observed to the other living daemons.
+func (o *Overlay) RoundTrips() map[string]time.Duration {
+	ways := make(map[string]time.Duration, len(o.roundTrips))
+	for name, length := range o.roundTrips {
 		if _, alive := o.gateways[name]; alive {
 			ways[name] = length.Round(10 * time.Microsecond)
 		}
@@ -329,22 +329,22 @@
 	return ways
 }
 
-// Found is a destination that a publishing peer has just come to know.
-type Found struct {
+// Discovery is a destination that a publishing peer has just come to know.
+type Discovery struct {
 	Space  string
 	Area   Area
 	Daemon string
 }
 
-// TakeFound gives what was found since it was last asked.
-func (o *Overlay) TakeFound() []Found {
+// TakeDiscovered gives what was found since it was last asked.
+func (o *Overlay) TakeDiscovered() []Discovery {
 	found := o.found
 	o.found = nil
 	return found
 }
 
-// Settled tells whether an area's peer knows its surroundings.
-func (o *Overlay) Settled(spaceName string, area Area) bool {
+// Joined tells whether an area's peer knows its surroundings.
+func (o *Overlay) Joined(spaceName string, area Area) bool {
 	here, found := o.spaces[spaceName]
 	if !found {
 		return false
@@ -353,8 +353,8 @@
 	return found && peer.joining == nil && len(peer.pending) == 0
 }
 
-// Hosted counts the peers here, by space.
-func (o *Overlay) Hosted() (subscribing, publishing int) {
+// PeerCounts counts the peers here, by space.
+func (o *Overlay) PeerCounts() (subscribing, publishing int) {
 	for _, here := range o.spaces {
 		for _, peer := range here.peers {
 			if peer.self.Subscribes {
@@ -368,8 +368,8 @@
 	return subscribing, publishing
 }
 
-// Forget drops a removed space with all its peers.
-func (o *Overlay) Forget(now time.Time, spaceName string, effects *statemachine.Effects) {
+// RemoveSpace drops a removed space with all its peers.
+func (o *Overlay) RemoveSpace(now time.Time, spaceName string, effects *statemachine.Effects) {
 	here, found := o.spaces[spaceName]
 	if !found {
 		return
@@ -398,15 +398,15 @@
 	return slices.Clone(s.ordered)
 }
 
-// place and displace keep the hosted peers in the order of their keys; a new
+// indexPeer and displace keep the hosted peers in the order of their keys; a new
 // key is always above those before it.
-func (s *space) place(peer *hosted) {
+func (s *space) indexPeer(peer *hosted) {
 	s.peers[peer.self.Area] = peer
 	s.byKey[peer.self.Key] = peer
 	s.ordered = append(s.ordered, peer)
 }
 
-func (s *space) displace(peer *hosted) {
+func (s *space) unindexPeer(peer *hosted) {
 	delete(s.peers, peer.self.Area)
 	delete(s.byKey, peer.self.Key)
 	if position := slices.Index(s.ordered, peer); position >= 0 {
@@ -440,7 +440,7 @@
 		return peer, false
 	}
 	o.number++
-	key := PeerKey{Daemon: o.daemon, Life: o.life, Number: o.number}
+	key := PeerKey{Daemon: o.daemon, Incarnation: o.life, Number: o.number}
 	o.change++
 	peer = &hosted{
 		self:  Peer{Key: key, At: area.reference(o.daemon, o.number), Area: area, Change: o.change},
@@ -449,24 +449,24 @@
 		joinAsked: map[string]bool{}, lastUse: now,
 	}
 	peer.region = newRegion(peer.self.At)
-	here.place(peer)
-	o.timers.ArmSooner("sweep", now.Add(sweepEvery))
-	o.timers.ArmSooner("compare", now.Add(compareEvery))
+	here.indexPeer(peer)
+	o.timers.ArmSooner("sweep", now.Add(sweepInterval))
+	o.timers.ArmSooner("compare", now.Add(compareInterval))
 	return peer, true
 }
 
-func (o *Overlay) await(now time.Time, peer *hosted, made bool, settled Settled, effects *statemachine.Effects) {
+func (o *Overlay) whenJoined(now time.Time, peer *hosted, made bool, settled Completion, effects *statemachine.Effects) {
 	if settled != nil {
 		peer.waiting = append(peer.waiting, settled)
 	}
 	if made {
 		o.join(now, peer)
 	}
-	o.checkSettled(now, peer, effects)
+	o.checkJoined(now, peer, effects)
 	o.flush(effects)
 }
 
-func (o *Overlay) checkSettled(now time.Time, peer *hosted, effects *statemachine.Effects) {
+func (o *Overlay) checkJoined(now time.Time, peer *hosted, effects *statemachine.Effects) {
 	if peer.joining != nil || len(peer.pending) > 0 {
 		return
 	}
@@ -517,11 +517,11 @@
 	}
 	peer.joining.tries++
 	peer.joining.sent = now
-	peer.joining.until = now.Add(longer(joinLimit, peer.joining.tries))
+	peer.joining.until = now.Add(backoff(joinTimeout, peer.joining.tries))
 	o.timers.ArmSooner("limits", peer.joining.until)
 	clear(peer.joinAsked)
 	peer.queued = false
-	request := Signal{Kind: SignalJoin, Space: peer.space.name, From: peer.self, Tries: uint8(min(peer.joining.tries, 255))}
+	request := Signal{Kind: SignalJoin, Space: peer.space.name, From: peer.self, Attempts: uint8(min(peer.joining.tries, 255))}
 	if start := o.nearestHosted(peer.space, peer.self.At, peer); start != nil {
 		o.forward(now, start, request)
 		return
@@ -534,32 +534,32 @@
 		}
 	}
 	peer.askedAll = false
-	if peer.joining.tries == 1 && len(o.gateways) > askedFirst {
+	if peer.joining.tries == 1 && len(o.gateways) > firstJoinTargets {
 		names := slices.Collect(maps.Keys(o.gateways))
 		slices.Sort(names)
-		for step := range askedFirst {
+		for step := range firstJoinTargets {
 			name := names[(uint64(step)+keyHash(peer.self.Key))%uint64(len(names))]
 			peer.joinAsked[name] = true
 			o.signal(name, request)
 		}
 		return
 	}
-	o.askAll(now, peer)
+	o.joinThroughAll(now, peer)
 }
 
-// longer is how long to wait for the answer to a try.
-func longer(first time.Duration, tries int) time.Duration {
+// backoff is how long to wait for the answer to a try.
+func backoff(first time.Duration, attempts int) time.Duration {
 	if statemachine.Mutated("no-retry-pauses") {
 		return first
 	}
-	return first << min(max(0, tries-1), retryDoubles)
+	return first << min(max(0, attempts-1), maxDoublings)
 }
 
-// askAll asks all daemons for the way to an acceptor. That a few know of nobody
+// joinThroughAll asks all daemons for the way to an acceptor. That a few know of nobody
 // does not yet make a peer the first.
-func (o *Overlay) askAll(now time.Time, peer *hosted) {
+func (o *Overlay) joinThroughAll(now time.Time, peer *hosted) {
 	peer.askedAll = true
-	request := Signal{Kind: SignalJoin, Space: peer.space.name, From: peer.self, Tries: uint8(min(peer.joining.tries, 255))}
+	request := Signal{Kind: SignalJoin, Space: peer.space.name, From: peer.self, Attempts: uint8(min(peer.joining.tries, 255))}
 	for name := range statemachine.Sorted(o.gateways) {
 		peer.joinAsked[name] = true
 		o.signal(name, request)
@@ -643,7 +643,7 @@
 			o.drop(now, at, best.Key)
 			continue
 		}
-		if request.Hops >= hopLimit {
+		if request.Hops >= maxHops {
 			o.accept(now, at, request)
 			return
 		}
@@ -658,34 +658,34 @@
 // accept answers a join as the acceptor.
 func (o *Overlay) accept(now time.Time, acceptor *hosted, request Signal) {
 	answer := o.introduce(now, acceptor, request.From)
-	if acceptor.mate(request.From) {
+	if acceptor.sharesArea(request.From) {
 		for key, known := range sortedPeers(acceptor.subscribers) {
-			if key != request.From.Key && acceptor.mate(known) && !slices.ContainsFunc(answer.Peers, func(named Peer) bool { return named.Key == key }) {
+			if key != request.From.Key && acceptor.sharesArea(known) && !slices.ContainsFunc(answer.Peers, func(named Peer) bool { return named.Key == key }) {
 				answer.Peers = append(answer.Peers, known)
 			}
 		}
 	}
 	answer.Kind = SignalWelcome
 	answer.Hops = request.Hops
-	o.tell(now, request.From.Key, answer)
+	o.sendTo(now, request.From.Key, answer)
 }
 
 // ended tells whether a peer is of a daemon that is gone, or of an earlier life of one
 // that began anew. Lives rise, and one that the view does not have yet may be there.
 func (o *Overlay) ended(key PeerKey) bool {
 	gateway, alive := o.gateways[key.Daemon]
-	return !alive || key.Life > 0 && key.Life < gateway.Joined && !statemachine.Mutated("any-life-of-a-peer")
+	return !alive || key.Incarnation > 0 && key.Incarnation < gateway.Joined && !statemachine.Mutated("any-life-of-a-peer")
 }
 
-// tell hands a signal to a peer, here or away.
-func (o *Overlay) tell(now time.Time, key PeerKey, signal Signal) {
+// sendTo hands a signal to a peer, here or away.
+func (o *Overlay) sendTo(now time.Time, key PeerKey, signal Signal) {
 	signal.To = key
 	if key.Daemon != o.daemon {
 		o.signal(key.Daemon, signal)
 		return
 	}
-	if key.Life == o.life {
-		o.handle(now, signal, nil)
+	if key.Incarnation == o.life {
+		o.handleSignal(now, signal, nil)
 	}
 }
 
@@ -700,7 +700,7 @@
 	if !wasKnown {
 		peer.tookAt[newcomer.Key] = now
 	}
-	o.note(now, peer, newcomer)
+	o.recordPeer(now, peer, newcomer)
 	include := map[PeerKey]Peer{}
 	offer := func(keys []PeerKey) {
 		for _, key := range keys {
@@ -751,10 +751,10 @@
 	return answer
 }
 
-// note records what is known of another peer. Subscribers over the part of the
+// recordPeer records what is known of another peer. Subscribers over the part of the
 // region that it takes are owed to it: they are named in the next signal that
 // goes to it.
-func (o *Overlay) note(now time.Time, peer *hosted, other Peer) {
+func (o *Overlay) recordPeer(now time.Time, peer *hosted, other Peer) {
 	earlier, found := peer.known[other.Key]
 	if found && earlier.Change > other.Change {
 		return
@@ -767,20 +767,20 @@
 	}
 	if peer.cell != nil {
 		if !found {
-			if peer.mate(other) {
+			if peer.sharesArea(other) {
 				o.meet(now, peer.cell, other.Key)
 			}
 			if _, cut := peer.region.clip(other.At, other.Key); cut {
-				o.passOn(now, peer, other)
+				o.announceSubscriber(now, peer, other)
 			}
-			o.checkSoon(now)
+			o.scheduleCheck(now)
 		}
 		return
 	}
 	if other.Subscribes && !earlier.Subscribes {
-		o.passOn(now, peer, other)
+		o.announceSubscriber(now, peer, other)
 		if peer.publishes && other.Key.Daemon != o.daemon && other.Area.Covers(peer.self.Area) {
-			o.found = append(o.found, Found{Space: peer.space.name, Area: peer.self.Area, Daemon: other.Key.Daemon})
+			o.found = append(o.found, Discovery{Space: peer.space.name, Area: peer.self.Area, Daemon: other.Key.Daemon})
 		}
 	}
 	if found {
@@ -827,12 +827,12 @@
 	return owed
 }
 
-// passOn names a subscriber that has just become known to the neighbours that
+// announceSubscriber names a subscriber that has just become known to the neighbours that
 // took part of this peer's region a moment ago: the subscriber may have looked
 // here for a part that is theirs now.
-func (o *Overlay) passOn(now time.Time, peer *hosted, subscriber Peer) {
+func (o *Overlay) announceSubscriber(now time.Time, peer *hosted, subscriber Peer) {
 	for _, key := range peer.region.owners() {
-		if key == subscriber.Key || now.Sub(peer.tookAt[key]) > freshFor {
+		if key == subscriber.Key || now.Sub(peer.tookAt[key]) > rejoinWindow {
 			continue
 		}
 		if peer.cell != nil && peer.known[key].Area == subscriber.Area {
@@ -840,7 +840,7 @@
 			continue
 		}
 		if key.Daemon != o.daemon {
-			o.signal(key.Daemon, Signal{Kind: SignalTell, Space: peer.space.name, To: key, From: peer.self, Peers: []Peer{subscriber}})
+			o.signal(key.Daemon, Signal{Kind: SignalAnnounce, Space: peer.space.name, To: key, From: peer.self, Peers: []Peer{subscriber}})
 		} else if neighbour, here := peer.space.byKey[key]; here {
 			o.learn(now, neighbour, peer.self.Key, []Peer{subscriber}, false)
 		}
@@ -848,7 +848,7 @@
 }
 
 // learn considers peers that somebody told of, and greets those that matter.
-func (o *Overlay) learn(now time.Time, peer *hosted, teller PeerKey, others []Peer, always bool) {
+func (o *Overlay) learn(now time.Time, peer *hosted, sender PeerKey, others []Peer, always bool) {
 	var mates []Peer
 	for _, other := range others {
 		if other.Key == peer.self.Key {
@@ -857,12 +857,12 @@
 		if other.Key.Daemon == o.daemon {
 			current, here := peer.space.byKey[other.Key]
 			if !here {
-				o.correct(peer, teller, other.Key)
+				o.correct(peer, sender, other.Key)
 				continue
 			}
 			other = current.self
 		} else if _, left := peer.space.gone[other.Key]; left {
-			o.correct(peer, teller, other.Key)
+			o.correct(peer, sender, other.Key)
 			continue
 		} else if o.ended(other.Key) {
 			continue
@@ -877,8 +877,8 @@
 		if !always && !known && !o.matters(peer, other) {
 			continue
 		}
-		o.note(now, peer, other)
-		if peer.mate(other) {
+		o.recordPeer(now, peer, other)
+		if peer.sharesArea(other) {
 			mates = append(mates, other)
 			continue
 		}
@@ -889,19 +889,19 @@
 	// Of the peers of its own cell it greets those only that are beyond its
 	// edges once all of them are known; who told of itself greets if need be.
 	for _, mate := range mates {
-		if mate.Key != teller && peer.region.owns(mate.Key) && peer.greeted[mate.Key] < peer.self.Change {
+		if mate.Key != sender && peer.region.owns(mate.Key) && peer.greeted[mate.Key] < peer.self.Change {
 			o.greet(now, peer, mate)
 		}
 	}
 }
 
-// mate tells whether another daemon's peer is of the same cell.
-func (h *hosted) mate(other Peer) bool {
+// sharesArea tells whether another daemon's peer is of the same cell.
+func (h *hosted) sharesArea(other Peer) bool {
 	return h.cell != nil && other.Area == h.self.Area && other.Key.Daemon != h.self.Key.Daemon
 }
 
-// outer tells whether a peer's region reaches out of its area.
-func (h *hosted) outer() bool {
+// hasOuterEdge tells whether a peer's region reaches out of its area.
+func (h *hosted) hasOuterEdge() bool {
 	area, middle := h.self.Area, h.self.At
 	for _, at := range h.region.corners {
 		if !area.Contains(Point{X: middle.X + at.x, Y: middle.Y + at.y}) {
@@ -913,15 +913,15 @@
 
 // correct tells a peer that one it spoke of is gone, so that the word of it
 // does not go round for ever.
-func (o *Overlay) correct(peer *hosted, teller, gone PeerKey) {
-	if teller.Daemon == o.daemon {
-		if neighbour, here := peer.space.byKey[teller]; here && neighbour != peer {
+func (o *Overlay) correct(peer *hosted, sender, gone PeerKey) {
+	if sender.Daemon == o.daemon {
+		if neighbour, here := peer.space.byKey[sender]; here && neighbour != peer {
 			o.drop(time.Time{}, neighbour, gone)
 		}
 		return
 	}
-	if teller != gone {
-		o.signal(teller.Daemon, Signal{Kind: SignalGone, Space: peer.space.name, To: teller, From: Peer{Key: gone}})
+	if sender != gone {
+		o.signal(sender.Daemon, Signal{Kind: SignalLeft, Space: peer.space.name, To: sender, From: Peer{Key: gone}})
 	}
 }
 
@@ -941,7 +941,7 @@
 
 func (o *Overlay) greetAs(now time.Time, peer *hosted, other Peer, heals bool) {
 	peer.greeted[other.Key] = peer.self.Change
-	if peer.mate(other) && !peer.outer() {
+	if peer.sharesArea(other) && !peer.hasOuterEdge() {
 		// What lies beyond an edge inside the cell is known by notices; only who
 		// has neighbours in other cells must be told of theirs.
 		delete(peer.pending, other.Key)
@@ -968,7 +968,7 @@
 		peer.pending[other.Key] = waiting
 	}
 	waiting.tries++
-	waiting.sent, waiting.until = now, now.Add(longer(greetLimit, waiting.tries))
+	waiting.sent, waiting.until = now, now.Add(backoff(greetTimeout, waiting.tries))
 	o.timers.ArmSooner("limits", waiting.until)
 	o.signal(other.Key.Daemon, greeting)
 }
@@ -1049,7 +1049,7 @@
 
 func (o *Overlay) leave(peer *hosted) {
 	o.Counts.Leaves++
-	peer.space.displace(peer)
+	peer.space.unindexPeer(peer)
 	var parting []Peer
 	for _, key := range peer.region.owners() {
 		parting = append(parting, peer.known[key])
@@ -1069,38 +1069,38 @@
 		if key.Daemon != o.daemon {
 			o.signal(key.Daemon, farewell)
 		} else if neighbour, here := peer.space.byKey[key]; here {
-			o.left(time.Time{}, neighbour, farewell)
+			o.handleLeave(time.Time{}, neighbour, farewell)
 		}
 	}
 }
 
-func (o *Overlay) left(now time.Time, peer *hosted, farewell Signal) {
+func (o *Overlay) handleLeave(now time.Time, peer *hosted, farewell Signal) {
 	o.drop(now, peer, farewell.From.Key)
 	o.learn(now, peer, farewell.From.Key, farewell.Peers, false)
 }
 
 // Taking signals.
 
-// Take handles what another daemon's peers say.
-func (o *Overlay) Take(now time.Time, signals Signals, effects *statemachine.Effects) {
+// HandleSignals handles what another daemon's peers say.
+func (o *Overlay) HandleSignals(now time.Time, signals Signals, effects *statemachine.Effects) {
 	for _, signal := range signals.Signals {
 		// What a daemon says that is gone from the view rests on an old one, and so
 		// does what an earlier life of it said.
 		if !o.ended(signal.From.Key) {
-			o.handle(now, signal, effects)
+			o.handleSignal(now, signal, effects)
 		}
 	}
 	for _, told := range signals.Notices {
-		o.takeNotices(now, told)
+		o.handleNotices(now, told)
 	}
-	o.settleCells(now, effects)
+	o.completeWaiting(now, effects)
 	o.flush(effects)
 }
 
-func (o *Overlay) handle(now time.Time, signal Signal, effects *statemachine.Effects) {
+func (o *Overlay) handleSignal(now time.Time, signal Signal, effects *statemachine.Effects) {
 	here, found := o.spaces[signal.Space]
 	if signal.Kind == SignalJoin {
-		o.onJoin(now, here, signal)
+		o.handleJoin(now, here, signal)
 		return
 	}
 	var peer *hosted
@@ -1109,13 +1109,13 @@
 	}
 	if peer == nil {
 		if signal.Kind == SignalGreet || signal.Kind == SignalWelcome || signal.Kind == SignalGreeted {
-			o.signal(signal.From.Key.Daemon, Signal{Kind: SignalGone, Space: signal.Space, To: signal.From.Key, From: Peer{Key: signal.To}})
+			o.signal(signal.From.Key.Daemon, Signal{Kind: SignalLeft, Space: signal.Space, To: signal.From.Key, From: Peer{Key: signal.To}})
 		}
 		return
 	}
 	switch signal.Kind {
 	case SignalNobody:
-		o.onNobody(now, peer, signal.From.Key.Daemon)
+		o.handleNobody(now, peer, signal.From.Key.Daemon)
 	case SignalWelcome:
 		peer.greeted[signal.From.Key] = peer.self.Change
 		o.learn(now, peer, signal.From.Key, []Peer{signal.From}, true)
@@ -1124,13 +1124,13 @@
 		if peer.joining != nil {
 			o.joined(now, peer)
 		}
-	case SignalTell:
+	case SignalAnnounce:
 		o.learn(now, peer, signal.From.Key, signal.Peers, false)
 	case SignalGreet:
 		o.learn(now, peer, signal.From.Key, signal.Peers, false)
 		answer := o.introduce(now, peer, signal.From)
 		answer.Kind = SignalGreeted
-		o.tell(now, signal.From.Key, answer)
+		o.sendTo(now, signal.From.Key, answer)
 		if signal.Hops == healing && peer.self.Subscribes {
 			// The region of a peer that heals has grown; what lies beyond it
 			// may now meet this area.
@@ -1141,24 +1141,24 @@
 			o.observe(signal.From.Key.Daemon, now.Sub(waiting.sent))
 		}
 		delete(peer.pending, signal.From.Key)
-		o.note(now, peer, signal.From)
+		o.recordPeer(now, peer, signal.From)
 		o.learn(now, peer, signal.From.Key, signal.Peers, false)
 		o.learn(now, peer, signal.From.Key, signal.Boundary, true)
 	case SignalLeave:
 		here.gone[signal.From.Key] = now
-		o.left(now, peer, signal)
-	case SignalGone:
+		o.handleLeave(now, peer, signal)
+	case SignalLeft:
 		here.gone[signal.From.Key] = now
 		o.drop(now, peer, signal.From.Key)
 	}
 	if effects != nil {
-		o.checkSettled(now, peer, effects)
+		o.checkJoined(now, peer, effects)
 	} else {
 		o.timers.ArmSooner("settle", now)
 	}
 }
 
-func (o *Overlay) onJoin(now time.Time, here *space, request Signal) {
+func (o *Overlay) handleJoin(now time.Time, here *space, request Signal) {
 	if here == nil || len(here.peers) == 0 {
 		o.signal(request.From.Key.Daemon, Signal{
 			Kind: SignalNobody, Space: request.Space, To: request.From.Key, From: Peer{Key: PeerKey{Daemon: o.daemon}},
@@ -1167,7 +1167,7 @@
 	}
 	if request.To.Daemon != "" {
 		if _, present := here.byKey[request.To]; !present {
-			o.signal(request.From.Key.Daemon, Signal{Kind: SignalGone, Space: request.Space, To: request.From.Key, From: Peer{Key: request.To}})
+			o.signal(request.From.Key.Daemon, Signal{Kind: SignalLeft, Space: request.Space, To: request.From.Key, From: Peer{Key: request.To}})
 		}
 	}
 	if named, present := here.byKey[request.To]; present && named.holdsOff(request) {
@@ -1187,12 +1187,12 @@
 // One that was tried before may be part of a ring of requests that wait for
 // each other, and goes on with what there is.
 func (h *hosted) holdsOff(request Signal) bool {
-	return h.joining != nil && len(h.known) == 0 && request.Tries <= 2
+	return h.joining != nil && len(h.known) == 0 && request.Attempts <= 2
 }
 
-// onNobody counts the daemons that host no peer in a space; when all say so,
+// handleNobody counts the daemons that host no peer in a space; when all say so,
 // the joining peer is the first.
-func (o *Overlay) onNobody(now time.Time, peer *hosted, daemon string) {
+func (o *Overlay) handleNobody(now time.Time, peer *hosted, daemon string) {
 	if peer.joining == nil || peer.queued || len(peer.joinAsked) == 0 {
 		return
 	}
@@ -1203,7 +1203,7 @@
 		}
 	}
 	if !peer.askedAll {
-		o.askAll(now, peer)
+		o.joinThroughAll(now, peer)
 		return
 	}
 	o.joined(now, peer)
@@ -1211,10 +1211,10 @@
 
 // Changes in the cluster.
 
-// View follows the cluster: peers of daemons that are gone leave, and a daemon
+// SetView follows the cluster: peers of daemons that are gone leave, and a daemon
 // that comes, or comes again, is probed so that two halves of a split overlay
 // find each other.
-func (o *Overlay) View(now time.Time, gateways map[string]Gateway, effects *statemachine.Effects) {
+func (o *Overlay) SetView(now time.Time, gateways map[string]Gateway, effects *statemachine.Effects) {
 	earlier := o.gateways
 	o.gateways = gateways
 	for name, before := range statemachine.Sorted(earlier) {
@@ -1233,7 +1233,7 @@
 			o.checkWith(name, where, true)
 		}
 	}
-	o.settleCells(now, effects)
+	o.completeWaiting(now, effects)
 	o.flush(effects)
 }
 
@@ -1244,22 +1244,22 @@
 		for _, peer := range here.sorted() {
 			rebuild := false
 			for key := range sortedPeers(peer.known) {
-				if key.Daemon != daemon || key.Life == life {
+				if key.Daemon != daemon || key.Incarnation == life {
 					continue
 				}
 				rebuild = rebuild || peer.region.owns(key)
 				peer.forget(key)
 			}
 			for key := range peer.pending {
-				if key.Daemon == daemon && key.Life != life {
+				if key.Daemon == daemon && key.Incarnation != life {
 					delete(peer.pending, key)
 				}
 			}
 			switch {
 			case peer.joining == nil || peer.queued:
 			case peer.joinAsked[daemon]:
-				o.onNobody(now, peer, daemon)
-			case len(peer.joinAsked) == 0 && (now.Sub(peer.joining.sent) > joinFresh || statemachine.Mutated("no-retry-pauses")):
+				o.handleNobody(now, peer, daemon)
+			case len(peer.joinAsked) == 0 && (now.Sub(peer.joining.sent) > joinAttemptValid || statemachine.Mutated("no-retry-pauses")):
 				// Its request may have been on the way through that daemon. Where
 				// many are lost at a time, one new try is enough for all.
 				o.join(now, peer)
@@ -1272,7 +1272,7 @@
 					}
 				}
 			}
-			o.checkSettled(now, peer, effects)
+			o.checkJoined(now, peer, effects)
 		}
 	}
 }
@@ -1301,37 +1301,37 @@
 	for _, key := range o.timers.Expired(now) {
 		switch key {
 		case "limits":
-			o.limits(now, effects)
+			o.checkDeadlines(now, effects)
 		case "compare":
 			o.compare(now, effects)
 		case "sweep":
 			o.sweep(now)
 			o.releaseCells(now)
 		case "owed":
-			o.giveOwed()
+			o.sendOwed()
 		case "asks":
-			o.askOverdue(now)
+			o.retryRequests(now)
 		case "members":
 			o.compareMembers(now)
 		case "notices":
-			o.tellChanges(now)
+			o.sendChanges(now)
 		case "checks":
 			o.check(now)
 		case "settle":
 			for _, here := range statemachine.Sorted(o.spaces) {
 				for _, peer := range here.sorted() {
 					if len(peer.waiting) > 0 {
-						o.checkSettled(now, peer, effects)
+						o.checkJoined(now, peer, effects)
 					}
 				}
 			}
 		}
 	}
-	o.settleCells(now, effects)
+	o.completeWaiting(now, effects)
 	o.flush(effects)
 }
 
-func (o *Overlay) limits(now time.Time, effects *statemachine.Effects) {
+func (o *Overlay) checkDeadlines(now time.Time, effects *statemachine.Effects) {
 	var next time.Time
 	for _, here := range statemachine.Sorted(o.spaces) {
 		for _, peer := range here.sorted() {
@@ -1346,7 +1346,7 @@
 					continue
 				}
 				known, found := peer.known[key]
-				if !found || waiting.tries >= greetTries {
+				if !found || waiting.tries >= maxGreetAttempts {
 					// It stays known; a comparison greets it again.
 					delete(peer.pending, key)
 					peer.greeted[key] = 0
@@ -1360,7 +1360,7 @@
 			if peer.joining != nil {
 				next = statemachine.Earliest(next, peer.joining.until)
 			}
-			o.checkSettled(now, peer, effects)
+			o.checkJoined(now, peer, effects)
 		}
 	}
 	if !next.IsZero() {
@@ -1421,7 +1421,7 @@
 		}
 	}
 	if any {
-		o.timers.Arm("compare", now.Add(compareEvery))
+		o.timers.Arm("compare", now.Add(compareInterval))
 	}
 }
 
@@ -1430,7 +1430,7 @@
 	any := false
 	for _, here := range statemachine.Sorted(o.spaces) {
 		for key, at := range here.gone {
-			if now.Sub(at) > goneFor {
+			if now.Sub(at) > tombstoneLifetime {
 				delete(here.gone, key)
 			}
 		}
@@ -1446,13 +1446,13 @@
 		}
 	}
 	if any {
-		o.timers.Arm("sweep", now.Add(sweepEvery))
+		o.timers.Arm("sweep", now.Add(sweepInterval))
 	}
 }
 
-// Live begins this daemon's next life in the cluster: a first one, or one after
+// SetIncarnation begins this daemon's next life in the cluster: a first one, or one after
 // the others had taken it for lost. Every peer joins anew under a new key.
-func (o *Overlay) Live(now time.Time, life uint64, effects *statemachine.Effects) {
+func (o *Overlay) SetIncarnation(now time.Time, life uint64, effects *statemachine.Effects) {
 	if o.life == life {
 		return
 	}
@@ -1462,11 +1462,11 @@
 			delete(here.byKey, peer.self.Key)
 			o.number++
 			o.change++
-			peer.self.Key.Life, peer.self.Key.Number = life, o.number
+			peer.self.Key.Incarnation, peer.self.Key.Number = life, o.number
 			peer.self.Change = o.change
 			if peer.cell != nil {
 				peer.self = cellPeer(peer.self.Key, peer.cell.number, o.change)
-				peer.cell.afresh()
+				peer.cell.reset()
 			}
 			peer.subscribers = map[PeerKey]Peer{}
 			peer.known, peer.greeted, peer.pending = map[PeerKey]Peer{}, map[PeerKey]uint64{}, map[PeerKey]*outstanding{}
--- a/internal/overlay/overlay_test.go
+++ b/internal/overlay/overlay_test.go
@@ -119,7 +119,7 @@
 				n.held = append(n.held, taken)
 				continue
 			}
-			part.Take(n.now, taken.signals, &effects)
+			part.HandleSignals(n.now, taken.signals, &effects)
 			n.carry(taken.to, &effects)
 			continue
 		}
@@ -152,8 +152,8 @@
 			}
 		}
 		var effects statemachine.Effects
-		part.View(n.now, others, &effects)
-		part.Live(n.now, n.lives[name], &effects)
+		part.SetView(n.now, others, &effects)
+		part.SetIncarnation(n.now, n.lives[name], &effects)
 		n.carry(name, &effects)
 	}
 }
--- a/internal/overlay/plane.go
+++ b/internal/overlay/plane.go
@@ -34,12 +34,12 @@
 	Size float64
 }
 
-// Whole is the area of everything.
-var Whole = Area{Size: 1}
+// WholeSquare is the area of everything.
+var WholeSquare = Area{Size: 1}
 
 // AreaOf is the square of a path: of a topic, or of a prefix.
 func AreaOf(path string) Area {
-	area := Whole
+	area := WholeSquare
 	if path == "" {
 		return area
 	}
