--- /dev/null
+++ b/internal/overlay/greet.go
@@ -0,0 +1,297 @@
+package overlay
+
+import "time"
+
+// introduce makes a newcomer known to a hosted peer and gathers what the
+// newcomer ought to know.
+func (o *Overlay) introduce(now time.Time, peer *hosted, newcomer Peer) Signal {
+	answer := Signal{Space: peer.space.name, From: peer.self}
+	if newcomer.Key == peer.self.Key {
+		return answer
+	}
+	_, wasKnown := peer.known[newcomer.Key]
+	if !wasKnown {
+		peer.tookAt[newcomer.Key] = now
+	}
+	o.recordPeer(now, peer, newcomer)
+	include := map[PeerKey]Peer{}
+	offer := func(keys []PeerKey) {
+		for _, key := range keys {
+			if known, found := peer.known[key]; found && key != newcomer.Key {
+				include[key] = known
+			}
+		}
+	}
+	if peer.region.owns(newcomer.Key) && !wasKnown {
+		offer(peer.region.beside(newcomer.Key))
+	} else {
+		offer(peer.region.owners())
+	}
+	if peer.cell != nil {
+		// The peers of a cell know each other by their notices.
+		for _, known := range sortedPeers(include) {
+			answer.Peers = append(answer.Peers, known)
+		}
+		return answer
+	}
+	for key, known := range peer.subscribers {
+		if key == newcomer.Key {
+			continue
+		}
+		over := known.Area.Contains(newcomer.At) || wasKnown && peer.region.meets(known.Area)
+		if over {
+			include[key] = known
+		}
+	}
+	if newcomer.Subscribes {
+		for key, known := range peer.known {
+			if key != newcomer.Key && newcomer.Area.Contains(known.At) {
+				include[key] = known
+			}
+		}
+	}
+	o.owes(peer, newcomer.Key, include)
+	for _, known := range sortedPeers(include) {
+		answer.Peers = append(answer.Peers, known)
+	}
+	if newcomer.Subscribes {
+		for _, key := range peer.region.boundary(newcomer.Area) {
+			if known, found := peer.known[key]; found && key != newcomer.Key {
+				answer.Boundary = append(answer.Boundary, known)
+			}
+		}
+	}
+	return answer
+}
+
+// recordPeer records what is known of another peer. Subscribers over the part of the
+// region that it takes are owed to it: they are named in the next signal that
+// goes to it.
+func (o *Overlay) recordPeer(now time.Time, peer *hosted, other Peer) {
+	earlier, found := peer.known[other.Key]
+	if found && earlier.Change > other.Change {
+		return
+	}
+	peer.known[other.Key] = other
+	if other.Subscribes {
+		peer.subscribers[other.Key] = other
+	} else {
+		delete(peer.subscribers, other.Key)
+	}
+	if peer.cell != nil {
+		if !found {
+			if peer.sharesArea(other) {
+				o.meet(now, peer.cell, other.Key)
+			}
+			if _, cut := peer.region.clip(other.At, other.Key); cut {
+				o.announceSubscriber(now, peer, other)
+			}
+			o.scheduleCheck(now)
+		}
+		return
+	}
+	if other.Subscribes && !earlier.Subscribes {
+		o.announceSubscriber(now, peer, other)
+		if peer.publishes && other.Key.Daemon != o.daemon && other.Area.Covers(peer.self.Area) {
+			o.found = append(o.found, Discovery{Space: peer.space.name, Area: peer.self.Area, Daemon: other.Key.Daemon})
+		}
+	}
+	if found {
+		return
+	}
+	taken, _ := peer.region.clip(other.At, other.Key)
+	if len(taken) == 0 {
+		return
+	}
+	owed := map[PeerKey]bool{}
+	for key, known := range peer.subscribers {
+		if key != other.Key && polygonMeets(peer.self.At, taken, known.Area) {
+			owed[key] = true
+		}
+	}
+	if peer.self.Subscribes && polygonMeets(peer.self.At, taken, peer.self.Area) {
+		owed[peer.self.Key] = true
+	}
+	if len(owed) > 0 {
+		peer.owed[other.Key] = owed
+	}
+}
+
+// owes takes out what is owed to another peer.
+func (o *Overlay) owes(peer *hosted, key PeerKey, include map[PeerKey]Peer) {
+	for owed := range peer.owed[key] {
+		if known, found := peer.known[owed]; found {
+			include[owed] = known
+		} else if owed == peer.self.Key {
+			include[owed] = peer.self
+		}
+	}
+	delete(peer.owed, key)
+}
+
+// owedTo lists what is owed to another peer, and takes it out.
+func (o *Overlay) owedTo(peer *hosted, key PeerKey) []Peer {
+	include := map[PeerKey]Peer{}
+	o.owes(peer, key, include)
+	var owed []Peer
+	for _, known := range sortedPeers(include) {
+		owed = append(owed, known)
+	}
+	return owed
+}
+
+// announceSubscriber names a subscriber that has just become known to the neighbours that
+// took part of this peer's region a moment ago: the subscriber may have looked
+// here for a part that is theirs now.
+func (o *Overlay) announceSubscriber(now time.Time, peer *hosted, subscriber Peer) {
+	for _, key := range peer.region.owners() {
+		if key == subscriber.Key || now.Sub(peer.tookAt[key]) > rejoinWindow {
+			continue
+		}
+		if peer.cell != nil && peer.known[key].Area == subscriber.Area {
+			// They find each other by the notices of their cell.
+			continue
+		}
+		if key.Daemon != o.daemon {
+			o.signal(key.Daemon, Signal{Kind: SignalAnnounce, Space: peer.space.name, To: key, From: peer.self, Peers: []Peer{subscriber}})
+		} else if neighbour, here := peer.space.byKey[key]; here {
+			o.learn(now, neighbour, peer.self.Key, []Peer{subscriber}, false)
+		}
+	}
+}
+
+// learn considers peers that somebody told of, and greets those that matter.
+func (o *Overlay) learn(now time.Time, peer *hosted, sender PeerKey, others []Peer, always bool) {
+	var mates []Peer
+	for _, other := range others {
+		if other.Key == peer.self.Key {
+			continue
+		}
+		if other.Key.Daemon == o.daemon {
+			current, here := peer.space.byKey[other.Key]
+			if !here {
+				o.correct(peer, sender, other.Key)
+				continue
+			}
+			other = current.self
+		} else if _, left := peer.space.gone[other.Key]; left {
+			o.correct(peer, sender, other.Key)
+			continue
+		} else if o.ended(other.Key) {
+			continue
+		}
+		earlier, known := peer.known[other.Key]
+		if known && earlier.Change >= other.Change {
+			if peer.greeted[other.Key] < peer.self.Change && (always || o.matters(peer, other)) {
+				o.greet(now, peer, other)
+			}
+			continue
+		}
+		if !always && !known && !o.matters(peer, other) {
+			continue
+		}
+		o.recordPeer(now, peer, other)
+		if peer.sharesArea(other) {
+			mates = append(mates, other)
+			continue
+		}
+		if peer.greeted[other.Key] < peer.self.Change {
+			o.greet(now, peer, other)
+		}
+	}
+	// Of the peers of its own cell it greets those only that are beyond its
+	// edges once all of them are known; who told of itself greets if need be.
+	for _, mate := range mates {
+		if mate.Key != sender && peer.region.owns(mate.Key) && peer.greeted[mate.Key] < peer.self.Change {
+			o.greet(now, peer, mate)
+		}
+	}
+}
+
+// sharesArea tells whether another daemon's peer is of the same cell.
+func (h *hosted) sharesArea(other Peer) bool {
+	return h.cell != nil && other.Area == h.self.Area && other.Key.Daemon != h.self.Key.Daemon
+}
+
+// hasOuterEdge tells whether a peer's region reaches out of its area.
+func (h *hosted) hasOuterEdge() bool {
+	area, middle := h.self.Area, h.self.At
+	for _, at := range h.region.corners {
+		if !area.Contains(Point{X: middle.X + at.x, Y: middle.Y + at.y}) {
+			return true
+		}
+	}
+	return false
+}
+
+// correct tells a peer that one it spoke of is gone, so that the word of it
+// does not go round for ever.
+func (o *Overlay) correct(peer *hosted, sender, gone PeerKey) {
+	if sender.Daemon == o.daemon {
+		if neighbour, here := peer.space.byKey[sender]; here && neighbour != peer {
+			o.drop(time.Time{}, neighbour, gone)
+		}
+		return
+	}
+	if sender != gone {
+		o.signal(sender.Daemon, Signal{Kind: SignalLeft, Space: peer.space.name, To: sender, From: Peer{Key: gone}})
+	}
+}
+
+func (o *Overlay) matters(peer *hosted, other Peer) bool {
+	if peer.region.owns(other.Key) || peer.region.cuts(other.At) {
+		return true
+	}
+	if peer.self.Subscribes && peer.self.Area.Contains(other.At) {
+		return true
+	}
+	return other.Subscribes && (other.Area.Contains(peer.self.At) || peer.region.meets(other.Area))
+}
+
+func (o *Overlay) greet(now time.Time, peer *hosted, other Peer) {
+	o.greetAs(now, peer, other, now.Before(peer.healUntil))
+}
+
+func (o *Overlay) greetAs(now time.Time, peer *hosted, other Peer, heals bool) {
+	peer.greeted[other.Key] = peer.self.Change
+	if peer.sharesArea(other) && !peer.hasOuterEdge() {
+		// What lies beyond an edge inside the cell is known by notices; only who
+		// has neighbours in other cells must be told of theirs.
+		delete(peer.pending, other.Key)
+		return
+	}
+	o.Counts.Greets++
+	greeting := Signal{Kind: SignalGreet, Space: peer.space.name, To: other.Key, From: peer.self}
+	if other.Key.Daemon == o.daemon {
+		if neighbour, here := peer.space.byKey[other.Key]; here {
+			o.learn(now, neighbour, peer.self.Key, o.owedTo(peer, other.Key), false)
+			answer := o.introduce(now, neighbour, peer.self)
+			o.learn(now, peer, neighbour.self.Key, answer.Peers, false)
+			o.learn(now, peer, neighbour.self.Key, answer.Boundary, true)
+		}
+		return
+	}
+	greeting.Peers = o.owedTo(peer, other.Key)
+	if heals {
+		greeting.Hops = healing
+	}
+	waiting, found := peer.pending[other.Key]
+	if !found {
+		waiting = &outstanding{}
+		peer.pending[other.Key] = waiting
+	}
+	waiting.tries++
+	waiting.sent, waiting.until = now, now.Add(backoff(greetTimeout, waiting.tries))
+	o.timers.ArmSooner("limits", waiting.until)
+	o.signal(other.Key.Daemon, greeting)
+}
+
+// regreet tells all whom a peer knows that its part has changed, and walks its
+// area anew.
+func (o *Overlay) regreet(now time.Time, peer *hosted) {
+	for _, known := range sortedPeers(peer.known) {
+		if peer.greeted[known.Key] < peer.self.Change {
+			o.greet(now, peer, known)
+		}
+	}
+}
--- /dev/null
+++ b/internal/overlay/join.go
@@ -0,0 +1,241 @@
+package overlay
+
+import (
+	"dahlialock/internal/statemachine"
+	"maps"
+	"slices"
+	"time"
+)
+
+func (o *Overlay) join(now time.Time, peer *hosted) {
+	o.Counts.Joins++
+	if peer.joining == nil {
+		peer.joining = &outstanding{}
+	}
+	peer.joining.tries++
+	peer.joining.sent = now
+	peer.joining.until = now.Add(backoff(joinTimeout, peer.joining.tries))
+	o.timers.ArmSooner("limits", peer.joining.until)
+	clear(peer.joinAsked)
+	peer.queued = false
+	request := Signal{Kind: SignalJoin, Space: peer.space.name, From: peer.self, Attempts: uint8(min(peer.joining.tries, 255))}
+	if start := o.nearestHosted(peer.space, peer.self.At, peer); start != nil {
+		o.forward(now, start, request)
+		return
+	}
+	for _, other := range peer.space.peers {
+		if other != peer && other.joining != nil && !other.queued {
+			// The first peer here is still looking for the others.
+			peer.queued = true
+			return
+		}
+	}
+	peer.askedAll = false
+	if peer.joining.tries == 1 && len(o.gateways) > firstJoinTargets {
+		names := slices.Collect(maps.Keys(o.gateways))
+		slices.Sort(names)
+		for step := range firstJoinTargets {
+			name := names[(uint64(step)+keyHash(peer.self.Key))%uint64(len(names))]
+			peer.joinAsked[name] = true
+			o.signal(name, request)
+		}
+		return
+	}
+	o.joinThroughAll(now, peer)
+}
+
+// backoff is how long to wait for the answer to a try.
+func backoff(first time.Duration, attempts int) time.Duration {
+	if statemachine.Mutated("no-retry-pauses") {
+		return first
+	}
+	return first << min(max(0, attempts-1), maxDoublings)
+}
+
+// joinThroughAll asks all daemons for the way to an acceptor. That a few know of nobody
+// does not yet make a peer the first.
+func (o *Overlay) joinThroughAll(now time.Time, peer *hosted) {
+	peer.askedAll = true
+	request := Signal{Kind: SignalJoin, Space: peer.space.name, From: peer.self, Attempts: uint8(min(peer.joining.tries, 255))}
+	for name := range statemachine.Sorted(o.gateways) {
+		peer.joinAsked[name] = true
+		o.signal(name, request)
+	}
+	if len(peer.joinAsked) == 0 {
+		o.joined(now, peer)
+	}
+}
+
+// joined ends a peer's joining and lets those go on that waited for it.
+func (o *Overlay) joined(now time.Time, peer *hosted) {
+	peer.joining = nil
+	o.timers.ArmSooner("settle", now)
+	requests := peer.requests
+	peer.requests = nil
+	for _, request := range requests {
+		o.forward(now, peer, request)
+	}
+	for _, other := range peer.space.sorted() {
+		if other.queued {
+			other.queued = false
+			o.join(now, other)
+		}
+	}
+}
+
+// nearestHosted finds the hosted peer nearest to a point.
+func (o *Overlay) nearestHosted(here *space, at Point, without *hosted) *hosted {
+	var best *hosted
+	bestDistance := 0.0
+	for _, peer := range here.peers {
+		if peer == without || peer.joining != nil {
+			continue
+		}
+		away := distance(peer.self.At, at)
+		if best == nil || away < bestDistance || away == bestDistance && peer.self.Key.compare(best.self.Key) < 0 {
+			best, bestDistance = peer, away
+		}
+	}
+	return best
+}
+
+// anyJoining finds a peer that is itself still looking for others, the first
+// by key.
+func (s *space) anyJoining() *hosted {
+	for _, peer := range s.sorted() {
+		if peer.joining != nil {
+			return peer
+		}
+	}
+	return nil
+}
+
+// forward moves a join on to the nearest peer known, or accepts it here.
+func (o *Overlay) forward(now time.Time, at *hosted, request Signal) {
+	target := request.From.At
+	for {
+		best, bestDistance := at.self, distance(at.self.At, target)
+		for key, known := range at.known {
+			if key == request.From.Key {
+				continue
+			}
+			away := distance(known.At, target)
+			if away < bestDistance || away == bestDistance && key.compare(best.Key) < 0 {
+				best, bestDistance = known, away
+			}
+		}
+		if best.Key == at.self.Key {
+			o.accept(now, at, request)
+			return
+		}
+		if next, here := at.space.byKey[best.Key]; here {
+			if next.holdsOff(request) {
+				next.requests = append(next.requests, request)
+				return
+			}
+			at = next
+			continue
+		}
+		if o.ended(best.Key) {
+			o.drop(now, at, best.Key)
+			continue
+		}
+		if request.Hops >= maxHops {
+			o.accept(now, at, request)
+			return
+		}
+		request.Hops++
+		request.To = best.Key
+		o.Counts.Hops++
+		o.signal(best.Key.Daemon, request)
+		return
+	}
+}
+
+// accept answers a join as the acceptor.
+func (o *Overlay) accept(now time.Time, acceptor *hosted, request Signal) {
+	answer := o.introduce(now, acceptor, request.From)
+	if acceptor.sharesArea(request.From) {
+		for key, known := range sortedPeers(acceptor.subscribers) {
+			if key != request.From.Key && acceptor.sharesArea(known) && !slices.ContainsFunc(answer.Peers, func(named Peer) bool { return named.Key == key }) {
+				answer.Peers = append(answer.Peers, known)
+			}
+		}
+	}
+	answer.Kind = SignalWelcome
+	answer.Hops = request.Hops
+	o.sendTo(now, request.From.Key, answer)
+}
+
+func (o *Overlay) handleJoin(now time.Time, here *space, request Signal) {
+	if here == nil || len(here.peers) == 0 {
+		o.signal(request.From.Key.Daemon, Signal{
+			Kind: SignalNobody, Space: request.Space, To: request.From.Key, From: Peer{Key: PeerKey{Daemon: o.daemon}},
+		})
+		return
+	}
+	if request.To.Daemon != "" {
+		if _, present := here.byKey[request.To]; !present {
+			o.signal(request.From.Key.Daemon, Signal{Kind: SignalLeft, Space: request.Space, To: request.From.Key, From: Peer{Key: request.To}})
+		}
+	}
+	if named, present := here.byKey[request.To]; present && named.holdsOff(request) {
+		// Somebody has accepted that peer, but it does not know its
+		// surroundings yet; the request waits for it.
+		named.requests = append(named.requests, request)
+		return
+	}
+	if start := o.nearestHosted(here, request.From.At, nil); start != nil {
+		o.forward(now, start, request)
+		return
+	}
+	o.accept(now, here.anyJoining(), request)
+}
+
+// holdsOff tells whether a request should wait at a peer that is still joining.
+// One that was tried before may be part of a ring of requests that wait for
+// each other, and goes on with what there is.
+func (h *hosted) holdsOff(request Signal) bool {
+	return h.joining != nil && len(h.known) == 0 && request.Attempts <= 2
+}
+
+// handleNobody counts the daemons that host no peer in a space; when all say so,
+// the joining peer is the first.
+func (o *Overlay) handleNobody(now time.Time, peer *hosted, daemon string) {
+	if peer.joining == nil || peer.queued || len(peer.joinAsked) == 0 {
+		return
+	}
+	delete(peer.joinAsked, daemon)
+	for name := range peer.joinAsked {
+		if _, alive := o.gateways[name]; alive {
+			return
+		}
+	}
+	if !peer.askedAll {
+		o.joinThroughAll(now, peer)
+		return
+	}
+	o.joined(now, peer)
+}
+
+func (o *Overlay) whenJoined(now time.Time, peer *hosted, made bool, settled Completion, effects *statemachine.Effects) {
+	if settled != nil {
+		peer.waiting = append(peer.waiting, settled)
+	}
+	if made {
+		o.join(now, peer)
+	}
+	o.checkJoined(now, peer, effects)
+	o.flush(effects)
+}
+
+func (o *Overlay) checkJoined(now time.Time, peer *hosted, effects *statemachine.Effects) {
+	if peer.joining != nil || len(peer.pending) > 0 {
+		return
+	}
+	waiting := peer.waiting
+	peer.waiting = nil
+	for _, done := range waiting {
+		done(now, effects, true)
+	}
+}
--- /dev/null
+++ b/internal/overlay/leave.go
@@ -0,0 +1,175 @@
+package overlay
+
+import (
+	"dahlialock/internal/statemachine"
+	"time"
+)
+
+// drop forgets a peer that is gone.
+func (o *Overlay) drop(now time.Time, peer *hosted, key PeerKey) {
+	if _, found := peer.known[key]; !found {
+		delete(peer.pending, key)
+		return
+	}
+	peer.forget(key)
+	delete(peer.pending, key)
+	if peer.region.owns(key) {
+		o.rebuild(now, peer)
+	}
+}
+
+// forget takes another peer out of all that is known here.
+func (h *hosted) forget(key PeerKey) {
+	if h.cell != nil {
+		h.cell.part(key)
+	}
+	delete(h.known, key)
+	delete(h.subscribers, key)
+	delete(h.greeted, key)
+	delete(h.tookAt, key)
+	delete(h.owed, key)
+}
+
+func (o *Overlay) leave(peer *hosted) {
+	o.Counts.Leaves++
+	peer.space.unindexPeer(peer)
+	var parting []Peer
+	for _, key := range peer.region.owners() {
+		parting = append(parting, peer.known[key])
+	}
+	for _, known := range sortedPeers(peer.known) {
+		if peer.cell == nil && known.Subscribes && !peer.region.owns(known.Key) && peer.region.meets(known.Area) {
+			parting = append(parting, known)
+		}
+	}
+	for key := range sortedPeers(peer.known) {
+		// Only the enclosing neighbours' regions grow; the others need no more
+		// than the word that the peer is gone.
+		farewell := Signal{Kind: SignalLeave, Space: peer.space.name, To: key, From: peer.self}
+		if peer.region.owns(key) {
+			farewell.Peers = parting
+		}
+		if key.Daemon != o.daemon {
+			o.signal(key.Daemon, farewell)
+		} else if neighbour, here := peer.space.byKey[key]; here {
+			o.handleLeave(time.Time{}, neighbour, farewell)
+		}
+	}
+}
+
+func (o *Overlay) handleLeave(now time.Time, peer *hosted, farewell Signal) {
+	o.drop(now, peer, farewell.From.Key)
+	o.learn(now, peer, farewell.From.Key, farewell.Peers, false)
+}
+
+// dropDaemon drops the peers of a daemon's earlier lives; life is zero where it
+// is gone.
+func (o *Overlay) dropDaemon(now time.Time, daemon string, life uint64, effects *statemachine.Effects) {
+	for _, here := range statemachine.Sorted(o.spaces) {
+		for _, peer := range here.sorted() {
+			rebuild := false
+			for key := range sortedPeers(peer.known) {
+				if key.Daemon != daemon || key.Incarnation == life {
+					continue
+				}
+				rebuild = rebuild || peer.region.owns(key)
+				peer.forget(key)
+			}
+			for key := range peer.pending {
+				if key.Daemon == daemon && key.Incarnation != life {
+					delete(peer.pending, key)
+				}
+			}
+			switch {
+			case peer.joining == nil || peer.queued:
+			case peer.joinAsked[daemon]:
+				o.handleNobody(now, peer, daemon)
+			case len(peer.joinAsked) == 0 && (now.Sub(peer.joining.sent) > joinAttemptValid || statemachine.Mutated("no-retry-pauses")):
+				// Its request may have been on the way through that daemon. Where
+				// many are lost at a time, one new try is enough for all.
+				o.join(now, peer)
+			}
+			if rebuild {
+				o.rebuild(now, peer)
+				for _, key := range peer.region.owners() {
+					if known, found := peer.known[key]; found {
+						o.greet(now, peer, known)
+					}
+				}
+			}
+			o.checkJoined(now, peer, effects)
+		}
+	}
+}
+
+// probeAll sends each hosted peer's join through one other daemon, which shows
+// neighbours that this side did not know.
+func (o *Overlay) probeAll(_ time.Time, daemon string) {
+	for _, here := range statemachine.Sorted(o.spaces) {
+		if _, cells := o.planes[here.name]; cells {
+			// A comparison of cells finds what a probe would.
+			continue
+		}
+		for _, peer := range here.sorted() {
+			o.probe(peer, daemon)
+		}
+	}
+}
+
+func (o *Overlay) probe(peer *hosted, daemon string) {
+	o.Counts.Probes++
+	o.signal(daemon, Signal{Kind: SignalJoin, Space: peer.space.name, From: peer.self})
+}
+
+// ended tells whether a peer is of a daemon that is gone, or of an earlier life of one
+// that began anew. Lives rise, and one that the view does not have yet may be there.
+func (o *Overlay) ended(key PeerKey) bool {
+	gateway, alive := o.gateways[key.Daemon]
+	return !alive || key.Incarnation > 0 && key.Incarnation < gateway.Joined && !statemachine.Mutated("any-life-of-a-peer")
+}
+
+// SetIncarnation begins this daemon's next life in the cluster: a first one, or one after
+// the others had taken it for lost. Every peer joins anew under a new key.
+func (o *Overlay) SetIncarnation(now time.Time, life uint64, effects *statemachine.Effects) {
+	if o.life == life {
+		return
+	}
+	o.life = life
+	for _, here := range statemachine.Sorted(o.spaces) {
+		for _, peer := range here.sorted() {
+			delete(here.byKey, peer.self.Key)
+			o.number++
+			o.change++
+			peer.self.Key.Incarnation, peer.self.Key.Number = life, o.number
+			peer.self.Change = o.change
+			if peer.cell != nil {
+				peer.self = cellPeer(peer.self.Key, peer.cell.number, o.change)
+				peer.cell.reset()
+			}
+			peer.subscribers = map[PeerKey]Peer{}
+			peer.known, peer.greeted, peer.pending = map[PeerKey]Peer{}, map[PeerKey]uint64{}, map[PeerKey]*outstanding{}
+			peer.tookAt, peer.owed = map[PeerKey]time.Time{}, map[PeerKey]map[PeerKey]bool{}
+			peer.region = newRegion(peer.self.At)
+			peer.joining, peer.queued = nil, false
+			here.byKey[peer.self.Key] = peer
+		}
+		peers := here.sorted()
+		for _, peer := range peers {
+			peer.joining, peer.queued = &outstanding{}, true
+		}
+		if len(peers) > 0 {
+			o.join(now, peers[0])
+		}
+	}
+	o.flush(effects)
+}
+
+// LeaveAll lets every peer leave, before the daemon ends.
+func (o *Overlay) LeaveAll(effects *statemachine.Effects) {
+	for _, here := range statemachine.Sorted(o.spaces) {
+		for _, peer := range here.sorted() {
+			o.leave(peer)
+		}
+	}
+	o.flush(effects)
+}
--- a/internal/overlay/notices.go
+++ b/internal/overlay/presence.go
@@ -22,7 +22,6 @@
 package overlay
 
 import (
-	"hash/fnv"
 	"slices"
 	"time"
 
@@ -64,128 +63,6 @@
 	unknownDaemonsPerCheck = 16
 )
 
-// Kinds of notices.
-const (
-	// NoticeComplete tells all counts of a peer.
-	NoticeComplete uint8 = iota + 1
-	// NoticeChanges tells those that changed since the notice before.
-	NoticeChanges
-	// NoticeCheck tells the number of the newest notice.
-	NoticeCheck
-	// NoticeAsk asks for the whole.
-	NoticeAsk
-	// NoticeAbsent tells that there is no peer in the cell.
-	NoticeAbsent
-	// NoticeDiffers sums up each of the others of the cell that a peer knows, in
-	// Counts, to one that seems to know others.
-	NoticeDiffers
-	// NoticeMembers names those that were not summed up there.
-	NoticeMembers
-	// NoticeMissing is the answer of who found sums there that it does not know: its
-	// own.
-	NoticeMissing
-)
-
-// Notice is what one daemon's peer in a cell tells another's.
-type Notice struct {
-	_    struct{} `cbor:",toarray"`
-	Kind uint8
-	Cell uint8
-	// Number and Change are those of the sending peer.
-	Number uint64
-	Change uint64
-	// Sequence numbers the peer's notices; changes follow the one before.
-	Sequence uint64
-	// Digest sums up whom the peer knows in its cell, itself among them; changes
-	// carry none.
-	Digest  uint64
-	Topics  []uint64
-	Counts  []uint32
-	Members []PeerKey
-}
-
-// Notices is what the peers of one daemon, in one of its lives, tell those of
-// another.
-type Notices struct {
-	_           struct{} `cbor:",toarray"`
-	Daemon      string
-	Incarnation uint64
-	Plane       string
-	Answer      bool
-	// Level sums up the cells there, for whoever can tell from it that it knows
-	// them; who does not asks for the numbers.
-	Level   uint64
-	Notices []Notice
-}
-
-// CellOf is the cell of a topic's number.
-func CellOf(topic uint64) uint8 { return uint8(topic >> 60) }
-
-// cellArea is the area of the topics of a cell: the middle of its square, half
-// as wide. The peers' points lie still closer together, so that the regions of
-// a cell's peers cover the area whole and those of other cells never meet it.
-func cellArea(cell uint8) Area {
-	const side = 1.0 / cellSide
-	return Area{X: (float64(cell%cellSide) + 0.25) * side, Y: (float64(cell/cellSide) + 0.25) * side, Size: side / 2}
-}
-
-// cellPeer is the peer of a daemon in a cell.
-func cellPeer(key PeerKey, cell uint8, change uint64) Peer {
-	area := cellArea(cell)
-	return Peer{Key: key, At: area.scatter(key.Daemon, key.Number, 0.4, 0.2), Area: area, Subscribes: true, Change: change}
-}
-
-type plane struct {
-	name  string
-	cells [CellCount]*cell
-	turn  int
-}
-
-type cell struct {
-	plane  *plane
-	number uint8
-	peer   *hosted
-	// counts are this daemon's subscribers; changed holds what was last told of
-	// those that are to be told anew.
-	counts   map[uint64]uint32
-	changed  map[uint64]uint32
-	sequence uint64
-	due      time.Time
-	members  map[string]*member
-	// order holds the names of the members in order.
-	order []string
-	owed  map[string]bool
-	// digest sums up the members' keys.
-	digest  uint64
-	waiting []Completion
-	// changedAt is when whom it knows last changed.
-	changedAt time.Time
-	// reached is set once it was settled, or somebody waited long enough.
-	reached bool
-	until   time.Time
-	turn    uint64
-	lastUse time.Time
-}
-
-// member is another daemon's peer in a cell, and what it told.
-type member struct {
-	key      PeerKey
-	heard    bool
-	sequence uint64
-	digest   uint64
-	digestAt time.Time
-	counts   map[uint64]uint32
-	// asked is when it was last asked for the whole, and asks how often since it
-	// last told it.
-	asked time.Time
-	asks  int
-	// wanted is set where it is to be asked again.
-	wanted bool
-	// compared sums up the difference that was last looked into.
-	compared   uint64
-	comparedAt time.Time
-}
-
 // SetSubscribers says that this daemon now has so many subscribers of a topic; none ends
 // it.
 func (o *Overlay) SetSubscribers(now time.Time, planeName, topic string, count int, effects *statemachine.Effects) {
@@ -308,23 +185,6 @@
 	return here
 }
 
-// joined tells whether the peer has joined and was told by all it knows.
-func (c *cell) joined() bool {
-	if c.reached {
-		return true
-	}
-	if c.peer.joining != nil || len(c.peer.pending) > 0 {
-		return false
-	}
-	for _, known := range c.members {
-		if !known.heard {
-			return false
-		}
-	}
-	c.reached = true
-	return true
-}
-
 // completeWaiting calls those who waited for a cell.
 func (o *Overlay) completeWaiting(now time.Time, effects *statemachine.Effects) {
 	for _, where := range statemachine.Sorted(o.planes) {
@@ -374,25 +234,6 @@
 	o.timers.ArmSooner("owed", now.Add(gatherFor))
 }
 
-// part forgets another daemon's peer in the cell with all that it told.
-func (c *cell) part(key PeerKey) {
-	if known, found := c.members[key.Daemon]; !found || known.key != key {
-		return
-	}
-	c.digest ^= keyHash(key)
-	delete(c.members, key.Daemon)
-	delete(c.owed, key.Daemon)
-	if position, found := slices.BinarySearch(c.order, key.Daemon); found {
-		c.order = slices.Delete(c.order, position, position+1)
-	}
-}
-
-// reset forgets all others of the cell; they are to be found and told anew.
-func (c *cell) reset() {
-	c.members, c.order, c.owed = map[string]*member{}, nil, map[string]bool{}
-	c.reached, c.digest = false, 0
-}
-
 // notify puts a notice into the frame to a daemon.
 func (o *Overlay) notify(daemon, planeName string, notice Notice) *Notices {
 	gateway, alive := o.gateways[daemon]
@@ -412,52 +253,6 @@
 	return &frame.Notices[len(frame.Notices)-1]
 }
 
-func (c *cell) notice(kind uint8) Notice {
-	return Notice{Kind: kind, Cell: c.number, Number: c.peer.self.Key.Number, Change: c.peer.self.Change, Sequence: c.sequence, Digest: c.digestHere()}
-}
-
-// digestHere sums up all peers of the cell that are known, this one too.
-func (c *cell) digestHere() uint64 { return c.digest ^ keyHash(c.peer.self.Key) }
-
-// keyHash is a number for a peer's key.
-func keyHash(key PeerKey) uint64 {
-	sum := fnv.New64a()
-	_, _ = sum.Write([]byte(key.Daemon))
-	return mix(sum.Sum64() ^ mix(key.Incarnation^mix(key.Number)))
-}
-
-func mix(value uint64) uint64 {
-	value ^= value >> 30
-	value *= 0xbf58476d1ce4e5b9
-	value ^= value >> 27
-	value *= 0x94d049bb133111eb
-	return value ^ value>>31
-}
-
-// completeNotice tells all counts, as of the newest notice.
-func (c *cell) completeNotice() Notice {
-	notice := c.notice(NoticeComplete)
-	for topic := range statemachine.Sorted(c.counts) {
-		count := c.counts[topic]
-		if told, changed := c.changed[topic]; changed {
-			count = told
-		}
-		notice.add(topic, count)
-	}
-	for topic, told := range statemachine.Sorted(c.changed) {
-		if _, counted := c.counts[topic]; !counted {
-			notice.add(topic, told)
-		}
-	}
-	return notice
-}
-
-func (n *Notice) add(topic uint64, count uint32) {
-	if count > 0 || n.Kind != NoticeComplete {
-		n.Topics, n.Counts = append(n.Topics, topic), append(n.Counts, count)
-	}
-}
-
 // sendOwed tells the whole to all who are newly known or asked for it.
 func (o *Overlay) sendOwed() {
 	for _, where := range statemachine.Sorted(o.planes) {
@@ -685,11 +480,6 @@
 	}
 }
 
-// fits tells whether a notice has as many counts as it should.
-func (n *Notice) fits() bool {
-	return n.Kind == NoticeDiffers || n.Kind == NoticeMissing || len(n.Topics) == len(n.Counts)
-}
-
 // border lets the peers here whose regions a peer of another cell would cut
 // learn of it.
 func (o *Overlay) border(now time.Time, where *plane, key PeerKey, notice Notice) {
@@ -763,19 +553,6 @@
 	}
 }
 
-func (m *member) apply(notice Notice) {
-	if m.counts == nil {
-		m.counts = map[uint64]uint32{}
-	}
-	for position, topic := range notice.Topics {
-		if count := notice.Counts[position]; count > 0 {
-			m.counts[topic] = count
-		} else {
-			delete(m.counts, topic)
-		}
-	}
-}
-
 // merge learns the peers of a cell that another one names.
 func (o *Overlay) merge(now time.Time, here *cell, sender PeerKey, members []PeerKey) {
 	var others []Peer
@@ -787,9 +564,6 @@
 	o.learn(now, here.peer, sender, others, false)
 }
 
-// shortHash sums a peer's key up in a comparison.
-func shortHash(key PeerKey) uint32 { return uint32(keyHash(key) >> 32) }
-
 // level names to a peer those of the cell that it did not sum up, and asks it for
 // those whom nobody here knows.
 func (o *Overlay) level(here *cell, key PeerKey, notice Notice) {
@@ -818,17 +592,6 @@
 	}
 }
 
-// sums sums up the others of a cell for one of them.
-func (c *cell) sums(kind uint8, to PeerKey) Notice {
-	notice := c.notice(kind)
-	for _, name := range c.order {
-		if key := c.members[name].key; key != to {
-			notice.Counts = append(notice.Counts, shortHash(key))
-		}
-	}
-	return notice
-}
-
 // compareMembers tells, in each cell, one of those that seem to know others
 // there than are known here whom this peer knows.
 func (o *Overlay) compareMembers(now time.Time) {
@@ -882,14 +645,6 @@
 	o.notify(known.key.Daemon, here.plane.name, here.notice(NoticeAsk))
 }
 
-// nextRequestAt is when it may be asked for the whole.
-func (m *member) nextRequestAt() time.Time {
-	if m.asked.IsZero() {
-		return m.asked
-	}
-	return m.asked.Add(backoff(requestRetry, min(m.asks, maxRequestDoublings)))
-}
-
 // retryRequests asks those again whose answers are overdue.
 func (o *Overlay) retryRequests(now time.Time) {
 	for _, where := range statemachine.Sorted(o.planes) {
