--- a/cmd/fleetlab/simulate.go
+++ b/cmd/fleetlab/simulate.go
@@ -41,6 +41,7 @@
 	return "simulate [-scenario NAME|all] [-from N] [-seeds N] [-trace]\n" +
 		"simulate -digest [-scenario NAME,NAME|all] [-size NAME,NAME|all] [-from N] [-seeds N] [-compare FILE]\n"
 }
+
 func (h *hunt) SetFlags(set *flag.FlagSet) {
 	set.StringVar(&h.scenario, "scenario", "all", "`name` of the scenario, or all")
 	set.Uint64Var(&h.from, "from", 0, "the first `seed`")
