--- a/internal/transport/kinds.go
+++ b/internal/transport/kinds.go
@@ -41,13 +41,13 @@
 	ks.sums[place].bytes.Add(int64(size))
 }
 
-// counts gives the sums of the kinds that occurred, by the names of their types.
+// counts gives the sums of the kinds that occurred, by their names.
 func (ks *kindSums) counts() map[string]KindCount {
 	counts := map[string]KindCount{}
 	for number, place := range ks.places {
 		count := KindCount{Messages: ks.sums[place].messages.Load(), Bytes: ks.sums[place].bytes.Load()}
 		if count.Messages > 0 {
-			counts[typeOfNumber[number].String()] = count
+			counts[KindName(number)] = count
 		}
 	}
 	return counts
