--- a/cmd/agent/main.go
+++ b/cmd/agent/main.go
@@ -16,16 +16,16 @@
 	os.Exit(daemon.Main(membership.KindAgent, os.Args[1:], build))
 }
 
-func build(current settings.Settings, self membership.Member, stored daemon.Stored) (daemon.Build, error) {
-	machine := agent.New(agent.Settings{Self: self, Seeds: current.Seeds, Gateway: current.Gateway, Acknowledge: current.Bounds.Acknowledge, Incarnation: stored.Incarnation})
-	return daemon.Build{
-		Machine: machine,
-		Ready:   func(time.Time) bool { return machine.Ready() },
-		Stop:    agent.Stop{},
-		Request: func(local uint64, method, path string, body []byte) any {
+func build(current settings.Settings, self membership.Member, stored daemon.StoredState) (daemon.Service, error) {
+	machine := agent.New(agent.Settings{Self: self, Seeds: current.Seeds, Gateway: current.GatewayAddress, Acknowledge: current.Timeouts.Acknowledge, Incarnation: stored.Incarnation})
+	return daemon.Service{
+		Machine:     machine,
+		Ready:       func(time.Time) bool { return machine.Ready() },
+		StopCommand: agent.Stop{},
+		OperatorRequest: func(local uint64, method, path string, body []byte) any {
 			return agent.Request{Local: local, Method: method, Path: path, Body: body}
 		},
-		Counters: func() any { return map[string]any{} },
-		Adapter:  platform.Adapter(current),
+		Counters:       func() any { return map[string]any{} },
+		ControlAdapter: platform.Adapter(current),
 	}, nil
 }
--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -16,19 +16,19 @@
 	os.Exit(daemon.Main(membership.KindController, os.Args[1:], build))
 }
 
-func build(current settings.Settings, self membership.Member, stored daemon.Stored) (daemon.Build, error) {
+func build(current settings.Settings, self membership.Member, stored daemon.StoredState) (daemon.Service, error) {
 	machine, err := controller.New(controller.Settings{
 		Self: self, Count: current.Controllers, Seeds: current.Seeds, Founding: current.Bootstrap, Tolerance: &current.Tolerance,
-		NewDisk: stored.NewDisk, Incarnation: stored.Incarnation, Acknowledge: current.Bounds.Acknowledge, Contact: current.Bounds.Contact, Highest: current.Versions == settings.VersionsHighest, Grace: current.Bounds.Grace,
-	}, stored.Frame, stored.Entries)
+		NewDisk: stored.NewDisk, Incarnation: stored.Incarnation, Acknowledge: current.Timeouts.Acknowledge, Contact: current.Timeouts.Contact, Highest: current.VersionPolicy == settings.VersionsHighest, Grace: current.Timeouts.Grace,
+	}, stored.Snapshot, stored.Entries)
 	if err != nil {
-		return daemon.Build{}, err
+		return daemon.Service{}, err
 	}
-	return daemon.Build{
-		Machine: machine,
-		Ready:   func(time.Time) bool { return machine.Ready() },
-		Stop:    controller.Stop{},
-		Request: func(local uint64, method, path string, body []byte) any {
+	return daemon.Service{
+		Machine:     machine,
+		Ready:       func(time.Time) bool { return machine.Ready() },
+		StopCommand: controller.Stop{},
+		OperatorRequest: func(local uint64, method, path string, body []byte) any {
 			return controller.Request{Local: local, Method: method, Path: path, Body: body}
 		},
 		Counters: func() any {
@@ -38,7 +38,7 @@
 				"complete": machine.Node().Complete(), "holds_lease": machine.Node().HoldsLease(time.Now()),
 			}
 		},
-		Reload:  func(after settings.Settings) { machine.SetTolerance(after.Tolerance) },
-		Adapter: platform.Adapter(current),
+		Reload:         func(after settings.Settings) { machine.SetTolerance(after.Tolerance) },
+		ControlAdapter: platform.Adapter(current),
 	}, nil
 }
--- a/cmd/dahlialock/explain.go
+++ b/cmd/dahlialock/explain.go
@@ -217,7 +217,7 @@
 		if subject == "" {
 			subject = entry.Request
 		}
-		_, err := fmt.Fprintf(out, "%s  %-10s %-14s %-28s %-12s %s\n", entry.At.Format("15:04:05.000000"), entry.Daemon, entry.Step, subject, entry.Origin, strings.Join(details, " "))
+		_, err := fmt.Fprintf(out, "%s  %-10s %-14s %-28s %-12s %s\n", entry.At.Format("15:04:05.000000"), entry.Daemon, entry.Step, subject, entry.Client, strings.Join(details, " "))
 		if err != nil {
 			return err
 		}
--- a/cmd/dahlialock/main.go
+++ b/cmd/dahlialock/main.go
@@ -421,7 +421,7 @@
 }
 
 func token(command *command, arguments []string) subcommands.ExitStatus {
-	if len(arguments) != 1 || key == "" || !config.FitName(arguments[0]) {
+	if len(arguments) != 1 || key == "" || !config.ValidName(arguments[0]) {
 		return usageError(command)
 	}
 	fmt.Println(httpapi.Token([]byte(key), arguments[0]))
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -29,26 +29,26 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-func build(current settings.Settings, self membership.Member, stored daemon.Stored) (daemon.Build, error) {
+func build(current settings.Settings, self membership.Member, stored daemon.StoredState) (daemon.Service, error) {
 	key := []byte(current.Key)
 	callersKey := key
-	if current.Admission == settings.AdmissionOpen {
+	if current.AdmissionMode == settings.AdmissionOpen {
 		callersKey = nil
 	}
-	machine := gateway.New(gateway.Settings{Self: self, Agent: current.Agent, Key: key, OriginsMost: current.OriginsMost, Link: current.Link, Processor: processorTime, Incarnation: stored.Incarnation,
+	machine := gateway.New(gateway.Settings{Self: self, Agent: current.AgentAddress, Key: key, OriginsMost: current.MaxSessions, Link: current.LinkBytesPerSecond, Processor: processorTime, Incarnation: stored.Incarnation,
 		// A sixth of the time in which a version is to be in force is left for news
 		// on its way, and two fifths of the grace for what comes after the callers.
-		ConfirmedFor: current.Bounds.Apply * 5 / 6, StopWithin: current.Bounds.Grace * 3 / 5, Acknowledge: current.Bounds.Acknowledge,
+		ConfirmedFor: current.Timeouts.Apply * 5 / 6, StopWithin: current.Timeouts.Grace * 3 / 5, Acknowledge: current.Timeouts.Acknowledge,
 	})
-	built := daemon.Build{
-		Machine: machine,
-		Ready:   func(now time.Time) bool { return machine.Ready(now) },
-		Stop:    gateway.Stop{},
-		Slow:    func(channel uint64) any { return gateway.CloseChannel{Channel: channel, Why: "slow"} },
-		Request: func(local uint64, method, path string, body []byte) any {
+	built := daemon.Service{
+		Machine:          machine,
+		Ready:            func(now time.Time) bool { return machine.Ready(now) },
+		StopCommand:      gateway.Stop{},
+		CloseSlowSession: func(channel uint64) any { return gateway.CloseChannel{Channel: channel, Why: "slow"} },
+		OperatorRequest: func(local uint64, method, path string, body []byte) any {
 			return gateway.ControlRequest{Local: local, Method: method, Path: path, Body: body}
 		},
-		Find: func(local uint64, request, message, origin string) any {
+		FindDecisions: func(local uint64, request, message, origin string) any {
 			return gateway.FindDecisions{Local: local, Request: request, Message: message, Origin: origin}
 		},
 		Counters: func() any {
@@ -58,21 +58,21 @@
 				"load": machine.Load(), "orders": machine.ViewClient().Directives,
 			}
 		},
-		Caller: func(at *daemon.Host) http.Handler { return httpapi.New(current.Name, callersKey, at) },
+		ClientHandler: func(at *daemon.EventLoop) http.Handler { return httpapi.New(current.Name, callersKey, at) },
 		Reload: func(after settings.Settings) {
-			machine.SetOriginsMost(after.OriginsMost)
-			machine.SetLink(after.Link)
+			machine.SetOriginsMost(after.MaxSessions)
+			machine.SetLink(after.LinkBytesPerSecond)
 		},
-		Adapter: platform.Adapter(current),
+		ControlAdapter: platform.Adapter(current),
 	}
-	if current.Callers == settings.CallersLines {
+	if current.ClientProtocol == settings.ClientProtocolLines {
 		serveLines(&built, current, callersKey)
 	}
 	return built, nil
 }
 
 // serveLines has callers speak lines in place of HTTP.
-func serveLines(built *daemon.Build, current settings.Settings, key []byte) {
+func serveLines(built *daemon.Service, current settings.Settings, key []byte) {
 	var served *lineserver.Server
 	var admit func(origin, token string) bool
 	if len(key) > 0 {
@@ -80,12 +80,12 @@
 	}
 	own := built.Counters
 	built.Counters = func() any { return map[string]any{"machine": own(), "callers": served.Sums(), "told": served.Told()} }
-	built.Callers = func(at *daemon.Host, address string) (daemon.Server, error) {
+	built.ListenClients = func(at *daemon.EventLoop, address string) (daemon.Server, error) {
 		var err error
 		served, err = lineserver.Start(lineserver.Settings{
-			Address: address, Host: at, Protocol: platform.Lines{}, Admit: admit, Silent: 3 * current.Bounds.Ping,
+			Address: address, Host: at, Protocol: platform.Lines{}, Admit: admit, Silent: 3 * current.Timeouts.Ping,
 			// A few more than may open a channel, so that they are told to go elsewhere.
-			ConnectionsMost: current.OriginsMost + current.OriginsMost/10 + 64,
+			ConnectionsMost: current.MaxSessions + current.MaxSessions/10 + 64,
 		})
 		return served, err
 	}
--- a/cmd/store/main.go
+++ b/cmd/store/main.go
@@ -16,25 +16,25 @@
 	os.Exit(daemon.Main(membership.KindStore, os.Args[1:], build))
 }
 
-func build(current settings.Settings, self membership.Member, stored daemon.Stored) (daemon.Build, error) {
+func build(current settings.Settings, self membership.Member, stored daemon.StoredState) (daemon.Service, error) {
 	machine, err := partition.New(partition.Settings{
 		Self: self, Seeds: current.Seeds, NewDisk: stored.NewDisk, Incarnation: stored.Incarnation,
-		Redeliver: current.Bounds.Redeliver, Acknowledge: current.Bounds.Acknowledge, Grace: current.Bounds.Grace,
-	}, stored.Frame, stored.Entries)
+		Redeliver: current.Timeouts.Redeliver, Acknowledge: current.Timeouts.Acknowledge, Grace: current.Timeouts.Grace,
+	}, stored.Snapshot, stored.Entries)
 	if err != nil {
-		return daemon.Build{}, err
+		return daemon.Service{}, err
 	}
-	return daemon.Build{
-		Machine: machine,
-		Ready:   func(time.Time) bool { return machine.Ready() },
-		Stop:    partition.Stop{},
-		Request: func(local uint64, method, path string, body []byte) any {
+	return daemon.Service{
+		Machine:     machine,
+		Ready:       func(time.Time) bool { return machine.Ready() },
+		StopCommand: partition.Stop{},
+		OperatorRequest: func(local uint64, method, path string, body []byte) any {
 			return partition.Request{Local: local, Method: method, Path: path, Body: body}
 		},
-		Find: func(local uint64, request, message, origin string) any {
+		FindDecisions: func(local uint64, request, message, origin string) any {
 			return partition.FindDecisions{Local: local, Request: request, Message: message, Origin: origin}
 		},
-		Counters: func() any { return map[string]any{"store": machine.Counts, "partitions": machine.Partitions()} },
-		Adapter:  platform.Adapter(current),
+		Counters:       func() any { return map[string]any{"store": machine.Counts, "partitions": machine.Partitions()} },
+		ControlAdapter: platform.Adapter(current),
 	}, nil
 }
--- a/internal/config/configuration.go
+++ b/internal/config/configuration.go
@@ -21,21 +21,21 @@
 
 // Bounds of a configuration.
 const (
-	DocumentLimit      = 2 << 20
-	SpaceLimit         = 8192
-	NameLimit          = 64
-	DataCeiling        = 1 << 20
-	HoldingFloor       = time.Second
-	HoldingCeiling     = time.Hour
-	DefaultHolding     = 35 * time.Second
-	DefaultData        = 64 << 10
-	PartitionsPerSpace = 8
-	PrefixLimit        = 256
-	AnnexLimit         = 1 << 20
-	UrgencyCeiling     = 1000
-	// DefaultSubscriptions is how many subscriptions one channel may hold.
-	DefaultSubscriptions = 256
-	SubscriptionsCeiling = 1 << 16
+	MaxDocumentBytes     = 2 << 20
+	MaxSpaces            = 8192
+	MaxNameBytes         = 64
+	MaxDataBytes         = 1 << 20
+	MinRetentionTime     = time.Second
+	MaxRetentionTime     = time.Hour
+	DefaultRetentionTime = 35 * time.Second
+	DefaultDataBytes     = 64 << 10
+	PartitionsPerSpace   = 8
+	MaxPrefixBytes       = 256
+	MaxAnnotationBytes   = 1 << 20
+	MaxPriority          = 1000
+	// DefaultSubscriptionsPerSession is how many subscriptions one channel may hold.
+	DefaultSubscriptionsPerSession = 256
+	MaxSubscriptionsPerSession     = 1 << 16
 )
 
 // Retention is what becomes of a space's messages.
@@ -52,8 +52,8 @@
 
 // The orders.
 const (
-	OrderSender  Order = "sender"
-	OrderChannel Order = "channel"
+	OrderSender Order = "sender"
+	OrderSpace  Order = "channel"
 	// OrderTopic is one order for each topic, the same for all its subscribers.
 	// Its spaces are reached by routes.
 	OrderTopic Order = "topic"
@@ -61,19 +61,18 @@
 
 // Space is a family of topics with its own promise.
 type Space struct {
-	Name          string
-	Retention     Retention
-	Order         Order
-	Holding       time.Duration
-	Tolerance     int
-	DataBytes     int
-	PerSecond     int
-	Publishers    []string
-	Subscribers   []string
-	AnswerWithin  time.Duration
-	RememberSends time.Duration
-	// Urgency ranks spaces: where something must wait, the higher goes first.
-	Urgency int
+	Name                  string
+	Retention             Retention
+	Order                 Order
+	RetentionTime         time.Duration
+	Tolerance             int
+	DataBytes             int
+	PublicationsPerSecond int
+	Publishers            []string
+	Subscribers           []string
+	ResponseTimeout       time.Duration
+	// Priority ranks spaces: where something must wait, the higher goes first.
+	Priority int
 }
 
 // Partitions is how many partitions hold the space's topics.
@@ -81,7 +80,7 @@
 	if s.Retention != Durable || s.Order == OrderTopic {
 		return 0
 	}
-	if s.Order == OrderChannel {
+	if s.Order == OrderSpace {
 		return 1
 	}
 	return PartitionsPerSpace
@@ -91,7 +90,7 @@
 func (s Space) MayPublish(sender string) bool { return allowed(s.Publishers, sender) }
 
 // MaySubscribe tells whether an origin may subscribe.
-func (s Space) MaySubscribe(origin string) bool { return allowed(s.Subscribers, origin) }
+func (s Space) MaySubscribe(client string) bool { return allowed(s.Subscribers, client) }
 
 func allowed(patterns []string, name string) bool {
 	for _, pattern := range patterns {
@@ -102,14 +101,14 @@
 	return false
 }
 
-// Economy is how the fleet saves.
-type Economy struct {
-	Enabled         bool
-	ProcessorWeight float64
-	TrafficWeight   float64
-	OriginsEach     int
-	SpareGateways   int
-	QuietFor        time.Duration
+// Consolidation is how the fleet saves.
+type Consolidation struct {
+	Enabled             bool
+	ProcessorWeight     float64
+	TrafficWeight       float64
+	SessionsPerGateway  int
+	SpareGateways       int
+	StabilizationWindow time.Duration
 }
 
 // Link is the delay of the way between two zones, for closeness.
@@ -120,18 +119,18 @@
 
 // Configuration is a checked document.
 type Configuration struct {
-	Version uint64
-	Spaces  map[string]Space
-	Economy Economy
-	Drains  []string
-	Zones   []string
-	Links   []Link
+	Version       uint64
+	Spaces        map[string]Space
+	Consolidation Consolidation
+	Draining      []string
+	Zones         []string
+	Links         []Link
 	// Routes lead topics to spaces of order topic, the longest prefix first.
 	Routes []Route
-	// Annex is a text that operators get back as they sent it.
-	Annex string
-	// SubscriptionsEach is how many subscriptions one channel may hold.
-	SubscriptionsEach int
+	// Annotation is a text that operators get back as they sent it.
+	Annotation string
+	// SubscriptionsPerSession is how many subscriptions one channel may hold.
+	SubscriptionsPerSession int
 }
 
 // Fault is one thing wrong with a document.
@@ -188,8 +187,8 @@
 	return string(text)
 }
 
-// Whole reads a whole number within bounds.
-func (r *Reader) Whole(path string, value *fastjson.Value, otherwise, least, most int64) int64 {
+// Integer reads a whole number within bounds.
+func (r *Reader) Integer(path string, value *fastjson.Value, otherwise, least, most int64) int64 {
 	if value == nil {
 		return otherwise
 	}
@@ -205,8 +204,8 @@
 	return number
 }
 
-// Fraction reads a number within bounds.
-func (r *Reader) Fraction(path string, value *fastjson.Value, otherwise, least, most float64) float64 {
+// Float reads a number within bounds.
+func (r *Reader) Float(path string, value *fastjson.Value, otherwise, least, most float64) float64 {
 	if value == nil {
 		return otherwise
 	}
@@ -244,8 +243,8 @@
 	return length
 }
 
-// Truth reads true or false.
-func (r *Reader) Truth(path string, value *fastjson.Value, otherwise bool) bool {
+// Bool reads true or false.
+func (r *Reader) Bool(path string, value *fastjson.Value, otherwise bool) bool {
 	if value == nil {
 		return otherwise
 	}
@@ -304,9 +303,9 @@
 	return names
 }
 
-// FitName tells whether a name may stand for a space, origin or daemon.
-func FitName(name string) bool {
-	if name == "" || len(name) > NameLimit {
+// ValidName tells whether a name may stand for a space, origin or daemon.
+func ValidName(name string) bool {
+	if name == "" || len(name) > MaxNameBytes {
 		return false
 	}
 	for _, letter := range name {
@@ -320,14 +319,14 @@
 
 func fitPattern(pattern string) bool {
 	prefix, wild := strings.CutSuffix(pattern, "*")
-	return wild && prefix == "" || FitName(prefix)
+	return wild && prefix == "" || ValidName(prefix)
 }
 
 // Read checks a document; faults are empty only if it may be taken.
 func Read(document []byte) (Configuration, []Fault) {
 	var walk Reader
-	if len(document) > DocumentLimit {
-		walk.Report("$", "too-large", "%d bytes are more than %d", len(document), DocumentLimit)
+	if len(document) > MaxDocumentBytes {
+		walk.Report("$", "too-large", "%d bytes are more than %d", len(document), MaxDocumentBytes)
 		return Configuration{}, walk.Faults
 	}
 	value, whole := walk.Parse(document)
@@ -369,11 +368,11 @@
 	if members["version"] == nil {
 		r.Report("$.version", "missing", "a version is wanted")
 	}
-	configuration.Version = uint64(r.Whole("$.version", members["version"], 1, 1, math.MaxInt64))
+	configuration.Version = uint64(r.Integer("$.version", members["version"], 1, 1, math.MaxInt64))
 	if members["spaces"] == nil {
 		r.Report("$.spaces", "missing", "spaces are wanted, if only an empty array")
 	}
-	for position, item := range r.List("$.spaces", members["spaces"], SpaceLimit) {
+	for position, item := range r.List("$.spaces", members["spaces"], MaxSpaces) {
 		path := fmt.Sprintf("$.spaces[%d]", position)
 		space := r.space(path, item)
 		if _, twice := configuration.Spaces[space.Name]; twice {
@@ -381,16 +380,16 @@
 		}
 		configuration.Spaces[space.Name] = space
 	}
-	configuration.Economy = r.economy("$.economy", members["economy"])
-	configuration.Drains = r.Names("$.drains", members["drains"], nil, FitName)
-	configuration.Zones = r.Names("$.zones", members["zones"], nil, FitName)
+	configuration.Consolidation = r.economy("$.economy", members["economy"])
+	configuration.Draining = r.Names("$.drains", members["drains"], nil, ValidName)
+	configuration.Zones = r.Names("$.zones", members["zones"], nil, ValidName)
 	configuration.Links = r.links("$.links", members["links"], configuration.Zones)
 	configuration.Routes = r.routes("$.routes", members["routes"], configuration.Spaces)
-	configuration.Annex = r.Text("$.annex", members["annex"], "")
-	if len(configuration.Annex) > AnnexLimit {
-		r.Report("$.annex", "too-large", "%d bytes are more than %d", len(configuration.Annex), AnnexLimit)
+	configuration.Annotation = r.Text("$.annex", members["annex"], "")
+	if len(configuration.Annotation) > MaxAnnotationBytes {
+		r.Report("$.annex", "too-large", "%d bytes are more than %d", len(configuration.Annotation), MaxAnnotationBytes)
 	}
-	configuration.SubscriptionsEach = int(r.Whole("$.subscriptions_each", members["subscriptions_each"], DefaultSubscriptions, 1, SubscriptionsCeiling))
+	configuration.SubscriptionsPerSession = int(r.Integer("$.subscriptions_each", members["subscriptions_each"], DefaultSubscriptionsPerSession, 1, MaxSubscriptionsPerSession))
 	return configuration
 }
 
@@ -401,22 +400,22 @@
 	space := Space{Name: r.Text(path+".name", members["name"], "")}
 	if members["name"] == nil {
 		r.Report(path+".name", "missing", "a name is wanted")
-	} else if members["name"].Type() == fastjson.TypeString && !FitName(space.Name) {
+	} else if members["name"].Type() == fastjson.TypeString && !ValidName(space.Name) {
 		r.Report(path+".name", "bad-name", "%q is not a fit name", space.Name)
 	}
 	if members["promise"] == nil {
 		r.Report(path+".promise", "missing", "a promise is wanted: kept or passing")
 	}
 	space.Retention = Retention(r.Choice(path+".promise", members["promise"], string(Ephemeral), string(Durable), string(Ephemeral)))
-	space.Order = Order(r.Choice(path+".order", members["order"], string(OrderSender), string(OrderSender), string(OrderChannel), string(OrderTopic)))
-	if space.Order == OrderChannel && space.Retention != Durable {
+	space.Order = Order(r.Choice(path+".order", members["order"], string(OrderSender), string(OrderSender), string(OrderSpace), string(OrderTopic)))
+	if space.Order == OrderSpace && space.Retention != Durable {
 		r.Report(path+".order", "clash", "one shared order needs the promise kept")
 	}
-	space.Holding = r.Duration(path+".holding", members["holding"], DefaultHolding, HoldingFloor, HoldingCeiling)
+	space.RetentionTime = r.Duration(path+".holding", members["holding"], DefaultRetentionTime, MinRetentionTime, MaxRetentionTime)
 	if members["holding"] != nil && space.Retention != Durable {
 		r.Report(path+".holding", "clash", "only kept spaces have a holding time")
 	}
-	space.Tolerance = int(r.Whole(path+".tolerance", members["tolerance"], 1, 1, 1))
+	space.Tolerance = int(r.Integer(path+".tolerance", members["tolerance"], 1, 1, 1))
 	if members["tolerance"] != nil && space.Retention != Durable {
 		r.Report(path+".tolerance", "clash", "only kept spaces have a tolerance")
 	}
@@ -424,27 +423,27 @@
 	if members["limits"] != nil {
 		limits = r.Object(path+".limits", members["limits"], "data_bytes", "publications_per_second")
 	}
-	space.DataBytes = int(r.Whole(path+".limits.data_bytes", limits["data_bytes"], DefaultData, 1, DataCeiling))
-	space.PerSecond = int(r.Whole(path+".limits.publications_per_second", limits["publications_per_second"], 0, 1, 1<<20))
+	space.DataBytes = int(r.Integer(path+".limits.data_bytes", limits["data_bytes"], DefaultDataBytes, 1, MaxDataBytes))
+	space.PublicationsPerSecond = int(r.Integer(path+".limits.publications_per_second", limits["publications_per_second"], 0, 1, 1<<20))
 	space.Publishers = r.Names(path+".publishers", members["publishers"], everyone, fitPattern)
 	space.Subscribers = r.Names(path+".subscribers", members["subscribers"], everyone, fitPattern)
-	space.AnswerWithin = r.Duration(path+".answer_within", members["answer_within"], time.Second, time.Millisecond, HoldingCeiling)
-	space.Urgency = int(r.Whole(path+".urgency", members["urgency"], 0, 0, UrgencyCeiling))
+	space.ResponseTimeout = r.Duration(path+".answer_within", members["answer_within"], time.Second, time.Millisecond, MaxRetentionTime)
+	space.Priority = int(r.Integer(path+".urgency", members["urgency"], 0, 0, MaxPriority))
 	return space
 }
 
-func (r *Reader) economy(path string, value *fastjson.Value) Economy {
+func (r *Reader) economy(path string, value *fastjson.Value) Consolidation {
 	members := map[string]*fastjson.Value{}
 	if value != nil {
 		members = r.Object(path, value, "enabled", "processor_weight", "traffic_weight", "origins_each", "spare_gateways", "quiet_for")
 	}
-	return Economy{
-		Enabled:         r.Truth(path+".enabled", members["enabled"], false),
-		ProcessorWeight: r.Fraction(path+".processor_weight", members["processor_weight"], 1, 0, 1000),
-		TrafficWeight:   r.Fraction(path+".traffic_weight", members["traffic_weight"], 1, 0, 1000),
-		OriginsEach:     int(r.Whole(path+".origins_each", members["origins_each"], 200, 1, 100000)),
-		SpareGateways:   int(r.Whole(path+".spare_gateways", members["spare_gateways"], 1, 1, 64)),
-		QuietFor:        r.Duration(path+".quiet_for", members["quiet_for"], 30*time.Second, time.Second, time.Hour),
+	return Consolidation{
+		Enabled:             r.Bool(path+".enabled", members["enabled"], false),
+		ProcessorWeight:     r.Float(path+".processor_weight", members["processor_weight"], 1, 0, 1000),
+		TrafficWeight:       r.Float(path+".traffic_weight", members["traffic_weight"], 1, 0, 1000),
+		SessionsPerGateway:  int(r.Integer(path+".origins_each", members["origins_each"], 200, 1, 100000)),
+		SpareGateways:       int(r.Integer(path+".spare_gateways", members["spare_gateways"], 1, 1, 64)),
+		StabilizationWindow: r.Duration(path+".quiet_for", members["quiet_for"], 30*time.Second, time.Second, time.Hour),
 	}
 }
 
--- a/internal/config/configuration_test.go
+++ b/internal/config/configuration_test.go
@@ -23,7 +23,7 @@
 	boards := configuration.Spaces["boards"]
 	assert.Equal(t, boards.Partitions(), PartitionsPerSpace)
 	assert.Assert(t, boards.MayPublish("team-x") && !boards.MayPublish("other"))
-	assert.Equal(t, configuration.Economy.ProcessorWeight, 2.5)
+	assert.Equal(t, configuration.Consolidation.ProcessorWeight, 2.5)
 }
 
 func TestEachFaultIsToldWithItsPath(t *testing.T) {
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -30,8 +30,8 @@
 	Space  string
 }
 
-// Route names the space of a topic.
-func (c Configuration) Route(topic string) (space string, found bool) {
+// SpaceForTopic names the space of a topic.
+func (c Configuration) SpaceForTopic(topic string) (space string, found bool) {
 	for _, route := range c.Routes {
 		if strings.HasPrefix(topic, route.Prefix) {
 			return route.Space, true
@@ -40,11 +40,11 @@
 	return "", false
 }
 
-// Routed tells whether any space is reached by routes.
-func (c Configuration) Routed() bool { return len(c.Routes) > 0 }
+// HasRoutes tells whether any space is reached by routes.
+func (c Configuration) HasRoutes() bool { return len(c.Routes) > 0 }
 
-// TopicNumber is a 64-bit hash of a topic's name.
-func TopicNumber(topic string) uint64 {
+// TopicHash is a 64-bit hash of a topic's name.
+func TopicHash(topic string) uint64 {
 	sum := fnv.New64a()
 	_, _ = sum.Write([]byte(topic))
 	mixed := sum.Sum64()
@@ -61,7 +61,7 @@
 
 // SharedPartition names the partition of a routed topic.
 func SharedPartition(topic string) string {
-	return SharedPartitionName(int(TopicNumber(topic) % SharedPartitions))
+	return SharedPartitionName(int(TopicHash(topic) % SharedPartitions))
 }
 
 // IsShared tells whether a partition is one of the shared ones.
@@ -71,7 +71,7 @@
 func (r *Reader) routes(path string, value *fastjson.Value, spaces map[string]Space) []Route {
 	var routes []Route
 	seen := map[string]bool{}
-	for position, item := range r.List(path, value, SpaceLimit) {
+	for position, item := range r.List(path, value, MaxSpaces) {
 		here := fmt.Sprintf("%s[%d]", path, position)
 		members := r.Object(here, item, "prefix", "space")
 		for _, needed := range []string{"prefix", "space"} {
@@ -81,7 +81,7 @@
 		}
 		route := Route{Prefix: r.Text(here+".prefix", members["prefix"], ""), Space: r.Text(here+".space", members["space"], "")}
 		if !fitPrefix(route.Prefix) {
-			r.Report(here+".prefix", "bad-prefix", "a prefix has at most %d printable letters and no blank", PrefixLimit)
+			r.Report(here+".prefix", "bad-prefix", "a prefix has at most %d printable letters and no blank", MaxPrefixBytes)
 		}
 		if seen[route.Prefix] {
 			r.Report(here+".prefix", "duplicate-prefix", "the prefix %q stands twice", route.Prefix)
@@ -104,7 +104,7 @@
 }
 
 func fitPrefix(prefix string) bool {
-	if len(prefix) > PrefixLimit {
+	if len(prefix) > MaxPrefixBytes {
 		return false
 	}
 	for _, letter := range prefix {
--- a/internal/config/routes_test.go
+++ b/internal/config/routes_test.go
@@ -17,12 +17,12 @@
 func TestLongestPrefixDecides(t *testing.T) {
 	configuration, faults := Read([]byte(routed))
 	assert.Equal(t, len(faults), 0)
-	assert.Equal(t, configuration.Annex, "as sent")
-	assert.Equal(t, configuration.SubscriptionsEach, 7)
-	assert.Equal(t, configuration.Spaces["a"].Urgency, 2)
+	assert.Equal(t, configuration.Annotation, "as sent")
+	assert.Equal(t, configuration.SubscriptionsPerSession, 7)
+	assert.Equal(t, configuration.Spaces["a"].Priority, 2)
 	assert.Equal(t, configuration.Spaces["a"].Partitions(), 0)
 	for topic, wanted := range map[string]string{"x.1": "a", "x.y1": "b", "x.y": "b", "z": "a", "x": "", "y": "", "": ""} {
-		space, found := configuration.Route(topic)
+		space, found := configuration.SpaceForTopic(topic)
 		assert.Equal(t, space, wanted, "topic %q", topic)
 		assert.Equal(t, found, wanted != "")
 	}
@@ -61,7 +61,7 @@
 				wanted, longest = space, len(prefix)
 			}
 		}
-		space, found := configuration.Route(topic)
+		space, found := configuration.SpaceForTopic(topic)
 		assert.Equal(t, found, longest >= 0)
 		assert.Equal(t, space, wanted)
 	}
--- a/internal/consolidation/consolidation.go
+++ b/internal/consolidation/consolidation.go
@@ -75,7 +75,7 @@
 }
 
 type fleet struct {
-	settings config.Economy
+	settings config.Consolidation
 	links    map[[2]string]time.Duration
 	gateways []candidate
 	total    int
@@ -85,9 +85,9 @@
 
 // Decide gives each living gateway its orders.
 func (e *Economist) Decide(now time.Time, seen Observation) map[string]membership.Directives {
-	drained := func(name string) bool { return slices.Contains(seen.Configuration.Drains, name) }
+	drained := func(name string) bool { return slices.Contains(seen.Configuration.Draining, name) }
 	here := &fleet{
-		settings: seen.Configuration.Economy, links: links(seen.Configuration),
+		settings: seen.Configuration.Consolidation, links: links(seen.Configuration),
 		asleep: func(name string) bool { return e.resting[name] || drained(name) },
 	}
 	fresh := true
@@ -225,7 +225,7 @@
 // hold everybody with a share of room left, and to work for them, and the spare
 // ones that were asked for.
 func (f *fleet) needed(total int, busy float64) int {
-	count := int(math.Ceil(float64(total) / (float64(f.settings.OriginsEach) * fullShare)))
+	count := int(math.Ceil(float64(total) / (float64(f.settings.SessionsPerGateway) * fullShare)))
 	working := int(math.Ceil(busy / busyShare))
 	return max(count, working, 1) + f.settings.SpareGateways
 }
@@ -241,7 +241,7 @@
 		return false
 	}
 	for _, count := range places {
-		if (len(awake)-count)*f.settings.OriginsEach < total {
+		if (len(awake)-count)*f.settings.SessionsPerGateway < total {
 			return false
 		}
 	}
@@ -265,7 +265,7 @@
 	if e.quietSince.IsZero() {
 		e.quietSince = now
 	}
-	if now.Sub(e.quietSince) < here.settings.QuietFor {
+	if now.Sub(e.quietSince) < here.settings.StabilizationWindow {
 		return
 	}
 	e.quietSince = now
--- a/internal/consolidation/consolidation_test.go
+++ b/internal/consolidation/consolidation_test.go
@@ -27,11 +27,11 @@
 	changes   int
 }
 
-func newTown(seed uint64, gateways int, settings config.Economy) *town {
+func newTown(seed uint64, gateways int, settings config.Consolidation) *town {
 	town := &town{
 		random: rand.New(rand.NewPCG(seed, 0xec0)), now: time.Unix(1_700_000_000, 0), economist: New(), balancer: balancing.New(),
 		seen: Observation{
-			Configuration: config.Configuration{Economy: settings},
+			Configuration: config.Configuration{Consolidation: settings},
 			Members:       map[string]membership.Member{}, Loads: map[string]membership.Load{}, Heard: map[string]time.Time{},
 		},
 	}
@@ -145,7 +145,7 @@
 func TestThereIsAlwaysRoomAndNobodyFlaps(t *testing.T) {
 	for seed := range uint64(60) {
 		gateways := 5 + int(seed%5)
-		town := newTown(seed, gateways, config.Economy{Enabled: true, ProcessorWeight: 1, TrafficWeight: 1, OriginsEach: 100, SpareGateways: 1, QuietFor: 5 * time.Second})
+		town := newTown(seed, gateways, config.Consolidation{Enabled: true, ProcessorWeight: 1, TrafficWeight: 1, SessionsPerGateway: 100, SpareGateways: 1, StabilizationWindow: 5 * time.Second})
 		for range 120 {
 			// A crowd or a calm, wherever the platform sends it.
 			for range town.random.IntN(80) {
@@ -174,7 +174,7 @@
 }
 
 func TestOldReportsAreNeverActedOn(t *testing.T) {
-	town := newTown(1, 6, config.Economy{Enabled: true, ProcessorWeight: 1, TrafficWeight: 1, OriginsEach: 100, SpareGateways: 1, QuietFor: time.Second})
+	town := newTown(1, 6, config.Consolidation{Enabled: true, ProcessorWeight: 1, TrafficWeight: 1, SessionsPerGateway: 100, SpareGateways: 1, StabilizationWindow: time.Second})
 	for range 3 {
 		town.second(0)
 	}
@@ -194,8 +194,8 @@
 		processor, traffic float64
 		stays              bool
 	}{{100, 0.01, false}, {0.01, 100, true}} {
-		town := newTown(3, 7, config.Economy{
-			Enabled: true, ProcessorWeight: each.processor, TrafficWeight: each.traffic, OriginsEach: 100, SpareGateways: 1, QuietFor: time.Second,
+		town := newTown(3, 7, config.Consolidation{
+			Enabled: true, ProcessorWeight: each.processor, TrafficWeight: each.traffic, SessionsPerGateway: 100, SpareGateways: 1, StabilizationWindow: time.Second,
 		})
 		for _, name := range town.order {
 			town.arrive(name, 12)
--- a/internal/controller/apply.go
+++ b/internal/controller/apply.go
@@ -92,11 +92,11 @@
 // drainFaults looks at what only the cluster can tell: that the gateways to be
 // drained exist, and that one would be left.
 func (s *State) drainFaults(configuration config.Configuration) []config.Fault {
-	if len(configuration.Drains) == 0 {
+	if len(configuration.Draining) == 0 {
 		return nil
 	}
 	var faults []config.Fault
-	for position, name := range configuration.Drains {
+	for position, name := range configuration.Draining {
 		if member, found := s.Members[name]; !found || member.Kind != membership.KindGateway {
 			faults = append(faults, config.Fault{
 				Path: fmt.Sprintf("$.drains[%d]", position), Code: "dangling-name", Text: fmt.Sprintf("no gateway is named %q", name),
@@ -104,7 +104,7 @@
 		}
 	}
 	for _, member := range s.Members {
-		if member.Kind == membership.KindGateway && member.Alive && !slices.Contains(configuration.Drains, member.Name) {
+		if member.Kind == membership.KindGateway && member.Alive && !slices.Contains(configuration.Draining, member.Name) {
 			return faults
 		}
 	}
--- a/internal/controller/economy.go
+++ b/internal/controller/economy.go
@@ -45,7 +45,7 @@
 		}
 		gateways = append(gateways, balancing.Gateway{
 			Name: name, Zone: member.Zone, Origins: load.Sessions, Room: load.FreeCapacity,
-			Accepts: load.Ready && !member.Resting && !decided[name].Rest && !slices.Contains(configuration.Drains, name),
+			Accepts: load.Ready && !member.Resting && !decided[name].Rest && !slices.Contains(configuration.Draining, name),
 		})
 	}
 	for name, order := range c.balancer.Plan(gateways) {
--- a/internal/controller/shared_test.go
+++ b/internal/controller/shared_test.go
@@ -264,7 +264,7 @@
 			held[name], last[record.Sender], prior = record.Offset, record.Seq, record.Offset
 		}
 		newest[line.topic] = max(prior, 1)
-		assert.Assert(sy.t, sy.moved[config.TopicNumber(line.topic)] == prior, "followers know %d of %s, which is at %d", sy.moved[config.TopicNumber(line.topic)], line.topic, prior)
+		assert.Assert(sy.t, sy.moved[config.TopicHash(line.topic)] == prior, "followers know %d of %s, which is at %d", sy.moved[config.TopicHash(line.topic)], line.topic, prior)
 	}
 	sy.asked = map[uint64]func(partition.AppendResponse){}
 	for _, line := range sy.lines {
--- a/internal/controller/state.go
+++ b/internal/controller/state.go
@@ -94,7 +94,7 @@
 
 func (s *State) takeConfiguration(change ConfigurationChange, configuration config.Configuration) {
 	s.Version, s.Document = change.Version, change.Document
-	s.BirthsAt, s.Drained = s.Index, configuration.Drains
+	s.BirthsAt, s.Drained = s.Index, configuration.Draining
 	for name := range statemachine.Sorted(s.Births) {
 		space, found := configuration.Spaces[name]
 		if !found || s.Natures[name] != nature(space) {
--- a/internal/daemon/callers_test.go
+++ b/internal/daemon/callers_test.go
@@ -54,25 +54,25 @@
 }
 
 // keeping is a daemon's ctl whose answers come when they are told to.
-func keeping(t *testing.T) (*httptest.Server, *Host, *keeper) {
+func keeping(t *testing.T) (*httptest.Server, *EventLoop, *keeper) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	address := listener.Addr().String()
 	_ = listener.Close()
-	host, err := Open(Settings{Address: address, Logger: logevent.New(io.Discard, "keeper", 0)})
+	host, err := NewEventLoop(Options{Address: address, Logger: logevent.New(io.Discard, "keeper", 0)})
 	assert.NilError(t, err)
 	machine := &keeper{came: make(chan string, 16)}
-	host.Run(machine)
-	process := &process{host: host, built: Build{
+	host.Start(machine)
+	process := &process{host: host, built: Service{
 		Machine: machine, Ready: func(time.Time) bool { return true }, Counters: func() any { return nil },
-		Request: func(local uint64, _, path string, _ []byte) any { return asked{request: local, path: path} },
+		OperatorRequest: func(local uint64, _, path string, _ []byte) any { return asked{request: local, path: path} },
 	}}
 	server := httptest.NewServer(process.control())
 	t.Cleanup(func() {
 		server.CloseClientConnections()
 		server.Close()
 		host.Post(stopNow{})
-		<-host.Ended()
+		<-host.Done()
 		host.Transport().Close()
 	})
 	return server, host, machine
--- a/internal/daemon/departure_test.go
+++ b/internal/daemon/departure_test.go
@@ -65,18 +65,18 @@
 	return listener.Addr().String()
 }
 
-func openSleeper(t *testing.T, peer string) (*Host, *sleeper) {
+func openSleeper(t *testing.T, peer string) (*EventLoop, *sleeper) {
 	machine := &sleeper{clock: &atomic.Int64{}, self: freeAddress(t), peer: peer}
 	began := time.Now()
-	opened, err := Open(Settings{
+	opened, err := NewEventLoop(Options{
 		Address: machine.self, Logger: logevent.New(io.Discard, "sleeper", 0),
 		Clock: func() time.Time { return began.Add(time.Duration(machine.clock.Load())) },
 	})
 	assert.NilError(t, err)
-	opened.Run(machine)
+	opened.Start(machine)
 	t.Cleanup(func() {
 		opened.Post(stopNow{})
-		<-opened.Ended()
+		<-opened.Done()
 		opened.Transport().Close()
 	})
 	return opened, machine
@@ -91,7 +91,7 @@
 	assert.NilError(t, err)
 	t.Cleanup(links.Close)
 	host, machine := openSleeper(t, peer)
-	value, alive := host.Do(func(request uint64) any { return standStill{request: request} })
+	value, alive := host.Call(func(request uint64) any { return standStill{request: request} })
 	assert.Assert(t, alive)
 	assert.Equal(t, value, "come back")
 	select {
@@ -111,10 +111,10 @@
 func TestEachStepOfATurnHasItsOwnMoment(t *testing.T) {
 	host, machine := openSleeper(t, "")
 	var moments []time.Time
-	host.Within(func(owner Owner) {
-		owner.Ask(func(request uint64) any { return look{request: request} }, func(value any) { moments = append(moments, value.(time.Time)) })
+	host.Execute(func(owner LoopContext) {
+		owner.Submit(func(request uint64) any { return look{request: request} }, func(value any) { moments = append(moments, value.(time.Time)) })
 		machine.clock.Add(int64(20 * time.Second))
-		owner.Ask(func(request uint64) any { return look{request: request} }, func(value any) { moments = append(moments, value.(time.Time)) })
+		owner.Submit(func(request uint64) any { return look{request: request} }, func(value any) { moments = append(moments, value.(time.Time)) })
 	})
 	_, alive := host.Inspect(func(time.Time) any { return nil })
 	assert.Assert(t, alive)
--- a/internal/daemon/host.go
+++ b/internal/daemon/host.go
@@ -34,7 +34,7 @@
 	command func(request uint64) any
 	inspect func(now time.Time) any
 	returns chan any
-	within  func(owner Owner)
+	within  func(owner LoopContext)
 	attach  uint64
 	sink    chan statemachine.Delivery
 	detach  uint64
@@ -51,8 +51,8 @@
 // flusher is what gathers output during a turn and sends it at its end.
 type flusher interface{ Flush() }
 
-// Host runs one machine.
-type Host struct {
+// EventLoop runs one machine.
+type EventLoop struct {
 	machine   statemachine.Machine
 	watcher   statemachine.LinkObserver
 	transport *transport.Transport
@@ -73,20 +73,20 @@
 	Syncs     atomic.Int64
 }
 
-// Settings are what a host needs besides the machine.
-type Settings struct {
-	Address string
-	Logger  *logevent.Logger
-	Book    *wal.Log
-	Slow    func(channel uint64) any
+// Options are what a host needs besides the machine.
+type Options struct {
+	Address          string
+	Logger           *logevent.Logger
+	Log              *wal.Log
+	CloseSlowSession func(channel uint64) any
 	// Clock is the steady clock; the process's own if it is left out.
 	Clock func() time.Time
 }
 
-// Open starts the links of a host; Run then runs the machine.
-func Open(settings Settings) (*Host, error) {
-	opened := &Host{
-		logger: settings.Logger, book: settings.Book, address: settings.Address, slow: settings.Slow, clock: settings.Clock,
+// NewEventLoop starts the links of a host; Run then runs the machine.
+func NewEventLoop(settings Options) (*EventLoop, error) {
+	opened := &EventLoop{
+		logger: settings.Logger, book: settings.Log, address: settings.Address, slow: settings.CloseSlowSession, clock: settings.Clock,
 		inbox: make(chan transport.Inbound, inboxSize), urgent: make(chan transport.Inbound, inboxSize), tasks: make(chan task, requestSize),
 		disk: make(chan []statemachine.Write), synced: make(chan []uint64, 1), ended: make(chan struct{}),
 	}
@@ -108,17 +108,17 @@
 }
 
 // Transport gives the links, for counters and trials.
-func (h *Host) Transport() *transport.Transport { return h.transport }
+func (h *EventLoop) Transport() *transport.Transport { return h.transport }
 
-// Ended is closed once the machine has stopped.
-func (h *Host) Ended() <-chan struct{} { return h.ended }
+// Done is closed once the machine has stopped.
+func (h *EventLoop) Done() <-chan struct{} { return h.ended }
 
-// Run runs the machine until it stops.
-func (h *Host) Run(machine statemachine.Machine) {
+// Start runs the machine until it stops.
+func (h *EventLoop) Start(machine statemachine.Machine) {
 	h.machine = machine
 	if watcher, watches := machine.(statemachine.LinkObserver); watches {
 		h.watcher = watcher
-		h.transport.Watch()
+		h.transport.ObserveLinks()
 	}
 	if h.book != nil {
 		go h.writeDisk()
@@ -128,7 +128,7 @@
 
 // writeDisk is the one task that touches the disk. Entries that came together
 // are synced together.
-func (h *Host) writeDisk() {
+func (h *EventLoop) writeDisk() {
 	for writes := range h.disk {
 		if slow := time.Duration(h.slowDisk.Load()); slow > 0 {
 			time.Sleep(slow)
@@ -159,7 +159,7 @@
 
 // write tries until the disk takes it: nothing counts as lasting meanwhile, and
 // the machine is told each time, so that others can do its part.
-func (h *Host) write(try func() error) {
+func (h *EventLoop) write(try func() error) {
 	for tries := 0; ; tries++ {
 		err := try()
 		if err == nil {
@@ -195,7 +195,7 @@
 	ended   bool
 }
 
-func (h *Host) own() {
+func (h *EventLoop) own() {
 	defer func() {
 		if broken := recover(); broken != nil {
 			h.logger.Report(logevent.InvariantBroken, "error", fmt.Sprint(broken), "stack", string(debug.Stack()))
@@ -254,14 +254,14 @@
 }
 
 // due runs what is due, as a turn of its own.
-func (h *Host) due(state *running) {
+func (h *EventLoop) due(state *running) {
 	h.first(state)
 	h.step(state, func(now time.Time, effects *statemachine.Effects) { h.machine.Tick(now, effects) })
 	h.finishTurn(state)
 }
 
 // finishTurn takes what else has come, lets the disk begin, and flushes.
-func (h *Host) finishTurn(state *running) {
+func (h *EventLoop) finishTurn(state *running) {
 	h.more(state)
 	if len(state.writes) > 0 && !state.writing {
 		select {
@@ -274,13 +274,13 @@
 }
 
 // flushAll ends a turn: what was gathered goes out.
-func (h *Host) flushAll() {
+func (h *EventLoop) flushAll() {
 	for _, flush := range h.flush {
 		flush()
 	}
 }
 
-func (h *Host) lasts(state *running, tokens []uint64) {
+func (h *EventLoop) lasts(state *running, tokens []uint64) {
 	state.writing = false
 	for _, token := range tokens {
 		h.step(state, func(now time.Time, effects *statemachine.Effects) {
@@ -290,7 +290,7 @@
 }
 
 // end lets the last writes and sends out before the process goes.
-func (h *Host) end(state *running) {
+func (h *EventLoop) end(state *running) {
 	patience := time.NewTimer(endMost)
 	if state.writing {
 		select {
@@ -319,7 +319,7 @@
 	// without an answer and nothing is touched by two tasks.
 	for asked := range h.tasks {
 		if asked.within != nil {
-			asked.within(Owner{host: h, state: state})
+			asked.within(LoopContext{host: h, state: state})
 			h.flushAll()
 		}
 	}
@@ -327,7 +327,7 @@
 
 // first takes what the control state says before anything else, however much
 // traffic waits: a daemon that is busy must not look lost.
-func (h *Host) first(state *running) {
+func (h *EventLoop) first(state *running) {
 	for range batchMost {
 		select {
 		case inbound := <-h.urgent:
@@ -340,7 +340,7 @@
 
 // more takes what else has come, in fair turns, as long as no timer is due;
 // what is urgent goes first.
-func (h *Host) more(state *running) {
+func (h *EventLoop) more(state *running) {
 	for count := range batchMost {
 		if state.stop {
 			return
@@ -365,8 +365,8 @@
 	}
 }
 
-func (h *Host) message(state *running, inbound transport.Inbound) {
-	if _, refused := inbound.Message.(transport.Refused); refused {
+func (h *EventLoop) message(state *running, inbound transport.Inbound) {
+	if _, refused := inbound.Message.(transport.ConnectionRefused); refused {
 		h.step(state, func(now time.Time, effects *statemachine.Effects) {
 			h.watcher.ConnectionRefused(now, inbound.Meta.From, effects)
 		})
@@ -377,12 +377,12 @@
 	})
 }
 
-func (h *Host) run(state *running, asked task) {
+func (h *EventLoop) run(state *running, asked task) {
 	switch {
 	case asked.inspect != nil:
 		asked.returns <- asked.inspect(state.now)
 	case asked.within != nil:
-		asked.within(Owner{host: h, state: state})
+		asked.within(LoopContext{host: h, state: state})
 	case asked.attach != 0:
 		state.sinks[asked.attach] = sink{queue: asked.sink}
 	case asked.detach != 0:
@@ -400,7 +400,7 @@
 	h.command(state, asked.command, then)
 }
 
-func (h *Host) command(state *running, command func(request uint64) any, then func(value any)) {
+func (h *EventLoop) command(state *running, command func(request uint64) any, then func(value any)) {
 	if state.ended {
 		if then != nil {
 			then(nil)
@@ -418,7 +418,7 @@
 }
 
 // step runs the machine once and carries out what it asks.
-func (h *Host) step(state *running, run func(now time.Time, effects *statemachine.Effects)) {
+func (h *EventLoop) step(state *running, run func(now time.Time, effects *statemachine.Effects)) {
 	h.Steps.Add(1)
 	// The process may have stood still since the step before, also in the midst
 	// of a turn.
@@ -439,7 +439,7 @@
 	}
 }
 
-func (h *Host) carryOut(state *running, effects *statemachine.Effects) {
+func (h *EventLoop) carryOut(state *running, effects *statemachine.Effects) {
 	version := h.machine.ConfigurationVersion()
 	for _, note := range effects.LogEvents {
 		h.logger.Write(note)
@@ -487,7 +487,7 @@
 }
 
 // given is what an asker is told, by the clock as it is when the answer leaves.
-func (h *Host) given(returned statemachine.Response) any {
+func (h *EventLoop) given(returned statemachine.Response) any {
 	if returned.NotAfter.IsZero() {
 		return returned.Value
 	}
@@ -515,37 +515,37 @@
 	}
 }
 
-// Owner is the owner's task as seen by work that runs on it. It may only be used
+// LoopContext is the owner's task as seen by work that runs on it. It may only be used
 // before that work returns, or in what the owner calls back.
-type Owner struct {
-	host  *Host
+type LoopContext struct {
+	host  *EventLoop
 	state *running
 }
 
-// Ask brings a command in at once; then runs on the owner's task with the
+// Submit brings a command in at once; then runs on the owner's task with the
 // answer, which is nil if the machine ended first.
-func (o Owner) Ask(command func(request uint64) any, then func(value any)) {
+func (o LoopContext) Submit(command func(request uint64) any, then func(value any)) {
 	o.host.command(o.state, command, then)
 }
 
 // Post brings a command in at once whose answer nobody waits for.
-func (o Owner) Post(command any) {
+func (o LoopContext) Post(command any) {
 	o.host.command(o.state, func(uint64) any { return command }, nil)
 }
 
-// Attach gives a channel a function that takes its events, on the owner's task;
+// AttachSession gives a channel a function that takes its events, on the owner's task;
 // Detach takes it away.
-func (o Owner) Attach(channel uint64, take func(statemachine.Delivery)) {
+func (o LoopContext) AttachSession(channel uint64, take func(statemachine.Delivery)) {
 	o.state.sinks[channel] = sink{take: take}
 }
 
-// Detach takes a channel's sink away.
-func (o Owner) Detach(channel uint64) { delete(o.state.sinks, channel) }
+// DetachSession takes a channel's sink away.
+func (o LoopContext) DetachSession(channel uint64) { delete(o.state.sinks, channel) }
 
-// Within runs work on the owner's task, in the order in which it was brought in;
+// Execute runs work on the owner's task, in the order in which it was brought in;
 // false if the machine has ended, which leaves the work nobody to ask. The work
 // must not block.
-func (h *Host) Within(work func(owner Owner)) bool {
+func (h *EventLoop) Execute(work func(owner LoopContext)) bool {
 	h.tasks <- task{within: work}
 	select {
 	case <-h.ended:
@@ -555,29 +555,29 @@
 	}
 }
 
-// Ask brings a command in for a caller without a task of its own; then runs on
+// Submit brings a command in for a caller without a task of its own; then runs on
 // the owner's task, must not block, and gets nil if the machine ended first.
-func (h *Host) Ask(command func(request uint64) any, then func(value any)) {
-	h.Within(func(owner Owner) { owner.Ask(command, then) })
+func (h *EventLoop) Submit(command func(request uint64) any, then func(value any)) {
+	h.Execute(func(owner LoopContext) { owner.Submit(command, then) })
 }
 
-// AttachFunc gives a channel a function that takes its events on the owner's
+// AttachSessionFunc gives a channel a function that takes its events on the owner's
 // task and must not block.
-func (h *Host) AttachFunc(channel uint64, take func(statemachine.Delivery)) {
-	h.Within(func(owner Owner) { owner.Attach(channel, take) })
+func (h *EventLoop) AttachSessionFunc(channel uint64, take func(statemachine.Delivery)) {
+	h.Execute(func(owner LoopContext) { owner.AttachSession(channel, take) })
 }
 
-// EachTurn has the owner call flush at the end of each turn.
-func (h *Host) EachTurn(flush func()) {
+// OnTurnEnd has the owner call flush at the end of each turn.
+func (h *EventLoop) OnTurnEnd(flush func()) {
 	select {
 	case h.tasks <- task{flush: flush}:
 	case <-h.ended:
 	}
 }
 
-// Do brings a command in and waits for its answer; false if the machine ended
+// Call brings a command in and waits for its answer; false if the machine ended
 // first.
-func (h *Host) Do(command func(request uint64) any) (any, bool) {
+func (h *EventLoop) Call(command func(request uint64) any) (any, bool) {
 	returns := make(chan any, 1)
 	select {
 	case h.tasks <- task{command: command, returns: returns}:
@@ -593,7 +593,7 @@
 }
 
 // Post brings a command in and does not wait.
-func (h *Host) Post(command any) {
+func (h *EventLoop) Post(command any) {
 	select {
 	case h.tasks <- task{command: func(uint64) any { return command }}:
 	case <-h.ended:
@@ -601,7 +601,7 @@
 }
 
 // Inspect runs a question on the owner's own thread.
-func (h *Host) Inspect(inspect func(now time.Time) any) (any, bool) {
+func (h *EventLoop) Inspect(inspect func(now time.Time) any) (any, bool) {
 	returns := make(chan any, 1)
 	select {
 	case h.tasks <- task{inspect: inspect, returns: returns}:
@@ -616,16 +616,16 @@
 	}
 }
 
-// Attach gives a channel its sink, Detach takes it away.
-func (h *Host) Attach(channel uint64, sink chan statemachine.Delivery) {
+// AttachSession gives a channel its sink, Detach takes it away.
+func (h *EventLoop) AttachSession(channel uint64, sink chan statemachine.Delivery) {
 	select {
 	case h.tasks <- task{attach: channel, sink: sink}:
 	case <-h.ended:
 	}
 }
 
-// Detach takes a channel's sink away.
-func (h *Host) Detach(channel uint64) {
+// DetachSession takes a channel's sink away.
+func (h *EventLoop) DetachSession(channel uint64) {
 	select {
 	case h.tasks <- task{detach: channel}:
 	case <-h.ended:
--- a/internal/daemon/host_test.go
+++ b/internal/daemon/host_test.go
@@ -51,18 +51,18 @@
 	}
 }
 
-func openEcho(t *testing.T) (*Host, *echo) {
+func openEcho(t *testing.T) (*EventLoop, *echo) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	address := listener.Addr().String()
 	_ = listener.Close()
-	opened, err := Open(Settings{Address: address, Logger: logevent.New(io.Discard, "echo", 0)})
+	opened, err := NewEventLoop(Options{Address: address, Logger: logevent.New(io.Discard, "echo", 0)})
 	assert.NilError(t, err)
 	machine := &echo{}
-	opened.Run(machine)
+	opened.Start(machine)
 	t.Cleanup(func() {
 		opened.Post(stopNow{})
-		<-opened.Ended()
+		<-opened.Done()
 		opened.Transport().Close()
 	})
 	return opened, machine
@@ -75,9 +75,9 @@
 func TestAskIsAnsweredOnTheOwnersTask(t *testing.T) {
 	host, _ := openEcho(t)
 	answers := make(chan any, 1)
-	host.Ask(say("a"), func(value any) { answers <- value })
+	host.Submit(say("a"), func(value any) { answers <- value })
 	assert.Equal(t, <-answers, "a")
-	value, alive := host.Do(say("b"))
+	value, alive := host.Call(say("b"))
 	assert.Assert(t, alive)
 	assert.Equal(t, value, "b")
 }
@@ -85,11 +85,11 @@
 func TestAskAfterTheEndIsAnsweredWithNothing(t *testing.T) {
 	host, _ := openEcho(t)
 	host.Post(stopNow{})
-	<-host.Ended()
+	<-host.Done()
 	answers := make(chan any, 1)
-	host.Ask(say("a"), func(value any) { answers <- value })
+	host.Submit(say("a"), func(value any) { answers <- value })
 	assert.Assert(t, <-answers == nil)
-	_, alive := host.Do(say("b"))
+	_, alive := host.Call(say("b"))
 	assert.Assert(t, !alive)
 }
 
@@ -98,16 +98,16 @@
 	heard := make(chan string, 64)
 	turns := make(chan int, 64)
 	count := 0
-	host.AttachFunc(7, func(deliver statemachine.Delivery) { heard <- deliver.Event.(string); count++ })
-	host.EachTurn(func() {
+	host.AttachSessionFunc(7, func(deliver statemachine.Delivery) { heard <- deliver.Event.(string); count++ })
+	host.OnTurnEnd(func() {
 		if count > 0 {
 			turns <- count
 			count = 0
 		}
 	})
-	host.Within(func(owner Owner) {
+	host.Execute(func(owner LoopContext) {
 		for _, text := range []string{"a", "b", "c"} {
-			owner.Ask(say(text), func(value any) { heard <- "answer " + value.(string) })
+			owner.Submit(say(text), func(value any) { heard <- "answer " + value.(string) })
 		}
 	})
 	for _, want := range []string{"answer a", "a", "answer b", "b", "answer c", "c"} {
@@ -119,9 +119,9 @@
 func TestAChannelThatEndsHearsNothingMore(t *testing.T) {
 	host, _ := openEcho(t)
 	heard := make(chan string, 64)
-	host.AttachFunc(7, func(deliver statemachine.Delivery) { heard <- deliver.Event.(string) })
+	host.AttachSessionFunc(7, func(deliver statemachine.Delivery) { heard <- deliver.Event.(string) })
 	for _, text := range []string{"a", "last", "b"} {
-		_, alive := host.Do(say(text))
+		_, alive := host.Call(say(text))
 		assert.Assert(t, alive)
 	}
 	close(heard)
@@ -147,7 +147,7 @@
 // words is an adapter of one route.
 type words struct{}
 
-func (words) Control(routes *http.ServeMux, port Port) {
+func (words) RegisterRoutes(routes *http.ServeMux, port ControlPort) {
 	routes.HandleFunc("GET /v1/words", func(writer http.ResponseWriter, _ *http.Request) {
 		writeJSON(writer, http.StatusOK, map[string]any{"ready": port.Ready(), "live": port.Live()})
 	})
@@ -156,9 +156,9 @@
 func TestControlRefusesClearly(t *testing.T) {
 	host, machine := openEcho(t)
 	asked := 0
-	process := &process{host: host, built: Build{
-		Machine: machine, Ready: func(time.Time) bool { return true }, Counters: func() any { return nil }, Adapter: words{},
-		Request: func(local uint64, method, path string, _ []byte) any {
+	process := &process{host: host, built: Service{
+		Machine: machine, Ready: func(time.Time) bool { return true }, Counters: func() any { return nil }, ControlAdapter: words{},
+		OperatorRequest: func(local uint64, method, path string, _ []byte) any {
 			asked++
 			return said{request: local, text: "not a reply"}
 		},
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -43,7 +43,7 @@
 
 // Exit codes of daemons.
 const (
-	ExitFine      = 0
+	ExitOK        = 0
 	ExitFailed    = 1
 	ExitInvariant = 2
 	ExitDisk      = 3
@@ -61,71 +61,71 @@
 	ViewClient() *membership.ViewClient
 }
 
-// Build is what one kind of daemon brings.
-type Build struct {
-	Machine  Daemon
-	Ready    func(now time.Time) bool
-	Stop     any
-	Slow     func(channel uint64) any
-	Request  func(local uint64, method, path string, body []byte) any
-	Find     func(local uint64, request, message, origin string) any
-	Counters func() any
-	Caller   func(host *Host) http.Handler
-	// Callers serves callers at an address by itself, in place of Caller.
-	Callers func(at *Host, address string) (Server, error)
-	// Adapter adds routes to ctl, next to the daemons' own.
-	Adapter Adapter
-	Reload  func(after settings.Settings)
+// Service is what one kind of daemon brings.
+type Service struct {
+	Machine          Daemon
+	Ready            func(now time.Time) bool
+	StopCommand      any
+	CloseSlowSession func(channel uint64) any
+	OperatorRequest  func(local uint64, method, path string, body []byte) any
+	FindDecisions    func(local uint64, request, message, origin string) any
+	Counters         func() any
+	ClientHandler    func(host *EventLoop) http.Handler
+	// ListenClients serves callers at an address by itself, in place of Caller.
+	ListenClients func(at *EventLoop, address string) (Server, error)
+	// ControlAdapter adds routes to ctl, next to the daemons' own.
+	ControlAdapter ControlAdapter
+	Reload         func(after settings.Settings)
 }
 
 // Server serves callers until it is closed.
 type Server interface{ Close() }
 
-// Adapter answers at ctl in other words than the daemons' own. It decides
+// ControlAdapter answers at ctl in other words than the daemons' own. It decides
 // nothing: it asks through the port.
-type Adapter interface {
-	Control(routes *http.ServeMux, port Port)
+type ControlAdapter interface {
+	RegisterRoutes(routes *http.ServeMux, port ControlPort)
 }
 
-// Reply is the answer to a request at ctl.
-type Reply struct {
+// ControlReply is the answer to a request at ctl.
+type ControlReply struct {
 	Status     int
 	RetryAfter time.Duration
 	Body       []byte
 }
 
-// Port is what an adapter may ask of its daemon.
-type Port interface {
+// ControlPort is what an adapter may ask of its daemon.
+type ControlPort interface {
 	// Live tells whether the owner answers, Ready whether it would take callers.
 	Live() bool
 	Ready() bool
 	// Request carries an operator's request to the primary.
-	Request(method, path string, body []byte) Reply
+	Request(method, path string, body []byte) ControlReply
 }
 
-// Stored is what a daemon's disk held, and what was drawn for this start: a name
+// StoredState is what a daemon's disk held, and what was drawn for this start: a name
 // for its disk, if that is blank, and the name of this life.
-type Stored struct {
-	Frame       []byte
+type StoredState struct {
+	Snapshot    []byte
 	Entries     [][]byte
 	NewDisk     string
 	Incarnation statemachine.Incarnation
 }
 
 // Builder makes a daemon from its settings.
-type Builder func(settings settings.Settings, self membership.Member, stored Stored) (Build, error)
+type Builder func(settings settings.Settings, self membership.Member, stored StoredState) (Service, error)
 
 // Main runs a daemon and gives its exit code.
 func Main(kind string, arguments []string, build Builder) int {
-	source, err := settings.FromFlags(kind, arguments)
+	source, err := settings.ParseFlags(kind, arguments)
 	if errors.Is(err, flag.ErrHelp) {
-		return ExitFine
+		return ExitOK
 	}
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", kind, err)
 		return ExitSettings
 	}
-	current, err := source.Read()
+	current, err := source.Load()
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", kind, err)
 		return ExitSettings
@@ -141,11 +141,11 @@
 
 type process struct {
 	kind    string
-	source  *settings.Source
+	source  *settings.Loader
 	current settings.Settings
 	logger  *logevent.Logger
-	host    *Host
-	built   Build
+	host    *EventLoop
+	built   Service
 	self    membership.Member
 }
 
@@ -157,7 +157,7 @@
 func (p *process) run(build Builder) int {
 	current := p.current
 	p.self = membership.Member{
-		Name: current.Name, Kind: p.kind, Address: current.Address, Control: current.Control, Caller: current.Caller,
+		Name: current.Name, Kind: p.kind, Address: current.Address, Control: current.ControlAddress, Caller: current.ClientAddress,
 		Zone: current.Zone, Incarnation: uint64(time.Now().UnixNano()), Alive: true,
 	}
 	book, stored, err := p.openDisk()
@@ -169,35 +169,35 @@
 	if err != nil {
 		return p.failed(err)
 	}
-	p.host, err = Open(Settings{Address: current.Address, Logger: p.logger, Book: book, Slow: p.built.Slow})
+	p.host, err = NewEventLoop(Options{Address: current.Address, Logger: p.logger, Log: book, CloseSlowSession: p.built.CloseSlowSession})
 	if err != nil {
 		return p.failed(err)
 	}
 	p.impairment(current)
-	p.host.Transport().SetRate(current.Link)
+	p.host.Transport().SetRate(current.LinkBytesPerSecond)
 	if current.Compression == settings.CompressionFar {
-		p.host.Transport().Compress()
+		p.host.Transport().EnableCompression()
 	}
-	control, err := net.Listen("tcp", current.Control)
+	control, err := net.Listen("tcp", current.ControlAddress)
 	if err != nil {
 		return p.failed(err)
 	}
 	servers := []*http.Server{serve(control, p.control())}
 	var callers Server
 	switch {
-	case p.built.Callers != nil:
-		if callers, err = p.built.Callers(p.host, current.Caller); err != nil {
+	case p.built.ListenClients != nil:
+		if callers, err = p.built.ListenClients(p.host, current.ClientAddress); err != nil {
 			return p.failed(err)
 		}
-	case p.built.Caller != nil:
-		caller, err := net.Listen("tcp", current.Caller)
+	case p.built.ClientHandler != nil:
+		caller, err := net.Listen("tcp", current.ClientAddress)
 		if err != nil {
 			return p.failed(err)
 		}
-		servers = append(servers, serve(caller, p.built.Caller(p.host)))
+		servers = append(servers, serve(caller, p.built.ClientHandler(p.host)))
 	}
-	p.logger.Report(logevent.DaemonStarted, "kind", p.kind, "address", current.Address, "ctl", current.Control, "zone", current.Zone)
-	p.host.Run(p.built.Machine)
+	p.logger.Report(logevent.DaemonStarted, "kind", p.kind, "address", current.Address, "ctl", current.ControlAddress, "zone", current.Zone)
+	p.host.Start(p.built.Machine)
 	p.wait()
 	if callers != nil {
 		callers.Close()
@@ -211,7 +211,7 @@
 	}
 	p.host.Transport().Close()
 	p.logger.Report(logevent.DaemonStopped)
-	return ExitFine
+	return ExitOK
 }
 
 func serve(listener net.Listener, handler http.Handler) *http.Server {
@@ -237,12 +237,12 @@
 				continue
 			}
 			p.logger.Report(logevent.DaemonStopping)
-			p.host.Post(p.built.Stop)
+			p.host.Post(p.built.StopCommand)
 		case <-changed:
 			p.reload("file")
 		case <-told:
 			p.logger.Report(logevent.TrafficReported, p.traffic()...)
-		case <-p.host.Ended():
+		case <-p.host.Done():
 			return
 		}
 	}
@@ -250,17 +250,17 @@
 
 // trafficTicks tells when the traffic is to be logged; nil never does.
 func (p *process) trafficTicks() <-chan time.Time {
-	if p.current.Traffic <= 0 {
+	if p.current.TrafficInterval <= 0 {
 		return nil
 	}
-	return time.NewTicker(p.current.Traffic).C
+	return time.NewTicker(p.current.TrafficInterval).C
 }
 
 // traffic is what crossed the links since the daemon started, by kind.
 func (p *process) traffic() []any {
 	links := p.host.Transport()
 	fields := []any{"links", linkCounts(&links.Counters), "sent", links.Sent(), "received", links.Received()}
-	if p.built.Callers != nil {
+	if p.built.ListenClients != nil {
 		callers, _ := p.inspect(func(time.Time) any { return p.built.Counters() })
 		fields = append(fields, "counters", callers)
 	}
@@ -268,18 +268,18 @@
 }
 
 func (p *process) reload(why string) {
-	after, err := p.source.Read()
+	after, err := p.source.Load()
 	if err != nil {
 		p.logger.Report(logevent.SettingsRejected, "error", err.Error(), "why", why)
 		return
 	}
-	if differ := settings.Fixed(p.current, after); len(differ) > 0 {
+	if differ := settings.ImmutableChanges(p.current, after); len(differ) > 0 {
 		p.logger.Report(logevent.SettingsRejected, "error", "only a restart changes "+strings.Join(differ, ", "), "why", why)
 		return
 	}
 	p.current = after
 	p.impairment(after)
-	p.host.Transport().SetRate(after.Link)
+	p.host.Transport().SetRate(after.LinkBytesPerSecond)
 	debug.SetMemoryLimit(after.MemoryLimit())
 	p.logger.SetLevel(after.LogLevel)
 	if p.built.Reload != nil {
@@ -292,16 +292,16 @@
 }
 
 func (p *process) impairment(settings settings.Settings) {
-	trial := settings.Trial
-	p.host.Transport().SetImpairment(transport.Impairment{Delays: trial.Delays, Loss: trial.Loss, Cuts: trial.Cuts, Mutes: trial.Mutes, Deaf: trial.Deaf})
-	p.host.slowDisk.Store(int64(trial.Disk))
+	trial := settings.Impairment
+	p.host.Transport().SetImpairment(transport.Impairment{Delays: trial.Delays, Loss: trial.Loss, Partitioned: trial.Partitioned, OutboundBlocked: trial.OutboundBlocked, InboundBlocked: trial.InboundBlocked})
+	p.host.slowDisk.Store(int64(trial.DiskDelay))
 }
 
 // openDisk opens the data folder; a damaged one is put aside, so that the copy
 // is rebuilt from the other holder.
-func (p *process) openDisk() (*wal.Log, Stored, error) {
-	stored := Stored{NewDisk: hex.EncodeToString(mustRandom()), Incarnation: statemachine.Incarnation(binary.BigEndian.Uint64(mustRandom()))}
-	path := p.current.Data
+func (p *process) openDisk() (*wal.Log, StoredState, error) {
+	stored := StoredState{NewDisk: hex.EncodeToString(mustRandom()), Incarnation: statemachine.Incarnation(binary.BigEndian.Uint64(mustRandom()))}
+	path := p.current.DataDir
 	if path == "" {
 		return nil, stored, nil
 	}
@@ -326,7 +326,7 @@
 	if recovered.Torn > 0 {
 		p.logger.Report(logevent.DiskTorn, "bytes", recovered.Torn)
 	}
-	stored.Frame, stored.Entries = recovered.Frame, recovered.Entries
+	stored.Snapshot, stored.Entries = recovered.Frame, recovered.Entries
 	return book, stored, nil
 }
 
@@ -413,8 +413,8 @@
 	routes.HandleFunc("/v1/", p.sendOn)
 	routes.HandleFunc("GET /debug/pprof/profile", pprof.Profile)
 	routes.HandleFunc("GET /debug/pprof/heap", pprof.Handler("heap").ServeHTTP)
-	if p.built.Adapter != nil {
-		p.built.Adapter.Control(routes, p)
+	if p.built.ControlAdapter != nil {
+		p.built.ControlAdapter.RegisterRoutes(routes, p)
 	}
 	return refuseClearly(routes)
 }
@@ -499,17 +499,17 @@
 	return map[string]int64{
 		"messages_out": counters.MessagesOut.Load(), "bytes_out": counters.BytesOut.Load(),
 		"messages_in": counters.MessagesIn.Load(), "bytes_in": counters.BytesIn.Load(),
-		"messages_away": counters.MessagesAway.Load(), "bytes_away": counters.BytesAway.Load(),
-		"dropped": counters.Dropped.Load(), "garbage": counters.Garbage.Load(), "writes": counters.Writes.Load(), "dials": counters.Dials.Load(), "shed": counters.Shed.Load(), "held": counters.Held.Load(),
+		"messages_away": counters.MessagesCrossZone.Load(), "bytes_away": counters.BytesCrossZone.Load(),
+		"dropped": counters.Dropped.Load(), "garbage": counters.Malformed.Load(), "writes": counters.Writes.Load(), "dials": counters.Dials.Load(), "shed": counters.Shed.Load(), "held": counters.Throttled.Load(),
 	}
 }
 
 func (p *process) decisions(writer http.ResponseWriter, request *http.Request) {
 	query := request.URL.Query()
 	entries := []decisionlog.Entry{}
-	if p.built.Find != nil {
-		value, alive := p.host.Do(func(local uint64) any {
-			return p.built.Find(local, query.Get("visit"), query.Get("message"), query.Get("origin"))
+	if p.built.FindDecisions != nil {
+		value, alive := p.host.Call(func(local uint64) any {
+			return p.built.FindDecisions(local, query.Get("visit"), query.Get("message"), query.Get("origin"))
 		})
 		if !alive {
 			writeJSON(writer, http.StatusServiceUnavailable, map[string]any{"code": "stopping", "text": "the daemon is stopping"})
@@ -545,11 +545,11 @@
 }
 
 // Request carries an operator's request to the primary and waits for its answer.
-func (p *process) Request(method, path string, body []byte) Reply {
-	value, alive := p.host.Do(func(local uint64) any { return p.built.Request(local, method, path, body) })
+func (p *process) Request(method, path string, body []byte) ControlReply {
+	value, alive := p.host.Call(func(local uint64) any { return p.built.OperatorRequest(local, method, path, body) })
 	returned, matches := value.(membership.ControlResponse)
 	if !alive || !matches {
-		return Reply{Status: http.StatusServiceUnavailable, RetryAfter: time.Second, Body: controlclient.ErrorBody("stopping", "the daemon is stopping", nil)}
+		return ControlReply{Status: http.StatusServiceUnavailable, RetryAfter: time.Second, Body: controlclient.ErrorBody("stopping", "the daemon is stopping", nil)}
 	}
-	return Reply{Status: returned.Status, RetryAfter: returned.RetryAfter, Body: returned.Body}
+	return ControlReply{Status: returned.Status, RetryAfter: returned.RetryAfter, Body: returned.Body}
 }
--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Size is how many decisions a daemon remembers.
-const Size = 16384
+// Capacity is how many decisions a daemon remembers.
+const Capacity = 16384
 
 // Entry is one decision.
 type Entry struct {
@@ -19,7 +19,7 @@
 	Daemon  string         `json:"daemon"`
 	Request string         `json:"visit,omitempty"`
 	Message string         `json:"message,omitempty"`
-	Origin  string         `json:"origin,omitempty"`
+	Client  string         `json:"origin,omitempty"`
 	Step    string         `json:"step"`
 	Detail  map[string]any `json:"detail,omitempty"`
 }
@@ -41,24 +41,24 @@
 }
 
 // Record adds a decision in place of the oldest; details come in pairs.
-func (r *Ring) Record(now time.Time, request, message, origin, step string, details ...any) {
-	entry := Entry{At: now, Daemon: r.daemon, Request: request, Message: message, Origin: origin, Step: step}
+func (r *Ring) Record(now time.Time, request, message, client, step string, details ...any) {
+	entry := Entry{At: now, Daemon: r.daemon, Request: request, Message: message, Client: client, Step: step}
 	if len(details) > 0 {
 		entry.Detail = make(map[string]any, len(details)/2)
 		for position := 0; position+1 < len(details); position += 2 {
 			entry.Detail[details[position].(string)] = details[position+1]
 		}
 	}
-	if len(r.entries) < Size {
+	if len(r.entries) < Capacity {
 		r.entries = append(r.entries, entry)
 		return
 	}
 	r.entries[r.next] = entry
-	r.next = (r.next + 1) % Size
+	r.next = (r.next + 1) % Capacity
 }
 
 // Find lists the entries about a request, a message or an origin, oldest first.
-func (r *Ring) Find(request, message, origin string) []Entry {
+func (r *Ring) Find(request, message, client string) []Entry {
 	found := []Entry{}
 	messages := map[string]bool{}
 	if message != "" {
@@ -77,7 +77,7 @@
 		})
 	}
 	each(func(entry Entry) {
-		if request != "" && entry.Request == request || entry.Message != "" && messages[entry.Message] || origin != "" && entry.Origin == origin {
+		if request != "" && entry.Request == request || entry.Message != "" && messages[entry.Message] || client != "" && entry.Client == client {
 			found = append(found, entry)
 		}
 	})
--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -154,7 +154,7 @@
 // one that is only full or out of touch sends nobody on, since the others may be
 // so too and would send them back.
 func (g *Gateway) leaving() bool {
-	return g.stopping || g.follower.Directives.Rest || slices.Contains(g.config.Drains, g.settings.Self.Name)
+	return g.stopping || g.follower.Directives.Rest || slices.Contains(g.config.Draining, g.settings.Self.Name)
 }
 
 // turnAway opens a channel only to say where its origin is better served: that
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -218,7 +218,7 @@
 // Ready tells whether the platform should send new connections here.
 func (g *Gateway) Ready(now time.Time) bool {
 	return g.Confirmed(now) && !g.stopping && !g.follower.Directives.Rest &&
-		len(g.channels) < g.settings.OriginsMost && !slices.Contains(g.config.Drains, g.settings.Self.Name)
+		len(g.channels) < g.settings.OriginsMost && !slices.Contains(g.config.Draining, g.settings.Self.Name)
 }
 
 // Start begins the gateway's work.
@@ -613,7 +613,7 @@
 		for name, member := range statemachine.Sorted(g.follower.Members) {
 			near := member.Zone == g.settings.Self.Zone
 			if name != g.settings.Self.Name && member.Kind == membership.KindGateway && member.Alive && !member.Resting &&
-				!slices.Contains(g.config.Drains, name) && near == (pass == 0) {
+				!slices.Contains(g.config.Draining, name) && near == (pass == 0) {
 				members = append(members, member)
 			}
 		}
--- a/internal/gateway/messages.go
+++ b/internal/gateway/messages.go
@@ -48,7 +48,7 @@
 // LinkClass tells that a passing message is of use now or never.
 func (rc RoutedCopy) LinkClass() transport.Class {
 	if rc.Passing {
-		return transport.ClassUrgent
+		return transport.ClassTransient
 	}
 	return transport.ClassLive
 }
--- a/internal/gateway/policies.go
+++ b/internal/gateway/policies.go
@@ -216,7 +216,7 @@
 	if request.Kind != "publish" {
 		return pass
 	}
-	most := request.Gateway.spaces[request.Space].space.PerSecond
+	most := request.Gateway.spaces[request.Space].space.PublicationsPerSecond
 	if most == 0 {
 		return pass
 	}
--- a/internal/gateway/publish.go
+++ b/internal/gateway/publish.go
@@ -147,7 +147,7 @@
 	}
 	g.ring.Record(now, request.RequestName, g.messageOf(judged), request.Origin, "judged", "topic", request.Topic,
 		"version", g.follower.Version, "queued", len(from.queue))
-	item.limit = now.Add(min(patience, g.spaces[request.Space].space.AnswerWithin*7/10))
+	item.limit = now.Add(min(patience, g.spaces[request.Space].space.ResponseTimeout*7/10))
 	from.queue = append(from.queue, item)
 	g.timers.ArmSooner("limits", item.limit)
 	if len(from.queue) == 1 {
@@ -244,7 +244,7 @@
 // areaOf is where a topic lies: a space with one shared order is one area, so
 // that all who hold a part of it receive the whole of it.
 func areaOf(space config.Space, path string) overlay.Area {
-	if space.Order == config.OrderChannel {
+	if space.Order == config.OrderSpace {
 		return overlay.Whole
 	}
 	return overlay.AreaOf(path)
--- a/internal/gateway/routed.go
+++ b/internal/gateway/routed.go
@@ -145,7 +145,7 @@
 // routeOf names the space of a routed topic; a request that names another space
 // than the routes do goes nowhere.
 func (g *Gateway) routeOf(space, name string) string {
-	target, found := g.config.Route(name)
+	target, found := g.config.SpaceForTopic(name)
 	if !found || space != "" && space != target {
 		return ""
 	}
@@ -187,7 +187,7 @@
 		g.answerPlace(now, present, request, placeText(present.upTo), effects)
 		return
 	}
-	if len(channel.routed)+len(channel.subscriptions) >= g.config.SubscriptionsEach {
+	if len(channel.routed)+len(channel.subscriptions) >= g.config.SubscriptionsPerSession {
 		answer(refused(429, "too-many-subscriptions", "the channel holds all the subscriptions it may", 0))
 		return
 	}
@@ -235,7 +235,7 @@
 func patienceOf(config config.Configuration) time.Duration {
 	longest := time.Second
 	for _, space := range config.Spaces {
-		longest = max(longest, space.AnswerWithin)
+		longest = max(longest, space.ResponseTimeout)
 	}
 	return min(longest*6/10, subscribeLimit)
 }
@@ -244,7 +244,7 @@
 	followed, found := g.routed.topics[name]
 	if !found {
 		followed = &topic{
-			name: name, number: config.TopicNumber(name), partition: config.SharedPartition(name), space: space,
+			name: name, number: config.TopicHash(name), partition: config.SharedPartition(name), space: space,
 			kept: g.spaces[space].space.Retention == config.Durable,
 		}
 		g.routed.topics[name] = followed
--- a/internal/gateway/routed_publish.go
+++ b/internal/gateway/routed_publish.go
@@ -64,7 +64,7 @@
 	}
 	state := g.spaces[space]
 	item.bare = state.space.Retention != config.Durable
-	item.limit = now.Add(min(patience, state.space.AnswerWithin/2))
+	item.limit = now.Add(min(patience, state.space.ResponseTimeout/2))
 	g.nextRequest++
 	item.id = g.nextRequest
 	g.routed.appends[item.id] = item
--- a/internal/gateway/tracker.go
+++ b/internal/gateway/tracker.go
@@ -70,7 +70,7 @@
 			name: name, space: space, full: full, freshAt: now, interests: map[Interest]*followed{}, delivered: map[uint64]time.Time{}, held: map[uint64]partition.Record{}, heldSince: map[uint64]time.Time{},
 		}
 		if state, known := g.spaces[space]; known {
-			present.shared = state.space.Order == config.OrderChannel
+			present.shared = state.space.Order == config.OrderSpace
 		}
 		g.trackers[name] = present
 		g.timers.ArmSooner("follow", now)
--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -31,7 +31,7 @@
 )
 
 const (
-	bodyMost   = config.DataCeiling + 512<<10
+	bodyMost   = config.MaxDataBytes + 512<<10
 	sinkSize   = 1024
 	writeLimit = 10 * time.Second
 )
@@ -47,13 +47,13 @@
 // is no key anyone is admitted, and the pass is the name alone.
 func Origin(key []byte, token string) string {
 	if len(key) == 0 {
-		if !config.FitName(token) {
+		if !config.ValidName(token) {
 			return ""
 		}
 		return token
 	}
 	last := strings.LastIndexByte(token, '.')
-	if last <= 0 || !config.FitName(token[:last]) || !hmac.Equal([]byte(Token(key, token[:last])), []byte(token)) {
+	if last <= 0 || !config.ValidName(token[:last]) || !hmac.Equal([]byte(Token(key, token[:last])), []byte(token)) {
 		return ""
 	}
 	return token[:last]
@@ -61,7 +61,7 @@
 
 // Server serves callers.
 type Server struct {
-	host     *daemon.Host
+	host     *daemon.EventLoop
 	name     string
 	key      []byte
 	requests atomic.Uint64
@@ -69,7 +69,7 @@
 }
 
 // New makes the callers' handler of a gateway.
-func New(name string, key []byte, at *daemon.Host) http.Handler {
+func New(name string, key []byte, at *daemon.EventLoop) http.Handler {
 	server := &Server{host: at, name: name, key: key, started: strconv.FormatInt(time.Now().UnixNano(), 36)}
 	routes := http.NewServeMux()
 	routes.HandleFunc("GET /v1/channel", server.channel)
@@ -174,7 +174,7 @@
 }
 
 func (s *Server) do(writer http.ResponseWriter, name string, command func(request uint64) any) {
-	value, alive := s.host.Do(command)
+	value, alive := s.host.Call(command)
 	answer, matches := value.(gateway.Answer)
 	if !alive || !matches {
 		answer = refuse(http.StatusServiceUnavailable, "stopping", "this daemon is stopping")
@@ -214,13 +214,13 @@
 	number := mustNumber()
 	channel := strconv.FormatUint(number, 16)
 	sink := make(chan statemachine.Delivery, sinkSize)
-	s.host.Attach(number, sink)
-	value, alive := s.host.Do(func(local uint64) any {
+	s.host.AttachSession(number, sink)
+	value, alive := s.host.Call(func(local uint64) any {
 		return gateway.OpenChannel{Request: local, Channel: number, Name: channel, Origin: origin}
 	})
 	answer, matches := value.(gateway.Answer)
 	if !alive || !matches || answer.Outcome != gateway.OutcomeAccepted {
-		s.host.Detach(number)
+		s.host.DetachSession(number)
 		if !matches {
 			answer = refuse(http.StatusServiceUnavailable, "stopping", "this daemon is stopping")
 			answer.RetryAfter = 250 * time.Millisecond
@@ -233,7 +233,7 @@
 	writer.Header().Set("Visit-Id", name)
 	writer.WriteHeader(http.StatusOK)
 	why := s.stream(writer, request, sink)
-	s.host.Detach(number)
+	s.host.DetachSession(number)
 	s.host.Post(gateway.CloseChannel{Channel: number, Why: why})
 }
 
@@ -411,7 +411,7 @@
 	command := gateway.Publish{
 		RequestName: name, Origin: origin, Sender: walk.Text("$.sender", members["sender"], origin),
 		Space: walk.Text("$.space", members["space"], ""), Topic: walk.Text("$.topic", members["topic"], ""),
-		Seq: uint64(walk.Whole("$.seq", members["seq"], 0, 1, math.MaxInt64)),
+		Seq: uint64(walk.Integer("$.seq", members["seq"], 0, 1, math.MaxInt64)),
 	}
 	if routed {
 		command.Data = routedData(&walk, members)
@@ -459,7 +459,7 @@
 		s.faulty(writer, name, &walk)
 		return
 	}
-	value, alive := s.host.Do(func(local uint64) any {
+	value, alive := s.host.Call(func(local uint64) any {
 		command.Request = local
 		return command
 	})
--- a/internal/httpapi/httpapi_test.go
+++ b/internal/httpapi/httpapi_test.go
@@ -74,16 +74,16 @@
 	assert.NilError(t, err)
 	address := listener.Addr().String()
 	_ = listener.Close()
-	at, err := daemon.Open(daemon.Settings{Address: address, Logger: logevent.New(io.Discard, "gateway", 0)})
+	at, err := daemon.NewEventLoop(daemon.Options{Address: address, Logger: logevent.New(io.Discard, "gateway", 0)})
 	assert.NilError(t, err)
 	opened := &fixture{stub: &stub{channels: map[uint64]bool{}}}
-	at.Run(opened.stub)
+	at.Start(opened.stub)
 	opened.server = httptest.NewServer(httpapi.New("gateway-1", nil, at))
 	t.Cleanup(func() {
 		opened.server.CloseClientConnections()
 		opened.server.Close()
 		at.Post(stopNow{})
-		<-at.Ended()
+		<-at.Done()
 		at.Transport().Close()
 	})
 	return opened
--- a/internal/lineserver/connection.go
+++ b/internal/lineserver/connection.go
@@ -133,7 +133,7 @@
 	})
 	_ = from.socket.Close()
 	s.held.Add(-1)
-	s.settings.Host.Within(func(owner daemon.Owner) { s.over(owner, from) })
+	s.settings.Host.Execute(func(owner daemon.LoopContext) { s.over(owner, from) })
 }
 
 func (s *Server) buffer() []byte {
@@ -213,7 +213,7 @@
 		s.Counters.Slow.Add(1)
 		return false
 	}
-	return s.settings.Host.Within(func(owner daemon.Owner) { s.take(owner, from, batch) })
+	return s.settings.Host.Execute(func(owner daemon.LoopContext) { s.take(owner, from, batch) })
 }
 
 // pong answers signs of life at once. Where the socket takes nothing now the
--- a/internal/lineserver/lineserver.go
+++ b/internal/lineserver/lineserver.go
@@ -42,7 +42,7 @@
 type Settings struct {
 	// Address is where callers connect to.
 	Address  string
-	Host     *daemon.Host
+	Host     *daemon.EventLoop
 	Protocol Protocol
 	// Admit tells whether a token is the origin's; nil admits everyone.
 	Admit func(origin, token string) bool
@@ -128,7 +128,7 @@
 		return nil, err
 	}
 	server.listener = listener
-	settings.Host.EachTurn(server.flush)
+	settings.Host.OnTurnEnd(server.flush)
 	go server.accept()
 	if settings.Silent > 0 {
 		go server.tickAway()
@@ -174,7 +174,7 @@
 			return
 		case <-ticker.C:
 		}
-		if s.held.Load() > 0 && !s.settings.Host.Within(func(daemon.Owner) { s.tick() }) {
+		if s.held.Load() > 0 && !s.settings.Host.Execute(func(daemon.LoopContext) { s.tick() }) {
 			return
 		}
 	}
@@ -200,7 +200,7 @@
 	close(s.closing)
 	_ = s.listener.Close()
 	done := make(chan struct{})
-	s.settings.Host.Within(func(daemon.Owner) {
+	s.settings.Host.Execute(func(daemon.LoopContext) {
 		for _, each := range s.connections {
 			each.cut("stopping")
 		}
--- a/internal/lineserver/owner.go
+++ b/internal/lineserver/owner.go
@@ -38,7 +38,7 @@
 		}
 		s.Counters.Writes.Add(1)
 		s.Counters.BytesOut.Add(int64(to.sent))
-		s.settings.Host.Transport().Spent(to.sent)
+		s.settings.Host.Transport().SpendBandwidth(to.sent)
 		if to.stuck.Load() {
 			rest := to.output[to.sent:]
 			to.output, to.owed = nil, len(rest)
@@ -62,8 +62,8 @@
 	sent, err := to.socket.Write(rest)
 	_ = to.socket.SetWriteDeadline(time.Time{})
 	s.Counters.BytesOut.Add(int64(sent))
-	s.settings.Host.Transport().Spent(sent)
-	s.settings.Host.Within(func(daemon.Owner) {
+	s.settings.Host.Transport().SpendBandwidth(sent)
+	s.settings.Host.Execute(func(daemon.LoopContext) {
 		if err != nil {
 			if to.why == "" {
 				s.Counters.Slow.Add(1)
@@ -119,7 +119,7 @@
 }
 
 // take does what one read of a connection brought.
-func (s *Server) take(owner daemon.Owner, from *connection, batch []asked) {
+func (s *Server) take(owner daemon.LoopContext, from *connection, batch []asked) {
 	if from.state == fresh {
 		s.connections[from.channel] = from
 	}
@@ -149,11 +149,11 @@
 	}
 }
 
-func (s *Server) open(owner daemon.Owner, from *connection, command *asked) {
+func (s *Server) open(owner daemon.LoopContext, from *connection, command *asked) {
 	about := command.about
 	from.state, from.origin = opening, command.origin
-	owner.Attach(from.channel, func(deliver statemachine.Delivery) { s.deliver(from, deliver) })
-	owner.Ask(func(request uint64) any {
+	owner.AttachSession(from.channel, func(deliver statemachine.Delivery) { s.deliver(from, deliver) })
+	owner.Submit(func(request uint64) any {
 		return gateway.OpenChannel{Request: request, Channel: from.channel, Name: strconv.FormatUint(from.channel, 16), Origin: command.origin, Lines: true}
 	}, func(value any) {
 		answer := answerOf(value)
@@ -165,7 +165,7 @@
 			}
 		}
 		if from.state != open {
-			owner.Detach(from.channel)
+			owner.DetachSession(from.channel)
 		}
 		if from.state == ended && answer.Outcome == gateway.OutcomeAccepted {
 			owner.Post(gateway.CloseChannel{Channel: from.channel, Why: from.why})
@@ -183,9 +183,9 @@
 	return gateway.Answer{Outcome: gateway.OutcomeUnsettled, Code: CodeStopping, RetryAfter: comeBack}
 }
 
-func (s *Server) carry(owner daemon.Owner, from *connection, command *asked) {
+func (s *Server) carry(owner daemon.LoopContext, from *connection, command *asked) {
 	about := command.about
-	owner.Ask(func(request uint64) any {
+	owner.Submit(func(request uint64) any {
 		switch about.Kind {
 		case Subscribe:
 			return gateway.Subscribe{
@@ -221,7 +221,7 @@
 }
 
 // over ends the channel of a connection that is gone.
-func (s *Server) over(owner daemon.Owner, gone *connection) {
+func (s *Server) over(owner daemon.LoopContext, gone *connection) {
 	had := gone.state
 	gone.state = ended
 	delete(s.connections, gone.channel)
@@ -234,7 +234,7 @@
 	case gone.why == "":
 		gone.why = "closed"
 	}
-	owner.Detach(gone.channel)
+	owner.DetachSession(gone.channel)
 	owner.Post(gateway.CloseChannel{Channel: gone.channel, Why: gone.why})
 }
 
--- a/internal/overlay/churn_test.go
+++ b/internal/overlay/churn_test.go
@@ -222,7 +222,7 @@
 	longest := time.Duration(0)
 	for name, part := range statemachine.Sorted(s.parts) {
 		for _, topic := range s.topics {
-			number := config.TopicNumber(topic)
+			number := config.TopicHash(topic)
 			here := part.cellAt(trialPlane, number)
 			if here == nil {
 				continue
--- a/internal/overlay/notices.go
+++ b/internal/overlay/notices.go
@@ -189,7 +189,7 @@
 // Tell says that this daemon now has so many subscribers of a topic; none ends
 // it.
 func (o *Overlay) Tell(now time.Time, planeName, topic string, count int, effects *statemachine.Effects) {
-	number := config.TopicNumber(topic)
+	number := config.TopicHash(topic)
 	if o.parted || count == 0 && o.cellAt(planeName, number) == nil {
 		return
 	}
@@ -231,7 +231,7 @@
 		then(now, effects, false)
 		return
 	}
-	here := o.cell(now, planeName, CellOf(config.TopicNumber(topic)), effects)
+	here := o.cell(now, planeName, CellOf(config.TopicHash(topic)), effects)
 	here.lastUse = now
 	if here.settled() {
 		then(now, effects, true)
@@ -246,7 +246,7 @@
 
 // Listeners lists the other daemons that have subscribers of a topic, in order.
 func (o *Overlay) Listeners(planeName, topic string) []string {
-	number := config.TopicNumber(topic)
+	number := config.TopicHash(topic)
 	here := o.cellAt(planeName, number)
 	if here == nil {
 		return nil
@@ -262,7 +262,7 @@
 
 // Presence counts the subscribers of a topic on all other daemons.
 func (o *Overlay) Presence(planeName, topic string) int {
-	number := config.TopicNumber(topic)
+	number := config.TopicHash(topic)
 	here := o.cellAt(planeName, number)
 	if here == nil {
 		return 0
--- a/internal/overlay/notices_test.go
+++ b/internal/overlay/notices_test.go
@@ -44,7 +44,7 @@
 	var wrong []string
 	for name, part := range statemachine.Sorted(n.parts) {
 		for _, topic := range topics {
-			if part.cellAt(trialPlane, config.TopicNumber(topic)) == nil {
+			if part.cellAt(trialPlane, config.TopicHash(topic)) == nil {
 				continue
 			}
 			var listeners []string
--- a/internal/partition/follow.go
+++ b/internal/partition/follow.go
@@ -119,7 +119,7 @@
 		if config.IsShared(name) {
 			head.From = min(earlier.offset, partition.accepted)
 			for topic, offset := range statemachine.Sorted(partition.log.moved(head.From, partition.accepted)) {
-				head.Topics = append(head.Topics, TopicHead{Topic: config.TopicNumber(topic), Offset: offset})
+				head.Topics = append(head.Topics, TopicHead{Topic: config.TopicHash(topic), Offset: offset})
 			}
 			if len(head.Topics) == 0 && earlier.epoch == latest.epoch && !every {
 				// Passing messages only, of which nothing can be fetched.
@@ -139,7 +139,7 @@
 	s.timers.Arm("trim", now.Add(trimEvery))
 	for name, partition := range statemachine.Sorted(s.partitions) {
 		space, _, _ := strings.Cut(name, "~")
-		holding := s.config.Spaces[space].Holding
+		holding := s.config.Spaces[space].RetentionTime
 		if config.IsShared(name) {
 			holding = s.sharedHolding(now)
 		}
@@ -147,6 +147,6 @@
 			partition.log.trim(now, -HistoryMargin+time.Second)
 			continue
 		}
-		partition.log.trimTo(now, max(holding, config.DefaultHolding), max(seqMemory, 3*s.settings.Redeliver))
+		partition.log.trimTo(now, max(holding, config.DefaultRetentionTime), max(seqMemory, 3*s.settings.Redeliver))
 	}
 }
--- a/internal/partition/messages.go
+++ b/internal/partition/messages.go
@@ -80,7 +80,7 @@
 // LinkClass tells that a passing message is of use now or never.
 func (a Append) LinkClass() transport.Class {
 	if a.Bare {
-		return transport.ClassUrgent
+		return transport.ClassTransient
 	}
 	return transport.ClassLive
 }
--- a/internal/partition/partition_test.go
+++ b/internal/partition/partition_test.go
@@ -97,14 +97,14 @@
 		store.follower.Document = body
 		store.takeConfiguration(now)
 	}
-	assert.Equal(t, store.sharedHolding(at(0)), config.DefaultHolding)
+	assert.Equal(t, store.sharedHolding(at(0)), config.DefaultRetentionTime)
 	take(at(0), document(1, `{"name": "a", "promise": "kept", "order": "topic", "holding": "90s"}, {"name": "b", "promise": "kept", "order": "channel", "holding": "5m"}`))
 	assert.Equal(t, store.sharedHolding(at(0)), 90*time.Second)
 	take(at(10), document(2, `{"name": "a", "promise": "kept", "order": "topic", "holding": "20s"}`))
 	assert.Equal(t, store.sharedHolding(at(11)), 90*time.Second, "shortened")
 	take(at(20), document(3, ``))
 	assert.Equal(t, store.sharedHolding(at(309)), 90*time.Second, "removed")
-	assert.Equal(t, store.sharedHolding(at(311)), config.DefaultHolding)
+	assert.Equal(t, store.sharedHolding(at(311)), config.DefaultRetentionTime)
 }
 
 func TestSeqsAreRememberedForLongerThanTheyMayBeSentAgain(t *testing.T) {
--- a/internal/partition/store.go
+++ b/internal/partition/store.go
@@ -403,10 +403,10 @@
 // a message came that may still be asked for.
 func (s *Store) takeConfiguration(now time.Time) {
 	s.config, _ = config.Read(s.follower.Document)
-	longest := config.DefaultHolding
+	longest := config.DefaultRetentionTime
 	for _, space := range s.config.Spaces {
 		if space.Order == config.OrderTopic && space.Retention == config.Durable {
-			longest = max(longest, space.Holding)
+			longest = max(longest, space.RetentionTime)
 		}
 	}
 	if longest < s.holding {
@@ -418,7 +418,7 @@
 // sharedHolding is how long shared partitions hold their messages at present.
 func (s *Store) sharedHolding(now time.Time) time.Duration {
 	s.past = slices.DeleteFunc(s.past, func(past pastHolding) bool { return now.After(past.until) })
-	longest := max(s.holding, config.DefaultHolding)
+	longest := max(s.holding, config.DefaultRetentionTime)
 	for _, past := range s.past {
 		longest = max(longest, past.holding)
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -30,57 +30,57 @@
 	ErrorSettings = namespace.NewType("faulty")
 )
 
-// Trial is what a trial imposes on links, by prefix of the other's address.
-type Trial struct {
-	Delays map[string]time.Duration
-	Loss   map[string]float64
-	Cuts   []string
-	Mutes  []string
-	Deaf   []string
-	Disk   time.Duration
+// Impairment is what a trial imposes on links, by prefix of the other's address.
+type Impairment struct {
+	Delays          map[string]time.Duration
+	Loss            map[string]float64
+	Partitioned     []string
+	OutboundBlocked []string
+	InboundBlocked  []string
+	DiskDelay       time.Duration
 }
 
 // Settings are a daemon's settings.
 type Settings struct {
-	Name        string
-	Kind        string
-	Address     string
-	Control     string
-	Caller      string
-	Zone        string
-	Seeds       []string
-	Data        string
-	Agent       string
-	Gateway     string
-	Controllers int
-	Key         string
-	OriginsMost int
-	LogLevel    logrus.Level
-	Trial       Trial
+	Name           string
+	Kind           string
+	Address        string
+	ControlAddress string
+	ClientAddress  string
+	Zone           string
+	Seeds          []string
+	DataDir        string
+	AgentAddress   string
+	GatewayAddress string
+	Controllers    int
+	Key            string
+	MaxSessions    int
+	LogLevel       logrus.Level
+	Impairment     Impairment
 	// SeedsPort replaces the port of each seed if it is above 0; Seeds has it.
 	SeedsPort int
 	// Bootstrap lets the seeds found the fleet if no number of controllers does.
 	Bootstrap bool
 	// Tolerance is how many machines with a disk may be lost at one time.
-	Tolerance int
-	Bounds    Bounds
-	Callers   string
-	Admission string
-	Versions  string
-	Operators string
+	Tolerance        int
+	Timeouts         Timeouts
+	ClientProtocol   string
+	AdmissionMode    string
+	VersionPolicy    string
+	OperatorProtocol string
 	// Compression tells which turns between daemons are packed.
 	Compression string
-	// Traffic is how often what crossed the daemon's links is logged by kind, 0 for
+	// TrafficInterval is how often what crossed the daemon's links is logged by kind, 0 for
 	// never.
-	Traffic time.Duration
-	// Memory is how many bytes the process may use, 0 for no bound.
-	Memory int64
-	// Link is how many bytes a second the machine's link takes, 0 if nobody says.
-	Link int
+	TrafficInterval time.Duration
+	// MemoryBytes is how many bytes the process may use, 0 for no bound.
+	MemoryBytes int64
+	// LinkBytesPerSecond is how many bytes a second the machine's link takes, 0 if nobody says.
+	LinkBytesPerSecond int
 }
 
-// Bounds are the times that daemons hold each other and their callers to.
-type Bounds struct {
+// Timeouts are the times that daemons hold each other and their callers to.
+type Timeouts struct {
 	Contact     time.Duration
 	Acknowledge time.Duration
 	CatchUp     time.Duration
@@ -95,9 +95,9 @@
 	Presence    time.Duration
 }
 
-// DefaultBounds hold where settings say nothing else.
-func DefaultBounds() Bounds {
-	return Bounds{
+// DefaultTimeouts hold where settings say nothing else.
+func DefaultTimeouts() Timeouts {
+	return Timeouts{
 		Contact: 4 * time.Second, Acknowledge: 5 * time.Second, CatchUp: 4100 * time.Millisecond, Drain: 3 * time.Second,
 		Grace: 6 * time.Second, Apply: 3 * time.Second, RevertSlack: 250 * time.Millisecond, Recovery: 12 * time.Second,
 		Ping: 2 * time.Second, Resume: 2 * time.Second, Redeliver: 10 * time.Second, Presence: 5 * time.Second,
@@ -106,15 +106,15 @@
 
 // Words that settings choose between.
 const (
-	CallersJSON     = "json"
-	CallersLines    = "lines"
-	AdmissionToken  = "token"
-	AdmissionOpen   = "open"
-	VersionsStrict  = "strict"
-	VersionsHighest = "highest"
-	OperatorsJSON   = "json"
-	CompressionNone = "none"
-	CompressionFar  = "far"
+	ClientProtocolJSON   = "json"
+	ClientProtocolLines  = "lines"
+	AdmissionToken       = "token"
+	AdmissionOpen        = "open"
+	VersionsStrict       = "strict"
+	VersionsHighest      = "highest"
+	OperatorProtocolJSON = "json"
+	CompressionNone      = "none"
+	CompressionFar       = "far"
 )
 
 // operatorForms are the forms in which operators may speak to a daemon.
@@ -125,11 +125,11 @@
 	descriptorsKept = 400
 )
 
-var operatorForms = []string{OperatorsJSON}
+var operatorForms = []string{OperatorProtocolJSON}
 
-// MustRegisterOperators lets settings choose one more form for operators; an
+// MustRegisterOperatorProtocol lets settings choose one more form for operators; an
 // adapter calls it as its package starts. A clash stops the process.
-func MustRegisterOperators(form string) {
+func MustRegisterOperatorProtocol(form string) {
 	if slices.Contains(operatorForms, form) {
 		panic("settings: form of operators registered twice: " + form)
 	}
@@ -142,8 +142,8 @@
 	"link", "traffic",
 }
 
-// Source is where settings come from.
-type Source struct {
+// Loader is where settings come from.
+type Loader struct {
 	kind  string
 	path  string
 	flags map[string]string
@@ -151,9 +151,9 @@
 	seen  content
 }
 
-// FromFlags declares the flags of a daemon and reads them.
-func FromFlags(kind string, arguments []string) (*Source, error) {
-	source := &Source{kind: kind, flags: map[string]string{}}
+// ParseFlags declares the flags of a daemon and reads them.
+func ParseFlags(kind string, arguments []string) (*Loader, error) {
+	source := &Loader{kind: kind, flags: map[string]string{}}
 	set := flag.NewFlagSet(kind, flag.ContinueOnError)
 	set.Func("settings", "settings `file` in JSON; flags go before it", func(value string) error {
 		source.path = value
@@ -176,10 +176,10 @@
 }
 
 // Path is the settings file, if there is one.
-func (s *Source) Path() string { return s.path }
+func (s *Loader) Path() string { return s.path }
 
-// Read gives the present settings, or an error that lists every fault.
-func (s *Source) Read() (Settings, error) {
+// Load gives the present settings, or an error that lists every fault.
+func (s *Loader) Load() (Settings, error) {
 	document := []byte("{}")
 	if s.path != "" {
 		body, err := os.ReadFile(s.path)
@@ -192,7 +192,7 @@
 	return s.check(document)
 }
 
-func (s *Source) check(document []byte) (Settings, error) {
+func (s *Loader) check(document []byte) (Settings, error) {
 	var walk config.Reader
 	value, whole := walk.Parse(document)
 	settings := Settings{Kind: s.kind}
@@ -210,7 +210,7 @@
 	return Settings{}, ErrorSettings.New("%s", strings.Join(lines, "; "))
 }
 
-func (s *Source) walk(walk *config.Reader, value *fastjson.Value, settings *Settings) {
+func (s *Loader) walk(walk *config.Reader, value *fastjson.Value, settings *Settings) {
 	known := keys
 	if s.trial {
 		known = append(slices.Clone(keys), "trial")
@@ -235,23 +235,23 @@
 		return text
 	}
 	settings.Name = wanted("name")
-	if members["name"] != nil && !config.FitName(settings.Name) {
+	if members["name"] != nil && !config.ValidName(settings.Name) {
 		walk.Report("$.name", "bad-name", "%q is not a fit name", settings.Name)
 	}
 	settings.Zone = wanted("zone")
-	if members["zone"] != nil && !config.FitName(settings.Zone) {
+	if members["zone"] != nil && !config.ValidName(settings.Zone) {
 		walk.Report("$.zone", "bad-name", "%q is not a fit name", settings.Zone)
 	}
 	settings.Address = address("address", true)
-	settings.Control = address("ctl", true)
-	settings.Caller = address("caller", s.kind == "gateway")
-	settings.Agent = address("agent", s.kind == "gateway")
-	settings.Gateway = address("gateway", s.kind == "agent")
+	settings.ControlAddress = address("ctl", true)
+	settings.ClientAddress = address("caller", s.kind == "gateway")
+	settings.AgentAddress = address("agent", s.kind == "gateway")
+	settings.GatewayAddress = address("gateway", s.kind == "agent")
 	seeds := walk.List("$.seeds", members["seeds"], 16)
 	if s.kind != "gateway" && len(seeds) == 0 {
 		walk.Report("$.seeds", "missing", "seeds are wanted: addresses of up to three other daemons")
 	}
-	settings.SeedsPort = int(walk.Whole("$.seeds_port", members["seeds_port"], 0, 0, 65535))
+	settings.SeedsPort = int(walk.Integer("$.seeds_port", members["seeds_port"], 0, 0, 65535))
 	for position, item := range seeds {
 		path := fmt.Sprintf("$.seeds[%d]", position)
 		seed := walk.Text(path, item, "")
@@ -259,49 +259,49 @@
 		settings.Seeds = append(settings.Seeds, withPort(seed, settings.SeedsPort))
 	}
 	stores := s.kind == "store" || s.kind == "controller"
-	settings.Data = walk.Text("$.data", members["data"], "")
-	if stores && settings.Data == "" {
+	settings.DataDir = walk.Text("$.data", members["data"], "")
+	if stores && settings.DataDir == "" {
 		walk.Report("$.data", "missing", "a data folder is wanted")
 	}
-	settings.Controllers = int(walk.Whole("$.controllers", members["controllers"], 5, 0, 15))
+	settings.Controllers = int(walk.Integer("$.controllers", members["controllers"], 5, 0, 15))
 	if settings.Controllers != 0 && (settings.Controllers%2 == 0 || settings.Controllers < 3) {
 		walk.Report("$.controllers", "out-of-range", "an odd number from 3 is wanted, or 0 if the seeds found the fleet")
 	}
-	settings.Bootstrap = walk.Truth("$.bootstrap", members["bootstrap"], false)
-	settings.Tolerance = int(walk.Whole("$.tolerance", members["tolerance"], 1, 0, 3))
+	settings.Bootstrap = walk.Bool("$.bootstrap", members["bootstrap"], false)
+	settings.Tolerance = int(walk.Integer("$.tolerance", members["tolerance"], 1, 0, 3))
 	// Copies lie in different zones, so that who may lose zones needs as
 	// many copies as who may lose machines.
-	settings.Tolerance = max(settings.Tolerance, int(walk.Whole("$.tolerance_zones", members["tolerance_zones"], 0, 0, 3)))
-	settings.Bounds = readBounds(walk, members["bounds"])
-	settings.Callers = walk.Choice("$.callers", members["callers"], CallersJSON, CallersJSON, CallersLines)
-	settings.Admission = walk.Choice("$.admission", members["admission"], AdmissionToken, AdmissionToken, AdmissionOpen)
-	settings.Versions = walk.Choice("$.versions", members["versions"], VersionsStrict, VersionsStrict, VersionsHighest)
-	settings.Operators = walk.Choice("$.operators", members["operators"], OperatorsJSON, operatorForms...)
+	settings.Tolerance = max(settings.Tolerance, int(walk.Integer("$.tolerance_zones", members["tolerance_zones"], 0, 0, 3)))
+	settings.Timeouts = readBounds(walk, members["bounds"])
+	settings.ClientProtocol = walk.Choice("$.callers", members["callers"], ClientProtocolJSON, ClientProtocolJSON, ClientProtocolLines)
+	settings.AdmissionMode = walk.Choice("$.admission", members["admission"], AdmissionToken, AdmissionToken, AdmissionOpen)
+	settings.VersionPolicy = walk.Choice("$.versions", members["versions"], VersionsStrict, VersionsStrict, VersionsHighest)
+	settings.OperatorProtocol = walk.Choice("$.operators", members["operators"], OperatorProtocolJSON, operatorForms...)
 	settings.Compression = walk.Choice("$.compression", members["compression"], CompressionNone, CompressionNone, CompressionFar)
-	settings.Traffic = walk.Duration("$.traffic", members["traffic"], 0, 0, trafficMost)
-	settings.Memory = readMemory(walk, "$.memory", members["memory"])
-	settings.Link = readLink(walk, "$.link", members["link"])
+	settings.TrafficInterval = walk.Duration("$.traffic", members["traffic"], 0, 0, trafficMost)
+	settings.MemoryBytes = readMemory(walk, "$.memory", members["memory"])
+	settings.LinkBytesPerSecond = readLink(walk, "$.link", members["link"])
 	settings.Key = walk.Text("$.key", members["key"], "")
-	if s.kind == "gateway" && settings.Admission == AdmissionToken && len(settings.Key) < 16 {
+	if s.kind == "gateway" && settings.AdmissionMode == AdmissionToken && len(settings.Key) < 16 {
 		walk.Report("$.key", "missing", "a key of 16 characters or more is wanted, the same on all gateways")
 	}
 	// Where only the descriptors are told, callers may have what is left of them
 	// beside the daemon's own files and links.
 	most := int64(defaultOrigins)
-	if descriptors := walk.Whole("$.descriptors", members["descriptors"], 0, 0, 1<<24); descriptors > 0 {
+	if descriptors := walk.Integer("$.descriptors", members["descriptors"], 0, 0, 1<<24); descriptors > 0 {
 		most = max(1, (descriptors-descriptorsKept)*4/5)
 	}
-	settings.OriginsMost = int(walk.Whole("$.origins_most", members["origins_most"], most, 1, 1<<20))
+	settings.MaxSessions = int(walk.Integer("$.origins_most", members["origins_most"], most, 1, 1<<20))
 	level, err := logrus.ParseLevel(walk.Text("$.log_level", members["log_level"], "info"))
 	if err != nil {
 		walk.Report("$.log_level", "out-of-range", "%s", err.Error())
 	}
 	settings.LogLevel = level
-	settings.Trial = readTrial(walk, members["trial"])
+	settings.Impairment = readTrial(walk, members["trial"])
 }
 
 // overlayFlags puts what flags gave over what the file says.
-func (s *Source) overlayFlags(members map[string]*fastjson.Value) {
+func (s *Loader) overlayFlags(members map[string]*fastjson.Value) {
 	var arena fastjson.Arena
 	for key, text := range s.flags {
 		switch key {
@@ -362,8 +362,8 @@
 	memoryMost  = 1 << 44
 )
 
-func readBounds(walk *config.Reader, value *fastjson.Value) Bounds {
-	bounds := DefaultBounds()
+func readBounds(walk *config.Reader, value *fastjson.Value) Timeouts {
+	bounds := DefaultTimeouts()
 	if value == nil {
 		return bounds
 	}
@@ -390,7 +390,7 @@
 // readMemory reads a number of bytes, or a text such as "284MB".
 func readMemory(walk *config.Reader, path string, value *fastjson.Value) int64 {
 	if value == nil || value.Type() != fastjson.TypeString {
-		return walk.Whole(path, value, 0, memoryLeast, memoryMost)
+		return walk.Integer(path, value, 0, memoryLeast, memoryMost)
 	}
 	text := walk.Text(path, value, "")
 	number, unit := text, int64(1)
@@ -455,14 +455,14 @@
 // process may use, as the rest goes to what the collector does not count, or
 // no bound.
 func (s Settings) MemoryLimit() int64 {
-	if s.Memory == 0 {
+	if s.MemoryBytes == 0 {
 		return math.MaxInt64
 	}
-	return s.Memory / 5 * 4
+	return s.MemoryBytes / 5 * 4
 }
 
-func readTrial(walk *config.Reader, value *fastjson.Value) Trial {
-	trial := Trial{Delays: map[string]time.Duration{}, Loss: map[string]float64{}}
+func readTrial(walk *config.Reader, value *fastjson.Value) Impairment {
+	trial := Impairment{Delays: map[string]time.Duration{}, Loss: map[string]float64{}}
 	if value == nil {
 		return trial
 	}
@@ -482,27 +482,27 @@
 		trial.Delays[prefix] = walk.Duration(path, item, 0, 0, time.Minute)
 	})
 	each("loss", func(path, prefix string, item *fastjson.Value) {
-		trial.Loss[prefix] = walk.Fraction(path, item, 0, 0, 1)
+		trial.Loss[prefix] = walk.Float(path, item, 0, 0, 1)
 	})
-	for name, list := range map[string]*[]string{"cuts": &trial.Cuts, "mutes": &trial.Mutes, "deaf": &trial.Deaf} {
+	for name, list := range map[string]*[]string{"cuts": &trial.Partitioned, "mutes": &trial.OutboundBlocked, "deaf": &trial.InboundBlocked} {
 		for position, item := range walk.List("$.trial."+name, members[name], 256) {
 			*list = append(*list, walk.Text(fmt.Sprintf("$.trial.%s[%d]", name, position), item, ""))
 		}
 	}
-	trial.Disk = walk.Duration("$.trial.disk", members["disk"], 0, 0, time.Minute)
+	trial.DiskDelay = walk.Duration("$.trial.disk", members["disk"], 0, 0, time.Minute)
 	return trial
 }
 
-// Fixed tells what can't change while a daemon runs and yet differs. What only
+// ImmutableChanges tells what can't change while a daemon runs and yet differs. What only
 // a start reads, such as the seeds, may change at any time.
-func Fixed(before, after Settings) []string {
+func ImmutableChanges(before, after Settings) []string {
 	var differ []string
 	for name, same := range map[string]bool{
-		"name": before.Name == after.Name, "address": before.Address == after.Address, "ctl": before.Control == after.Control,
-		"caller": before.Caller == after.Caller, "zone": before.Zone == after.Zone, "data": before.Data == after.Data,
-		"agent": before.Agent == after.Agent, "gateway": before.Gateway == after.Gateway, "controllers": before.Controllers == after.Controllers,
-		"key": before.Key == after.Key, "callers": before.Callers == after.Callers, "admission": before.Admission == after.Admission,
-		"versions": before.Versions == after.Versions, "operators": before.Operators == after.Operators,
+		"name": before.Name == after.Name, "address": before.Address == after.Address, "ctl": before.ControlAddress == after.ControlAddress,
+		"caller": before.ClientAddress == after.ClientAddress, "zone": before.Zone == after.Zone, "data": before.DataDir == after.DataDir,
+		"agent": before.AgentAddress == after.AgentAddress, "gateway": before.GatewayAddress == after.GatewayAddress, "controllers": before.Controllers == after.Controllers,
+		"key": before.Key == after.Key, "callers": before.ClientProtocol == after.ClientProtocol, "admission": before.AdmissionMode == after.AdmissionMode,
+		"versions": before.VersionPolicy == after.VersionPolicy, "operators": before.OperatorProtocol == after.OperatorProtocol,
 		"compression": before.Compression == after.Compression,
 	} {
 		if !same {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -23,27 +23,27 @@
 	assert.NilError(t, os.WriteFile(path, []byte(text), 0o600))
 }
 
-func source(t *testing.T, kind, text string, flags ...string) (*settings.Source, string) {
+func source(t *testing.T, kind, text string, flags ...string) (*settings.Loader, string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "settings.json")
 	write(t, path, text)
-	made, err := settings.FromFlags(kind, append([]string{"-settings", path}, flags...))
+	made, err := settings.ParseFlags(kind, append([]string{"-settings", path}, flags...))
 	assert.NilError(t, err)
 	return made, path
 }
 
 func TestSettingsThatSayLittle(t *testing.T) {
 	made, _ := source(t, "store", `{`+storeBase+`,"seeds":["10.1.0.9:8264"]}`)
-	read, err := made.Read()
+	read, err := made.Load()
 	assert.NilError(t, err)
 	assert.DeepEqual(t, read.Seeds, []string{"10.1.0.9:8264"})
 	assert.Equal(t, read.Controllers, 5)
 	assert.Equal(t, read.Tolerance, 1)
-	assert.Equal(t, read.Bounds, settings.DefaultBounds())
-	assert.Equal(t, read.Callers, settings.CallersJSON)
-	assert.Equal(t, read.Admission, settings.AdmissionToken)
-	assert.Equal(t, read.Versions, settings.VersionsStrict)
-	assert.Equal(t, read.Operators, settings.OperatorsJSON)
+	assert.Equal(t, read.Timeouts, settings.DefaultTimeouts())
+	assert.Equal(t, read.ClientProtocol, settings.ClientProtocolJSON)
+	assert.Equal(t, read.AdmissionMode, settings.AdmissionToken)
+	assert.Equal(t, read.VersionPolicy, settings.VersionsStrict)
+	assert.Equal(t, read.OperatorProtocol, settings.OperatorProtocolJSON)
 	assert.Assert(t, !read.Bootstrap)
 	assert.Equal(t, read.MemoryLimit(), int64(math.MaxInt64))
 }
@@ -52,33 +52,33 @@
 	made, _ := source(t, "store", `{`+storeBase+`,"seeds":["10.1.0.9:8264","10.2.0.9:8264"],"seeds_port":7120,"controllers":0,"bootstrap":true,
 		"tolerance":2,"bounds":{"contact":"4000ms","catch_up":"4.1s","presence":"5000ms"},"callers":"lines","admission":"open",
 		"versions":"highest","memory":"200MB","link":"2.6Mbit/s"}`)
-	current, err := made.Read()
+	current, err := made.Load()
 	assert.NilError(t, err)
 	assert.DeepEqual(t, current.Seeds, []string{"10.1.0.9:7120", "10.2.0.9:7120"})
 	assert.Equal(t, current.Controllers, 0)
 	assert.Assert(t, current.Bootstrap)
 	assert.Equal(t, current.Tolerance, 2)
-	assert.Equal(t, current.Bounds.CatchUp, 4100*time.Millisecond)
-	assert.Equal(t, current.Bounds.Contact, 4*time.Second)
-	assert.Equal(t, current.Callers, settings.CallersLines)
-	assert.Equal(t, current.Admission, settings.AdmissionOpen)
-	assert.Equal(t, current.Versions, settings.VersionsHighest)
-	assert.Equal(t, current.Memory, int64(200e6))
+	assert.Equal(t, current.Timeouts.CatchUp, 4100*time.Millisecond)
+	assert.Equal(t, current.Timeouts.Contact, 4*time.Second)
+	assert.Equal(t, current.ClientProtocol, settings.ClientProtocolLines)
+	assert.Equal(t, current.AdmissionMode, settings.AdmissionOpen)
+	assert.Equal(t, current.VersionPolicy, settings.VersionsHighest)
+	assert.Equal(t, current.MemoryBytes, int64(200e6))
 	assert.Equal(t, current.MemoryLimit(), int64(160e6))
-	assert.Equal(t, current.Link, 325_000)
+	assert.Equal(t, current.LinkBytesPerSecond, 325_000)
 }
 
 func TestFlagsGoBeforeTheFile(t *testing.T) {
 	made, _ := source(t, "store", `{`+storeBase+`,"seeds":["10.1.0.9:1"],"tolerance":2}`,
 		"-seeds-port=7120", "-bootstrap=true", "-tolerance=0", "-bounds=ping=1s,grace=7s", "-memory=64MiB")
-	current, err := made.Read()
+	current, err := made.Load()
 	assert.NilError(t, err)
 	assert.DeepEqual(t, current.Seeds, []string{"10.1.0.9:7120"})
 	assert.Assert(t, current.Bootstrap)
 	assert.Equal(t, current.Tolerance, 0)
-	assert.Equal(t, current.Bounds.Ping, time.Second)
-	assert.Equal(t, current.Bounds.Grace, 7*time.Second)
-	assert.Equal(t, current.Memory, int64(64<<20))
+	assert.Equal(t, current.Timeouts.Ping, time.Second)
+	assert.Equal(t, current.Timeouts.Grace, 7*time.Second)
+	assert.Equal(t, current.MemoryBytes, int64(64<<20))
 }
 
 func TestEveryFaultIsToldWithItsPath(t *testing.T) {
@@ -117,7 +117,7 @@
 			seeds = ""
 		}
 		made, _ := source(t, "store", `{`+storeBase+seeds+`,`+text+`}`)
-		_, err := made.Read()
+		_, err := made.Load()
 		assert.Assert(t, err != nil, text)
 		assert.Assert(t, strings.Contains(err.Error(), path+":") || strings.Contains(err.Error(), path+" "), "%s: %v", text, err)
 	}
@@ -126,28 +126,28 @@
 func TestKeyIsWantedUnlessAdmissionIsOpen(t *testing.T) {
 	const gateway = `"name":"gateway-1","zone":"east","address":"10.1.0.2:7120","ctl":"10.1.0.2:8268","caller":"10.1.0.2:8266","agent":"10.1.0.2:7121"`
 	made, _ := source(t, "gateway", `{`+gateway+`}`)
-	_, err := made.Read()
+	_, err := made.Load()
 	assert.ErrorContains(t, err, "$.key")
 	made, _ = source(t, "gateway", `{`+gateway+`,"admission":"open"}`)
-	_, err = made.Read()
+	_, err = made.Load()
 	assert.NilError(t, err)
 }
 
 func TestFormsOfOperatorsAreRegistered(t *testing.T) {
-	settings.MustRegisterOperators("signals")
+	settings.MustRegisterOperatorProtocol("signals")
 	made, _ := source(t, "store", `{`+storeBase+`,"seeds":["10.1.0.9:1"],"operators":"signals"}`)
-	current, err := made.Read()
+	current, err := made.Load()
 	assert.NilError(t, err)
-	assert.Equal(t, current.Operators, "signals")
+	assert.Equal(t, current.OperatorProtocol, "signals")
 }
 
 func TestWhatOnlyAStartReadsMayChange(t *testing.T) {
 	before := settings.Settings{Name: "a", Seeds: []string{"10.1.0.9:1"}, Bootstrap: true, Tolerance: 1}
 	after := before
-	after.Seeds, after.Bootstrap, after.Tolerance, after.Memory, after.Link = nil, false, 2, 1<<30, 325_000
-	assert.Equal(t, len(settings.Fixed(before, after)), 0)
-	after.Callers, after.Name = settings.CallersLines, "b"
-	assert.DeepEqual(t, settings.Fixed(before, after), []string{"callers", "name"})
+	after.Seeds, after.Bootstrap, after.Tolerance, after.MemoryBytes, after.LinkBytesPerSecond = nil, false, 2, 1<<30, 325_000
+	assert.Equal(t, len(settings.ImmutableChanges(before, after)), 0)
+	after.ClientProtocol, after.Name = settings.ClientProtocolLines, "b"
+	assert.DeepEqual(t, settings.ImmutableChanges(before, after), []string{"callers", "name"})
 }
 
 // The ticks are handed over one by one: once a second one is taken, the first
@@ -155,11 +155,11 @@
 func TestChangedContentIsToldOnce(t *testing.T) {
 	whole := `{` + storeBase + `,"seeds":["10.1.0.9:1"]}`
 	made, path := source(t, "store", whole)
-	_, err := made.Read()
+	_, err := made.Load()
 	assert.NilError(t, err)
 	ticks := make(chan time.Time)
 	defer close(ticks)
-	changed := made.Look(ticks)
+	changed := made.Poll(ticks)
 	told := func() bool {
 		ticks <- time.Time{}
 		ticks <- time.Time{}
@@ -183,7 +183,7 @@
 	} {
 		step.change()
 		assert.Assert(t, told(), step.name)
-		_, err := made.Read()
+		_, err := made.Load()
 		assert.Equal(t, err != nil, step.faulty, step.name)
 		assert.Assert(t, !told(), "%s was told twice", step.name)
 	}
@@ -198,9 +198,9 @@
 		`,"descriptors":4400,"origins_most":77`: 77,
 	} {
 		made, _ := source(t, "gateway", `{`+gatewayBase+text+`}`)
-		current, err := made.Read()
+		current, err := made.Load()
 		assert.NilError(t, err)
-		assert.Equal(t, current.OriginsMost, wanted, text)
+		assert.Equal(t, current.MaxSessions, wanted, text)
 	}
 }
 
@@ -213,7 +213,7 @@
 		`,"tolerance":1,"tolerance_zones":3`: 3,
 	} {
 		made, _ := source(t, "store", `{`+storeBase+`,"seeds":["10.1.0.9:8264"]`+text+`}`)
-		current, err := made.Read()
+		current, err := made.Load()
 		assert.NilError(t, err)
 		assert.Equal(t, current.Tolerance, wanted, text)
 	}
--- a/internal/settings/watch.go
+++ b/internal/settings/watch.go
@@ -32,17 +32,17 @@
 
 // Watch tells on a channel whenever the settings file may have changed since it
 // was read. There is always a way, so that the error is nil.
-func (s *Source) Watch() (<-chan struct{}, error) {
+func (s *Loader) Watch() (<-chan struct{}, error) {
 	if s.path == "" {
 		return make(chan struct{}), nil
 	}
 	watcher, err := fsnotify.NewWatcher()
 	if err != nil {
-		return s.Look(time.NewTicker(lookEvery).C), nil
+		return s.Poll(time.NewTicker(lookEvery).C), nil
 	}
 	if err := watcher.Add(filepath.Dir(s.path)); err != nil {
 		_ = watcher.Close()
-		return s.Look(time.NewTicker(lookEvery).C), nil
+		return s.Poll(time.NewTicker(lookEvery).C), nil
 	}
 	changed := make(chan struct{}, 1)
 	go func() {
@@ -55,8 +55,8 @@
 	return changed, nil
 }
 
-// Look tells the same by looking at the file's content at each tick.
-func (s *Source) Look(ticks <-chan time.Time) <-chan struct{} {
+// Poll tells the same by looking at the file's content at each tick.
+func (s *Loader) Poll(ticks <-chan time.Time) <-chan struct{} {
 	changed := make(chan struct{}, 1)
 	path, seen := s.path, s.seen
 	go func() {
--- a/internal/simulator/bandwidth.go
+++ b/internal/simulator/bandwidth.go
@@ -184,7 +184,7 @@
 type connection struct {
 	*pipe
 	from, to       uint64
-	window         transport.Window
+	window         transport.FlowWindow
 	took, told     int64
 	confirmationAt time.Time
 }
@@ -237,7 +237,7 @@
 		return
 	}
 	waits := outgoingFrame{to: to, life: to.life, kind: strings.TrimPrefix(fmt.Sprintf("%T", message), "*"), class: transport.ClassOf(message), frame: frame, at: s.Now}
-	for _, lost := range from.order.Put(to.Address, waits.class, len(frame), waits) {
+	for _, lost := range from.order.Push(to.Address, waits.class, len(frame), waits) {
 		from.traffic(lost.kind).Dropped++
 	}
 	from.pumpLinks()
@@ -247,17 +247,17 @@
 func (n *Node) pumpLinks() {
 	simulation := n.simulation
 	for {
-		if wait := n.pace.Wait(simulation.Now); wait > 0 {
+		if wait := n.pace.Delay(simulation.Now); wait > 0 {
 			n.pumpLater(wait)
 			return
 		}
-		_, next, found := n.order.Next(func(_ string, each outgoingFrame) bool {
-			return each.gone() || simulation.connect(n, each.to).window.Open(each.class)
+		_, next, found := n.order.Pop(func(_ string, each outgoingFrame) bool {
+			return each.gone() || simulation.connect(n, each.to).window.Admits(each.class)
 		})
 		switch {
 		case !found:
 			return
-		case next.gone(), next.class.Stale(simulation.Now.Sub(next.at)):
+		case next.gone(), next.class.Expired(simulation.Now.Sub(next.at)):
 			n.traffic(next.kind).Dropped++
 		default:
 			n.pace.Spend(simulation.Now, len(next.frame))
@@ -306,10 +306,10 @@
 // confirm tells a sender how many bytes were taken.
 func (s *Simulation) confirm(from, to *Node, taken *connection) {
 	count := taken.took
-	if !to.pace.Confirms() {
-		count = transport.Unbounded
+	if !to.pace.RequiresAcknowledgements() {
+		count = transport.AcknowledgeUnlimited
 	}
-	if !transport.ToConfirm(taken.told, count) {
+	if !transport.AcknowledgementDue(taken.told, count) {
 		return
 	}
 	taken.told = count
@@ -323,7 +323,7 @@
 			if taken.over || !from.Up || from.life != taken.from {
 				return
 			}
-			taken.window.Confirmed(s.Now, count)
+			taken.window.Acknowledge(s.Now, count)
 			from.pumpLinks()
 		})
 	})
--- a/internal/simulator/scenario.go
+++ b/internal/simulator/scenario.go
@@ -60,7 +60,7 @@
 		if s.cutFromMost(node) || s.cutFromMost(beside) {
 			continue
 		}
-		if orders := node.Gateway().ViewClient().Directives; !node.Ready() && !orders.Rest && !slices.Contains(node.Gateway().Configuration().Drains, node.Name) {
+		if orders := node.Gateway().ViewClient().Directives; !node.Ready() && !orders.Rest && !slices.Contains(node.Gateway().Configuration().Draining, node.Name) {
 			s.unready[node.Name] += sampleEvery
 			s.Checker.NotReady(node.Name, s.calmSince(), s.Now)
 		}
--- a/internal/simulator/simulator.go
+++ b/internal/simulator/simulator.go
@@ -162,8 +162,8 @@
 	showed       shown
 	nic          *nic
 	trafficOf    map[string]*Traffic
-	order        transport.Order[outgoingFrame]
-	pace         *transport.Pace
+	order        transport.PriorityQueue[outgoingFrame]
+	pace         *transport.Pacer
 	pumps        bool
 }
 
@@ -360,7 +360,7 @@
 	n.returns, n.sinks = map[uint64]func(any, bool){}, map[uint64]func(statemachine.Delivery){}
 	n.writes, n.writing, n.backlog = nil, false, nil
 	n.midway, n.held = nil, nil
-	n.order, n.pace, n.pumps = transport.Order[outgoingFrame]{}, &transport.Pace{}, false
+	n.order, n.pace, n.pumps = transport.PriorityQueue[outgoingFrame]{}, &transport.Pacer{}, false
 	n.pace.SetRate(simulation.Size.Links[linkKind(n.Kind)].Up)
 	n.HealthySince = simulation.Now
 	var held stored
--- a/internal/topology/topology.go
+++ b/internal/topology/topology.go
@@ -45,7 +45,7 @@
 }
 
 func (t *Topology) place(element, name string) error {
-	if !config.FitName(name) {
+	if !config.ValidName(name) {
 		return ErrorTopology.New("%s: %q is not a fit name for a zone", element, name)
 	}
 	if slices.Contains(t.Zones, name) {
--- a/internal/transport/classes.go
+++ b/internal/transport/classes.go
@@ -19,7 +19,7 @@
 // was missed before.
 const (
 	ClassControl Class = iota
-	ClassUrgent
+	ClassTransient
 	ClassLive
 	ClassInterest
 	ClassCatchUp
@@ -30,8 +30,8 @@
 // be told of what is said anew by then, and what was missed is asked for anew.
 var patience = [classCount]time.Duration{ClassInterest: 300 * time.Millisecond, ClassCatchUp: time.Second}
 
-// Stale tells whether a message of a class that waited so long is of no use any more.
-func (c Class) Stale(waited time.Duration) bool {
+// Expired tells whether a message of a class that waited so long is of no use any more.
+func (c Class) Expired(waited time.Duration) bool {
 	return patience[c] > 0 && waited > patience[c] && !statemachine.Mutated("single-class")
 }
 
@@ -47,8 +47,8 @@
 // classOfNumber names what is not as the range of its number has it. A partition's
 // Copy and Frame are one stream and stay in one class, with what callers wait for.
 var classOfNumber = map[uint16]Class{
-	506: ClassCatchUp, // partition.FetchResponse
-	601: ClassUrgent,  // gateway.Pass
+	506: ClassCatchUp,   // partition.FetchResponse
+	601: ClassTransient, // gateway.Pass
 }
 
 // ClassOf tells the class of a message.
--- a/internal/transport/classes_test.go
+++ b/internal/transport/classes_test.go
@@ -26,12 +26,12 @@
 			assert.Equal(t, class, transport.ClassInterest, name)
 		}
 	}
-	assert.DeepEqual(t, classes[transport.ClassUrgent], []string{"gateway.Pass"})
+	assert.DeepEqual(t, classes[transport.ClassTransient], []string{"gateway.Pass"})
 	assert.DeepEqual(t, classes[transport.ClassCatchUp], []string{"partition.FetchResponse"})
 	for _, message := range []any{partition.Copy{}, partition.CopyResponse{}, partition.Frame{}, partition.Append{}, partition.AppendResponse{}, partition.Heads{}, partition.FetchTopicsResponse{}} {
 		assert.Equal(t, transport.ClassOf(message), transport.ClassLive, "%T", message)
 	}
-	assert.Equal(t, transport.ClassOf(partition.Append{Bare: true}), transport.ClassUrgent)
+	assert.Equal(t, transport.ClassOf(partition.Append{Bare: true}), transport.ClassTransient)
 	assert.Equal(t, transport.ClassOf(gateway.RoutedCopy{}), transport.ClassLive)
-	assert.Equal(t, transport.ClassOf(gateway.RoutedCopy{Passing: true}), transport.ClassUrgent)
+	assert.Equal(t, transport.ClassOf(gateway.RoutedCopy{Passing: true}), transport.ClassTransient)
 }
--- a/internal/transport/codec.go
+++ b/internal/transport/codec.go
@@ -92,8 +92,8 @@
 // leases, heartbeats, news and operators' requests.
 const controlBelow = 400
 
-// Urgent tells whether a message is of the control state.
-func Urgent(message any) bool { return numberOfType[reflect.TypeOf(message)] < controlBelow }
+// IsControl tells whether a message is of the control state.
+func IsControl(message any) bool { return numberOfType[reflect.TypeOf(message)] < controlBelow }
 
 // Numbers lists the registered numbers with the names of their types.
 func Numbers() map[uint16]string {
--- a/internal/transport/departure.go
+++ b/internal/transport/departure.go
@@ -37,7 +37,7 @@
 	if late == 0 {
 		return turn
 	}
-	t.Counters.Late.Add(int64(late))
+	t.Counters.Expired.Add(int64(late))
 	var kept bytes.Buffer
 	left := turn
 	left.bounds, left.frames = nil, turn.frames-late
--- a/internal/transport/departure_test.go
+++ b/internal/transport/departure_test.go
@@ -18,7 +18,7 @@
 	left := links.departing(turn)
 	assert.Equal(t, string(left.body), "aaccee")
 	assert.Equal(t, left.frames, 3)
-	assert.Equal(t, links.Counters.Late.Load(), int64(2))
+	assert.Equal(t, links.Counters.Expired.Load(), int64(2))
 	assert.DeepEqual(t, []int{left.bounds[0].start, left.bounds[0].end, left.bounds[1].start, left.bounds[1].end}, []int{0, 2, 4, 6})
 	assert.Equal(t, len(boundsWithin(left.bounds, 2, 4)), 0)
 	assert.Equal(t, boundsWithin(left.bounds, 2, 6)[0].start, 2)
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -29,7 +29,7 @@
 			continue
 		}
 		for _, piece := range t.pieces(present, each, now) {
-			t.dropped(t.order.Put(present.to, piece.class, len(piece.body), piece))
+			t.dropped(t.order.Push(present.to, piece.class, len(piece.body), piece))
 		}
 	}
 	t.pump(present)
@@ -83,21 +83,21 @@
 func (t *Transport) sendWaiting() {
 	for {
 		now := time.Now()
-		if wait := t.pace.Wait(now); wait > 0 {
+		if wait := t.pace.Delay(now); wait > 0 {
 			waits := !t.order.Empty()
 			t.held.Store(waits)
 			if waits {
-				t.Counters.Held.Add(1)
+				t.Counters.Throttled.Add(1)
 			}
 			t.sendLater(now, wait)
 			return
 		}
-		peer, next, found := t.order.Next(t.takes)
+		peer, next, found := t.order.Pop(t.takes)
 		if !found {
 			t.held.Store(false)
 			return
 		}
-		if next.class.Stale(now.Sub(next.at)) {
+		if next.class.Expired(now.Sub(next.at)) {
 			t.dropped([]chunk{next})
 			t.settle(t.tended[peer])
 			continue
@@ -132,7 +132,7 @@
 	case present.wire == nil:
 		t.call(present)
 		return false
-	case next.class.Stale(time.Since(next.at)):
+	case next.class.Expired(time.Since(next.at)):
 		return true
 	case !next.due.IsZero() && time.Until(next.due) > 0:
 		t.arm(present, time.Until(next.due))
@@ -141,7 +141,7 @@
 		t.arm(present, lookAgain)
 		return false
 	}
-	return present.socket.window.Open(next.class)
+	return present.socket.window.Admits(next.class)
 }
 
 // give puts a chunk on a connection.
@@ -173,7 +173,7 @@
 // settle opens the way to the owner again where nothing waits.
 func (t *Transport) settle(present *link) {
 	switch {
-	case present.wire == nil || present.rest.rest != nil || t.order.Waits(present.to):
+	case present.wire == nil || present.rest.rest != nil || t.order.Contains(present.to):
 	case present.wire.OutboundBuffered() > 0:
 		t.arm(present, lookAgain)
 	default:
@@ -260,7 +260,7 @@
 			known.hangUp()
 			return
 		}
-		if t.order.Waits(address) {
+		if t.order.Contains(address) {
 			t.call(known)
 		}
 	})
@@ -280,7 +280,7 @@
 // packsTo tells whether turns to a peer are packed: those to other zones, and all where
 // the machine's own link is thin.
 func (t *Transport) packsTo(present *link) bool {
-	return t.compresses.Load() && (present.away || t.pace.Confirms())
+	return t.compresses.Load() && (present.away || t.pace.RequiresAcknowledgements())
 }
 
 // opened takes a connection that was made: who we are goes first.
@@ -317,7 +317,7 @@
 	present.dialling = false
 	if t.watches.Load() && errors.Is(err, unix.ECONNREFUSED) {
 		select {
-		case t.urgent <- Inbound{Meta: statemachine.Meta{From: present.to}, Message: Refused{}}:
+		case t.urgent <- Inbound{Meta: statemachine.Meta{From: present.to}, Message: ConnectionRefused{}}:
 		default:
 		}
 	}
@@ -337,7 +337,7 @@
 	}
 	present.answers = false
 	t.dropStale(present)
-	if t.order.Waits(present.to) {
+	if t.order.Contains(present.to) {
 		t.call(present)
 	}
 }
@@ -345,7 +345,7 @@
 // dropStale loses what waited for a connection for too long.
 func (t *Transport) dropStale(present *link) {
 	oldest := time.Now().Add(-staleAfter)
-	t.dropped(t.order.ForgetAll(present.to, func(each chunk) bool { return each.at.Before(oldest) }))
+	t.dropped(t.order.RemoveAll(present.to, func(each chunk) bool { return each.at.Before(oldest) }))
 }
 
 func (t *Transport) dropped(lost []chunk) {
@@ -373,8 +373,8 @@
 	}
 	present.rest = chunk{}
 	// Whoever asked for what it had missed asks again, on a connection of its own.
-	t.dropped(t.order.Forget(present.to, ClassCatchUp, func(chunk) bool { return true }))
-	if t.order.Waits(present.to) {
+	t.dropped(t.order.Remove(present.to, ClassCatchUp, func(chunk) bool { return true }))
+	if t.order.Contains(present.to) {
 		// The queue is in the hands of whoever ended the connection.
 		t.arm(present, present.pause)
 	}
@@ -409,7 +409,7 @@
 		}
 		for _, present := range t.tended {
 			uses := present.uses.Load()
-			if uses == present.seenUses && present.wire != nil && !t.order.Waits(present.to) {
+			if uses == present.seenUses && present.wire != nil && !t.order.Contains(present.to) {
 				present.idle = true
 				_ = t.loop.Close(present.wire)
 			}
--- a/internal/transport/link.go
+++ b/internal/transport/link.go
@@ -67,34 +67,34 @@
 	Message any
 }
 
-// Refused is the note that nobody listens at an address, as its machine says.
-type Refused struct{}
+// ConnectionRefused is the note that nobody listens at an address, as its machine says.
+type ConnectionRefused struct{}
 
 // Impairment is what a trial imposes on links, by prefix of the other's address:
 // cuts are both ways, mutes only outwards, and deaf only inwards.
 type Impairment struct {
-	Delays map[string]time.Duration
-	Loss   map[string]float64
-	Cuts   []string
-	Mutes  []string
-	Deaf   []string
+	Delays          map[string]time.Duration
+	Loss            map[string]float64
+	Partitioned     []string
+	OutboundBlocked []string
+	InboundBlocked  []string
 }
 
 func (i *Impairment) calm() bool {
-	return len(i.Delays)+len(i.Loss)+len(i.Cuts)+len(i.Mutes)+len(i.Deaf) == 0
+	return len(i.Delays)+len(i.Loss)+len(i.Partitioned)+len(i.OutboundBlocked)+len(i.InboundBlocked) == 0
 }
 
 // Counters are running sums, read by anyone and written by the links.
 type Counters struct {
-	MessagesOut, BytesOut, MessagesIn, BytesIn, Dropped, Garbage, Shed atomic.Int64
-	MessagesAway, BytesAway                                            atomic.Int64
-	// Late are messages that may not leave any more when their turn came.
-	Late atomic.Int64
+	MessagesOut, BytesOut, MessagesIn, BytesIn, Dropped, Malformed, Shed atomic.Int64
+	MessagesCrossZone, BytesCrossZone                                    atomic.Int64
+	// Expired are messages that may not leave any more when their turn came.
+	Expired atomic.Int64
 	// Writes are system calls that wrote to links, Dials connections made.
 	Writes, Dials atomic.Int64
-	// Held counts how often something had to wait for the machine's link, or a turn
+	// Throttled counts how often something had to wait for the machine's link, or a turn
 	// for a peer's window.
-	Held atomic.Int64
+	Throttled atomic.Int64
 }
 
 // Transport is a daemon's end of all its links.
@@ -125,7 +125,7 @@
 
 	// pace holds back what the machine's link can't take; held is set while
 	// something waits for it.
-	pace Pace
+	pace Pacer
 	held atomic.Bool
 
 	// compresses is set where turns to other zones are packed.
@@ -147,7 +147,7 @@
 	// Of the dialling loop.
 	loop     gnet.EventLoop
 	tended   map[string]*link
-	order    Order[chunk]
+	order    PriorityQueue[chunk]
 	sendAt   time.Time
 	stopped  bool
 	wrapping []byte
@@ -257,7 +257,7 @@
 		count = int64(binary.BigEndian.Uint64(body))
 	}
 	if count >= 0 && confirming.wire == connection {
-		confirming.socket.window.Confirmed(time.Now(), count)
+		confirming.socket.window.Acknowledge(time.Now(), count)
 		ce.transport.pump(confirming)
 	}
 	return gnet.None
--- a/internal/transport/link_test.go
+++ b/internal/transport/link_test.go
@@ -56,7 +56,7 @@
 
 func TestPackedTurnsKeepTheirOrderAndAllArrive(t *testing.T) {
 	left, right := openEndAt(t, freeAddress(t)), openEndAt(t, freeAddressOf(t, "127.0.1.1"))
-	left.links.Compress()
+	left.links.EnableCompression()
 	const most = 3000
 	plain := 0
 	for sent := uint64(0); sent < most; {
@@ -222,13 +222,13 @@
 	there, err := transport.Open(address, inbox, urgent, func(string, error) {})
 	assert.NilError(t, err)
 	left := openEnd(t)
-	left.links.Watch()
+	left.links.ObserveLinks()
 	assert.NilError(t, left.links.Send(address, 0, appendOf(1)))
 	left.links.Flush()
 	receive(t, inbox)
 	there.Close()
 	told := receive(t, left.urgent)
-	_, refused := told.Message.(transport.Refused)
+	_, refused := told.Message.(transport.ConnectionRefused)
 	assert.Assert(t, refused, "%T", told.Message)
 	assert.Equal(t, told.Meta.From, address)
 
--- a/internal/transport/order.go
+++ b/internal/transport/order.go
@@ -11,10 +11,10 @@
 	waitingMost = 1 << 20
 )
 
-// Order holds items for peers, by class. Items of a class for a peer keep their
+// PriorityQueue holds items for peers, by class. Items of a class for a peer keep their
 // order. The highest class goes first, peers in turn, and a class that was passed by
 // too many bytes of higher ones has one item sent.
-type Order[Item any] struct {
+type PriorityQueue[Item any] struct {
 	classes [classCount]classQueue[Item]
 }
 
@@ -36,9 +36,9 @@
 	size int
 }
 
-// Put adds an item, and gives those that are lost for it: the oldest of its class
+// Push adds an item, and gives those that are lost for it: the oldest of its class
 // and peer where too much waits.
-func (o *Order[Item]) Put(peer string, class Class, size int, item Item) (lost []Item) {
+func (o *PriorityQueue[Item]) Push(peer string, class Class, size int, item Item) (lost []Item) {
 	queue := &o.classes[class]
 	present, found := queue.byPeer[peer]
 	if !found {
@@ -59,7 +59,7 @@
 }
 
 // Empty tells whether nothing waits.
-func (o *Order[Item]) Empty() bool {
+func (o *PriorityQueue[Item]) Empty() bool {
 	for class := range o.classes {
 		if len(o.classes[class].turns) > 0 {
 			return false
@@ -68,8 +68,8 @@
 	return true
 }
 
-// Waits tells whether anything waits for a peer.
-func (o *Order[Item]) Waits(peer string) bool {
+// Contains tells whether anything waits for a peer.
+func (o *PriorityQueue[Item]) Contains(peer string) bool {
 	for class := range o.classes {
 		if _, found := o.classes[class].byPeer[peer]; found {
 			return true
@@ -78,8 +78,8 @@
 	return false
 }
 
-// Next takes out what goes next, to a peer that takes it.
-func (o *Order[Item]) Next(takes func(peer string, item Item) bool) (peer string, item Item, found bool) {
+// Pop takes out what goes next, to a peer that takes it.
+func (o *PriorityQueue[Item]) Pop(takes func(peer string, item Item) bool) (peer string, item Item, found bool) {
 	for class := classCount - 1; class > 0; class-- {
 		if o.classes[class].passed >= starveAfter {
 			if peer, item, found = o.nextOf(class, takes); found {
@@ -95,7 +95,7 @@
 	return "", item, false
 }
 
-func (o *Order[Item]) nextOf(class Class, takes func(peer string, item Item) bool) (peer string, item Item, found bool) {
+func (o *PriorityQueue[Item]) nextOf(class Class, takes func(peer string, item Item) bool) (peer string, item Item, found bool) {
 	queue := &o.classes[class]
 	for position, present := range queue.turns {
 		if !takes(present.peer, present.items[0].item) {
@@ -119,8 +119,8 @@
 	return "", item, false
 }
 
-// Forget takes out what waits for a peer in a class and is no longer wanted.
-func (o *Order[Item]) Forget(peer string, class Class, unwanted func(item Item) bool) (forgotten []Item) {
+// Remove takes out what waits for a peer in a class and is no longer wanted.
+func (o *PriorityQueue[Item]) Remove(peer string, class Class, unwanted func(item Item) bool) (forgotten []Item) {
 	queue := &o.classes[class]
 	present, found := queue.byPeer[peer]
 	if !found {
@@ -144,10 +144,10 @@
 	return forgotten
 }
 
-// ForgetAll takes out what waits for a peer in every class and is not wanted.
-func (o *Order[Item]) ForgetAll(peer string, unwanted func(item Item) bool) (forgotten []Item) {
+// RemoveAll takes out what waits for a peer in every class and is not wanted.
+func (o *PriorityQueue[Item]) RemoveAll(peer string, unwanted func(item Item) bool) (forgotten []Item) {
 	for class := range classCount {
-		forgotten = append(forgotten, o.Forget(peer, class, unwanted)...)
+		forgotten = append(forgotten, o.Remove(peer, class, unwanted)...)
 	}
 	return forgotten
 }
--- a/internal/transport/order_test.go
+++ b/internal/transport/order_test.go
@@ -14,10 +14,10 @@
 func anyPeer(string, string) bool { return true }
 
 // emptied gives what an order holds, in the order in which it goes.
-func emptied(order *Order[string], takes func(peer, item string) bool) []string {
+func emptied(order *PriorityQueue[string], takes func(peer, item string) bool) []string {
 	var went []string
 	for {
-		peer, item, found := order.Next(takes)
+		peer, item, found := order.Pop(takes)
 		if !found {
 			return went
 		}
@@ -26,15 +26,15 @@
 }
 
 func TestHigherClassesGoFirstAndEachKeepsItsOrder(t *testing.T) {
-	var order Order[string]
-	order.Put("a", ClassCatchUp, 10, "missed 1")
-	order.Put("a", ClassLive, 10, "live 1")
-	order.Put("b", ClassLive, 10, "live 2")
-	order.Put("a", ClassLive, 10, "live 3")
-	order.Put("b", ClassInterest, 10, "interest")
-	order.Put("a", ClassUrgent, 10, "urgent")
-	order.Put("a", ClassCatchUp, 10, "missed 2")
-	order.Put("b", ClassControl, 10, "lease")
+	var order PriorityQueue[string]
+	order.Push("a", ClassCatchUp, 10, "missed 1")
+	order.Push("a", ClassLive, 10, "live 1")
+	order.Push("b", ClassLive, 10, "live 2")
+	order.Push("a", ClassLive, 10, "live 3")
+	order.Push("b", ClassInterest, 10, "interest")
+	order.Push("a", ClassTransient, 10, "urgent")
+	order.Push("a", ClassCatchUp, 10, "missed 2")
+	order.Push("b", ClassControl, 10, "lease")
 	assert.DeepEqual(t, emptied(&order, anyPeer), []string{
 		"b lease", "a urgent", "a live 1", "b live 2", "a live 3", "b interest", "a missed 1", "a missed 2",
 	})
@@ -42,24 +42,24 @@
 }
 
 func TestAPeerThatTakesNothingHoldsUpNoOther(t *testing.T) {
-	var order Order[string]
-	order.Put("deaf", ClassControl, 10, "lease")
-	order.Put("a", ClassCatchUp, 10, "missed")
-	order.Put("deaf", ClassLive, 10, "live")
+	var order PriorityQueue[string]
+	order.Push("deaf", ClassControl, 10, "lease")
+	order.Push("a", ClassCatchUp, 10, "missed")
+	order.Push("deaf", ClassLive, 10, "live")
 	assert.DeepEqual(t, emptied(&order, func(peer, _ string) bool { return peer != "deaf" }), []string{"a missed"})
-	assert.Assert(t, order.Waits("deaf") && !order.Waits("a") && !order.Empty())
+	assert.Assert(t, order.Contains("deaf") && !order.Contains("a") && !order.Empty())
 	assert.DeepEqual(t, emptied(&order, anyPeer), []string{"deaf lease", "deaf live"})
 }
 
 func TestALowerClassIsNotStarved(t *testing.T) {
-	var order Order[string]
+	var order PriorityQueue[string]
 	const size = 1 << 10
-	order.Put("a", ClassCatchUp, size, "missed")
-	order.Put("a", ClassInterest, size, "interest")
+	order.Push("a", ClassCatchUp, size, "missed")
+	order.Push("a", ClassInterest, size, "interest")
 	passed := map[string]int{}
 	for number := range 1000 {
-		order.Put("b", ClassLive, size, fmt.Sprint("live ", number))
-		_, item, found := order.Next(anyPeer)
+		order.Push("b", ClassLive, size, fmt.Sprint("live ", number))
+		_, item, found := order.Pop(anyPeer)
 		assert.Assert(t, found)
 		passed[item] = number
 	}
@@ -70,18 +70,18 @@
 }
 
 func TestWhatWaitsForAPeerIsBoundedAndTheOldestIsLost(t *testing.T) {
-	var order Order[string]
+	var order PriorityQueue[string]
 	var lost []string
 	for number := range 20 {
-		lost = append(lost, order.Put("deaf", ClassCatchUp, waitingMost/10, fmt.Sprint(number))...)
-		lost = append(lost, order.Put("deaf", ClassLive, waitingMost/100, fmt.Sprint("live ", number))...)
+		lost = append(lost, order.Push("deaf", ClassCatchUp, waitingMost/10, fmt.Sprint(number))...)
+		lost = append(lost, order.Push("deaf", ClassLive, waitingMost/100, fmt.Sprint("live ", number))...)
 	}
 	assert.DeepEqual(t, lost, []string{"0", "1", "2", "3", "4", "5", "6", "7", "8", "9"})
 	// One that is larger than the bound is not lost for itself.
-	assert.Equal(t, len(order.Put("a", ClassLive, 2*waitingMost, "large")), 0)
-	assert.DeepEqual(t, order.Forget("deaf", ClassCatchUp, func(item string) bool { return item != "15" }),
+	assert.Equal(t, len(order.Push("a", ClassLive, 2*waitingMost, "large")), 0)
+	assert.DeepEqual(t, order.Remove("deaf", ClassCatchUp, func(item string) bool { return item != "15" }),
 		[]string{"10", "11", "12", "13", "14", "16", "17", "18", "19"})
-	assert.Equal(t, len(order.ForgetAll("deaf", func(string) bool { return true })), 21)
+	assert.Equal(t, len(order.RemoveAll("deaf", func(string) bool { return true })), 21)
 	assert.DeepEqual(t, emptied(&order, anyPeer), []string{"a large"})
 }
 
@@ -110,24 +110,24 @@
 	const rate, size = 325_000, 8 << 10
 	began := time.Unix(1_700_000_000, 0)
 	link := &slowLink{rate: rate, now: began, began: began, arrived: map[string]time.Duration{}}
-	var order Order[string]
-	var pace Pace
+	var order PriorityQueue[string]
+	var pace Pacer
 	pace.SetRate(rate)
 	for number := range 100 {
-		order.Put("a", ClassCatchUp, size, fmt.Sprint("missed ", number))
+		order.Push("a", ClassCatchUp, size, fmt.Sprint("missed ", number))
 	}
 	const leaseAt = 500 * time.Millisecond
 	leased := false
 	for !order.Empty() || !leased {
 		if !leased && link.now.Sub(began) >= leaseAt {
 			leased = true
-			order.Put("b", ClassControl, 100, "lease")
+			order.Push("b", ClassControl, 100, "lease")
 		}
-		if wait := pace.Wait(link.now); wait > 0 || order.Empty() {
+		if wait := pace.Delay(link.now); wait > 0 || order.Empty() {
 			link.now = link.now.Add(max(time.Millisecond, wait))
 			continue
 		}
-		_, item, _ := order.Next(anyPeer)
+		_, item, _ := order.Pop(anyPeer)
 		bytes := size
 		if item == "lease" {
 			bytes = 100
@@ -146,34 +146,34 @@
 
 func TestReceiversOnWideLinksConfirmNothing(t *testing.T) {
 	for rate, confirms := range map[int]bool{0: false, 325_000: true, 600_000_000 / 8: false, 125_000_000: false} {
-		var pace Pace
+		var pace Pacer
 		pace.SetRate(rate)
-		assert.Equal(t, pace.Confirms(), confirms, "%d", rate)
+		assert.Equal(t, pace.RequiresAcknowledgements(), confirms, "%d", rate)
 	}
 }
 
 func TestWithoutARateNothingIsHeldBack(t *testing.T) {
-	var pace Pace
+	var pace Pacer
 	now := time.Unix(1_700_000_000, 0)
 	pace.Spend(now, 1<<30)
-	assert.Equal(t, pace.Wait(now), time.Duration(0))
+	assert.Equal(t, pace.Delay(now), time.Duration(0))
 }
 
 // receiver confirms what it took, with its connection's way there and back.
 type receiver struct{ took, told int64 }
 
-func (r *receiver) takes(window *Window, at time.Time, size int) {
+func (r *receiver) takes(window *FlowWindow, at time.Time, size int) {
 	r.took += int64(size)
-	if ToConfirm(r.told, r.took) {
+	if AcknowledgementDue(r.told, r.took) {
 		r.told = r.took
-		window.Confirmed(at, r.told)
+		window.Acknowledge(at, r.told)
 	}
 }
 
 // through sends for a while over a link whose queue others fill, and gives the bytes
 // that were on their way at most after the first moments, and those that went.
 func through(length, others time.Duration, rate int) (most, went int64) {
-	var window Window
+	var window FlowWindow
 	var peer receiver
 	now := time.Unix(1_700_000_000, 0)
 	end, settled, free := now.Add(length), now.Add(length/4), now
@@ -188,7 +188,7 @@
 			peer.takes(&window, now, flying[0].size)
 			flying = flying[1:]
 		}
-		for window.Open(ClassCatchUp) {
+		for window.Admits(ClassCatchUp) {
 			window.Sent(now, size)
 			if free.Before(now) {
 				free = now
@@ -215,7 +215,7 @@
 }
 
 func TestAWindowThatIsNeverUsedDoesNotGrow(t *testing.T) {
-	var window Window
+	var window FlowWindow
 	var peer receiver
 	now := time.Unix(1_700_000_000, 0)
 	for range 10_000 {
@@ -224,29 +224,29 @@
 		peer.takes(&window, now, 100)
 	}
 	assert.Equal(t, window.bound(), outstandingFirst)
-	assert.Assert(t, window.Open(ClassCatchUp))
+	assert.Assert(t, window.Admits(ClassCatchUp))
 }
 
 func TestWhatIsSaidAnewAnywayIsLostOnceItIsStale(t *testing.T) {
 	for class := range classCount {
-		assert.Equal(t, class.Stale(patience[ClassCatchUp]+time.Millisecond), class >= ClassInterest, "class %d", class)
+		assert.Equal(t, class.Expired(patience[ClassCatchUp]+time.Millisecond), class >= ClassInterest, "class %d", class)
 	}
-	assert.Assert(t, !ClassInterest.Stale(patience[ClassInterest]))
+	assert.Assert(t, !ClassInterest.Expired(patience[ClassInterest]))
 }
 
 func TestAFullWindowHoldsBackTheLowerClassesFirst(t *testing.T) {
-	var window Window
+	var window FlowWindow
 	now := time.Unix(1_700_000_000, 0)
 	window.Sent(now, int(outstandingFirst))
-	assert.Assert(t, !window.Open(ClassCatchUp) && !window.Open(ClassInterest) && window.Open(ClassLive) && window.Open(ClassControl))
+	assert.Assert(t, !window.Admits(ClassCatchUp) && !window.Admits(ClassInterest) && window.Admits(ClassLive) && window.Admits(ClassControl))
 	window.Sent(now, int(outstandingFirst))
-	assert.Assert(t, !window.Open(ClassLive) && window.Open(ClassUrgent) && window.Open(ClassControl))
-	window.Confirmed(now, outstandingFirst)
+	assert.Assert(t, !window.Admits(ClassLive) && window.Admits(ClassTransient) && window.Admits(ClassControl))
+	window.Acknowledge(now, outstandingFirst)
 	// It came at once, so that the window is larger by half now.
-	assert.Assert(t, window.Open(ClassCatchUp) && window.Open(ClassLive))
+	assert.Assert(t, window.Admits(ClassCatchUp) && window.Admits(ClassLive))
 	assert.Equal(t, window.bound(), outstandingFirst*3/2)
 	// Who wants no window says so once.
-	window.Confirmed(now, Unbounded)
+	window.Acknowledge(now, AcknowledgeUnlimited)
 	window.Sent(now, 1<<30)
-	assert.Assert(t, window.Open(ClassCatchUp))
+	assert.Assert(t, window.Admits(ClassCatchUp))
 }
--- a/internal/transport/pace.go
+++ b/internal/transport/pace.go
@@ -20,18 +20,18 @@
 	paceShare = 0.9
 )
 
-// Pace is the time at which a link will have taken what it was given. It is used by
+// Pacer is the time at which a link will have taken what it was given. It is used by
 // the owner and by the dialling loop, and without a rate it never holds back.
-type Pace struct {
+type Pacer struct {
 	rate atomic.Int64
 	free atomic.Int64
 }
 
 // SetRate sets the bytes that the link takes a second, 0 for no limit.
-func (p *Pace) SetRate(rate int) { p.rate.Store(int64(float64(rate) * paceShare)) }
+func (p *Pacer) SetRate(rate int) { p.rate.Store(int64(float64(rate) * paceShare)) }
 
 // Spend gives bytes to the link.
-func (p *Pace) Spend(now time.Time, size int) {
+func (p *Pacer) Spend(now time.Time, size int) {
 	rate := p.rate.Load()
 	if rate == 0 {
 		return
@@ -45,8 +45,8 @@
 	}
 }
 
-// Wait tells how long the link can't be given more.
-func (p *Pace) Wait(now time.Time) time.Duration {
+// Delay tells how long the link can't be given more.
+func (p *Pacer) Delay(now time.Time) time.Duration {
 	if p.rate.Load() == 0 || statemachine.Mutated("single-class") {
 		return 0
 	}
@@ -58,9 +58,9 @@
 	outstandingLeast int64 = 4 << 10
 	outstandingFirst int64 = 8 << 10
 	outstandingMost  int64 = 1 << 20
-	// ConfirmEach is how many bytes there are between two confirmations, counted
+	// AcknowledgeEvery is how many bytes there are between two confirmations, counted
 	// from the connection's beginning at both of its ends.
-	ConfirmEach = 2 << 10
+	AcknowledgeEvery = 2 << 10
 	// confirmationSize is the length of a confirmation, a count of bytes.
 	confirmationSize = 8
 	// delayWanted is how long bytes may wait on their way, beyond the shortest time
@@ -71,12 +71,12 @@
 	shortestMost = 60 * time.Millisecond
 )
 
-// Window bounds the bytes on one connection that its receiver has not confirmed. It
+// FlowWindow bounds the bytes on one connection that its receiver has not confirmed. It
 // grows while confirmations come as quickly as they ever did, and shrinks while
 // bytes wait on their way: behind others' on a full link, or at a peer that does not
 // read. Whoever may write on the connection calls Sent and Open; confirmations may
 // come at the same time.
-type Window struct {
+type FlowWindow struct {
 	// limit is zero before it was ever changed.
 	limit     atomic.Int64
 	sent      atomic.Int64
@@ -93,19 +93,19 @@
 }
 
 // Sent notes bytes that are about to be given to the connection.
-func (w *Window) Sent(now time.Time, size int) {
+func (w *FlowWindow) Sent(now time.Time, size int) {
 	count := w.sent.Add(int64(size))
 	if count-w.confirmed.Load() > w.bound()*3/4 {
 		w.used.Store(true)
 	}
-	if boundary := count / ConfirmEach * ConfirmEach; boundary > count-int64(size) && w.mark.Load() == 0 {
+	if boundary := count / AcknowledgeEvery * AcknowledgeEvery; boundary > count-int64(size) && w.mark.Load() == 0 {
 		w.markAt.Store(now.UnixNano())
 		w.mark.Store(boundary)
 	}
 }
 
-// Confirmed notes how many bytes the receiver has taken in all.
-func (w *Window) Confirmed(now time.Time, count int64) {
+// Acknowledge notes how many bytes the receiver has taken in all.
+func (w *FlowWindow) Acknowledge(now time.Time, count int64) {
 	if count < w.confirmed.Load() {
 		return
 	}
@@ -117,7 +117,7 @@
 	}
 }
 
-func (w *Window) adapt(took time.Duration) {
+func (w *FlowWindow) adapt(took time.Duration) {
 	if w.shortest == 0 || took < w.shortest {
 		w.shortest = took
 	}
@@ -132,10 +132,10 @@
 	}
 }
 
-// Open tells whether more of a class may be given to the connection. What is of the
+// Admits tells whether more of a class may be given to the connection. What is of the
 // control state is never held back by what is on its way before it, and what callers
 // wait for only by more of that than others are.
-func (w *Window) Open(class Class) bool {
+func (w *FlowWindow) Admits(class Class) bool {
 	outstanding := w.sent.Load() - w.confirmed.Load()
 	switch {
 	case class < ClassLive || statemachine.Mutated("single-class"):
@@ -146,21 +146,21 @@
 	return outstanding < w.bound()
 }
 
-// Unbounded is the confirmation, given once, of a receiver that wants no window.
-const Unbounded int64 = 1 << 62
+// AcknowledgeUnlimited is the confirmation, given once, of a receiver that wants no window.
+const AcknowledgeUnlimited int64 = 1 << 62
 
-// Confirms tells whether a receiver on the link confirms what it takes. On one that
+// RequiresAcknowledgements tells whether a receiver on the link confirms what it takes. On one that
 // takes the largest window in the time that is given ahead, no window would ever hold
 // anything back.
-func (p *Pace) Confirms() bool {
+func (p *Pacer) RequiresAcknowledgements() bool {
 	rate := p.rate.Load()
 	return rate > 0 && rate < outstandingMost*int64(time.Second/paceAhead)
 }
 
-// ToConfirm tells a receiver whether it has taken enough since its last confirmation.
-func ToConfirm(told, took int64) bool { return took/ConfirmEach > told/ConfirmEach }
+// AcknowledgementDue tells a receiver whether it has taken enough since its last confirmation.
+func AcknowledgementDue(told, took int64) bool { return took/AcknowledgeEvery > told/AcknowledgeEvery }
 
-func (w *Window) bound() int64 {
+func (w *FlowWindow) bound() int64 {
 	if limit := w.limit.Load(); limit != 0 {
 		return limit
 	}
--- a/internal/transport/receive.go
+++ b/internal/transport/receive.go
@@ -64,7 +64,7 @@
 
 // confirm tells the sender how many bytes were taken, now and then.
 func (p *peer) confirm(connection gnet.Conn) gnet.Action {
-	if !p.confirms || !ToConfirm(p.told, p.took) {
+	if !p.confirms || !AcknowledgementDue(p.told, p.took) {
 		return gnet.None
 	}
 	p.told = p.took
@@ -123,7 +123,7 @@
 	}
 	t.Counters.MessagesIn.Add(1)
 	t.received.add(message, headerSize+len(frame))
-	if impairment := t.impairment.Load(); !anyPrefix(meta.From, impairment.Cuts, impairment.Deaf) {
+	if impairment := t.impairment.Load(); !anyPrefix(meta.From, impairment.Partitioned, impairment.InboundBlocked) {
 		t.take(Inbound{Meta: meta, Message: message})
 	}
 	return nil
@@ -140,8 +140,8 @@
 		_ = older.Close()
 	}
 	t.inward[address] = connection
-	if from.confirms = t.pace.Confirms(); !from.confirms {
-		_, _ = connection.Write(binary.BigEndian.AppendUint64(nil, uint64(Unbounded)))
+	if from.confirms = t.pace.RequiresAcknowledgements(); !from.confirms {
+		_, _ = connection.Write(binary.BigEndian.AppendUint64(nil, uint64(AcknowledgeUnlimited)))
 	}
 	t.peerIsThere(address)
 }
@@ -150,7 +150,7 @@
 // that is emptied first. Where the owner can't keep up the rest is dropped, as a
 // network would, rather than hold up everything behind it.
 func (t *Transport) take(inbound Inbound) {
-	if Urgent(inbound.Message) {
+	if IsControl(inbound.Message) {
 		t.urgent <- inbound
 		return
 	}
@@ -162,7 +162,7 @@
 }
 
 func (t *Transport) refuse(connection gnet.Conn, err error) gnet.Action {
-	t.Counters.Garbage.Add(1)
+	t.Counters.Malformed.Add(1)
 	t.garbage(connection.RemoteAddr().String(), err)
 	return gnet.Close
 }
--- a/internal/transport/send.go
+++ b/internal/transport/send.go
@@ -16,7 +16,7 @@
 
 func (t *Transport) cutTo(address string) bool {
 	impairment := t.impairment.Load()
-	return anyPrefix(address, impairment.Cuts, impairment.Mutes)
+	return anyPrefix(address, impairment.Partitioned, impairment.OutboundBlocked)
 }
 
 // SetImpairment changes what a trial imposes.
@@ -24,13 +24,13 @@
 	t.impairment.Store(&impairment)
 }
 
-// Compress has turns to other zones packed, on connections made from now
+// EnableCompression has turns to other zones packed, on connections made from now
 // on.
-func (t *Transport) Compress() { t.compresses.Store(true) }
+func (t *Transport) EnableCompression() { t.compresses.Store(true) }
 
-// Watch has connections that end dialled again at once, and addresses that refuse
+// ObserveLinks has connections that end dialled again at once, and addresses that refuse
 // that told to the owner.
-func (t *Transport) Watch() { t.watches.Store(true) }
+func (t *Transport) ObserveLinks() { t.watches.Store(true) }
 
 // Send queues a message for the end of the turn; it never blocks for long and
 // never fails loudly. It is for the owner alone. Until the owner has called
@@ -146,8 +146,8 @@
 		t.handOverTurn(present)
 		return
 	}
-	if t.held.Load() || t.pace.Wait(now) > 0 || !open.socket.window.Open(present.lowest()) {
-		t.Counters.Held.Add(1)
+	if t.held.Load() || t.pace.Delay(now) > 0 || !open.socket.window.Admits(present.lowest()) {
+		t.Counters.Throttled.Add(1)
 		t.handOverTurn(present)
 		return
 	}
@@ -173,8 +173,8 @@
 	}
 }
 
-// Spent tells of bytes that others gave to the machine's link.
-func (t *Transport) Spent(size int) {
+// SpendBandwidth tells of bytes that others gave to the machine's link.
+func (t *Transport) SpendBandwidth(size int) {
 	if t.pace.rate.Load() != 0 {
 		t.pace.Spend(time.Now(), size)
 	}
@@ -187,8 +187,8 @@
 	t.Counters.MessagesOut.Add(int64(frames))
 	t.Counters.BytesOut.Add(int64(sent))
 	if present.away {
-		t.Counters.MessagesAway.Add(int64(frames))
-		t.Counters.BytesAway.Add(int64(sent))
+		t.Counters.MessagesCrossZone.Add(int64(frames))
+		t.Counters.BytesCrossZone.Add(int64(sent))
 	}
 }
 
--- a/internal/transport/socket.go
+++ b/internal/transport/socket.go
@@ -24,7 +24,7 @@
 	// packer is set where turns are packed. Whoever may write may pack.
 	packer *packer
 	// window bounds what the peer has not confirmed.
-	window Window
+	window FlowWindow
 }
 
 // wrap gives the bytes that go out for a turn, and the scratch for the next one.
--- a/internal/transport/thin_test.go
+++ b/internal/transport/thin_test.go
@@ -26,7 +26,7 @@
 	for number := range uint64(most) {
 		assert.Equal(t, receive(t, right.inbox).Message.(partition.Append).Request, number)
 	}
-	assert.Assert(t, left.links.Counters.Held.Load() > 0, "nothing waited for the link")
+	assert.Assert(t, left.links.Counters.Throttled.Load() > 0, "nothing waited for the link")
 	assert.Equal(t, left.links.Counters.Dropped.Load(), int64(0))
 }
 
