--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -1,7 +1,12 @@
-// Package decisionlog keeps a bounded ring of recorded decisions: why a request or
-// a message went where it went. Every daemon has one and serves it at ctl, and
-// the command `dahlialock explain` asks them all. Entries about one message share its space, sender and
-// seq, which is how those of several daemons are put together.
+// Package decisionlog keeps the most recent decisions of a daemon in a bounded
+// ring: why a request or a message was routed, accepted, rejected or delivered.
+//
+// The owner of a daemon's state machine records decisions and serves them at
+// ctl under /v1/decisions; `dahlialock explain` queries all daemons and merges
+// the entries. Entries about one message carry the same message name (see
+// MessageName), which is how those of several daemons are put together.
+//
+// A Ring isn't safe for use from several goroutines.
 package decisionlog
 
 import (
@@ -10,44 +15,58 @@
 	"time"
 )
 
-// Capacity is how many decisions a daemon remembers.
+// Capacity is how many entries a Ring keeps before it overwrites the oldest.
 const Capacity = 16384
 
-// Entry is one decision.
+// partitionSeparator ends the space's name in the name of a partition.
+const partitionSeparator = "~"
+
+// Entry is one decision. Its JSON form is served at ctl.
 type Entry struct {
-	At      time.Time      `json:"at"`
-	Daemon  string         `json:"daemon"`
-	Request string         `json:"visit,omitempty"`
-	Message string         `json:"message,omitempty"`
-	Client  string         `json:"origin,omitempty"`
-	Step    string         `json:"step"`
-	Detail  map[string]any `json:"detail,omitempty"`
+	At     time.Time `json:"at"`
+	Daemon string    `json:"daemon"`
+	// Request identifies the client's request, Message the message (see
+	// MessageName) and Client the client by name; each is empty where the
+	// decision isn't about one.
+	Request string `json:"visit,omitempty"`
+	Message string `json:"message,omitempty"`
+	Client  string `json:"origin,omitempty"`
+	// Step names the kind of the decision, such as "accepted".
+	Step string `json:"step"`
+	// Detail holds what the decision was based on, by name.
+	Detail map[string]any `json:"detail,omitempty"`
 }
 
-// Ring is the bounded memory; one owner uses it.
+// Ring is a bounded log of decisions that overwrites its oldest entries.
 type Ring struct {
-	daemon  string
+	daemon string
+	// entries grows up to Capacity and is then overwritten in a circle.
 	entries []Entry
-	next    int
+	// next is the index of the oldest entry once the ring is full, before that 0.
+	next int
 }
 
-// NewRing makes an empty ring.
+// NewRing returns an empty ring for the daemon of that name.
 func NewRing(daemon string) *Ring { return &Ring{daemon: daemon} }
 
-// MessageName is how a message is named across daemons.
+// MessageName returns the name of a message that is the same on all daemons.
+// The space may be given as the name of one of its partitions.
 func MessageName(space, sender string, seq uint64) string {
-	space, _, _ = strings.Cut(space, "~")
+	space, _, _ = strings.Cut(space, partitionSeparator)
 	return fmt.Sprintf("%s/%s/%d", space, sender, seq)
 }
 
-// Record adds a decision in place of the oldest; details come in pairs.
+// Record appends a decision, in place of the oldest if the ring is full. The
+// details are pairs of a name, which must be a string, and a value.
 func (r *Ring) Record(now time.Time, request, message, client, step string, details ...any) {
-	entry := Entry{At: now, Daemon: r.daemon, Request: request, Message: message, Client: client, Step: step}
-	if len(details) > 0 {
-		entry.Detail = make(map[string]any, len(details)/2)
-		for position := 0; position+1 < len(details); position += 2 {
-			entry.Detail[details[position].(string)] = details[position+1]
-		}
+	entry := Entry{
+		At:      now,
+		Daemon:  r.daemon,
+		Request: request,
+		Message: message,
+		Client:  client,
+		Step:    step,
+		Detail:  detailOf(details),
 	}
 	if len(r.entries) < Capacity {
 		r.entries = append(r.entries, entry)
@@ -57,29 +76,48 @@
 	r.next = (r.next + 1) % Capacity
 }
 
-// Find lists the entries about a request, a message or an origin, oldest first.
+// detailOf returns the pairs as a map, nil if there are none.
+func detailOf(pairs []any) map[string]any {
+	if len(pairs) == 0 {
+		return nil
+	}
+	detail := make(map[string]any, len(pairs)/2)
+	for index := 0; index+1 < len(pairs); index += 2 {
+		detail[pairs[index].(string)] = pairs[index+1]
+	}
+	return detail
+}
+
+// Find returns the entries about a request, a message or a client, oldest
+// first; an empty argument matches nothing. A request also matches the entries
+// about the messages that it published.
 func (r *Ring) Find(request, message, client string) []Entry {
-	found := []Entry{}
 	messages := map[string]bool{}
 	if message != "" {
 		messages[message] = true
 	}
-	each := func(check func(Entry)) {
-		for step := range r.entries {
-			check(r.entries[(r.next+step)%len(r.entries)])
-		}
-	}
 	if request != "" {
-		each(func(entry Entry) {
+		r.each(func(entry Entry) {
 			if entry.Request == request && entry.Message != "" {
 				messages[entry.Message] = true
 			}
 		})
 	}
-	each(func(entry Entry) {
-		if request != "" && entry.Request == request || entry.Message != "" && messages[entry.Message] || client != "" && entry.Client == client {
+	found := []Entry{}
+	r.each(func(entry Entry) {
+		byRequest := request != "" && entry.Request == request
+		byMessage := entry.Message != "" && messages[entry.Message]
+		byClient := client != "" && entry.Client == client
+		if byRequest || byMessage || byClient {
 			found = append(found, entry)
 		}
 	})
 	return found
 }
+
+// each calls visit with all entries, oldest first.
+func (r *Ring) each(visit func(Entry)) {
+	for step := range r.entries {
+		visit(r.entries[(r.next+step)%len(r.entries)])
+	}
+}
