--- a/internal/config/digest.go
+++ b/internal/config/digest.go
@@ -1,5 +1,3 @@
-// Digests tell whether two documents say the same.
-
 package config
 
 import (
@@ -11,48 +9,50 @@
 	"github.com/valyala/fastjson"
 )
 
-// digestBytes is how much of a hash is kept: enough that no two documents share it.
+// digestBytes is how much of the SHA-256 sum a Digest keeps.
 const digestBytes = 16
 
-// annexKey names the part of a document that is itself a document, as sent.
-const annexKey = "annex"
-
-// Digest stands for what a document says, whatever its white space and the order of
-// its keys. An annex that is itself JSON counts for what it says.
+// Digest identifies what a document says, whatever its white space and the
+// order of its keys. An annotation that is itself JSON counts for what it says.
 type Digest [digestBytes]byte
 
-// DigestOf gives a document's digest; a text that is no JSON has that of its bytes.
+// DigestOf returns the digest of a document; one that isn't JSON counts by its
+// bytes.
 func DigestOf(document []byte) Digest {
 	value, err := fastjson.ParseBytes(document)
-	said := append([]byte("text "), document...)
+	canonical := append([]byte("text "), document...)
 	if err == nil {
-		said = appendCanonical(make([]byte, 0, len(document)), value, true)
+		canonical = appendCanonical(make([]byte, 0, len(document)), value, true)
 	}
-	sum := sha256.Sum256(said)
+	sum := sha256.Sum256(canonical)
 	return Digest(sum[:digestBytes])
 }
 
-// appendCanonical writes a value in the one way in which it is hashed: keys in order,
-// no white space, numbers to the letter, texts after their length.
-func appendCanonical(to []byte, value *fastjson.Value, outermost bool) []byte {
+// appendCanonical appends the canonical form of a value, which is hashed: keys
+// sorted, no white space, numbers as written, strings after their length. Only
+// the root's annotation gets the form of an annotation.
+func appendCanonical(buffer []byte, value *fastjson.Value, root bool) []byte {
 	switch value.Type() {
 	case fastjson.TypeObject:
-		return appendObject(to, value.GetObject(), outermost)
+		return appendObject(buffer, value.GetObject(), root)
 	case fastjson.TypeArray:
-		to = append(to, '[')
+		buffer = append(buffer, '[')
 		for _, item := range value.GetArray() {
-			to = append(appendCanonical(to, item, false), ',')
+			buffer = append(appendCanonical(buffer, item, false), ',')
 		}
-		return append(to, ']')
+		return append(buffer, ']')
 	case fastjson.TypeString:
-		return appendText(to, value.GetStringBytes())
+		return appendString(buffer, value.GetStringBytes())
+	case fastjson.TypeNull, fastjson.TypeNumber, fastjson.TypeTrue, fastjson.TypeFalse:
 	}
-	return value.MarshalTo(to)
+	return value.MarshalTo(buffer)
 }
 
-func appendText(to, text []byte) []byte {
-	to = append(strconv.AppendInt(append(to, '"'), int64(len(text)), 10), ':')
-	return append(to, text...)
+// appendString appends a string after its length, so that no string can pass
+// for the syntax around it.
+func appendString(buffer, text []byte) []byte {
+	buffer = append(strconv.AppendInt(append(buffer, '"'), int64(len(text)), 10), ':')
+	return append(buffer, text...)
 }
 
 type field struct {
@@ -60,32 +60,32 @@
 	value *fastjson.Value
 }
 
-func appendObject(to []byte, object *fastjson.Object, outermost bool) []byte {
+func appendObject(buffer []byte, object *fastjson.Object, root bool) []byte {
 	fields := make([]field, 0, object.Len())
 	object.Visit(func(key []byte, value *fastjson.Value) {
 		fields = append(fields, field{key: key, value: value})
 	})
 	slices.SortStableFunc(fields, func(left, right field) int { return bytes.Compare(left.key, right.key) })
-	to = append(to, '{')
+	buffer = append(buffer, '{')
 	for _, each := range fields {
-		to = appendText(to, each.key)
-		if outermost && string(each.key) == annexKey {
-			to = appendAnnex(to, each.value)
+		buffer = appendString(buffer, each.key)
+		if root && string(each.key) == annotationKey {
+			buffer = appendAnnotation(buffer, each.value)
 		} else {
-			to = appendCanonical(to, each.value, false)
+			buffer = appendCanonical(buffer, each.value, false)
 		}
-		to = append(to, ',')
+		buffer = append(buffer, ',')
 	}
-	return append(to, '}')
+	return append(buffer, '}')
 }
 
-// appendAnnex writes an annex for what it says, marked so that it is told from a value
-// that is no text.
-func appendAnnex(to []byte, value *fastjson.Value) []byte {
+// appendAnnotation appends an annotation that is itself JSON by what it says,
+// marked so that it differs from the same value outside a string.
+func appendAnnotation(buffer []byte, value *fastjson.Value) []byte {
 	if value.Type() == fastjson.TypeString {
-		if said, err := fastjson.ParseBytes(value.GetStringBytes()); err == nil {
-			return appendCanonical(append(to, "annex "...), said, false)
+		if inner, err := fastjson.ParseBytes(value.GetStringBytes()); err == nil {
+			return appendCanonical(append(buffer, "annex "...), inner, false)
 		}
 	}
-	return appendCanonical(to, value, false)
+	return appendCanonical(buffer, value, false)
 }
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -1,8 +1,3 @@
-// Routes lead topics to spaces: of the prefixes that begin a topic's name, the
-// longest decides. Spaces that are reached so keep an order for each topic, and
-// their topics lie in a fixed number of shared partitions, whatever the number of
-// spaces and whichever come and go.
-
 package config
 
 import (
@@ -17,20 +12,26 @@
 	"dahlialock/internal/statemachine"
 )
 
-// SharedPartitions is how many partitions all routed topics lie in.
+// SharedPartitions is how many partitions all topics of spaces of OrderTopic
+// share. It doesn't depend on the spaces, which come and go.
 const SharedPartitions = 32
 
-// SharedSpace stands for the space in the names of shared partitions; it is no fit
-// name, so no space of an operator's can be taken for it.
+// SharedSpace takes the place of the space in the names of shared partitions.
+// It isn't a valid name, so that it can't be taken for an operator's space.
 const SharedSpace = "+"
 
-// Route leads all topics whose names begin with a prefix to a space.
+// sharedPrefix begins the names of all shared partitions. Spaces have versions,
+// which the shared one, of version 0, has not.
+const sharedPrefix = SharedSpace + "~"
+
+// Route maps all topics whose names begin with a prefix to a space of
+// OrderTopic. Of several routes the one with the longest prefix applies.
 type Route struct {
 	Prefix string
 	Space  string
 }
 
-// SpaceForTopic names the space of a topic.
+// SpaceForTopic returns the name of the space that the routes give a topic.
 func (c Configuration) SpaceForTopic(topic string) (space string, found bool) {
 	for _, route := range c.Routes {
 		if strings.HasPrefix(topic, route.Prefix) {
@@ -40,10 +41,12 @@
 	return "", false
 }
 
-// HasRoutes tells whether any space is reached by routes.
+// HasRoutes reports whether any topic is routed.
 func (c Configuration) HasRoutes() bool { return len(c.Routes) > 0 }
 
-// TopicHash is a 64-bit hash of a topic's name.
+// TopicHash returns a 64-bit hash of a topic's name: FNV-1a with the finalizer
+// of MurmurHash3, since FNV spreads short names badly. All daemons must agree
+// on it.
 func TopicHash(topic string) uint64 {
 	sum := fnv.New64a()
 	_, _ = sum.Write([]byte(topic))
@@ -56,59 +59,69 @@
 	return mixed
 }
 
-// SharedPartitionName names one of the shared partitions.
-func SharedPartitionName(number int) string { return fmt.Sprintf("%s~0/%d", SharedSpace, number) }
+// SharedPartitionName returns the name of a shared partition, counted from 0.
+func SharedPartitionName(number int) string { return fmt.Sprintf("%s0/%d", sharedPrefix, number) }
 
-// SharedPartition names the partition of a routed topic.
+// SharedPartition returns the name of the partition of a routed topic.
 func SharedPartition(topic string) string {
 	return SharedPartitionName(int(TopicHash(topic) % SharedPartitions))
 }
 
-// IsShared tells whether a partition is one of the shared ones.
-func IsShared(partition string) bool { return strings.HasPrefix(partition, SharedSpace+"~") }
+// IsShared reports whether a partition is one of the shared ones.
+func IsShared(partition string) bool { return strings.HasPrefix(partition, sharedPrefix) }
 
-// routes reads the routes, and puts the longest prefixes first.
+// routes reads the routes and sorts them, the longest prefixes first.
 func (r *Reader) routes(path string, value *fastjson.Value, spaces map[string]Space) []Route {
 	var routes []Route
 	seen := map[string]bool{}
-	for position, item := range r.List(path, value, MaxSpaces) {
-		here := fmt.Sprintf("%s[%d]", path, position)
-		members := r.Object(here, item, "prefix", "space")
-		for _, needed := range []string{"prefix", "space"} {
-			if members[needed] == nil {
-				r.Report(here+"."+needed, "missing", "%s is wanted", needed)
-			}
-		}
-		route := Route{Prefix: r.Text(here+".prefix", members["prefix"], ""), Space: r.Text(here+".space", members["space"], "")}
-		if !fitPrefix(route.Prefix) {
-			r.Report(here+".prefix", "bad-prefix", "a prefix has at most %d printable letters and no blank", MaxPrefixBytes)
-		}
-		if seen[route.Prefix] {
-			r.Report(here+".prefix", "duplicate-prefix", "the prefix %q stands twice", route.Prefix)
-		}
+	for index, item := range r.List(path, value, MaxSpaces) {
+		route := r.route(indexed(path, index), item, spaces, seen)
 		seen[route.Prefix] = true
-		if space, found := spaces[route.Space]; members["space"] != nil && !found {
-			r.Report(here+".space", "dangling-name", "no space is named %q", route.Space)
-		} else if found && space.Order != OrderTopic {
-			r.Report(here+".space", "clash", "routes lead to spaces of order topic only")
-		}
 		routes = append(routes, route)
 	}
 	if statemachine.Mutated("first-route-wins") {
 		return routes
 	}
 	slices.SortStableFunc(routes, func(left, right Route) int {
-		return cmp.Or(cmp.Compare(len(right.Prefix), len(left.Prefix)), strings.Compare(left.Prefix, right.Prefix))
+		byLength := cmp.Compare(len(right.Prefix), len(left.Prefix))
+		return cmp.Or(byLength, strings.Compare(left.Prefix, right.Prefix))
 	})
 	return routes
 }
 
-func fitPrefix(prefix string) bool {
+// route reads one route; seen are the prefixes of those before it.
+func (r *Reader) route(path string, value *fastjson.Value, spaces map[string]Space, seen map[string]bool) Route {
+	prefixPath, spacePath := path+".prefix", path+".space"
+	members := r.Object(path, value, "prefix", "space")
+	r.require(path, members, "prefix", "space")
+	route := Route{
+		Prefix: r.Text(prefixPath, members["prefix"], ""),
+		Space:  r.Text(spacePath, members["space"], ""),
+	}
+	if !validPrefix(route.Prefix) {
+		r.Report(prefixPath, FaultBadPrefix, "a prefix has at most %d printable letters and no blank", MaxPrefixBytes)
+	}
+	if seen[route.Prefix] {
+		r.Report(prefixPath, FaultDuplicatePrefix, "the prefix %q stands twice", route.Prefix)
+	}
+	space, found := spaces[route.Space]
+	switch {
+	case members["space"] != nil && !found:
+		r.Report(spacePath, FaultDanglingName, "no space is named %q", route.Space)
+	case found && space.Order != OrderTopic:
+		r.Report(spacePath, FaultClash, "routes lead to spaces of order topic only")
+	}
+	return route
+}
+
+// validPrefix reports whether a prefix has printable characters only.
+func validPrefix(prefix string) bool {
+	const del, replacement = 0x7f, 0xfffd
 	if len(prefix) > MaxPrefixBytes {
 		return false
 	}
-	for _, letter := range prefix {
-		if letter <= 0x20 || letter == 0x7f || letter == 0xfffd {
+	for _, char := range prefix {
+		if char <= ' ' || char == del || char == replacement {
 			return false
 		}
 	}
--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -162,7 +162,7 @@
 
 func (s *Server) faulty(writer http.ResponseWriter, name string, walk *config.Reader) {
 	code := walk.Faults[0].Code
-	answer := refuse(http.StatusBadRequest, code, walk.Faults[0].String())
+	answer := refuse(http.StatusBadRequest, string(code), walk.Faults[0].String())
 	answer.Fields = map[string]any{"faults": walk.Faults}
 	s.give(writer, name, answer)
 }
