--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -19,7 +19,7 @@
 func build(current settings.Settings, self membership.Member, stored daemon.StoredState) (daemon.Service, error) {
 	machine, err := controller.New(controller.Settings{
 		Self: self, Count: current.Controllers, Seeds: current.Seeds, Founding: current.Bootstrap, Tolerance: &current.Tolerance,
-		NewDisk: stored.NewDisk, Incarnation: stored.Incarnation, Acknowledge: current.Timeouts.Acknowledge, Contact: current.Timeouts.Contact, Highest: current.VersionPolicy == settings.VersionsHighest, Grace: current.Timeouts.Grace,
+		NewDisk: stored.NewDisk, Incarnation: stored.Incarnation, Acknowledge: current.Timeouts.Acknowledge, Contact: current.Timeouts.Contact, Highest: current.VersionPolicy == settings.VersionPolicyHighest, Grace: current.Timeouts.Grace,
 	}, stored.Snapshot, stored.Entries)
 	if err != nil {
 		return daemon.Service{}, err
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -225,10 +225,7 @@
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	told := p.trafficTicks()
-	changed, err := p.source.Watch()
-	if err != nil {
-		p.logger.Report(logevent.SettingsRejected, "error", err.Error())
-	}
+	changed := p.source.Watch()
 	for {
 		select {
 		case got := <-signals:
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,459 +1,205 @@
-// Package settings reads a daemon's settings, from a file, from flags, or both
-// with the flags first. All faults are listed together. A running daemon takes
-// changed settings at a signal and without one; what names the daemon or its
-// addresses can't change while it runs, and settings with any fault leave the
-// old ones in force.
 package settings
 
 import (
-	"flag"
-	"fmt"
-	"maps"
 	"math"
-	"net"
-	"os"
 	"slices"
-	"strconv"
-	"strings"
 	"time"
 
 	"github.com/joomcode/errorx"
 	"github.com/sirupsen/logrus"
-	"github.com/valyala/fastjson"
-
-	"dahlialock/internal/config"
 )
 
 var (
 	namespace = errorx.NewNamespace("settings")
-	// ErrorSettings lists all that is wrong with settings.
+	// ErrorSettings is the type of errors that list what is wrong with settings.
 	ErrorSettings = namespace.NewType("faulty")
 )
 
-// Impairment is what a trial imposes on links, by prefix of the other's address.
-type Impairment struct {
-	Delays          map[string]time.Duration
-	Loss            map[string]float64
-	Partitioned     []string
-	OutboundBlocked []string
-	InboundBlocked  []string
-	DiskDelay       time.Duration
-}
-
-// Settings are a daemon's settings.
+// Settings are a daemon's settings. Each field has the key of the settings file
+// in its comment where that differs from the field's name.
 type Settings struct {
-	Name           string
-	Kind           string
+	Name string
+	// Kind is that of the daemon, as in membership.Member.
+	Kind string
+	Zone string
+
+	// Address is for other daemons, ControlAddress ("ctl") for operators and
+	// ClientAddress ("caller") for clients of a gateway.
 	Address        string
 	ControlAddress string
 	ClientAddress  string
-	Zone           string
-	Seeds          []string
-	DataDir        string
+	// AgentAddress ("agent") is of a gateway's agent, GatewayAddress ("gateway")
+	// of an agent's gateway.
 	AgentAddress   string
 	GatewayAddress string
-	Controllers    int
-	Key            string
-	MaxSessions    int
-	LogLevel       logrus.Level
-	Impairment     Impairment
-	// SeedsPort replaces the port of each seed if it is above 0; Seeds has it.
+
+	// Seeds are addresses of controllers, with SeedsPort in place of their own
+	// ports if that is above 0.
+	Seeds     []string
 	SeedsPort int
-	// Bootstrap lets the seeds found the fleet if no number of controllers does.
+	// Controllers is how many controllers found the cluster, 0 if the seeds do.
+	Controllers int
+	// Bootstrap lets the seeds found the cluster if Controllers is 0.
 	Bootstrap bool
 	// Tolerance is how many machines with a disk may be lost at one time.
-	Tolerance        int
-	Timeouts         Timeouts
-	ClientProtocol   string
-	AdmissionMode    string
-	VersionPolicy    string
-	OperatorProtocol string
-	// Compression tells which turns between daemons are packed.
-	Compression string
-	// TrafficInterval is how often what crossed the daemon's links is logged by kind, 0 for
-	// never.
-	TrafficInterval time.Duration
-	// MemoryBytes is how many bytes the process may use, 0 for no bound.
+	Tolerance int
+
+	// DataDir ("data") is the directory that one process locks and writes to.
+	DataDir string
+	// Key is the secret that all gateways share: clients' tokens are made with it.
+	Key string
+
+	// ClientProtocol ("callers") and AdmissionMode ("admission") are of gateways.
+	ClientProtocol   ClientProtocol
+	AdmissionMode    AdmissionMode
+	VersionPolicy    VersionPolicy
+	OperatorProtocol OperatorProtocol
+	// Compression tells which turns between daemons are compressed.
+	Compression Compression
+
+	// MaxSessions ("origins_most") is how many sessions a gateway accepts.
+	MaxSessions int
+	// MemoryBytes ("memory") is how much the process may use, 0 for no bound.
 	MemoryBytes int64
-	// LinkBytesPerSecond is how many bytes a second the machine's link takes, 0 if nobody says.
+	// LinkBytesPerSecond ("link") is the bandwidth of the machine's link, 0 if
+	// it isn't known.
 	LinkBytesPerSecond int
+
+	Timeouts Timeouts
+	LogLevel logrus.Level
+	// TrafficInterval ("traffic") is how often the traffic of links is logged by
+	// kind, 0 for never.
+	TrafficInterval time.Duration
+	// Impairment ("trial") is empty unless the flag -trial allows it.
+	Impairment Impairment
 }
 
-// Timeouts are the times that daemons hold each other and their callers to.
+// Timeouts are the bounds in time that daemons keep, and by which they judge
+// each other ("bounds").
 type Timeouts struct {
-	Contact     time.Duration
+	// Contact is the time within which a daemon must have reached more than half
+	// of the controllers to count as in touch.
+	Contact time.Duration
+	// Acknowledge bounds the time to acknowledge a configuration while the
+	// controllers have a primary.
 	Acknowledge time.Duration
-	CatchUp     time.Duration
-	Drain       time.Duration
-	Grace       time.Duration
-	Apply       time.Duration
+	// CatchUp is how long a machine that returned still counts as lost.
+	CatchUp time.Duration
+	// Drain bounds the time from a request to stop to the end of the process,
+	// Grace is after how long a process that hasn't ended is killed.
+	Drain time.Duration
+	Grace time.Duration
+	// Apply bounds the time from a configuration's acknowledgement until it is
+	// in force on all daemons.
+	Apply time.Duration
+	// RevertSlack is how long an older configuration may still show after the
+	// effect of a newer one was seen.
 	RevertSlack time.Duration
-	Recovery    time.Duration
-	Ping        time.Duration
-	Resume      time.Duration
-	Redeliver   time.Duration
-	Presence    time.Duration
-}
-
-// DefaultTimeouts hold where settings say nothing else.
+	// Recovery is how long after the machines are back the service is.
+	Recovery time.Duration
+	// Ping is after how long without traffic a client is asked for a sign of life.
+	Ping time.Duration
+	// Resume is within how long a client that was cut off comes back.
+	Resume time.Duration
+	// Redeliver is for how long a resent publication is recognized as one.
+	Redeliver time.Duration
+	// Presence is how long a client is present or away before counts show it.
+	Presence time.Duration
+}
+
+// DefaultTimeouts returns the timeouts of settings that name none.
 func DefaultTimeouts() Timeouts {
 	return Timeouts{
-		Contact: 4 * time.Second, Acknowledge: 5 * time.Second, CatchUp: 4100 * time.Millisecond, Drain: 3 * time.Second,
-		Grace: 6 * time.Second, Apply: 3 * time.Second, RevertSlack: 250 * time.Millisecond, Recovery: 12 * time.Second,
-		Ping: 2 * time.Second, Resume: 2 * time.Second, Redeliver: 10 * time.Second, Presence: 5 * time.Second,
-	}
+		Contact:     4 * time.Second,
+		Acknowledge: 5 * time.Second,
+		CatchUp:     4100 * time.Millisecond,
+		Drain:       3 * time.Second,
+		Grace:       6 * time.Second,
+		Apply:       3 * time.Second,
+		RevertSlack: 250 * time.Millisecond,
+		Recovery:    12 * time.Second,
+		Ping:        2 * time.Second,
+		Resume:      2 * time.Second,
+		Redeliver:   10 * time.Second,
+		Presence:    5 * time.Second,
+	}
+}
+
+// Impairment is what a trial imposes on a daemon's links and disk. Links are
+// chosen by prefixes of the other daemon's address.
+type Impairment struct {
+	// Delays are added to what is sent, by prefix.
+	Delays map[string]time.Duration
+	// Loss is the probability, 0 to 1, that a frame is delayed as by a
+	// retransmission, by prefix.
+	Loss map[string]float64
+	// Partitioned links ("cuts") drop frames in both directions, those of
+	// OutboundBlocked ("mutes") and InboundBlocked ("deaf") in one.
+	Partitioned     []string
+	OutboundBlocked []string
+	InboundBlocked  []string
+	// DiskDelay ("disk") is added to each write to the disk.
+	DiskDelay time.Duration
 }
 
-// Words that settings choose between.
-const (
-	ClientProtocolJSON   = "json"
-	ClientProtocolLines  = "lines"
-	AdmissionToken       = "token"
-	AdmissionOpen        = "open"
-	VersionsStrict       = "strict"
-	VersionsHighest      = "highest"
-	OperatorProtocolJSON = "json"
-	CompressionNone      = "none"
-	CompressionFar       = "far"
-)
+// ClientProtocol is the protocol that a gateway speaks with clients.
+type ClientProtocol string
 
-// operatorForms are the forms in which operators may speak to a daemon.
-// Channels of a gateway if nobody says how many, and the descriptors that it
-// keeps for itself.
+// Protocols for clients.
 const (
-	defaultOrigins  = 2000
-	descriptorsKept = 400
+	ClientProtocolJSON  ClientProtocol = "json"
+	ClientProtocolLines ClientProtocol = "lines"
 )
 
-var operatorForms = []string{OperatorProtocolJSON}
-
-// MustRegisterOperatorProtocol lets settings choose one more form for operators; an
-// adapter calls it as its package starts. A clash stops the process.
-func MustRegisterOperatorProtocol(form string) {
-	if slices.Contains(operatorForms, form) {
-		panic("settings: form of operators registered twice: " + form)
-	}
-	operatorForms = append(operatorForms, form)
-}
-
-var keys = []string{
-	"name", "address", "ctl", "caller", "zone", "seeds", "data", "agent", "gateway", "controllers", "key", "origins_most", "log_level",
-	"seeds_port", "bootstrap", "tolerance", "bounds", "callers", "admission", "versions", "memory", "operators", "compression", "descriptors", "tolerance_zones",
-	"link", "traffic",
-}
-
-// Loader is where settings come from.
-type Loader struct {
-	kind  string
-	path  string
-	flags map[string]string
-	trial bool
-	seen  content
-}
-
-// ParseFlags declares the flags of a daemon and reads them.
-func ParseFlags(kind string, arguments []string) (*Loader, error) {
-	source := &Loader{kind: kind, flags: map[string]string{}}
-	set := flag.NewFlagSet(kind, flag.ContinueOnError)
-	set.Func("settings", "settings `file` in JSON; flags go before it", func(value string) error {
-		source.path = value
-		return nil
-	})
-	set.BoolVar(&source.trial, "trial", false, "allow the setting trial, which delays and cuts links; for trials only")
-	for _, key := range keys {
-		set.Func(strings.ReplaceAll(key, "_", "-"), "the setting "+key+"; lists are separated by commas", func(value string) error {
-			source.flags[key] = value
-			return nil
-		})
-	}
-	if err := set.Parse(arguments); err != nil {
-		return nil, err
-	}
-	if set.NArg() > 0 {
-		return nil, ErrorSettings.New("unknown argument %q", set.Arg(0))
-	}
-	return source, nil
-}
-
-// Path is the settings file, if there is one.
-func (s *Loader) Path() string { return s.path }
-
-// Load gives the present settings, or an error that lists every fault.
-func (s *Loader) Load() (Settings, error) {
-	document := []byte("{}")
-	if s.path != "" {
-		body, err := os.ReadFile(s.path)
-		s.seen = content{body: string(body), missing: err != nil}
-		if err != nil {
-			return Settings{}, ErrorSettings.Wrap(err, "reading %s", s.path)
-		}
-		document = body
-	}
-	return s.check(document)
-}
-
-func (s *Loader) check(document []byte) (Settings, error) {
-	var walk config.Reader
-	value, whole := walk.Parse(document)
-	settings := Settings{Kind: s.kind}
-	if whole {
-		s.walk(&walk, value, &settings)
-	}
-	if len(walk.Faults) == 0 {
-		return settings, nil
-	}
-	var lines []string
-	for _, fault := range walk.Faults {
-		lines = append(lines, fault.String())
-	}
-	slices.Sort(lines)
-	return Settings{}, ErrorSettings.New("%s", strings.Join(lines, "; "))
-}
-
-func (s *Loader) walk(walk *config.Reader, value *fastjson.Value, settings *Settings) {
-	known := keys
-	if s.trial {
-		known = append(slices.Clone(keys), "trial")
-	}
-	members := walk.Object("$", value, known...)
-	s.overlayFlags(members)
-	wanted := func(name string) string {
-		if members[name] == nil {
-			walk.Report("$."+name, "missing", "%s is wanted", name)
-			return ""
-		}
-		return walk.Text("$."+name, members[name], "")
-	}
-	address := func(name string, needed bool) string {
-		if members[name] == nil && !needed {
-			return ""
-		}
-		text := wanted(name)
-		if members[name] != nil {
-			checkAddress(walk, "$."+name, text)
-		}
-		return text
-	}
-	settings.Name = wanted("name")
-	if members["name"] != nil && !config.ValidName(settings.Name) {
-		walk.Report("$.name", "bad-name", "%q is not a fit name", settings.Name)
-	}
-	settings.Zone = wanted("zone")
-	if members["zone"] != nil && !config.ValidName(settings.Zone) {
-		walk.Report("$.zone", "bad-name", "%q is not a fit name", settings.Zone)
-	}
-	settings.Address = address("address", true)
-	settings.ControlAddress = address("ctl", true)
-	settings.ClientAddress = address("caller", s.kind == "gateway")
-	settings.AgentAddress = address("agent", s.kind == "gateway")
-	settings.GatewayAddress = address("gateway", s.kind == "agent")
-	seeds := walk.List("$.seeds", members["seeds"], 16)
-	if s.kind != "gateway" && len(seeds) == 0 {
-		walk.Report("$.seeds", "missing", "seeds are wanted: addresses of up to three other daemons")
-	}
-	settings.SeedsPort = int(walk.Integer("$.seeds_port", members["seeds_port"], 0, 0, 65535))
-	for position, item := range seeds {
-		path := fmt.Sprintf("$.seeds[%d]", position)
-		seed := walk.Text(path, item, "")
-		checkAddress(walk, path, seed)
-		settings.Seeds = append(settings.Seeds, withPort(seed, settings.SeedsPort))
-	}
-	stores := s.kind == "store" || s.kind == "controller"
-	settings.DataDir = walk.Text("$.data", members["data"], "")
-	if stores && settings.DataDir == "" {
-		walk.Report("$.data", "missing", "a data folder is wanted")
-	}
-	settings.Controllers = int(walk.Integer("$.controllers", members["controllers"], 5, 0, 15))
-	if settings.Controllers != 0 && (settings.Controllers%2 == 0 || settings.Controllers < 3) {
-		walk.Report("$.controllers", "out-of-range", "an odd number from 3 is wanted, or 0 if the seeds found the fleet")
-	}
-	settings.Bootstrap = walk.Bool("$.bootstrap", members["bootstrap"], false)
-	settings.Tolerance = int(walk.Integer("$.tolerance", members["tolerance"], 1, 0, 3))
-	// Copies lie in different zones, so that who may lose zones needs as
-	// many copies as who may lose machines.
-	settings.Tolerance = max(settings.Tolerance, int(walk.Integer("$.tolerance_zones", members["tolerance_zones"], 0, 0, 3)))
-	settings.Timeouts = readBounds(walk, members["bounds"])
-	settings.ClientProtocol = walk.Choice("$.callers", members["callers"], ClientProtocolJSON, ClientProtocolJSON, ClientProtocolLines)
-	settings.AdmissionMode = walk.Choice("$.admission", members["admission"], AdmissionToken, AdmissionToken, AdmissionOpen)
-	settings.VersionPolicy = walk.Choice("$.versions", members["versions"], VersionsStrict, VersionsStrict, VersionsHighest)
-	settings.OperatorProtocol = walk.Choice("$.operators", members["operators"], OperatorProtocolJSON, operatorForms...)
-	settings.Compression = walk.Choice("$.compression", members["compression"], CompressionNone, CompressionNone, CompressionFar)
-	settings.TrafficInterval = walk.Duration("$.traffic", members["traffic"], 0, 0, trafficMost)
-	settings.MemoryBytes = readMemory(walk, "$.memory", members["memory"])
-	settings.LinkBytesPerSecond = readLink(walk, "$.link", members["link"])
-	settings.Key = walk.Text("$.key", members["key"], "")
-	if s.kind == "gateway" && settings.AdmissionMode == AdmissionToken && len(settings.Key) < 16 {
-		walk.Report("$.key", "missing", "a key of 16 characters or more is wanted, the same on all gateways")
-	}
-	// Where only the descriptors are told, callers may have what is left of them
-	// beside the daemon's own files and links.
-	most := int64(defaultOrigins)
-	if descriptors := walk.Integer("$.descriptors", members["descriptors"], 0, 0, 1<<24); descriptors > 0 {
-		most = max(1, (descriptors-descriptorsKept)*4/5)
-	}
-	settings.MaxSessions = int(walk.Integer("$.origins_most", members["origins_most"], most, 1, 1<<20))
-	level, err := logrus.ParseLevel(walk.Text("$.log_level", members["log_level"], "info"))
-	if err != nil {
-		walk.Report("$.log_level", "out-of-range", "%s", err.Error())
-	}
-	settings.LogLevel = level
-	settings.Impairment = readTrial(walk, members["trial"])
-}
-
-// overlayFlags puts what flags gave over what the file says.
-func (s *Loader) overlayFlags(members map[string]*fastjson.Value) {
-	var arena fastjson.Arena
-	for key, text := range s.flags {
-		switch key {
-		case "controllers", "origins_most", "seeds_port", "tolerance", "descriptors", "tolerance_zones":
-			members[key] = arena.NewNumberString(text)
-		case "bootstrap":
-			members[key] = flagTruth(&arena, text)
-		case "bounds":
-			table := arena.NewObject()
-			for _, item := range strings.Split(text, ",") {
-				name, length, _ := strings.Cut(item, "=")
-				table.Set(name, arena.NewString(length))
-			}
-			members[key] = table
-		case "seeds":
-			list := arena.NewArray()
-			for position, item := range strings.Split(text, ",") {
-				list.SetArrayItem(position, arena.NewString(item))
-			}
-			members[key] = list
-		default:
-			members[key] = arena.NewString(text)
-		}
-	}
-}
-
-func checkAddress(walk *config.Reader, path, text string) {
-	host, port, err := net.SplitHostPort(text)
-	if err != nil || net.ParseIP(host) == nil || port == "" || port == "0" {
-		walk.Report(path, "bad-address", "%q is not an IP number with a port", text)
-	}
-}
+// AdmissionMode is how a gateway authenticates clients.
+type AdmissionMode string
 
-// withPort gives an address another port, if there is one to give.
-func withPort(address string, port int) string {
-	host, _, err := net.SplitHostPort(address)
-	if err != nil || port == 0 {
-		return address
-	}
-	return net.JoinHostPort(host, strconv.Itoa(port))
-}
+// Modes of admission: by a token made with the key, or none.
+const (
+	AdmissionToken AdmissionMode = "token"
+	AdmissionOpen  AdmissionMode = "open"
+)
 
-func flagTruth(arena *fastjson.Arena, text string) *fastjson.Value {
-	switch text {
-	case "true":
-		return arena.NewTrue()
-	case "false":
-		return arena.NewFalse()
-	}
-	return arena.NewString(text)
-}
+// VersionPolicy is how a configuration is answered whose version is below the
+// one in force and was never seen.
+type VersionPolicy string
 
+// Policies for older versions: they are rejected, or acknowledged without effect.
 const (
-	boundLeast  = time.Millisecond
-	boundMost   = 10 * time.Minute
-	trafficMost = time.Hour
-	memoryLeast = 16 << 20
-	memoryMost  = 1 << 44
+	VersionPolicyStrict  VersionPolicy = "strict"
+	VersionPolicyHighest VersionPolicy = "highest"
 )
 
-func readBounds(walk *config.Reader, value *fastjson.Value) Timeouts {
-	bounds := DefaultTimeouts()
-	if value == nil {
-		return bounds
-	}
-	places := map[string]*time.Duration{
-		"contact": &bounds.Contact, "acknowledge": &bounds.Acknowledge, "catch_up": &bounds.CatchUp, "drain": &bounds.Drain,
-		"grace": &bounds.Grace, "apply": &bounds.Apply, "revert_slack": &bounds.RevertSlack, "recovery": &bounds.Recovery,
-		"ping": &bounds.Ping, "resume": &bounds.Resume, "redeliver": &bounds.Redeliver, "presence": &bounds.Presence,
-	}
-	known := slices.Sorted(maps.Keys(places))
-	members := walk.Object("$.bounds", value, known...)
-	for _, name := range known {
-		*places[name] = walk.Duration("$.bounds."+name, members[name], *places[name], boundLeast, boundMost)
-	}
-	return bounds
-}
+// Compression is which turns between daemons are compressed.
+type Compression string
 
-var memoryUnits = []struct {
-	name  string
-	bytes int64
-}{
-	{"KiB", 1 << 10}, {"MiB", 1 << 20}, {"GiB", 1 << 30}, {"kB", 1e3}, {"MB", 1e6}, {"GB", 1e9}, {"B", 1},
-}
+// Choices of compression: none, or what goes to daemons of other zones.
+const (
+	CompressionNone Compression = "none"
+	CompressionFar  Compression = "far"
+)
 
-// readMemory reads a number of bytes, or a text such as "284MB".
-func readMemory(walk *config.Reader, path string, value *fastjson.Value) int64 {
-	if value == nil || value.Type() != fastjson.TypeString {
-		return walk.Integer(path, value, 0, memoryLeast, memoryMost)
-	}
-	text := walk.Text(path, value, "")
-	number, unit := text, int64(1)
-	for _, each := range memoryUnits {
-		if trimmed, found := strings.CutSuffix(text, each.name); found {
-			number, unit = trimmed, each.bytes
-			break
-		}
-	}
-	count, err := strconv.ParseInt(number, 10, 64)
-	if err != nil {
-		walk.Report(path, "wrong-type", "%q is not a number of bytes such as \"284MB\"", text)
-		return 0
-	}
-	if count < 0 || count > memoryMost/unit || count*unit < memoryLeast {
-		walk.Report(path, "out-of-range", "%s is not between 16MiB and 16384GiB", text)
-		return 0
-	}
-	return count * unit
-}
+// OperatorProtocol is the form in which operators speak to a daemon's ctl.
+type OperatorProtocol string
 
-// linkUnits are the bits a second of a unit.
-var linkUnits = []struct {
-	name string
-	bits float64
-}{
-	{"kbit/s", 1e3}, {"Mbit/s", 1e6}, {"Gbit/s", 1e9},
-}
+// OperatorProtocolJSON is the protocol of the daemons themselves.
+const OperatorProtocolJSON OperatorProtocol = "json"
 
-const (
-	linkLeast = 10_000
-	linkMost  = 1 << 40
-)
+// operatorProtocols are the registered protocols for operators.
+var operatorProtocols = []OperatorProtocol{OperatorProtocolJSON}
 
-// readLink reads a text such as "2.6Mbit/s", and gives bytes a second.
-func readLink(walk *config.Reader, path string, value *fastjson.Value) int {
-	text := walk.Text(path, value, "")
-	if text == "" {
-		return 0
-	}
-	for _, each := range linkUnits {
-		number, found := strings.CutSuffix(text, each.name)
-		if !found {
-			continue
-		}
-		count, err := strconv.ParseFloat(number, 64)
-		bytes := count * each.bits / 8
-		switch {
-		case err != nil:
-		case bytes >= linkLeast && bytes <= linkMost:
-			return int(bytes)
-		default:
-			walk.Report(path, "out-of-range", "%s is not between 80kbit/s and 8796Gbit/s", text)
-			return 0
-		}
+// MustRegisterOperatorProtocol adds a protocol that settings may choose; the
+// package of its adapter calls it from init. It panics if the name is taken.
+func MustRegisterOperatorProtocol(protocol OperatorProtocol) {
+	if slices.Contains(operatorProtocols, protocol) {
+		panic("settings: operator protocol registered twice: " + string(protocol))
 	}
-	walk.Report(path, "wrong-type", "%q is not a rate such as \"2.6Mbit/s\"", text)
-	return 0
+	operatorProtocols = append(operatorProtocols, protocol)
 }
 
-// MemoryLimit is the bound to give Go's collector: four fifths of what the
-// process may use, as the rest goes to what the collector does not count, or
-// no bound.
+// MemoryLimit returns the limit in bytes for Go's collector: four fifths of
+// what the process may use, as the collector doesn't count all of it, or no
+// limit.
 func (s Settings) MemoryLimit() int64 {
 	if s.MemoryBytes == 0 {
 		return math.MaxInt64
@@ -461,54 +207,32 @@
 	return s.MemoryBytes / 5 * 4
 }
 
-func readTrial(walk *config.Reader, value *fastjson.Value) Impairment {
-	trial := Impairment{Delays: map[string]time.Duration{}, Loss: map[string]float64{}}
-	if value == nil {
-		return trial
-	}
-	members := walk.Object("$.trial", value, "delays", "loss", "cuts", "mutes", "deaf", "disk")
-	each := func(name string, check func(path, prefix string, item *fastjson.Value)) {
-		if members[name] == nil {
-			return
-		}
-		table, err := members[name].Object()
-		if err != nil {
-			walk.Report("$.trial."+name, "wrong-type", "an object is wanted")
-			return
-		}
-		table.Visit(func(key []byte, item *fastjson.Value) { check("$.trial."+name+"."+string(key), string(key), item) })
-	}
-	each("delays", func(path, prefix string, item *fastjson.Value) {
-		trial.Delays[prefix] = walk.Duration(path, item, 0, 0, time.Minute)
-	})
-	each("loss", func(path, prefix string, item *fastjson.Value) {
-		trial.Loss[prefix] = walk.Float(path, item, 0, 0, 1)
-	})
-	for name, list := range map[string]*[]string{"cuts": &trial.Partitioned, "mutes": &trial.OutboundBlocked, "deaf": &trial.InboundBlocked} {
-		for position, item := range walk.List("$.trial."+name, members[name], 256) {
-			*list = append(*list, walk.Text(fmt.Sprintf("$.trial.%s[%d]", name, position), item, ""))
-		}
-	}
-	trial.DiskDelay = walk.Duration("$.trial.disk", members["disk"], 0, 0, time.Minute)
-	return trial
-}
-
-// ImmutableChanges tells what can't change while a daemon runs and yet differs. What only
-// a start reads, such as the seeds, may change at any time.
+// ImmutableChanges returns the sorted keys of settings that differ but can't
+// change while a daemon runs. What is only read at the start, such as the
+// seeds, may change at any time.
 func ImmutableChanges(before, after Settings) []string {
-	var differ []string
-	for name, same := range map[string]bool{
-		"name": before.Name == after.Name, "address": before.Address == after.Address, "ctl": before.ControlAddress == after.ControlAddress,
-		"caller": before.ClientAddress == after.ClientAddress, "zone": before.Zone == after.Zone, "data": before.DataDir == after.DataDir,
-		"agent": before.AgentAddress == after.AgentAddress, "gateway": before.GatewayAddress == after.GatewayAddress, "controllers": before.Controllers == after.Controllers,
-		"key": before.Key == after.Key, "callers": before.ClientProtocol == after.ClientProtocol, "admission": before.AdmissionMode == after.AdmissionMode,
-		"versions": before.VersionPolicy == after.VersionPolicy, "operators": before.OperatorProtocol == after.OperatorProtocol,
+	var changed []string
+	for key, same := range map[string]bool{
+		"address":     before.Address == after.Address,
+		"admission":   before.AdmissionMode == after.AdmissionMode,
+		"agent":       before.AgentAddress == after.AgentAddress,
+		"caller":      before.ClientAddress == after.ClientAddress,
+		"callers":     before.ClientProtocol == after.ClientProtocol,
 		"compression": before.Compression == after.Compression,
+		"controllers": before.Controllers == after.Controllers,
+		"ctl":         before.ControlAddress == after.ControlAddress,
+		"data":        before.DataDir == after.DataDir,
+		"gateway":     before.GatewayAddress == after.GatewayAddress,
+		"key":         before.Key == after.Key,
+		"name":        before.Name == after.Name,
+		"operators":   before.OperatorProtocol == after.OperatorProtocol,
+		"versions":    before.VersionPolicy == after.VersionPolicy,
+		"zone":        before.Zone == after.Zone,
 	} {
 		if !same {
-			differ = append(differ, name)
+			changed = append(changed, key)
 		}
 	}
-	slices.Sort(differ)
-	return differ
+	slices.Sort(changed)
+	return changed
 }
--- a/internal/settings/watch.go
+++ b/internal/settings/watch.go
@@ -1,9 +1,3 @@
-// How a daemon notices that its settings file has changed. The system's notices
-// of changes are used where there are any. Where there are none, the file's
-// content is looked at each second, and a change is told when the content
-// differs from what was seen last: a file that stays missing or faulty is told
-// once. Whether a content is any good is judged by Read alone.
-
 package settings
 
 import (
@@ -14,63 +8,70 @@
 	"github.com/fsnotify/fsnotify"
 )
 
-const lookEvery = time.Second
+// pollInterval is how often the file is read where the system can't notify of
+// changes.
+const pollInterval = time.Second
 
-// content is what a settings file held when it was looked at.
-type content struct {
+// fileState is what a settings file contained when it was read. States are
+// compared to see whether a file has changed, so that one that stays missing or
+// faulty is reported once; whether a content is valid is up to Load.
+type fileState struct {
 	body    string
 	missing bool
 }
 
-func look(path string) content {
+func readFile(path string) fileState {
 	body, err := os.ReadFile(path)
 	if err != nil {
-		return content{missing: true}
+		return fileState{missing: true}
 	}
-	return content{body: string(body)}
+	return fileState{body: string(body)}
 }
 
-// Watch tells on a channel whenever the settings file may have changed since it
-// was read. There is always a way, so that the error is nil.
-func (s *Loader) Watch() (<-chan struct{}, error) {
-	if s.path == "" {
-		return make(chan struct{}), nil
+// Watch returns a channel that receives whenever the settings file may have
+// changed since it was loaded, for as long as the process runs. It uses the
+// system's notifications, or polls where there are none.
+func (l *Loader) Watch() <-chan struct{} {
+	if l.path == "" {
+		return make(chan struct{})
 	}
 	watcher, err := fsnotify.NewWatcher()
 	if err != nil {
-		return s.Poll(time.NewTicker(lookEvery).C), nil
+		return l.Poll(time.NewTicker(pollInterval).C)
 	}
-	if err := watcher.Add(filepath.Dir(s.path)); err != nil {
+	// The directory is watched, since editors replace the file.
+	if err := watcher.Add(filepath.Dir(l.path)); err != nil {
 		_ = watcher.Close()
-		return s.Poll(time.NewTicker(lookEvery).C), nil
+		return l.Poll(time.NewTicker(pollInterval).C)
 	}
 	changed := make(chan struct{}, 1)
 	go func() {
 		for event := range watcher.Events {
-			if filepath.Base(event.Name) == filepath.Base(s.path) && event.Op != fsnotify.Chmod {
-				tell(changed)
+			if filepath.Base(event.Name) == filepath.Base(l.path) && event.Op != fsnotify.Chmod {
+				notify(changed)
 			}
 		}
 	}()
-	return changed, nil
+	return changed
 }
 
-// Poll tells the same by looking at the file's content at each tick.
-func (s *Loader) Poll(ticks <-chan time.Time) <-chan struct{} {
+// Poll is Watch by reading the file at each tick; it ends with the ticks.
+func (l *Loader) Poll(ticks <-chan time.Time) <-chan struct{} {
 	changed := make(chan struct{}, 1)
-	path, seen := s.path, s.seen
+	path, last := l.path, l.loaded
 	go func() {
 		for range ticks {
-			if now := look(path); now != seen {
-				seen = now
-				tell(changed)
+			if current := readFile(path); current != last {
+				last = current
+				notify(changed)
 			}
 		}
 	}()
 	return changed
 }
 
-func tell(changed chan<- struct{}) {
+// notify sends unless a notification is already pending.
+func notify(changed chan<- struct{}) {
 	select {
 	case changed <- struct{}{}:
 	default:
