--- a/internal/transport/classes.go
+++ b/internal/transport/classes.go
@@ -26,22 +26,22 @@
 	classCount
 )
 
-// patience is how long a message of a class may wait before it is lost. Who wants to
+// maxQueueTime is how long a message of a class may wait before it is lost. Who wants to
 // be told of what is said anew by then, and what was missed is asked for anew.
-var patience = [classCount]time.Duration{ClassInterest: 300 * time.Millisecond, ClassCatchUp: time.Second}
+var maxQueueTime = [classCount]time.Duration{ClassInterest: 300 * time.Millisecond, ClassCatchUp: time.Second}
 
 // Expired tells whether a message of a class that waited so long is of no use any more.
 func (c Class) Expired(waited time.Duration) bool {
-	return patience[c] > 0 && waited > patience[c] && !statemachine.Mutated("single-class")
+	return maxQueueTime[c] > 0 && waited > maxQueueTime[c] && !statemachine.Mutated("single-class")
 }
 
-// ranked is a message whose class depends on what it says.
-type ranked interface{ LinkClass() Class }
+// classifier is a message whose class depends on what it says.
+type classifier interface{ LinkClass() Class }
 
 // Numbers of messages below classLive are of the control state.
 const (
-	interestFrom = 400
-	liveFrom     = 500
+	firstInterestNumber = 400
+	firstLiveNumber     = 500
 )
 
 // classOfNumber names what is not as the range of its number has it. A partition's
@@ -56,7 +56,7 @@
 	if statemachine.Mutated("single-class") {
 		return ClassLive
 	}
-	if own, does := message.(ranked); does {
+	if own, does := message.(classifier); does {
 		return own.LinkClass()
 	}
 	number := numberOfType[reflect.TypeOf(message)]
@@ -64,9 +64,9 @@
 		return class
 	}
 	switch {
-	case number < interestFrom:
+	case number < firstInterestNumber:
 		return ClassControl
-	case number < liveFrom:
+	case number < firstLiveNumber:
 		return ClassInterest
 	}
 	return ClassLive
--- a/internal/transport/codec.go
+++ b/internal/transport/codec.go
@@ -20,7 +20,7 @@
 // FrameLimit bounds one frame between processes.
 const FrameLimit = 64 << 20
 
-const headerSize = 4
+const frameHeaderBytes = 4
 
 var (
 	namespace = errorx.NewNamespace("flare")
@@ -28,18 +28,18 @@
 	ErrorFrame = namespace.NewType("frame")
 )
 
-// withAddress marks a frame's number where the sender's address follows it, as
+// addressFlag marks a frame's number where the sender's address follows it, as
 // its length and its bytes.
-const withAddress = 1 << 15
+const addressFlag = 1 << 15
 
-// packedMark is set in the length of what is a packed turn, not a frame.
-const packedMark = 1 << 31
+// compressedFlag is set in the length of what is a packed turn, not a frame.
+const compressedFlag = 1 << 31
 
 // preamble is the first message on a connection, and names its sender for all
 // that follow, some of which may be packed.
 type preamble struct {
 	_      struct{} `cbor:",toarray"`
-	Packed bool
+	Compressed bool
 }
 
 var (
@@ -78,7 +78,7 @@
 // MustRegister gives a message type its number; a clash stops the process.
 func MustRegister(number uint16, prototype any) {
 	kind := reflect.TypeOf(prototype)
-	if number >= withAddress {
+	if number >= addressFlag {
 		panic("flare: number out of bounds, wanted by " + kind.String())
 	}
 	if earlier, found := typeOfNumber[number]; found {
@@ -88,12 +88,12 @@
 	typeOfNumber[number] = kind
 }
 
-// controlBelow bounds the numbers of what the control state says: epochs,
+// firstDataNumber bounds the numbers of what the control state says: epochs,
 // leases, heartbeats, news and operators' requests.
-const controlBelow = 400
+const firstDataNumber = 400
 
 // IsControl tells whether a message is of the control state.
-func IsControl(message any) bool { return numberOfType[reflect.TypeOf(message)] < controlBelow }
+func IsControl(message any) bool { return numberOfType[reflect.TypeOf(message)] < firstDataNumber }
 
 // Numbers lists the registered numbers with the names of their types.
 func Numbers() map[uint16]string {
@@ -150,12 +150,12 @@
 		return ErrorFrame.New("type %T has no number", message)
 	}
 	before := buffer.Len()
-	var scratch [headerSize + 2 + 2*binary.MaxVarintLen64]byte
-	head := scratch[:headerSize]
+	var scratch [frameHeaderBytes + 2 + 2*binary.MaxVarintLen64]byte
+	head := scratch[:frameHeaderBytes]
 	if from == "" {
 		head = binary.BigEndian.AppendUint16(head, number)
 	} else {
-		head = binary.BigEndian.AppendUint16(head, number|withAddress)
+		head = binary.BigEndian.AppendUint16(head, number|addressFlag)
 		head = binary.AppendUvarint(head, uint64(len(from)))
 	}
 	buffer.Write(head)
@@ -165,7 +165,7 @@
 		buffer.Truncate(before)
 		return ErrorFrame.Wrap(err, "body of %T", message)
 	}
-	length := buffer.Len() - before - headerSize
+	length := buffer.Len() - before - frameHeaderBytes
 	if length > FrameLimit {
 		buffer.Truncate(before)
 		return ErrorFrame.New("%T of %d bytes is over the limit", message, length)
@@ -176,26 +176,26 @@
 
 // Decode reads one frame, its length taken off.
 func Decode(packed []byte) (statemachine.Meta, any, error) {
-	var once reader
+	var once decoder
 	return once.decode(packed, "")
 }
 
-// reader decodes frames one after another. It keeps one value of each type to
+// decoder decodes frames one after another. It keeps one value of each type to
 // decode into, so that a message costs a single copy.
-type reader struct {
+type decoder struct {
 	values map[uint16]reflect.Value
 }
 
 // decode reads a frame that came from an address, unless the frame names it.
-func (r *reader) decode(packed []byte, from string) (statemachine.Meta, any, error) {
+func (r *decoder) decode(packed []byte, from string) (statemachine.Meta, any, error) {
 	meta := statemachine.Meta{From: from}
 	if len(packed) < 2 {
 		return meta, nil, ErrorFrame.New("%d bytes are no frame", len(packed))
 	}
 	number := binary.BigEndian.Uint16(packed)
 	rest := packed[2:]
-	if number&withAddress != 0 {
-		number &^= withAddress
+	if number&addressFlag != 0 {
+		number &^= addressFlag
 		length, size := binary.Uvarint(rest)
 		if size <= 0 || length == 0 || length > uint64(len(rest)-size) {
 			return meta, nil, ErrorFrame.New("the address is cut off")
@@ -208,11 +208,11 @@
 		return meta, nil, ErrorFrame.New("the version is cut off")
 	}
 	meta.Version = version
-	message, err := r.body(number, rest[size:])
+	message, err := r.decodeBody(number, rest[size:])
 	return meta, message, err
 }
 
-func (r *reader) body(number uint16, packed []byte) (any, error) {
+func (r *decoder) decodeBody(number uint16, packed []byte) (any, error) {
 	value, found := r.values[number]
 	if !found {
 		kind, known := typeOfNumber[number]
@@ -237,7 +237,7 @@
 // FrameLength reads a frame's header: the length that follows it, or false if
 // there are too few bytes yet, or an error if the length can't be right.
 func FrameLength(header []byte) (int, bool, error) {
-	if len(header) < headerSize {
+	if len(header) < frameHeaderBytes {
 		return 0, false, nil
 	}
 	length := binary.BigEndian.Uint32(header)
--- a/internal/transport/departure.go
+++ b/internal/transport/departure.go
@@ -11,8 +11,8 @@
 	"dahlialock/internal/statemachine"
 )
 
-// bound tells until when one frame of a turn may leave.
-type bound struct {
+// deadline tells until when one frame of a turn may leave.
+type deadline struct {
 	start, end int
 	notAfter   time.Time
 }
@@ -21,15 +21,15 @@
 // it is called before the first message is sent.
 func (t *Transport) SetClock(clock func() time.Time) { t.clock = clock }
 
-// departing gives what of a turn may leave now. The bounds of what is left are
+// withoutExpired gives what of a turn may leave now. The bounds of what is left are
 // kept, since it may have to wait again.
-func (t *Transport) departing(turn chunk) chunk {
-	if len(turn.bounds) == 0 {
+func (t *Transport) withoutExpired(turn chunk) chunk {
+	if len(turn.deadlines) == 0 {
 		return turn
 	}
 	now := t.clock()
 	late := 0
-	for _, each := range turn.bounds {
+	for _, each := range turn.deadlines {
 		if !statemachine.BeforeDeadline(each.notAfter, now) {
 			late++
 		}
@@ -40,9 +40,9 @@
 	t.Counters.Expired.Add(int64(late))
 	var kept bytes.Buffer
 	left := turn
-	left.bounds, left.frames = nil, turn.frames-late
+	left.deadlines, left.frames = nil, turn.frames-late
 	from := 0
-	for _, each := range turn.bounds {
+	for _, each := range turn.deadlines {
 		kept.Write(turn.body[from:each.start])
 		from = each.end
 		if !statemachine.BeforeDeadline(each.notAfter, now) {
@@ -50,34 +50,34 @@
 		}
 		start := kept.Len()
 		kept.Write(turn.body[each.start:each.end])
-		left.bounds = append(left.bounds, bound{start: start, end: kept.Len(), notAfter: each.notAfter})
+		left.deadlines = append(left.deadlines, deadline{start: start, end: kept.Len(), notAfter: each.notAfter})
 	}
 	kept.Write(turn.body[from:])
 	left.body = kept.Bytes()
 	return left
 }
 
-// leaveOutLate takes out of a link's turn what may not leave any more.
-func (t *Transport) leaveOutLate(present *link) {
+// dropExpired takes out of a link's turn what may not leave any more.
+func (t *Transport) dropExpired(present *link) {
 	for class := range present.pending {
-		if len(present.bounds[class]) == 0 {
+		if len(present.deadlines[class]) == 0 {
 			continue
 		}
-		left := t.departing(chunk{body: present.pending[class].Bytes(), frames: present.frames[class], bounds: present.bounds[class]})
+		left := t.withoutExpired(chunk{body: present.pending[class].Bytes(), frames: present.frames[class], deadlines: present.deadlines[class]})
 		if left.frames == present.frames[class] {
 			continue
 		}
 		present.pending[class] = *bytes.NewBuffer(left.body)
-		present.frames[class], present.bounds[class] = left.frames, left.bounds
+		present.frames[class], present.deadlines[class] = left.frames, left.deadlines
 	}
 }
 
-// boundsWithin gives the bounds of the frames in a part of a turn.
-func boundsWithin(bounds []bound, begin, end int) []bound {
-	var within []bound
+// deadlinesWithin gives the bounds of the frames in a part of a turn.
+func deadlinesWithin(bounds []deadline, begin, end int) []deadline {
+	var within []deadline
 	for _, each := range bounds {
 		if begin <= each.start && each.end <= end {
-			within = append(within, bound{start: each.start - begin, end: each.end - begin, notAfter: each.notAfter})
+			within = append(within, deadline{start: each.start - begin, end: each.end - begin, notAfter: each.notAfter})
 		}
 	}
 	return within
--- a/internal/transport/dial_test.go
+++ b/internal/transport/dial_test.go
@@ -53,10 +53,10 @@
 		limits <- time.Until(end).Round(100 * time.Millisecond)
 		return nil, context.DeadlineExceeded
 	}
-	for number := range dialsEager + 4 {
-		most := dialFirst
-		if number > dialsEager {
-			most = min(dialFirst<<(number-dialsEager), dialLimit)
+	for number := range eagerDials + 4 {
+		most := firstDialTimeout
+		if number > eagerDials {
+			most = min(firstDialTimeout<<(number-eagerDials), maxDialTimeout)
 		}
 		// What waits for too long is dropped, and nobody dials for nothing.
 		assert.NilError(t, links.Send("127.0.0.1:9", 0, word{}))
@@ -70,7 +70,7 @@
 func TestADialBegunBeforeItsPeerWasThereIsMadeAnew(t *testing.T) {
 	links, address, _ := openAt(t)
 	peer, peerAddress, peerInbox := openAt(t)
-	links.firstDial = time.Hour
+	links.firstDialTimeout = time.Hour
 	plain := links.dial
 	ended := make(chan error, 1)
 	begun := make(chan struct{}, 1)
@@ -96,6 +96,6 @@
 
 // A daemon listens before it dials, so that peers may name themselves in between.
 func TestAPeerMayNameItselfBeforeThereIsADiallingLoop(_ *testing.T) {
-	opening := &Transport{links: map[string]*link{}, tended: map[string]*link{}}
-	opening.peerIsThere("10.0.0.1:1")
+	opening := &Transport{links: map[string]*link{}, managed: map[string]*link{}}
+	opening.peerAppeared("10.0.0.1:1")
 }
--- a/internal/transport/kinds.go
+++ b/internal/transport/kinds.go
@@ -16,36 +16,36 @@
 	Bytes    int64 `json:"bytes"`
 }
 
-// kindSums are running sums, one for each registered number.
-type kindSums struct {
-	places map[uint16]int
-	sums   []kindSum
+// kindCounters are running sums, one for each registered number.
+type kindCounters struct {
+	indexes map[uint16]int
+	counters   []kindCounter
 }
 
-type kindSum struct{ messages, bytes atomic.Int64 }
+type kindCounter struct{ messages, bytes atomic.Int64 }
 
-func newKindSums() kindSums {
-	made := kindSums{places: map[uint16]int{}, sums: make([]kindSum, len(typeOfNumber))}
+func newKindCounters() kindCounters {
+	made := kindCounters{indexes: map[uint16]int{}, counters: make([]kindCounter, len(typeOfNumber))}
 	for place, number := range slices.Sorted(maps.Keys(typeOfNumber)) {
-		made.places[number] = place
+		made.indexes[number] = place
 	}
 	return made
 }
 
-func (ks *kindSums) add(message any, size int) {
-	place, found := ks.places[numberOfType[reflect.TypeOf(message)]]
+func (ks *kindCounters) add(message any, size int) {
+	place, found := ks.indexes[numberOfType[reflect.TypeOf(message)]]
 	if !found {
 		return
 	}
-	ks.sums[place].messages.Add(1)
-	ks.sums[place].bytes.Add(int64(size))
+	ks.counters[place].messages.Add(1)
+	ks.counters[place].bytes.Add(int64(size))
 }
 
 // counts gives the sums of the kinds that occurred, by their names.
-func (ks *kindSums) counts() map[string]KindCount {
+func (ks *kindCounters) counts() map[string]KindCount {
 	counts := map[string]KindCount{}
-	for number, place := range ks.places {
-		count := KindCount{Messages: ks.sums[place].messages.Load(), Bytes: ks.sums[place].bytes.Load()}
+	for number, place := range ks.indexes {
+		count := KindCount{Messages: ks.counters[place].messages.Load(), Bytes: ks.counters[place].bytes.Load()}
 		if count.Messages > 0 {
 			counts[KindName(number)] = count
 		}
--- a/internal/transport/kinds_test.go
+++ b/internal/transport/kinds_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 func TestKindsAreCountedByTheirNames(t *testing.T) {
-	sums := newKindSums()
+	sums := newKindCounters()
 	sums.add(preamble{}, 12)
 	sums.add(preamble{}, 30)
 	sums.add("no message", 99)
--- a/internal/transport/link.go
+++ b/internal/transport/link.go
@@ -32,33 +32,33 @@
 )
 
 const (
-	// staleAfter is the age at which what waited for a connection goes no more.
-	staleAfter = 2 * time.Second
-	// bufferMost is how much of a slow connection's bytes gnet may hold.
-	bufferMost = 64 << 10
-	lookAgain  = 10 * time.Millisecond
-	// probeAfter is when a connection that ended is dialled again to see whether
+	// maxConnectWait is the age at which what waited for a connection goes no more.
+	maxConnectWait = 2 * time.Second
+	// maxOutboundBuffer is how much of a slow connection's bytes gnet may hold.
+	maxOutboundBuffer = 64 << 10
+	bufferCheckInterval  = 10 * time.Millisecond
+	// probeDelay is when a connection that ended is dialled again to see whether
 	// anybody is there, if somebody wants to know.
-	probeAfter  = 5 * time.Millisecond
-	probeSlowly = 200 * time.Millisecond
-	// dialFirst is how long each of the first dialsEager dials may take; the others
+	probeDelay  = 5 * time.Millisecond
+	slowProbeDelay = 200 * time.Millisecond
+	// firstDialTimeout is how long each of the first dialsEager dials may take; the others
 	// twice as long each, up to dialLimit. What goes to a machine that is just
 	// starting is lost, and asked again by the system after a second only.
-	dialFirst   = 200 * time.Millisecond
-	dialsEager  = 8
-	dialLimit   = time.Second
-	pauseLeast  = 50 * time.Millisecond
-	pauseMost   = 500 * time.Millisecond
-	lossPenalty = 200 * time.Millisecond
-	idleLimit   = 30 * time.Second
-	// deafLimit ends a connection whose peer confirms nothing for so long.
-	deafLimit = 1500 * time.Millisecond
-	// keepAlive finds accepted connections whose peer is gone for good.
-	keepAlive = 15 * time.Second
-	// pieceMost is how many bytes of a turn go at once where they had to wait.
-	pieceMost = 8 << 10
-	// spareMost bounds the bytes that a link keeps for its next turn.
-	spareMost = 16 << 10
+	firstDialTimeout   = 200 * time.Millisecond
+	eagerDials  = 8
+	maxDialTimeout   = time.Second
+	minBackoff  = 50 * time.Millisecond
+	maxBackoff   = 500 * time.Millisecond
+	retransmissionDelay = 200 * time.Millisecond
+	idleTimeout   = 30 * time.Second
+	// unacknowledgedTimeout ends a connection whose peer confirms nothing for so long.
+	unacknowledgedTimeout = 1500 * time.Millisecond
+	// keepAliveInterval finds accepted connections whose peer is gone for good.
+	keepAliveInterval = 15 * time.Second
+	// maxChunkBytes is how many bytes of a turn go at once where they had to wait.
+	maxChunkBytes = 8 << 10
+	// maxSpareBytes bounds the bytes that a link keeps for its next turn.
+	maxSpareBytes = 16 << 10
 )
 
 // Inbound is a message that arrived, or a note about a link.
@@ -80,7 +80,7 @@
 	InboundBlocked  []string
 }
 
-func (i *Impairment) calm() bool {
+func (i *Impairment) none() bool {
 	return len(i.Delays)+len(i.Loss)+len(i.Partitioned)+len(i.OutboundBlocked)+len(i.InboundBlocked) == 0
 }
 
@@ -101,110 +101,110 @@
 type Transport struct {
 	gnet.BuiltinEventEngine
 	address    string
-	home       string
+	zonePrefix       string
 	inbox      chan<- Inbound
-	urgent     chan<- Inbound
+	control     chan<- Inbound
 	client     *gnet.Client
 	engine     gnet.Engine
 	booted     chan struct{}
 	ended      <-chan error
 	impairment atomic.Pointer[Impairment]
-	garbage    func(remote string, err error)
+	onMalformed    func(remote string, err error)
 	clock      func() time.Time
 	Counters   Counters
 	// What was sent and received, by kind of message.
-	sent, received kindSums
+	sent, received kindCounters
 
 	// Of the owner: links by destination, those with frames of this turn, and
 	// whether the owner ends its turns with Flush.
 	links   map[string]*link
 	dirty   []*link
-	turns   bool
-	scratch []byte
-	turn    []byte
+	batching   bool
+	compressBuffer []byte
+	joinBuffer    []byte
 
-	// pace holds back what the machine's link can't take; held is set while
+	// pacer holds back what the machine's link can't take; held is set while
 	// something waits for it.
-	pace Pacer
-	held atomic.Bool
+	pacer Pacer
+	throttled atomic.Bool
 
-	// compresses is set where turns to other zones are packed.
-	compresses atomic.Bool
-	// watches is set where the owner wants to know of addresses that refuse.
-	watches atomic.Bool
+	// compression is set where turns to other zones are packed.
+	compression atomic.Bool
+	// observesLinks is set where the owner wants to know of addresses that refuse.
+	observesLinks atomic.Bool
 	closing atomic.Bool
-	// looping is set once there is a dialling loop: peers may name themselves before.
-	looping atomic.Bool
+	// dialing is set once there is a dialling loop: peers may name themselves before.
+	dialing atomic.Bool
 
 	// Of the accepting loop.
-	reader reader
-	inward map[string]gnet.Conn
+	reader decoder
+	connections map[string]gnet.Conn
 
 	// dial makes a connection, and firstDial is how long the first may take.
 	dial      func(limit context.Context, to string) (net.Conn, error)
-	firstDial time.Duration
+	firstDialTimeout time.Duration
 
 	// Of the dialling loop.
 	loop     gnet.EventLoop
-	tended   map[string]*link
-	order    PriorityQueue[chunk]
-	sendAt   time.Time
+	managed   map[string]*link
+	queue    PriorityQueue[chunk]
+	drainAt   time.Time
 	stopped  bool
-	wrapping []byte
+	queueBuffer []byte
 }
 
 // peer is what is known of an accepted connection.
 type peer struct {
-	from     string
-	unpacker *unpacker
-	// took are the bytes that came, told those that were confirmed.
-	took, told int64
-	confirms   bool
+	address     string
+	decompressor *decompressor
+	// received are the bytes that came, told those that were confirmed.
+	received, acknowledged int64
+	acknowledges   bool
 }
 
 // link is one destination.
 type link struct {
-	to   string
-	away bool
+	address   string
+	crossZone bool
 
 	// Of the owner: the frames of this turn by class, and how often bytes went to
 	// the dialling loop.
 	pending [classCount]bytes.Buffer
 	frames  [classCount]int
-	bounds  [classCount][]bound
+	deadlines  [classCount][]deadline
 	dirty   bool
-	handed  uint64
+	handedOver  uint64
 
-	// way is where the owner may write, if it handed over no more since.
-	way atomic.Pointer[way]
-	// uses counts turns, for the dialling loop to see which links are idle.
-	uses atomic.Uint64
+	// direct is where the owner may write, if it handed over no more since.
+	direct atomic.Pointer[directPath]
+	// batches counts turns, for the dialling loop to see which links are idle.
+	batches atomic.Uint64
 
 	// Of the dialling loop. rest is what is left of a write, and goes before all
 	// else that waits.
-	rest     chunk
-	taken    uint64
-	wire     gnet.Conn
+	unwritten     chunk
+	takenOver    uint64
+	connection     gnet.Conn
 	socket   *socket
-	dialling bool
-	// tries counts the dials since the peer was there, and hangUp ends the present one.
-	tries  int
-	hangUp context.CancelFunc
-	// answers is set while the peer is known to be there, by what it said itself.
-	answers  bool
-	pause    time.Duration
+	dialing bool
+	// attempts counts the dials since the peer was there, and hangUp ends the present one.
+	attempts  int
+	cancelDial context.CancelFunc
+	// peerSeen is set while the peer is known to be there, by what it said itself.
+	peerSeen  bool
+	backoff    time.Duration
 	retryAt  time.Time
-	armed    time.Time
-	seenUses uint64
-	// idle is set where we ended the connection ourselves.
-	idle   bool
-	openAt time.Time
+	serveAt    time.Time
+	sweptBatches uint64
+	// closedIdle is set where we ended the connection ourselves.
+	closedIdle   bool
+	openedAt time.Time
 }
 
-// way is a connection on which nothing waits, as of a count of hand-overs.
-type way struct {
+// directPath is a connection on which nothing waits, as of a count of hand-overs.
+type directPath struct {
 	socket *socket
-	handed uint64
+	handedOver uint64
 }
 
 // chunk is what the owner handed over: whole frames of one class, or, if it has a
@@ -213,10 +213,10 @@
 	body   []byte
 	class  Class
 	frames int
-	bounds []bound
-	at     time.Time
-	due    time.Time
-	rest   *socket
+	deadlines []deadline
+	queuedAt     time.Time
+	dueAt    time.Time
+	continues   *socket
 }
 
 // clientEvents is the dialling loop's side of connections; their context is
@@ -236,7 +236,7 @@
 
 func (ce *clientEvents) OnClose(connection gnet.Conn, _ error) gnet.Action {
 	if closed, matches := connection.Context().(*link); matches {
-		ce.transport.lost(closed, connection)
+		ce.transport.connectionLost(closed, connection)
 	}
 	return gnet.None
 }
@@ -249,16 +249,16 @@
 		return gnet.None
 	}
 	count := int64(-1)
-	for connection.InboundBuffered() >= confirmationSize {
-		body, err := connection.Next(confirmationSize)
+	for connection.InboundBuffered() >= acknowledgementBytes {
+		body, err := connection.Next(acknowledgementBytes)
 		if err != nil {
 			return gnet.Close
 		}
 		count = int64(binary.BigEndian.Uint64(body))
 	}
-	if count >= 0 && confirming.wire == connection {
+	if count >= 0 && confirming.connection == connection {
 		confirming.socket.window.Acknowledge(time.Now(), count)
-		ce.transport.pump(confirming)
+		ce.transport.serve(confirming)
 	}
 	return gnet.None
 }
@@ -268,19 +268,19 @@
 func Open(address string, inbox, urgent chan<- Inbound, garbage func(remote string, err error)) (*Transport, error) {
 	opened := &Transport{
 		address:  address,
-		home:     homeOf(address),
+		zonePrefix:     zonePrefixOf(address),
 		inbox:    inbox,
-		urgent:   urgent,
+		control:   urgent,
 		booted:   make(chan struct{}),
-		garbage:  garbage,
+		onMalformed:  garbage,
 		clock:    time.Now,
-		sent:     newKindSums(),
-		received: newKindSums(),
+		sent:     newKindCounters(),
+		received: newKindCounters(),
 		links:    map[string]*link{},
-		inward:   map[string]gnet.Conn{},
-		tended:   map[string]*link{},
+		connections:   map[string]gnet.Conn{},
+		managed:   map[string]*link{},
 	}
-	opened.dial, opened.firstDial = opened.dialPlain, dialFirst
+	opened.dial, opened.firstDialTimeout = opened.dialTCP, firstDialTimeout
 	opened.impairment.Store(&Impairment{})
 	// gnet's pool of tasks, which nothing here uses, would wake up twice a second.
 	goroutine.DefaultWorkerPool.Release()
@@ -295,7 +295,7 @@
 		// With a port that may be shared, gnet accepts and reads in one loop.
 		failed <- gnet.Run(opened, "tcp://"+address,
 			gnet.WithNumEventLoop(1), gnet.WithReuseAddr(true), gnet.WithReusePort(true), gnet.WithTCPNoDelay(gnet.TCPNoDelay),
-			gnet.WithTCPKeepAlive(keepAlive), gnet.WithLogLevel(logging.ErrorLevel), gnet.WithLogger(silent{}))
+			gnet.WithTCPKeepAlive(keepAliveInterval), gnet.WithLogLevel(logging.ErrorLevel), gnet.WithLogger(discardLogger{}))
 	}()
 	select {
 	case <-opened.booted:
@@ -311,7 +311,7 @@
 // openClient starts the dialling loop. gnet names a loop only through one of its
 // connections, so that the first one goes to our own address, and ends at once.
 func (t *Transport) openClient() error {
-	client, err := gnet.NewClient(&clientEvents{transport: t}, gnet.WithLogLevel(logging.ErrorLevel), gnet.WithLogger(silent{}),
+	client, err := gnet.NewClient(&clientEvents{transport: t}, gnet.WithLogLevel(logging.ErrorLevel), gnet.WithLogger(discardLogger{}),
 		gnet.WithNumEventLoop(1), gnet.WithReadBufferCap(1<<10))
 	if err != nil {
 		return err
@@ -320,7 +320,7 @@
 		return err
 	}
 	t.client = client
-	limit, hangUp := context.WithTimeout(context.Background(), dialLimit)
+	limit, hangUp := context.WithTimeout(context.Background(), maxDialTimeout)
 	defer hangUp()
 	plain, err := t.dial(limit, t.address)
 	if err != nil {
@@ -331,15 +331,15 @@
 		return err
 	}
 	t.loop = first.EventLoop()
-	t.looping.Store(true)
+	t.dialing.Store(true)
 	_ = first.Close()
-	time.AfterFunc(idleLimit, t.sweepLater)
+	time.AfterFunc(idleTimeout, t.sweepIdle)
 	return nil
 }
 
-// homeOf is the part of an address that daemons of one zone share in a
+// zonePrefixOf is the part of an address that daemons of one zone share in a
 // trial: the first three numbers.
-func homeOf(address string) string {
+func zonePrefixOf(address string) string {
 	last := strings.LastIndex(address, ".")
 	if last < 0 {
 		return address
@@ -397,12 +397,12 @@
 	}
 }
 
-// silent keeps gnet's own lines out of the daemons' logs, which hold numbered
+// discardLogger keeps gnet's own lines out of the daemons' logs, which hold numbered
 // events only.
-type silent struct{}
+type discardLogger struct{}
 
-func (silent) Debugf(string, ...any) {}
-func (silent) Infof(string, ...any)  {}
-func (silent) Warnf(string, ...any)  {}
-func (silent) Errorf(string, ...any) {}
-func (silent) Fatalf(string, ...any) {}
+func (discardLogger) Debugf(string, ...any) {}
+func (discardLogger) Infof(string, ...any)  {}
+func (discardLogger) Warnf(string, ...any)  {}
+func (discardLogger) Errorf(string, ...any) {}
+func (discardLogger) Fatalf(string, ...any) {}
--- a/internal/transport/link_test.go
+++ b/internal/transport/link_test.go
@@ -16,14 +16,14 @@
 	"dahlialock/internal/transport"
 )
 
-const patience = 20 * time.Second
+const maxQueueTime = 20 * time.Second
 
 func receive(t *testing.T, from <-chan transport.Inbound) transport.Inbound {
 	t.Helper()
 	select {
 	case inbound := <-from:
 		return inbound
-	case <-time.After(patience):
+	case <-time.After(maxQueueTime):
 		t.Fatal("nothing came")
 		return transport.Inbound{}
 	}
@@ -133,7 +133,7 @@
 		left.links.Flush()
 		assert.Equal(t, receive(t, right.inbox).Message.(partition.Append).Request, number)
 	}
-	assert.Assert(t, time.Since(began) < patience)
+	assert.Assert(t, time.Since(began) < maxQueueTime)
 	assert.Assert(t, left.links.Counters.Dropped.Load() > 0, "the bound of what waits was not kept")
 }
 
@@ -149,7 +149,7 @@
 	number := uint64(0)
 	arrives := func() {
 		t.Helper()
-		pace, limit := time.NewTicker(5*time.Millisecond), time.After(patience)
+		pace, limit := time.NewTicker(5*time.Millisecond), time.After(maxQueueTime)
 		defer pace.Stop()
 		for {
 			number++
@@ -201,10 +201,10 @@
 		select {
 		case err := <-heard:
 			assert.Assert(t, err != nil)
-		case <-time.After(patience):
+		case <-time.After(maxQueueTime):
 			t.Fatalf("%v was not refused", nonsense)
 		}
-		assert.NilError(t, connection.SetReadDeadline(time.Now().Add(patience)))
+		assert.NilError(t, connection.SetReadDeadline(time.Now().Add(maxQueueTime)))
 		_, err = connection.Read(make([]byte, 1))
 		assert.Assert(t, err == io.EOF || err != nil && !err.(net.Error).Timeout(), "the connection still stands after %v", nonsense)
 		assert.NilError(t, connection.Close())
@@ -252,7 +252,7 @@
 	for range 3 {
 		select {
 		case <-accepted:
-		case <-time.After(patience):
+		case <-time.After(maxQueueTime):
 			t.Fatal("a link that was reset is not dialled again")
 		}
 	}
--- a/internal/transport/order.go
+++ b/internal/transport/order.go
@@ -4,11 +4,11 @@
 package transport
 
 const (
-	// starveAfter is how many bytes of higher classes may pass what waits in a
+	// starvationBytes is how many bytes of higher classes may pass what waits in a
 	// lower one before that has a turn.
-	starveAfter = 64 << 10
-	// waitingMost bounds the bytes that wait for one peer in one class.
-	waitingMost = 1 << 20
+	starvationBytes = 64 << 10
+	// maxQueuedBytes bounds the bytes that wait for one peer in one class.
+	maxQueuedBytes = 1 << 20
 )
 
 // PriorityQueue holds items for peers, by class. Items of a class for a peer keep their
@@ -27,11 +27,11 @@
 
 type peerQueue[Item any] struct {
 	peer  string
-	items []waiting[Item]
+	items []queued[Item]
 	size  int
 }
 
-type waiting[Item any] struct {
+type queued[Item any] struct {
 	item Item
 	size int
 }
@@ -49,10 +49,10 @@
 		queue.byPeer[peer] = present
 		queue.turns = append(queue.turns, present)
 	}
-	present.items = append(present.items, waiting[Item]{item: item, size: size})
+	present.items = append(present.items, queued[Item]{item: item, size: size})
 	present.size += size
-	for present.size > waitingMost && len(present.items) > 1 {
-		oldest := present.take()
+	for present.size > maxQueuedBytes && len(present.items) > 1 {
+		oldest := present.pop()
 		lost = append(lost, oldest.item)
 	}
 	return lost
@@ -81,27 +81,27 @@
 // Pop takes out what goes next, to a peer that takes it.
 func (o *PriorityQueue[Item]) Pop(takes func(peer string, item Item) bool) (peer string, item Item, found bool) {
 	for class := classCount - 1; class > 0; class-- {
-		if o.classes[class].passed >= starveAfter {
-			if peer, item, found = o.nextOf(class, takes); found {
+		if o.classes[class].passed >= starvationBytes {
+			if peer, item, found = o.popClass(class, takes); found {
 				return peer, item, true
 			}
 		}
 	}
 	for class := range classCount {
-		if peer, item, found = o.nextOf(class, takes); found {
+		if peer, item, found = o.popClass(class, takes); found {
 			return peer, item, true
 		}
 	}
 	return "", item, false
 }
 
-func (o *PriorityQueue[Item]) nextOf(class Class, takes func(peer string, item Item) bool) (peer string, item Item, found bool) {
+func (o *PriorityQueue[Item]) popClass(class Class, takes func(peer string, item Item) bool) (peer string, item Item, found bool) {
 	queue := &o.classes[class]
 	for position, present := range queue.turns {
 		if !takes(present.peer, present.items[0].item) {
 			continue
 		}
-		first := present.take()
+		first := present.pop()
 		queue.turns = append(queue.turns[:position], queue.turns[position+1:]...)
 		if len(present.items) > 0 {
 			queue.turns = append(queue.turns, present)
@@ -161,9 +161,9 @@
 	}
 }
 
-func (pq *peerQueue[Item]) take() waiting[Item] {
+func (pq *peerQueue[Item]) pop() queued[Item] {
 	first := pq.items[0]
-	pq.items[0] = waiting[Item]{}
+	pq.items[0] = queued[Item]{}
 	pq.items = pq.items[1:]
 	pq.size -= first.size
 	return first
--- a/internal/transport/order_test.go
+++ b/internal/transport/order_test.go
@@ -64,8 +64,8 @@
 		passed[item] = number
 	}
 	// Each had one turn after as many bytes as may pass it, and not sooner.
-	assert.Equal(t, passed["missed"], starveAfter/size)
-	assert.Equal(t, passed["interest"], starveAfter/size+1)
+	assert.Equal(t, passed["missed"], starvationBytes/size)
+	assert.Equal(t, passed["interest"], starvationBytes/size+1)
 	assert.Equal(t, passed["live 63"], 63)
 }
 
@@ -73,12 +73,12 @@
 	var order PriorityQueue[string]
 	var lost []string
 	for number := range 20 {
-		lost = append(lost, order.Push("deaf", ClassCatchUp, waitingMost/10, fmt.Sprint(number))...)
-		lost = append(lost, order.Push("deaf", ClassLive, waitingMost/100, fmt.Sprint("live ", number))...)
+		lost = append(lost, order.Push("deaf", ClassCatchUp, maxQueuedBytes/10, fmt.Sprint(number))...)
+		lost = append(lost, order.Push("deaf", ClassLive, maxQueuedBytes/100, fmt.Sprint("live ", number))...)
 	}
 	assert.DeepEqual(t, lost, []string{"0", "1", "2", "3", "4", "5", "6", "7", "8", "9"})
 	// One that is larger than the bound is not lost for itself.
-	assert.Equal(t, len(order.Push("a", ClassLive, 2*waitingMost, "large")), 0)
+	assert.Equal(t, len(order.Push("a", ClassLive, 2*maxQueuedBytes, "large")), 0)
 	assert.DeepEqual(t, order.Remove("deaf", ClassCatchUp, func(item string) bool { return item != "15" }),
 		[]string{"10", "11", "12", "13", "14", "16", "17", "18", "19"})
 	assert.Equal(t, len(order.RemoveAll("deaf", func(string) bool { return true })), 21)
@@ -141,7 +141,7 @@
 
 func TestALeaseIsNotBehindWhatTheLinkCantTakeYet(t *testing.T) {
 	late := drain(t)
-	assert.Assert(t, late < 2*paceAhead+30*time.Millisecond, "the lease was through after %v", late)
+	assert.Assert(t, late < 2*pacerBurst+30*time.Millisecond, "the lease was through after %v", late)
 }
 
 func TestReceiversOnWideLinksConfirmNothing(t *testing.T) {
@@ -197,7 +197,7 @@
 			flying = append(flying, flight{at: free.Add(time.Millisecond + others), size: size})
 		}
 		if now.After(settled) {
-			most = max(most, window.sent.Load()-window.confirmed.Load())
+			most = max(most, window.sent.Load()-window.acknowledged.Load())
 		}
 		now = now.Add(200 * time.Microsecond)
 	}
@@ -208,7 +208,7 @@
 	most, went := through(4*time.Second, 0, 10_000_000)
 	assert.Assert(t, most > 64<<10 && went > 30_000_000, "free: %d on the way, %d went", most, went)
 	most, went = through(4*time.Second, 200*time.Millisecond, 325_000)
-	assert.Assert(t, most <= outstandingLeast+1000 && went > 40_000, "behind others: %d on the way, %d went", most, went)
+	assert.Assert(t, most <= minWindow+1000 && went > 40_000, "behind others: %d on the way, %d went", most, went)
 	// On its own a thin link's queue stays short, and the link is used.
 	most, went = through(4*time.Second, 0, 325_000)
 	assert.Assert(t, most < 325_000/10 && went > 4*325_000*9/10, "thin: %d on the way, %d went", most, went)
@@ -223,28 +223,28 @@
 		now = now.Add(time.Millisecond)
 		peer.takes(&window, now, 100)
 	}
-	assert.Equal(t, window.bound(), outstandingFirst)
+	assert.Equal(t, window.size(), initialWindow)
 	assert.Assert(t, window.Admits(ClassCatchUp))
 }
 
 func TestWhatIsSaidAnewAnywayIsLostOnceItIsStale(t *testing.T) {
 	for class := range classCount {
-		assert.Equal(t, class.Expired(patience[ClassCatchUp]+time.Millisecond), class >= ClassInterest, "class %d", class)
+		assert.Equal(t, class.Expired(maxQueueTime[ClassCatchUp]+time.Millisecond), class >= ClassInterest, "class %d", class)
 	}
-	assert.Assert(t, !ClassInterest.Expired(patience[ClassInterest]))
+	assert.Assert(t, !ClassInterest.Expired(maxQueueTime[ClassInterest]))
 }
 
 func TestAFullWindowHoldsBackTheLowerClassesFirst(t *testing.T) {
 	var window FlowWindow
 	now := time.Unix(1_700_000_000, 0)
-	window.Sent(now, int(outstandingFirst))
+	window.Sent(now, int(initialWindow))
 	assert.Assert(t, !window.Admits(ClassCatchUp) && !window.Admits(ClassInterest) && window.Admits(ClassLive) && window.Admits(ClassControl))
-	window.Sent(now, int(outstandingFirst))
+	window.Sent(now, int(initialWindow))
 	assert.Assert(t, !window.Admits(ClassLive) && window.Admits(ClassTransient) && window.Admits(ClassControl))
-	window.Acknowledge(now, outstandingFirst)
+	window.Acknowledge(now, initialWindow)
 	// It came at once, so that the window is larger by half now.
 	assert.Assert(t, window.Admits(ClassCatchUp) && window.Admits(ClassLive))
-	assert.Equal(t, window.bound(), outstandingFirst*3/2)
+	assert.Equal(t, window.size(), initialWindow*3/2)
 	// Who wants no window says so once.
 	window.Acknowledge(now, AcknowledgeUnlimited)
 	window.Sent(now, 1<<30)
--- a/internal/transport/pace.go
+++ b/internal/transport/pace.go
@@ -13,22 +13,22 @@
 
 // Pacing.
 const (
-	// paceAhead is how much of the link's time may be given to it ahead.
-	paceAhead = 20 * time.Millisecond
-	// paceShare is the part of the link's bytes that are ours to give; the rest is
+	// pacerBurst is how much of the link's time may be given to it ahead.
+	pacerBurst = 20 * time.Millisecond
+	// usableShare is the part of the link's bytes that are ours to give; the rest is
 	// for what the layers below add.
-	paceShare = 0.9
+	usableShare = 0.9
 )
 
 // Pacer is the time at which a link will have taken what it was given. It is used by
 // the owner and by the dialling loop, and without a rate it never holds back.
 type Pacer struct {
 	rate atomic.Int64
-	free atomic.Int64
+	freeAt atomic.Int64
 }
 
 // SetRate sets the bytes that the link takes a second, 0 for no limit.
-func (p *Pacer) SetRate(rate int) { p.rate.Store(int64(float64(rate) * paceShare)) }
+func (p *Pacer) SetRate(rate int) { p.rate.Store(int64(float64(rate) * usableShare)) }
 
 // Spend gives bytes to the link.
 func (p *Pacer) Spend(now time.Time, size int) {
@@ -38,8 +38,8 @@
 	}
 	took := int64(size) * int64(time.Second) / rate
 	for {
-		free := p.free.Load()
-		if p.free.CompareAndSwap(free, max(free, now.UnixNano())+took) {
+		free := p.freeAt.Load()
+		if p.freeAt.CompareAndSwap(free, max(free, now.UnixNano())+took) {
 			return
 		}
 	}
@@ -50,25 +50,25 @@
 	if p.rate.Load() == 0 || statemachine.Mutated("single-class") {
 		return 0
 	}
-	return max(0, time.Duration(p.free.Load()-now.UnixNano())-paceAhead)
+	return max(0, time.Duration(p.freeAt.Load()-now.UnixNano())-pacerBurst)
 }
 
 // Windows.
 const (
-	outstandingLeast int64 = 4 << 10
-	outstandingFirst int64 = 8 << 10
-	outstandingMost  int64 = 1 << 20
+	minWindow int64 = 4 << 10
+	initialWindow int64 = 8 << 10
+	maxWindow  int64 = 1 << 20
 	// AcknowledgeEvery is how many bytes there are between two confirmations, counted
 	// from the connection's beginning at both of its ends.
 	AcknowledgeEvery = 2 << 10
-	// confirmationSize is the length of a confirmation, a count of bytes.
-	confirmationSize = 8
-	// delayWanted is how long bytes may wait on their way, beyond the shortest time
+	// acknowledgementBytes is the length of a confirmation, a count of bytes.
+	acknowledgementBytes = 8
+	// targetQueueDelay is how long bytes may wait on their way, beyond the shortest time
 	// that was seen, while a window grows; above delayMost it shrinks.
-	delayWanted = 15 * time.Millisecond
-	delayMost   = 40 * time.Millisecond
-	// shortestMost is the longest way that is believed to be one, and no queue.
-	shortestMost = 60 * time.Millisecond
+	targetQueueDelay = 15 * time.Millisecond
+	maxQueueDelay   = 40 * time.Millisecond
+	// maxBaseRoundTrip is the longest way that is believed to be one, and no queue.
+	maxBaseRoundTrip = 60 * time.Millisecond
 )
 
 // FlowWindow bounds the bytes on one connection that its receiver has not confirmed. It
@@ -80,55 +80,55 @@
 	// limit is zero before it was ever changed.
 	limit     atomic.Int64
 	sent      atomic.Int64
-	confirmed atomic.Int64
-	// used is set where the window was nearly full since it last grew.
-	used atomic.Bool
-	// mark is a count of bytes, markAt when it was reached; zero if no way is
+	acknowledged atomic.Int64
+	// nearlyFull is set where the window was nearly full since it last grew.
+	nearlyFull atomic.Bool
+	// probe is a count of bytes, markAt when it was reached; zero if no way is
 	// being timed.
-	mark   atomic.Int64
-	markAt atomic.Int64
+	probe   atomic.Int64
+	probeSentAt atomic.Int64
 	// Of whoever takes confirmations.
-	shortest time.Duration
-	shrunkAt int64
+	baseRoundTrip time.Duration
+	shrunkAtSent int64
 }
 
 // Sent notes bytes that are about to be given to the connection.
 func (w *FlowWindow) Sent(now time.Time, size int) {
 	count := w.sent.Add(int64(size))
-	if count-w.confirmed.Load() > w.bound()*3/4 {
-		w.used.Store(true)
+	if count-w.acknowledged.Load() > w.size()*3/4 {
+		w.nearlyFull.Store(true)
 	}
-	if boundary := count / AcknowledgeEvery * AcknowledgeEvery; boundary > count-int64(size) && w.mark.Load() == 0 {
-		w.markAt.Store(now.UnixNano())
-		w.mark.Store(boundary)
+	if boundary := count / AcknowledgeEvery * AcknowledgeEvery; boundary > count-int64(size) && w.probe.Load() == 0 {
+		w.probeSentAt.Store(now.UnixNano())
+		w.probe.Store(boundary)
 	}
 }
 
 // Acknowledge notes how many bytes the receiver has taken in all.
 func (w *FlowWindow) Acknowledge(now time.Time, count int64) {
-	if count < w.confirmed.Load() {
+	if count < w.acknowledged.Load() {
 		return
 	}
-	w.confirmed.Store(count)
-	if mark := w.mark.Load(); mark != 0 && mark <= count {
-		took := time.Duration(now.UnixNano() - w.markAt.Load())
-		w.mark.Store(0)
+	w.acknowledged.Store(count)
+	if mark := w.probe.Load(); mark != 0 && mark <= count {
+		took := time.Duration(now.UnixNano() - w.probeSentAt.Load())
+		w.probe.Store(0)
 		w.adapt(took)
 	}
 }
 
 func (w *FlowWindow) adapt(took time.Duration) {
-	if w.shortest == 0 || took < w.shortest {
-		w.shortest = took
+	if w.baseRoundTrip == 0 || took < w.baseRoundTrip {
+		w.baseRoundTrip = took
 	}
-	switch waited := took - min(w.shortest, shortestMost); {
-	case waited < delayWanted && w.used.Load():
-		w.used.Store(false)
-		w.limit.Store(min(outstandingMost, w.bound()+w.bound()/2))
-	case waited > delayMost && w.confirmed.Load() >= w.shrunkAt:
-		w.limit.Store(max(outstandingLeast, w.bound()/2))
+	switch waited := took - min(w.baseRoundTrip, maxBaseRoundTrip); {
+	case waited < targetQueueDelay && w.nearlyFull.Load():
+		w.nearlyFull.Store(false)
+		w.limit.Store(min(maxWindow, w.size()+w.size()/2))
+	case waited > maxQueueDelay && w.acknowledged.Load() >= w.shrunkAtSent:
+		w.limit.Store(max(minWindow, w.size()/2))
 		// Once for what is on its way now.
-		w.shrunkAt = w.sent.Load()
+		w.shrunkAtSent = w.sent.Load()
 	}
 }
 
@@ -136,14 +136,14 @@
 // control state is never held back by what is on its way before it, and what callers
 // wait for only by more of that than others are.
 func (w *FlowWindow) Admits(class Class) bool {
-	outstanding := w.sent.Load() - w.confirmed.Load()
+	outstanding := w.sent.Load() - w.acknowledged.Load()
 	switch {
 	case class < ClassLive || statemachine.Mutated("single-class"):
 		return true
 	case class == ClassLive:
-		return outstanding < 2*w.bound()
+		return outstanding < 2*w.size()
 	}
-	return outstanding < w.bound()
+	return outstanding < w.size()
 }
 
 // AcknowledgeUnlimited is the confirmation, given once, of a receiver that wants no window.
@@ -154,15 +154,15 @@
 // anything back.
 func (p *Pacer) RequiresAcknowledgements() bool {
 	rate := p.rate.Load()
-	return rate > 0 && rate < outstandingMost*int64(time.Second/paceAhead)
+	return rate > 0 && rate < maxWindow*int64(time.Second/pacerBurst)
 }
 
 // AcknowledgementDue tells a receiver whether it has taken enough since its last confirmation.
 func AcknowledgementDue(told, took int64) bool { return took/AcknowledgeEvery > told/AcknowledgeEvery }
 
-func (w *FlowWindow) bound() int64 {
+func (w *FlowWindow) size() int64 {
 	if limit := w.limit.Load(); limit != 0 {
 		return limit
 	}
-	return outstandingFirst
+	return initialWindow
 }
--- a/internal/transport/pack.go
+++ b/internal/transport/pack.go
@@ -16,65 +16,65 @@
 )
 
 const (
-	windowMost  = 8 << 10
-	packMost    = 32 << 10
+	historyBytes  = 8 << 10
+	maxCompressible    = 32 << 10
 	hashBits    = 11
-	matchLeast  = 6
-	repeatLeast = 3
-	lengthMost  = 255
+	minMatch  = 6
+	minRepeat = 3
+	maxMatch  = 255
 
 	// The symbols of the first alphabet are bytes, then slots of lengths with a
 	// new distance, then slots of lengths with the distance used last.
 	slotCount   = 13
-	firstMatch  = 256
-	firstRepeat = firstMatch + slotCount
-	symbolCount = firstRepeat + slotCount
-	sizeCount   = 14
+	matchSymbols  = 256
+	repeatSymbols = matchSymbols + slotCount
+	symbolCount = repeatSymbols + slotCount
+	distanceSymbols   = 14
 
-	symbolBits = 11
-	sizeBits   = 8
+	maxSymbolBits = 11
+	maxDistanceBits   = 8
 
 	// Codes are made anew after so many bytes, sooner at first.
-	renewFirst = 512
-	renewMost  = 4 << 10
+	firstRebuild = 512
+	maxRebuildInterval  = 4 << 10
 )
 
-// alphabet is how often each symbol was seen, and the codes made from that.
-type alphabet struct {
-	limit  int
+// huffman is how often each symbol was seen, and the codes made from that.
+type huffman struct {
+	maxBits  int
 	counts []uint32
 	codes  []uint16
-	sizes  []uint8
-	// table names, for the next limit bits, the symbol and the size of its code.
-	table []uint16
+	lengths  []uint8
+	// decodeTable names, for the next limit bits, the symbol and the size of its code.
+	decodeTable []uint16
 }
 
-func newAlphabet(symbols, limit int, seen func(symbol int) uint32) alphabet {
-	made := alphabet{
-		limit: limit, counts: make([]uint32, symbols), codes: make([]uint16, symbols), sizes: make([]uint8, symbols),
-		table: make([]uint16, 1<<limit),
+func newHuffman(symbols, limit int, seen func(symbol int) uint32) huffman {
+	made := huffman{
+		maxBits: limit, counts: make([]uint32, symbols), codes: make([]uint16, symbols), lengths: make([]uint8, symbols),
+		decodeTable: make([]uint16, 1<<limit),
 	}
 	for symbol := range made.counts {
 		made.counts[symbol] = seen(symbol)
 	}
-	made.renew()
+	made.rebuild()
 	return made
 }
 
-// renew makes the codes from the counts, which it then lets fade. Every symbol
+// rebuild makes the codes from the counts, which it then lets fade. Every symbol
 // keeps a code.
-func (a *alphabet) renew() {
-	a.measure()
+func (a *huffman) rebuild() {
+	a.assignLengths()
 	code := uint16(0)
-	for size := uint8(1); int(size) <= a.limit; size++ {
-		for symbol, own := range a.sizes {
+	for size := uint8(1); int(size) <= a.maxBits; size++ {
+		for symbol, own := range a.lengths {
 			if own != size {
 				continue
 			}
 			a.codes[symbol] = code
-			from := int(code) << (a.limit - int(size))
-			for position := range 1 << (a.limit - int(size)) {
-				a.table[from+position] = uint16(symbol)<<4 | uint16(size)
+			from := int(code) << (a.maxBits - int(size))
+			for position := range 1 << (a.maxBits - int(size)) {
+				a.decodeTable[from+position] = uint16(symbol)<<4 | uint16(size)
 			}
 			code++
 		}
@@ -85,9 +85,9 @@
 	}
 }
 
-// measure finds the sizes of the best codes for the counts, by merging the two
+// assignLengths finds the sizes of the best codes for the counts, by merging the two
 // rarest over and over, and has none of them over the limit.
-func (a *alphabet) measure() {
+func (a *huffman) assignLengths() {
 	var (
 		orders  [symbolCount]uint64
 		weights [2 * symbolCount]uint32
@@ -119,17 +119,17 @@
 	for position := 2*leaves - 3; position >= 0; position-- {
 		depths[position] = depths[parents[position]] + 1
 		if position < leaves {
-			bySize[min(int(depths[position]), a.limit)]++
+			bySize[min(int(depths[position]), a.maxBits)]++
 		}
 	}
 	// Codes that were cut to the limit take room, which others give by growing.
 	room := 0
-	for size := 1; size <= a.limit; size++ {
-		room += bySize[size] << (a.limit - size)
+	for size := 1; size <= a.maxBits; size++ {
+		room += bySize[size] << (a.maxBits - size)
 	}
-	for ; room > 1<<a.limit; room-- {
-		bySize[a.limit]--
-		for size := a.limit - 1; size > 0; size-- {
+	for ; room > 1<<a.maxBits; room-- {
+		bySize[a.maxBits]--
+		for size := a.maxBits - 1; size > 0; size-- {
 			if bySize[size] > 0 {
 				bySize[size]--
 				bySize[size+1] += 2
@@ -138,9 +138,9 @@
 		}
 	}
 	position := 0
-	for size := a.limit; size > 0; size-- {
+	for size := a.maxBits; size > 0; size-- {
 		for range bySize[size] {
-			a.sizes[order[position]&0xffff] = uint8(size)
+			a.lengths[order[position]&0xffff] = uint8(size)
 			position++
 		}
 	}
@@ -148,49 +148,49 @@
 
 // model is what both ends know.
 type model struct {
-	window   []byte
-	repeated int
-	symbols  alphabet
-	sizes    alphabet
-	renewAt  int
+	history   []byte
+	lastDistance int
+	symbols  huffman
+	distances    huffman
+	rebuildAt  int
 	seen     int
 }
 
 func newModel() model {
 	return model{
-		window: make([]byte, 0, 2*windowMost), renewAt: renewFirst,
-		symbols: newAlphabet(symbolCount, symbolBits, func(symbol int) uint32 {
+		history: make([]byte, 0, 2*historyBytes), rebuildAt: firstRebuild,
+		symbols: newHuffman(symbolCount, maxSymbolBits, func(symbol int) uint32 {
 			switch {
-			case symbol >= 'a' && symbol <= 'z', symbol >= '0' && symbol <= '9', symbol >= firstMatch:
+			case symbol >= 'a' && symbol <= 'z', symbol >= '0' && symbol <= '9', symbol >= matchSymbols:
 				return 8
 			}
 			return 2
 		}),
-		sizes: newAlphabet(sizeCount, sizeBits, func(size int) uint32 { return uint32(1 + size) }),
+		distances: newHuffman(distanceSymbols, maxDistanceBits, func(size int) uint32 { return uint32(1 + size) }),
 	}
 }
 
 // slide keeps the newest part of the window once it has grown; it tells how many
 // bytes went. Both ends do it at the same moments.
 func (m *model) slide(more int) int {
-	if len(m.window)+more <= cap(m.window) {
+	if len(m.history)+more <= cap(m.history) {
 		return 0
 	}
-	gone := max(0, len(m.window)-windowMost)
-	kept := copy(m.window, m.window[gone:])
-	m.window = m.window[:kept]
+	gone := max(0, len(m.history)-historyBytes)
+	kept := copy(m.history, m.history[gone:])
+	m.history = m.history[:kept]
 	return gone
 }
 
 // learn makes codes anew once enough was seen.
 func (m *model) learn(more int) {
 	m.seen += more
-	if m.seen < m.renewAt {
+	if m.seen < m.rebuildAt {
 		return
 	}
-	m.symbols.renew()
-	m.sizes.renew()
-	m.seen, m.renewAt = 0, min(2*m.renewAt, renewMost)
+	m.symbols.rebuild()
+	m.distances.rebuild()
+	m.seen, m.rebuildAt = 0, min(2*m.rebuildAt, maxRebuildInterval)
 }
 
 // slotOf gives a length's slot, and how many of its low bits follow.
@@ -210,112 +210,112 @@
 	return 1 << extra, extra
 }
 
-// packer is the sending end.
-type packer struct {
+// compressor is the sending end.
+type compressor struct {
 	model
-	heads  [1 << hashBits]int32
+	lastSeen  [1 << hashBits]int32
 	out    []byte
 	bits   uint64
-	filled int
+	bitCount int
 }
 
-func newPacker() *packer {
-	made := &packer{model: newModel()}
-	for position := range made.heads {
-		made.heads[position] = -1
+func newCompressor() *compressor {
+	made := &compressor{model: newModel()}
+	for position := range made.lastSeen {
+		made.lastSeen[position] = -1
 	}
 	return made
 }
 
-// pack appends the packed form of a body to out.
-func (p *packer) pack(out, body []byte) []byte {
-	p.out, p.bits, p.filled = binary.AppendUvarint(out, uint64(len(body))), 0, 0
+// compress appends the packed form of a body to out.
+func (p *compressor) compress(out, body []byte) []byte {
+	p.out, p.bits, p.bitCount = binary.AppendUvarint(out, uint64(len(body))), 0, 0
 	for len(body) > 0 {
-		piece := body[:min(len(body), windowMost)]
-		p.piece(piece)
+		piece := body[:min(len(body), historyBytes)]
+		p.compressBlock(piece)
 		p.learn(len(piece))
 		body = body[len(piece):]
 	}
-	if p.filled > 0 {
-		p.out = append(p.out, byte(p.bits<<(8-p.filled)))
+	if p.bitCount > 0 {
+		p.out = append(p.out, byte(p.bits<<(8-p.bitCount)))
 	}
 	done := p.out
 	p.out = nil
 	return done
 }
 
-// piece packs bytes that fit into the window besides what it keeps.
-func (p *packer) piece(piece []byte) {
+// compressBlock packs bytes that fit into the window besides what it keeps.
+func (p *compressor) compressBlock(piece []byte) {
 	if gone := int32(p.slide(len(piece))); gone > 0 {
-		for position, head := range p.heads {
-			p.heads[position] = max(-1, head-gone)
+		for position, head := range p.lastSeen {
+			p.lastSeen[position] = max(-1, head-gone)
 		}
 	}
-	at := len(p.window)
-	p.window = append(p.window, piece...)
-	whole := p.window
+	at := len(p.history)
+	p.history = append(p.history, piece...)
+	whole := p.history
 	for at < len(whole) {
 		length, repeat, distance := 0, false, 0
-		if p.repeated > 0 && p.repeated <= at {
-			if length = common(whole, at-p.repeated, at); length >= repeatLeast {
+		if p.lastDistance > 0 && p.lastDistance <= at {
+			if length = matchLength(whole, at-p.lastDistance, at); length >= minRepeat {
 				repeat = true
 			} else {
 				length = 0
 			}
 		}
-		if length < 16 && at+matchLeast <= len(whole) {
-			if head := int(p.heads[hashOf(whole[at:])]); head >= 0 && head < at && at-head <= windowMost {
+		if length < 16 && at+minMatch <= len(whole) {
+			if head := int(p.lastSeen[hashOf(whole[at:])]); head >= 0 && head < at && at-head <= historyBytes {
 				// A new distance takes some two bytes more than the one used last.
-				if found := common(whole, head, at); found >= matchLeast && found > length+2 {
+				if found := matchLength(whole, head, at); found >= minMatch && found > length+2 {
 					length, repeat, distance = found, false, at-head
 				}
 			}
 		}
 		switch {
 		case length == 0:
-			p.symbol(&p.symbols, int(whole[at]))
+			p.writeSymbol(&p.symbols, int(whole[at]))
 			length = 1
 		case repeat:
-			p.length(firstRepeat, length-repeatLeast)
+			p.writeLength(repeatSymbols, length-minRepeat)
 		default:
-			p.length(firstMatch, length-matchLeast)
+			p.writeLength(matchSymbols, length-minMatch)
 			size := bits.Len(uint(distance)) - 1
-			p.symbol(&p.sizes, size)
-			p.plain(uint64(distance)&(1<<size-1), size)
-			p.repeated = distance
+			p.writeSymbol(&p.distances, size)
+			p.writeBits(uint64(distance)&(1<<size-1), size)
+			p.lastDistance = distance
 		}
 		for end := at + length; at < end; at++ {
-			if at+matchLeast <= len(whole) {
-				p.heads[hashOf(whole[at:])] = int32(at)
+			if at+minMatch <= len(whole) {
+				p.lastSeen[hashOf(whole[at:])] = int32(at)
 			}
 		}
 	}
 }
 
-func (p *packer) length(first, length int) {
+func (p *compressor) writeLength(first, length int) {
 	slot, extra := slotOf(length)
-	p.symbol(&p.symbols, first+slot)
-	p.plain(uint64(length)&(1<<extra-1), extra)
+	p.writeSymbol(&p.symbols, first+slot)
+	p.writeBits(uint64(length)&(1<<extra-1), extra)
 }
 
-func (p *packer) symbol(from *alphabet, symbol int) {
+func (p *compressor) writeSymbol(from *huffman, symbol int) {
 	from.counts[symbol]++
-	p.plain(uint64(from.codes[symbol]), int(from.sizes[symbol]))
+	p.writeBits(uint64(from.codes[symbol]), int(from.lengths[symbol]))
 }
 
-func (p *packer) plain(value uint64, count int) {
+func (p *compressor) writeBits(value uint64, count int) {
 	p.bits = p.bits<<count | value
-	p.filled += count
-	for p.filled >= 8 {
-		p.filled -= 8
-		p.out = append(p.out, byte(p.bits>>p.filled))
+	p.bitCount += count
+	for p.bitCount >= 8 {
+		p.bitCount -= 8
+		p.out = append(p.out, byte(p.bits>>p.bitCount))
 	}
 }
 
-// common is how many bytes from two places on are the same; the earlier may run
+// matchLength is how many bytes from two places on are the same; the earlier may run
 // into the later.
-func common(whole []byte, earlier, later int) int {
-	length, most := 0, min(len(whole)-later, lengthMost)
+func matchLength(whole []byte, earlier, later int) int {
+	length, most := 0, min(len(whole)-later, maxMatch)
 	for length < most && whole[earlier+length] == whole[later+length] {
 		length++
 	}
@@ -326,101 +326,101 @@
 	return binary.LittleEndian.Uint32(body) * 2654435761 >> (32 - hashBits)
 }
 
-// unpacker is the receiving end.
-type unpacker struct {
+// decompressor is the receiving end.
+type decompressor struct {
 	model
 	in     []byte
 	bits   uint64
-	filled int
-	lack   int
+	bitCount int
+	padding   int
 }
 
-func newUnpacker() *unpacker {
-	return &unpacker{model: newModel()}
+func newDecompressor() *decompressor {
+	return &decompressor{model: newModel()}
 }
 
-// unpack gives what a body was packed from; it holds until the next call. After
+// decompress gives what a body was packed from; it holds until the next call. After
 // an error nothing more that comes on the connection can be read.
-func (u *unpacker) unpack(packed []byte) ([]byte, error) {
+func (u *decompressor) decompress(packed []byte) ([]byte, error) {
 	length, size := binary.Uvarint(packed)
-	if size <= 0 || length == 0 || length > packMost {
+	if size <= 0 || length == 0 || length > maxCompressible {
 		return nil, ErrorFrame.New("a packed turn of %d bytes", length)
 	}
-	u.in, u.bits, u.filled, u.lack = packed[size:], 0, 0, 0
+	u.in, u.bits, u.bitCount, u.padding = packed[size:], 0, 0, 0
 	body := make([]byte, 0, length)
 	for left := int(length); left > 0; {
-		piece := min(left, windowMost)
+		piece := min(left, historyBytes)
 		u.slide(piece)
-		at := len(u.window)
-		if err := u.piece(at + piece); err != nil {
+		at := len(u.history)
+		if err := u.decompressBlock(at + piece); err != nil {
 			return nil, err
 		}
 		u.learn(piece)
-		body = append(body, u.window[at:]...)
+		body = append(body, u.history[at:]...)
 		left -= piece
 	}
-	if left := 8*len(u.in) + u.filled - u.lack; left < 0 || left >= 8 {
+	if left := 8*len(u.in) + u.bitCount - u.padding; left < 0 || left >= 8 {
 		return nil, ErrorFrame.New("a packed turn of another length")
 	}
 	return body, nil
 }
 
-// piece fills the window up to an end.
-func (u *unpacker) piece(end int) error {
-	for len(u.window) < end {
-		symbol := u.symbol(&u.symbols)
-		if symbol < firstMatch {
-			u.window = append(u.window, byte(symbol))
+// decompressBlock fills the window up to an end.
+func (u *decompressor) decompressBlock(end int) error {
+	for len(u.history) < end {
+		symbol := u.readSymbol(&u.symbols)
+		if symbol < matchSymbols {
+			u.history = append(u.history, byte(symbol))
 			continue
 		}
 		length := 0
-		if symbol < firstRepeat {
-			length = u.length(symbol-firstMatch) + matchLeast
-			size := u.symbol(&u.sizes)
-			u.repeated = 1<<size | int(u.plain(size))
+		if symbol < repeatSymbols {
+			length = u.readLength(symbol-matchSymbols) + minMatch
+			size := u.readSymbol(&u.distances)
+			u.lastDistance = 1<<size | int(u.readBits(size))
 		} else {
-			length = u.length(symbol-firstRepeat) + repeatLeast
+			length = u.readLength(symbol-repeatSymbols) + minRepeat
 		}
-		if u.repeated == 0 || u.repeated > len(u.window) || length > end-len(u.window) {
+		if u.lastDistance == 0 || u.lastDistance > len(u.history) || length > end-len(u.history) {
 			return ErrorFrame.New("a packed turn names what was not there")
 		}
 		for range length {
-			u.window = append(u.window, u.window[len(u.window)-u.repeated])
+			u.history = append(u.history, u.history[len(u.history)-u.lastDistance])
 		}
 	}
 	return nil
 }
 
-func (u *unpacker) length(slot int) int {
+func (u *decompressor) readLength(slot int) int {
 	least, extra := lengthOf(slot)
-	return least | int(u.plain(extra))
+	return least | int(u.readBits(extra))
 }
 
 // fill has some bits ready; after the end of what came they are zeros, which
 // are counted.
-func (u *unpacker) fill(count int) {
-	for u.filled < count {
+func (u *decompressor) fill(count int) {
+	for u.bitCount < count {
 		next := byte(0)
 		if len(u.in) > 0 {
 			next, u.in = u.in[0], u.in[1:]
 		} else {
-			u.lack += 8
+			u.padding += 8
 		}
-		u.bits, u.filled = u.bits<<8|uint64(next), u.filled+8
+		u.bits, u.bitCount = u.bits<<8|uint64(next), u.bitCount+8
 	}
 }
 
-func (u *unpacker) symbol(from *alphabet) int {
-	u.fill(from.limit)
-	entry := from.table[u.bits>>(u.filled-from.limit)&(1<<from.limit-1)]
-	u.filled -= int(entry & 15)
+func (u *decompressor) readSymbol(from *huffman) int {
+	u.fill(from.maxBits)
+	entry := from.decodeTable[u.bits>>(u.bitCount-from.maxBits)&(1<<from.maxBits-1)]
+	u.bitCount -= int(entry & 15)
 	symbol := int(entry >> 4)
 	from.counts[symbol]++
 	return symbol
 }
 
-func (u *unpacker) plain(count int) uint64 {
+func (u *decompressor) readBits(count int) uint64 {
 	u.fill(count)
-	u.filled -= count
-	return u.bits >> u.filled & (1<<count - 1)
+	u.bitCount -= count
+	return u.bits >> u.bitCount & (1<<count - 1)
 }
--- a/internal/transport/pack_test.go
+++ b/internal/transport/pack_test.go
@@ -13,10 +13,10 @@
 	"dahlialock/internal/statemachine"
 )
 
-func there(tb testing.TB, packer *packer, unpacker *unpacker, body []byte) int {
+func there(tb testing.TB, packer *compressor, unpacker *decompressor, body []byte) int {
 	tb.Helper()
-	packed := packer.pack(nil, body)
-	back, err := unpacker.unpack(packed)
+	packed := packer.compress(nil, body)
+	back, err := unpacker.decompress(packed)
 	assert.NilError(tb, err)
 	assert.Assert(tb, bytes.Equal(back, body), "%d bytes differ", len(body))
 	return len(packed)
@@ -33,12 +33,12 @@
 
 func TestTurnsComeOutAsTheyWentIn(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
-	packer, unpacker := newPacker(), newUnpacker()
+	packer, unpacker := newCompressor(), newDecompressor()
 	var last []byte
 	for round := range 3000 {
 		length := 1 + random.IntN(600)
 		if round%100 == 99 {
-			length = 1 + random.IntN(packMost)
+			length = 1 + random.IntN(maxCompressible)
 		}
 		var body []byte
 		switch round % 6 {
@@ -57,7 +57,7 @@
 		case 5:
 			body = bytes.Repeat([]byte{0xff}, length)
 		}
-		body = body[:min(len(body), packMost)]
+		body = body[:min(len(body), maxCompressible)]
 		there(t, packer, unpacker, body)
 		last = body
 	}
@@ -65,7 +65,7 @@
 
 func TestTextWithoutRepeatsShrinksNearToItsEntropy(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
-	packer, unpacker := newPacker(), newUnpacker()
+	packer, unpacker := newCompressor(), newDecompressor()
 	for range 100 {
 		there(t, packer, unpacker, letters(random, 230))
 	}
@@ -79,21 +79,21 @@
 func TestACutOrChangedTurnDoesNotPanic(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 6))
 	for range 300 {
-		packer, unpacker := newPacker(), newUnpacker()
+		packer, unpacker := newCompressor(), newDecompressor()
 		there(t, packer, unpacker, letters(random, 500))
-		packed := packer.pack(nil, letters(random, 500))
+		packed := packer.compress(nil, letters(random, 500))
 		packed[random.IntN(len(packed))] ^= byte(1 + random.IntN(255))
-		_, _ = unpacker.unpack(packed[:random.IntN(len(packed)+1)])
+		_, _ = unpacker.decompress(packed[:random.IntN(len(packed)+1)])
 	}
 }
 
 func FuzzUnpack(f *testing.F) {
-	packer := newPacker()
-	f.Add(packer.pack(nil, []byte("a turn of some frames")), packer.pack(nil, []byte("a turn of some more frames")))
+	packer := newCompressor()
+	f.Add(packer.compress(nil, []byte("a turn of some frames")), packer.compress(nil, []byte("a turn of some more frames")))
 	f.Fuzz(func(_ *testing.T, first, second []byte) {
-		unpacker := newUnpacker()
-		if _, err := unpacker.unpack(first); err == nil {
-			_, _ = unpacker.unpack(second)
+		unpacker := newDecompressor()
+		if _, err := unpacker.decompress(first); err == nil {
+			_, _ = unpacker.decompress(second)
 		}
 	})
 }
@@ -101,9 +101,9 @@
 func FuzzPack(f *testing.F) {
 	f.Add([]byte("first"), []byte("second"), []byte("first and second"))
 	f.Fuzz(func(t *testing.T, first, second, third []byte) {
-		packer, unpacker := newPacker(), newUnpacker()
+		packer, unpacker := newCompressor(), newDecompressor()
 		for _, body := range [][]byte{first, second, third} {
-			if len(body) > 0 && len(body) <= packMost {
+			if len(body) > 0 && len(body) <= maxCompressible {
 				there(t, packer, unpacker, body)
 			}
 		}
@@ -122,7 +122,7 @@
 		turns = append(turns, turn.Bytes())
 		plain += turn.Len()
 	}
-	packer, unpacker := newPacker(), newUnpacker()
+	packer, unpacker := newCompressor(), newDecompressor()
 	whole := 0
 	for _, turn := range turns {
 		whole += there(b, packer, unpacker, turn)
@@ -130,8 +130,8 @@
 	number := 0
 	b.ReportAllocs()
 	for b.Loop() {
-		packed := packer.pack(nil, turns[number%256])
-		if _, err := unpacker.unpack(packed); err != nil {
+		packed := packer.compress(nil, turns[number%256])
+		if _, err := unpacker.decompress(packed); err != nil {
 			b.Fatal(err)
 		}
 		number++
--- a/internal/transport/receive.go
+++ b/internal/transport/receive.go
@@ -17,8 +17,8 @@
 
 // OnClose is called by gnet for a connection that ended.
 func (t *Transport) OnClose(connection gnet.Conn, _ error) gnet.Action {
-	if closed, matches := connection.Context().(*peer); matches && t.inward[closed.from] == connection {
-		delete(t.inward, closed.from)
+	if closed, matches := connection.Context().(*peer); matches && t.connections[closed.address] == connection {
+		delete(t.connections, closed.address)
 	}
 	return gnet.None
 }
@@ -30,65 +30,65 @@
 		return gnet.Close
 	}
 	for {
-		header, err := connection.Peek(headerSize)
+		header, err := connection.Peek(frameHeaderBytes)
 		if err != nil {
-			return from.confirm(connection)
+			return from.acknowledge(connection)
 		}
-		packed := header[0]&(packedMark>>24) != 0
-		length, complete, err := from.length(header)
+		packed := header[0]&(compressedFlag>>24) != 0
+		length, complete, err := from.nextLength(header)
 		if err != nil {
-			return t.refuse(connection, err)
+			return t.reject(connection, err)
 		}
-		if !complete || connection.InboundBuffered() < headerSize+length {
-			return from.confirm(connection)
+		if !complete || connection.InboundBuffered() < frameHeaderBytes+length {
+			return from.acknowledge(connection)
 		}
-		if _, err := connection.Discard(headerSize); err != nil {
+		if _, err := connection.Discard(frameHeaderBytes); err != nil {
 			return gnet.Close
 		}
 		body, err := connection.Next(length)
 		if err != nil {
 			return gnet.Close
 		}
-		t.Counters.BytesIn.Add(int64(headerSize + length))
-		from.took += int64(headerSize + length)
+		t.Counters.BytesIn.Add(int64(frameHeaderBytes + length))
+		from.received += int64(frameHeaderBytes + length)
 		if packed {
-			err = t.readTurn(connection, from, body)
+			err = t.readCompressed(connection, from, body)
 		} else {
 			err = t.readFrame(connection, from, body)
 		}
 		if err != nil {
-			return t.refuse(connection, err)
+			return t.reject(connection, err)
 		}
 	}
 }
 
-// confirm tells the sender how many bytes were taken, now and then.
-func (p *peer) confirm(connection gnet.Conn) gnet.Action {
-	if !p.confirms || !AcknowledgementDue(p.told, p.took) {
+// acknowledge tells the sender how many bytes were taken, now and then.
+func (p *peer) acknowledge(connection gnet.Conn) gnet.Action {
+	if !p.acknowledges || !AcknowledgementDue(p.acknowledged, p.received) {
 		return gnet.None
 	}
-	p.told = p.took
-	if _, err := connection.Write(binary.BigEndian.AppendUint64(nil, uint64(p.told))); err != nil {
+	p.acknowledged = p.received
+	if _, err := connection.Write(binary.BigEndian.AppendUint64(nil, uint64(p.acknowledged))); err != nil {
 		return gnet.Close
 	}
 	return gnet.None
 }
 
-// length reads a header, of a frame or of a packed turn.
-func (p *peer) length(header []byte) (int, bool, error) {
-	if header[0]&(packedMark>>24) == 0 {
+// nextLength reads a header, of a frame or of a packed turn.
+func (p *peer) nextLength(header []byte) (int, bool, error) {
+	if header[0]&(compressedFlag>>24) == 0 {
 		return FrameLength(header)
 	}
-	length := int(binary.BigEndian.Uint32(header) &^ packedMark)
-	if p.unpacker == nil || length == 0 || length > 2*packMost {
+	length := int(binary.BigEndian.Uint32(header) &^ compressedFlag)
+	if p.decompressor == nil || length == 0 || length > 2*maxCompressible {
 		return 0, false, ErrorFrame.New("a packed turn of %d bytes", length)
 	}
 	return length, true, nil
 }
 
-// readTurn unpacks a turn and reads its frames.
-func (t *Transport) readTurn(connection gnet.Conn, from *peer, packed []byte) error {
-	body, err := from.unpacker.unpack(packed)
+// readCompressed unpacks a turn and reads its frames.
+func (t *Transport) readCompressed(connection gnet.Conn, from *peer, packed []byte) error {
+	body, err := from.decompressor.decompress(packed)
 	if err != nil {
 		return err
 	}
@@ -97,20 +97,20 @@
 		if err != nil {
 			return err
 		}
-		if !complete || len(body) < headerSize+length {
+		if !complete || len(body) < frameHeaderBytes+length {
 			return ErrorFrame.New("a packed turn ends within a frame")
 		}
-		if err := t.readFrame(connection, from, body[headerSize:headerSize+length]); err != nil {
+		if err := t.readFrame(connection, from, body[frameHeaderBytes:frameHeaderBytes+length]); err != nil {
 			return err
 		}
-		body = body[headerSize+length:]
+		body = body[frameHeaderBytes+length:]
 	}
 	return nil
 }
 
 // readFrame takes one message in.
 func (t *Transport) readFrame(connection gnet.Conn, from *peer, frame []byte) error {
-	meta, message, err := t.reader.decode(frame, from.from)
+	meta, message, err := t.reader.decode(frame, from.address)
 	if err != nil {
 		return err
 	}
@@ -118,40 +118,40 @@
 		return ErrorFrame.New("%T from nobody", message)
 	}
 	if first, names := message.(preamble); names {
-		t.named(connection, from, meta.From, first)
+		t.identified(connection, from, meta.From, first)
 		return nil
 	}
 	t.Counters.MessagesIn.Add(1)
-	t.received.add(message, headerSize+len(frame))
+	t.received.add(message, frameHeaderBytes+len(frame))
 	if impairment := t.impairment.Load(); !anyPrefix(meta.From, impairment.Partitioned, impairment.InboundBlocked) {
-		t.take(Inbound{Meta: meta, Message: message})
+		t.deliver(Inbound{Meta: meta, Message: message})
 	}
 	return nil
 }
 
-// named notes whose connection this is. One from each peer is enough, and the
+// identified notes whose connection this is. One from each peer is enough, and the
 // newest is the one that it writes on.
-func (t *Transport) named(connection gnet.Conn, from *peer, address string, first preamble) {
-	from.from = address
-	if first.Packed && from.unpacker == nil {
-		from.unpacker = newUnpacker()
+func (t *Transport) identified(connection gnet.Conn, from *peer, address string, first preamble) {
+	from.address = address
+	if first.Compressed && from.decompressor == nil {
+		from.decompressor = newDecompressor()
 	}
-	if older, found := t.inward[address]; found && older != connection {
+	if older, found := t.connections[address]; found && older != connection {
 		_ = older.Close()
 	}
-	t.inward[address] = connection
-	if from.confirms = t.pace.RequiresAcknowledgements(); !from.confirms {
+	t.connections[address] = connection
+	if from.acknowledges = t.pacer.RequiresAcknowledgements(); !from.acknowledges {
 		_, _ = connection.Write(binary.BigEndian.AppendUint64(nil, uint64(AcknowledgeUnlimited)))
 	}
-	t.peerIsThere(address)
+	t.peerAppeared(address)
 }
 
-// take queues what came in. What is of the control state has a queue of its own
+// deliver queues what came in. What is of the control state has a queue of its own
 // that is emptied first. Where the owner can't keep up the rest is dropped, as a
 // network would, rather than hold up everything behind it.
-func (t *Transport) take(inbound Inbound) {
+func (t *Transport) deliver(inbound Inbound) {
 	if IsControl(inbound.Message) {
-		t.urgent <- inbound
+		t.control <- inbound
 		return
 	}
 	select {
@@ -161,9 +161,9 @@
 	}
 }
 
-func (t *Transport) refuse(connection gnet.Conn, err error) gnet.Action {
+func (t *Transport) reject(connection gnet.Conn, err error) gnet.Action {
 	t.Counters.Malformed.Add(1)
-	t.garbage(connection.RemoteAddr().String(), err)
+	t.onMalformed(connection.RemoteAddr().String(), err)
 	return gnet.Close
 }
 
--- a/internal/transport/send.go
+++ b/internal/transport/send.go
@@ -14,7 +14,7 @@
 	"dahlialock/internal/statemachine"
 )
 
-func (t *Transport) cutTo(address string) bool {
+func (t *Transport) blocksOutbound(address string) bool {
 	impairment := t.impairment.Load()
 	return anyPrefix(address, impairment.Partitioned, impairment.OutboundBlocked)
 }
@@ -26,11 +26,11 @@
 
 // EnableCompression has turns to other zones packed, on connections made from now
 // on.
-func (t *Transport) EnableCompression() { t.compresses.Store(true) }
+func (t *Transport) EnableCompression() { t.compression.Store(true) }
 
 // ObserveLinks has connections that end dialled again at once, and addresses that refuse
 // that told to the owner.
-func (t *Transport) ObserveLinks() { t.watches.Store(true) }
+func (t *Transport) ObserveLinks() { t.observesLinks.Store(true) }
 
 // Send queues a message for the end of the turn; it never blocks for long and
 // never fails loudly. It is for the owner alone. Until the owner has called
@@ -48,7 +48,7 @@
 	}
 	present, found := t.links[to]
 	if !found {
-		present = &link{to: to, away: homeOf(to) != t.home}
+		present = &link{address: to, crossZone: zonePrefixOf(to) != t.zonePrefix}
 		t.links[to] = present
 	}
 	class := ClassOf(message)
@@ -59,13 +59,13 @@
 	t.sent.add(message, present.pending[class].Len()-before)
 	present.frames[class]++
 	if !notAfter.IsZero() {
-		present.bounds[class] = append(present.bounds[class], bound{start: before, end: present.pending[class].Len(), notAfter: notAfter})
+		present.deadlines[class] = append(present.deadlines[class], deadline{start: before, end: present.pending[class].Len(), notAfter: notAfter})
 	}
 	if !present.dirty {
 		present.dirty = true
 		t.dirty = append(t.dirty, present)
 	}
-	if !t.turns {
+	if !t.batching {
 		t.flush()
 	}
 	return nil
@@ -73,7 +73,7 @@
 
 // Flush ends a turn: each destination gets the turn's frames in one write.
 func (t *Transport) Flush() {
-	t.turns = true
+	t.batching = true
 	t.flush()
 }
 
@@ -83,19 +83,19 @@
 	}
 	now := time.Now()
 	for position, present := range t.dirty {
-		t.put(now, present)
-		present.clean()
+		t.sendBatch(now, present)
+		present.reset()
 		t.dirty[position] = nil
 	}
 	t.dirty = t.dirty[:0]
 }
 
-// clean makes a link ready for the next turn.
-func (l *link) clean() {
+// reset makes a link ready for the next turn.
+func (l *link) reset() {
 	l.dirty = false
 	for class := range l.pending {
-		l.frames[class], l.bounds[class] = 0, nil
-		if l.pending[class].Cap() > spareMost {
+		l.frames[class], l.deadlines[class] = 0, nil
+		if l.pending[class].Cap() > maxSpareBytes {
 			l.pending[class] = bytes.Buffer{}
 		} else {
 			l.pending[class].Reset()
@@ -103,8 +103,8 @@
 	}
 }
 
-// lowest is the lowest class of a turn.
-func (l *link) lowest() Class {
+// lowestClass is the lowest class of a turn.
+func (l *link) lowestClass() Class {
 	lowest := ClassControl
 	for class := range l.frames {
 		if l.frames[class] > 0 {
@@ -114,8 +114,8 @@
 	return lowest
 }
 
-// whole gives a turn's frames in the order of their classes, and how many they are.
-func (t *Transport) whole(present *link) (body []byte, frames int) {
+// joinClasses gives a turn's frames in the order of their classes, and how many they are.
+func (t *Transport) joinClasses(present *link) (body []byte, frames int) {
 	classes := 0
 	for class := range present.pending {
 		if present.frames[class] > 0 {
@@ -127,94 +127,94 @@
 	if classes == 1 {
 		return body, frames
 	}
-	t.turn = t.turn[:0]
+	t.joinBuffer = t.joinBuffer[:0]
 	for class := range present.pending {
-		t.turn = append(t.turn, present.pending[class].Bytes()...)
+		t.joinBuffer = append(t.joinBuffer, present.pending[class].Bytes()...)
 	}
-	body = t.turn
-	if cap(t.turn) > spareMost {
-		t.turn = nil
+	body = t.joinBuffer
+	if cap(t.joinBuffer) > maxSpareBytes {
+		t.joinBuffer = nil
 	}
 	return body, frames
 }
 
-// put writes a turn's frames, or hands them to the dialling loop.
-func (t *Transport) put(now time.Time, present *link) {
-	present.uses.Add(1)
-	open := present.way.Load()
-	if open == nil || open.handed != present.handed || !t.impairment.Load().calm() {
-		t.handOverTurn(present)
+// sendBatch writes a turn's frames, or hands them to the dialling loop.
+func (t *Transport) sendBatch(now time.Time, present *link) {
+	present.batches.Add(1)
+	open := present.direct.Load()
+	if open == nil || open.handedOver != present.handedOver || !t.impairment.Load().none() {
+		t.enqueueBatch(present)
 		return
 	}
-	if t.held.Load() || t.pace.Delay(now) > 0 || !open.socket.window.Admits(present.lowest()) {
+	if t.throttled.Load() || t.pacer.Delay(now) > 0 || !open.socket.window.Admits(present.lowestClass()) {
 		t.Counters.Throttled.Add(1)
-		t.handOverTurn(present)
+		t.enqueueBatch(present)
 		return
 	}
-	t.leaveOutLate(present)
-	body, frames := t.whole(present)
+	t.dropExpired(present)
+	body, frames := t.joinClasses(present)
 	if frames == 0 {
 		return
 	}
 	var wrapped []byte
-	wrapped, t.scratch = open.socket.wrap(t.scratch, body)
+	wrapped, t.compressBuffer = open.socket.frameBatch(t.compressBuffer, body)
 	t.Counters.Writes.Add(1)
 	open.socket.window.Sent(now, len(wrapped))
 	sent, err := open.socket.write(wrapped)
 	if err != nil && !errors.Is(err, unix.EAGAIN) {
-		t.broken(present, open.socket)
-		t.handOverTurn(present)
+		t.writeFailed(present, open.socket)
+		t.enqueueBatch(present)
 		return
 	}
-	t.pace.Spend(now, sent)
-	t.count(present, frames, sent)
+	t.pacer.Spend(now, sent)
+	t.countSent(present, frames, sent)
 	if sent < len(wrapped) {
-		t.handOver(present, chunk{body: bytes.Clone(wrapped[sent:]), rest: open.socket})
+		t.enqueue(present, chunk{body: bytes.Clone(wrapped[sent:]), continues: open.socket})
 	}
 }
 
 // SpendBandwidth tells of bytes that others gave to the machine's link.
 func (t *Transport) SpendBandwidth(size int) {
-	if t.pace.rate.Load() != 0 {
-		t.pace.Spend(time.Now(), size)
+	if t.pacer.rate.Load() != 0 {
+		t.pacer.Spend(time.Now(), size)
 	}
 }
 
 // SetRate sets the bytes a second that the machine's link takes, 0 for no limit.
-func (t *Transport) SetRate(rate int) { t.pace.SetRate(rate) }
+func (t *Transport) SetRate(rate int) { t.pacer.SetRate(rate) }
 
-func (t *Transport) count(present *link, frames, sent int) {
+func (t *Transport) countSent(present *link, frames, sent int) {
 	t.Counters.MessagesOut.Add(int64(frames))
 	t.Counters.BytesOut.Add(int64(sent))
-	if present.away {
+	if present.crossZone {
 		t.Counters.MessagesCrossZone.Add(int64(frames))
 		t.Counters.BytesCrossZone.Add(int64(sent))
 	}
 }
 
-// handOverTurn gives a turn's frames to the dialling loop, by class.
-func (t *Transport) handOverTurn(present *link) {
+// enqueueBatch gives a turn's frames to the dialling loop, by class.
+func (t *Transport) enqueueBatch(present *link) {
 	var handed []chunk
 	for class := range present.pending {
 		if present.frames[class] > 0 {
-			handed = append(handed, chunk{body: bytes.Clone(present.pending[class].Bytes()), class: Class(class), frames: present.frames[class], bounds: present.bounds[class]})
+			handed = append(handed, chunk{body: bytes.Clone(present.pending[class].Bytes()), class: Class(class), frames: present.frames[class], deadlines: present.deadlines[class]})
 		}
 	}
-	t.handOver(present, handed...)
+	t.enqueue(present, handed...)
 }
 
-// handOver gives bytes to the dialling loop; the way is closed to the owner until
+// enqueue gives bytes to the dialling loop; the way is closed to the owner until
 // that loop has opened it again.
-func (t *Transport) handOver(present *link, handed ...chunk) {
-	present.handed++
-	t.onLoop(func() { t.accept(present, handed) })
+func (t *Transport) enqueue(present *link, handed ...chunk) {
+	present.handedOver++
+	t.onLoop(func() { t.takeOver(present, handed) })
 }
 
-// broken tells the dialling loop that a write failed.
-func (t *Transport) broken(present *link, failed *socket) {
+// writeFailed tells the dialling loop that a write failed.
+func (t *Transport) writeFailed(present *link, failed *socket) {
 	t.onLoop(func() {
 		if present.socket == failed {
-			_ = t.loop.Close(present.wire)
+			_ = t.loop.Close(present.connection)
 		}
 	})
 }
--- a/internal/transport/socket.go
+++ b/internal/transport/socket.go
@@ -21,21 +21,21 @@
 type socket struct {
 	descriptor int
 	state      atomic.Int32
-	// packer is set where turns are packed. Whoever may write may pack.
-	packer *packer
+	// compressor is set where turns are packed. Whoever may write may pack.
+	compressor *compressor
 	// window bounds what the peer has not confirmed.
 	window FlowWindow
 }
 
-// wrap gives the bytes that go out for a turn, and the scratch for the next one.
-func (s *socket) wrap(scratch, body []byte) (wrapped, kept []byte) {
-	if s.packer == nil || len(body) > packMost {
+// frameBatch gives the bytes that go out for a turn, and the scratch for the next one.
+func (s *socket) frameBatch(scratch, body []byte) (wrapped, kept []byte) {
+	if s.compressor == nil || len(body) > maxCompressible {
 		return body, scratch
 	}
 	wrapped = append(scratch[:0], 0, 0, 0, 0)
-	wrapped = s.packer.pack(wrapped, body)
-	binary.BigEndian.PutUint32(wrapped, packedMark|uint32(len(wrapped)-headerSize))
-	if cap(wrapped) > spareMost {
+	wrapped = s.compressor.compress(wrapped, body)
+	binary.BigEndian.PutUint32(wrapped, compressedFlag|uint32(len(wrapped)-frameHeaderBytes))
+	if cap(wrapped) > maxSpareBytes {
 		return wrapped, nil
 	}
 	return wrapped, wrapped
