--- a/internal/transport/acceptor.go
+++ b/internal/transport/acceptor.go
@@ -1,31 +1,100 @@
-// The accepting side of the links: connections that came in, and their messages.
-
 package transport
 
 import (
 	"encoding/binary"
-	"strings"
+	"net"
+	"time"
 
 	"github.com/panjf2000/gnet/v2"
 )
 
-// OnOpen is called by gnet for a connection that came in.
-func (t *Transport) OnOpen(connection gnet.Conn) ([]byte, gnet.Action) {
-	connection.SetContext(&peer{})
+// keepAliveInterval is that of TCP's probes, which find accepted connections
+// whose peers are gone.
+const keepAliveInterval = 15 * time.Second
+
+// acceptor accepts connections from peers and decodes their messages. It is the
+// event handler of a gnet engine with one loop, to which its state belongs.
+type acceptor struct {
+	gnet.BuiltinEventEngine
+	transport *Transport
+	engine    gnet.Engine
+	// booted is closed once the engine listens, ended receives its end.
+	booted chan struct{}
+	ended  chan error
+
+	decoder decoder
+	// connections are the newest from each peer, by its address.
+	connections map[string]gnet.Conn
+}
+
+func newAcceptor(transport *Transport) *acceptor {
+	return &acceptor{
+		transport:   transport,
+		booted:      make(chan struct{}),
+		ended:       make(chan error, 1),
+		connections: map[string]gnet.Conn{},
+	}
+}
+
+// inboundPeer is the state of an accepted connection.
+type inboundPeer struct {
+	// address is that of the sender, empty before its preamble.
+	address string
+	// decompressor is nil unless the sender compresses.
+	decompressor *decompressor
+	// received counts bytes; acknowledged is its value at the last
+	// acknowledgement, of which there are none unless acknowledges is set.
+	received     int64
+	acknowledged int64
+	acknowledges bool
+}
+
+// start listens on an address.
+func (a *acceptor) start(address string) error {
+	// gnet would share the port with another process that listens on it.
+	probe, err := net.Listen("tcp", address)
+	if err != nil {
+		return err
+	}
+	_ = probe.Close()
+	options := append(gnetLogging(),
+		// With a port that may be shared, gnet accepts and reads in one loop.
+		gnet.WithNumEventLoop(1), gnet.WithReuseAddr(true), gnet.WithReusePort(true),
+		gnet.WithTCPNoDelay(gnet.TCPNoDelay), gnet.WithTCPKeepAlive(keepAliveInterval))
+	go func() { a.ended <- gnet.Run(a, "tcp://"+address, options...) }()
+	select {
+	case <-a.booted:
+		return nil
+	case err := <-a.ended:
+		return err
+	}
+}
+
+// OnBoot is called by gnet once the engine listens.
+func (a *acceptor) OnBoot(engine gnet.Engine) gnet.Action {
+	a.engine = engine
+	close(a.booted)
+	return gnet.None
+}
+
+// OnOpen is called by gnet for a connection that was accepted.
+func (a *acceptor) OnOpen(connection gnet.Conn) ([]byte, gnet.Action) {
+	connection.SetContext(&inboundPeer{})
 	return nil, gnet.None
 }
 
 // OnClose is called by gnet for a connection that ended.
-func (t *Transport) OnClose(connection gnet.Conn, _ error) gnet.Action {
-	if closed, matches := connection.Context().(*peer); matches && t.connections[closed.address] == connection {
-		delete(t.connections, closed.address)
+func (a *acceptor) OnClose(connection gnet.Conn, _ error) gnet.Action {
+	if closed, matches := connection.Context().(*inboundPeer); matches && a.connections[closed.address] == connection {
+		delete(a.connections, closed.address)
 	}
 	return gnet.None
 }
 
-// OnTraffic is called by gnet when bytes came in.
-func (t *Transport) OnTraffic(connection gnet.Conn) gnet.Action {
-	from, matches := connection.Context().(*peer)
+// OnTraffic is called by gnet when bytes were received. It reads all complete
+// frames.
+func (a *acceptor) OnTraffic(connection gnet.Conn) gnet.Action {
+	from, matches := connection.Context().(*inboundPeer)
 	if !matches {
 		return gnet.Close
 	}
@@ -34,10 +103,10 @@
 		if err != nil {
 			return from.acknowledge(connection)
 		}
-		packed := header[0]&(compressedFlag>>24) != 0
+		compressed := isCompressed(header)
 		length, complete, err := from.nextLength(header)
 		if err != nil {
-			return t.reject(connection, err)
+			return a.reject(connection, err)
 		}
 		if !complete || connection.InboundBuffered() < frameHeaderBytes+length {
 			return from.acknowledge(connection)
@@ -49,46 +118,59 @@
 		if err != nil {
 			return gnet.Close
 		}
-		t.Counters.BytesIn.Add(int64(frameHeaderBytes + length))
-		from.received += int64(frameHeaderBytes + length)
-		if packed {
-			err = t.readCompressed(connection, from, body)
+		size := int64(frameHeaderBytes + length)
+		a.transport.Counters.BytesIn.Add(size)
+		from.received += size
+		if compressed {
+			err = a.readCompressed(connection, from, body)
 		} else {
-			err = t.readFrame(connection, from, body)
+			err = a.readFrame(connection, from, body)
 		}
 		if err != nil {
-			return t.reject(connection, err)
+			return a.reject(connection, err)
 		}
 	}
 }
 
-// acknowledge tells the sender how many bytes were taken, now and then.
-func (p *peer) acknowledge(connection gnet.Conn) gnet.Action {
-	if !p.acknowledges || !AcknowledgementDue(p.acknowledged, p.received) {
-		return gnet.None
-	}
-	p.acknowledged = p.received
-	if _, err := connection.Write(binary.BigEndian.AppendUint64(nil, uint64(p.acknowledged))); err != nil {
-		return gnet.Close
-	}
-	return gnet.None
+// isCompressed reports whether the header is that of a compressed batch.
+func isCompressed(header []byte) bool {
+	const flagInFirstByte = compressedFlag >> 24
+	return header[0]&flagInFirstByte != 0
 }
 
-// nextLength reads a header, of a frame or of a packed turn.
-func (p *peer) nextLength(header []byte) (int, bool, error) {
-	if header[0]&(compressedFlag>>24) == 0 {
+// nextLength reads the header of a frame or of a compressed batch, as FrameLength
+// does.
+func (ip *inboundPeer) nextLength(header []byte) (int, bool, error) {
+	if !isCompressed(header) {
 		return FrameLength(header)
 	}
 	length := int(binary.BigEndian.Uint32(header) &^ compressedFlag)
-	if p.decompressor == nil || length == 0 || length > 2*maxCompressible {
+	if ip.decompressor == nil || length == 0 || length > 2*maxCompressible {
 		return 0, false, ErrorFrame.New("a packed turn of %d bytes", length)
 	}
 	return length, true, nil
 }
 
-// readCompressed unpacks a turn and reads its frames.
-func (t *Transport) readCompressed(connection gnet.Conn, from *peer, packed []byte) error {
-	body, err := from.decompressor.decompress(packed)
+// acknowledge tells the sender how many bytes were received, if enough were.
+func (ip *inboundPeer) acknowledge(connection gnet.Conn) gnet.Action {
+	if !ip.acknowledges || !AcknowledgementDue(ip.acknowledged, ip.received) {
+		return gnet.None
+	}
+	ip.acknowledged = ip.received
+	if err := writeAcknowledgement(connection, ip.acknowledged); err != nil {
+		return gnet.Close
+	}
+	return gnet.None
+}
+
+func writeAcknowledgement(connection gnet.Conn, count int64) error {
+	_, err := connection.Write(binary.BigEndian.AppendUint64(nil, uint64(count)))
+	return err
+}
+
+// readCompressed decompresses a batch and reads its frames.
+func (a *acceptor) readCompressed(connection gnet.Conn, from *inboundPeer, compressed []byte) error {
+	body, err := from.decompressor.decompress(compressed)
 	if err != nil {
 		return err
 	}
@@ -100,7 +182,7 @@
 		if !complete || len(body) < frameHeaderBytes+length {
 			return ErrorFrame.New("a packed turn ends within a frame")
 		}
-		if err := t.readFrame(connection, from, body[frameHeaderBytes:frameHeaderBytes+length]); err != nil {
+		if err := a.readFrame(connection, from, body[frameHeaderBytes:frameHeaderBytes+length]); err != nil {
 			return err
 		}
 		body = body[frameHeaderBytes+length:]
@@ -108,47 +190,55 @@
 	return nil
 }
 
-// readFrame takes one message in.
-func (t *Transport) readFrame(connection gnet.Conn, from *peer, frame []byte) error {
-	meta, message, err := t.reader.decode(frame, from.address)
+// readFrame decodes one frame without its length, and delivers the message.
+func (a *acceptor) readFrame(connection gnet.Conn, from *inboundPeer, frame []byte) error {
+	meta, message, err := a.decoder.decode(frame, from.address)
 	if err != nil {
 		return err
 	}
 	if meta.From == "" {
 		return ErrorFrame.New("%T from nobody", message)
 	}
-	if first, names := message.(preamble); names {
-		t.identified(connection, from, meta.From, first)
+	if first, isPreamble := message.(preamble); isPreamble {
+		a.identified(connection, from, meta.From, first)
 		return nil
 	}
-	t.Counters.MessagesIn.Add(1)
-	t.received.add(message, frameHeaderBytes+len(frame))
-	if impairment := t.impairment.Load(); !anyPrefix(meta.From, impairment.Partitioned, impairment.InboundBlocked) {
-		t.deliver(Inbound{Meta: meta, Message: message})
+	a.transport.Counters.MessagesIn.Add(1)
+	a.transport.received.add(message, frameHeaderBytes+len(frame))
+	if !a.transport.impairment.Load().blocksInbound(meta.From) {
+		a.transport.deliver(Inbound{Meta: meta, Message: message})
 	}
 	return nil
 }
 
-// identified notes whose connection this is. One from each peer is enough, and the
-// newest is the one that it writes on.
-func (t *Transport) identified(connection gnet.Conn, from *peer, address string, first preamble) {
+// identified handles the preamble of a connection. Of several connections from a
+// peer the newest is the one that it writes to; the others are closed.
+func (a *acceptor) identified(connection gnet.Conn, from *inboundPeer, address string, first preamble) {
 	from.address = address
 	if first.Compressed && from.decompressor == nil {
 		from.decompressor = newDecompressor()
 	}
-	if older, found := t.connections[address]; found && older != connection {
+	if older, found := a.connections[address]; found && older != connection {
 		_ = older.Close()
 	}
-	t.connections[address] = connection
-	if from.acknowledges = t.pacer.RequiresAcknowledgements(); !from.acknowledges {
-		_, _ = connection.Write(binary.BigEndian.AppendUint64(nil, uint64(AcknowledgeUnlimited)))
+	a.connections[address] = connection
+	from.acknowledges = a.transport.pacer.RequiresAcknowledgements()
+	if !from.acknowledges {
+		_ = writeAcknowledgement(connection, AcknowledgeUnlimited)
 	}
-	t.peerAppeared(address)
+	a.transport.dialer.peerAppeared(address)
+}
+
+// reject closes a connection because of what was received.
+func (a *acceptor) reject(connection gnet.Conn, err error) gnet.Action {
+	a.transport.Counters.Malformed.Add(1)
+	a.transport.onMalformed(connection.RemoteAddr().String(), err)
+	return gnet.Close
 }
 
-// deliver queues what came in. What is of the control state has a queue of its own
-// that is emptied first. Where the owner can't keep up the rest is dropped, as a
-// network would, rather than hold up everything behind it.
+// deliver queues a message for the owner. Where the owner can't keep up, what
+// isn't of the control state is dropped, as a network would, rather than hold up
+// everything behind it.
 func (t *Transport) deliver(inbound Inbound) {
 	if IsControl(inbound.Message) {
 		t.control <- inbound
@@ -160,20 +250,3 @@
 		t.Counters.Shed.Add(1)
 	}
 }
-
-func (t *Transport) reject(connection gnet.Conn, err error) gnet.Action {
-	t.Counters.Malformed.Add(1)
-	t.onMalformed(connection.RemoteAddr().String(), err)
-	return gnet.Close
-}
-
-func anyPrefix(address string, lists ...[]string) bool {
-	for _, list := range lists {
-		for _, prefix := range list {
-			if strings.HasPrefix(address, prefix) {
-				return true
-			}
-		}
-	}
-	return false
-}
--- a/internal/transport/class.go
+++ b/internal/transport/class.go
@@ -1,65 +1,81 @@
-// Classes of messages: what goes first over a link that is full. Order holds
-// between two messages of one class to one peer, and between no others.
-
 package transport
 
 import (
-	"reflect"
 	"time"
 
 	"dahlialock/internal/statemachine"
 )
 
-// Class ranks a message; a lower one goes first.
+// Class is the priority of a message on a full link; a lower one goes first.
+// Order is kept between messages of one class to one peer, and between no others.
 type Class int
 
-// Classes, from first to last. ClassControl is epochs, leases, heartbeats, views
-// and operators' requests; ClassUrgent what is of use now or never; ClassLive what
-// callers wait for; ClassInterest who wants to be told of what; ClassCatchUp what
-// was missed before.
+// Classes, in the order in which they go.
 const (
+	// ClassControl is the control state: epochs, leases, heartbeats, views and
+	// operators' requests.
 	ClassControl Class = iota
+	// ClassTransient is what is of use at once or not at all.
 	ClassTransient
+	// ClassLive is what clients wait for.
 	ClassLive
+	// ClassInterest is who subscribes to what.
 	ClassInterest
+	// ClassCatchUp is what was missed before.
 	ClassCatchUp
 	classCount
 )
 
-// maxQueueTime is how long a message of a class may wait before it is lost. Who wants to
-// be told of what is said anew by then, and what was missed is asked for anew.
-var maxQueueTime = [classCount]time.Duration{ClassInterest: 300 * time.Millisecond, ClassCatchUp: time.Second}
+// mutationSingleClass has all messages treated alike.
+const mutationSingleClass = "single-class"
 
-// Expired tells whether a message of a class that waited so long is of no use any more.
-func (c Class) Expired(waited time.Duration) bool {
-	return maxQueueTime[c] > 0 && waited > maxQueueTime[c] && !statemachine.Mutated("single-class")
+// maxQueueTime is how long a message of a class may wait before it is dropped,
+// 0 for no bound. Interest is announced anew by then, and what was missed is
+// requested again.
+var maxQueueTime = [classCount]time.Duration{
+	ClassInterest: 300 * time.Millisecond,
+	ClassCatchUp:  time.Second,
 }
 
-// classifier is a message whose class depends on what it says.
-type classifier interface{ LinkClass() Class }
+// Expired reports whether a message of the class is of no use any more after it
+// has waited that long.
+func (c Class) Expired(waited time.Duration) bool {
+	return maxQueueTime[c] > 0 && waited > maxQueueTime[c] && !statemachine.Mutated(mutationSingleClass)
+}
 
-// Numbers of messages below classLive are of the control state.
+// Numbers of message types are given by class: those below firstInterestNumber
+// are of the control state, the next ones of interest, the rest of what clients
+// wait for unless classOfNumber says otherwise.
 const (
 	firstInterestNumber = 400
 	firstLiveNumber     = 500
+
+	fetchResponseNumber    = 506 // of package partition
+	transientMessageNumber = 601 // of package gateway
 )
 
-// classOfNumber names what is not as the range of its number has it. A partition's
-// Copy and Frame are one stream and stay in one class, with what callers wait for.
+// classOfNumber has the exceptions to the ranges. The copies and the snapshots
+// of a partition are one stream, so that both stay in ClassLive.
 var classOfNumber = map[uint16]Class{
-	506: ClassCatchUp,   // partition.FetchResponse
-	601: ClassTransient, // gateway.Pass
+	fetchResponseNumber:    ClassCatchUp,
+	transientMessageNumber: ClassTransient,
 }
 
-// ClassOf tells the class of a message.
+// IsControl reports whether a message is of the control state.
+func IsControl(message any) bool { return numberOf(message) < firstInterestNumber }
+
+// classifier is implemented by messages whose class depends on their content.
+type classifier interface{ LinkClass() Class }
+
+// ClassOf returns the class of a message.
 func ClassOf(message any) Class {
-	if statemachine.Mutated("single-class") {
+	if statemachine.Mutated(mutationSingleClass) {
 		return ClassLive
 	}
-	if own, does := message.(classifier); does {
+	if own, implements := message.(classifier); implements {
 		return own.LinkClass()
 	}
-	number := numberOfType[reflect.TypeOf(message)]
+	number := numberOf(message)
 	if class, found := classOfNumber[number]; found {
 		return class
 	}
--- a/internal/transport/compression.go
+++ b/internal/transport/compression.go
@@ -1,188 +1,108 @@
-// Compression of turns between zones, where bytes cost more than the time
-// it takes. A turn is small, a few hundred bytes, so that a format which begins
-// anew or sends its tables with each block gains little: here both ends of a
-// connection keep the same model, which goes on from turn to turn. What occurred
-// lately is named by length and distance (LZ77 over a window of 8 KiB), and all
-// of it is written in Huffman codes made from what was seen before: text in which
-// nothing repeats still shrinks to its entropy. Both ends make the codes anew
-// after the same bytes, so that no table is ever sent.
-
 package transport
 
 import (
 	"encoding/binary"
 	"math/bits"
-	"slices"
 )
 
+// Batches to other zones are compressed, as bytes cost more there than the time
+// it takes. A batch is small, a few hundred bytes, so that a format gains little
+// that begins anew or sends its tables with each block. Here both ends of a
+// connection have the same model, which goes on from batch to batch: repetitions
+// within the last historyBytes are a length and a distance (LZ77), and all of it
+// is written in adaptive Huffman codes, so that text in which nothing repeats
+// still shrinks to its entropy.
+//
+// A compressed batch is the length of the body as a varint, and then bits, the
+// most significant first: symbols of literals or matches, the low bits of a
+// match's length, and for a match with a new distance the number of bits of the
+// distance as a symbol and the distance without its highest bit.
 const (
-	historyBytes  = 8 << 10
-	maxCompressible    = 32 << 10
-	hashBits    = 11
+	// historyBytes is how far back a match may be; longer bodies are compressed
+	// in blocks of that size.
+	historyBytes = 8 << 10
+	// maxCompressible is the longest body that is compressed.
+	maxCompressible = 32 << 10
+
+	// minMatch is the shortest match with a new distance, minRepeat that with
+	// the last one, maxMatch the longest of both.
 	minMatch  = 6
 	minRepeat = 3
 	maxMatch  = 255
-
-	// The symbols of the first alphabet are bytes, then slots of lengths with a
-	// new distance, then slots of lengths with the distance used last.
-	slotCount   = 13
+	// goodMatch is the length of a repeat for which no other match is sought,
+	// newDistanceCost what a new distance costs in bytes more than a repeat.
+	goodMatch       = 16
+	newDistanceCost = 2
+
+	// Symbols below matchSymbols are literal bytes. Then come the slots of
+	// lengths of matches with a new distance, then those with the last one.
+	lengthSlots   = 13
 	matchSymbols  = 256
-	repeatSymbols = matchSymbols + slotCount
-	symbolCount = repeatSymbols + slotCount
-	distanceSymbols   = 14
-
+	repeatSymbols = matchSymbols + lengthSlots
+	symbolCount   = repeatSymbols + lengthSlots
 	maxSymbolBits = 11
-	maxDistanceBits   = 8
 
-	// Codes are made anew after so many bytes, sooner at first.
-	firstRebuild = 512
-	maxRebuildInterval  = 4 << 10
-)
+	// distanceSymbols are the numbers of bits that a distance may have.
+	distanceSymbols = 14
+	maxDistanceBits = 8
 
-// huffman is how often each symbol was seen, and the codes made from that.
-type huffman struct {
-	maxBits  int
-	counts []uint32
-	codes  []uint16
-	lengths  []uint8
-	// decodeTable names, for the next limit bits, the symbol and the size of its code.
-	decodeTable []uint16
-}
+	// The codes are rebuilt after so many bytes, sooner at first.
+	firstRebuild       = 512
+	maxRebuildInterval = 4 << 10
 
-func newHuffman(symbols, limit int, seen func(symbol int) uint32) huffman {
-	made := huffman{
-		maxBits: limit, counts: make([]uint32, symbols), codes: make([]uint16, symbols), lengths: make([]uint8, symbols),
-		decodeTable: make([]uint16, 1<<limit),
-	}
-	for symbol := range made.counts {
-		made.counts[symbol] = seen(symbol)
-	}
-	made.rebuild()
-	return made
-}
-
-// rebuild makes the codes from the counts, which it then lets fade. Every symbol
-// keeps a code.
-func (a *huffman) rebuild() {
-	a.assignLengths()
-	code := uint16(0)
-	for size := uint8(1); int(size) <= a.maxBits; size++ {
-		for symbol, own := range a.lengths {
-			if own != size {
-				continue
-			}
-			a.codes[symbol] = code
-			from := int(code) << (a.maxBits - int(size))
-			for position := range 1 << (a.maxBits - int(size)) {
-				a.decodeTable[from+position] = uint16(symbol)<<4 | uint16(size)
-			}
-			code++
-		}
-		code <<= 1
-	}
-	for symbol, count := range a.counts {
-		a.counts[symbol] = count>>1 | 1
-	}
-}
+	// What is expected of symbols before anything was seen.
+	commonCount = 8
+	rareCount   = 2
 
-// assignLengths finds the sizes of the best codes for the counts, by merging the two
-// rarest over and over, and has none of them over the limit.
-func (a *huffman) assignLengths() {
-	var (
-		orders  [symbolCount]uint64
-		weights [2 * symbolCount]uint32
-		parents [2 * symbolCount]uint16
-		depths  [2 * symbolCount]uint8
-	)
-	order := orders[:len(a.counts)]
-	for symbol, count := range a.counts {
-		order[symbol] = uint64(count)<<16 | uint64(symbol)
-	}
-	slices.Sort(order)
-	leaves := len(order)
-	for position, each := range order {
-		weights[position] = uint32(each >> 16)
-	}
-	leaf, inner := 0, leaves
-	for made := leaves; made < 2*leaves-1; made++ {
-		for range 2 {
-			rarest := &inner
-			if leaf < leaves && (inner >= made || weights[leaf] <= weights[inner]) {
-				rarest = &leaf
-			}
-			weights[made] += weights[*rarest]
-			parents[*rarest] = uint16(made)
-			*rarest++
-		}
-	}
-	var bySize [64]int
-	for position := 2*leaves - 3; position >= 0; position-- {
-		depths[position] = depths[parents[position]] + 1
-		if position < leaves {
-			bySize[min(int(depths[position]), a.maxBits)]++
-		}
-	}
-	// Codes that were cut to the limit take room, which others give by growing.
-	room := 0
-	for size := 1; size <= a.maxBits; size++ {
-		room += bySize[size] << (a.maxBits - size)
-	}
-	for ; room > 1<<a.maxBits; room-- {
-		bySize[a.maxBits]--
-		for size := a.maxBits - 1; size > 0; size-- {
-			if bySize[size] > 0 {
-				bySize[size]--
-				bySize[size+1] += 2
-				break
-			}
-		}
-	}
-	position := 0
-	for size := a.maxBits; size > 0; size-- {
-		for range bySize[size] {
-			a.lengths[order[position]&0xffff] = uint8(size)
-			position++
-		}
-	}
-}
+	hashBits       = 11
+	hashMultiplier = 2654435761
+)
 
-// model is what both ends know.
+// model is the state that both ends of a connection keep equal.
 type model struct {
-	history   []byte
+	// history has the last bytes, at least historyBytes of them if there were so
+	// many.
+	history []byte
+	// lastDistance is that of the last match, 0 before there was one.
 	lastDistance int
-	symbols  huffman
+	symbols      huffman
 	distances    huffman
-	rebuildAt  int
-	seen     int
+	// seen counts bytes since the codes were rebuilt; they are at rebuildAt.
+	seen      int
+	rebuildAt int
 }
 
 func newModel() model {
 	return model{
-		history: make([]byte, 0, 2*historyBytes), rebuildAt: firstRebuild,
-		symbols: newHuffman(symbolCount, maxSymbolBits, func(symbol int) uint32 {
-			switch {
-			case symbol >= 'a' && symbol <= 'z', symbol >= '0' && symbol <= '9', symbol >= matchSymbols:
-				return 8
-			}
-			return 2
-		}),
+		history:   make([]byte, 0, 2*historyBytes),
+		symbols:   newHuffman(symbolCount, maxSymbolBits, expectedSymbol),
 		distances: newHuffman(distanceSymbols, maxDistanceBits, func(size int) uint32 { return uint32(1 + size) }),
+		rebuildAt: firstRebuild,
 	}
 }
 
-// slide keeps the newest part of the window once it has grown; it tells how many
-// bytes went. Both ends do it at the same moments.
+// expectedSymbol favours letters, digits and matches.
+func expectedSymbol(symbol int) uint32 {
+	switch {
+	case symbol >= 'a' && symbol <= 'z', symbol >= '0' && symbol <= '9', symbol >= matchSymbols:
+		return commonCount
+	}
+	return rareCount
+}
+
+// slide makes space for more bytes in the history by dropping old ones, and
+// returns how many it dropped. Both ends do it at the same moments.
 func (m *model) slide(more int) int {
 	if len(m.history)+more <= cap(m.history) {
 		return 0
 	}
-	gone := max(0, len(m.history)-historyBytes)
-	kept := copy(m.history, m.history[gone:])
-	m.history = m.history[:kept]
-	return gone
+	dropped := max(0, len(m.history)-historyBytes)
+	remaining := copy(m.history, m.history[dropped:])
+	m.history = m.history[:remaining]
+	return dropped
 }
 
-// learn makes codes anew once enough was seen.
+// learn rebuilds the codes once enough bytes were seen.
 func (m *model) learn(more int) {
 	m.seen += more
 	if m.seen < m.rebuildAt {
@@ -193,234 +113,271 @@
 	m.seen, m.rebuildAt = 0, min(2*m.rebuildAt, maxRebuildInterval)
 }
 
-// slotOf gives a length's slot, and how many of its low bits follow.
-func slotOf(length int) (slot, extra int) {
-	if length < 8 {
+// Lengths below plainSlots have a slot each; a longer one has the slot of its
+// number of bits, and all bits but the highest follow the slot.
+const plainSlots = 8
+
+// slotOf returns the slot of a length, and how many of its low bits follow.
+func slotOf(length int) (slot, extraBits int) {
+	if length < plainSlots {
 		return length, 0
 	}
-	extra = bits.Len(uint(length)) - 1
-	return 8 + extra - 3, extra
+	extraBits = bits.Len(uint(length)) - 1
+	return plainSlots + extraBits - 3, extraBits
 }
 
-func lengthOf(slot int) (least, extra int) {
-	if slot < 8 {
+// slotBase returns the shortest length of a slot, and how many bits follow.
+func slotBase(slot int) (base, extraBits int) {
+	if slot < plainSlots {
 		return slot, 0
 	}
-	extra = slot - 8 + 3
-	return 1 << extra, extra
+	extraBits = slot - plainSlots + 3
+	return 1 << extraBits, extraBits
 }
 
 // compressor is the sending end.
 type compressor struct {
 	model
-	lastSeen  [1 << hashBits]int32
-	out    []byte
-	bits   uint64
+	// lastSeen has, by hash of minMatch bytes, their last index in the history,
+	// -1 for none.
+	lastSeen [1 << hashBits]int32
+	// out is the batch being written; bits has bitCount low bits that aren't yet
+	// in it.
+	out      []byte
+	bits     uint64
 	bitCount int
 }
 
 func newCompressor() *compressor {
 	made := &compressor{model: newModel()}
-	for position := range made.lastSeen {
-		made.lastSeen[position] = -1
+	for index := range made.lastSeen {
+		made.lastSeen[index] = -1
 	}
 	return made
 }
 
-// compress appends the packed form of a body to out.
-func (p *compressor) compress(out, body []byte) []byte {
-	p.out, p.bits, p.bitCount = binary.AppendUvarint(out, uint64(len(body))), 0, 0
+// compress appends the compressed form of a body, of at most maxCompressible
+// bytes.
+func (c *compressor) compress(out, body []byte) []byte {
+	c.out, c.bits, c.bitCount = binary.AppendUvarint(out, uint64(len(body))), 0, 0
 	for len(body) > 0 {
-		piece := body[:min(len(body), historyBytes)]
-		p.compressBlock(piece)
-		p.learn(len(piece))
-		body = body[len(piece):]
+		block := body[:min(len(body), historyBytes)]
+		c.compressBlock(block)
+		c.learn(len(block))
+		body = body[len(block):]
 	}
-	if p.bitCount > 0 {
-		p.out = append(p.out, byte(p.bits<<(8-p.bitCount)))
+	if c.bitCount > 0 {
+		c.out = append(c.out, byte(c.bits<<(bitsPerByte-c.bitCount)))
 	}
-	done := p.out
-	p.out = nil
-	return done
+	compressed := c.out
+	c.out = nil
+	return compressed
 }
 
-// compressBlock packs bytes that fit into the window besides what it keeps.
-func (p *compressor) compressBlock(piece []byte) {
-	if gone := int32(p.slide(len(piece))); gone > 0 {
-		for position, head := range p.lastSeen {
-			p.lastSeen[position] = max(-1, head-gone)
+const bitsPerByte = 8
+
+// compressBlock compresses bytes that fit into the history.
+func (c *compressor) compressBlock(block []byte) {
+	if dropped := int32(c.slide(len(block))); dropped > 0 {
+		for hash, index := range c.lastSeen {
+			c.lastSeen[hash] = max(-1, index-dropped)
 		}
 	}
-	at := len(p.history)
-	p.history = append(p.history, piece...)
-	whole := p.history
-	for at < len(whole) {
-		length, repeat, distance := 0, false, 0
-		if p.lastDistance > 0 && p.lastDistance <= at {
-			if length = matchLength(whole, at-p.lastDistance, at); length >= minRepeat {
-				repeat = true
-			} else {
-				length = 0
-			}
-		}
-		if length < 16 && at+minMatch <= len(whole) {
-			if head := int(p.lastSeen[hashOf(whole[at:])]); head >= 0 && head < at && at-head <= historyBytes {
-				// A new distance takes some two bytes more than the one used last.
-				if found := matchLength(whole, head, at); found >= minMatch && found > length+2 {
-					length, repeat, distance = found, false, at-head
-				}
+	at := len(c.history)
+	c.history = append(c.history, block...)
+	history := c.history
+	for at < len(history) {
+		found := c.findMatch(at)
+		c.writeMatch(at, found)
+		for end := at + max(found.length, 1); at < end; at++ {
+			if at+minMatch <= len(history) {
+				c.lastSeen[hashOf(history[at:])] = int32(at)
 			}
 		}
-		switch {
-		case length == 0:
-			p.writeSymbol(&p.symbols, int(whole[at]))
-			length = 1
-		case repeat:
-			p.writeLength(repeatSymbols, length-minRepeat)
-		default:
-			p.writeLength(matchSymbols, length-minMatch)
-			size := bits.Len(uint(distance)) - 1
-			p.writeSymbol(&p.distances, size)
-			p.writeBits(uint64(distance)&(1<<size-1), size)
-			p.lastDistance = distance
-		}
-		for end := at + length; at < end; at++ {
-			if at+minMatch <= len(whole) {
-				p.lastSeen[hashOf(whole[at:])] = int32(at)
-			}
+	}
+}
+
+// match is a repetition of earlier bytes, none if its length is 0.
+type match struct {
+	length, distance int
+	// repeat is set where the distance is that of the last match.
+	repeat bool
+}
+
+// findMatch finds what to write for the bytes from an index on.
+func (c *compressor) findMatch(at int) match {
+	history := c.history
+	var found match
+	if c.lastDistance > 0 && c.lastDistance <= at {
+		length := matchLength(history, at-c.lastDistance, at)
+		if length >= minRepeat {
+			found = match{length: length, distance: c.lastDistance, repeat: true}
 		}
 	}
+	if found.length >= goodMatch || at+minMatch > len(history) {
+		return found
+	}
+	earlier := int(c.lastSeen[hashOf(history[at:])])
+	if earlier < 0 || earlier >= at || at-earlier > historyBytes {
+		return found
+	}
+	length := matchLength(history, earlier, at)
+	if length >= minMatch && length > found.length+newDistanceCost {
+		return match{length: length, distance: at - earlier}
+	}
+	return found
+}
+
+// writeMatch writes a match for the bytes from an index on, or one literal byte.
+func (c *compressor) writeMatch(at int, found match) {
+	switch {
+	case found.length == 0:
+		c.writeSymbol(&c.symbols, int(c.history[at]))
+	case found.repeat:
+		c.writeLength(repeatSymbols, found.length-minRepeat)
+	default:
+		c.writeLength(matchSymbols, found.length-minMatch)
+		size := bits.Len(uint(found.distance)) - 1
+		c.writeSymbol(&c.distances, size)
+		c.writeBits(uint64(found.distance)&(1<<size-1), size)
+		c.lastDistance = found.distance
+	}
 }
 
-func (p *compressor) writeLength(first, length int) {
-	slot, extra := slotOf(length)
-	p.writeSymbol(&p.symbols, first+slot)
-	p.writeBits(uint64(length)&(1<<extra-1), extra)
+// writeLength writes a length over the shortest one, as symbols from a first on.
+func (c *compressor) writeLength(firstSymbol, length int) {
+	slot, extraBits := slotOf(length)
+	c.writeSymbol(&c.symbols, firstSymbol+slot)
+	c.writeBits(uint64(length)&(1<<extraBits-1), extraBits)
 }
 
-func (p *compressor) writeSymbol(from *huffman, symbol int) {
-	from.counts[symbol]++
-	p.writeBits(uint64(from.codes[symbol]), int(from.lengths[symbol]))
+func (c *compressor) writeSymbol(code *huffman, symbol int) {
+	code.counts[symbol]++
+	c.writeBits(uint64(code.codes[symbol]), int(code.lengths[symbol]))
 }
 
-func (p *compressor) writeBits(value uint64, count int) {
-	p.bits = p.bits<<count | value
-	p.bitCount += count
-	for p.bitCount >= 8 {
-		p.bitCount -= 8
-		p.out = append(p.out, byte(p.bits>>p.bitCount))
+func (c *compressor) writeBits(value uint64, count int) {
+	c.bits = c.bits<<count | value
+	c.bitCount += count
+	for c.bitCount >= bitsPerByte {
+		c.bitCount -= bitsPerByte
+		c.out = append(c.out, byte(c.bits>>c.bitCount))
 	}
 }
 
-// matchLength is how many bytes from two places on are the same; the earlier may run
-// into the later.
-func matchLength(whole []byte, earlier, later int) int {
-	length, most := 0, min(len(whole)-later, maxMatch)
-	for length < most && whole[earlier+length] == whole[later+length] {
+// matchLength returns how many bytes from two indexes on are equal; the earlier
+// ones may run into the later ones.
+func matchLength(history []byte, earlier, later int) int {
+	length, longest := 0, min(len(history)-later, maxMatch)
+	for length < longest && history[earlier+length] == history[later+length] {
 		length++
 	}
 	return length
 }
 
+// hashOf returns the hash of the first four bytes.
 func hashOf(body []byte) uint32 {
-	return binary.LittleEndian.Uint32(body) * 2654435761 >> (32 - hashBits)
+	return binary.LittleEndian.Uint32(body) * hashMultiplier >> (32 - hashBits)
 }
 
 // decompressor is the receiving end.
 type decompressor struct {
 	model
-	in     []byte
-	bits   uint64
+	// in is what is left of the batch being read; bits has bitCount low bits
+	// taken from it. padding counts the zero bits read after its end.
+	in       []byte
+	bits     uint64
 	bitCount int
-	padding   int
+	padding  int
 }
 
 func newDecompressor() *decompressor {
 	return &decompressor{model: newModel()}
 }
 
-// decompress gives what a body was packed from; it holds until the next call. After
-// an error nothing more that comes on the connection can be read.
-func (u *decompressor) decompress(packed []byte) ([]byte, error) {
-	length, size := binary.Uvarint(packed)
+// decompress returns the body of a compressed batch. After an error the model
+// differs from the sender's, so that the connection must be closed.
+func (d *decompressor) decompress(compressed []byte) ([]byte, error) {
+	length, size := binary.Uvarint(compressed)
 	if size <= 0 || length == 0 || length > maxCompressible {
 		return nil, ErrorFrame.New("a packed turn of %d bytes", length)
 	}
-	u.in, u.bits, u.bitCount, u.padding = packed[size:], 0, 0, 0
+	d.in, d.bits, d.bitCount, d.padding = compressed[size:], 0, 0, 0
 	body := make([]byte, 0, length)
-	for left := int(length); left > 0; {
-		piece := min(left, historyBytes)
-		u.slide(piece)
-		at := len(u.history)
-		if err := u.decompressBlock(at + piece); err != nil {
+	for remaining := int(length); remaining > 0; {
+		block := min(remaining, historyBytes)
+		d.slide(block)
+		start := len(d.history)
+		if err := d.decompressBlock(start + block); err != nil {
 			return nil, err
 		}
-		u.learn(piece)
-		body = append(body, u.history[at:]...)
-		left -= piece
+		d.learn(block)
+		body = append(body, d.history[start:]...)
+		remaining -= block
 	}
-	if left := 8*len(u.in) + u.bitCount - u.padding; left < 0 || left >= 8 {
+	// Less than a byte may be left over: the padding of the last one.
+	if unread := bitsPerByte*len(d.in) + d.bitCount - d.padding; unread < 0 || unread >= bitsPerByte {
 		return nil, ErrorFrame.New("a packed turn of another length")
 	}
 	return body, nil
 }
 
-// decompressBlock fills the window up to an end.
-func (u *decompressor) decompressBlock(end int) error {
-	for len(u.history) < end {
-		symbol := u.readSymbol(&u.symbols)
+// decompressBlock appends to the history up to a length.
+func (d *decompressor) decompressBlock(end int) error {
+	for len(d.history) < end {
+		symbol := d.readSymbol(&d.symbols)
 		if symbol < matchSymbols {
-			u.history = append(u.history, byte(symbol))
+			d.history = append(d.history, byte(symbol))
 			continue
 		}
-		length := 0
+		var length int
 		if symbol < repeatSymbols {
-			length = u.readLength(symbol-matchSymbols) + minMatch
-			size := u.readSymbol(&u.distances)
-			u.lastDistance = 1<<size | int(u.readBits(size))
+			length = d.readLength(symbol-matchSymbols) + minMatch
+			size := d.readSymbol(&d.distances)
+			d.lastDistance = 1<<size | int(d.readBits(size))
 		} else {
-			length = u.readLength(symbol-repeatSymbols) + minRepeat
+			length = d.readLength(symbol-repeatSymbols) + minRepeat
 		}
-		if u.lastDistance == 0 || u.lastDistance > len(u.history) || length > end-len(u.history) {
+		if d.lastDistance == 0 || d.lastDistance > len(d.history) || length > end-len(d.history) {
 			return ErrorFrame.New("a packed turn names what was not there")
 		}
 		for range length {
-			u.history = append(u.history, u.history[len(u.history)-u.lastDistance])
+			d.history = append(d.history, d.history[len(d.history)-d.lastDistance])
 		}
 	}
 	return nil
 }
 
-func (u *decompressor) readLength(slot int) int {
-	least, extra := lengthOf(slot)
-	return least | int(u.readBits(extra))
+func (d *decompressor) readLength(slot int) int {
+	base, extraBits := slotBase(slot)
+	return base | int(d.readBits(extraBits))
 }
 
-// fill has some bits ready; after the end of what came they are zeros, which
-// are counted.
-func (u *decompressor) fill(count int) {
-	for u.bitCount < count {
+// fill takes bits from the batch until there are so many; after its end they are
+// zeros.
+func (d *decompressor) fill(count int) {
+	for d.bitCount < count {
 		next := byte(0)
-		if len(u.in) > 0 {
-			next, u.in = u.in[0], u.in[1:]
+		if len(d.in) > 0 {
+			next, d.in = d.in[0], d.in[1:]
 		} else {
-			u.padding += 8
+			d.padding += bitsPerByte
 		}
-		u.bits, u.bitCount = u.bits<<8|uint64(next), u.bitCount+8
+		d.bits, d.bitCount = d.bits<<bitsPerByte|uint64(next), d.bitCount+bitsPerByte
 	}
 }
 
-func (u *decompressor) readSymbol(from *huffman) int {
-	u.fill(from.maxBits)
-	entry := from.decodeTable[u.bits>>(u.bitCount-from.maxBits)&(1<<from.maxBits-1)]
-	u.bitCount -= int(entry & 15)
-	symbol := int(entry >> 4)
-	from.counts[symbol]++
+func (d *decompressor) readSymbol(code *huffman) int {
+	d.fill(code.maxBits)
+	entry := code.decodeTable[d.bits>>(d.bitCount-code.maxBits)&(1<<code.maxBits-1)]
+	d.bitCount -= int(entry & entryLengthMask)
+	symbol := int(entry >> entryLengthBits)
+	code.counts[symbol]++
 	return symbol
 }
 
-func (u *decompressor) readBits(count int) uint64 {
-	u.fill(count)
-	u.bitCount -= count
-	return u.bits >> u.bitCount & (1<<count - 1)
+func (d *decompressor) readBits(count int) uint64 {
+	d.fill(count)
+	d.bitCount -= count
+	return d.bits >> d.bitCount & (1<<count - 1)
 }
--- a/internal/transport/deadline.go
+++ b/internal/transport/deadline.go
@@ -1,7 +1,3 @@
-// Messages that may leave only before a moment: the clock is looked at once more
-// when the bytes go to the socket, since the process may have stood still after
-// the machine asked for them, or they waited for a connection.
-
 package transport
 
 import (
@@ -11,73 +7,82 @@
 	"dahlialock/internal/statemachine"
 )
 
-// deadline tells until when one frame of a turn may leave.
+// Some messages may only be sent until a deadline, such as what a daemon says
+// under a lease. The clock is read once more when the bytes go to the socket,
+// since the process may have been suspended after the state machine sent them,
+// or they may have waited for a connection.
+
+// deadline is the time until which one frame of a batch may be sent; start and
+// end are its place in the batch's bytes.
 type deadline struct {
 	start, end int
 	notAfter   time.Time
 }
 
-// SetClock has the transport look at the owner's clock when bounded messages leave;
-// it is called before the first message is sent.
+// SetClock sets the clock by which deadlines are judged, which must be the one
+// of the state machine. It is called before the first message is sent.
 func (t *Transport) SetClock(clock func() time.Time) { t.clock = clock }
 
-// withoutExpired gives what of a turn may leave now. The bounds of what is left are
-// kept, since it may have to wait again.
-func (t *Transport) withoutExpired(turn chunk) chunk {
-	if len(turn.deadlines) == 0 {
-		return turn
+// withoutExpired returns a chunk without the frames whose deadlines have passed.
+// The deadlines of the others are kept, since the chunk may have to wait again.
+func (t *Transport) withoutExpired(sent chunk) chunk {
+	if len(sent.deadlines) == 0 {
+		return sent
 	}
 	now := t.clock()
-	late := 0
-	for _, each := range turn.deadlines {
+	expired := 0
+	for _, each := range sent.deadlines {
 		if !statemachine.BeforeDeadline(each.notAfter, now) {
-			late++
+			expired++
 		}
 	}
-	if late == 0 {
-		return turn
+	if expired == 0 {
+		return sent
 	}
-	t.Counters.Expired.Add(int64(late))
-	var kept bytes.Buffer
-	left := turn
-	left.deadlines, left.frames = nil, turn.frames-late
-	from := 0
-	for _, each := range turn.deadlines {
-		kept.Write(turn.body[from:each.start])
-		from = each.end
+	t.Counters.Expired.Add(int64(expired))
+	var body bytes.Buffer
+	remaining := sent
+	remaining.deadlines, remaining.frames = nil, sent.frames-expired
+	copied := 0
+	for _, each := range sent.deadlines {
+		body.Write(sent.body[copied:each.start])
+		copied = each.end
 		if !statemachine.BeforeDeadline(each.notAfter, now) {
 			continue
 		}
-		start := kept.Len()
-		kept.Write(turn.body[each.start:each.end])
-		left.deadlines = append(left.deadlines, deadline{start: start, end: kept.Len(), notAfter: each.notAfter})
+		start := body.Len()
+		body.Write(sent.body[each.start:each.end])
+		moved := deadline{start: start, end: body.Len(), notAfter: each.notAfter}
+		remaining.deadlines = append(remaining.deadlines, moved)
 	}
-	kept.Write(turn.body[from:])
-	left.body = kept.Bytes()
-	return left
+	body.Write(sent.body[copied:])
+	remaining.body = body.Bytes()
+	return remaining
 }
 
-// dropExpired takes out of a link's turn what may not leave any more.
-func (t *Transport) dropExpired(present *link) {
-	for class := range present.pending {
-		if len(present.deadlines[class]) == 0 {
+// dropExpired removes the expired frames from a link's batch.
+func (t *Transport) dropExpired(to *link) {
+	for class := range to.pending {
+		pending := &to.pending[class]
+		if len(pending.deadlines) == 0 {
 			continue
 		}
-		left := t.withoutExpired(chunk{body: present.pending[class].Bytes(), frames: present.frames[class], deadlines: present.deadlines[class]})
-		if left.frames == present.frames[class] {
+		remaining := t.withoutExpired(pending.chunk(Class(class)))
+		if remaining.frames == pending.frames {
 			continue
 		}
-		present.pending[class] = *bytes.NewBuffer(left.body)
-		present.frames[class], present.deadlines[class] = left.frames, left.deadlines
+		pending.Buffer = *bytes.NewBuffer(remaining.body)
+		pending.frames, pending.deadlines = remaining.frames, remaining.deadlines
 	}
 }
 
-// deadlinesWithin gives the bounds of the frames in a part of a turn.
-func deadlinesWithin(bounds []deadline, begin, end int) []deadline {
+// deadlinesWithin returns the deadlines of the frames in a part of a batch, with
+// their places in that part.
+func deadlinesWithin(deadlines []deadline, start, end int) []deadline {
 	var within []deadline
-	for _, each := range bounds {
-		if begin <= each.start && each.end <= end {
-			within = append(within, deadline{start: each.start - begin, end: each.end - begin, notAfter: each.notAfter})
+	for _, each := range deadlines {
+		if start <= each.start && each.end <= end {
+			within = append(within, deadline{start: each.start - start, end: each.end - start, notAfter: each.notAfter})
 		}
 	}
 	return within
--- a/internal/transport/dialer.go
+++ b/internal/transport/dialer.go
@@ -1,14 +1,12 @@
-// The dialling loop: connections, and all that waits for them.
-
 package transport
 
 import (
 	"bytes"
 	"context"
+	"encoding/binary"
 	"errors"
-	"hash/fnv"
 	"net"
-	"strings"
+	"sync/atomic"
 	"syscall"
 	"time"
 
@@ -18,423 +16,370 @@
 	"dahlialock/internal/statemachine"
 )
 
-// takeOver takes what the owner handed over.
-func (t *Transport) takeOver(present *link, handed []chunk) {
-	present.takenOver++
-	t.managed[present.address] = present
-	now := time.Now()
-	for _, each := range handed {
-		if each.continues != nil {
-			present.unwritten = each
-			continue
-		}
-		for _, piece := range t.split(present, each, now) {
-			t.dropped(t.queue.Push(present.address, piece.class, len(piece.body), piece))
-		}
-	}
-	t.serve(present)
-}
+const (
+	// firstDialTimeout is that of each of the first eagerDials dials to a peer;
+	// the later ones may take twice as long each, up to maxDialTimeout. A machine
+	// that is just starting drops the first SYN, and the system would repeat it
+	// after a second only.
+	firstDialTimeout = 200 * time.Millisecond
+	eagerDials       = 8
+	maxDialTimeout   = time.Second
+	// minBackoff and maxBackoff bound the pause after a dial that failed.
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = 500 * time.Millisecond
+	// probeDelay is when a connection that ended is dialed again to see whether
+	// anybody is there, if links are observed; slowProbeDelay where somebody
+	// accepts connections and closes them again and again.
+	probeDelay     = 5 * time.Millisecond
+	slowProbeDelay = 200 * time.Millisecond
+	// idleTimeout is after how long without a batch a connection is closed, and
+	// how often that is checked.
+	idleTimeout = 30 * time.Second
+	// unacknowledgedTimeout ends a connection whose peer's TCP acknowledges
+	// nothing for that long.
+	unacknowledgedTimeout = 1500 * time.Millisecond
+	// readBufferBytes is that of dialed connections, which only receive
+	// acknowledgements.
+	readBufferBytes = 1 << 10
+)
 
-// split cuts a turn between frames, so that what is more urgent can go in between;
-// to one frame each where a trial may treat them unequally.
-func (t *Transport) split(present *link, whole chunk, now time.Time) []chunk {
-	calm := t.impairment.Load().none()
-	whole.queuedAt = now
-	if calm && len(whole.body) <= maxChunkBytes {
-		return []chunk{whole}
-	}
-	var pieces []chunk
-	begin, end, frames := 0, 0, 0
-	cut := func() {
-		if frames == 0 {
-			return
-		}
-		piece := chunk{body: whole.body[begin:end], class: whole.class, frames: frames, queuedAt: now, deadlines: deadlinesWithin(whole.deadlines, begin, end)}
-		if delay := t.delay(present.address, piece.body); delay > 0 {
-			piece.dueAt = now.Add(delay)
-		}
-		pieces = append(pieces, piece)
-		begin, frames = end, 0
-	}
-	for end < len(whole.body) {
-		length, complete, err := FrameLength(whole.body[end:])
-		if !complete || err != nil {
-			break
-		}
-		if !calm || end+frameHeaderBytes+length-begin > maxChunkBytes {
-			cut()
-		}
-		end += frameHeaderBytes + length
-		frames++
-	}
-	cut()
-	return pieces
-}
+// dialer dials peers, and sends what the owner can't write at once (see
+// takeOver). It is the event handler of a gnet client with one loop, whose
+// connections have their link as context.
+type dialer struct {
+	gnet.BuiltinEventEngine
+	transport *Transport
+	client    *gnet.Client
+	loop      gnet.EventLoop
+	// running is set once there is a loop; peers may connect before.
+	running atomic.Bool
+	// dial connects to an address. Tests replace it and firstDialTimeout.
+	dial             func(limit context.Context, address string) (net.Conn, error)
+	firstDialTimeout time.Duration
 
-// serve looks after one link, and sends what waits.
-func (t *Transport) serve(present *link) {
-	t.continueWrite(present)
-	t.drainQueue()
-	t.restoreDirect(present)
+	// The rest belongs to the loop, see run. Links are by address, and stay.
+	links map[string]*link
+	// queue has what waits for a connection, its window, or the pacer.
+	queue PriorityQueue[chunk]
+	// drainAt is when a timer drains the queue, zero for none.
+	drainAt time.Time
+	stopped bool
+	// compressBuffer is reused from chunk to chunk.
+	compressBuffer []byte
 }
 
-// drainQueue moves what waits onto connections, as far as they and the machine's
-// link take it.
-func (t *Transport) drainQueue() {
-	for {
-		now := time.Now()
-		if wait := t.pacer.Delay(now); wait > 0 {
-			waits := !t.queue.Empty()
-			t.throttled.Store(waits)
-			if waits {
-				t.Counters.Throttled.Add(1)
-			}
-			t.drainAfter(now, wait)
-			return
-		}
-		peer, next, found := t.queue.Pop(t.canSend)
-		if !found {
-			t.throttled.Store(false)
-			return
-		}
-		if next.class.Expired(now.Sub(next.queuedAt)) {
-			t.dropped([]chunk{next})
-			t.restoreDirect(t.managed[peer])
-			continue
-		}
-		t.transmit(now, t.managed[peer], next)
-		t.restoreDirect(t.managed[peer])
-	}
+func newDialer(transport *Transport) *dialer {
+	made := &dialer{
+		transport:        transport,
+		firstDialTimeout: firstDialTimeout,
+		links:            map[string]*link{},
+	}
+	made.dial = made.dialTCP
+	return made
 }
 
-// continueWrite goes on with a write of which the owner's socket took a part.
-func (t *Transport) continueWrite(present *link) {
-	rest := present.unwritten
-	if rest.continues == nil {
-		return
+// start starts the loop. gnet gives access to a loop only through one of its
+// connections, so that the first one goes to the daemon's own address, and ends
+// at once.
+func (d *dialer) start() error {
+	options := append(gnetLogging(), gnet.WithNumEventLoop(1), gnet.WithReadBufferCap(readBufferBytes))
+	client, err := gnet.NewClient(d, options...)
+	if err != nil {
+		return err
 	}
-	present.unwritten = chunk{}
-	if rest.continues != present.socket || present.connection == nil {
-		t.Counters.Dropped.Add(1)
-		return
+	if err := client.Start(); err != nil {
+		return err
 	}
-	t.write(time.Now(), present, rest.body, 0)
-}
-
-// canSend tells whether a peer's connection takes what is next for it, and sees to it
-// that it will.
-func (t *Transport) canSend(peer string, next chunk) bool {
-	present := t.managed[peer]
-	switch {
-	case t.blocksOutbound(peer):
-		// It is lost at once.
-		return true
-	case present.connection == nil:
-		t.dialLink(present)
-		return false
-	case next.class.Expired(time.Since(next.queuedAt)):
-		return true
-	case !next.dueAt.IsZero() && time.Until(next.dueAt) > 0:
-		t.serveAfter(present, time.Until(next.dueAt))
-		return false
-	case present.connection.OutboundBuffered() > maxOutboundBuffer:
-		t.serveAfter(present, bufferCheckInterval)
-		return false
+	d.client = client
+	limit, cancel := context.WithTimeout(context.Background(), maxDialTimeout)
+	defer cancel()
+	plain, err := d.dial(limit, d.transport.address)
+	if err != nil {
+		return err
 	}
-	return present.socket.window.Admits(next.class)
+	first, err := client.Enroll(plain)
+	if err != nil {
+		return err
+	}
+	d.loop = first.EventLoop()
+	d.running.Store(true)
+	_ = first.Close()
+	time.AfterFunc(idleTimeout, d.sweepIdle)
+	return nil
 }
 
-// transmit puts a chunk on a connection.
-func (t *Transport) transmit(now time.Time, present *link, next chunk) {
-	if t.blocksOutbound(present.address) {
-		// What follows goes over a link that is dialled anew.
-		t.Counters.Dropped.Add(int64(next.frames))
-		if present.connection != nil {
-			_ = t.loop.Close(present.connection)
-		}
-		return
-	}
-	if next = t.withoutExpired(next); next.frames == 0 {
-		return
-	}
-	var wrapped []byte
-	wrapped, t.queueBuffer = present.socket.frameBatch(t.queueBuffer, next.body)
-	present.socket.window.Sent(now, len(wrapped))
-	t.write(now, present, wrapped, next.frames)
+// run runs a function on the loop, after those before it. It doesn't wait.
+func (d *dialer) run(work func()) {
+	_ = d.loop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
+		work()
+		return nil
+	}))
 }
 
-func (t *Transport) write(now time.Time, present *link, body []byte, frames int) {
-	t.Counters.Writes.Add(1)
-	t.pacer.Spend(now, len(body))
-	t.countSent(present, frames, len(body))
-	_, _ = present.connection.Write(body)
+// after runs a function on the loop after a while.
+func (d *dialer) after(wait time.Duration, work func()) {
+	time.AfterFunc(wait, func() { d.run(work) })
 }
 
-// restoreDirect opens the way to the owner again where nothing waits.
-func (t *Transport) restoreDirect(present *link) {
-	switch {
-	case present.connection == nil || present.unwritten.continues != nil || t.queue.Contains(present.address):
-	case present.connection.OutboundBuffered() > 0:
-		t.serveAfter(present, bufferCheckInterval)
-	default:
-		if open := present.direct.Load(); open == nil || open.socket != present.socket || open.handedOver != present.takenOver {
-			present.direct.Store(&directPath{socket: present.socket, handedOver: present.takenOver})
-		}
+// OnOpen is called by gnet for a connection that was made.
+func (d *dialer) OnOpen(connection gnet.Conn) ([]byte, gnet.Action) {
+	to, matches := connection.Context().(*link)
+	if !matches {
+		return nil, gnet.None
 	}
+	return nil, d.connected(to, connection)
 }
 
-// drainAfter comes back when the machine's link takes more.
-func (t *Transport) drainAfter(now time.Time, wait time.Duration) {
-	if t.queue.Empty() || t.drainAt.After(now) {
-		return
+// OnClose is called by gnet for a connection that ended.
+func (d *dialer) OnClose(connection gnet.Conn, _ error) gnet.Action {
+	if to, matches := connection.Context().(*link); matches {
+		d.connectionLost(to, connection)
 	}
-	t.drainAt = now.Add(wait)
-	time.AfterFunc(wait, func() {
-		t.onLoop(func() {
-			t.drainAt = time.Time{}
-			t.drainQueue()
-		})
-	})
+	return gnet.None
 }
 
-// serveAfter comes back to a link after a while.
-func (t *Transport) serveAfter(present *link, wait time.Duration) {
-	due := time.Now().Add(wait)
-	if !present.serveAt.IsZero() && !due.Before(present.serveAt) {
-		return
+// OnTraffic is called by gnet when bytes were received, which are
+// acknowledgements: only the newest one counts.
+func (d *dialer) OnTraffic(connection gnet.Conn) gnet.Action {
+	from, matches := connection.Context().(*link)
+	if !matches {
+		_, _ = connection.Discard(-1)
+		return gnet.None
 	}
-	present.serveAt = due
-	time.AfterFunc(wait, func() {
-		t.onLoop(func() {
-			present.serveAt = time.Time{}
-			t.serve(present)
-		})
-	})
+	const none = -1
+	newest := int64(none)
+	for connection.InboundBuffered() >= acknowledgementBytes {
+		body, err := connection.Next(acknowledgementBytes)
+		if err != nil {
+			return gnet.Close
+		}
+		newest = int64(binary.BigEndian.Uint64(body))
+	}
+	if newest > none && from.connection == connection {
+		from.socket.window.Acknowledge(time.Now(), newest)
+		d.serve(from)
+	}
+	return gnet.None
 }
 
-// dialLink dials, unless that is being done or was tried a moment ago.
-func (t *Transport) dialLink(present *link) {
-	if present.dialing || t.stopped {
+// connect dials a peer, unless a dial is in progress or failed a moment ago.
+func (d *dialer) connect(to *link) {
+	if to.dialing || d.stopped {
 		return
 	}
-	if wait := time.Until(present.retryAt); wait > 0 {
-		t.serveAfter(present, wait)
+	if wait := time.Until(to.retryAt); wait > 0 {
+		d.serveAfter(to, wait)
 		return
 	}
-	present.dialing = true
-	limit, hangUp := context.WithTimeout(context.Background(), t.dialTimeout(present.attempts))
-	present.attempts++
-	present.cancelDial = hangUp
+	to.dialing = true
+	limit, cancel := context.WithTimeout(context.Background(), d.dialTimeout(to.attempts))
+	to.attempts++
+	to.cancelDial = cancel
 	go func() {
-		defer hangUp()
-		plain, err := t.dial(limit, present.address)
+		defer cancel()
+		plain, err := d.dial(limit, to.address)
 		if err == nil {
-			_, err = t.client.EnrollContext(plain, present)
+			_, err = d.client.EnrollContext(plain, to)
 		}
 		if err != nil {
-			t.onLoop(func() { t.dialFailed(present, err) })
+			d.run(func() { d.dialFailed(to, err) })
 		}
 	}()
 }
 
-// dialTimeout is how long a dial may take after some that were not answered.
-func (t *Transport) dialTimeout(tries int) time.Duration {
-	return max(t.firstDialTimeout, min(t.firstDialTimeout<<min(max(0, tries-eagerDials), eagerDials), maxDialTimeout))
+// dialTimeout returns how long a dial may take after some attempts.
+func (d *dialer) dialTimeout(attempts int) time.Duration {
+	doublings := min(max(0, attempts-eagerDials), eagerDials)
+	return max(d.firstDialTimeout, min(d.firstDialTimeout<<doublings, maxDialTimeout))
 }
 
-// peerAppeared tells the dialling loop that a peer has just named itself on a connection of
-// its own: it is there, so that a dial begun before it was is given up and made anew.
-// While links are still being opened there is none to give up.
-func (t *Transport) peerAppeared(address string) {
-	if !t.dialing.Load() {
-		return
+func (d *dialer) dialTCP(limit context.Context, address string) (net.Conn, error) {
+	dialer := net.Dialer{
+		KeepAlive: -1,
+		LocalAddr: &net.TCPAddr{IP: net.ParseIP(hostOf(d.transport.address))},
 	}
-	t.onLoop(func() {
-		known, found := t.managed[address]
-		if !found || known.connection != nil || t.stopped || t.blocksOutbound(address) {
-			return
-		}
-		known.attempts, known.backoff, known.retryAt = 0, 0, time.Time{}
-		if known.dialing {
-			known.peerSeen = true
-			known.cancelDial()
-			return
-		}
-		if t.queue.Contains(address) {
-			t.dialLink(known)
-		}
-	})
-}
-
-func (t *Transport) dialTCP(limit context.Context, to string) (net.Conn, error) {
-	dialer := net.Dialer{KeepAlive: -1, LocalAddr: &net.TCPAddr{IP: net.ParseIP(hostOf(t.address))}}
 	dialer.Control = func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(descriptor uintptr) {
-			// Where a system does not know it, a dead peer is found later.
-			_ = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacknowledgedTimeout.Milliseconds()))
+			// Where the system doesn't know the option, a dead peer is found later.
+			_ = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT,
+				int(unacknowledgedTimeout.Milliseconds()))
 		})
 	}
-	return dialer.DialContext(limit, "tcp", to)
+	return dialer.DialContext(limit, "tcp", address)
 }
 
-// compresses tells whether turns to a peer are packed: those to other zones, and all where
-// the machine's own link is thin.
-func (t *Transport) compresses(present *link) bool {
-	return t.compression.Load() && (present.crossZone || t.pacer.RequiresAcknowledgements())
+// compresses reports whether batches to a peer are compressed: those to other
+// zones, and all where the machine's own link is slow.
+func (d *dialer) compresses(to *link) bool {
+	return d.transport.compression.Load() && (to.crossZone || d.transport.pacer.RequiresAcknowledgements())
 }
 
-// opened takes a connection that was made: who we are goes first.
-func (t *Transport) opened(present *link, wire gnet.Conn) gnet.Action {
-	present.dialing, present.peerSeen, present.attempts = false, false, 0
-	descriptor, err := wire.Dup()
+// connected handles a new connection. The preamble goes first.
+func (d *dialer) connected(to *link, connection gnet.Conn) gnet.Action {
+	to.dialing, to.peerSeen, to.attempts = false, false, 0
+	descriptor, err := connection.Dup()
 	if err != nil {
-		t.backOff(present)
-		t.probe(present, slowProbeDelay)
+		d.backOff(to)
+		d.probeAfter(to, slowProbeDelay)
 		return gnet.Close
 	}
-	t.Counters.Dials.Add(1)
-	present.connection, present.socket, present.backoff, present.closedIdle = wire, &socket{descriptor: descriptor}, 0, false
-	present.openedAt = time.Now()
-	packs := t.compresses(present)
-	if packs {
-		present.socket.compressor = newCompressor()
+	d.transport.Counters.Dials.Add(1)
+	to.connection, to.socket = connection, &socket{descriptor: descriptor}
+	to.backoff, to.closedIdle = 0, false
+	to.openedAt = time.Now()
+	compressed := d.compresses(to)
+	if compressed {
+		to.socket.compressor = newCompressor()
 	}
 	var first bytes.Buffer
-	if err := appendFrame(&first, t.address, 0, preamble{Compressed: packs}); err != nil {
+	if err := appendFrame(&first, d.transport.address, 0, preamble{Compressed: compressed}); err != nil {
 		return gnet.Close
 	}
-	present.socket.window.Sent(present.openedAt, first.Len())
-	if _, err := wire.Write(first.Bytes()); err != nil {
+	to.socket.window.Sent(to.openedAt, first.Len())
+	if _, err := connection.Write(first.Bytes()); err != nil {
 		return gnet.None
 	}
-	t.dropOld(present)
-	t.serve(present)
+	d.dropStale(to)
+	d.serve(to)
 	return gnet.None
 }
 
-// dialFailed is told of a connection that could not be made.
-func (t *Transport) dialFailed(present *link, err error) {
-	present.dialing = false
-	if t.observesLinks.Load() && errors.Is(err, unix.ECONNREFUSED) {
-		select {
-		case t.control <- Inbound{Meta: statemachine.Meta{From: present.address}, Message: ConnectionRefused{}}:
-		default:
-		}
-	}
-	var silence net.Error
-	silent := errors.As(err, &silence) && silence.Timeout()
-	if silent && present.attempts <= eagerDials {
+// dialFailed handles a dial that made no connection.
+func (d *dialer) dialFailed(to *link, err error) {
+	to.dialing = false
+	refused := errors.Is(err, unix.ECONNREFUSED)
+	if d.transport.observesLinks.Load() && refused {
+		d.reportRefused(to)
+	}
+	var netError net.Error
+	timedOut := errors.As(err, &netError) && netError.Timeout()
+	if timedOut && to.attempts <= eagerDials {
 		// The dial itself was pause enough.
-		present.backoff = 0
+		to.backoff = 0
 	}
-	if !silent && !errors.Is(err, unix.ECONNREFUSED) && !present.peerSeen {
-		// It was made, and reset before it could be used: somebody was there, and may be
-		// gone by the next time.
-		t.probe(present, slowProbeDelay)
+	if !timedOut && !refused && !to.peerSeen {
+		// The connection was made and reset before it could be used: somebody was
+		// there, and may be gone by the next time.
+		d.probeAfter(to, slowProbeDelay)
 	}
-	if !present.peerSeen {
-		t.backOff(present)
+	if !to.peerSeen {
+		d.backOff(to)
 	}
-	present.peerSeen = false
-	t.dropOld(present)
-	if t.queue.Contains(present.address) {
-		t.dialLink(present)
+	to.peerSeen = false
+	d.dropStale(to)
+	if d.queue.Contains(to.address) {
+		d.connect(to)
 	}
 }
 
-// dropOld loses what waited for a connection for too long.
-func (t *Transport) dropOld(present *link) {
-	oldest := time.Now().Add(-maxConnectWait)
-	t.dropped(t.queue.RemoveAll(present.address, func(each chunk) bool { return each.queuedAt.Before(oldest) }))
+// reportRefused tells the owner that nobody listens at a peer's address, unless
+// the owner is busy.
+func (d *dialer) reportRefused(to *link) {
+	inbound := Inbound{
+		Meta:    statemachine.Meta{From: to.address},
+		Message: ConnectionRefused{},
+	}
+	select {
+	case d.transport.control <- inbound:
+	default:
+	}
 }
 
-func (t *Transport) dropped(lost []chunk) {
-	for _, each := range lost {
-		t.Counters.Dropped.Add(int64(each.frames))
+// peerAppeared is called by the acceptor when a peer has identified itself on a
+// connection of its own: since the peer is there, a dial begun before it was is
+// cancelled and made anew.
+func (d *dialer) peerAppeared(address string) {
+	// While the transport is still opening there is no dial to cancel.
+	if !d.running.Load() {
+		return
 	}
+	d.run(func() {
+		known, found := d.links[address]
+		if !found || known.connection != nil || d.stopped || d.transport.blocksOutbound(address) {
+			return
+		}
+		known.attempts, known.backoff, known.retryAt = 0, 0, time.Time{}
+		if known.dialing {
+			known.peerSeen = true
+			known.cancelDial()
+			return
+		}
+		if d.queue.Contains(address) {
+			d.connect(known)
+		}
+	})
 }
 
-// connectionLost is told of a connection that ended.
-func (t *Transport) connectionLost(present *link, wire gnet.Conn) {
-	if present.connection != wire {
+// connectionLost handles the end of a connection.
+func (d *dialer) connectionLost(to *link, connection gnet.Conn) {
+	if to.connection != connection {
 		return
 	}
-	present.direct.Store(nil)
-	present.socket.end()
-	present.connection, present.socket = nil, nil
-	t.backOff(present)
-	if !present.closedIdle {
+	to.direct.Store(nil)
+	to.socket.close()
+	to.connection, to.socket = nil, nil
+	d.backOff(to)
+	if !to.closedIdle {
 		wait := probeDelay
-		if time.Since(present.openedAt) < slowProbeDelay {
-			// Somebody answers and hangs up again and again.
+		if time.Since(to.openedAt) < slowProbeDelay {
 			wait = slowProbeDelay
 		}
-		t.probe(present, wait)
+		d.probeAfter(to, wait)
 	}
-	present.unwritten = chunk{}
-	// Whoever asked for what it had missed asks again, on a connection of its own.
-	t.dropped(t.queue.Remove(present.address, ClassCatchUp, func(chunk) bool { return true }))
-	if t.queue.Contains(present.address) {
-		// The queue is in the hands of whoever ended the connection.
-		t.serveAfter(present, present.backoff)
+	to.unwritten = chunk{}
+	// Who requested what it had missed requests it again, on a connection of its
+	// own.
+	d.dropped(d.queue.Remove(to.address, ClassCatchUp, func(chunk) bool { return true }))
+	if d.queue.Contains(to.address) {
+		// The queue may be in use by what closed the connection.
+		d.serveAfter(to, to.backoff)
 	}
 }
 
-// probe dials again after a while, where the owner wants to know whether anybody is
-// there.
-func (t *Transport) probe(present *link, wait time.Duration) {
-	if !t.observesLinks.Load() || t.stopped {
+// probeAfter dials again after a while, if links are observed, so that the owner
+// learns whether anybody is there.
+func (d *dialer) probeAfter(to *link, wait time.Duration) {
+	if !d.transport.observesLinks.Load() || d.stopped {
 		return
 	}
-	time.AfterFunc(wait, func() {
-		t.onLoop(func() {
-			if present.connection == nil && !t.blocksOutbound(present.address) {
-				present.retryAt = time.Time{}
-				t.dialLink(present)
-			}
-		})
+	d.after(wait, func() {
+		if to.connection == nil && !d.transport.blocksOutbound(to.address) {
+			to.retryAt = time.Time{}
+			d.connect(to)
+		}
 	})
 }
 
-func (t *Transport) backOff(present *link) {
-	present.backoff = min(max(2*present.backoff, minBackoff), maxBackoff)
-	present.retryAt = time.Now().Add(present.backoff)
+// backOff makes the pause before the next dial longer.
+func (d *dialer) backOff(to *link) {
+	to.backoff = min(max(2*to.backoff, minBackoff), maxBackoff)
+	to.retryAt = time.Now().Add(to.backoff)
 }
 
-// sweepIdle has connections closed on which nothing went for a while.
-func (t *Transport) sweepIdle() {
-	t.onLoop(func() {
-		if t.stopped {
-			return
+// closeAfterError closes the connection of a socket after a write has failed.
+// It is called by the owner.
+func (d *dialer) closeAfterError(to *link, failed *socket) {
+	d.run(func() {
+		if to.socket == failed {
+			_ = d.loop.Close(to.connection)
 		}
-		for _, present := range t.managed {
-			uses := present.batches.Load()
-			if uses == present.sweptBatches && present.connection != nil && !t.queue.Contains(present.address) {
-				present.closedIdle = true
-				_ = t.loop.Close(present.connection)
-			}
-			present.sweptBatches = uses
-		}
-		time.AfterFunc(idleTimeout, t.sweepIdle)
 	})
 }
 
-func (t *Transport) delay(to string, frame []byte) time.Duration {
-	impairment := t.impairment.Load()
-	var delay time.Duration
-	for prefix, length := range impairment.Delays {
-		if strings.HasPrefix(to, prefix) {
-			delay = length
+// sweepIdle closes the connections that had no batch since the last sweep.
+func (d *dialer) sweepIdle() {
+	d.run(func() {
+		if d.stopped {
+			return
 		}
-	}
-	for prefix, chance := range impairment.Loss {
-		if strings.HasPrefix(to, prefix) {
-			sum := fnv.New32a()
-			_, _ = sum.Write(frame)
-			if float64(sum.Sum32()%100000) < chance*100000 {
-				delay += retransmissionDelay
+		for _, each := range d.links {
+			batches := each.batches.Load()
+			if batches == each.sweptBatches && each.connection != nil && !d.queue.Contains(each.address) {
+				each.closedIdle = true
+				_ = d.loop.Close(each.connection)
 			}
+			each.sweptBatches = batches
 		}
-	}
-	return delay
+		time.AfterFunc(idleTimeout, d.sweepIdle)
+	})
 }
--- a/internal/transport/dialer_test.go
+++ b/internal/transport/dialer_test.go
@@ -47,7 +47,7 @@
 func TestADialThatIsNotAnsweredIsGivenUpSoon(t *testing.T) {
 	links, _, _ := openAt(t)
 	limits := make(chan time.Duration, 16)
-	links.dial = func(limit context.Context, _ string) (net.Conn, error) {
+	links.dialer.dial = func(limit context.Context, _ string) (net.Conn, error) {
 		end, bounded := limit.Deadline()
 		assert.Check(t, bounded)
 		limits <- time.Until(end).Round(100 * time.Millisecond)
@@ -70,12 +70,12 @@
 func TestADialBegunBeforeItsPeerWasThereIsMadeAnew(t *testing.T) {
 	links, address, _ := openAt(t)
 	peer, peerAddress, peerInbox := openAt(t)
-	links.firstDialTimeout = time.Hour
-	plain := links.dial
+	links.dialer.firstDialTimeout = time.Hour
+	plain := links.dialer.dial
 	ended := make(chan error, 1)
 	begun := make(chan struct{}, 1)
 	dials := 0
-	links.dial = func(limit context.Context, to string) (net.Conn, error) {
+	links.dialer.dial = func(limit context.Context, to string) (net.Conn, error) {
 		if dials++; dials > 1 {
 			return plain(limit, to)
 		}
@@ -96,6 +96,6 @@
 
 // A daemon listens before it dials, so that peers may name themselves in between.
 func TestAPeerMayNameItselfBeforeThereIsADiallingLoop(_ *testing.T) {
-	opening := &Transport{links: map[string]*link{}, managed: map[string]*link{}}
-	opening.peerAppeared("10.0.0.1:1")
+	opening := newTransport("10.0.0.2:1")
+	opening.dialer.peerAppeared("10.0.0.1:1")
 }
--- /dev/null
+++ b/internal/transport/frame.go
@@ -0,0 +1,170 @@
+package transport
+
+import (
+	"bytes"
+	"encoding/binary"
+	"reflect"
+
+	"github.com/joomcode/errorx"
+
+	"dahlialock/internal/statemachine"
+)
+
+// A frame on the wire is
+//
+//	length   4 bytes, big-endian, of all that follows
+//	number   2 bytes, big-endian, of the message's type, with addressFlag where
+//	         the sender's address follows
+//	address  its length as a varint and its bytes, only with addressFlag: once
+//	         a connection has named its sender, frames leave it out
+//	version  a varint, the sender's configuration version
+//	body     the message in CBOR
+//
+// Decoding is strict: an unknown number, trailing bytes, and an oversized or
+// truncated frame are errors that close the connection.
+const (
+	// FrameLimit is the largest length of a frame in bytes.
+	FrameLimit = 64 << 20
+
+	frameHeaderBytes = 4
+	numberBytes      = 2
+	addressFlag      = 1 << 15
+
+	// compressedFlag is set in the length of a compressed batch of frames.
+	compressedFlag = 1 << 31
+)
+
+var (
+	// The namespace's name is part of error texts.
+	namespace = errorx.NewNamespace("flare")
+	// ErrorFrame is the type of every error about a frame's bytes.
+	ErrorFrame = namespace.NewType("frame")
+)
+
+// preamble is the first message on a connection, and names its sender for all
+// that follow.
+type preamble struct {
+	_ struct{} `cbor:",toarray"`
+	// Compressed announces that batches on the connection may be compressed.
+	Compressed bool
+}
+
+const preambleNumber = 1
+
+func init() { MustRegister(preambleNumber, preamble{}) }
+
+// Encode returns the bytes of one frame, including its length.
+func Encode(meta statemachine.Meta, message any) ([]byte, error) {
+	var buffer bytes.Buffer
+	if err := appendFrame(&buffer, meta.From, meta.Version, message); err != nil {
+		return nil, err
+	}
+	return buffer.Bytes(), nil
+}
+
+// appendFrame appends one frame to a buffer, or nothing if that fails. The
+// address is empty where the connection has named its sender.
+func appendFrame(buffer *bytes.Buffer, address string, version uint64, message any) error {
+	number, found := numberOfType[reflect.TypeOf(message)]
+	if !found {
+		return ErrorFrame.New("type %T has no number", message)
+	}
+	start := buffer.Len()
+	var scratch [frameHeaderBytes + numberBytes + 2*binary.MaxVarintLen64]byte
+	// The length is filled in once it is known.
+	head := scratch[:frameHeaderBytes]
+	if address == "" {
+		head = binary.BigEndian.AppendUint16(head, number)
+	} else {
+		head = binary.BigEndian.AppendUint16(head, number|addressFlag)
+		head = binary.AppendUvarint(head, uint64(len(address)))
+	}
+	buffer.Write(head)
+	buffer.WriteString(address)
+	buffer.Write(binary.AppendUvarint(scratch[:0], version))
+	if err := encoding.MarshalToBuffer(message, buffer); err != nil {
+		buffer.Truncate(start)
+		return ErrorFrame.Wrap(err, "body of %T", message)
+	}
+	length := buffer.Len() - start - frameHeaderBytes
+	if length > FrameLimit {
+		buffer.Truncate(start)
+		return ErrorFrame.New("%T of %d bytes is over the limit", message, length)
+	}
+	binary.BigEndian.PutUint32(buffer.Bytes()[start:], uint32(length))
+	return nil
+}
+
+// Decode decodes one frame without its length.
+func Decode(frame []byte) (statemachine.Meta, any, error) {
+	var once decoder
+	return once.decode(frame, "")
+}
+
+// FrameLength reads the header of a frame: the length of what follows it, false
+// if there are too few bytes yet, or an error if the length is out of range.
+func FrameLength(header []byte) (int, bool, error) {
+	if len(header) < frameHeaderBytes {
+		return 0, false, nil
+	}
+	length := binary.BigEndian.Uint32(header)
+	if length == 0 || length > FrameLimit {
+		return 0, false, ErrorFrame.New("length %d is out of bounds", length)
+	}
+	return int(length), true, nil
+}
+
+// decoder decodes frames one after another. It keeps one value of each type to
+// decode into, so that a message costs a single copy.
+type decoder struct {
+	values map[uint16]reflect.Value
+}
+
+// decode decodes a frame without its length. The address is that of the sender
+// unless the frame names another.
+func (d *decoder) decode(frame []byte, address string) (statemachine.Meta, any, error) {
+	meta := statemachine.Meta{From: address}
+	if len(frame) < numberBytes {
+		return meta, nil, ErrorFrame.New("%d bytes are no frame", len(frame))
+	}
+	number := binary.BigEndian.Uint16(frame)
+	rest := frame[numberBytes:]
+	if number&addressFlag != 0 {
+		number &^= addressFlag
+		length, size := binary.Uvarint(rest)
+		if size <= 0 || length == 0 || length > uint64(len(rest)-size) {
+			return meta, nil, ErrorFrame.New("the address is cut off")
+		}
+		meta.From = string(rest[size : size+int(length)])
+		rest = rest[size+int(length):]
+	}
+	version, size := binary.Uvarint(rest)
+	if size <= 0 {
+		return meta, nil, ErrorFrame.New("the version is cut off")
+	}
+	meta.Version = version
+	message, err := d.decodeBody(number, rest[size:])
+	return meta, message, err
+}
+
+func (d *decoder) decodeBody(number uint16, body []byte) (any, error) {
+	value, found := d.values[number]
+	if !found {
+		kind, known := typeOfNumber[number]
+		if !known {
+			return nil, ErrorFrame.New("number %d is unknown", number)
+		}
+		value = reflect.New(kind)
+		if d.values == nil {
+			d.values = map[uint16]reflect.Value{}
+		}
+		d.values[number] = value
+	}
+	err := decoding.Unmarshal(body, value.Interface())
+	message := value.Elem().Interface()
+	value.Elem().SetZero()
+	if err != nil {
+		return nil, ErrorFrame.Wrap(err, "body of %s", value.Elem().Type().String())
+	}
+	return message, nil
+}
--- /dev/null
+++ b/internal/transport/huffman.go
@@ -0,0 +1,150 @@
+package transport
+
+import "slices"
+
+// huffman is an adaptive Huffman code: how often each symbol was seen, and the
+// canonical code made from that. Both ends of a connection rebuild it at the same
+// moments, so that no table is ever sent.
+type huffman struct {
+	// maxBits bounds the lengths of the codes.
+	maxBits int
+	// counts are of the symbols seen since the last rebuild, with half of the
+	// earlier ones; they are never 0, so that every symbol has a code.
+	counts  []uint32
+	codes   []uint16
+	lengths []uint8
+	// decodeTable has, for the next maxBits bits, the symbol and the length of
+	// its code, as tableEntry packs them.
+	decodeTable []uint16
+}
+
+// Entries of a decode table have the length of a code in the lowest bits.
+const (
+	entryLengthBits = 4
+	entryLengthMask = 1<<entryLengthBits - 1
+)
+
+func tableEntry(symbol int, length uint8) uint16 {
+	return uint16(symbol)<<entryLengthBits | uint16(length)
+}
+
+// newHuffman returns the code of an alphabet from what is expected of it.
+func newHuffman(symbols, maxBits int, expected func(symbol int) uint32) huffman {
+	made := huffman{
+		maxBits:     maxBits,
+		counts:      make([]uint32, symbols),
+		codes:       make([]uint16, symbols),
+		lengths:     make([]uint8, symbols),
+		decodeTable: make([]uint16, 1<<maxBits),
+	}
+	for symbol := range made.counts {
+		made.counts[symbol] = expected(symbol)
+	}
+	made.rebuild()
+	return made
+}
+
+// rebuild makes the code from the counts, and then halves them, so that what was
+// seen long ago counts less.
+func (h *huffman) rebuild() {
+	h.assignLengths()
+	code := uint16(0)
+	for length := uint8(1); int(length) <= h.maxBits; length++ {
+		for symbol, own := range h.lengths {
+			if own != length {
+				continue
+			}
+			h.codes[symbol] = code
+			unused := h.maxBits - int(length)
+			start := int(code) << unused
+			for index := range 1 << unused {
+				h.decodeTable[start+index] = tableEntry(symbol, length)
+			}
+			code++
+		}
+		code <<= 1
+	}
+	for symbol, count := range h.counts {
+		h.counts[symbol] = count>>1 | 1
+	}
+}
+
+// assignLengths finds the lengths of the best code for the counts, with none
+// over maxBits.
+func (h *huffman) assignLengths() {
+	// The symbols by count, the rarest first, with the symbol in the low bits.
+	const symbolMask = 0xffff
+	var storage [symbolCount]uint64
+	rarestFirst := storage[:len(h.counts)]
+	for symbol, count := range h.counts {
+		rarestFirst[symbol] = uint64(count)<<16 | uint64(symbol)
+	}
+	slices.Sort(rarestFirst)
+	withLength := h.limitLengths(treeDepths(rarestFirst, h.maxBits))
+	index := 0
+	for length := h.maxBits; length > 0; length-- {
+		for range withLength[length] {
+			h.lengths[rarestFirst[index]&symbolMask] = uint8(length)
+			index++
+		}
+	}
+}
+
+// lengthCounts are how many codes there are of each length.
+type lengthCounts [maxSymbolBits + 1]int
+
+// treeDepths returns how many leaves the Huffman tree has at each depth; those
+// that are deeper than a bound count there. The tree is made by merging the two
+// rarest nodes over and over.
+func treeDepths(rarestFirst []uint64, maxDepth int) lengthCounts {
+	var (
+		weights [2 * symbolCount]uint32
+		parents [2 * symbolCount]uint16
+		depths  [2 * symbolCount]uint8
+	)
+	leaves := len(rarestFirst)
+	for index, each := range rarestFirst {
+		weights[index] = uint32(each >> 16)
+	}
+	// Inner nodes come after the leaves, and are made in the order of weight.
+	leaf, inner := 0, leaves
+	for node := leaves; node < 2*leaves-1; node++ {
+		for range 2 {
+			rarest := &inner
+			if leaf < leaves && (inner >= node || weights[leaf] <= weights[inner]) {
+				rarest = &leaf
+			}
+			weights[node] += weights[*rarest]
+			parents[*rarest] = uint16(node)
+			*rarest++
+		}
+	}
+	var atDepth lengthCounts
+	for node := 2*leaves - 3; node >= 0; node-- {
+		depths[node] = depths[parents[node]] + 1
+		if node < leaves {
+			atDepth[min(int(depths[node]), maxDepth)]++
+		}
+	}
+	return atDepth
+}
+
+// limitLengths lengthens codes until there is space for all again, which those
+// that were cut to maxBits took (Kraft's inequality).
+func (h *huffman) limitLengths(counts lengthCounts) lengthCounts {
+	used := 0
+	for length := 1; length <= h.maxBits; length++ {
+		used += counts[length] << (h.maxBits - length)
+	}
+	for ; used > 1<<h.maxBits; used-- {
+		counts[h.maxBits]--
+		for length := h.maxBits - 1; length > 0; length-- {
+			if counts[length] > 0 {
+				counts[length]--
+				counts[length+1] += 2
+				break
+			}
+		}
+	}
+	return counts
+}
--- a/internal/transport/kind_counters.go
+++ b/internal/transport/kind_counters.go
@@ -1,51 +1,55 @@
-// Counting by kind of message: what crosses a daemon's links, so that whatever
-// fills a link has a name. Bytes are those of the frames, before a turn is packed.
-
 package transport
 
 import (
 	"maps"
-	"reflect"
 	"slices"
 	"sync/atomic"
 )
 
-// KindCount is how many messages of a kind crossed links, and their bytes.
+// KindCount is how many messages of one kind crossed the links, and the bytes
+// of their frames before compression.
 type KindCount struct {
 	Messages int64 `json:"messages"`
 	Bytes    int64 `json:"bytes"`
 }
 
-// kindCounters are running sums, one for each registered number.
+// kindCounters are running sums by registered number. They may be read at any
+// time while one goroutine adds.
 type kindCounters struct {
-	indexes map[uint16]int
-	counters   []kindCounter
+	// indexes are those of counters by number; they are fixed from the start.
+	indexes  map[uint16]int
+	counters []kindCounter
 }
 
 type kindCounter struct{ messages, bytes atomic.Int64 }
 
 func newKindCounters() kindCounters {
-	made := kindCounters{indexes: map[uint16]int{}, counters: make([]kindCounter, len(typeOfNumber))}
-	for place, number := range slices.Sorted(maps.Keys(typeOfNumber)) {
-		made.indexes[number] = place
+	made := kindCounters{
+		indexes:  map[uint16]int{},
+		counters: make([]kindCounter, len(typeOfNumber)),
+	}
+	for index, number := range slices.Sorted(maps.Keys(typeOfNumber)) {
+		made.indexes[number] = index
 	}
 	return made
 }
 
-func (ks *kindCounters) add(message any, size int) {
-	place, found := ks.indexes[numberOfType[reflect.TypeOf(message)]]
+// add counts one message, unless its type isn't registered.
+func (kc *kindCounters) add(message any, size int) {
+	index, found := kc.indexes[numberOf(message)]
 	if !found {
 		return
 	}
-	ks.counters[place].messages.Add(1)
-	ks.counters[place].bytes.Add(int64(size))
+	kc.counters[index].messages.Add(1)
+	kc.counters[index].bytes.Add(int64(size))
 }
 
-// counts gives the sums of the kinds that occurred, by their names.
-func (ks *kindCounters) counts() map[string]KindCount {
+// counts returns the sums of the kinds that occurred, by KindName.
+func (kc *kindCounters) counts() map[string]KindCount {
 	counts := map[string]KindCount{}
-	for number, place := range ks.indexes {
-		count := KindCount{Messages: ks.counters[place].messages.Load(), Bytes: ks.counters[place].bytes.Load()}
+	for number, index := range kc.indexes {
+		counter := &kc.counters[index]
+		count := KindCount{Messages: counter.messages.Load(), Bytes: counter.bytes.Load()}
 		if count.Messages > 0 {
 			counts[KindName(number)] = count
 		}
@@ -53,8 +57,8 @@
 	return counts
 }
 
-// Sent tells what the owner sent, by kind; whether it arrived is another matter.
+// Sent returns what the owner sent, by kind, whether or not it arrived.
 func (t *Transport) Sent() map[string]KindCount { return t.sent.counts() }
 
-// Received tells what came in, by kind.
+// Received returns what was received, by kind.
 func (t *Transport) Received() map[string]KindCount { return t.received.counts() }
--- a/internal/transport/priority_queue.go
+++ b/internal/transport/priority_queue.go
@@ -1,34 +1,36 @@
-// What waits for a machine's link, and which of it goes next. It holds no clock and
-// no socket, so that daemons and the simulator use the same.
-
 package transport
 
 const (
-	// starvationBytes is how many bytes of higher classes may pass what waits in a
-	// lower one before that has a turn.
+	// starvationBytes is how many bytes of higher classes may overtake a lower
+	// one before that gets a turn.
 	starvationBytes = 64 << 10
-	// maxQueuedBytes bounds the bytes that wait for one peer in one class.
+	// maxQueuedBytes bounds the bytes that are queued for one peer in one class.
 	maxQueuedBytes = 1 << 20
 )
 
-// PriorityQueue holds items for peers, by class. Items of a class for a peer keep their
-// order. The highest class goes first, peers in turn, and a class that was passed by
-// too many bytes of higher ones has one item sent.
+// PriorityQueue queues items for the machine's link, by class and peer. The
+// highest class goes first, peers in turn, and the items of a class for a peer
+// keep their order. So that no class starves, one that was overtaken by
+// starvationBytes has one item popped. The zero value is an empty queue.
 type PriorityQueue[Item any] struct {
 	classes [classCount]classQueue[Item]
 }
 
-// classQueue holds the peers for which something of a class waits, in turn.
+// classQueue has the peers for which something of a class is queued.
 type classQueue[Item any] struct {
+	// turns are in the order in which the peers are served, byPeer the same.
 	turns  []*peerQueue[Item]
 	byPeer map[string]*peerQueue[Item]
-	passed int
+	// overtaken counts bytes of higher classes since the class was last served.
+	overtaken int
 }
 
+// peerQueue has the items of one class for one peer; it is never empty.
 type peerQueue[Item any] struct {
 	peer  string
 	items []queued[Item]
-	size  int
+	// size is the sum of the sizes of the items.
+	size int
 }
 
 type queued[Item any] struct {
@@ -36,10 +38,10 @@
 	size int
 }
 
-// Push adds an item, and gives those that are lost for it: the oldest of its class
-// and peer where too much waits.
-func (o *PriorityQueue[Item]) Push(peer string, class Class, size int, item Item) (lost []Item) {
-	queue := &o.classes[class]
+// Push adds an item of a size in bytes. It returns the items that are dropped
+// for it: the oldest of its class and peer where more is queued than the bound.
+func (q *PriorityQueue[Item]) Push(peer string, class Class, size int, item Item) (dropped []Item) {
+	queue := &q.classes[class]
 	present, found := queue.byPeer[peer]
 	if !found {
 		if queue.byPeer == nil {
@@ -53,118 +55,128 @@
 	present.size += size
 	for present.size > maxQueuedBytes && len(present.items) > 1 {
 		oldest := present.pop()
-		lost = append(lost, oldest.item)
+		dropped = append(dropped, oldest.item)
 	}
-	return lost
+	return dropped
 }
 
-// Empty tells whether nothing waits.
-func (o *PriorityQueue[Item]) Empty() bool {
-	for class := range o.classes {
-		if len(o.classes[class].turns) > 0 {
+// Empty reports whether nothing is queued.
+func (q *PriorityQueue[Item]) Empty() bool {
+	for class := range q.classes {
+		if len(q.classes[class].turns) > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// Contains tells whether anything waits for a peer.
-func (o *PriorityQueue[Item]) Contains(peer string) bool {
-	for class := range o.classes {
-		if _, found := o.classes[class].byPeer[peer]; found {
+// Contains reports whether anything is queued for a peer.
+func (q *PriorityQueue[Item]) Contains(peer string) bool {
+	for class := range q.classes {
+		if _, found := q.classes[class].byPeer[peer]; found {
 			return true
 		}
 	}
 	return false
 }
 
-// Pop takes out what goes next, to a peer that takes it.
-func (o *PriorityQueue[Item]) Pop(takes func(peer string, item Item) bool) (peer string, item Item, found bool) {
+// Pop removes the next item that its peer accepts. The function is asked about
+// the oldest item of each class and peer, in the order of the queue.
+func (q *PriorityQueue[Item]) Pop(accepts func(peer string, item Item) bool) (peer string, item Item, found bool) {
 	for class := classCount - 1; class > 0; class-- {
-		if o.classes[class].passed >= starvationBytes {
-			if peer, item, found = o.popClass(class, takes); found {
+		if q.classes[class].overtaken >= starvationBytes {
+			if peer, item, found = q.popClass(class, accepts); found {
 				return peer, item, true
 			}
 		}
 	}
 	for class := range classCount {
-		if peer, item, found = o.popClass(class, takes); found {
+		if peer, item, found = q.popClass(class, accepts); found {
 			return peer, item, true
 		}
 	}
 	return "", item, false
 }
 
-func (o *PriorityQueue[Item]) popClass(class Class, takes func(peer string, item Item) bool) (peer string, item Item, found bool) {
-	queue := &o.classes[class]
-	for position, present := range queue.turns {
-		if !takes(present.peer, present.items[0].item) {
+func (q *PriorityQueue[Item]) popClass(
+	class Class, accepts func(peer string, item Item) bool,
+) (peer string, item Item, found bool) {
+	queue := &q.classes[class]
+	for index, present := range queue.turns {
+		if !accepts(present.peer, present.items[0].item) {
 			continue
 		}
-		first := present.pop()
-		queue.turns = append(queue.turns[:position], queue.turns[position+1:]...)
+		oldest := present.pop()
+		queue.turns = append(queue.turns[:index], queue.turns[index+1:]...)
 		if len(present.items) > 0 {
 			queue.turns = append(queue.turns, present)
 		} else {
 			delete(queue.byPeer, present.peer)
 		}
-		queue.passed = 0
-		for lower := class + 1; lower < classCount; lower++ {
-			if len(o.classes[lower].turns) > 0 {
-				o.classes[lower].passed += first.size
-			}
-		}
-		return present.peer, first.item, true
+		q.countOvertaken(class, oldest.size)
+		return present.peer, oldest.item, true
 	}
 	return "", item, false
 }
 
-// Remove takes out what waits for a peer in a class and is no longer wanted.
-func (o *PriorityQueue[Item]) Remove(peer string, class Class, unwanted func(item Item) bool) (forgotten []Item) {
-	queue := &o.classes[class]
+// countOvertaken counts bytes that a class has sent for the lower classes that
+// have something queued.
+func (q *PriorityQueue[Item]) countOvertaken(class Class, size int) {
+	q.classes[class].overtaken = 0
+	for lower := class + 1; lower < classCount; lower++ {
+		if len(q.classes[lower].turns) > 0 {
+			q.classes[lower].overtaken += size
+		}
+	}
+}
+
+// Remove removes and returns the items of a class for a peer that are unwanted.
+func (q *PriorityQueue[Item]) Remove(peer string, class Class, unwanted func(item Item) bool) (removed []Item) {
+	queue := &q.classes[class]
 	present, found := queue.byPeer[peer]
 	if !found {
 		return nil
 	}
-	kept := present.items[:0]
+	remaining := present.items[:0]
 	for _, each := range present.items {
 		if unwanted(each.item) {
-			forgotten = append(forgotten, each.item)
+			removed = append(removed, each.item)
 			present.size -= each.size
 			continue
 		}
-		kept = append(kept, each)
+		remaining = append(remaining, each)
 	}
-	clear(present.items[len(kept):])
-	present.items = kept
-	if len(kept) == 0 {
+	clear(present.items[len(remaining):])
+	present.items = remaining
+	if len(remaining) == 0 {
 		delete(queue.byPeer, peer)
 		queue.remove(present)
 	}
-	return forgotten
+	return removed
 }
 
-// RemoveAll takes out what waits for a peer in every class and is not wanted.
-func (o *PriorityQueue[Item]) RemoveAll(peer string, unwanted func(item Item) bool) (forgotten []Item) {
+// RemoveAll is Remove for all classes.
+func (q *PriorityQueue[Item]) RemoveAll(peer string, unwanted func(item Item) bool) (removed []Item) {
 	for class := range classCount {
-		forgotten = append(forgotten, o.Remove(peer, class, unwanted)...)
+		removed = append(removed, q.Remove(peer, class, unwanted)...)
 	}
-	return forgotten
+	return removed
 }
 
-func (cq *classQueue[Item]) remove(gone *peerQueue[Item]) {
-	for position, present := range cq.turns {
-		if present == gone {
-			cq.turns = append(cq.turns[:position], cq.turns[position+1:]...)
+func (cq *classQueue[Item]) remove(removed *peerQueue[Item]) {
+	for index, present := range cq.turns {
+		if present == removed {
+			cq.turns = append(cq.turns[:index], cq.turns[index+1:]...)
 			return
 		}
 	}
 }
 
+// pop removes the oldest item, and lets go of what it refers to.
 func (pq *peerQueue[Item]) pop() queued[Item] {
-	first := pq.items[0]
+	oldest := pq.items[0]
 	pq.items[0] = queued[Item]{}
 	pq.items = pq.items[1:]
-	pq.size -= first.size
-	return first
+	pq.size -= oldest.size
+	return oldest
 }
--- /dev/null
+++ b/internal/transport/sender.go
@@ -0,0 +1,203 @@
+package transport
+
+import (
+	"bytes"
+	"errors"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"dahlialock/internal/statemachine"
+)
+
+// sender is the owner's state.
+type sender struct {
+	// links are by address, and stay. dirty are those with frames of this batch.
+	links map[string]*link
+	dirty []*link
+	// batching is set once the owner has called Flush.
+	batching bool
+	// compressBuffer and joinBuffer are reused from batch to batch.
+	compressBuffer []byte
+	joinBuffer     []byte
+}
+
+// Send is SendBefore without a deadline.
+func (t *Transport) Send(to string, version uint64, message any) error {
+	return t.SendBefore(to, version, message, time.Time{})
+}
+
+// SendBefore adds a message to the batch for a peer, to be sent by Flush if its
+// deadline hasn't passed by then; a zero time is no deadline. It doesn't wait. An
+// error is about the message; nothing tells whether it arrives. Only the owner
+// may call it. Until the first call of Flush each message is a batch of its own.
+func (t *Transport) SendBefore(to string, version uint64, message any, notAfter time.Time) error {
+	if to == t.address {
+		t.inbox <- Inbound{
+			Meta:    statemachine.Meta{From: t.address, Version: version},
+			Message: message,
+		}
+		return nil
+	}
+	present := t.linkTo(to)
+	pending := &present.pending[ClassOf(message)]
+	start := pending.Len()
+	if err := appendFrame(&pending.Buffer, "", version, message); err != nil {
+		return err
+	}
+	t.sent.add(message, pending.Len()-start)
+	pending.frames++
+	if !notAfter.IsZero() {
+		bound := deadline{start: start, end: pending.Len(), notAfter: notAfter}
+		pending.deadlines = append(pending.deadlines, bound)
+	}
+	if !present.dirty {
+		present.dirty = true
+		t.sender.dirty = append(t.sender.dirty, present)
+	}
+	if !t.sender.batching {
+		t.flush()
+	}
+	return nil
+}
+
+func (t *Transport) linkTo(address string) *link {
+	present, found := t.sender.links[address]
+	if !found {
+		present = &link{address: address, crossZone: zonePrefixOf(address) != t.zonePrefix}
+		t.sender.links[address] = present
+	}
+	return present
+}
+
+// Flush ends a batch: each peer gets the frames that were sent since the last
+// one in a single write. Only the owner may call it.
+func (t *Transport) Flush() {
+	t.sender.batching = true
+	t.flush()
+}
+
+func (t *Transport) flush() {
+	if len(t.sender.dirty) == 0 {
+		return
+	}
+	now := time.Now()
+	for index, present := range t.sender.dirty {
+		t.sendBatch(now, present)
+		present.reset()
+		t.sender.dirty[index] = nil
+	}
+	t.sender.dirty = t.sender.dirty[:0]
+}
+
+// sendBatch writes a link's batch, or hands it to the dialer.
+func (t *Transport) sendBatch(now time.Time, to *link) {
+	to.batches.Add(1)
+	direct := to.direct.Load()
+	if direct == nil || direct.handedOver != to.handedOver || !t.impairment.Load().none() {
+		t.handOverBatch(to)
+		return
+	}
+	socket := direct.socket
+	if t.throttled.Load() || t.pacer.Delay(now) > 0 || !socket.window.Admits(to.lowestClass()) {
+		t.Counters.Throttled.Add(1)
+		t.handOverBatch(to)
+		return
+	}
+	t.dropExpired(to)
+	body, frames := t.joinClasses(to)
+	if frames == 0 {
+		return
+	}
+	var framed []byte
+	framed, t.sender.compressBuffer = socket.frameBatch(t.sender.compressBuffer, body)
+	t.Counters.Writes.Add(1)
+	socket.window.Sent(now, len(framed))
+	sent, err := socket.write(framed)
+	if err != nil && !errors.Is(err, unix.EAGAIN) {
+		t.dialer.closeAfterError(to, socket)
+		t.handOverBatch(to)
+		return
+	}
+	t.pacer.Spend(now, sent)
+	t.countSent(to, frames, sent)
+	if sent < len(framed) {
+		t.handOver(to, chunk{body: bytes.Clone(framed[sent:]), continues: socket})
+	}
+}
+
+// joinClasses returns the frames of a batch in the order of their classes, and
+// how many they are.
+func (t *Transport) joinClasses(of *link) (body []byte, frames int) {
+	classes := 0
+	for class := range of.pending {
+		pending := &of.pending[class]
+		if pending.frames > 0 {
+			classes++
+			frames += pending.frames
+			body = pending.Bytes()
+		}
+	}
+	if classes == 1 {
+		return body, frames
+	}
+	body = t.sender.joinBuffer[:0]
+	for class := range of.pending {
+		body = append(body, of.pending[class].Bytes()...)
+	}
+	t.sender.joinBuffer = body
+	if cap(body) > maxSpareBytes {
+		t.sender.joinBuffer = nil
+	}
+	return body, frames
+}
+
+// handOverBatch hands a batch to the dialer, a chunk for each class.
+func (t *Transport) handOverBatch(of *link) {
+	var chunks []chunk
+	for class := range of.pending {
+		if of.pending[class].frames > 0 {
+			handed := of.pending[class].chunk(Class(class))
+			handed.body = bytes.Clone(handed.body)
+			chunks = append(chunks, handed)
+		}
+	}
+	t.handOver(of, chunks...)
+}
+
+// handOver hands chunks to the dialer. The owner doesn't write to the link again
+// until the dialer has made it direct.
+func (t *Transport) handOver(to *link, chunks ...chunk) {
+	to.handedOver++
+	t.dialer.run(func() { t.dialer.takeOver(to, chunks) })
+}
+
+// countSent counts frames that were written, of a size as written.
+func (t *Transport) countSent(to *link, frames, size int) {
+	t.Counters.MessagesOut.Add(int64(frames))
+	t.Counters.BytesOut.Add(int64(size))
+	if to.crossZone {
+		t.Counters.MessagesCrossZone.Add(int64(frames))
+		t.Counters.BytesCrossZone.Add(int64(size))
+	}
+}
+
+// SpendBandwidth accounts for bytes that others give to the machine's link, such
+// as those to clients. It may be called by any goroutine.
+func (t *Transport) SpendBandwidth(size int) {
+	if t.pacer.rate.Load() != 0 {
+		t.pacer.Spend(time.Now(), size)
+	}
+}
+
+// SetRate sets the bytes a second that the machine's link takes, 0 for no limit.
+// It may be called at any time.
+func (t *Transport) SetRate(rate int) { t.pacer.SetRate(rate) }
+
+// EnableCompression has batches to other zones compressed, on connections made
+// from now on.
+func (t *Transport) EnableCompression() { t.compression.Store(true) }
+
+// ObserveLinks has connections that end dialed again at once, and addresses that
+// refuse connections reported to the owner as ConnectionRefused.
+func (t *Transport) ObserveLinks() { t.observesLinks.Store(true) }
