--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -13,7 +13,7 @@
 )
 
 func main() {
-	os.Exit(daemon.Main(membership.KindController, os.Args[1:], build))
+	os.Exit(int(daemon.Main(membership.KindController, os.Args[1:], build)))
 }
 
 func build(current settings.Settings, self membership.Member, stored daemon.StoredState) (daemon.Service, error) {
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -17,7 +17,7 @@
 )
 
 func main() {
-	os.Exit(daemon.Main(membership.KindGateway, os.Args[1:], build))
+	os.Exit(int(daemon.Main(membership.KindGateway, os.Args[1:], build)))
 }
 
 // processorTime is what this process has used so far.
--- /dev/null
+++ b/internal/daemon/control_test.go
@@ -0,0 +1,197 @@
+package daemon
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"dahlialock/internal/logevent"
+	"dahlialock/internal/membership"
+	"dahlialock/internal/statemachine"
+)
+
+// delayedResponder keeps requests until respondAll, and then responds to the
+// newest first.
+type delayedResponder struct {
+	echo
+	pending  []operatorRequest
+	received chan string
+}
+
+type operatorRequest struct {
+	request uint64
+	path    string
+}
+
+type respondAll struct{}
+
+func (dr *delayedResponder) HandleCommand(_ time.Time, command any, effects *statemachine.Effects) {
+	switch body := command.(type) {
+	case operatorRequest:
+		dr.pending = append(dr.pending, body)
+		dr.received <- body.path
+	case respondAll:
+		for position := len(dr.pending) - 1; position >= 0; position-- {
+			each := dr.pending[position]
+			effects.Respond(each.request, membership.ControlResponse{Status: 200, Body: []byte(each.path)})
+			// A second response to the same request is for nobody.
+			effects.Respond(each.request, membership.ControlResponse{Status: 409, Body: []byte("again")})
+		}
+		dr.pending = nil
+	case stopNow:
+		effects.Stop = true
+	}
+}
+
+// newDelayedControl serves the ctl of a daemon with a delayedResponder.
+func newDelayedControl(t *testing.T) (*httptest.Server, *EventLoop, *delayedResponder) {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	assert.NilError(t, err)
+	address := listener.Addr().String()
+	_ = listener.Close()
+	loop, err := NewEventLoop(Options{Address: address, Logger: logevent.New(io.Discard, "controller", 0)})
+	assert.NilError(t, err)
+	machine := &delayedResponder{received: make(chan string, 16)}
+	loop.Start(machine)
+	process := &process{loop: loop, service: Service{
+		Machine:  machine,
+		Ready:    func(time.Time) bool { return true },
+		Counters: func() any { return nil },
+		OperatorRequest: func(number uint64, _, path string, _ []byte) any {
+			return operatorRequest{request: number, path: path}
+		},
+	}}
+	server := httptest.NewServer(process.controlHandler())
+	t.Cleanup(func() {
+		server.CloseClientConnections()
+		server.Close()
+		loop.Post(stopNow{})
+		<-loop.Done()
+		loop.Transport().Close()
+	})
+	return server, loop, machine
+}
+
+func get(within context.Context, server *httptest.Server, path string) (string, error) {
+	request, err := http.NewRequestWithContext(within, http.MethodGet, server.URL+path, nil)
+	if err != nil {
+		return "", err
+	}
+	response, err := server.Client().Do(request)
+	if err != nil {
+		return "", err
+	}
+	defer func() { _ = response.Body.Close() }()
+	body, err := io.ReadAll(response.Body)
+	return strings.TrimSpace(string(body)), err
+}
+
+func TestControlRespondsToEachRequester(t *testing.T) {
+	server, loop, machine := newDelayedControl(t)
+	gone, leave := context.WithCancel(context.Background())
+	left := make(chan error, 1)
+	go func() {
+		_, err := get(gone, server, "/v1/gone")
+		left <- err
+	}()
+	<-machine.received
+	leave()
+	assert.Assert(t, <-left != nil)
+	answers := make(chan string, 4)
+	for number := range 4 {
+		go func() {
+			path := fmt.Sprintf("/v1/caller-%d", number)
+			got, err := get(context.Background(), server, path)
+			answers <- fmt.Sprint(got == path, err)
+		}()
+	}
+	for range 4 {
+		<-machine.received
+	}
+	loop.Post(respondAll{})
+	for range 4 {
+		assert.Equal(t, <-answers, "true <nil>")
+	}
+}
+
+// Requests on one connection, sent before the first is answered.
+func TestControlRespondsToPipelinedRequestsInOrder(t *testing.T) {
+	server, loop, machine := newDelayedControl(t)
+	connection, err := net.Dial("tcp", server.Listener.Addr().String())
+	assert.NilError(t, err)
+	defer func() { _ = connection.Close() }()
+	for _, path := range []string{"/v1/first", "/v1/second"} {
+		_, err = fmt.Fprintf(connection, "GET %s HTTP/1.1\r\nHost: x\r\n\r\n", path)
+		assert.NilError(t, err)
+	}
+	reader := bufio.NewReader(connection)
+	for _, path := range []string{"/v1/first", "/v1/second"} {
+		assert.Equal(t, <-machine.received, path)
+		loop.Post(respondAll{})
+		response, err := http.ReadResponse(reader, nil)
+		assert.NilError(t, err)
+		body, err := io.ReadAll(response.Body)
+		assert.NilError(t, err)
+		assert.Equal(t, strings.TrimSpace(string(body)), path)
+	}
+}
+
+// testAdapter is an adapter of one route.
+type testAdapter struct{}
+
+func (testAdapter) RegisterRoutes(routes *http.ServeMux, port ControlPort) {
+	routes.HandleFunc("GET /v1/adapted", func(writer http.ResponseWriter, _ *http.Request) {
+		writeJSON(writer, http.StatusOK, map[string]any{"ready": port.Ready(), "live": port.Live()})
+	})
+}
+
+func TestControlRespondsInJSONToUnknownRoutes(t *testing.T) {
+	loop, machine := openEcho(t)
+	requests := 0
+	process := &process{loop: loop, service: Service{
+		Machine:        machine,
+		Ready:          func(time.Time) bool { return true },
+		Counters:       func() any { return nil },
+		ControlAdapter: testAdapter{},
+		OperatorRequest: func(number uint64, method, path string, _ []byte) any {
+			requests++
+			return said{request: number, text: "not a reply"}
+		},
+	}}
+	control := process.controlHandler()
+	for call, want := range map[string]struct {
+		status int
+		text   string
+	}{
+		"GET /live":                 {200, `"live":true`},
+		"GET /ready":                {200, `"ready":true`},
+		"GET /v1/adapted":           {200, `"ready":true`},
+		"GET /":                     {404, `"code":"no-such-path"`},
+		"GET /nothing":              {404, `"code":"no-such-path"`},
+		"PUT /ready":                {405, `"code":"no-such-method"`},
+		"DELETE /live":              {405, `"code":"no-such-method"`},
+		"GET /v2/configuration":     {404, `"code":"no-such-path"`},
+		"POST /debug/pprof/heap":    {405, `"code":"no-such-method"`},
+		"POST /v1/configuration":    {503, `"code":"stopping"`},
+		"GET /debug/pprof/nothing":  {404, `"code":"no-such-path"`},
+		"PUT /v1/configuration?x=y": {503, `"code":"stopping"`},
+	} {
+		method, path, _ := strings.Cut(call, " ")
+		recorder := httptest.NewRecorder()
+		control.ServeHTTP(recorder, httptest.NewRequest(method, path, nil))
+		assert.Equal(t, recorder.Code, want.status, call)
+		assert.Assert(t, strings.Contains(recorder.Body.String(), want.text), "%s: %s", call, recorder.Body.String())
+		assert.Equal(t, recorder.Header().Get("Content-Type"), "application/json", call)
+	}
+	assert.Equal(t, requests, 2)
+}
--- /dev/null
+++ b/internal/daemon/deadline_test.go
@@ -0,0 +1,139 @@
+package daemon
+
+import (
+	"io"
+	"net"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"dahlialock/internal/logevent"
+	"dahlialock/internal/membership"
+	"dahlialock/internal/statemachine"
+	"dahlialock/internal/transport"
+)
+
+const testLease = time.Second
+
+// suspension is how long the process of a sleeper is suspended within a step.
+const suspension = 20 * time.Second
+
+// sleeper is a machine whose process can be suspended, by a clock that the test
+// sets.
+type sleeper struct {
+	// clock has the nanoseconds since the start.
+	clock    *atomic.Int64
+	self     string
+	peer     string
+	received []string
+}
+
+// suspend has the sleeper send and respond under a lease, and then be suspended;
+// readClock has it respond with the time of the step.
+type (
+	suspend   struct{ request uint64 }
+	readClock struct{ request uint64 }
+)
+
+func (*sleeper) Start(time.Time, *statemachine.Effects) {}
+func (*sleeper) Tick(time.Time, *statemachine.Effects)  {}
+func (*sleeper) NextTick() time.Time                    { return time.Time{} }
+func (*sleeper) ConfigurationVersion() uint64           { return 0 }
+
+func (s *sleeper) HandleMessage(_ time.Time, _ statemachine.Meta, message any, _ *statemachine.Effects) {
+	s.received = append(s.received, message.(membership.GracefulLeave).Name)
+}
+
+func (s *sleeper) HandleCommand(now time.Time, command any, effects *statemachine.Effects) {
+	switch body := command.(type) {
+	case suspend:
+		until := now.Add(testLease)
+		effects.SendBefore(s.peer, membership.GracefulLeave{Name: "under the lease"}, until)
+		effects.Send(s.peer, membership.GracefulLeave{Name: "at any time"})
+		effects.SendBefore(s.self, membership.GracefulLeave{Name: "under the lease"}, until)
+		effects.Send(s.self, membership.GracefulLeave{Name: "at any time"})
+		effects.Responses = append(effects.Responses, statemachine.Response{
+			Request:   body.request,
+			Value:     "yes",
+			NotAfter:  until,
+			LateValue: "come back",
+		})
+		s.clock.Add(int64(suspension))
+	case readClock:
+		effects.Respond(body.request, now)
+	case stopNow:
+		effects.Stop = true
+	}
+}
+
+func freeAddress(t *testing.T) string {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	assert.NilError(t, err)
+	defer func() { _ = listener.Close() }()
+	return listener.Addr().String()
+}
+
+func openSleeper(t *testing.T, peer string) (*EventLoop, *sleeper) {
+	t.Helper()
+	machine := &sleeper{clock: &atomic.Int64{}, self: freeAddress(t), peer: peer}
+	began := time.Now()
+	opened, err := NewEventLoop(Options{
+		Address: machine.self,
+		Logger:  logevent.New(io.Discard, "sleeper", 0),
+		Clock:   func() time.Time { return began.Add(time.Duration(machine.clock.Load())) },
+	})
+	assert.NilError(t, err)
+	opened.Start(machine)
+	t.Cleanup(func() {
+		opened.Post(stopNow{})
+		<-opened.Done()
+		opened.Transport().Close()
+	})
+	return opened, machine
+}
+
+// What may be sent under a lease isn't sent by a process that was suspended in
+// between: not to others, not to itself, and not in response.
+func TestEventLoopDropsWhatExpiredDuringSuspension(t *testing.T) {
+	inbox, control := make(chan transport.Inbound, 8), make(chan transport.Inbound, 8)
+	peer := freeAddress(t)
+	links, err := transport.Open(peer, inbox, control, func(string, error) {})
+	assert.NilError(t, err)
+	t.Cleanup(links.Close)
+	loop, machine := openSleeper(t, peer)
+	value, alive := loop.Call(func(request uint64) any { return suspend{request: request} })
+	assert.Assert(t, alive)
+	assert.Equal(t, value, "come back")
+	select {
+	case first := <-inbox:
+		assert.Equal(t, first.Message.(membership.GracefulLeave).Name, "at any time")
+	case first := <-control:
+		assert.Equal(t, first.Message.(membership.GracefulLeave).Name, "at any time")
+	case <-time.After(20 * time.Second):
+		t.Fatal("nothing came")
+	}
+	received, _ := loop.Inspect(func(time.Time) any { return machine.received })
+	assert.DeepEqual(t, received, []string{"at any time"})
+}
+
+// A process that was suspended within a turn handles the rest of the turn by the
+// clock as it is then.
+func TestEventLoopReadsClockBeforeEachStep(t *testing.T) {
+	loop, machine := openSleeper(t, "")
+	var moments []time.Time
+	command := func(request uint64) any { return readClock{request: request} }
+	record := func(value any) { moments = append(moments, value.(time.Time)) }
+	loop.Execute(func(context LoopContext) {
+		context.Submit(command, record)
+		machine.clock.Add(int64(suspension))
+		context.Submit(command, record)
+	})
+	_, alive := loop.Inspect(func(time.Time) any { return nil })
+	assert.Assert(t, alive)
+	assert.Equal(t, len(moments), 2)
+	between := moments[1].Sub(moments[0])
+	assert.Assert(t, between >= suspension, "the second step was made %s after the first", between)
+}
--- /dev/null
+++ b/internal/daemon/event_loop_test.go
@@ -0,0 +1,139 @@
+package daemon
+
+import (
+	"io"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"dahlialock/internal/logevent"
+	"dahlialock/internal/membership"
+	"dahlialock/internal/statemachine"
+)
+
+// echo responds to each command with its text, and delivers it to session 7.
+type echo struct {
+	turns int
+	due   time.Time
+}
+
+type said struct {
+	request uint64
+	text    string
+}
+
+type (
+	setTimer struct{}
+	stopNow  struct{}
+)
+
+func (*echo) Start(time.Time, *statemachine.Effects)                                 {}
+func (*echo) HandleMessage(time.Time, statemachine.Meta, any, *statemachine.Effects) {}
+func (e *echo) Tick(time.Time, *statemachine.Effects)                                { e.due = time.Time{}; e.turns++ }
+func (e *echo) NextTick() time.Time                                                  { return e.due }
+func (*echo) ConfigurationVersion() uint64                                           { return 3 }
+func (*echo) ViewClient() *membership.ViewClient                                     { return &membership.ViewClient{} }
+
+func (e *echo) HandleCommand(now time.Time, command any, effects *statemachine.Effects) {
+	switch body := command.(type) {
+	case said:
+		effects.Respond(body.request, body.text)
+		delivery := statemachine.Delivery{Session: 7, Event: body.text, Close: body.text == "last"}
+		effects.Deliveries = append(effects.Deliveries, delivery)
+	case setTimer:
+		e.due = now
+	case stopNow:
+		effects.Stop = true
+	}
+}
+
+func openEcho(t *testing.T) (*EventLoop, *echo) {
+	t.Helper()
+	opened, err := NewEventLoop(Options{Address: freeAddress(t), Logger: logevent.New(io.Discard, "echo", 0)})
+	assert.NilError(t, err)
+	machine := &echo{}
+	opened.Start(machine)
+	t.Cleanup(func() {
+		opened.Post(stopNow{})
+		<-opened.Done()
+		opened.Transport().Close()
+	})
+	return opened, machine
+}
+
+func say(text string) func(request uint64) any {
+	return func(request uint64) any { return said{request: request, text: text} }
+}
+
+func TestEventLoopSubmitResponds(t *testing.T) {
+	loop, _ := openEcho(t)
+	answers := make(chan any, 1)
+	loop.Submit(say("a"), func(value any) { answers <- value })
+	assert.Equal(t, <-answers, "a")
+	value, alive := loop.Call(say("b"))
+	assert.Assert(t, alive)
+	assert.Equal(t, value, "b")
+}
+
+func TestEventLoopSubmitAfterStopRespondsNil(t *testing.T) {
+	loop, _ := openEcho(t)
+	loop.Post(stopNow{})
+	<-loop.Done()
+	answers := make(chan any, 1)
+	loop.Submit(say("a"), func(value any) { answers <- value })
+	assert.Assert(t, <-answers == nil)
+	_, alive := loop.Call(say("b"))
+	assert.Assert(t, !alive)
+}
+
+func TestEventLoopKeepsOrderAndFlushesOncePerTurn(t *testing.T) {
+	loop, _ := openEcho(t)
+	delivered := make(chan string, 64)
+	turns := make(chan int, 64)
+	count := 0
+	loop.AttachSessionFunc(7, func(deliver statemachine.Delivery) { delivered <- deliver.Event.(string); count++ })
+	loop.OnTurnEnd(func() {
+		if count > 0 {
+			turns <- count
+			count = 0
+		}
+	})
+	loop.Execute(func(context LoopContext) {
+		for _, text := range []string{"a", "b", "c"} {
+			context.Submit(say(text), func(value any) { delivered <- "response " + value.(string) })
+		}
+	})
+	for _, want := range []string{"response a", "a", "response b", "b", "response c", "c"} {
+		assert.Equal(t, <-delivered, want)
+	}
+	assert.Equal(t, <-turns, 3)
+}
+
+func TestEventLoopDeliversNothingAfterClose(t *testing.T) {
+	loop, _ := openEcho(t)
+	delivered := make(chan string, 64)
+	loop.AttachSessionFunc(7, func(deliver statemachine.Delivery) { delivered <- deliver.Event.(string) })
+	for _, text := range []string{"a", "last", "b"} {
+		_, alive := loop.Call(say(text))
+		assert.Assert(t, alive)
+	}
+	close(delivered)
+	var all []string
+	for text := range delivered {
+		all = append(all, text)
+	}
+	assert.DeepEqual(t, all, []string{"a", "last"})
+}
+
+func TestEventLoopRunsDueTimersAtOnce(t *testing.T) {
+	loop, machine := openEcho(t)
+	loop.Post(setTimer{})
+	for {
+		turns, alive := loop.Inspect(func(time.Time) any { return machine.turns })
+		assert.Assert(t, alive)
+		if turns.(int) > 0 {
+			return
+		}
+	}
+}
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -1,552 +1,250 @@
-// Package daemon runs a state machine as a process.
-//
-// What all daemons have in common as processes: settings that are checked and
-// reloaded, a data folder that one process holds at a time, signals, readiness,
-// and the ctl address at which every daemon gives operators the same answers.
 package daemon
 
 import (
 	"context"
-	"crypto/rand"
-	"encoding/binary"
-	"encoding/hex"
-	"encoding/json"
 	"errors"
 	"flag"
 	"fmt"
-	"io"
 	"net"
 	"net/http"
-	"net/http/pprof"
 	"os"
 	"os/signal"
-	"path/filepath"
 	"runtime"
 	"runtime/debug"
-	"strconv"
 	"strings"
 	"syscall"
 	"time"
 
-	"github.com/joomcode/errorx"
-
-	"dahlialock/internal/config"
-	"dahlialock/internal/controlclient"
-	"dahlialock/internal/decisionlog"
 	"dahlialock/internal/logevent"
 	"dahlialock/internal/membership"
 	"dahlialock/internal/settings"
-	"dahlialock/internal/statemachine"
 	"dahlialock/internal/transport"
-	"dahlialock/internal/wal"
 )
 
-// Exit codes of daemons.
 const (
-	ExitOK        = 0
-	ExitFailed    = 1
-	ExitInvariant = 2
-	ExitDisk      = 3
-	ExitSettings  = 64
+	// garbageCollectionPercent is that of debug.SetGCPercent: on small machines
+	// memory costs more than the time of the collector, which doesn't show at
+	// this rate.
+	garbageCollectionPercent = 100
+	maxProcessors            = 4
+
+	readHeaderTimeout     = 5 * time.Second
+	idleConnectionTimeout = 2 * time.Minute
+	maxRequestHeaderBytes = 32 << 10
+	// serversShutdownTimeout bounds the time for HTTP requests in progress.
+	serversShutdownTimeout = 300 * time.Millisecond
 )
 
-const (
-	bodyMost     = 2 << 20
-	inspectLimit = 800 * time.Millisecond
-)
-
-// Daemon is a machine with what ctl wants to know of it.
-type Daemon interface {
-	statemachine.Machine
-	ViewClient() *membership.ViewClient
-}
-
-// Service is what one kind of daemon brings.
-type Service struct {
-	Machine          Daemon
-	Ready            func(now time.Time) bool
-	StopCommand      any
-	CloseSlowSession func(channel uint64) any
-	OperatorRequest  func(local uint64, method, path string, body []byte) any
-	FindDecisions    func(local uint64, request, message, origin string) any
-	Counters         func() any
-	ClientHandler    func(host *EventLoop) http.Handler
-	// ListenClients serves callers at an address by itself, in place of Caller.
-	ListenClients func(at *EventLoop, address string) (Server, error)
-	// ControlAdapter adds routes to ctl, next to the daemons' own.
-	ControlAdapter ControlAdapter
-	Reload         func(after settings.Settings)
-}
-
-// Server serves callers until it is closed.
-type Server interface{ Close() }
-
-// ControlAdapter answers at ctl in other words than the daemons' own. It decides
-// nothing: it asks through the port.
-type ControlAdapter interface {
-	RegisterRoutes(routes *http.ServeMux, port ControlPort)
-}
-
-// ControlReply is the answer to a request at ctl.
-type ControlReply struct {
-	Status     int
-	RetryAfter time.Duration
-	Body       []byte
-}
-
-// ControlPort is what an adapter may ask of its daemon.
-type ControlPort interface {
-	// Live tells whether the owner answers, Ready whether it would take callers.
-	Live() bool
-	Ready() bool
-	// Request carries an operator's request to the primary.
-	Request(method, path string, body []byte) ControlReply
-}
-
-// StoredState is what a daemon's disk held, and what was drawn for this start: a name
-// for its disk, if that is blank, and the name of this life.
-type StoredState struct {
-	Snapshot    []byte
-	Entries     [][]byte
-	NewDisk     string
-	Incarnation statemachine.Incarnation
-}
-
-// Builder makes a daemon from its settings.
-type Builder func(settings settings.Settings, self membership.Member, stored StoredState) (Service, error)
-
-// Main runs a daemon and gives its exit code.
-func Main(kind string, arguments []string, build Builder) int {
-	source, err := settings.ParseFlags(kind, arguments)
+// Main runs a daemon of a kind, as in membership.Member, and returns the exit code
+// of the process.
+func Main(kind string, arguments []string, build Builder) ExitCode {
+	loader, err := settings.ParseFlags(kind, arguments)
 	if errors.Is(err, flag.ErrHelp) {
 		return ExitOK
 	}
 	if err != nil {
-		fmt.Fprintf(os.Stderr, "%s: %v\n", kind, err)
-		return ExitSettings
+		return exitWith(kind, err, ExitSettings)
 	}
-	current, err := source.Load()
+	current, err := loader.Load()
 	if err != nil {
-		fmt.Fprintf(os.Stderr, "%s: %v\n", kind, err)
-		return ExitSettings
+		return exitWith(kind, err, ExitSettings)
 	}
-	// On small machines memory costs more than the collector's time, which does
-	// not show at this rate.
-	debug.SetGCPercent(100)
+	debug.SetGCPercent(garbageCollectionPercent)
 	debug.SetMemoryLimit(current.MemoryLimit())
-	runtime.GOMAXPROCS(min(runtime.NumCPU(), 4))
-	running := &process{kind: kind, source: source, current: current, logger: logevent.New(os.Stderr, current.Name, current.LogLevel)}
-	return running.run(build)
-}
-
-type process struct {
-	kind    string
-	source  *settings.Loader
-	current settings.Settings
-	logger  *logevent.Logger
-	host    *EventLoop
-	built   Service
-	self    membership.Member
+	runtime.GOMAXPROCS(min(runtime.NumCPU(), maxProcessors))
+	process := &process{
+		kind:     kind,
+		loader:   loader,
+		settings: current,
+		logger:   logevent.New(os.Stderr, current.Name, current.LogLevel),
+	}
+	return process.run(build)
 }
 
-func (p *process) failed(err error) int {
-	fmt.Fprintf(os.Stderr, "%s: %v\n", p.kind, err)
-	return ExitFailed
+// exitWith prints why a daemon of a kind doesn't start.
+func exitWith(kind string, err error, code ExitCode) ExitCode {
+	fmt.Fprintf(os.Stderr, "%s: %v\n", kind, err)
+	return code
 }
 
-func (p *process) run(build Builder) int {
-	current := p.current
+// process is a daemon's process. Its fields are set while it starts; settings
+// changes with each reload, and is only used by the goroutine of Main.
+type process struct {
+	kind     string
+	loader   *settings.Loader
+	settings settings.Settings
+	logger   *logevent.Logger
+	self     membership.Member
+	service  Service
+	loop     *EventLoop
+	// servers and clients are closed at the end; clients is nil for a daemon that
+	// serves them by HTTP or not at all.
+	servers []*http.Server
+	clients Server
+}
+
+func (p *process) run(build Builder) ExitCode {
+	current := p.settings
 	p.self = membership.Member{
-		Name: current.Name, Kind: p.kind, Address: current.Address, Control: current.ControlAddress, Caller: current.ClientAddress,
-		Zone: current.Zone, Incarnation: uint64(time.Now().UnixNano()), Alive: true,
-	}
-	book, stored, err := p.openDisk()
+		Name:        current.Name,
+		Kind:        p.kind,
+		Address:     current.Address,
+		Control:     current.ControlAddress,
+		Caller:      current.ClientAddress,
+		Zone:        current.Zone,
+		Incarnation: uint64(time.Now().UnixNano()),
+		Alive:       true,
+	}
+	log, stored, err := p.openDisk()
 	if err != nil {
 		p.logger.Report(logevent.DiskWriteFailed, "error", err.Error())
 		return ExitDisk
 	}
-	p.built, err = build(current, p.self, stored)
-	if err != nil {
-		return p.failed(err)
+	if p.service, err = build(current, p.self, stored); err != nil {
+		return exitWith(p.kind, err, ExitFailed)
 	}
-	p.host, err = NewEventLoop(Options{Address: current.Address, Logger: p.logger, Log: book, CloseSlowSession: p.built.CloseSlowSession})
+	p.loop, err = NewEventLoop(Options{
+		Address:          current.Address,
+		Logger:           p.logger,
+		Log:              log,
+		CloseSlowSession: p.service.CloseSlowSession,
+	})
 	if err != nil {
-		return p.failed(err)
+		return exitWith(p.kind, err, ExitFailed)
 	}
-	p.impairment(current)
-	p.host.Transport().SetRate(current.LinkBytesPerSecond)
+	p.applyImpairment(current.Impairment)
+	p.loop.Transport().SetRate(current.LinkBytesPerSecond)
 	if current.Compression == settings.CompressionFar {
-		p.host.Transport().EnableCompression()
-	}
-	control, err := net.Listen("tcp", current.ControlAddress)
-	if err != nil {
-		return p.failed(err)
+		p.loop.Transport().EnableCompression()
 	}
-	servers := []*http.Server{serve(control, p.control())}
-	var callers Server
-	switch {
-	case p.built.ListenClients != nil:
-		if callers, err = p.built.ListenClients(p.host, current.ClientAddress); err != nil {
-			return p.failed(err)
-		}
-	case p.built.ClientHandler != nil:
-		caller, err := net.Listen("tcp", current.ClientAddress)
-		if err != nil {
-			return p.failed(err)
-		}
-		servers = append(servers, serve(caller, p.built.ClientHandler(p.host)))
+	if err := p.listen(); err != nil {
+		return exitWith(p.kind, err, ExitFailed)
 	}
-	p.logger.Report(logevent.DaemonStarted, "kind", p.kind, "address", current.Address, "ctl", current.ControlAddress, "zone", current.Zone)
-	p.host.Start(p.built.Machine)
+	p.logger.Report(logevent.DaemonStarted,
+		"kind", p.kind, "address", current.Address, "ctl", current.ControlAddress, "zone", current.Zone)
+	p.loop.Start(p.service.Machine)
 	p.wait()
-	if callers != nil {
-		callers.Close()
+	p.close()
+	p.logger.Report(logevent.DaemonStopped)
+	return ExitOK
+}
+
+// listen serves operators, and clients if the service does.
+func (p *process) listen() error {
+	if err := p.serve(p.settings.ControlAddress, p.controlHandler()); err != nil {
+		return err
 	}
-	stopping, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
-	defer cancel()
-	for _, server := range servers {
-		if server.Shutdown(stopping) != nil {
-			_ = server.Close()
+	switch {
+	case p.service.ListenClients != nil:
+		clients, err := p.service.ListenClients(p.loop, p.settings.ClientAddress)
+		if err != nil {
+			return err
 		}
+		p.clients = clients
+	case p.service.ClientHandler != nil:
+		return p.serve(p.settings.ClientAddress, p.service.ClientHandler(p.loop))
 	}
-	p.host.Transport().Close()
-	p.logger.Report(logevent.DaemonStopped)
-	return ExitOK
+	return nil
 }
 
-func serve(listener net.Listener, handler http.Handler) *http.Server {
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: 5 * time.Second, IdleTimeout: 2 * time.Minute, MaxHeaderBytes: 32 << 10}
+// serve serves HTTP at an address.
+func (p *process) serve(address string, handler http.Handler) error {
+	listener, err := net.Listen("tcp", address)
+	if err != nil {
+		return err
+	}
+	server := &http.Server{
+		Handler:           handler,
+		ReadHeaderTimeout: readHeaderTimeout,
+		IdleTimeout:       idleConnectionTimeout,
+		MaxHeaderBytes:    maxRequestHeaderBytes,
+	}
+	p.servers = append(p.servers, server)
 	go func() { _ = server.Serve(listener) }()
-	return server
+	return nil
 }
 
-// wait answers signals and changed settings until the daemon has ended.
+// wait handles signals and changes of the settings until the machine has stopped.
 func (p *process) wait() {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
-	told := p.trafficTicks()
-	changed := p.source.Watch()
+	trafficTicks := p.trafficTicks()
+	changed := p.loader.Watch()
 	for {
 		select {
-		case got := <-signals:
-			if got == syscall.SIGHUP {
-				p.reload("signal")
+		case received := <-signals:
+			if received == syscall.SIGHUP {
+				p.reload(reloadBySignal)
 				continue
 			}
 			p.logger.Report(logevent.DaemonStopping)
-			p.host.Post(p.built.StopCommand)
+			p.loop.Post(p.service.StopCommand)
 		case <-changed:
-			p.reload("file")
-		case <-told:
-			p.logger.Report(logevent.TrafficReported, p.traffic()...)
-		case <-p.host.Done():
+			p.reload(reloadByFile)
+		case <-trafficTicks:
+			p.logger.Report(logevent.TrafficReported, p.trafficFields()...)
+		case <-p.loop.Done():
 			return
 		}
 	}
 }
 
-// trafficTicks tells when the traffic is to be logged; nil never does.
-func (p *process) trafficTicks() <-chan time.Time {
-	if p.current.TrafficInterval <= 0 {
-		return nil
+// close closes all servers and links after the machine has stopped.
+func (p *process) close() {
+	if p.clients != nil {
+		p.clients.Close()
 	}
-	return time.NewTicker(p.current.TrafficInterval).C
-}
-
-// traffic is what crossed the links since the daemon started, by kind.
-func (p *process) traffic() []any {
-	links := p.host.Transport()
-	fields := []any{"links", linkCounts(&links.Counters), "sent", links.Sent(), "received", links.Received()}
-	if p.built.ListenClients != nil {
-		callers, _ := p.inspect(func(time.Time) any { return p.built.Counters() })
-		fields = append(fields, "counters", callers)
+	timeout, cancel := context.WithTimeout(context.Background(), serversShutdownTimeout)
+	defer cancel()
+	for _, server := range p.servers {
+		if server.Shutdown(timeout) != nil {
+			_ = server.Close()
+		}
 	}
-	return fields
+	p.loop.Transport().Close()
 }
 
-func (p *process) reload(why string) {
-	after, err := p.source.Load()
+// reloadReason is why settings are reloaded, as the log has it.
+type reloadReason string
+
+const (
+	reloadBySignal reloadReason = "signal"
+	reloadByFile   reloadReason = "file"
+)
+
+// reload applies changed settings, or leaves the previous ones in force.
+func (p *process) reload(why reloadReason) {
+	after, err := p.loader.Load()
 	if err != nil {
 		p.logger.Report(logevent.SettingsRejected, "error", err.Error(), "why", why)
 		return
 	}
-	if differ := settings.ImmutableChanges(p.current, after); len(differ) > 0 {
-		p.logger.Report(logevent.SettingsRejected, "error", "only a restart changes "+strings.Join(differ, ", "), "why", why)
+	if changes := settings.ImmutableChanges(p.settings, after); len(changes) > 0 {
+		problem := "only a restart changes " + strings.Join(changes, ", ")
+		p.logger.Report(logevent.SettingsRejected, "error", problem, "why", why)
 		return
 	}
-	p.current = after
-	p.impairment(after)
-	p.host.Transport().SetRate(after.LinkBytesPerSecond)
+	p.settings = after
+	p.applyImpairment(after.Impairment)
+	p.loop.Transport().SetRate(after.LinkBytesPerSecond)
 	debug.SetMemoryLimit(after.MemoryLimit())
 	p.logger.SetLevel(after.LogLevel)
-	if p.built.Reload != nil {
-		p.host.Inspect(func(time.Time) any {
-			p.built.Reload(after)
+	if p.service.Reload != nil {
+		p.loop.Inspect(func(time.Time) any {
+			p.service.Reload(after)
 			return nil
 		})
 	}
 	p.logger.Report(logevent.SettingsApplied, "why", why)
 }
 
-func (p *process) impairment(settings settings.Settings) {
-	trial := settings.Impairment
-	p.host.Transport().SetImpairment(transport.Impairment{Delays: trial.Delays, Loss: trial.Loss, Partitioned: trial.Partitioned, OutboundBlocked: trial.OutboundBlocked, InboundBlocked: trial.InboundBlocked})
-	p.host.slowDisk.Store(int64(trial.DiskDelay))
-}
-
-// openDisk opens the data folder; a damaged one is put aside, so that the copy
-// is rebuilt from the other holder.
-func (p *process) openDisk() (*wal.Log, StoredState, error) {
-	stored := StoredState{NewDisk: hex.EncodeToString(mustRandom()), Incarnation: statemachine.Incarnation(binary.BigEndian.Uint64(mustRandom()))}
-	path := p.current.DataDir
-	if path == "" {
-		return nil, stored, nil
-	}
-	folder, err := wal.OpenFileFolder(path)
-	if err != nil {
-		return nil, stored, err
-	}
-	if err := lock(path); err != nil {
-		return nil, stored, err
-	}
-	book, recovered, err := p.openBook(folder)
-	if errorx.IsOfType(err, wal.ErrorDamage) {
-		p.logger.Report(logevent.DiskDamaged, "error", err.Error())
-		if err := wal.PutAside(folder); err != nil {
-			return nil, stored, err
-		}
-		book, recovered, err = p.openBook(folder)
-	}
-	if err != nil {
-		return nil, stored, err
-	}
-	if recovered.Torn > 0 {
-		p.logger.Report(logevent.DiskTorn, "bytes", recovered.Torn)
-	}
-	stored.Snapshot, stored.Entries = recovered.Frame, recovered.Entries
-	return book, stored, nil
-}
-
-// openBook opens the log, again and again while the disk refuses.
-func (p *process) openBook(folder wal.Folder) (*wal.Log, wal.Recovered, error) {
-	for tries := 0; ; tries++ {
-		book, recovered, err := wal.Open(folder)
-		if !errorx.IsOfType(err, wal.ErrorDisk) {
-			return book, recovered, err
-		}
-		if tries%refusedReports == 0 {
-			p.logger.Report(logevent.DiskWriteFailed, "error", err.Error(), "tries", tries+1)
-		}
-		time.Sleep(refusedPause)
-	}
-}
-
-func lock(path string) error {
-	file, err := os.OpenFile(filepath.Join(path, "lock"), os.O_RDWR|os.O_CREATE, 0o644)
-	if err != nil {
-		return err
-	}
-	if err := syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		return wal.ErrorDisk.New("another process holds %s", path)
-	}
-	heldLocks = append(heldLocks, file)
-	return nil
-}
-
-// heldLocks keeps the files open for as long as the process lives.
-var heldLocks []*os.File
-
-// mustRandom is the port for randomness: eight bytes, drawn as the process starts.
-func mustRandom() []byte {
-	var body [8]byte
-	if _, err := rand.Read(body[:]); err != nil {
-		panic(err)
-	}
-	return body[:]
-}
-
-// The ctl address.
-
-func writeJSON(writer http.ResponseWriter, status int, value any) {
-	body, err := json.Marshal(value)
-	if err != nil {
-		status, body = http.StatusInternalServerError, controlclient.ErrorBody("encoding", err.Error(), nil)
-	}
-	writer.Header().Set("Content-Type", "application/json")
-	writer.WriteHeader(status)
-	_, _ = writer.Write(append(body, '\n'))
-}
-
-func (p *process) control() http.Handler {
-	routes := http.NewServeMux()
-	routes.HandleFunc("GET /live", func(writer http.ResponseWriter, _ *http.Request) {
-		if !p.Live() {
-			writeJSON(writer, http.StatusServiceUnavailable, map[string]any{"live": false})
-			return
-		}
-		writeJSON(writer, http.StatusOK, map[string]any{"live": true})
-	})
-	routes.HandleFunc("GET /ready", func(writer http.ResponseWriter, _ *http.Request) {
-		if !p.Ready() {
-			writeJSON(writer, http.StatusServiceUnavailable, map[string]any{"ready": false})
-			return
-		}
-		writeJSON(writer, http.StatusOK, map[string]any{"ready": true})
-	})
-	routes.HandleFunc("GET /v1/self", p.describe)
-	routes.HandleFunc("GET /v1/decisions", p.decisions)
-	routes.HandleFunc("POST /v1/configuration/check", func(writer http.ResponseWriter, request *http.Request) {
-		body, whole := readBody(writer, request)
-		if !whole {
-			return
-		}
-		configuration, faults := config.Read(body)
-		if len(faults) > 0 {
-			writeJSON(writer, http.StatusBadRequest, map[string]any{"code": "faulty-configuration", "text": "the configuration is faulty", "faults": faults})
-			return
-		}
-		writeJSON(writer, http.StatusOK, map[string]any{"version": configuration.Version, "spaces": len(configuration.Spaces)})
-	})
-	routes.HandleFunc("/v1/", p.sendOn)
-	routes.HandleFunc("GET /debug/pprof/profile", pprof.Profile)
-	routes.HandleFunc("GET /debug/pprof/heap", pprof.Handler("heap").ServeHTTP)
-	if p.built.ControlAdapter != nil {
-		p.built.ControlAdapter.RegisterRoutes(routes, p)
-	}
-	return refuseClearly(routes)
-}
-
-// refuseClearly gives what no route answers a refusal in JSON.
-func refuseClearly(routes *http.ServeMux) http.Handler {
-	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		if _, pattern := routes.Handler(request); pattern != "" {
-			routes.ServeHTTP(writer, request)
-			return
-		}
-		refusal := &refusal{header: http.Header{}}
-		routes.ServeHTTP(refusal, request)
-		if refusal.status == http.StatusMethodNotAllowed {
-			writer.Header().Set("Allow", refusal.header.Get("Allow"))
-			writeJSON(writer, http.StatusMethodNotAllowed, map[string]any{"code": "no-such-method", "text": request.URL.Path + " does not know " + request.Method})
-			return
-		}
-		writeJSON(writer, http.StatusNotFound, map[string]any{"code": "no-such-path", "text": request.URL.Path + " is not known"})
-	})
-}
-
-// refusal takes what the routes would have said.
-type refusal struct {
-	header http.Header
-	status int
-}
-
-func (r *refusal) Header() http.Header            { return r.header }
-func (r *refusal) Write(body []byte) (int, error) { return len(body), nil }
-func (r *refusal) WriteHeader(status int)         { r.status = status }
-
-// Live tells whether the owner answers.
-func (p *process) Live() bool {
-	_, alive := p.inspect(func(time.Time) any { return nil })
-	return alive
-}
-
-// Ready tells whether the daemon would take callers or do its work.
-func (p *process) Ready() bool {
-	ready, alive := p.inspect(func(now time.Time) any { return p.built.Ready(now) })
-	return alive && ready == true
-}
-
-// inspect asks the owner, but no longer than the platform would wait.
-func (p *process) inspect(question func(now time.Time) any) (any, bool) {
-	type answer struct {
-		value any
-		alive bool
-	}
-	answers := make(chan answer, 1)
-	go func() {
-		value, alive := p.host.Inspect(question)
-		answers <- answer{value: value, alive: alive}
-	}()
-	select {
-	case got := <-answers:
-		return got.value, got.alive
-	case <-time.After(inspectLimit):
-		return nil, false
-	}
-}
-
-func (p *process) describe(writer http.ResponseWriter, _ *http.Request) {
-	value, alive := p.inspect(func(now time.Time) any {
-		follower := p.built.Machine.ViewClient()
-		return map[string]any{
-			"name": p.self.Name, "kind": p.kind, "zone": p.self.Zone, "ready": p.built.Ready(now),
-			"version": p.built.Machine.ConfigurationVersion(), "index": follower.Index, "epoch": follower.Epoch, "primary": follower.Primary(),
-			"counters": p.built.Counters(), "links": linkCounts(&p.host.Transport().Counters), "sent": p.host.Transport().Sent(), "received": p.host.Transport().Received(),
-			"steps": p.host.Steps.Load(), "syncs": p.host.Syncs.Load(),
-		}
+func (p *process) applyImpairment(impairment settings.Impairment) {
+	p.loop.Transport().SetImpairment(transport.Impairment{
+		Delays:          impairment.Delays,
+		Loss:            impairment.Loss,
+		Partitioned:     impairment.Partitioned,
+		OutboundBlocked: impairment.OutboundBlocked,
+		InboundBlocked:  impairment.InboundBlocked,
 	})
-	if !alive {
-		writeJSON(writer, http.StatusServiceUnavailable, map[string]any{"code": "busy", "text": "the daemon does not answer"})
-		return
-	}
-	writeJSON(writer, http.StatusOK, value)
-}
-
-func linkCounts(counters *transport.Counters) map[string]int64 {
-	return map[string]int64{
-		"messages_out": counters.MessagesOut.Load(), "bytes_out": counters.BytesOut.Load(),
-		"messages_in": counters.MessagesIn.Load(), "bytes_in": counters.BytesIn.Load(),
-		"messages_away": counters.MessagesCrossZone.Load(), "bytes_away": counters.BytesCrossZone.Load(),
-		"dropped": counters.Dropped.Load(), "garbage": counters.Malformed.Load(), "writes": counters.Writes.Load(), "dials": counters.Dials.Load(), "shed": counters.Shed.Load(), "held": counters.Throttled.Load(),
-	}
-}
-
-func (p *process) decisions(writer http.ResponseWriter, request *http.Request) {
-	query := request.URL.Query()
-	entries := []decisionlog.Entry{}
-	if p.built.FindDecisions != nil {
-		value, alive := p.host.Call(func(local uint64) any {
-			return p.built.FindDecisions(local, query.Get("visit"), query.Get("message"), query.Get("origin"))
-		})
-		if !alive {
-			writeJSON(writer, http.StatusServiceUnavailable, map[string]any{"code": "stopping", "text": "the daemon is stopping"})
-			return
-		}
-		entries = value.([]decisionlog.Entry)
-	}
-	writeJSON(writer, http.StatusOK, map[string]any{"daemon": p.self.Name, "decisions": entries})
-}
-
-func readBody(writer http.ResponseWriter, request *http.Request) ([]byte, bool) {
-	body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, bodyMost))
-	if err != nil {
-		writeJSON(writer, http.StatusRequestEntityTooLarge, map[string]any{"code": "too-large", "text": err.Error()})
-		return nil, false
-	}
-	return body, true
-}
-
-// sendOn carries an operator's request to the primary, wherever it came in.
-func (p *process) sendOn(writer http.ResponseWriter, request *http.Request) {
-	body, whole := readBody(writer, request)
-	if !whole {
-		return
-	}
-	reply := p.Request(request.Method, request.URL.Path, body)
-	if reply.RetryAfter > 0 {
-		writer.Header().Set("Retry-After", strconv.Itoa(int((reply.RetryAfter+time.Second-1)/time.Second)))
-	}
-	writer.Header().Set("Content-Type", "application/json")
-	writer.WriteHeader(reply.Status)
-	_, _ = writer.Write(append(reply.Body, '\n'))
-}
-
-// Request carries an operator's request to the primary and waits for its answer.
-func (p *process) Request(method, path string, body []byte) ControlReply {
-	value, alive := p.host.Call(func(local uint64) any { return p.built.OperatorRequest(local, method, path, body) })
-	returned, matches := value.(membership.ControlResponse)
-	if !alive || !matches {
-		return ControlReply{Status: http.StatusServiceUnavailable, RetryAfter: time.Second, Body: controlclient.ErrorBody("stopping", "the daemon is stopping", nil)}
-	}
-	return ControlReply{Status: returned.Status, RetryAfter: returned.RetryAfter, Body: returned.Body}
+	p.loop.SetDiskDelay(impairment.DiskDelay)
 }
--- a/internal/transport/flow_window_test.go
+++ b/internal/transport/flow_window_test.go
@@ -54,12 +54,12 @@
 
 func TestFlowWindowFollowsQueueDelay(t *testing.T) {
 	inFlight, received := sendFor(4*time.Second, 0, 10_000_000)
-	assert.Assert(t, inFlight > 64<<10 && received > 30_000_000, "free: %d in flight, %d received", inFlight, received)
+	assert.Assert(t, inFlight > 64<<10 && received > 30_000_000, "free: %d, %d received", inFlight, received)
 	inFlight, received = sendFor(4*time.Second, 200*time.Millisecond, 325_000)
-	assert.Assert(t, inFlight <= minWindow+1000 && received > 40_000, "others: %d in flight, %d received", inFlight, received)
+	assert.Assert(t, inFlight <= minWindow+1000 && received > 40_000, "others: %d, %d received", inFlight, received)
 	// On its own a slow link's queue stays short, and the link is used.
 	inFlight, received = sendFor(4*time.Second, 0, 325_000)
-	assert.Assert(t, inFlight < 325_000/10 && received > 4*325_000*9/10, "slow: %d in flight, %d received", inFlight, received)
+	assert.Assert(t, inFlight < 325_000/10 && received > 4*325_000*9/10, "slow: %d, %d received", inFlight, received)
 }
 
 func TestFlowWindowGrowsOnlyWhenUsed(t *testing.T) {
