--- /dev/null
+++ b/cmd/controller/forms_test.go
@@ -0,0 +1,37 @@
+package main
+
+import (
+	"encoding/json"
+	"testing"
+
+	"dahlialock/internal/daemon"
+	"dahlialock/internal/membership"
+	"dahlialock/internal/settings"
+	"dahlialock/internal/storedforms"
+)
+
+// TestCountersKeepTheirKeys holds what ctl tells of a daemon that has just been made.
+func TestCountersKeepTheirKeys(t *testing.T) {
+	var lines []string
+	for _, callers := range []settings.ClientProtocol{settings.ClientProtocolJSON, settings.ClientProtocolLines} {
+		current := settings.Settings{
+			Name:             "controller-1",
+			Kind:             membership.KindController,
+			OperatorProtocol: settings.OperatorProtocolJSON,
+			ClientProtocol:   callers,
+			AdmissionMode:    settings.AdmissionOpen,
+			Timeouts:         settings.DefaultTimeouts(),
+		}
+		self := membership.Member{Name: current.Name, Kind: current.Kind, Address: "127.0.0.1:1"}
+		built, err := build(current, self, daemon.StoredState{NewDisk: "disk", Incarnation: 1})
+		if err != nil {
+			t.Fatal(err)
+		}
+		text, err := json.Marshal(built.Counters())
+		if err != nil {
+			t.Fatal(err)
+		}
+		lines = append(lines, string(callers)+" "+string(text))
+	}
+	storedforms.Compare(t, "counters.txt", lines)
+}
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -71,6 +71,7 @@
 	}
 	frame, err := transport.Encode(statemachine.Meta{From: from.Address, Version: version}, send.Message)
 	must(err)
+	s.Size.Recorder.frame(from, to, frame)
 	s.Sent[fmt.Sprintf("%T", send.Message)]++
 	if s.cuts[link(from, to)] > 0 {
 		return
--- a/internal/transport/bench_test.go
+++ b/internal/transport/bench_test.go
@@ -91,7 +91,7 @@
 				Seq:       record.Seq,
 				Data:      body,
 			},
-			gateway.Carry{Partition: shared, Record: record},
+			gateway.RecordCopy{Partition: shared, Record: record},
 			partition.AppendResponse{
 				Partition: shared,
 				Request:   123456,
--- a/internal/transport/class_test.go
+++ b/internal/transport/class_test.go
@@ -26,7 +26,7 @@
 			assert.Equal(t, class, transport.ClassInterest, name)
 		}
 	}
-	assert.DeepEqual(t, classes[transport.ClassTransient], []string{"gateway.Pass"})
+	assert.DeepEqual(t, classes[transport.ClassTransient], []string{"gateway.EphemeralCopy"})
 	assert.DeepEqual(t, classes[transport.ClassCatchUp], []string{"partition.FetchResponse"})
 	for _, message := range []any{
 		partition.Copy{},
@@ -41,5 +41,5 @@
 	}
 	assert.Equal(t, transport.ClassOf(partition.Append{Bare: true}), transport.ClassTransient)
 	assert.Equal(t, transport.ClassOf(gateway.RoutedCopy{}), transport.ClassLive)
-	assert.Equal(t, transport.ClassOf(gateway.RoutedCopy{Passing: true}), transport.ClassTransient)
+	assert.Equal(t, transport.ClassOf(gateway.RoutedCopy{Ephemeral: true}), transport.ClassTransient)
 }
