--- a/internal/settings/forms_test.go
+++ b/internal/settings/forms_test.go
@@ -16,8 +16,9 @@
 	bounds := read.Timeouts
 	return []string{
 		fmt.Sprint("name ", read.Name), fmt.Sprint("zone ", read.Zone), fmt.Sprint("address ", read.Address),
-		fmt.Sprint("ctl ", read.ControlAddress), fmt.Sprint("caller ", read.ClientAddress), fmt.Sprint("agent ", read.AgentAddress),
-		fmt.Sprint("gateway ", read.GatewayAddress), fmt.Sprint("seeds, seeds_port ", read.Seeds, read.SeedsPort),
+		fmt.Sprint("ctl ", read.ControlAddress), fmt.Sprint("caller ", read.ClientAddress),
+		fmt.Sprint("agent ", read.AgentAddress), fmt.Sprint("gateway ", read.GatewayAddress),
+		fmt.Sprint("seeds, seeds_port ", read.Seeds, read.SeedsPort),
 		fmt.Sprint("data ", read.DataDir), fmt.Sprint("controllers ", read.Controllers), fmt.Sprint("key ", read.Key),
 		fmt.Sprint("origins_most, descriptors ", read.MaxSessions), fmt.Sprint("log_level ", read.LogLevel),
 		fmt.Sprint("bootstrap ", read.Bootstrap), fmt.Sprint("tolerance, tolerance_zones ", read.Tolerance),
