--- a/internal/daemon/forms_test.go
+++ b/internal/daemon/forms_test.go
@@ -66,21 +66,21 @@
 	assert.NilError(t, err)
 	address := listener.Addr().String()
 	assert.NilError(t, listener.Close())
-	host, err := Open(Settings{Address: address, Logger: logevent.New(io.Discard, "store-1", 0)})
+	host, err := NewEventLoop(Options{Address: address, Logger: logevent.New(io.Discard, "store-1", 0)})
 	assert.NilError(t, err)
 	machine := &answering{}
-	host.Run(machine)
+	host.Start(machine)
 	t.Cleanup(func() {
 		host.Post(stopNow{})
-		<-host.Ended()
+		<-host.Done()
 		host.Transport().Close()
 	})
-	running := &process{kind: "store", host: host, self: membership.Member{Name: "store-1", Kind: "store", Zone: "east"}}
-	running.built = Build{
+	running := &process{kind: "store", loop: host, self: membership.Member{Name: "store-1", Kind: "store", Zone: "east"}}
+	running.service = Service{
 		Machine:  machine,
 		Ready:    func(time.Time) bool { return true },
 		Counters: func() any { return map[string]int{"counted": 1} },
-		Request: func(local uint64, method, path string, body []byte) any {
+		OperatorRequest: func(local uint64, method, path string, body []byte) any {
 			answer := controlclient.ErrorBody("asked", method+" "+path+" "+string(body), nil)
 			return question{request: local, value: membership.ControlResponse{
 				Status:     http.StatusTeapot,
@@ -88,12 +88,12 @@
 				RetryAfter: 1500 * time.Millisecond,
 			}}
 		},
-		Find: func(local uint64, request, message, origin string) any {
-			entry := decisionlog.Entry{Daemon: "store-1", Request: request, Message: message, Origin: origin}
+		FindDecisions: func(local uint64, request, message, origin string) any {
+			entry := decisionlog.Entry{Daemon: "store-1", Request: request, Message: message, Client: origin}
 			return question{request: local, value: []decisionlog.Entry{entry}}
 		},
 	}
-	served := httptest.NewServer(running.control())
+	served := httptest.NewServer(running.controlHandler())
 	t.Cleanup(served.Close)
 	return served
 }
--- a/internal/storedforms/words_test.go
+++ b/internal/storedforms/words_test.go
@@ -28,8 +28,10 @@
 }
 
 func TestExitCodesOfDaemonsStay(t *testing.T) {
-	codes := []int{daemon.ExitFine, daemon.ExitFailed, daemon.ExitInvariant, daemon.ExitDisk, daemon.ExitSettings}
-	if !slices.Equal(codes, []int{0, 1, 2, 3, 64}) {
+	codes := []daemon.ExitCode{
+		daemon.ExitOK, daemon.ExitFailed, daemon.ExitInvariant, daemon.ExitDisk, daemon.ExitSettings,
+	}
+	if !slices.Equal(codes, []daemon.ExitCode{0, 1, 2, 3, 64}) {
 		t.Errorf("the exit codes are %v", codes)
 	}
 }
