--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -13,22 +13,31 @@
 )
 
 func main() {
-	os.Exit(daemon.Main(membership.KindController, os.Args[1:], build))
+	os.Exit(int(daemon.Main(membership.KindController, os.Args[1:], build)))
 }
 
-func build(current settings.Settings, self membership.Member, stored daemon.Stored) (daemon.Build, error) {
+func build(current settings.Settings, self membership.Member, stored daemon.StoredState) (daemon.Service, error) {
 	machine, err := controller.New(controller.Settings{
-		Self: self, ControllerCount: current.Controllers, Seeds: current.Seeds, Bootstrap: current.Bootstrap, Tolerance: &current.Tolerance,
-		NewDisk: stored.NewDisk, Incarnation: stored.Incarnation, AcknowledgeTimeout: current.Bounds.Acknowledge, ContactTimeout: current.Bounds.Contact, HighestWins: current.Versions == settings.VersionsHighest, StopGracePeriod: current.Bounds.Grace,
-	}, stored.Frame, stored.Entries)
+		Self:               self,
+		ControllerCount:    current.Controllers,
+		Seeds:              current.Seeds,
+		Bootstrap:          current.Bootstrap,
+		Tolerance:          &current.Tolerance,
+		NewDisk:            stored.NewDisk,
+		Incarnation:        stored.Incarnation,
+		AcknowledgeTimeout: current.Timeouts.Acknowledge,
+		ContactTimeout:     current.Timeouts.Contact,
+		HighestWins:        current.VersionPolicy == settings.VersionPolicyHighest,
+		StopGracePeriod:    current.Timeouts.Grace,
+	}, stored.Snapshot, stored.Entries)
 	if err != nil {
-		return daemon.Build{}, err
+		return daemon.Service{}, err
 	}
-	return daemon.Build{
-		Machine: machine,
-		Ready:   func(time.Time) bool { return machine.Ready() },
-		Stop:    controller.Stop{},
-		Request: func(local uint64, method, path string, body []byte) any {
+	return daemon.Service{
+		Machine:     machine,
+		Ready:       func(time.Time) bool { return machine.Ready() },
+		StopCommand: controller.Stop{},
+		OperatorRequest: func(local uint64, method, path string, body []byte) any {
 			return controller.Request{Local: local, Method: method, Path: path, Body: body}
 		},
 		Counters: func() any {
@@ -38,7 +47,7 @@
 				"complete": machine.Node().Complete(), "holds_lease": machine.Node().HoldsLease(time.Now()),
 			}
 		},
-		Reload:  func(after settings.Settings) { machine.SetTolerance(after.Tolerance) },
-		Adapter: platform.Adapter(current),
+		Reload:         func(after settings.Settings) { machine.SetTolerance(after.Tolerance) },
+		ControlAdapter: platform.Adapter(current),
 	}, nil
 }
--- a/cmd/gateway/forms_test.go
+++ b/cmd/gateway/forms_test.go
@@ -17,17 +17,17 @@
 // TestCountersKeepTheirKeys holds what ctl tells of a daemon that has just been made.
 func TestCountersKeepTheirKeys(t *testing.T) {
 	var lines []string
-	for _, callers := range []string{settings.CallersJSON, settings.CallersLines} {
+	for _, callers := range []settings.ClientProtocol{settings.ClientProtocolJSON, settings.ClientProtocolLines} {
 		current := settings.Settings{
-			Name:      "gateway-1",
-			Kind:      membership.KindGateway,
-			Operators: settings.OperatorsJSON,
-			Callers:   callers,
-			Admission: settings.AdmissionOpen,
-			Bounds:    settings.DefaultBounds(),
+			Name:             "gateway-1",
+			Kind:             membership.KindGateway,
+			OperatorProtocol: settings.OperatorProtocolJSON,
+			ClientProtocol:   callers,
+			AdmissionMode:    settings.AdmissionOpen,
+			Timeouts:         settings.DefaultTimeouts(),
 		}
 		self := membership.Member{Name: current.Name, Kind: current.Kind, Address: "127.0.0.1:1"}
-		built, err := build(current, self, daemon.Stored{NewDisk: "disk", Incarnation: 1})
+		built, err := build(current, self, daemon.StoredState{NewDisk: "disk", Incarnation: 1})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -35,7 +35,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		lines = append(lines, callers+" "+processor.ReplaceAllString(string(text), `"Processor":0`))
+		lines = append(lines, string(callers)+" "+processor.ReplaceAllString(string(text), `"Processor":0`))
 	}
 	storedforms.Compare(t, "counters.txt", lines)
 }
--- a/internal/consolidation/fleet.go
+++ b/internal/consolidation/fleet.go
@@ -33,7 +33,7 @@
 
 // fleet is the set of live gateways that one plan is made for.
 type fleet struct {
-	settings config.Economy
+	settings config.Consolidation
 	// links holds the configured delays between zones, in both directions.
 	links map[zonePair]time.Duration
 	// gateways are in the order of their names.
@@ -127,7 +127,7 @@
 // time: enough to stay below wakeUtilization and maxProcessor, and the configured spare
 // gateways.
 func (f *fleet) required(sessions int, processor float64) int {
-	bySessions := int(math.Ceil(float64(sessions) / (float64(f.settings.OriginsEach) * wakeUtilization)))
+	bySessions := int(math.Ceil(float64(sessions) / (float64(f.settings.SessionsPerGateway) * wakeUtilization)))
 	byProcessor := int(math.Ceil(processor / maxProcessor))
 	return max(bySessions, byProcessor, 1) + f.settings.SpareGateways
 }
@@ -140,7 +140,7 @@
 		return false
 	}
 	for _, count := range awakeByZone {
-		if (len(awake)-count)*f.settings.OriginsEach < sessions {
+		if (len(awake)-count)*f.settings.SessionsPerGateway < sessions {
 			return false
 		}
 	}
--- a/internal/consolidation/planner.go
+++ b/internal/consolidation/planner.go
@@ -74,9 +74,9 @@
 // observeFleet collects the live gateways with their rates, and reports whether all
 // their reports are recent enough to act on.
 func (p *Planner) observeFleet(now time.Time, observation Observation) (observed *fleet, current bool) {
-	drained := observation.Configuration.Drains
+	drained := observation.Configuration.Draining
 	observed = &fleet{
-		settings: observation.Configuration.Economy,
+		settings: observation.Configuration.Consolidation,
 		links:    linkDelays(observation.Configuration),
 		idle:     func(name string) bool { return p.resting[name] || slices.Contains(drained, name) },
 	}
@@ -135,7 +135,7 @@
 	if p.quietSince.IsZero() {
 		p.quietSince = now
 	}
-	if now.Sub(p.quietSince) < observed.settings.QuietFor {
+	if now.Sub(p.quietSince) < observed.settings.StabilizationWindow {
 		return
 	}
 	p.quietSince = now
--- a/internal/consolidation/planner_test.go
+++ b/internal/consolidation/planner_test.go
@@ -31,25 +31,25 @@
 }
 
 // economySettings are settings of a fleet whose gateways serve a hundred sessions each.
-func economySettings(quietFor time.Duration) config.Economy {
-	return config.Economy{
-		Enabled:         true,
-		ProcessorWeight: 1,
-		TrafficWeight:   1,
-		OriginsEach:     100,
-		SpareGateways:   1,
-		QuietFor:        quietFor,
+func economySettings(quietFor time.Duration) config.Consolidation {
+	return config.Consolidation{
+		Enabled:             true,
+		ProcessorWeight:     1,
+		TrafficWeight:       1,
+		SessionsPerGateway:  100,
+		SpareGateways:       1,
+		StabilizationWindow: quietFor,
 	}
 }
 
-func newModelFleet(seed uint64, gateways int, settings config.Economy) *modelFleet {
+func newModelFleet(seed uint64, gateways int, settings config.Consolidation) *modelFleet {
 	model := &modelFleet{
 		random:   rand.New(rand.NewPCG(seed, 0xec0)),
 		now:      time.Unix(1_700_000_000, 0),
 		planner:  New(),
 		balancer: balancing.New(),
 		observation: Observation{
-			Configuration: config.Configuration{Economy: settings},
+			Configuration: config.Configuration{Consolidation: settings},
 			Members:       map[string]membership.Member{},
 			Loads:         map[string]membership.Load{},
 			LastHeard:     map[string]time.Time{},
--- a/internal/controller/apply.go
+++ b/internal/controller/apply.go
@@ -97,11 +97,11 @@
 // drainFaults checks what only the control state can tell: that the gateways to be drained
 // exist, and that a live one would be left.
 func (s *State) drainFaults(configuration config.Configuration) []config.Fault {
-	if len(configuration.Drains) == 0 {
+	if len(configuration.Draining) == 0 {
 		return nil
 	}
 	var faults []config.Fault
-	for position, name := range configuration.Drains {
+	for position, name := range configuration.Draining {
 		if member, found := s.Members[name]; !found || member.Kind != membership.KindGateway {
 			faults = append(faults, config.Fault{
 				Path: fmt.Sprintf("$.drains[%d]", position),
@@ -111,7 +111,7 @@
 		}
 	}
 	for _, member := range s.Members {
-		drained := slices.Contains(configuration.Drains, member.Name)
+		drained := slices.Contains(configuration.Draining, member.Name)
 		if member.Kind == membership.KindGateway && member.Alive && !drained {
 			return faults
 		}
--- a/internal/controller/economy.go
+++ b/internal/controller/economy.go
@@ -49,7 +49,7 @@
 		if now.Sub(c.lastHeard[name]) > loadTimeout {
 			continue
 		}
-		idle := member.Resting || directives[name].Rest || slices.Contains(configuration.Drains, name)
+		idle := member.Resting || directives[name].Rest || slices.Contains(configuration.Draining, name)
 		gateways = append(gateways, balancing.Gateway{
 			Name:         name,
 			Zone:         member.Zone,
--- a/internal/controller/shared_test.go
+++ b/internal/controller/shared_test.go
@@ -326,7 +326,7 @@
 			assert.Assert(c.t, record.Prior == prior, "%s names %d before it, not %d", name, record.Prior, prior)
 			stored[name], lastSeq[record.Sender], prior = record.Offset, record.Seq, record.Offset
 		}
-		known := c.topicOffsets[config.TopicNumber(publisher.topic)]
+		known := c.topicOffsets[config.TopicHash(publisher.topic)]
 		assert.Assert(c.t, known == prior, "followers know %d of %s, which is at %d", known, publisher.topic, prior)
 	}
 	return stored
--- a/internal/controller/state.go
+++ b/internal/controller/state.go
@@ -114,7 +114,7 @@
 // installConfiguration brings a configuration into force.
 func (s *State) installConfiguration(change ConfigurationChange, configuration config.Configuration) {
 	s.Version, s.Document = change.Version, change.Document
-	s.DrainedGateways = configuration.Drains
+	s.DrainedGateways = configuration.Draining
 	s.installSpaces(change.Version, configuration)
 	s.dropUnwantedPlacements(configuration)
 }
