--- a/internal/config/forms_test.go
+++ b/internal/config/forms_test.go
@@ -10,7 +10,7 @@
 	"dahlialock/internal/storedforms"
 )
 
-// byKey gives what each key of a configuration brought about.
+// byKey lists what each key of a configuration resulted in.
 func byKey(read config.Configuration) []string {
 	lines := []string{
 		fmt.Sprint("version ", read.Version), fmt.Sprint("drains ", read.Draining), fmt.Sprint("zones ", read.Zones),
@@ -46,8 +46,8 @@
 	}
 }
 
-// documents are one that says as little as may be, one with every key, one with the
-// other choices, and faulty ones.
+// documents are a minimal one, one with every key, one with the other choices, and
+// faulty ones.
 var documents = []string{
 	`{"version": 1, "spaces": [{"name": "orders", "promise": "kept"}, {"name": "pulse", "promise": "passing"}]}`,
 	`{"version": 9, "spaces": [{"name": "readings", "promise": "kept", "order": "topic", "holding": "40s", "tolerance": 1,
@@ -67,10 +67,10 @@
 	`{"version": 1, "spaces": []} 1`,
 }
 
-func TestConfigurationsKeepTheirKeysAndDefaults(t *testing.T) {
+func TestReadKeepsKeysAndDefaults(t *testing.T) {
 	var lines []string
-	for position, document := range documents {
-		lines = append(lines, fmt.Sprintf("document %d, digest %x", position+1, config.DigestOf([]byte(document))))
+	for index, document := range documents {
+		lines = append(lines, fmt.Sprintf("document %d, digest %x", index+1, config.DigestOf([]byte(document))))
 		read, faults := config.Read([]byte(document))
 		if len(faults) == 0 {
 			lines = append(lines, byKey(read)...)
@@ -85,7 +85,7 @@
 	storedforms.Compare(t, "forms.txt", lines)
 }
 
-func TestPartitionsKeepTheirNamesAndPlaces(t *testing.T) {
+func TestSharedPartitionKeepsNames(t *testing.T) {
 	var lines []string
 	for _, topic := range []string{"", "a", "reading.1", "reading.2", "a/b/c", "ø"} {
 		lines = append(lines, fmt.Sprintf("%q number %d, partition %s",
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -20,9 +20,12 @@
 // It isn't a valid name, so that it can't be taken for an operator's space.
 const SharedSpace = "+"
 
-// sharedPrefix begins the names of all shared partitions. Spaces have versions,
-// which the shared one, of version 0, has not.
-const sharedPrefix = SharedSpace + "~"
+// Names of partitions are SPACE~VERSION/NUMBER, where VERSION is that of the
+// configuration that created the space. Shared partitions have the version 0.
+const (
+	partitionSeparator = "~"
+	sharedPrefix       = SharedSpace + partitionSeparator
+)
 
 // Route maps all topics whose names begin with a prefix to a space of
 // OrderTopic. Of several routes the one with the longest prefix applies.
--- a/internal/daemon/control_test.go
+++ b/internal/daemon/control_test.go
@@ -14,7 +14,6 @@
 
 	"gotest.tools/v3/assert"
 
-	"dahlialock/internal/logevent"
 	"dahlialock/internal/membership"
 	"dahlialock/internal/statemachine"
 )
@@ -55,14 +54,8 @@
 // newDelayedControl serves the ctl of a daemon with a delayedResponder.
 func newDelayedControl(t *testing.T) (*httptest.Server, *EventLoop, *delayedResponder) {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	assert.NilError(t, err)
-	address := listener.Addr().String()
-	_ = listener.Close()
-	loop, err := NewEventLoop(Options{Address: address, Logger: logevent.New(io.Discard, "controller", 0)})
-	assert.NilError(t, err)
 	machine := &delayedResponder{received: make(chan string, 16)}
-	loop.Start(machine)
+	loop := startLoop(t, machine)
 	process := &process{loop: loop, service: Service{
 		Machine:  machine,
 		Ready:    func(time.Time) bool { return true },
@@ -75,9 +68,6 @@
 	t.Cleanup(func() {
 		server.CloseClientConnections()
 		server.Close()
-		loop.Post(stopNow{})
-		<-loop.Done()
-		loop.Transport().Close()
 	})
 	return server, loop, machine
 }
@@ -156,7 +146,7 @@
 }
 
 func TestControlRespondsInJSONToUnknownRoutes(t *testing.T) {
-	loop, machine := openEcho(t)
+	loop, machine := startEcho(t)
 	requests := 0
 	process := &process{loop: loop, service: Service{
 		Machine:        machine,
--- a/internal/daemon/event_loop_test.go
+++ b/internal/daemon/event_loop_test.go
@@ -48,18 +48,24 @@
 	}
 }
 
-func openEcho(t *testing.T) (*EventLoop, *echo) {
+// startLoop runs a machine until the end of the test; stopNow must stop it.
+func startLoop(t *testing.T, machine statemachine.Machine) *EventLoop {
 	t.Helper()
-	opened, err := NewEventLoop(Options{Address: freeAddress(t), Logger: logevent.New(io.Discard, "echo", 0)})
+	loop, err := NewEventLoop(Options{Address: freeAddress(t), Logger: logevent.New(io.Discard, "test", 0)})
 	assert.NilError(t, err)
-	machine := &echo{}
-	opened.Start(machine)
+	loop.Start(machine)
 	t.Cleanup(func() {
-		opened.Post(stopNow{})
-		<-opened.Done()
-		opened.Transport().Close()
+		loop.Post(stopNow{})
+		<-loop.Done()
+		loop.Transport().Close()
 	})
-	return opened, machine
+	return loop
+}
+
+func startEcho(t *testing.T) (*EventLoop, *echo) {
+	t.Helper()
+	machine := &echo{}
+	return startLoop(t, machine), machine
 }
 
 func say(text string) func(request uint64) any {
@@ -67,7 +73,7 @@
 }
 
 func TestEventLoopSubmitResponds(t *testing.T) {
-	loop, _ := openEcho(t)
+	loop, _ := startEcho(t)
 	answers := make(chan any, 1)
 	loop.Submit(say("a"), func(value any) { answers <- value })
 	assert.Equal(t, <-answers, "a")
@@ -77,7 +83,7 @@
 }
 
 func TestEventLoopSubmitAfterStopRespondsNil(t *testing.T) {
-	loop, _ := openEcho(t)
+	loop, _ := startEcho(t)
 	loop.Post(stopNow{})
 	<-loop.Done()
 	answers := make(chan any, 1)
@@ -88,7 +94,7 @@
 }
 
 func TestEventLoopKeepsOrderAndFlushesOncePerTurn(t *testing.T) {
-	loop, _ := openEcho(t)
+	loop, _ := startEcho(t)
 	delivered := make(chan string, 64)
 	turns := make(chan int, 64)
 	count := 0
@@ -111,7 +117,7 @@
 }
 
 func TestEventLoopDeliversNothingAfterClose(t *testing.T) {
-	loop, _ := openEcho(t)
+	loop, _ := startEcho(t)
 	delivered := make(chan string, 64)
 	loop.AttachSessionFunc(7, func(deliver statemachine.Delivery) { delivered <- deliver.Event.(string) })
 	for _, text := range []string{"a", "last", "b"} {
@@ -127,7 +133,7 @@
 }
 
 func TestEventLoopRunsDueTimersAtOnce(t *testing.T) {
-	loop, machine := openEcho(t)
+	loop, machine := startEcho(t)
 	loop.Post(setTimer{})
 	for {
 		turns, alive := loop.Inspect(func(time.Time) any { return machine.turns })
--- a/internal/daemon/forms_test.go
+++ b/internal/daemon/forms_test.go
@@ -3,9 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
-	"io"
 	"maps"
-	"net"
 	"net/http"
 	"net/http/httptest"
 	"slices"
@@ -13,17 +11,14 @@
 	"testing"
 	"time"
 
-	"gotest.tools/v3/assert"
-
 	"dahlialock/internal/controlclient"
 	"dahlialock/internal/decisionlog"
-	"dahlialock/internal/logevent"
 	"dahlialock/internal/membership"
 	"dahlialock/internal/statemachine"
 	"dahlialock/internal/storedforms"
 )
 
-// keysOf lists the paths of a JSON value and the kinds that stand there.
+// keysOf lists the paths of a JSON value with the types of the values.
 func keysOf(path string, value any) []string {
 	switch body := value.(type) {
 	case map[string]any:
@@ -42,64 +37,53 @@
 	return []string{fmt.Sprintf("%s %T", path, value)}
 }
 
-// question is a command that is answered with a value.
-type question struct {
+// valueRequest is a command that is responded to with a value.
+type valueRequest struct {
 	request uint64
 	value   any
 }
 
-// answering is an echo that answers what it is asked.
-type answering struct{ echo }
+// valueResponder is an echo that also handles valueRequest.
+type valueResponder struct{ echo }
 
-func (a *answering) HandleCommand(now time.Time, command any, effects *statemachine.Effects) {
-	if body, matches := command.(question); matches {
+func (vr *valueResponder) HandleCommand(now time.Time, command any, effects *statemachine.Effects) {
+	if body, matches := command.(valueRequest); matches {
 		effects.Respond(body.request, body.value)
 		return
 	}
-	a.echo.HandleCommand(now, command, effects)
+	vr.echo.HandleCommand(now, command, effects)
 }
 
-// serveCtl serves the ctl of a store whose primary answers with the status 418.
-func serveCtl(t *testing.T) *httptest.Server {
+// serveControl serves the ctl of a store whose primary responds with the status 418.
+func serveControl(t *testing.T) *httptest.Server {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	assert.NilError(t, err)
-	address := listener.Addr().String()
-	assert.NilError(t, listener.Close())
-	host, err := NewEventLoop(Options{Address: address, Logger: logevent.New(io.Discard, "store-1", 0)})
-	assert.NilError(t, err)
-	machine := &answering{}
-	host.Start(machine)
-	t.Cleanup(func() {
-		host.Post(stopNow{})
-		<-host.Done()
-		host.Transport().Close()
-	})
-	running := &process{kind: "store", loop: host, self: membership.Member{Name: "store-1", Kind: "store", Zone: "east"}}
-	running.service = Service{
+	machine := &valueResponder{}
+	loop := startLoop(t, machine)
+	process := &process{kind: "store", loop: loop, self: membership.Member{Name: "store-1", Kind: "store", Zone: "east"}}
+	process.service = Service{
 		Machine:  machine,
 		Ready:    func(time.Time) bool { return true },
 		Counters: func() any { return map[string]int{"counted": 1} },
-		OperatorRequest: func(local uint64, method, path string, body []byte) any {
-			answer := controlclient.ErrorBody("asked", method+" "+path+" "+string(body), nil)
-			return question{request: local, value: membership.ControlResponse{
+		OperatorRequest: func(number uint64, method, path string, body []byte) any {
+			response := controlclient.ErrorBody("asked", method+" "+path+" "+string(body), nil)
+			return valueRequest{request: number, value: membership.ControlResponse{
 				Status:     http.StatusTeapot,
-				Body:       answer,
+				Body:       response,
 				RetryAfter: 1500 * time.Millisecond,
 			}}
 		},
-		FindDecisions: func(local uint64, request, message, origin string) any {
-			entry := decisionlog.Entry{Daemon: "store-1", Request: request, Message: message, Client: origin}
-			return question{request: local, value: []decisionlog.Entry{entry}}
+		FindDecisions: func(number uint64, request, message, client string) any {
+			entry := decisionlog.Entry{Daemon: "store-1", Request: request, Message: message, Client: client}
+			return valueRequest{request: number, value: []decisionlog.Entry{entry}}
 		},
 	}
-	served := httptest.NewServer(running.controlHandler())
-	t.Cleanup(served.Close)
-	return served
+	server := httptest.NewServer(process.controlHandler())
+	t.Cleanup(server.Close)
+	return server
 }
 
-func TestRoutesOfCtlKeepTheirAnswers(t *testing.T) {
-	served := serveCtl(t)
+func TestControlKeepsResponses(t *testing.T) {
+	server := serveControl(t)
 	var lines []string
 	for _, request := range []struct{ method, path, body string }{
 		{http.MethodGet, "/live", ""},
@@ -112,28 +96,28 @@
 		{http.MethodPost, "/live", ""},
 		{http.MethodGet, "/nothing", ""},
 	} {
-		lines = append(lines, answerOf(t, served.URL, request.method, request.path, request.body)...)
+		lines = append(lines, responseLines(t, server.URL, request.method, request.path, request.body)...)
 	}
 	storedforms.Compare(t, "ctl.txt", lines)
 }
 
-func answerOf(t *testing.T, location, method, path, body string) []string {
+func responseLines(t *testing.T, location, method, path, body string) []string {
 	t.Helper()
 	request, err := http.NewRequest(method, location+path, strings.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
 	}
-	answer, err := http.DefaultClient.Do(request)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = answer.Body.Close() }()
+	defer func() { _ = response.Body.Close() }()
 	var value any
-	if err := json.NewDecoder(answer.Body).Decode(&value); err != nil {
+	if err := json.NewDecoder(response.Body).Decode(&value); err != nil {
 		t.Fatal(err)
 	}
-	lines := []string{fmt.Sprintf("%s %s: %d %s, retry %q, allow %q", method, path, answer.StatusCode,
-		answer.Header.Get("Content-Type"), answer.Header.Get("Retry-After"), answer.Header.Get("Allow"))}
+	lines := []string{fmt.Sprintf("%s %s: %d %s, retry %q, allow %q", method, path, response.StatusCode,
+		response.Header.Get("Content-Type"), response.Header.Get("Retry-After"), response.Header.Get("Allow"))}
 	if members, matches := value.(map[string]any); matches && members["code"] != nil {
 		lines = append(lines, fmt.Sprint("code ", members["code"]))
 	}
--- a/internal/settings/forms_test.go
+++ b/internal/settings/forms_test.go
@@ -11,7 +11,7 @@
 	"dahlialock/internal/storedforms"
 )
 
-// byKey gives what each key of a daemon's settings brought about.
+// byKey lists what each key of a daemon's settings resulted in.
 func byKey(read Settings) []string {
 	bounds := read.Timeouts
 	return []string{
@@ -38,10 +38,10 @@
 	}
 }
 
-const least = `{"name":"d-1","zone":"east","address":"10.1.0.2:1","ctl":"10.1.0.2:2","caller":"10.1.0.2:3",
+const minimal = `{"name":"d-1","zone":"east","address":"10.1.0.2:1","ctl":"10.1.0.2:2","caller":"10.1.0.2:3",
 	"seeds":["10.1.0.9:1"],"data":"/data","agent":"10.1.0.2:4","gateway":"10.1.0.2:5","key":"a-key-of-16-bytes-or-more"}`
 
-// all has every key but two that give way to others: see the last two documents.
+// all has every key but two that others override: see the last two documents.
 const all = `{"name":"d-1","zone":"east","address":"10.1.0.2:1","ctl":"10.1.0.2:2","caller":"10.1.0.2:3",
 	"seeds":["10.1.0.9:1","10.1.0.8:1"],"seeds_port":7,"data":"/data","agent":"10.1.0.2:4","gateway":"10.1.0.2:5",
 	"key":"a-key-of-16-bytes-or-more","controllers":7,"bootstrap":true,"tolerance":2,"callers":"lines",
@@ -51,12 +51,12 @@
 		"revert_slack":"7s","recovery":"8s","ping":"9s","resume":"10s","redeliver":"11s","presence":"12s"},
 	"trial":{"delays":{"10.":"1ms"},"loss":{"11.":0.25},"cuts":["12."],"mutes":["13."],"deaf":["14."],"disk":"5ms"}}`
 
-func TestSettingsKeepTheirKeysAndDefaults(t *testing.T) {
+func TestLoadKeepsKeysAndDefaults(t *testing.T) {
 	var lines []string
 	for _, kind := range []string{"agent", "controller", "gateway", "store"} {
 		for name, text := range []string{
-			least, all,
-			strings.Replace(least, `{`, `{"descriptors":1000,"tolerance_zones":3,`, 1),
+			minimal, all,
+			strings.Replace(minimal, `{`, `{"descriptors":1000,"tolerance_zones":3,`, 1),
 			`{}`, `{"no":1,"bounds":{"no":"1s"},"trial":{"no":1},"callers":"x","log_level":"loud","memory":"1X"}`,
 		} {
 			lines = append(lines, fmt.Sprintf("%s, document %d", kind, name+1))
@@ -66,19 +66,19 @@
 	storedforms.Compare(t, "forms.txt", lines)
 }
 
-// readLines reads a document as a daemon of a kind does; of a refusal only the paths
-// are held.
+// readLines loads a document as a daemon of a kind does; of faults only the paths are
+// compared.
 func readLines(t *testing.T, kind, text string) []string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "settings.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	source, err := ParseFlags(kind, []string{"-trial", "-settings", path})
+	loader, err := ParseFlags(kind, []string{"-trial", "-settings", path})
 	if err != nil {
 		t.Fatal(err)
 	}
-	read, err := source.Load()
+	read, err := loader.Load()
 	if err == nil {
 		return byKey(read)
 	}
@@ -90,7 +90,7 @@
 	return paths
 }
 
-func TestSettingsKeepTheirFlagsAndWords(t *testing.T) {
+func TestParseFlagsKeepsFlagsAndChoices(t *testing.T) {
 	flags := slices.Clone(keys)
 	slices.Sort(flags)
 	lines := []string{
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -54,7 +54,7 @@
 	AdmissionMode    AdmissionMode
 	VersionPolicy    VersionPolicy
 	OperatorProtocol OperatorProtocol
-	// Compression tells which turns between daemons are compressed.
+	// Compression tells which batches of messages between daemons are compressed.
 	Compression Compression
 
 	// MaxSessions ("origins_most") is how many sessions a gateway accepts.
@@ -97,7 +97,7 @@
 	RevertSlack time.Duration
 	// Recovery is how long after the machines are back the service is.
 	Recovery time.Duration
-	// Ping is after how long without traffic a client is asked for a sign of life.
+	// Ping is after how long without traffic a client is pinged.
 	Ping time.Duration
 	// Resume is within how long a client that was cut off comes back.
 	Resume time.Duration
@@ -154,7 +154,7 @@
 // AdmissionMode is how a gateway authenticates clients.
 type AdmissionMode string
 
-// Modes of admission: by a token made with the key, or none.
+// Modes of admission: by a token made with the key, or without authentication.
 const (
 	AdmissionToken AdmissionMode = "token"
 	AdmissionOpen  AdmissionMode = "open"
@@ -170,7 +170,7 @@
 	VersionPolicyHighest VersionPolicy = "highest"
 )
 
-// Compression is which turns between daemons are compressed.
+// Compression is which batches of messages between daemons are compressed.
 type Compression string
 
 // Choices of compression: none, or what goes to daemons of other zones.
--- a/internal/transport/kind_names.go
+++ b/internal/transport/kind_names.go
@@ -1,11 +1,10 @@
-// Names of kinds of messages, as operators read them at ctl and in the log.
-
 package transport
 
 import "reflect"
 
-// kindNames are the names under which messages are counted. They stay as they are
-// whatever becomes of the names of the types.
+// kindNames are the names of messages, by number, under which ctl and the log show
+// what was counted. Operators depend on them, so that they don't follow the names of
+// the types.
 var kindNames = map[uint16]string{
 	1:   "transport.preamble",
 	100: "consensus.Hello",
@@ -60,8 +59,8 @@
 	602: "gateway.RoutedCopy",
 }
 
-// KindName is the name of a registered number to operators. A kind that was added
-// later has the name of its type.
+// KindName returns the name of a registered number for operators. A message type
+// that isn't in the table has the name of its type.
 func KindName(number uint16) string {
 	if name, found := kindNames[number]; found {
 		return name
