--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -126,9 +126,9 @@
 func (rr *rejectionRecorder) Write(body []byte) (int, error) { return len(body), nil }
 func (rr *rejectionRecorder) WriteHeader(status int)         { rr.status = status }
 
-// statusFor returns 200 for what holds, else 503.
-func statusFor(holds bool) int {
-	if holds {
+// statusFor returns the status of a check that passed or failed.
+func statusFor(passed bool) int {
+	if passed {
 		return http.StatusOK
 	}
 	return http.StatusServiceUnavailable
--- a/internal/daemon/storage.go
+++ b/internal/daemon/storage.go
@@ -85,7 +85,7 @@
 		return err
 	}
 	if err := syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		return wal.ErrorDisk.New("another process holds %s", path)
+		return wal.ErrorDisk.New("another process has locked %s", path)
 	}
 	lockFiles = append(lockFiles, file)
 	return nil
--- a/internal/daemon/tasks.go
+++ b/internal/daemon/tasks.go
@@ -6,7 +6,7 @@
 	"dahlialock/internal/statemachine"
 )
 
-// task is work that other goroutines bring to the loop.
+// task is work that other goroutines give to the loop.
 type task struct {
 	work func(context LoopContext)
 	// afterStop is set for work that is also done once the machine has stopped.
@@ -64,10 +64,10 @@
 // machine stops first.
 func (l *EventLoop) Call(command func(request uint64) any) (any, bool) {
 	response := make(chan any, 1)
-	brought := l.bring(func(context LoopContext) {
+	enqueued := l.enqueue(func(context LoopContext) {
 		context.Submit(command, func(value any) { response <- value })
 	})
-	if !brought {
+	if !enqueued {
 		return nil, false
 	}
 	select {
@@ -80,15 +80,15 @@
 
 // Post gives the machine a command whose response nobody waits for.
 func (l *EventLoop) Post(command any) {
-	l.bring(func(context LoopContext) { context.Post(command) })
+	l.enqueue(func(context LoopContext) { context.Post(command) })
 }
 
 // Inspect calls a function on the goroutine of the loop and waits for its value;
 // false if the machine stops first.
 func (l *EventLoop) Inspect(inspect func(now time.Time) any) (any, bool) {
 	result := make(chan any, 1)
-	brought := l.bring(func(context LoopContext) { result <- inspect(context.state.now) })
-	if !brought {
+	enqueued := l.enqueue(func(context LoopContext) { result <- inspect(context.state.now) })
+	if !enqueued {
 		return nil, false
 	}
 	select {
@@ -102,7 +102,7 @@
 // AttachSession has the events of a session put into a queue. If it is full, or
 // after the session's last event, it is closed; DetachSession leaves it open.
 func (l *EventLoop) AttachSession(session uint64, queue chan statemachine.Delivery) {
-	l.bring(func(context LoopContext) { context.state.sinks[session] = sink{queue: queue} })
+	l.enqueue(func(context LoopContext) { context.state.sinks[session] = sink{queue: queue} })
 }
 
 // AttachSessionFunc has a function called with the events of a session, on the
@@ -113,17 +113,17 @@
 
 // DetachSession ends what AttachSession or AttachSessionFunc began.
 func (l *EventLoop) DetachSession(session uint64) {
-	l.bring(func(context LoopContext) { context.DetachSession(session) })
+	l.enqueue(func(context LoopContext) { context.DetachSession(session) })
 }
 
 // OnTurnEnd has a function called at the end of each turn.
 func (l *EventLoop) OnTurnEnd(flush func()) {
-	l.bring(func(LoopContext) { l.flushers = append(l.flushers, flush) })
+	l.enqueue(func(LoopContext) { l.flushers = append(l.flushers, flush) })
 }
 
-// bring runs work on the goroutine of the loop unless the machine stops first,
+// enqueue runs work on the goroutine of the loop unless the machine stops first,
 // for which it may return false.
-func (l *EventLoop) bring(work func(context LoopContext)) bool {
+func (l *EventLoop) enqueue(work func(context LoopContext)) bool {
 	select {
 	case l.tasks <- task{work: work}:
 		return true
--- a/internal/transport/acceptor.go
+++ b/internal/transport/acceptor.go
@@ -146,7 +146,7 @@
 	}
 	length := int(binary.BigEndian.Uint32(header) &^ compressedFlag)
 	if ip.decompressor == nil || length == 0 || length > 2*maxCompressible {
-		return 0, false, ErrorFrame.New("a packed turn of %d bytes", length)
+		return 0, false, ErrorFrame.New("length %d of a compressed batch is out of bounds", length)
 	}
 	return length, true, nil
 }
@@ -180,7 +180,7 @@
 			return err
 		}
 		if !complete || len(body) < frameHeaderBytes+length {
-			return ErrorFrame.New("a packed turn ends within a frame")
+			return ErrorFrame.New("a compressed batch ends within a frame")
 		}
 		if err := a.readFrame(connection, from, body[frameHeaderBytes:frameHeaderBytes+length]); err != nil {
 			return err
@@ -197,7 +197,7 @@
 		return err
 	}
 	if meta.From == "" {
-		return ErrorFrame.New("%T from nobody", message)
+		return ErrorFrame.New("%T before the sender's address", message)
 	}
 	if first, isPreamble := message.(preamble); isPreamble {
 		a.identified(connection, from, meta.From, first)
--- a/internal/transport/compression.go
+++ b/internal/transport/compression.go
@@ -300,7 +300,7 @@
 func (d *decompressor) decompress(compressed []byte) ([]byte, error) {
 	length, size := binary.Uvarint(compressed)
 	if size <= 0 || length == 0 || length > maxCompressible {
-		return nil, ErrorFrame.New("a packed turn of %d bytes", length)
+		return nil, ErrorFrame.New("body of %d bytes in a compressed batch is out of bounds", length)
 	}
 	d.in, d.bits, d.bitCount, d.padding = compressed[size:], 0, 0, 0
 	body := make([]byte, 0, length)
@@ -317,7 +317,7 @@
 	}
 	// Less than a byte may be left over: the padding of the last one.
 	if unread := bitsPerByte*len(d.in) + d.bitCount - d.padding; unread < 0 || unread >= bitsPerByte {
-		return nil, ErrorFrame.New("a packed turn of another length")
+		return nil, ErrorFrame.New("a compressed batch is longer or shorter than its body")
 	}
 	return body, nil
 }
@@ -339,7 +339,7 @@
 			length = d.readLength(symbol-repeatSymbols) + minRepeat
 		}
 		if d.lastDistance == 0 || d.lastDistance > len(d.history) || length > end-len(d.history) {
-			return ErrorFrame.New("a packed turn names what was not there")
+			return ErrorFrame.New("a compressed batch refers to bytes that weren't sent")
 		}
 		for range length {
 			d.history = append(d.history, d.history[len(d.history)-d.lastDistance])
--- a/internal/transport/frame.go
+++ b/internal/transport/frame.go
@@ -35,8 +35,7 @@
 )
 
 var (
-	// The namespace's name is part of error texts.
-	namespace = errorx.NewNamespace("flare")
+	namespace = errorx.NewNamespace("transport")
 	// ErrorFrame is the type of every error about a frame's bytes.
 	ErrorFrame = namespace.NewType("frame")
 )
@@ -125,7 +124,7 @@
 func (d *decoder) decode(frame []byte, address string) (statemachine.Meta, any, error) {
 	meta := statemachine.Meta{From: address}
 	if len(frame) < numberBytes {
-		return meta, nil, ErrorFrame.New("%d bytes are no frame", len(frame))
+		return meta, nil, ErrorFrame.New("a frame of %d bytes is too short", len(frame))
 	}
 	number := binary.BigEndian.Uint16(frame)
 	rest := frame[numberBytes:]
@@ -133,14 +132,14 @@
 		number &^= addressFlag
 		length, size := binary.Uvarint(rest)
 		if size <= 0 || length == 0 || length > uint64(len(rest)-size) {
-			return meta, nil, ErrorFrame.New("the address is cut off")
+			return meta, nil, ErrorFrame.New("the address is truncated")
 		}
 		meta.From = string(rest[size : size+int(length)])
 		rest = rest[size+int(length):]
 	}
 	version, size := binary.Uvarint(rest)
 	if size <= 0 {
-		return meta, nil, ErrorFrame.New("the version is cut off")
+		return meta, nil, ErrorFrame.New("the version is truncated")
 	}
 	meta.Version = version
 	message, err := d.decodeBody(number, rest[size:])
--- a/internal/transport/priority_queue.go
+++ b/internal/transport/priority_queue.go
@@ -2,7 +2,7 @@
 
 const (
 	// starvationBytes is how many bytes of higher classes may overtake a lower
-	// one before that gets a turn.
+	// one before that is served.
 	starvationBytes = 64 << 10
 	// maxQueuedBytes bounds the bytes that are queued for one peer in one class.
 	maxQueuedBytes = 1 << 20
@@ -18,7 +18,8 @@
 
 // classQueue has the peers for which something of a class is queued.
 type classQueue[Item any] struct {
-	// turns are in the order in which the peers are served, byPeer the same.
+	// turns are the peers in the order in which they are served (round robin), byPeer
+	// the same ones by address.
 	turns  []*peerQueue[Item]
 	byPeer map[string]*peerQueue[Item]
 	// overtaken counts bytes of higher classes since the class was last served.
