--- a/cmd/controller/forms_test.go
+++ b/cmd/controller/forms_test.go
@@ -13,17 +13,17 @@
 // TestCountersKeepTheirKeys holds what ctl tells of a daemon that has just been made.
 func TestCountersKeepTheirKeys(t *testing.T) {
 	var lines []string
-	for _, callers := range []string{settings.CallersJSON, settings.CallersLines} {
+	for _, callers := range []settings.ClientProtocol{settings.ClientProtocolJSON, settings.ClientProtocolLines} {
 		current := settings.Settings{
-			Name:      "controller-1",
-			Kind:      membership.KindController,
-			Operators: settings.OperatorsJSON,
-			Callers:   callers,
-			Admission: settings.AdmissionOpen,
-			Bounds:    settings.DefaultBounds(),
+			Name:             "controller-1",
+			Kind:             membership.KindController,
+			OperatorProtocol: settings.OperatorProtocolJSON,
+			ClientProtocol:   callers,
+			AdmissionMode:    settings.AdmissionOpen,
+			Timeouts:         settings.DefaultTimeouts(),
 		}
 		self := membership.Member{Name: current.Name, Kind: current.Kind, Address: "127.0.0.1:1"}
-		built, err := build(current, self, daemon.Stored{NewDisk: "disk", Life: 1})
+		built, err := build(current, self, daemon.StoredState{NewDisk: "disk", Incarnation: 1})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -31,7 +31,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		lines = append(lines, callers+" "+string(text))
+		lines = append(lines, string(callers)+" "+string(text))
 	}
 	storedforms.Compare(t, "counters.txt", lines)
 }
--- a/cmd/fleetlab/storm.go
+++ b/cmd/fleetlab/storm.go
@@ -20,6 +20,7 @@
 	"dahlialock/internal/faults"
 	"dahlialock/internal/logevent"
 	"dahlialock/internal/membership"
+	"dahlialock/internal/statemachine"
 	"dahlialock/internal/testfleet"
 )
 
@@ -720,21 +721,21 @@
 		lines := bufio.NewScanner(file)
 		for lines.Scan() {
 			var event struct {
-				Number int       `json:"number"`
-				Time   time.Time `json:"time"`
+				Number statemachine.EventNumber `json:"number"`
+				Time   time.Time                `json:"time"`
 			}
 			if json.Unmarshal(lines.Bytes(), &event) != nil || event.Time.Before(from) {
 				continue
 			}
 			after := event.Time.Sub(from)
 			switch event.Number {
-			case logevent.MemberSuspected, logevent.TakeoverBegun, logevent.BackupLost:
+			case logevent.MemberSuspected, logevent.TakeoverStarted, logevent.BackupLost:
 				if noticed == 0 || after < noticed {
 					noticed = after
 				}
 			case logevent.MemberLost, logevent.EpochDecided, logevent.PlacementChanged:
 				decided = max(decided, after)
-			case logevent.PlacementComplete:
+			case logevent.PlacementReplicated:
 				complete = max(complete, after)
 			}
 		}
--- a/internal/config/forms_test.go
+++ b/internal/config/forms_test.go
@@ -13,14 +13,14 @@
 // byKey gives what each key of a configuration brought about.
 func byKey(read config.Configuration) []string {
 	lines := []string{
-		fmt.Sprint("version ", read.Version), fmt.Sprint("drains ", read.Drains), fmt.Sprint("zones ", read.Zones),
-		fmt.Sprintf("annex %q", read.Annex), fmt.Sprint("subscriptions_each ", read.SubscriptionsEach),
-		fmt.Sprint("economy.enabled ", read.Economy.Enabled),
-		fmt.Sprint("economy.processor_weight ", read.Economy.ProcessorWeight),
-		fmt.Sprint("economy.traffic_weight ", read.Economy.TrafficWeight),
-		fmt.Sprint("economy.origins_each ", read.Economy.OriginsEach),
-		fmt.Sprint("economy.spare_gateways ", read.Economy.SpareGateways),
-		fmt.Sprint("economy.quiet_for ", read.Economy.QuietFor),
+		fmt.Sprint("version ", read.Version), fmt.Sprint("drains ", read.Draining), fmt.Sprint("zones ", read.Zones),
+		fmt.Sprintf("annex %q", read.Annotation), fmt.Sprint("subscriptions_each ", read.SubscriptionsPerSession),
+		fmt.Sprint("economy.enabled ", read.Consolidation.Enabled),
+		fmt.Sprint("economy.processor_weight ", read.Consolidation.ProcessorWeight),
+		fmt.Sprint("economy.traffic_weight ", read.Consolidation.TrafficWeight),
+		fmt.Sprint("economy.origins_each ", read.Consolidation.SessionsPerGateway),
+		fmt.Sprint("economy.spare_gateways ", read.Consolidation.SpareGateways),
+		fmt.Sprint("economy.quiet_for ", read.Consolidation.StabilizationWindow),
 	}
 	for _, link := range read.Links {
 		lines = append(lines, fmt.Sprint("links from ", link.From, " to ", link.To, " delay ", link.Delay))
@@ -36,12 +36,12 @@
 
 func spaceByKey(space config.Space) []string {
 	return []string{
-		fmt.Sprint("spaces.name ", space.Name), fmt.Sprint("spaces.promise ", space.Promise),
-		fmt.Sprint("spaces.order ", space.Order), fmt.Sprint("spaces.holding ", space.Holding),
+		fmt.Sprint("spaces.name ", space.Name), fmt.Sprint("spaces.promise ", space.Retention),
+		fmt.Sprint("spaces.order ", space.Order), fmt.Sprint("spaces.holding ", space.RetentionTime),
 		fmt.Sprint("spaces.tolerance ", space.Tolerance), fmt.Sprint("spaces.limits.data_bytes ", space.DataBytes),
-		fmt.Sprint("spaces.limits.publications_per_second ", space.PerSecond),
+		fmt.Sprint("spaces.limits.publications_per_second ", space.PublicationsPerSecond),
 		fmt.Sprint("spaces.publishers ", space.Publishers), fmt.Sprint("spaces.subscribers ", space.Subscribers),
-		fmt.Sprint("spaces.answer_within ", space.AnswerWithin), fmt.Sprint("spaces.urgency ", space.Urgency),
+		fmt.Sprint("spaces.answer_within ", space.ResponseTimeout), fmt.Sprint("spaces.urgency ", space.Priority),
 		fmt.Sprint("spaces.partitions ", space.Partitions()),
 	}
 }
@@ -77,7 +77,7 @@
 		}
 		var faulty []string
 		for _, fault := range faults {
-			faulty = append(faulty, "faulty at "+fault.Path+", code "+fault.Code)
+			faulty = append(faulty, "faulty at "+fault.Path+", code "+string(fault.Code))
 		}
 		slices.Sort(faulty)
 		lines = append(lines, faulty...)
@@ -89,7 +89,7 @@
 	var lines []string
 	for _, topic := range []string{"", "a", "reading.1", "reading.2", "a/b/c", "ø"} {
 		lines = append(lines, fmt.Sprintf("%q number %d, partition %s",
-			topic, config.TopicNumber(topic), config.SharedPartition(topic)))
+			topic, config.TopicHash(topic), config.SharedPartition(topic)))
 	}
 	storedforms.Compare(t, "forms-partitions.txt", lines)
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -44,8 +44,8 @@
 	Seeds    []string
 	Founding bool
 	NewDisk  string
-	// Life names this run of the process.
-	Life statemachine.Life
+	// Incarnation names this run of the process.
+	Incarnation statemachine.Incarnation
 	// Highest answers a configuration that is not above the one held as taken;
 	// otherwise it is a conflict, unless it is the same.
 	Highest bool
@@ -69,7 +69,7 @@
 
 type held struct {
 	from  string
-	ask   membership.Ask
+	ask   membership.ViewRequest
 	limit time.Time
 	// after is when it may be answered with a view, if not yet.
 	after time.Time
@@ -85,11 +85,11 @@
 	settings      Settings
 	spans         spans
 	state         *State
-	watch         *consensus.Watch
-	pulse         *membership.Pulse
-	follower      *membership.Follower
+	node          *consensus.Node
+	pulse         *membership.FailureDetector
+	follower      *membership.ViewClient
 	controlClient *controlclient.ControlClient
-	timers        *statemachine.Timers
+	timers        *statemachine.Timers[string]
 	held          map[string]held
 	views         map[string]sentView
 	heard         map[string]time.Time
@@ -97,7 +97,7 @@
 	suspected     map[string]map[string]reported
 	joining       map[string]Join
 	leaving       map[string]Departure
-	complete      map[string]membership.PartitionComplete
+	complete      map[string]membership.PartitionReplicated
 	lags          map[string]lag
 	dead          map[string]reported
 	doubts        map[string]*doubt
@@ -111,16 +111,16 @@
 	economist     *consolidation.Economist
 	balancer      *balancing.Balancer
 	lease         *consensus.Lease
-	orders        map[string]membership.Orders
+	orders        map[string]membership.Directives
 }
 
 // New makes a controller from what its disk held.
 func New(settings Settings, frame []byte, entries [][]byte) (*Controller, error) {
 	controller := &Controller{
-		settings: settings, spans: spansOf(settings), state: newState(), timers: statemachine.NewTimers(),
+		settings: settings, spans: spansOf(settings), state: newState(), timers: statemachine.NewTimers[string](),
 		held: map[string]held{}, views: map[string]sentView{}, heard: map[string]time.Time{}, loads: map[string]membership.Load{},
-		suspected: map[string]map[string]reported{}, joining: map[string]Join{}, leaving: map[string]Departure{}, complete: map[string]membership.PartitionComplete{}, lags: map[string]lag{}, doubts: map[string]*doubt{}, answers: map[string]answered{},
-		orders: map[string]membership.Orders{},
+		suspected: map[string]map[string]reported{}, joining: map[string]Join{}, leaving: map[string]Departure{}, complete: map[string]membership.PartitionReplicated{}, lags: map[string]lag{}, doubts: map[string]*doubt{}, answers: map[string]answered{},
+		orders: map[string]membership.Directives{},
 	}
 	self := consensus.Controller{Name: settings.Self.Name, Address: settings.Self.Address, Zone: settings.Self.Zone}
 	tolerance := DefaultTolerance
@@ -128,69 +128,69 @@
 		tolerance = *settings.Tolerance
 	}
 	watch, err := consensus.New(consensus.Settings{
-		Self: self, Count: settings.Count, Seeds: settings.Seeds, Founding: settings.Founding, Tolerance: tolerance, NewDisk: settings.NewDisk, Life: settings.Life,
+		Self: self, Count: settings.Count, Seeds: settings.Seeds, Founding: settings.Founding, Tolerance: tolerance, NewDisk: settings.NewDisk, Incarnation: settings.Incarnation,
 	}, controller.state, frame, entries)
 	if err != nil {
 		return nil, err
 	}
-	controller.watch = watch
+	controller.node = watch
 	controller.lease = watch.NewLease("economy")
 	controller.economist, controller.balancer = consolidation.New(), balancing.New()
-	controller.pulse = membership.NewPulse(settings.Self)
-	controller.follower = membership.NewFollower(settings.Self, settings.Life, append([]string{settings.Self.Address}, settings.Seeds...), func() membership.Load { return membership.Load{} })
+	controller.pulse = membership.NewFailureDetector(settings.Self)
+	controller.follower = membership.NewViewClient(settings.Self, settings.Incarnation, append([]string{settings.Self.Address}, settings.Seeds...), func() membership.Load { return membership.Load{} })
 	controller.controlClient = controlclient.New(controlclient.Settings{
-		Life: settings.Life, Acknowledge: settings.Acknowledge, Upstream: controller.upstream, Other: controller.follower.Other, Relays: controller.follower.Relays,
+		Incarnation: settings.Incarnation, Acknowledge: settings.Acknowledge, Upstream: controller.upstream, Next: controller.follower.NextController, Relays: controller.follower.Relays,
 	})
 	return controller, nil
 }
 
 func (c *Controller) upstream() string {
-	if primary, found := c.watch.Primary(); found {
+	if primary, found := c.node.Primary(); found {
 		return primary.Address
 	}
 	return c.follower.Upstream()
 }
 
-// Version is the newest configuration version this controller can vouch for.
-func (c *Controller) Version() uint64 { return c.follower.Version }
+// ConfigurationVersion is the newest configuration version this controller can vouch for.
+func (c *Controller) ConfigurationVersion() uint64 { return c.follower.Version }
 
-// Follower gives the controller's own view, for its ctl.
-func (c *Controller) Follower() *membership.Follower { return c.follower }
+// ViewClient gives the controller's own view, for its ctl.
+func (c *Controller) ViewClient() *membership.ViewClient { return c.follower }
 
-// Watch gives the controller's watch, for its ctl and the simulator's checks.
-func (c *Controller) Watch() *consensus.Watch { return c.watch }
+// Node gives the controller's watch, for its ctl and the simulator's checks.
+func (c *Controller) Node() *consensus.Node { return c.node }
 
 // State gives the control state, for the simulator's checks.
 func (c *Controller) State() *State { return c.state }
 
 // Ready tells whether this controller does its part.
-func (c *Controller) Ready() bool { return !c.watch.Blank() }
+func (c *Controller) Ready() bool { return !c.node.Blank() }
 
 // SetTolerance takes another tolerance from changed settings.
 func (c *Controller) SetTolerance(tolerance int) {
 	c.settings.Tolerance = &tolerance
-	c.watch.SetTolerance(tolerance)
+	c.node.SetTolerance(tolerance)
 }
 
 // Start begins the controller's work.
 func (c *Controller) Start(now time.Time, effects *statemachine.Effects) {
-	c.watch.Start(now, effects)
+	c.node.Start(now, effects)
 	c.pulse.Start(now)
 	c.follower.Start(now)
 	c.timers.Arm("tend", now.Add(tendEvery))
 }
 
-// NextDue is when the controller wants to run again.
-func (c *Controller) NextDue() time.Time {
-	return statemachine.Earliest(c.watch.NextDue(), c.pulse.NextDue(), c.follower.NextDue(), c.controlClient.NextDue(), c.timers.Next())
+// NextTick is when the controller wants to run again.
+func (c *Controller) NextTick() time.Time {
+	return statemachine.Earliest(c.node.NextTick(), c.pulse.NextTick(), c.follower.NextTick(), c.controlClient.NextTick(), c.timers.Next())
 }
 
-// Due runs whatever is due.
-func (c *Controller) Due(now time.Time, effects *statemachine.Effects) {
-	c.watch.Due(now, effects)
-	c.pulse.Due(now, effects)
-	c.follower.Due(now, effects)
-	c.controlClient.Due(now, effects)
+// Tick runs whatever is due.
+func (c *Controller) Tick(now time.Time, effects *statemachine.Effects) {
+	c.node.Tick(now, effects)
+	c.pulse.Tick(now, effects)
+	c.follower.Tick(now, effects)
+	c.controlClient.Tick(now, effects)
 	for _, key := range c.timers.Expired(now) {
 		if key == "tend" {
 			c.tend(now, effects)
@@ -199,66 +199,66 @@
 	c.endStop(now, effects)
 }
 
-// Command takes what the adapters bring: synced writes and ctl requests.
-func (c *Controller) Command(now time.Time, command any, effects *statemachine.Effects) {
+// HandleCommand takes what the adapters bring: synced writes and ctl requests.
+func (c *Controller) HandleCommand(now time.Time, command any, effects *statemachine.Effects) {
 	switch body := command.(type) {
 	case statemachine.Synced:
-		c.watch.Synced(now, body.Token, effects)
+		c.node.Synced(now, body.Token, effects)
 		c.answerNews(now, effects)
 	case Request:
-		c.controlClient.Carry(now, body.Local, body.Method, body.Path, body.Body, effects)
+		c.controlClient.Forward(now, body.Local, body.Method, body.Path, body.Body, effects)
 	case Stop:
 		c.beginStop(now, effects)
 	}
 	c.endStop(now, effects)
 }
 
-// Message takes what other daemons say.
-func (c *Controller) Message(now time.Time, meta statemachine.Meta, message any, effects *statemachine.Effects) {
+// HandleMessage takes what other daemons say.
+func (c *Controller) HandleMessage(now time.Time, meta statemachine.Meta, message any, effects *statemachine.Effects) {
 	if meta.From != c.settings.Self.Address {
-		c.pulse.Heard(now)
+		c.pulse.ReceiveFromPeer(now)
 	}
-	if c.watch.Message(now, meta, message, effects) {
+	if c.node.HandleMessage(now, meta, message, effects) {
 		c.answerNews(now, effects)
 		c.endStop(now, effects)
 		return
 	}
 	switch body := message.(type) {
-	case membership.Ask:
+	case membership.ViewRequest:
 		c.onAsk(now, meta.From, body, effects)
-	case membership.News:
-		if taken := c.follower.Take(now, body); taken.View {
-			c.pulse.Take(now, c.follower.Members, c.follower.Upstream(), c.follower.Index)
+	case membership.ViewUpdate:
+		if taken := c.follower.HandleUpdate(now, body); taken.View {
+			c.pulse.SetView(now, c.follower.Members, c.follower.Index)
 		}
 	case membership.Redirect:
-		c.follower.Redirected(now, body, effects)
+		c.follower.HandleRedirect(now, body, effects)
 	case membership.Heartbeat:
-		c.pulse.Beat(now, body)
+		c.pulse.ReceiveHeartbeat(now, body)
 	case membership.Suspicion:
 		c.onSuspicion(now, body)
-	case membership.Farewell:
+	case membership.GracefulLeave:
 		c.onFarewell(now, body, effects)
-	case membership.PartitionComplete:
-		if c.watch.HoldsLease(now) {
+	case membership.PartitionReplicated:
+		if c.node.HoldsLease(now) {
 			c.complete[body.Partition] = body
 			c.timers.ArmSooner("tend", now)
 		}
-	case membership.Lagging:
+	case membership.SlowDiskReport:
 		c.onLagging(now, body, effects)
 	case membership.ControlRequest:
 		c.onControl(now, meta.From, body, effects)
 	case membership.ControlResponse:
 		c.takeAnswer(now, meta.From, body, effects)
-	case membership.ConfigAsk:
-		c.follower.AnswerConfig(meta.From, body, effects)
+	case membership.ConfigurationRequest:
+		c.follower.RespondToConfigurationRequest(meta.From, body, effects)
 	}
 }
 
 // Asking and answering.
 
-func (c *Controller) onAsk(now time.Time, from string, ask membership.Ask, effects *statemachine.Effects) {
-	if !c.watch.Speaking(now) {
-		if c.watch.IsPrimary() && c.watch.HoldsLease(now) {
+func (c *Controller) onAsk(now time.Time, from string, ask membership.ViewRequest, effects *statemachine.Effects) {
+	if !c.node.Speaking(now) {
+		if c.node.IsPrimary() && c.node.HoldsLease(now) {
 			return
 		}
 		effects.Send(from, c.redirect(ask))
@@ -266,9 +266,9 @@
 	}
 	c.beginActing(now, effects)
 	c.noteMember(now, ask)
-	hold := membership.HoldAsk
-	if ask.Patient {
-		hold = membership.PatientHold
+	hold := membership.LongPollTimeout
+	if ask.LowPriority {
+		hold = membership.LowPriorityLongPollTimeout
 	}
 	item := held{from: from, ask: ask, limit: now.Add(hold), after: c.viewDue(ask)}
 	if item.after.After(now) {
@@ -284,12 +284,12 @@
 	c.timers.ArmSooner("tend", item.limit)
 }
 
-func (c *Controller) redirect(ask membership.Ask) membership.Redirect {
-	redirect := membership.Redirect{For: ask.Self.Name, Nonce: ask.Nonce, Epoch: c.watch.Record().Epoch}
-	if primary, found := c.watch.Primary(); found && primary.Name != c.settings.Self.Name {
+func (c *Controller) redirect(ask membership.ViewRequest) membership.Redirect {
+	redirect := membership.Redirect{Recipient: ask.Self.Name, Nonce: ask.Nonce, Epoch: c.node.Record().Epoch}
+	if primary, found := c.node.Primary(); found && primary.Name != c.settings.Self.Name {
 		redirect.Primary = primary.Address
 	}
-	for _, known := range c.watch.Known() {
+	for _, known := range c.node.Known() {
 		redirect.Controllers = append(redirect.Controllers, known.Address)
 	}
 	return redirect
@@ -298,10 +298,10 @@
 func (c *Controller) give(now time.Time, item held, effects *statemachine.Effects) {
 	c.noteAnswer(now, item.ask)
 	delete(c.held, item.ask.Self.Name)
-	news := membership.News{
-		For: item.ask.Self.Name, Nonce: item.ask.Nonce, Epoch: c.watch.Record().Epoch,
+	news := membership.ViewUpdate{
+		Recipient: item.ask.Self.Name, Nonce: item.ask.Nonce, Epoch: c.node.Record().Epoch,
 		Primary: c.settings.Self.Address, Index: c.state.Index, Version: c.state.Version,
-		Orders: c.orders[item.ask.Self.Name],
+		Directives: c.orders[item.ask.Self.Name],
 	}
 	if item.ask.Version < c.state.Version {
 		news.Document = c.state.Document
@@ -315,12 +315,12 @@
 		c.state.view(&news, since)
 		c.noteView(now, item.ask)
 	}
-	effects.SendBefore(item.from, news, c.watch.LeaseEnd())
+	effects.SendBefore(item.from, news, c.node.LeaseEnd())
 }
 
 // answerNews answers those that wait, once there is news or their time is up.
 func (c *Controller) answerNews(now time.Time, effects *statemachine.Effects) {
-	if len(c.held) == 0 || !c.watch.Speaking(now) {
+	if len(c.held) == 0 || !c.node.Speaking(now) {
 		return
 	}
 	for _, item := range statemachine.Sorted(c.held) {
@@ -336,7 +336,7 @@
 // noteMember notes what a member says of itself. Incarnations come from wall clocks,
 // which may have been set back across a restart: a lower one counts once the higher
 // has been silent for a while.
-func (c *Controller) noteMember(now time.Time, ask membership.Ask) {
+func (c *Controller) noteMember(now time.Time, ask membership.ViewRequest) {
 	self := ask.Self
 	c.noteHeard(ask)
 	if c.deaf(now, self.Name) {
@@ -365,7 +365,7 @@
 }
 
 func (c *Controller) onSuspicion(now time.Time, suspicion membership.Suspicion) {
-	if !c.watch.HoldsLease(now) {
+	if !c.node.HoldsLease(now) {
 		return
 	}
 	for _, suspect := range suspicion.Silent {
@@ -378,19 +378,19 @@
 	}
 }
 
-func (c *Controller) onFarewell(now time.Time, farewell membership.Farewell, _ *statemachine.Effects) {
+func (c *Controller) onFarewell(now time.Time, farewell membership.GracefulLeave, _ *statemachine.Effects) {
 	member, found := c.state.Members[farewell.Name]
-	if !c.watch.HoldsLease(now) || !found || !member.Alive || member.Incarnation != farewell.Incarnation {
+	if !c.node.HoldsLease(now) || !found || !member.Alive || member.Incarnation != farewell.Incarnation {
 		return
 	}
 	c.leaving[member.Name] = Departure{Name: member.Name, Incarnation: member.Incarnation}
 	c.timers.ArmSooner("tend", now)
 }
 
-// Refused is told that a daemon's address refuses to be dialled: its process has
+// ConnectionRefused is told that a daemon's address refuses to be dialled: its process has
 // ended, and nobody need wait for its silence.
-func (c *Controller) Refused(now time.Time, address string, effects *statemachine.Effects) {
-	if !c.watch.HoldsLease(now) {
+func (c *Controller) ConnectionRefused(now time.Time, address string, effects *statemachine.Effects) {
+	if !c.node.HoldsLease(now) {
 		return
 	}
 	for _, member := range statemachine.Sorted(c.state.Members) {
@@ -411,8 +411,8 @@
 	c.acting, c.began, c.busy = true, now, false
 	c.suspected = map[string]map[string]reported{}
 	c.joining, c.leaving = map[string]Join{}, map[string]Departure{}
-	c.complete = map[string]membership.PartitionComplete{}
-	c.orders = map[string]membership.Orders{}
+	c.complete = map[string]membership.PartitionReplicated{}
+	c.orders = map[string]membership.Directives{}
 	// What was reported in an earlier term is of no use any more.
 	c.loads = map[string]membership.Load{}
 	c.dead = map[string]reported{}
@@ -426,11 +426,11 @@
 	}
 }
 
-func (c *Controller) onLagging(now time.Time, told membership.Lagging, effects *statemachine.Effects) {
-	if !c.watch.HoldsLease(now) || !c.copiesTo(told.Reporter, told.Name) && !statemachine.Mutated("any-reporter") {
+func (c *Controller) onLagging(now time.Time, told membership.SlowDiskReport, effects *statemachine.Effects) {
+	if !c.node.HoldsLease(now) || !c.copiesTo(told.Reporter, told.Name) && !statemachine.Mutated("any-reporter") {
 		return
 	}
-	if told.Sure {
+	if told.Measured {
 		c.believe(now, told)
 		return
 	}
@@ -469,7 +469,7 @@
 		return false
 	}
 	for _, place := range c.state.Places {
-		if place.First == reporter && slices.Contains(place.Followers, name) {
+		if place.Leader == reporter && slices.Contains(place.Followers, name) {
 			return true
 		}
 	}
@@ -479,11 +479,11 @@
 // doubt is what one store said of another's disk.
 type doubt struct {
 	since     time.Time
-	told      membership.Lagging
+	told      membership.SlowDiskReport
 	reporters map[string]time.Time
 }
 
-func (c *Controller) believe(now time.Time, told membership.Lagging) {
+func (c *Controller) believe(now time.Time, told membership.SlowDiskReport) {
 	delete(c.doubts, told.Name)
 	c.lags[told.Name] = lag{at: now, incarnation: told.Incarnation, delay: told.Delay}
 	if !c.state.Members[told.Name].Degraded {
@@ -509,9 +509,9 @@
 	changed := c.state.degradations(now, c.lags)
 	for _, change := range changed {
 		if change.Degraded {
-			effects.Note(logevent.StoreDegraded, "store", change.Name, "delay", c.lags[change.Name].delay.String())
+			effects.Emit(logevent.StoreDegraded, "store", change.Name, "delay", c.lags[change.Name].delay.String())
 		} else {
-			effects.Note(logevent.StoreWell, "store", change.Name)
+			effects.Emit(logevent.StoreRecovered, "store", change.Name)
 		}
 	}
 	return changed
@@ -535,7 +535,7 @@
 }
 
 func (c *Controller) tend(now time.Time, effects *statemachine.Effects) {
-	if !c.watch.HoldsLease(now) {
+	if !c.node.HoldsLease(now) {
 		if c.acting {
 			c.stopActing(now, effects)
 		}
@@ -545,17 +545,17 @@
 	c.timers.Arm("tend", now.Add(tendEvery))
 	c.beginActing(now, effects)
 	c.answerNews(now, effects)
-	if c.busy || !c.watch.Serving(now) {
+	if c.busy || !c.node.Serving(now) {
 		return
 	}
 	command := Command{}
 	for _, departure := range statemachine.Sorted(c.leaving) {
 		command.Departures = append(command.Departures, departure)
-		effects.Note(logevent.MemberLost, "member", departure.Name, "why", "its process ended")
+		effects.Emit(logevent.MemberLost, "member", departure.Name, "why", "its process ended")
 	}
 	for _, join := range statemachine.Sorted(c.joining) {
 		command.Joins = append(command.Joins, join)
-		effects.Note(logevent.MemberJoined, "member", join.Self.Name, "kind", join.Self.Kind, "zone", join.Self.Zone)
+		effects.Emit(logevent.MemberJoined, "member", join.Self.Name, "kind", join.Self.Kind, "zone", join.Self.Zone)
 	}
 	c.joining, c.leaving = map[string]Join{}, map[string]Departure{}
 	command.Departures = append(command.Departures, c.lost(now, effects)...)
@@ -567,10 +567,10 @@
 		place, found := c.state.Places[partition]
 		if found && place.Epoch == settled.Epoch && !place.Complete {
 			command.Settled = append(command.Settled, settled)
-			effects.Note(logevent.PlacementComplete, "partition", partition, "epoch", settled.Epoch)
+			effects.Emit(logevent.PlacementReplicated, "partition", partition, "epoch", settled.Epoch)
 		}
 	}
-	c.complete = map[string]membership.PartitionComplete{}
+	c.complete = map[string]membership.PartitionReplicated{}
 	if wanted := c.settings.Tolerance; wanted != nil && *wanted != c.state.Tolerance {
 		command.Tolerance = wanted
 	}
@@ -578,7 +578,7 @@
 		c.forgetStrangers(now)
 		command.Forgotten = c.forgettable(now)
 		for _, departure := range command.Forgotten {
-			effects.Note(logevent.MemberForgotten, "member", departure.Name)
+			effects.Emit(logevent.MemberRemoved, "member", departure.Name)
 		}
 	}
 	if command.empty() {
@@ -592,7 +592,7 @@
 			})
 		}
 		for _, place := range command.Places {
-			effects.Note(logevent.PlacementChanged, "partition", place.Partition, "epoch", place.Epoch, "first", place.First, "followers", strings.Join(place.Followers, " "))
+			effects.Emit(logevent.PlacementChanged, "partition", place.Partition, "epoch", place.Epoch, "first", place.Leader, "followers", strings.Join(place.Followers, " "))
 		}
 	}
 	if !command.empty() {
@@ -604,7 +604,7 @@
 
 func (c *Controller) submit(now time.Time, command Command, effects *statemachine.Effects) {
 	c.busy = true
-	c.watch.Submit(now, mustPack(command), c.spans.command, func(now time.Time, effects *statemachine.Effects, outcome consensus.Outcome) {
+	c.node.Submit(now, mustPack(command), c.spans.command, func(now time.Time, effects *statemachine.Effects, outcome consensus.Outcome) {
 		c.busy = false
 		if outcome == consensus.Committed {
 			c.answerNews(now, effects)
@@ -633,7 +633,7 @@
 		unheard := now.Sub(c.heard[name])
 		limit, unasked := c.spans.unheard, c.spans.unheard/2
 		if member.Resting {
-			limit += membership.PatientHold
+			limit += membership.LowPriorityLongPollTimeout
 		}
 		if member.Kind == membership.KindStore {
 			unasked = storeUnheard
@@ -644,7 +644,7 @@
 		if fresh >= 2 && unheard > unasked || fresh >= 1 && unheard > limit || fresh >= membership.Watchers {
 			gone = append(gone, Departure{Name: name, Incarnation: member.Incarnation})
 			delete(c.suspected, name)
-			effects.Note(logevent.MemberLost, "member", name, "reporters", fresh, "unheard", unheard.String())
+			effects.Emit(logevent.MemberLost, "member", name, "reporters", fresh, "unheard", unheard.String())
 		}
 	}
 	for name, member := range statemachine.Sorted(c.state.Members) {
@@ -652,7 +652,7 @@
 		// an old view: to the others it is as good as lost.
 		limit := c.spans.following
 		if member.Resting {
-			limit += membership.PatientHold
+			limit += membership.LowPriorityLongPollTimeout
 		}
 		if unheard := now.Sub(c.heard[name]); member.Alive && (unheard > limit || c.deaf(now, name)) && !slices.ContainsFunc(gone, func(other Departure) bool { return other.Name == name }) {
 			gone = append(gone, Departure{Name: name, Incarnation: member.Incarnation})
@@ -660,7 +660,7 @@
 			if c.deaf(now, name) {
 				why = "hears no answer"
 			}
-			effects.Note(logevent.MemberLost, "member", name, "why", why, "unheard", unheard.String())
+			effects.Emit(logevent.MemberLost, "member", name, "why", why, "unheard", unheard.String())
 		}
 	}
 	return gone
@@ -672,7 +672,7 @@
 	for name, member := range statemachine.Sorted(c.state.Members) {
 		if member.Kind == membership.KindStore && member.Retiring && !member.Retired && !c.state.refers(name) {
 			done = append(done, name)
-			effects.Note(logevent.StoreRetired, "store", name)
+			effects.Emit(logevent.StoreRetired, "store", name)
 		}
 	}
 	return done
--- a/internal/controller/economy.go
+++ b/internal/controller/economy.go
@@ -21,7 +21,7 @@
 // economize lets the economy duty act, under its own lease.
 func (c *Controller) economize(now time.Time, effects *statemachine.Effects) {
 	configuration := c.configuration()
-	c.watch.AskDuty(now, c.lease, effects)
+	c.node.AskDuty(now, c.lease, effects)
 	// Right after a take-over few have reported, and after a loss of all the crowd
 	// still comes: what looks like too many then is a share of too few.
 	if !c.lease.Held(now) || now.Sub(c.began) < settleFor {
@@ -36,7 +36,7 @@
 
 // balance adds orders that spread callers evenly over the gateways which nobody asked
 // to rest and whose reports are fresh.
-func (c *Controller) balance(now time.Time, configuration config.Configuration, decided map[string]membership.Orders) {
+func (c *Controller) balance(now time.Time, configuration config.Configuration, decided map[string]membership.Directives) {
 	var gateways []balancing.Gateway
 	for name, load := range statemachine.Sorted(c.loads) {
 		member, known := c.state.Members[name]
@@ -44,24 +44,24 @@
 			continue
 		}
 		gateways = append(gateways, balancing.Gateway{
-			Name: name, Zone: member.Zone, Origins: load.Origins, Room: load.Room,
-			Accepts: load.Ready && !member.Resting && !decided[name].Rest && !slices.Contains(configuration.Drains, name),
+			Name: name, Zone: member.Zone, Origins: load.Sessions, Room: load.FreeCapacity,
+			Accepts: load.Ready && !member.Resting && !decided[name].Rest && !slices.Contains(configuration.Draining, name),
 		})
 	}
 	for name, order := range c.balancer.Plan(gateways) {
 		present := decided[name]
-		present.Keep, present.Pace, present.Targets = order.Keep, order.Pace, order.Targets
+		present.KeepSessions, present.MovesPerSecond, present.Targets = order.Keep, order.Pace, order.Targets
 		decided[name] = present
 	}
 }
 
 // giveOrders tells gateways what is asked of them, where that changed, and has the
 // state name those that rest.
-func (c *Controller) giveOrders(now time.Time, decided map[string]membership.Orders, effects *statemachine.Effects) {
+func (c *Controller) giveOrders(now time.Time, decided map[string]membership.Directives, effects *statemachine.Effects) {
 	command := Command{}
 	for name := range statemachine.Sorted(c.orders) {
 		if _, found := decided[name]; !found {
-			decided[name] = membership.Orders{}
+			decided[name] = membership.Directives{}
 		}
 	}
 	for name, orders := range statemachine.Sorted(decided) {
@@ -76,9 +76,9 @@
 		if rests := orders.Rest && c.loads[name].Resting; member.Resting != rests && member.Alive {
 			command.Rests = append(command.Rests, Rest{Name: name, Incarnation: member.Incarnation, Resting: rests})
 			if rests {
-				effects.Note(logevent.GatewayRested, "gateway", name)
+				effects.Emit(logevent.GatewayRested, "gateway", name)
 			} else {
-				effects.Note(logevent.GatewayWoken, "gateway", name)
+				effects.Emit(logevent.GatewayWoken, "gateway", name)
 			}
 		}
 	}
--- a/internal/controller/explore_test.go
+++ b/internal/controller/explore_test.go
@@ -126,7 +126,7 @@
 func (s *exploreStore) start() {
 	s.lives++
 	machine, err := partition.New(partition.Settings{
-		Self: s.member(), Seeds: []string{"controller"}, NewDisk: fmt.Sprintf("%s-%d", s.name, s.lives), Life: statemachine.Life(s.number<<8 + s.lives),
+		Self: s.member(), Seeds: []string{"controller"}, NewDisk: fmt.Sprintf("%s-%d", s.name, s.lives), Incarnation: statemachine.Incarnation(s.number<<8 + s.lives),
 	}, s.frame, s.entries)
 	if err != nil {
 		panic(err)
@@ -185,14 +185,14 @@
 func (w *storeWorld) give(item *onTheWay) {
 	store := w.store(item.to)
 	if item.write != nil {
-		if frame, whole := item.write.Whole(); whole {
+		if frame, whole := item.write.SnapshotBytes(); whole {
 			store.frame, store.entries = frame, nil
 		}
 		store.entries = append(store.entries, item.write.Entries...)
 		store.disk = explore.KeyOf(time.Time{}, nil, store.disk, item.write.Entries, store.frame)
 		w.cause = item.cause
 		store.step(func(now time.Time, effects *statemachine.Effects) {
-			store.machine.Command(now, statemachine.Synced{Token: item.write.Token}, effects)
+			store.machine.HandleCommand(now, statemachine.Synced{Token: item.write.Token}, effects)
 		})
 		return
 	}
@@ -207,14 +207,16 @@
 	case "gateway":
 		w.gateway(message)
 	default:
-		store.step(func(now time.Time, effects *statemachine.Effects) { store.machine.Message(now, meta, message, effects) })
+		store.step(func(now time.Time, effects *statemachine.Effects) {
+			store.machine.HandleMessage(now, meta, message, effects)
+		})
 	}
 }
 
 // controller answers as the primary would.
 func (w *storeWorld) controller(from string, message any) {
 	switch body := message.(type) {
-	case membership.Ask:
+	case membership.ViewRequest:
 		if store := w.store(from); !store.up || uint64(store.lives) != body.Self.Incarnation {
 			return
 		}
@@ -223,16 +225,16 @@
 		}
 		w.asks[from] = heldAsk{ask: body, until: w.now.Add(exploreAskHeld)}
 		w.answerNews()
-	case membership.PartitionComplete:
-		w.apply(Command{Settled: []membership.PartitionComplete{body}})
-	case membership.Lagging:
+	case membership.PartitionReplicated:
+		w.apply(Command{Settled: []membership.PartitionReplicated{body}})
+	case membership.SlowDiskReport:
 		w.lags[body.Name] = lag{at: w.now, incarnation: body.Incarnation, delay: body.Delay}
 	}
 }
 
 // heldAsk is a store's question that waits for news.
 type heldAsk struct {
-	ask   membership.Ask
+	ask   membership.ViewRequest
 	until time.Time
 }
 
@@ -243,8 +245,8 @@
 			continue
 		}
 		delete(w.asks, from)
-		news := membership.News{
-			For: from, Nonce: held.ask.Nonce, Epoch: 1, Primary: "controller", Index: w.state.Index, Version: w.state.Version, Document: w.state.Document,
+		news := membership.ViewUpdate{
+			Recipient: from, Nonce: held.ask.Nonce, Epoch: 1, Primary: "controller", Index: w.state.Index, Version: w.state.Version, Document: w.state.Document,
 		}
 		if held.ask.Index != w.state.Index {
 			w.state.view(&news, held.ask.Index)
@@ -287,7 +289,7 @@
 
 func (w *storeWorld) append(sender string, seq uint64) {
 	w.asked++
-	w.send("gateway", w.state.Places[testPartition].First, partition.Append{
+	w.send("gateway", w.state.Places[testPartition].Leader, partition.Append{
 		Partition: testPartition, Request: w.asked, Topic: "a", Sender: sender, Seq: seq, Data: fmt.Appendf(nil, "%s %d", sender, seq),
 	})
 }
@@ -323,19 +325,19 @@
 	}
 	var next *exploreStore
 	for _, store := range w.stores {
-		if store.up && (next == nil || store.machine.NextDue().Before(next.machine.NextDue())) {
+		if store.up && (next == nil || store.machine.NextTick().Before(next.machine.NextTick())) {
 			next = store
 		}
 	}
 	w.cause = []byte("tick")
-	if next == nil || !w.tendAt.After(next.machine.NextDue()) {
+	if next == nil || !w.tendAt.After(next.machine.NextTick()) {
 		w.now = w.later(w.tendAt)
 		w.tendAt = w.now.Add(exploreTendEvery)
 		w.tend()
 		return
 	}
-	w.now = w.later(next.machine.NextDue())
-	next.step(func(now time.Time, effects *statemachine.Effects) { next.machine.Due(now, effects) })
+	w.now = w.later(next.machine.NextTick())
+	next.step(func(now time.Time, effects *statemachine.Effects) { next.machine.Tick(now, effects) })
 }
 
 func (w *storeWorld) later(at time.Time) time.Time {
@@ -515,7 +517,7 @@
 			return w.broken
 		}
 		place := w.state.Places[testPartition]
-		if first := w.store(place.First); len(w.items) > 0 || !place.Complete || !first.up || w.now.Sub(calm) < time.Second {
+		if first := w.store(place.Leader); len(w.items) > 0 || !place.Complete || !first.up || w.now.Sub(calm) < time.Second {
 			continue
 		}
 		if w.fetched[0] == "" {
@@ -524,12 +526,12 @@
 			}
 			w.asked++
 			askedAt = w.now
-			w.send("gateway", place.First, partition.Fetch{Partition: testPartition, Request: w.asked, Prefixes: []string{""}})
+			w.send("gateway", place.Leader, partition.Fetch{Partition: testPartition, Request: w.asked, Prefixes: []string{""}})
 			continue
 		}
 		for name, offset := range w.accepted {
 			if w.fetched[offset] != name {
-				return fmt.Errorf("%s was accepted at %d, where %s holds %q", name, offset, place.First, w.fetched[offset])
+				return fmt.Errorf("%s was accepted at %d, where %s holds %q", name, offset, place.Leader, w.fetched[offset])
 			}
 		}
 		return nil
@@ -554,7 +556,7 @@
 	}
 }
 
-func (w *storeWorld) leader() *exploreStore { return w.store(w.state.Places[testPartition].First) }
+func (w *storeWorld) leader() *exploreStore { return w.store(w.state.Places[testPartition].Leader) }
 
 func (w *storeWorld) follower() *exploreStore {
 	return w.store(w.state.Places[testPartition].Followers[0])
@@ -566,7 +568,9 @@
 
 func (s *exploreStore) stop() {
 	s.world.cause = []byte("stop")
-	s.step(func(now time.Time, effects *statemachine.Effects) { s.machine.Command(now, partition.Stop{}, effects) })
+	s.step(func(now time.Time, effects *statemachine.Effects) {
+		s.machine.HandleCommand(now, partition.Stop{}, effects)
+	})
 }
 
 var storeWalks = []storeWalk{
--- a/internal/controller/state.go
+++ b/internal/controller/state.go
@@ -67,13 +67,13 @@
 
 // view puts into news what changed after an index, or everything for whoever
 // has nothing, or something that is gone.
-func (s *State) view(news *membership.News, since uint64) {
+func (s *State) view(news *membership.ViewUpdate, since uint64) {
 	if since < s.WholeAt || since > s.Index {
 		since = 0
 	}
 	news.Changed, news.Since = true, since
 	if since <= s.BirthsAt {
-		news.Births = s.Births
+		news.SpaceCreatedAt = s.Births
 	}
 	for name, member := range statemachine.Sorted(s.Members) {
 		if at, known := s.MemberAt[name]; !known || at > since {
@@ -82,7 +82,7 @@
 	}
 	for _, gone := range s.Tombstones {
 		if since > 0 && gone.At > since {
-			news.Gone = append(news.Gone, gone.Name)
+			news.RemovedMembers = append(news.RemovedMembers, gone.Name)
 		}
 	}
 	for name, place := range statemachine.Sorted(s.Places) {
@@ -94,7 +94,7 @@
 
 func (s *State) takeConfiguration(change ConfigurationChange, configuration config.Configuration) {
 	s.Version, s.Document = change.Version, change.Document
-	s.BirthsAt, s.Drained = s.Index, configuration.Drains
+	s.BirthsAt, s.Drained = s.Index, configuration.Draining
 	for name := range statemachine.Sorted(s.Births) {
 		space, found := configuration.Spaces[name]
 		if !found || s.Natures[name] != nature(space) {
@@ -136,7 +136,7 @@
 	return named && found && strings.HasPrefix(partition, fmt.Sprintf("%s~%d/", space, birth))
 }
 
-func nature(space config.Space) string { return string(space.Promise) + "/" + string(space.Order) }
+func nature(space config.Space) string { return string(space.Retention) + "/" + string(space.Order) }
 
 func (s *State) partitions(configuration config.Configuration) []string {
 	var names []string
@@ -153,8 +153,8 @@
 	return names
 }
 
-// Frame is the whole state.
-func (s *State) Frame() []byte { return transport.MustMarshal(s) }
+// Snapshot is the whole state.
+func (s *State) Snapshot() []byte { return transport.MustMarshal(s) }
 
 // Restore takes a whole state in place of this one.
 func (s *State) Restore(packed []byte) error {
--- a/internal/daemon/forms_test.go
+++ b/internal/daemon/forms_test.go
@@ -51,12 +51,12 @@
 // answering is an echo that answers what it is asked.
 type answering struct{ echo }
 
-func (a *answering) Command(now time.Time, command any, effects *statemachine.Effects) {
+func (a *answering) HandleCommand(now time.Time, command any, effects *statemachine.Effects) {
 	if body, matches := command.(question); matches {
-		effects.Return(body.request, body.value)
+		effects.Respond(body.request, body.value)
 		return
 	}
-	a.echo.Command(now, command, effects)
+	a.echo.HandleCommand(now, command, effects)
 }
 
 // serveCtl serves the ctl of a store whose primary answers with the status 418.
@@ -66,34 +66,34 @@
 	assert.NilError(t, err)
 	address := listener.Addr().String()
 	assert.NilError(t, listener.Close())
-	host, err := Open(Settings{Address: address, Logger: logevent.New(io.Discard, "store-1", 0)})
+	host, err := NewEventLoop(Options{Address: address, Logger: logevent.New(io.Discard, "store-1", 0)})
 	assert.NilError(t, err)
 	machine := &answering{}
-	host.Run(machine)
+	host.Start(machine)
 	t.Cleanup(func() {
 		host.Post(stopNow{})
-		<-host.Ended()
+		<-host.Done()
 		host.Transport().Close()
 	})
-	running := &process{kind: "store", host: host, self: membership.Member{Name: "store-1", Kind: "store", Zone: "east"}}
-	running.built = Build{
+	running := &process{kind: "store", loop: host, self: membership.Member{Name: "store-1", Kind: "store", Zone: "east"}}
+	running.service = Service{
 		Machine:  machine,
 		Ready:    func(time.Time) bool { return true },
 		Counters: func() any { return map[string]int{"counted": 1} },
-		Request: func(local uint64, method, path string, body []byte) any {
-			answer := controlclient.Error("asked", method+" "+path+" "+string(body), nil)
+		OperatorRequest: func(local uint64, method, path string, body []byte) any {
+			answer := controlclient.ErrorBody("asked", method+" "+path+" "+string(body), nil)
 			return question{request: local, value: membership.ControlResponse{
 				Status:     http.StatusTeapot,
 				Body:       answer,
 				RetryAfter: 1500 * time.Millisecond,
 			}}
 		},
-		Find: func(local uint64, request, message, origin string) any {
-			entry := decisionlog.Entry{Daemon: "store-1", Request: request, Message: message, Origin: origin}
+		FindDecisions: func(local uint64, request, message, origin string) any {
+			entry := decisionlog.Entry{Daemon: "store-1", Request: request, Message: message, Client: origin}
 			return question{request: local, value: []decisionlog.Entry{entry}}
 		},
 	}
-	served := httptest.NewServer(running.control())
+	served := httptest.NewServer(running.controlHandler())
 	t.Cleanup(served.Close)
 	return served
 }
--- a/internal/lineserver/owner.go
+++ b/internal/lineserver/owner.go
@@ -38,7 +38,7 @@
 		}
 		s.Counters.Writes.Add(1)
 		s.Counters.BytesOut.Add(int64(to.sent))
-		s.settings.Host.Transport().Spent(to.sent)
+		s.settings.Host.Transport().SpendBandwidth(to.sent)
 		if to.stuck.Load() {
 			rest := to.output[to.sent:]
 			to.output, to.owed = nil, len(rest)
@@ -62,8 +62,8 @@
 	sent, err := to.socket.Write(rest)
 	_ = to.socket.SetWriteDeadline(time.Time{})
 	s.Counters.BytesOut.Add(int64(sent))
-	s.settings.Host.Transport().Spent(sent)
-	s.settings.Host.Within(func(daemon.Owner) {
+	s.settings.Host.Transport().SpendBandwidth(sent)
+	s.settings.Host.Execute(func(daemon.LoopContext) {
 		if err != nil {
 			if to.why == "" {
 				s.Counters.Slow.Add(1)
@@ -106,7 +106,7 @@
 	}
 }
 
-func (s *Server) answer(to *connection, about About, answer gateway.Answer) {
+func (s *Server) answer(to *connection, about About, answer gateway.Reply) {
 	to.waiting.Add(-1)
 	if to.state == ended {
 		return
@@ -114,12 +114,12 @@
 	s.gather(to, saidKind{kindNames[about.Kind], answer.Outcome}, s.settings.Protocol.AppendAnswer(to.output, about, answer))
 }
 
-func refused(code string, back time.Duration) gateway.Answer {
-	return gateway.Answer{Outcome: gateway.OutcomeRefused, Code: code, RetryAfter: back}
+func refused(code string, back time.Duration) gateway.Reply {
+	return gateway.Reply{Outcome: gateway.OutcomeRejected, Code: code, RetryAfter: back}
 }
 
 // take does what one read of a connection brought.
-func (s *Server) take(owner daemon.Owner, from *connection, batch []asked) {
+func (s *Server) take(owner daemon.LoopContext, from *connection, batch []asked) {
 	if from.state == fresh {
 		s.connections[from.channel] = from
 	}
@@ -149,12 +149,12 @@
 	}
 }
 
-func (s *Server) open(owner daemon.Owner, from *connection, command *asked) {
+func (s *Server) open(owner daemon.LoopContext, from *connection, command *asked) {
 	about := command.about
 	from.state, from.origin = opening, command.origin
-	owner.Attach(from.channel, func(deliver statemachine.Deliver) { s.deliver(from, deliver) })
-	owner.Ask(func(request uint64) any {
-		return gateway.OpenChannel{Request: request, Channel: from.channel, Name: strconv.FormatUint(from.channel, 16), Origin: command.origin, Lines: true}
+	owner.AttachSession(from.channel, func(deliver statemachine.Delivery) { s.deliver(from, deliver) })
+	owner.Submit(func(request uint64) any {
+		return gateway.OpenSession{Request: request, Session: from.channel, Name: strconv.FormatUint(from.channel, 16), Client: command.origin, AdapterPings: true}
 	}, func(value any) {
 		answer := answerOf(value)
 		if from.state == opening {
@@ -165,10 +165,10 @@
 			}
 		}
 		if from.state != open {
-			owner.Detach(from.channel)
+			owner.DetachSession(from.channel)
 		}
 		if from.state == ended && answer.Outcome == gateway.OutcomeAccepted {
-			owner.Post(gateway.CloseChannel{Channel: from.channel, Why: from.why})
+			owner.Post(gateway.CloseSession{Session: from.channel, Reason: from.why})
 		}
 		s.answer(from, about, answer)
 	})
@@ -176,33 +176,33 @@
 
 // answerOf is the gateway's answer; where it ended, nobody can tell what became
 // of what it was asked.
-func answerOf(value any) gateway.Answer {
-	if answer, matches := value.(gateway.Answer); matches {
+func answerOf(value any) gateway.Reply {
+	if answer, matches := value.(gateway.Reply); matches {
 		return answer
 	}
-	return gateway.Answer{Outcome: gateway.OutcomeUnsettled, Code: CodeStopping, RetryAfter: comeBack}
+	return gateway.Reply{Outcome: gateway.OutcomeUnsettled, Code: CodeStopping, RetryAfter: comeBack}
 }
 
-func (s *Server) carry(owner daemon.Owner, from *connection, command *asked) {
+func (s *Server) carry(owner daemon.LoopContext, from *connection, command *asked) {
 	about := command.about
-	owner.Ask(func(request uint64) any {
+	owner.Submit(func(request uint64) any {
 		switch about.Kind {
 		case Subscribe:
 			return gateway.Subscribe{
-				Request: request, Channel: from.channel, Origin: from.origin, Interests: []gateway.Interest{{Path: about.Topic}}, Cursor: command.cursor,
+				Request: request, Session: from.channel, Client: from.origin, Interests: []gateway.Interest{{Path: about.Topic}}, Cursor: command.cursor,
 			}
 		case Unsubscribe:
-			return gateway.Unsubscribe{Request: request, Channel: from.channel, Origin: from.origin, Interests: []gateway.Interest{{Path: about.Topic}}}
+			return gateway.Unsubscribe{Request: request, Session: from.channel, Client: from.origin, Interests: []gateway.Interest{{Path: about.Topic}}}
 		case Publish:
-			return gateway.Publish{Request: request, Origin: from.origin, Sender: from.origin, Topic: about.Topic, Seq: about.Seq, Data: command.body}
+			return gateway.Publish{Request: request, Client: from.origin, Sender: from.origin, Topic: about.Topic, Seq: about.Seq, Data: command.body}
 		default:
-			return gateway.Count{Request: request, Channel: from.channel, Origin: from.origin, Topic: about.Topic}
+			return gateway.CountSubscribers{Request: request, Session: from.channel, Client: from.origin, Topic: about.Topic}
 		}
 	}, func(value any) { s.answer(from, about, answerOf(value)) })
 }
 
 // deliver takes an event of the gateway.
-func (s *Server) deliver(to *connection, deliver statemachine.Deliver) {
+func (s *Server) deliver(to *connection, deliver statemachine.Delivery) {
 	if to.state == ended {
 		return
 	}
@@ -221,7 +221,7 @@
 }
 
 // over ends the channel of a connection that is gone.
-func (s *Server) over(owner daemon.Owner, gone *connection) {
+func (s *Server) over(owner daemon.LoopContext, gone *connection) {
 	had := gone.state
 	gone.state = ended
 	delete(s.connections, gone.channel)
@@ -234,8 +234,8 @@
 	case gone.why == "":
 		gone.why = "closed"
 	}
-	owner.Detach(gone.channel)
-	owner.Post(gateway.CloseChannel{Channel: gone.channel, Why: gone.why})
+	owner.DetachSession(gone.channel)
+	owner.Post(gateway.CloseSession{Session: gone.channel, Reason: gone.why})
 }
 
 // name keeps one text for each name that comes again and again.
--- a/internal/partition/forms_test.go
+++ b/internal/partition/forms_test.go
@@ -39,7 +39,7 @@
 		for position, packed := range folder.Entries {
 			storedforms.CheckRewrite[diskEntry](t, fmt.Sprintf("%s, entry %d", folder.Name, position), packed)
 		}
-		settings := Settings{Self: membership.Member{Name: "store-1", Address: "store-1:1"}, Life: 1}
+		settings := Settings{Self: membership.Member{Name: "store-1", Address: "store-1:1"}, Incarnation: 1}
 		store, err := New(settings, folder.Frame, folder.Entries)
 		if err != nil {
 			t.Errorf("%s: %v", folder.Name, err)
@@ -58,6 +58,6 @@
 func snapshotOf(store *Store) []byte {
 	var effects statemachine.Effects
 	store.checkpoint(time.Unix(1_700_000_000, 0), &effects)
-	packed, _ := effects.Writes[0].Whole()
+	packed, _ := effects.Writes[0].SnapshotBytes()
 	return packed
 }
--- a/internal/settings/forms_test.go
+++ b/internal/settings/forms_test.go
@@ -13,27 +13,28 @@
 
 // byKey gives what each key of a daemon's settings brought about.
 func byKey(read Settings) []string {
-	bounds := read.Bounds
+	bounds := read.Timeouts
 	return []string{
 		fmt.Sprint("name ", read.Name), fmt.Sprint("zone ", read.Zone), fmt.Sprint("address ", read.Address),
-		fmt.Sprint("ctl ", read.Control), fmt.Sprint("caller ", read.Caller), fmt.Sprint("agent ", read.Agent),
-		fmt.Sprint("gateway ", read.Gateway), fmt.Sprint("seeds, seeds_port ", read.Seeds, read.SeedsPort),
-		fmt.Sprint("data ", read.Data), fmt.Sprint("controllers ", read.Controllers), fmt.Sprint("key ", read.Key),
-		fmt.Sprint("origins_most, descriptors ", read.OriginsMost), fmt.Sprint("log_level ", read.LogLevel),
+		fmt.Sprint("ctl ", read.ControlAddress), fmt.Sprint("caller ", read.ClientAddress),
+		fmt.Sprint("agent ", read.AgentAddress), fmt.Sprint("gateway ", read.GatewayAddress),
+		fmt.Sprint("seeds, seeds_port ", read.Seeds, read.SeedsPort),
+		fmt.Sprint("data ", read.DataDir), fmt.Sprint("controllers ", read.Controllers), fmt.Sprint("key ", read.Key),
+		fmt.Sprint("origins_most, descriptors ", read.MaxSessions), fmt.Sprint("log_level ", read.LogLevel),
 		fmt.Sprint("bootstrap ", read.Bootstrap), fmt.Sprint("tolerance, tolerance_zones ", read.Tolerance),
-		fmt.Sprint("callers ", read.Callers), fmt.Sprint("admission ", read.Admission),
-		fmt.Sprint("versions ", read.Versions), fmt.Sprint("operators ", read.Operators),
-		fmt.Sprint("compression ", read.Compression), fmt.Sprint("traffic ", read.Traffic),
-		fmt.Sprint("memory ", read.Memory), fmt.Sprint("link ", read.Link),
+		fmt.Sprint("callers ", read.ClientProtocol), fmt.Sprint("admission ", read.AdmissionMode),
+		fmt.Sprint("versions ", read.VersionPolicy), fmt.Sprint("operators ", read.OperatorProtocol),
+		fmt.Sprint("compression ", read.Compression), fmt.Sprint("traffic ", read.TrafficInterval),
+		fmt.Sprint("memory ", read.MemoryBytes), fmt.Sprint("link ", read.LinkBytesPerSecond),
 		fmt.Sprint("bounds.contact ", bounds.Contact), fmt.Sprint("bounds.acknowledge ", bounds.Acknowledge),
 		fmt.Sprint("bounds.catch_up ", bounds.CatchUp), fmt.Sprint("bounds.drain ", bounds.Drain),
 		fmt.Sprint("bounds.grace ", bounds.Grace), fmt.Sprint("bounds.apply ", bounds.Apply),
 		fmt.Sprint("bounds.revert_slack ", bounds.RevertSlack), fmt.Sprint("bounds.recovery ", bounds.Recovery),
 		fmt.Sprint("bounds.ping ", bounds.Ping), fmt.Sprint("bounds.resume ", bounds.Resume),
 		fmt.Sprint("bounds.redeliver ", bounds.Redeliver), fmt.Sprint("bounds.presence ", bounds.Presence),
-		fmt.Sprint("trial.delays ", read.Trial.Delays), fmt.Sprint("trial.loss ", read.Trial.Loss),
-		fmt.Sprint("trial.cuts ", read.Trial.Cuts), fmt.Sprint("trial.mutes ", read.Trial.Mutes),
-		fmt.Sprint("trial.deaf ", read.Trial.Deaf), fmt.Sprint("trial.disk ", read.Trial.Disk),
+		fmt.Sprint("trial.delays ", read.Impairment.Delays), fmt.Sprint("trial.loss ", read.Impairment.Loss),
+		fmt.Sprint("trial.cuts ", read.Impairment.Partitioned), fmt.Sprint("trial.mutes ", read.Impairment.OutboundBlocked),
+		fmt.Sprint("trial.deaf ", read.Impairment.InboundBlocked), fmt.Sprint("trial.disk ", read.Impairment.DiskDelay),
 	}
 }
 
@@ -73,11 +74,11 @@
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	source, err := FromFlags(kind, []string{"-trial", "-settings", path})
+	source, err := ParseFlags(kind, []string{"-trial", "-settings", path})
 	if err != nil {
 		t.Fatal(err)
 	}
-	read, err := source.Read()
+	read, err := source.Load()
 	if err == nil {
 		return byKey(read)
 	}
@@ -94,11 +95,11 @@
 	slices.Sort(flags)
 	lines := []string{
 		"keys " + strings.Join(flags, " "),
-		"callers " + CallersJSON + " " + CallersLines,
-		"admission " + AdmissionToken + " " + AdmissionOpen,
-		"versions " + VersionsStrict + " " + VersionsHighest,
-		"operators " + OperatorsJSON,
-		"compression " + CompressionNone + " " + CompressionFar,
+		fmt.Sprint("callers ", ClientProtocolJSON, " ", ClientProtocolLines),
+		fmt.Sprint("admission ", AdmissionToken, " ", AdmissionOpen),
+		fmt.Sprint("versions ", VersionPolicyStrict, " ", VersionPolicyHighest),
+		fmt.Sprint("operators ", OperatorProtocolJSON),
+		fmt.Sprint("compression ", CompressionNone, " ", CompressionFar),
 	}
 	storedforms.Compare(t, "forms-words.txt", lines)
 }
--- a/internal/simulator/grown.go
+++ b/internal/simulator/grown.go
@@ -131,7 +131,7 @@
 	gateways := s.Nodes(membership.KindGateway)
 	for _, node := range gateways {
 		if node.Up {
-			held := node.Gateway().Load().Origins
+			held := node.Gateway().Load().Sessions
 			most, sum = max(most, held), sum+held
 		}
 	}
@@ -143,7 +143,7 @@
 	count := 0
 	for _, node := range s.Nodes(membership.KindGateway) {
 		if node.Up {
-			count += int(node.Gateway().Counts.RefusedRequests)
+			count += int(node.Gateway().Counts.RejectedRequests)
 		}
 	}
 	return count
--- a/internal/simulator/scenario.go
+++ b/internal/simulator/scenario.go
@@ -60,7 +60,7 @@
 		if s.cutFromMost(node) || s.cutFromMost(beside) {
 			continue
 		}
-		if orders := node.Gateway().Follower().Orders; !node.Ready() && !orders.Rest && !slices.Contains(node.Gateway().Configuration().Drains, node.Name) {
+		if orders := node.Gateway().ViewClient().Directives; !node.Ready() && !orders.Rest && !slices.Contains(node.Gateway().Configuration().Draining, node.Name) {
 			s.unready[node.Name] += sampleEvery
 			s.Checker.NotReady(node.Name, s.calmSince(), s.Now)
 		}
@@ -135,12 +135,12 @@
 		place := number % s.Size.Places
 		random := s.Random
 		interests := []gateway.Interest{
-			{Space: "boards", Path: topics[random.IntN(len(topics))]}, {Space: "boards", Path: fmt.Sprintf("p%d", random.IntN(3)), Wide: true},
-			{Space: "cursors", Path: topics[random.IntN(len(topics))]}, {Space: "decisions", Path: "", Wide: true},
+			{Space: "boards", Path: topics[random.IntN(len(topics))]}, {Space: "boards", Path: fmt.Sprintf("p%d", random.IntN(3)), Prefix: true},
+			{Space: "cursors", Path: topics[random.IntN(len(topics))]}, {Space: "decisions", Path: "", Prefix: true},
 		}
 		switch number % 4 {
 		case 1:
-			interests = append(interests, gateway.Interest{Space: "boards", Wide: true})
+			interests = append(interests, gateway.Interest{Space: "boards", Prefix: true})
 		case 2:
 			interests = interests[:2]
 		}
@@ -341,7 +341,7 @@
 	if primary == nil {
 		return nil
 	}
-	record := primary.Machine.(*controller.Controller).Watch().Record()
+	record := primary.Machine.(*controller.Controller).Node().Record()
 	if role == "backup" {
 		if len(record.Backups) == 0 {
 			return nil
@@ -540,7 +540,7 @@
 				if number%2 == 0 {
 					place = 0
 				}
-				simulation.AddClient(fmt.Sprintf("crowd-%d", number), place, gateway.Interest{Space: "boards", Path: "p1", Wide: true})
+				simulation.AddClient(fmt.Sprintf("crowd-%d", number), place, gateway.Interest{Space: "boards", Path: "p1", Prefix: true})
 			}
 			simulation.ServiceBack("a crowd on a rested fleet")
 		})
@@ -571,8 +571,8 @@
 			simulation.operator.drains = []string{node.Name}
 			simulation.operator.next(func() {
 				simulation.After(10*time.Second, func() {
-					if node.Up && node.Gateway().Load().Origins > 0 && len(simulation.operator.drains) > 0 {
-						simulation.Checker.Violate("drain", "%s still holds %d origins", node.Name, node.Gateway().Load().Origins)
+					if node.Up && node.Gateway().Load().Sessions > 0 && len(simulation.operator.drains) > 0 {
+						simulation.Checker.Violate("drain", "%s still holds %d origins", node.Name, node.Gateway().Load().Sessions)
 					}
 				})
 			})
@@ -677,7 +677,7 @@
 	operator.next(func() {
 		var users []*Client
 		for number := range 4 {
-			client := s.AddClient(fmt.Sprintf("brief-%d", number), number%s.Size.Places, gateway.Interest{Space: "brief", Wide: true})
+			client := s.AddClient(fmt.Sprintf("brief-%d", number), number%s.Size.Places, gateway.Interest{Space: "brief", Prefix: true})
 			client.Publishes(1, Plan{Space: "brief", Topics: []string{"a/b", "c"}, Every: 150 * time.Millisecond})
 			users = append(users, client)
 		}
--- a/internal/simulator/simulator.go
+++ b/internal/simulator/simulator.go
@@ -154,7 +154,7 @@
 	timer        uint64
 	returns      map[uint64]func(value any, alive bool)
 	request      uint64
-	sinks        map[uint64]func(deliver statemachine.Deliver)
+	sinks        map[uint64]func(deliver statemachine.Delivery)
 	HealthySince time.Time
 	Steps        int
 	Syncs        int
@@ -164,8 +164,8 @@
 	showed       shown
 	nic          *nic
 	trafficOf    map[string]*Traffic
-	order        transport.Order[outgoingFrame]
-	pace         *transport.Pace
+	order        transport.PriorityQueue[outgoingFrame]
+	pace         *transport.Pacer
 	pumps        bool
 }
 
@@ -182,7 +182,7 @@
 
 type hosted interface {
 	statemachine.Machine
-	Follower() *membership.Follower
+	ViewClient() *membership.ViewClient
 }
 
 // New lays out a fleet; nothing runs before Start.
@@ -212,7 +212,7 @@
 func (s *Simulation) addController(number int) *Node {
 	return s.add(membership.KindController, number, func(node *Node, stored stored) hosted {
 		settings := controller.Settings{
-			Self: node.member(), Count: s.Size.Controllers, Seeds: s.seeds, NewDisk: fmt.Sprintf("disk%d", node.life), Life: node.named(), Highest: s.Size.Highest,
+			Self: node.member(), Count: s.Size.Controllers, Seeds: s.seeds, NewDisk: fmt.Sprintf("disk%d", node.life), Incarnation: node.named(), Highest: s.Size.Highest,
 		}
 		if s.Size.Seeded {
 			settings.Count, settings.Tolerance = 0, &s.Size.Tolerance
@@ -227,7 +227,7 @@
 
 func (s *Simulation) addStore(number int) *Node {
 	return s.add(membership.KindStore, number, func(node *Node, stored stored) hosted {
-		machine, err := partition.New(partition.Settings{Self: node.member(), Seeds: s.seeds, NewDisk: fmt.Sprintf("disk%d", node.life), Life: node.named()}, stored.frame, stored.entries)
+		machine, err := partition.New(partition.Settings{Self: node.member(), Seeds: s.seeds, NewDisk: fmt.Sprintf("disk%d", node.life), Incarnation: node.named()}, stored.frame, stored.entries)
 		must(err)
 		return machine
 	})
@@ -236,12 +236,12 @@
 // addGateway adds a gateway and the agent beside it.
 func (s *Simulation) addGateway(number int) (*Node, *Node) {
 	gateway := s.add(membership.KindGateway, number, func(node *Node, _ stored) hosted {
-		return gateway.New(gateway.Settings{Self: node.member(), Agent: address(membership.KindAgent, number), Link: s.Size.Links[membership.KindGateway].Down, Key: []byte("simulated-key-0123"), Life: node.named(), Processor: func() time.Duration {
+		return gateway.New(gateway.Settings{Self: node.member(), Agent: address(membership.KindAgent, number), Link: s.Size.Links[membership.KindGateway].Down, Key: []byte("simulated-key-0123"), Incarnation: node.named(), Processor: func() time.Duration {
 			return time.Duration(node.Steps) * stepProcessor
 		}})
 	})
 	return gateway, s.add(membership.KindAgent, number, func(node *Node, _ stored) hosted {
-		return agent.New(agent.Settings{Self: node.member(), Seeds: s.seeds, Gateway: address(membership.KindGateway, number), Life: node.named()})
+		return agent.New(agent.Settings{Self: node.member(), Seeds: s.seeds, Gateway: address(membership.KindGateway, number), Incarnation: node.named()})
 	})
 }
 
@@ -336,8 +336,8 @@
 }
 
 // named is the name of this life of the daemon, as a real one would draw it.
-func (n *Node) named() statemachine.Life {
-	return statemachine.Life(rand.New(rand.NewPCG(n.simulation.Seed, n.life)).Uint64())
+func (n *Node) named() statemachine.Incarnation {
+	return statemachine.Incarnation(rand.New(rand.NewPCG(n.simulation.Seed, n.life)).Uint64())
 }
 
 func (n *Node) local() time.Time {
@@ -359,10 +359,10 @@
 		// Wall clocks of machines that nobody set, or that were set anew.
 		n.localStart = n.localStart.Add(time.Duration(simulation.Random.Int64N(int64(2*simulation.apart))) - simulation.apart)
 	}
-	n.returns, n.sinks = map[uint64]func(any, bool){}, map[uint64]func(statemachine.Deliver){}
+	n.returns, n.sinks = map[uint64]func(any, bool){}, map[uint64]func(statemachine.Delivery){}
 	n.writes, n.writing, n.backlog = nil, false, nil
 	n.midway, n.held = nil, nil
-	n.order, n.pace, n.pumps = transport.Order[outgoingFrame]{}, &transport.Pace{}, false
+	n.order, n.pace, n.pumps = transport.PriorityQueue[outgoingFrame]{}, &transport.Pacer{}, false
 	n.pace.SetRate(simulation.Size.Links[linkKind(n.Kind)].Up)
 	n.HealthySince = simulation.Now
 	var held stored
@@ -428,12 +428,14 @@
 func (s *Simulation) refuse(from, to *Node) {
 	life := from.life
 	s.After(2*s.delay(from.Place, to.Place), func() {
-		watcher, watches := from.Machine.(statemachine.LinkWatcher)
+		watcher, watches := from.Machine.(statemachine.LinkObserver)
 		if !watches || !to.refuses || !from.Up || from.life != life || s.cuts[link(from, to)] > 0 {
 			return
 		}
 		from.enter(func() {
-			from.step(func(now time.Time, effects *statemachine.Effects) { watcher.Refused(now, to.Address, effects) })
+			from.step(func(now time.Time, effects *statemachine.Effects) {
+				watcher.ConnectionRefused(now, to.Address, effects)
+			})
 		})
 	})
 }
@@ -448,9 +450,9 @@
 		n.simulation.After(time.Millisecond, func() { done(nil, false) })
 	}
 	sinks := n.sinks
-	n.sinks = map[uint64]func(statemachine.Deliver){}
+	n.sinks = map[uint64]func(statemachine.Delivery){}
 	for _, sink := range statemachine.Sorted(sinks) {
-		n.simulation.After(time.Millisecond, func() { sink(statemachine.Deliver{Close: true}) })
+		n.simulation.After(time.Millisecond, func() { sink(statemachine.Delivery{Close: true}) })
 	}
 }
 
@@ -480,7 +482,7 @@
 		stop = controller.Stop{}
 	}
 	n.enter(func() {
-		n.step(func(now time.Time, effects *statemachine.Effects) { n.Machine.Command(now, stop, effects) })
+		n.step(func(now time.Time, effects *statemachine.Effects) { n.Machine.HandleCommand(now, stop, effects) })
 	})
 	n.simulation.After(6*time.Second, func() {
 		if n.Up && n.life == life {
@@ -538,7 +540,7 @@
 		}
 	}
 	// What waited in the process's own clock goes first, as timers do.
-	n.step(func(now time.Time, effects *statemachine.Effects) { n.Machine.Due(now, effects) })
+	n.step(func(now time.Time, effects *statemachine.Effects) { n.Machine.Tick(now, effects) })
 	for _, run := range backlog {
 		if n.Up && !n.Frozen {
 			run()
@@ -590,7 +592,7 @@
 
 func (n *Node) arm() {
 	n.timer++
-	due := n.Machine.NextDue()
+	due := n.Machine.NextTick()
 	if due.IsZero() {
 		return
 	}
@@ -604,14 +606,14 @@
 			return
 		}
 		n.enter(func() {
-			n.step(func(now time.Time, effects *statemachine.Effects) { n.Machine.Due(now, effects) })
+			n.step(func(now time.Time, effects *statemachine.Effects) { n.Machine.Tick(now, effects) })
 		})
 	})
 }
 
 func (n *Node) carryOut(effects *statemachine.Effects) {
 	simulation := n.simulation
-	for _, note := range effects.Notes {
+	for _, note := range effects.LogEvents {
 		if simulation.back != nil {
 			simulation.back.note(note.Number, simulation.Now.Sub(simulation.backFrom))
 		}
@@ -620,9 +622,9 @@
 		}
 	}
 	simulation.Size.Recorder.answers(n, effects)
-	version := n.Machine.Version()
+	version := n.Machine.ConfigurationVersion()
 	for _, send := range effects.Sends {
-		if statemachine.Departs(send.NotAfter, n.local()) {
+		if statemachine.BeforeDeadline(send.NotAfter, n.local()) {
 			n.departs(send.To, send.Message)
 			simulation.send(n, send, version)
 		}
@@ -631,18 +633,18 @@
 		n.writes = append(n.writes, effects.Writes...)
 		n.writeDisk()
 	}
-	for _, returned := range effects.Returns {
+	for _, returned := range effects.Responses {
 		if done, found := n.returns[returned.Request]; found {
 			delete(n.returns, returned.Request)
-			value := returned.Given(n.local())
+			value := returned.ValueAt(n.local())
 			n.departs("", value)
 			done(value, true)
 		}
 	}
-	for _, deliver := range effects.Delivers {
-		if sink, found := n.sinks[deliver.Channel]; found {
+	for _, deliver := range effects.Deliveries {
+		if sink, found := n.sinks[deliver.Session]; found {
 			if deliver.Close {
-				delete(n.sinks, deliver.Channel)
+				delete(n.sinks, deliver.Session)
 			}
 			sink(deliver)
 		}
@@ -668,7 +670,7 @@
 
 func (n *Node) tryWrite(write statemachine.Write) error {
 	n.Syncs++
-	frame, whole := write.Whole()
+	frame, whole := write.SnapshotBytes()
 	n.simulation.Size.Recorder.write(n, frame, whole, write.Entries)
 	if whole {
 		if err := n.book.Checkpoint(frame); err != nil {
@@ -705,7 +707,7 @@
 			n.writes, n.writing = n.writes[batch:], false
 			for _, write := range taken {
 				n.step(func(now time.Time, effects *statemachine.Effects) {
-					n.Machine.Command(now, statemachine.Synced{Token: write.Token}, effects)
+					n.Machine.HandleCommand(now, statemachine.Synced{Token: write.Token}, effects)
 				})
 			}
 			n.writeDisk()
@@ -729,7 +731,7 @@
 		node.returns[request] = func(value any, alive bool) { s.After(wait, func() { done(value, alive) }) }
 		node.enter(func() {
 			node.step(func(now time.Time, effects *statemachine.Effects) {
-				node.Machine.Command(now, command(request), effects)
+				node.Machine.HandleCommand(now, command(request), effects)
 			})
 		})
 	})
@@ -763,7 +765,7 @@
 // Primary is the controller that may act at this moment, if there is one.
 func (s *Simulation) Primary() *Node {
 	for _, node := range s.Nodes(membership.KindController) {
-		if node.Up && !node.Frozen && node.Machine.(*controller.Controller).Watch().Serving(node.local()) {
+		if node.Up && !node.Frozen && node.Machine.(*controller.Controller).Node().Serving(node.local()) {
 			return node
 		}
 	}
--- a/internal/storedforms/json_test.go
+++ b/internal/storedforms/json_test.go
@@ -39,7 +39,7 @@
 		jsonForm[membership.Member]("ctl-cluster-member"),
 		jsonForm[membership.Load]("ctl-cluster-load"),
 		jsonForm[membership.Placement]("ctl-placement"),
-		jsonForm[membership.Orders]("ctl-self-orders"),
+		jsonForm[membership.Directives]("ctl-self-orders"),
 		jsonForm[gateway.Counts]("ctl-self-gateway"),
 		jsonForm[overlay.Counts]("ctl-self-overlay"),
 		jsonForm[partition.Counts]("ctl-self-store"),
