--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -31,8 +31,7 @@
 	Request string `json:"visit,omitempty"`
 	Message string `json:"message,omitempty"`
 	Client  string `json:"origin,omitempty"`
-	// Step names the kind of the decision, such as "accepted".
-	Step string `json:"step"`
+	Step    Step   `json:"step"`
 	// Detail holds what the decision was based on, by name.
 	Detail map[string]any `json:"detail,omitempty"`
 }
@@ -58,7 +57,7 @@
 
 // Record appends a decision, in place of the oldest if the ring is full. The
 // details are pairs of a name, which must be a string, and a value.
-func (r *Ring) Record(now time.Time, request, message, client, step string, details ...any) {
+func (r *Ring) Record(now time.Time, request, message, client string, step Step, details ...any) {
 	entry := Entry{
 		At:      now,
 		Daemon:  r.daemon,
--- a/internal/decisionlog/decisionlog_test.go
+++ b/internal/decisionlog/decisionlog_test.go
@@ -9,8 +9,8 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-func steps(entries []Entry) []string {
-	names := make([]string, 0, len(entries))
+func steps(entries []Entry) []Step {
+	names := make([]Step, 0, len(entries))
 	for _, entry := range entries {
 		names = append(names, entry.Step)
 	}
@@ -25,13 +25,13 @@
 func TestRingFindsByRequestMessageAndClient(t *testing.T) {
 	ring := NewRing("gateway-1")
 	message := MessageName("boards", "ada", 7)
-	ring.Record(start, "r1", message, "ada", "judged", "topic", "t", "count", 2)
-	ring.Record(start, "", message, "", "accepted")
-	ring.Record(start, "r2", "", "bob", "joining")
-	assert.DeepEqual(t, steps(ring.Find("r1", "", "")), []string{"judged", "accepted"})
-	assert.DeepEqual(t, steps(ring.Find("", message, "")), []string{"judged", "accepted"})
-	assert.DeepEqual(t, steps(ring.Find("", "", "bob")), []string{"joining"})
-	assert.DeepEqual(t, steps(ring.Find("", "", "")), []string{})
+	ring.Record(start, "r1", message, "ada", StepAdmitted, "topic", "t", "count", 2)
+	ring.Record(start, "", message, "", StepAccepted)
+	ring.Record(start, "r2", "", "bob", StepSubscribing)
+	assert.DeepEqual(t, steps(ring.Find("r1", "", "")), []Step{StepAdmitted, StepAccepted})
+	assert.DeepEqual(t, steps(ring.Find("", message, "")), []Step{StepAdmitted, StepAccepted})
+	assert.DeepEqual(t, steps(ring.Find("", "", "bob")), []Step{StepSubscribing})
+	assert.DeepEqual(t, steps(ring.Find("", "", "")), []Step{})
 	found := ring.Find("r1", "", "")
 	assert.DeepEqual(t, found[0].Detail, map[string]any{"topic": "t", "count": 2})
 	assert.Assert(t, found[1].Detail == nil)
@@ -45,10 +45,10 @@
 		ring.Record(start, "r", "", "", "filler")
 	}
 	ring.Record(start, "r0", "", "", "newest")
-	assert.DeepEqual(t, steps(ring.Find("r0", "", "")), []string{"newest"})
+	assert.DeepEqual(t, steps(ring.Find("r0", "", "")), []Step{"newest"})
 	all := ring.Find("r", "", "")
 	assert.Equal(t, len(all), Capacity-1)
 	ring.Record(start, "r", "", "", "last")
 	all = ring.Find("r", "", "")
-	assert.Equal(t, all[len(all)-1].Step, "last")
+	assert.Equal(t, all[len(all)-1].Step, Step("last"))
 }
