--- a/internal/overlay/notices.go
+++ b/internal/overlay/notices.go
@@ -190,7 +190,7 @@
 // it.
 func (o *Overlay) Tell(now time.Time, planeName, topic string, count int, effects *statemachine.Effects) {
 	number := config.TopicNumber(topic)
-	if o.parted || count == 0 && o.cellAt(planeName, number) == nil {
+	if count == 0 && o.cellAt(planeName, number) == nil {
 		return
 	}
 	here := o.cell(now, planeName, CellOf(number), effects)
@@ -227,10 +227,6 @@
 // Reach makes sure that a topic's cell has a peer here that knows the others of
 // the cell and their subscribers, and then calls; at once, if it does.
 func (o *Overlay) Reach(now time.Time, planeName, topic string, then Settled, effects *statemachine.Effects) {
-	if o.parted {
-		then(now, effects, false)
-		return
-	}
 	here := o.cell(now, planeName, CellOf(config.TopicNumber(topic)), effects)
 	here.lastUse = now
 	if here.settled() {
--- a/internal/overlay/overlay.go
+++ b/internal/overlay/overlay.go
@@ -204,8 +204,6 @@
 	// that waited for that.
 	paceUntil time.Time
 	paced     int
-	// parted is set once all peers have left.
-	parted bool
 	// checked is when this daemon last compared its cells with others.
 	checked time.Time
 	// checks counts the comparisons that followed another within checkEvery.
@@ -266,8 +264,6 @@
 			o.leave(peer)
 		}
 	}
-	o.parted = true
-	clear(o.planes)
 	o.flush(effects)
 }
 
--- /dev/null
+++ b/internal/overlay/unsubscribe_test.go
@@ -0,0 +1,36 @@
+// A subscription to a space without a route that ends takes nothing of the routed
+// topics with it, which lie on a plane of their own.
+package overlay
+
+import (
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"dahlialock/internal/statemachine"
+)
+
+func TestOverlayUnsubscribeLeavesRoutedTopics(t *testing.T) {
+	const plane, topic, space = "+", "board.1", "boards~1"
+	network := newNet(t, 1)
+	network.come("a", 1)
+	network.come("b", 2)
+	network.view()
+	var effects statemachine.Effects
+	network.parts["b"].Tell(network.now, plane, topic, 1, &effects)
+	network.carry("b", &effects)
+	effects = statemachine.Effects{}
+	network.parts["a"].Reach(network.now, plane, topic, func(time.Time, *statemachine.Effects, bool) {}, &effects)
+	network.carry("a", &effects)
+	network.run(2 * time.Second)
+	assert.DeepEqual(t, network.parts["a"].Listeners(plane, topic), []string{"b"})
+
+	area := AreaOf("p0/b1")
+	effects = statemachine.Effects{}
+	network.parts["a"].Subscribe(network.now, space, area, func(time.Time, *statemachine.Effects, bool) {}, &effects)
+	network.parts["a"].Unsubscribe(network.now, space, area, &effects)
+	network.carry("a", &effects)
+	network.run(2 * time.Second)
+	assert.DeepEqual(t, network.parts["a"].Listeners(plane, topic), []string{"b"})
+}
