--- a/internal/simulator/closing_test.go
+++ b/internal/simulator/closing_test.go
@@ -56,6 +56,7 @@
 var closingCrowds = []closingCrowd{
 	{name: "routed topics", begin: beginRouted, close: (*Simulation).closeTopics},
 	{name: "spaces", begin: beginSpaces, close: closeSpaces},
+	{name: "both", begin: beginBoth, close: closeBoth},
 }
 
 func beginRouted(seed uint64, size Size) (*Simulation, *Operator) {
@@ -70,6 +71,26 @@
 	return run, operator
 }
 
+func beginBoth(seed uint64, size Size) (*Simulation, *Operator) {
+	run, operator := prepareTopics(seed, size, 0, nil)
+	run.Crowd(size.Callers)
+	run.TopicCrowd(size.Callers)
+	return run, operator
+}
+
+func closeBoth(run *Simulation) {
+	for _, client := range run.clients {
+		client.Quiet()
+	}
+	run.Run(3 * time.Second)
+	for _, client := range run.clients {
+		if !client.subscribed && !client.Gone {
+			run.Checker.Violate(checker.NotBack, "%s is still not served at the end", client.Name)
+		}
+	}
+	run.closeTopics()
+}
+
 func closeSpaces(run *Simulation) {
 	for range 4 {
 		run.operator.read()
