--- a/internal/consensus/forms_test.go
+++ b/internal/consensus/forms_test.go
@@ -33,7 +33,7 @@
 	nl.applied++
 	nl.bytes += len(command)
 }
-func (nl *noLedger) Frame() []byte { return nil }
+func (nl *noLedger) Snapshot() []byte { return nil }
 func (nl *noLedger) Restore(packed []byte) error {
 	nl.restored++
 	nl.bytes += len(packed)
@@ -50,7 +50,7 @@
 			storedforms.CheckRewrite[diskEntry](t, fmt.Sprintf("%s, entry %d", folder.Name, position), packed)
 		}
 		ledger := &noLedger{}
-		settings := Settings{Self: Controller{Name: "controller-1"}, Count: 3, Life: 1}
+		settings := Settings{Self: Controller{Name: "controller-1"}, Count: 3, Incarnation: 1}
 		watch, err := New(settings, ledger, folder.Frame, folder.Entries)
 		if err != nil {
 			t.Errorf("%s: %v", folder.Name, err)
--- a/internal/consolidation/consolidation_test.go
+++ b/internal/consolidation/consolidation_test.go
@@ -27,11 +27,11 @@
 	changes   int
 }
 
-func newTown(seed uint64, gateways int, settings config.Economy) *town {
+func newTown(seed uint64, gateways int, settings config.Consolidation) *town {
 	town := &town{
 		random: rand.New(rand.NewPCG(seed, 0xec0)), now: time.Unix(1_700_000_000, 0), economist: New(), balancer: balancing.New(),
 		seen: Observation{
-			Configuration: config.Configuration{Economy: settings},
+			Configuration: config.Configuration{Consolidation: settings},
 			Members:       map[string]membership.Member{}, Loads: map[string]membership.Load{}, Heard: map[string]time.Time{},
 		},
 	}
@@ -39,27 +39,27 @@
 		name := fmt.Sprintf("gateway-%d", number)
 		town.order = append(town.order, name)
 		town.seen.Members[name] = membership.Member{Name: name, Kind: membership.KindGateway, Zone: fmt.Sprint(number % 3), Alive: true}
-		town.seen.Loads[name] = membership.Load{Ready: true, Room: 2000}
+		town.seen.Loads[name] = membership.Load{Ready: true, FreeCapacity: 2000}
 	}
 	return town
 }
 
 func (t *town) arrive(name string, count int) {
 	load := t.seen.Loads[name]
-	load.Origins += count
-	load.Room -= count
+	load.Sessions += count
+	load.FreeCapacity -= count
 	t.seen.Loads[name] = load
 }
 
 // second lets the fleet obey for a second: work is done, origins move.
-func (t *town) second(noise float64) map[string]membership.Orders {
+func (t *town) second(noise float64) map[string]membership.Directives {
 	t.now = t.now.Add(time.Second)
 	for _, name := range t.order {
 		load := t.seen.Loads[name]
 		wobble := 1 + noise*(t.random.Float64()-0.5)
-		load.Delivered += uint64(float64(load.Origins) * 4 * wobble)
-		load.Copies += uint64(float64(load.Origins) * wobble)
-		load.Processor += time.Duration(float64(load.Origins)*wobble*0.5) * time.Millisecond
+		load.Delivered += uint64(float64(load.Sessions) * 4 * wobble)
+		load.Copies += uint64(float64(load.Sessions) * wobble)
+		load.Processor += time.Duration(float64(load.Sessions)*wobble*0.5) * time.Millisecond
 		t.seen.Loads[name] = load
 		t.seen.Heard[name] = t.now
 	}
@@ -69,10 +69,10 @@
 		order, load, member := orders[name], t.seen.Loads[name], t.seen.Members[name]
 		moving := 0
 		switch {
-		case order.Empty:
-			moving = min(order.Pace, load.Origins)
-		case order.Keep > 0:
-			moving = min(order.Pace, max(0, load.Origins-order.Keep))
+		case order.Drain:
+			moving = min(order.MovesPerSecond, load.Sessions)
+		case order.KeepSessions > 0:
+			moving = min(order.MovesPerSecond, max(0, load.Sessions-order.KeepSessions))
 		}
 		for range moving {
 			if len(order.Targets) > 0 {
@@ -81,7 +81,7 @@
 			}
 		}
 		load = t.seen.Loads[name]
-		if rests := order.Rest && load.Origins == 0; rests != member.Resting {
+		if rests := order.Rest && load.Sessions == 0; rests != member.Resting {
 			t.changes++
 			member.Resting, load.Ready = rests, !order.Rest
 			t.seen.Members[name], t.seen.Loads[name] = member, load
@@ -91,24 +91,24 @@
 }
 
 // balance adds the orders that spread callers evenly, which controllers give besides.
-func (t *town) balance(orders map[string]membership.Orders) {
+func (t *town) balance(orders map[string]membership.Directives) {
 	var gateways []balancing.Gateway
 	for _, name := range t.order {
 		load := t.seen.Loads[name]
 		gateways = append(gateways, balancing.Gateway{
-			Name: name, Zone: t.seen.Members[name].Zone, Origins: load.Origins, Room: load.Room, Accepts: load.Ready && !orders[name].Rest,
+			Name: name, Zone: t.seen.Members[name].Zone, Origins: load.Sessions, Room: load.FreeCapacity, Accepts: load.Ready && !orders[name].Rest,
 		})
 	}
 	for name, order := range t.balancer.Plan(gateways) {
 		present := orders[name]
-		present.Keep, present.Pace, present.Targets = order.Keep, order.Pace, order.Targets
+		present.KeepSessions, present.MovesPerSecond, present.Targets = order.Keep, order.Pace, order.Targets
 		orders[name] = present
 	}
 }
 
 func (t *town) total() (total int) {
 	for _, load := range t.seen.Loads {
-		total += load.Origins
+		total += load.Sessions
 	}
 	return total
 }
@@ -122,7 +122,7 @@
 	return count
 }
 
-func (t *town) check(tb testing.TB, orders map[string]membership.Orders, each int) {
+func (t *town) check(tb testing.TB, orders map[string]membership.Directives, each int) {
 	tb.Helper()
 	places, awake, rests := map[string]int{}, 0, 0
 	for name, order := range orders {
@@ -145,7 +145,7 @@
 func TestThereIsAlwaysRoomAndNobodyFlaps(t *testing.T) {
 	for seed := range uint64(60) {
 		gateways := 5 + int(seed%5)
-		town := newTown(seed, gateways, config.Economy{Enabled: true, ProcessorWeight: 1, TrafficWeight: 1, OriginsEach: 100, SpareGateways: 1, QuietFor: 5 * time.Second})
+		town := newTown(seed, gateways, config.Consolidation{Enabled: true, ProcessorWeight: 1, TrafficWeight: 1, SessionsPerGateway: 100, SpareGateways: 1, StabilizationWindow: 5 * time.Second})
 		for range 120 {
 			// A crowd or a calm, wherever the platform sends it.
 			for range town.random.IntN(80) {
@@ -156,7 +156,7 @@
 			}
 			for _, name := range town.order {
 				if town.random.IntN(3) == 0 {
-					town.arrive(name, -town.seen.Loads[name].Origins*town.random.IntN(100)/150)
+					town.arrive(name, -town.seen.Loads[name].Sessions*town.random.IntN(100)/150)
 				}
 			}
 			town.check(t, town.second(0.2), 100)
@@ -174,7 +174,7 @@
 }
 
 func TestOldReportsAreNeverActedOn(t *testing.T) {
-	town := newTown(1, 6, config.Economy{Enabled: true, ProcessorWeight: 1, TrafficWeight: 1, OriginsEach: 100, SpareGateways: 1, QuietFor: time.Second})
+	town := newTown(1, 6, config.Consolidation{Enabled: true, ProcessorWeight: 1, TrafficWeight: 1, SessionsPerGateway: 100, SpareGateways: 1, StabilizationWindow: time.Second})
 	for range 3 {
 		town.second(0)
 	}
@@ -194,8 +194,8 @@
 		processor, traffic float64
 		stays              bool
 	}{{100, 0.01, false}, {0.01, 100, true}} {
-		town := newTown(3, 7, config.Economy{
-			Enabled: true, ProcessorWeight: each.processor, TrafficWeight: each.traffic, OriginsEach: 100, SpareGateways: 1, QuietFor: time.Second,
+		town := newTown(3, 7, config.Consolidation{
+			Enabled: true, ProcessorWeight: each.processor, TrafficWeight: each.traffic, SessionsPerGateway: 100, SpareGateways: 1, StabilizationWindow: time.Second,
 		})
 		for _, name := range town.order {
 			town.arrive(name, 12)
--- a/internal/controller/apply.go
+++ b/internal/controller/apply.go
@@ -92,11 +92,11 @@
 // drainFaults looks at what only the cluster can tell: that the gateways to be
 // drained exist, and that one would be left.
 func (s *State) drainFaults(configuration config.Configuration) []config.Fault {
-	if len(configuration.Drains) == 0 {
+	if len(configuration.Draining) == 0 {
 		return nil
 	}
 	var faults []config.Fault
-	for position, name := range configuration.Drains {
+	for position, name := range configuration.Draining {
 		if member, found := s.Members[name]; !found || member.Kind != membership.KindGateway {
 			faults = append(faults, config.Fault{
 				Path: fmt.Sprintf("$.drains[%d]", position), Code: "dangling-name", Text: fmt.Sprintf("no gateway is named %q", name),
@@ -104,7 +104,7 @@
 		}
 	}
 	for _, member := range s.Members {
-		if member.Kind == membership.KindGateway && member.Alive && !slices.Contains(configuration.Drains, member.Name) {
+		if member.Kind == membership.KindGateway && member.Alive && !slices.Contains(configuration.Draining, member.Name) {
 			return faults
 		}
 	}
@@ -243,7 +243,7 @@
 	}
 	given := place.Followers
 	if !found {
-		given = append([]string{place.First}, given...)
+		given = append([]string{place.Leader}, given...)
 	}
 	if slices.ContainsFunc(given, func(name string) bool { return !s.Members[name].Alive || s.Members[name].Retiring }) {
 		return
@@ -251,19 +251,19 @@
 	s.setPlace(place)
 }
 
-func (s *State) applySettled(settled membership.PartitionComplete) {
+func (s *State) applySettled(settled membership.PartitionReplicated) {
 	place, found := s.Places[settled.Partition]
 	if !found || place.Epoch != settled.Epoch || place.Complete {
 		return
 	}
 	// A store whose disk was lost meanwhile is no holder, whatever it said.
-	holders := []string{s.Members[place.First].Holder()}
+	holders := []string{s.Members[place.Leader].ReplicaID()}
 	for _, name := range place.Followers {
-		holders = append(holders, s.Members[name].Holder())
+		holders = append(holders, s.Members[name].ReplicaID())
 	}
-	if !slices.Equal(holders, settled.Holders) {
+	if !slices.Equal(holders, settled.Replicas) {
 		return
 	}
-	place.Complete, place.Safe = true, holders
+	place.Complete, place.InSync = true, holders
 	s.setPlace(place)
 }
--- a/internal/controller/command.go
+++ b/internal/controller/command.go
@@ -21,15 +21,15 @@
 	Configuration *ConfigurationChange `cbor:"Configuration"`
 	Retirement    *Retirement          `cbor:"Retirement"`
 	// Tolerance, if given, is how many stores may be lost at once from now on.
-	Tolerance    *int                           `cbor:"Tolerance"`
-	Departures   []Departure                    `cbor:"Departures"`
-	Joins        []Join                         `cbor:"Joins"`
-	Emptied      []string                       `cbor:"Emptied"`
-	Degradations []Degradation                  `cbor:"Degradations"`
-	Rests        []Rest                         `cbor:"Rests"`
-	Places       []membership.Placement         `cbor:"Places"`
-	Settled      []membership.PartitionComplete `cbor:"Settled"`
-	Forgotten    []Departure                    `cbor:"Forgotten"`
+	Tolerance    *int                             `cbor:"Tolerance"`
+	Departures   []Departure                      `cbor:"Departures"`
+	Joins        []Join                           `cbor:"Joins"`
+	Emptied      []string                         `cbor:"Emptied"`
+	Degradations []Degradation                    `cbor:"Degradations"`
+	Rests        []Rest                           `cbor:"Rests"`
+	Places       []membership.Placement           `cbor:"Places"`
+	Settled      []membership.PartitionReplicated `cbor:"Settled"`
+	Forgotten    []Departure                      `cbor:"Forgotten"`
 }
 
 // ConfigurationChange is an operator's configuration under its number. One that was
--- a/internal/controller/orders_test.go
+++ b/internal/controller/orders_test.go
@@ -43,7 +43,7 @@
 	for range 500 {
 		alone.pass(10 * time.Millisecond)
 	}
-	assert.Assert(t, made.watch.Serving(alone.now), "a controller that is alone serves within five seconds")
+	assert.Assert(t, made.node.Serving(alone.now), "a controller that is alone serves within five seconds")
 	return alone
 }
 
@@ -67,7 +67,7 @@
 
 func (l *lone) tell(from string, message any) {
 	l.step(func(effects *statemachine.Effects) {
-		l.controller.Message(l.now, statemachine.Meta{From: from}, message, effects)
+		l.controller.HandleMessage(l.now, statemachine.Meta{From: from}, message, effects)
 	})
 }
 
@@ -77,19 +77,19 @@
 		write := l.unsynced[0]
 		l.unsynced = l.unsynced[1:]
 		l.step(func(effects *statemachine.Effects) {
-			l.controller.Command(l.now, statemachine.Synced{Token: write.Token}, effects)
+			l.controller.HandleCommand(l.now, statemachine.Synced{Token: write.Token}, effects)
 		})
 	}
 }
 
 func (l *lone) pass(length time.Duration) {
 	until := l.now.Add(length)
-	for due := l.controller.NextDue(); !due.IsZero() && !due.After(until); due = l.controller.NextDue() {
+	for due := l.controller.NextTick(); !due.IsZero() && !due.After(until); due = l.controller.NextTick() {
 		if due.After(l.now) {
 			l.now = due
 		}
 		l.now = l.now.Add(time.Microsecond)
-		l.step(func(effects *statemachine.Effects) { l.controller.Due(l.now, effects) })
+		l.step(func(effects *statemachine.Effects) { l.controller.Tick(l.now, effects) })
 	}
 	l.now = until
 }
@@ -108,7 +108,7 @@
 func (l *lone) order(method, path, body string) uint64 {
 	l.requests++
 	request := l.requests
-	l.tell(operatorAddress, membership.ControlRequest{Request: statemachine.RequestID{Life: 1, Number: request}, Method: method, Path: path, Body: []byte(body)})
+	l.tell(operatorAddress, membership.ControlRequest{Request: statemachine.RequestID{Incarnation: 1, Number: request}, Method: method, Path: path, Body: []byte(body)})
 	return request
 }
 
@@ -127,7 +127,7 @@
 
 // hears has a member ask for news, as each does all along; it hears the answers.
 func (l *lone) hears(self membership.Member) {
-	l.tell(self.Address, membership.Ask{Self: self, Nonce: 1, Heard: 1})
+	l.tell(self.Address, membership.ViewRequest{Self: self, Nonce: 1, LastAnswered: 1})
 }
 
 func (l *lone) joins(kind string, names ...string) {
@@ -172,7 +172,7 @@
 	alone.joins(membership.KindGateway, "gateway-1", "gateway-2")
 	var put uint64
 	alone.held(func() {
-		alone.tell("gateway-2", membership.Farewell{Name: "gateway-2", Incarnation: 1})
+		alone.tell("gateway-2", membership.GracefulLeave{Name: "gateway-2", Incarnation: 1})
 		alone.pass(50 * time.Millisecond)
 		put = alone.order(http.MethodPut, "/v1/configuration", `{"version": 1, "spaces": [], "drains": ["gateway-1"]}`)
 	})
@@ -207,7 +207,7 @@
 		// Another command occupies the disk, so that both wait behind it.
 		alone.order(http.MethodPut, "/v1/configuration", `{"version": 1, "spaces": []}`)
 		put = alone.order(http.MethodPost, retirePath("store-1"), "")
-		alone.tell("store-1", membership.Farewell{Name: "store-1", Incarnation: 1})
+		alone.tell("store-1", membership.GracefulLeave{Name: "store-1", Incarnation: 1})
 		alone.pass(50 * time.Millisecond)
 	})
 	assert.Equal(t, alone.status(put), http.StatusAccepted)
@@ -224,7 +224,7 @@
 	alone.order(http.MethodPut, "/v1/configuration", `{"version": 1, "spaces": [{"name": "a", "promise": "kept"}]}`)
 	alone.pass(4 * time.Second)
 	alone.joins(membership.KindStore, "store-1", "store-2", "store-3")
-	leaving := alone.controller.state.Places[PartitionName("a", 1, 0)].First
+	leaving := alone.controller.state.Places[PartitionName("a", 1, 0)].Leader
 	assert.Equal(t, alone.ask(http.MethodPost, retirePath(leaving), ""), http.StatusAccepted)
 	assert.Assert(t, !alone.member(leaving).Retired, "its partitions lie nowhere else")
 	alone.hears(memberNamed(membership.KindStore, leaving, 2, "another disk"))
@@ -299,12 +299,12 @@
 	assert.Equal(t, put(2*historyLimit+1, "1s"), Repeated)
 	assert.Equal(t, put(2*historyLimit+1, "2s"), OtherContent)
 	assert.Equal(t, put(3*historyLimit, "2s"), OtherContent)
-	packed := state.Frame()
+	packed := state.Snapshot()
 	restored := newState()
 	assert.NilError(t, restored.Restore(packed))
 	assert.DeepEqual(t, transport.MustMarshal(restored.History), transport.MustMarshal(state.History))
 	state.Document = nil
-	assert.Assert(t, len(state.Frame()) < historyLimit*64, "%d bytes", len(state.Frame()))
+	assert.Assert(t, len(state.Snapshot()) < historyLimit*64, "%d bytes", len(state.Snapshot()))
 }
 
 // A number that was overtaken while it waited is not confirmed where it is refused,
--- a/internal/controller/partition_test.go
+++ b/internal/controller/partition_test.go
@@ -142,7 +142,7 @@
 	s.life++
 	s.up, s.frozen, s.waits = true, false, nil
 	s.offset = time.Duration(s.yard.random.Int64N(int64(4*time.Hour))) - 2*time.Hour
-	machine, err := partition.New(partition.Settings{Self: s.member(), Seeds: []string{"controller"}, NewDisk: fmt.Sprintf("%s-%d", s.name, s.life), Life: statemachine.Life(s.yard.random.Uint64())}, s.frame, s.entries)
+	machine, err := partition.New(partition.Settings{Self: s.member(), Seeds: []string{"controller"}, NewDisk: fmt.Sprintf("%s-%d", s.name, s.life), Incarnation: statemachine.Incarnation(s.yard.random.Uint64())}, s.frame, s.entries)
 	assert.NilError(s.yard.t, err)
 	s.machine = machine
 	s.step(func(now time.Time, effects *statemachine.Effects) { machine.Start(now, effects) })
@@ -168,7 +168,7 @@
 func (s *store) refuse() {
 	if s.full && s.up {
 		s.enter(s.life, func(now time.Time, effects *statemachine.Effects) {
-			s.machine.Command(now, statemachine.DiskRefused{}, effects)
+			s.machine.HandleCommand(now, statemachine.DiskUnavailable{}, effects)
 		})
 	}
 	if s.full {
@@ -202,21 +202,21 @@
 			if !s.up || s.life != life {
 				return
 			}
-			if frame, whole := write.Whole(); whole {
+			if frame, whole := write.SnapshotBytes(); whole {
 				s.frame, s.entries = frame, nil
 			}
 			s.entries = append(s.entries, write.Entries...)
 			s.enter(life, func(now time.Time, effects *statemachine.Effects) {
-				s.machine.Command(now, statemachine.Synced{Token: write.Token}, effects)
+				s.machine.HandleCommand(now, statemachine.Synced{Token: write.Token}, effects)
 			})
 		})
 	}
 	s.timer++
 	timer := s.timer
-	if due := s.machine.NextDue(); !due.IsZero() {
+	if due := s.machine.NextTick(); !due.IsZero() {
 		yard.after(max(0, due.Sub(s.local()))+time.Microsecond, func() {
 			if s.timer == timer {
-				s.enter(life, func(now time.Time, effects *statemachine.Effects) { s.machine.Due(now, effects) })
+				s.enter(life, func(now time.Time, effects *statemachine.Effects) { s.machine.Tick(now, effects) })
 			}
 		})
 	}
@@ -259,7 +259,9 @@
 	assert.NilError(y.t, err)
 	for _, store := range y.stores {
 		if store.name == to {
-			store.enter(store.life, func(now time.Time, effects *statemachine.Effects) { store.machine.Message(now, meta, message, effects) })
+			store.enter(store.life, func(now time.Time, effects *statemachine.Effects) {
+				store.machine.HandleMessage(now, meta, message, effects)
+			})
 		}
 	}
 	switch to {
@@ -277,22 +279,22 @@
 // controller answers as the primary would, and tends the placement.
 func (y *yard) controller(from string, message any) {
 	switch body := message.(type) {
-	case membership.Ask:
+	case membership.ViewRequest:
 		known, found := y.state.Members[from]
 		if !found || known.Incarnation < body.Self.Incarnation || known.Incarnation == body.Self.Incarnation && !known.Alive {
 			y.apply(Command{Joins: []Join{{Self: body.Self}}})
 		}
-		news := membership.News{
-			For: from, Nonce: body.Nonce, Epoch: 1, Primary: "controller", Index: y.state.Index, Version: y.state.Version,
+		news := membership.ViewUpdate{
+			Recipient: from, Nonce: body.Nonce, Epoch: 1, Primary: "controller", Index: y.state.Index, Version: y.state.Version,
 			Document: y.state.Document,
 		}
 		if body.Index != y.state.Index {
 			y.state.view(&news, body.Index)
 		}
 		y.after(50*time.Millisecond, func() { y.send("controller", statemachine.Send{To: from, Message: news}) })
-	case membership.PartitionComplete:
-		y.apply(Command{Settled: []membership.PartitionComplete{body}})
-	case membership.Lagging:
+	case membership.PartitionReplicated:
+		y.apply(Command{Settled: []membership.PartitionReplicated{body}})
+	case membership.SlowDiskReport:
 		y.lags[body.Name] = lag{at: time.Unix(0, 0).Add(y.now), incarnation: body.Incarnation, delay: body.Delay}
 	}
 }
@@ -333,7 +335,7 @@
 	writer.request, writer.busy = y.requests, true
 	request := y.requests
 	sender := fmt.Sprintf("sender-%d", number)
-	y.send("gateway", statemachine.Send{To: place.First, Message: partition.Append{
+	y.send("gateway", statemachine.Send{To: place.Leader, Message: partition.Append{
 		Partition: testPartition, Request: request, Topic: "a", Sender: sender, Seq: writer.seq, Data: fmt.Appendf(nil, "%s %d", sender, writer.seq),
 	}})
 	y.after(700*time.Millisecond, func() {
@@ -473,7 +475,7 @@
 			var got []partition.Record
 			for after := uint64(0); ; {
 				yard.fetched = nil
-				yard.send("gateway", statemachine.Send{To: yard.state.Places[testPartition].First, Message: partition.Fetch{Partition: testPartition, Request: 1, After: after, Prefixes: []string{""}}})
+				yard.send("gateway", statemachine.Send{To: yard.state.Places[testPartition].Leader, Message: partition.Fetch{Partition: testPartition, Request: 1, After: after, Prefixes: []string{""}}})
 				yard.run(200 * time.Millisecond)
 				assert.Assert(t, yard.fetched != nil, "the first does not answer")
 				got = append(got, yard.fetched.Records...)
--- a/internal/controller/restart_test.go
+++ b/internal/controller/restart_test.go
@@ -141,7 +141,7 @@
 
 func (c *council) primary() *seat {
 	for _, each := range statemachine.Sorted(c.seats) {
-		if each.up && each.machine.watch.Serving(c.now) {
+		if each.up && each.machine.node.Serving(c.now) {
 			return each
 		}
 	}
@@ -194,7 +194,7 @@
 }
 
 func (s *seat) perform(write statemachine.Write) error {
-	if frame, whole := write.Whole(); whole {
+	if frame, whole := write.SnapshotBytes(); whole {
 		s.snapshots++
 		if err := s.book.Checkpoint(frame); err != nil {
 			return err
@@ -218,17 +218,17 @@
 	for _, send := range effects.Sends {
 		s.council.carry(s.name, send)
 	}
-	for _, returned := range effects.Returns {
+	for _, returned := range effects.Responses {
 		s.council.returns[returned.Request] = returned.Value.(membership.ControlResponse)
 	}
 	s.queue = append(s.queue, effects.Writes...)
 	s.write()
 	s.timer++
-	if due := s.machine.NextDue(); !due.IsZero() {
+	if due := s.machine.NextTick(); !due.IsZero() {
 		life, timer := s.life, s.timer
 		s.council.after(max(0, due.Sub(s.council.now)), func() {
 			if s.timer == timer {
-				s.enter(life, func(now time.Time, effects *statemachine.Effects) { s.machine.Due(now, effects) })
+				s.enter(life, func(now time.Time, effects *statemachine.Effects) { s.machine.Tick(now, effects) })
 			}
 		})
 	}
@@ -251,7 +251,7 @@
 		s.busy, s.writing = false, nil
 		for _, each := range batch {
 			s.enter(life, func(now time.Time, effects *statemachine.Effects) {
-				s.machine.Command(now, statemachine.Synced{Token: each.Token}, effects)
+				s.machine.HandleCommand(now, statemachine.Synced{Token: each.Token}, effects)
 			})
 		}
 		s.write()
@@ -270,7 +270,9 @@
 	c.after(linkDelay, func() {
 		meta, message, err := transport.Decode(packed[4:])
 		assert.NilError(c.t, err)
-		to.enter(life, func(now time.Time, effects *statemachine.Effects) { to.machine.Message(now, meta, message, effects) })
+		to.enter(life, func(now time.Time, effects *statemachine.Effects) {
+			to.machine.HandleMessage(now, meta, message, effects)
+		})
 	})
 }
 
@@ -286,7 +288,7 @@
 		c.request++
 		request := c.request
 		primary.step(func(now time.Time, effects *statemachine.Effects) {
-			primary.machine.Command(now, Request{Local: request, Method: http.MethodPut, Path: "/v1/configuration", Body: document}, effects)
+			primary.machine.HandleCommand(now, Request{Local: request, Method: http.MethodPut, Path: "/v1/configuration", Body: document}, effects)
 		})
 		for begun := c.now; c.returns[request].Status == 0 && c.now.Sub(begun) < 3*time.Second; {
 			c.run(time.Millisecond)
@@ -360,7 +362,7 @@
 	for _, changes := range []int{10, 100, historyLimit + 100} {
 		c := newCouncil(t, 3)
 		c.change(1, changes, routes)
-		record := c.primary().machine.watch.Record()
+		record := c.primary().machine.node.Record()
 		backup := c.seats[record.Backups[0]]
 		backup.kill()
 		backup.disk.Wipe()
@@ -371,10 +373,10 @@
 		c.run(3 * time.Second)
 		backup.start(false)
 		c.run(3 * time.Second)
-		c.seats[c.primary().machine.watch.Record().Backups[0]].kill()
+		c.seats[c.primary().machine.node.Record().Backups[0]].kill()
 		begun := c.now
 		c.put(sizedDocument(uint64(changes+1), routes))
-		took, state := c.now.Sub(begun), len(c.primary().machine.state.Frame())
+		took, state := c.now.Sub(begun), len(c.primary().machine.state.Snapshot())
 		sent := 0
 		for what, bytes := range c.sent {
 			if strings.Contains(what, "consensus.Frame") || strings.Contains(what, "consensus.Append") {
@@ -398,7 +400,7 @@
 	acknowledged, wiped, documents := uint64(0), c.now, map[uint64][]byte{}
 	c.judge = func() {
 		for name, each := range statemachine.Sorted(c.seats) {
-			if !each.up || !each.machine.watch.Serving(c.now) {
+			if !each.up || !each.machine.node.Serving(c.now) {
 				continue
 			}
 			held := each.machine.state
@@ -462,7 +464,7 @@
 			run.apply(Command{Configuration: configured(uint64(number+2), string(sizedDocument(uint64(number+2), 12)))})
 		}
 		for _, since := range []uint64{0, index} {
-			news := membership.News{Index: run.state.Index, Version: run.state.Version, Document: run.state.Document}
+			news := membership.ViewUpdate{Index: run.state.Index, Version: run.state.Version, Document: run.state.Document}
 			run.state.view(&news, since)
 			if bytes := len(transport.MustMarshal(news)); since == 0 {
 				blank = append(blank, bytes)
--- a/internal/controller/stop.go
+++ b/internal/controller/stop.go
@@ -24,7 +24,7 @@
 		c.stopBy = now.Add(c.stopLimit())
 		c.timers.Arm("stop", c.stopBy)
 	}
-	c.watch.Leave(now, effects)
+	c.node.Leave(now, effects)
 }
 
 // stopLimit leaves a quarter of the grace for the end itself.
@@ -38,12 +38,12 @@
 
 // endStop ends the daemon once it may go, or its time is up.
 func (c *Controller) endStop(now time.Time, effects *statemachine.Effects) {
-	if c.stopBy.IsZero() || !c.watch.Left() && now.Before(c.stopBy) {
+	if c.stopBy.IsZero() || !c.node.Left() && now.Before(c.stopBy) {
 		return
 	}
 	for _, other := range statemachine.Sorted(c.follower.Members) {
 		if other.Kind == membership.KindController && other.Name != c.settings.Self.Name {
-			effects.Send(other.Address, membership.Farewell{Name: c.settings.Self.Name, Incarnation: c.settings.Self.Incarnation})
+			effects.Send(other.Address, membership.GracefulLeave{Name: c.settings.Self.Name, Incarnation: c.settings.Self.Incarnation})
 		}
 	}
 	effects.Stop = true
--- a/internal/gateway/identity_test.go
+++ b/internal/gateway/identity_test.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	earlierLife statemachine.Life = 0x5851_f42d_4c95_7f2d
-	presentLife statemachine.Life = 0x1405_7b7e_f767_814f
+	earlierLife statemachine.Incarnation = 0x5851_f42d_4c95_7f2d
+	presentLife statemachine.Incarnation = 0x1405_7b7e_f767_814f
 )
 
 // asker is a gateway with one space, of which a sender's message waits.
@@ -25,16 +25,16 @@
 	item    *publication
 }
 
-func newAsker(life statemachine.Life, now time.Time, partitions ...string) *asker {
-	gateway := New(Settings{Self: membership.Member{Name: "gateway-1", Kind: membership.KindGateway, Address: "a:1"}, Agent: "a:2", Life: life})
+func newAsker(life statemachine.Incarnation, now time.Time, partitions ...string) *asker {
+	gateway := New(Settings{Self: membership.Member{Name: "gateway-1", Kind: membership.KindGateway, Address: "a:1"}, Agent: "a:2", Incarnation: life})
 	for number, name := range partitions {
 		store := string(rune('k' + number))
-		gateway.follower.Members[store] = membership.Member{Name: store, Kind: membership.KindStore, Address: store, Alive: true}
-		gateway.follower.Places[name] = membership.Placement{Partition: name, Epoch: 1, First: store}
+		gateway.viewClient.Members[store] = membership.Member{Name: store, Kind: membership.KindStore, Address: store, Alive: true}
+		gateway.viewClient.Placements[name] = membership.Placement{Partition: name, Epoch: 1, Leader: store}
 	}
-	gateway.spaces["boards"] = &spaceState{space: config.Space{Name: "boards", Promise: config.Kept}, name: "boards~1"}
+	gateway.spaces["boards"] = &spaceState{space: config.Space{Name: "boards", Retention: config.Durable}, name: "boards~1"}
 	item := &publication{
-		request: Publish{Request: 9, Sender: "u", Origin: "u", Space: "boards", Topic: "t", Seq: 1}, key: senderKey{space: "boards", sender: "u"},
+		request: Publish{Request: 9, Sender: "u", Client: "u", Space: "boards", Topic: "t", Seq: 1}, key: senderKey{space: "boards", sender: "u"},
 		id: 77, partition: partitions[0], limit: now.Add(500 * time.Millisecond),
 	}
 	gateway.senders[item.key] = &sender{recent: map[uint64]sentMemory{}, queue: []*publication{item}}
@@ -56,10 +56,10 @@
 }
 
 func (a *asker) fetch(now time.Time) partition.FetchTopics {
-	followed := &topic{name: "t", partition: a.item.partition, kept: true}
-	followed.places = []*place{{topic: followed, filling: true}}
-	a.gateway.routed.topics[followed.name] = followed
-	return a.ask(func(effects *statemachine.Effects) { a.gateway.fetchTopic(now, followed, effects) })[0].Message.(partition.FetchTopics)
+	topic := &topicState{name: "t", partition: a.item.partition, durable: true}
+	topic.subscriptions = []*topicSubscription{{topic: topic, filling: true}}
+	a.gateway.routed.topics[topic.name] = topic
+	return a.ask(func(effects *statemachine.Effects) { a.gateway.fetchTopic(now, topic, effects) })[0].Message.(partition.FetchTopics)
 }
 
 func (a *asker) recall(now time.Time) []statemachine.Send {
@@ -69,15 +69,15 @@
 }
 
 // take hands a store's answer to the gateway, and gives what it tells callers.
-func (a *asker) take(now time.Time, answer any) []statemachine.Return {
+func (a *asker) take(now time.Time, answer any) []statemachine.Response {
 	var effects statemachine.Effects
-	a.gateway.take(now, statemachine.Meta{From: "k"}, answer, &effects)
-	return effects.Returns
+	a.gateway.dispatch(now, statemachine.Meta{From: "k"}, answer, &effects)
+	return effects.Responses
 }
 
 // lateAppend is what a caller of the present life is told upon the acknowledgement
 // of another's message in the earlier one.
-func lateAppend() []statemachine.Return {
+func lateAppend() []statemachine.Response {
 	now := time.Unix(1000, 0)
 	earlier := newAsker(earlierLife, now, "boards~1/0").append(now)
 	present := newAsker(presentLife, now, "boards~1/0")
@@ -113,7 +113,7 @@
 	asker := newAsker(presentLife, now, partitionName("boards~1", 0), partitionName("boards~1", 1))
 	asker.gateway.spaces["boards"].space.Order = config.OrderSender
 	for number := 2; number < asker.gateway.spaces["boards"].space.Partitions(); number++ {
-		asker.gateway.follower.Places[partitionName("boards~1", number)] = membership.Placement{First: "k", Epoch: 1}
+		asker.gateway.viewClient.Placements[partitionName("boards~1", number)] = membership.Placement{Leader: "k", Epoch: 1}
 	}
 	sends := asker.recall(now)
 	for range len(sends) {
--- a/internal/gateway/stopping_test.go
+++ b/internal/gateway/stopping_test.go
@@ -27,7 +27,7 @@
 
 func (f *fleetlab) do(command any) statemachine.Effects {
 	var effects statemachine.Effects
-	f.gateway.Command(f.now, command, &effects)
+	f.gateway.HandleCommand(f.now, command, &effects)
 	return effects
 }
 
@@ -35,7 +35,7 @@
 	var all statemachine.Effects
 	until := f.now.Add(length)
 	for {
-		due := f.gateway.NextDue()
+		due := f.gateway.NextTick()
 		if due.IsZero() || due.After(until) {
 			break
 		}
@@ -43,7 +43,7 @@
 			f.now = due
 		}
 		var effects statemachine.Effects
-		f.gateway.Due(f.now, &effects)
+		f.gateway.Tick(f.now, &effects)
 		f.news(effects)
 		all.Append(effects)
 	}
@@ -54,22 +54,22 @@
 // news answers what the gateway asks its agent, and tells it of heartbeats.
 func (f *fleetlab) news(effects statemachine.Effects) {
 	for _, send := range effects.Sends {
-		ask, matches := send.Message.(membership.Ask)
+		ask, matches := send.Message.(membership.ViewRequest)
 		if !matches || f.now.Sub(f.toldAt) < 300*time.Millisecond {
 			continue
 		}
 		f.toldAt = f.now
 		partitionName := config.SharedPartition("b.1")
 		f.heard = statemachine.Effects{}
-		f.gateway.Message(f.now, statemachine.Meta{From: "10.0.0.1:2", Version: 1}, membership.News{
-			For: "gateway-1", Nonce: ask.Nonce, Epoch: 1, Primary: "10.0.0.9:1", Index: 1, Version: 1, Document: []byte(document), Changed: true,
-			Births: map[string]uint64{"boards": 1},
+		f.gateway.HandleMessage(f.now, statemachine.Meta{From: "10.0.0.1:2", Version: 1}, membership.ViewUpdate{
+			Recipient: "gateway-1", Nonce: ask.Nonce, Epoch: 1, Primary: "10.0.0.9:1", Index: 1, Version: 1, Document: []byte(document), Changed: true,
+			SpaceCreatedAt: map[string]uint64{"boards": 1},
 			Members: []membership.Member{
 				{Name: "gateway-1", Kind: membership.KindGateway, Address: "10.0.0.1:1", Caller: "10.0.0.1:8000", Zone: "east", Incarnation: 1, Alive: true, Joined: 1},
 				{Name: "gateway-2", Kind: membership.KindGateway, Address: "10.0.0.2:1", Caller: "10.0.0.2:8000", Zone: "east", Incarnation: 1, Alive: true, Joined: 1},
 				{Name: "store-1", Kind: membership.KindStore, Address: "10.0.0.3:1", Zone: "east", Incarnation: 1, Alive: true, Joined: 1},
 			},
-			Placements: []membership.Placement{{Partition: partitionName, Epoch: 1, First: "store-1"}},
+			Placements: []membership.Placement{{Partition: partitionName, Epoch: 1, Leader: "store-1"}},
 		}, &f.heard)
 	}
 }
@@ -83,25 +83,25 @@
 	var effects statemachine.Effects
 	fleetlab.gateway.Start(fleetlab.now, &effects)
 	fleetlab.pass(time.Millisecond)
-	assert.Equal(t, fleetlab.gateway.Version(), uint64(1))
+	assert.Equal(t, fleetlab.gateway.ConfigurationVersion(), uint64(1))
 	return fleetlab
 }
 
-func (f *fleetlab) greet(t *testing.T, channel uint64, origin string) statemachine.Effects {
+func (f *fleetlab) greet(t *testing.T, session uint64, origin string) statemachine.Effects {
 	t.Helper()
 	f.request++
-	return f.do(gateway.OpenChannel{Request: f.request, Channel: channel, Name: origin, Origin: origin, Lines: true})
+	return f.do(gateway.OpenSession{Request: f.request, Session: session, Name: origin, Client: origin, AdapterPings: true})
 }
 
-func outcome(t *testing.T, effects statemachine.Effects) gateway.Answer {
+func outcome(t *testing.T, effects statemachine.Effects) gateway.Reply {
 	t.Helper()
-	assert.Equal(t, len(effects.Returns), 1)
-	return effects.Returns[0].Value.(gateway.Answer)
+	assert.Equal(t, len(effects.Responses), 1)
+	return effects.Responses[0].Value.(gateway.Reply)
 }
 
 func moves(effects statemachine.Effects) int {
 	count := 0
-	for _, deliver := range effects.Delivers {
+	for _, deliver := range effects.Deliveries {
 		if event, matches := deliver.Event.(gateway.Event); matches && event.Event == "move" && event.To == "10.0.0.2:8000" {
 			count++
 		}
@@ -116,7 +116,7 @@
 	assert.Equal(t, outcome(t, effects).Outcome, gateway.OutcomeAccepted)
 	assert.Equal(t, moves(effects), 1)
 	fleetlab.request++
-	other := fleetlab.do(gateway.OpenChannel{Request: fleetlab.request, Channel: 2, Name: "u2", Origin: "u2"})
+	other := fleetlab.do(gateway.OpenSession{Request: fleetlab.request, Session: 2, Name: "u2", Client: "u2"})
 	assert.Equal(t, outcome(t, other).Code, "stopping")
 }
 
@@ -125,8 +125,8 @@
 	fleetlab.greet(t, 1, "u1")
 	fleetlab.do(gateway.Stop{})
 	fleetlab.request++
-	effects := fleetlab.do(gateway.Publish{Request: fleetlab.request, Origin: "u1", Sender: "u1", Topic: "b.1", Seq: 1, Data: []byte("x")})
-	assert.Equal(t, len(effects.Returns), 0)
+	effects := fleetlab.do(gateway.Publish{Request: fleetlab.request, Client: "u1", Sender: "u1", Topic: "b.1", Seq: 1, Data: []byte("x")})
+	assert.Equal(t, len(effects.Responses), 0)
 	found := false
 	for _, send := range effects.Sends {
 		appended, matches := send.Message.(partition.Append)
@@ -137,8 +137,8 @@
 
 func TestAStoppingGatewayDoesNotWaitForThoseWhoDoNotGo(t *testing.T) {
 	fleetlab := open(t)
-	for channel := range uint64(40) {
-		fleetlab.greet(t, channel+1, "u")
+	for session := range uint64(40) {
+		fleetlab.greet(t, session+1, "u")
 	}
 	effects := fleetlab.do(gateway.Stop{})
 	effects.Append(fleetlab.pass(250 * time.Millisecond))
@@ -147,7 +147,7 @@
 	effects = fleetlab.pass(time.Second)
 	assert.Assert(t, effects.Stop)
 	ended := 0
-	for _, deliver := range effects.Delivers {
+	for _, deliver := range effects.Deliveries {
 		if deliver.Close {
 			ended++
 		}
@@ -155,7 +155,7 @@
 	assert.Equal(t, ended, 40)
 	farewell := false
 	for _, send := range effects.Sends {
-		_, matches := send.Message.(membership.Farewell)
+		_, matches := send.Message.(membership.GracefulLeave)
 		farewell = farewell || matches && send.To == "10.0.0.1:2"
 	}
 	assert.Assert(t, farewell, "the agent must hear of the end")
--- a/internal/overlay/overlay_test.go
+++ b/internal/overlay/overlay_test.go
@@ -96,7 +96,7 @@
 		}
 		due := ""
 		for name, part := range statemachine.Sorted(n.parts) {
-			if at := part.NextDue(); !n.frozen[name] && !at.IsZero() && at.Before(next) {
+			if at := part.NextTick(); !n.frozen[name] && !at.IsZero() && at.Before(next) {
 				next, due, pick = at, name, -1
 			}
 		}
@@ -119,11 +119,11 @@
 				n.held = append(n.held, taken)
 				continue
 			}
-			part.Take(n.now, taken.signals, &effects)
+			part.HandleSignals(n.now, taken.signals, &effects)
 			n.carry(taken.to, &effects)
 			continue
 		}
-		n.parts[due].Due(n.now, &effects)
+		n.parts[due].Tick(n.now, &effects)
 		n.carry(due, &effects)
 	}
 }
@@ -152,8 +152,8 @@
 			}
 		}
 		var effects statemachine.Effects
-		part.View(n.now, others, &effects)
-		part.Live(n.now, n.lives[name], &effects)
+		part.SetView(n.now, others, &effects)
+		part.SetIncarnation(n.now, n.lives[name], &effects)
 		n.carry(name, &effects)
 	}
 }
--- a/internal/overlay/unsubscribe_test.go
+++ b/internal/overlay/unsubscribe_test.go
@@ -18,13 +18,13 @@
 	network.come("b", 2)
 	network.view()
 	var effects statemachine.Effects
-	network.parts["b"].Tell(network.now, plane, topic, 1, &effects)
+	network.parts["b"].SetSubscribers(network.now, plane, topic, 1, &effects)
 	network.carry("b", &effects)
 	effects = statemachine.Effects{}
-	network.parts["a"].Reach(network.now, plane, topic, func(time.Time, *statemachine.Effects, bool) {}, &effects)
+	network.parts["a"].AwaitCell(network.now, plane, topic, func(time.Time, *statemachine.Effects, bool) {}, &effects)
 	network.carry("a", &effects)
 	network.run(2 * time.Second)
-	assert.DeepEqual(t, network.parts["a"].Listeners(plane, topic), []string{"b"})
+	assert.DeepEqual(t, network.parts["a"].SubscribedDaemons(plane, topic), []string{"b"})
 
 	area := AreaOf("p0/b1")
 	effects = statemachine.Effects{}
@@ -32,5 +32,5 @@
 	network.parts["a"].Unsubscribe(network.now, space, area, &effects)
 	network.carry("a", &effects)
 	network.run(2 * time.Second)
-	assert.DeepEqual(t, network.parts["a"].Listeners(plane, topic), []string{"b"})
+	assert.DeepEqual(t, network.parts["a"].SubscribedDaemons(plane, topic), []string{"b"})
 }
--- a/internal/partition/copy.go
+++ b/internal/partition/copy.go
@@ -20,7 +20,7 @@
 	var copies []*copied
 	for _, name := range partition.place.Followers {
 		member := s.follower.Members[name]
-		present := &copied{name: name, holder: member.Holder(), incarnation: member.Incarnation}
+		present := &copied{name: name, holder: member.ReplicaID(), incarnation: member.Incarnation}
 		for _, earlier := range partition.copies {
 			if earlier.name == name && earlier.holder == present.holder && earlier.incarnation == present.incarnation {
 				present = earlier
@@ -174,21 +174,21 @@
 		return
 	}
 	if !found {
-		if _, placed := s.follower.Places[copied.Partition]; !placed || s.follower.Places[copied.Partition].Epoch >= copied.Epoch {
-			s.follower.Hurry(now)
+		if _, placed := s.follower.Placements[copied.Partition]; !placed || s.follower.Placements[copied.Partition].Epoch >= copied.Epoch {
+			s.follower.PollNow(now)
 			return
 		}
 		partition = newHeld(newLog(copied.Partition))
 		s.partitions[copied.Partition] = partition
 	}
 	if copied.Epoch < partition.place.Epoch {
-		effects.Note(logevent.PartitionOlderEpoch, "partition", copied.Partition, "epoch", copied.Epoch, "present", partition.place.Epoch)
+		effects.Emit(logevent.PartitionStaleEpoch, "partition", copied.Partition, "epoch", copied.Epoch, "present", partition.place.Epoch)
 		effects.Send(from, CopyResponse{Partition: copied.Partition, Epoch: copied.Epoch, Older: partition.place.Epoch})
 		return
 	}
 	if copied.Epoch > partition.place.Epoch || !slices.Contains(partition.place.Followers, s.settings.Self.Name) {
 		// News of this epoch is on its way; the first will send again.
-		s.follower.Hurry(now)
+		s.follower.PollNow(now)
 		return
 	}
 	epoch, held := partition.log.epochAt(copied.After)
@@ -243,7 +243,7 @@
 	}
 	if returned.Older > partition.place.Epoch {
 		s.giveUp(partition, "moved", effects)
-		s.follower.Hurry(now)
+		s.follower.PollNow(now)
 		return
 	}
 	copied := s.copyAt(partition, from, returned.Holder)
@@ -325,7 +325,7 @@
 		for _, copied := range partition.copies {
 			holders = append(holders, copied.holder)
 		}
-		effects.Send(s.follower.Upstream(), membership.PartitionComplete{Partition: name, Epoch: partition.place.Epoch, Holders: holders})
+		effects.Send(s.follower.Upstream(), membership.PartitionReplicated{Partition: name, Epoch: partition.place.Epoch, Replicas: holders})
 	}
 	if waits {
 		s.timers.ArmSooner("tell", now.Add(tellEvery))
@@ -339,7 +339,7 @@
 	}
 	log := newLog(frame.Partition)
 	if err := transport.Unmarshal(frame.State, log); err != nil || log.Name != frame.Partition {
-		effects.Note(logevent.LinkGarbage, "remote", from, "partition", frame.Partition)
+		effects.Emit(logevent.MalformedFrame, "remote", from, "partition", frame.Partition)
 		return
 	}
 	if partition.log.passed(log, frame.Epoch) && !statemachine.Mutated("any-frame") {
@@ -348,7 +348,7 @@
 	log.shift(now.Sub(frame.Now))
 	partition.log = log
 	partition.synced = 0
-	effects.Note(logevent.PartitionFrameTaken, "partition", frame.Partition, "epoch", frame.Epoch, "records", len(log.Records))
+	effects.Emit(logevent.PartitionSnapshotInstalled, "partition", frame.Partition, "epoch", frame.Epoch, "records", len(log.Records))
 	s.log(diskEntry{Partition: frame.Partition, Frame: transport.MustMarshal(log)}, nil)
 	s.confirm(partition, from, frame.Epoch)
 }
--- a/internal/partition/spare_test.go
+++ b/internal/partition/spare_test.go
@@ -15,20 +15,20 @@
 // other follows.
 func (b *bench) placeAnew(index uint64, follower string, safe ...string) {
 	first := b.machines["store-0"]
-	news := membership.News{Nonce: 1, Epoch: 1, Primary: "controller", Index: index, Version: 1, Changed: true, Document: first.follower.Document}
+	news := membership.ViewUpdate{Nonce: 1, Epoch: 1, Primary: "controller", Index: index, Version: 1, Changed: true, Document: first.follower.Document}
 	for _, machine := range statemachine.Sorted(b.machines) {
 		news.Members = append(news.Members, machine.settings.Self)
 	}
 	for number := range config.SharedPartitions {
-		place := membership.Placement{Partition: config.SharedPartitionName(number), Epoch: index, First: "store-0", Followers: []string{follower}}
+		place := membership.Placement{Partition: config.SharedPartitionName(number), Epoch: index, Leader: "store-0", Followers: []string{follower}}
 		for _, name := range safe {
-			place.Safe = append(place.Safe, b.machines[name].holder())
+			place.InSync = append(place.InSync, b.machines[name].holder())
 		}
 		news.Placements = append(news.Placements, place)
 	}
 	for name, machine := range statemachine.Sorted(b.machines) {
 		b.step(name, func(effects *statemachine.Effects) {
-			machine.Message(b.now, statemachine.Meta{From: "controller"}, news, effects)
+			machine.HandleMessage(b.now, statemachine.Meta{From: "controller"}, news, effects)
 		})
 	}
 	b.settle()
@@ -70,7 +70,7 @@
 	spare := run.machines["store-1"]
 	assert.Equal(t, len(spare.partitions), config.SharedPartitions)
 	run.now = run.now.Add(spareFor + trimEvery + time.Second)
-	run.step("store-1", func(effects *statemachine.Effects) { spare.Due(run.now, effects) })
+	run.step("store-1", func(effects *statemachine.Effects) { spare.Tick(run.now, effects) })
 	assert.Equal(t, len(spare.partitions), 0)
 	run.settle()
 	run.placeAnew(3, "store-1", "store-0", "store-2")
--- a/internal/partition/store.go
+++ b/internal/partition/store.go
@@ -55,8 +55,8 @@
 	Grace time.Duration
 	// Acknowledge is within what time a proper order is to be acknowledged.
 	Acknowledge time.Duration
-	// Life names this run of the process.
-	Life statemachine.Life
+	// Incarnation names this run of the process.
+	Incarnation statemachine.Incarnation
 }
 
 // Request is an operator's request at this daemon's own ctl.
@@ -180,10 +180,10 @@
 	disk          string
 	blank         bool
 	partitions    map[string]*held
-	follower      *membership.Follower
-	pulse         *membership.Pulse
+	follower      *membership.ViewClient
+	pulse         *membership.FailureDetector
 	controlClient *controlclient.ControlClient
-	timers        *statemachine.Timers
+	timers        *statemachine.Timers[string]
 	ring          *decisionlog.Ring
 	watchers      map[string]*headWatcher
 	config        config.Configuration
@@ -210,7 +210,7 @@
 // New makes a store from what its disk held.
 func New(settings Settings, frame []byte, entries [][]byte) (*Store, error) {
 	store := &Store{
-		settings: settings, partitions: map[string]*held{}, timers: statemachine.NewTimers(), ring: decisionlog.NewRing(settings.Self.Name),
+		settings: settings, partitions: map[string]*held{}, timers: statemachine.NewTimers[string](), ring: decisionlog.NewRing(settings.Self.Name),
 		watchers: map[string]*headWatcher{}, pending: map[uint64]*batch{}, dirty: map[string]bool{},
 		logLimit: frameLogLimit, delays: map[string]time.Duration{}, lagTold: map[string]time.Time{},
 	}
@@ -236,10 +236,10 @@
 		partition.synced, _ = partition.log.head()
 	}
 	store.settings.Self.Disk = store.disk
-	store.follower = membership.NewFollower(store.settings.Self, settings.Life, settings.Seeds, store.load)
-	store.pulse = membership.NewPulse(store.settings.Self)
+	store.follower = membership.NewViewClient(store.settings.Self, settings.Incarnation, settings.Seeds, store.load)
+	store.pulse = membership.NewFailureDetector(store.settings.Self)
 	store.controlClient = controlclient.New(controlclient.Settings{
-		Life: settings.Life, Acknowledge: settings.Acknowledge, Upstream: store.follower.Upstream, Other: store.follower.Other, Relays: store.follower.Relays,
+		Incarnation: settings.Incarnation, Acknowledge: settings.Acknowledge, Upstream: store.follower.Upstream, Next: store.follower.NextController, Relays: store.follower.Relays,
 	})
 	return store, nil
 }
@@ -261,11 +261,11 @@
 // Ready tells whether the store serves.
 func (s *Store) Ready() bool { return s.follower.Index > 0 && !s.stopping }
 
-// Version is the configuration version in force here.
-func (s *Store) Version() uint64 { return s.follower.Version }
+// ConfigurationVersion is the configuration version in force here.
+func (s *Store) ConfigurationVersion() uint64 { return s.follower.Version }
 
-// Follower gives the store's view, for its ctl.
-func (s *Store) Follower() *membership.Follower { return s.follower }
+// ViewClient gives the store's view, for its ctl.
+func (s *Store) ViewClient() *membership.ViewClient { return s.follower }
 
 // Disk is the name of the disk.
 func (s *Store) Disk() string { return s.disk }
@@ -283,33 +283,33 @@
 	s.timers.Arm("trim", now.Add(trimEvery))
 }
 
-// NextDue is when the store wants to run again.
-func (s *Store) NextDue() time.Time {
-	return statemachine.Earliest(s.follower.NextDue(), s.pulse.NextDue(), s.controlClient.NextDue(), s.timers.Next())
+// NextTick is when the store wants to run again.
+func (s *Store) NextTick() time.Time {
+	return statemachine.Earliest(s.follower.NextTick(), s.pulse.NextTick(), s.controlClient.NextTick(), s.timers.Next())
 }
 
-// Command takes what the adapters bring.
-func (s *Store) Command(now time.Time, command any, effects *statemachine.Effects) {
+// HandleCommand takes what the adapters bring.
+func (s *Store) HandleCommand(now time.Time, command any, effects *statemachine.Effects) {
 	switch body := command.(type) {
 	case statemachine.Synced:
 		s.onSynced(now, body.Token, effects)
-	case statemachine.DiskRefused:
+	case statemachine.DiskUnavailable:
 		s.onDiskRefused(now, effects)
 	case Request:
-		s.controlClient.Carry(now, body.Local, body.Method, body.Path, body.Body, effects)
+		s.controlClient.Forward(now, body.Local, body.Method, body.Path, body.Body, effects)
 	case FindDecisions:
-		effects.Return(body.Local, s.ring.Find(body.Request, body.Message, body.Origin))
+		effects.Respond(body.Local, s.ring.Find(body.Request, body.Message, body.Origin))
 	case Stop:
 		s.beginStop(now, effects)
 	}
 	s.flush(now, effects)
 }
 
-// Due runs whatever is due.
-func (s *Store) Due(now time.Time, effects *statemachine.Effects) {
-	s.follower.Due(now, effects)
-	s.pulse.Due(now, effects)
-	s.controlClient.Due(now, effects)
+// Tick runs whatever is due.
+func (s *Store) Tick(now time.Time, effects *statemachine.Effects) {
+	s.follower.Tick(now, effects)
+	s.pulse.Tick(now, effects)
+	s.controlClient.Tick(now, effects)
 	for _, key := range s.timers.Expired(now) {
 		switch {
 		case key == "trim":
@@ -330,23 +330,23 @@
 	s.flush(now, effects)
 }
 
-// Message takes what other daemons say.
-func (s *Store) Message(now time.Time, meta statemachine.Meta, message any, effects *statemachine.Effects) {
-	s.pulse.Heard(now)
+// HandleMessage takes what other daemons say.
+func (s *Store) HandleMessage(now time.Time, meta statemachine.Meta, message any, effects *statemachine.Effects) {
+	s.pulse.ReceiveFromPeer(now)
 	if meta.Version > s.follower.Version {
-		s.follower.Hurry(now)
+		s.follower.PollNow(now)
 	}
 	switch body := message.(type) {
-	case membership.News:
+	case membership.ViewUpdate:
 		s.onNews(now, body, effects)
 	case membership.Redirect:
-		s.follower.Redirected(now, body, effects)
+		s.follower.HandleRedirect(now, body, effects)
 	case membership.Heartbeat:
-		s.pulse.Beat(now, body)
+		s.pulse.ReceiveHeartbeat(now, body)
 	case membership.ControlResponse:
-		s.controlClient.Take(now, meta.From, body, effects)
-	case membership.ConfigAsk:
-		s.follower.AnswerConfig(meta.From, body, effects)
+		s.controlClient.HandleResponse(now, meta.From, body, effects)
+	case membership.ConfigurationRequest:
+		s.follower.RespondToConfigurationRequest(meta.From, body, effects)
 	case Append:
 		s.onAppend(now, meta.From, body, effects)
 	case Copy:
@@ -369,18 +369,18 @@
 
 // News.
 
-func (s *Store) onNews(now time.Time, news membership.News, effects *statemachine.Effects) {
-	taken := s.follower.Take(now, news)
+func (s *Store) onNews(now time.Time, news membership.ViewUpdate, effects *statemachine.Effects) {
+	taken := s.follower.HandleUpdate(now, news)
 	if taken.Document {
 		s.takeConfiguration(now)
 	}
 	if !taken.View {
 		return
 	}
-	s.pulse.Take(now, s.follower.Members, s.follower.Upstream(), s.follower.Index)
+	s.pulse.SetView(now, s.follower.Members, s.follower.Index)
 	firsts, followers := 0, 0
-	for name, place := range statemachine.Sorted(s.follower.Places) {
-		mine := place.Names(s.settings.Self.Name)
+	for name, place := range statemachine.Sorted(s.follower.Placements) {
+		mine := place.HasReplica(s.settings.Self.Name)
 		partition, found := s.partitions[name]
 		if !found && mine {
 			partition = newHeld(newLog(name))
@@ -390,7 +390,7 @@
 		if !found {
 			continue
 		}
-		if mine && place.First == s.settings.Self.Name {
+		if mine && place.Leader == s.settings.Self.Name {
 			firsts++
 		} else if mine {
 			followers++
@@ -404,7 +404,7 @@
 	}
 	if firsts != s.firsts || followers != s.followers {
 		s.firsts, s.followers = firsts, followers
-		effects.Note(logevent.PartitionFirst, "partitions", firsts, "follower", followers)
+		effects.Emit(logevent.PartitionLeader, "partitions", firsts, "follower", followers)
 	}
 }
 
@@ -413,10 +413,10 @@
 // a message came that may still be asked for.
 func (s *Store) takeConfiguration(now time.Time) {
 	s.config, _ = config.Read(s.follower.Document)
-	longest := config.DefaultHolding
+	longest := config.DefaultRetentionTime
 	for _, space := range s.config.Spaces {
-		if space.Order == config.OrderTopic && space.Promise == config.Kept {
-			longest = max(longest, space.Holding)
+		if space.Order == config.OrderTopic && space.Retention == config.Durable {
+			longest = max(longest, space.RetentionTime)
 		}
 	}
 	if longest < s.holding {
@@ -428,7 +428,7 @@
 // sharedHolding is how long shared partitions hold their messages at present.
 func (s *Store) sharedHolding(now time.Time) time.Duration {
 	s.past = slices.DeleteFunc(s.past, func(past pastHolding) bool { return now.After(past.until) })
-	longest := max(s.holding, config.DefaultHolding)
+	longest := max(s.holding, config.DefaultRetentionTime)
 	for _, past := range s.past {
 		longest = max(longest, past.holding)
 	}
@@ -440,7 +440,7 @@
 	completed := place.Complete && !partition.place.Complete
 	partition.place = place
 	if changed {
-		if place.First != s.settings.Self.Name {
+		if place.Leader != s.settings.Self.Name {
 			s.giveUp(partition, "moved", effects)
 		}
 		partition.copies = nil
@@ -448,13 +448,13 @@
 		partition.firstSince = 0
 		partition.floor, _ = partition.log.head()
 	}
-	if place.First == s.settings.Self.Name {
+	if place.Leader == s.settings.Self.Name {
 		s.takeCopies(partition)
-	} else if first, found := s.follower.Members[place.First]; changed && found && slices.Contains(place.Followers, s.settings.Self.Name) {
+	} else if first, found := s.follower.Members[place.Leader]; changed && found && slices.Contains(place.Followers, s.settings.Self.Name) {
 		// The first may have asked before this news came.
 		s.tellHave(partition, first.Address, effects)
 	}
-	if completed && place.First == s.settings.Self.Name {
+	if completed && place.Leader == s.settings.Self.Name {
 		s.settle(now, partition, effects)
 	}
 }
@@ -464,7 +464,7 @@
 // does not know of it yet, and holds nothing. Nor does an epoch hold for a life
 // that is not a member yet: it was begun for an earlier one.
 func (s *Store) isFirst(partition *held) bool {
-	return partition.place.First == s.settings.Self.Name && slices.Contains(partition.place.Safe, s.holder()) && s.joined()
+	return partition.place.Leader == s.settings.Self.Name && slices.Contains(partition.place.InSync, s.holder()) && s.joined()
 }
 
 // joined tells whether the view names this life of the store.
@@ -473,7 +473,7 @@
 		statemachine.Mutated("one-epoch-for-all-lives")
 }
 
-func (s *Store) holder() string { return s.settings.Self.Holder() }
+func (s *Store) holder() string { return s.settings.Self.ReplicaID() }
 
 // Partitions tells of every partition held here, for ctl and the simulator's checks.
 func (s *Store) Partitions() map[string]PartitionStatus {
--- a/internal/simulator/departure_test.go
+++ b/internal/simulator/departure_test.go
@@ -18,7 +18,7 @@
 // that holds the lease.
 func restsOnLease(message any) bool {
 	switch body := message.(type) {
-	case membership.News:
+	case membership.ViewUpdate:
 		return true
 	case membership.ControlResponse:
 		return body.Status != http.StatusServiceUnavailable
@@ -60,7 +60,7 @@
 }
 
 func isNews(message any) bool {
-	_, news := message.(membership.News)
+	_, news := message.(membership.ViewUpdate)
 	return news
 }
 
@@ -82,7 +82,7 @@
 	{"a read answered to its own operator", sendsOf(isAnswer), http.MethodGet, true},
 	{"an order answered to its own operator", sendsOf(isAnswer), http.MethodPut, true},
 	{"an answer that is given to its own operator", func(effects *statemachine.Effects) bool {
-		for _, returned := range effects.Returns {
+		for _, returned := range effects.Responses {
 			if isAnswer(returned.Value) {
 				return true
 			}
--- a/internal/simulator/digest.go
+++ b/internal/simulator/digest.go
@@ -78,20 +78,20 @@
 	if r == nil {
 		return
 	}
-	for _, note := range effects.Notes {
+	for _, note := range effects.LogEvents {
 		r.begin(recordNote, node)
 		r.number(uint64(note.Number))
 		r.end()
 	}
-	for _, returned := range effects.Returns {
+	for _, returned := range effects.Responses {
 		r.begin(recordReturn, node)
 		r.number(returned.Request)
-		r.pending = appendValue(r.pending, returned.Given(node.local()))
+		r.pending = appendValue(r.pending, returned.ValueAt(node.local()))
 		r.end()
 	}
-	for _, deliver := range effects.Delivers {
+	for _, deliver := range effects.Deliveries {
 		r.begin(recordDeliver, node)
-		r.number(deliver.Channel)
+		r.number(deliver.Session)
 		r.flag(deliver.Close)
 		r.pending = appendValue(r.pending, deliver.Event)
 		r.end()
--- a/internal/statemachine/timers.go
+++ b/internal/statemachine/timers.go
@@ -1,50 +1,50 @@
-// Timers names the moments at which a machine wants to run again. Keys are
-// kept with their moment, and expired keys come out in order of moment and
-// then of key, so that a run never depends on the order of a map.
-
 package statemachine
 
 import (
-	"sort"
+	"cmp"
+	"slices"
 	"time"
 )
 
-// Timers is a small table of named moments.
-type Timers struct {
-	moments map[string]time.Time
+// Timers is a small table of timers, at most one for each key. The owner of the
+// timers gives Key a type of its own. Timers expire in order of their moments, and
+// those of the same moment in order of their keys, so that a run never depends on
+// the order of a map.
+type Timers[Key cmp.Ordered] struct {
+	moments map[Key]time.Time
 }
 
-// NewTimers gives an empty table.
-func NewTimers() *Timers {
-	return &Timers{moments: map[string]time.Time{}}
+// NewTimers returns a table without any armed timer.
+func NewTimers[Key cmp.Ordered]() *Timers[Key] {
+	return &Timers[Key]{moments: map[Key]time.Time{}}
 }
 
-// Arm sets the moment of a key, in place of an earlier one.
-func (t *Timers) Arm(key string, at time.Time) {
+// Arm sets the moment at which a key expires, replacing an earlier setting.
+func (t *Timers[Key]) Arm(key Key, at time.Time) {
 	t.moments[key] = at
 }
 
-// ArmSooner sets the moment unless an earlier one is already set.
-func (t *Timers) ArmSooner(key string, at time.Time) {
+// ArmSooner sets the moment at which a key expires unless it expires sooner already.
+func (t *Timers[Key]) ArmSooner(key Key, at time.Time) {
 	if present, found := t.moments[key]; found && !at.Before(present) {
 		return
 	}
 	t.moments[key] = at
 }
 
-// Disarm forgets a key.
-func (t *Timers) Disarm(key string) {
+// Disarm removes the timer of a key.
+func (t *Timers[Key]) Disarm(key Key) {
 	delete(t.moments, key)
 }
 
-// Armed tells whether a key waits.
-func (t *Timers) Armed(key string) bool {
+// Armed reports whether a key has a timer.
+func (t *Timers[Key]) Armed(key Key) bool {
 	_, found := t.moments[key]
 	return found
 }
 
-// Next is the earliest moment, or the zero time if none is armed.
-func (t *Timers) Next() time.Time {
+// Next returns the earliest moment, or the zero time if no timer is armed.
+func (t *Timers[Key]) Next() time.Time {
 	var next time.Time
 	for _, at := range t.moments {
 		if next.IsZero() || at.Before(next) {
@@ -54,20 +54,19 @@
 	return next
 }
 
-// Expired takes out and returns the keys that are due.
-func (t *Timers) Expired(now time.Time) []string {
-	var keys []string
+// Expired removes the timers that are due at now and returns their keys.
+func (t *Timers[Key]) Expired(now time.Time) []Key {
+	var keys []Key
 	for key, at := range t.moments {
 		if !at.After(now) {
 			keys = append(keys, key)
 		}
 	}
-	sort.Slice(keys, func(left, right int) bool {
-		leftAt, rightAt := t.moments[keys[left]], t.moments[keys[right]]
-		if !leftAt.Equal(rightAt) {
-			return leftAt.Before(rightAt)
+	slices.SortFunc(keys, func(left, right Key) int {
+		if order := t.moments[left].Compare(t.moments[right]); order != 0 {
+			return order
 		}
-		return keys[left] < keys[right]
+		return cmp.Compare(left, right)
 	})
 	for _, key := range keys {
 		delete(t.moments, key)
@@ -75,7 +74,7 @@
 	return keys
 }
 
-// Earliest is the first of several moments, leaving out zero times.
+// Earliest returns the earliest of several moments; zero times are left out.
 func Earliest(moments ...time.Time) time.Time {
 	var earliest time.Time
 	for _, at := range moments {
--- a/internal/storedforms/folders_test.go
+++ b/internal/storedforms/folders_test.go
@@ -20,15 +20,15 @@
 	var lines []string
 	for _, folder := range storedforms.Folders(t, ".", "controller") {
 		self := membership.Member{Name: "controller-1", Address: "controller-1:1", Zone: "zone-1"}
-		machine, err := controller.New(controller.Settings{Self: self, Count: 3, Life: 1}, folder.Frame, folder.Entries)
+		machine, err := controller.New(controller.Settings{Self: self, Count: 3, Incarnation: 1}, folder.Frame, folder.Entries)
 		if err != nil {
 			t.Errorf("%s: %v", folder.Name, err)
 			continue
 		}
 		lines = append(lines, fmt.Sprintf("%s: %d entries, %d bytes torn, index %d, complete %d, blank %t",
 			folder.Name, len(folder.Entries), folder.Torn,
-			machine.Watch().Index(), machine.Watch().Complete(), machine.Watch().Blank()))
-		lines = append(lines, storedforms.Describe(t, "epoch", machine.Watch().Record())...)
+			machine.Node().Index(), machine.Node().Complete(), machine.Node().Blank()))
+		lines = append(lines, storedforms.Describe(t, "epoch", machine.Node().Record())...)
 		lines = append(lines, storedforms.Describe(t, "state", machine.State())...)
 	}
 	storedforms.Compare(t, "folders-controller.txt", lines)
