--- a/cmd/store/main.go
+++ b/cmd/store/main.go
@@ -19,7 +19,7 @@
 func build(current settings.Settings, self membership.Member, stored daemon.Stored) (daemon.Build, error) {
 	machine, err := partition.New(partition.Settings{
 		Self: self, Seeds: current.Seeds, NewDisk: stored.NewDisk, Incarnation: stored.Incarnation,
-		Redeliver: current.Bounds.Redeliver, Acknowledge: current.Bounds.Acknowledge, Grace: current.Bounds.Grace,
+		RedeliveryWindow: current.Bounds.Redeliver, Acknowledge: current.Bounds.Acknowledge, ShutdownGrace: current.Bounds.Grace,
 	}, stored.Frame, stored.Entries)
 	if err != nil {
 		return daemon.Build{}, err
@@ -32,7 +32,7 @@
 			return partition.Request{Local: local, Method: method, Path: path, Body: body}
 		},
 		Find: func(local uint64, request, message, origin string) any {
-			return partition.FindDecisions{Local: local, Request: request, Message: message, Origin: origin}
+			return partition.FindDecisions{Local: local, Request: request, Message: message, Session: origin}
 		},
 		Counters: func() any { return map[string]any{"store": machine.Counts, "partitions": machine.Partitions()} },
 		Adapter:  platform.Adapter(current),
--- a/internal/controller/explore_test.go
+++ b/internal/controller/explore_test.go
@@ -290,14 +290,14 @@
 func (w *storeWorld) append(sender string, seq uint64) {
 	w.asked++
 	w.send("gateway", w.state.Places[testPartition].Leader, partition.Append{
-		Partition: testPartition, Request: w.asked, Topic: "a", Sender: sender, Seq: seq, Data: fmt.Appendf(nil, "%s %d", sender, seq),
+		Partition: testPartition, RequestID: w.asked, Topic: "a", Sender: sender, Seq: seq, Data: fmt.Appendf(nil, "%s %d", sender, seq),
 	})
 }
 
 func (w *storeWorld) gateway(message any) {
 	switch body := message.(type) {
 	case partition.AppendResponse:
-		if body.Outcome != partition.Accepted {
+		if body.Outcome != partition.OutcomeAccepted {
 			return
 		}
 		name := fmt.Sprintf("%s/%d", body.Record.Sender, body.Record.Seq)
@@ -526,7 +526,7 @@
 			}
 			w.asked++
 			askedAt = w.now
-			w.send("gateway", place.Leader, partition.Fetch{Partition: testPartition, Request: w.asked, Prefixes: []string{""}})
+			w.send("gateway", place.Leader, partition.Fetch{Partition: testPartition, RequestID: w.asked, Prefixes: []string{""}})
 			continue
 		}
 		for name, offset := range w.accepted {
--- a/internal/controller/identity_test.go
+++ b/internal/controller/identity_test.go
@@ -37,7 +37,7 @@
 	made.told = func(_ string, message any) {
 		switch body := message.(type) {
 		case partition.AppendResponse:
-			made.answers[body.Request] = body
+			made.answers[body.RequestID] = body
 		case partition.FetchResponse:
 			if body.Ready {
 				made.records = body.Records
@@ -72,7 +72,7 @@
 // publish sends a message of a sender of its own to the first.
 func (p *pair) publish(request uint64) {
 	p.send("gateway", statemachine.Send{To: p.first.name, Message: partition.Append{
-		Partition: testPartition, Request: request, Topic: "a", Sender: fmt.Sprint("sender-", request), Seq: 1, Data: fmt.Append(nil, request),
+		Partition: testPartition, RequestID: request, Topic: "a", Sender: fmt.Sprint("sender-", request), Seq: 1, Data: fmt.Append(nil, request),
 	}})
 }
 
@@ -90,7 +90,7 @@
 
 // wasAccepted tells whether a message was told accepted.
 func (p *pair) wasAccepted(request uint64) bool {
-	return p.answers[request].Outcome == partition.Accepted
+	return p.answers[request].Outcome == partition.OutcomeAccepted
 }
 
 // sameOffset has the first's new life take a message before it knows what its follower
@@ -112,7 +112,7 @@
 	p.first.frame, p.first.entries = nil, nil
 	p.after(0, p.tend)
 	p.run(4 * time.Second)
-	p.send("gateway", statemachine.Send{To: p.state.Places[testPartition].Leader, Message: partition.Fetch{Partition: testPartition, Request: 1, Prefixes: []string{""}}})
+	p.send("gateway", statemachine.Send{To: p.state.Places[testPartition].Leader, Message: partition.Fetch{Partition: testPartition, RequestID: 1, Prefixes: []string{""}}})
 	p.run(time.Second)
 	held, any := map[string]bool{}, false
 	for _, record := range p.records {
@@ -136,7 +136,7 @@
 func lateAcknowledgement(t *testing.T, seed uint64) (broken string) {
 	pair := newPair(t, seed)
 	pair.held = func(from, to string, message any) (time.Duration, bool) {
-		if _, copies := message.(partition.CopyResponse); copies && from == pair.follower.name && to == pair.first.name {
+		if _, copies := message.(partition.ReplicateResponse); copies && from == pair.follower.name && to == pair.first.name {
 			return 1500 * time.Millisecond, false
 		}
 		return 0, false
@@ -146,7 +146,7 @@
 	pair.held = nil
 	pair.run(1400*time.Millisecond - (pair.now - began))
 	pair.held = func(from, _ string, message any) (time.Duration, bool) {
-		_, copies := message.(partition.Copy)
+		_, copies := message.(partition.Replicate)
 		return 0, copies && from == pair.first.name
 	}
 	pair.publish(2)
@@ -162,7 +162,7 @@
 func lateCopy(t *testing.T, seed uint64) (broken string) {
 	pair := newPair(t, seed)
 	pair.held = func(from, _ string, message any) (time.Duration, bool) {
-		if _, copies := message.(partition.Copy); copies && from == pair.first.name {
+		if _, copies := message.(partition.Replicate); copies && from == pair.first.name {
 			return 1200 * time.Millisecond, false
 		}
 		return 0, false
@@ -181,7 +181,7 @@
 	pair := newPair(t, seed)
 	frames := 0
 	pair.held = func(from, to string, message any) (time.Duration, bool) {
-		if _, whole := message.(partition.Frame); whole {
+		if _, whole := message.(partition.InstallSnapshot); whole {
 			frames++
 			packed, err := transport.Encode(statemachine.Meta{From: from, Version: 1}, message)
 			assert.NilError(t, err)
--- a/internal/controller/partition_test.go
+++ b/internal/controller/partition_test.go
@@ -336,7 +336,7 @@
 	request := y.requests
 	sender := fmt.Sprintf("sender-%d", number)
 	y.send("gateway", statemachine.Send{To: place.Leader, Message: partition.Append{
-		Partition: testPartition, Request: request, Topic: "a", Sender: sender, Seq: writer.seq, Data: fmt.Appendf(nil, "%s %d", sender, writer.seq),
+		Partition: testPartition, RequestID: request, Topic: "a", Sender: sender, Seq: writer.seq, Data: fmt.Appendf(nil, "%s %d", sender, writer.seq),
 	}})
 	y.after(700*time.Millisecond, func() {
 		if writer.request == request {
@@ -349,13 +349,13 @@
 	switch body := message.(type) {
 	case partition.AppendResponse:
 		for number, writer := range y.writers {
-			if writer.request != body.Request || writer.answered == body.Request {
+			if writer.request != body.RequestID || writer.answered == body.RequestID {
 				continue
 			}
-			writer.answered = body.Request
+			writer.answered = body.RequestID
 			name := fmt.Sprintf("sender-%d/%d", number, writer.seq)
 			switch body.Outcome {
-			case partition.Accepted:
+			case partition.OutcomeAccepted:
 				offset := body.Record.Offset
 				if earlier, had := y.accepted[name]; had && earlier != offset {
 					y.t.Fatalf("%s was accepted at %d and again at %d", name, earlier, offset)
@@ -365,7 +365,7 @@
 				}
 				y.accepted[name], y.offsets[offset] = offset, name
 				writer.request = 0
-			case partition.Refused:
+			case partition.OutcomeRejected:
 				writer.refused++
 				if body.Code == "old-seq" || body.Code == "seq-reused" {
 					y.t.Fatalf("%s, without an answer so far, was told %s", name, body.Code)
@@ -475,11 +475,11 @@
 			var got []partition.Record
 			for after := uint64(0); ; {
 				yard.fetched = nil
-				yard.send("gateway", statemachine.Send{To: yard.state.Places[testPartition].Leader, Message: partition.Fetch{Partition: testPartition, Request: 1, After: after, Prefixes: []string{""}}})
+				yard.send("gateway", statemachine.Send{To: yard.state.Places[testPartition].Leader, Message: partition.Fetch{Partition: testPartition, RequestID: 1, After: after, Prefixes: []string{""}}})
 				yard.run(200 * time.Millisecond)
 				assert.Assert(t, yard.fetched != nil, "the first does not answer")
 				got = append(got, yard.fetched.Records...)
-				if after = yard.fetched.Until; after >= yard.fetched.Head {
+				if after = yard.fetched.Until; after >= yard.fetched.HighWatermark {
 					break
 				}
 			}
--- a/internal/controller/shared_test.go
+++ b/internal/controller/shared_test.go
@@ -65,7 +65,7 @@
 	sy.requests++
 	sy.asked[sy.requests] = then
 	name := config.SharedPartition(line.topic)
-	request := partition.Append{Partition: name, Request: sy.requests, Topic: line.topic, Sender: line.sender, Seq: seq, Bare: line.bare}
+	request := partition.Append{Partition: name, RequestID: sy.requests, Topic: line.topic, Sender: line.sender, Seq: seq, OffsetOnly: line.bare}
 	if !line.bare {
 		request.Data = []byte(line.name(seq))
 	}
@@ -112,10 +112,10 @@
 		}
 	}
 	switch answer.Outcome {
-	case partition.Accepted:
+	case partition.OutcomeAccepted:
 		sy.noteAccepted(line, item.seq, answer)
 		end()
-	case partition.Refused:
+	case partition.OutcomeRejected:
 		if answer.Code == "old-seq" {
 			_, had := sy.accepted[name]
 			assert.Assert(sy.t, !had, "%s was accepted and then told old-seq", name)
@@ -149,22 +149,22 @@
 func (sy *sharedYard) hear(from string, message any) {
 	switch body := message.(type) {
 	case partition.AppendResponse:
-		if then, found := sy.asked[body.Request]; found {
-			delete(sy.asked, body.Request)
+		if then, found := sy.asked[body.RequestID]; found {
+			delete(sy.asked, body.RequestID)
 			then(body)
 		}
 	case partition.FetchResponse:
 		if body.Ready {
-			sy.fetches[body.Request] = body
+			sy.fetches[body.RequestID] = body
 		}
-	case partition.Heads:
-		for _, head := range body.Heads {
+	case partition.HighWatermarks:
+		for _, head := range body.HighWatermarks {
 			if head.From > sy.heads[head.Partition] {
 				continue
 			}
 			sy.heads[head.Partition] = max(sy.heads[head.Partition], head.Offset)
 			for _, topic := range head.Topics {
-				sy.moved[topic.Topic] = max(sy.moved[topic.Topic], topic.Offset)
+				sy.moved[topic.TopicNumber] = max(sy.moved[topic.TopicNumber], topic.Offset)
 			}
 		}
 	}
@@ -172,10 +172,10 @@
 
 func (sy *sharedYard) follow() {
 	sy.after(2*time.Second, sy.follow)
-	follows := map[string]partition.Follow{}
+	follows := map[string]partition.SubscribeHighWatermarks{}
 	for name, place := range statemachine.Sorted(sy.state.Places) {
 		follow := follows[place.Leader]
-		follow.Partitions, follow.From = append(follow.Partitions, name), append(follow.From, sy.heads[name])
+		follow.Partitions, follow.KnownOffsets = append(follow.Partitions, name), append(follow.KnownOffsets, sy.heads[name])
 		follows[place.Leader] = follow
 	}
 	for first, follow := range statemachine.Sorted(follows) {
@@ -188,13 +188,13 @@
 	name := config.SharedPartition(topic)
 	for after := uint64(0); ; {
 		sy.requests++
-		sy.send("gateway", statemachine.Send{To: sy.state.Places[name].Leader, Message: partition.Fetch{Partition: name, Request: sy.requests, After: after, Topics: []string{topic}}})
+		sy.send("gateway", statemachine.Send{To: sy.state.Places[name].Leader, Message: partition.Fetch{Partition: name, RequestID: sy.requests, After: after, Topics: []string{topic}}})
 		sy.run(200 * time.Millisecond)
 		answer, found := sy.fetches[sy.requests]
 		assert.Assert(sy.t, found, "the first of %s does not answer", name)
-		assert.Assert(sy.t, !answer.Gone, "nothing may be gone yet")
+		assert.Assert(sy.t, !answer.Expired, "nothing may be gone yet")
 		got = append(got, answer.Records...)
-		if after = answer.Until; after >= answer.Head {
+		if after = answer.Until; after >= answer.HighWatermark {
 			return got
 		}
 	}
@@ -260,7 +260,7 @@
 			assert.Assert(sy.t, held[name] == 0, "%s is kept twice", name)
 			assert.Assert(sy.t, !sy.never[name], "%s was turned away and is kept", name)
 			assert.Assert(sy.t, record.Seq > last[record.Sender], "%s after seq %d", name, last[record.Sender])
-			assert.Assert(sy.t, record.Prior == prior, "%s names %d before it, not %d", name, record.Prior, prior)
+			assert.Assert(sy.t, record.PreviousInTopic == prior, "%s names %d before it, not %d", name, record.PreviousInTopic, prior)
 			held[name], last[record.Sender], prior = record.Offset, record.Seq, record.Offset
 		}
 		newest[line.topic] = max(prior, 1)
@@ -278,13 +278,13 @@
 			sy.append(line, seq, func(answer partition.AppendResponse) {
 				switch {
 				case had:
-					assert.Assert(sy.t, answer.Outcome == partition.Accepted && answer.Again, "%s was accepted at %d and is now answered %+v", name, offset, answer)
+					assert.Assert(sy.t, answer.Outcome == partition.OutcomeAccepted && answer.Duplicate, "%s was accepted at %d and is now answered %+v", name, offset, answer)
 					sy.noteAccepted(line, seq, answer)
-				case answer.Outcome == partition.Accepted:
+				case answer.Outcome == partition.OutcomeAccepted:
 					// It was under way when the troubles began, and nobody was told.
-					assert.Assert(sy.t, answer.Again && !sy.never[name], "%s is appended below a later one", name)
+					assert.Assert(sy.t, answer.Duplicate && !sy.never[name], "%s is appended below a later one", name)
 				default:
-					assert.Assert(sy.t, answer.Outcome == partition.Refused && answer.Code == "old-seq", "%s is answered %+v", name, answer)
+					assert.Assert(sy.t, answer.Outcome == partition.OutcomeRejected && answer.Code == "old-seq", "%s is answered %+v", name, answer)
 				}
 			})
 		}
--- a/internal/gateway/catchup.go
+++ b/internal/gateway/catchup.go
@@ -166,9 +166,9 @@
 	sent.sentAt = now
 	sent.tries++
 	g.timers.ArmSooner("routed", sent.due())
-	asked := partition.FetchTopics{Request: sent.request, Bytes: sent.bytes}
+	asked := partition.FetchTopics{RequestID: sent.request, MaxBytes: sent.bytes}
 	for _, each := range sent.fetches {
-		asked.Topics = append(asked.Topics, partition.TopicAfter{Topic: each.topic.name, After: each.after})
+		asked.Topics = append(asked.Topics, partition.TopicCursor{Topic: each.topic.name, After: each.after})
 	}
 	g.Counts.Fetches++
 	effects.Send(sent.store, asked)
@@ -244,7 +244,7 @@
 
 // onTopicsFetched takes the answer to a batch.
 func (g *Gateway) onTopicsFetched(now time.Time, returned partition.FetchTopicsResponse, effects *statemachine.Effects) {
-	answered, found := g.routed.batches[returned.Request]
+	answered, found := g.routed.batches[returned.RequestID]
 	if !found || len(returned.Topics) != len(answered.fetches) {
 		for _, each := range returned.Topics {
 			g.Counts.Late += uint64(len(each.Records))
@@ -278,8 +278,8 @@
 func (g *Gateway) takeRecords(now time.Time, asked *topicFetch, state partition.PartitionState, returned partition.TopicRecords, effects *statemachine.Effects) {
 	followed := asked.topic
 	g.routed.bases[followed.partition] = state.Base
-	followed.left = returned.Left
-	if returned.Gone {
+	followed.left = returned.RemainingBytes
+	if returned.Expired {
 		followed.reservedUntil = time.Time{}
 		g.losePlaces(now, followed, asked.after, effects)
 		g.tendTopic(now, followed, effects)
@@ -295,9 +295,9 @@
 		}
 	}
 	g.release(now, followed, effects)
-	if returned.Until < state.Head {
+	if returned.Until < state.HighWatermark {
 		// One answer did not hold all.
-		g.want(now, followed, state.Head, 0)
+		g.want(now, followed, state.HighWatermark, 0)
 	}
 	g.tendTopic(now, followed, effects)
 }
@@ -314,7 +314,7 @@
 		if followed.reservedUntil.After(now) {
 			followed.recentUntil = followed.reservedUntil
 		}
-		g.beginTold(now, followed.partition, state.Head)
+		g.beginTold(now, followed.partition, state.HighWatermark)
 	}
 	if asked.after == everything {
 		return
--- a/internal/gateway/catchup_test.go
+++ b/internal/gateway/catchup_test.go
@@ -56,12 +56,12 @@
 // answer answers a batch as a store does that holds all from Base on and nothing newer
 // than the cursors.
 func (c *crowded) answer(asked partition.FetchTopics) {
-	answer := partition.FetchTopicsResponse{Request: asked.Request}
+	answer := partition.FetchTopicsResponse{RequestID: asked.RequestID}
 	told := map[string]bool{}
 	for _, each := range asked.Topics {
 		if name := config.SharedPartition(each.Topic); !told[name] {
 			told[name] = true
-			answer.Partitions = append(answer.Partitions, partition.PartitionState{Partition: name, Epoch: 1, Head: 5})
+			answer.Partitions = append(answer.Partitions, partition.PartitionState{Partition: name, Epoch: 1, HighWatermark: 5})
 		}
 		answer.Topics = append(answer.Topics, partition.TopicRecords{Until: 5})
 	}
@@ -178,7 +178,7 @@
 
 func TestTheCreditOfABatchFollowsFromTheLink(t *testing.T) {
 	many := newCrowded(1)
-	assert.Equal(t, many.asked()[0].Bytes, batchBytesMost)
+	assert.Equal(t, many.asked()[0].MaxBytes, batchBytesMost)
 	many.gateway.SetLink(3_250_000)
 	assert.Equal(t, many.gateway.batchBytes(10), 65000)
 	assert.Equal(t, many.gateway.batchBytes(4), 162500)
@@ -196,17 +196,17 @@
 	one.gateway.routed.topics["topic-0"].fetch.after = 2
 	asked := one.asked()[0]
 	name := config.SharedPartition("topic-0")
-	partitions := []partition.PartitionState{{Partition: name, Epoch: 1, Head: 9}}
+	partitions := []partition.PartitionState{{Partition: name, Epoch: 1, HighWatermark: 9}}
 	one.gateway.onTopicsFetched(one.now, partition.FetchTopicsResponse{
-		Request: asked.Request, Partitions: partitions, Topics: []partition.TopicRecords{{Until: 2}},
+		RequestID: asked.RequestID, Partitions: partitions, Topics: []partition.TopicRecords{{Until: 2}},
 	}, &one.effects)
 	assert.Equal(t, len(one.effects.Responses), 1)
 	assert.Equal(t, one.effects.Responses[0].Value.(Answer).Outcome, OutcomeAccepted)
 	next := one.asked()
 	assert.Equal(t, len(next), 1)
-	assert.DeepEqual(t, next[0].Topics, []partition.TopicAfter{{Topic: "topic-0", After: 2}})
+	assert.DeepEqual(t, next[0].Topics, []partition.TopicCursor{{Topic: "topic-0", After: 2}})
 	one.gateway.onTopicsFetched(one.now, partition.FetchTopicsResponse{
-		Request: next[0].Request, Partitions: partitions,
+		RequestID: next[0].RequestID, Partitions: partitions,
 		Topics: []partition.TopicRecords{{Until: 9, Records: []partition.Record{{Offset: 7, Topic: "topic-0", Sender: "u", Seq: 1}}}},
 	}, &one.effects)
 	assert.Equal(t, len(one.effects.Deliveries), 1)
@@ -221,15 +221,15 @@
 	asked := one.asked()[0]
 	followed := one.gateway.routed.topics["topic-0"]
 	one.gateway.routed.told[followed.partition] = 5
-	one.gateway.onTopicHeads(one.now, partition.Head{
-		Partition: followed.partition, Epoch: 1, From: 5, Offset: 8, Topics: []partition.TopicHead{{Topic: followed.number, Offset: 8}},
+	one.gateway.onTopicHeads(one.now, partition.HighWatermark{
+		Partition: followed.partition, Epoch: 1, From: 5, Offset: 8, Topics: []partition.TopicOffset{{TopicNumber: followed.number, Offset: 8}},
 	}, &one.effects)
 	one.answer(asked)
 	one.now = one.now.Add(headGrace)
 	one.gateway.tendRouted(one.now, &one.effects)
 	next := one.asked()
 	assert.Equal(t, len(next), 1)
-	assert.DeepEqual(t, next[0].Topics, []partition.TopicAfter{{Topic: "topic-0", After: 5}})
+	assert.DeepEqual(t, next[0].Topics, []partition.TopicCursor{{Topic: "topic-0", After: 5}})
 	assert.Equal(t, one.gateway.routed.told[followed.partition], uint64(8))
 }
 
@@ -289,12 +289,12 @@
 
 // answerLeft answers a batch with no records but for topics of which nothing is left.
 func (c *crowded) answerLeft(asked partition.FetchTopics, left map[string]int) {
-	answer := partition.FetchTopicsResponse{Request: asked.Request}
+	answer := partition.FetchTopicsResponse{RequestID: asked.RequestID}
 	for _, each := range asked.Topics {
-		answer.Partitions = append(answer.Partitions, partition.PartitionState{Partition: config.SharedPartition(each.Topic), Epoch: 1, Head: 9})
+		answer.Partitions = append(answer.Partitions, partition.PartitionState{Partition: config.SharedPartition(each.Topic), Epoch: 1, HighWatermark: 9})
 		records := partition.TopicRecords{Until: 9}
 		if bytes := left[each.Topic]; bytes > 0 {
-			records = partition.TopicRecords{Until: each.After, Left: bytes}
+			records = partition.TopicRecords{Until: each.After, RemainingBytes: bytes}
 		}
 		answer.Topics = append(answer.Topics, records)
 	}
@@ -346,8 +346,8 @@
 	assert.Assert(t, one.gateway.admits(one.now))
 	asked := one.asked()[0]
 	one.gateway.onTopicsFetched(one.now, partition.FetchTopicsResponse{
-		Request: asked.Request, Partitions: []partition.PartitionState{{Partition: followed.partition, Epoch: 1, Head: 9}},
-		Topics: []partition.TopicRecords{{Until: 0, Left: thinRate + 1}},
+		RequestID: asked.RequestID, Partitions: []partition.PartitionState{{Partition: followed.partition, Epoch: 1, HighWatermark: 9}},
+		Topics: []partition.TopicRecords{{Until: 0, RemainingBytes: thinRate + 1}},
 	}, &one.effects)
 	assert.Assert(t, !one.gateway.admits(one.now))
 	one.gateway.dropPlace(one.now, one.channels[0], "topic-0", &one.effects)
@@ -370,8 +370,8 @@
 	for range 2 {
 		asked := one.asked()[0]
 		gateway.onTopicsFetched(one.now, partition.FetchTopicsResponse{
-			Request: asked.Request, Partitions: []partition.PartitionState{{Partition: followed.partition, Epoch: 1, Head: 5}},
-			Topics: []partition.TopicRecords{{Until: 1, Left: thinRate + 1}},
+			RequestID: asked.RequestID, Partitions: []partition.PartitionState{{Partition: followed.partition, Epoch: 1, HighWatermark: 5}},
+			Topics: []partition.TopicRecords{{Until: 1, RemainingBytes: thinRate + 1}},
 		}, &one.effects)
 		if _, held := gateway.channels[9].routed["topic-0"]; held {
 			assert.Assert(t, !gateway.admits(one.now))
--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -572,7 +572,7 @@
 	}
 	g.Counts.Fetches++
 	effects.Send(address, partition.Fetch{
-		Partition: name, Request: id, After: asked.after, Topics: asked.topics, Prefixes: asked.prefixes, Skip: asked.skip,
+		Partition: name, RequestID: id, After: asked.after, Topics: asked.topics, Prefixes: asked.prefixes, SkipOffsets: asked.skip,
 	})
 }
 
@@ -617,7 +617,7 @@
 // had tells whether an answer is one that came before, to an earlier part of what is
 // asked.
 func (f *fetched) had(returned partition.FetchResponse) bool {
-	return f.after != everything && returned.Until <= f.after && f.after < returned.Head && !statemachine.Mutated("any-answer")
+	return f.after != everything && returned.Until <= f.after && f.after < returned.HighWatermark && !statemachine.Mutated("any-answer")
 }
 
 // lacked are the records beyond what was had before.
@@ -629,7 +629,7 @@
 }
 
 func (g *Gateway) onFetchResponse(now time.Time, returned partition.FetchResponse, effects *statemachine.Effects) {
-	round, found := g.fetches[returned.Request]
+	round, found := g.fetches[returned.RequestID]
 	if !found {
 		g.Counts.Late += uint64(len(returned.Records))
 		return
@@ -647,7 +647,7 @@
 	}
 	if asked.after != everything && asked.after < returned.Base && round.tracker == "" {
 		// What lies between was kept for the holding time and is gone.
-		g.lostPlace(now, returned.Request, round, effects)
+		g.lostPlace(now, returned.RequestID, round, effects)
 		return
 	}
 	if asked.had(returned) {
@@ -655,18 +655,18 @@
 	}
 	asked.waiting = false
 	if asked.after == everything {
-		asked.until = returned.Head
+		asked.until = returned.HighWatermark
 	} else {
-		asked.until = max(returned.Until, min(asked.after, returned.Head))
+		asked.until = max(returned.Until, min(asked.after, returned.HighWatermark))
 		round.records[returned.Partition] = append(round.records[returned.Partition], asked.lacked(returned.Records)...)
-		if asked.until < returned.Head {
+		if asked.until < returned.HighWatermark {
 			asked.after = asked.until
-			g.ask(now, returned.Request, returned.Partition, asked, effects)
+			g.ask(now, returned.RequestID, returned.Partition, asked, effects)
 			return
 		}
 	}
 	asked.done = true
-	g.advanceFetch(now, returned.Request, round, cursor{}, effects)
+	g.advanceFetch(now, returned.RequestID, round, cursor{}, effects)
 }
 
 // dropFilling ends the subscriptions that a round did not come to fill.
@@ -826,7 +826,7 @@
 			rest = append(rest, Carry{Partition: name, Record: record})
 		}
 	}
-	slices.SortStableFunc(rest, func(left, right Carry) int { return left.Record.At.Compare(right.Record.At) })
+	slices.SortStableFunc(rest, func(left, right Carry) int { return left.Record.AppendedAt.Compare(right.Record.AppendedAt) })
 	return rest
 }
 
@@ -834,7 +834,7 @@
 // since they were asked before what it refers to was kept, or records that are
 // here and have not had their turn.
 func (f *fetch) before(full, name string, record partition.Record, at map[string]int) (missing []string, waits bool) {
-	for _, mark := range record.Before.Marks {
+	for _, mark := range record.Dependencies.Messages {
 		other := partitionName(full, int(mark.Partition))
 		asked, wanted := f.partitions[other]
 		if !wanted || other == name || !partition.Matches(mark.Topic, asked.topics, asked.prefixes) {
@@ -847,7 +847,7 @@
 			waits = waits || each.Offset == mark.Offset
 		}
 	}
-	for _, reach := range record.Before.Floor {
+	for _, reach := range record.Dependencies.Floor {
 		other := partitionName(full, int(reach.Partition))
 		asked, wanted := f.partitions[other]
 		if !wanted || other == name {
@@ -912,7 +912,7 @@
 
 func (i Interest) matches(topic string) bool {
 	if i.Wide {
-		return partition.Under(topic, i.Path)
+		return partition.HasTopicPrefix(topic, i.Path)
 	}
 	return topic == i.Path
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -363,9 +363,9 @@
 		g.onFetchResponse(now, body, effects)
 	case partition.FetchTopicsResponse:
 		g.onTopicsFetched(now, body, effects)
-	case partition.SenderResponse:
+	case partition.SenderStateResponse:
 		g.onSenderResponse(now, meta.From, body, effects)
-	case partition.Heads:
+	case partition.HighWatermarks:
 		g.onHeads(now, body, effects)
 	}
 }
--- a/internal/gateway/identity_test.go
+++ b/internal/gateway/identity_test.go
@@ -83,7 +83,7 @@
 	present := newAsker(presentLife, now, "boards~1/0")
 	present.append(now.Add(time.Second))
 	return present.take(now.Add(1100*time.Millisecond), partition.AppendResponse{
-		Partition: earlier.Partition, Request: earlier.Request, Outcome: partition.Accepted, Epoch: 1, Record: partition.Record{Offset: 5},
+		Partition: earlier.Partition, RequestID: earlier.RequestID, Outcome: partition.OutcomeAccepted, Epoch: 1, Record: partition.Record{Offset: 5},
 	})
 }
 
@@ -94,10 +94,10 @@
 	present := newAsker(presentLife, now, "boards~1/0")
 	asked := present.fetch(now.Add(time.Second))
 	present.take(now.Add(1100*time.Millisecond), partition.FetchTopicsResponse{
-		Request: earlier.Request, Topics: []partition.TopicRecords{{Until: 5}},
-		Partitions: []partition.PartitionState{{Partition: "boards~1/0", Epoch: 1, Head: 5}},
+		RequestID: earlier.RequestID, Topics: []partition.TopicRecords{{Until: 5}},
+		Partitions: []partition.PartitionState{{Partition: "boards~1/0", Epoch: 1, HighWatermark: 5}},
 	})
-	_, waits := present.gateway.routed.batches[asked.Request]
+	_, waits := present.gateway.routed.batches[asked.RequestID]
 	return !waits
 }
 
@@ -117,7 +117,7 @@
 	}
 	sends := asker.recall(now)
 	for range len(sends) {
-		asker.take(now, partition.SenderResponse{Request: sends[0].Message.(partition.SenderAsk).Request, Ready: true})
+		asker.take(now, partition.SenderStateResponse{RequestID: sends[0].Message.(partition.SenderStateRequest).RequestID, Ready: true})
 	}
 	return asker.gateway.senders[asker.item.key].recalled
 }
@@ -131,7 +131,7 @@
 	}
 	asker.gateway.fetches[3] = round
 	page := func(from, until uint64) partition.FetchResponse {
-		answer := partition.FetchResponse{Partition: "boards~1/0", Request: 3, Epoch: 1, Head: 10, Until: until, Ready: true}
+		answer := partition.FetchResponse{Partition: "boards~1/0", RequestID: 3, Epoch: 1, HighWatermark: 10, Until: until, Ready: true}
 		for offset := from; offset <= until; offset++ {
 			answer.Records = append(answer.Records, partition.Record{Offset: offset, Epoch: 1, Sender: "u", Seq: offset})
 		}
--- a/internal/gateway/messages.go
+++ b/internal/gateway/messages.go
@@ -55,7 +55,7 @@
 
 func (rc RoutedCopy) record() partition.Record {
 	return partition.Record{
-		Topic: rc.Topic, Sender: rc.Sender, Seq: rc.Seq, Offset: rc.Offset, Prior: rc.Offset - rc.Behind, Data: rc.Data,
+		Topic: rc.Topic, Sender: rc.Sender, Seq: rc.Seq, Offset: rc.Offset, PreviousInTopic: rc.Offset - rc.Behind, Data: rc.Data,
 	}
 }
 
--- a/internal/gateway/publish.go
+++ b/internal/gateway/publish.go
@@ -53,25 +53,25 @@
 
 // trailed is a message of a sender that was accepted a moment ago.
 type trailed struct {
-	mark partition.Mark
+	mark partition.MessagePosition
 	seq  uint64
 	at   time.Time
 }
 
 // before tells the trail that goes with a sender's next message.
-func (s *sender) before(now time.Time) partition.Trail {
-	s.trail = slices.DeleteFunc(s.trail, func(each trailed) bool { return now.Sub(each.at) > partition.TrailFor })
-	var trail partition.Trail
-	older := max(0, len(s.trail)-partition.TrailMost)
+func (s *sender) before(now time.Time) partition.Dependencies {
+	s.trail = slices.DeleteFunc(s.trail, func(each trailed) bool { return now.Sub(each.at) > partition.DependencyWindow })
+	var trail partition.Dependencies
+	older := max(0, len(s.trail)-partition.MaxDependencies)
 	floors := map[uint8]uint64{}
 	for _, each := range s.trail[:older] {
 		floors[each.mark.Partition] = max(floors[each.mark.Partition], each.mark.Offset)
 	}
 	for number, offset := range statemachine.Sorted(floors) {
-		trail.Floor = append(trail.Floor, partition.Reach{Partition: number, Offset: offset})
+		trail.Floor = append(trail.Floor, partition.PartitionOffset{Partition: number, Offset: offset})
 	}
 	for _, each := range s.trail[older:] {
-		trail.Marks = append(trail.Marks, each.mark)
+		trail.Messages = append(trail.Messages, each.mark)
 	}
 	return trail
 }
@@ -97,7 +97,7 @@
 	answered map[string]bool
 	ready    bool
 	lastSeq  uint64
-	recent   []partition.Recent
+	recent   []partition.RecentMessage
 	limit    time.Time
 }
 
@@ -233,7 +233,7 @@
 // Kept messages.
 
 func (g *Gateway) partitionOf(state *spaceState, topic string) string {
-	return partitionName(state.name, partition.Number(topic, state.space.Partitions()))
+	return partitionName(state.name, partition.ForTopic(topic, state.space.Partitions()))
 }
 
 func partitionName(space string, number int) string {
@@ -284,7 +284,7 @@
 		g.follower.PollNow(now)
 		return
 	}
-	var before partition.Trail
+	var before partition.Dependencies
 	if state, known := g.spaces[item.request.Space]; known && state.space.Partitions() > 1 {
 		before = from.before(now)
 	}
@@ -298,39 +298,39 @@
 	g.ring.Record(now, item.request.RequestName, decisionlog.MessageName(item.request.Space, item.request.Sender, item.request.Seq),
 		item.request.Origin, "append", "partition", item.partition, "store", store, "epoch", g.follower.Placements[item.partition].Epoch)
 	effects.Send(address, partition.Append{
-		Partition: item.partition, Request: send, Topic: item.request.Topic, Sender: item.request.Sender, Seq: item.request.Seq,
-		Data: item.request.Data, Before: before, OnlyAgain: item.request.Seq <= from.lastSeq,
+		Partition: item.partition, RequestID: send, Topic: item.request.Topic, Sender: item.request.Sender, Seq: item.request.Seq,
+		Data: item.request.Data, Dependencies: before, DuplicateOnly: item.request.Seq <= from.lastSeq,
 	})
 }
 
 func (g *Gateway) onAppendResponse(now time.Time, returned partition.AppendResponse, effects *statemachine.Effects) {
-	if item, routed := g.routed.sends[returned.Request]; routed && item.partition == returned.Partition {
+	if item, routed := g.routed.sends[returned.RequestID]; routed && item.partition == returned.Partition {
 		g.onRoutedResponse(now, item, returned, effects)
 		return
 	}
-	item, found := g.sends[returned.Request]
+	item, found := g.sends[returned.RequestID]
 	if !found || item.partition != returned.Partition {
 		return
 	}
-	delete(item.open, returned.Request)
-	delete(g.sends, returned.Request)
+	delete(item.open, returned.RequestID)
+	delete(g.sends, returned.RequestID)
 	message := decisionlog.MessageName(item.request.Space, item.request.Sender, item.request.Seq)
 	g.ring.Record(now, item.request.RequestName, message, item.request.Origin, "kept", "outcome", returned.Outcome,
-		"code", returned.Code, "partition", returned.Partition, "epoch", returned.Epoch, "offset", returned.Record.Offset, "again", returned.Again)
+		"code", returned.Code, "partition", returned.Partition, "epoch", returned.Epoch, "offset", returned.Record.Offset, "again", returned.Duplicate)
 	switch returned.Outcome {
-	case partition.Accepted:
+	case partition.OutcomeAccepted:
 		if from, known := g.senders[item.key]; known {
 			from.lastSeq = max(from.lastSeq, item.request.Seq)
 			from.trail = append(from.trail, trailed{
-				mark: partition.Mark{Partition: partition.NumberIn(returned.Partition), Offset: returned.Record.Offset, Topic: item.request.Topic},
+				mark: partition.MessagePosition{Partition: partition.NumberOf(returned.Partition), Offset: returned.Record.Offset, Topic: item.request.Topic},
 				seq:  item.request.Seq, at: now,
 			})
 		}
-		if state, present := g.spaces[item.request.Space]; present && !returned.Again {
+		if state, present := g.spaces[item.request.Space]; present && !returned.Duplicate {
 			g.fanOutKept(now, state, returned.Partition, returned.Record, item, effects)
 		}
-		g.finish(now, item, accepted(map[string]any{"again": returned.Again}), effects)
-	case partition.Refused:
+		g.finish(now, item, accepted(map[string]any{"again": returned.Duplicate}), effects)
+	case partition.OutcomeRejected:
 		switch returned.Code {
 		case "not-first":
 			// The store or this gateway lacks news; the limit decides.
@@ -369,13 +369,13 @@
 	g.recalls[g.nextRequest] = asked
 	for address, names := range statemachine.Sorted(byStore) {
 		asked.answered[address] = false
-		effects.Send(address, partition.SenderAsk{Request: g.nextRequest, Partitions: names, Sender: item.request.Sender})
+		effects.Send(address, partition.SenderStateRequest{RequestID: g.nextRequest, Partitions: names, Sender: item.request.Sender})
 	}
 }
 
 // onSenderResponse counts one answer of each store that was asked.
-func (g *Gateway) onSenderResponse(now time.Time, store string, returned partition.SenderResponse, effects *statemachine.Effects) {
-	asked, found := g.recalls[returned.Request]
+func (g *Gateway) onSenderResponse(now time.Time, store string, returned partition.SenderStateResponse, effects *statemachine.Effects) {
+	asked, found := g.recalls[returned.RequestID]
 	if !found {
 		return
 	}
@@ -386,11 +386,11 @@
 	asked.waiting--
 	asked.ready = asked.ready && returned.Ready
 	asked.lastSeq = max(asked.lastSeq, returned.LastSeq)
-	asked.recent = append(asked.recent, returned.Recent...)
+	asked.recent = append(asked.recent, returned.RecentMessages...)
 	if asked.waiting > 0 {
 		return
 	}
-	delete(g.recalls, returned.Request)
+	delete(g.recalls, returned.RequestID)
 	from, known := g.senders[asked.key]
 	if !known || len(from.queue) == 0 {
 		return
@@ -401,9 +401,9 @@
 		return
 	}
 	from.recalled, from.lastSeq, from.trail = true, asked.lastSeq, nil
-	slices.SortFunc(asked.recent, func(left, right partition.Recent) int { return cmp.Compare(left.Seq, right.Seq) })
+	slices.SortFunc(asked.recent, func(left, right partition.RecentMessage) int { return cmp.Compare(left.Seq, right.Seq) })
 	for _, each := range asked.recent {
-		from.trail = append(from.trail, trailed{mark: each.Mark, seq: each.Seq, at: now.Add(-each.Age / 2)})
+		from.trail = append(from.trail, trailed{mark: each.Position, seq: each.Seq, at: now.Add(-each.Age / 2)})
 	}
 	g.begin(now, from, effects)
 }
@@ -443,7 +443,7 @@
 func (g *Gateway) passOn(now time.Time, state *spaceState, from *sender, item *publication, effects *statemachine.Effects) {
 	request := item.request
 	if memory, known := from.recent[request.Seq]; known {
-		if memory.digest != partition.Digest(request.Topic, request.Data) {
+		if memory.digest != partition.MessageDigest(request.Topic, request.Data) {
 			g.finish(now, item, refused(409, "seq-reused", "this seq was used for another message", 0), effects)
 			return
 		}
@@ -470,7 +470,7 @@
 			from.arrived = now
 		}
 		from.lastSeq = max(from.lastSeq, request.Seq)
-		from.recent[request.Seq] = sentMemory{digest: partition.Digest(request.Topic, request.Data), at: now}
+		from.recent[request.Seq] = sentMemory{digest: partition.MessageDigest(request.Topic, request.Data), at: now}
 		for seq, memory := range from.recent {
 			if now.Sub(memory.at) > seqMemory {
 				delete(from.recent, seq)
--- a/internal/gateway/publish_test.go
+++ b/internal/gateway/publish_test.go
@@ -32,9 +32,9 @@
 	gateway.sendAppend(now, from, item, &effects)
 	now = now.Add(appendRetry)
 	gateway.sendAppend(now, from, item, &effects)
-	first := effects.Sends[0].Message.(partition.Append).Request
+	first := effects.Sends[0].Message.(partition.Append).RequestID
 	for range 2 {
-		gateway.onAppendResponse(now, partition.AppendResponse{Partition: item.partition, Request: first, Outcome: partition.Refused, Code: "not-first"}, &effects)
+		gateway.onAppendResponse(now, partition.AppendResponse{Partition: item.partition, RequestID: first, Outcome: partition.OutcomeRejected, Code: "not-first"}, &effects)
 	}
 	effects = statemachine.Effects{}
 	gateway.limits(item.limit, &effects)
--- a/internal/gateway/routed.go
+++ b/internal/gateway/routed.go
@@ -492,7 +492,7 @@
 	if followed.live && record.Offset <= followed.last && (followed.kept || !statemachine.Mutated("no-passing-offsets")) {
 		return true
 	}
-	follows := statemachine.Mutated("no-topic-prior") || record.Prior <= followed.last || !followed.kept && followed.last == 0
+	follows := statemachine.Mutated("no-topic-prior") || record.PreviousInTopic <= followed.last || !followed.kept && followed.last == 0
 	if followed.live && follows {
 		g.process(now, followed, record, effects)
 		g.release(now, followed, effects)
@@ -510,9 +510,9 @@
 		return true
 	}
 	g.Counts.Holes++
-	effects.Emit(logevent.GapFound, "partition", followed.partition, "offset", record.Offset, "prior", record.Prior)
+	effects.Emit(logevent.GapFound, "partition", followed.partition, "offset", record.Offset, "prior", record.PreviousInTopic)
 	if followed.kept {
-		g.want(now, followed, record.Prior, holeAfter)
+		g.want(now, followed, record.PreviousInTopic, holeAfter)
 	} else {
 		g.mind(followed, now.Add(passingGap))
 	}
@@ -523,7 +523,7 @@
 func (g *Gateway) release(now time.Time, followed *topic, effects *statemachine.Effects) {
 	for len(followed.held) > 0 {
 		next := followed.held[0]
-		if next.Offset > followed.last && next.Prior > followed.last {
+		if next.Offset > followed.last && next.PreviousInTopic > followed.last {
 			return
 		}
 		followed.held = followed.held[1:]
@@ -644,7 +644,7 @@
 	}
 	if !followed.kept {
 		if len(followed.held) > 0 && !followed.heldAt.Add(passingGap).After(now) {
-			followed.last = max(followed.last, followed.held[0].Prior)
+			followed.last = max(followed.last, followed.held[0].PreviousInTopic)
 			g.release(now, followed, effects)
 		}
 		if len(followed.held) > 0 {
@@ -679,13 +679,13 @@
 // Heads.
 
 // onTopicHeads takes which topics of a shared partition moved.
-func (g *Gateway) onTopicHeads(now time.Time, head partition.Head, _ *statemachine.Effects) {
+func (g *Gateway) onTopicHeads(now time.Time, head partition.HighWatermark, _ *statemachine.Effects) {
 	if _, used := g.routed.partitions[head.Partition]; !used || statemachine.Mutated("no-topic-heads") || head.Epoch < g.follower.Placements[head.Partition].Epoch {
 		return
 	}
 	told := g.routed.told[head.Partition]
 	for _, each := range head.Topics {
-		if followed, found := g.routed.numbers[each.Topic]; found && followed.kept && each.Offset > followed.last {
+		if followed, found := g.routed.numbers[each.TopicNumber]; found && followed.kept && each.Offset > followed.last {
 			g.want(now, followed, each.Offset, headGrace)
 		}
 	}
--- a/internal/gateway/routed_publish.go
+++ b/internal/gateway/routed_publish.go
@@ -102,26 +102,26 @@
 	item.open[g.nextRequest] = true
 	g.routed.sends[g.nextRequest] = item
 	effects.Send(address, partition.Append{
-		Partition: item.partition, Request: g.nextRequest, Topic: item.request.Topic, Sender: item.request.Sender, Seq: item.request.Seq, Data: data, Bare: item.bare,
+		Partition: item.partition, RequestID: g.nextRequest, Topic: item.request.Topic, Sender: item.request.Sender, Seq: item.request.Seq, Data: data, OffsetOnly: item.bare,
 	})
 }
 
 func (g *Gateway) onRoutedResponse(now time.Time, item *routedPublication, returned partition.AppendResponse, effects *statemachine.Effects) {
-	delete(item.open, returned.Request)
-	delete(g.routed.sends, returned.Request)
+	delete(item.open, returned.RequestID)
+	delete(g.routed.sends, returned.RequestID)
 	switch returned.Outcome {
-	case partition.Accepted:
+	case partition.OutcomeAccepted:
 		g.routed.accepted[routedKey{topic: item.request.Topic, sender: item.request.Sender, seq: item.request.Seq}] = now
 		record := returned.Record
 		record.Topic, record.Sender, record.Seq, record.Data = item.request.Topic, item.request.Sender, item.request.Seq, item.request.Data
-		if !returned.Again || item.bare || item.sends > 1 {
+		if !returned.Duplicate || item.bare || item.sends > 1 {
 			// What was kept before and is not passed on now is found by the
 			// partition's heads; a passing message is not, and who had it, or a
 			// later one, lets it fall.
 			g.fanOutRouted(now, item, record, effects)
 		}
 		g.answerRouted(now, item, accepted(nil), effects)
-	case partition.Refused:
+	case partition.OutcomeRejected:
 		switch {
 		case returned.Code == "not-first":
 			g.follower.PollNow(now)
@@ -143,7 +143,7 @@
 func (g *Gateway) fanOutRouted(now time.Time, item *routedPublication, record partition.Record, effects *statemachine.Effects) {
 	g.onRouted(now, record, effects)
 	copied := RoutedCopy{
-		Topic: record.Topic, Sender: record.Sender, Seq: record.Seq, Offset: record.Offset, Behind: record.Offset - record.Prior, Data: record.Data,
+		Topic: record.Topic, Sender: record.Sender, Seq: record.Seq, Offset: record.Offset, Behind: record.Offset - record.PreviousInTopic, Data: record.Data,
 		Passing: item.bare,
 	}
 	g.overlay.Reach(now, routedPlane, item.request.Topic, func(now time.Time, effects *statemachine.Effects, settled bool) {
--- a/internal/gateway/tracker.go
+++ b/internal/gateway/tracker.go
@@ -173,9 +173,9 @@
 	g.pump(now, effects)
 	if _, waits := tracker.held[offset]; waits && tracker.began {
 		g.Counts.Holes++
-		effects.Emit(logevent.GapFound, "partition", carry.Partition, "offset", offset, "prior", carry.Record.Prior)
+		effects.Emit(logevent.GapFound, "partition", carry.Partition, "offset", offset, "prior", carry.Record.PreviousInTopic)
 		g.ring.Record(now, "", decisionlog.MessageName(tracker.space, carry.Record.Sender, carry.Record.Seq), "", "waits",
-			"partition", carry.Partition, "offset", offset, "prior", carry.Record.Prior, "before", carry.Record.Before.Marks, "verified", tracker.verified)
+			"partition", carry.Partition, "offset", offset, "prior", carry.Record.PreviousInTopic, "before", carry.Record.Dependencies.Messages, "verified", tracker.verified)
 		tracker.wanted = true
 		g.timers.ArmSooner("verify", now.Add(holeAfter))
 		g.wantBefore(tracker, carry.Record)
@@ -185,12 +185,12 @@
 
 // wantBefore marks the partitions in which something before a message is missing.
 func (g *Gateway) wantBefore(tracker *tracker, record partition.Record) {
-	for _, mark := range record.Before.Marks {
+	for _, mark := range record.Dependencies.Messages {
 		if other, found := g.trackers[partitionName(tracker.full, int(mark.Partition))]; found && !other.settled(mark.Topic, mark.Offset) {
 			other.wanted = true
 		}
 	}
-	for _, reach := range record.Before.Floor {
+	for _, reach := range record.Dependencies.Floor {
 		if other, found := g.trackers[partitionName(tracker.full, int(reach.Partition))]; found && !other.reached(reach.Offset) {
 			other.wanted = true
 		}
@@ -214,7 +214,7 @@
 // verified lately, so that nothing older than a trail can be missing.
 func (g *Gateway) fresh(now time.Time, full string) bool {
 	for _, other := range g.trackers {
-		if other.full == full && other.began && now.Sub(other.freshAt) > partition.FreshFor {
+		if other.full == full && other.began && now.Sub(other.freshAt) > partition.VerificationWindow {
 			return false
 		}
 	}
@@ -233,7 +233,7 @@
 	if tracker.shared && record.Offset > 1 && !tracker.settled(record.Topic, record.Offset-1) {
 		return false
 	}
-	if !tracker.shared && !tracker.settled(record.Topic, record.Prior) {
+	if !tracker.shared && !tracker.settled(record.Topic, record.PreviousInTopic) {
 		return false
 	}
 	if tracker.shared {
@@ -244,13 +244,13 @@
 	if since, noted := tracker.heldSince[record.Offset]; noted && now.Sub(since) > knotAfter && g.fresh(now, tracker.full) {
 		return true
 	}
-	for _, mark := range record.Before.Marks {
+	for _, mark := range record.Dependencies.Messages {
 		other, found := g.trackers[partitionName(tracker.full, int(mark.Partition))]
 		if found && (other != tracker || mark.Offset < record.Offset) && !other.settled(mark.Topic, mark.Offset) {
 			return false
 		}
 	}
-	for _, reach := range record.Before.Floor {
+	for _, reach := range record.Dependencies.Floor {
 		other, found := g.trackers[partitionName(tracker.full, int(reach.Partition))]
 		if found && (other != tracker || reach.Offset < record.Offset) && !other.reached(reach.Offset) {
 			return false
@@ -399,8 +399,8 @@
 
 // Verifying.
 
-func (g *Gateway) onHeads(now time.Time, heads partition.Heads, effects *statemachine.Effects) {
-	for _, head := range heads.Heads {
+func (g *Gateway) onHeads(now time.Time, heads partition.HighWatermarks, effects *statemachine.Effects) {
+	for _, head := range heads.HighWatermarks {
 		if config.IsShared(head.Partition) {
 			g.onTopicHeads(now, head, effects)
 			continue
@@ -530,12 +530,12 @@
 // followHeads asks the stores that are first for the partitions followed here to
 // tell their heads, and asks again before they forget.
 func (g *Gateway) followHeads(now time.Time, effects *statemachine.Effects) {
-	byStore := map[string]partition.Follow{}
+	byStore := map[string]partition.SubscribeHighWatermarks{}
 	g.followedAt = now
 	add := func(name string, from uint64) {
 		if address, _, found := g.firstOf(name); found {
 			follow := byStore[address]
-			follow.Partitions, follow.From = append(follow.Partitions, name), append(follow.From, from)
+			follow.Partitions, follow.KnownOffsets = append(follow.Partitions, name), append(follow.KnownOffsets, from)
 			byStore[address] = follow
 		}
 	}
--- a/internal/partition/append.go
+++ b/internal/partition/append.go
@@ -18,7 +18,7 @@
 	for offset, waiters := range statemachine.Sorted(partition.waiting) {
 		delete(partition.waiting, offset)
 		for _, each := range waiters {
-			effects.Send(each.from, AppendResponse{Partition: partition.log.Name, Request: each.request, Outcome: Unsettled, Code: code, Epoch: partition.place.Epoch})
+			effects.Send(each.from, AppendResponse{Partition: partition.log.Name, RequestID: each.request, Outcome: OutcomeUnresolved, Code: code, Epoch: partition.place.Epoch})
 		}
 	}
 }
@@ -33,13 +33,13 @@
 			epoch = partition.place.Epoch
 		}
 		s.ring.Record(now, "", decisionlog.MessageName(request.Partition, request.Sender, request.Seq), request.Sender, "not-kept", "partition", request.Partition, "code", code, "epoch", epoch)
-		effects.Send(from, AppendResponse{Partition: request.Partition, Request: request.Request, Outcome: Refused, Code: code, RetryAfter: back, Epoch: epoch})
+		effects.Send(from, AppendResponse{Partition: request.Partition, RequestID: request.RequestID, Outcome: OutcomeRejected, Code: code, RetryAfter: back, Epoch: epoch})
 	}
 	if !s.Ready() || !found || !s.isFirst(partition) {
 		refuse("not-first", 200*time.Millisecond)
 		return
 	}
-	if request.Bare {
+	if request.OffsetOnly {
 		request.Data = nil
 	}
 	sender, known := partition.log.Senders[partition.log.memoryKey(request.Topic, request.Sender)]
@@ -47,14 +47,14 @@
 		sender = &senderState{}
 	}
 	if memory, known := sender.find(request.Seq); known && !statemachine.Mutated("no-resend-memory") {
-		if memory.Digest != Digest(request.Topic, request.Data) {
+		if memory.Digest != MessageDigest(request.Topic, request.Data) {
 			refuse("seq-reused", 0)
 			return
 		}
 		if memory.Offset <= partition.accepted && partition.place.Complete {
 			s.Counts.Again++
 			records := partition.log.after(memory.Offset - 1)
-			answer := AppendResponse{Partition: request.Partition, Request: request.Request, Outcome: Accepted, Epoch: partition.place.Epoch, Again: true}
+			answer := AppendResponse{Partition: request.Partition, RequestID: request.RequestID, Outcome: OutcomeAccepted, Epoch: partition.place.Epoch, Duplicate: true}
 			if memory.Offset > partition.log.Base && len(records) > 0 {
 				answer.Record = answered(request.Partition, records[0])
 			} else {
@@ -63,11 +63,11 @@
 			effects.Send(from, answer)
 			return
 		}
-		partition.waiting[memory.Offset] = append(partition.waiting[memory.Offset], waiter{from: from, request: request.Request, since: now})
+		partition.waiting[memory.Offset] = append(partition.waiting[memory.Offset], waiter{from: from, request: request.RequestID, since: now})
 		s.timers.ArmSooner("copy", now.Add(copyEvery))
 		return
 	}
-	if (request.Seq <= sender.LastSeq || request.OnlyAgain) && !statemachine.Mutated("no-resend-memory") {
+	if (request.Seq <= sender.LastSeq || request.DuplicateOnly) && !statemachine.Mutated("no-resend-memory") {
 		if config.IsShared(request.Partition) && !partition.passedBy(sender) {
 			// The later one may still come to nothing, and then an earlier try of
 			// this one may be accepted by another first.
@@ -94,10 +94,10 @@
 	head, _ := partition.log.head()
 	record := Record{
 		Offset: head + 1, Epoch: partition.place.Epoch, Topic: request.Topic, Sender: request.Sender, Seq: request.Seq,
-		Data: request.Data, At: now, Prior: partition.log.prior(request.Topic), Before: request.Before, Bare: request.Bare,
+		Data: request.Data, AppendedAt: now, PreviousInTopic: partition.log.prior(request.Topic), Dependencies: request.Dependencies, OffsetOnly: request.OffsetOnly,
 	}
 	partition.log.add(record)
-	partition.waiting[record.Offset] = append(partition.waiting[record.Offset], waiter{from: from, request: request.Request, since: now})
+	partition.waiting[record.Offset] = append(partition.waiting[record.Offset], waiter{from: from, request: request.RequestID, since: now})
 	s.dirty[request.Partition] = true
 	s.log(diskEntry{Partition: request.Partition, Record: &record}, func(now time.Time, effects *statemachine.Effects) {
 		if partition.log.epochIs(record) {
@@ -119,7 +119,7 @@
 // answered is a record as whoever asked for it to be kept is told of it.
 func answered(partition string, record Record) Record {
 	if config.IsShared(partition) {
-		record.Data, record.Topic, record.Sender, record.At = nil, "", "", time.Time{}
+		record.Data, record.Topic, record.Sender, record.AppendedAt = nil, "", "", time.Time{}
 	}
 	return record
 }
@@ -146,7 +146,7 @@
 // overdue is for how long the oldest message that is not accepted has waited.
 func (h *held) overdue(now time.Time) time.Duration {
 	if records := h.log.after(h.accepted); len(records) > 0 && h.firstSince == h.place.Epoch {
-		return now.Sub(records[0].At)
+		return now.Sub(records[0].AppendedAt)
 	}
 	return 0
 }
@@ -182,7 +182,7 @@
 			"partition", partition.log.Name, "epoch", partition.place.Epoch, "offset", offset, "first", partition.place.Leader, "followers", strings.Join(partition.place.Followers, " "))
 		for _, each := range waiters {
 			effects.Send(each.from, AppendResponse{
-				Partition: partition.log.Name, Request: each.request, Outcome: Accepted, Epoch: partition.place.Epoch, Record: answered(partition.log.Name, records[0]),
+				Partition: partition.log.Name, RequestID: each.request, Outcome: OutcomeAccepted, Epoch: partition.place.Epoch, Record: answered(partition.log.Name, records[0]),
 			})
 		}
 	}
--- a/internal/partition/bench_test.go
+++ b/internal/partition/bench_test.go
@@ -73,7 +73,7 @@
 	act(&effects)
 	for _, send := range effects.Sends {
 		if _, found := b.machines[send.To]; !found {
-			if answer, matches := send.Message.(AppendResponse); matches && answer.Outcome == Accepted {
+			if answer, matches := send.Message.(AppendResponse); matches && answer.Outcome == OutcomeAccepted {
 				b.accepted++
 				frame, _ := transport.Encode(statemachine.Meta{From: name, Version: 1}, send.Message)
 				b.bytes += len(frame)
@@ -128,7 +128,7 @@
 		topic := fmt.Sprintf("reading.%d", (seq*uint64(together)+uint64(number))%1000)
 		data := make([]byte, 200)
 		binary.BigEndian.PutUint64(data, seq)
-		frame, _ := transport.Encode(statemachine.Meta{From: "gateway", Version: 1}, Append{Partition: config.SharedPartition(topic), Request: seq, Topic: topic, Sender: "u1fx3a9c", Seq: seq + 1, Data: data})
+		frame, _ := transport.Encode(statemachine.Meta{From: "gateway", Version: 1}, Append{Partition: config.SharedPartition(topic), RequestID: seq, Topic: topic, Sender: "u1fx3a9c", Seq: seq + 1, Data: data})
 		b.step("store-0", func(effects *statemachine.Effects) {
 			meta, message, _ := transport.Decode(frame[4:])
 			b.machines["store-0"].HandleMessage(b.now, meta, message, effects)
--- a/internal/partition/copy.go
+++ b/internal/partition/copy.go
@@ -93,8 +93,8 @@
 	records = slices.Clone(records[:min(len(records), copyLimit)])
 	s.Counts.Copies++
 	s.Counts.CopyRecords += uint64(len(records))
-	effects.Send(follower.Address, Copy{
-		Partition: partition.log.Name, Epoch: partition.place.Epoch, After: after, AfterEpoch: afterEpoch, Records: records, Ages: takeAges(now, records),
+	effects.Send(follower.Address, Replicate{
+		Partition: partition.log.Name, Epoch: partition.place.Epoch, PreviousOffset: after, PreviousEpoch: afterEpoch, Records: records, Ages: takeAges(now, records),
 	})
 	if copied.known {
 		copied.sent = after + uint64(len(records))
@@ -110,8 +110,8 @@
 func takeAges(now time.Time, records []Record) []uint32 {
 	var ages []uint32
 	for position := range records {
-		age := uint32(max(0, now.Sub(records[position].At).Milliseconds()))
-		records[position].At = time.Time{}
+		age := uint32(max(0, now.Sub(records[position].AppendedAt).Milliseconds()))
+		records[position].AppendedAt = time.Time{}
 		if age > 0 {
 			ages = append(ages, make([]uint32, position-len(ages))...)
 			ages = append(ages, age)
@@ -159,7 +159,7 @@
 				patient = append(patient, each)
 				continue
 			}
-			effects.Send(each.from, AppendResponse{Partition: partition.log.Name, Request: each.request, Outcome: Unsettled, Code: "follower-silent", Epoch: partition.place.Epoch})
+			effects.Send(each.from, AppendResponse{Partition: partition.log.Name, RequestID: each.request, Outcome: OutcomeUnresolved, Code: "follower-silent", Epoch: partition.place.Epoch})
 		}
 		partition.waiting[offset] = patient
 		if len(patient) == 0 {
@@ -168,7 +168,7 @@
 	}
 }
 
-func (s *Store) onCopy(now time.Time, from string, copied Copy, effects *statemachine.Effects) {
+func (s *Store) onCopy(now time.Time, from string, copied Replicate, effects *statemachine.Effects) {
 	partition, found := s.partitions[copied.Partition]
 	if !s.Ready() {
 		return
@@ -183,7 +183,7 @@
 	}
 	if copied.Epoch < partition.place.Epoch {
 		effects.Emit(logevent.PartitionStaleEpoch, "partition", copied.Partition, "epoch", copied.Epoch, "present", partition.place.Epoch)
-		effects.Send(from, CopyResponse{Partition: copied.Partition, Epoch: copied.Epoch, Older: partition.place.Epoch})
+		effects.Send(from, ReplicateResponse{Partition: copied.Partition, Epoch: copied.Epoch, CurrentEpoch: partition.place.Epoch})
 		return
 	}
 	if copied.Epoch > partition.place.Epoch || !slices.Contains(partition.place.Followers, s.settings.Self.Name) {
@@ -191,8 +191,8 @@
 		s.follower.PollNow(now)
 		return
 	}
-	epoch, held := partition.log.epochAt(copied.After)
-	if !held || epoch != copied.AfterEpoch {
+	epoch, held := partition.log.epochAt(copied.PreviousOffset)
+	if !held || epoch != copied.PreviousEpoch {
 		s.tellHave(partition, from, effects)
 		return
 	}
@@ -205,14 +205,14 @@
 			}
 			continue
 		}
-		record.At = now
+		record.AppendedAt = now
 		if position < len(copied.Ages) {
-			record.At = now.Add(-time.Duration(copied.Ages[position]) * time.Millisecond)
+			record.AppendedAt = now.Add(-time.Duration(copied.Ages[position]) * time.Millisecond)
 		}
 		partition.log.add(record)
 		s.log(diskEntry{Partition: copied.Partition, Record: &record}, nil)
 	}
-	if head, _ := partition.log.head(); len(copied.Records) == 0 && head > copied.After {
+	if head, _ := partition.log.head(); len(copied.Records) == 0 && head > copied.PreviousOffset {
 		// More is here than the first knows of: its log and this one differ.
 		s.tellHave(partition, from, effects)
 		return
@@ -226,40 +226,40 @@
 	answer := func(now time.Time, effects *statemachine.Effects) {
 		partition.synced = max(partition.synced, head)
 		took := uint32(max(0, now.Sub(s.since).Milliseconds()))
-		effects.Send(from, CopyResponse{Partition: partition.log.Name, Epoch: epoch, Have: head, HaveEpoch: headEpoch, Holder: sumOf(s.holder()), Took: took})
+		effects.Send(from, ReplicateResponse{Partition: partition.log.Name, Epoch: epoch, LastOffset: head, LastEpoch: headEpoch, ReplicaHash: sumOf(s.holder()), DiskMilliseconds: took})
 	}
 	s.afters = append(s.afters, answer)
 }
 
 func (s *Store) tellHave(partition *held, to string, effects *statemachine.Effects) {
 	head, epoch := partition.log.head()
-	effects.Send(to, CopyResponse{Partition: partition.log.Name, Epoch: partition.place.Epoch, Have: head, HaveEpoch: epoch, Mismatch: true, Holder: sumOf(s.holder())})
+	effects.Send(to, ReplicateResponse{Partition: partition.log.Name, Epoch: partition.place.Epoch, LastOffset: head, LastEpoch: epoch, Mismatch: true, ReplicaHash: sumOf(s.holder())})
 }
 
-func (s *Store) onCopyResponse(now time.Time, from string, returned CopyResponse, effects *statemachine.Effects) {
+func (s *Store) onCopyResponse(now time.Time, from string, returned ReplicateResponse, effects *statemachine.Effects) {
 	partition, found := s.partitions[returned.Partition]
 	if !found || !s.isFirst(partition) || returned.Epoch != partition.place.Epoch {
 		return
 	}
-	if returned.Older > partition.place.Epoch {
+	if returned.CurrentEpoch > partition.place.Epoch {
 		s.giveUp(partition, "moved", effects)
 		s.follower.PollNow(now)
 		return
 	}
-	copied := s.copyAt(partition, from, returned.Holder)
+	copied := s.copyAt(partition, from, returned.ReplicaHash)
 	if copied == nil {
 		return
 	}
 	copied.tries = 0
 	head, _ := partition.log.head()
 	if returned.Mismatch {
-		epoch, held := partition.log.epochAt(returned.Have)
-		if held && epoch == returned.HaveEpoch && returned.Have >= partition.log.Base {
+		epoch, held := partition.log.epochAt(returned.LastOffset)
+		if held && epoch == returned.LastEpoch && returned.LastOffset >= partition.log.Base {
 			// What it has may not be synced yet, so it does not count as
 			// acknowledged; the next copy goes on from there.
 			copied.known, copied.whole = true, snapshot{}
-			copied.sent = returned.Have
-			if returned.Have == head {
+			copied.sent = returned.LastOffset
+			if returned.LastOffset == head {
 				// An empty copy asks for the word that all of it is synced.
 				copied.known = false
 			}
@@ -271,9 +271,9 @@
 	}
 	s.snapshotTaken(now, copied, effects)
 	copied.known = true
-	copied.acked = max(copied.acked, returned.Have)
+	copied.acked = max(copied.acked, returned.LastOffset)
 	copied.sent = max(copied.sent, copied.acked)
-	s.landed(copied, time.Duration(returned.Took)*time.Millisecond)
+	s.landed(copied, time.Duration(returned.DiskMilliseconds)*time.Millisecond)
 	if copied.sent < head {
 		s.dirty[returned.Partition] = true
 	}
@@ -332,20 +332,20 @@
 	}
 }
 
-func (s *Store) onFrame(now time.Time, from string, frame Frame, effects *statemachine.Effects) {
+func (s *Store) onFrame(now time.Time, from string, frame InstallSnapshot, effects *statemachine.Effects) {
 	partition, found := s.partitions[frame.Partition]
 	if !s.Ready() || !found || frame.Epoch != partition.place.Epoch || !slices.Contains(partition.place.Followers, s.settings.Self.Name) {
 		return
 	}
 	log := newLog(frame.Partition)
-	if err := transport.Unmarshal(frame.State, log); err != nil || log.Name != frame.Partition {
+	if err := transport.Unmarshal(frame.Log, log); err != nil || log.Name != frame.Partition {
 		effects.Emit(logevent.MalformedFrame, "remote", from, "partition", frame.Partition)
 		return
 	}
 	if partition.log.passed(log, frame.Epoch) && !statemachine.Mutated("any-frame") {
 		return
 	}
-	log.shift(now.Sub(frame.Now))
+	log.shift(now.Sub(frame.SentAt))
 	partition.log = log
 	partition.synced = 0
 	effects.Emit(logevent.PartitionSnapshotInstalled, "partition", frame.Partition, "epoch", frame.Epoch, "records", len(log.Records))
--- a/internal/partition/follow.go
+++ b/internal/partition/follow.go
@@ -14,18 +14,18 @@
 
 func (s *Store) onFetch(from string, fetch Fetch, effects *statemachine.Effects) {
 	s.Counts.Fetches++
-	answer := FetchResponse{Partition: fetch.Partition, Request: fetch.Request}
+	answer := FetchResponse{Partition: fetch.Partition, RequestID: fetch.RequestID}
 	partition, served := s.serves(fetch.Partition)
 	if !served {
 		effects.Send(from, answer)
 		return
 	}
 	answer.Ready = true
-	answer.Epoch, answer.Base, answer.Head = partition.place.Epoch, partition.log.Base, partition.accepted
+	answer.Epoch, answer.Base, answer.HighWatermark = partition.place.Epoch, partition.log.Base, partition.accepted
 	answer.Until = partition.accepted
 	var candidates []Record
 	if config.IsShared(fetch.Partition) {
-		answer.Gone = partition.log.gone(fetch.After, fetch.Topics, fetch.Prefixes)
+		answer.Expired = partition.log.gone(fetch.After, fetch.Topics, fetch.Prefixes)
 	}
 	if len(fetch.Prefixes) == 0 && config.IsShared(fetch.Partition) {
 		candidates = partition.log.of(fetch.Topics, fetch.After, partition.accepted)
@@ -37,7 +37,7 @@
 		if record.Offset > partition.accepted {
 			break
 		}
-		if record.Bare || !Matches(record.Topic, fetch.Topics, fetch.Prefixes) || slices.Contains(fetch.Skip, record.Offset) {
+		if record.OffsetOnly || !Matches(record.Topic, fetch.Topics, fetch.Prefixes) || slices.Contains(fetch.SkipOffsets, record.Offset) {
 			continue
 		}
 		if len(answer.Records) == fetchLimit || size > fetchBytes {
@@ -53,8 +53,8 @@
 
 // onSenderAsk tells where a sender's newest messages are among the partitions that
 // this store is first for, so that a sender that moved keeps its order.
-func (s *Store) onSenderAsk(now time.Time, from string, ask SenderAsk, effects *statemachine.Effects) {
-	answer := SenderResponse{Request: ask.Request, Ready: s.Ready()}
+func (s *Store) onSenderAsk(now time.Time, from string, ask SenderStateRequest, effects *statemachine.Effects) {
+	answer := SenderStateResponse{RequestID: ask.RequestID, Ready: s.Ready()}
 	for _, name := range ask.Partitions {
 		partition, found := s.partitions[name]
 		if !found || !s.isFirst(partition) || partition.firstSince != partition.place.Epoch {
@@ -69,18 +69,18 @@
 		for _, memory := range sender.Recent {
 			age := now.Sub(memory.At)
 			records := partition.log.after(memory.Offset - 1)
-			if age > 2*TrailFor || memory.Offset <= partition.log.Base || len(records) == 0 {
+			if age > 2*DependencyWindow || memory.Offset <= partition.log.Base || len(records) == 0 {
 				continue
 			}
-			answer.Recent = append(answer.Recent, Recent{
-				Mark: Mark{Partition: NumberIn(name), Offset: memory.Offset, Topic: records[0].Topic}, Seq: memory.Seq, Age: age,
+			answer.RecentMessages = append(answer.RecentMessages, RecentMessage{
+				Position: MessagePosition{Partition: NumberOf(name), Offset: memory.Offset, Topic: records[0].Topic}, Seq: memory.Seq, Age: age,
 			})
 		}
 	}
 	effects.Send(from, answer)
 }
 
-func (s *Store) onFollow(now time.Time, from string, follow Follow, effects *statemachine.Effects) {
+func (s *Store) onFollow(now time.Time, from string, follow SubscribeHighWatermarks, effects *statemachine.Effects) {
 	present, found := s.watchers[from]
 	if !found {
 		present = &headWatcher{}
@@ -89,8 +89,8 @@
 	present.partitions, present.until = follow.Partitions, now.Add(followFor)
 	present.told = map[string]told{}
 	for position, name := range follow.Partitions {
-		if config.IsShared(name) && position < len(follow.From) {
-			present.told[name] = told{offset: follow.From[position]}
+		if config.IsShared(name) && position < len(follow.KnownOffsets) {
+			present.told[name] = told{offset: follow.KnownOffsets[position]}
 		}
 	}
 	s.tellHeads(now, from, true, effects)
@@ -104,7 +104,7 @@
 		delete(s.watchers, address)
 		return
 	}
-	var heads Heads
+	var heads HighWatermarks
 	for _, name := range present.partitions {
 		partition, held := s.partitions[name]
 		if !held || !s.isFirst(partition) || partition.firstSince != partition.place.Epoch {
@@ -112,14 +112,14 @@
 		}
 		earlier := present.told[name]
 		latest := told{epoch: partition.place.Epoch, offset: partition.accepted}
-		head := Head{Partition: name, Epoch: latest.epoch, Offset: latest.offset}
+		head := HighWatermark{Partition: name, Epoch: latest.epoch, Offset: latest.offset}
 		if earlier == latest && !every {
 			continue
 		}
 		if config.IsShared(name) {
 			head.From = min(earlier.offset, partition.accepted)
 			for topic, offset := range statemachine.Sorted(partition.log.moved(head.From, partition.accepted)) {
-				head.Topics = append(head.Topics, TopicHead{Topic: config.TopicNumber(topic), Offset: offset})
+				head.Topics = append(head.Topics, TopicOffset{TopicNumber: config.TopicNumber(topic), Offset: offset})
 			}
 			if len(head.Topics) == 0 && earlier.epoch == latest.epoch && !every {
 				// Passing messages only, of which nothing can be fetched.
@@ -127,9 +127,9 @@
 			}
 		}
 		present.told[name] = latest
-		heads.Heads = append(heads.Heads, head)
+		heads.HighWatermarks = append(heads.HighWatermarks, head)
 	}
-	if len(heads.Heads) > 0 {
+	if len(heads.HighWatermarks) > 0 {
 		s.Counts.HeadsOut++
 		effects.Send(address, heads)
 	}
@@ -144,9 +144,9 @@
 			holding = s.sharedHolding(now)
 		}
 		if statemachine.Mutated("short-history") {
-			partition.log.trim(now, -HistoryMargin+time.Second)
+			partition.log.trim(now, -RetentionMargin+time.Second)
 			continue
 		}
-		partition.log.trimTo(now, max(holding, config.DefaultHolding), max(seqMemory, 3*s.settings.Redeliver))
+		partition.log.trimTo(now, max(holding, config.DefaultHolding), max(seqMemory, 3*s.settings.RedeliveryWindow))
 	}
 }
--- a/internal/partition/leave.go
+++ b/internal/partition/leave.go
@@ -27,7 +27,7 @@
 		return
 	}
 	s.stopping = true
-	grace := s.settings.Grace
+	grace := s.settings.ShutdownGrace
 	if grace == 0 {
 		grace = defaultGrace
 	}
--- a/internal/partition/partition.go
+++ b/internal/partition/partition.go
@@ -22,11 +22,11 @@
 
 // Spans for which a partition remembers.
 const (
-	HistoryMargin = 25 * time.Second
-	seqMemory     = 60 * time.Second
-	senderMemory  = 10 * time.Minute
-	topicMemory   = 10 * time.Minute
-	topicsMost    = 4096
+	RetentionMargin = 25 * time.Second
+	seqMemory       = 60 * time.Second
+	senderMemory    = 10 * time.Minute
+	topicMemory     = 10 * time.Minute
+	topicsMost      = 4096
 )
 
 type remembered struct {
@@ -127,10 +127,10 @@
 	for _, topic := range topics {
 		for offset := l.Topics[topic]; offset > after; {
 			record := &l.Records[offset-l.Base-1]
-			if offset <= until && !record.Bare {
+			if offset <= until && !record.OffsetOnly {
 				found = append(found, *record)
 			}
-			offset = record.Prior
+			offset = record.PreviousInTopic
 		}
 	}
 	slices.SortFunc(found, func(left, right Record) int { return cmp.Compare(left.Offset, right.Offset) })
@@ -152,7 +152,7 @@
 		if record.Offset > until {
 			break
 		}
-		if !record.Bare {
+		if !record.OffsetOnly {
 			topics[record.Topic] = record.Offset
 		}
 	}
@@ -196,8 +196,8 @@
 	return l.Records[offset-l.Base:]
 }
 
-// Digest tells two messages of one seq apart.
-func Digest(topic string, data []byte) uint64 {
+// MessageDigest tells two messages of one seq apart.
+func MessageDigest(topic string, data []byte) uint64 {
 	sum := fnv.New64a()
 	_, _ = sum.Write([]byte(topic))
 	_, _ = sum.Write([]byte{0})
@@ -215,9 +215,9 @@
 		l.Senders[key] = sender
 	}
 	sender.LastSeq = max(sender.LastSeq, record.Seq)
-	sender.At = record.At
+	sender.At = record.AppendedAt
 	sender.Recent = append(sender.Recent, remembered{
-		Seq: record.Seq, Offset: record.Offset, Digest: Digest(record.Topic, record.Data), At: record.At,
+		Seq: record.Seq, Offset: record.Offset, Digest: MessageDigest(record.Topic, record.Data), At: record.AppendedAt,
 	})
 }
 
@@ -237,7 +237,7 @@
 // retime gives all times of a log anew.
 func (l *log) retime(change func(time.Time) time.Time) {
 	for position := range l.Records {
-		l.Records[position].At = change(l.Records[position].At)
+		l.Records[position].AppendedAt = change(l.Records[position].AppendedAt)
 	}
 	for _, sender := range l.Senders {
 		sender.At = change(sender.At)
@@ -269,8 +269,8 @@
 // trimTo forgets records after the holding time and its margin, and the seqs of
 // senders after a memory of their own.
 func (l *log) trimTo(now time.Time, holding, memory time.Duration) {
-	limit := now.Add(-holding - HistoryMargin)
-	count := sort.Search(len(l.Records), func(position int) bool { return l.Records[position].At.After(limit) })
+	limit := now.Add(-holding - RetentionMargin)
+	count := sort.Search(len(l.Records), func(position int) bool { return l.Records[position].AppendedAt.After(limit) })
 	if count > 0 {
 		l.cut(now, count)
 	}
@@ -290,8 +290,8 @@
 func (l *log) cut(now time.Time, count int) {
 	if config.IsShared(l.Name) {
 		for _, record := range l.Records[:count] {
-			if !record.Bare {
-				l.Trimmed[record.Topic] = trimmed{Offset: record.Offset, At: record.At}
+			if !record.OffsetOnly {
+				l.Trimmed[record.Topic] = trimmed{Offset: record.Offset, At: record.AppendedAt}
 			}
 		}
 		l.forgetTopics(now)
@@ -327,21 +327,21 @@
 		}
 	}
 	for _, prefix := range prefixes {
-		if Under(topic, prefix) {
+		if HasTopicPrefix(topic, prefix) {
 			return true
 		}
 	}
 	return false
 }
 
-// Under tells whether a topic lies under a prefix, which ends at a whole part
+// HasTopicPrefix tells whether a topic lies under a prefix, which ends at a whole part
 // of the path.
-func Under(topic, prefix string) bool {
+func HasTopicPrefix(topic, prefix string) bool {
 	return prefix == "" || topic == prefix || strings.HasPrefix(topic, prefix) && topic[len(prefix)] == '/'
 }
 
-// Number is the partition of a space in which a topic's messages are kept.
-func Number(topic string, partitions int) int {
+// ForTopic is the partition of a space in which a topic's messages are kept.
+func ForTopic(topic string, partitions int) int {
 	sum := fnv.New64a()
 	_, _ = sum.Write([]byte(topic))
 	mixed := sum.Sum64()
@@ -351,8 +351,8 @@
 	return int(mixed % uint64(partitions))
 }
 
-// NumberIn is the number at the end of a partition's name.
-func NumberIn(name string) uint8 {
+// NumberOf is the number at the end of a partition's name.
+func NumberOf(name string) uint8 {
 	_, text, _ := strings.Cut(name, "/")
 	number, err := strconv.ParseUint(text, 10, 8)
 	if err != nil {
--- a/internal/partition/partition_test.go
+++ b/internal/partition/partition_test.go
@@ -20,7 +20,7 @@
 	for position, record := range records {
 		record.Offset = uint64(position) + 1
 		record.Epoch = 1
-		record.Prior = log.prior(record.Topic)
+		record.PreviousInTopic = log.prior(record.Topic)
 		log.add(record)
 	}
 	return log
@@ -30,10 +30,10 @@
 
 func TestATopicThatLostNothingIsNotGone(t *testing.T) {
 	log := filled(config.SharedPartitionName(3),
-		Record{Topic: "quiet", Sender: "s", Seq: 1, At: at(0)},
-		Record{Topic: "busy", Sender: "s", Seq: 2, At: at(1)},
-		Record{Topic: "passing", Sender: "s", Seq: 3, At: at(2), Bare: true},
-		Record{Topic: "busy", Sender: "s", Seq: 4, At: at(200)},
+		Record{Topic: "quiet", Sender: "s", Seq: 1, AppendedAt: at(0)},
+		Record{Topic: "busy", Sender: "s", Seq: 2, AppendedAt: at(1)},
+		Record{Topic: "passing", Sender: "s", Seq: 3, AppendedAt: at(2), OffsetOnly: true},
+		Record{Topic: "busy", Sender: "s", Seq: 4, AppendedAt: at(200)},
 	)
 	log.trim(at(201), 35*time.Second)
 	assert.Equal(t, log.Base, uint64(3))
@@ -60,11 +60,11 @@
 	log := newLog(config.SharedPartitionName(0))
 	for number := range topicsMost + 2 {
 		topic := fmt.Sprint("t", number)
-		log.add(Record{Offset: uint64(number) + 1, Epoch: 1, Topic: topic, Sender: "s", Seq: 1, At: at(number / 100)})
+		log.add(Record{Offset: uint64(number) + 1, Epoch: 1, Topic: topic, Sender: "s", Seq: 1, AppendedAt: at(number / 100)})
 	}
 	log.trim(at(120), 35*time.Second)
 	assert.Equal(t, len(log.Trimmed), topicsMost+2, "nothing was silent for long")
-	log.add(Record{Offset: topicsMost + 3, Epoch: 1, Topic: "t1", Sender: "s", Seq: 2, At: at(120)})
+	log.add(Record{Offset: topicsMost + 3, Epoch: 1, Topic: "t1", Sender: "s", Seq: 2, AppendedAt: at(120)})
 	log.trim(at(720), 35*time.Second)
 	assert.Assert(t, len(log.Trimmed) < 10, "%d topics are remembered", len(log.Trimmed))
 	assert.Equal(t, log.Forgotten, uint64(topicsMost+2))
@@ -75,7 +75,7 @@
 }
 
 func TestAResendIsKnownForLongerThanItMayCome(t *testing.T) {
-	log := filled(config.SharedPartitionName(0), Record{Topic: "a", Sender: "s", Seq: 7, At: at(0)}, Record{Topic: "a", Sender: "s", Seq: 9, At: at(1)})
+	log := filled(config.SharedPartitionName(0), Record{Topic: "a", Sender: "s", Seq: 7, AppendedAt: at(0)}, Record{Topic: "a", Sender: "s", Seq: 9, AppendedAt: at(1)})
 	log.trim(at(59), time.Second)
 	sender := log.Senders[log.memoryKey("a", "s")]
 	memory, known := sender.find(7)
@@ -110,8 +110,8 @@
 func TestSeqsAreRememberedForLongerThanTheyMayBeSentAgain(t *testing.T) {
 	for memory, remembered := range map[time.Duration]bool{60 * time.Second: false, 300 * time.Second: true} {
 		log := newLog("+~0/1")
-		log.add(Record{Offset: 1, Topic: "a", Sender: "u", Seq: 1, At: at(0)})
-		log.add(Record{Offset: 2, Topic: "a", Sender: "v", Seq: 1, At: at(200)})
+		log.add(Record{Offset: 1, Topic: "a", Sender: "u", Seq: 1, AppendedAt: at(0)})
+		log.add(Record{Offset: 2, Topic: "a", Sender: "v", Seq: 1, AppendedAt: at(200)})
 		log.trimTo(at(201), 35*time.Second, memory)
 		found := false
 		for _, sender := range log.Senders {
--- a/internal/partition/size_test.go
+++ b/internal/partition/size_test.go
@@ -13,19 +13,19 @@
 )
 
 func TestWordsAboutAMessageAreShort(t *testing.T) {
-	record := Record{Offset: 1234, Epoch: 45, Topic: "kafi810.2f", Sender: "u1fx3a9c", Seq: 77, Data: make([]byte, 200), At: began, Prior: 1200}
+	record := Record{Offset: 1234, Epoch: 45, Topic: "kafi810.2f", Sender: "u1fx3a9c", Seq: 77, Data: make([]byte, 200), AppendedAt: began, PreviousInTopic: 1200}
 	told := answered("+~0/17", record)
 	ages := takeAges(began, []Record{record})
-	record.At = time.Time{}
+	record.AppendedAt = time.Time{}
 	for _, each := range []struct {
 		message any
 		most    int
 	}{
-		{Append{Partition: "+~0/17", Request: 123456, Topic: record.Topic, Sender: record.Sender, Seq: 77, Data: record.Data}, 250},
-		{AppendResponse{Partition: "+~0/17", Request: 123456, Outcome: Accepted, Epoch: 45, Record: told}, 46},
-		{Copy{Partition: "+~0/17", Epoch: 45, After: 1233, AfterEpoch: 45, Records: []Record{record}, Ages: ages}, 263},
-		{CopyResponse{Partition: "+~0/17", Epoch: 45, Have: 1234, HaveEpoch: 45, Holder: 1 << 31, Took: 12}, 31},
-		{Heads{Heads: []Head{{Partition: "+~0/17", Epoch: 45, Offset: 1234, From: 1200, Topics: []TopicHead{{Topic: 1 << 63, Offset: 1234}}}}}, 40},
+		{Append{Partition: "+~0/17", RequestID: 123456, Topic: record.Topic, Sender: record.Sender, Seq: 77, Data: record.Data}, 250},
+		{AppendResponse{Partition: "+~0/17", RequestID: 123456, Outcome: OutcomeAccepted, Epoch: 45, Record: told}, 46},
+		{Replicate{Partition: "+~0/17", Epoch: 45, PreviousOffset: 1233, PreviousEpoch: 45, Records: []Record{record}, Ages: ages}, 263},
+		{ReplicateResponse{Partition: "+~0/17", Epoch: 45, LastOffset: 1234, LastEpoch: 45, ReplicaHash: 1 << 31, DiskMilliseconds: 12}, 31},
+		{HighWatermarks{HighWatermarks: []HighWatermark{{Partition: "+~0/17", Epoch: 45, Offset: 1234, From: 1200, Topics: []TopicOffset{{TopicNumber: 1 << 63, Offset: 1234}}}}}, 40},
 	} {
 		frame, err := transport.Encode(statemachine.Meta{Version: 3}, each.message)
 		assert.NilError(t, err)
--- a/internal/partition/snapshot.go
+++ b/internal/partition/snapshot.go
@@ -60,8 +60,8 @@
 	copied.sentAt = now
 	s.Counts.Frames++
 	effects.Emit(logevent.PartitionSnapshotSent, "partition", partition.log.Name, "epoch", partition.place.Epoch, "bytes", whole.size)
-	effects.Send(s.follower.Members[copied.name].Address, Frame{
-		Now: now, Partition: partition.log.Name, Epoch: partition.place.Epoch, State: state,
+	effects.Send(s.follower.Members[copied.name].Address, InstallSnapshot{
+		SentAt: now, Partition: partition.log.Name, Epoch: partition.place.Epoch, Log: state,
 	})
 }
 
--- a/internal/partition/spare_test.go
+++ b/internal/partition/spare_test.go
@@ -84,7 +84,7 @@
 	for _, partition := range statemachine.Sorted(run.machines["store-1"].partitions) {
 		// A record of the earlier epoch that nobody else has, and that was never accepted.
 		head, epoch := partition.log.head()
-		partition.log.add(Record{Offset: head + 1, Epoch: epoch, Topic: "stray", Sender: "stray", Seq: 1, At: run.now})
+		partition.log.add(Record{Offset: head + 1, Epoch: epoch, Topic: "stray", Sender: "stray", Seq: 1, AppendedAt: run.now})
 	}
 	run.publishAndCut(300, 500)
 	run.placeAnew(3, "store-1", "store-0", "store-2")
--- a/internal/partition/store.go
+++ b/internal/partition/store.go
@@ -49,10 +49,10 @@
 	Self    membership.Member
 	Seeds   []string
 	NewDisk string
-	// Redeliver is how long a caller may send an accepted message again.
-	Redeliver time.Duration
-	// Grace is for how long a daemon that was asked to end is let run.
-	Grace time.Duration
+	// RedeliveryWindow is how long a caller may send an accepted message again.
+	RedeliveryWindow time.Duration
+	// ShutdownGrace is for how long a daemon that was asked to end is let run.
+	ShutdownGrace time.Duration
 	// Acknowledge is within what time a proper order is to be acknowledged.
 	Acknowledge time.Duration
 	// Incarnation names this run of the process.
@@ -69,8 +69,8 @@
 
 // FindDecisions asks the ring of recorded decisions.
 type FindDecisions struct {
-	Local                    uint64
-	Request, Message, Origin string
+	Local                     uint64
+	Request, Message, Session string
 }
 
 type waiter struct {
@@ -288,7 +288,7 @@
 	case Request:
 		s.controlClient.Forward(now, body.Local, body.Method, body.Path, body.Body, effects)
 	case FindDecisions:
-		effects.Respond(body.Local, s.ring.Find(body.Request, body.Message, body.Origin))
+		effects.Respond(body.Local, s.ring.Find(body.Request, body.Message, body.Session))
 	case Stop:
 		s.beginStop(now, effects)
 	}
@@ -339,19 +339,19 @@
 		s.follower.RespondToConfigurationRequest(meta.From, body, effects)
 	case Append:
 		s.onAppend(now, meta.From, body, effects)
-	case Copy:
+	case Replicate:
 		s.onCopy(now, meta.From, body, effects)
-	case CopyResponse:
+	case ReplicateResponse:
 		s.onCopyResponse(now, meta.From, body, effects)
-	case Frame:
+	case InstallSnapshot:
 		s.onFrame(now, meta.From, body, effects)
 	case Fetch:
 		s.onFetch(meta.From, body, effects)
 	case FetchTopics:
 		s.onFetchTopics(meta.From, body, effects)
-	case SenderAsk:
+	case SenderStateRequest:
 		s.onSenderAsk(now, meta.From, body, effects)
-	case Follow:
+	case SubscribeHighWatermarks:
 		s.onFollow(now, meta.From, body, effects)
 	}
 	s.flush(now, effects)
@@ -471,8 +471,8 @@
 	for name, partition := range s.partitions {
 		head, _ := partition.log.head()
 		statuses[name] = PartitionStatus{
-			Epoch: partition.place.Epoch, First: s.isFirst(partition), Complete: partition.place.Complete,
-			Base: partition.log.Base, Head: head, Accepted: partition.accepted,
+			Epoch: partition.place.Epoch, Leader: s.isFirst(partition), Complete: partition.place.Complete,
+			Base: partition.log.Base, LastOffset: head, HighWatermark: partition.accepted,
 			Serving: s.Ready() && s.isFirst(partition) && partition.place.Complete && partition.firstSince == partition.place.Epoch,
 		}
 	}
@@ -481,12 +481,12 @@
 
 // PartitionStatus is one partition as a store sees it.
 type PartitionStatus struct {
-	Epoch    uint64 `json:"epoch"`
-	First    bool   `json:"first"`
-	Complete bool   `json:"complete"`
-	Base     uint64 `json:"base"`
-	Head     uint64 `json:"head"`
-	Accepted uint64 `json:"accepted"`
+	Epoch         uint64 `json:"epoch"`
+	Leader        bool   `json:"first"`
+	Complete      bool   `json:"complete"`
+	Base          uint64 `json:"base"`
+	LastOffset    uint64 `json:"head"`
+	HighWatermark uint64 `json:"accepted"`
 	// Serving says that the store accepts messages at present.
 	Serving bool `json:"serving"`
 }
--- a/internal/partition/topics.go
+++ b/internal/partition/topics.go
@@ -12,14 +12,14 @@
 // FetchTopics asks a store for the records of routed topics, each after an offset.
 // Bytes bounds the records of the answer; one record always fits.
 type FetchTopics struct {
-	_       struct{} `cbor:",toarray"`
-	Request uint64
-	Bytes   int
-	Topics  []TopicAfter
+	_         struct{} `cbor:",toarray"`
+	RequestID uint64
+	MaxBytes  int
+	Topics    []TopicCursor
 }
 
-// TopicAfter is a topic and the offset after which its records are wanted.
-type TopicAfter struct {
+// TopicCursor is a topic and the offset after which its records are wanted.
+type TopicCursor struct {
 	_     struct{} `cbor:",toarray"`
 	Topic string
 	After uint64
@@ -29,29 +29,29 @@
 // they were asked for, and with the state of the partitions that serve here.
 type FetchTopicsResponse struct {
 	_          struct{} `cbor:",toarray"`
-	Request    uint64
+	RequestID  uint64
 	Partitions []PartitionState
 	Topics     []TopicRecords
 }
 
 // PartitionState is what a store tells of a shared partition that it leads.
 type PartitionState struct {
-	_         struct{} `cbor:",toarray"`
-	Partition string
-	Epoch     uint64
-	Base      uint64
-	Head      uint64
+	_             struct{} `cbor:",toarray"`
+	Partition     string
+	Epoch         uint64
+	Base          uint64
+	HighWatermark uint64
 }
 
 // TopicRecords are all records of a topic up to Until. Gone tells that a record
 // after the asked offset is no longer held, and Left how many bytes of records there
 // are that found no room in the answer.
 type TopicRecords struct {
-	_       struct{} `cbor:",toarray"`
-	Until   uint64
-	Gone    bool
-	Left    int
-	Records []Record
+	_              struct{} `cbor:",toarray"`
+	Until          uint64
+	Expired        bool
+	RemainingBytes int
+	Records        []Record
 }
 
 // State finds the state of a partition in the answer.
@@ -66,9 +66,9 @@
 
 func (s *Store) onFetchTopics(from string, asked FetchTopics, effects *statemachine.Effects) {
 	s.Counts.Fetches++
-	answer := FetchTopicsResponse{Request: asked.Request, Topics: make([]TopicRecords, len(asked.Topics))}
+	answer := FetchTopicsResponse{RequestID: asked.RequestID, Topics: make([]TopicRecords, len(asked.Topics))}
 	told := map[string]bool{}
-	credit := asked.Bytes
+	credit := asked.MaxBytes
 	for position, each := range asked.Topics {
 		name := config.SharedPartition(each.Topic)
 		partition, served := s.serves(name)
@@ -78,7 +78,7 @@
 		if !told[name] {
 			told[name] = true
 			answer.Partitions = append(answer.Partitions, PartitionState{
-				Partition: name, Epoch: partition.place.Epoch, Base: partition.log.Base, Head: partition.accepted,
+				Partition: name, Epoch: partition.place.Epoch, Base: partition.log.Base, HighWatermark: partition.accepted,
 			})
 		}
 		answer.Topics[position] = partition.recordsOf(each, &credit, position == 0)
@@ -98,24 +98,24 @@
 
 // recordsOf gives a topic's accepted records within a credit of bytes, which it uses
 // up. The first record of an answer is given whatever its size.
-func (h *held) recordsOf(asked TopicAfter, credit *int, first bool) TopicRecords {
-	found := TopicRecords{Until: h.accepted, Gone: h.log.gone(asked.After, []string{asked.Topic}, nil)}
-	if found.Gone {
+func (h *held) recordsOf(asked TopicCursor, credit *int, first bool) TopicRecords {
+	found := TopicRecords{Until: h.accepted, Expired: h.log.gone(asked.After, []string{asked.Topic}, nil)}
+	if found.Expired {
 		return found
 	}
 	for _, record := range h.log.of([]string{asked.Topic}, asked.After, h.accepted) {
 		fits := len(record.Data) <= *credit && len(found.Records) < fetchLimit
 		switch {
-		case found.Left == 0 && (fits || first && len(found.Records) == 0):
+		case found.RemainingBytes == 0 && (fits || first && len(found.Records) == 0):
 			*credit -= len(record.Data)
 			found.Records = append(found.Records, record)
-		case found.Left == 0:
+		case found.RemainingBytes == 0:
 			found.Until = record.Offset - 1
 			*credit = 0
 			fallthrough
 		default:
 			// Left is above zero from here on, also where a record has no data.
-			found.Left += max(1, len(record.Data))
+			found.RemainingBytes += max(1, len(record.Data))
 		}
 	}
 	return found
--- a/internal/partition/topics_test.go
+++ b/internal/partition/topics_test.go
@@ -11,7 +11,7 @@
 )
 
 // asked gives the records of topics after offsets, within a credit, as an answer does.
-func asked(log *log, credit int, topics ...TopicAfter) []TopicRecords {
+func asked(log *log, credit int, topics ...TopicCursor) []TopicRecords {
 	accepted, _ := log.head()
 	partition := &held{log: log, accepted: accepted}
 	var found []TopicRecords
@@ -34,27 +34,27 @@
 	return filled(config.SharedPartitionName(3),
 		Record{Topic: "a", Sender: "s", Seq: 1, Data: data}, Record{Topic: "b", Sender: "s", Seq: 2, Data: data},
 		Record{Topic: "a", Sender: "s", Seq: 3, Data: data}, Record{Topic: "a", Sender: "s", Seq: 4, Data: data},
-		Record{Topic: "c", Sender: "s", Seq: 5, Bare: true},
+		Record{Topic: "c", Sender: "s", Seq: 5, OffsetOnly: true},
 	)
 }
 
 func TestRecordsOfManyTopicsShareACredit(t *testing.T) {
-	found := asked(threeTopics(), 250, TopicAfter{Topic: "a"}, TopicAfter{Topic: "b"}, TopicAfter{Topic: "quiet"}, TopicAfter{Topic: "c"})
+	found := asked(threeTopics(), 250, TopicCursor{Topic: "a"}, TopicCursor{Topic: "b"}, TopicCursor{Topic: "quiet"}, TopicCursor{Topic: "c"})
 	assert.DeepEqual(t, offsets(found[0]), []uint64{1, 3})
 	assert.Equal(t, found[0].Until, uint64(3))
-	assert.Equal(t, found[0].Left, 100)
+	assert.Equal(t, found[0].RemainingBytes, 100)
 	// There is no room left; the place is confirmed all the same.
 	assert.Equal(t, len(found[1].Records), 0)
 	assert.Equal(t, found[1].Until, uint64(1))
-	assert.Equal(t, found[1].Left, 100)
+	assert.Equal(t, found[1].RemainingBytes, 100)
 	for _, complete := range found[2:] {
 		assert.Equal(t, complete.Until, uint64(5))
-		assert.Equal(t, complete.Left, 0)
+		assert.Equal(t, complete.RemainingBytes, 0)
 	}
 }
 
 func TestTheFirstRecordOfAnAnswerAlwaysFits(t *testing.T) {
-	found := asked(threeTopics(), 10, TopicAfter{Topic: "a", After: 1}, TopicAfter{Topic: "b"})
+	found := asked(threeTopics(), 10, TopicCursor{Topic: "a", After: 1}, TopicCursor{Topic: "b"})
 	assert.DeepEqual(t, offsets(found[0]), []uint64{3})
 	assert.Equal(t, found[0].Until, uint64(3))
 	assert.Equal(t, len(found[1].Records), 0)
@@ -67,10 +67,10 @@
 		after, got := uint64(0), []uint64(nil)
 		for round := 0; ; round++ {
 			assert.Assert(t, round < 5, "credit %d", credit)
-			found := asked(log, credit, TopicAfter{Topic: "a", After: after})[0]
+			found := asked(log, credit, TopicCursor{Topic: "a", After: after})[0]
 			got = append(got, offsets(found)...)
 			after = found.Until
-			if found.Left == 0 {
+			if found.RemainingBytes == 0 {
 				break
 			}
 		}
@@ -84,7 +84,7 @@
 	log.Trimmed = map[string]trimmed{"a": {Offset: 9}}
 	log.Base = 3
 	log.Records = log.Records[3:]
-	found := asked(log, 1000, TopicAfter{Topic: "a", After: 1}, TopicAfter{Topic: "b", After: 4})
-	assert.Assert(t, found[0].Gone && len(found[0].Records) == 0)
-	assert.Assert(t, !found[1].Gone)
+	found := asked(log, 1000, TopicCursor{Topic: "a", After: 1}, TopicCursor{Topic: "b", After: 4})
+	assert.Assert(t, found[0].Expired && len(found[0].Records) == 0)
+	assert.Assert(t, !found[1].Expired)
 }
--- a/internal/simulator/stores_test.go
+++ b/internal/simulator/stores_test.go
@@ -109,7 +109,7 @@
 		for _, node := range run.Nodes(membership.KindStore) {
 			if node.Name == place.Leader {
 				run.send(gateway, statemachine.Send{To: node.Address, Message: partition.Append{
-					Partition: place.Partition, Request: 1_000_000 + seq, Topic: topic, Sender: "sender", Seq: seq, Data: make([]byte, 200),
+					Partition: place.Partition, RequestID: 1_000_000 + seq, Topic: topic, Sender: "sender", Seq: seq, Data: make([]byte, 200),
 				}}, 1)
 			}
 		}
--- a/internal/transport/classes_test.go
+++ b/internal/transport/classes_test.go
@@ -28,10 +28,10 @@
 	}
 	assert.DeepEqual(t, classes[transport.ClassUrgent], []string{"gateway.Pass"})
 	assert.DeepEqual(t, classes[transport.ClassCatchUp], []string{"partition.FetchResponse"})
-	for _, message := range []any{partition.Copy{}, partition.CopyResponse{}, partition.Frame{}, partition.Append{}, partition.AppendResponse{}, partition.Heads{}, partition.FetchTopicsResponse{}} {
+	for _, message := range []any{partition.Replicate{}, partition.ReplicateResponse{}, partition.InstallSnapshot{}, partition.Append{}, partition.AppendResponse{}, partition.HighWatermarks{}, partition.FetchTopicsResponse{}} {
 		assert.Equal(t, transport.ClassOf(message), transport.ClassLive, "%T", message)
 	}
-	assert.Equal(t, transport.ClassOf(partition.Append{Bare: true}), transport.ClassUrgent)
+	assert.Equal(t, transport.ClassOf(partition.Append{OffsetOnly: true}), transport.ClassUrgent)
 	assert.Equal(t, transport.ClassOf(gateway.RoutedCopy{}), transport.ClassLive)
 	assert.Equal(t, transport.ClassOf(gateway.RoutedCopy{Passing: true}), transport.ClassUrgent)
 }
--- a/internal/transport/link_bench_test.go
+++ b/internal/transport/link_bench_test.go
@@ -77,12 +77,12 @@
 	body := bytes.Repeat([]byte("reading of a sensor "), 12)[:230]
 	var messages []any
 	for number := range count {
-		record := partition.Record{Offset: uint64(number) + 70000, Epoch: 3, Topic: "boards/ada/17", Sender: "client-17", Seq: 99, Data: body, At: time.Unix(1700000000, 0)}
+		record := partition.Record{Offset: uint64(number) + 70000, Epoch: 3, Topic: "boards/ada/17", Sender: "client-17", Seq: 99, Data: body, AppendedAt: time.Unix(1700000000, 0)}
 		messages = append(messages,
-			partition.Append{Partition: "+~0/17", Request: 123456, Topic: "boards/ada/17", Sender: "client-17", Seq: 99, Data: body},
+			partition.Append{Partition: "+~0/17", RequestID: 123456, Topic: "boards/ada/17", Sender: "client-17", Seq: 99, Data: body},
 			gateway.Carry{Partition: "+~0/17", Record: record},
-			partition.AppendResponse{Partition: "+~0/17", Request: 123456, Outcome: partition.Accepted, Epoch: 3, Record: record},
-			partition.CopyResponse{Partition: "+~0/17", Epoch: 3, Have: 70000, HaveEpoch: 3},
+			partition.AppendResponse{Partition: "+~0/17", RequestID: 123456, Outcome: partition.OutcomeAccepted, Epoch: 3, Record: record},
+			partition.ReplicateResponse{Partition: "+~0/17", Epoch: 3, LastOffset: 70000, LastEpoch: 3},
 		)
 	}
 	return messages[:count]
--- a/internal/transport/link_test.go
+++ b/internal/transport/link_test.go
@@ -30,7 +30,7 @@
 }
 
 func appendOf(number uint64) partition.Append {
-	return partition.Append{Partition: "s~1/2", Request: number, Data: make([]byte, number%300)}
+	return partition.Append{Partition: "s~1/2", RequestID: number, Data: make([]byte, number%300)}
 }
 
 func TestFramesKeepTheirOrderAndAllArrive(t *testing.T) {
@@ -47,7 +47,7 @@
 		inbound := receive(t, right.inbox)
 		assert.Equal(t, inbound.Meta.From, left.address)
 		assert.Equal(t, inbound.Meta.Version, number)
-		assert.Equal(t, inbound.Message.(partition.Append).Request, number)
+		assert.Equal(t, inbound.Message.(partition.Append).RequestID, number)
 		assert.Equal(t, uint64(len(inbound.Message.(partition.Append).Data)), number%300)
 	}
 	assert.Equal(t, left.links.Counters.Dropped.Load(), int64(0))
@@ -70,7 +70,7 @@
 		}
 		// A turn that is too large to pack goes among the packed ones.
 		if sent%1000 < 17 {
-			assert.NilError(t, left.links.Send(right.address, sent, partition.Append{Request: sent, Data: make([]byte, 40<<10)}))
+			assert.NilError(t, left.links.Send(right.address, sent, partition.Append{RequestID: sent, Data: make([]byte, 40<<10)}))
 			sent++
 		}
 		left.links.Flush()
@@ -78,7 +78,7 @@
 	for number := range uint64(most) {
 		inbound := receive(t, right.inbox)
 		assert.Equal(t, inbound.Meta.From, left.address)
-		assert.Equal(t, inbound.Message.(partition.Append).Request, number)
+		assert.Equal(t, inbound.Message.(partition.Append).RequestID, number)
 	}
 	assert.Equal(t, left.links.Counters.Dropped.Load(), int64(0))
 	assert.Assert(t, left.links.Counters.BytesOut.Load() < int64(plain), "nothing became smaller")
@@ -105,19 +105,19 @@
 	left, right := openEnd(t), openEnd(t)
 	for number := range uint64(50) {
 		assert.NilError(t, left.links.Send(right.address, 0, appendOf(number)))
-		assert.Equal(t, receive(t, right.inbox).Message.(partition.Append).Request, number)
+		assert.Equal(t, receive(t, right.inbox).Message.(partition.Append).RequestID, number)
 	}
 }
 
 func TestNothingIsCarriedOverFromAnEarlierMessage(t *testing.T) {
 	left, right := openEnd(t), openEnd(t)
-	full := partition.FetchResponse{Partition: "a", Request: 1, Records: []partition.Record{{Offset: 1, Topic: "t", Data: []byte("x")}}, Ready: true, Gone: true}
+	full := partition.FetchResponse{Partition: "a", RequestID: 1, Records: []partition.Record{{Offset: 1, Topic: "t", Data: []byte("x")}}, Ready: true, Expired: true}
 	assert.NilError(t, left.links.Send(right.address, 0, full))
-	assert.NilError(t, left.links.Send(right.address, 0, partition.FetchResponse{Request: 2}))
+	assert.NilError(t, left.links.Send(right.address, 0, partition.FetchResponse{RequestID: 2}))
 	first, second := receive(t, right.inbox).Message.(partition.FetchResponse), receive(t, right.inbox).Message.(partition.FetchResponse)
 	assert.DeepEqual(t, first.Records[0].Data, []byte("x"))
-	assert.Equal(t, second.Request, uint64(2))
-	assert.Assert(t, len(second.Records) == 0 && !second.Ready && !second.Gone && second.Partition == "")
+	assert.Equal(t, second.RequestID, uint64(2))
+	assert.Assert(t, len(second.Records) == 0 && !second.Ready && !second.Expired && second.Partition == "")
 }
 
 func TestAPeerThatDoesNotReadHoldsNobodyUp(t *testing.T) {
@@ -131,7 +131,7 @@
 		assert.NilError(t, left.links.Send(deaf.Addr().String(), 0, large))
 		assert.NilError(t, left.links.Send(right.address, 0, appendOf(number)))
 		left.links.Flush()
-		assert.Equal(t, receive(t, right.inbox).Message.(partition.Append).Request, number)
+		assert.Equal(t, receive(t, right.inbox).Message.(partition.Append).RequestID, number)
 	}
 	assert.Assert(t, time.Since(began) < patience)
 	assert.Assert(t, left.links.Counters.Dropped.Load() > 0, "the bound of what waits was not kept")
@@ -211,7 +211,7 @@
 	}
 	left := openEnd(t)
 	assert.NilError(t, left.links.Send(address, 0, appendOf(7)))
-	assert.Equal(t, receive(t, inbox).Message.(partition.Append).Request, uint64(7))
+	assert.Equal(t, receive(t, inbox).Message.(partition.Append).RequestID, uint64(7))
 }
 
 // Whoever watches is told that nobody listens at an address once a process there
--- a/internal/transport/thin_test.go
+++ b/internal/transport/thin_test.go
@@ -17,14 +17,14 @@
 	left.links.SetRate(rate)
 	right.links.SetRate(rate)
 	for number := range uint64(most) {
-		assert.NilError(t, left.links.Send(right.address, 0, partition.Append{Request: number, Data: make([]byte, 2000)}))
+		assert.NilError(t, left.links.Send(right.address, 0, partition.Append{RequestID: number, Data: make([]byte, 2000)}))
 		if number%3 == 0 {
 			left.links.Flush()
 		}
 	}
 	left.links.Flush()
 	for number := range uint64(most) {
-		assert.Equal(t, receive(t, right.inbox).Message.(partition.Append).Request, number)
+		assert.Equal(t, receive(t, right.inbox).Message.(partition.Append).RequestID, number)
 	}
 	assert.Assert(t, left.links.Counters.Held.Load() > 0, "nothing waited for the link")
 	assert.Equal(t, left.links.Counters.Dropped.Load(), int64(0))
@@ -37,7 +37,7 @@
 	left.links.SetRate(rate)
 	right.links.SetRate(rate)
 	for number := range uint64(most) {
-		assert.NilError(t, left.links.Send(right.address, 0, partition.Append{Request: number, Data: make([]byte, 3000)}))
+		assert.NilError(t, left.links.Send(right.address, 0, partition.Append{RequestID: number, Data: make([]byte, 3000)}))
 	}
 	left.links.Flush()
 	receive(t, right.inbox)
