--- a/internal/partition/disk.go
+++ b/internal/partition/disk.go
@@ -22,152 +22,152 @@
 		return nil
 	}
 	if entry.Drop {
-		delete(s.partitions, entry.Partition)
+		delete(s.replicas, entry.Partition)
 		return nil
 	}
-	partition, found := s.partitions[entry.Partition]
+	partition, found := s.replicas[entry.Partition]
 	if !found {
-		partition = newHeld(newLog(entry.Partition))
-		s.partitions[entry.Partition] = partition
+		partition = newReplica(newLog(entry.Partition))
+		s.replicas[entry.Partition] = partition
 	}
-	if entry.Frame != nil {
-		return transport.Unmarshal(entry.Frame, partition.reset())
+	if entry.Snapshot != nil {
+		return transport.Unmarshal(entry.Snapshot, partition.resetLog())
 	}
-	if head, _ := partition.log.head(); entry.Record != nil && entry.Record.Offset == head+1 {
-		partition.log.add(*entry.Record)
+	if head, _ := partition.log.end(); entry.Record != nil && entry.Record.Offset == head+1 {
+		partition.log.append(*entry.Record)
 	}
 	return nil
 }
 
-func (h *held) reset() *log {
+func (h *replica) resetLog() *log {
 	h.log = newLog(h.log.Name)
 	return h.log
 }
 
-func (s *Store) log(entry diskEntry, after afterSync) {
+func (s *Store) logEntry(entry diskEntry, after syncCallback) {
 	packed := transport.MustMarshal(entry)
 	s.entries = append(s.entries, packed)
 	s.logBytes += len(packed)
 	if after != nil {
-		s.afters = append(s.afters, after)
+		s.callbacks = append(s.callbacks, after)
 	}
 }
 
 // flush ends a step: what was logged goes to the disk as one write, and what
 // was appended goes to the followers as one copy a partition.
 func (s *Store) flush(now time.Time, effects *statemachine.Effects) {
-	for name := range statemachine.Sorted(s.dirty) {
-		if partition, found := s.partitions[name]; found {
-			s.copy(now, partition, effects)
+	for name := range statemachine.Sorted(s.toReplicate) {
+		if partition, found := s.replicas[name]; found {
+			s.replicate(now, partition, effects)
 		}
 	}
-	clear(s.dirty)
+	clear(s.toReplicate)
 	if len(s.entries) == 0 {
-		afters := s.afters
-		s.afters = nil
-		if writing, found := s.pending[s.token]; found {
-			writing.afters = append(writing.afters, afters...)
+		afters := s.callbacks
+		s.callbacks = nil
+		if writing, found := s.pendingWrites[s.writeToken]; found {
+			writing.callbacks = append(writing.callbacks, afters...)
 			return
 		}
-		s.since = now
+		s.syncedWriteStart = now
 		for _, after := range afters {
 			after(now, effects)
 		}
 		return
 	}
-	s.write(now, s.afters, statemachine.Write{Entries: s.entries}, effects)
-	s.entries, s.afters = nil, nil
-	if s.logBytes > s.logLimit {
+	s.write(now, s.callbacks, statemachine.Write{Entries: s.entries}, effects)
+	s.entries, s.callbacks = nil, nil
+	if s.logBytes > s.checkpointBytes {
 		s.checkpoint(now, effects)
 	}
 }
 
-func (s *Store) write(now time.Time, afters []afterSync, write statemachine.Write, effects *statemachine.Effects) {
-	s.token++
+func (s *Store) write(now time.Time, afters []syncCallback, write statemachine.Write, effects *statemachine.Effects) {
+	s.writeToken++
 	s.Counts.Writes++
-	s.pending[s.token] = &batch{since: now, checkpoint: write.BuildSnapshot != nil, afters: afters}
-	write.Token = s.token
+	s.pendingWrites[s.writeToken] = &pendingWrite{startedAt: now, checkpoint: write.BuildSnapshot != nil, callbacks: afters}
+	write.Token = s.writeToken
 	effects.Writes = append(effects.Writes, write)
-	s.timers.ArmSooner("copy", now.Add(copyEvery))
+	s.timers.ArmSooner("copy", now.Add(replicateInterval))
 }
 
 func (s *Store) checkpoint(now time.Time, effects *statemachine.Effects) {
 	s.logBytes = 0
-	frame := diskFrame{Disk: s.disk, Partitions: map[string]*log{}}
+	frame := diskSnapshot{Disk: s.disk, Partitions: map[string]*log{}}
 	size := 0
-	for name, partition := range s.partitions {
-		frame.Partitions[name] = partition.log.snapshot()
+	for name, partition := range s.replicas {
+		frame.Partitions[name] = partition.log.clone()
 		for _, record := range partition.log.Records {
 			size += len(record.Data)
 		}
 	}
 	// The log may grow as long as the frame that would take its place.
-	s.logLimit = max(frameLogLimit, size)
+	s.checkpointBytes = max(minCheckpointBytes, size)
 	s.write(now, nil, statemachine.Write{BuildSnapshot: func() []byte { return transport.MustMarshal(frame) }}, effects)
 }
 
-func (s *Store) onSynced(now time.Time, token uint64, effects *statemachine.Effects) {
-	written, found := s.pending[token]
+func (s *Store) handleSynced(now time.Time, token uint64, effects *statemachine.Effects) {
+	written, found := s.pendingWrites[token]
 	if !found {
 		return
 	}
-	delete(s.pending, token)
-	s.refused = false
+	delete(s.pendingWrites, token)
+	s.diskUnavailable = false
 	if written.checkpoint && !statemachine.Mutated("checkpoints-lag") {
-		s.checkpointed(now, written)
+		s.excuseCheckpoint(now, written)
 	} else {
-		s.ownDelay = smooth(s.ownDelay, now.Sub(written.since))
-		s.since = written.since
+		s.diskDelay = smooth(s.diskDelay, now.Sub(written.startedAt))
+		s.syncedWriteStart = written.startedAt
 	}
-	for _, after := range written.afters {
+	for _, after := range written.callbacks {
 		after(now, effects)
 	}
 }
 
-// checkpointed begins the time of the writes that waited behind a checkpoint anew: how
+// excuseCheckpoint begins the time of the writes that waited behind a checkpoint anew: how
 // long that took says how much the store holds, and not that its disk is slow.
-func (s *Store) checkpointed(now time.Time, checkpoint *batch) {
-	if now.Sub(checkpoint.since) > checkpointMost {
+func (s *Store) excuseCheckpoint(now time.Time, checkpoint *pendingWrite) {
+	if now.Sub(checkpoint.startedAt) > maxCheckpointTime {
 		return
 	}
-	s.since = now
-	for _, waited := range s.pending {
-		waited.since = now
+	s.syncedWriteStart = now
+	for _, waited := range s.pendingWrites {
+		waited.startedAt = now
 	}
 }
 
-// onDiskRefused is told again and again while the disk takes no write: nothing
+// handleDiskUnavailable is told again and again while the disk takes no write: nothing
 // is lost of what it has, but this store can accept nothing more.
-func (s *Store) onDiskRefused(now time.Time, effects *statemachine.Effects) {
-	s.refused = true
-	for _, partition := range statemachine.Sorted(s.partitions) {
-		if s.isFirst(partition) {
-			s.giveUp(partition, "disk-refuses", effects)
+func (s *Store) handleDiskUnavailable(now time.Time, effects *statemachine.Effects) {
+	s.diskUnavailable = true
+	for _, partition := range statemachine.Sorted(s.replicas) {
+		if s.isLeader(partition) {
+			s.failPending(partition, "disk-refuses", effects)
 		}
 	}
-	s.tellLagging(now, effects)
+	s.reportSlowDisks(now, effects)
 }
 
-// probe writes a little while this store is taken for degraded, and so has no
+// probeDisk writes a little while this store is taken for degraded, and so has no
 // other writes to tell by whether its disk is well again.
-func (s *Store) probe(now time.Time) {
-	if !s.follower.Members[s.settings.Self.Name].Degraded {
+func (s *Store) probeDisk(now time.Time) {
+	if !s.view.Members[s.settings.Self.Name].Degraded {
 		return
 	}
-	s.timers.Arm("probe", now.Add(probeEvery))
-	if len(s.pending) == 0 {
-		s.log(diskEntry{Disk: s.disk}, nil)
+	s.timers.Arm("probe", now.Add(diskProbeInterval))
+	if len(s.pendingWrites) == 0 {
+		s.logEntry(diskEntry{Disk: s.disk}, nil)
 	}
 }
 
-// oldestWrite is for how long the disk has owed the oldest write. A checkpoint, and what
+// oldestPendingWrite is for how long the disk has owed the oldest write. A checkpoint, and what
 // waits behind it, may take checkpointMost before that counts.
-func (s *Store) oldestWrite(now time.Time) time.Duration {
+func (s *Store) oldestPendingWrite(now time.Time) time.Duration {
 	var oldest time.Duration
-	for token, written := range s.pending {
-		owed := now.Sub(written.since)
+	for token, written := range s.pendingWrites {
+		owed := now.Sub(written.startedAt)
 		if s.behindCheckpoint(token) && !statemachine.Mutated("checkpoints-lag") {
-			owed -= checkpointMost
+			owed -= maxCheckpointTime
 		}
 		oldest = max(oldest, owed)
 	}
@@ -176,7 +176,7 @@
 
 // behindCheckpoint tells whether a write is a checkpoint or waits for one.
 func (s *Store) behindCheckpoint(token uint64) bool {
-	for earlier, written := range s.pending {
+	for earlier, written := range s.pendingWrites {
 		if written.checkpoint && earlier <= token {
 			return true
 		}
--- a/internal/partition/lag_test.go
+++ b/internal/partition/lag_test.go
@@ -23,7 +23,7 @@
 	self := membership.Member{Name: "store-1", Kind: membership.KindStore, Address: "a:1", Incarnation: 1, Alive: true}
 	store, err := New(Settings{Self: self, NewDisk: "disk-1", Seeds: []string{"c:1"}}, nil, nil)
 	assert.NilError(t, err)
-	store.follower.Members[self.Name] = self
+	store.view.Members[self.Name] = self
 	return &writing{store: store, now: began}
 }
 
@@ -31,32 +31,32 @@
 func (w *writing) writes() uint64 {
 	var effects statemachine.Effects
 	w.store.write(w.now, nil, statemachine.Write{Entries: [][]byte{{1}}}, &effects)
-	return w.store.token
+	return w.store.writeToken
 }
 
 func (w *writing) checkpoints() uint64 {
 	var effects statemachine.Effects
 	w.store.checkpoint(w.now, &effects)
-	return w.store.token
+	return w.store.writeToken
 }
 
 // lags tells whether the store tells of its own disk after a while.
 func (w *writing) lags(wait time.Duration) bool {
 	w.now = w.now.Add(wait)
 	var effects statemachine.Effects
-	w.store.tellLagging(w.now, &effects)
+	w.store.reportSlowDisks(w.now, &effects)
 	return len(effects.Sends) > 0
 }
 
 func (w *writing) synced(token uint64) {
 	var effects statemachine.Effects
-	w.store.onSynced(w.now, token, &effects)
+	w.store.handleSynced(w.now, token, &effects)
 }
 
 func TestAWriteThatStallsIsToldOf(t *testing.T) {
 	store := newWriting(t)
 	store.writes()
-	assert.Assert(t, !store.lags(stalledAfter))
+	assert.Assert(t, !store.lags(diskStallTimeout))
 	assert.Assert(t, store.lags(time.Millisecond))
 }
 
@@ -72,7 +72,7 @@
 	store.synced(checkpoint)
 	told = told || store.lags(100*time.Millisecond)
 	store.synced(behind)
-	return told || store.lags(lagEvery)
+	return told || store.lags(slowDiskReportInterval)
 }
 
 func TestALargeCheckpointIsNoSlowDisk(t *testing.T) {
@@ -83,7 +83,7 @@
 	store := newWriting(t)
 	store.checkpoints()
 	store.writes()
-	assert.Assert(t, !store.lags(checkpointMost+stalledAfter))
+	assert.Assert(t, !store.lags(maxCheckpointTime+diskStallTimeout))
 	assert.Assert(t, store.lags(time.Millisecond))
 }
 
@@ -91,5 +91,5 @@
 	store := newWriting(t)
 	store.writes()
 	store.checkpoints()
-	assert.Assert(t, store.lags(stalledAfter+time.Millisecond))
+	assert.Assert(t, store.lags(diskStallTimeout+time.Millisecond))
 }
--- a/internal/partition/leave.go
+++ b/internal/partition/leave.go
@@ -17,12 +17,12 @@
 
 const (
 	// defaultGrace is how long a daemon that was asked to end is let run if nobody says.
-	defaultGrace = 6 * time.Second
-	leaveEvery   = 100 * time.Millisecond
+	defaultGrace  = 6 * time.Second
+	drainInterval = 100 * time.Millisecond
 )
 
-// beginStop asks the primary to empty this store.
-func (s *Store) beginStop(now time.Time, effects *statemachine.Effects) {
+// beginShutdown asks the primary to empty this store.
+func (s *Store) beginShutdown(now time.Time, effects *statemachine.Effects) {
 	if s.stopping {
 		return
 	}
@@ -32,27 +32,27 @@
 		grace = defaultGrace
 	}
 	// A quarter of the grace is left for the end itself.
-	s.stopBy = now.Add(grace * 3 / 4)
-	s.leave(now, effects)
+	s.stopDeadline = now.Add(grace * 3 / 4)
+	s.drain(now, effects)
 }
 
-// leave asks again and again, and ends the store once it may go.
-func (s *Store) leave(now time.Time, effects *statemachine.Effects) {
-	if !now.Before(s.stopBy) || !s.needed() || statemachine.Mutated("store-ends-at-once") {
-		s.endStop(effects)
+// drain asks again and again, and ends the store once it may go.
+func (s *Store) drain(now time.Time, effects *statemachine.Effects) {
+	if !now.Before(s.stopDeadline) || !s.isNeeded() || statemachine.Mutated("store-ends-at-once") {
+		s.finishShutdown(effects)
 		return
 	}
-	s.timers.Arm("leave", now.Add(leaveEvery))
-	effects.Send(s.follower.Upstream(), membership.SlowDiskReport{
+	s.timers.Arm("leave", now.Add(drainInterval))
+	effects.Send(s.view.Upstream(), membership.SlowDiskReport{
 		Reporter: s.settings.Self.Name, Name: s.settings.Self.Name, Incarnation: s.settings.Self.Incarnation, Sure: true,
 	})
 }
 
-// needed tells whether a partition still needs this store, by the newest view.
-func (s *Store) needed() bool {
+// isNeeded tells whether a partition still needs this store, by the newest view.
+func (s *Store) isNeeded() bool {
 	self := s.settings.Self
 	self.Disk = s.disk
-	for _, place := range s.follower.Placements {
+	for _, place := range s.view.Placements {
 		if place.HasReplica(self.Name) || !place.Complete && slices.Contains(place.InSync, self.ReplicaID()) {
 			return true
 		}
@@ -60,8 +60,8 @@
 	return false
 }
 
-func (s *Store) endStop(effects *statemachine.Effects) {
-	for _, member := range statemachine.Sorted(s.follower.Members) {
+func (s *Store) finishShutdown(effects *statemachine.Effects) {
+	for _, member := range statemachine.Sorted(s.view.Members) {
 		if member.Kind == membership.KindController {
 			effects.Send(member.Address, membership.GracefulLeave{Name: s.settings.Self.Name, Incarnation: s.settings.Self.Incarnation})
 		}
--- a/internal/partition/mutation_test.go
+++ b/internal/partition/mutation_test.go
@@ -18,7 +18,7 @@
 	run.publishAndCut(0, 600)
 	run.placeAnew(2, "store-2", "store-0", "store-2")
 	run.publishAndCut(600, 700)
-	before := run.machines["store-0"].Counts.Frames
+	before := run.machines["store-0"].Counts.SnapshotsSent
 	run.placeAnew(3, "store-1", "store-0", "store-2")
-	assert.Equal(t, run.machines["store-0"].Counts.Frames-before, uint64(config.SharedPartitions))
+	assert.Equal(t, run.machines["store-0"].Counts.SnapshotsSent-before, uint64(config.SharedPartitions))
 }
--- a/internal/partition/partition.go
+++ b/internal/partition/partition.go
@@ -22,111 +22,111 @@
 
 // Spans for which a partition remembers.
 const (
-	RetentionMargin = 25 * time.Second
-	seqMemory       = 60 * time.Second
-	senderMemory    = 10 * time.Minute
-	topicMemory     = 10 * time.Minute
-	topicsMost      = 4096
+	RetentionMargin       = 25 * time.Second
+	dedupWindow           = 60 * time.Second
+	senderStateRetention  = 10 * time.Minute
+	expiredTopicRetention = 10 * time.Minute
+	maxExpiredTopics      = 4096
 )
 
-type remembered struct {
-	_      struct{} `cbor:",toarray"`
-	Seq    uint64
-	Offset uint64
-	Digest uint64
-	At     time.Time
+type dedupEntry struct {
+	_          struct{} `cbor:",toarray"`
+	Seq        uint64
+	Offset     uint64
+	Digest     uint64
+	AppendedAt time.Time
 }
 
 type senderState struct {
-	_       struct{} `cbor:",toarray"`
-	LastSeq uint64
-	At      time.Time
-	Recent  []remembered
+	_            struct{} `cbor:",toarray"`
+	LastSeq      uint64
+	LastAppendAt time.Time
+	Window       []dedupEntry
 }
 
 // find looks for an accepted seq; they rise, since lower ones are refused.
-func (ss *senderState) find(seq uint64) (remembered, bool) {
-	place, found := slices.BinarySearchFunc(ss.Recent, seq, func(memory remembered, seq uint64) int { return cmp.Compare(memory.Seq, seq) })
+func (ss *senderState) find(seq uint64) (dedupEntry, bool) {
+	place, found := slices.BinarySearchFunc(ss.Window, seq, func(memory dedupEntry, seq uint64) int { return cmp.Compare(memory.Seq, seq) })
 	if !found {
-		return remembered{}, false
+		return dedupEntry{}, false
 	}
-	return ss.Recent[place], true
+	return ss.Window[place], true
 }
 
-// trimmed is where a topic's newest record lay that is no longer held.
-type trimmed struct {
-	_      struct{} `cbor:",toarray"`
-	Offset uint64
-	At     time.Time
+// expiredTopic is where a topic's newest record lay that is no longer held.
+type expiredTopic struct {
+	_          struct{} `cbor:",toarray"`
+	LastOffset uint64
+	AppendedAt time.Time
 }
 
 type log struct {
-	Name      string                  `cbor:"Name"`
-	Base      uint64                  `cbor:"Base"`
-	BaseEpoch uint64                  `cbor:"BaseEpoch"`
-	Records   []Record                `cbor:"Records"`
-	Topics    map[string]uint64       `cbor:"Topics"`
-	Senders   map[string]*senderState `cbor:"Senders"`
-	// Trimmed and Forgotten are kept for shared partitions only. Whatever lay at or
+	Name        string                  `cbor:"Name"`
+	BaseOffset  uint64                  `cbor:"Base"`
+	BaseEpoch   uint64                  `cbor:"BaseEpoch"`
+	Records     []Record                `cbor:"Records"`
+	LastOffsets map[string]uint64       `cbor:"Topics"`
+	Senders     map[string]*senderState `cbor:"Senders"`
+	// ExpiredTopics and Forgotten are kept for shared partitions only. Whatever lay at or
 	// below Forgotten of a topic that is in neither table is not known.
-	Trimmed   map[string]trimmed `cbor:"Trimmed"`
-	Forgotten uint64             `cbor:"Forgotten"`
+	ExpiredTopics   map[string]expiredTopic `cbor:"Trimmed"`
+	ForgottenOffset uint64                  `cbor:"Forgotten"`
 }
 
 func newLog(name string) *log {
-	return &log{Name: name, Topics: map[string]uint64{}, Senders: map[string]*senderState{}, Trimmed: map[string]trimmed{}}
+	return &log{Name: name, LastOffsets: map[string]uint64{}, Senders: map[string]*senderState{}, ExpiredTopics: map[string]expiredTopic{}}
 }
 
-// memoryKey names whom a log remembers a seq for: in a shared partition each of a
+// senderKey names whom a log remembers a seq for: in a shared partition each of a
 // sender's topics stands for itself.
-func (l *log) memoryKey(topic, sender string) string {
+func (l *log) senderKey(topic, sender string) string {
 	if config.IsShared(l.Name) {
 		return topic + "\n" + sender
 	}
 	return sender
 }
 
-// prior is the offset of a topic's newest record, held or not.
-func (l *log) prior(topic string) uint64 {
-	if offset, found := l.Topics[topic]; found {
+// lastOffsetOf is the offset of a topic's newest record, held or not.
+func (l *log) lastOffsetOf(topic string) uint64 {
+	if offset, found := l.LastOffsets[topic]; found {
 		return offset
 	}
-	return l.Trimmed[topic].Offset
+	return l.ExpiredTopics[topic].LastOffset
 }
 
-// gone tells whether a kept record of the asked topics after an offset is no
+// hasExpired tells whether a kept record of the asked topics after an offset is no
 // longer held.
-func (l *log) gone(after uint64, topics, prefixes []string) bool {
-	if after >= l.Base {
+func (l *log) hasExpired(after uint64, topics, prefixes []string) bool {
+	if after >= l.BaseOffset {
 		return false
 	}
 	if len(prefixes) > 0 {
-		if after < l.Forgotten {
+		if after < l.ForgottenOffset {
 			return true
 		}
-		for topic, last := range l.Trimmed {
-			if last.Offset > after && Matches(topic, topics, prefixes) {
+		for topic, last := range l.ExpiredTopics {
+			if last.LastOffset > after && Matches(topic, topics, prefixes) {
 				return true
 			}
 		}
 		return false
 	}
 	for _, topic := range topics {
-		if last, found := l.Trimmed[topic]; found && last.Offset > after || !found && after < l.Forgotten {
+		if last, found := l.ExpiredTopics[topic]; found && last.LastOffset > after || !found && after < l.ForgottenOffset {
 			return true
 		}
 	}
 	return false
 }
 
-// of gives the kept records of some topics after one offset and up to another,
+// recordsOf gives the kept records of some topics after one offset and up to another,
 // by going back from each topic's newest.
-func (l *log) of(topics []string, after, until uint64) []Record {
-	after = max(after, l.Base)
+func (l *log) recordsOf(topics []string, after, until uint64) []Record {
+	after = max(after, l.BaseOffset)
 	var found []Record
 	for _, topic := range topics {
-		for offset := l.Topics[topic]; offset > after; {
-			record := &l.Records[offset-l.Base-1]
+		for offset := l.LastOffsets[topic]; offset > after; {
+			record := &l.Records[offset-l.BaseOffset-1]
 			if offset <= until && !record.OffsetOnly {
 				found = append(found, *record)
 			}
@@ -137,18 +137,18 @@
 	return slices.CompactFunc(found, func(left, right Record) bool { return left.Offset == right.Offset })
 }
 
-// moved gives the newest offset of each topic that has a kept record after one
+// changedTopics gives the newest offset of each topic that has a kept record after one
 // offset and up to another.
-func (l *log) moved(from, until uint64) map[string]uint64 {
+func (l *log) changedTopics(from, until uint64) map[string]uint64 {
 	topics := map[string]uint64{}
-	if from < l.Base {
-		for topic, last := range l.Trimmed {
-			if last.Offset > from {
-				topics[topic] = last.Offset
+	if from < l.BaseOffset {
+		for topic, last := range l.ExpiredTopics {
+			if last.LastOffset > from {
+				topics[topic] = last.LastOffset
 			}
 		}
 	}
-	for _, record := range l.after(from) {
+	for _, record := range l.recordsAfter(from) {
 		if record.Offset > until {
 			break
 		}
@@ -159,41 +159,41 @@
 	return topics
 }
 
-func (l *log) head() (offset, epoch uint64) {
+func (l *log) end() (offset, epoch uint64) {
 	if len(l.Records) == 0 {
-		return l.Base, l.BaseEpoch
+		return l.BaseOffset, l.BaseEpoch
 	}
 	last := l.Records[len(l.Records)-1]
 	return last.Offset, last.Epoch
 }
 
-// passed tells whether a frame of an epoch's first is an old one: within an epoch its
+// isAheadOf tells whether a frame of an epoch's first is an old one: within an epoch its
 // first's log only grows, and records of the epoch that lie here were in it.
-func (l *log) passed(frame *log, epoch uint64) bool {
-	here, newest := l.head()
-	there, _ := frame.head()
+func (l *log) isAheadOf(frame *log, epoch uint64) bool {
+	here, newest := l.end()
+	there, _ := frame.end()
 	return newest == epoch && there < here
 }
 
 // epochAt is the epoch of the record at an offset, if it is still held.
 func (l *log) epochAt(offset uint64) (uint64, bool) {
-	if offset == l.Base {
+	if offset == l.BaseOffset {
 		return l.BaseEpoch, true
 	}
-	if offset < l.Base || offset > l.Base+uint64(len(l.Records)) {
+	if offset < l.BaseOffset || offset > l.BaseOffset+uint64(len(l.Records)) {
 		return 0, false
 	}
-	return l.Records[offset-l.Base-1].Epoch, true
+	return l.Records[offset-l.BaseOffset-1].Epoch, true
 }
 
-func (l *log) after(offset uint64) []Record {
-	if offset < l.Base {
-		offset = l.Base
+func (l *log) recordsAfter(offset uint64) []Record {
+	if offset < l.BaseOffset {
+		offset = l.BaseOffset
 	}
-	if offset >= l.Base+uint64(len(l.Records)) {
+	if offset >= l.BaseOffset+uint64(len(l.Records)) {
 		return nil
 	}
-	return l.Records[offset-l.Base:]
+	return l.Records[offset-l.BaseOffset:]
 }
 
 // MessageDigest tells two messages of one seq apart.
@@ -205,116 +205,118 @@
 	return sum.Sum64()
 }
 
-func (l *log) add(record Record) {
+func (l *log) append(record Record) {
 	l.Records = append(l.Records, record)
-	l.Topics[record.Topic] = record.Offset
-	key := l.memoryKey(record.Topic, record.Sender)
+	l.LastOffsets[record.Topic] = record.Offset
+	key := l.senderKey(record.Topic, record.Sender)
 	sender, found := l.Senders[key]
 	if !found {
 		sender = &senderState{}
 		l.Senders[key] = sender
 	}
 	sender.LastSeq = max(sender.LastSeq, record.Seq)
-	sender.At = record.AppendedAt
-	sender.Recent = append(sender.Recent, remembered{
-		Seq: record.Seq, Offset: record.Offset, Digest: MessageDigest(record.Topic, record.Data), At: record.AppendedAt,
+	sender.LastAppendAt = record.AppendedAt
+	sender.Window = append(sender.Window, dedupEntry{
+		Seq: record.Seq, Offset: record.Offset, Digest: MessageDigest(record.Topic, record.Data), AppendedAt: record.AppendedAt,
 	})
 }
 
-// snapshot is a log as it is now, of which nothing changes any more. Records are
+// clone is a log as it is now, of which nothing changes any more. Records are
 // only ever appended or taken away as a whole.
-func (l *log) snapshot() *log {
+func (l *log) clone() *log {
 	taken := *l
 	taken.Records = l.Records[:len(l.Records):len(l.Records)]
-	taken.Topics, taken.Trimmed = maps.Clone(l.Topics), maps.Clone(l.Trimmed)
+	taken.LastOffsets, taken.ExpiredTopics = maps.Clone(l.LastOffsets), maps.Clone(l.ExpiredTopics)
 	taken.Senders = make(map[string]*senderState, len(l.Senders))
 	for key, sender := range l.Senders {
-		taken.Senders[key] = &senderState{LastSeq: sender.LastSeq, At: sender.At, Recent: slices.Clone(sender.Recent)}
+		taken.Senders[key] = &senderState{LastSeq: sender.LastSeq, LastAppendAt: sender.LastAppendAt, Window: slices.Clone(sender.Window)}
 	}
 	return &taken
 }
 
-// retime gives all times of a log anew.
-func (l *log) retime(change func(time.Time) time.Time) {
+// mapTimes gives all times of a log anew.
+func (l *log) mapTimes(change func(time.Time) time.Time) {
 	for position := range l.Records {
 		l.Records[position].AppendedAt = change(l.Records[position].AppendedAt)
 	}
 	for _, sender := range l.Senders {
-		sender.At = change(sender.At)
-		for position := range sender.Recent {
-			sender.Recent[position].At = change(sender.Recent[position].At)
+		sender.LastAppendAt = change(sender.LastAppendAt)
+		for position := range sender.Window {
+			sender.Window[position].AppendedAt = change(sender.Window[position].AppendedAt)
 		}
 	}
-	for topic, last := range l.Trimmed {
-		last.At = change(last.At)
-		l.Trimmed[topic] = last
+	for topic, last := range l.ExpiredTopics {
+		last.AppendedAt = change(last.AppendedAt)
+		l.ExpiredTopics[topic] = last
 	}
 }
 
-// shift moves all times of a log that came from another machine's clock.
-func (l *log) shift(by time.Duration) {
-	l.retime(func(at time.Time) time.Time { return at.Add(by) })
+// shiftTimes moves all times of a log that came from another machine's clock.
+func (l *log) shiftTimes(by time.Duration) {
+	l.mapTimes(func(at time.Time) time.Time { return at.Add(by) })
 }
 
-// refresh makes all of a log that was read from disk as young as now: how long
+// resetTimes makes all of a log that was read from disk as young as now: how long
 // this machine was away, and by which settings of its clock the times on its
 // disk were written, nobody knows. All is held for longer rather than too short.
-func (l *log) refresh(now time.Time) {
-	l.retime(func(time.Time) time.Time { return now })
+func (l *log) resetTimes(now time.Time) {
+	l.mapTimes(func(time.Time) time.Time { return now })
 }
 
-// trim forgets what is older than the holding time and its margin.
-func (l *log) trim(now time.Time, holding time.Duration) { l.trimTo(now, holding, seqMemory) }
+// expireDefault forgets what is older than the holding time and its margin.
+func (l *log) expireDefault(now time.Time, holding time.Duration) {
+	l.expire(now, holding, dedupWindow)
+}
 
-// trimTo forgets records after the holding time and its margin, and the seqs of
+// expire forgets records after the holding time and its margin, and the seqs of
 // senders after a memory of their own.
-func (l *log) trimTo(now time.Time, holding, memory time.Duration) {
+func (l *log) expire(now time.Time, holding, memory time.Duration) {
 	limit := now.Add(-holding - RetentionMargin)
 	count := sort.Search(len(l.Records), func(position int) bool { return l.Records[position].AppendedAt.After(limit) })
 	if count > 0 {
-		l.cut(now, count)
+		l.dropOldest(now, count)
 	}
 	for key, sender := range l.Senders {
 		kept := 0
-		for kept < len(sender.Recent) && now.Sub(sender.Recent[kept].At) > memory && sender.Recent[kept].Offset <= l.Base {
+		for kept < len(sender.Window) && now.Sub(sender.Window[kept].AppendedAt) > memory && sender.Window[kept].Offset <= l.BaseOffset {
 			kept++
 		}
-		sender.Recent = slices.Delete(sender.Recent, 0, kept)
-		if len(sender.Recent) == 0 && now.Sub(sender.At) > senderMemory {
+		sender.Window = slices.Delete(sender.Window, 0, kept)
+		if len(sender.Window) == 0 && now.Sub(sender.LastAppendAt) > senderStateRetention {
 			delete(l.Senders, key)
 		}
 	}
 }
 
-// cut drops the oldest records.
-func (l *log) cut(now time.Time, count int) {
+// dropOldest drops the oldest records.
+func (l *log) dropOldest(now time.Time, count int) {
 	if config.IsShared(l.Name) {
 		for _, record := range l.Records[:count] {
 			if !record.OffsetOnly {
-				l.Trimmed[record.Topic] = trimmed{Offset: record.Offset, At: record.AppendedAt}
+				l.ExpiredTopics[record.Topic] = expiredTopic{LastOffset: record.Offset, AppendedAt: record.AppendedAt}
 			}
 		}
-		l.forgetTopics(now)
+		l.forgetExpiredTopics(now)
 	}
 	last := l.Records[count-1]
-	l.Base, l.BaseEpoch = last.Offset, last.Epoch
+	l.BaseOffset, l.BaseEpoch = last.Offset, last.Epoch
 	l.Records = append([]Record(nil), l.Records[count:]...)
-	for topic, offset := range l.Topics {
-		if offset <= l.Base {
-			delete(l.Topics, topic)
+	for topic, offset := range l.LastOffsets {
+		if offset <= l.BaseOffset {
+			delete(l.LastOffsets, topic)
 		}
 	}
 }
 
-// forgetTopics keeps the table of trimmed topics from growing for ever.
-func (l *log) forgetTopics(now time.Time) {
-	if len(l.Trimmed) <= topicsMost {
+// forgetExpiredTopics keeps the table of trimmed topics from growing for ever.
+func (l *log) forgetExpiredTopics(now time.Time) {
+	if len(l.ExpiredTopics) <= maxExpiredTopics {
 		return
 	}
-	for topic, last := range l.Trimmed {
-		if now.Sub(last.At) > topicMemory {
-			l.Forgotten = max(l.Forgotten, last.Offset)
-			delete(l.Trimmed, topic)
+	for topic, last := range l.ExpiredTopics {
+		if now.Sub(last.AppendedAt) > expiredTopicRetention {
+			l.ForgottenOffset = max(l.ForgottenOffset, last.LastOffset)
+			delete(l.ExpiredTopics, topic)
 		}
 	}
 }
--- a/internal/partition/size_test.go
+++ b/internal/partition/size_test.go
@@ -14,8 +14,8 @@
 
 func TestWordsAboutAMessageAreShort(t *testing.T) {
 	record := Record{Offset: 1234, Epoch: 45, Topic: "kafi810.2f", Sender: "u1fx3a9c", Seq: 77, Data: make([]byte, 200), AppendedAt: began, PreviousInTopic: 1200}
-	told := answered("+~0/17", record)
-	ages := takeAges(began, []Record{record})
+	told := responseRecord("+~0/17", record)
+	ages := takeTimes(began, []Record{record})
 	record.AppendedAt = time.Time{}
 	for _, each := range []struct {
 		message any
--- a/internal/partition/snapshot_test.go
+++ b/internal/partition/snapshot_test.go
@@ -56,12 +56,12 @@
 	t.Helper()
 	fresh := membership.Member{Name: "store-fresh", Kind: membership.KindStore, Address: "store-fresh", Disk: "disk", Alive: true}
 	first := b.machines["store-0"]
-	news := membership.ViewUpdate{Nonce: 1, Epoch: 1, Primary: "controller", Index: 2, Version: 1, Changed: true, Document: first.follower.Document}
+	news := membership.ViewUpdate{Nonce: 1, Epoch: 1, Primary: "controller", Index: 2, Version: 1, Changed: true, Document: first.view.Document}
 	news.Members = []membership.Member{first.settings.Self, fresh}
 	for number := range config.SharedPartitions {
 		news.Placements = append(news.Placements, membership.Placement{
 			Partition: config.SharedPartitionName(number), Epoch: 2, Leader: "store-0",
-			Followers: []string{fresh.Name}, InSync: []string{first.holder()},
+			Followers: []string{fresh.Name}, InSync: []string{first.replicaID()},
 		})
 	}
 	machine, err := New(Settings{Self: fresh, Seeds: []string{"controller"}, NewDisk: "disk"}, nil, nil)
@@ -81,8 +81,8 @@
 // copied tells how many partitions the fresh store has as far as the first.
 func (b *bench) copiedWhole() int {
 	count := 0
-	for _, partition := range b.machines["store-0"].partitions {
-		if b.machines["store-0"].whole(partition) {
+	for _, partition := range b.machines["store-0"].replicas {
+		if b.machines["store-0"].caughtUp(partition) {
 			count++
 		}
 	}
@@ -96,9 +96,9 @@
 	for seq := range uint64(1000) {
 		b.publish(seq, 1)
 	}
-	for _, partition := range statemachine.Sorted(b.machines["store-0"].partitions) {
+	for _, partition := range statemachine.Sorted(b.machines["store-0"].replicas) {
 		// Whoever has nothing needs the whole, since the oldest record is gone.
-		partition.log.cut(b.now, 1)
+		partition.log.dropOldest(b.now, 1)
 	}
 	b.replaceFollower(t, link)
 	began := b.now
@@ -117,14 +117,14 @@
 func TestAFollowerIsSentEachPartitionOnce(t *testing.T) {
 	run, link := newBench(t, 2), &thinLink{perStep: 1 << 10}
 	took := run.catchUp(t, link, 5*time.Second)
-	frames := run.machines["store-0"].Counts.Frames
+	frames := run.machines["store-0"].Counts.SnapshotsSent
 	assert.Equal(t, frames, uint64(config.SharedPartitions), fmt.Sprint("after ", took))
-	assert.Assert(t, link.most <= snapshotBytes+64<<10, "%d bytes waited for the link", link.most)
+	assert.Assert(t, link.most <= maxSnapshotBytesInFlight+64<<10, "%d bytes waited for the link", link.most)
 }
 
 func TestAPartitionThatWasLostOnItsWayIsSentAgain(t *testing.T) {
 	run, link := newBench(t, 2), &thinLink{perStep: 64 << 10, lost: 3 * config.SharedPartitions / 2}
 	run.catchUp(t, link, 5*time.Second)
-	frames := run.machines["store-0"].Counts.Frames
+	frames := run.machines["store-0"].Counts.SnapshotsSent
 	assert.Assert(t, frames >= config.SharedPartitions && frames <= 3*config.SharedPartitions, "%d", frames)
 }
--- a/internal/partition/spare.go
+++ b/internal/partition/spare.go
@@ -13,39 +13,39 @@
 	"dahlialock/internal/statemachine"
 )
 
-// spareFor is how long a log is kept that nobody counts on. Later little of it would be
+// unassignedRetention is how long a log is kept that nobody counts on. Later little of it would be
 // among what the first still holds.
-const spareFor = 30 * time.Second
+const unassignedRetention = 30 * time.Second
 
-// release looks at which logs nobody counts on, and drops those that were spare for
+// releaseReplicas looks at which logs nobody counts on, and drops those that were spare for
 // long and those of partitions that are no more.
-func (s *Store) release(now time.Time, effects *statemachine.Effects) {
-	for name, partition := range statemachine.Sorted(s.partitions) {
-		place, placed := s.follower.Placements[name]
+func (s *Store) releaseReplicas(now time.Time, effects *statemachine.Effects) {
+	for name, partition := range statemachine.Sorted(s.replicas) {
+		place, placed := s.view.Placements[name]
 		switch {
-		case placed && (place.HasReplica(s.settings.Self.Name) || slices.Contains(place.InSync, s.holder())):
-			partition.spare = time.Time{}
-		case partition.spare.IsZero():
-			s.giveUp(partition, "removed", effects)
-			partition.spare = now
+		case placed && (place.HasReplica(s.settings.Self.Name) || slices.Contains(place.InSync, s.replicaID())):
+			partition.unassignedSince = time.Time{}
+		case partition.unassignedSince.IsZero():
+			s.failPending(partition, "removed", effects)
+			partition.unassignedSince = now
 		}
-		if !placed || statemachine.Mutated("no-spare-logs") && !partition.spare.IsZero() {
+		if !placed || statemachine.Mutated("no-spare-logs") && !partition.unassignedSince.IsZero() {
 			s.drop(name, partition, effects)
 		}
 	}
 }
 
-// dropSpares drops the logs that were spare for long.
-func (s *Store) dropSpares(now time.Time, effects *statemachine.Effects) {
-	for name, partition := range statemachine.Sorted(s.partitions) {
-		if !partition.spare.IsZero() && now.Sub(partition.spare) > spareFor {
+// dropUnassigned drops the logs that were spare for long.
+func (s *Store) dropUnassigned(now time.Time, effects *statemachine.Effects) {
+	for name, partition := range statemachine.Sorted(s.replicas) {
+		if !partition.unassignedSince.IsZero() && now.Sub(partition.unassignedSince) > unassignedRetention {
 			s.drop(name, partition, effects)
 		}
 	}
 }
 
-func (s *Store) drop(name string, partition *held, effects *statemachine.Effects) {
-	s.giveUp(partition, "removed", effects)
-	delete(s.partitions, name)
-	s.log(diskEntry{Partition: name, Drop: true}, nil)
+func (s *Store) drop(name string, partition *replica, effects *statemachine.Effects) {
+	s.failPending(partition, "removed", effects)
+	delete(s.replicas, name)
+	s.logEntry(diskEntry{Partition: name, Drop: true}, nil)
 }
--- a/internal/partition/spare_test.go
+++ b/internal/partition/spare_test.go
@@ -15,14 +15,14 @@
 // other follows.
 func (b *bench) placeAnew(index uint64, follower string, safe ...string) {
 	first := b.machines["store-0"]
-	news := membership.ViewUpdate{Nonce: 1, Epoch: 1, Primary: "controller", Index: index, Version: 1, Changed: true, Document: first.follower.Document}
+	news := membership.ViewUpdate{Nonce: 1, Epoch: 1, Primary: "controller", Index: index, Version: 1, Changed: true, Document: first.view.Document}
 	for _, machine := range statemachine.Sorted(b.machines) {
 		news.Members = append(news.Members, machine.settings.Self)
 	}
 	for number := range config.SharedPartitions {
 		place := membership.Placement{Partition: config.SharedPartitionName(number), Epoch: index, Leader: "store-0", Followers: []string{follower}}
 		for _, name := range safe {
-			place.InSync = append(place.InSync, b.machines[name].holder())
+			place.InSync = append(place.InSync, b.machines[name].replicaID())
 		}
 		news.Placements = append(news.Placements, place)
 	}
@@ -40,9 +40,9 @@
 	for seq := from; seq < until; seq++ {
 		b.publish(seq, 1)
 	}
-	for _, partition := range statemachine.Sorted(b.machines["store-0"].partitions) {
+	for _, partition := range statemachine.Sorted(b.machines["store-0"].replicas) {
 		if len(partition.log.Records) > 1 {
-			partition.log.cut(b.now, 1)
+			partition.log.dropOldest(b.now, 1)
 		}
 	}
 }
@@ -57,10 +57,10 @@
 	run.publishAndCut(700, 800)
 	after := run.machines["store-0"].Counts
 	assert.Equal(t, run.copiedWhole(), config.SharedPartitions)
-	assert.Equal(t, after.Frames-before.Frames, uint64(0))
+	assert.Equal(t, after.SnapshotsSent-before.SnapshotsSent, uint64(0))
 	// The hundred that came meanwhile may go twice, since the store tells where it
 	// stands on its own and when it is asked; the hundred after them go once.
-	assert.Assert(t, after.CopyRecords-before.CopyRecords <= 300, "%d records", after.CopyRecords-before.CopyRecords)
+	assert.Assert(t, after.ReplicatedRecords-before.ReplicatedRecords <= 300, "%d records", after.ReplicatedRecords-before.ReplicatedRecords)
 }
 
 func TestASpareLogIsDroppedInTheEnd(t *testing.T) {
@@ -68,10 +68,10 @@
 	run.publishAndCut(0, 300)
 	run.placeAnew(2, "store-2", "store-0", "store-2")
 	spare := run.machines["store-1"]
-	assert.Equal(t, len(spare.partitions), config.SharedPartitions)
-	run.now = run.now.Add(spareFor + trimEvery + time.Second)
+	assert.Equal(t, len(spare.replicas), config.SharedPartitions)
+	run.now = run.now.Add(unassignedRetention + retentionInterval + time.Second)
 	run.step("store-1", func(effects *statemachine.Effects) { spare.Tick(run.now, effects) })
-	assert.Equal(t, len(spare.partitions), 0)
+	assert.Equal(t, len(spare.replicas), 0)
 	run.settle()
 	run.placeAnew(3, "store-1", "store-0", "store-2")
 	assert.Equal(t, run.copiedWhole(), config.SharedPartitions)
@@ -81,22 +81,22 @@
 	run := newBench(t, 3)
 	run.publishAndCut(0, 300)
 	run.placeAnew(2, "store-2", "store-0", "store-2")
-	for _, partition := range statemachine.Sorted(run.machines["store-1"].partitions) {
+	for _, partition := range statemachine.Sorted(run.machines["store-1"].replicas) {
 		// A record of the earlier epoch that nobody else has, and that was never accepted.
-		head, epoch := partition.log.head()
-		partition.log.add(Record{Offset: head + 1, Epoch: epoch, Topic: "stray", Sender: "stray", Seq: 1, AppendedAt: run.now})
+		head, epoch := partition.log.end()
+		partition.log.append(Record{Offset: head + 1, Epoch: epoch, Topic: "stray", Sender: "stray", Seq: 1, AppendedAt: run.now})
 	}
 	run.publishAndCut(300, 500)
 	run.placeAnew(3, "store-1", "store-0", "store-2")
 	run.publishAndCut(500, 600)
 	assert.Equal(t, run.copiedWhole(), config.SharedPartitions)
-	for name, partition := range statemachine.Sorted(run.machines["store-1"].partitions) {
-		theirs := run.machines["store-0"].partitions[name].log
+	for name, partition := range statemachine.Sorted(run.machines["store-1"].replicas) {
+		theirs := run.machines["store-0"].replicas[name].log
 		for _, record := range partition.log.Records {
 			assert.Assert(t, record.Topic != "stray", name)
 		}
-		here, _ := partition.log.head()
-		there, _ := theirs.head()
+		here, _ := partition.log.end()
+		there, _ := theirs.end()
 		assert.Equal(t, here, there, name)
 	}
 }
--- a/internal/partition/store.go
+++ b/internal/partition/store.go
@@ -25,23 +25,23 @@
 
 // Spans of a store's work.
 const (
-	copyEvery     = 150 * time.Millisecond
-	lateAfter     = 400 * time.Millisecond
-	silentFirst   = 600 * time.Millisecond
-	tellEvery     = 400 * time.Millisecond
-	trimEvery     = 5 * time.Second
-	followFor     = 6 * time.Second
-	headsEvery    = 400 * time.Millisecond
-	frameLogLimit = 8 << 20
-	fetchLimit    = 512
-	fetchBytes    = 1 << 20
-	copyLimit     = 512
-	copyWaitMost  = 8
-	followerBack  = 2 * time.Second
-	sharedBack    = 200 * time.Millisecond
-	// rememberHolding is for how long a holding that was taken back counts on, so
+	replicateInterval     = 150 * time.Millisecond
+	maxCommitLag          = 400 * time.Millisecond
+	appendTimeout         = 600 * time.Millisecond
+	reportInterval        = 400 * time.Millisecond
+	retentionInterval     = 5 * time.Second
+	subscriptionTimeout   = 6 * time.Second
+	highWatermarkInterval = 400 * time.Millisecond
+	minCheckpointBytes    = 8 << 20
+	maxFetchRecords       = 512
+	maxFetchBytes         = 1 << 20
+	maxReplicateRecords   = 512
+	maxReplicateBackoff   = 8
+	retryAfter            = 2 * time.Second
+	sharedRetryAfter      = 200 * time.Millisecond
+	// minRetentionMemory is for how long a holding that was taken back counts on, so
 	// that a space which comes again finds what it held.
-	rememberHolding = 5 * time.Minute
+	minRetentionMemory = 5 * time.Minute
 )
 
 // Settings are a store daemon's settings.
@@ -73,66 +73,66 @@
 	Request, Message, Session string
 }
 
-type waiter struct {
-	from    string
-	request uint64
-	since   time.Time
+type pendingAppend struct {
+	from       string
+	requestID  uint64
+	receivedAt time.Time
 }
 
-// copied is what a first knows of one follower's copy: how far it lasts there,
+// followerProgress is what a first knows of one follower's copy: how far it lasts there,
 // and what is on its way. Known is set once the follower, as it runs now, has
 // said where it stands.
-type copied struct {
-	name        string
-	holder      string
-	incarnation uint64
-	known       bool
-	acked       uint64
-	sent        uint64
-	sentAt      time.Time
-	tries       int
-	flights     []flight
-	whole       snapshot
+type followerProgress struct {
+	name         string
+	replicaID    string
+	incarnation  uint64
+	known        bool
+	acknowledged uint64
+	sent         uint64
+	sentAt       time.Time
+	attempts     int
+	inFlight     []inFlightBatch
+	snapshot     snapshotTransfer
 }
 
-// flight is a copy that was not acknowledged yet.
-type flight struct {
-	until uint64
-	at    time.Time
+// inFlightBatch is a copy that was not acknowledged yet.
+type inFlightBatch struct {
+	lastOffset uint64
+	sentAt     time.Time
 }
 
-type held struct {
-	log        *log
-	place      membership.Placement
-	placedAt   time.Time
-	synced     uint64
-	copies     []*copied
-	waiting    map[uint64][]waiter
-	accepted   uint64
-	firstSince uint64
-	floor      uint64
-	// spare is since when nobody counts on this log; zero while somebody does.
-	spare time.Time
+type replica struct {
+	log           *log
+	placement     membership.Placement
+	placedAt      time.Time
+	syncedOffset  uint64
+	followers     []*followerProgress
+	pending       map[uint64][]pendingAppend
+	highWatermark uint64
+	servingEpoch  uint64
+	epochStart    uint64
+	// unassignedSince is since when nobody counts on this log; zero while somebody does.
+	unassignedSince time.Time
 }
 
-type headWatcher struct {
+type subscriber struct {
 	partitions []string
-	until      time.Time
-	told       map[string]told
+	expiresAt  time.Time
+	reported   map[string]reportedOffset
 }
 
-// told is what a head watcher knows of one partition; From counts for shared partitions,
+// reportedOffset is what a head watcher knows of one partition; From counts for shared partitions,
 // where a watcher that was told of an epoch may have missed what lay before.
-type told struct {
+type reportedOffset struct {
 	epoch  uint64
 	offset uint64
 }
 
-// pastHolding is how long messages were held by a configuration that is no
+// supersededRetention is how long messages were held by a configuration that is no
 // longer in force, and until when that still counts.
-type pastHolding struct {
-	holding time.Duration
-	until   time.Time
+type supersededRetention struct {
+	retention time.Duration
+	expiresAt time.Time
 }
 
 type diskEntry struct {
@@ -140,78 +140,88 @@
 	Disk      string
 	Partition string
 	Record    *Record
-	Frame     []byte
+	Snapshot  []byte
 	Drop      bool
 }
 
-type diskFrame struct {
+type diskSnapshot struct {
 	Disk       string          `cbor:"Disk"`
 	Partitions map[string]*log `cbor:"Partitions"`
 }
 
-type afterSync func(now time.Time, effects *statemachine.Effects)
+type syncCallback func(now time.Time, effects *statemachine.Effects)
 
-// batch is a write that was not said to last yet, and what waits for it. A checkpoint
+// pendingWrite is a write that was not said to last yet, and what waits for it. A checkpoint
 // is as large as all that the store holds.
-type batch struct {
-	since      time.Time
+type pendingWrite struct {
+	startedAt  time.Time
 	checkpoint bool
-	afters     []afterSync
+	callbacks  []syncCallback
 }
 
 // Counts are running sums for measurements.
 type Counts struct {
-	Appends, Accepted, Again, RefusedRequests, Copies, CopyRecords, Frames, Fetches, FetchRecords, Writes, HeadsOut uint64
+	Appends            uint64 `json:"Appends"`
+	Accepted           uint64 `json:"Accepted"`
+	Duplicates         uint64 `json:"Again"`
+	Rejected           uint64 `json:"RefusedRequests"`
+	ReplicateRequests  uint64 `json:"Copies"`
+	ReplicatedRecords  uint64 `json:"CopyRecords"`
+	SnapshotsSent      uint64 `json:"Frames"`
+	Fetches            uint64 `json:"Fetches"`
+	FetchRecords       uint64 `json:"FetchRecords"`
+	Writes             uint64 `json:"Writes"`
+	HighWatermarksSent uint64 `json:"HeadsOut"`
 }
 
 // Store is the state machine.
 type Store struct {
-	settings      Settings
-	disk          string
-	blank         bool
-	partitions    map[string]*held
-	follower      *membership.ViewClient
-	pulse         *membership.FailureDetector
-	controlClient *controlclient.ControlClient
-	timers        *statemachine.Timers[string]
-	ring          *decisionlog.Ring
-	watchers      map[string]*headWatcher
-	config        config.Configuration
-	holding       time.Duration
-	past          []pastHolding
-	stopping      bool
-	stopBy        time.Time
-
-	entries            [][]byte
-	afters             []afterSync
-	token              uint64
-	pending            map[uint64]*batch
-	refused            bool
-	since              time.Time
-	ownDelay           time.Duration
-	delays             map[string]time.Duration
-	lagTold            map[string]time.Time
-	logBytes, logLimit int
-	dirty              map[string]bool
-	firsts, followers  int
-	Counts             Counts
+	settings             Settings
+	disk                 string
+	newDisk              bool
+	replicas             map[string]*replica
+	view                 *membership.ViewClient
+	detector             *membership.FailureDetector
+	controlClient        *controlclient.ControlClient
+	timers               *statemachine.Timers[string]
+	decisions            *decisionlog.Ring
+	subscribers          map[string]*subscriber
+	configuration        config.Configuration
+	retention            time.Duration
+	supersededRetentions []supersededRetention
+	stopping             bool
+	stopDeadline         time.Time
+
+	entries                    [][]byte
+	callbacks                  []syncCallback
+	writeToken                 uint64
+	pendingWrites              map[uint64]*pendingWrite
+	diskUnavailable            bool
+	syncedWriteStart           time.Time
+	diskDelay                  time.Duration
+	followerDelays             map[string]time.Duration
+	slowDiskReportedAt         map[string]time.Time
+	logBytes, checkpointBytes  int
+	toReplicate                map[string]bool
+	leaderCount, followerCount int
+	Counts                     Counts
 }
 
 // New makes a store from what its disk held.
 func New(settings Settings, frame []byte, entries [][]byte) (*Store, error) {
 	store := &Store{
-		settings: settings, partitions: map[string]*held{}, timers: statemachine.NewTimers[string](), ring: decisionlog.NewRing(settings.Self.Name),
-		watchers: map[string]*headWatcher{}, pending: map[uint64]*batch{}, dirty: map[string]bool{},
-		logLimit: frameLogLimit, delays: map[string]time.Duration{}, lagTold: map[string]time.Time{},
+		settings: settings, replicas: map[string]*replica{}, timers: statemachine.NewTimers[string](), decisions: decisionlog.NewRing(settings.Self.Name),
+		subscribers: map[string]*subscriber{}, pendingWrites: map[uint64]*pendingWrite{}, toReplicate: map[string]bool{},
+		checkpointBytes: minCheckpointBytes, followerDelays: map[string]time.Duration{}, slowDiskReportedAt: map[string]time.Time{},
 	}
 	if len(frame) > 0 {
-		var stored diskFrame
+		var stored diskSnapshot
 		if err := transport.Unmarshal(frame, &stored); err != nil {
 			return nil, err
 		}
 		store.disk = stored.Disk
 		for name, log := range stored.Partitions {
-			store.partitions[name] = newHeld(log)
+			store.replicas[name] = newReplica(log)
 		}
 	}
 	for _, packed := range entries {
@@ -220,28 +230,28 @@
 		}
 	}
 	if store.disk == "" {
-		store.disk, store.blank = settings.NewDisk, true
+		store.disk, store.newDisk = settings.NewDisk, true
 	}
-	for _, partition := range store.partitions {
-		partition.synced, _ = partition.log.head()
+	for _, partition := range store.replicas {
+		partition.syncedOffset, _ = partition.log.end()
 	}
 	store.settings.Self.Disk = store.disk
-	store.follower = membership.NewViewClient(store.settings.Self, settings.Incarnation, settings.Seeds, store.load)
-	store.pulse = membership.NewFailureDetector(store.settings.Self)
+	store.view = membership.NewViewClient(store.settings.Self, settings.Incarnation, settings.Seeds, store.load)
+	store.detector = membership.NewFailureDetector(store.settings.Self)
 	store.controlClient = controlclient.New(controlclient.Settings{
-		Incarnation: settings.Incarnation, Acknowledge: settings.Acknowledge, Upstream: store.follower.Upstream, Next: store.follower.NextController, Relays: store.follower.Relays,
+		Incarnation: settings.Incarnation, Acknowledge: settings.Acknowledge, Upstream: store.view.Upstream, Next: store.view.NextController, Relays: store.view.Relays,
 	})
 	return store, nil
 }
 
-func newHeld(log *log) *held { return &held{log: log, waiting: map[uint64][]waiter{}} }
+func newReplica(log *log) *replica { return &replica{log: log, pending: map[uint64][]pendingAppend{}} }
 
-// back is when to come again to a partition that has too few copies at present.
-func (h *held) back() time.Duration {
+// retryAfter is when to come again to a partition that has too few copies at present.
+func (h *replica) retryAfter() time.Duration {
 	if config.IsShared(h.log.Name) {
-		return sharedBack
+		return sharedRetryAfter
 	}
-	return followerBack
+	return retryAfter
 }
 
 func (s *Store) load() membership.Load {
@@ -249,72 +259,72 @@
 }
 
 // Ready tells whether the store serves.
-func (s *Store) Ready() bool { return s.follower.Index > 0 && !s.stopping }
+func (s *Store) Ready() bool { return s.view.Index > 0 && !s.stopping }
 
 // ConfigurationVersion is the configuration version in force here.
-func (s *Store) ConfigurationVersion() uint64 { return s.follower.Version }
+func (s *Store) ConfigurationVersion() uint64 { return s.view.Version }
 
 // ViewClient gives the store's view, for its ctl.
-func (s *Store) ViewClient() *membership.ViewClient { return s.follower }
+func (s *Store) ViewClient() *membership.ViewClient { return s.view }
 
 // Disk is the name of the disk.
 func (s *Store) Disk() string { return s.disk }
 
 // Start begins the store's work.
 func (s *Store) Start(now time.Time, effects *statemachine.Effects) {
-	for _, partition := range statemachine.Sorted(s.partitions) {
-		partition.log.refresh(now)
+	for _, partition := range statemachine.Sorted(s.replicas) {
+		partition.log.resetTimes(now)
 	}
-	if s.blank {
+	if s.newDisk {
 		s.checkpoint(now, effects)
 	}
-	s.follower.Start(now)
-	s.pulse.Start(now)
-	s.timers.Arm("trim", now.Add(trimEvery))
+	s.view.Start(now)
+	s.detector.Start(now)
+	s.timers.Arm("trim", now.Add(retentionInterval))
 }
 
 // NextTick is when the store wants to run again.
 func (s *Store) NextTick() time.Time {
-	return statemachine.Earliest(s.follower.NextTick(), s.pulse.NextTick(), s.controlClient.NextTick(), s.timers.Next())
+	return statemachine.Earliest(s.view.NextTick(), s.detector.NextTick(), s.controlClient.NextTick(), s.timers.Next())
 }
 
 // HandleCommand takes what the adapters bring.
 func (s *Store) HandleCommand(now time.Time, command any, effects *statemachine.Effects) {
 	switch body := command.(type) {
 	case statemachine.Synced:
-		s.onSynced(now, body.Token, effects)
+		s.handleSynced(now, body.Token, effects)
 	case statemachine.DiskUnavailable:
-		s.onDiskRefused(now, effects)
+		s.handleDiskUnavailable(now, effects)
 	case Request:
 		s.controlClient.Forward(now, body.Local, body.Method, body.Path, body.Body, effects)
 	case FindDecisions:
-		effects.Respond(body.Local, s.ring.Find(body.Request, body.Message, body.Session))
+		effects.Respond(body.Local, s.decisions.Find(body.Request, body.Message, body.Session))
 	case Stop:
-		s.beginStop(now, effects)
+		s.beginShutdown(now, effects)
 	}
 	s.flush(now, effects)
 }
 
 // Tick runs whatever is due.
 func (s *Store) Tick(now time.Time, effects *statemachine.Effects) {
-	s.follower.Tick(now, effects)
-	s.pulse.Tick(now, effects)
+	s.view.Tick(now, effects)
+	s.detector.Tick(now, effects)
 	s.controlClient.Tick(now, effects)
 	for _, key := range s.timers.Expired(now) {
 		switch {
 		case key == "trim":
-			s.trim(now)
-			s.dropSpares(now, effects)
+			s.applyRetention(now)
+			s.dropUnassigned(now, effects)
 		case key == "copy":
-			s.recopy(now, effects)
+			s.retryReplication(now, effects)
 		case key == "probe":
-			s.probe(now)
+			s.probeDisk(now)
 		case key == "leave":
-			s.leave(now, effects)
+			s.drain(now, effects)
 		case key == "tell":
-			s.tell(now, effects)
+			s.reportReplicated(now, effects)
 		case strings.HasPrefix(key, "heads "):
-			s.tellHeads(now, strings.TrimPrefix(key, "heads "), false, effects)
+			s.sendHighWatermarks(now, strings.TrimPrefix(key, "heads "), false, effects)
 		}
 	}
 	s.flush(now, effects)
@@ -322,59 +332,59 @@
 
 // HandleMessage takes what other daemons say.
 func (s *Store) HandleMessage(now time.Time, meta statemachine.Meta, message any, effects *statemachine.Effects) {
-	s.pulse.ReceiveFromPeer(now)
-	if meta.Version > s.follower.Version {
-		s.follower.PollNow(now)
+	s.detector.ReceiveFromPeer(now)
+	if meta.Version > s.view.Version {
+		s.view.PollNow(now)
 	}
 	switch body := message.(type) {
 	case membership.ViewUpdate:
-		s.onNews(now, body, effects)
+		s.handleViewUpdate(now, body, effects)
 	case membership.Redirect:
-		s.follower.HandleRedirect(now, body, effects)
+		s.view.HandleRedirect(now, body, effects)
 	case membership.Heartbeat:
-		s.pulse.ReceiveHeartbeat(now, body)
+		s.detector.ReceiveHeartbeat(now, body)
 	case membership.ControlResponse:
 		s.controlClient.HandleResponse(now, meta.From, body, effects)
 	case membership.ConfigurationRequest:
-		s.follower.RespondToConfigurationRequest(meta.From, body, effects)
+		s.view.RespondToConfigurationRequest(meta.From, body, effects)
 	case Append:
-		s.onAppend(now, meta.From, body, effects)
+		s.handleAppend(now, meta.From, body, effects)
 	case Replicate:
-		s.onCopy(now, meta.From, body, effects)
+		s.handleReplicate(now, meta.From, body, effects)
 	case ReplicateResponse:
-		s.onCopyResponse(now, meta.From, body, effects)
+		s.handleReplicateResponse(now, meta.From, body, effects)
 	case InstallSnapshot:
-		s.onFrame(now, meta.From, body, effects)
+		s.handleInstallSnapshot(now, meta.From, body, effects)
 	case Fetch:
-		s.onFetch(meta.From, body, effects)
+		s.handleFetch(meta.From, body, effects)
 	case FetchTopics:
-		s.onFetchTopics(meta.From, body, effects)
+		s.handleFetchTopics(meta.From, body, effects)
 	case SenderStateRequest:
-		s.onSenderAsk(now, meta.From, body, effects)
+		s.handleSenderStateRequest(now, meta.From, body, effects)
 	case SubscribeHighWatermarks:
-		s.onFollow(now, meta.From, body, effects)
+		s.handleSubscribe(now, meta.From, body, effects)
 	}
 	s.flush(now, effects)
 }
 
 // News.
 
-func (s *Store) onNews(now time.Time, news membership.ViewUpdate, effects *statemachine.Effects) {
-	taken := s.follower.HandleUpdate(now, news)
+func (s *Store) handleViewUpdate(now time.Time, news membership.ViewUpdate, effects *statemachine.Effects) {
+	taken := s.view.HandleUpdate(now, news)
 	if taken.Document {
-		s.takeConfiguration(now)
+		s.applyConfiguration(now)
 	}
 	if !taken.View {
 		return
 	}
-	s.pulse.SetView(now, s.follower.Members, s.follower.Upstream(), s.follower.Index)
+	s.detector.SetView(now, s.view.Members, s.view.Upstream(), s.view.Index)
 	firsts, followers := 0, 0
-	for name, place := range statemachine.Sorted(s.follower.Placements) {
+	for name, place := range statemachine.Sorted(s.view.Placements) {
 		mine := place.HasReplica(s.settings.Self.Name)
-		partition, found := s.partitions[name]
+		partition, found := s.replicas[name]
 		if !found && mine {
-			partition = newHeld(newLog(name))
-			s.partitions[name] = partition
+			partition = newReplica(newLog(name))
+			s.replicas[name] = partition
 			found = true
 		}
 		if !found {
@@ -385,95 +395,95 @@
 		} else if mine {
 			followers++
 		}
-		s.place(now, partition, place, effects)
+		s.applyPlacement(now, partition, place, effects)
 	}
-	s.release(now, effects)
-	s.forgetDelays()
-	if s.follower.Members[s.settings.Self.Name].Degraded {
-		s.timers.ArmSooner("probe", now.Add(probeEvery))
+	s.releaseReplicas(now, effects)
+	s.pruneDelays()
+	if s.view.Members[s.settings.Self.Name].Degraded {
+		s.timers.ArmSooner("probe", now.Add(diskProbeInterval))
 	}
-	if firsts != s.firsts || followers != s.followers {
-		s.firsts, s.followers = firsts, followers
+	if firsts != s.leaderCount || followers != s.followerCount {
+		s.leaderCount, s.followerCount = firsts, followers
 		effects.Emit(logevent.PartitionLeader, "partitions", firsts, "follower", followers)
 	}
 }
 
-// takeConfiguration notes for how long shared partitions hold their messages: as
+// applyConfiguration notes for how long shared partitions hold their messages: as
 // long as any routed space in force asks for, and as any that was in force when
 // a message came that may still be asked for.
-func (s *Store) takeConfiguration(now time.Time) {
-	s.config, _ = config.Read(s.follower.Document)
+func (s *Store) applyConfiguration(now time.Time) {
+	s.configuration, _ = config.Read(s.view.Document)
 	longest := config.DefaultHolding
-	for _, space := range s.config.Spaces {
+	for _, space := range s.configuration.Spaces {
 		if space.Order == config.OrderTopic && space.Retention == config.Durable {
 			longest = max(longest, space.Holding)
 		}
 	}
-	if longest < s.holding {
-		s.past = append(s.past, pastHolding{holding: s.holding, until: now.Add(max(s.holding, rememberHolding))})
+	if longest < s.retention {
+		s.supersededRetentions = append(s.supersededRetentions, supersededRetention{retention: s.retention, expiresAt: now.Add(max(s.retention, minRetentionMemory))})
 	}
-	s.holding = longest
+	s.retention = longest
 }
 
-// sharedHolding is how long shared partitions hold their messages at present.
-func (s *Store) sharedHolding(now time.Time) time.Duration {
-	s.past = slices.DeleteFunc(s.past, func(past pastHolding) bool { return now.After(past.until) })
-	longest := max(s.holding, config.DefaultHolding)
-	for _, past := range s.past {
-		longest = max(longest, past.holding)
+// sharedRetention is how long shared partitions hold their messages at present.
+func (s *Store) sharedRetention(now time.Time) time.Duration {
+	s.supersededRetentions = slices.DeleteFunc(s.supersededRetentions, func(past supersededRetention) bool { return now.After(past.expiresAt) })
+	longest := max(s.retention, config.DefaultHolding)
+	for _, past := range s.supersededRetentions {
+		longest = max(longest, past.retention)
 	}
 	return longest
 }
 
-func (s *Store) place(now time.Time, partition *held, place membership.Placement, effects *statemachine.Effects) {
-	changed := place.Epoch != partition.place.Epoch
-	completed := place.Complete && !partition.place.Complete
-	partition.place = place
+func (s *Store) applyPlacement(now time.Time, partition *replica, place membership.Placement, effects *statemachine.Effects) {
+	changed := place.Epoch != partition.placement.Epoch
+	completed := place.Complete && !partition.placement.Complete
+	partition.placement = place
 	if changed {
 		if place.Leader != s.settings.Self.Name {
-			s.giveUp(partition, "moved", effects)
+			s.failPending(partition, "moved", effects)
 		}
-		partition.copies = nil
+		partition.followers = nil
 		partition.placedAt = now
-		partition.firstSince = 0
-		partition.floor, _ = partition.log.head()
+		partition.servingEpoch = 0
+		partition.epochStart, _ = partition.log.end()
 	}
 	if place.Leader == s.settings.Self.Name {
-		s.takeCopies(partition)
-	} else if first, found := s.follower.Members[place.Leader]; changed && found && slices.Contains(place.Followers, s.settings.Self.Name) {
+		s.updateFollowers(partition)
+	} else if first, found := s.view.Members[place.Leader]; changed && found && slices.Contains(place.Followers, s.settings.Self.Name) {
 		// The first may have asked before this news came.
-		s.tellHave(partition, first.Address, effects)
+		s.sendMismatch(partition, first.Address, effects)
 	}
 	if completed && place.Leader == s.settings.Self.Name {
-		s.settle(now, partition, effects)
+		s.advanceHighWatermark(now, partition, effects)
 	}
 }
 
-// isFirst tells whether this store, with the disk that it has now, may act as
+// isLeader tells whether this store, with the disk that it has now, may act as
 // a partition's first: a store whose disk was wiped is named first by news that
 // does not know of it yet, and holds nothing. Nor does an epoch hold for a life
 // that is not a member yet: it was begun for an earlier one.
-func (s *Store) isFirst(partition *held) bool {
-	return partition.place.Leader == s.settings.Self.Name && slices.Contains(partition.place.InSync, s.holder()) && s.joined()
+func (s *Store) isLeader(partition *replica) bool {
+	return partition.placement.Leader == s.settings.Self.Name && slices.Contains(partition.placement.InSync, s.replicaID()) && s.isMember()
 }
 
-// joined tells whether the view names this life of the store.
-func (s *Store) joined() bool {
-	return s.follower.Members[s.settings.Self.Name].Incarnation == s.settings.Self.Incarnation ||
+// isMember tells whether the view names this life of the store.
+func (s *Store) isMember() bool {
+	return s.view.Members[s.settings.Self.Name].Incarnation == s.settings.Self.Incarnation ||
 		statemachine.Mutated("one-epoch-for-all-lives")
 }
 
-func (s *Store) holder() string { return s.settings.Self.ReplicaID() }
+func (s *Store) replicaID() string { return s.settings.Self.ReplicaID() }
 
 // Partitions tells of every partition held here, for ctl and the simulator's checks.
 func (s *Store) Partitions() map[string]PartitionStatus {
 	statuses := map[string]PartitionStatus{}
-	for name, partition := range s.partitions {
-		head, _ := partition.log.head()
+	for name, partition := range s.replicas {
+		head, _ := partition.log.end()
 		statuses[name] = PartitionStatus{
-			Epoch: partition.place.Epoch, Leader: s.isFirst(partition), Complete: partition.place.Complete,
-			Base: partition.log.Base, LastOffset: head, HighWatermark: partition.accepted,
-			Serving: s.Ready() && s.isFirst(partition) && partition.place.Complete && partition.firstSince == partition.place.Epoch,
+			Epoch: partition.placement.Epoch, Leader: s.isLeader(partition), Complete: partition.placement.Complete,
+			Base: partition.log.BaseOffset, LastOffset: head, HighWatermark: partition.highWatermark,
+			Serving: s.Ready() && s.isLeader(partition) && partition.placement.Complete && partition.servingEpoch == partition.placement.Epoch,
 		}
 	}
 	return statuses
--- a/internal/partition/topics.go
+++ b/internal/partition/topics.go
@@ -64,47 +64,47 @@
 	return PartitionState{}, false
 }
 
-func (s *Store) onFetchTopics(from string, asked FetchTopics, effects *statemachine.Effects) {
+func (s *Store) handleFetchTopics(from string, asked FetchTopics, effects *statemachine.Effects) {
 	s.Counts.Fetches++
 	answer := FetchTopicsResponse{RequestID: asked.RequestID, Topics: make([]TopicRecords, len(asked.Topics))}
 	told := map[string]bool{}
 	credit := asked.MaxBytes
 	for position, each := range asked.Topics {
 		name := config.SharedPartition(each.Topic)
-		partition, served := s.serves(name)
+		partition, served := s.servingReplica(name)
 		if !served {
 			continue
 		}
 		if !told[name] {
 			told[name] = true
 			answer.Partitions = append(answer.Partitions, PartitionState{
-				Partition: name, Epoch: partition.place.Epoch, Base: partition.log.Base, HighWatermark: partition.accepted,
+				Partition: name, Epoch: partition.placement.Epoch, Base: partition.log.BaseOffset, HighWatermark: partition.highWatermark,
 			})
 		}
-		answer.Topics[position] = partition.recordsOf(each, &credit, position == 0)
+		answer.Topics[position] = partition.fetchTopic(each, &credit, position == 0)
 		s.Counts.FetchRecords += uint64(len(answer.Topics[position].Records))
 	}
 	effects.Send(from, answer)
 }
 
-// serves gives a partition that this store leads and can read for others.
-func (s *Store) serves(name string) (*held, bool) {
-	partition, found := s.partitions[name]
-	if !found || !s.Ready() || !s.isFirst(partition) || partition.firstSince != partition.place.Epoch {
+// servingReplica gives a partition that this store leads and can read for others.
+func (s *Store) servingReplica(name string) (*replica, bool) {
+	partition, found := s.replicas[name]
+	if !found || !s.Ready() || !s.isLeader(partition) || partition.servingEpoch != partition.placement.Epoch {
 		return nil, false
 	}
 	return partition, true
 }
 
-// recordsOf gives a topic's accepted records within a credit of bytes, which it uses
+// fetchTopic gives a topic's accepted records within a credit of bytes, which it uses
 // up. The first record of an answer is given whatever its size.
-func (h *held) recordsOf(asked TopicCursor, credit *int, first bool) TopicRecords {
-	found := TopicRecords{Until: h.accepted, Expired: h.log.gone(asked.After, []string{asked.Topic}, nil)}
+func (h *replica) fetchTopic(asked TopicCursor, credit *int, first bool) TopicRecords {
+	found := TopicRecords{Until: h.highWatermark, Expired: h.log.hasExpired(asked.After, []string{asked.Topic}, nil)}
 	if found.Expired {
 		return found
 	}
-	for _, record := range h.log.of([]string{asked.Topic}, asked.After, h.accepted) {
-		fits := len(record.Data) <= *credit && len(found.Records) < fetchLimit
+	for _, record := range h.log.recordsOf([]string{asked.Topic}, asked.After, h.highWatermark) {
+		fits := len(record.Data) <= *credit && len(found.Records) < maxFetchRecords
 		switch {
 		case found.RemainingBytes == 0 && (fits || first && len(found.Records) == 0):
 			*credit -= len(record.Data)
--- a/internal/partition/topics_test.go
+++ b/internal/partition/topics_test.go
@@ -12,11 +12,11 @@
 
 // asked gives the records of topics after offsets, within a credit, as an answer does.
 func asked(log *log, credit int, topics ...TopicCursor) []TopicRecords {
-	accepted, _ := log.head()
-	partition := &held{log: log, accepted: accepted}
+	accepted, _ := log.end()
+	partition := &replica{log: log, highWatermark: accepted}
 	var found []TopicRecords
 	for position, each := range topics {
-		found = append(found, partition.recordsOf(each, &credit, position == 0))
+		found = append(found, partition.fetchTopic(each, &credit, position == 0))
 	}
 	return found
 }
@@ -81,8 +81,8 @@
 
 func TestAPlaceOfWhichSomethingIsGoneIsToldSo(t *testing.T) {
 	log := threeTopics()
-	log.Trimmed = map[string]trimmed{"a": {Offset: 9}}
-	log.Base = 3
+	log.ExpiredTopics = map[string]expiredTopic{"a": {LastOffset: 9}}
+	log.BaseOffset = 3
 	log.Records = log.Records[3:]
 	found := asked(log, 1000, TopicCursor{Topic: "a", After: 1}, TopicCursor{Topic: "b", After: 4})
 	assert.Assert(t, found[0].Expired && len(found[0].Records) == 0)
