--- a/internal/partition/append.go
+++ b/internal/partition/append.go
@@ -4,8 +4,6 @@
 package partition
 
 import (
-	"slices"
-	"strings"
 	"time"
 
 	"dahlialock/internal/config"
@@ -107,15 +105,6 @@
 	})
 }
 
-// committedAll tells whether a sender's newest message is accepted, so that nothing
-// of it with a lower seq ever will be.
-func (h *replica) committedAll(sender *senderState) bool {
-	if len(sender.Window) == 0 {
-		return true
-	}
-	return h.servingEpoch == h.placement.Epoch && sender.Window[len(sender.Window)-1].Offset <= h.highWatermark
-}
-
 // responseRecord is a record as whoever asked for it to be kept is told of it.
 func responseRecord(partition string, record Record) Record {
 	if config.IsShared(partition) {
@@ -124,73 +113,27 @@
 	return record
 }
 
-func (l *log) stillHolds(record Record) bool {
-	epoch, found := l.epochAt(record.Offset)
-	return !found || epoch == record.Epoch
-}
-
-// replicatedOffset is how far all named copies reach, as far as that is known.
-func (h *replica) replicatedOffset() (uint64, bool) {
-	all := h.syncedOffset
-	for _, copied := range h.followers {
-		if !copied.known {
-			return 0, false
-		}
-		if !statemachine.Mutated("accept-on-one-disk") {
-			all = min(all, copied.acknowledged)
-		}
-	}
-	return all, len(h.followers) == len(h.placement.Followers)
-}
-
-// commitLag is for how long the oldest message that is not accepted has waited.
-func (h *replica) commitLag(now time.Time) time.Duration {
-	if records := h.log.recordsAfter(h.highWatermark); len(records) > 0 && h.servingEpoch == h.placement.Epoch {
-		return now.Sub(records[0].AppendedAt)
-	}
-	return 0
-}
-
-// advanceHighWatermark accepts what is on the disks of all named copies.
-func (s *Store) advanceHighWatermark(now time.Time, partition *replica, effects *statemachine.Effects) {
-	if !s.isLeader(partition) {
-		return
-	}
-	all, known := partition.replicatedOffset()
-	if !known || !partition.placement.Complete || all <= partition.highWatermark && partition.servingEpoch == partition.placement.Epoch {
-		return
-	}
-	// Whatever lay here when this epoch, or this process, began may have been
-	// accepted: until all have it, nobody is told where the partition's head is.
-	if partition.servingEpoch != partition.placement.Epoch && all < partition.epochStart {
-		return
-	}
-	partition.servingEpoch = partition.placement.Epoch
-	from := partition.highWatermark
-	partition.highWatermark = max(partition.highWatermark, all)
+// expirePending tells those that have waited for long that it is unsettled, as soon
+// as this store stops hoping.
+func (s *Store) expirePending(now time.Time, partition *replica, effects *statemachine.Effects) {
 	for offset, waiters := range statemachine.Sorted(partition.pending) {
-		if offset > partition.highWatermark {
-			break
-		}
-		delete(partition.pending, offset)
-		records := partition.log.recordsAfter(offset - 1)
-		if offset <= partition.log.BaseOffset || len(records) == 0 {
-			continue
-		}
-		s.Counts.Accepted++
-		s.decisions.Record(now, "", decisionlog.MessageName(partition.log.Name, records[0].Sender, records[0].Seq), records[0].Sender, "accepted",
-			"partition", partition.log.Name, "epoch", partition.placement.Epoch, "offset", offset, "first", partition.placement.Leader, "followers", strings.Join(partition.placement.Followers, " "))
+		var patient []pendingAppend
 		for _, each := range waiters {
-			effects.Send(each.from, AppendResponse{
-				Partition: partition.log.Name, RequestID: each.requestID, Outcome: OutcomeAccepted, Epoch: partition.placement.Epoch, Record: responseRecord(partition.log.Name, records[0]),
-			})
-		}
-	}
-	if partition.highWatermark > from {
-		for address, watcher := range statemachine.Sorted(s.subscribers) {
-			if slices.Contains(watcher.partitions, partition.log.Name) {
-				s.timers.ArmSooner("heads "+address, now.Add(highWatermarkInterval))
+			if now.Sub(each.receivedAt) < appendTimeout {
+				patient = append(patient, each)
+				continue
 			}
+			effects.Send(each.from, AppendResponse{Partition: partition.log.Name, RequestID: each.requestID, Outcome: OutcomeUnresolved, Code: "follower-silent", Epoch: partition.placement.Epoch})
+		}
+		partition.pending[offset] = patient
+		if len(patient) == 0 {
+			delete(partition.pending, offset)
 		}
 	}
 }
+
+type pendingAppend struct {
+	from       string
+	requestID  uint64
+	receivedAt time.Time
+}
--- a/internal/partition/disk.go
+++ b/internal/partition/disk.go
@@ -39,11 +39,6 @@
 	return nil
 }
 
-func (h *replica) resetLog() *log {
-	h.log = newLog(h.log.Name)
-	return h.log
-}
-
 func (s *Store) logEntry(entry diskEntry, after syncCallback) {
 	packed := transport.MustMarshal(entry)
 	s.entries = append(s.entries, packed)
@@ -148,18 +143,6 @@
 	s.reportSlowDisks(now, effects)
 }
 
-// probeDisk writes a little while this store is taken for degraded, and so has no
-// other writes to tell by whether its disk is well again.
-func (s *Store) probeDisk(now time.Time) {
-	if !s.view.Members[s.settings.Self.Name].Degraded {
-		return
-	}
-	s.timers.Arm("probe", now.Add(diskProbeInterval))
-	if len(s.pendingWrites) == 0 {
-		s.logEntry(diskEntry{Disk: s.disk}, nil)
-	}
-}
-
 // oldestPendingWrite is for how long the disk has owed the oldest write. A checkpoint, and what
 // waits behind it, may take checkpointMost before that counts.
 func (s *Store) oldestPendingWrite(now time.Time) time.Duration {
@@ -183,3 +166,27 @@
 	}
 	return false
 }
+
+type diskEntry struct {
+	_         struct{} `cbor:",toarray"`
+	Disk      string
+	Partition string
+	Record    *Record
+	Snapshot  []byte
+	Drop      bool
+}
+
+type diskSnapshot struct {
+	Disk       string          `cbor:"Disk"`
+	Partitions map[string]*log `cbor:"Partitions"`
+}
+
+type syncCallback func(now time.Time, effects *statemachine.Effects)
+
+// pendingWrite is a write that was not said to last yet, and what waits for it. A checkpoint
+// is as large as all that the store holds.
+type pendingWrite struct {
+	startedAt  time.Time
+	checkpoint bool
+	callbacks  []syncCallback
+}
--- a/internal/partition/topics.go
+++ b/internal/partition/fetch.go
@@ -5,63 +5,49 @@
 package partition
 
 import (
+	"slices"
+
 	"dahlialock/internal/config"
 	"dahlialock/internal/statemachine"
 )
 
-// FetchTopics asks a store for the records of routed topics, each after an offset.
-// Bytes bounds the records of the answer; one record always fits.
-type FetchTopics struct {
-	_         struct{} `cbor:",toarray"`
-	RequestID uint64
-	MaxBytes  int
-	Topics    []TopicCursor
-}
-
-// TopicCursor is a topic and the offset after which its records are wanted.
-type TopicCursor struct {
-	_     struct{} `cbor:",toarray"`
-	Topic string
-	After uint64
-}
-
-// FetchTopicsResponse answers with one entry for each topic, in the order in which
-// they were asked for, and with the state of the partitions that serve here.
-type FetchTopicsResponse struct {
-	_          struct{} `cbor:",toarray"`
-	RequestID  uint64
-	Partitions []PartitionState
-	Topics     []TopicRecords
-}
-
-// PartitionState is what a store tells of a shared partition that it leads.
-type PartitionState struct {
-	_             struct{} `cbor:",toarray"`
-	Partition     string
-	Epoch         uint64
-	Base          uint64
-	HighWatermark uint64
-}
-
-// TopicRecords are all records of a topic up to Until. Gone tells that a record
-// after the asked offset is no longer held, and Left how many bytes of records there
-// are that found no room in the answer.
-type TopicRecords struct {
-	_              struct{} `cbor:",toarray"`
-	Until          uint64
-	Expired        bool
-	RemainingBytes int
-	Records        []Record
-}
-
-// State finds the state of a partition in the answer.
-func (r FetchTopicsResponse) State(partition string) (PartitionState, bool) {
-	for _, state := range r.Partitions {
-		if state.Partition == partition {
-			return state, true
+func (s *Store) handleFetch(from string, fetch Fetch, effects *statemachine.Effects) {
+	s.Counts.Fetches++
+	answer := FetchResponse{Partition: fetch.Partition, RequestID: fetch.RequestID}
+	partition, served := s.servingReplica(fetch.Partition)
+	if !served {
+		effects.Send(from, answer)
+		return
+	}
+	answer.Ready = true
+	answer.Epoch, answer.Base, answer.HighWatermark = partition.placement.Epoch, partition.log.BaseOffset, partition.highWatermark
+	answer.Until = partition.highWatermark
+	var candidates []Record
+	if config.IsShared(fetch.Partition) {
+		answer.Expired = partition.log.hasExpired(fetch.After, fetch.Topics, fetch.Prefixes)
+	}
+	if len(fetch.Prefixes) == 0 && config.IsShared(fetch.Partition) {
+		candidates = partition.log.recordsOf(fetch.Topics, fetch.After, partition.highWatermark)
+	} else {
+		candidates = partition.log.recordsAfter(fetch.After)
+	}
+	size := 0
+	for _, record := range candidates {
+		if record.Offset > partition.highWatermark {
+			break
 		}
+		if record.OffsetOnly || !Matches(record.Topic, fetch.Topics, fetch.Prefixes) || slices.Contains(fetch.SkipOffsets, record.Offset) {
+			continue
+		}
+		if len(answer.Records) == maxFetchRecords || size > maxFetchBytes {
+			answer.Until = record.Offset - 1
+			break
+		}
+		size += len(record.Data)
+		answer.Records = append(answer.Records, record)
 	}
-	return PartitionState{}, false
+	s.Counts.FetchRecords += uint64(len(answer.Records))
+	effects.Send(from, answer)
 }
 
 func (s *Store) handleFetchTopics(from string, asked FetchTopics, effects *statemachine.Effects) {
--- a/internal/partition/messages.go
+++ b/internal/partition/messages.go
@@ -9,6 +9,21 @@
 	"dahlialock/internal/transport"
 )
 
+// Spans of a trail: what is older than TrailFor is known to have been handed
+// over by whoever verified within FreshFor.
+const (
+	DependencyWindow   = 6 * time.Second
+	VerificationWindow = 5 * time.Second
+	MaxDependencies    = 12
+)
+
+// Outcomes of an append.
+const (
+	OutcomeAccepted uint8 = iota + 1
+	OutcomeRejected
+	OutcomeUnresolved
+)
+
 // MessagePosition points at a message of the same sender and space: the number of its
 // partition, its offset and its topic.
 type MessagePosition struct {
@@ -33,14 +48,6 @@
 	Floor    []PartitionOffset
 }
 
-// Spans of a trail: what is older than TrailFor is known to have been handed
-// over by whoever verified within FreshFor.
-const (
-	DependencyWindow   = 6 * time.Second
-	VerificationWindow = 5 * time.Second
-	MaxDependencies    = 12
-)
-
 // Record is one kept message. Prior is the offset of the topic's message
 // before it, and Before are the sender's messages before it, so that whoever
 // receives it sees every hole. A Bare record gives a passing message its offset
@@ -85,13 +92,6 @@
 	return transport.ClassLive
 }
 
-// Outcomes of an append.
-const (
-	OutcomeAccepted uint8 = iota + 1
-	OutcomeRejected
-	OutcomeUnresolved
-)
-
 // AppendResponse answers it. In a shared partition its record carries neither data nor
 // names, since whoever asked has them.
 type AppendResponse struct {
@@ -240,3 +240,58 @@
 	transport.MustRegister(511, FetchTopics{})
 	transport.MustRegister(512, FetchTopicsResponse{})
 }
+
+// FetchTopics asks a store for the records of routed topics, each after an offset.
+// Bytes bounds the records of the answer; one record always fits.
+type FetchTopics struct {
+	_         struct{} `cbor:",toarray"`
+	RequestID uint64
+	MaxBytes  int
+	Topics    []TopicCursor
+}
+
+// TopicCursor is a topic and the offset after which its records are wanted.
+type TopicCursor struct {
+	_     struct{} `cbor:",toarray"`
+	Topic string
+	After uint64
+}
+
+// FetchTopicsResponse answers with one entry for each topic, in the order in which
+// they were asked for, and with the state of the partitions that serve here.
+type FetchTopicsResponse struct {
+	_          struct{} `cbor:",toarray"`
+	RequestID  uint64
+	Partitions []PartitionState
+	Topics     []TopicRecords
+}
+
+// PartitionState is what a store tells of a shared partition that it leads.
+type PartitionState struct {
+	_             struct{} `cbor:",toarray"`
+	Partition     string
+	Epoch         uint64
+	Base          uint64
+	HighWatermark uint64
+}
+
+// TopicRecords are all records of a topic up to Until. Gone tells that a record
+// after the asked offset is no longer held, and Left how many bytes of records there
+// are that found no room in the answer.
+type TopicRecords struct {
+	_              struct{} `cbor:",toarray"`
+	Until          uint64
+	Expired        bool
+	RemainingBytes int
+	Records        []Record
+}
+
+// State finds the state of a partition in the answer.
+func (r FetchTopicsResponse) State(partition string) (PartitionState, bool) {
+	for _, state := range r.Partitions {
+		if state.Partition == partition {
+			return state, true
+		}
+	}
+	return PartitionState{}, false
+}
--- a/internal/partition/leave.go
+++ b/internal/partition/shutdown.go
@@ -12,9 +12,6 @@
 	"dahlialock/internal/statemachine"
 )
 
-// Stop asks the store to end in good order.
-type Stop struct{}
-
 const (
 	// defaultGrace is how long a daemon that was asked to end is let run if nobody says.
 	defaultGrace  = 6 * time.Second
--- a/internal/partition/lag.go
+++ b/internal/partition/slow_disk.go
@@ -24,6 +24,18 @@
 	maxCheckpointTime = 2 * time.Second
 )
 
+// probeDisk writes a little while this store is taken for degraded, and so has no
+// other writes to tell by whether its disk is well again.
+func (s *Store) probeDisk(now time.Time) {
+	if !s.view.Members[s.settings.Self.Name].Degraded {
+		return
+	}
+	s.timers.Arm("probe", now.Add(diskProbeInterval))
+	if len(s.pendingWrites) == 0 {
+		s.logEntry(diskEntry{Disk: s.disk}, nil)
+	}
+}
+
 // smooth lets a new delay count an eighth.
 func smooth(delay, latest time.Duration) time.Duration { return delay + (latest-delay)/8 }
 
--- a/internal/partition/store.go
+++ b/internal/partition/store.go
@@ -10,14 +10,12 @@
 package partition
 
 import (
-	"slices"
 	"strings"
 	"time"
 
 	"dahlialock/internal/config"
 	"dahlialock/internal/controlclient"
 	"dahlialock/internal/decisionlog"
-	"dahlialock/internal/logevent"
 	"dahlialock/internal/membership"
 	"dahlialock/internal/statemachine"
 	"dahlialock/internal/transport"
@@ -44,6 +42,9 @@
 	minRetentionMemory = 5 * time.Minute
 )
 
+// Stop asks the store to end in good order.
+type Stop struct{}
+
 // Settings are a store daemon's settings.
 type Settings struct {
 	Self    membership.Member
@@ -73,92 +74,6 @@
 	Request, Message, Session string
 }
 
-type pendingAppend struct {
-	from       string
-	requestID  uint64
-	receivedAt time.Time
-}
-
-// followerProgress is what a first knows of one follower's copy: how far it lasts there,
-// and what is on its way. Known is set once the follower, as it runs now, has
-// said where it stands.
-type followerProgress struct {
-	name         string
-	replicaID    string
-	incarnation  uint64
-	known        bool
-	acknowledged uint64
-	sent         uint64
-	sentAt       time.Time
-	attempts     int
-	inFlight     []inFlightBatch
-	snapshot     snapshotTransfer
-}
-
-// inFlightBatch is a copy that was not acknowledged yet.
-type inFlightBatch struct {
-	lastOffset uint64
-	sentAt     time.Time
-}
-
-type replica struct {
-	log           *log
-	placement     membership.Placement
-	placedAt      time.Time
-	syncedOffset  uint64
-	followers     []*followerProgress
-	pending       map[uint64][]pendingAppend
-	highWatermark uint64
-	servingEpoch  uint64
-	epochStart    uint64
-	// unassignedSince is since when nobody counts on this log; zero while somebody does.
-	unassignedSince time.Time
-}
-
-type subscriber struct {
-	partitions []string
-	expiresAt  time.Time
-	reported   map[string]reportedOffset
-}
-
-// reportedOffset is what a head watcher knows of one partition; From counts for shared partitions,
-// where a watcher that was told of an epoch may have missed what lay before.
-type reportedOffset struct {
-	epoch  uint64
-	offset uint64
-}
-
-// supersededRetention is how long messages were held by a configuration that is no
-// longer in force, and until when that still counts.
-type supersededRetention struct {
-	retention time.Duration
-	expiresAt time.Time
-}
-
-type diskEntry struct {
-	_         struct{} `cbor:",toarray"`
-	Disk      string
-	Partition string
-	Record    *Record
-	Snapshot  []byte
-	Drop      bool
-}
-
-type diskSnapshot struct {
-	Disk       string          `cbor:"Disk"`
-	Partitions map[string]*log `cbor:"Partitions"`
-}
-
-type syncCallback func(now time.Time, effects *statemachine.Effects)
-
-// pendingWrite is a write that was not said to last yet, and what waits for it. A checkpoint
-// is as large as all that the store holds.
-type pendingWrite struct {
-	startedAt  time.Time
-	checkpoint bool
-	callbacks  []syncCallback
-}
-
 // Counts are running sums for measurements.
 type Counts struct {
 	Appends            uint64 `json:"Appends"`
@@ -244,16 +159,6 @@
 	return store, nil
 }
 
-func newReplica(log *log) *replica { return &replica{log: log, pending: map[uint64][]pendingAppend{}} }
-
-// retryAfter is when to come again to a partition that has too few copies at present.
-func (h *replica) retryAfter() time.Duration {
-	if config.IsShared(h.log.Name) {
-		return sharedRetryAfter
-	}
-	return retryAfter
-}
-
 func (s *Store) load() membership.Load {
 	return membership.Load{Ready: s.Ready(), Requests: s.Counts.Appends}
 }
@@ -367,136 +272,4 @@
 	s.flush(now, effects)
 }
 
-// News.
-
-func (s *Store) handleViewUpdate(now time.Time, news membership.ViewUpdate, effects *statemachine.Effects) {
-	taken := s.view.HandleUpdate(now, news)
-	if taken.Document {
-		s.applyConfiguration(now)
-	}
-	if !taken.View {
-		return
-	}
-	s.detector.SetView(now, s.view.Members, s.view.Upstream(), s.view.Index)
-	firsts, followers := 0, 0
-	for name, place := range statemachine.Sorted(s.view.Placements) {
-		mine := place.HasReplica(s.settings.Self.Name)
-		partition, found := s.replicas[name]
-		if !found && mine {
-			partition = newReplica(newLog(name))
-			s.replicas[name] = partition
-			found = true
-		}
-		if !found {
-			continue
-		}
-		if mine && place.Leader == s.settings.Self.Name {
-			firsts++
-		} else if mine {
-			followers++
-		}
-		s.applyPlacement(now, partition, place, effects)
-	}
-	s.releaseReplicas(now, effects)
-	s.pruneDelays()
-	if s.view.Members[s.settings.Self.Name].Degraded {
-		s.timers.ArmSooner("probe", now.Add(diskProbeInterval))
-	}
-	if firsts != s.leaderCount || followers != s.followerCount {
-		s.leaderCount, s.followerCount = firsts, followers
-		effects.Emit(logevent.PartitionLeader, "partitions", firsts, "follower", followers)
-	}
-}
-
-// applyConfiguration notes for how long shared partitions hold their messages: as
-// long as any routed space in force asks for, and as any that was in force when
-// a message came that may still be asked for.
-func (s *Store) applyConfiguration(now time.Time) {
-	s.configuration, _ = config.Read(s.view.Document)
-	longest := config.DefaultHolding
-	for _, space := range s.configuration.Spaces {
-		if space.Order == config.OrderTopic && space.Retention == config.Durable {
-			longest = max(longest, space.Holding)
-		}
-	}
-	if longest < s.retention {
-		s.supersededRetentions = append(s.supersededRetentions, supersededRetention{retention: s.retention, expiresAt: now.Add(max(s.retention, minRetentionMemory))})
-	}
-	s.retention = longest
-}
-
-// sharedRetention is how long shared partitions hold their messages at present.
-func (s *Store) sharedRetention(now time.Time) time.Duration {
-	s.supersededRetentions = slices.DeleteFunc(s.supersededRetentions, func(past supersededRetention) bool { return now.After(past.expiresAt) })
-	longest := max(s.retention, config.DefaultHolding)
-	for _, past := range s.supersededRetentions {
-		longest = max(longest, past.retention)
-	}
-	return longest
-}
-
-func (s *Store) applyPlacement(now time.Time, partition *replica, place membership.Placement, effects *statemachine.Effects) {
-	changed := place.Epoch != partition.placement.Epoch
-	completed := place.Complete && !partition.placement.Complete
-	partition.placement = place
-	if changed {
-		if place.Leader != s.settings.Self.Name {
-			s.failPending(partition, "moved", effects)
-		}
-		partition.followers = nil
-		partition.placedAt = now
-		partition.servingEpoch = 0
-		partition.epochStart, _ = partition.log.end()
-	}
-	if place.Leader == s.settings.Self.Name {
-		s.updateFollowers(partition)
-	} else if first, found := s.view.Members[place.Leader]; changed && found && slices.Contains(place.Followers, s.settings.Self.Name) {
-		// The first may have asked before this news came.
-		s.sendMismatch(partition, first.Address, effects)
-	}
-	if completed && place.Leader == s.settings.Self.Name {
-		s.advanceHighWatermark(now, partition, effects)
-	}
-}
-
-// isLeader tells whether this store, with the disk that it has now, may act as
-// a partition's first: a store whose disk was wiped is named first by news that
-// does not know of it yet, and holds nothing. Nor does an epoch hold for a life
-// that is not a member yet: it was begun for an earlier one.
-func (s *Store) isLeader(partition *replica) bool {
-	return partition.placement.Leader == s.settings.Self.Name && slices.Contains(partition.placement.InSync, s.replicaID()) && s.isMember()
-}
-
-// isMember tells whether the view names this life of the store.
-func (s *Store) isMember() bool {
-	return s.view.Members[s.settings.Self.Name].Incarnation == s.settings.Self.Incarnation ||
-		statemachine.Mutated("one-epoch-for-all-lives")
-}
-
 func (s *Store) replicaID() string { return s.settings.Self.ReplicaID() }
-
-// Partitions tells of every partition held here, for ctl and the simulator's checks.
-func (s *Store) Partitions() map[string]PartitionStatus {
-	statuses := map[string]PartitionStatus{}
-	for name, partition := range s.replicas {
-		head, _ := partition.log.end()
-		statuses[name] = PartitionStatus{
-			Epoch: partition.placement.Epoch, Leader: s.isLeader(partition), Complete: partition.placement.Complete,
-			Base: partition.log.BaseOffset, LastOffset: head, HighWatermark: partition.highWatermark,
-			Serving: s.Ready() && s.isLeader(partition) && partition.placement.Complete && partition.servingEpoch == partition.placement.Epoch,
-		}
-	}
-	return statuses
-}
-
-// PartitionStatus is one partition as a store sees it.
-type PartitionStatus struct {
-	Epoch         uint64 `json:"epoch"`
-	Leader        bool   `json:"first"`
-	Complete      bool   `json:"complete"`
-	Base          uint64 `json:"base"`
-	LastOffset    uint64 `json:"head"`
-	HighWatermark uint64 `json:"accepted"`
-	// Serving says that the store accepts messages at present.
-	Serving bool `json:"serving"`
-}
--- /dev/null
+++ b/internal/partition/topic.go
@@ -0,0 +1,49 @@
+package partition
+
+import (
+	"hash/fnv"
+	"strconv"
+	"strings"
+)
+
+// Matches tells whether a topic is among the named topics or under a prefix.
+func Matches(topic string, topics, prefixes []string) bool {
+	for _, wanted := range topics {
+		if wanted == topic {
+			return true
+		}
+	}
+	for _, prefix := range prefixes {
+		if HasTopicPrefix(topic, prefix) {
+			return true
+		}
+	}
+	return false
+}
+
+// HasTopicPrefix tells whether a topic lies under a prefix, which ends at a whole part
+// of the path.
+func HasTopicPrefix(topic, prefix string) bool {
+	return prefix == "" || topic == prefix || strings.HasPrefix(topic, prefix) && topic[len(prefix)] == '/'
+}
+
+// ForTopic is the partition of a space in which a topic's messages are kept.
+func ForTopic(topic string, partitions int) int {
+	sum := fnv.New64a()
+	_, _ = sum.Write([]byte(topic))
+	mixed := sum.Sum64()
+	mixed ^= mixed >> 33
+	mixed *= 0xc4ceb9fe1a85ec53
+	mixed ^= mixed >> 33
+	return int(mixed % uint64(partitions))
+}
+
+// NumberOf is the number at the end of a partition's name.
+func NumberOf(name string) uint8 {
+	_, text, _ := strings.Cut(name, "/")
+	number, err := strconv.ParseUint(text, 10, 8)
+	if err != nil {
+		panic("a partition's name without a number: " + name)
+	}
+	return uint8(number)
+}
