--- a/internal/partition/append.go
+++ b/internal/partition/append.go
@@ -1,6 +1,3 @@
-// Appending: a first gives a message its offset, and accepts it once every named
-// copy lies on its disk.
-
 package partition
 
 import (
@@ -11,93 +8,139 @@
 	"dahlialock/internal/statemachine"
 )
 
-// failPending tells those that wait on a partition that this store can't say.
-func (s *Store) failPending(partition *replica, code string, effects *statemachine.Effects) {
-	for offset, waiters := range statemachine.Sorted(partition.pending) {
-		delete(partition.pending, offset)
-		for _, each := range waiters {
-			effects.Send(each.from, AppendResponse{Partition: partition.log.Name, RequestID: each.requestID, Outcome: OutcomeUnresolved, Code: code, Epoch: partition.placement.Epoch})
-		}
-	}
+const (
+	// notLeaderRetryAfter is when to append again after CodeNotLeader or CodeSequencePassed.
+	notLeaderRetryAfter = 200 * time.Millisecond
+	// maxCommitLag is for how long the oldest record may wait for its followers before further
+	// appends are rejected. An incomplete partition queues appends for as long.
+	maxCommitLag = 400 * time.Millisecond
+	// appendTimeout is when an append that waits is answered OutcomeUnresolved.
+	appendTimeout = 600 * time.Millisecond
+)
+
+// pendingAppend is an append that waits for its record to be accepted.
+type pendingAppend struct {
+	from       string
+	requestID  uint64
+	receivedAt time.Time
 }
 
+// rejection says why an append is rejected, and when to send it again; zero if never.
+type rejection struct {
+	code       string
+	retryAfter time.Duration
+}
+
+// handleAppend gives a message its offset, or finds the record that it is a duplicate of. The
+// response follows once the record is accepted.
 func (s *Store) handleAppend(now time.Time, from string, request Append, effects *statemachine.Effects) {
 	s.Counts.Appends++
 	partition, found := s.replicas[request.Partition]
-	refuse := func(code string, back time.Duration) {
-		s.Counts.Rejected++
-		epoch := uint64(0)
-		if found {
-			epoch = partition.placement.Epoch
-		}
-		s.decisions.Record(now, "", decisionlog.MessageName(request.Partition, request.Sender, request.Seq), request.Sender, "not-kept", "partition", request.Partition, "code", code, "epoch", epoch)
-		effects.Send(from, AppendResponse{Partition: request.Partition, RequestID: request.RequestID, Outcome: OutcomeRejected, Code: code, RetryAfter: back, Epoch: epoch})
-	}
 	if !s.Ready() || !found || !s.isLeader(partition) {
-		refuse("not-first", 200*time.Millisecond)
+		reason := rejection{code: CodeNotLeader, retryAfter: notLeaderRetryAfter}
+		s.rejectAppend(now, from, request, reason, effects)
 		return
 	}
 	if request.OffsetOnly {
 		request.Data = nil
 	}
-	sender, known := partition.log.Senders[partition.log.senderKey(request.Topic, request.Sender)]
-	if !known {
-		sender = &senderState{}
-	}
-	if memory, known := sender.find(request.Seq); known && !statemachine.Mutated("no-resend-memory") {
-		if memory.Digest != MessageDigest(request.Topic, request.Data) {
-			refuse("seq-reused", 0)
-			return
-		}
-		if memory.Offset <= partition.highWatermark && partition.placement.Complete {
-			s.Counts.Duplicates++
-			records := partition.log.recordsAfter(memory.Offset - 1)
-			answer := AppendResponse{Partition: request.Partition, RequestID: request.RequestID, Outcome: OutcomeAccepted, Epoch: partition.placement.Epoch, Duplicate: true}
-			if memory.Offset > partition.log.BaseOffset && len(records) > 0 {
-				answer.Record = responseRecord(request.Partition, records[0])
-			} else {
-				answer.Record = Record{Offset: memory.Offset, Topic: request.Topic, Sender: request.Sender, Seq: request.Seq}
-			}
-			effects.Send(from, answer)
-			return
-		}
-		partition.pending[memory.Offset] = append(partition.pending[memory.Offset], pendingAppend{from: from, requestID: request.RequestID, receivedAt: now})
-		s.timers.ArmSooner("copy", now.Add(replicateInterval))
+	sender := partition.log.sender(request.Topic, request.Sender)
+	if entry, known := sender.find(request.Seq); known && !statemachine.Mutated("no-resend-memory") {
+		s.handleDuplicate(now, from, request, entry, effects)
 		return
 	}
-	if (request.Seq <= sender.LastSeq || request.DuplicateOnly) && !statemachine.Mutated("no-resend-memory") {
-		if config.IsShared(request.Partition) && !partition.committedAll(sender) {
-			// The later one may still come to nothing, and then an earlier try of
-			// this one may be accepted by another first.
-			refuse("passed", 200*time.Millisecond)
-			return
-		}
-		refuse("old-seq", 0)
+	if reason, rejected := s.checkAppend(now, partition, sender, request); rejected {
+		s.rejectAppend(now, from, request, reason, effects)
 		return
 	}
-	if s.diskUnavailable {
-		refuse("disk-refuses", partition.retryAfter())
+	s.appendRecord(now, from, request)
+}
+
+// handleDuplicate answers a message that was appended before: at once if it is accepted, and
+// otherwise together with the earlier request.
+func (s *Store) handleDuplicate(
+	now time.Time, from string, request Append, entry dedupEntry, effects *statemachine.Effects,
+) {
+	partition := s.replicas[request.Partition]
+	if entry.Digest != MessageDigest(request.Topic, request.Data) {
+		s.rejectAppend(now, from, request, rejection{code: CodeSequenceReused}, effects)
 		return
 	}
-	// What comes while the copies are being made waits for them, but not for
-	// long, and not where they can't be made.
-	if !partition.placement.Complete && (now.Sub(partition.placedAt) > maxCommitLag || !s.followersAlive(partition)) {
-		refuse("follower-incomplete", partition.retryAfter())
+	if entry.Offset > partition.highWatermark || !partition.placement.Complete {
+		partition.await(entry.Offset, pendingAppend{from: from, requestID: request.RequestID, receivedAt: now})
+		s.timers.ArmSooner(timerReplicate, now.Add(replicateInterval))
 		return
 	}
+	s.Counts.Duplicates++
+	response := AppendResponse{
+		Partition: request.Partition,
+		RequestID: request.RequestID,
+		Outcome:   OutcomeAccepted,
+		Epoch:     partition.placement.Epoch,
+		Duplicate: true,
+	}
+	if record, retained := partition.log.recordAt(entry.Offset); retained {
+		response.Record = responseRecord(request.Partition, record)
+	} else {
+		response.Record = Record{
+			Offset: entry.Offset,
+			Topic:  request.Topic,
+			Sender: request.Sender,
+			Seq:    request.Seq,
+		}
+	}
+	effects.Send(from, response)
+}
+
+// checkAppend tells whether a message that isn't a duplicate must be rejected.
+func (s *Store) checkAppend(
+	now time.Time, partition *replica, sender *senderState, request Append,
+) (reason rejection, rejected bool) {
+	stale := request.Seq <= sender.LastSeq || request.DuplicateOnly
+	if stale && !statemachine.Mutated("no-resend-memory") {
+		if config.IsShared(request.Partition) && !partition.acceptedAll(sender) {
+			// The later message may still be lost, and then another leader may accept an
+			// earlier attempt of this one.
+			return rejection{code: CodeSequencePassed, retryAfter: notLeaderRetryAfter}, true
+		}
+		return rejection{code: CodeSequenceStale}, true
+	}
+	if s.writes.unavailable {
+		return rejection{code: CodeDiskUnavailable, retryAfter: partition.retryAfter()}, true
+	}
+	// Appends to an incomplete partition wait for its followers, but not for long, and not
+	// where a follower can't be reached.
+	late := now.Sub(partition.placedAt) > maxCommitLag
+	if !partition.placement.Complete && (late || !s.followersAlive(partition)) {
+		return rejection{code: CodeFollowerIncomplete, retryAfter: partition.retryAfter()}, true
+	}
 	if partition.commitLag(now) > maxCommitLag {
-		refuse("follower-silent", partition.retryAfter())
-		return
+		return rejection{code: CodeFollowerSilent, retryAfter: partition.retryAfter()}, true
 	}
-	head, _ := partition.log.end()
+	return rejection{}, false
+}
+
+// appendRecord appends a message to the leader's log and disk.
+func (s *Store) appendRecord(now time.Time, from string, request Append) {
+	partition := s.replicas[request.Partition]
+	lastOffset, _ := partition.log.end()
 	record := Record{
-		Offset: head + 1, Epoch: partition.placement.Epoch, Topic: request.Topic, Sender: request.Sender, Seq: request.Seq,
-		Data: request.Data, AppendedAt: now, PreviousInTopic: partition.log.lastOffsetOf(request.Topic), Dependencies: request.Dependencies, OffsetOnly: request.OffsetOnly,
+		Offset:          lastOffset + 1,
+		Epoch:           partition.placement.Epoch,
+		Topic:           request.Topic,
+		Sender:          request.Sender,
+		Seq:             request.Seq,
+		Data:            request.Data,
+		AppendedAt:      now,
+		PreviousInTopic: partition.log.lastOffsetOf(request.Topic),
+		Dependencies:    request.Dependencies,
+		OffsetOnly:      request.OffsetOnly,
 	}
 	partition.log.append(record)
-	partition.pending[record.Offset] = append(partition.pending[record.Offset], pendingAppend{from: from, requestID: request.RequestID, receivedAt: now})
+	partition.await(record.Offset, pendingAppend{from: from, requestID: request.RequestID, receivedAt: now})
 	s.toReplicate[request.Partition] = true
-	s.logEntry(diskEntry{Partition: request.Partition, Record: &record}, func(now time.Time, effects *statemachine.Effects) {
+	s.logEntry(diskEntry{Partition: request.Partition, Record: &record})
+	s.afterSync(func(now time.Time, effects *statemachine.Effects) {
 		if partition.log.stillHolds(record) {
 			partition.syncedOffset = max(partition.syncedOffset, record.Offset)
 			s.advanceHighWatermark(now, partition, effects)
@@ -105,7 +148,33 @@
 	})
 }
 
-// responseRecord is a record as whoever asked for it to be kept is told of it.
+// rejectAppend answers an append that this store takes nothing from.
+func (s *Store) rejectAppend(
+	now time.Time, from string, request Append, reason rejection, effects *statemachine.Effects,
+) {
+	s.Counts.Rejected++
+	epoch := uint64(0)
+	if partition, found := s.replicas[request.Partition]; found {
+		epoch = partition.placement.Epoch
+	}
+	message := decisionlog.MessageName(request.Partition, request.Sender, request.Seq)
+	s.decisions.Record(now, "", message, request.Sender, "not-kept",
+		"partition", request.Partition,
+		"code", reason.code,
+		"epoch", epoch,
+	)
+	effects.Send(from, AppendResponse{
+		Partition:  request.Partition,
+		RequestID:  request.RequestID,
+		Outcome:    OutcomeRejected,
+		Code:       reason.code,
+		RetryAfter: reason.retryAfter,
+		Epoch:      epoch,
+	})
+}
+
+// responseRecord is a record as a response carries it. Of a shared partition's the data and
+// the names are left out, since whoever sent the request has them.
 func responseRecord(partition string, record Record) Record {
 	if config.IsShared(partition) {
 		record.Data, record.Topic, record.Sender, record.AppendedAt = nil, "", "", time.Time{}
@@ -113,27 +182,47 @@
 	return record
 }
 
-// expirePending tells those that have waited for long that it is unsettled, as soon
-// as this store stops hoping.
+// await has an append answered once the record at an offset is accepted.
+func (r *replica) await(offset uint64, waiting pendingAppend) {
+	r.pending[offset] = append(r.pending[offset], waiting)
+}
+
+// unresolved is the response to an append whose record may be accepted or lost.
+func (r *replica) unresolved(waiting pendingAppend, code string) AppendResponse {
+	return AppendResponse{
+		Partition: r.log.Name,
+		RequestID: waiting.requestID,
+		Outcome:   OutcomeUnresolved,
+		Code:      code,
+		Epoch:     r.placement.Epoch,
+	}
+}
+
+// failPending answers all appends that wait on a partition, since this store won't come to
+// know what becomes of them.
+func (s *Store) failPending(partition *replica, code string, effects *statemachine.Effects) {
+	for offset, waiting := range statemachine.Sorted(partition.pending) {
+		delete(partition.pending, offset)
+		for _, each := range waiting {
+			effects.Send(each.from, partition.unresolved(each, code))
+		}
+	}
+}
+
+// expirePending answers the appends that have waited for appendTimeout.
 func (s *Store) expirePending(now time.Time, partition *replica, effects *statemachine.Effects) {
-	for offset, waiters := range statemachine.Sorted(partition.pending) {
-		var patient []pendingAppend
-		for _, each := range waiters {
+	for offset, waiting := range statemachine.Sorted(partition.pending) {
+		var remaining []pendingAppend
+		for _, each := range waiting {
 			if now.Sub(each.receivedAt) < appendTimeout {
-				patient = append(patient, each)
+				remaining = append(remaining, each)
 				continue
 			}
-			effects.Send(each.from, AppendResponse{Partition: partition.log.Name, RequestID: each.requestID, Outcome: OutcomeUnresolved, Code: "follower-silent", Epoch: partition.placement.Epoch})
+			effects.Send(each.from, partition.unresolved(each, CodeFollowerSilent))
 		}
-		partition.pending[offset] = patient
-		if len(patient) == 0 {
+		partition.pending[offset] = remaining
+		if len(remaining) == 0 {
 			delete(partition.pending, offset)
 		}
 	}
 }
-
-type pendingAppend struct {
-	from       string
-	requestID  uint64
-	receivedAt time.Time
-}
--- a/internal/partition/dedup.go
+++ b/internal/partition/dedup.go
@@ -9,6 +9,14 @@
 	"dahlialock/internal/config"
 )
 
+const (
+	// dedupWindow is the least time for which a sequence number is recognised as a duplicate.
+	dedupWindow = 60 * time.Second
+	// senderStateRetention is for how long the last sequence number of a silent sender is known.
+	senderStateRetention = 10 * time.Minute
+)
+
+// dedupEntry is one appended message of a sender's deduplication window.
 type dedupEntry struct {
 	_          struct{} `cbor:",toarray"`
 	Seq        uint64
@@ -17,24 +25,55 @@
 	AppendedAt time.Time
 }
 
+// senderState is what a log knows of a sender; in a shared partition, of a sender's topic.
 type senderState struct {
 	_            struct{} `cbor:",toarray"`
 	LastSeq      uint64
 	LastAppendAt time.Time
-	Window       []dedupEntry
+	// Window holds the newest appends. Their sequence numbers and offsets rise, since lower
+	// sequence numbers are rejected.
+	Window []dedupEntry
 }
 
-// find looks for an accepted seq; they rise, since lower ones are refused.
-func (ss *senderState) find(seq uint64) (dedupEntry, bool) {
-	place, found := slices.BinarySearchFunc(ss.Window, seq, func(memory dedupEntry, seq uint64) int { return cmp.Compare(memory.Seq, seq) })
+// add enters a record that was appended.
+func (s *senderState) add(record Record) {
+	s.LastSeq = max(s.LastSeq, record.Seq)
+	s.LastAppendAt = record.AppendedAt
+	s.Window = append(s.Window, dedupEntry{
+		Seq:        record.Seq,
+		Offset:     record.Offset,
+		Digest:     MessageDigest(record.Topic, record.Data),
+		AppendedAt: record.AppendedAt,
+	})
+}
+
+// find looks up an appended sequence number.
+func (s *senderState) find(seq uint64) (dedupEntry, bool) {
+	position, found := slices.BinarySearchFunc(s.Window, seq, func(entry dedupEntry, seq uint64) int {
+		return cmp.Compare(entry.Seq, seq)
+	})
 	if !found {
 		return dedupEntry{}, false
 	}
-	return ss.Window[place], true
+	return s.Window[position], true
+}
+
+// expire drops the oldest entries that are older than the window and whose records were
+// dropped, too.
+func (s *senderState) expire(now time.Time, window time.Duration, baseOffset uint64) {
+	count := 0
+	for count < len(s.Window) {
+		entry := s.Window[count]
+		if now.Sub(entry.AppendedAt) <= window || entry.Offset > baseOffset {
+			break
+		}
+		count++
+	}
+	s.Window = slices.Delete(s.Window, 0, count)
 }
 
-// senderKey names whom a log remembers a seq for: in a shared partition each of a
-// sender's topics stands for itself.
+// senderKey is the key of Senders: in a shared partition each of a sender's topics has a
+// state of its own.
 func (l *log) senderKey(topic, sender string) string {
 	if config.IsShared(l.Name) {
 		return topic + "\n" + sender
@@ -42,7 +81,16 @@
 	return sender
 }
 
-// MessageDigest tells two messages of one seq apart.
+// sender gives the state of a sender, empty if it is not known.
+func (l *log) sender(topic, name string) *senderState {
+	if state, known := l.Senders[l.senderKey(topic, name)]; known {
+		return state
+	}
+	return &senderState{}
+}
+
+// MessageDigest is a hash of a message's topic and data, by which two different messages
+// under the same sequence number are told apart.
 func MessageDigest(topic string, data []byte) uint64 {
 	sum := fnv.New64a()
 	_, _ = sum.Write([]byte(topic))
--- a/internal/partition/disk.go
+++ b/internal/partition/disk.go
@@ -1,6 +1,3 @@
-// The disk of a store: what a step logs goes out as one write, and a frame that
-// stands for all of it when the log has grown long.
-
 package partition
 
 import (
@@ -10,6 +7,86 @@
 	"dahlialock/internal/transport"
 )
 
+// minCheckpointBytes is how long the log on disk grows at least before a snapshot replaces it.
+const minCheckpointBytes = 8 << 20
+
+// diskEntry is one entry of the log on disk: the name of the disk, or a change to one
+// partition, which is an appended record, a snapshot in place of its log, or its removal.
+type diskEntry struct {
+	_         struct{} `cbor:",toarray"`
+	Disk      string
+	Partition string
+	Record    *Record
+	Snapshot  []byte
+	Drop      bool
+}
+
+// diskSnapshot is all that a store holds. It replaces the entries before it.
+type diskSnapshot struct {
+	Disk       string          `cbor:"Disk"`
+	Partitions map[string]*log `cbor:"Partitions"`
+}
+
+// syncCallback is run once the writes before it are synced.
+type syncCallback func(now time.Time, effects *statemachine.Effects)
+
+// pendingWrite is a write that isn't synced yet, and what waits for it.
+type pendingWrite struct {
+	// startedAt counts from the end of a checkpoint before it: see excuseCheckpoint.
+	startedAt time.Time
+	// checkpoint is set for a snapshot, which is as large as all that the store holds.
+	checkpoint bool
+	callbacks  []syncCallback
+}
+
+// writeQueue is the state of the store's writes to disk.
+type writeQueue struct {
+	// entries and callbacks are those of the present step; flush empties them.
+	entries   [][]byte
+	callbacks []syncCallback
+	// token is that of the newest write, and pending are the writes that aren't synced, by
+	// token. The disk syncs them in order.
+	token   uint64
+	pending map[uint64]*pendingWrite
+	// syncedStartedAt is when the newest synced write was started, or when there was nothing
+	// to wait for.
+	syncedStartedAt time.Time
+	// unavailable is set while the disk takes no writes.
+	unavailable bool
+	// logBytes is the length of the log since the last checkpoint; the next one follows once
+	// it exceeds checkpointBytes.
+	logBytes        int
+	checkpointBytes int
+}
+
+func newWriteQueue() writeQueue {
+	return writeQueue{pending: map[uint64]*pendingWrite{}, checkpointBytes: minCheckpointBytes}
+}
+
+// restore reads what the disk holds.
+func (s *Store) restore(snapshot []byte, entries [][]byte) error {
+	if len(snapshot) > 0 {
+		var stored diskSnapshot
+		if err := transport.Unmarshal(snapshot, &stored); err != nil {
+			return ErrorUnreadable.Wrap(err, "decode the snapshot of the store's disk")
+		}
+		s.disk = stored.Disk
+		for name, log := range stored.Partitions {
+			s.replicas[name] = newReplica(log)
+		}
+	}
+	for position, packed := range entries {
+		if err := s.replay(packed); err != nil {
+			return ErrorUnreadable.Wrap(err, "decode entry %d of the store's disk", position)
+		}
+	}
+	for _, partition := range s.replicas {
+		partition.syncedOffset, _ = partition.log.end()
+	}
+	return nil
+}
+
+// replay applies one entry that was read from disk.
 func (s *Store) replay(packed []byte) error {
 	var entry diskEntry
 	if err := transport.Unmarshal(packed, &entry); err != nil {
@@ -27,166 +104,149 @@
 	}
 	partition, found := s.replicas[entry.Partition]
 	if !found {
-		partition = newReplica(newLog(entry.Partition))
-		s.replicas[entry.Partition] = partition
+		partition = s.addReplica(entry.Partition)
 	}
 	if entry.Snapshot != nil {
 		return transport.Unmarshal(entry.Snapshot, partition.resetLog())
 	}
-	if head, _ := partition.log.end(); entry.Record != nil && entry.Record.Offset == head+1 {
+	lastOffset, _ := partition.log.end()
+	if entry.Record != nil && entry.Record.Offset == lastOffset+1 {
 		partition.log.append(*entry.Record)
 	}
 	return nil
 }
 
-func (s *Store) logEntry(entry diskEntry, after syncCallback) {
+// logEntry adds an entry to the write of the present step.
+func (s *Store) logEntry(entry diskEntry) {
 	packed := transport.MustMarshal(entry)
-	s.entries = append(s.entries, packed)
-	s.logBytes += len(packed)
-	if after != nil {
-		s.callbacks = append(s.callbacks, after)
-	}
+	s.writes.entries = append(s.writes.entries, packed)
+	s.writes.logBytes += len(packed)
+}
+
+// afterSync has a callback run once all that was logged so far is synced.
+func (s *Store) afterSync(callback syncCallback) {
+	s.writes.callbacks = append(s.writes.callbacks, callback)
 }
 
-// flush ends a step: what was logged goes to the disk as one write, and what
-// was appended goes to the followers as one copy a partition.
+// flush gives whatever the step logged to the disk as one write. Where it logged nothing, its
+// callbacks wait for the newest write, or run at once if that is synced.
 func (s *Store) flush(now time.Time, effects *statemachine.Effects) {
-	for name := range statemachine.Sorted(s.toReplicate) {
-		if partition, found := s.replicas[name]; found {
-			s.replicate(now, partition, effects)
+	entries, callbacks := s.writes.entries, s.writes.callbacks
+	s.writes.entries, s.writes.callbacks = nil, nil
+	if len(entries) > 0 {
+		s.write(now, callbacks, statemachine.Write{Entries: entries}, effects)
+		if s.writes.logBytes > s.writes.checkpointBytes {
+			s.checkpoint(now, effects)
 		}
+		return
 	}
-	clear(s.toReplicate)
-	if len(s.entries) == 0 {
-		afters := s.callbacks
-		s.callbacks = nil
-		if writing, found := s.pendingWrites[s.writeToken]; found {
-			writing.callbacks = append(writing.callbacks, afters...)
-			return
-		}
-		s.syncedWriteStart = now
-		for _, after := range afters {
-			after(now, effects)
-		}
+	if newest, found := s.writes.pending[s.writes.token]; found {
+		newest.callbacks = append(newest.callbacks, callbacks...)
 		return
 	}
-	s.write(now, s.callbacks, statemachine.Write{Entries: s.entries}, effects)
-	s.entries, s.callbacks = nil, nil
-	if s.logBytes > s.checkpointBytes {
-		s.checkpoint(now, effects)
+	s.writes.syncedStartedAt = now
+	for _, callback := range callbacks {
+		callback(now, effects)
 	}
 }
 
-func (s *Store) write(now time.Time, afters []syncCallback, write statemachine.Write, effects *statemachine.Effects) {
-	s.writeToken++
+// write starts a write. It is synced once the store is given its token.
+func (s *Store) write(
+	now time.Time, callbacks []syncCallback, write statemachine.Write, effects *statemachine.Effects,
+) {
+	s.writes.token++
 	s.Counts.Writes++
-	s.pendingWrites[s.writeToken] = &pendingWrite{startedAt: now, checkpoint: write.BuildSnapshot != nil, callbacks: afters}
-	write.Token = s.writeToken
+	s.writes.pending[s.writes.token] = &pendingWrite{
+		startedAt:  now,
+		checkpoint: write.BuildSnapshot != nil,
+		callbacks:  callbacks,
+	}
+	write.Token = s.writes.token
 	effects.Writes = append(effects.Writes, write)
-	s.timers.ArmSooner("copy", now.Add(replicateInterval))
+	s.timers.ArmSooner(timerReplicate, now.Add(replicateInterval))
 }
 
+// checkpoint starts to write a snapshot of all replicas, which replaces the log on disk. The
+// snapshot is encoded outside the store's steps, so it gets clones of the logs.
 func (s *Store) checkpoint(now time.Time, effects *statemachine.Effects) {
-	s.logBytes = 0
-	frame := diskSnapshot{Disk: s.disk, Partitions: map[string]*log{}}
+	s.writes.logBytes = 0
+	snapshot := diskSnapshot{Disk: s.disk, Partitions: map[string]*log{}}
 	size := 0
 	for name, partition := range s.replicas {
-		frame.Partitions[name] = partition.log.clone()
+		snapshot.Partitions[name] = partition.log.clone()
 		for _, record := range partition.log.Records {
 			size += len(record.Data)
 		}
 	}
-	// The log may grow as long as the frame that would take its place.
-	s.checkpointBytes = max(minCheckpointBytes, size)
-	s.write(now, nil, statemachine.Write{BuildSnapshot: func() []byte { return transport.MustMarshal(frame) }}, effects)
+	// The log may grow as long as the snapshot that would replace it.
+	s.writes.checkpointBytes = max(minCheckpointBytes, size)
+	build := func() []byte { return transport.MustMarshal(snapshot) }
+	s.write(now, nil, statemachine.Write{BuildSnapshot: build}, effects)
 }
 
+// handleSynced runs what waited for a write.
 func (s *Store) handleSynced(now time.Time, token uint64, effects *statemachine.Effects) {
-	written, found := s.pendingWrites[token]
+	written, found := s.writes.pending[token]
 	if !found {
 		return
 	}
-	delete(s.pendingWrites, token)
-	s.diskUnavailable = false
+	delete(s.writes.pending, token)
+	s.writes.unavailable = false
 	if written.checkpoint && !statemachine.Mutated("checkpoints-lag") {
 		s.excuseCheckpoint(now, written)
 	} else {
-		s.diskDelay = smooth(s.diskDelay, now.Sub(written.startedAt))
-		s.syncedWriteStart = written.startedAt
+		s.diskTimes.own = smooth(s.diskTimes.own, now.Sub(written.startedAt))
+		s.writes.syncedStartedAt = written.startedAt
 	}
-	for _, after := range written.callbacks {
-		after(now, effects)
+	for _, callback := range written.callbacks {
+		callback(now, effects)
 	}
 }
 
-// excuseCheckpoint begins the time of the writes that waited behind a checkpoint anew: how
-// long that took says how much the store holds, and not that its disk is slow.
+// excuseCheckpoint counts the time of the writes behind a checkpoint from its end on: how long
+// it took says how much the store holds, and not that its disk is slow.
 func (s *Store) excuseCheckpoint(now time.Time, checkpoint *pendingWrite) {
 	if now.Sub(checkpoint.startedAt) > maxCheckpointTime {
 		return
 	}
-	s.syncedWriteStart = now
-	for _, waited := range s.pendingWrites {
-		waited.startedAt = now
+	s.writes.syncedStartedAt = now
+	for _, waiting := range s.writes.pending {
+		waiting.startedAt = now
 	}
 }
 
-// handleDiskUnavailable is told again and again while the disk takes no write: nothing
-// is lost of what it has, but this store can accept nothing more.
+// handleDiskUnavailable is called again and again while the disk takes no writes. What it
+// holds isn't lost, but this store can accept nothing more.
 func (s *Store) handleDiskUnavailable(now time.Time, effects *statemachine.Effects) {
-	s.diskUnavailable = true
+	s.writes.unavailable = true
 	for _, partition := range statemachine.Sorted(s.replicas) {
 		if s.isLeader(partition) {
-			s.failPending(partition, "disk-refuses", effects)
+			s.failPending(partition, CodeDiskUnavailable, effects)
 		}
 	}
 	s.reportSlowDisks(now, effects)
 }
 
-// oldestPendingWrite is for how long the disk has owed the oldest write. A checkpoint, and what
-// waits behind it, may take checkpointMost before that counts.
-func (s *Store) oldestPendingWrite(now time.Time) time.Duration {
+// oldestWriteAge is the age of the oldest write that isn't synced. Of a checkpoint, and of
+// the writes behind it, only what exceeds maxCheckpointTime counts.
+func (s *Store) oldestWriteAge(now time.Time) time.Duration {
 	var oldest time.Duration
-	for token, written := range s.pendingWrites {
-		owed := now.Sub(written.startedAt)
+	for token, written := range s.writes.pending {
+		age := now.Sub(written.startedAt)
 		if s.behindCheckpoint(token) && !statemachine.Mutated("checkpoints-lag") {
-			owed -= maxCheckpointTime
+			age -= maxCheckpointTime
 		}
-		oldest = max(oldest, owed)
+		oldest = max(oldest, age)
 	}
 	return oldest
 }
 
 // behindCheckpoint tells whether a write is a checkpoint or waits for one.
 func (s *Store) behindCheckpoint(token uint64) bool {
-	for earlier, written := range s.pendingWrites {
+	for earlier, written := range s.writes.pending {
 		if written.checkpoint && earlier <= token {
 			return true
 		}
 	}
 	return false
 }
-
-type diskEntry struct {
-	_         struct{} `cbor:",toarray"`
-	Disk      string
-	Partition string
-	Record    *Record
-	Snapshot  []byte
-	Drop      bool
-}
-
-type diskSnapshot struct {
-	Disk       string          `cbor:"Disk"`
-	Partitions map[string]*log `cbor:"Partitions"`
-}
-
-type syncCallback func(now time.Time, effects *statemachine.Effects)
-
-// pendingWrite is a write that was not said to last yet, and what waits for it. A checkpoint
-// is as large as all that the store holds.
-type pendingWrite struct {
-	startedAt  time.Time
-	checkpoint bool
-	callbacks  []syncCallback
-}
--- a/internal/partition/fetch.go
+++ b/internal/partition/fetch.go
@@ -1,7 +1,3 @@
-// Fetching many routed topics at once. A gateway asks one store for all the topics
-// that it lacks there; the answer says of every topic whether its place is still
-// held, and carries records for as many bytes as the gateway has room for.
-
 package partition
 
 import (
@@ -11,98 +7,138 @@
 	"dahlialock/internal/statemachine"
 )
 
-func (s *Store) handleFetch(from string, fetch Fetch, effects *statemachine.Effects) {
-	s.Counts.Fetches++
-	answer := FetchResponse{Partition: fetch.Partition, RequestID: fetch.RequestID}
-	partition, served := s.servingReplica(fetch.Partition)
-	if !served {
-		effects.Send(from, answer)
-		return
+const (
+	// maxFetchRecords bounds the records of one response to Fetch, and those of one topic in a
+	// response to FetchTopics.
+	maxFetchRecords = 512
+	// maxFetchBytes is how many bytes of data a response to Fetch holds before it ends. The last
+	// record may exceed it.
+	maxFetchBytes = 1 << 20
+)
+
+// servingReplica gives a partition that this store leads and whose records may be read.
+func (s *Store) servingReplica(name string) (*replica, bool) {
+	partition, found := s.replicas[name]
+	if !found || !s.Ready() || !s.isLeader(partition) || !partition.established() {
+		return nil, false
 	}
-	answer.Ready = true
-	answer.Epoch, answer.Base, answer.HighWatermark = partition.placement.Epoch, partition.log.BaseOffset, partition.highWatermark
-	answer.Until = partition.highWatermark
-	var candidates []Record
-	if config.IsShared(fetch.Partition) {
-		answer.Expired = partition.log.hasExpired(fetch.After, fetch.Topics, fetch.Prefixes)
+	return partition, true
+}
+
+// handleFetch answers a gateway with the records after its offset that match its interest.
+func (s *Store) handleFetch(from string, request Fetch, effects *statemachine.Effects) {
+	s.Counts.Fetches++
+	response := FetchResponse{Partition: request.Partition, RequestID: request.RequestID}
+	if partition, serving := s.servingReplica(request.Partition); serving {
+		partition.fetch(request, &response)
+		s.Counts.FetchRecords += uint64(len(response.Records))
 	}
-	if len(fetch.Prefixes) == 0 && config.IsShared(fetch.Partition) {
-		candidates = partition.log.recordsOf(fetch.Topics, fetch.After, partition.highWatermark)
-	} else {
-		candidates = partition.log.recordsAfter(fetch.After)
+	effects.Send(from, response)
+}
+
+// fetch completes a response with what the replica holds.
+func (r *replica) fetch(request Fetch, response *FetchResponse) {
+	response.Ready = true
+	response.Epoch = r.placement.Epoch
+	response.Base = r.log.BaseOffset
+	response.HighWatermark = r.highWatermark
+	response.Until = r.highWatermark
+	if config.IsShared(request.Partition) {
+		response.Expired = r.log.hasExpired(request.After, request.Topics, request.Prefixes)
 	}
-	size := 0
-	for _, record := range candidates {
-		if record.Offset > partition.highWatermark {
-			break
+	bytes := 0
+	for _, record := range r.candidates(request) {
+		if record.Offset > r.highWatermark {
+			return
 		}
-		if record.OffsetOnly || !Matches(record.Topic, fetch.Topics, fetch.Prefixes) || slices.Contains(fetch.SkipOffsets, record.Offset) {
+		if !request.wants(record) {
 			continue
 		}
-		if len(answer.Records) == maxFetchRecords || size > maxFetchBytes {
-			answer.Until = record.Offset - 1
-			break
+		if len(response.Records) == maxFetchRecords || bytes > maxFetchBytes {
+			response.Until = record.Offset - 1
+			return
 		}
-		size += len(record.Data)
-		answer.Records = append(answer.Records, record)
+		bytes += len(record.Data)
+		response.Records = append(response.Records, record)
 	}
-	s.Counts.FetchRecords += uint64(len(answer.Records))
-	effects.Send(from, answer)
 }
 
-func (s *Store) handleFetchTopics(from string, asked FetchTopics, effects *statemachine.Effects) {
+// candidates gives all records that a request may ask for, and others. A shared partition
+// holds many topics, so there only those of the named topics are visited.
+func (r *replica) candidates(request Fetch) []Record {
+	if len(request.Prefixes) == 0 && config.IsShared(request.Partition) {
+		return r.log.recordsOf(request.Topics, request.After, r.highWatermark)
+	}
+	return r.log.recordsAfter(request.After)
+}
+
+// wants tells whether a request asks for a record.
+func (f Fetch) wants(record Record) bool {
+	return !record.OffsetOnly &&
+		Matches(record.Topic, f.Topics, f.Prefixes) &&
+		!slices.Contains(f.SkipOffsets, record.Offset)
+}
+
+// handleFetchTopics answers a gateway with the records of many topics, each after an offset
+// of its own.
+func (s *Store) handleFetchTopics(from string, request FetchTopics, effects *statemachine.Effects) {
 	s.Counts.Fetches++
-	answer := FetchTopicsResponse{RequestID: asked.RequestID, Topics: make([]TopicRecords, len(asked.Topics))}
-	told := map[string]bool{}
-	credit := asked.MaxBytes
-	for position, each := range asked.Topics {
-		name := config.SharedPartition(each.Topic)
-		partition, served := s.servingReplica(name)
-		if !served {
+	response := FetchTopicsResponse{
+		RequestID: request.RequestID,
+		Topics:    make([]TopicRecords, len(request.Topics)),
+	}
+	described := map[string]bool{}
+	remaining := request.MaxBytes
+	for position, cursor := range request.Topics {
+		name := config.SharedPartition(cursor.Topic)
+		partition, serving := s.servingReplica(name)
+		if !serving {
 			continue
 		}
-		if !told[name] {
-			told[name] = true
-			answer.Partitions = append(answer.Partitions, PartitionState{
-				Partition: name, Epoch: partition.placement.Epoch, Base: partition.log.BaseOffset, HighWatermark: partition.highWatermark,
-			})
+		if !described[name] {
+			described[name] = true
+			response.Partitions = append(response.Partitions, partition.state())
 		}
-		answer.Topics[position] = partition.fetchTopic(each, &credit, position == 0)
-		s.Counts.FetchRecords += uint64(len(answer.Topics[position].Records))
+		response.Topics[position] = partition.fetchTopic(cursor, &remaining, position == 0)
+		s.Counts.FetchRecords += uint64(len(response.Topics[position].Records))
 	}
-	effects.Send(from, answer)
+	effects.Send(from, response)
 }
 
-// servingReplica gives a partition that this store leads and can read for others.
-func (s *Store) servingReplica(name string) (*replica, bool) {
-	partition, found := s.replicas[name]
-	if !found || !s.Ready() || !s.isLeader(partition) || partition.servingEpoch != partition.placement.Epoch {
-		return nil, false
+// state describes the replica to a gateway.
+func (r *replica) state() PartitionState {
+	return PartitionState{
+		Partition:     r.log.Name,
+		Epoch:         r.placement.Epoch,
+		Base:          r.log.BaseOffset,
+		HighWatermark: r.highWatermark,
 	}
-	return partition, true
 }
 
-// fetchTopic gives a topic's accepted records within a credit of bytes, which it uses
-// up. The first record of an answer is given whatever its size.
-func (h *replica) fetchTopic(asked TopicCursor, credit *int, first bool) TopicRecords {
-	found := TopicRecords{Until: h.highWatermark, Expired: h.log.hasExpired(asked.After, []string{asked.Topic}, nil)}
+// fetchTopic gives a topic's accepted records within the remaining bytes, which it uses up.
+// The first record of a response is given whatever its size.
+func (r *replica) fetchTopic(cursor TopicCursor, remaining *int, first bool) TopicRecords {
+	found := TopicRecords{
+		Until:   r.highWatermark,
+		Expired: r.log.hasExpired(cursor.After, []string{cursor.Topic}, nil),
+	}
 	if found.Expired {
 		return found
 	}
-	for _, record := range h.log.recordsOf([]string{asked.Topic}, asked.After, h.highWatermark) {
-		fits := len(record.Data) <= *credit && len(found.Records) < maxFetchRecords
-		switch {
-		case found.RemainingBytes == 0 && (fits || first && len(found.Records) == 0):
-			*credit -= len(record.Data)
+	for _, record := range r.log.recordsOf([]string{cursor.Topic}, cursor.After, r.highWatermark) {
+		fits := len(record.Data) <= *remaining && len(found.Records) < maxFetchRecords
+		always := first && len(found.Records) == 0
+		if found.RemainingBytes == 0 && (fits || always) {
+			*remaining -= len(record.Data)
 			found.Records = append(found.Records, record)
-		case found.RemainingBytes == 0:
+			continue
+		}
+		if found.RemainingBytes == 0 {
 			found.Until = record.Offset - 1
-			*credit = 0
-			fallthrough
-		default:
-			// Left is above zero from here on, also where a record has no data.
-			found.RemainingBytes += max(1, len(record.Data))
+			*remaining = 0
 		}
+		// At least one, so that it is above zero from here on if the record has no data.
+		found.RemainingBytes += max(1, len(record.Data))
 	}
 	return found
 }
--- a/internal/partition/high_watermarks.go
+++ b/internal/partition/high_watermarks.go
@@ -1,6 +1,3 @@
-// Fetching and following: what gateways lack, and how they learn that they lack
-// it.
-
 package partition
 
 import (
@@ -10,70 +7,106 @@
 	"dahlialock/internal/statemachine"
 )
 
-func (s *Store) handleSubscribe(now time.Time, from string, follow SubscribeHighWatermarks, effects *statemachine.Effects) {
-	present, found := s.subscribers[from]
+const (
+	// subscriptionTimeout is when a subscription to high watermarks ends unless it is renewed.
+	subscriptionTimeout = 6 * time.Second
+	// highWatermarksInterval is how long a high watermark may have advanced before subscribers
+	// are sent it.
+	highWatermarksInterval = 400 * time.Millisecond
+)
+
+// subscriber is a gateway that is sent high watermarks.
+type subscriber struct {
+	partitions []string
+	expiresAt  time.Time
+	// sent is what the subscriber knows of each partition.
+	sent map[string]sentPosition
+}
+
+// sentPosition is what a subscriber knows of a partition. In a shared partition an epoch of 0
+// says that it may know only what lay up to the offset.
+type sentPosition struct {
+	epoch  uint64
+	offset uint64
+}
+
+// handleSubscribe renews a gateway's subscription, and sends it the high watermark of every
+// partition that it names.
+func (s *Store) handleSubscribe(
+	now time.Time, from string, request SubscribeHighWatermarks, effects *statemachine.Effects,
+) {
+	current, found := s.subscribers[from]
 	if !found {
-		present = &subscriber{}
-		s.subscribers[from] = present
+		current = &subscriber{}
+		s.subscribers[from] = current
 	}
-	present.partitions, present.expiresAt = follow.Partitions, now.Add(subscriptionTimeout)
-	present.reported = map[string]reportedOffset{}
-	for position, name := range follow.Partitions {
-		if config.IsShared(name) && position < len(follow.KnownOffsets) {
-			present.reported[name] = reportedOffset{offset: follow.KnownOffsets[position]}
+	current.partitions = request.Partitions
+	current.expiresAt = now.Add(subscriptionTimeout)
+	current.sent = map[string]sentPosition{}
+	for position, name := range request.Partitions {
+		if config.IsShared(name) && position < len(request.KnownOffsets) {
+			current.sent[name] = sentPosition{offset: request.KnownOffsets[position]}
 		}
 	}
 	s.sendHighWatermarks(now, from, true, effects)
 }
 
-// sendHighWatermarks tells a watcher what moved since it was told; one that just asked
-// is told of every partition.
+// sendHighWatermarks sends a subscriber the high watermarks that advanced since it was last
+// sent them, or those of every partition.
 func (s *Store) sendHighWatermarks(now time.Time, address string, every bool, effects *statemachine.Effects) {
-	present, found := s.subscribers[address]
-	if !found || now.After(present.expiresAt) || len(present.partitions) == 0 {
+	current, found := s.subscribers[address]
+	if !found || now.After(current.expiresAt) || len(current.partitions) == 0 {
 		delete(s.subscribers, address)
 		return
 	}
-	var heads HighWatermarks
-	for _, name := range present.partitions {
-		partition, held := s.replicas[name]
-		if !held || !s.isLeader(partition) || partition.servingEpoch != partition.placement.Epoch {
+	var message HighWatermarks
+	for _, name := range current.partitions {
+		partition, found := s.replicas[name]
+		if !found || !s.isLeader(partition) || !partition.established() {
 			continue
 		}
-		earlier := present.reported[name]
-		latest := reportedOffset{epoch: partition.placement.Epoch, offset: partition.highWatermark}
-		head := HighWatermark{Partition: name, Epoch: latest.epoch, Offset: latest.offset}
-		if earlier == latest && !every {
+		sent, reached := current.sent[name], partition.reached()
+		if sent == reached && !every {
 			continue
 		}
-		if config.IsShared(name) {
-			head.From = min(earlier.offset, partition.highWatermark)
-			for topic, offset := range statemachine.Sorted(partition.log.changedTopics(head.From, partition.highWatermark)) {
-				head.Topics = append(head.Topics, TopicOffset{TopicNumber: config.TopicNumber(topic), Offset: offset})
-			}
-			if len(head.Topics) == 0 && earlier.epoch == latest.epoch && !every {
-				// Passing messages only, of which nothing can be fetched.
-				continue
-			}
+		watermark := partition.watermarkSince(sent)
+		// Where no topic changed, only records without data were appended, and there is nothing
+		// to fetch.
+		nothingNew := config.IsShared(name) && len(watermark.Topics) == 0 && sent.epoch == reached.epoch
+		if nothingNew && !every {
+			continue
 		}
-		present.reported[name] = latest
-		heads.HighWatermarks = append(heads.HighWatermarks, head)
+		current.sent[name] = reached
+		message.HighWatermarks = append(message.HighWatermarks, watermark)
 	}
-	if len(heads.HighWatermarks) > 0 {
+	if len(message.HighWatermarks) > 0 {
 		s.Counts.HighWatermarksSent++
-		effects.Send(address, heads)
+		effects.Send(address, message)
 	}
 }
 
-type subscriber struct {
-	partitions []string
-	expiresAt  time.Time
-	reported   map[string]reportedOffset
+// reached is the position of the high watermark.
+func (r *replica) reached() sentPosition {
+	return sentPosition{epoch: r.placement.Epoch, offset: r.highWatermark}
 }
 
-// reportedOffset is what a head watcher knows of one partition; From counts for shared partitions,
-// where a watcher that was told of an epoch may have missed what lay before.
-type reportedOffset struct {
-	epoch  uint64
-	offset uint64
+// watermarkSince gives the high watermark; for a shared partition also the newest offset of
+// each topic that has a record after the position that was sent.
+func (r *replica) watermarkSince(sent sentPosition) HighWatermark {
+	watermark := HighWatermark{
+		Partition: r.log.Name,
+		Epoch:     r.placement.Epoch,
+		Offset:    r.highWatermark,
+	}
+	if !config.IsShared(r.log.Name) {
+		return watermark
+	}
+	watermark.From = min(sent.offset, r.highWatermark)
+	for topic, offset := range statemachine.Sorted(r.log.changedTopics(watermark.From, r.highWatermark)) {
+		watermark.Topics = append(watermark.Topics, TopicOffset{
+			TopicNumber: config.TopicNumber(topic),
+			Offset:      offset,
+		})
+	}
+	return watermark
 }
--- a/internal/partition/log.go
+++ b/internal/partition/log.go
@@ -1,10 +1,3 @@
-// One partition's log as a store holds it: the records in order, the last offset
-// of each topic, and the memory of senders by which a resend is known. All of
-// it follows from the records, so that a follower that has the records has
-// the memory too. A shared partition holds the topics of all routed spaces: there a
-// sender is remembered for each topic, and each topic's last offset outlives its
-// records, so that whoever comes back is told whether it lost anything.
-
 package partition
 
 import (
@@ -13,28 +6,39 @@
 	"time"
 )
 
-func (l *log) stillHolds(record Record) bool {
-	epoch, found := l.epochAt(record.Offset)
-	return !found || epoch == record.Epoch
-}
-
+// log is one partition's log as a replica holds it. All of its tables follow from the
+// records appended and dropped, so a follower that has the same records has the same tables.
+//
+// Its encoding is stored in snapshots on disk and sent in InstallSnapshot.
 type log struct {
-	Name        string                  `cbor:"Name"`
-	BaseOffset  uint64                  `cbor:"Base"`
-	BaseEpoch   uint64                  `cbor:"BaseEpoch"`
-	Records     []Record                `cbor:"Records"`
-	LastOffsets map[string]uint64       `cbor:"Topics"`
-	Senders     map[string]*senderState `cbor:"Senders"`
-	// ExpiredTopics and Forgotten are kept for shared partitions only. Whatever lay at or
-	// below Forgotten of a topic that is in neither table is not known.
+	Name string `cbor:"Name"`
+	// BaseOffset and BaseEpoch are of the newest record that was dropped; Records begins after it.
+	BaseOffset uint64 `cbor:"Base"`
+	BaseEpoch  uint64 `cbor:"BaseEpoch"`
+	// Records are those of the offsets after BaseOffset, without gaps. They are only ever
+	// appended, or dropped from the front into a new slice, so clones may share them.
+	Records []Record `cbor:"Records"`
+	// LastOffsets holds, for each topic with a record in Records, the offset of its newest.
+	LastOffsets map[string]uint64 `cbor:"Topics"`
+	// Senders is the deduplication window, by senderKey.
+	Senders map[string]*senderState `cbor:"Senders"`
+	// ExpiredTopics holds the newest dropped record of each topic, and ForgottenOffset the
+	// highest offset that was taken out of that table: of a topic in neither table, nothing
+	// is known at or below it. Both are kept for shared partitions only.
 	ExpiredTopics   map[string]expiredTopic `cbor:"Trimmed"`
 	ForgottenOffset uint64                  `cbor:"Forgotten"`
 }
 
 func newLog(name string) *log {
-	return &log{Name: name, LastOffsets: map[string]uint64{}, Senders: map[string]*senderState{}, ExpiredTopics: map[string]expiredTopic{}}
+	return &log{
+		Name:          name,
+		LastOffsets:   map[string]uint64{},
+		Senders:       map[string]*senderState{},
+		ExpiredTopics: map[string]expiredTopic{},
+	}
 }
 
+// end is the offset and epoch of the newest record; those of the base if there is none.
 func (l *log) end() (offset, epoch uint64) {
 	if len(l.Records) == 0 {
 		return l.BaseOffset, l.BaseEpoch
@@ -43,15 +47,7 @@
 	return last.Offset, last.Epoch
 }
 
-// isAheadOf tells whether a frame of an epoch's first is an old one: within an epoch its
-// first's log only grows, and records of the epoch that lie here were in it.
-func (l *log) isAheadOf(frame *log, epoch uint64) bool {
-	here, newest := l.end()
-	there, _ := frame.end()
-	return newest == epoch && there < here
-}
-
-// epochAt is the epoch of the record at an offset, if it is still held.
+// epochAt is the epoch of the record at an offset, if the log still knows it.
 func (l *log) epochAt(offset uint64) (uint64, bool) {
 	if offset == l.BaseOffset {
 		return l.BaseEpoch, true
@@ -62,6 +58,23 @@
 	return l.Records[offset-l.BaseOffset-1].Epoch, true
 }
 
+// stillHolds tells whether no snapshot has replaced a record by one of another epoch since
+// it was appended. A record that was dropped counts as held.
+func (l *log) stillHolds(record Record) bool {
+	epoch, found := l.epochAt(record.Offset)
+	return !found || epoch == record.Epoch
+}
+
+// isAheadOf tells whether a snapshot by the leader of an epoch is outdated: within an epoch
+// the leader's log only grows, and records of that epoch that lie here were in it.
+func (l *log) isAheadOf(snapshot *log, epoch uint64) bool {
+	ownOffset, ownEpoch := l.end()
+	snapshotOffset, _ := snapshot.end()
+	return ownEpoch == epoch && snapshotOffset < ownOffset
+}
+
+// recordsAfter gives the records after an offset, or from the oldest on if that was dropped.
+// The slice is the log's own.
 func (l *log) recordsAfter(offset uint64) []Record {
 	if offset < l.BaseOffset {
 		offset = l.BaseOffset
@@ -72,6 +85,19 @@
 	return l.Records[offset-l.BaseOffset:]
 }
 
+// recordAt gives the record at an offset, if it was not dropped.
+func (l *log) recordAt(offset uint64) (Record, bool) {
+	if offset <= l.BaseOffset {
+		return Record{}, false
+	}
+	records := l.recordsAfter(offset - 1)
+	if len(records) == 0 {
+		return Record{}, false
+	}
+	return records[0], true
+}
+
+// append adds a record, whose offset must be the next one, and updates the tables.
 func (l *log) append(record Record) {
 	l.Records = append(l.Records, record)
 	l.LastOffsets[record.Topic] = record.Offset
@@ -81,27 +107,27 @@
 		sender = &senderState{}
 		l.Senders[key] = sender
 	}
-	sender.LastSeq = max(sender.LastSeq, record.Seq)
-	sender.LastAppendAt = record.AppendedAt
-	sender.Window = append(sender.Window, dedupEntry{
-		Seq: record.Seq, Offset: record.Offset, Digest: MessageDigest(record.Topic, record.Data), AppendedAt: record.AppendedAt,
-	})
+	sender.add(record)
 }
 
-// clone is a log as it is now, of which nothing changes any more. Records are
-// only ever appended or taken away as a whole.
+// clone is the log as it is now; later changes of either don't reach the other.
 func (l *log) clone() *log {
-	taken := *l
-	taken.Records = l.Records[:len(l.Records):len(l.Records)]
-	taken.LastOffsets, taken.ExpiredTopics = maps.Clone(l.LastOffsets), maps.Clone(l.ExpiredTopics)
-	taken.Senders = make(map[string]*senderState, len(l.Senders))
+	cloned := *l
+	cloned.Records = l.Records[:len(l.Records):len(l.Records)]
+	cloned.LastOffsets = maps.Clone(l.LastOffsets)
+	cloned.ExpiredTopics = maps.Clone(l.ExpiredTopics)
+	cloned.Senders = make(map[string]*senderState, len(l.Senders))
 	for key, sender := range l.Senders {
-		taken.Senders[key] = &senderState{LastSeq: sender.LastSeq, LastAppendAt: sender.LastAppendAt, Window: slices.Clone(sender.Window)}
+		cloned.Senders[key] = &senderState{
+			LastSeq:      sender.LastSeq,
+			LastAppendAt: sender.LastAppendAt,
+			Window:       slices.Clone(sender.Window),
+		}
 	}
-	return &taken
+	return &cloned
 }
 
-// mapTimes gives all times of a log anew.
+// mapTimes replaces every time in the log.
 func (l *log) mapTimes(change func(time.Time) time.Time) {
 	for position := range l.Records {
 		l.Records[position].AppendedAt = change(l.Records[position].AppendedAt)
@@ -112,9 +138,9 @@
 			sender.Window[position].AppendedAt = change(sender.Window[position].AppendedAt)
 		}
 	}
-	for topic, last := range l.ExpiredTopics {
-		last.AppendedAt = change(last.AppendedAt)
-		l.ExpiredTopics[topic] = last
+	for topic, expired := range l.ExpiredTopics {
+		expired.AppendedAt = change(expired.AppendedAt)
+		l.ExpiredTopics[topic] = expired
 	}
 }
 
@@ -123,9 +149,9 @@
 	l.mapTimes(func(at time.Time) time.Time { return at.Add(by) })
 }
 
-// resetTimes makes all of a log that was read from disk as young as now: how long
-// this machine was away, and by which settings of its clock the times on its
-// disk were written, nobody knows. All is held for longer rather than too short.
+// resetTimes sets all times of a log that was read from disk to now. Nobody knows for how
+// long the process was down, nor how its clock was set when the times were written, so
+// everything is retained for too long rather than for too short a time.
 func (l *log) resetTimes(now time.Time) {
 	l.mapTimes(func(time.Time) time.Time { return now })
 }
--- a/internal/partition/log_test.go
+++ b/internal/partition/log_test.go
@@ -35,7 +35,7 @@
 		Record{Topic: "passing", Sender: "s", Seq: 3, AppendedAt: at(2), OffsetOnly: true},
 		Record{Topic: "busy", Sender: "s", Seq: 4, AppendedAt: at(200)},
 	)
-	log.expireDefault(at(201), 35*time.Second)
+	log.expire(at(201), 35*time.Second, dedupWindow)
 	assert.Equal(t, log.BaseOffset, uint64(3))
 	for _, each := range []struct {
 		after uint64
@@ -62,10 +62,10 @@
 		topic := fmt.Sprint("t", number)
 		log.append(Record{Offset: uint64(number) + 1, Epoch: 1, Topic: topic, Sender: "s", Seq: 1, AppendedAt: at(number / 100)})
 	}
-	log.expireDefault(at(120), 35*time.Second)
+	log.expire(at(120), 35*time.Second, dedupWindow)
 	assert.Equal(t, len(log.ExpiredTopics), maxExpiredTopics+2, "nothing was silent for long")
 	log.append(Record{Offset: maxExpiredTopics + 3, Epoch: 1, Topic: "t1", Sender: "s", Seq: 2, AppendedAt: at(120)})
-	log.expireDefault(at(720), 35*time.Second)
+	log.expire(at(720), 35*time.Second, dedupWindow)
 	assert.Assert(t, len(log.ExpiredTopics) < 10, "%d topics are remembered", len(log.ExpiredTopics))
 	assert.Equal(t, log.ForgottenOffset, uint64(maxExpiredTopics+2))
 	assert.Assert(t, log.hasExpired(5, []string{"t9"}, nil), "nobody can tell any more")
@@ -76,11 +76,11 @@
 
 func TestAResendIsKnownForLongerThanItMayCome(t *testing.T) {
 	log := filled(config.SharedPartitionName(0), Record{Topic: "a", Sender: "s", Seq: 7, AppendedAt: at(0)}, Record{Topic: "a", Sender: "s", Seq: 9, AppendedAt: at(1)})
-	log.expireDefault(at(59), time.Second)
+	log.expire(at(59), time.Second, dedupWindow)
 	sender := log.Senders[log.senderKey("a", "s")]
 	memory, known := sender.find(7)
 	assert.Assert(t, known && memory.Offset == 1)
-	log.expireDefault(at(70), time.Second)
+	log.expire(at(70), time.Second, dedupWindow)
 	_, known = sender.find(7)
 	assert.Assert(t, !known)
 	assert.Equal(t, sender.LastSeq, uint64(9), "a lower one is still turned away")
--- a/internal/partition/log_topics.go
+++ b/internal/partition/log_topics.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// lastOffsetOf is the offset of a topic's newest record, held or not.
+// lastOffsetOf is the offset of a topic's newest record, also if that was dropped; 0 if none
+// is known.
 func (l *log) lastOffsetOf(topic string) uint64 {
 	if offset, found := l.LastOffsets[topic]; found {
 		return offset
@@ -13,33 +14,32 @@
 	return l.ExpiredTopics[topic].LastOffset
 }
 
-// hasExpired tells whether a kept record of the asked topics after an offset is no
-// longer held.
+// hasExpired tells whether a record after an offset that matches the topics or prefixes may
+// have been dropped. It is exact as far as the table of expired topics goes back.
 func (l *log) hasExpired(after uint64, topics, prefixes []string) bool {
 	if after >= l.BaseOffset {
 		return false
 	}
-	if len(prefixes) > 0 {
-		if after < l.ForgottenOffset {
-			return true
-		}
-		for topic, last := range l.ExpiredTopics {
-			if last.LastOffset > after && Matches(topic, topics, prefixes) {
-				return true
-			}
-		}
-		return false
+	if len(prefixes) == 0 {
+		return slices.ContainsFunc(topics, func(topic string) bool {
+			expired, found := l.ExpiredTopics[topic]
+			return found && expired.LastOffset > after || !found && after < l.ForgottenOffset
+		})
 	}
-	for _, topic := range topics {
-		if last, found := l.ExpiredTopics[topic]; found && last.LastOffset > after || !found && after < l.ForgottenOffset {
+	if after < l.ForgottenOffset {
+		return true
+	}
+	for topic, expired := range l.ExpiredTopics {
+		if expired.LastOffset > after && Matches(topic, topics, prefixes) {
 			return true
 		}
 	}
 	return false
 }
 
-// recordsOf gives the kept records of some topics after one offset and up to another,
-// by going back from each topic's newest.
+// recordsOf gives the retained records of topics after one offset and up to another, in
+// order. It walks back from each topic's newest record, so that its cost follows the topics'
+// records and not those of the log.
 func (l *log) recordsOf(topics []string, after, until uint64) []Record {
 	after = max(after, l.BaseOffset)
 	var found []Record
@@ -56,18 +56,18 @@
 	return slices.CompactFunc(found, func(left, right Record) bool { return left.Offset == right.Offset })
 }
 
-// changedTopics gives the newest offset of each topic that has a kept record after one
+// changedTopics gives the newest offset of each topic that has a durable record after one
 // offset and up to another.
-func (l *log) changedTopics(from, until uint64) map[string]uint64 {
+func (l *log) changedTopics(after, until uint64) map[string]uint64 {
 	topics := map[string]uint64{}
-	if from < l.BaseOffset {
-		for topic, last := range l.ExpiredTopics {
-			if last.LastOffset > from {
-				topics[topic] = last.LastOffset
+	if after < l.BaseOffset {
+		for topic, expired := range l.ExpiredTopics {
+			if expired.LastOffset > after {
+				topics[topic] = expired.LastOffset
 			}
 		}
 	}
-	for _, record := range l.recordsAfter(from) {
+	for _, record := range l.recordsAfter(after) {
 		if record.Offset > until {
 			break
 		}
--- a/internal/partition/messages.go
+++ b/internal/partition/messages.go
@@ -1,6 +1,3 @@
-// The words between gateways and stores, and between the two stores of a
-// partition.
-
 package partition
 
 import (
@@ -9,23 +6,21 @@
 	"dahlialock/internal/transport"
 )
 
-// Spans of a trail: what is older than TrailFor is known to have been handed
-// over by whoever verified within FreshFor.
+// The messages between gateways and stores, and among stores. They are encoded as arrays
+// where they say so: the order of fields is the format, and new fields come last.
+
 const (
+	// DependencyWindow is for how long a message counts as a dependency of its sender's next
+	// ones. Older ones were delivered by every gateway whose view was verified within
+	// VerificationWindow.
 	DependencyWindow   = 6 * time.Second
 	VerificationWindow = 5 * time.Second
-	MaxDependencies    = 12
+	// MaxDependencies is how many messages Dependencies names one by one.
+	MaxDependencies = 12
 )
 
-// Outcomes of an append.
-const (
-	OutcomeAccepted uint8 = iota + 1
-	OutcomeRejected
-	OutcomeUnresolved
-)
-
-// MessagePosition points at a message of the same sender and space: the number of its
-// partition, its offset and its topic.
+// MessagePosition is where a message of a space lies: the number of its partition, its offset
+// and its topic.
 type MessagePosition struct {
 	_         struct{} `cbor:",toarray"`
 	Partition uint8
@@ -33,40 +28,42 @@
 	Topic     string
 }
 
-// PartitionOffset is how far a sender's earlier messages go in one partition.
+// PartitionOffset is an offset in one partition of a space.
 type PartitionOffset struct {
 	_         struct{} `cbor:",toarray"`
 	Partition uint8
 	Offset    uint64
 }
 
-// Dependencies is what a sender sent before: each message of the last moments, and
-// where there were too many of them, how far the older ones of those go.
+// Dependencies are the messages of the same sender and space within DependencyWindow before a
+// message, which a reader must have got before it. Where there are more than MaxDependencies,
+// Floor says for each partition how far the older ones reach.
 type Dependencies struct {
 	_        struct{} `cbor:",toarray"`
 	Messages []MessagePosition
 	Floor    []PartitionOffset
 }
 
-// Record is one kept message. Prior is the offset of the topic's message
-// before it, and Before are the sender's messages before it, so that whoever
-// receives it sees every hole. A Bare record gives a passing message its offset
-// and is remembered for resends; its data was never here.
+// Record is one message in the log. With OffsetOnly it gives an ephemeral message its offset
+// and recognises duplicates; its data was never stored.
 type Record struct {
-	_               struct{} `cbor:",toarray"`
-	Offset          uint64
-	Epoch           uint64
-	Topic           string
-	Sender          string
-	Seq             uint64
-	Data            []byte
-	AppendedAt      time.Time
+	_      struct{} `cbor:",toarray"`
+	Offset uint64
+	Epoch  uint64
+	Topic  string
+	Sender string
+	Seq    uint64
+	Data   []byte
+	// AppendedAt is by the clock of the store that holds the record.
+	AppendedAt time.Time
+	// PreviousInTopic is the offset of the topic's record before this one; 0 if none is known.
+	// By it, and by Dependencies, a reader notices every gap.
 	PreviousInTopic uint64
 	Dependencies    Dependencies
 	OffsetOnly      bool
 }
 
-// Append asks the first to keep a message.
+// Append is a gateway's request to a partition's leader to store a message.
 type Append struct {
 	_            struct{} `cbor:",toarray"`
 	Partition    string
@@ -76,15 +73,14 @@
 	Seq          uint64
 	Data         []byte
 	Dependencies Dependencies
-	// DuplicateOnly asks to acknowledge the message if it is kept, and not to keep
-	// it anew: the sender has a later one somewhere.
+	// DuplicateOnly asks to acknowledge the message if it is stored, but not to store it now:
+	// the sender has a later one somewhere.
 	DuplicateOnly bool
-	// OffsetOnly asks for an offset and the memory of a passing message, of which
-	// nothing is kept.
+	// OffsetOnly asks for an offset for an ephemeral message, whose data isn't stored.
 	OffsetOnly bool
 }
 
-// LinkClass tells that a passing message is of use now or never.
+// LinkClass is urgent for an ephemeral message, which is of use now or never.
 func (a Append) LinkClass() transport.Class {
 	if a.OffsetOnly {
 		return transport.ClassUrgent
@@ -92,23 +88,29 @@
 	return transport.ClassLive
 }
 
-// AppendResponse answers it. In a shared partition its record carries neither data nor
-// names, since whoever asked has them.
+// AppendResponse is the response to Append. Code says why a message wasn't accepted: one of
+// the constants that begin with Code. RetryAfter is when to send it again; zero if there is
+// no use. Of a shared partition's Record the data, names and time are left out, since whoever
+// sent the request has them.
 type AppendResponse struct {
 	_          struct{} `cbor:",toarray"`
 	Partition  string
 	RequestID  uint64
-	Outcome    uint8
+	Outcome    Outcome
 	Code       string
 	RetryAfter time.Duration
 	Epoch      uint64
-	Duplicate  bool
-	Record     Record
+	// Duplicate says that the message was stored by an earlier request.
+	Duplicate bool
+	Record    Record
 }
 
-// Replicate carries records from the first to the follower, after the record at
-// After of epoch AfterEpoch. Its records have no times but ages in milliseconds,
-// since no two machines' clocks need agree; what is left out at the end is new.
+// Replicate carries records from the leader to a follower. They follow the record at
+// PreviousOffset, which is of PreviousEpoch; a follower whose log has no such record appends
+// nothing. Without records it asks how far the follower's log reaches.
+//
+// Clocks of two stores need not agree. So the records have no times, and Ages holds their
+// ages in milliseconds; zeros at the end are left out.
 type Replicate struct {
 	_              struct{} `cbor:",toarray"`
 	Partition      string
@@ -119,22 +121,27 @@
 	Ages           []uint32
 }
 
-// ReplicateResponse says how far the follower's disk reaches, or that it needs more.
+// ReplicateResponse is the response to Replicate and InstallSnapshot: the follower has synced
+// its log up to LastOffset, whose record is of LastEpoch.
 type ReplicateResponse struct {
-	_            struct{} `cbor:",toarray"`
-	Partition    string
-	Epoch        uint64
-	LastOffset   uint64
-	LastEpoch    uint64
-	Mismatch     bool
+	_          struct{} `cbor:",toarray"`
+	Partition  string
+	Epoch      uint64
+	LastOffset uint64
+	LastEpoch  uint64
+	// Mismatch says that nothing was appended, since the logs differ. LastOffset may not be
+	// synced then.
+	Mismatch bool
+	// CurrentEpoch is set if the request's epoch is outdated.
 	CurrentEpoch uint64
-	// ReplicaHash is a short sum of the follower's name with its disk, and Took is how
-	// many milliseconds that disk took.
-	ReplicaHash      uint32
+	// ReplicaHash is a short hash of the follower's name and disk.
+	ReplicaHash uint32
+	// DiskMilliseconds is how long the follower's disk took.
 	DiskMilliseconds uint32
 }
 
-// InstallSnapshot carries a whole partition, its times counted from Now.
+// InstallSnapshot carries the leader's complete log to a follower. Its times are by the
+// leader's clock, which showed SentAt.
 type InstallSnapshot struct {
 	SentAt    time.Time `cbor:"Now"`
 	Partition string    `cbor:"Partition"`
@@ -142,7 +149,8 @@
 	Log       []byte    `cbor:"State"`
 }
 
-// Fetch asks for records after an offset that match an interest.
+// Fetch is a gateway's request to a partition's leader for the records after an offset that
+// are of one of Topics or under one of Prefixes, but for those at SkipOffsets.
 type Fetch struct {
 	_           struct{} `cbor:",toarray"`
 	Partition   string
@@ -153,31 +161,93 @@
 	SkipOffsets []uint64
 }
 
-// FetchResponse gives them, all up to Until. Gone tells, for a shared partition, that
-// a record of the asked topics after the asked offset is no longer held.
+// FetchResponse is the response to Fetch: all matching records up to Until. Without Ready
+// this store doesn't serve the partition, and nothing else is set.
 type FetchResponse struct {
-	_             struct{} `cbor:",toarray"`
-	Partition     string
-	RequestID     uint64
-	Epoch         uint64
+	_         struct{} `cbor:",toarray"`
+	Partition string
+	RequestID uint64
+	Epoch     uint64
+	// Base is the offset up to which records have been dropped.
 	Base          uint64
 	HighWatermark uint64
 	Until         uint64
 	Records       []Record
 	Ready         bool
-	Expired       bool
+	// Expired says, for a shared partition, that a matching record has been dropped.
+	Expired bool
+}
+
+// FetchTopics is a gateway's request to a store for the records of topics in shared
+// partitions, each after an offset of its own. The data of all records of the response is
+// within MaxBytes, but for the first record.
+type FetchTopics struct {
+	_         struct{} `cbor:",toarray"`
+	RequestID uint64
+	MaxBytes  int
+	Topics    []TopicCursor
+}
+
+// TopicCursor is a topic, and the offset after which its records are wanted.
+type TopicCursor struct {
+	_     struct{} `cbor:",toarray"`
+	Topic string
+	After uint64
+}
+
+// FetchTopicsResponse is the response to FetchTopics. Topics has an entry for each topic of
+// the request, in the same order. Partitions are those of them that this store serves; the
+// entry of a topic in another partition is empty.
+type FetchTopicsResponse struct {
+	_          struct{} `cbor:",toarray"`
+	RequestID  uint64
+	Partitions []PartitionState
+	Topics     []TopicRecords
+}
+
+// State finds the state of a partition in the response.
+func (r FetchTopicsResponse) State(partition string) (PartitionState, bool) {
+	for _, state := range r.Partitions {
+		if state.Partition == partition {
+			return state, true
+		}
+	}
+	return PartitionState{}, false
+}
+
+// PartitionState is the state of a shared partition at its leader.
+type PartitionState struct {
+	_         struct{} `cbor:",toarray"`
+	Partition string
+	Epoch     uint64
+	// Base is the offset up to which records have been dropped.
+	Base          uint64
+	HighWatermark uint64
 }
 
-// SubscribeHighWatermarks asks to be told the heads of partitions. From is how far the asker was
-// told of each shared partition already.
+// TopicRecords are all records of a topic up to Until.
+type TopicRecords struct {
+	_     struct{} `cbor:",toarray"`
+	Until uint64
+	// Expired says that a record after the cursor has been dropped; then there are no records.
+	Expired bool
+	// RemainingBytes is the size of the records that the response had no capacity for, at
+	// least 1 if there are any.
+	RemainingBytes int
+	Records        []Record
+}
+
+// SubscribeHighWatermarks asks a store to send HighWatermarks of partitions that it leads,
+// for subscriptionTimeout. It takes the place of an earlier subscription. KnownOffsets says
+// of each shared partition how far the gateway knows it already.
 type SubscribeHighWatermarks struct {
 	_            struct{} `cbor:",toarray"`
 	Partitions   []string
 	KnownOffsets []uint64
 }
 
-// HighWatermark is how far a partition's accepted messages reach. For a shared partition it
-// tells the newest kept message of every topic that has one after From.
+// HighWatermark is the offset up to which a partition's records are accepted. Of a shared
+// partition, Topics are those with a record after From.
 type HighWatermark struct {
 	_         struct{} `cbor:",toarray"`
 	Partition string
@@ -187,20 +257,22 @@
 	Topics    []TopicOffset
 }
 
-// TopicOffset is the newest offset of a topic, which is told by its number.
+// TopicOffset is the newest offset of a topic, which stands by its number to be short
+// (config.TopicNumber).
 type TopicOffset struct {
 	_           struct{} `cbor:",toarray"`
 	TopicNumber uint64
 	Offset      uint64
 }
 
-// HighWatermarks tells them.
+// HighWatermarks are the high watermarks that advanced.
 type HighWatermarks struct {
 	_              struct{} `cbor:",toarray"`
 	HighWatermarks []HighWatermark
 }
 
-// SenderStateRequest asks where a sender's newest message is.
+// SenderStateRequest asks a store for the newest messages of a sender in partitions of a
+// space that it leads.
 type SenderStateRequest struct {
 	_          struct{} `cbor:",toarray"`
 	RequestID  uint64
@@ -208,7 +280,7 @@
 	Sender     string
 }
 
-// RecentMessage is a mark with the time at which it was kept.
+// RecentMessage is a message of a sender, and for how long it has been stored.
 type RecentMessage struct {
 	_        struct{} `cbor:",toarray"`
 	Position MessagePosition
@@ -216,7 +288,8 @@
 	Age      time.Duration
 }
 
-// SenderStateResponse tells it.
+// SenderStateResponse is the response to SenderStateRequest. Without Ready this store doesn't
+// serve all of the partitions, and the response is incomplete.
 type SenderStateResponse struct {
 	_              struct{} `cbor:",toarray"`
 	RequestID      uint64
@@ -226,8 +299,6 @@
 }
 
 func init() {
-	transport.MustRegister(509, SenderStateRequest{})
-	transport.MustRegister(510, SenderStateResponse{})
 	transport.MustRegister(500, Append{})
 	transport.MustRegister(501, AppendResponse{})
 	transport.MustRegister(502, Replicate{})
@@ -237,61 +308,8 @@
 	transport.MustRegister(506, FetchResponse{})
 	transport.MustRegister(507, SubscribeHighWatermarks{})
 	transport.MustRegister(508, HighWatermarks{})
+	transport.MustRegister(509, SenderStateRequest{})
+	transport.MustRegister(510, SenderStateResponse{})
 	transport.MustRegister(511, FetchTopics{})
 	transport.MustRegister(512, FetchTopicsResponse{})
 }
-
-// FetchTopics asks a store for the records of routed topics, each after an offset.
-// Bytes bounds the records of the answer; one record always fits.
-type FetchTopics struct {
-	_         struct{} `cbor:",toarray"`
-	RequestID uint64
-	MaxBytes  int
-	Topics    []TopicCursor
-}
-
-// TopicCursor is a topic and the offset after which its records are wanted.
-type TopicCursor struct {
-	_     struct{} `cbor:",toarray"`
-	Topic string
-	After uint64
-}
-
-// FetchTopicsResponse answers with one entry for each topic, in the order in which
-// they were asked for, and with the state of the partitions that serve here.
-type FetchTopicsResponse struct {
-	_          struct{} `cbor:",toarray"`
-	RequestID  uint64
-	Partitions []PartitionState
-	Topics     []TopicRecords
-}
-
-// PartitionState is what a store tells of a shared partition that it leads.
-type PartitionState struct {
-	_             struct{} `cbor:",toarray"`
-	Partition     string
-	Epoch         uint64
-	Base          uint64
-	HighWatermark uint64
-}
-
-// TopicRecords are all records of a topic up to Until. Gone tells that a record
-// after the asked offset is no longer held, and Left how many bytes of records there
-// are that found no room in the answer.
-type TopicRecords struct {
-	_              struct{} `cbor:",toarray"`
-	Until          uint64
-	Expired        bool
-	RemainingBytes int
-	Records        []Record
-}
-
-// State finds the state of a partition in the answer.
-func (r FetchTopicsResponse) State(partition string) (PartitionState, bool) {
-	for _, state := range r.Partitions {
-		if state.Partition == partition {
-			return state, true
-		}
-	}
-	return PartitionState{}, false
-}
--- a/internal/partition/placement.go
+++ b/internal/partition/placement.go
@@ -9,79 +9,109 @@
 	"dahlialock/internal/statemachine"
 )
 
-func (s *Store) handleViewUpdate(now time.Time, news membership.ViewUpdate, effects *statemachine.Effects) {
-	taken := s.view.HandleUpdate(now, news)
-	if taken.Document {
+// handleViewUpdate follows the controllers' view: the replicas take the roles that its
+// placements give them.
+func (s *Store) handleViewUpdate(now time.Time, update membership.ViewUpdate, effects *statemachine.Effects) {
+	changed := s.view.HandleUpdate(now, update)
+	if changed.Document {
 		s.applyConfiguration(now)
 	}
-	if !taken.View {
+	if !changed.View {
 		return
 	}
 	s.detector.SetView(now, s.view.Members, s.view.Upstream(), s.view.Index)
-	firsts, followers := 0, 0
-	for name, place := range statemachine.Sorted(s.view.Placements) {
-		mine := place.HasReplica(s.settings.Self.Name)
+	leaders, followers := s.applyPlacements(now, effects)
+	s.releaseReplicas(now, effects)
+	s.pruneFollowerDelays()
+	if s.view.Members[s.settings.Self.Name].Degraded {
+		s.timers.ArmSooner(timerProbeDisk, now.Add(diskProbeInterval))
+	}
+	if leaders != s.leaderCount || followers != s.followerCount {
+		s.leaderCount, s.followerCount = leaders, followers
+		effects.Emit(logevent.PartitionLeader, "partitions", leaders, "follower", followers)
+	}
+}
+
+// applyPlacements gives each placement to its replica, which it makes where a placement
+// names this store, and counts the replicas by role.
+func (s *Store) applyPlacements(now time.Time, effects *statemachine.Effects) (leaders, followers int) {
+	for name, placement := range statemachine.Sorted(s.view.Placements) {
+		assigned := placement.HasReplica(s.settings.Self.Name)
 		partition, found := s.replicas[name]
-		if !found && mine {
-			partition = newReplica(newLog(name))
-			s.replicas[name] = partition
-			found = true
+		if !found && !assigned {
+			continue
 		}
 		if !found {
-			continue
+			partition = s.addReplica(name)
 		}
-		if mine && place.Leader == s.settings.Self.Name {
-			firsts++
-		} else if mine {
+		switch {
+		case assigned && placement.Leader == s.settings.Self.Name:
+			leaders++
+		case assigned:
 			followers++
 		}
-		s.applyPlacement(now, partition, place, effects)
-	}
-	s.releaseReplicas(now, effects)
-	s.pruneDelays()
-	if s.view.Members[s.settings.Self.Name].Degraded {
-		s.timers.ArmSooner("probe", now.Add(diskProbeInterval))
-	}
-	if firsts != s.leaderCount || followers != s.followerCount {
-		s.leaderCount, s.followerCount = firsts, followers
-		effects.Emit(logevent.PartitionLeader, "partitions", firsts, "follower", followers)
+		s.applyPlacement(now, partition, placement, effects)
 	}
+	return leaders, followers
+}
+
+// addReplica makes an empty replica of a partition.
+func (s *Store) addReplica(name string) *replica {
+	partition := newReplica(newLog(name))
+	s.replicas[name] = partition
+	return partition
 }
 
-func (s *Store) applyPlacement(now time.Time, partition *replica, place membership.Placement, effects *statemachine.Effects) {
-	changed := place.Epoch != partition.placement.Epoch
-	completed := place.Complete && !partition.placement.Complete
-	partition.placement = place
+// applyPlacement takes a partition's newest placement. A new epoch ends whatever was known
+// of followers and of the high watermark.
+func (s *Store) applyPlacement(
+	now time.Time, partition *replica, placement membership.Placement, effects *statemachine.Effects,
+) {
+	changed := placement.Epoch != partition.placement.Epoch
+	completed := placement.Complete && !partition.placement.Complete
+	leads := placement.Leader == s.settings.Self.Name
+	partition.placement = placement
 	if changed {
-		if place.Leader != s.settings.Self.Name {
-			s.failPending(partition, "moved", effects)
+		if !leads {
+			s.failPending(partition, CodeLeaderMoved, effects)
 		}
 		partition.followers = nil
 		partition.placedAt = now
 		partition.servingEpoch = 0
 		partition.epochStart, _ = partition.log.end()
 	}
-	if place.Leader == s.settings.Self.Name {
+	if leads {
 		s.updateFollowers(partition)
-	} else if first, found := s.view.Members[place.Leader]; changed && found && slices.Contains(place.Followers, s.settings.Self.Name) {
-		// The first may have asked before this news came.
-		s.sendMismatch(partition, first.Address, effects)
+	} else if changed && slices.Contains(placement.Followers, s.settings.Self.Name) {
+		// The leader may have asked before this view came here.
+		if leader, found := s.view.Members[placement.Leader]; found {
+			s.sendMismatch(partition, leader.Address, effects)
+		}
 	}
-	if completed && place.Leader == s.settings.Self.Name {
+	if completed && leads {
 		s.advanceHighWatermark(now, partition, effects)
 	}
 }
 
-// isLeader tells whether this store, with the disk that it has now, may act as
-// a partition's first: a store whose disk was wiped is named first by news that
-// does not know of it yet, and holds nothing. Nor does an epoch hold for a life
-// that is not a member yet: it was begun for an earlier one.
+// isLeader tells whether this store, with its present disk, may act as a partition's leader.
+// A view that doesn't know of the loss of this store's disk may still name it. Nor does an
+// epoch hold for an incarnation that isn't a member yet: an earlier one was given it.
 func (s *Store) isLeader(partition *replica) bool {
-	return partition.placement.Leader == s.settings.Self.Name && slices.Contains(partition.placement.InSync, s.replicaID()) && s.isMember()
+	return partition.placement.Leader == s.settings.Self.Name &&
+		slices.Contains(partition.placement.InSync, s.replicaID()) &&
+		s.isMember()
+}
+
+// isFollower tells whether the placement names this store as a follower.
+func (s *Store) isFollower(partition *replica) bool {
+	return slices.Contains(partition.placement.Followers, s.settings.Self.Name)
 }
 
-// isMember tells whether the view names this life of the store.
+// isMember tells whether the view names this incarnation of the store.
 func (s *Store) isMember() bool {
 	return s.view.Members[s.settings.Self.Name].Incarnation == s.settings.Self.Incarnation ||
 		statemachine.Mutated("one-epoch-for-all-lives")
 }
+
+// replicaID names the store with its present disk, as placements do.
+func (s *Store) replicaID() string { return s.settings.Self.ReplicaID() }
--- a/internal/partition/receive.go
+++ b/internal/partition/receive.go
@@ -1,7 +1,6 @@
 package partition
 
 import (
-	"slices"
 	"time"
 
 	"dahlialock/internal/logevent"
@@ -9,91 +8,143 @@
 	"dahlialock/internal/transport"
 )
 
-func (s *Store) handleReplicate(now time.Time, from string, copied Replicate, effects *statemachine.Effects) {
-	partition, found := s.replicas[copied.Partition]
+// handleReplicate appends a leader's records to a follower's log.
+func (s *Store) handleReplicate(now time.Time, from string, request Replicate, effects *statemachine.Effects) {
 	if !s.Ready() {
 		return
 	}
+	partition, found := s.replicaOfEpoch(now, request)
 	if !found {
-		if _, placed := s.view.Placements[copied.Partition]; !placed || s.view.Placements[copied.Partition].Epoch >= copied.Epoch {
-			s.view.PollNow(now)
-			return
-		}
-		partition = newReplica(newLog(copied.Partition))
-		s.replicas[copied.Partition] = partition
+		return
 	}
-	if copied.Epoch < partition.placement.Epoch {
-		effects.Emit(logevent.PartitionStaleEpoch, "partition", copied.Partition, "epoch", copied.Epoch, "present", partition.placement.Epoch)
-		effects.Send(from, ReplicateResponse{Partition: copied.Partition, Epoch: copied.Epoch, CurrentEpoch: partition.placement.Epoch})
+	if request.Epoch < partition.placement.Epoch {
+		effects.Emit(logevent.PartitionStaleEpoch,
+			"partition", request.Partition,
+			"epoch", request.Epoch,
+			"current", partition.placement.Epoch,
+		)
+		effects.Send(from, ReplicateResponse{
+			Partition:    request.Partition,
+			Epoch:        request.Epoch,
+			CurrentEpoch: partition.placement.Epoch,
+		})
 		return
 	}
-	if copied.Epoch > partition.placement.Epoch || !slices.Contains(partition.placement.Followers, s.settings.Self.Name) {
-		// News of this epoch is on its way; the first will send again.
+	if request.Epoch > partition.placement.Epoch || !s.isFollower(partition) {
+		// The view of this epoch is on its way; the leader will send again.
 		s.view.PollNow(now)
 		return
 	}
-	epoch, held := partition.log.epochAt(copied.PreviousOffset)
-	if !held || epoch != copied.PreviousEpoch {
+	epoch, known := partition.log.epochAt(request.PreviousOffset)
+	if !known || epoch != request.PreviousEpoch {
+		s.sendMismatch(partition, from, effects)
+		return
+	}
+	if !s.appendReplicated(now, partition, request) {
 		s.sendMismatch(partition, from, effects)
 		return
 	}
-	for position, record := range copied.Records {
-		present, known := partition.log.epochAt(record.Offset)
+	lastOffset, _ := partition.log.end()
+	if len(request.Records) == 0 && lastOffset > request.PreviousOffset {
+		// There are more records here than the leader knows of: the logs differ.
+		s.sendMismatch(partition, from, effects)
+		return
+	}
+	s.acknowledgeAfterSync(partition, from, request.Epoch)
+}
+
+// replicaOfEpoch gives the replica that a request is for. A leader whose view is newer than
+// this store's may ask for one that isn't here yet.
+func (s *Store) replicaOfEpoch(now time.Time, request Replicate) (*replica, bool) {
+	if partition, found := s.replicas[request.Partition]; found {
+		return partition, true
+	}
+	placement, placed := s.view.Placements[request.Partition]
+	if !placed || placement.Epoch >= request.Epoch {
+		s.view.PollNow(now)
+		return nil, false
+	}
+	return s.addReplica(request.Partition), true
+}
+
+// appendReplicated appends the records of a request that are not in the log yet. It stops,
+// and says so, at one in whose place the log has a record of another epoch.
+func (s *Store) appendReplicated(now time.Time, partition *replica, request Replicate) (matches bool) {
+	for position, record := range request.Records {
+		epoch, known := partition.log.epochAt(record.Offset)
 		if known && record.Offset > partition.log.BaseOffset {
-			if present != record.Epoch {
-				s.sendMismatch(partition, from, effects)
-				return
+			if epoch != record.Epoch {
+				return false
 			}
 			continue
 		}
 		record.AppendedAt = now
-		if position < len(copied.Ages) {
-			record.AppendedAt = now.Add(-time.Duration(copied.Ages[position]) * time.Millisecond)
+		if position < len(request.Ages) {
+			record.AppendedAt = now.Add(-time.Duration(request.Ages[position]) * time.Millisecond)
 		}
 		partition.log.append(record)
-		s.logEntry(diskEntry{Partition: copied.Partition, Record: &record}, nil)
+		s.logEntry(diskEntry{Partition: request.Partition, Record: &record})
 	}
-	if head, _ := partition.log.end(); len(copied.Records) == 0 && head > copied.PreviousOffset {
-		// More is here than the first knows of: its log and this one differ.
-		s.sendMismatch(partition, from, effects)
-		return
-	}
-	s.acknowledgeAfterSync(partition, from, copied.Epoch)
+	return true
 }
 
-// acknowledgeAfterSync answers once the disk has what the log has.
-func (s *Store) acknowledgeAfterSync(partition *replica, from string, epoch uint64) {
-	head, headEpoch := partition.log.end()
-	answer := func(now time.Time, effects *statemachine.Effects) {
-		partition.syncedOffset = max(partition.syncedOffset, head)
-		took := uint32(max(0, now.Sub(s.syncedWriteStart).Milliseconds()))
-		effects.Send(from, ReplicateResponse{Partition: partition.log.Name, Epoch: epoch, LastOffset: head, LastEpoch: headEpoch, ReplicaHash: replicaHash(s.replicaID()), DiskMilliseconds: took})
-	}
-	s.callbacks = append(s.callbacks, answer)
+// acknowledgeAfterSync sends the leader an acknowledgement once the disk holds the log as it
+// is now.
+func (s *Store) acknowledgeAfterSync(partition *replica, leader string, epoch uint64) {
+	lastOffset, lastEpoch := partition.log.end()
+	s.afterSync(func(now time.Time, effects *statemachine.Effects) {
+		partition.syncedOffset = max(partition.syncedOffset, lastOffset)
+		diskTime := now.Sub(s.writes.syncedStartedAt)
+		effects.Send(leader, ReplicateResponse{
+			Partition:        partition.log.Name,
+			Epoch:            epoch,
+			LastOffset:       lastOffset,
+			LastEpoch:        lastEpoch,
+			ReplicaHash:      replicaHash(s.replicaID()),
+			DiskMilliseconds: uint32(max(0, diskTime.Milliseconds())),
+		})
+	})
 }
 
-func (s *Store) sendMismatch(partition *replica, to string, effects *statemachine.Effects) {
-	head, epoch := partition.log.end()
-	effects.Send(to, ReplicateResponse{Partition: partition.log.Name, Epoch: partition.placement.Epoch, LastOffset: head, LastEpoch: epoch, Mismatch: true, ReplicaHash: replicaHash(s.replicaID())})
+// sendMismatch tells a leader how far this follower's log reaches, since it doesn't go on
+// where the leader's request does.
+func (s *Store) sendMismatch(partition *replica, leader string, effects *statemachine.Effects) {
+	lastOffset, lastEpoch := partition.log.end()
+	effects.Send(leader, ReplicateResponse{
+		Partition:   partition.log.Name,
+		Epoch:       partition.placement.Epoch,
+		LastOffset:  lastOffset,
+		LastEpoch:   lastEpoch,
+		Mismatch:    true,
+		ReplicaHash: replicaHash(s.replicaID()),
+	})
 }
 
-func (s *Store) handleInstallSnapshot(now time.Time, from string, frame InstallSnapshot, effects *statemachine.Effects) {
-	partition, found := s.replicas[frame.Partition]
-	if !s.Ready() || !found || frame.Epoch != partition.placement.Epoch || !slices.Contains(partition.placement.Followers, s.settings.Self.Name) {
+// handleInstallSnapshot replaces a follower's log by the leader's.
+func (s *Store) handleInstallSnapshot(
+	now time.Time, from string, request InstallSnapshot, effects *statemachine.Effects,
+) {
+	partition, found := s.replicas[request.Partition]
+	if !s.Ready() || !found || request.Epoch != partition.placement.Epoch || !s.isFollower(partition) {
 		return
 	}
-	log := newLog(frame.Partition)
-	if err := transport.Unmarshal(frame.Log, log); err != nil || log.Name != frame.Partition {
-		effects.Emit(logevent.MalformedFrame, "remote", from, "partition", frame.Partition)
+	snapshot := newLog(request.Partition)
+	err := transport.Unmarshal(request.Log, snapshot)
+	if err != nil || snapshot.Name != request.Partition {
+		effects.Emit(logevent.MalformedFrame, "remote", from, "partition", request.Partition)
 		return
 	}
-	if partition.log.isAheadOf(log, frame.Epoch) && !statemachine.Mutated("any-frame") {
+	if partition.log.isAheadOf(snapshot, request.Epoch) && !statemachine.Mutated("any-frame") {
 		return
 	}
-	log.shiftTimes(now.Sub(frame.SentAt))
-	partition.log = log
+	snapshot.shiftTimes(now.Sub(request.SentAt))
+	partition.log = snapshot
 	partition.syncedOffset = 0
-	effects.Emit(logevent.PartitionSnapshotInstalled, "partition", frame.Partition, "epoch", frame.Epoch, "records", len(log.Records))
-	s.logEntry(diskEntry{Partition: frame.Partition, Snapshot: transport.MustMarshal(log)}, nil)
-	s.acknowledgeAfterSync(partition, from, frame.Epoch)
+	effects.Emit(logevent.PartitionSnapshotInstalled,
+		"partition", request.Partition,
+		"epoch", request.Epoch,
+		"records", len(snapshot.Records),
+	)
+	s.logEntry(diskEntry{Partition: request.Partition, Snapshot: transport.MustMarshal(snapshot)})
+	s.acknowledgeAfterSync(partition, from, request.Epoch)
 }
--- a/internal/partition/replica.go
+++ b/internal/partition/replica.go
@@ -8,62 +8,93 @@
 	"dahlialock/internal/statemachine"
 )
 
-// committedAll tells whether a sender's newest message is accepted, so that nothing
-// of it with a lower seq ever will be.
-func (h *replica) committedAll(sender *senderState) bool {
-	if len(sender.Window) == 0 {
-		return true
-	}
-	return h.servingEpoch == h.placement.Epoch && sender.Window[len(sender.Window)-1].Offset <= h.highWatermark
+// How long a client is to wait before it appends again to a partition whose followers can't
+// acknowledge, in a partition of one space and in a shared one.
+const (
+	spaceRetryAfter  = 2 * time.Second
+	sharedRetryAfter = 200 * time.Millisecond
+)
+
+// replica is this store's copy of a partition, as its leader or as a follower.
+type replica struct {
+	log *log
+	// placement is the one of the newest view that named the partition, and placedAt when its
+	// epoch came to be known here.
+	placement membership.Placement
+	placedAt  time.Time
+	// syncedOffset is how far this store's disk holds the log.
+	syncedOffset uint64
+	// followers is the leader's view of each follower of the placement; nil on followers.
+	followers []*followerProgress
+	// pending are the appends without an answer, by the offset that they wait for.
+	pending map[uint64][]pendingAppend
+	// highWatermark is the offset up to which the leader and all followers have synced. It
+	// never falls, and counts only while it is established.
+	highWatermark uint64
+	// servingEpoch is the epoch in which this leader established the high watermark.
+	servingEpoch uint64
+	// epochStart is the end of the log when the placement's epoch came to be known here. All
+	// records up to it may have been accepted in earlier epochs.
+	epochStart uint64
+	// unassignedSince is when the last placement that needs this replica went; zero while
+	// there is one.
+	unassignedSince time.Time
+}
+
+func newReplica(log *log) *replica {
+	return &replica{log: log, pending: map[uint64][]pendingAppend{}}
+}
+
+// resetLog puts an empty log in place of the present one.
+func (r *replica) resetLog() *log {
+	r.log = newLog(r.log.Name)
+	return r.log
 }
 
-// replicatedOffset is how far all named copies reach, as far as that is known.
-func (h *replica) replicatedOffset() (uint64, bool) {
-	all := h.syncedOffset
-	for _, copied := range h.followers {
-		if !copied.known {
+// established tells whether the leader knows the high watermark of the placement's epoch.
+// Only then may it be told to others, and records be read.
+func (r *replica) established() bool { return r.servingEpoch == r.placement.Epoch }
+
+// replicatedOffset is how far the leader and all followers have synced. It isn't known
+// before each follower of the placement has said how far it is.
+func (r *replica) replicatedOffset() (offset uint64, known bool) {
+	offset = r.syncedOffset
+	for _, follower := range r.followers {
+		if !follower.known {
 			return 0, false
 		}
 		if !statemachine.Mutated("accept-on-one-disk") {
-			all = min(all, copied.acknowledged)
+			offset = min(offset, follower.acknowledged)
 		}
 	}
-	return all, len(h.followers) == len(h.placement.Followers)
+	return offset, len(r.followers) == len(r.placement.Followers)
 }
 
-// commitLag is for how long the oldest message that is not accepted has waited.
-func (h *replica) commitLag(now time.Time) time.Duration {
-	if records := h.log.recordsAfter(h.highWatermark); len(records) > 0 && h.servingEpoch == h.placement.Epoch {
-		return now.Sub(records[0].AppendedAt)
+// commitLag is the age of the oldest record above the high watermark.
+func (r *replica) commitLag(now time.Time) time.Duration {
+	if !r.established() {
+		return 0
 	}
-	return 0
-}
-
-func (h *replica) resetLog() *log {
-	h.log = newLog(h.log.Name)
-	return h.log
+	records := r.log.recordsAfter(r.highWatermark)
+	if len(records) == 0 {
+		return 0
+	}
+	return now.Sub(records[0].AppendedAt)
 }
 
-type replica struct {
-	log           *log
-	placement     membership.Placement
-	placedAt      time.Time
-	syncedOffset  uint64
-	followers     []*followerProgress
-	pending       map[uint64][]pendingAppend
-	highWatermark uint64
-	servingEpoch  uint64
-	epochStart    uint64
-	// unassignedSince is since when nobody counts on this log; zero while somebody does.
-	unassignedSince time.Time
+// acceptedAll tells whether the newest message of a sender was accepted, so that none of its
+// messages with a lower sequence number will be any more.
+func (r *replica) acceptedAll(sender *senderState) bool {
+	if len(sender.Window) == 0 {
+		return true
+	}
+	return r.established() && sender.Window[len(sender.Window)-1].Offset <= r.highWatermark
 }
 
-func newReplica(log *log) *replica { return &replica{log: log, pending: map[uint64][]pendingAppend{}} }
-
-// retryAfter is when to come again to a partition that has too few copies at present.
-func (h *replica) retryAfter() time.Duration {
-	if config.IsShared(h.log.Name) {
+// retryAfter is when to append again to a partition whose followers can't acknowledge now.
+func (r *replica) retryAfter() time.Duration {
+	if config.IsShared(r.log.Name) {
 		return sharedRetryAfter
 	}
-	return retryAfter
+	return spaceRetryAfter
 }
--- a/internal/partition/replicate.go
+++ b/internal/partition/replicate.go
@@ -1,6 +1,3 @@
-// Copying: a first sends each follower what it does not have yet, and knows of
-// each how far its disk reaches.
-
 package partition
 
 import (
@@ -10,66 +7,93 @@
 	"dahlialock/internal/statemachine"
 )
 
-// replicate sends the followers what they do not have yet.
+const (
+	// replicateInterval is how often a leader looks for requests without a response.
+	replicateInterval = 150 * time.Millisecond
+	// maxReplicateBackoff bounds the time between attempts, in replicate intervals.
+	maxReplicateBackoff = 8
+	// maxReplicateRecords bounds the records of one request.
+	maxReplicateRecords = 512
+)
+
+// replicate sends each follower of a partition that this store leads what it lacks.
 func (s *Store) replicate(now time.Time, partition *replica, effects *statemachine.Effects) {
 	if !s.isLeader(partition) {
 		return
 	}
-	head, _ := partition.log.end()
+	lastOffset, _ := partition.log.end()
 	if len(partition.followers) == 0 {
 		s.checkProgress(now, partition, effects)
 	}
-	for _, copied := range partition.followers {
-		if !copied.known || copied.acknowledged < head {
-			// Where the follower is away, it may come back without a new epoch.
-			s.timers.ArmSooner("copy", now.Add(replicateInterval))
-			s.replicateTo(now, partition, copied, effects)
+	for _, follower := range partition.followers {
+		if follower.known && follower.acknowledged >= lastOffset {
+			continue
 		}
+		// Armed also where the follower is away: it may come back without a new epoch.
+		s.timers.ArmSooner(timerReplicate, now.Add(replicateInterval))
+		s.replicateTo(now, partition, follower, effects)
 	}
 }
 
-func (s *Store) replicateTo(now time.Time, partition *replica, copied *followerProgress, effects *statemachine.Effects) {
-	follower := s.view.Members[copied.name]
-	head, headEpoch := partition.log.end()
-	if !follower.Alive || copied.known && copied.sent >= head {
+// replicateTo sends a follower the records after those that were sent, or a snapshot if it
+// needs one.
+func (s *Store) replicateTo(
+	now time.Time, partition *replica, follower *followerProgress, effects *statemachine.Effects,
+) {
+	member := s.view.Members[follower.name]
+	lastOffset, _ := partition.log.end()
+	if !member.Alive || follower.known && follower.sent >= lastOffset {
 		return
 	}
-	if copied.snapshot.bytes > 0 && copied.snapshot.timedOut(now) {
-		// Where the answer was lost and not the snapshot, asking is enough.
-		copied.snapshot = snapshotTransfer{timeout: copied.snapshot.timeout}
+	if follower.snapshot.bytes > 0 && follower.snapshot.timedOut(now) {
+		// If the response was lost and not the snapshot, an empty request is enough.
+		follower.snapshot = snapshotTransfer{timeout: follower.snapshot.timeout}
 	}
-	if copied.snapshot.needed {
-		// Records after a snapshot go when that has arrived.
-		s.sendSnapshot(now, partition, copied, effects)
+	if follower.snapshot.needed {
+		// The records after the snapshot are sent once it is installed.
+		s.sendSnapshot(now, partition, follower, effects)
 		return
 	}
-	after := max(copied.sent, copied.acknowledged)
-	if !copied.known {
-		// The follower of a new epoch is asked first what it has.
-		after = head
-	}
-	afterEpoch, held := partition.log.epochAt(after)
-	if !held {
-		after, afterEpoch = head, headEpoch
-	}
-	records := partition.log.recordsAfter(after)
-	records = slices.Clone(records[:min(len(records), maxReplicateRecords)])
+	request := replicateRequest(now, partition, follower)
 	s.Counts.ReplicateRequests++
-	s.Counts.ReplicatedRecords += uint64(len(records))
-	effects.Send(follower.Address, Replicate{
-		Partition: partition.log.Name, Epoch: partition.placement.Epoch, PreviousOffset: after, PreviousEpoch: afterEpoch, Records: records, Ages: takeTimes(now, records),
-	})
-	if copied.known {
-		copied.sent = after + uint64(len(records))
-		if partition.placement.Complete && partition.servingEpoch == partition.placement.Epoch {
-			copied.inFlight = append(copied.inFlight, inFlightBatch{lastOffset: copied.sent, sentAt: now})
+	s.Counts.ReplicatedRecords += uint64(len(request.Records))
+	effects.Send(member.Address, request)
+	if follower.known {
+		follower.sent = request.PreviousOffset + uint64(len(request.Records))
+		if partition.placement.Complete && partition.established() {
+			batch := inFlightBatch{lastOffset: follower.sent, sentAt: now}
+			follower.inFlight = append(follower.inFlight, batch)
 		}
 	}
-	copied.sentAt = now
+	follower.sentAt = now
 }
 
-// takeTimes takes the times off records, and gives their ages up to the oldest that
-// is not new.
+// replicateRequest makes the next request for a follower. Where the follower's log isn't
+// known yet, the request is empty and asks how far it meets the leader's.
+func replicateRequest(now time.Time, partition *replica, follower *followerProgress) Replicate {
+	lastOffset, lastEpoch := partition.log.end()
+	previousOffset := max(follower.sent, follower.acknowledged)
+	if !follower.known {
+		previousOffset = lastOffset
+	}
+	previousEpoch, found := partition.log.epochAt(previousOffset)
+	if !found {
+		previousOffset, previousEpoch = lastOffset, lastEpoch
+	}
+	records := partition.log.recordsAfter(previousOffset)
+	records = slices.Clone(records[:min(len(records), maxReplicateRecords)])
+	return Replicate{
+		Partition:      partition.log.Name,
+		Epoch:          partition.placement.Epoch,
+		PreviousOffset: previousOffset,
+		PreviousEpoch:  previousEpoch,
+		Records:        records,
+		Ages:           takeTimes(now, records),
+	}
+}
+
+// takeTimes clears the times of records and gives their ages in milliseconds, without the
+// zeros at the end.
 func takeTimes(now time.Time, records []Record) []uint32 {
 	var ages []uint32
 	for position := range records {
@@ -83,75 +107,91 @@
 	return ages
 }
 
-// retryReplication sends again what was not acknowledged for a while, more and more
-// seldom, and ends the waiting of those that have waited for long.
+// retryReplication sends again what was not acknowledged, with a growing backoff, and answers
+// appends that have waited for too long.
 func (s *Store) retryReplication(now time.Time, effects *statemachine.Effects) {
-	waits := len(s.pendingWrites) > 0
+	waiting := len(s.writes.pending) > 0
 	for _, partition := range statemachine.Sorted(s.replicas) {
 		if !s.isLeader(partition) {
 			continue
 		}
-		head, _ := partition.log.end()
-		for _, copied := range partition.followers {
-			if copied.known && copied.acknowledged >= head {
+		lastOffset, _ := partition.log.end()
+		for _, follower := range partition.followers {
+			if follower.known && follower.acknowledged >= lastOffset {
 				continue
 			}
-			waits = true
-			if copied.snapshot.needed || now.Sub(copied.sentAt) >= replicateInterval*time.Duration(min(1<<copied.attempts, maxReplicateBackoff)) {
-				copied.attempts = min(copied.attempts+1, maxReplicateBackoff)
-				copied.sent = copied.acknowledged
-				s.replicateTo(now, partition, copied, effects)
+			waiting = true
+			if follower.snapshot.needed || now.Sub(follower.sentAt) >= follower.backoff() {
+				follower.attempts = min(follower.attempts+1, maxReplicateBackoff)
+				follower.sent = follower.acknowledged
+				s.replicateTo(now, partition, follower, effects)
 			}
 		}
-		waits = waits || len(partition.pending) > 0
+		waiting = waiting || len(partition.pending) > 0
 		s.expirePending(now, partition, effects)
 	}
 	s.reportSlowDisks(now, effects)
-	if waits {
-		s.timers.ArmSooner("copy", now.Add(replicateInterval))
+	if waiting {
+		s.timers.ArmSooner(timerReplicate, now.Add(replicateInterval))
 	}
 }
 
-func (s *Store) handleReplicateResponse(now time.Time, from string, returned ReplicateResponse, effects *statemachine.Effects) {
-	partition, found := s.replicas[returned.Partition]
-	if !found || !s.isLeader(partition) || returned.Epoch != partition.placement.Epoch {
+// backoff is for how long a request may be without a response before it is sent again.
+func (f *followerProgress) backoff() time.Duration {
+	return replicateInterval * time.Duration(min(1<<f.attempts, maxReplicateBackoff))
+}
+
+// handleReplicateResponse takes a follower's acknowledgement, or what it says of a log that
+// differs.
+func (s *Store) handleReplicateResponse(
+	now time.Time, from string, response ReplicateResponse, effects *statemachine.Effects,
+) {
+	partition, found := s.replicas[response.Partition]
+	if !found || !s.isLeader(partition) || response.Epoch != partition.placement.Epoch {
 		return
 	}
-	if returned.CurrentEpoch > partition.placement.Epoch {
-		s.failPending(partition, "moved", effects)
+	if response.CurrentEpoch > partition.placement.Epoch {
+		s.failPending(partition, CodeLeaderMoved, effects)
 		s.view.PollNow(now)
 		return
 	}
-	copied := s.followerAt(partition, from, returned.ReplicaHash)
-	if copied == nil {
+	follower := s.followerAt(partition, from, response.ReplicaHash)
+	if follower == nil {
 		return
 	}
-	copied.attempts = 0
-	head, _ := partition.log.end()
-	if returned.Mismatch {
-		epoch, held := partition.log.epochAt(returned.LastOffset)
-		if held && epoch == returned.LastEpoch && returned.LastOffset >= partition.log.BaseOffset {
-			// What it has may not be synced yet, so it does not count as
-			// acknowledged; the next copy goes on from there.
-			copied.known, copied.snapshot = true, snapshotTransfer{}
-			copied.sent = returned.LastOffset
-			if returned.LastOffset == head {
-				// An empty copy asks for the word that all of it is synced.
-				copied.known = false
-			}
-			s.toReplicate[returned.Partition] = true
-			return
-		}
-		s.requireSnapshot(now, partition, copied, effects)
+	follower.attempts = 0
+	if response.Mismatch {
+		s.handleMismatch(now, partition, follower, response, effects)
 		return
 	}
-	s.snapshotInstalled(now, copied, effects)
-	copied.known = true
-	copied.acknowledged = max(copied.acknowledged, returned.LastOffset)
-	copied.sent = max(copied.sent, copied.acknowledged)
-	s.recordDiskTime(copied, time.Duration(returned.DiskMilliseconds)*time.Millisecond)
-	if copied.sent < head {
-		s.toReplicate[returned.Partition] = true
+	s.snapshotInstalled(now, follower, effects)
+	follower.known = true
+	follower.acknowledged = max(follower.acknowledged, response.LastOffset)
+	follower.sent = max(follower.sent, follower.acknowledged)
+	s.recordDiskTime(follower, time.Duration(response.DiskMilliseconds)*time.Millisecond)
+	if lastOffset, _ := partition.log.end(); follower.sent < lastOffset {
+		s.toReplicate[response.Partition] = true
 	}
 	s.checkProgress(now, partition, effects)
 }
+
+// handleMismatch finds where a follower's log meets the leader's: at its end if the leader
+// has that record, too, and otherwise nowhere, so that it needs a snapshot.
+func (s *Store) handleMismatch(
+	now time.Time, partition *replica, follower *followerProgress, response ReplicateResponse,
+	effects *statemachine.Effects,
+) {
+	epoch, found := partition.log.epochAt(response.LastOffset)
+	if !found || epoch != response.LastEpoch || response.LastOffset < partition.log.BaseOffset {
+		s.requireSnapshot(now, partition, follower, effects)
+		return
+	}
+	// The follower may not have synced all of it, so it doesn't count as acknowledged; the next
+	// request goes on from there. If there is nothing left to send, an empty request asks for
+	// the acknowledgement.
+	lastOffset, _ := partition.log.end()
+	follower.known = response.LastOffset != lastOffset
+	follower.snapshot = snapshotTransfer{}
+	follower.sent = response.LastOffset
+	s.toReplicate[response.Partition] = true
+}
--- a/internal/partition/retention.go
+++ b/internal/partition/retention.go
@@ -9,33 +9,25 @@
 	"dahlialock/internal/statemachine"
 )
 
-func (s *Store) applyRetention(now time.Time) {
-	s.timers.Arm("trim", now.Add(retentionInterval))
-	for name, partition := range statemachine.Sorted(s.replicas) {
-		space, _, _ := strings.Cut(name, "~")
-		holding := s.configuration.Spaces[space].Holding
-		if config.IsShared(name) {
-			holding = s.sharedRetention(now)
-		}
-		if statemachine.Mutated("short-history") {
-			partition.log.expireDefault(now, -RetentionMargin+time.Second)
-			continue
-		}
-		partition.log.expire(now, max(holding, config.DefaultHolding), max(dedupWindow, 3*s.settings.RedeliveryWindow))
-	}
-}
+const (
+	// retentionInterval is how often records are dropped.
+	retentionInterval = 5 * time.Second
+	// minRetentionMemory is for how long at least a longer retention counts on once it was
+	// taken back, so that a space that comes again finds its records.
+	minRetentionMemory = 5 * time.Minute
+)
 
-// supersededRetention is how long messages were held by a configuration that is no
-// longer in force, and until when that still counts.
+// supersededRetention is a longer retention of an earlier configuration, and until when it
+// still counts.
 type supersededRetention struct {
 	retention time.Duration
 	expiresAt time.Time
 }
 
-// applyConfiguration notes for how long shared partitions hold their messages: as
-// long as any routed space in force asks for, and as any that was in force when
-// a message came that may still be asked for.
+// applyConfiguration takes the configuration of the view. Shared partitions retain records
+// for as long as any durable space that is ordered by topic asks for.
 func (s *Store) applyConfiguration(now time.Time) {
+	// Faults are left out: the controllers put only documents without any in force.
 	s.configuration, _ = config.Read(s.view.Document)
 	longest := config.DefaultHolding
 	for _, space := range s.configuration.Spaces {
@@ -44,17 +36,40 @@
 		}
 	}
 	if longest < s.retention {
-		s.supersededRetentions = append(s.supersededRetentions, supersededRetention{retention: s.retention, expiresAt: now.Add(max(s.retention, minRetentionMemory))})
+		s.supersededRetentions = append(s.supersededRetentions, supersededRetention{
+			retention: s.retention,
+			expiresAt: now.Add(max(s.retention, minRetentionMemory)),
+		})
 	}
 	s.retention = longest
 }
 
-// sharedRetention is how long shared partitions hold their messages at present.
+// sharedRetention is for how long shared partitions retain records at present.
 func (s *Store) sharedRetention(now time.Time) time.Duration {
-	s.supersededRetentions = slices.DeleteFunc(s.supersededRetentions, func(past supersededRetention) bool { return now.After(past.expiresAt) })
+	s.supersededRetentions = slices.DeleteFunc(s.supersededRetentions, func(superseded supersededRetention) bool {
+		return now.After(superseded.expiresAt)
+	})
 	longest := max(s.retention, config.DefaultHolding)
-	for _, past := range s.supersededRetentions {
-		longest = max(longest, past.retention)
+	for _, superseded := range s.supersededRetentions {
+		longest = max(longest, superseded.retention)
 	}
 	return longest
 }
+
+// applyRetention drops what is older than the retention of its space.
+func (s *Store) applyRetention(now time.Time) {
+	s.timers.Arm(timerRetention, now.Add(retentionInterval))
+	for name, partition := range statemachine.Sorted(s.replicas) {
+		space, _, _ := strings.Cut(name, "~")
+		retention := s.configuration.Spaces[space].Holding
+		if config.IsShared(name) {
+			retention = s.sharedRetention(now)
+		}
+		if statemachine.Mutated("short-history") {
+			partition.log.expire(now, -retentionMargin+time.Second, dedupWindow)
+			continue
+		}
+		window := max(dedupWindow, 3*s.settings.RedeliveryWindow)
+		partition.log.expire(now, max(retention, config.DefaultHolding), window)
+	}
+}
--- a/internal/partition/sender_state.go
+++ b/internal/partition/sender_state.go
@@ -6,31 +6,48 @@
 	"dahlialock/internal/statemachine"
 )
 
-// handleSenderStateRequest tells where a sender's newest messages are among the partitions that
-// this store is first for, so that a sender that moved keeps its order.
-func (s *Store) handleSenderStateRequest(now time.Time, from string, ask SenderStateRequest, effects *statemachine.Effects) {
-	answer := SenderStateResponse{RequestID: ask.RequestID, Ready: s.Ready()}
-	for _, name := range ask.Partitions {
+// handleSenderStateRequest tells a gateway where a sender's newest messages lie in the
+// partitions that this store leads, so that a sender that came from another gateway keeps its
+// order.
+func (s *Store) handleSenderStateRequest(
+	now time.Time, from string, request SenderStateRequest, effects *statemachine.Effects,
+) {
+	response := SenderStateResponse{RequestID: request.RequestID, Ready: s.Ready()}
+	for _, name := range request.Partitions {
 		partition, found := s.replicas[name]
-		if !found || !s.isLeader(partition) || partition.servingEpoch != partition.placement.Epoch {
-			answer.Ready = false
+		if !found || !s.isLeader(partition) || !partition.established() {
+			response.Ready = false
 			continue
 		}
-		sender, known := partition.log.Senders[ask.Sender]
+		sender, known := partition.log.Senders[request.Sender]
 		if !known {
 			continue
 		}
-		answer.LastSeq = max(answer.LastSeq, sender.LastSeq)
-		for _, memory := range sender.Window {
-			age := now.Sub(memory.AppendedAt)
-			records := partition.log.recordsAfter(memory.Offset - 1)
-			if age > 2*DependencyWindow || memory.Offset <= partition.log.BaseOffset || len(records) == 0 {
-				continue
-			}
-			answer.RecentMessages = append(answer.RecentMessages, RecentMessage{
-				Position: MessagePosition{Partition: NumberOf(name), Offset: memory.Offset, Topic: records[0].Topic}, Seq: memory.Seq, Age: age,
-			})
+		response.LastSeq = max(response.LastSeq, sender.LastSeq)
+		response.RecentMessages = append(response.RecentMessages, partition.log.recentMessages(now, sender)...)
+	}
+	effects.Send(from, response)
+}
+
+// recentMessages gives the positions of a sender's messages that may still matter as
+// dependencies of its next ones.
+func (l *log) recentMessages(now time.Time, sender *senderState) []RecentMessage {
+	var recent []RecentMessage
+	for _, entry := range sender.Window {
+		age := now.Sub(entry.AppendedAt)
+		record, retained := l.recordAt(entry.Offset)
+		if age > 2*DependencyWindow || !retained {
+			continue
 		}
+		recent = append(recent, RecentMessage{
+			Position: MessagePosition{
+				Partition: NumberOf(l.Name),
+				Offset:    entry.Offset,
+				Topic:     record.Topic,
+			},
+			Seq: entry.Seq,
+			Age: age,
+		})
 	}
-	effects.Send(from, answer)
+	return recent
 }
--- a/internal/partition/slow_disk.go
+++ b/internal/partition/slow_disk.go
@@ -1,7 +1,3 @@
-// What a store observes of disks, its own and those of the copies that it sends:
-// one that is far slower than the others, hangs or refuses is told to the
-// primary, which gives its partitions to others.
-
 package partition
 
 import (
@@ -11,95 +7,146 @@
 	"dahlialock/internal/statemachine"
 )
 
-// Spans by which a disk is told to be slow. A copy that is not answered for
-// doubtAfter is told too, for the primary to look whether the store is there.
+// A store observes its own disk and, by their acknowledgements, those of its followers. One
+// that is far slower than the others, hangs or takes no writes is reported to the primary
+// controller, which moves its partitions to other stores.
 const (
-	diskStallTimeout       = 400 * time.Millisecond
-	followerDoubtTimeout   = 250 * time.Millisecond
-	slowDiskMinDelay       = 60 * time.Millisecond
-	slowDiskRatio          = 4
-	diskProbeInterval      = time.Second
+	// diskStallTimeout is when a write to the own disk that isn't synced is reported.
+	diskStallTimeout = 400 * time.Millisecond
+	// followerDoubtTimeout is when a replicate request without acknowledgement is reported, for
+	// the controller to check whether the follower is there.
+	followerDoubtTimeout = 250 * time.Millisecond
+	// A disk is slow if its smoothed delay exceeds slowDiskMinDelay, and slowDiskRatio times
+	// that of the fastest.
+	slowDiskMinDelay = 60 * time.Millisecond
+	slowDiskRatio    = 4
+	// slowDiskReportInterval is the least time between two reports of one store.
 	slowDiskReportInterval = 300 * time.Millisecond
+	// diskProbeInterval is how often a degraded store writes if it has nothing else to write.
+	diskProbeInterval = time.Second
 	// maxCheckpointTime is how long a checkpoint may take before the disk counts as slow.
 	maxCheckpointTime = 2 * time.Second
 )
 
-// probeDisk writes a little while this store is taken for degraded, and so has no
-// other writes to tell by whether its disk is well again.
-func (s *Store) probeDisk(now time.Time) {
-	if !s.view.Members[s.settings.Self.Name].Degraded {
-		return
-	}
-	s.timers.Arm("probe", now.Add(diskProbeInterval))
-	if len(s.pendingWrites) == 0 {
-		s.logEntry(diskEntry{Disk: s.disk}, nil)
+// diskTimes are the delays of disks as this store observes them.
+type diskTimes struct {
+	// own is the smoothed time of a write to this store's disk, and followers that of each
+	// store which a leader here replicates to, by its own clock.
+	own       time.Duration
+	followers map[string]time.Duration
+	// reportedAt is when a store was last reported.
+	reportedAt map[string]time.Time
+}
+
+func newDiskTimes() diskTimes {
+	return diskTimes{followers: map[string]time.Duration{}, reportedAt: map[string]time.Time{}}
+}
+
+// fastest is the least delay that is known.
+func (t *diskTimes) fastest() time.Duration {
+	fastest := t.own
+	for _, delay := range t.followers {
+		fastest = min(fastest, delay)
 	}
+	return fastest
 }
 
-// smooth lets a new delay count an eighth.
+// smooth gives a new delay a weight of one eighth.
 func smooth(delay, latest time.Duration) time.Duration { return delay + (latest-delay)/8 }
 
-// recordDiskTime notes how long a follower's disk took, by its own clock, so that the
-// link between does not count.
-func (s *Store) recordDiskTime(copied *followerProgress, took time.Duration) {
+// recordDiskTime notes how long a follower's disk took for the requests that it acknowledged.
+// It is measured by the follower, so that the link between doesn't count.
+func (s *Store) recordDiskTime(follower *followerProgress, diskTime time.Duration) {
 	count := 0
-	for count < len(copied.inFlight) && copied.inFlight[count].lastOffset <= copied.acknowledged {
+	for count < len(follower.inFlight) && follower.inFlight[count].lastOffset <= follower.acknowledged {
 		count++
 	}
 	if count > 0 {
-		s.followerDelays[copied.name] = smooth(s.followerDelays[copied.name], took)
+		s.diskTimes.followers[follower.name] = smooth(s.diskTimes.followers[follower.name], diskTime)
 	}
-	copied.inFlight = append(copied.inFlight[:0], copied.inFlight[count:]...)
+	follower.inFlight = append(follower.inFlight[:0], follower.inFlight[count:]...)
 }
 
-// pruneDelays drops what was seen of stores that nothing is copied to any more.
-func (s *Store) pruneDelays() {
-	copying := map[string]bool{}
+// pruneFollowerDelays drops the delays of stores that no leader here replicates to any more.
+func (s *Store) pruneFollowerDelays() {
+	replicating := map[string]bool{}
 	for _, partition := range s.replicas {
-		for _, copied := range partition.followers {
-			copying[copied.name] = copying[copied.name] || s.isLeader(partition)
+		for _, follower := range partition.followers {
+			replicating[follower.name] = replicating[follower.name] || s.isLeader(partition)
 		}
 	}
-	for name := range s.followerDelays {
-		if !copying[name] {
-			delete(s.followerDelays, name)
+	for name := range s.diskTimes.followers {
+		if !replicating[name] {
+			delete(s.diskTimes.followers, name)
 		}
 	}
 }
 
-// reportSlowDisks reports the stores whose disks are slow by what is seen here.
+// reportSlowDisks reports the stores whose disks are slow by what is observed here.
 func (s *Store) reportSlowDisks(now time.Time, effects *statemachine.Effects) {
+	oldest := s.oldestInFlight(now)
+	fastest := s.diskTimes.fastest()
+	for name, delay := range statemachine.Sorted(s.diskTimes.followers) {
+		observed := diskObservation{delay: delay, oldest: oldest[name], timeout: followerDoubtTimeout}
+		s.reportIfSlow(now, name, observed, fastest, effects)
+	}
+	own := diskObservation{delay: s.diskTimes.own, oldest: s.oldestWriteAge(now), timeout: diskStallTimeout}
+	if s.writes.unavailable {
+		own.oldest = max(own.oldest, diskStallTimeout+1)
+	}
+	s.reportIfSlow(now, s.settings.Self.Name, own, fastest, effects)
+}
+
+// oldestInFlight gives, for each follower with requests in flight, the age of the oldest.
+func (s *Store) oldestInFlight(now time.Time) map[string]time.Duration {
 	oldest := map[string]time.Duration{}
 	for _, partition := range s.replicas {
-		for _, copied := range partition.followers {
-			if s.isLeader(partition) && len(copied.inFlight) > 0 {
-				oldest[copied.name] = max(oldest[copied.name], now.Sub(copied.inFlight[0].sentAt))
+		for _, follower := range partition.followers {
+			if s.isLeader(partition) && len(follower.inFlight) > 0 {
+				oldest[follower.name] = max(oldest[follower.name], now.Sub(follower.inFlight[0].sentAt))
 			}
 		}
 	}
-	fastest := s.diskDelay
-	for _, delay := range s.followerDelays {
-		fastest = min(fastest, delay)
-	}
-	for name, delay := range statemachine.Sorted(s.followerDelays) {
-		s.reportIfSlow(now, name, delay, oldest[name], followerDoubtTimeout, fastest, effects)
-	}
-	owed := s.oldestPendingWrite(now)
-	if s.diskUnavailable {
-		owed = max(owed, diskStallTimeout+1)
-	}
-	s.reportIfSlow(now, s.settings.Self.Name, s.diskDelay, owed, diskStallTimeout, fastest, effects)
+	return oldest
 }
 
-func (s *Store) reportIfSlow(now time.Time, name string, delay, oldest, limit, fastest time.Duration, effects *statemachine.Effects) {
-	slow := delay > slowDiskMinDelay && delay > slowDiskRatio*fastest
+// diskObservation is what is observed of one disk: the smoothed delay of writes, the age of
+// the oldest without acknowledgement, and above which age that is reported.
+type diskObservation struct {
+	delay   time.Duration
+	oldest  time.Duration
+	timeout time.Duration
+}
+
+func (s *Store) reportIfSlow(
+	now time.Time, name string, observed diskObservation, fastest time.Duration, effects *statemachine.Effects,
+) {
+	slow := observed.delay > slowDiskMinDelay && observed.delay > slowDiskRatio*fastest
+	if !slow && observed.oldest <= observed.timeout {
+		return
+	}
 	member, found := s.view.Members[name]
-	if !found || !member.Alive || !slow && oldest <= limit || now.Sub(s.slowDiskReportedAt[name]) < slowDiskReportInterval {
+	if !found || !member.Alive || now.Sub(s.diskTimes.reportedAt[name]) < slowDiskReportInterval {
 		return
 	}
-	s.slowDiskReportedAt[name] = now
+	s.diskTimes.reportedAt[name] = now
 	effects.Send(s.view.Upstream(), membership.SlowDiskReport{
-		Reporter: s.settings.Self.Name, Name: name, Incarnation: member.Incarnation, Delay: max(delay, oldest),
-		Sure: slow || name == s.settings.Self.Name,
+		Reporter:    s.settings.Self.Name,
+		Name:        name,
+		Incarnation: member.Incarnation,
+		Delay:       max(observed.delay, observed.oldest),
+		Sure:        slow || name == s.settings.Self.Name,
 	})
 }
+
+// probeDisk writes a little while this store counts as degraded, since it has no other writes
+// then that show whether its disk is well again.
+func (s *Store) probeDisk(now time.Time) {
+	if !s.view.Members[s.settings.Self.Name].Degraded {
+		return
+	}
+	s.timers.Arm(timerProbeDisk, now.Add(diskProbeInterval))
+	if len(s.writes.pending) == 0 {
+		s.logEntry(diskEntry{Disk: s.disk})
+	}
+}
--- a/internal/partition/slow_disk_test.go
+++ b/internal/partition/slow_disk_test.go
@@ -31,13 +31,13 @@
 func (w *writing) writes() uint64 {
 	var effects statemachine.Effects
 	w.store.write(w.now, nil, statemachine.Write{Entries: [][]byte{{1}}}, &effects)
-	return w.store.writeToken
+	return w.store.writes.token
 }
 
 func (w *writing) checkpoints() uint64 {
 	var effects statemachine.Effects
 	w.store.checkpoint(w.now, &effects)
-	return w.store.writeToken
+	return w.store.writes.token
 }
 
 // lags tells whether the store tells of its own disk after a while.
--- a/internal/partition/snapshot.go
+++ b/internal/partition/snapshot.go
@@ -1,8 +1,3 @@
-// Snapshots of partitions: a follower whose log does not meet the first's is sent
-// the whole. A whole is large, and its answer takes as long as the link does, so
-// each is sent once until it is answered or must be taken for lost, and no more
-// than a few are under way to one follower at a time.
-
 package partition
 
 import (
@@ -13,95 +8,109 @@
 	"dahlialock/internal/transport"
 )
 
-// Bounds of snapshots under way.
+// A snapshot may be large, and its response takes as long as the link does. So each is sent
+// once until there is a response or it must be taken for lost, and only a few are in flight
+// to one follower.
 const (
-	// maxSnapshotBytesInFlight bounds what is under way to one follower, below what a link
-	// keeps for a peer that does not read; one snapshot may be larger.
+	// maxSnapshotBytesInFlight bounds the snapshots in flight to one follower, below what a
+	// link buffers for a peer that doesn't read; a single snapshot may be larger.
 	maxSnapshotBytesInFlight = 768 << 10
-	// snapshotTimeout is when the first snapshot without an answer is taken for lost;
-	// each further one waits for twice as long, up to snapshotPatience.
+	// snapshotTimeout is when the first snapshot without a response is taken for lost. It
+	// doubles with each further one, up to maxSnapshotTimeout.
 	snapshotTimeout    = 3 * replicateInterval
 	maxSnapshotTimeout = 8 * snapshotTimeout
 )
 
-// snapshotTransfer is the state of a follower's need for the whole of a partition.
+// snapshotTransfer is the state of a follower's need for a snapshot of the log.
 type snapshotTransfer struct {
-	// needed is set from the follower's word until its disk has the whole.
+	// needed is set from the follower's mismatch until its disk holds a snapshot.
 	needed bool
-	// bytes and sentAt are of the one under way; there is none while size is 0.
+	// bytes, sentAt and timeout are of the snapshot in flight; bytes is 0 if there is none.
 	bytes   int
 	sentAt  time.Time
 	timeout time.Duration
 }
 
-// timedOut tells whether the snapshot under way must be taken for lost: a link
-// carries what it is given in order, so the answer to another one counts as well.
-func (s *snapshotTransfer) timedOut(now time.Time) bool { return now.Sub(s.sentAt) >= s.timeout }
+// timedOut tells whether the snapshot in flight must be taken for lost. Links deliver in
+// order, so the response to a later snapshot moves sentAt of the earlier ones, too.
+func (t *snapshotTransfer) timedOut(now time.Time) bool { return now.Sub(t.sentAt) >= t.timeout }
 
-// requireSnapshot notes that a follower needs the whole, and sends it when its turn
-// has come. Its word may come again and again before the whole has arrived.
-func (s *Store) requireSnapshot(now time.Time, partition *replica, copied *followerProgress, effects *statemachine.Effects) {
-	copied.snapshot.needed = true
-	s.sendSnapshot(now, partition, copied, effects)
+// requireSnapshot notes that a follower needs a snapshot, and sends it when its turn comes.
+// The follower may ask several times before the snapshot has arrived.
+func (s *Store) requireSnapshot(
+	now time.Time, partition *replica, follower *followerProgress, effects *statemachine.Effects,
+) {
+	follower.snapshot.needed = true
+	s.sendSnapshot(now, partition, follower, effects)
 }
 
-// sendSnapshot sends a follower the whole, unless it is under way or others are.
-func (s *Store) sendSnapshot(now time.Time, partition *replica, copied *followerProgress, effects *statemachine.Effects) {
-	whole := &copied.snapshot
-	if whole.bytes > 0 && !whole.timedOut(now) {
+// sendSnapshot sends a follower the complete log, unless it or too much else is in flight.
+func (s *Store) sendSnapshot(
+	now time.Time, partition *replica, follower *followerProgress, effects *statemachine.Effects,
+) {
+	transfer := &follower.snapshot
+	if transfer.bytes > 0 && !transfer.timedOut(now) {
 		return
 	}
-	if underWay := s.snapshotBytesInFlight(now, copied.name); underWay >= maxSnapshotBytesInFlight {
+	if s.snapshotBytesInFlight(now, follower.name) >= maxSnapshotBytesInFlight {
 		return
 	}
-	state := transport.MustMarshal(partition.log)
-	whole.bytes, whole.sentAt = len(state), now
-	whole.timeout = min(max(2*whole.timeout, snapshotTimeout), maxSnapshotTimeout)
-	copied.sentAt = now
+	packed := transport.MustMarshal(partition.log)
+	transfer.bytes = len(packed)
+	transfer.sentAt = now
+	transfer.timeout = min(max(2*transfer.timeout, snapshotTimeout), maxSnapshotTimeout)
+	follower.sentAt = now
 	s.Counts.SnapshotsSent++
-	effects.Emit(logevent.PartitionSnapshotSent, "partition", partition.log.Name, "epoch", partition.placement.Epoch, "bytes", whole.bytes)
-	effects.Send(s.view.Members[copied.name].Address, InstallSnapshot{
-		SentAt: now, Partition: partition.log.Name, Epoch: partition.placement.Epoch, Log: state,
+	effects.Emit(logevent.PartitionSnapshotSent,
+		"partition", partition.log.Name,
+		"epoch", partition.placement.Epoch,
+		"bytes", transfer.bytes,
+	)
+	effects.Send(s.view.Members[follower.name].Address, InstallSnapshot{
+		SentAt:    now,
+		Partition: partition.log.Name,
+		Epoch:     partition.placement.Epoch,
+		Log:       packed,
 	})
 }
 
-// snapshotBytesInFlight gives how many bytes of snapshots one follower did not answer.
-func (s *Store) snapshotBytesInFlight(now time.Time, follower string) int {
+// snapshotBytesInFlight is the size of the snapshots, of all partitions, to which a follower
+// has not responded.
+func (s *Store) snapshotBytesInFlight(now time.Time, name string) int {
 	total := 0
 	for _, partition := range s.replicas {
-		for _, copied := range partition.followers {
-			if copied.name == follower && !copied.snapshot.timedOut(now) {
-				total += copied.snapshot.bytes
+		for _, follower := range partition.followers {
+			if follower.name == name && !follower.snapshot.timedOut(now) {
+				total += follower.snapshot.bytes
 			}
 		}
 	}
 	return total
 }
 
-// snapshotInstalled notes that a follower's disk has the whole, and that its link gets
-// on, and sends it what waits for that.
-func (s *Store) snapshotInstalled(now time.Time, taken *followerProgress, effects *statemachine.Effects) {
-	if !taken.snapshot.needed {
+// snapshotInstalled notes that a follower's disk holds the log, which also says that its link
+// makes progress, and sends the snapshots that waited for that.
+func (s *Store) snapshotInstalled(now time.Time, installed *followerProgress, effects *statemachine.Effects) {
+	if !installed.snapshot.needed {
 		return
 	}
-	taken.snapshot = snapshotTransfer{}
+	installed.snapshot = snapshotTransfer{}
 	for _, partition := range s.replicas {
-		for _, copied := range partition.followers {
-			if copied.name == taken.name && !copied.snapshot.timedOut(now) {
-				copied.snapshot.sentAt = now
+		for _, follower := range partition.followers {
+			if follower.name == installed.name && !follower.snapshot.timedOut(now) {
+				follower.snapshot.sentAt = now
 			}
 		}
 	}
-	s.sendSnapshots(now, taken.name, effects)
+	s.sendSnapshots(now, installed.name, effects)
 }
 
-// sendSnapshots sends a follower the snapshots that it needs, as far as they may be
-// under way.
-func (s *Store) sendSnapshots(now time.Time, follower string, effects *statemachine.Effects) {
+// sendSnapshots sends a follower the snapshots that it needs, as far as they may be in flight.
+func (s *Store) sendSnapshots(now time.Time, name string, effects *statemachine.Effects) {
 	for _, partition := range statemachine.Sorted(s.replicas) {
-		for _, copied := range partition.followers {
-			if copied.name == follower && copied.snapshot.needed && s.isLeader(partition) {
-				s.sendSnapshot(now, partition, copied, effects)
+		for _, follower := range partition.followers {
+			if follower.name == name && follower.snapshot.needed && s.isLeader(partition) {
+				s.sendSnapshot(now, partition, follower, effects)
 			}
 		}
 	}
--- a/internal/partition/status.go
+++ b/internal/partition/status.go
@@ -1,19 +1,5 @@
 package partition
 
-// Partitions tells of every partition held here, for ctl and the simulator's checks.
-func (s *Store) Partitions() map[string]PartitionStatus {
-	statuses := map[string]PartitionStatus{}
-	for name, partition := range s.replicas {
-		head, _ := partition.log.end()
-		statuses[name] = PartitionStatus{
-			Epoch: partition.placement.Epoch, Leader: s.isLeader(partition), Complete: partition.placement.Complete,
-			Base: partition.log.BaseOffset, LastOffset: head, HighWatermark: partition.highWatermark,
-			Serving: s.Ready() && s.isLeader(partition) && partition.placement.Complete && partition.servingEpoch == partition.placement.Epoch,
-		}
-	}
-	return statuses
-}
-
 // PartitionStatus is one partition as a store sees it.
 type PartitionStatus struct {
 	Epoch         uint64 `json:"epoch"`
@@ -25,3 +11,23 @@
 	// Serving says that the store accepts messages at present.
 	Serving bool `json:"serving"`
 }
+
+// Partitions gives the status of every replica by partition, for ctl and for the simulator's
+// checks.
+func (s *Store) Partitions() map[string]PartitionStatus {
+	statuses := map[string]PartitionStatus{}
+	for name, partition := range s.replicas {
+		lastOffset, _ := partition.log.end()
+		leader := s.isLeader(partition)
+		statuses[name] = PartitionStatus{
+			Epoch:         partition.placement.Epoch,
+			Leader:        leader,
+			Complete:      partition.placement.Complete,
+			Base:          partition.log.BaseOffset,
+			LastOffset:    lastOffset,
+			HighWatermark: partition.highWatermark,
+			Serving:       s.Ready() && leader && partition.placement.Complete && partition.established(),
+		}
+	}
+	return statuses
+}
--- a/internal/partition/store.go
+++ b/internal/partition/store.go
@@ -1,16 +1,6 @@
-// Package partition replicates logs of kept messages on stores.
-//
-// A Store is the store daemon's state machine. For each partition that the controllers
-// place on it, it is first or follower in one epoch. The first gives a
-// message its offset, syncs it, and sends it to the follower, which refuses
-// older epochs, syncs it too and says so; only then is the message accepted. A
-// first whose follower is not yet complete accepts nothing new; it copies,
-// tells the primary when the copy is whole, and waits for that to be recorded.
-// A store that has just started serves nothing until it has fresh news.
 package partition
 
 import (
-	"strings"
 	"time"
 
 	"dahlialock/internal/config"
@@ -18,49 +8,29 @@
 	"dahlialock/internal/decisionlog"
 	"dahlialock/internal/membership"
 	"dahlialock/internal/statemachine"
-	"dahlialock/internal/transport"
 )
 
-// Spans of a store's work.
-const (
-	replicateInterval     = 150 * time.Millisecond
-	maxCommitLag          = 400 * time.Millisecond
-	appendTimeout         = 600 * time.Millisecond
-	reportInterval        = 400 * time.Millisecond
-	retentionInterval     = 5 * time.Second
-	subscriptionTimeout   = 6 * time.Second
-	highWatermarkInterval = 400 * time.Millisecond
-	minCheckpointBytes    = 8 << 20
-	maxFetchRecords       = 512
-	maxFetchBytes         = 1 << 20
-	maxReplicateRecords   = 512
-	maxReplicateBackoff   = 8
-	retryAfter            = 2 * time.Second
-	sharedRetryAfter      = 200 * time.Millisecond
-	// minRetentionMemory is for how long a holding that was taken back counts on, so
-	// that a space which comes again finds what it held.
-	minRetentionMemory = 5 * time.Minute
-)
-
-// Stop asks the store to end in good order.
-type Stop struct{}
-
 // Settings are a store daemon's settings.
 type Settings struct {
-	Self    membership.Member
-	Seeds   []string
+	// Self is the store as it joins the membership. New sets its disk.
+	Self membership.Member
+	// Seeds are the addresses of controllers to ask for the first view.
+	Seeds []string
+	// NewDisk names the disk if it is empty; otherwise it has its name already.
 	NewDisk string
-	// RedeliveryWindow is how long a caller may send an accepted message again.
+	// RedeliveryWindow is for how long a client may send an accepted message again.
 	RedeliveryWindow time.Duration
-	// ShutdownGrace is for how long a daemon that was asked to end is let run.
+	// ShutdownGrace is for how long a daemon that was asked to stop is left running;
+	// defaultShutdownGrace if zero.
 	ShutdownGrace time.Duration
-	// Acknowledge is within what time a proper order is to be acknowledged.
+	// Acknowledge is within what time an operator's request is to be acknowledged.
 	Acknowledge time.Duration
 	// Incarnation names this run of the process.
 	Incarnation statemachine.Incarnation
 }
 
-// Request is an operator's request at this daemon's own ctl.
+// Request is a command: an operator's request at this daemon's own ctl. It is forwarded to
+// the primary controller, and the response goes to Local.
 type Request struct {
 	Local  uint64
 	Method string
@@ -68,13 +38,19 @@
 	Body   []byte
 }
 
-// FindDecisions asks the ring of recorded decisions.
+// FindDecisions is a command: it asks for the recorded decisions about a request, a message
+// or a session. The response, a list of decisionlog.Entry, goes to Local.
 type FindDecisions struct {
-	Local                     uint64
-	Request, Message, Session string
+	Local   uint64
+	Request string
+	Message string
+	Session string
 }
 
-// Counts are running sums for measurements.
+// Stop is a command: it asks the store to shut down in good order.
+type Stop struct{}
+
+// Counts are running sums, read by ctl and by tests.
 type Counts struct {
 	Appends            uint64 `json:"Appends"`
 	Accepted           uint64 `json:"Accepted"`
@@ -89,72 +65,71 @@
 	HighWatermarksSent uint64 `json:"HeadsOut"`
 }
 
-// Store is the state machine.
+// Store is the state machine of a store daemon. See the package comment for how it is driven.
 type Store struct {
-	settings             Settings
-	disk                 string
-	newDisk              bool
-	replicas             map[string]*replica
-	view                 *membership.ViewClient
-	detector             *membership.FailureDetector
-	controlClient        *controlclient.ControlClient
-	timers               *statemachine.Timers[string]
-	decisions            *decisionlog.Ring
-	subscribers          map[string]*subscriber
-	configuration        config.Configuration
+	// Counts is read by ctl; only the store changes it.
+	Counts Counts
+
+	settings Settings
+	// disk names the disk, and newDisk is set if this run gave it the name.
+	disk    string
+	newDisk bool
+
+	replicas map[string]*replica
+	// toReplicate names the partitions whose leader has something to send at the step's end.
+	toReplicate map[string]bool
+	subscribers map[string]*subscriber
+
+	view          *membership.ViewClient
+	detector      *membership.FailureDetector
+	controlClient *controlclient.ControlClient
+	timers        *statemachine.Timers[timer]
+	decisions     *decisionlog.Ring
+	// leaderCount and followerCount are how many replicas had these roles when last logged.
+	leaderCount   int
+	followerCount int
+
+	configuration config.Configuration
+	// retention is the longest that the configuration asks for in shared partitions.
 	retention            time.Duration
 	supersededRetentions []supersededRetention
-	stopping             bool
-	stopDeadline         time.Time
 
-	entries                    [][]byte
-	callbacks                  []syncCallback
-	writeToken                 uint64
-	pendingWrites              map[uint64]*pendingWrite
-	diskUnavailable            bool
-	syncedWriteStart           time.Time
-	diskDelay                  time.Duration
-	followerDelays             map[string]time.Duration
-	slowDiskReportedAt         map[string]time.Time
-	logBytes, checkpointBytes  int
-	toReplicate                map[string]bool
-	leaderCount, followerCount int
-	Counts                     Counts
+	writes    writeQueue
+	diskTimes diskTimes
+
+	// stopping is set once the store was asked to stop; it ends at stopDeadline at the latest.
+	stopping     bool
+	stopDeadline time.Time
 }
 
-// New makes a store from what its disk held.
-func New(settings Settings, frame []byte, entries [][]byte) (*Store, error) {
+// New makes a store from the newest snapshot of its disk, empty on a new disk, and the
+// entries after it. It fails with ErrorUnreadable if they can't be decoded.
+func New(settings Settings, snapshot []byte, entries [][]byte) (*Store, error) {
 	store := &Store{
-		settings: settings, replicas: map[string]*replica{}, timers: statemachine.NewTimers[string](), decisions: decisionlog.NewRing(settings.Self.Name),
-		subscribers: map[string]*subscriber{}, pendingWrites: map[uint64]*pendingWrite{}, toReplicate: map[string]bool{},
-		checkpointBytes: minCheckpointBytes, followerDelays: map[string]time.Duration{}, slowDiskReportedAt: map[string]time.Time{},
+		settings:    settings,
+		replicas:    map[string]*replica{},
+		toReplicate: map[string]bool{},
+		subscribers: map[string]*subscriber{},
+		timers:      statemachine.NewTimers[timer](),
+		decisions:   decisionlog.NewRing(settings.Self.Name),
+		writes:      newWriteQueue(),
+		diskTimes:   newDiskTimes(),
 	}
-	if len(frame) > 0 {
-		var stored diskSnapshot
-		if err := transport.Unmarshal(frame, &stored); err != nil {
-			return nil, err
-		}
-		store.disk = stored.Disk
-		for name, log := range stored.Partitions {
-			store.replicas[name] = newReplica(log)
-		}
-	}
-	for _, packed := range entries {
-		if err := store.replay(packed); err != nil {
-			return nil, err
-		}
+	if err := store.restore(snapshot, entries); err != nil {
+		return nil, err
 	}
 	if store.disk == "" {
 		store.disk, store.newDisk = settings.NewDisk, true
 	}
-	for _, partition := range store.replicas {
-		partition.syncedOffset, _ = partition.log.end()
-	}
 	store.settings.Self.Disk = store.disk
 	store.view = membership.NewViewClient(store.settings.Self, settings.Incarnation, settings.Seeds, store.load)
 	store.detector = membership.NewFailureDetector(store.settings.Self)
 	store.controlClient = controlclient.New(controlclient.Settings{
-		Incarnation: settings.Incarnation, Acknowledge: settings.Acknowledge, Upstream: store.view.Upstream, Next: store.view.NextController, Relays: store.view.Relays,
+		Incarnation: settings.Incarnation,
+		Acknowledge: settings.Acknowledge,
+		Upstream:    store.view.Upstream,
+		Next:        store.view.NextController,
+		Relays:      store.view.Relays,
 	})
 	return store, nil
 }
@@ -163,10 +138,10 @@
 	return membership.Load{Ready: s.Ready(), Requests: s.Counts.Appends}
 }
 
-// Ready tells whether the store serves.
+// Ready tells whether the store serves: it has a view and isn't about to stop.
 func (s *Store) Ready() bool { return s.view.Index > 0 && !s.stopping }
 
-// ConfigurationVersion is the configuration version in force here.
+// ConfigurationVersion is the version of the configuration in force here.
 func (s *Store) ConfigurationVersion() uint64 { return s.view.Version }
 
 // ViewClient gives the store's view, for its ctl.
@@ -175,7 +150,7 @@
 // Disk is the name of the disk.
 func (s *Store) Disk() string { return s.disk }
 
-// Start begins the store's work.
+// Start begins the store's work. It is called once, before any other step.
 func (s *Store) Start(now time.Time, effects *statemachine.Effects) {
 	for _, partition := range statemachine.Sorted(s.replicas) {
 		partition.log.resetTimes(now)
@@ -185,15 +160,20 @@
 	}
 	s.view.Start(now)
 	s.detector.Start(now)
-	s.timers.Arm("trim", now.Add(retentionInterval))
+	s.timers.Arm(timerRetention, now.Add(retentionInterval))
 }
 
 // NextTick is when the store wants to run again.
 func (s *Store) NextTick() time.Time {
-	return statemachine.Earliest(s.view.NextTick(), s.detector.NextTick(), s.controlClient.NextTick(), s.timers.Next())
+	return statemachine.Earliest(
+		s.view.NextTick(),
+		s.detector.NextTick(),
+		s.controlClient.NextTick(),
+		s.timers.Next(),
+	)
 }
 
-// HandleCommand takes what the adapters bring.
+// HandleCommand handles a command of the daemon around the store.
 func (s *Store) HandleCommand(now time.Time, command any, effects *statemachine.Effects) {
 	switch body := command.(type) {
 	case statemachine.Synced:
@@ -207,7 +187,7 @@
 	case Stop:
 		s.beginShutdown(now, effects)
 	}
-	s.flush(now, effects)
+	s.endStep(now, effects)
 }
 
 // Tick runs whatever is due.
@@ -215,27 +195,29 @@
 	s.view.Tick(now, effects)
 	s.detector.Tick(now, effects)
 	s.controlClient.Tick(now, effects)
-	for _, key := range s.timers.Expired(now) {
-		switch {
-		case key == "trim":
-			s.applyRetention(now)
-			s.dropUnassigned(now, effects)
-		case key == "copy":
+	for _, expired := range s.timers.Expired(now) {
+		switch expired {
+		case timerReplicate:
 			s.retryReplication(now, effects)
-		case key == "probe":
-			s.probeDisk(now)
-		case key == "leave":
+		case timerDrain:
 			s.drain(now, effects)
-		case key == "tell":
+		case timerProbeDisk:
+			s.probeDisk(now)
+		case timerReportReplicated:
 			s.reportReplicated(now, effects)
-		case strings.HasPrefix(key, "heads "):
-			s.sendHighWatermarks(now, strings.TrimPrefix(key, "heads "), false, effects)
+		case timerRetention:
+			s.applyRetention(now)
+			s.dropUnassigned(now, effects)
+		default:
+			if address, found := expired.subscriber(); found {
+				s.sendHighWatermarks(now, address, false, effects)
+			}
 		}
 	}
-	s.flush(now, effects)
+	s.endStep(now, effects)
 }
 
-// HandleMessage takes what other daemons say.
+// HandleMessage handles a message of another daemon.
 func (s *Store) HandleMessage(now time.Time, meta statemachine.Meta, message any, effects *statemachine.Effects) {
 	s.detector.ReceiveFromPeer(now)
 	if meta.Version > s.view.Version {
@@ -269,7 +251,17 @@
 	case SubscribeHighWatermarks:
 		s.handleSubscribe(now, meta.From, body, effects)
 	}
-	s.flush(now, effects)
+	s.endStep(now, effects)
 }
 
-func (s *Store) replicaID() string { return s.settings.Self.ReplicaID() }
+// endStep sends the followers of each partition with new records one request, and gives
+// whatever the step logged to the disk as one write.
+func (s *Store) endStep(now time.Time, effects *statemachine.Effects) {
+	for name := range statemachine.Sorted(s.toReplicate) {
+		if partition, found := s.replicas[name]; found {
+			s.replicate(now, partition, effects)
+		}
+	}
+	clear(s.toReplicate)
+	s.flush(now, effects)
+}
--- /dev/null
+++ b/internal/partition/timers.go
@@ -0,0 +1,27 @@
+package partition
+
+import "strings"
+
+// timer is the key of one of the store's timers. Timers that expire at the same moment run
+// in the order of their keys, and recorded runs depend on that order: the numbers at the
+// beginning of the keys must keep it.
+type timer string
+
+const (
+	timerReplicate        timer = "1 replicate"
+	timerDrain            timer = "3 drain"
+	timerProbeDisk        timer = "4 probe disk"
+	timerReportReplicated timer = "5 report replicated"
+	timerRetention        timer = "6 retention"
+
+	// highWatermarksPrefix begins the keys of subscribers' timers; the address follows it.
+	highWatermarksPrefix = "2 high watermarks "
+)
+
+// highWatermarksTimer is the timer after which a subscriber is sent high watermarks.
+func highWatermarksTimer(address string) timer { return timer(highWatermarksPrefix + address) }
+
+// subscriber gives the address of the subscriber that a timer is for.
+func (t timer) subscriber() (address string, found bool) {
+	return strings.CutPrefix(string(t), highWatermarksPrefix)
+}
--- a/internal/partition/unassigned.go
+++ b/internal/partition/unassigned.go
@@ -1,9 +1,3 @@
-// Spare logs: a store that nobody counts on for a partition any more keeps its log
-// for a while. If it is named again soon, after another loss, it needs only what came
-// meanwhile instead of the whole. A spare log never counts as a copy: who holds what
-// was accepted stands in the placement, and what a follower has is compared with the
-// first's log by offset and epoch before anything is added to it.
-
 package partition
 
 import (
@@ -13,20 +7,26 @@
 	"dahlialock/internal/statemachine"
 )
 
-// unassignedRetention is how long a log is kept that nobody counts on. Later little of it would be
-// among what the first still holds.
+// unassignedRetention is for how long a log is kept that no placement needs. If the store is
+// named again within it, after another loss, it is sent only the records that it missed
+// instead of a snapshot; later the leader would hardly hold those any more.
+//
+// An unassigned log never counts as a replica: the placement says who holds what was accepted,
+// and a follower's log is compared with the leader's by offset and epoch before anything is
+// appended to it.
 const unassignedRetention = 30 * time.Second
 
-// releaseReplicas looks at which logs nobody counts on, and drops those that were spare for
-// long and those of partitions that are no more.
+// releaseReplicas notes which replicas no placement needs, and drops those of partitions that
+// are placed nowhere any more.
 func (s *Store) releaseReplicas(now time.Time, effects *statemachine.Effects) {
 	for name, partition := range statemachine.Sorted(s.replicas) {
-		place, placed := s.view.Placements[name]
+		placement, placed := s.view.Placements[name]
+		assigned := placement.HasReplica(s.settings.Self.Name) || slices.Contains(placement.InSync, s.replicaID())
 		switch {
-		case placed && (place.HasReplica(s.settings.Self.Name) || slices.Contains(place.InSync, s.replicaID())):
+		case placed && assigned:
 			partition.unassignedSince = time.Time{}
 		case partition.unassignedSince.IsZero():
-			s.failPending(partition, "removed", effects)
+			s.failPending(partition, CodeReplicaRemoved, effects)
 			partition.unassignedSince = now
 		}
 		if !placed || statemachine.Mutated("no-spare-logs") && !partition.unassignedSince.IsZero() {
@@ -35,7 +35,7 @@
 	}
 }
 
-// dropUnassigned drops the logs that were spare for long.
+// dropUnassigned drops the replicas that were unassigned for unassignedRetention.
 func (s *Store) dropUnassigned(now time.Time, effects *statemachine.Effects) {
 	for name, partition := range statemachine.Sorted(s.replicas) {
 		if !partition.unassignedSince.IsZero() && now.Sub(partition.unassignedSince) > unassignedRetention {
@@ -45,7 +45,7 @@
 }
 
 func (s *Store) drop(name string, partition *replica, effects *statemachine.Effects) {
-	s.failPending(partition, "removed", effects)
+	s.failPending(partition, CodeReplicaRemoved, effects)
 	delete(s.replicas, name)
-	s.logEntry(diskEntry{Partition: name, Drop: true}, nil)
+	s.logEntry(diskEntry{Partition: name, Drop: true})
 }
