--- /dev/null
+++ b/internal/partition/cluster_test.go
@@ -0,0 +1,258 @@
+package partition
+
+import (
+	"encoding/binary"
+	"fmt"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"dahlialock/internal/config"
+	"dahlialock/internal/membership"
+	"dahlialock/internal/statemachine"
+	"dahlialock/internal/transport"
+)
+
+// began is when tests begin.
+var began = time.Unix(1_700_000_000, 0)
+
+// at is a number of seconds after the beginning.
+func at(seconds int) time.Time { return began.Add(time.Duration(seconds) * time.Second) }
+
+// document is a configuration with some spaces.
+func document(version int, spaces string) []byte {
+	return fmt.Appendf(nil, `{"version": %d, "spaces": [%s]}`, version, spaces)
+}
+
+// cluster runs a few stores whose disks and links take no time. All of them host all shared
+// partitions, which store-0 leads.
+type cluster struct {
+	now    time.Time
+	stores map[string]*Store
+	// queue is what is in flight, in order.
+	queue []delivery
+	// accepted counts the appends that were acknowledged, linkBytes the bytes of messages and
+	// diskBytes those of writes, and spent is the time that each store ran.
+	accepted  int
+	linkBytes int
+	diskBytes int
+	spent     map[string]time.Duration
+	// slowLinks delay what goes to some stores; passed is set if the next delivery has been
+	// through its link.
+	slowLinks map[string]*slowLink
+	passed    bool
+}
+
+// delivery is an encoded message to a store, or, without one, the token of a synced write.
+type delivery struct {
+	to    string
+	frame []byte
+	token uint64
+}
+
+func newCluster(t testing.TB, size int) *cluster {
+	t.Helper()
+	run := &cluster{now: began, stores: map[string]*Store{}, spent: map[string]time.Duration{}}
+	update := viewUpdate(1, document(1, `{"name": "a", "promise": "kept", "order": "topic"}`))
+	for number := range size {
+		update.Members = append(update.Members, storeMember(fmt.Sprint("store-", number)))
+	}
+	for number := range config.SharedPartitions {
+		placement := membership.Placement{
+			Partition: config.SharedPartitionName(number),
+			Epoch:     1,
+			Leader:    update.Members[0].Name,
+			Complete:  true,
+		}
+		for position, member := range update.Members {
+			placement.InSync = append(placement.InSync, member.ReplicaID())
+			if position > 0 {
+				placement.Followers = append(placement.Followers, member.Name)
+			}
+		}
+		update.Placements = append(update.Placements, placement)
+	}
+	for _, member := range update.Members {
+		run.startStore(t, member)
+		run.sendView(member.Name, update)
+	}
+	run.deliverAll()
+	return run
+}
+
+func viewUpdate(index uint64, document []byte) membership.ViewUpdate {
+	return membership.ViewUpdate{
+		Nonce:    1,
+		Epoch:    1,
+		Primary:  "controller",
+		Index:    index,
+		Version:  1,
+		Changed:  true,
+		Document: document,
+	}
+}
+
+func storeMember(name string) membership.Member {
+	return membership.Member{Name: name, Kind: membership.KindStore, Address: name, Disk: "disk", Alive: true}
+}
+
+// startStore starts a store with an empty disk.
+func (c *cluster) startStore(t testing.TB, member membership.Member) {
+	t.Helper()
+	store, err := New(Settings{Self: member, Seeds: []string{"controller"}, NewDisk: "disk"}, nil, nil)
+	assert.NilError(t, err)
+	c.stores[member.Name] = store
+	c.step(member.Name, func(effects *statemachine.Effects) { store.Start(c.now, effects) })
+	c.step(member.Name, func(effects *statemachine.Effects) { store.Tick(c.now, effects) })
+}
+
+func (c *cluster) sendView(name string, update membership.ViewUpdate) {
+	c.step(name, func(effects *statemachine.Effects) {
+		c.stores[name].HandleMessage(c.now, statemachine.Meta{From: "controller"}, update, effects)
+	})
+}
+
+// step runs a store once, and queues its messages and writes.
+func (c *cluster) step(name string, act func(effects *statemachine.Effects)) {
+	started := time.Now()
+	var effects statemachine.Effects
+	act(&effects)
+	for _, send := range effects.Sends {
+		c.send(name, send)
+	}
+	for _, write := range effects.Writes {
+		for _, entry := range write.Entries {
+			c.diskBytes += len(entry)
+		}
+		c.diskBytes += len(write.Snapshot)
+		c.queue = append(c.queue, delivery{to: name, token: write.Token})
+	}
+	c.spent[name] += time.Since(started)
+}
+
+// send queues a message to a store. Of others only acknowledged appends count.
+func (c *cluster) send(from string, send statemachine.Send) {
+	if _, found := c.stores[send.To]; !found {
+		response, matches := send.Message.(AppendResponse)
+		if !matches || response.Outcome != OutcomeAccepted {
+			return
+		}
+		c.accepted++
+		c.linkBytes += len(mustEncode(from, send.Message))
+		return
+	}
+	frame := mustEncode(from, send.Message)
+	c.linkBytes += len(frame)
+	c.queue = append(c.queue, delivery{to: send.To, frame: frame})
+}
+
+func mustEncode(from string, message any) []byte {
+	frame, err := transport.Encode(statemachine.Meta{From: from, Version: 1}, message)
+	if err != nil {
+		panic(err)
+	}
+	return frame
+}
+
+// deliverAll delivers everything until nothing is in flight but on slow links.
+func (c *cluster) deliverAll() {
+	for len(c.queue) > 0 {
+		next := c.queue[0]
+		c.queue = c.queue[1:]
+		if link, slow := c.slowLinks[next.to]; slow && next.frame != nil && !c.passed {
+			link.enqueue(next)
+			continue
+		}
+		c.passed = false
+		c.step(next.to, func(effects *statemachine.Effects) { c.deliver(next, effects) })
+	}
+}
+
+func (c *cluster) deliver(next delivery, effects *statemachine.Effects) {
+	store := c.stores[next.to]
+	if next.frame == nil {
+		store.HandleCommand(c.now, statemachine.Synced{Token: next.token}, effects)
+		return
+	}
+	meta, message, err := transport.Decode(next.frame[4:])
+	if err != nil {
+		panic(err)
+	}
+	store.HandleMessage(c.now, meta, message, effects)
+}
+
+// publish appends a few messages that arrive in one turn, and lets 3 ms pass.
+func (c *cluster) publish(seq uint64, together int) {
+	for number := range together {
+		topic := fmt.Sprintf("reading.%d", (seq*uint64(together)+uint64(number))%1000)
+		data := make([]byte, 200)
+		binary.BigEndian.PutUint64(data, seq)
+		frame := mustEncode("gateway", Append{
+			Partition: config.SharedPartition(topic),
+			RequestID: seq,
+			Topic:     topic,
+			Sender:    "u1fx3a9c",
+			Seq:       seq + 1,
+			Data:      data,
+		})
+		c.step("store-0", func(effects *statemachine.Effects) {
+			c.deliver(delivery{to: "store-0", frame: frame}, effects)
+		})
+	}
+	c.deliverAll()
+	c.now = c.now.Add(3 * time.Millisecond)
+	for name, store := range c.stores {
+		if due := store.NextTick(); !due.After(c.now) {
+			c.step(name, func(effects *statemachine.Effects) { store.Tick(c.now, effects) })
+		}
+	}
+}
+
+// publishAndDropOldest publishes, and has the leader drop the oldest record of each
+// partition, so that a follower that has nothing needs a snapshot.
+func (c *cluster) publishAndDropOldest(from, until uint64) {
+	for seq := from; seq < until; seq++ {
+		c.publish(seq, 1)
+	}
+	for _, partition := range statemachine.Sorted(c.stores["store-0"].replicas) {
+		if len(partition.log.Records) > 1 {
+			partition.log.dropOldest(c.now, 1)
+		}
+	}
+}
+
+// changePlacements gives all stores a next epoch, which store-0 leads with one follower.
+func (c *cluster) changePlacements(index uint64, follower string, inSync ...string) {
+	update := viewUpdate(index, c.stores["store-0"].view.Document)
+	for _, store := range statemachine.Sorted(c.stores) {
+		update.Members = append(update.Members, store.settings.Self)
+	}
+	for number := range config.SharedPartitions {
+		placement := membership.Placement{
+			Partition: config.SharedPartitionName(number),
+			Epoch:     index,
+			Leader:    "store-0",
+			Followers: []string{follower},
+		}
+		for _, name := range inSync {
+			placement.InSync = append(placement.InSync, c.stores[name].replicaID())
+		}
+		update.Placements = append(update.Placements, placement)
+	}
+	for name := range statemachine.Sorted(c.stores) {
+		c.sendView(name, update)
+	}
+	c.deliverAll()
+}
+
+// caughtUp counts the partitions whose follower has all that the leader had in earlier epochs.
+func (c *cluster) caughtUp() int {
+	count := 0
+	for _, partition := range c.stores["store-0"].replicas {
+		if c.stores["store-0"].caughtUp(partition) {
+			count++
+		}
+	}
+	return count
+}
--- a/internal/partition/fetch_test.go
+++ b/internal/partition/fetch_test.go
@@ -1,5 +1,3 @@
-// One answer for many topics: each is told whether its place is still held, and records
-// go out within the credit.
 package partition
 
 import (
@@ -10,40 +8,47 @@
 	"dahlialock/internal/config"
 )
 
-// asked gives the records of topics after offsets, within a credit, as an answer does.
-func asked(log *log, credit int, topics ...TopicCursor) []TopicRecords {
-	accepted, _ := log.end()
-	partition := &replica{log: log, highWatermark: accepted}
+// fetchTopics gives the records of topics within a number of bytes, as a response has them.
+func fetchTopics(log *log, maxBytes int, topics ...TopicCursor) []TopicRecords {
+	highWatermark, _ := log.end()
+	partition := &replica{log: log, highWatermark: highWatermark}
 	var found []TopicRecords
-	for position, each := range topics {
-		found = append(found, partition.fetchTopic(each, &credit, position == 0))
+	for position, cursor := range topics {
+		found = append(found, partition.fetchTopic(cursor, &maxBytes, position == 0))
 	}
 	return found
 }
 
-func offsets(found TopicRecords) []uint64 {
-	var all []uint64
+func offsetsOf(found TopicRecords) []uint64 {
+	var offsets []uint64
 	for _, record := range found.Records {
-		all = append(all, record.Offset)
+		offsets = append(offsets, record.Offset)
 	}
-	return all
+	return offsets
 }
 
 func threeTopics() *log {
 	data := make([]byte, 100)
-	return filled(config.SharedPartitionName(3),
-		Record{Topic: "a", Sender: "s", Seq: 1, Data: data}, Record{Topic: "b", Sender: "s", Seq: 2, Data: data},
-		Record{Topic: "a", Sender: "s", Seq: 3, Data: data}, Record{Topic: "a", Sender: "s", Seq: 4, Data: data},
+	return filledLog(config.SharedPartitionName(3),
+		Record{Topic: "a", Sender: "s", Seq: 1, Data: data},
+		Record{Topic: "b", Sender: "s", Seq: 2, Data: data},
+		Record{Topic: "a", Sender: "s", Seq: 3, Data: data},
+		Record{Topic: "a", Sender: "s", Seq: 4, Data: data},
 		Record{Topic: "c", Sender: "s", Seq: 5, OffsetOnly: true},
 	)
 }
 
-func TestRecordsOfManyTopicsShareACredit(t *testing.T) {
-	found := asked(threeTopics(), 250, TopicCursor{Topic: "a"}, TopicCursor{Topic: "b"}, TopicCursor{Topic: "quiet"}, TopicCursor{Topic: "c"})
-	assert.DeepEqual(t, offsets(found[0]), []uint64{1, 3})
+func TestFetchTopicsShareMaxBytes(t *testing.T) {
+	found := fetchTopics(threeTopics(), 250,
+		TopicCursor{Topic: "a"},
+		TopicCursor{Topic: "b"},
+		TopicCursor{Topic: "quiet"},
+		TopicCursor{Topic: "c"},
+	)
+	assert.DeepEqual(t, offsetsOf(found[0]), []uint64{1, 3})
 	assert.Equal(t, found[0].Until, uint64(3))
 	assert.Equal(t, found[0].RemainingBytes, 100)
-	// There is no room left; the place is confirmed all the same.
+	// There is no capacity left, but the topic is confirmed up to its next record.
 	assert.Equal(t, len(found[1].Records), 0)
 	assert.Equal(t, found[1].Until, uint64(1))
 	assert.Equal(t, found[1].RemainingBytes, 100)
@@ -53,22 +58,22 @@
 	}
 }
 
-func TestTheFirstRecordOfAnAnswerAlwaysFits(t *testing.T) {
-	found := asked(threeTopics(), 10, TopicCursor{Topic: "a", After: 1}, TopicCursor{Topic: "b"})
-	assert.DeepEqual(t, offsets(found[0]), []uint64{3})
+func TestFetchTopicsAlwaysHasFirstRecord(t *testing.T) {
+	found := fetchTopics(threeTopics(), 10, TopicCursor{Topic: "a", After: 1}, TopicCursor{Topic: "b"})
+	assert.DeepEqual(t, offsetsOf(found[0]), []uint64{3})
 	assert.Equal(t, found[0].Until, uint64(3))
 	assert.Equal(t, len(found[1].Records), 0)
 }
 
-// Asking again from where each answer ends brings everything, once, whatever the credit.
-func TestAnswersInARowBringEverythingOnce(t *testing.T) {
-	for credit := range 400 {
+// Whatever the bytes of each response, requests that go on from Until get each record once.
+func TestFetchTopicsInSequenceHasEachRecordOnce(t *testing.T) {
+	for maxBytes := range 400 {
 		log := threeTopics()
 		after, got := uint64(0), []uint64(nil)
 		for round := 0; ; round++ {
-			assert.Assert(t, round < 5, "credit %d", credit)
-			found := asked(log, credit, TopicCursor{Topic: "a", After: after})[0]
-			got = append(got, offsets(found)...)
+			assert.Assert(t, round < 5, "%d bytes", maxBytes)
+			found := fetchTopics(log, maxBytes, TopicCursor{Topic: "a", After: after})[0]
+			got = append(got, offsetsOf(found)...)
 			after = found.Until
 			if found.RemainingBytes == 0 {
 				break
@@ -79,12 +84,12 @@
 	}
 }
 
-func TestAPlaceOfWhichSomethingIsGoneIsToldSo(t *testing.T) {
+func TestFetchTopicsReportsExpiredRecords(t *testing.T) {
 	log := threeTopics()
 	log.ExpiredTopics = map[string]expiredTopic{"a": {LastOffset: 9}}
 	log.BaseOffset = 3
 	log.Records = log.Records[3:]
-	found := asked(log, 1000, TopicCursor{Topic: "a", After: 1}, TopicCursor{Topic: "b", After: 4})
+	found := fetchTopics(log, 1000, TopicCursor{Topic: "a", After: 1}, TopicCursor{Topic: "b", After: 4})
 	assert.Assert(t, found[0].Expired && len(found[0].Records) == 0)
 	assert.Assert(t, !found[1].Expired)
 }
--- a/internal/partition/message_size_test.go
+++ b/internal/partition/message_size_test.go
@@ -1,5 +1,3 @@
-// What the words about one message weigh besides its data: between zones
-// bytes cost more than anything else.
 package partition
 
 import (
@@ -12,23 +10,67 @@
 	"dahlialock/internal/transport"
 )
 
-func TestWordsAboutAMessageAreShort(t *testing.T) {
-	record := Record{Offset: 1234, Epoch: 45, Topic: "kafi810.2f", Sender: "u1fx3a9c", Seq: 77, Data: make([]byte, 200), AppendedAt: began, PreviousInTopic: 1200}
-	told := responseRecord("+~0/17", record)
+// What the messages about one record of 200 bytes may weigh: traffic between zones costs more
+// than anything else.
+func TestMessagesAreSmall(t *testing.T) {
+	record := Record{
+		Offset:          1234,
+		Epoch:           45,
+		Topic:           "kafi810.2f",
+		Sender:          "u1fx3a9c",
+		Seq:             77,
+		Data:            make([]byte, 200),
+		AppendedAt:      began,
+		PreviousInTopic: 1200,
+	}
+	acknowledged := responseRecord("+~0/17", record)
 	ages := takeTimes(began, []Record{record})
 	record.AppendedAt = time.Time{}
 	for _, each := range []struct {
-		message any
-		most    int
+		message  any
+		maxBytes int
 	}{
-		{Append{Partition: "+~0/17", RequestID: 123456, Topic: record.Topic, Sender: record.Sender, Seq: 77, Data: record.Data}, 250},
-		{AppendResponse{Partition: "+~0/17", RequestID: 123456, Outcome: OutcomeAccepted, Epoch: 45, Record: told}, 46},
-		{Replicate{Partition: "+~0/17", Epoch: 45, PreviousOffset: 1233, PreviousEpoch: 45, Records: []Record{record}, Ages: ages}, 263},
-		{ReplicateResponse{Partition: "+~0/17", Epoch: 45, LastOffset: 1234, LastEpoch: 45, ReplicaHash: 1 << 31, DiskMilliseconds: 12}, 31},
-		{HighWatermarks{HighWatermarks: []HighWatermark{{Partition: "+~0/17", Epoch: 45, Offset: 1234, From: 1200, Topics: []TopicOffset{{TopicNumber: 1 << 63, Offset: 1234}}}}}, 40},
+		{maxBytes: 250, message: Append{
+			Partition: "+~0/17",
+			RequestID: 123456,
+			Topic:     record.Topic,
+			Sender:    record.Sender,
+			Seq:       77,
+			Data:      record.Data,
+		}},
+		{maxBytes: 46, message: AppendResponse{
+			Partition: "+~0/17",
+			RequestID: 123456,
+			Outcome:   OutcomeAccepted,
+			Epoch:     45,
+			Record:    acknowledged,
+		}},
+		{maxBytes: 263, message: Replicate{
+			Partition:      "+~0/17",
+			Epoch:          45,
+			PreviousOffset: 1233,
+			PreviousEpoch:  45,
+			Records:        []Record{record},
+			Ages:           ages,
+		}},
+		{maxBytes: 31, message: ReplicateResponse{
+			Partition:        "+~0/17",
+			Epoch:            45,
+			LastOffset:       1234,
+			LastEpoch:        45,
+			ReplicaHash:      1 << 31,
+			DiskMilliseconds: 12,
+		}},
+		{maxBytes: 40, message: HighWatermarks{HighWatermarks: []HighWatermark{{
+			Partition: "+~0/17",
+			Epoch:     45,
+			Offset:    1234,
+			From:      1200,
+			Topics:    []TopicOffset{{TopicNumber: 1 << 63, Offset: 1234}},
+		}}}},
 	} {
 		frame, err := transport.Encode(statemachine.Meta{Version: 3}, each.message)
 		assert.NilError(t, err)
-		assert.Assert(t, len(frame) <= each.most, "%T has %d bytes", each.message, len(frame))
+		assert.Assert(t, len(frame) <= each.maxBytes, "%T has %d bytes", each.message, len(frame))
 	}
 }
--- a/internal/partition/slow_disk_mutation_test.go
+++ b/internal/partition/slow_disk_mutation_test.go
@@ -10,7 +10,7 @@
 	"dahlialock/internal/statemachine"
 )
 
-func TestTheAllowanceOfCheckpointsIsNeeded(t *testing.T) {
+func TestCheckpointAllowanceIsNeeded(t *testing.T) {
 	defer statemachine.Mutate("checkpoints-lag")()
 	assert.Assert(t, largeCheckpoint(t))
 }
--- a/internal/partition/slow_disk_test.go
+++ b/internal/partition/slow_disk_test.go
@@ -1,5 +1,3 @@
-// A disk that is slow is told of; a checkpoint that takes its time is not, nor what waits
-// behind it.
 package partition
 
 import (
@@ -12,84 +10,91 @@
 	"dahlialock/internal/statemachine"
 )
 
-// writing is a store of which only the disk matters.
-type writing struct {
+// diskFixture is a store of which only the disk matters.
+type diskFixture struct {
 	store *Store
 	now   time.Time
 }
 
-func newWriting(t *testing.T) *writing {
+func newDiskFixture(t *testing.T) *diskFixture {
 	t.Helper()
-	self := membership.Member{Name: "store-1", Kind: membership.KindStore, Address: "a:1", Incarnation: 1, Alive: true}
+	self := membership.Member{
+		Name:        "store-1",
+		Kind:        membership.KindStore,
+		Address:     "a:1",
+		Incarnation: 1,
+		Alive:       true,
+	}
 	store, err := New(Settings{Self: self, NewDisk: "disk-1", Seeds: []string{"c:1"}}, nil, nil)
 	assert.NilError(t, err)
 	store.view.Members[self.Name] = self
-	return &writing{store: store, now: began}
+	return &diskFixture{store: store, now: began}
 }
 
-// writes begins a write and gives its token.
-func (w *writing) writes() uint64 {
+// write starts a small write and gives its token.
+func (f *diskFixture) write() uint64 {
 	var effects statemachine.Effects
-	w.store.write(w.now, nil, statemachine.Write{Entries: [][]byte{{1}}}, &effects)
-	return w.store.writes.token
+	f.store.write(f.now, nil, statemachine.Write{Entries: [][]byte{{1}}}, &effects)
+	return f.store.writes.token
 }
 
-func (w *writing) checkpoints() uint64 {
+// checkpoint starts a checkpoint and gives its token.
+func (f *diskFixture) checkpoint() uint64 {
 	var effects statemachine.Effects
-	w.store.checkpoint(w.now, &effects)
-	return w.store.writes.token
+	f.store.checkpoint(f.now, &effects)
+	return f.store.writes.token
 }
 
-// lags tells whether the store tells of its own disk after a while.
-func (w *writing) lags(wait time.Duration) bool {
-	w.now = w.now.Add(wait)
+// reports tells whether the store reports its own disk after a while.
+func (f *diskFixture) reports(wait time.Duration) bool {
+	f.now = f.now.Add(wait)
 	var effects statemachine.Effects
-	w.store.reportSlowDisks(w.now, &effects)
+	f.store.reportSlowDisks(f.now, &effects)
 	return len(effects.Sends) > 0
 }
 
-func (w *writing) synced(token uint64) {
+func (f *diskFixture) synced(token uint64) {
 	var effects statemachine.Effects
-	w.store.handleSynced(w.now, token, &effects)
+	f.store.handleSynced(f.now, token, &effects)
 }
 
-func TestAWriteThatStallsIsToldOf(t *testing.T) {
-	store := newWriting(t)
-	store.writes()
-	assert.Assert(t, !store.lags(diskStallTimeout))
-	assert.Assert(t, store.lags(time.Millisecond))
+func TestStoreReportsStalledWrite(t *testing.T) {
+	disk := newDiskFixture(t)
+	disk.write()
+	assert.Assert(t, !disk.reports(diskStallTimeout))
+	assert.Assert(t, disk.reports(time.Millisecond))
 }
 
-// largeCheckpoint tells whether a store that writes a large checkpoint, and small writes
-// behind it, counts as slow meanwhile or afterwards.
+// largeCheckpoint tells whether a store that writes a large checkpoint, and a small write
+// behind it, reports its disk meanwhile or afterwards.
 func largeCheckpoint(t *testing.T) bool {
 	t.Helper()
-	store := newWriting(t)
-	checkpoint := store.checkpoints()
-	store.now = store.now.Add(10 * time.Millisecond)
-	behind := store.writes()
-	told := store.lags(900 * time.Millisecond)
-	store.synced(checkpoint)
-	told = told || store.lags(100*time.Millisecond)
-	store.synced(behind)
-	return told || store.lags(slowDiskReportInterval)
+	disk := newDiskFixture(t)
+	checkpoint := disk.checkpoint()
+	disk.now = disk.now.Add(10 * time.Millisecond)
+	behind := disk.write()
+	reported := disk.reports(900 * time.Millisecond)
+	disk.synced(checkpoint)
+	reported = reported || disk.reports(100*time.Millisecond)
+	disk.synced(behind)
+	return reported || disk.reports(slowDiskReportInterval)
 }
 
-func TestALargeCheckpointIsNoSlowDisk(t *testing.T) {
+func TestStoreDoesNotReportLargeCheckpoint(t *testing.T) {
 	assert.Assert(t, !largeCheckpoint(t))
 }
 
-func TestADiskThatHangsInACheckpointIsToldOf(t *testing.T) {
-	store := newWriting(t)
-	store.checkpoints()
-	store.writes()
-	assert.Assert(t, !store.lags(maxCheckpointTime+diskStallTimeout))
-	assert.Assert(t, store.lags(time.Millisecond))
+func TestStoreReportsStalledCheckpoint(t *testing.T) {
+	disk := newDiskFixture(t)
+	disk.checkpoint()
+	disk.write()
+	assert.Assert(t, !disk.reports(maxCheckpointTime+diskStallTimeout))
+	assert.Assert(t, disk.reports(time.Millisecond))
 }
 
-func TestWhatStallsBeforeACheckpointIsToldOf(t *testing.T) {
-	store := newWriting(t)
-	store.writes()
-	store.checkpoints()
-	assert.Assert(t, store.lags(diskStallTimeout+time.Millisecond))
+func TestStoreReportsStalledWriteBeforeCheckpoint(t *testing.T) {
+	disk := newDiskFixture(t)
+	disk.write()
+	disk.checkpoint()
+	assert.Assert(t, disk.reports(diskStallTimeout+time.Millisecond))
 }
--- a/internal/partition/snapshot_test.go
+++ b/internal/partition/snapshot_test.go
@@ -12,119 +12,110 @@
 	"dahlialock/internal/statemachine"
 )
 
-// thinLink carries a machine's messages a few bytes at a time.
-type thinLink struct {
-	waiting []carried
-	perStep int
-	spare   int
-	lost    int
-	most    int
+// slowLink delivers a store's messages a few bytes at a time.
+type slowLink struct {
+	queue        []delivery
+	bytesPerStep int
+	// budget is how many bytes may pass now.
+	budget int
+	// lost is how many of the next messages are lost.
+	lost int
+	// maxQueued is the most bytes that were in the queue.
+	maxQueued int
 }
 
-// hold keeps what goes to the thin link's end.
-func (l *thinLink) hold(item carried) {
+// enqueue takes a message to the link's end.
+func (l *slowLink) enqueue(message delivery) {
 	if l.lost > 0 {
 		l.lost--
 		return
 	}
-	l.waiting = append(l.waiting, item)
-	held := 0
-	for _, waiting := range l.waiting {
-		held += len(waiting.frame)
+	l.queue = append(l.queue, message)
+	queued := 0
+	for _, waiting := range l.queue {
+		queued += len(waiting.frame)
 	}
-	l.most = max(l.most, held)
+	l.maxQueued = max(l.maxQueued, queued)
 }
 
-// pass gives what came through in one step.
-func (l *thinLink) pass() []carried {
-	l.spare += l.perStep
+// step gives what comes through in one step.
+func (l *slowLink) step() []delivery {
+	l.budget += l.bytesPerStep
 	count := 0
-	for count < len(l.waiting) && len(l.waiting[count].frame) <= l.spare {
-		l.spare -= len(l.waiting[count].frame)
+	for count < len(l.queue) && len(l.queue[count].frame) <= l.budget {
+		l.budget -= len(l.queue[count].frame)
 		count++
 	}
-	if count == len(l.waiting) {
-		l.spare = 0
+	if count == len(l.queue) {
+		l.budget = 0
 	}
-	passed := l.waiting[:count]
-	l.waiting = l.waiting[count:]
+	passed := l.queue[:count]
+	l.queue = l.queue[count:]
 	return passed
 }
 
-// replaceFollower names a store that has nothing as the follower of everything.
-func (b *bench) replaceFollower(t *testing.T, link *thinLink) {
+// replaceFollower gives all partitions to store-0 with an empty store behind a slow link as
+// their follower.
+func (c *cluster) replaceFollower(t *testing.T, link *slowLink) {
 	t.Helper()
-	fresh := membership.Member{Name: "store-fresh", Kind: membership.KindStore, Address: "store-fresh", Disk: "disk", Alive: true}
-	first := b.machines["store-0"]
-	news := membership.ViewUpdate{Nonce: 1, Epoch: 1, Primary: "controller", Index: 2, Version: 1, Changed: true, Document: first.view.Document}
-	news.Members = []membership.Member{first.settings.Self, fresh}
+	empty := storeMember("store-empty")
+	leader := c.stores["store-0"]
+	update := viewUpdate(2, leader.view.Document)
+	update.Members = []membership.Member{leader.settings.Self, empty}
 	for number := range config.SharedPartitions {
-		news.Placements = append(news.Placements, membership.Placement{
-			Partition: config.SharedPartitionName(number), Epoch: 2, Leader: "store-0",
-			Followers: []string{fresh.Name}, InSync: []string{first.replicaID()},
+		update.Placements = append(update.Placements, membership.Placement{
+			Partition: config.SharedPartitionName(number),
+			Epoch:     2,
+			Leader:    "store-0",
+			Followers: []string{empty.Name},
+			InSync:    []string{leader.replicaID()},
 		})
 	}
-	machine, err := New(Settings{Self: fresh, Seeds: []string{"controller"}, NewDisk: "disk"}, nil, nil)
-	assert.NilError(t, err)
-	b.machines[fresh.Name] = machine
-	b.thin = map[string]*thinLink{fresh.Name: link}
-	b.step(fresh.Name, func(effects *statemachine.Effects) { machine.Start(b.now, effects) })
-	b.step(fresh.Name, func(effects *statemachine.Effects) { machine.Tick(b.now, effects) })
-	for _, name := range []string{fresh.Name, "store-0"} {
-		b.step(name, func(effects *statemachine.Effects) {
-			b.machines[name].HandleMessage(b.now, statemachine.Meta{From: "controller"}, news, effects)
-		})
-	}
-	b.settle()
-}
-
-// copied tells how many partitions the fresh store has as far as the first.
-func (b *bench) copiedWhole() int {
-	count := 0
-	for _, partition := range b.machines["store-0"].replicas {
-		if b.machines["store-0"].caughtUp(partition) {
-			count++
-		}
+	c.slowLinks = map[string]*slowLink{empty.Name: link}
+	c.startStore(t, empty)
+	for _, name := range []string{empty.Name, "store-0"} {
+		c.sendView(name, update)
 	}
-	return count
+	c.deliverAll()
 }
 
-// catchUp publishes on while a fresh follower is brought up over a thin link, and
+// catchUp publishes on while an empty follower is brought up to date over a slow link, and
 // gives how long that took.
-func (b *bench) catchUp(t *testing.T, link *thinLink, most time.Duration) time.Duration {
+func (c *cluster) catchUp(t *testing.T, link *slowLink, timeout time.Duration) time.Duration {
 	t.Helper()
 	for seq := range uint64(1000) {
-		b.publish(seq, 1)
+		c.publish(seq, 1)
 	}
-	for _, partition := range statemachine.Sorted(b.machines["store-0"].replicas) {
-		// Whoever has nothing needs the whole, since the oldest record is gone.
-		partition.log.dropOldest(b.now, 1)
+	for _, partition := range statemachine.Sorted(c.stores["store-0"].replicas) {
+		// The oldest record is gone, so an empty store needs a snapshot.
+		partition.log.dropOldest(c.now, 1)
 	}
-	b.replaceFollower(t, link)
-	began := b.now
-	for seq := uint64(1000); b.copiedWhole() < config.SharedPartitions; seq++ {
-		b.publish(seq, 1)
-		for _, item := range link.pass() {
-			b.frames = append(b.frames, [2]any{item.to, item})
-			b.arrived = true
-			b.settle()
+	c.replaceFollower(t, link)
+	started := c.now
+	for seq := uint64(1000); c.caughtUp() < config.SharedPartitions; seq++ {
+		c.publish(seq, 1)
+		for _, message := range link.step() {
+			c.queue = append(c.queue, message)
+			c.passed = true
+			c.deliverAll()
 		}
-		assert.Assert(t, b.now.Sub(began) < most, "%d of %d copied after %s", b.copiedWhole(), config.SharedPartitions, most)
+		assert.Assert(t, c.now.Sub(started) < timeout,
+			"%d of %d caught up after %s", c.caughtUp(), config.SharedPartitions, timeout)
 	}
-	return b.now.Sub(began)
+	return c.now.Sub(started)
 }
 
-func TestAFollowerIsSentEachPartitionOnce(t *testing.T) {
-	run, link := newBench(t, 2), &thinLink{perStep: 1 << 10}
+func TestSnapshotIsSentOncePerPartition(t *testing.T) {
+	run, link := newCluster(t, 2), &slowLink{bytesPerStep: 1 << 10}
 	took := run.catchUp(t, link, 5*time.Second)
-	frames := run.machines["store-0"].Counts.SnapshotsSent
-	assert.Equal(t, frames, uint64(config.SharedPartitions), fmt.Sprint("after ", took))
-	assert.Assert(t, link.most <= maxSnapshotBytesInFlight+64<<10, "%d bytes waited for the link", link.most)
+	sent := run.stores["store-0"].Counts.SnapshotsSent
+	assert.Equal(t, sent, uint64(config.SharedPartitions), fmt.Sprint("after ", took))
+	assert.Assert(t, link.maxQueued <= maxSnapshotBytesInFlight+64<<10, "%d bytes waited for the link", link.maxQueued)
 }
 
-func TestAPartitionThatWasLostOnItsWayIsSentAgain(t *testing.T) {
-	run, link := newBench(t, 2), &thinLink{perStep: 64 << 10, lost: 3 * config.SharedPartitions / 2}
+func TestSnapshotThatWasLostIsSentAgain(t *testing.T) {
+	run, link := newCluster(t, 2), &slowLink{bytesPerStep: 64 << 10, lost: 3 * config.SharedPartitions / 2}
 	run.catchUp(t, link, 5*time.Second)
-	frames := run.machines["store-0"].Counts.SnapshotsSent
-	assert.Assert(t, frames >= config.SharedPartitions && frames <= 3*config.SharedPartitions, "%d", frames)
+	sent := run.stores["store-0"].Counts.SnapshotsSent
+	assert.Assert(t, sent >= config.SharedPartitions && sent <= 3*config.SharedPartitions, "%d", sent)
 }
