--- a/internal/partition/cluster_test.go
+++ b/internal/partition/cluster_test.go
@@ -51,8 +51,8 @@
 	token uint64
 }
 
-func newCluster(t testing.TB, size int) *cluster {
-	t.Helper()
+func newCluster(tb testing.TB, size int) *cluster {
+	tb.Helper()
 	run := &cluster{now: began, stores: map[string]*Store{}, spent: map[string]time.Duration{}}
 	update := viewUpdate(1, document(1, `{"name": "a", "promise": "kept", "order": "topic"}`))
 	for number := range size {
@@ -74,7 +74,7 @@
 		update.Placements = append(update.Placements, placement)
 	}
 	for _, member := range update.Members {
-		run.startStore(t, member)
+		run.startStore(tb, member)
 		run.sendView(member.Name, update)
 	}
 	run.deliverAll()
@@ -98,10 +98,10 @@
 }
 
 // startStore starts a store with an empty disk.
-func (c *cluster) startStore(t testing.TB, member membership.Member) {
-	t.Helper()
+func (c *cluster) startStore(tb testing.TB, member membership.Member) {
+	tb.Helper()
 	store, err := New(Settings{Self: member, Seeds: []string{"controller"}, NewDisk: "disk"}, nil, nil)
-	assert.NilError(t, err)
+	assert.NilError(tb, err)
 	c.stores[member.Name] = store
 	c.step(member.Name, func(effects *statemachine.Effects) { store.Start(c.now, effects) })
 	c.step(member.Name, func(effects *statemachine.Effects) { store.Tick(c.now, effects) })
--- a/internal/partition/messages.go
+++ b/internal/partition/messages.go
@@ -11,9 +11,10 @@
 
 const (
 	// DependencyWindow is for how long a message counts as a dependency of its sender's next
-	// ones. Older ones were delivered by every gateway whose view was verified within
-	// VerificationWindow.
-	DependencyWindow   = 6 * time.Second
+	// ones. A gateway that was verified within VerificationWindow has delivered older ones.
+	DependencyWindow = 6 * time.Second
+	// VerificationWindow is for how long a gateway counts as verified: it must be less than
+	// DependencyWindow.
 	VerificationWindow = 5 * time.Second
 	// MaxDependencies is how many messages Dependencies names one by one.
 	MaxDependencies = 12
@@ -36,8 +37,8 @@
 }
 
 // Dependencies are the messages of the same sender and space within DependencyWindow before a
-// message, which a reader must have got before it. Where there are more than MaxDependencies,
-// Floor says for each partition how far the older ones reach.
+// message. A reader that lacks one of them waits for it or fetches it. Where there are more
+// than MaxDependencies, Floor says for each partition how far the older ones reach.
 type Dependencies struct {
 	_        struct{} `cbor:",toarray"`
 	Messages []MessagePosition
--- a/internal/partition/outcome.go
+++ b/internal/partition/outcome.go
@@ -47,8 +47,8 @@
 	CodeFollowerIncomplete = "follower-incomplete"
 	// CodeFollowerSilent says that a follower doesn't acknowledge.
 	CodeFollowerSilent = "follower-silent"
-	// CodeLeaderMoved says that another store leads the partition now.
-	CodeLeaderMoved = "moved"
+	// CodeLeaderChanged says that another store leads the partition now.
+	CodeLeaderChanged = "moved"
 	// CodeReplicaRemoved says that the store holds no replica of the partition any more.
 	CodeReplicaRemoved = "removed"
 )
--- a/internal/partition/placement.go
+++ b/internal/partition/placement.go
@@ -73,7 +73,7 @@
 	partition.placement = placement
 	if changed {
 		if !leads {
-			s.failPending(partition, CodeLeaderMoved, effects)
+			s.failPending(partition, CodeLeaderChanged, effects)
 		}
 		partition.followers = nil
 		partition.placedAt = now
--- a/internal/partition/replicate.go
+++ b/internal/partition/replicate.go
@@ -151,7 +151,7 @@
 		return
 	}
 	if response.CurrentEpoch > partition.placement.Epoch {
-		s.failPending(partition, CodeLeaderMoved, effects)
+		s.failPending(partition, CodeLeaderChanged, effects)
 		s.view.PollNow(now)
 		return
 	}
