--- a/internal/partition/commit.go
+++ b/internal/partition/commit.go
@@ -46,7 +46,7 @@
 		effects.Send(s.view.Upstream(), membership.PartitionReplicated{
 			Partition: name,
 			Epoch:     partition.placement.Epoch,
-			Holders:   replicaIDs,
+			Replicas:  replicaIDs,
 		})
 	}
 	if reported {
--- a/internal/partition/placement.go
+++ b/internal/partition/placement.go
@@ -19,7 +19,7 @@
 	if !changed.View {
 		return
 	}
-	s.detector.SetView(now, s.view.Members, s.view.Upstream(), s.view.Index)
+	s.detector.SetView(now, s.view.Members, s.view.Index)
 	leaders, followers := s.applyPlacements(now, effects)
 	s.releaseReplicas(now, effects)
 	s.pruneFollowerDelays()
--- a/internal/partition/shutdown.go
+++ b/internal/partition/shutdown.go
@@ -45,7 +45,7 @@
 		Reporter:    s.settings.Self.Name,
 		Name:        s.settings.Self.Name,
 		Incarnation: s.settings.Self.Incarnation,
-		Sure:        true,
+		Measured:    true,
 	})
 }
 
--- a/internal/partition/slow_disk.go
+++ b/internal/partition/slow_disk.go
@@ -135,7 +135,7 @@
 		Name:        name,
 		Incarnation: member.Incarnation,
 		Delay:       max(observed.delay, observed.oldest),
-		Sure:        slow || name == s.settings.Self.Name,
+		Measured:    slow || name == s.settings.Self.Name,
 	})
 }
 
