--- a/internal/gateway/catchup_test.go
+++ b/internal/gateway/catchup_test.go
@@ -222,7 +222,7 @@
 	topic := one.gateway.routed.topics["topic-0"]
 	one.gateway.routed.reportedUpTo[topic.partition] = 5
 	one.gateway.handleTopicHighWatermarks(one.now, partition.HighWatermark{
-		Partition: topic.partition, Epoch: 1, From: 5, Offset: 8, Topics: []partition.TopicOffset{{TopicNumber: topic.number, Offset: 8}},
+		Partition: topic.partition, Epoch: 1, From: 5, Offset: 8, Topics: []partition.TopicOffset{{TopicHash: topic.number, Offset: 8}},
 	}, &one.effects)
 	one.answer(asked)
 	one.now = one.now.Add(highWatermarkGrace)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -184,7 +184,7 @@
 // Ready tells whether the platform should send new connections here.
 func (g *Gateway) Ready(now time.Time) bool {
 	return g.Confirmed(now) && !g.stopping && !g.viewClient.Directives.Rest &&
-		len(g.sessions) < g.settings.MaxClients && !slices.Contains(g.config.Drains, g.settings.Self.Name)
+		len(g.sessions) < g.settings.MaxClients && !slices.Contains(g.config.Draining, g.settings.Self.Name)
 }
 
 // Start begins the gateway's work.
--- a/internal/gateway/topic.go
+++ b/internal/gateway/topic.go
@@ -142,7 +142,7 @@
 // routeOf names the space of a routed topic; a request that names another space
 // than the routes do goes nowhere.
 func (g *Gateway) routeOf(space, name string) string {
-	target, found := g.config.Route(name)
+	target, found := g.config.SpaceForTopic(name)
 	if !found || space != "" && space != target {
 		return ""
 	}
--- a/internal/gateway/topic_delivery.go
+++ b/internal/gateway/topic_delivery.go
@@ -210,7 +210,7 @@
 	}
 	told := g.routed.reportedUpTo[head.Partition]
 	for _, each := range head.Topics {
-		if topic, found := g.routed.numbers[each.TopicNumber]; found && topic.durable && each.Offset > topic.last {
+		if topic, found := g.routed.numbers[each.TopicHash]; found && topic.durable && each.Offset > topic.last {
 			g.want(now, topic, each.Offset, highWatermarkGrace)
 		}
 	}
--- a/internal/gateway/topic_subscription.go
+++ b/internal/gateway/topic_subscription.go
@@ -41,7 +41,7 @@
 		g.replyTopicSubscription(now, present, request, formatTopicCursor(present.deliveredUpTo), effects)
 		return
 	}
-	if len(session.routed)+len(session.subscriptions) >= g.config.SubscriptionsEach {
+	if len(session.routed)+len(session.subscriptions) >= g.config.SubscriptionsPerSession {
 		answer(rejectedReply(429, "too-many-subscriptions", "the channel holds all the subscriptions it may", 0))
 		return
 	}
@@ -89,7 +89,7 @@
 func subscribeTimeoutOf(config config.Configuration) time.Duration {
 	longest := time.Second
 	for _, space := range config.Spaces {
-		longest = max(longest, space.AnswerWithin)
+		longest = max(longest, space.ResponseTimeout)
 	}
 	return min(longest*6/10, defaultSubscribeTimeout)
 }
@@ -98,7 +98,7 @@
 	topic, found := g.routed.topics[name]
 	if !found {
 		topic = &topicState{
-			name: name, number: config.TopicNumber(name), partition: config.SharedPartition(name), space: space,
+			name: name, number: config.TopicHash(name), partition: config.SharedPartition(name), space: space,
 			durable: g.spaces[space].space.Retention == config.Durable,
 		}
 		g.routed.topics[name] = topic
--- a/internal/overlay/presence.go
+++ b/internal/overlay/presence.go
@@ -66,7 +66,7 @@
 // SetSubscribers says that this daemon now has so many subscribers of a topic; none ends
 // it.
 func (o *Overlay) SetSubscribers(now time.Time, planeName, topic string, count int, effects *statemachine.Effects) {
-	number := config.TopicNumber(topic)
+	number := config.TopicHash(topic)
 	if o.parted || count == 0 && o.cellAt(planeName, number) == nil {
 		return
 	}
@@ -108,7 +108,7 @@
 		then(now, effects, false)
 		return
 	}
-	here := o.cell(now, planeName, CellOf(config.TopicNumber(topic)), effects)
+	here := o.cell(now, planeName, CellOf(config.TopicHash(topic)), effects)
 	here.lastUse = now
 	if here.joined() {
 		then(now, effects, true)
@@ -123,7 +123,7 @@
 
 // SubscribedDaemons lists the other daemons that have subscribers of a topic, in order.
 func (o *Overlay) SubscribedDaemons(planeName, topic string) []string {
-	number := config.TopicNumber(topic)
+	number := config.TopicHash(topic)
 	here := o.cellAt(planeName, number)
 	if here == nil {
 		return nil
@@ -139,7 +139,7 @@
 
 // Subscribers counts the subscribers of a topic on all other daemons.
 func (o *Overlay) Subscribers(planeName, topic string) int {
-	number := config.TopicNumber(topic)
+	number := config.TopicHash(topic)
 	here := o.cellAt(planeName, number)
 	if here == nil {
 		return 0
--- a/internal/partition/high_watermarks.go
+++ b/internal/partition/high_watermarks.go
@@ -104,8 +104,8 @@
 	watermark.From = min(sent.offset, r.highWatermark)
 	for topic, offset := range statemachine.Sorted(r.log.changedTopics(watermark.From, r.highWatermark)) {
 		watermark.Topics = append(watermark.Topics, TopicOffset{
-			TopicNumber: config.TopicNumber(topic),
-			Offset:      offset,
+			TopicHash: config.TopicHash(topic),
+			Offset:    offset,
 		})
 	}
 	return watermark
--- a/internal/partition/message_size_test.go
+++ b/internal/partition/message_size_test.go
@@ -66,7 +66,7 @@
 			Epoch:     45,
 			Offset:    1234,
 			From:      1200,
-			Topics:    []TopicOffset{{TopicNumber: 1 << 63, Offset: 1234}},
+			Topics:    []TopicOffset{{TopicHash: 1 << 63, Offset: 1234}},
 		}}}},
 	} {
 		frame, err := transport.Encode(statemachine.Meta{Version: 3}, each.message)
--- a/internal/partition/messages.go
+++ b/internal/partition/messages.go
@@ -81,10 +81,10 @@
 	OffsetOnly bool
 }
 
-// LinkClass is urgent for an ephemeral message, which is of use now or never.
+// LinkClass is transient for an ephemeral message, which is of use now or never.
 func (a Append) LinkClass() transport.Class {
 	if a.OffsetOnly {
-		return transport.ClassUrgent
+		return transport.ClassTransient
 	}
 	return transport.ClassLive
 }
@@ -258,12 +258,12 @@
 	Topics    []TopicOffset
 }
 
-// TopicOffset is the newest offset of a topic, which stands by its number to be short
-// (config.TopicNumber).
+// TopicOffset is the newest offset of a topic, which stands by its hash to be short
+// (config.TopicHash).
 type TopicOffset struct {
-	_           struct{} `cbor:",toarray"`
-	TopicNumber uint64
-	Offset      uint64
+	_         struct{} `cbor:",toarray"`
+	TopicHash uint64
+	Offset    uint64
 }
 
 // HighWatermarks are the high watermarks that advanced.
--- a/internal/partition/retention.go
+++ b/internal/partition/retention.go
@@ -29,10 +29,10 @@
 func (s *Store) applyConfiguration(now time.Time) {
 	// Faults are left out: the controllers put only documents without any in force.
 	s.configuration, _ = config.Read(s.view.Document)
-	longest := config.DefaultHolding
+	longest := config.DefaultRetentionTime
 	for _, space := range s.configuration.Spaces {
 		if space.Order == config.OrderTopic && space.Retention == config.Durable {
-			longest = max(longest, space.Holding)
+			longest = max(longest, space.RetentionTime)
 		}
 	}
 	if longest < s.retention {
@@ -49,7 +49,7 @@
 	s.supersededRetentions = slices.DeleteFunc(s.supersededRetentions, func(superseded supersededRetention) bool {
 		return now.After(superseded.expiresAt)
 	})
-	longest := max(s.retention, config.DefaultHolding)
+	longest := max(s.retention, config.DefaultRetentionTime)
 	for _, superseded := range s.supersededRetentions {
 		longest = max(longest, superseded.retention)
 	}
@@ -61,7 +61,7 @@
 	s.timers.Arm(timerRetention, now.Add(retentionInterval))
 	for name, partition := range statemachine.Sorted(s.replicas) {
 		space, _, _ := strings.Cut(name, "~")
-		retention := s.configuration.Spaces[space].Holding
+		retention := s.configuration.Spaces[space].RetentionTime
 		if config.IsShared(name) {
 			retention = s.sharedRetention(now)
 		}
@@ -70,6 +70,6 @@
 			continue
 		}
 		window := max(dedupWindow, 3*s.settings.RedeliveryWindow)
-		partition.log.expire(now, max(retention, config.DefaultHolding), window)
+		partition.log.expire(now, max(retention, config.DefaultRetentionTime), window)
 	}
 }
--- a/internal/partition/retention_test.go
+++ b/internal/partition/retention_test.go
@@ -18,7 +18,7 @@
 		store.view.Document = body
 		store.applyConfiguration(now)
 	}
-	assert.Equal(t, store.sharedRetention(at(0)), config.DefaultHolding)
+	assert.Equal(t, store.sharedRetention(at(0)), config.DefaultRetentionTime)
 	apply(at(0), document(1, `{"name": "a", "promise": "kept", "order": "topic", "holding": "90s"}, `+
 		`{"name": "b", "promise": "kept", "order": "channel", "holding": "5m"}`))
 	assert.Equal(t, store.sharedRetention(at(0)), 90*time.Second)
@@ -26,5 +26,5 @@
 	assert.Equal(t, store.sharedRetention(at(11)), 90*time.Second, "shortened")
 	apply(at(20), document(3, ``))
 	assert.Equal(t, store.sharedRetention(at(309)), 90*time.Second, "removed")
-	assert.Equal(t, store.sharedRetention(at(311)), config.DefaultHolding)
+	assert.Equal(t, store.sharedRetention(at(311)), config.DefaultRetentionTime)
 }
