--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -69,7 +69,8 @@
 		}
 		// A batch that is too large to be compressed goes among the others.
 		if sent%1000 < 17 {
-			assert.NilError(t, left.links.Send(right.address, sent, partition.Append{RequestID: sent, Data: make([]byte, 40<<10)}))
+			request := partition.Append{RequestID: sent, Data: make([]byte, 40<<10)}
+			assert.NilError(t, left.links.Send(right.address, sent, request))
 			sent++
 		}
 		left.links.Flush()
