--- a/cmd/store/main.go
+++ b/cmd/store/main.go
@@ -19,7 +19,7 @@
 func build(current settings.Settings, self membership.Member, stored daemon.StoredState) (daemon.Service, error) {
 	machine, err := partition.New(partition.Settings{
 		Self: self, Seeds: current.Seeds, NewDisk: stored.NewDisk, Incarnation: stored.Incarnation,
-		Redeliver: current.Timeouts.Redeliver, Acknowledge: current.Timeouts.Acknowledge, Grace: current.Timeouts.Grace,
+		RedeliveryWindow: current.Timeouts.Redeliver, Acknowledge: current.Timeouts.Acknowledge, ShutdownGrace: current.Timeouts.Grace,
 	}, stored.Snapshot, stored.Entries)
 	if err != nil {
 		return daemon.Service{}, err
@@ -32,7 +32,7 @@
 			return partition.Request{Local: local, Method: method, Path: path, Body: body}
 		},
 		FindDecisions: func(local uint64, request, message, origin string) any {
-			return partition.FindDecisions{Local: local, Request: request, Message: message, Origin: origin}
+			return partition.FindDecisions{Local: local, Request: request, Message: message, Session: origin}
 		},
 		Counters:       func() any { return map[string]any{"store": machine.Counts, "partitions": machine.Partitions()} },
 		ControlAdapter: platform.Adapter(current),
