--- a/internal/transport/class_test.go
+++ b/internal/transport/class_test.go
@@ -29,17 +29,17 @@
 	assert.DeepEqual(t, classes[transport.ClassTransient], []string{"gateway.EphemeralCopy"})
 	assert.DeepEqual(t, classes[transport.ClassCatchUp], []string{"partition.FetchResponse"})
 	for _, message := range []any{
-		partition.Copy{},
-		partition.CopyResponse{},
-		partition.Frame{},
+		partition.Replicate{},
+		partition.ReplicateResponse{},
+		partition.InstallSnapshot{},
 		partition.Append{},
 		partition.AppendResponse{},
-		partition.Heads{},
+		partition.HighWatermarks{},
 		partition.FetchTopicsResponse{},
 	} {
 		assert.Equal(t, transport.ClassOf(message), transport.ClassLive, "%T", message)
 	}
-	assert.Equal(t, transport.ClassOf(partition.Append{Bare: true}), transport.ClassTransient)
+	assert.Equal(t, transport.ClassOf(partition.Append{OffsetOnly: true}), transport.ClassTransient)
 	assert.Equal(t, transport.ClassOf(gateway.RoutedCopy{}), transport.ClassLive)
 	assert.Equal(t, transport.ClassOf(gateway.RoutedCopy{Ephemeral: true}), transport.ClassTransient)
 }
