--- a/internal/controller/explore_world_test.go
+++ b/internal/controller/explore_world_test.go
@@ -153,7 +153,7 @@
 	w.lastRequest++
 	w.send(gatewayAddress, w.state.Placements[testPartition].Leader, partition.Append{
 		Partition: testPartition,
-		Request:   w.lastRequest,
+		RequestID: w.lastRequest,
 		Topic:     "a",
 		Sender:    sender,
 		Seq:       seq,
@@ -246,7 +246,7 @@
 func (w *storeWorld) handleAsGateway(message any) {
 	switch body := message.(type) {
 	case partition.AppendResponse:
-		if body.Outcome != partition.Accepted {
+		if body.Outcome != partition.OutcomeAccepted {
 			return
 		}
 		name := fmt.Sprintf("%s/%d", body.Record.Sender, body.Record.Seq)
@@ -374,7 +374,7 @@
 			askedAt = w.now
 			w.send(gatewayAddress, placement.Leader, partition.Fetch{
 				Partition: testPartition,
-				Request:   w.lastRequest,
+				RequestID: w.lastRequest,
 				Prefixes:  []string{""},
 			})
 		}
--- a/internal/controller/leader_restart_test.go
+++ b/internal/controller/leader_restart_test.go
@@ -36,7 +36,7 @@
 	pair.gatewayHandler = func(_ string, message any) {
 		switch body := message.(type) {
 		case partition.AppendResponse:
-			pair.responses[body.Request] = body
+			pair.responses[body.RequestID] = body
 		case partition.FetchResponse:
 			if body.Ready {
 				pair.records = body.Records
@@ -66,7 +66,7 @@
 func (p *replicaPair) publish(request uint64) {
 	p.send(gatewayAddress, statemachine.Send{To: p.leader.name, Message: partition.Append{
 		Partition: testPartition,
-		Request:   request,
+		RequestID: request,
 		Topic:     "a",
 		Sender:    fmt.Sprint("sender-", request),
 		Seq:       1,
@@ -88,7 +88,7 @@
 
 // wasAccepted reports whether a message was acknowledged as accepted.
 func (p *replicaPair) wasAccepted(request uint64) bool {
-	return p.responses[request].Outcome == partition.Accepted
+	return p.responses[request].Outcome == partition.OutcomeAccepted
 }
 
 // loseLeader loses the leader with its disk, and then looks for what was accepted.
@@ -99,7 +99,7 @@
 	p.run(4 * time.Second)
 	p.send(gatewayAddress, statemachine.Send{
 		To:      p.state.Placements[testPartition].Leader,
-		Message: partition.Fetch{Partition: testPartition, Request: 1, Prefixes: []string{""}},
+		Message: partition.Fetch{Partition: testPartition, RequestID: 1, Prefixes: []string{""}},
 	})
 	p.run(time.Second)
 	stored, anyAccepted := map[string]bool{}, false
@@ -139,7 +139,7 @@
 	t.Helper()
 	pair := newReplicaPair(t, seed)
 	pair.linkFault = func(from, to string, message any) (time.Duration, bool) {
-		if _, acknowledges := message.(partition.CopyResponse); acknowledges &&
+		if _, acknowledges := message.(partition.ReplicateResponse); acknowledges &&
 			from == pair.follower.name && to == pair.leader.name {
 			return 1500 * time.Millisecond, false
 		}
@@ -150,7 +150,7 @@
 	pair.linkFault = nil
 	pair.run(1400*time.Millisecond - (pair.now - began))
 	pair.linkFault = func(from, _ string, message any) (time.Duration, bool) {
-		_, copies := message.(partition.Copy)
+		_, copies := message.(partition.Replicate)
 		return 0, copies && from == pair.leader.name
 	}
 	pair.publish(2)
@@ -167,7 +167,7 @@
 	t.Helper()
 	pair := newReplicaPair(t, seed)
 	pair.linkFault = func(from, _ string, message any) (time.Duration, bool) {
-		if _, copies := message.(partition.Copy); copies && from == pair.leader.name {
+		if _, copies := message.(partition.Replicate); copies && from == pair.leader.name {
 			return 1200 * time.Millisecond, false
 		}
 		return 0, false
@@ -187,7 +187,7 @@
 	pair := newReplicaPair(t, seed)
 	snapshots := 0
 	pair.linkFault = func(from, to string, message any) (time.Duration, bool) {
-		if _, snapshot := message.(partition.Frame); snapshot {
+		if _, snapshot := message.(partition.InstallSnapshot); snapshot {
 			snapshots++
 			packed, err := transport.Encode(statemachine.Meta{From: from, Version: 1}, message)
 			assert.NilError(t, err)
--- a/internal/controller/partition_test.go
+++ b/internal/controller/partition_test.go
@@ -54,7 +54,7 @@
 	name := fmt.Sprintf("sender-%d", number)
 	c.send(gatewayAddress, statemachine.Send{To: placement.Leader, Message: partition.Append{
 		Partition: testPartition,
-		Request:   request,
+		RequestID: request,
 		Topic:     "a",
 		Sender:    name,
 		Seq:       sender.seq,
@@ -72,7 +72,7 @@
 	switch body := message.(type) {
 	case partition.AppendResponse:
 		for number, sender := range c.senders {
-			if sender.request == body.Request && sender.answered != body.Request {
+			if sender.request == body.RequestID && sender.answered != body.RequestID {
 				c.handleAppendResponse(sender, fmt.Sprintf("sender-%d/%d", number, sender.seq), body)
 			}
 		}
@@ -86,9 +86,9 @@
 func (c *storeCluster) handleAppendResponse(
 	sender *sequentialSender, message string, response partition.AppendResponse,
 ) {
-	sender.answered = response.Request
+	sender.answered = response.RequestID
 	switch response.Outcome {
-	case partition.Accepted:
+	case partition.OutcomeAccepted:
 		offset := response.Record.Offset
 		if earlier, found := c.accepted[message]; found && earlier != offset {
 			c.t.Fatalf("%s was accepted at %d and again at %d", message, earlier, offset)
@@ -98,7 +98,7 @@
 		}
 		c.accepted[message], c.offsets[offset] = offset, message
 		sender.request = 0
-	case partition.Refused:
+	case partition.OutcomeRejected:
 		sender.refused++
 		if response.Code == codeOldSeq || response.Code == codeSeqReused {
 			c.t.Fatalf("%s, without an answer so far, was refused with %s", message, response.Code)
@@ -122,7 +122,7 @@
 			To: c.state.Placements[partitionName].Leader,
 			Message: partition.Fetch{
 				Partition: partitionName,
-				Request:   1,
+				RequestID: 1,
 				After:     after,
 				Prefixes:  []string{""},
 			},
@@ -130,7 +130,7 @@
 		c.run(200 * time.Millisecond)
 		assert.Assert(c.t, c.fetched != nil, "the leader does not answer")
 		records = append(records, c.fetched.Records...)
-		if after = c.fetched.Until; after >= c.fetched.Head {
+		if after = c.fetched.Until; after >= c.fetched.HighWatermark {
 			return records
 		}
 	}
--- a/internal/controller/shared_test.go
+++ b/internal/controller/shared_test.go
@@ -87,12 +87,12 @@
 	c.awaiting[c.requests] = then
 	name := config.SharedPartition(publisher.topic)
 	request := partition.Append{
-		Partition: name,
-		Request:   c.requests,
-		Topic:     publisher.topic,
-		Sender:    publisher.sender,
-		Seq:       seq,
-		Bare:      publisher.ephemeral,
+		Partition:  name,
+		RequestID:  c.requests,
+		Topic:      publisher.topic,
+		Sender:     publisher.sender,
+		Seq:        seq,
+		OffsetOnly: publisher.ephemeral,
 	}
 	if !publisher.ephemeral {
 		request.Data = []byte(publisher.name(seq))
@@ -134,10 +134,10 @@
 	name := publisher.name(item.seq)
 	item.waiting = false
 	switch response.Outcome {
-	case partition.Accepted:
+	case partition.OutcomeAccepted:
 		c.recordAccepted(publisher, item.seq, response)
 		publisher.finish(item)
-	case partition.Refused:
+	case partition.OutcomeRejected:
 		if response.Code == codeOldSeq {
 			_, accepted := c.acceptedAt[name]
 			assert.Assert(c.t, !accepted, "%s was accepted and then refused with old-seq", name)
@@ -172,22 +172,22 @@
 func (c *sharedCluster) handleAsGateway(_ string, message any) {
 	switch body := message.(type) {
 	case partition.AppendResponse:
-		if then, found := c.awaiting[body.Request]; found {
-			delete(c.awaiting, body.Request)
+		if then, found := c.awaiting[body.RequestID]; found {
+			delete(c.awaiting, body.RequestID)
 			then(body)
 		}
 	case partition.FetchResponse:
 		if body.Ready {
-			c.fetches[body.Request] = body
+			c.fetches[body.RequestID] = body
 		}
-	case partition.Heads:
-		for _, head := range body.Heads {
+	case partition.HighWatermarks:
+		for _, head := range body.HighWatermarks {
 			if head.From > c.highWatermarks[head.Partition] {
 				continue
 			}
 			c.highWatermarks[head.Partition] = max(c.highWatermarks[head.Partition], head.Offset)
 			for _, topic := range head.Topics {
-				c.topicOffsets[topic.Topic] = max(c.topicOffsets[topic.Topic], topic.Offset)
+				c.topicOffsets[topic.TopicHash] = max(c.topicOffsets[topic.TopicHash], topic.Offset)
 			}
 		}
 	}
@@ -196,11 +196,11 @@
 // follow asks the leaders for the high watermarks of their partitions.
 func (c *sharedCluster) follow() {
 	c.after(2*time.Second, c.follow)
-	follows := map[string]partition.Follow{}
+	follows := map[string]partition.SubscribeHighWatermarks{}
 	for name, placement := range statemachine.Sorted(c.state.Placements) {
 		follow := follows[placement.Leader]
 		follow.Partitions = append(follow.Partitions, name)
-		follow.From = append(follow.From, c.highWatermarks[name])
+		follow.KnownOffsets = append(follow.KnownOffsets, c.highWatermarks[name])
 		follows[placement.Leader] = follow
 	}
 	for leader, follow := range statemachine.Sorted(follows) {
@@ -215,14 +215,14 @@
 	name := config.SharedPartition(topic)
 	for after := uint64(0); ; {
 		c.requests++
-		request := partition.Fetch{Partition: name, Request: c.requests, After: after, Topics: []string{topic}}
+		request := partition.Fetch{Partition: name, RequestID: c.requests, After: after, Topics: []string{topic}}
 		c.send(gatewayAddress, statemachine.Send{To: c.state.Placements[name].Leader, Message: request})
 		c.run(200 * time.Millisecond)
 		response, found := c.fetches[c.requests]
 		assert.Assert(c.t, found, "the leader of %s does not answer", name)
-		assert.Assert(c.t, !response.Gone, "no record may be removed yet")
+		assert.Assert(c.t, !response.Expired, "no record may be removed yet")
 		records = append(records, response.Records...)
-		if after = response.Until; after >= response.Head {
+		if after = response.Until; after >= response.HighWatermark {
 			return records
 		}
 	}
@@ -323,7 +323,7 @@
 			assert.Assert(c.t, stored[name] == 0, "%s is stored twice", name)
 			assert.Assert(c.t, !c.never[name], "%s was rejected and is stored", name)
 			assert.Assert(c.t, record.Seq > lastSeq[record.Sender], "%s after seq %d", name, lastSeq[record.Sender])
-			assert.Assert(c.t, record.Prior == prior, "%s names %d before it, not %d", name, record.Prior, prior)
+			assert.Assert(c.t, record.PreviousInTopic == prior, "%s names %d before it, not %d", name, record.PreviousInTopic, prior)
 			stored[name], lastSeq[record.Sender], prior = record.Offset, record.Seq, record.Offset
 		}
 		known := c.topicOffsets[config.TopicHash(publisher.topic)]
@@ -339,14 +339,14 @@
 	c.append(publisher, seq, func(response partition.AppendResponse) {
 		switch {
 		case accepted:
-			again := response.Outcome == partition.Accepted && response.Again
+			again := response.Outcome == partition.OutcomeAccepted && response.Duplicate
 			assert.Assert(c.t, again, "%s was accepted at %d and is now answered %+v", name, offset, response)
 			c.recordAccepted(publisher, seq, response)
-		case response.Outcome == partition.Accepted:
+		case response.Outcome == partition.OutcomeAccepted:
 			// It was in flight when the faults began, and its sender had no response.
-			assert.Assert(c.t, response.Again && !c.never[name], "%s is appended below a later one", name)
+			assert.Assert(c.t, response.Duplicate && !c.never[name], "%s is appended below a later one", name)
 		default:
-			old := response.Outcome == partition.Refused && response.Code == codeOldSeq
+			old := response.Outcome == partition.OutcomeRejected && response.Code == codeOldSeq
 			assert.Assert(c.t, old, "%s is answered %+v", name, response)
 		}
 	})
--- a/internal/gateway/catchup.go
+++ b/internal/gateway/catchup.go
@@ -166,9 +166,9 @@
 	sent.sentAt = now
 	sent.attempts++
 	g.timers.ArmSooner("routed", sent.due())
-	asked := partition.FetchTopics{Request: sent.request, Bytes: sent.bytes}
+	asked := partition.FetchTopics{RequestID: sent.request, MaxBytes: sent.bytes}
 	for _, each := range sent.fetches {
-		asked.Topics = append(asked.Topics, partition.TopicAfter{Topic: each.topic.name, After: each.after})
+		asked.Topics = append(asked.Topics, partition.TopicCursor{Topic: each.topic.name, After: each.after})
 	}
 	g.Counts.Fetches++
 	effects.Send(sent.store, asked)
@@ -246,7 +246,7 @@
 
 // handleTopicsFetched takes the answer to a batch.
 func (g *Gateway) handleTopicsFetched(now time.Time, response partition.FetchTopicsResponse, effects *statemachine.Effects) {
-	answered, found := g.routed.batches[response.Request]
+	answered, found := g.routed.batches[response.RequestID]
 	if !found || len(response.Topics) != len(answered.fetches) {
 		for _, each := range response.Topics {
 			g.Counts.Late += uint64(len(each.Records))
@@ -280,8 +280,8 @@
 func (g *Gateway) applyFetchedTopic(now time.Time, asked *topicFetch, state partition.PartitionState, response partition.TopicRecords, effects *statemachine.Effects) {
 	topic := asked.topic
 	g.routed.bases[topic.partition] = state.Base
-	topic.missingBytes = response.Left
-	if response.Gone {
+	topic.missingBytes = response.RemainingBytes
+	if response.Expired {
 		topic.reservedUntil = time.Time{}
 		g.expireSubscriptions(now, topic, asked.after, effects)
 		g.tickTopic(now, topic, effects)
@@ -297,9 +297,9 @@
 		}
 	}
 	g.release(now, topic, effects)
-	if response.Until < state.Head {
+	if response.Until < state.HighWatermark {
 		// One answer did not hold all.
-		g.want(now, topic, state.Head, 0)
+		g.want(now, topic, state.HighWatermark, 0)
 	}
 	g.tickTopic(now, topic, effects)
 }
@@ -316,7 +316,7 @@
 		if topic.reservedUntil.After(now) {
 			topic.recentUntil = topic.reservedUntil
 		}
-		g.startReports(now, topic.partition, state.Head)
+		g.startReports(now, topic.partition, state.HighWatermark)
 	}
 	if asked.after == everything {
 		return
