--- a/internal/gateway/catchup.go
+++ b/internal/gateway/catchup.go
@@ -165,7 +165,7 @@
 func (g *Gateway) sendBatch(now time.Time, sent *batch, effects *statemachine.Effects) {
 	sent.sentAt = now
 	sent.attempts++
-	g.timers.ArmSooner("routed", sent.due())
+	g.timers.ArmSooner(timerRouted, sent.due())
 	asked := partition.FetchTopics{Request: sent.request, Bytes: sent.bytes}
 	for _, each := range sent.fetches {
 		asked.Topics = append(asked.Topics, partition.TopicAfter{Topic: each.topic.name, After: each.after})
@@ -210,7 +210,7 @@
 	for _, sent := range statemachine.Sorted(g.routed.batches) {
 		switch {
 		case sent.due().After(now):
-			g.timers.ArmSooner("routed", sent.due())
+			g.timers.ArmSooner(timerRouted, sent.due())
 		case !sent.wanted():
 			g.endBatch(sent)
 		default:
--- a/internal/gateway/draining.go
+++ b/internal/gateway/draining.go
@@ -69,7 +69,7 @@
 	}
 	targets := g.targets()
 	if len(targets) == 0 {
-		g.timers.Arm("move", now.Add(5*moveInterval))
+		g.timers.Arm(timerMove, now.Add(5*moveInterval))
 		return
 	}
 	for id, session := range statemachine.Sorted(g.sessions) {
@@ -82,7 +82,7 @@
 		}
 	}
 	if len(g.sessions) > 0 {
-		g.timers.Arm("move", now.Add(moveInterval))
+		g.timers.Arm(timerMove, now.Add(moveInterval))
 	}
 }
 
@@ -112,8 +112,8 @@
 	}
 	g.stopping = true
 	g.stopUntil = now.Add(g.settings.StopWithin)
-	g.timers.Arm("move", now)
-	g.timers.Arm("stop", now.Add(moveInterval))
+	g.timers.Arm(timerMove, now)
+	g.timers.Arm(timerStop, now.Add(moveInterval))
 }
 
 // servesOn tells whether a gateway that stops has time left to serve those who
@@ -136,7 +136,7 @@
 // stopStep ends the gateway once its origins are gone, or its time is up.
 func (g *Gateway) stopStep(now time.Time, effects *statemachine.Effects) {
 	if g.staysFor(now) && now.Before(g.stopUntil) || len(g.appends)+len(g.routed.appends) > 0 && now.Before(g.stopUntil.Add(-time.Second)) {
-		g.timers.Arm("stop", now.Add(moveInterval))
+		g.timers.Arm(timerStop, now.Add(moveInterval))
 		return
 	}
 	for id, session := range statemachine.Sorted(g.sessions) {
--- a/internal/gateway/fetch.go
+++ b/internal/gateway/fetch.go
@@ -63,7 +63,7 @@
 
 func (g *Gateway) ask(now time.Time, id uint64, name string, asked *fetched, effects *statemachine.Effects) {
 	asked.waiting, asked.askedAt = true, now
-	g.timers.ArmSooner("limits", now.Add(fetchRetry))
+	g.timers.ArmSooner(timerDeadlines, now.Add(fetchRetry))
 	address, _, found := g.firstOf(name)
 	if !found {
 		g.viewClient.PollNow(now)
@@ -102,7 +102,7 @@
 		if tracker, found := g.trackers[round.tracker]; found {
 			tracker.verifying = false
 			tracker.wanted = true
-			g.timers.ArmSooner("verify", now.Add(verifyEvery))
+			g.timers.ArmSooner(timerVerify, now.Add(verifyEvery))
 		}
 		return
 	}
@@ -260,7 +260,7 @@
 		g.replay(now, session, round.interests)
 	}
 	g.drain(now, round.channel, session, effects)
-	g.timers.ArmSooner("follow", now)
+	g.timers.ArmSooner(timerFollow, now)
 	g.pump(now, effects)
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -73,7 +73,7 @@
 	controlClient *controlclient.ControlClient
 	overlay       *overlay.Overlay
 	ring          *decisionlog.Ring
-	timers        *statemachine.Timers[string]
+	timers        *statemachine.Timers[timer]
 	policies      []Policy
 
 	config      config.Configuration
@@ -123,7 +123,7 @@
 	settings.ConfirmedFor = orLonger(settings.ConfirmedFor, membership.ConfirmationTimeout)
 	settings.StopWithin = orLonger(settings.StopWithin, stopTimeout)
 	gateway := &Gateway{
-		settings: settings, overlay: overlay.New(settings.Self.Name), ring: decisionlog.NewRing(settings.Self.Name), timers: statemachine.NewTimers[string](),
+		settings: settings, overlay: overlay.New(settings.Self.Name), ring: decisionlog.NewRing(settings.Self.Name), timers: statemachine.NewTimers[timer](),
 		sessions: map[uint64]*session{}, moving: map[uint64]bool{}, spaces: map[string]*spaceState{},
 		senders: map[senderKey]*sender{}, trackers: map[string]*tracker{},
 		appends: map[uint64]*publication{}, sends: map[uint64]*publication{}, recalls: map[uint64]*recall{}, fetches: map[uint64]*fetch{},
@@ -191,7 +191,7 @@
 func (g *Gateway) Start(now time.Time, effects *statemachine.Effects) {
 	g.viewClient.Start(now)
 	g.detector.Start(now)
-	g.timers.Arm("tick", now.Add(tickInterval))
+	g.timers.Arm(timerTick, now.Add(tickInterval))
 }
 
 // NextTick is when the gateway wants to run again.
@@ -208,23 +208,23 @@
 	g.runOverlay(now, effects, g.overlay.Tick)
 	for _, key := range g.timers.Expired(now) {
 		switch key {
-		case "tick":
+		case timerTick:
 			g.tick(now, effects)
-		case "move":
+		case timerMove:
 			g.moveSome(now, effects)
-		case "looks":
+		case timerRefresh:
 			g.completeRefresh(now, effects)
-		case "limits":
+		case timerDeadlines:
 			g.limits(now, effects)
-		case "verify":
+		case timerVerify:
 			g.verifyAll(now, effects)
-		case "pump":
+		case timerDeliver:
 			g.pumpAll(now, effects)
-		case "follow":
+		case timerFollow:
 			g.followHighWatermarks(now, effects)
-		case "routed":
+		case timerRouted:
 			g.tickRouted(now, effects)
-		case "stop":
+		case timerStop:
 			g.stopStep(now, effects)
 		}
 	}
@@ -357,7 +357,7 @@
 
 // tick does the slow periodic work: pings, silent channels, idle senders.
 func (g *Gateway) tick(now time.Time, effects *statemachine.Effects) {
-	g.timers.Arm("tick", now.Add(tickInterval))
+	g.timers.Arm(timerTick, now.Add(tickInterval))
 	for id, session := range statemachine.Sorted(g.sessions) {
 		g.checkSession(now, id, session, effects)
 	}
--- a/internal/gateway/publish.go
+++ b/internal/gateway/publish.go
@@ -149,7 +149,7 @@
 		"version", g.viewClient.Version, "queued", len(from.queue))
 	item.limit = now.Add(min(requestTimeout, g.spaces[request.Space].space.ResponseTimeout*7/10))
 	from.queue = append(from.queue, item)
-	g.timers.ArmSooner("limits", item.limit)
+	g.timers.ArmSooner(timerDeadlines, item.limit)
 	if len(from.queue) == 1 {
 		g.begin(now, from, effects)
 	}
@@ -278,7 +278,7 @@
 
 func (g *Gateway) sendAppend(now time.Time, from *sender, item *publication, effects *statemachine.Effects) {
 	item.sentAt = now
-	g.timers.ArmSooner("limits", now.Add(appendRetry))
+	g.timers.ArmSooner(timerDeadlines, now.Add(appendRetry))
 	address, store, found := g.firstOf(item.partition)
 	if !found {
 		g.viewClient.PollNow(now)
@@ -336,7 +336,7 @@
 			// The store or this gateway lacks news; the limit decides.
 			g.viewClient.PollNow(now)
 			item.sentAt = now
-			g.timers.ArmSooner("limits", now.Add(appendRetry))
+			g.timers.ArmSooner(timerDeadlines, now.Add(appendRetry))
 		case "old-seq", "seq-reused":
 			g.finish(now, item, rejectedReply(409, response.Code, "this seq is not above the sender's newest", 0), effects)
 		default:
@@ -523,7 +523,7 @@
 		next = statemachine.Earliest(next, g.retryFetch(now, id, fetch, effects))
 	}
 	if !next.IsZero() {
-		g.timers.ArmSooner("limits", next)
+		g.timers.ArmSooner(timerDeadlines, next)
 	}
 }
 
--- a/internal/gateway/refresh.go
+++ b/internal/gateway/refresh.go
@@ -19,7 +19,7 @@
 	}
 	until := now.Add(refreshTimeout)
 	g.refreshWaiters = append(g.refreshWaiters, refreshWaiter{until: until, then: then})
-	g.timers.ArmSooner("looks", until)
+	g.timers.ArmSooner(timerRefresh, until)
 }
 
 func (g *Gateway) completeRefresh(now time.Time, effects *statemachine.Effects) {
--- a/internal/gateway/routed_publish.go
+++ b/internal/gateway/routed_publish.go
@@ -72,7 +72,7 @@
 	g.routed.appends[item.id] = item
 	g.overlay.AwaitCell(now, routedPlane, request.Topic, func(time.Time, *statemachine.Effects, bool) {}, effects)
 	g.sendRouted(now, item, effects)
-	g.timers.ArmSooner("routed", item.limit)
+	g.timers.ArmSooner(timerRouted, item.limit)
 }
 
 func (g *Gateway) answerRouted(now time.Time, item *routedPublication, response Reply, effects *statemachine.Effects) {
@@ -88,7 +88,7 @@
 
 func (g *Gateway) sendRouted(now time.Time, item *routedPublication, effects *statemachine.Effects) {
 	item.sentAt = now
-	g.timers.ArmSooner("routed", item.due())
+	g.timers.ArmSooner(timerRouted, item.due())
 	address, _, found := g.firstOf(item.partition)
 	if !found {
 		g.viewClient.PollNow(now)
@@ -181,7 +181,7 @@
 		next = statemachine.Earliest(next, item.due(), item.limit)
 	}
 	if !next.IsZero() {
-		g.timers.ArmSooner("routed", next)
+		g.timers.ArmSooner(timerRouted, next)
 	}
 }
 
--- a/internal/gateway/session.go
+++ b/internal/gateway/session.go
@@ -122,7 +122,7 @@
 	}
 	g.sessions[request.Session] = newSession(now, request)
 	g.supersede(now, request.Client, request.Session, effects)
-	g.timers.ArmSooner("tick", now.Add(tickInterval))
+	g.timers.ArmSooner(timerTick, now.Add(tickInterval))
 	g.ring.Record(now, "", "", request.Client, "channel-opened", "channel", request.Name)
 	effects.Emit(logevent.SessionOpened, "origin", request.Client)
 	effects.Respond(request.Request, acceptedReply(nil))
@@ -150,7 +150,7 @@
 func (g *Gateway) redirectClient(now time.Time, request OpenSession, targets []membership.Member, effects *statemachine.Effects) {
 	opened := newSession(now, request)
 	g.sessions[request.Session] = opened
-	g.timers.ArmSooner("tick", now.Add(tickInterval))
+	g.timers.ArmSooner(timerTick, now.Add(tickInterval))
 	effects.Respond(request.Request, acceptedReply(nil))
 	g.turn++
 	g.move(now, request.Session, opened, targets[g.turn%min(len(targets), 3)], effects)
--- a/internal/gateway/subscription.go
+++ b/internal/gateway/subscription.go
@@ -90,7 +90,7 @@
 	id := g.nextRequest
 	g.fetches[id] = round
 	round.joins = 1
-	g.timers.ArmSooner("limits", round.limit)
+	g.timers.ArmSooner(timerDeadlines, round.limit)
 	for _, interest := range round.interests {
 		g.addSubscription(now, session, request.Session, interest)
 	}
--- a/internal/gateway/topic_delivery.go
+++ b/internal/gateway/topic_delivery.go
@@ -120,7 +120,7 @@
 // scheduleTopic notes that a topic wants to be looked at.
 func (g *Gateway) scheduleTopic(topic *topicState, at time.Time) {
 	g.routed.busy[topic.name] = topic
-	g.timers.ArmSooner("routed", at)
+	g.timers.ArmSooner(timerRouted, at)
 }
 
 // startReports lets a partition's first tell what moved after an offset up to which
@@ -131,7 +131,7 @@
 		return
 	}
 	g.routed.reportedUpTo[name] = until
-	g.timers.ArmSooner("follow", now.Add(holeAfter))
+	g.timers.ArmSooner(timerFollow, now.Add(holeAfter))
 }
 
 // tickRouted looks at the topics with something that waits.
@@ -216,7 +216,7 @@
 	}
 	if head.From > told {
 		// Something was told that did not come.
-		g.timers.ArmSooner("follow", now)
+		g.timers.ArmSooner(timerFollow, now)
 		return
 	}
 	g.routed.reportedUpTo[head.Partition] = max(told, head.Offset)
--- a/internal/gateway/tracker.go
+++ b/internal/gateway/tracker.go
@@ -73,7 +73,7 @@
 			present.shared = state.space.Order == config.OrderSpace
 		}
 		g.trackers[name] = present
-		g.timers.ArmSooner("follow", now)
+		g.timers.ArmSooner(timerFollow, now)
 	}
 	return present
 }
@@ -177,7 +177,7 @@
 		g.ring.Record(now, "", decisionlog.MessageName(tracker.space, recordCopy.Record.Sender, recordCopy.Record.Seq), "", "waits",
 			"partition", recordCopy.Partition, "offset", offset, "prior", recordCopy.Record.Prior, "before", recordCopy.Record.Before.Marks, "verified", tracker.verified)
 		tracker.wanted = true
-		g.timers.ArmSooner("verify", now.Add(holeAfter))
+		g.timers.ArmSooner(timerVerify, now.Add(holeAfter))
 		g.wantBefore(tracker, recordCopy.Record)
 	}
 	return true
@@ -276,7 +276,7 @@
 	if held <= pumpAtOnce {
 		return false
 	}
-	g.timers.ArmSooner("pump", now.Add(pumpEvery))
+	g.timers.ArmSooner(timerDeliver, now.Add(pumpEvery))
 	return true
 }
 
@@ -288,7 +288,7 @@
 			continue
 		}
 		tracker.wanted = true
-		g.timers.ArmSooner("verify", now.Add(holeAfter))
+		g.timers.ArmSooner(timerVerify, now.Add(holeAfter))
 		for _, record := range statemachine.Sorted(tracker.held) {
 			g.wantBefore(tracker, record)
 		}
@@ -412,7 +412,7 @@
 		tracker.head = max(tracker.head, head.Offset)
 		if tracker.began && head.Offset > tracker.verified {
 			tracker.wanted = true
-			g.timers.ArmSooner("verify", now.Add(verifyEvery/2))
+			g.timers.ArmSooner(timerVerify, now.Add(verifyEvery/2))
 		} else if tracker.began {
 			tracker.freshen(g.highWatermarksRequestedAt)
 		}
@@ -474,7 +474,7 @@
 		limit: now.Add(defaultSubscribeTimeout),
 	}
 	g.fetches[g.nextRequest] = round
-	g.timers.ArmSooner("limits", round.limit)
+	g.timers.ArmSooner(timerDeadlines, round.limit)
 	g.ask(now, g.nextRequest, name, asked, effects)
 }
 
@@ -523,7 +523,7 @@
 		for _, record := range tracker.held {
 			g.wantBefore(tracker, record)
 		}
-		g.timers.ArmSooner("verify", now.Add(pause))
+		g.timers.ArmSooner(timerVerify, now.Add(pause))
 	}
 }
 
@@ -552,7 +552,7 @@
 		effects.Send(address, follow)
 	}
 	if len(g.trackers)+len(g.routed.partitions) > 0 {
-		g.timers.Arm("follow", now.Add(followEvery))
+		g.timers.Arm(timerFollow, now.Add(followEvery))
 	}
 }
 
@@ -565,7 +565,7 @@
 	}
 	g.resendRouted(now, effects)
 	if g.routesChanged() {
-		g.timers.ArmSooner("follow", now)
+		g.timers.ArmSooner(timerFollow, now)
 	}
 }
 
--- a/internal/gateway/view.go
+++ b/internal/gateway/view.go
@@ -29,15 +29,15 @@
 		g.viewClient.SetLowPriority(now, resting)
 		g.detector.SetResting(now, resting)
 		if resting {
-			g.timers.Disarm("tick")
+			g.timers.Disarm(timerTick)
 			effects.Emit(logevent.GatewayRested, "gateway", g.settings.Self.Name)
 		} else {
-			g.timers.ArmSooner("tick", now.Add(tickInterval))
+			g.timers.ArmSooner(timerTick, now.Add(tickInterval))
 			effects.Emit(logevent.GatewayWoken, "gateway", g.settings.Self.Name)
 		}
 	}
-	if orders := g.viewClient.Directives; (orders.Drain || orders.KeepSessions > 0) && !g.timers.Armed("move") {
-		g.timers.Arm("move", now)
+	if orders := g.viewClient.Directives; (orders.Drain || orders.KeepSessions > 0) && !g.timers.Armed(timerMove) {
+		g.timers.Arm(timerMove, now)
 	}
 	g.resume(now, effects)
 }
