--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -39,11 +39,11 @@
 		return true
 	}
 	rate := float64(g.settings.Link) * admitShare / sessionBytes
-	most := max(rate*admitBurst.Seconds(), minAdmitted)
+	burst := max(rate*admitBurst.Seconds(), minAdmitted)
 	if g.admission.at.IsZero() {
-		g.admission = admission{left: most, at: now}
+		g.admission = admission{left: burst, at: now}
 	}
-	g.admission.left = min(most, g.admission.left+rate*now.Sub(g.admission.at).Seconds())
+	g.admission.left = min(burst, g.admission.left+rate*now.Sub(g.admission.at).Seconds())
 	g.admission.at = now
 	if g.admission.left < 1 || g.backlog(now) > int(float64(g.settings.Link)*backlogAhead.Seconds()) {
 		return false
@@ -65,9 +65,9 @@
 		count(queued)
 	}
 	for _, sent := range g.routed.batches {
-		for _, asked := range sent.fetches {
-			if asked.topic.fetch == asked {
-				count(asked.topic)
+		for _, fetch := range sent.fetches {
+			if fetch.topic.fetch == fetch {
+				count(fetch.topic)
 			}
 		}
 	}
--- a/internal/gateway/catchup.go
+++ b/internal/gateway/catchup.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	// batchTopicsMost is how many topics one batch asks for.
-	batchTopicsMost = 256
+	// maxBatchTopics is how many topics one batch asks for.
+	maxBatchTopics = 256
 	// batchRetry is how long the answer to the first try of a batch may take; the
 	// wait doubles with each further try.
 	batchRetry = 400 * time.Millisecond
@@ -27,8 +27,8 @@
 	// asked for at once, from all stores together.
 	catchUpAhead = 200 * time.Millisecond
 	// Bounds of the bytes of records that one batch asks for.
-	batchBytesLeast = 4 << 10
-	batchBytesMost  = 256 << 10
+	minBatchBytes = 4 << 10
+	maxBatchBytes = 256 << 10
 	// reservedFor is for how long a refused subscription keeps its turn.
 	reservedFor = 3 * time.Second
 )
@@ -55,15 +55,15 @@
 
 // wanted tells whether anybody still waits for an answer to the batch.
 func (b *batch) wanted() bool {
-	return slices.ContainsFunc(b.fetches, func(asked *topicFetch) bool { return asked.topic.fetch == asked })
+	return slices.ContainsFunc(b.fetches, func(fetch *topicFetch) bool { return fetch.topic.fetch == fetch })
 }
 
 // backoff is how long to wait for the answer to a try.
-func backoff(first time.Duration, tries int) time.Duration {
+func backoff(initial time.Duration, attempts int) time.Duration {
 	if statemachine.Mutated("no-retry-pauses") {
-		return first
+		return initial
 	}
-	return first << min(max(0, tries-1), retryDoubles)
+	return initial << min(max(0, attempts-1), retryDoubles)
 }
 
 // missingAfter gives the offset after which a topic's records are wanted, if any are.
@@ -142,7 +142,7 @@
 			continue
 		}
 		present := g.routeTo(next.partition)
-		if present == (route{}) || g.busy(present.address) || len(chosen[present.address]) >= batchTopicsMost {
+		if present == (route{}) || g.busy(present.address) || len(chosen[present.address]) >= maxBatchTopics {
 			waiting = append(waiting, next)
 			continue
 		}
@@ -166,12 +166,12 @@
 	sent.sentAt = now
 	sent.attempts++
 	g.timers.ArmSooner(timerRouted, sent.due())
-	asked := partition.FetchTopics{Request: sent.request, Bytes: sent.bytes}
+	fetch := partition.FetchTopics{Request: sent.request, Bytes: sent.bytes}
 	for _, each := range sent.fetches {
-		asked.Topics = append(asked.Topics, partition.TopicAfter{Topic: each.topic.name, After: each.after})
+		fetch.Topics = append(fetch.Topics, partition.TopicAfter{Topic: each.topic.name, After: each.after})
 	}
 	g.Counts.Fetches++
-	effects.Send(sent.store, asked)
+	effects.Send(sent.store, fetch)
 }
 
 // sortByMissingBytes orders topics by what they are known to lack, since the records of an
@@ -190,10 +190,10 @@
 // together take a short time of the machine's link.
 func (g *Gateway) batchBytes(stores int) int {
 	if g.settings.Link == 0 {
-		return batchBytesMost
+		return maxBatchBytes
 	}
 	ahead := int(float64(g.settings.Link) * catchUpAhead.Seconds())
-	return min(max(ahead/max(1, stores), batchBytesLeast), batchBytesMost)
+	return min(max(ahead/max(1, stores), minBatchBytes), maxBatchBytes)
 }
 
 // endBatch gives the store's credit back.
@@ -225,20 +225,20 @@
 // rerouteFetches takes topics whose partition is led elsewhere now out of their
 // batches, and queues them in front.
 func (g *Gateway) rerouteFetches(now time.Time, effects *statemachine.Effects) {
-	var moved []*topicState
+	var rerouted []*topicState
 	for _, sent := range statemachine.Sorted(g.routed.batches) {
-		for _, asked := range sent.fetches {
-			topic := asked.topic
-			if topic.fetch == asked && asked.sentBy.changed(g.routeTo(topic.partition)) {
+		for _, fetch := range sent.fetches {
+			topic := fetch.topic
+			if topic.fetch == fetch && fetch.sentBy.changed(g.routeTo(topic.partition)) {
 				topic.fetch, topic.queued = nil, true
-				moved = append(moved, topic)
+				rerouted = append(rerouted, topic)
 			}
 		}
 		if !sent.wanted() {
 			g.endBatch(sent)
 		}
 	}
-	g.routed.queue = append(moved, g.routed.queue...)
+	g.routed.queue = append(rerouted, g.routed.queue...)
 	if len(g.routed.queue) > 0 {
 		g.sendBatches(now, effects)
 	}
@@ -253,10 +253,10 @@
 		}
 		return
 	}
-	for position, asked := range answered.fetches {
-		topic, records := asked.topic, response.Topics[position]
+	for position, fetch := range answered.fetches {
+		topic, records := fetch.topic, response.Topics[position]
 		g.Counts.Fetched += uint64(len(records.Records))
-		if topic.fetch != asked {
+		if topic.fetch != fetch {
 			continue
 		}
 		topic.fetch = nil
@@ -269,7 +269,7 @@
 			g.scheduleTopic(topic, now.Add(topicFetchRetry))
 			continue
 		}
-		g.applyFetchedTopic(now, asked, state, records, effects)
+		g.applyFetchedTopic(now, fetch, state, records, effects)
 	}
 	// Only now, so that the next batch carries all that is still lacking.
 	g.endBatch(answered)
@@ -277,52 +277,52 @@
 }
 
 // applyFetchedTopic takes what a store told of one topic.
-func (g *Gateway) applyFetchedTopic(now time.Time, asked *topicFetch, state partition.PartitionState, response partition.TopicRecords, effects *statemachine.Effects) {
-	topic := asked.topic
+func (g *Gateway) applyFetchedTopic(now time.Time, fetch *topicFetch, state partition.PartitionState, response partition.TopicRecords, effects *statemachine.Effects) {
+	topic := fetch.topic
 	g.routed.bases[topic.partition] = state.Base
 	topic.missingBytes = response.Left
 	if response.Gone {
 		topic.reservedUntil = time.Time{}
-		g.expireSubscriptions(now, topic, asked.after, effects)
+		g.expireSubscriptions(now, topic, fetch.after, effects)
 		g.tickTopic(now, topic, effects)
 		return
 	}
 	if len(response.Records) > 0 {
 		effects.Emit(logevent.GapFilled, "partition", topic.partition, "records", len(response.Records), "until", response.Until)
 	}
-	g.applyRecords(now, asked, state, response, effects)
+	g.applyRecords(now, fetch, state, response, effects)
 	for _, subscription := range slices.Clone(topic.subscriptions) {
 		if subscription.filling {
-			g.advanceSubscription(now, subscription, asked.after, response, effects)
+			g.advanceSubscription(now, subscription, fetch.after, response, effects)
 		}
 	}
 	g.release(now, topic, effects)
 	if response.Until < state.Head {
 		// One answer did not hold all.
-		g.want(now, topic, state.Head, 0)
+		g.requireUpTo(now, topic, state.Head, 0)
 	}
 	g.tickTopic(now, topic, effects)
 }
 
 // applyRecords adds fetched records to the topic's own sequence.
-func (g *Gateway) applyRecords(now time.Time, asked *topicFetch, state partition.PartitionState, response partition.TopicRecords, effects *statemachine.Effects) {
-	topic := asked.topic
+func (g *Gateway) applyRecords(now time.Time, fetch *topicFetch, state partition.PartitionState, response partition.TopicRecords, effects *statemachine.Effects) {
+	topic := fetch.topic
 	if !topic.live {
 		topic.live = true
 		topic.last, topic.recentFrom = response.Until, response.Until
-		if asked.after != everything {
-			topic.last, topic.recentFrom = asked.after, asked.after
+		if fetch.after != everything {
+			topic.last, topic.recentFrom = fetch.after, fetch.after
 		}
 		if topic.reservedUntil.After(now) {
 			topic.recentUntil = topic.reservedUntil
 		}
 		g.startReports(now, topic.partition, state.Head)
 	}
-	if asked.after == everything {
+	if fetch.after == everything {
 		return
 	}
-	topic.extendRecent(now, asked.after, response)
-	if asked.after > topic.last {
+	topic.extendRecent(now, fetch.after, response)
+	if fetch.after > topic.last {
 		return
 	}
 	for _, record := range response.Records {
@@ -356,7 +356,7 @@
 	if subscription.resumes && after <= subscription.deliveredUpTo {
 		g.startTopicSubscription(now, subscription, effects)
 		for _, record := range response.Records {
-			g.skipTo(now, subscription, record, effects)
+			g.deliverFetched(now, subscription, record, effects)
 		}
 		subscription.deliveredUpTo = max(subscription.deliveredUpTo, response.Until)
 	}
--- a/internal/gateway/catchup_test.go
+++ b/internal/gateway/catchup_test.go
@@ -45,8 +45,8 @@
 func (c *crowded) asked() []partition.FetchTopics {
 	var batches []partition.FetchTopics
 	for _, send := range c.effects.Sends {
-		if asked, is := send.Message.(partition.FetchTopics); is {
-			batches = append(batches, asked)
+		if fetch, is := send.Message.(partition.FetchTopics); is {
+			batches = append(batches, fetch)
 		}
 	}
 	c.effects = statemachine.Effects{}
@@ -55,12 +55,12 @@
 
 // answer answers a batch as a store does that holds all from Base on and nothing newer
 // than the cursors.
-func (c *crowded) answer(asked partition.FetchTopics) {
-	answer := partition.FetchTopicsResponse{Request: asked.Request}
-	told := map[string]bool{}
-	for _, each := range asked.Topics {
-		if name := config.SharedPartition(each.Topic); !told[name] {
-			told[name] = true
+func (c *crowded) answer(fetch partition.FetchTopics) {
+	answer := partition.FetchTopicsResponse{Request: fetch.Request}
+	reported := map[string]bool{}
+	for _, each := range fetch.Topics {
+		if name := config.SharedPartition(each.Topic); !reported[name] {
+			reported[name] = true
 			answer.Partitions = append(answer.Partitions, partition.PartitionState{Partition: name, Epoch: 1, Head: 5})
 		}
 		answer.Topics = append(answer.Topics, partition.TopicRecords{Until: 5})
@@ -178,13 +178,13 @@
 
 func TestTheCreditOfABatchFollowsFromTheLink(t *testing.T) {
 	many := newCrowded(1)
-	assert.Equal(t, many.asked()[0].Bytes, batchBytesMost)
+	assert.Equal(t, many.asked()[0].Bytes, maxBatchBytes)
 	many.gateway.SetLink(3_250_000)
 	assert.Equal(t, many.gateway.batchBytes(10), 65000)
 	assert.Equal(t, many.gateway.batchBytes(4), 162500)
-	assert.Equal(t, many.gateway.batchBytes(1), batchBytesMost)
+	assert.Equal(t, many.gateway.batchBytes(1), maxBatchBytes)
 	many.gateway.SetLink(1000)
-	assert.Equal(t, many.gateway.batchBytes(1), batchBytesLeast)
+	assert.Equal(t, many.gateway.batchBytes(1), minBatchBytes)
 }
 
 // A subscription is confirmed though the answer had no room for what it missed, which
@@ -194,11 +194,11 @@
 	subscription := one.channels[0].routed["topic-0"]
 	subscription.resumes, subscription.deliveredUpTo = true, 2
 	one.gateway.routed.topics["topic-0"].fetch.after = 2
-	asked := one.asked()[0]
+	fetch := one.asked()[0]
 	name := config.SharedPartition("topic-0")
 	partitions := []partition.PartitionState{{Partition: name, Epoch: 1, Head: 9}}
 	one.gateway.handleTopicsFetched(one.now, partition.FetchTopicsResponse{
-		Request: asked.Request, Partitions: partitions, Topics: []partition.TopicRecords{{Until: 2}},
+		Request: fetch.Request, Partitions: partitions, Topics: []partition.TopicRecords{{Until: 2}},
 	}, &one.effects)
 	assert.Equal(t, len(one.effects.Responses), 1)
 	assert.Equal(t, one.effects.Responses[0].Value.(Reply).Outcome, OutcomeAccepted)
@@ -218,13 +218,13 @@
 // again once it has been.
 func TestWhatMovedWhileATopicWasFetchedIsFetchedToo(t *testing.T) {
 	one := newCrowded(1)
-	asked := one.asked()[0]
+	fetch := one.asked()[0]
 	topic := one.gateway.routed.topics["topic-0"]
 	one.gateway.routed.reportedUpTo[topic.partition] = 5
 	one.gateway.handleTopicHighWatermarks(one.now, partition.Head{
 		Partition: topic.partition, Epoch: 1, From: 5, Offset: 8, Topics: []partition.TopicHead{{Topic: topic.number, Offset: 8}},
 	}, &one.effects)
-	one.answer(asked)
+	one.answer(fetch)
 	one.now = one.now.Add(highWatermarkGrace)
 	one.gateway.tickRouted(one.now, &one.effects)
 	next := one.asked()
@@ -288,9 +288,9 @@
 }
 
 // answerLeft answers a batch with no records but for topics of which nothing is left.
-func (c *crowded) answerLeft(asked partition.FetchTopics, left map[string]int) {
-	answer := partition.FetchTopicsResponse{Request: asked.Request}
-	for _, each := range asked.Topics {
+func (c *crowded) answerLeft(fetch partition.FetchTopics, left map[string]int) {
+	answer := partition.FetchTopicsResponse{Request: fetch.Request}
+	for _, each := range fetch.Topics {
 		answer.Partitions = append(answer.Partitions, partition.PartitionState{Partition: config.SharedPartition(each.Topic), Epoch: 1, Head: 9})
 		records := partition.TopicRecords{Until: 9}
 		if bytes := left[each.Topic]; bytes > 0 {
@@ -344,9 +344,9 @@
 	topic := one.gateway.routed.topics["topic-0"]
 	one.gateway.SetLink(thinRate)
 	assert.Assert(t, one.gateway.admits(one.now))
-	asked := one.asked()[0]
+	fetch := one.asked()[0]
 	one.gateway.handleTopicsFetched(one.now, partition.FetchTopicsResponse{
-		Request: asked.Request, Partitions: []partition.PartitionState{{Partition: topic.partition, Epoch: 1, Head: 9}},
+		Request: fetch.Request, Partitions: []partition.PartitionState{{Partition: topic.partition, Epoch: 1, Head: 9}},
 		Topics: []partition.TopicRecords{{Until: 0, Left: thinRate + 1}},
 	}, &one.effects)
 	assert.Assert(t, !one.gateway.admits(one.now))
@@ -368,9 +368,9 @@
 	gateway.addTopicSubscription(one.now, "topic-0", "boards", late, &one.effects)
 	gateway.fetchTopic(one.now, topic, &one.effects)
 	for range 2 {
-		asked := one.asked()[0]
+		fetch := one.asked()[0]
 		gateway.handleTopicsFetched(one.now, partition.FetchTopicsResponse{
-			Request: asked.Request, Partitions: []partition.PartitionState{{Partition: topic.partition, Epoch: 1, Head: 5}},
+			Request: fetch.Request, Partitions: []partition.PartitionState{{Partition: topic.partition, Epoch: 1, Head: 5}},
 			Topics: []partition.TopicRecords{{Until: 1, Left: thinRate + 1}},
 		}, &one.effects)
 		if _, held := gateway.sessions[9].routed["topic-0"]; held {
--- a/internal/gateway/commands.go
+++ b/internal/gateway/commands.go
@@ -106,12 +106,12 @@
 	return Reply{Status: 200, Outcome: OutcomeAccepted, Fields: fields}
 }
 
-func rejectedReply(status int, code, text string, back time.Duration) Reply {
-	return Reply{Status: status, Outcome: OutcomeRejected, Code: code, Text: text, RetryAfter: back}
+func rejectedReply(status int, code, text string, retryAfter time.Duration) Reply {
+	return Reply{Status: status, Outcome: OutcomeRejected, Code: code, Text: text, RetryAfter: retryAfter}
 }
 
-func unsettledReply(code, text string, back time.Duration) Reply {
-	return Reply{Status: 503, Outcome: OutcomeUnsettled, Code: code, Text: text, RetryAfter: back}
+func unsettledReply(code, text string, retryAfter time.Duration) Reply {
+	return Reply{Status: 503, Outcome: OutcomeUnsettled, Code: code, Text: text, RetryAfter: retryAfter}
 }
 
 // Event is one line on a channel.
--- a/internal/gateway/cursor.go
+++ b/internal/gateway/cursor.go
@@ -33,7 +33,7 @@
 type cursor struct {
 	_          struct{} `cbor:",toarray"`
 	Layout     uint8
-	Origin     string
+	Client     string
 	Interests  []Interest
 	Partitions map[string]position
 	Marks      map[string]map[string]uint64
@@ -46,13 +46,13 @@
 	return sum.Sum(nil)[:sumSize]
 }
 
-func seal(key []byte, place cursor) string {
-	body := transport.MustMarshal(place)
+func seal(key []byte, contents cursor) string {
+	body := transport.MustMarshal(contents)
 	return base64.RawURLEncoding.EncodeToString(append(sign(key, body), body...))
 }
 
 // openCursor reads a cursor; the code says why it is refused.
-func openCursor(key []byte, origin, text string) (cursor, string) {
+func openCursor(key []byte, client, text string) (cursor, string) {
 	if len(text) > cursorLimit {
 		return cursor{}, "bad-cursor"
 	}
@@ -60,14 +60,14 @@
 	if err != nil || len(packed) <= sumSize || !hmac.Equal(packed[:sumSize], sign(key, packed[sumSize:])) {
 		return cursor{}, "bad-cursor"
 	}
-	var place cursor
-	if err := transport.Unmarshal(packed[sumSize:], &place); err != nil || place.Layout != cursorLayout {
+	var contents cursor
+	if err := transport.Unmarshal(packed[sumSize:], &contents); err != nil || contents.Layout != cursorLayout {
 		return cursor{}, "bad-cursor"
 	}
-	if place.Origin != origin {
+	if contents.Client != client {
 		return cursor{}, "other-origin"
 	}
-	return place, ""
+	return contents, ""
 }
 
 // cursor tells a channel's present place. A channel that is still being filled,
@@ -76,19 +76,19 @@
 	if len(session.subscriptions) == 0 || session.floors == nil && session.filling() {
 		return ""
 	}
-	place := cursor{Layout: cursorLayout, Origin: session.client, Partitions: map[string]position{}, Marks: map[string]map[string]uint64{}}
+	result := cursor{Layout: cursorLayout, Client: session.client, Partitions: map[string]position{}, Marks: map[string]map[string]uint64{}}
 	floor := func(name string, at uint64) {
-		present, found := place.Partitions[name]
+		present, found := result.Partitions[name]
 		if !found || at < present.Floor {
 			present.Floor = at
 		}
-		place.Partitions[name] = present
+		result.Partitions[name] = present
 	}
 	for interest, subscription := range session.subscriptions {
 		if subscription.filling {
 			continue
 		}
-		place.Interests = append(place.Interests, interest)
+		result.Interests = append(result.Interests, interest)
 		for name, since := range subscription.since {
 			if tracker, topic := g.trackers[name]; topic {
 				since = max(since, tracker.verified)
@@ -96,18 +96,18 @@
 			floor(name, since)
 		}
 	}
-	slices.SortFunc(place.Interests, compareInterests)
+	slices.SortFunc(result.Interests, compareInterests)
 	// What waits in the buffer, or in a backlog that is being handed over, was
 	// not yet given.
 	for _, recordCopy := range session.buffer {
-		if _, live := place.Partitions[recordCopy.Partition]; live {
+		if _, live := result.Partitions[recordCopy.Partition]; live {
 			floor(recordCopy.Partition, recordCopy.Record.Offset-1)
 		}
 	}
 	for name, at := range session.floors {
 		floor(name, at)
 	}
-	for name, at := range place.Partitions {
+	for name, at := range result.Partitions {
 		at.Extras = session.extras(name, at.Floor)
 		slices.Sort(at.Extras)
 		for interest, subscription := range session.subscriptions {
@@ -118,20 +118,20 @@
 				at.Since[interest.key()] = since
 			}
 		}
-		place.Partitions[name] = at
+		result.Partitions[name] = at
 	}
 	for space, marks := range session.sequences {
-		copied := map[string]uint64{}
+		newest := map[string]uint64{}
 		for sender, mark := range marks {
-			if now.Sub(mark.at) < markMemory {
-				copied[sender] = mark.seq
+			if now.Sub(mark.at) < sequenceMemory {
+				newest[sender] = mark.seq
 			}
 		}
-		if len(copied) > 0 {
-			place.Marks[space] = copied
+		if len(newest) > 0 {
+			result.Marks[space] = newest
 		}
 	}
-	return seal(g.settings.Key, place)
+	return seal(g.settings.Key, result)
 }
 
 func (i Interest) key() string {
--- a/internal/gateway/delivery.go
+++ b/internal/gateway/delivery.go
@@ -16,18 +16,18 @@
 	for len(session.buffer) > 0 {
 		recordCopy := session.buffer[0]
 		session.buffer = session.buffer[1:]
-		g.offerRecord(now, id, session, recordCopy, effects)
+		g.deliverOrBuffer(now, id, session, recordCopy, effects)
 	}
-	passes := session.ephemeralBuffer
+	ephemeral := session.ephemeralBuffer
 	session.ephemeralBuffer = nil
-	for _, message := range passes {
-		g.offerEphemeral(now, id, session, message, effects)
+	for _, message := range ephemeral {
+		g.deliverOrBufferEphemeral(now, id, session, message, effects)
 	}
 }
 
-// offerRecord gives a kept message to a channel, if one of its subscriptions wants it
+// deliverOrBuffer gives a kept message to a channel, if one of its subscriptions wants it
 // and it has not had it.
-func (g *Gateway) offerRecord(now time.Time, id uint64, session *session, recordCopy RecordCopy, effects *statemachine.Effects) {
+func (g *Gateway) deliverOrBuffer(now time.Time, id uint64, session *session, recordCopy RecordCopy, effects *statemachine.Effects) {
 	space, _ := spaceOf(recordCopy.Partition)
 	wanted, waits := false, false
 	for interest, subscription := range session.subscriptions {
@@ -48,13 +48,13 @@
 		return
 	}
 	if wanted {
-		g.deliverTo(now, id, session, recordCopy, effects)
+		g.deliverRecord(now, id, session, recordCopy, effects)
 	}
 }
 
-// deliverTo gives a kept message to a channel once.
-func (g *Gateway) deliverTo(now time.Time, id uint64, session *session, recordCopy RecordCopy, effects *statemachine.Effects) {
-	if !session.movedAt.IsZero() || !session.firstDelivery(now, recordCopy.Partition, recordCopy.Record.Offset) {
+// deliverRecord gives a kept message to a channel once.
+func (g *Gateway) deliverRecord(now time.Time, id uint64, session *session, recordCopy RecordCopy, effects *statemachine.Effects) {
+	if !session.movedAt.IsZero() || !session.recordDelivery(now, recordCopy.Partition, recordCopy.Record.Offset) {
 		return
 	}
 	space, _ := spaceOf(recordCopy.Partition)
@@ -80,7 +80,7 @@
 	return true
 }
 
-func (g *Gateway) offerEphemeral(now time.Time, id uint64, session *session, message EphemeralCopy, effects *statemachine.Effects) {
+func (g *Gateway) deliverOrBufferEphemeral(now time.Time, id uint64, session *session, message EphemeralCopy, effects *statemachine.Effects) {
 	if !session.movedAt.IsZero() {
 		return
 	}
@@ -111,13 +111,13 @@
 // markDelivered notes offsets that the origin had before it came here.
 func (c *session) markDelivered(now time.Time, name string, offsets []uint64) {
 	for _, offset := range offsets {
-		c.firstDelivery(now, name, offset)
+		c.recordDelivery(now, name, offset)
 	}
 }
 
-// firstDelivery notes that the origin has a message now, and tells whether it had not.
+// recordDelivery notes that the origin has a message now, and tells whether it had not.
 // What is above the place's floor is kept apart, since every cursor names it.
-func (c *session) firstDelivery(now time.Time, name string, offset uint64) bool {
+func (c *session) recordDelivery(now time.Time, name string, offset uint64) bool {
 	if c.delivered[name] == nil {
 		c.delivered[name], c.deliveredAbove[name] = map[uint64]time.Time{}, map[uint64]bool{}
 	}
@@ -138,9 +138,9 @@
 	subscription.notBefore[name] = since
 }
 
-// subscribesTo tells whether a missed message is one that an interest asked for at
+// wantsRecord tells whether a missed message is one that an interest asked for at
 // the time.
-func (c *session) subscribesTo(interests []Interest, recordCopy RecordCopy) bool {
+func (c *session) wantsRecord(interests []Interest, recordCopy RecordCopy) bool {
 	space, _ := spaceOf(recordCopy.Partition)
 	for _, interest := range interests {
 		subscription, found := c.subscriptions[interest]
--- a/internal/gateway/draining.go
+++ b/internal/gateway/draining.go
@@ -36,11 +36,11 @@
 	if len(members) > 0 {
 		return members
 	}
-	for pass := range 2 {
+	for phase := range 2 {
 		for name, member := range statemachine.Sorted(g.viewClient.Members) {
 			near := member.Zone == g.settings.Self.Zone
 			if name != g.settings.Self.Name && member.Kind == membership.KindGateway && member.Alive && !member.Resting &&
-				!slices.Contains(g.config.Draining, name) && near == (pass == 0) {
+				!slices.Contains(g.config.Draining, name) && near == (phase == 0) {
 				members = append(members, member)
 			}
 		}
@@ -74,8 +74,8 @@
 	}
 	for id, session := range statemachine.Sorted(g.sessions) {
 		if session.movedAt.IsZero() && !session.filling() && (g.draining() || !session.catchingUp()) {
-			g.turn++
-			g.move(now, id, session, targets[g.turn%min(len(targets), 3)], effects)
+			g.rotation++
+			g.move(now, id, session, targets[g.rotation%min(len(targets), 3)], effects)
 			if count--; count == 0 {
 				break
 			}
@@ -116,15 +116,15 @@
 	g.timers.Arm(timerStop, now.Add(moveInterval))
 }
 
-// servesOn tells whether a gateway that stops has time left to serve those who
+// servesWhileStopping tells whether a gateway that stops has time left to serve those who
 // are still here.
-func (g *Gateway) servesOn(now time.Time) bool {
+func (g *Gateway) servesWhileStopping(now time.Time) bool {
 	return now.Before(g.stopUntil.Add(-time.Second))
 }
 
-// staysFor tells whether anybody is left who may yet leave by itself: on lines a
+// awaitsClients tells whether anybody is left who may yet leave by itself: on lines a
 // caller that was told where to go and is long still here won't.
-func (g *Gateway) staysFor(now time.Time) bool {
+func (g *Gateway) awaitsClients(now time.Time) bool {
 	for _, session := range g.sessions {
 		if !session.adapterPings || session.movedAt.IsZero() || now.Sub(session.movedAt) < moveTimeout {
 			return true
@@ -135,7 +135,7 @@
 
 // stopStep ends the gateway once its origins are gone, or its time is up.
 func (g *Gateway) stopStep(now time.Time, effects *statemachine.Effects) {
-	if g.staysFor(now) && now.Before(g.stopUntil) || len(g.appends)+len(g.routed.appends) > 0 && now.Before(g.stopUntil.Add(-time.Second)) {
+	if g.awaitsClients(now) && now.Before(g.stopUntil) || len(g.appends)+len(g.routed.appends) > 0 && now.Before(g.stopUntil.Add(-time.Second)) {
 		g.timers.Arm(timerStop, now.Add(moveInterval))
 		return
 	}
--- a/internal/gateway/fetch.go
+++ b/internal/gateway/fetch.go
@@ -7,271 +7,271 @@
 	"time"
 )
 
-// fetch is a round of questions to stores: for a subscribing channel, or for a
+// fetchOperation is a round of questions to stores: for a subscribing channel, or for a
 // tracker that verifies what it has.
-type fetch struct {
-	channel    uint64
+type fetchOperation struct {
+	session    uint64
 	request    Subscribe
 	interests  []Interest
 	resumes    bool
-	partitions map[string]*fetched
+	partitions map[string]*partitionFetch
 	records    map[string][]partition.Record
-	rounds     int
+	refetches  int
 	joins      int
 	failed     bool
-	limit      time.Time
+	deadline   time.Time
 	tracker    string
 	version    uint64
 }
 
-type fetched struct {
-	from     uint64
-	after    uint64
-	until    uint64
-	skip     []uint64
-	waiting  bool
-	done     bool
-	askedAt  time.Time
-	topics   []string
-	prefixes []string
+type partitionFetch struct {
+	from        uint64
+	after       uint64
+	until       uint64
+	skip        []uint64
+	waiting     bool
+	done        bool
+	requestedAt time.Time
+	topics      []string
+	prefixes    []string
 }
 
 // advanceFetch goes on once the overlay peers have settled: it asks the first
 // of each partition, and ends when all have answered.
-func (g *Gateway) advanceFetch(now time.Time, id uint64, round *fetch, _ cursor, effects *statemachine.Effects) {
-	if round.joins > 0 || g.fetches[id] != round {
+func (g *Gateway) advanceFetch(now time.Time, id uint64, operation *fetchOperation, _ cursor, effects *statemachine.Effects) {
+	if operation.joins > 0 || g.fetches[id] != operation {
 		return
 	}
-	if round.failed {
-		g.failFetch(now, id, round, "no-neighbours", effects)
+	if operation.failed {
+		g.failFetch(now, id, operation, "no-neighbours", effects)
 		return
 	}
-	round.joins = 0
+	operation.joins = 0
 	open := false
-	for name, asked := range statemachine.Sorted(round.partitions) {
-		if !asked.done {
+	for name, fetch := range statemachine.Sorted(operation.partitions) {
+		if !fetch.done {
 			open = true
-			if !asked.waiting {
-				g.ask(now, id, name, asked, effects)
+			if !fetch.waiting {
+				g.sendFetch(now, id, name, fetch, effects)
 			}
 		}
 	}
 	if !open {
-		g.completeFetch(now, id, round, effects)
+		g.completeFetch(now, id, operation, effects)
 	}
 }
 
-func (g *Gateway) ask(now time.Time, id uint64, name string, asked *fetched, effects *statemachine.Effects) {
-	asked.waiting, asked.askedAt = true, now
+func (g *Gateway) sendFetch(now time.Time, id uint64, name string, fetch *partitionFetch, effects *statemachine.Effects) {
+	fetch.waiting, fetch.requestedAt = true, now
 	g.timers.ArmSooner(timerDeadlines, now.Add(fetchRetry))
-	address, _, found := g.firstOf(name)
+	address, _, found := g.leaderOf(name)
 	if !found {
 		g.viewClient.PollNow(now)
 		return
 	}
 	g.Counts.Fetches++
 	effects.Send(address, partition.Fetch{
-		Partition: name, Request: id, After: asked.after, Topics: asked.topics, Prefixes: asked.prefixes, Skip: asked.skip,
+		Partition: name, Request: id, After: fetch.after, Topics: fetch.topics, Prefixes: fetch.prefixes, Skip: fetch.skip,
 	})
 }
 
-func (g *Gateway) retryFetch(now time.Time, id uint64, round *fetch, effects *statemachine.Effects) time.Time {
-	if !round.limit.After(now) {
-		g.failFetch(now, id, round, "no-answer", effects)
+func (g *Gateway) retryFetch(now time.Time, id uint64, operation *fetchOperation, effects *statemachine.Effects) time.Time {
+	if !operation.deadline.After(now) {
+		g.failFetch(now, id, operation, "no-answer", effects)
 		return time.Time{}
 	}
-	next := round.limit
-	if round.joins > 0 {
+	next := operation.deadline
+	if operation.joins > 0 {
 		return next
 	}
-	for name, asked := range statemachine.Sorted(round.partitions) {
-		if asked.done || !asked.waiting {
+	for name, fetch := range statemachine.Sorted(operation.partitions) {
+		if fetch.done || !fetch.waiting {
 			continue
 		}
-		if !asked.askedAt.Add(fetchRetry).After(now) {
-			g.ask(now, id, name, asked, effects)
+		if !fetch.requestedAt.Add(fetchRetry).After(now) {
+			g.sendFetch(now, id, name, fetch, effects)
 		}
-		next = statemachine.Earliest(next, asked.askedAt.Add(fetchRetry))
+		next = statemachine.Earliest(next, fetch.requestedAt.Add(fetchRetry))
 	}
 	return next
 }
 
-func (g *Gateway) failFetch(now time.Time, id uint64, round *fetch, code string, effects *statemachine.Effects) {
+func (g *Gateway) failFetch(now time.Time, id uint64, operation *fetchOperation, code string, effects *statemachine.Effects) {
 	delete(g.fetches, id)
-	if round.tracker != "" {
-		if tracker, found := g.trackers[round.tracker]; found {
+	if operation.tracker != "" {
+		if tracker, found := g.trackers[operation.tracker]; found {
 			tracker.verifying = false
 			tracker.wanted = true
 			g.timers.ArmSooner(timerVerify, now.Add(verifyEvery))
 		}
 		return
 	}
-	if session, found := g.sessions[round.channel]; found {
-		g.dropFilling(now, round, session, effects)
-		g.drain(now, round.channel, session, effects)
+	if session, found := g.sessions[operation.session]; found {
+		g.dropFilling(now, operation, session, effects)
+		g.drain(now, operation.session, session, effects)
 	}
-	g.answerSubscribe(now, round.request, rejectedReply(503, code, "the place could not be found in time; nothing is subscribed", retrySoon), effects)
+	g.answerSubscribe(now, operation.request, rejectedReply(503, code, "the place could not be found in time; nothing is subscribed", retryShortDelay), effects)
 }
 
-// had tells whether an answer is one that came before, to an earlier part of what is
+// isDuplicate tells whether an answer is one that came before, to an earlier part of what is
 // asked.
-func (f *fetched) had(response partition.FetchResponse) bool {
+func (f *partitionFetch) isDuplicate(response partition.FetchResponse) bool {
 	return f.after != everything && response.Until <= f.after && f.after < response.Head && !statemachine.Mutated("any-answer")
 }
 
-// lacked are the records beyond what was had before.
-func (f *fetched) lacked(records []partition.Record) []partition.Record {
+// missing are the records beyond what was had before.
+func (f *partitionFetch) missing(records []partition.Record) []partition.Record {
 	if statemachine.Mutated("any-answer") {
 		return records
 	}
 	return slices.DeleteFunc(records, func(record partition.Record) bool { return record.Offset <= f.after })
 }
 
-func (g *Gateway) onFetchResponse(now time.Time, response partition.FetchResponse, effects *statemachine.Effects) {
-	round, found := g.fetches[response.Request]
+func (g *Gateway) handleFetchResponse(now time.Time, response partition.FetchResponse, effects *statemachine.Effects) {
+	operation, found := g.fetches[response.Request]
 	if !found {
 		g.Counts.Late += uint64(len(response.Records))
 		return
 	}
-	asked, wanted := round.partitions[response.Partition]
-	if !wanted || asked.done {
+	fetch, wanted := operation.partitions[response.Partition]
+	if !wanted || fetch.done {
 		return
 	}
-	place, placed := g.viewClient.Placements[response.Partition]
-	if !response.Ready || !placed || response.Epoch < place.Epoch {
+	placement, placed := g.viewClient.Placements[response.Partition]
+	if !response.Ready || !placed || response.Epoch < placement.Epoch {
 		if !response.Ready {
 			g.viewClient.PollNow(now)
 		}
 		return
 	}
-	if asked.after != everything && asked.after < response.Base && round.tracker == "" {
+	if fetch.after != everything && fetch.after < response.Base && operation.tracker == "" {
 		// What lies between was kept for the holding time and is gone.
-		g.loseHistory(now, response.Request, round, effects)
+		g.loseHistory(now, response.Request, operation, effects)
 		return
 	}
-	if asked.had(response) {
+	if fetch.isDuplicate(response) {
 		return
 	}
-	asked.waiting = false
-	if asked.after == everything {
-		asked.until = response.Head
+	fetch.waiting = false
+	if fetch.after == everything {
+		fetch.until = response.Head
 	} else {
-		asked.until = max(response.Until, min(asked.after, response.Head))
-		round.records[response.Partition] = append(round.records[response.Partition], asked.lacked(response.Records)...)
-		if asked.until < response.Head {
-			asked.after = asked.until
-			g.ask(now, response.Request, response.Partition, asked, effects)
+		fetch.until = max(response.Until, min(fetch.after, response.Head))
+		operation.records[response.Partition] = append(operation.records[response.Partition], fetch.missing(response.Records)...)
+		if fetch.until < response.Head {
+			fetch.after = fetch.until
+			g.sendFetch(now, response.Request, response.Partition, fetch, effects)
 			return
 		}
 	}
-	asked.done = true
-	g.advanceFetch(now, response.Request, round, cursor{}, effects)
+	fetch.done = true
+	g.advanceFetch(now, response.Request, operation, cursor{}, effects)
 }
 
 // dropFilling ends the subscriptions that a round did not come to fill.
-func (g *Gateway) dropFilling(now time.Time, round *fetch, session *session, effects *statemachine.Effects) {
-	for _, interest := range round.interests {
+func (g *Gateway) dropFilling(now time.Time, operation *fetchOperation, session *session, effects *statemachine.Effects) {
+	for _, interest := range operation.interests {
 		if subscription, present := session.subscriptions[interest]; present && subscription.filling {
-			g.dropSubscription(now, round.channel, interest, true, effects)
+			g.dropSubscription(now, operation.session, interest, true, effects)
 		}
 	}
 }
 
-func (g *Gateway) loseHistory(now time.Time, id uint64, round *fetch, effects *statemachine.Effects) {
+func (g *Gateway) loseHistory(now time.Time, id uint64, operation *fetchOperation, effects *statemachine.Effects) {
 	delete(g.fetches, id)
-	if session, found := g.sessions[round.channel]; found {
-		g.dropFilling(now, round, session, effects)
+	if session, found := g.sessions[operation.session]; found {
+		g.dropFilling(now, operation, session, effects)
 	}
-	g.answerSubscribe(now, round.request, rejectedReply(410, "place-lost", "what was missed is older than the space holds; subscribe without the cursor", 0), effects)
+	g.answerSubscribe(now, operation.request, rejectedReply(410, "place-lost", "what was missed is older than the space holds; subscribe without the cursor", 0), effects)
 }
 
 // completeFetch ends a round: for a tracker it takes what was missed; for a
 // channel it hands over the missed messages in an order that fits all senders.
-func (g *Gateway) completeFetch(now time.Time, id uint64, round *fetch, effects *statemachine.Effects) {
-	if round.tracker != "" {
+func (g *Gateway) completeFetch(now time.Time, id uint64, operation *fetchOperation, effects *statemachine.Effects) {
+	if operation.tracker != "" {
 		delete(g.fetches, id)
-		g.verified(now, round, effects)
+		g.verified(now, operation, effects)
 		return
 	}
-	session, found := g.sessions[round.channel]
+	session, found := g.sessions[operation.session]
 	if !found {
 		delete(g.fetches, id)
 		return
 	}
-	ordered, again := merge(round)
-	for name, asked := range statemachine.Sorted(round.partitions) {
+	ordered, again := merge(operation)
+	for name, fetch := range statemachine.Sorted(operation.partitions) {
 		// The partition was verified further for others meanwhile; what lies
 		// between was not kept here for this channel.
-		if tracker, topic := g.trackers[name]; topic && tracker.began && asked.until < tracker.verified {
+		if tracker, topic := g.trackers[name]; topic && tracker.started && fetch.until < tracker.verified {
 			again = append(again, name)
 		}
 	}
-	if len(again) > 0 && round.rounds < refetchMost {
+	if len(again) > 0 && operation.refetches < maxRefetches {
 		// A message refers to one that another partition had not yet told of.
-		round.rounds++
+		operation.refetches++
 		for _, name := range again {
-			asked := round.partitions[name]
-			asked.done = false
-			if asked.from != everything {
-				asked.after = asked.until
+			fetch := operation.partitions[name]
+			fetch.done = false
+			if fetch.from != everything {
+				fetch.after = fetch.until
 			}
 		}
-		g.advanceFetch(now, id, round, cursor{}, effects)
+		g.advanceFetch(now, id, operation, cursor{}, effects)
 		return
 	}
 	delete(g.fetches, id)
-	for _, interest := range round.interests {
+	for _, interest := range operation.interests {
 		subscription, present := session.subscriptions[interest]
 		if !present {
 			continue
 		}
 		subscription.filling = false
-		if round.resumes {
+		if operation.resumes {
 			subscription.resumedAt = now
 		}
 		for name := range subscription.since {
-			if asked, wanted := round.partitions[name]; wanted {
-				subscription.since[name] = asked.until
+			if fetch, wanted := operation.partitions[name]; wanted {
+				subscription.since[name] = fetch.until
 				if tracker, topic := g.trackers[name]; topic {
-					tracker.begin(interest, asked.until)
+					tracker.begin(interest, fetch.until)
 				}
 			}
 		}
 	}
 	// Until all of it is handed over, a cursor must still say where it began.
 	session.floors = map[string]uint64{}
-	for name, asked := range round.partitions {
-		if asked.from != everything {
-			session.floors[name] = asked.from
+	for name, fetch := range operation.partitions {
+		if fetch.from != everything {
+			session.floors[name] = fetch.from
 		}
 	}
 	missed := 0
 	for _, each := range ordered {
-		if session.subscribesTo(round.interests, each) {
+		if session.wantsRecord(operation.interests, each) {
 			missed++
-			g.deliverTo(now, round.channel, session, each, effects)
+			g.deliverRecord(now, operation.session, session, each, effects)
 		}
 	}
 	session.floors = nil
-	g.answerSubscribe(now, round.request, acceptedReply(map[string]any{
-		"subscriptions": len(session.subscriptions), "resumed": round.resumes, "missed": missed, "cursor": g.cursor(now, session),
+	g.answerSubscribe(now, operation.request, acceptedReply(map[string]any{
+		"subscriptions": len(session.subscriptions), "resumed": operation.resumes, "missed": missed, "cursor": g.cursor(now, session),
 	}), effects)
-	if round.resumes {
-		g.replay(now, session, round.interests)
+	if operation.resumes {
+		g.replayRecent(now, session, operation.interests)
 	}
-	g.drain(now, round.channel, session, effects)
+	g.drain(now, operation.session, session, effects)
 	g.timers.ArmSooner(timerFollow, now)
-	g.pump(now, effects)
+	g.deliverReady(now, effects)
 }
 
 // merge puts the records of several partitions in an order in which each partition's
 // records and each sender's messages follow each other. It names the partitions
 // that must be asked again for a record that another one refers to.
-func merge(round *fetch) (ordered []RecordCopy, again []string) {
+func merge(operation *fetchOperation) (ordered []RecordCopy, again []string) {
 	at := map[string]int{}
 	// What is older than a trail is ordered by the sender's seq alone.
 	turns := map[string][]uint64{}
-	for name, records := range round.records {
+	for name, records := range operation.records {
 		_, full := spaceOf(name)
 		for _, record := range records {
 			turns[full+" "+record.Sender] = append(turns[full+" "+record.Sender], record.Seq)
@@ -283,11 +283,11 @@
 	for {
 		progress, left := false, false
 		again = nil
-		for name, records := range statemachine.Sorted(round.records) {
+		for name, records := range statemachine.Sorted(operation.records) {
 			for at[name] < len(records) {
 				record := records[at[name]]
 				_, full := spaceOf(name)
-				missing, waits := round.before(full, name, record, at)
+				missing, waits := operation.blockers(full, name, record, at)
 				if len(missing) > 0 {
 					again = append(again, missing...)
 				}
@@ -308,7 +308,7 @@
 		if !progress && len(again) == 0 {
 			// Only a sender that published through two gateways at once, out
 			// of its own order, brings this about.
-			return append(ordered, leftOver(round, at)...), nil
+			return append(ordered, unorderedRecords(operation, at)...), nil
 		}
 		if !progress {
 			slices.Sort(again)
@@ -317,10 +317,10 @@
 	}
 }
 
-// leftOver lists what could not be ordered, by the time at which it was kept.
-func leftOver(round *fetch, at map[string]int) []RecordCopy {
+// unorderedRecords lists what could not be ordered, by the time at which it was kept.
+func unorderedRecords(operation *fetchOperation, at map[string]int) []RecordCopy {
 	var rest []RecordCopy
-	for name, records := range statemachine.Sorted(round.records) {
+	for name, records := range statemachine.Sorted(operation.records) {
 		for _, record := range records[at[name]:] {
 			rest = append(rest, RecordCopy{Partition: name, Record: record})
 		}
@@ -329,17 +329,17 @@
 	return rest
 }
 
-// before tells what a missed message must wait for: partitions to be asked again,
+// blockers tells what a missed message must wait for: partitions to be asked again,
 // since they were asked before what it refers to was kept, or records that are
 // here and have not had their turn.
-func (f *fetch) before(full, name string, record partition.Record, at map[string]int) (missing []string, waits bool) {
+func (f *fetchOperation) blockers(full, name string, record partition.Record, at map[string]int) (missing []string, waits bool) {
 	for _, mark := range record.Before.Marks {
 		other := partitionName(full, int(mark.Partition))
-		asked, wanted := f.partitions[other]
-		if !wanted || other == name || !partition.Matches(mark.Topic, asked.topics, asked.prefixes) {
+		fetch, wanted := f.partitions[other]
+		if !wanted || other == name || !partition.Matches(mark.Topic, fetch.topics, fetch.prefixes) {
 			continue
 		}
-		if mark.Offset > asked.until {
+		if mark.Offset > fetch.until {
 			missing = append(missing, other)
 		}
 		for _, each := range f.records[other][at[other]:] {
@@ -348,11 +348,11 @@
 	}
 	for _, reach := range record.Before.Floor {
 		other := partitionName(full, int(reach.Partition))
-		asked, wanted := f.partitions[other]
+		fetch, wanted := f.partitions[other]
 		if !wanted || other == name {
 			continue
 		}
-		if reach.Offset > asked.until {
+		if reach.Offset > fetch.until {
 			missing = append(missing, other)
 		}
 		for _, each := range f.records[other][at[other]:] {
--- a/internal/gateway/forms_test.go
+++ b/internal/gateway/forms_test.go
@@ -30,7 +30,7 @@
 func sampleCursors() []cursor {
 	begun := cursor{
 		Layout:     cursorLayout,
-		Origin:     "origin-1",
+		Client:     "origin-1",
 		Interests:  []Interest{{Space: "orders", Path: "a/b"}, {Space: "orders", Path: "a", Prefix: true}},
 		Partitions: map[string]position{"orders~1/0": {Floor: 17}, "orders~1/7": {}},
 		Marks:      map[string]map[string]uint64{},
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -35,8 +35,8 @@
 	moveTimeout             = 600 * time.Millisecond
 	maxPendingRecords       = 20000
 	maxInterests            = 256
-	retrySoon               = 250 * time.Millisecond
-	retryLater              = time.Second
+	retryShortDelay         = 250 * time.Millisecond
+	retryLongDelay          = time.Second
 	requestTimeout          = 700 * time.Millisecond
 	refreshTimeout          = 600 * time.Millisecond
 	defaultSubscribeTimeout = 1500 * time.Millisecond
@@ -84,12 +84,12 @@
 	senders     map[senderKey]*sender
 	trackers    map[string]*tracker
 
-	nextRequest uint64
-	appends     map[uint64]*publication
-	sends       map[uint64]*publication
-	recalls     map[uint64]*recall
-	fetches     map[uint64]*fetch
-	routed      *routed
+	nextRequest   uint64
+	appends       map[uint64]*publication
+	sends         map[uint64]*publication
+	senderLookups map[uint64]*senderLookup
+	fetches       map[uint64]*fetchOperation
+	routed        *routed
 	// subscribeTimeout follows from the configuration in force.
 	subscribeTimeout time.Duration
 	newest           map[string]uint64
@@ -103,7 +103,7 @@
 	stopUntil                 time.Time
 	admission                 admission
 	wasReady                  bool
-	turn                      int
+	rotation                  int
 	Counts                    Counts
 }
 
@@ -126,7 +126,7 @@
 		settings: settings, overlay: overlay.New(settings.Self.Name), ring: decisionlog.NewRing(settings.Self.Name), timers: statemachine.NewTimers[timer](),
 		sessions: map[uint64]*session{}, moving: map[uint64]bool{}, spaces: map[string]*spaceState{},
 		senders: map[senderKey]*sender{}, trackers: map[string]*tracker{},
-		appends: map[uint64]*publication{}, sends: map[uint64]*publication{}, recalls: map[uint64]*recall{}, fetches: map[uint64]*fetch{},
+		appends: map[uint64]*publication{}, sends: map[uint64]*publication{}, senderLookups: map[uint64]*senderLookup{}, fetches: map[uint64]*fetchOperation{},
 		nextRequest: settings.Incarnation.FirstRequestNumber(), routed: newRouted(), newest: map[string]uint64{},
 	}
 	gateway.policies = standardPolicies()
@@ -215,11 +215,11 @@
 		case timerRefresh:
 			g.completeRefresh(now, effects)
 		case timerDeadlines:
-			g.limits(now, effects)
+			g.checkDeadlines(now, effects)
 		case timerVerify:
 			g.verifyAll(now, effects)
 		case timerDeliver:
-			g.pumpAll(now, effects)
+			g.deliverAllReady(now, effects)
 		case timerFollow:
 			g.followHighWatermarks(now, effects)
 		case timerRouted:
@@ -318,19 +318,19 @@
 	case overlay.Signals:
 		g.runOverlay(now, effects, func(now time.Time, effects *statemachine.Effects) { g.overlay.HandleSignals(now, body, effects) })
 	case RecordCopy:
-		g.countCopy(g.onCarry(now, body, effects))
+		g.countCopy(g.handleRecordCopy(now, body, effects))
 	case RoutedCopy:
 		g.countCopy(g.handleRoutedCopy(now, body.record(), effects))
 	case EphemeralCopy:
 		g.countCopy(g.handleEphemeralCopy(now, body, effects))
 	case partition.AppendResponse:
-		g.onAppendResponse(now, body, effects)
+		g.handleAppendResponse(now, body, effects)
 	case partition.FetchResponse:
-		g.onFetchResponse(now, body, effects)
+		g.handleFetchResponse(now, body, effects)
 	case partition.FetchTopicsResponse:
 		g.handleTopicsFetched(now, body, effects)
 	case partition.SenderResponse:
-		g.onSenderResponse(now, meta.From, body, effects)
+		g.handleSenderResponse(now, meta.From, body, effects)
 	case partition.Heads:
 		g.handleHighWatermarks(now, body, effects)
 	}
@@ -364,7 +364,7 @@
 	g.endLingering(now, effects)
 	g.disconnectSome(now, effects)
 	for key, sender := range g.senders {
-		if len(sender.queue) == 0 && now.Sub(sender.lastUse) > senderIdle {
+		if len(sender.queue) == 0 && now.Sub(sender.lastUse) > senderIdleTimeout {
 			delete(g.senders, key)
 		}
 	}
@@ -379,7 +379,7 @@
 const everything = uint64(math.MaxUint64)
 
 // SetMaxClients changes how many channels the gateway may hold.
-func (g *Gateway) SetMaxClients(most int) { g.settings.MaxClients = most }
+func (g *Gateway) SetMaxClients(limit int) { g.settings.MaxClients = limit }
 
 // SetLink changes how many bytes a second the machine's link takes.
 func (g *Gateway) SetLink(rate int) { g.settings.Link = rate }
--- a/internal/gateway/identity_test.go
+++ b/internal/gateway/identity_test.go
@@ -35,7 +35,7 @@
 	gateway.spaces["boards"] = &spaceState{space: config.Space{Name: "boards", Retention: config.Durable}, name: "boards~1"}
 	item := &publication{
 		request: Publish{Request: 9, Sender: "u", Client: "u", Space: "boards", Topic: "t", Seq: 1}, key: senderKey{space: "boards", sender: "u"},
-		id: 77, partition: partitions[0], limit: now.Add(500 * time.Millisecond),
+		id: 77, partition: partitions[0], deadline: now.Add(500 * time.Millisecond),
 	}
 	gateway.senders[item.key] = &sender{recent: map[uint64]sentMemory{}, queue: []*publication{item}}
 	gateway.appends[item.id] = item
@@ -64,7 +64,7 @@
 
 func (a *asker) recall(now time.Time) []statemachine.Send {
 	return a.ask(func(effects *statemachine.Effects) {
-		a.gateway.recallSender(now, a.gateway.spaces["boards"], a.item, effects)
+		a.gateway.lookUpSender(now, a.gateway.spaces["boards"], a.item, effects)
 	})
 }
 
@@ -92,12 +92,12 @@
 	now := time.Unix(1000, 0)
 	earlier := newAsker(earlierLife, now, "boards~1/0").fetch(now)
 	present := newAsker(presentLife, now, "boards~1/0")
-	asked := present.fetch(now.Add(time.Second))
+	fetch := present.fetch(now.Add(time.Second))
 	present.take(now.Add(1100*time.Millisecond), partition.FetchTopicsResponse{
 		Request: earlier.Request, Topics: []partition.TopicRecords{{Until: 5}},
 		Partitions: []partition.PartitionState{{Partition: "boards~1/0", Epoch: 1, Head: 5}},
 	})
-	_, waits := present.gateway.routed.batches[asked.Request]
+	_, waits := present.gateway.routed.batches[fetch.Request]
 	return !waits
 }
 
@@ -119,17 +119,17 @@
 	for range len(sends) {
 		asker.take(now, partition.SenderResponse{Request: sends[0].Message.(partition.SenderAsk).Request, Ready: true})
 	}
-	return asker.gateway.senders[asker.item.key].recalled
+	return asker.gateway.senders[asker.item.key].lookedUp
 }
 
 // doubledPage gives how many records a fetch has after its first part came twice.
 func doubledPage() int {
 	now := time.Unix(1000, 0)
 	asker := newAsker(presentLife, now, "boards~1/0")
-	round := &fetch{
-		channel: 5, partitions: map[string]*fetched{"boards~1/0": {}}, records: map[string][]partition.Record{}, limit: now.Add(time.Second),
+	operation := &fetchOperation{
+		session: 5, partitions: map[string]*partitionFetch{"boards~1/0": {}}, records: map[string][]partition.Record{}, deadline: now.Add(time.Second),
 	}
-	asker.gateway.fetches[3] = round
+	asker.gateway.fetches[3] = operation
 	page := func(from, until uint64) partition.FetchResponse {
 		answer := partition.FetchResponse{Partition: "boards~1/0", Request: 3, Epoch: 1, Head: 10, Until: until, Ready: true}
 		for offset := from; offset <= until; offset++ {
@@ -140,7 +140,7 @@
 	for _, answer := range []partition.FetchResponse{page(1, 5), page(1, 5), page(6, 10), page(6, 10)} {
 		asker.take(now, answer)
 	}
-	return len(round.records["boards~1/0"])
+	return len(operation.records["boards~1/0"])
 }
 
 func TestAPartThatComesTwiceCountsOnce(t *testing.T) {
--- a/internal/gateway/policy.go
+++ b/internal/gateway/policy.go
@@ -36,7 +36,7 @@
 	Reply        Reply
 }
 
-var pass = Verdict{Allowed: true}
+var allowed = Verdict{Allowed: true}
 
 // Policy judges requests.
 type Policy interface {
@@ -75,14 +75,14 @@
 func (servingPolicy) Evaluate(now time.Time, request *PolicyRequest) Verdict {
 	gateway := request.Gateway
 	switch {
-	case gateway.stopping && (!request.Routed || !gateway.servesOn(now)):
-		return Verdict{Reply: rejectedReply(503, "stopping", "this daemon is stopping", retrySoon)}
+	case gateway.stopping && (!request.Routed || !gateway.servesWhileStopping(now)):
+		return Verdict{Reply: rejectedReply(503, "stopping", "this daemon is stopping", retryShortDelay)}
 	case gateway.newerVersion > gateway.viewClient.Version:
-		return Verdict{NeedsRefresh: true, Reply: rejectedReply(503, "behind", "this daemon is catching up with the configuration", retrySoon)}
+		return Verdict{NeedsRefresh: true, Reply: rejectedReply(503, "behind", "this daemon is catching up with the configuration", retryShortDelay)}
 	case !gateway.Confirmed(now):
-		return Verdict{Reply: rejectedReply(503, "unconfirmed", "this daemon can't confirm its configuration", retryLater)}
+		return Verdict{Reply: rejectedReply(503, "unconfirmed", "this daemon can't confirm its configuration", retryLongDelay)}
 	}
-	return pass
+	return allowed
 }
 
 type senderPolicy struct{}
@@ -93,7 +93,7 @@
 	if request.Kind == "publish" && request.Sender != request.Client {
 		return Verdict{Reply: rejectedReply(403, "wrong-sender", "an origin publishes under its own name only", 0)}
 	}
-	return pass
+	return allowed
 }
 
 type topicPolicy struct{}
@@ -105,7 +105,7 @@
 		if request.Kind == "publish" && !ValidRoutedTopic(request.Topic) || len(request.Paths) > 0 && !ValidRoutedTopic(request.Paths[0].Path) {
 			return Verdict{Reply: rejectedReply(400, "bad-topic", "a routed topic is a name without blanks", 0)}
 		}
-		return pass
+		return allowed
 	}
 	if request.Kind == "publish" && !ValidTopic(request.Topic) {
 		return Verdict{Reply: rejectedReply(400, "bad-topic", "a topic is a path of parts that are not empty", 0)}
@@ -115,7 +115,7 @@
 			return Verdict{Reply: rejectedReply(400, "bad-topic", "a topic is a path of parts that are not empty", 0)}
 		}
 	}
-	return pass
+	return allowed
 }
 
 // ValidRoutedTopic tells whether a name may be a routed topic.
@@ -123,8 +123,8 @@
 	if name == "" || len(name) > 256 {
 		return false
 	}
-	for _, letter := range name {
-		if letter < 0x21 || letter == 0x7f || letter == 0xfffd {
+	for _, character := range name {
+		if character < 0x21 || character == 0x7f || character == 0xfffd {
 			return false
 		}
 	}
@@ -136,8 +136,8 @@
 	if path == "" || len(path) > 256 || strings.HasPrefix(path, "/") || strings.HasSuffix(path, "/") || strings.Contains(path, "//") {
 		return false
 	}
-	for _, letter := range path {
-		if letter < 0x21 || letter == 0x7f || letter == 0xfffd {
+	for _, character := range path {
+		if character < 0x21 || character == 0x7f || character == 0xfffd {
 			return false
 		}
 	}
@@ -154,15 +154,15 @@
 			return Verdict{NeedsRefresh: true, Reply: rejectedReply(404, "no-such-space", fmt.Sprintf("no space is named %q", name), 0)}
 		}
 	}
-	return pass
+	return allowed
 }
 
-func (j *PolicyRequest) spaces() []string {
-	if j.Kind == "publish" {
-		return []string{j.Space}
+func (pr *PolicyRequest) spaces() []string {
+	if pr.Kind == "publish" {
+		return []string{pr.Space}
 	}
 	var names []string
-	for _, interest := range j.Paths {
+	for _, interest := range pr.Paths {
 		names = append(names, interest.Space)
 	}
 	return names
@@ -179,7 +179,7 @@
 			return Verdict{Reply: rejectedReply(403, "not-allowed", fmt.Sprintf("the space %q does not let this origin %s", name, request.Kind), 0)}
 		}
 	}
-	return pass
+	return allowed
 }
 
 type sizePolicy struct{}
@@ -188,15 +188,15 @@
 
 func (sizePolicy) Evaluate(_ time.Time, request *PolicyRequest) Verdict {
 	if request.Kind != "publish" {
-		return pass
+		return allowed
 	}
-	if most := request.Gateway.spaces[request.Space].space.DataBytes; len(request.Data) > most {
-		return Verdict{Reply: rejectedReply(413, "too-large", fmt.Sprintf("%d bytes are more than %d", len(request.Data), most), 0)}
+	if maxBytes := request.Gateway.spaces[request.Space].space.DataBytes; len(request.Data) > maxBytes {
+		return Verdict{Reply: rejectedReply(413, "too-large", fmt.Sprintf("%d bytes are more than %d", len(request.Data), maxBytes), 0)}
 	}
 	if request.Seq == 0 {
 		return Verdict{Reply: rejectedReply(400, "bad-seq", "a seq begins at 1", 0)}
 	}
-	return pass
+	return allowed
 }
 
 // ratePolicy lets a space's publications pass at the rate it allows, counted
@@ -214,19 +214,19 @@
 
 func (rp *ratePolicy) Evaluate(now time.Time, request *PolicyRequest) Verdict {
 	if request.Kind != "publish" {
-		return pass
+		return allowed
 	}
-	most := request.Gateway.spaces[request.Space].space.PublicationsPerSecond
-	if most == 0 {
-		return pass
+	maxRate := request.Gateway.spaces[request.Space].space.PublicationsPerSecond
+	if maxRate == 0 {
+		return allowed
 	}
 	if second := now.Unix(); rp.second[request.Space] != second {
 		rp.second[request.Space], rp.count[request.Space] = second, 0
 	}
-	if rp.count[request.Space] >= most {
-		back := now.Truncate(time.Second).Add(time.Second).Sub(now)
-		return Verdict{Reply: rejectedReply(429, "too-many", "the space's rate is used up", back)}
+	if rp.count[request.Space] >= maxRate {
+		retryAfter := now.Truncate(time.Second).Add(time.Second).Sub(now)
+		return Verdict{Reply: rejectedReply(429, "too-many", "the space's rate is used up", retryAfter)}
 	}
 	rp.count[request.Space]++
-	return pass
+	return allowed
 }
--- a/internal/gateway/presence.go
+++ b/internal/gateway/presence.go
@@ -32,17 +32,17 @@
 
 // count tells how many origins subscribe to a topic, over all gateways, from
 // what the overlay's peers tell each other.
-func (g *Gateway) count(now time.Time, request CountSubscribers, looked bool, effects *statemachine.Effects) {
+func (g *Gateway) count(now time.Time, request CountSubscribers, refreshed bool, effects *statemachine.Effects) {
 	g.Counts.Requests++
 	if session, found := g.sessions[request.Session]; found {
 		session.pongAt = now
 	}
-	judged := &PolicyRequest{
-		Kind: "count", Client: request.Client, Paths: []Interest{{Space: g.routeOf("", request.Topic), Path: request.Topic}}, Refreshed: looked, Routed: true,
+	policyRequest := &PolicyRequest{
+		Kind: "count", Client: request.Client, Paths: []Interest{{Space: g.routeOf("", request.Topic), Path: request.Topic}}, Refreshed: refreshed, Routed: true,
 	}
 	retry := func(now time.Time, effects *statemachine.Effects) { g.count(now, request, true, effects) }
 	answer := func(response Reply) { effects.Respond(request.Request, response) }
-	if !g.authorize(now, judged, request.RequestName, retry, answer) {
+	if !g.authorize(now, policyRequest, request.RequestName, retry, answer) {
 		return
 	}
 	g.overlay.AwaitCell(now, routedPlane, request.Topic, func(_ time.Time, effects *statemachine.Effects, _ bool) {
--- a/internal/gateway/publish.go
+++ b/internal/gateway/publish.go
@@ -21,12 +21,12 @@
 )
 
 const (
-	senderIdle   = 90 * time.Second
-	seqMemory    = 30 * time.Second
-	queueMost    = 64
-	blockFor     = 3 * time.Second
-	appendRetry  = 150 * time.Millisecond
-	joinPatience = 800 * time.Millisecond
+	senderIdleTimeout = 90 * time.Second
+	seqMemory         = 30 * time.Second
+	maxSenderQueue    = 64
+	blockFor          = 3 * time.Second
+	appendRetry       = 150 * time.Millisecond
+	joinPatience      = 800 * time.Millisecond
 )
 
 type senderKey struct {
@@ -40,37 +40,37 @@
 }
 
 type sender struct {
-	queue     []*publication
-	lastSeq   uint64
-	recalled  bool
-	trail     []trailed
-	arrived   time.Time
-	recent    map[uint64]sentMemory
-	blocked   uint64
-	blockedAt time.Time
-	lastUse   time.Time
+	queue        []*publication
+	lastSeq      uint64
+	lookedUp     bool
+	dependencies []dependency
+	arrived      time.Time
+	recent       map[uint64]sentMemory
+	blocked      uint64
+	blockedAt    time.Time
+	lastUse      time.Time
 }
 
-// trailed is a message of a sender that was accepted a moment ago.
-type trailed struct {
+// dependency is a message of a sender that was accepted a moment ago.
+type dependency struct {
 	mark partition.Mark
 	seq  uint64
 	at   time.Time
 }
 
-// before tells the trail that goes with a sender's next message.
-func (s *sender) before(now time.Time) partition.Trail {
-	s.trail = slices.DeleteFunc(s.trail, func(each trailed) bool { return now.Sub(each.at) > partition.TrailFor })
+// trail tells the trail that goes with a sender's next message.
+func (s *sender) trail(now time.Time) partition.Trail {
+	s.dependencies = slices.DeleteFunc(s.dependencies, func(each dependency) bool { return now.Sub(each.at) > partition.TrailFor })
 	var trail partition.Trail
-	older := max(0, len(s.trail)-partition.TrailMost)
+	older := max(0, len(s.dependencies)-partition.TrailMost)
 	floors := map[uint8]uint64{}
-	for _, each := range s.trail[:older] {
+	for _, each := range s.dependencies[:older] {
 		floors[each.mark.Partition] = max(floors[each.mark.Partition], each.mark.Offset)
 	}
 	for number, offset := range statemachine.Sorted(floors) {
 		trail.Floor = append(trail.Floor, partition.Reach{Partition: number, Offset: offset})
 	}
-	for _, each := range s.trail[older:] {
+	for _, each := range s.dependencies[older:] {
 		trail.Marks = append(trail.Marks, each.mark)
 	}
 	return trail
@@ -82,23 +82,23 @@
 	id        uint64
 	partition string
 	sentAt    time.Time
-	limit     time.Time
-	// open are the numbers of the sends without an answer; see routedPublication.
-	open     map[uint64]bool
-	recalled bool
-	answered bool
+	deadline  time.Time
+	// unanswered are the numbers of the sends without an answer; see routedPublication.
+	unanswered map[uint64]bool
+	lookedUp   bool
+	answered   bool
 }
 
-// recall asks the stores where a sender's newest messages are; waiting is how many
+// senderLookup asks the stores where a sender's newest messages are; waiting is how many
 // have not answered, and answered tells of each address that was asked whether it has.
-type recall struct {
+type senderLookup struct {
 	key      senderKey
 	waiting  int
 	answered map[string]bool
 	ready    bool
 	lastSeq  uint64
 	recent   []partition.Recent
-	limit    time.Time
+	deadline time.Time
 }
 
 func (g *Gateway) messageOf(request *PolicyRequest) string {
@@ -110,22 +110,22 @@
 
 func (g *Gateway) publish(now time.Time, request Publish, effects *statemachine.Effects) {
 	g.Counts.Requests++
-	if g.routedTopic(request.Space) {
+	if g.isRoutedTopic(request.Space) {
 		g.publishRouted(now, request, false, effects)
 		return
 	}
-	g.tryPublish(now, request, false, effects)
+	g.publishAttempt(now, request, false, effects)
 }
 
-func (g *Gateway) tryPublish(now time.Time, request Publish, looked bool, effects *statemachine.Effects) {
-	judged := &PolicyRequest{
+func (g *Gateway) publishAttempt(now time.Time, request Publish, refreshed bool, effects *statemachine.Effects) {
+	policyRequest := &PolicyRequest{
 		Kind: "publish", Client: request.Client, Sender: request.Sender, Space: request.Space, Topic: request.Topic,
-		Seq: request.Seq, Data: request.Data, Refreshed: looked,
+		Seq: request.Seq, Data: request.Data, Refreshed: refreshed,
 	}
 	item := &publication{request: request, key: senderKey{space: request.Space, sender: request.Sender}}
-	answer := func(response Reply) { g.settlePublication(now, item, response, effects) }
-	retry := func(now time.Time, effects *statemachine.Effects) { g.tryPublish(now, request, true, effects) }
-	if !g.authorize(now, judged, request.RequestName, retry, answer) {
+	answer := func(response Reply) { g.answerPublication(now, item, response, effects) }
+	retry := func(now time.Time, effects *statemachine.Effects) { g.publishAttempt(now, request, true, effects) }
+	if !g.authorize(now, policyRequest, request.RequestName, retry, answer) {
 		return
 	}
 	from, found := g.senders[item.key]
@@ -136,20 +136,20 @@
 	from.lastUse = now
 	if from.blocked > 0 && request.Seq > from.blocked {
 		if now.Sub(from.blockedAt) < blockFor {
-			answer(rejectedReply(503, "earlier-refused", "an earlier seq of this sender has no accepted answer; send that one first", retryLater))
+			answer(rejectedReply(503, "earlier-refused", "an earlier seq of this sender has no accepted answer; send that one first", retryLongDelay))
 			return
 		}
 		from.blocked = 0
 	}
-	if len(from.queue) >= queueMost {
-		answer(rejectedReply(429, "queue-full", "too many publications of this sender wait", retryLater))
+	if len(from.queue) >= maxSenderQueue {
+		answer(rejectedReply(429, "queue-full", "too many publications of this sender wait", retryLongDelay))
 		return
 	}
-	g.ring.Record(now, request.RequestName, g.messageOf(judged), request.Client, "judged", "topic", request.Topic,
+	g.ring.Record(now, request.RequestName, g.messageOf(policyRequest), request.Client, "judged", "topic", request.Topic,
 		"version", g.viewClient.Version, "queued", len(from.queue))
-	item.limit = now.Add(min(requestTimeout, g.spaces[request.Space].space.ResponseTimeout*7/10))
+	item.deadline = now.Add(min(requestTimeout, g.spaces[request.Space].space.ResponseTimeout*7/10))
 	from.queue = append(from.queue, item)
-	g.timers.ArmSooner(timerDeadlines, item.limit)
+	g.timers.ArmSooner(timerDeadlines, item.deadline)
 	if len(from.queue) == 1 {
 		g.begin(now, from, effects)
 	}
@@ -167,8 +167,8 @@
 	}
 }
 
-// settlePublication gives a publication its final answer.
-func (g *Gateway) settlePublication(now time.Time, item *publication, answer Reply, effects *statemachine.Effects) {
+// answerPublication gives a publication its final answer.
+func (g *Gateway) answerPublication(now time.Time, item *publication, answer Reply, effects *statemachine.Effects) {
 	if item.answered {
 		return
 	}
@@ -186,14 +186,14 @@
 		state, found := g.spaces[item.request.Space]
 		if !found {
 			from.queue = from.queue[1:]
-			g.settlePublication(now, item, rejectedReply(404, "no-such-space", "the space was removed", 0), effects)
+			g.answerPublication(now, item, rejectedReply(404, "no-such-space", "the space was removed", 0), effects)
 			continue
 		}
 		if state.space.Retention == config.Durable {
-			g.keep(now, state, from, item, effects)
+			g.publishDurable(now, state, from, item, effects)
 			return
 		}
-		g.passOn(now, state, from, item, effects)
+		g.publishEphemeral(now, state, from, item, effects)
 		return
 	}
 }
@@ -202,10 +202,10 @@
 // are refused, and later seqs are held off until this one is sent again.
 func (g *Gateway) finish(now time.Time, item *publication, answer Reply, effects *statemachine.Effects) {
 	delete(g.appends, item.id)
-	for send := range item.open {
+	for send := range item.unanswered {
 		delete(g.sends, send)
 	}
-	g.settlePublication(now, item, answer, effects)
+	g.answerPublication(now, item, answer, effects)
 	from, found := g.senders[item.key]
 	if !found || len(from.queue) == 0 || from.queue[0] != item {
 		return
@@ -223,7 +223,7 @@
 		waiting := from.queue
 		from.queue = nil
 		for _, behind := range waiting {
-			g.settlePublication(now, behind, rejectedReply(503, "earlier-refused", "an earlier seq of this sender was not accepted", retryLater), effects)
+			g.answerPublication(now, behind, rejectedReply(503, "earlier-refused", "an earlier seq of this sender was not accepted", retryLongDelay), effects)
 		}
 		return
 	}
@@ -250,13 +250,13 @@
 	return overlay.AreaOf(path)
 }
 
-func (g *Gateway) keep(now time.Time, state *spaceState, from *sender, item *publication, effects *statemachine.Effects) {
+func (g *Gateway) publishDurable(now time.Time, state *spaceState, from *sender, item *publication, effects *statemachine.Effects) {
 	// A seq that does not follow the newest one known here may come from a
 	// sender that was elsewhere meanwhile; its trail is learned anew.
-	follows := from.recalled && item.request.Seq <= from.lastSeq+1
-	if !follows && !item.recalled && state.space.Partitions() > 1 {
-		item.recalled = true
-		g.recallSender(now, state, item, effects)
+	follows := from.lookedUp && item.request.Seq <= from.lastSeq+1
+	if !follows && !item.lookedUp && state.space.Partitions() > 1 {
+		item.lookedUp = true
+		g.lookUpSender(now, state, item, effects)
 		return
 	}
 	item.partition = g.partitionOf(state, item.request.Topic)
@@ -267,33 +267,33 @@
 	g.sendAppend(now, from, item, effects)
 }
 
-func (g *Gateway) firstOf(name string) (address, store string, found bool) {
-	place, placed := g.viewClient.Placements[name]
+func (g *Gateway) leaderOf(name string) (address, store string, found bool) {
+	placement, placed := g.viewClient.Placements[name]
 	if !placed {
 		return "", "", false
 	}
-	member, known := g.viewClient.Members[place.Leader]
-	return member.Address, place.Leader, known
+	member, known := g.viewClient.Members[placement.Leader]
+	return member.Address, placement.Leader, known
 }
 
 func (g *Gateway) sendAppend(now time.Time, from *sender, item *publication, effects *statemachine.Effects) {
 	item.sentAt = now
 	g.timers.ArmSooner(timerDeadlines, now.Add(appendRetry))
-	address, store, found := g.firstOf(item.partition)
+	address, store, found := g.leaderOf(item.partition)
 	if !found {
 		g.viewClient.PollNow(now)
 		return
 	}
 	var before partition.Trail
 	if state, known := g.spaces[item.request.Space]; known && state.space.Partitions() > 1 {
-		before = from.before(now)
+		before = from.trail(now)
 	}
 	g.nextRequest++
 	send := g.nextRequest
-	if item.open == nil {
-		item.open = map[uint64]bool{}
+	if item.unanswered == nil {
+		item.unanswered = map[uint64]bool{}
 	}
-	item.open[send] = true
+	item.unanswered[send] = true
 	g.sends[send] = item
 	g.ring.Record(now, item.request.RequestName, decisionlog.MessageName(item.request.Space, item.request.Sender, item.request.Seq),
 		item.request.Client, "append", "partition", item.partition, "store", store, "epoch", g.viewClient.Placements[item.partition].Epoch)
@@ -303,7 +303,7 @@
 	})
 }
 
-func (g *Gateway) onAppendResponse(now time.Time, response partition.AppendResponse, effects *statemachine.Effects) {
+func (g *Gateway) handleAppendResponse(now time.Time, response partition.AppendResponse, effects *statemachine.Effects) {
 	if item, routed := g.routed.sends[response.Request]; routed && item.partition == response.Partition {
 		g.handleRoutedResponse(now, item, response, effects)
 		return
@@ -312,7 +312,7 @@
 	if !found || item.partition != response.Partition {
 		return
 	}
-	delete(item.open, response.Request)
+	delete(item.unanswered, response.Request)
 	delete(g.sends, response.Request)
 	message := decisionlog.MessageName(item.request.Space, item.request.Sender, item.request.Seq)
 	g.ring.Record(now, item.request.RequestName, message, item.request.Client, "kept", "outcome", response.Outcome,
@@ -321,13 +321,13 @@
 	case partition.Accepted:
 		if from, known := g.senders[item.key]; known {
 			from.lastSeq = max(from.lastSeq, item.request.Seq)
-			from.trail = append(from.trail, trailed{
+			from.dependencies = append(from.dependencies, dependency{
 				mark: partition.Mark{Partition: partition.NumberIn(response.Partition), Offset: response.Record.Offset, Topic: item.request.Topic},
 				seq:  item.request.Seq, at: now,
 			})
 		}
 		if state, present := g.spaces[item.request.Space]; present && !response.Again {
-			g.fanOutKept(now, state, response.Partition, response.Record, item, effects)
+			g.fanOutRecord(now, state, response.Partition, response.Record, item, effects)
 		}
 		g.finish(now, item, acceptedReply(map[string]any{"again": response.Again}), effects)
 	case partition.Refused:
@@ -340,7 +340,7 @@
 		case "old-seq", "seq-reused":
 			g.finish(now, item, rejectedReply(409, response.Code, "this seq is not above the sender's newest", 0), effects)
 		default:
-			if len(item.open) > 0 {
+			if len(item.unanswered) > 0 {
 				// An earlier try has no answer; it may yet be kept.
 				g.finish(now, item, unsettledReply(response.Code, "send the same seq again", response.RetryAfter), effects)
 				return
@@ -348,77 +348,77 @@
 			g.finish(now, item, rejectedReply(503, response.Code, "the partition can't keep two copies at this moment", response.RetryAfter), effects)
 		}
 	default:
-		g.finish(now, item, unsettledReply(response.Code, "send the same seq again", retryLater), effects)
+		g.finish(now, item, unsettledReply(response.Code, "send the same seq again", retryLongDelay), effects)
 	}
 }
 
-func (g *Gateway) recallSender(now time.Time, state *spaceState, item *publication, effects *statemachine.Effects) {
+func (g *Gateway) lookUpSender(now time.Time, state *spaceState, item *publication, effects *statemachine.Effects) {
 	byStore := map[string][]string{}
 	for number := range state.space.Partitions() {
 		name := partitionName(state.name, number)
-		address, _, found := g.firstOf(name)
+		address, _, found := g.leaderOf(name)
 		if !found {
 			g.viewClient.PollNow(now)
-			g.finish(now, item, rejectedReply(503, "not-placed", "the space's partitions are not placed yet", retryLater), effects)
+			g.finish(now, item, rejectedReply(503, "not-placed", "the space's partitions are not placed yet", retryLongDelay), effects)
 			return
 		}
 		byStore[address] = append(byStore[address], name)
 	}
 	g.nextRequest++
-	asked := &recall{key: item.key, waiting: len(byStore), answered: map[string]bool{}, ready: true, limit: item.limit}
-	g.recalls[g.nextRequest] = asked
+	fetch := &senderLookup{key: item.key, waiting: len(byStore), answered: map[string]bool{}, ready: true, deadline: item.deadline}
+	g.senderLookups[g.nextRequest] = fetch
 	for address, names := range statemachine.Sorted(byStore) {
-		asked.answered[address] = false
+		fetch.answered[address] = false
 		effects.Send(address, partition.SenderAsk{Request: g.nextRequest, Partitions: names, Sender: item.request.Sender})
 	}
 }
 
-// onSenderResponse counts one answer of each store that was asked.
-func (g *Gateway) onSenderResponse(now time.Time, store string, response partition.SenderResponse, effects *statemachine.Effects) {
-	asked, found := g.recalls[response.Request]
+// handleSenderResponse counts one answer of each store that was asked.
+func (g *Gateway) handleSenderResponse(now time.Time, store string, response partition.SenderResponse, effects *statemachine.Effects) {
+	fetch, found := g.senderLookups[response.Request]
 	if !found {
 		return
 	}
-	if answered, wasAsked := asked.answered[store]; (!wasAsked || answered) && !statemachine.Mutated("any-answer") {
+	if answered, requested := fetch.answered[store]; (!requested || answered) && !statemachine.Mutated("any-answer") {
 		return
 	}
-	asked.answered[store] = true
-	asked.waiting--
-	asked.ready = asked.ready && response.Ready
-	asked.lastSeq = max(asked.lastSeq, response.LastSeq)
-	asked.recent = append(asked.recent, response.Recent...)
-	if asked.waiting > 0 {
+	fetch.answered[store] = true
+	fetch.waiting--
+	fetch.ready = fetch.ready && response.Ready
+	fetch.lastSeq = max(fetch.lastSeq, response.LastSeq)
+	fetch.recent = append(fetch.recent, response.Recent...)
+	if fetch.waiting > 0 {
 		return
 	}
-	delete(g.recalls, response.Request)
-	from, known := g.senders[asked.key]
+	delete(g.senderLookups, response.Request)
+	from, known := g.senders[fetch.key]
 	if !known || len(from.queue) == 0 {
 		return
 	}
-	if !asked.ready {
+	if !fetch.ready {
 		g.viewClient.PollNow(now)
-		g.finish(now, from.queue[0], rejectedReply(503, "partition-moving", "a partition of the space is being taken over", retryLater), effects)
+		g.finish(now, from.queue[0], rejectedReply(503, "partition-moving", "a partition of the space is being taken over", retryLongDelay), effects)
 		return
 	}
-	from.recalled, from.lastSeq, from.trail = true, asked.lastSeq, nil
-	slices.SortFunc(asked.recent, func(left, right partition.Recent) int { return cmp.Compare(left.Seq, right.Seq) })
-	for _, each := range asked.recent {
-		from.trail = append(from.trail, trailed{mark: each.Mark, seq: each.Seq, at: now.Add(-each.Age / 2)})
+	from.lookedUp, from.lastSeq, from.dependencies = true, fetch.lastSeq, nil
+	slices.SortFunc(fetch.recent, func(left, right partition.Recent) int { return cmp.Compare(left.Seq, right.Seq) })
+	for _, each := range fetch.recent {
+		from.dependencies = append(from.dependencies, dependency{mark: each.Mark, seq: each.Seq, at: now.Add(-each.Age / 2)})
 	}
 	g.begin(now, from, effects)
 }
 
-// fanOutKept sends one copy to each destination daemon, and hands the message
+// fanOutRecord sends one copy to each destination daemon, and hands the message
 // to this daemon's own subscribers.
-func (g *Gateway) fanOutKept(now time.Time, state *spaceState, name string, record partition.Record, item *publication, effects *statemachine.Effects) {
+func (g *Gateway) fanOutRecord(now time.Time, state *spaceState, name string, record partition.Record, item *publication, effects *statemachine.Effects) {
 	area := areaOf(state.space, record.Topic)
 	recordCopy := RecordCopy{Partition: name, Record: record}
-	spread := func(now time.Time, effects *statemachine.Effects, settled bool) {
+	spread := func(now time.Time, effects *statemachine.Effects, stable bool) {
 		destinations := g.overlay.Destinations(state.name, area)
-		g.spread(now, item, destinations, settled, recordCopy, effects)
+		g.spread(now, item, destinations, stable, recordCopy, effects)
 	}
 	if _, topic := g.trackers[name]; topic {
-		g.onCarry(now, recordCopy, effects)
+		g.handleRecordCopy(now, recordCopy, effects)
 	}
 	if g.overlay.Joined(state.name, area) {
 		spread(now, effects, true)
@@ -427,7 +427,7 @@
 	g.overlay.Publish(now, state.name, area, spread, effects)
 }
 
-func (g *Gateway) spread(now time.Time, item *publication, destinations []string, settled bool, message any, effects *statemachine.Effects) {
+func (g *Gateway) spread(now time.Time, item *publication, destinations []string, stable bool, message any, effects *statemachine.Effects) {
 	for _, name := range destinations {
 		if member, found := g.viewClient.Members[name]; found {
 			g.Counts.CopiesOut++
@@ -435,12 +435,12 @@
 		}
 	}
 	g.ring.Record(now, item.request.RequestName, decisionlog.MessageName(item.request.Space, item.request.Sender, item.request.Seq),
-		item.request.Client, "fanned-out", "destinations", destinations, "why", "subscriber list of the peer at the topic's area", "settled", settled)
+		item.request.Client, "fanned-out", "destinations", destinations, "why", "subscriber list of the peer at the topic's area", "settled", stable)
 }
 
 // Passing messages.
 
-func (g *Gateway) passOn(now time.Time, state *spaceState, from *sender, item *publication, effects *statemachine.Effects) {
+func (g *Gateway) publishEphemeral(now time.Time, state *spaceState, from *sender, item *publication, effects *statemachine.Effects) {
 	request := item.request
 	if memory, known := from.recent[request.Seq]; known {
 		if memory.digest != partition.Digest(request.Topic, request.Data) {
@@ -458,12 +458,12 @@
 	// passed on. It is passed on once more, and whoever had it, or a later one,
 	// lets it fall.
 	area := areaOf(state.space, request.Topic)
-	g.overlay.Publish(now, state.name, area, func(now time.Time, effects *statemachine.Effects, settled bool) {
+	g.overlay.Publish(now, state.name, area, func(now time.Time, effects *statemachine.Effects, stable bool) {
 		if item.answered {
 			return
 		}
-		if !settled {
-			g.finish(now, item, rejectedReply(503, "no-neighbours", "the overlay is being mended", retrySoon), effects)
+		if !stable {
+			g.finish(now, item, rejectedReply(503, "no-neighbours", "the overlay is being mended", retryShortDelay), effects)
 			return
 		}
 		if request.Seq > from.lastSeq+1 {
@@ -484,39 +484,39 @@
 	}, effects)
 }
 
-// limits resends appends that stayed without an answer and gives up on those
+// checkDeadlines resends appends that stayed without an answer and gives up on those
 // whose time is up.
-func (g *Gateway) limits(now time.Time, effects *statemachine.Effects) {
+func (g *Gateway) checkDeadlines(now time.Time, effects *statemachine.Effects) {
 	var next time.Time
-	for id, asked := range statemachine.Sorted(g.recalls) {
-		if !asked.limit.After(now) {
-			delete(g.recalls, id)
+	for id, fetch := range statemachine.Sorted(g.senderLookups) {
+		if !fetch.deadline.After(now) {
+			delete(g.senderLookups, id)
 		} else {
-			next = statemachine.Earliest(next, asked.limit)
+			next = statemachine.Earliest(next, fetch.deadline)
 		}
 	}
 	for _, item := range statemachine.Sorted(g.appends) {
 		from, known := g.senders[item.key]
-		if known && item.limit.After(now) && !item.sentAt.Add(appendRetry).After(now) {
+		if known && item.deadline.After(now) && !item.sentAt.Add(appendRetry).After(now) {
 			g.sendAppend(now, from, item, effects)
 		}
-		if item.limit.After(now) {
-			next = statemachine.Earliest(next, item.sentAt.Add(appendRetry), item.limit)
+		if item.deadline.After(now) {
+			next = statemachine.Earliest(next, item.sentAt.Add(appendRetry), item.deadline)
 		}
 	}
 	for _, from := range g.sortedSenders() {
-		for len(from.queue) > 0 && !from.queue[0].limit.After(now) {
+		for len(from.queue) > 0 && !from.queue[0].deadline.After(now) {
 			item := from.queue[0]
 			if statemachine.Mutated("refuse-what-is-open") {
 				g.finish(now, item, rejectedReply(503, "no-answer", "", 0), effects)
-			} else if len(item.open) > 0 {
-				g.finish(now, item, unsettledReply("no-answer", "the store did not answer; send the same seq again", retryLater), effects)
+			} else if len(item.unanswered) > 0 {
+				g.finish(now, item, unsettledReply("no-answer", "the store did not answer; send the same seq again", retryLongDelay), effects)
 			} else {
-				g.finish(now, item, rejectedReply(503, "no-answer", "the message was not kept", retryLater), effects)
+				g.finish(now, item, rejectedReply(503, "no-answer", "the message was not kept", retryLongDelay), effects)
 			}
 		}
 		if len(from.queue) > 0 {
-			next = statemachine.Earliest(next, from.queue[0].limit)
+			next = statemachine.Earliest(next, from.queue[0].deadline)
 		}
 	}
 	for id, fetch := range statemachine.Sorted(g.fetches) {
--- a/internal/gateway/publish_test.go
+++ b/internal/gateway/publish_test.go
@@ -24,7 +24,7 @@
 	from := &sender{recent: map[uint64]sentMemory{}}
 	item := &publication{
 		request: Publish{Request: 9, Sender: "u", Client: "u", Space: "boards", Topic: "t", Seq: 1}, key: key, id: 77, partition: "boards~1/0",
-		limit: now.Add(500 * time.Millisecond),
+		deadline: now.Add(500 * time.Millisecond),
 	}
 	from.queue = []*publication{item}
 	gateway.senders[key], gateway.appends[item.id] = from, item
@@ -34,10 +34,10 @@
 	gateway.sendAppend(now, from, item, &effects)
 	first := effects.Sends[0].Message.(partition.Append).Request
 	for range 2 {
-		gateway.onAppendResponse(now, partition.AppendResponse{Partition: item.partition, Request: first, Outcome: partition.Refused, Code: "not-first"}, &effects)
+		gateway.handleAppendResponse(now, partition.AppendResponse{Partition: item.partition, Request: first, Outcome: partition.Refused, Code: "not-first"}, &effects)
 	}
 	effects = statemachine.Effects{}
-	gateway.limits(item.limit, &effects)
+	gateway.checkDeadlines(item.deadline, &effects)
 	assert.Equal(t, len(effects.Responses), 1)
 	assert.Equal(t, effects.Responses[0].Value.(Reply).Outcome, OutcomeUnsettled)
 	assert.Equal(t, len(gateway.sends), 0)
--- a/internal/gateway/recent_ephemeral.go
+++ b/internal/gateway/recent_ephemeral.go
@@ -58,9 +58,9 @@
 	}
 }
 
-// replay puts what passed by here just before an origin resumed in front of what
+// replayRecent puts what passed by here just before an origin resumed in front of what
 // came while it did, each sender's messages in order.
-func (g *Gateway) replay(now time.Time, session *session, interests []Interest) {
+func (g *Gateway) replayRecent(now time.Time, session *session, interests []Interest) {
 	var replayed []EphemeralCopy
 	for _, interest := range interests {
 		state, present := g.spaces[interest.Space]
--- a/internal/gateway/refresh.go
+++ b/internal/gateway/refresh.go
@@ -23,9 +23,9 @@
 }
 
 func (g *Gateway) completeRefresh(now time.Time, effects *statemachine.Effects) {
-	looks := g.refreshWaiters
+	waiters := g.refreshWaiters
 	g.refreshWaiters = nil
-	for _, look := range looks {
-		look.then(now, effects)
+	for _, waiter := range waiters {
+		waiter.then(now, effects)
 	}
 }
--- a/internal/gateway/route.go
+++ b/internal/gateway/route.go
@@ -19,17 +19,17 @@
 
 // routeTo is the present way to a partition; the zero way where there is none.
 func (g *Gateway) routeTo(name string) route {
-	place, placed := g.viewClient.Placements[name]
-	first, known := g.viewClient.Members[place.Leader]
+	placement, placed := g.viewClient.Placements[name]
+	leader, known := g.viewClient.Members[placement.Leader]
 	if !placed || !known {
 		return route{}
 	}
-	return route{address: first.Address, incarnation: first.Incarnation, epoch: place.Epoch, complete: place.Complete}
+	return route{address: leader.Address, incarnation: leader.Incarnation, epoch: placement.Epoch, complete: placement.Complete}
 }
 
 // changed tells whether something that went one way should go another now.
-func (w route) changed(present route) bool {
-	return present != (route{}) && w != present || statemachine.Mutated("all-sent-again-at-news")
+func (r route) changed(present route) bool {
+	return present != (route{}) && r != present || statemachine.Mutated("all-sent-again-at-news")
 }
 
 // routesChanged tells whether heads are to be asked for anew: a partition that topics
--- a/internal/gateway/session.go
+++ b/internal/gateway/session.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	gotMemory    = 100 * time.Second
-	markMemory   = 40 * time.Second
-	fetchRetry   = 250 * time.Millisecond
-	lingerFor    = 6 * time.Second
-	lingerSpread = 24
-	refetchMost  = 64
+	deliveredMemory = 100 * time.Second
+	sequenceMemory  = 40 * time.Second
+	fetchRetry      = 250 * time.Millisecond
+	lingerFor       = 6 * time.Second
+	lingerSpread    = 24
+	maxRefetches    = 64
 )
 
 type senderSequence struct {
@@ -108,16 +108,16 @@
 	}
 	switch {
 	case g.stopping:
-		effects.Respond(request.Request, rejectedReply(503, "stopping", "this daemon is stopping", retrySoon))
+		effects.Respond(request.Request, rejectedReply(503, "stopping", "this daemon is stopping", retryShortDelay))
 		return
 	case !g.Confirmed(now):
-		effects.Respond(request.Request, rejectedReply(503, "unconfirmed", "this daemon can't confirm its configuration", retryLater))
+		effects.Respond(request.Request, rejectedReply(503, "unconfirmed", "this daemon can't confirm its configuration", retryLongDelay))
 		return
 	case request.AdapterPings && !g.admits(now):
-		effects.Respond(request.Request, rejectedReply(503, "busy", "this daemon's link can't serve more callers at once", retrySoon))
+		effects.Respond(request.Request, rejectedReply(503, "busy", "this daemon's link can't serve more callers at once", retryShortDelay))
 		return
 	case len(g.sessions) >= g.settings.MaxClients:
-		effects.Respond(request.Request, rejectedReply(503, "full", "this daemon holds all the channels it may", retrySoon))
+		effects.Respond(request.Request, rejectedReply(503, "full", "this daemon holds all the channels it may", retryShortDelay))
 		return
 	}
 	g.sessions[request.Session] = newSession(now, request)
@@ -152,8 +152,8 @@
 	g.sessions[request.Session] = opened
 	g.timers.ArmSooner(timerTick, now.Add(tickInterval))
 	effects.Respond(request.Request, acceptedReply(nil))
-	g.turn++
-	g.move(now, request.Session, opened, targets[g.turn%min(len(targets), 3)], effects)
+	g.rotation++
+	g.move(now, request.Session, opened, targets[g.rotation%min(len(targets), 3)], effects)
 }
 
 func (g *Gateway) closeSession(now time.Time, request CloseSession, effects *statemachine.Effects) {
@@ -180,14 +180,14 @@
 func (g *Gateway) checkSession(now time.Time, id uint64, session *session, effects *statemachine.Effects) {
 	for _, got := range session.delivered {
 		for offset, at := range got {
-			if now.Sub(at) > gotMemory {
+			if now.Sub(at) > deliveredMemory {
 				delete(got, offset)
 			}
 		}
 	}
 	for _, marks := range session.sequences {
 		for sender, mark := range marks {
-			if now.Sub(mark.at) > markMemory {
+			if now.Sub(mark.at) > sequenceMemory {
 				delete(marks, sender)
 			}
 		}
--- a/internal/gateway/subscription.go
+++ b/internal/gateway/subscription.go
@@ -17,7 +17,7 @@
 
 func (g *Gateway) subscribe(now time.Time, request Subscribe, effects *statemachine.Effects) {
 	g.Counts.Requests++
-	if len(request.Interests) > 0 && g.routedTopic(request.Interests[0].Space) {
+	if len(request.Interests) > 0 && g.isRoutedTopic(request.Interests[0].Space) {
 		g.subscribeRouted(now, request, false, effects)
 		return
 	}
@@ -35,7 +35,7 @@
 	effects.Respond(request.Request, answer)
 }
 
-func (g *Gateway) subscribeAttempt(now time.Time, request Subscribe, looked bool, effects *statemachine.Effects) {
+func (g *Gateway) subscribeAttempt(now time.Time, request Subscribe, refreshed bool, effects *statemachine.Effects) {
 	answer := func(response Reply) { g.answerSubscribe(now, request, response, effects) }
 	session, found := g.sessions[request.Session]
 	if !found || session.client != request.Client {
@@ -47,31 +47,31 @@
 		answer(rejectedReply(409, "moved", "this channel was asked to move", 0))
 		return
 	}
-	var place cursor
+	var resumeFrom cursor
 	if request.Cursor != "" {
 		var code string
-		if place, code = openCursor(g.settings.Key, request.Client, request.Cursor); code != "" {
+		if resumeFrom, code = openCursor(g.settings.Key, request.Client, request.Cursor); code != "" {
 			answer(rejectedReply(400, code, "the cursor is not one of this origin's", 0))
 			return
 		}
 		if len(request.Interests) == 0 {
-			request.Interests = g.existingInterests(place.Interests)
+			request.Interests = g.existingInterests(resumeFrom.Interests)
 		}
 	}
-	judged := &PolicyRequest{Kind: "subscribe", Client: request.Client, Paths: request.Interests, Refreshed: looked}
+	policyRequest := &PolicyRequest{Kind: "subscribe", Client: request.Client, Paths: request.Interests, Refreshed: refreshed}
 	retry := func(now time.Time, effects *statemachine.Effects) { g.subscribeAttempt(now, request, true, effects) }
-	if !g.authorize(now, judged, request.RequestName, retry, answer) {
+	if !g.authorize(now, policyRequest, request.RequestName, retry, answer) {
 		return
 	}
 	if len(session.subscriptions)+len(request.Interests) > maxInterests {
 		answer(rejectedReply(429, "too-many-subscriptions", "a channel holds 256 subscriptions at most", 0))
 		return
 	}
-	round := &fetch{
-		channel: request.Session, request: request, resumes: request.Cursor != "", partitions: map[string]*fetched{},
-		records: map[string][]partition.Record{}, limit: now.Add(defaultSubscribeTimeout),
+	operation := &fetchOperation{
+		session: request.Session, request: request, resumes: request.Cursor != "", partitions: map[string]*partitionFetch{},
+		records: map[string][]partition.Record{}, deadline: now.Add(defaultSubscribeTimeout),
 	}
-	for space, marks := range place.Marks {
+	for space, marks := range resumeFrom.Marks {
 		for sender, seq := range marks {
 			session.markSeen(now, space, sender, seq)
 		}
@@ -80,51 +80,51 @@
 		if _, present := session.subscriptions[interest]; present {
 			continue
 		}
-		round.interests = append(round.interests, interest)
+		operation.interests = append(operation.interests, interest)
 	}
-	if len(round.interests) == 0 {
+	if len(operation.interests) == 0 {
 		answer(acceptedReply(map[string]any{"subscriptions": len(session.subscriptions), "cursor": g.cursor(now, session)}))
 		return
 	}
 	g.nextRequest++
 	id := g.nextRequest
-	g.fetches[id] = round
-	round.joins = 1
-	g.timers.ArmSooner(timerDeadlines, round.limit)
-	for _, interest := range round.interests {
+	g.fetches[id] = operation
+	operation.joins = 1
+	g.timers.ArmSooner(timerDeadlines, operation.deadline)
+	for _, interest := range operation.interests {
 		g.addSubscription(now, session, request.Session, interest)
 	}
-	for _, interest := range round.interests {
+	for _, interest := range operation.interests {
 		state := g.spaces[interest.Space]
 		for _, name := range g.partitionsOf(state, interest) {
-			asked, found := round.partitions[name]
+			fetch, found := operation.partitions[name]
 			if !found {
-				asked = &fetched{from: everything, after: everything}
-				round.partitions[name] = asked
+				fetch = &partitionFetch{from: everything, after: everything}
+				operation.partitions[name] = fetch
 			}
-			if at, resumes := place.Partitions[name]; resumes {
-				asked.from, asked.after, asked.skip = at.Floor, at.Floor, at.Extras
+			if at, resumes := resumeFrom.Partitions[name]; resumes {
+				fetch.from, fetch.after, fetch.skip = at.Floor, at.Floor, at.Extras
 				session.markDelivered(now, name, at.Extras)
 				if since, later := at.Since[interest.key()]; later {
 					session.notBefore(interest, name, since)
 				}
 			}
 			if interest.Prefix {
-				asked.prefixes = append(asked.prefixes, interest.Path)
+				fetch.prefixes = append(fetch.prefixes, interest.Path)
 			} else {
-				asked.topics = append(asked.topics, interest.Path)
+				fetch.topics = append(fetch.topics, interest.Path)
 			}
 		}
-		round.joins++
-		g.overlay.Subscribe(now, state.name, areaOf(state.space, interest.Path), func(now time.Time, effects *statemachine.Effects, settled bool) {
-			round.joins--
-			round.failed = round.failed || !settled
-			g.advanceFetch(now, id, round, place, effects)
+		operation.joins++
+		g.overlay.Subscribe(now, state.name, areaOf(state.space, interest.Path), func(now time.Time, effects *statemachine.Effects, stable bool) {
+			operation.joins--
+			operation.failed = operation.failed || !stable
+			g.advanceFetch(now, id, operation, resumeFrom, effects)
 		}, effects)
 	}
-	g.ring.Record(now, request.RequestName, "", request.Client, "joining", "interests", len(round.interests), "resumes", round.resumes)
-	round.joins--
-	g.advanceFetch(now, id, round, place, effects)
+	g.ring.Record(now, request.RequestName, "", request.Client, "joining", "interests", len(operation.interests), "resumes", operation.resumes)
+	operation.joins--
+	g.advanceFetch(now, id, operation, resumeFrom, effects)
 }
 
 // existingInterests leaves out interests of a cursor whose space is gone.
@@ -165,7 +165,7 @@
 	table[interest.Path][id] = true
 	for _, name := range g.partitionsOf(state, interest) {
 		session.subscriptions[interest].since[name] = everything
-		g.follow(now, name).add(interest)
+		g.trackerFor(now, name).add(interest)
 	}
 }
 
@@ -197,8 +197,8 @@
 	if linger {
 		// Spread, so that the peers of many who left together don't leave
 		// together.
-		g.turn++
-		spread := time.Duration(g.turn%lingerSpread) * time.Second
+		g.rotation++
+		spread := time.Duration(g.rotation%lingerSpread) * time.Second
 		g.lingering = append(g.lingering, lingered{space: state.name, area: area, until: now.Add(lingerFor + spread)})
 		return
 	}
@@ -213,20 +213,20 @@
 }
 
 func (g *Gateway) endLingering(now time.Time, effects *statemachine.Effects) {
-	kept := g.lingering[:0]
+	remaining := g.lingering[:0]
 	for _, each := range g.lingering {
 		if each.until.After(now) {
-			kept = append(kept, each)
+			remaining = append(remaining, each)
 			continue
 		}
 		g.overlay.Unsubscribe(now, each.space, each.area, effects)
 	}
-	g.lingering = kept
+	g.lingering = remaining
 }
 
 func (g *Gateway) unsubscribe(now time.Time, request Unsubscribe, effects *statemachine.Effects) {
 	g.Counts.Requests++
-	if len(request.Interests) > 0 && g.routedTopic(request.Interests[0].Space) {
+	if len(request.Interests) > 0 && g.isRoutedTopic(request.Interests[0].Space) {
 		g.unsubscribeRouted(now, request, effects)
 		return
 	}
--- a/internal/gateway/topic.go
+++ b/internal/gateway/topic.go
@@ -103,14 +103,14 @@
 	sends         map[uint64]*routedPublication
 	// accepted is when a publication of this gateway's callers was accepted.
 	accepted map[routedKey]time.Time
-	// busy are the topics with something that waits for a moment to come.
-	busy map[string]*topicState
+	// scheduled are the topics with something that waits for a moment to come.
+	scheduled map[string]*topicState
 }
 
 func newRouted() *routed {
 	return &routed{
 		topics: map[string]*topicState{}, numbers: map[uint64]*topicState{}, partitions: map[string]int{}, reportedUpTo: map[string]uint64{}, followRoutes: map[string]route{}, bases: map[string]uint64{},
-		batches: map[uint64]*batch{}, batchInFlight: map[string]uint64{}, appends: map[uint64]*routedPublication{}, sends: map[uint64]*routedPublication{}, accepted: map[routedKey]time.Time{}, busy: map[string]*topicState{},
+		batches: map[uint64]*batch{}, batchInFlight: map[string]uint64{}, appends: map[uint64]*routedPublication{}, sends: map[uint64]*routedPublication{}, accepted: map[routedKey]time.Time{}, scheduled: map[string]*topicState{},
 	}
 }
 
@@ -130,8 +130,8 @@
 	return offset, err == nil
 }
 
-// routedTopic tells whether a request goes to a routed topic.
-func (g *Gateway) routedTopic(space string) bool {
+// isRoutedTopic tells whether a request goes to a routed topic.
+func (g *Gateway) isRoutedTopic(space string) bool {
 	if space == "" {
 		return true
 	}
--- a/internal/gateway/topic_delivery.go
+++ b/internal/gateway/topic_delivery.go
@@ -66,8 +66,8 @@
 		g.release(now, topic, effects)
 		return true
 	}
-	position, held := slices.BinarySearchFunc(topic.pending, record.Offset, func(each partition.Record, offset uint64) int { return cmp.Compare(each.Offset, offset) })
-	if held || len(topic.pending) >= maxPendingTopicRecords {
+	position, present := slices.BinarySearchFunc(topic.pending, record.Offset, func(each partition.Record, offset uint64) int { return cmp.Compare(each.Offset, offset) })
+	if present || len(topic.pending) >= maxPendingTopicRecords {
 		return true
 	}
 	if len(topic.pending) == 0 {
@@ -80,7 +80,7 @@
 	g.Counts.Gaps++
 	effects.Emit(logevent.GapFound, "partition", topic.partition, "offset", record.Offset, "prior", record.Prior)
 	if topic.durable {
-		g.want(now, topic, record.Prior, holeAfter)
+		g.requireUpTo(now, topic, record.Prior, gapTimeout)
 	} else {
 		g.scheduleTopic(topic, now.Add(ephemeralGapTimeout))
 	}
@@ -103,9 +103,9 @@
 	topic.pending = nil
 }
 
-// want notes that a topic has more than was handed over; unless it comes by
+// requireUpTo notes that a topic has more than was handed over; unless it comes by
 // itself in a moment, it is fetched.
-func (g *Gateway) want(now time.Time, topic *topicState, offset uint64, grace time.Duration) {
+func (g *Gateway) requireUpTo(now time.Time, topic *topicState, offset uint64, grace time.Duration) {
 	if offset <= topic.wanted && offset <= topic.last {
 		return
 	}
@@ -119,7 +119,7 @@
 
 // scheduleTopic notes that a topic wants to be looked at.
 func (g *Gateway) scheduleTopic(topic *topicState, at time.Time) {
-	g.routed.busy[topic.name] = topic
+	g.routed.scheduled[topic.name] = topic
 	g.timers.ArmSooner(timerRouted, at)
 }
 
@@ -131,12 +131,12 @@
 		return
 	}
 	g.routed.reportedUpTo[name] = until
-	g.timers.ArmSooner(timerFollow, now.Add(holeAfter))
+	g.timers.ArmSooner(timerFollow, now.Add(gapTimeout))
 }
 
 // tickRouted looks at the topics with something that waits.
 func (g *Gateway) tickRouted(now time.Time, effects *statemachine.Effects) {
-	for _, topic := range statemachine.Sorted(g.routed.busy) {
+	for _, topic := range statemachine.Sorted(g.routed.scheduled) {
 		g.tickTopic(now, topic, effects)
 	}
 	g.retryBatches(now, effects)
@@ -146,7 +146,7 @@
 // tickTopic does what is due for a topic and notes when it is to be looked at
 // again.
 func (g *Gateway) tickTopic(now time.Time, topic *topicState, effects *statemachine.Effects) {
-	delete(g.routed.busy, topic.name)
+	delete(g.routed.scheduled, topic.name)
 	if g.routed.topics[topic.name] != topic {
 		return
 	}
@@ -163,7 +163,7 @@
 			filling = true
 		case !subscription.deadline.After(now):
 			topic.reserve(now, subscription)
-			g.rejectTopicSubscription(now, subscription, rejectedReply(503, "no-answer", "the place could not be found in time; nothing is subscribed", retrySoon), effects)
+			g.rejectTopicSubscription(now, subscription, rejectedReply(503, "no-answer", "the place could not be found in time; nothing is subscribed", retryShortDelay), effects)
 		default:
 			filling = filling || topic.durable
 			next = statemachine.Earliest(next, subscription.deadline)
@@ -208,18 +208,18 @@
 	if _, used := g.routed.partitions[head.Partition]; !used || statemachine.Mutated("no-topic-heads") || head.Epoch < g.viewClient.Placements[head.Partition].Epoch {
 		return
 	}
-	told := g.routed.reportedUpTo[head.Partition]
+	reported := g.routed.reportedUpTo[head.Partition]
 	for _, each := range head.Topics {
 		if topic, found := g.routed.numbers[each.Topic]; found && topic.durable && each.Offset > topic.last {
-			g.want(now, topic, each.Offset, highWatermarkGrace)
+			g.requireUpTo(now, topic, each.Offset, highWatermarkGrace)
 		}
 	}
-	if head.From > told {
+	if head.From > reported {
 		// Something was told that did not come.
 		g.timers.ArmSooner(timerFollow, now)
 		return
 	}
-	g.routed.reportedUpTo[head.Partition] = max(told, head.Offset)
+	g.routed.reportedUpTo[head.Partition] = max(reported, head.Offset)
 }
 
 // rerouteAll puts changed routes in force: what leads elsewhere now, or nowhere,
--- a/internal/gateway/topic_subscription.go
+++ b/internal/gateway/topic_subscription.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-func (g *Gateway) subscribeRouted(now time.Time, request Subscribe, looked bool, effects *statemachine.Effects) {
+func (g *Gateway) subscribeRouted(now time.Time, request Subscribe, refreshed bool, effects *statemachine.Effects) {
 	answer := func(response Reply) { g.answerSubscribe(now, request, response, effects) }
 	session, found := g.sessions[request.Session]
 	switch {
@@ -21,21 +21,21 @@
 	}
 	session.pongAt = now
 	if !session.movedAt.IsZero() {
-		answer(rejectedReply(409, "moved", "this channel was asked to move", retrySoon))
+		answer(rejectedReply(409, "moved", "this channel was asked to move", retryShortDelay))
 		return
 	}
 	name := request.Interests[0].Path
 	interest := Interest{Space: g.routeOf(request.Interests[0].Space, name), Path: name}
-	judged := &PolicyRequest{Kind: "subscribe", Client: request.Client, Paths: []Interest{interest}, Refreshed: looked, Routed: true}
+	policyRequest := &PolicyRequest{Kind: "subscribe", Client: request.Client, Paths: []Interest{interest}, Refreshed: refreshed, Routed: true}
 	retry := func(now time.Time, effects *statemachine.Effects) {
 		g.subscribeRouted(now, request, true, effects)
 	}
-	if !g.authorize(now, judged, request.RequestName, retry, answer) {
+	if !g.authorize(now, policyRequest, request.RequestName, retry, answer) {
 		return
 	}
 	if present, subscribed := session.routed[name]; subscribed {
 		if present.filling {
-			answer(rejectedReply(409, "underway", "this subscription is being taken up", retrySoon))
+			answer(rejectedReply(409, "underway", "this subscription is being taken up", retryShortDelay))
 			return
 		}
 		g.replyTopicSubscription(now, present, request, formatTopicCursor(present.deliveredUpTo), effects)
@@ -119,14 +119,14 @@
 
 // dropTopicSubscription ends a channel's subscription to a routed topic.
 func (g *Gateway) dropTopicSubscription(now time.Time, session *session, name string, effects *statemachine.Effects) {
-	gone, found := session.routed[name]
+	dropped, found := session.routed[name]
 	if !found {
 		return
 	}
 	delete(session.routed, name)
-	topic := gone.topic
+	topic := dropped.topic
 	last := topic.subscriptions[len(topic.subscriptions)-1]
-	topic.subscriptions[gone.index], last.index = last, gone.index
+	topic.subscriptions[dropped.index], last.index = last, dropped.index
 	topic.subscriptions = topic.subscriptions[:len(topic.subscriptions)-1]
 	g.announceSubscriberCount(now, topic, effects)
 	if topic.reserved(now) {
@@ -144,7 +144,7 @@
 	topic.fetch = nil
 	delete(g.routed.topics, topic.name)
 	delete(g.routed.numbers, topic.number)
-	delete(g.routed.busy, topic.name)
+	delete(g.routed.scheduled, topic.name)
 	if topic.durable {
 		if g.routed.partitions[topic.partition]--; g.routed.partitions[topic.partition] == 0 {
 			delete(g.routed.partitions, topic.partition)
@@ -162,13 +162,13 @@
 
 // supersede takes the routed subscriptions of an origin's older channels away:
 // its newest channel is the one.
-func (g *Gateway) supersede(now time.Time, origin string, newest uint64, effects *statemachine.Effects) {
-	if earlier, found := g.newest[origin]; found && earlier != newest {
+func (g *Gateway) supersede(now time.Time, client string, newest uint64, effects *statemachine.Effects) {
+	if earlier, found := g.newest[client]; found && earlier != newest {
 		if session, open := g.sessions[earlier]; open {
 			g.dropRouted(now, session, effects)
 		}
 	}
-	g.newest[origin] = newest
+	g.newest[client] = newest
 }
 
 // startEphemeral ends the taking up of a passing topic.
@@ -194,11 +194,11 @@
 // place lacks, and tells whether it does.
 func (g *Gateway) fill(now time.Time, subscription *topicSubscription, effects *statemachine.Effects) bool {
 	topic := subscription.topic
-	if told, known := g.routed.reportedUpTo[topic.partition]; known && !topic.live && !subscription.resumes && topic.fetch == nil {
+	if reported, known := g.routed.reportedUpTo[topic.partition]; known && !topic.live && !subscription.resumes && topic.fetch == nil {
 		// Who begins here may begin where the first last told that the partition
 		// was: what moves after that will be told.
 		topic.live = true
-		topic.last, topic.recentFrom = told, told
+		topic.last, topic.recentFrom = reported, reported
 		g.release(now, topic, effects)
 	}
 	if !topic.live || subscription.resumes && subscription.deliveredUpTo < topic.recentFrom && subscription.deliveredUpTo < topic.last {
@@ -237,7 +237,7 @@
 	session.pongAt = now
 	for _, interest := range request.Interests {
 		if subscription, present := session.routed[interest.Path]; present && subscription.filling && subscription.request.Request != 0 {
-			g.answerSubscribe(now, subscription.request, rejectedReply(409, "unsubscribed", "the subscription was ended before it was taken up", retrySoon), effects)
+			g.answerSubscribe(now, subscription.request, rejectedReply(409, "unsubscribed", "the subscription was ended before it was taken up", retryShortDelay), effects)
 		}
 		g.dropTopicSubscription(now, session, interest.Path, effects)
 	}
@@ -253,8 +253,8 @@
 	subscription.request.Request = 0
 }
 
-// skipTo gives a missed message to a place that is being filled.
-func (g *Gateway) skipTo(now time.Time, subscription *topicSubscription, record partition.Record, effects *statemachine.Effects) {
+// deliverFetched gives a missed message to a place that is being filled.
+func (g *Gateway) deliverFetched(now time.Time, subscription *topicSubscription, record partition.Record, effects *statemachine.Effects) {
 	subscription.filling = false
 	g.deliverRouted(now, subscription, record, effects)
 	subscription.filling = true
--- a/internal/gateway/tracker.go
+++ b/internal/gateway/tracker.go
@@ -21,38 +21,38 @@
 )
 
 const (
-	verifyEvery = time.Second
-	holeAfter   = 40 * time.Millisecond
-	followEvery = 2 * time.Second
-	skipMost    = 2048
-	knotAfter   = 8 * time.Second
-	pumpAtOnce  = 64
-	pumpEvery   = 20 * time.Millisecond
+	verifyEvery       = time.Second
+	gapTimeout        = 40 * time.Millisecond
+	followEvery       = 2 * time.Second
+	maxSkippedOffsets = 2048
+	cycleTimeout      = 8 * time.Second
+	maxImmediateScan  = 64
+	deliverInterval   = 20 * time.Millisecond
 )
 
-type followed struct {
-	interest Interest
-	holders  int
-	since    uint64
+type trackedInterest struct {
+	interest      Interest
+	subscriptions int
+	since         uint64
 }
 
 type tracker struct {
-	name      string
-	space     string
-	shared    bool
-	interests map[Interest]*followed
-	version   uint64
-	verified  uint64
-	began     bool
-	head      uint64
-	delivered map[uint64]time.Time
-	held      map[uint64]partition.Record
-	heldSince map[uint64]time.Time
-	verifying bool
-	wanted    bool
-	freshAt   time.Time
-	askedAt   time.Time
-	full      string
+	name          string
+	space         string
+	shared        bool
+	interests     map[Interest]*trackedInterest
+	version       uint64
+	verified      uint64
+	started       bool
+	highWatermark uint64
+	delivered     map[uint64]time.Time
+	pending       map[uint64]partition.Record
+	pendingSince  map[uint64]time.Time
+	verifying     bool
+	wanted        bool
+	verifiedAt    time.Time
+	requestedAt   time.Time
+	spaceName     string
 }
 
 // spaceOf takes a partition's name apart.
@@ -62,12 +62,12 @@
 	return space, full
 }
 
-func (g *Gateway) follow(now time.Time, name string) *tracker {
+func (g *Gateway) trackerFor(now time.Time, name string) *tracker {
 	present, found := g.trackers[name]
 	if !found {
 		space, full := spaceOf(name)
 		present = &tracker{
-			name: name, space: space, full: full, freshAt: now, interests: map[Interest]*followed{}, delivered: map[uint64]time.Time{}, held: map[uint64]partition.Record{}, heldSince: map[uint64]time.Time{},
+			name: name, space: space, spaceName: full, verifiedAt: now, interests: map[Interest]*trackedInterest{}, delivered: map[uint64]time.Time{}, pending: map[uint64]partition.Record{}, pendingSince: map[uint64]time.Time{},
 		}
 		if state, known := g.spaces[space]; known {
 			present.shared = state.space.Order == config.OrderSpace
@@ -81,11 +81,11 @@
 func (t *tracker) add(interest Interest) {
 	present, found := t.interests[interest]
 	if !found {
-		present = &followed{interest: interest, since: everything}
+		present = &trackedInterest{interest: interest, since: everything}
 		t.interests[interest] = present
 		t.version++
 	}
-	present.holders++
+	present.subscriptions++
 }
 
 // remove takes one holder away and tells whether nobody is left.
@@ -94,8 +94,8 @@
 	if !found {
 		return len(t.interests) == 0
 	}
-	present.holders--
-	if present.holders == 0 {
+	present.subscriptions--
+	if present.subscriptions == 0 {
 		delete(t.interests, interest)
 	}
 	return len(t.interests) == 0
@@ -106,28 +106,28 @@
 	if present, found := t.interests[interest]; found && since < present.since {
 		present.since = since
 	}
-	if !t.began {
-		t.began = true
+	if !t.started {
+		t.started = true
 		t.verified = since
-		t.head = max(t.head, since)
+		t.highWatermark = max(t.highWatermark, since)
 	}
 }
 
 // startOf is from where on a topic is followed live; everything if not yet.
-func (t *tracker) startOf(topic string) (since uint64, followedAtAll bool) {
+func (t *tracker) startOf(topic string) (since uint64, tracked bool) {
 	since = everything
 	for interest, present := range t.interests {
 		if t.shared || interest.matches(topic) {
-			followedAtAll = true
+			tracked = true
 			since = min(since, present.since)
 		}
 	}
-	return since, followedAtAll
+	return since, tracked
 }
 
-// settled tells whether a message was handed over here or need not be.
-func (t *tracker) settled(topic string, offset uint64) bool {
-	if offset <= t.verified && t.began {
+// resolved tells whether a message was handed over here or need not be.
+func (t *tracker) resolved(topic string, offset uint64) bool {
+	if offset <= t.verified && t.started {
 		return true
 	}
 	if _, had := t.delivered[offset]; had {
@@ -138,9 +138,9 @@
 }
 
 func (t *tracker) prune(now time.Time) {
-	for offset := range t.heldSince {
-		if _, waits := t.held[offset]; !waits {
-			delete(t.heldSince, offset)
+	for offset := range t.pendingSince {
+		if _, waits := t.pending[offset]; !waits {
+			delete(t.pendingSince, offset)
 		}
 	}
 	for offset, at := range t.delivered {
@@ -150,56 +150,56 @@
 	}
 }
 
-// onCarry takes a kept message, and tells whether anybody here wants it.
-func (g *Gateway) onCarry(now time.Time, recordCopy RecordCopy, effects *statemachine.Effects) bool {
+// handleRecordCopy takes a kept message, and tells whether anybody here wants it.
+func (g *Gateway) handleRecordCopy(now time.Time, recordCopy RecordCopy, effects *statemachine.Effects) bool {
 	tracker, found := g.trackers[recordCopy.Partition]
 	if !found {
 		return false
 	}
 	offset := recordCopy.Record.Offset
-	if _, had := tracker.delivered[offset]; had || tracker.began && offset <= tracker.verified {
+	if _, had := tracker.delivered[offset]; had || tracker.started && offset <= tracker.verified {
 		return true
 	}
 	if _, matters := tracker.startOf(recordCopy.Record.Topic); !matters {
 		return false
 	}
-	if len(tracker.held) < maxPendingRecords {
-		tracker.held[offset] = recordCopy.Record
+	if len(tracker.pending) < maxPendingRecords {
+		tracker.pending[offset] = recordCopy.Record
 	}
-	tracker.head = max(tracker.head, offset)
-	if g.pumpLater(now) {
+	tracker.highWatermark = max(tracker.highWatermark, offset)
+	if g.deferDelivery(now) {
 		return true
 	}
-	g.pump(now, effects)
-	if _, waits := tracker.held[offset]; waits && tracker.began {
+	g.deliverReady(now, effects)
+	if _, waits := tracker.pending[offset]; waits && tracker.started {
 		g.Counts.Gaps++
 		effects.Emit(logevent.GapFound, "partition", recordCopy.Partition, "offset", offset, "prior", recordCopy.Record.Prior)
 		g.ring.Record(now, "", decisionlog.MessageName(tracker.space, recordCopy.Record.Sender, recordCopy.Record.Seq), "", "waits",
 			"partition", recordCopy.Partition, "offset", offset, "prior", recordCopy.Record.Prior, "before", recordCopy.Record.Before.Marks, "verified", tracker.verified)
 		tracker.wanted = true
-		g.timers.ArmSooner(timerVerify, now.Add(holeAfter))
-		g.wantBefore(tracker, recordCopy.Record)
+		g.timers.ArmSooner(timerVerify, now.Add(gapTimeout))
+		g.requestDependencies(tracker, recordCopy.Record)
 	}
 	return true
 }
 
-// wantBefore marks the partitions in which something before a message is missing.
-func (g *Gateway) wantBefore(tracker *tracker, record partition.Record) {
+// requestDependencies marks the partitions in which something before a message is missing.
+func (g *Gateway) requestDependencies(tracker *tracker, record partition.Record) {
 	for _, mark := range record.Before.Marks {
-		if other, found := g.trackers[partitionName(tracker.full, int(mark.Partition))]; found && !other.settled(mark.Topic, mark.Offset) {
+		if other, found := g.trackers[partitionName(tracker.spaceName, int(mark.Partition))]; found && !other.resolved(mark.Topic, mark.Offset) {
 			other.wanted = true
 		}
 	}
 	for _, reach := range record.Before.Floor {
-		if other, found := g.trackers[partitionName(tracker.full, int(reach.Partition))]; found && !other.reached(reach.Offset) {
+		if other, found := g.trackers[partitionName(tracker.spaceName, int(reach.Partition))]; found && !other.resolvedUpTo(reach.Offset) {
 			other.wanted = true
 		}
 	}
 }
 
-// reached tells whether all of a partition up to an offset is settled here.
-func (t *tracker) reached(offset uint64) bool {
-	if t.began && offset <= t.verified {
+// resolvedUpTo tells whether all of a partition up to an offset is settled here.
+func (t *tracker) resolvedUpTo(offset uint64) bool {
+	if t.started && offset <= t.verified {
 		return true
 	}
 	for _, present := range t.interests {
@@ -210,30 +210,30 @@
 	return true
 }
 
-// fresh tells whether every partition of a space that is followed here was
+// recentlyVerified tells whether every partition of a space that is followed here was
 // verified lately, so that nothing older than a trail can be missing.
-func (g *Gateway) fresh(now time.Time, full string) bool {
+func (g *Gateway) recentlyVerified(now time.Time, full string) bool {
 	for _, other := range g.trackers {
-		if other.full == full && other.began && now.Sub(other.freshAt) > partition.FreshFor {
+		if other.spaceName == full && other.started && now.Sub(other.verifiedAt) > partition.FreshFor {
 			return false
 		}
 	}
 	return true
 }
 
-// ripe tells whether a held message may be handed over.
-func (g *Gateway) ripe(now time.Time, tracker *tracker, record partition.Record) bool {
+// deliverable tells whether a held message may be handed over.
+func (g *Gateway) deliverable(now time.Time, tracker *tracker, record partition.Record) bool {
 	since, matters := tracker.startOf(record.Topic)
-	if matters && since == everything || !tracker.began {
+	if matters && since == everything || !tracker.started {
 		return false
 	}
 	if statemachine.Mutated("no-order") {
 		return true
 	}
-	if tracker.shared && record.Offset > 1 && !tracker.settled(record.Topic, record.Offset-1) {
+	if tracker.shared && record.Offset > 1 && !tracker.resolved(record.Topic, record.Offset-1) {
 		return false
 	}
-	if !tracker.shared && !tracker.settled(record.Topic, record.Prior) {
+	if !tracker.shared && !tracker.resolved(record.Topic, record.Prior) {
 		return false
 	}
 	if tracker.shared {
@@ -241,87 +241,87 @@
 	}
 	// Where all is fresh nothing can be missing for long; what still waits is
 	// from a sender that published out of its own order through two gateways.
-	if since, noted := tracker.heldSince[record.Offset]; noted && now.Sub(since) > knotAfter && g.fresh(now, tracker.full) {
+	if since, noted := tracker.pendingSince[record.Offset]; noted && now.Sub(since) > cycleTimeout && g.recentlyVerified(now, tracker.spaceName) {
 		return true
 	}
 	for _, mark := range record.Before.Marks {
-		other, found := g.trackers[partitionName(tracker.full, int(mark.Partition))]
-		if found && (other != tracker || mark.Offset < record.Offset) && !other.settled(mark.Topic, mark.Offset) {
+		other, found := g.trackers[partitionName(tracker.spaceName, int(mark.Partition))]
+		if found && (other != tracker || mark.Offset < record.Offset) && !other.resolved(mark.Topic, mark.Offset) {
 			return false
 		}
 	}
 	for _, reach := range record.Before.Floor {
-		other, found := g.trackers[partitionName(tracker.full, int(reach.Partition))]
-		if found && (other != tracker || reach.Offset < record.Offset) && !other.reached(reach.Offset) {
+		other, found := g.trackers[partitionName(tracker.spaceName, int(reach.Partition))]
+		if found && (other != tracker || reach.Offset < record.Offset) && !other.resolvedUpTo(reach.Offset) {
 			return false
 		}
 	}
-	return g.fresh(now, tracker.full)
+	return g.recentlyVerified(now, tracker.spaceName)
 }
 
-// waiting is a held message of a sender, with its partition.
-type waiting struct {
+// pendingRecord is a held message of a sender, with its partition.
+type pendingRecord struct {
 	tracker *tracker
 	record  partition.Record
 }
 
-// pumpLater tells whether so much is held that looking through all of it for
+// deferDelivery tells whether so much is held that looking through all of it for
 // each message would cost more than a moment's wait; then one look serves all
 // that come meanwhile.
-func (g *Gateway) pumpLater(now time.Time) bool {
-	held := 0
+func (g *Gateway) deferDelivery(now time.Time) bool {
+	pending := 0
 	for _, tracker := range g.trackers {
-		held += len(tracker.held)
+		pending += len(tracker.pending)
 	}
-	if held <= pumpAtOnce {
+	if pending <= maxImmediateScan {
 		return false
 	}
-	g.timers.ArmSooner(timerDeliver, now.Add(pumpEvery))
+	g.timers.ArmSooner(timerDeliver, now.Add(deliverInterval))
 	return true
 }
 
-// pumpAll is that look; what still waits then is asked for.
-func (g *Gateway) pumpAll(now time.Time, effects *statemachine.Effects) {
-	g.pump(now, effects)
+// deliverAllReady is that look; what still waits then is asked for.
+func (g *Gateway) deliverAllReady(now time.Time, effects *statemachine.Effects) {
+	g.deliverReady(now, effects)
 	for _, tracker := range statemachine.Sorted(g.trackers) {
-		if !tracker.began || len(tracker.held) == 0 {
+		if !tracker.started || len(tracker.pending) == 0 {
 			continue
 		}
 		tracker.wanted = true
-		g.timers.ArmSooner(timerVerify, now.Add(holeAfter))
-		for _, record := range statemachine.Sorted(tracker.held) {
-			g.wantBefore(tracker, record)
+		g.timers.ArmSooner(timerVerify, now.Add(gapTimeout))
+		for _, record := range statemachine.Sorted(tracker.pending) {
+			g.requestDependencies(tracker, record)
 		}
 	}
 }
 
-// pump hands over all that has become ripe, until nothing more does. Of each
+// deliverReady hands over all that has become ripe, until nothing more does. Of each
 // sender's held messages in a space only the one with the lowest seq may go.
-func (g *Gateway) pump(now time.Time, effects *statemachine.Effects) {
-	bySender := map[string][]waiting{}
+func (g *Gateway) deliverReady(now time.Time, effects *statemachine.Effects) {
+	bySender := map[string][]pendingRecord{}
 	for _, tracker := range statemachine.Sorted(g.trackers) {
-		for offset, record := range statemachine.Sorted(tracker.held) {
-			if _, had := tracker.delivered[offset]; had || tracker.began && offset <= tracker.verified {
-				delete(tracker.held, offset)
+		for offset, record := range statemachine.Sorted(tracker.pending) {
+			if _, had := tracker.delivered[offset]; had || tracker.started && offset <= tracker.verified {
+				delete(tracker.pending, offset)
 				continue
 			}
-			if _, noted := tracker.heldSince[offset]; !noted {
-				tracker.heldSince[offset] = now
+			if _, noted := tracker.pendingSince[offset]; !noted {
+				tracker.pendingSince[offset] = now
 			}
-			key := tracker.full + " " + record.Sender
-			bySender[key] = append(bySender[key], waiting{tracker: tracker, record: record})
+			key := tracker.spaceName + " " + record.Sender
+			bySender[key] = append(bySender[key], pendingRecord{tracker: tracker, record: record})
 		}
 	}
 	for key := range bySender {
-		slices.SortStableFunc(bySender[key], func(left, right waiting) int { return cmp.Compare(left.record.Seq, right.record.Seq) })
+		slices.SortStableFunc(bySender[key], func(left, right pendingRecord) int { return cmp.Compare(left.record.Seq, right.record.Seq) })
 	}
 	for progress := len(bySender) > 0; progress; {
 		progress = false
 		for key, queue := range statemachine.Sorted(bySender) {
-			for len(queue) > 0 && g.ripe(now, queue[0].tracker, queue[0].record) {
+			for len(queue) > 0 && g.deliverable(now, queue[0].tracker, queue[0].record) {
 				next := queue[0]
 				queue = queue[1:]
-				delete(next.tracker.held, next.record.Offset)
+				delete(next.tracker.pending, next.record.Offset)
 				progress = true
 				g.deliver(now, next.tracker, next.record, effects)
 			}
@@ -341,7 +341,7 @@
 	}
 	for id := range statemachine.Sorted(state.subscribedSessions(record.Topic)) {
 		if session, open := g.sessions[id]; open {
-			g.offerRecord(now, id, session, RecordCopy{Partition: tracker.name, Record: record}, effects)
+			g.deliverOrBuffer(now, id, session, RecordCopy{Partition: tracker.name, Record: record}, effects)
 		}
 	}
 }
@@ -391,7 +391,7 @@
 	holders := state.subscribedSessions(message.Topic)
 	for id := range statemachine.Sorted(holders) {
 		if session, open := g.sessions[id]; open {
-			g.offerEphemeral(now, id, session, message, effects)
+			g.deliverOrBufferEphemeral(now, id, session, message, effects)
 		}
 	}
 	return len(holders) > 0
@@ -399,8 +399,8 @@
 
 // Verifying.
 
-func (g *Gateway) handleHighWatermarks(now time.Time, heads partition.Heads, effects *statemachine.Effects) {
-	for _, head := range heads.Heads {
+func (g *Gateway) handleHighWatermarks(now time.Time, highWatermarks partition.Heads, effects *statemachine.Effects) {
+	for _, head := range highWatermarks.Heads {
 		if config.IsShared(head.Partition) {
 			g.handleTopicHighWatermarks(now, head, effects)
 			continue
@@ -409,26 +409,26 @@
 		if !found || head.Epoch < g.viewClient.Placements[head.Partition].Epoch {
 			continue
 		}
-		tracker.head = max(tracker.head, head.Offset)
-		if tracker.began && head.Offset > tracker.verified {
+		tracker.highWatermark = max(tracker.highWatermark, head.Offset)
+		if tracker.started && head.Offset > tracker.verified {
 			tracker.wanted = true
 			g.timers.ArmSooner(timerVerify, now.Add(verifyEvery/2))
-		} else if tracker.began {
-			tracker.freshen(g.highWatermarksRequestedAt)
+		} else if tracker.started {
+			tracker.advanceVerifiedAt(g.highWatermarksRequestedAt)
 		}
 	}
-	g.pump(now, effects)
+	g.deliverReady(now, effects)
 }
 
-func (t *tracker) freshen(at time.Time) {
-	if at.After(t.freshAt) {
-		t.freshAt = at
+func (t *tracker) advanceVerifiedAt(at time.Time) {
+	if at.After(t.verifiedAt) {
+		t.verifiedAt = at
 	}
 }
 
 func (g *Gateway) verifyAll(now time.Time, effects *statemachine.Effects) {
 	for name, tracker := range statemachine.Sorted(g.trackers) {
-		if !tracker.wanted || tracker.verifying || !tracker.began {
+		if !tracker.wanted || tracker.verifying || !tracker.started {
 			continue
 		}
 		tracker.wanted = false
@@ -437,91 +437,91 @@
 }
 
 func (g *Gateway) verify(now time.Time, name string, tracker *tracker, effects *statemachine.Effects) {
-	if tracker.shared && tracker.head <= tracker.verified && len(tracker.held) == 0 {
+	if tracker.shared && tracker.highWatermark <= tracker.verified && len(tracker.pending) == 0 {
 		return
 	}
 	g.Counts.Verifies++
 	tracker.verifying = true
-	tracker.askedAt = now
-	asked := &fetched{after: tracker.verified}
+	tracker.requestedAt = now
+	fetch := &partitionFetch{after: tracker.verified}
 	for interest := range tracker.interests {
 		if tracker.shared {
-			asked.prefixes = []string{""}
+			fetch.prefixes = []string{""}
 			break
 		}
 		if interest.Prefix {
-			asked.prefixes = append(asked.prefixes, interest.Path)
+			fetch.prefixes = append(fetch.prefixes, interest.Path)
 		} else {
-			asked.topics = append(asked.topics, interest.Path)
+			fetch.topics = append(fetch.topics, interest.Path)
 		}
 	}
-	slices.Sort(asked.topics)
-	slices.Sort(asked.prefixes)
+	slices.Sort(fetch.topics)
+	slices.Sort(fetch.prefixes)
 	for offset := range tracker.delivered {
-		if offset > tracker.verified && len(asked.skip) < skipMost {
-			asked.skip = append(asked.skip, offset)
+		if offset > tracker.verified && len(fetch.skip) < maxSkippedOffsets {
+			fetch.skip = append(fetch.skip, offset)
 		}
 	}
-	for offset := range tracker.held {
-		if len(asked.skip) < skipMost {
-			asked.skip = append(asked.skip, offset)
+	for offset := range tracker.pending {
+		if len(fetch.skip) < maxSkippedOffsets {
+			fetch.skip = append(fetch.skip, offset)
 		}
 	}
-	slices.Sort(asked.skip)
+	slices.Sort(fetch.skip)
 	g.nextRequest++
-	round := &fetch{
-		tracker: name, version: tracker.version, partitions: map[string]*fetched{name: asked}, records: map[string][]partition.Record{},
-		limit: now.Add(defaultSubscribeTimeout),
+	operation := &fetchOperation{
+		tracker: name, version: tracker.version, partitions: map[string]*partitionFetch{name: fetch}, records: map[string][]partition.Record{},
+		deadline: now.Add(defaultSubscribeTimeout),
 	}
-	g.fetches[g.nextRequest] = round
-	g.timers.ArmSooner(timerDeadlines, round.limit)
-	g.ask(now, g.nextRequest, name, asked, effects)
+	g.fetches[g.nextRequest] = operation
+	g.timers.ArmSooner(timerDeadlines, operation.deadline)
+	g.sendFetch(now, g.nextRequest, name, fetch, effects)
 }
 
 // verified takes the answer to a verification: the missing messages go the way
 // of all others, and once they were handed over the partition is verified so far.
-func (g *Gateway) verified(now time.Time, round *fetch, effects *statemachine.Effects) {
-	tracker, found := g.trackers[round.tracker]
+func (g *Gateway) verified(now time.Time, operation *fetchOperation, effects *statemachine.Effects) {
+	tracker, found := g.trackers[operation.tracker]
 	if !found {
 		return
 	}
 	tracker.verifying = false
-	until := round.partitions[round.tracker].until
-	records := round.records[round.tracker]
+	until := operation.partitions[operation.tracker].until
+	records := operation.records[operation.tracker]
 	for _, record := range records {
 		if _, had := tracker.delivered[record.Offset]; !had && record.Offset > tracker.verified {
-			tracker.held[record.Offset] = record
+			tracker.pending[record.Offset] = record
 		}
 	}
 	if len(records) > 0 {
-		effects.Emit(logevent.GapFilled, "partition", round.tracker, "records", len(records), "until", until)
+		effects.Emit(logevent.GapFilled, "partition", operation.tracker, "records", len(records), "until", until)
 		for _, record := range records {
-			g.ring.Record(now, "", decisionlog.MessageName(tracker.space, record.Sender, record.Seq), "", "repaired", "partition", round.tracker, "offset", record.Offset)
+			g.ring.Record(now, "", decisionlog.MessageName(tracker.space, record.Sender, record.Seq), "", "repaired", "partition", operation.tracker, "offset", record.Offset)
 		}
 	}
 	// The answer holds all of this partition up to there, so nothing within it is
 	// missing; only another partition may still hold a message back.
-	g.pump(now, effects)
-	if tracker.version == round.version {
+	g.deliverReady(now, effects)
+	if tracker.version == operation.version {
 		limit := until
-		for offset := range tracker.held {
+		for offset := range tracker.pending {
 			limit = min(limit, offset-1)
 		}
 		if limit > tracker.verified {
 			tracker.verified = limit
 		}
 		// All up to there is here now, though some of it may have to wait.
-		tracker.freshen(tracker.askedAt)
-		g.pump(now, effects)
+		tracker.advanceVerifiedAt(tracker.requestedAt)
+		g.deliverReady(now, effects)
 	}
-	if tracker.version != round.version || len(tracker.held) > 0 || tracker.head > tracker.verified {
+	if tracker.version != operation.version || len(tracker.pending) > 0 || tracker.highWatermark > tracker.verified {
 		tracker.wanted = true
 		pause := verifyEvery
-		if len(tracker.held) > 0 || tracker.version != round.version {
-			pause = holeAfter
+		if len(tracker.pending) > 0 || tracker.version != operation.version {
+			pause = gapTimeout
 		}
-		for _, record := range tracker.held {
-			g.wantBefore(tracker, record)
+		for _, record := range tracker.pending {
+			g.requestDependencies(tracker, record)
 		}
 		g.timers.ArmSooner(timerVerify, now.Add(pause))
 	}
@@ -533,7 +533,7 @@
 	byStore := map[string]partition.Follow{}
 	g.highWatermarksRequestedAt = now
 	add := func(name string, from uint64) {
-		if address, _, found := g.firstOf(name); found {
+		if address, _, found := g.leaderOf(name); found {
 			follow := byStore[address]
 			follow.Partitions, follow.From = append(follow.Partitions, name), append(follow.From, from)
 			byStore[address] = follow
@@ -586,8 +586,8 @@
 	statuses := map[string]TrackerStatus{}
 	for name, tracker := range g.trackers {
 		statuses[name] = TrackerStatus{
-			Verified: tracker.verified, Head: tracker.head, Pending: len(tracker.held), Started: tracker.began, Verifying: tracker.verifying,
-			Wanted: tracker.wanted, VerifiedAgo: now.Sub(tracker.freshAt), Interests: len(tracker.interests),
+			Verified: tracker.verified, Head: tracker.highWatermark, Pending: len(tracker.pending), Started: tracker.started, Verifying: tracker.verifying,
+			Wanted: tracker.wanted, VerifiedAgo: now.Sub(tracker.verifiedAt), Interests: len(tracker.interests),
 		}
 	}
 	return statuses
--- a/internal/gateway/view.go
+++ b/internal/gateway/view.go
@@ -16,9 +16,9 @@
 	message any
 }
 
-func (g *Gateway) handleViewUpdate(now time.Time, news membership.ViewUpdate, effects *statemachine.Effects) {
+func (g *Gateway) handleViewUpdate(now time.Time, update membership.ViewUpdate, effects *statemachine.Effects) {
 	wasResting := g.Resting()
-	subscription := g.viewClient.HandleUpdate(now, news)
+	subscription := g.viewClient.HandleUpdate(now, update)
 	if subscription.View {
 		g.applyView(now, effects)
 	}
@@ -48,9 +48,9 @@
 	if !g.Confirmed(now) {
 		return
 	}
-	held := g.deferred
+	deferred := g.deferred
 	g.deferred = nil
-	for _, each := range held {
+	for _, each := range deferred {
 		g.dispatch(now, each.meta, each.message, effects)
 	}
 	g.completeRefresh(now, effects)
@@ -79,11 +79,11 @@
 
 // spaceName names a space since its birth.
 func (g *Gateway) spaceName(name string) (string, bool) {
-	birth, found := g.viewClient.SpaceCreatedAt[name]
+	createdAt, found := g.viewClient.SpaceCreatedAt[name]
 	if !found {
 		return "", false
 	}
-	full := controller.PartitionName(name, birth, 0)
+	full := controller.PartitionName(name, createdAt, 0)
 	return full[:strings.LastIndex(full, "/")], true
 }
 
@@ -102,7 +102,7 @@
 			state.space = space
 			continue
 		}
-		g.endSpace(now, name, state, effects)
+		g.removeSpace(now, name, state, effects)
 	}
 	for name, space := range statemachine.Sorted(document.Spaces) {
 		if _, found := g.spaces[name]; found {
@@ -121,7 +121,7 @@
 	g.ring.Record(now, "", "", "", "configuration", "version", document.Version)
 }
 
-func (g *Gateway) endSpace(now time.Time, name string, state *spaceState, effects *statemachine.Effects) {
+func (g *Gateway) removeSpace(now time.Time, name string, state *spaceState, effects *statemachine.Effects) {
 	delete(g.spaces, name)
 	if state.space.Order == config.OrderTopic {
 		return
@@ -145,7 +145,7 @@
 	}
 	for _, sender := range statemachine.Sorted(g.sendersOf(name)) {
 		for _, waiting := range sender.queue {
-			g.settlePublication(now, waiting, rejectedReply(404, "no-such-space", "the space was removed", 0), effects)
+			g.answerPublication(now, waiting, rejectedReply(404, "no-such-space", "the space was removed", 0), effects)
 		}
 		sender.queue = nil
 	}
