--- a/internal/gateway/catchup.go
+++ b/internal/gateway/catchup.go
@@ -166,9 +166,9 @@
 	sent.sentAt = now
 	sent.attempts++
 	g.timers.ArmSooner(timerRouted, sent.due())
-	fetch := partition.FetchTopics{Request: sent.request, Bytes: sent.bytes}
+	fetch := partition.FetchTopics{RequestID: sent.request, MaxBytes: sent.bytes}
 	for _, each := range sent.fetches {
-		fetch.Topics = append(fetch.Topics, partition.TopicAfter{Topic: each.topic.name, After: each.after})
+		fetch.Topics = append(fetch.Topics, partition.TopicCursor{Topic: each.topic.name, After: each.after})
 	}
 	g.Counts.Fetches++
 	effects.Send(sent.store, fetch)
@@ -246,7 +246,7 @@
 
 // handleTopicsFetched takes the answer to a batch.
 func (g *Gateway) handleTopicsFetched(now time.Time, response partition.FetchTopicsResponse, effects *statemachine.Effects) {
-	answered, found := g.routed.batches[response.Request]
+	answered, found := g.routed.batches[response.RequestID]
 	if !found || len(response.Topics) != len(answered.fetches) {
 		for _, each := range response.Topics {
 			g.Counts.Late += uint64(len(each.Records))
@@ -280,8 +280,8 @@
 func (g *Gateway) applyFetchedTopic(now time.Time, fetch *topicFetch, state partition.PartitionState, response partition.TopicRecords, effects *statemachine.Effects) {
 	topic := fetch.topic
 	g.routed.bases[topic.partition] = state.Base
-	topic.missingBytes = response.Left
-	if response.Gone {
+	topic.missingBytes = response.RemainingBytes
+	if response.Expired {
 		topic.reservedUntil = time.Time{}
 		g.expireSubscriptions(now, topic, fetch.after, effects)
 		g.tickTopic(now, topic, effects)
@@ -297,9 +297,9 @@
 		}
 	}
 	g.release(now, topic, effects)
-	if response.Until < state.Head {
+	if response.Until < state.HighWatermark {
 		// One answer did not hold all.
-		g.requireUpTo(now, topic, state.Head, 0)
+		g.requireUpTo(now, topic, state.HighWatermark, 0)
 	}
 	g.tickTopic(now, topic, effects)
 }
@@ -316,7 +316,7 @@
 		if topic.reservedUntil.After(now) {
 			topic.recentUntil = topic.reservedUntil
 		}
-		g.startReports(now, topic.partition, state.Head)
+		g.startReports(now, topic.partition, state.HighWatermark)
 	}
 	if fetch.after == everything {
 		return
--- a/internal/gateway/fetch.go
+++ b/internal/gateway/fetch.go
@@ -71,7 +71,7 @@
 	}
 	g.Counts.Fetches++
 	effects.Send(address, partition.Fetch{
-		Partition: name, Request: id, After: fetch.after, Topics: fetch.topics, Prefixes: fetch.prefixes, Skip: fetch.skip,
+		Partition: name, RequestID: id, After: fetch.after, Topics: fetch.topics, Prefixes: fetch.prefixes, SkipOffsets: fetch.skip,
 	})
 }
 
@@ -116,7 +116,7 @@
 // isDuplicate tells whether an answer is one that came before, to an earlier part of what is
 // asked.
 func (f *partitionFetch) isDuplicate(response partition.FetchResponse) bool {
-	return f.after != everything && response.Until <= f.after && f.after < response.Head && !statemachine.Mutated("any-answer")
+	return f.after != everything && response.Until <= f.after && f.after < response.HighWatermark && !statemachine.Mutated("any-answer")
 }
 
 // missing are the records beyond what was had before.
@@ -128,7 +128,7 @@
 }
 
 func (g *Gateway) handleFetchResponse(now time.Time, response partition.FetchResponse, effects *statemachine.Effects) {
-	operation, found := g.fetches[response.Request]
+	operation, found := g.fetches[response.RequestID]
 	if !found {
 		g.Counts.Late += uint64(len(response.Records))
 		return
@@ -146,7 +146,7 @@
 	}
 	if fetch.after != everything && fetch.after < response.Base && operation.tracker == "" {
 		// What lies between was kept for the holding time and is gone.
-		g.loseHistory(now, response.Request, operation, effects)
+		g.loseHistory(now, response.RequestID, operation, effects)
 		return
 	}
 	if fetch.isDuplicate(response) {
@@ -154,18 +154,18 @@
 	}
 	fetch.waiting = false
 	if fetch.after == everything {
-		fetch.until = response.Head
+		fetch.until = response.HighWatermark
 	} else {
-		fetch.until = max(response.Until, min(fetch.after, response.Head))
+		fetch.until = max(response.Until, min(fetch.after, response.HighWatermark))
 		operation.records[response.Partition] = append(operation.records[response.Partition], fetch.missing(response.Records)...)
-		if fetch.until < response.Head {
+		if fetch.until < response.HighWatermark {
 			fetch.after = fetch.until
-			g.sendFetch(now, response.Request, response.Partition, fetch, effects)
+			g.sendFetch(now, response.RequestID, response.Partition, fetch, effects)
 			return
 		}
 	}
 	fetch.done = true
-	g.advanceFetch(now, response.Request, operation, cursor{}, effects)
+	g.advanceFetch(now, response.RequestID, operation, cursor{}, effects)
 }
 
 // dropFilling ends the subscriptions that a round did not come to fill.
@@ -325,7 +325,7 @@
 			rest = append(rest, RecordCopy{Partition: name, Record: record})
 		}
 	}
-	slices.SortStableFunc(rest, func(left, right RecordCopy) int { return left.Record.At.Compare(right.Record.At) })
+	slices.SortStableFunc(rest, func(left, right RecordCopy) int { return left.Record.AppendedAt.Compare(right.Record.AppendedAt) })
 	return rest
 }
 
@@ -333,7 +333,7 @@
 // since they were asked before what it refers to was kept, or records that are
 // here and have not had their turn.
 func (f *fetchOperation) blockers(full, name string, record partition.Record, at map[string]int) (missing []string, waits bool) {
-	for _, mark := range record.Before.Marks {
+	for _, mark := range record.Dependencies.Messages {
 		other := partitionName(full, int(mark.Partition))
 		fetch, wanted := f.partitions[other]
 		if !wanted || other == name || !partition.Matches(mark.Topic, fetch.topics, fetch.prefixes) {
@@ -346,7 +346,7 @@
 			waits = waits || each.Offset == mark.Offset
 		}
 	}
-	for _, reach := range record.Before.Floor {
+	for _, reach := range record.Dependencies.Floor {
 		other := partitionName(full, int(reach.Partition))
 		fetch, wanted := f.partitions[other]
 		if !wanted || other == name {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -329,9 +329,9 @@
 		g.handleFetchResponse(now, body, effects)
 	case partition.FetchTopicsResponse:
 		g.handleTopicsFetched(now, body, effects)
-	case partition.SenderResponse:
+	case partition.SenderStateResponse:
 		g.handleSenderResponse(now, meta.From, body, effects)
-	case partition.Heads:
+	case partition.HighWatermarks:
 		g.handleHighWatermarks(now, body, effects)
 	}
 }
--- /dev/null
+++ b/internal/partition/slow_disk_test.go
@@ -0,0 +1,100 @@
+package partition
+
+import (
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"dahlialock/internal/membership"
+	"dahlialock/internal/statemachine"
+)
+
+// diskFixture is a store of which only the disk matters.
+type diskFixture struct {
+	store *Store
+	now   time.Time
+}
+
+func newDiskFixture(t *testing.T) *diskFixture {
+	t.Helper()
+	self := membership.Member{
+		Name:        "store-1",
+		Kind:        membership.KindStore,
+		Address:     "a:1",
+		Incarnation: 1,
+		Alive:       true,
+	}
+	store, err := New(Settings{Self: self, NewDisk: "disk-1", Seeds: []string{"c:1"}}, nil, nil)
+	assert.NilError(t, err)
+	store.view.Members[self.Name] = self
+	return &diskFixture{store: store, now: began}
+}
+
+// write starts a small write and gives its token.
+func (f *diskFixture) write() uint64 {
+	var effects statemachine.Effects
+	f.store.write(f.now, nil, statemachine.Write{Entries: [][]byte{{1}}}, &effects)
+	return f.store.writes.token
+}
+
+// checkpoint starts a checkpoint and gives its token.
+func (f *diskFixture) checkpoint() uint64 {
+	var effects statemachine.Effects
+	f.store.checkpoint(f.now, &effects)
+	return f.store.writes.token
+}
+
+// reports tells whether the store reports its own disk after a while.
+func (f *diskFixture) reports(wait time.Duration) bool {
+	f.now = f.now.Add(wait)
+	var effects statemachine.Effects
+	f.store.reportSlowDisks(f.now, &effects)
+	return len(effects.Sends) > 0
+}
+
+func (f *diskFixture) synced(token uint64) {
+	var effects statemachine.Effects
+	f.store.handleSynced(f.now, token, &effects)
+}
+
+func TestStoreReportsStalledWrite(t *testing.T) {
+	disk := newDiskFixture(t)
+	disk.write()
+	assert.Assert(t, !disk.reports(diskStallTimeout))
+	assert.Assert(t, disk.reports(time.Millisecond))
+}
+
+// largeCheckpoint tells whether a store that writes a large checkpoint, and a small write
+// behind it, reports its disk meanwhile or afterwards.
+func largeCheckpoint(t *testing.T) bool {
+	t.Helper()
+	disk := newDiskFixture(t)
+	checkpoint := disk.checkpoint()
+	disk.now = disk.now.Add(10 * time.Millisecond)
+	behind := disk.write()
+	reported := disk.reports(900 * time.Millisecond)
+	disk.synced(checkpoint)
+	reported = reported || disk.reports(100*time.Millisecond)
+	disk.synced(behind)
+	return reported || disk.reports(slowDiskReportInterval)
+}
+
+func TestStoreDoesNotReportLargeCheckpoint(t *testing.T) {
+	assert.Assert(t, !largeCheckpoint(t))
+}
+
+func TestStoreReportsStalledCheckpoint(t *testing.T) {
+	disk := newDiskFixture(t)
+	disk.checkpoint()
+	disk.write()
+	assert.Assert(t, !disk.reports(maxCheckpointTime+diskStallTimeout))
+	assert.Assert(t, disk.reports(time.Millisecond))
+}
+
+func TestStoreReportsStalledWriteBeforeCheckpoint(t *testing.T) {
+	disk := newDiskFixture(t)
+	disk.write()
+	disk.checkpoint()
+	assert.Assert(t, disk.reports(diskStallTimeout+time.Millisecond))
+}
--- a/internal/storedforms/ctl_test.go
+++ b/internal/storedforms/ctl_test.go
@@ -216,7 +216,7 @@
 	for _, node := range s.fleet.Nodes(membership.KindStore) {
 		answered := false
 		s.fleet.Call(node, func(request uint64) any {
-			return partition.FindDecisions{Local: request, Origin: "origin-1"}
+			return partition.FindDecisions{Local: request, Session: "origin-1"}
 		}, func(value any, _ bool) {
 			answered = true
 			packed, err := json.Marshal(value)
