--- a/cmd/fleetlab/recorded.go
+++ b/cmd/fleetlab/recorded.go
@@ -80,7 +80,7 @@
 		}
 	}
 	if h.size == everything {
-		shapes = slices.Sorted(maps.Keys(simulator.Sizes))
+		shapes = slices.Sorted(maps.Keys(simulator.Shapes))
 	}
 	var chosen []simulator.RecordedRun
 	for _, scenario := range scenarios {
--- a/cmd/fleetlab/simulate.go
+++ b/cmd/fleetlab/simulate.go
@@ -62,7 +62,7 @@
 	seed       uint64
 	summary    string
 	violations []string
-	comebacks  []simulator.Comeback
+	comebacks  []simulator.Recovery
 	broken     any
 }
 
@@ -74,7 +74,7 @@
 		return h.record(set)
 	}
 	scenarios := simulator.Scenarios()
-	if _, found := simulator.Sizes[h.size]; !found {
+	if _, found := simulator.Shapes[h.size]; !found {
 		fmt.Fprintf(os.Stderr, "fleetlab: no size is named %q\n", h.size)
 		return subcommands.ExitUsageError
 	}
@@ -84,7 +84,7 @@
 			fmt.Fprintf(os.Stderr, "fleetlab: %v; last faults are %v\n", err, faults.Last)
 			return subcommands.ExitUsageError
 		}
-		scenarios = []simulator.Scenario{{Name: "plot", Plot: func(uint64) simulator.Plot { return simulator.Plot{Storm: storm, Last: h.last} }}}
+		scenarios = []simulator.Scenario{{Name: "plot", Schedule: func(uint64) simulator.FaultSchedule { return simulator.FaultSchedule{Faults: storm, Last: h.last} }}}
 	} else if h.scenario != "all" {
 		scenario, found := simulator.Find(h.scenario)
 		if !found {
@@ -123,7 +123,7 @@
 	}
 	var bad []ran
 	last := ""
-	var comebacks []simulator.Comeback
+	var comebacks []simulator.Recovery
 	for open := h.workers; open > 0; {
 		result := <-results
 		if result.seed == ^uint64(0) {
@@ -146,7 +146,7 @@
 			break
 		}
 		fmt.Printf("  seed %d: fleetlab simulate -scenario %s -from %d -seeds 1 -trace\n", result.seed, scenario.Name, result.seed)
-		if h.shorten && scenario.Plot != nil {
+		if h.shorten && scenario.Schedule != nil {
 			h.shortest(scenario, result.seed)
 		}
 		if result.broken != nil {
@@ -175,36 +175,36 @@
 	if h.trace {
 		trace = func(line string) { fmt.Println(line) }
 	}
-	run := simulator.Run(scenario, seed, simulator.Sizes[h.size], trace)
-	result.summary, result.violations, result.comebacks = run.Checker.Summary(), run.Checker.Violations(), run.Comeback
+	run := simulator.Run(scenario, seed, simulator.Shapes[h.size], trace)
+	result.summary, result.violations, result.comebacks = run.Checker.Summary(), run.Checker.Violations(), run.Recoveries
 	return result
 }
 
 // shortest leaves faults out of a failing seed's list for as long as it fails.
 func (h *hunt) shortest(scenario simulator.Scenario, seed uint64) {
-	plot := scenario.Plot(seed)
-	plot.Storm = faults.Shorten(plot.Storm, func(storm []faults.Fault) bool {
+	plot := scenario.Schedule(seed)
+	plot.Faults = faults.Shorten(plot.Faults, func(storm []faults.Fault) bool {
 		shorter := plot
-		shorter.Storm = storm
-		again := h.one(simulator.Scenario{Name: scenario.Name, Plot: func(uint64) simulator.Plot { return shorter }}, seed)
+		shorter.Faults = storm
+		again := h.one(simulator.Scenario{Name: scenario.Name, Schedule: func(uint64) simulator.FaultSchedule { return shorter }}, seed)
 		return len(again.violations) > 0 || again.broken != nil
 	})
-	fmt.Printf("    shortest: -plot %q -last %q, clocks apart %s\n", faults.Format(plot.Storm), plot.Last, plot.Apart)
+	fmt.Printf("    shortest: -plot %q -last %q, clocks apart %s\n", faults.Format(plot.Faults), plot.Last, plot.ClockSkew)
 }
 
 // tellParts tells the distribution of each part of coming back after a failure.
-func tellParts(comebacks []simulator.Comeback) {
+func tellParts(comebacks []simulator.Recovery) {
 	parts := []struct {
 		name string
-		of   func(simulator.Comeback) time.Duration
+		of   func(simulator.Recovery) time.Duration
 	}{
-		{"noticed", func(each simulator.Comeback) time.Duration { return each.Noticed }},
-		{"decided", func(each simulator.Comeback) time.Duration { return each.Decided }},
-		{"taken over", func(each simulator.Comeback) time.Duration { return each.TakenOver }},
-		{"refilled", func(each simulator.Comeback) time.Duration { return each.Refilled }},
-		{"last caller back", func(each simulator.Comeback) time.Duration { return each.CallersBack }},
-		{"service back", func(each simulator.Comeback) time.Duration {
-			return max(each.TakenOver, each.Refilled, each.CallersBack)
+		{"noticed", func(each simulator.Recovery) time.Duration { return each.Noticed }},
+		{"decided", func(each simulator.Recovery) time.Duration { return each.Decided }},
+		{"taken over", func(each simulator.Recovery) time.Duration { return each.TakeoverDone }},
+		{"refilled", func(each simulator.Recovery) time.Duration { return each.Refilled }},
+		{"last caller back", func(each simulator.Recovery) time.Duration { return each.ClientsBack }},
+		{"service back", func(each simulator.Recovery) time.Duration {
+			return max(each.TakeoverDone, each.Refilled, each.ClientsBack)
 		}},
 	}
 	for _, part := range parts {
--- a/internal/simulator/bandwidth.go
+++ b/internal/simulator/bandwidth.go
@@ -82,7 +82,7 @@
 	if present, found := s.nics[name]; found {
 		return present
 	}
-	bandwidth := s.Size.Links[kind]
+	bandwidth := s.Shape.Links[kind]
 	made := &nic{up: lane{rate: bandwidth.Up}, down: lane{rate: bandwidth.Down}}
 	s.nics[name] = made
 	return made
@@ -97,11 +97,11 @@
 }
 
 // limited tells whether links have a bandwidth in this run.
-func (s *Simulation) limited() bool { return len(s.Size.Links) > 0 }
+func (s *Simulation) limited() bool { return len(s.Shape.Links) > 0 }
 
 func (s *Simulation) window() int {
-	if s.Size.Window > 0 {
-		return s.Size.Window
+	if s.Shape.Window > 0 {
+		return s.Shape.Window
 	}
 	return windowSize
 }
@@ -193,18 +193,18 @@
 func (s *Simulation) connect(from, to *Node) *connection {
 	key := link(from, to)
 	present, found := s.connections[key]
-	if found && present.from == from.life && present.to == to.life {
+	if found && present.from == from.incarnation && present.to == to.incarnation {
 		return present
 	}
 	if found {
 		present.close()
 	}
-	life := to.life
+	incarnation := to.incarnation
 	made := &pipe{
 		simulation: s, up: &from.nic.up, down: &to.nic.down,
-		delay: func() time.Duration { return s.delay(from.Place, to.Place) },
+		delay: func() time.Duration { return s.delay(from.Zone, to.Zone) },
 		enter: func(run func()) {
-			if to.Up && to.life == life {
+			if to.Up && to.incarnation == incarnation {
 				to.enter(run)
 			}
 		},
@@ -213,7 +213,7 @@
 		made.up, made.down = nil, nil
 	}
 	s.arrival[key] = s.Now
-	opened := &connection{pipe: made, from: from.life, to: to.life}
+	opened := &connection{pipe: made, from: from.incarnation, to: to.incarnation}
 	s.connections[key] = opened
 	return opened
 }
@@ -236,7 +236,7 @@
 		}
 		return
 	}
-	waits := outgoingFrame{to: to, life: to.life, kind: strings.TrimPrefix(fmt.Sprintf("%T", message), "*"), class: transport.ClassOf(message), frame: frame, at: s.Now}
+	waits := outgoingFrame{to: to, life: to.incarnation, kind: strings.TrimPrefix(fmt.Sprintf("%T", message), "*"), class: transport.ClassOf(message), frame: frame, at: s.Now}
 	for _, lost := range from.order.Push(to.Address, waits.class, len(frame), waits) {
 		from.traffic(lost.kind).Dropped++
 	}
@@ -267,17 +267,17 @@
 }
 
 // gone tells whether the life that a frame was for has ended.
-func (of outgoingFrame) gone() bool { return !of.to.Up || of.to.life != of.life }
+func (of outgoingFrame) gone() bool { return !of.to.Up || of.to.incarnation != of.life }
 
 func (n *Node) pumpLater(wait time.Duration) {
-	if n.pumps {
+	if n.sending {
 		return
 	}
-	n.pumps = true
-	life := n.life
+	n.sending = true
+	incarnation := n.incarnation
 	n.simulation.After(wait, func() {
-		if n.life == life {
-			n.pumps = false
+		if n.incarnation == incarnation {
+			n.sending = false
 			n.pumpLinks()
 		}
 	})
@@ -313,14 +313,14 @@
 		return
 	}
 	taken.told = count
-	at := to.nic.up.pass(s.Now, confirmationSize).Add(s.delay(to.Place, from.Place))
+	at := to.nic.up.pass(s.Now, confirmationSize).Add(s.delay(to.Zone, from.Zone))
 	if at.Before(taken.confirmationAt) {
 		at = taken.confirmationAt
 	}
 	taken.confirmationAt = at
 	s.At(at, func() {
 		s.At(from.nic.down.pass(s.Now, confirmationSize), func() {
-			if taken.over || !from.Up || from.life != taken.from {
+			if taken.over || !from.Up || from.incarnation != taken.from {
 				return
 			}
 			taken.window.Acknowledge(s.Now, count)
@@ -412,11 +412,11 @@
 }
 
 func (s *Simulation) openLine(node *Node) *line {
-	life := node.life
+	incarnation := node.incarnation
 	delay := func() time.Duration { return lineDelay }
 	return &line{
 		up: &pipe{simulation: s, down: &node.nic.down, delay: delay, enter: func(run func()) {
-			if node.Up && node.life == life {
+			if node.Up && node.incarnation == incarnation {
 				node.enter(run)
 			}
 		}},
@@ -444,8 +444,8 @@
 		tc.simulation.After(lineDelay, run)
 		return
 	}
-	node, life := tc.node, tc.life
-	if !node.Up || node.life != life {
+	node, incarnation := tc.node, tc.life
+	if !node.Up || node.incarnation != incarnation {
 		tc.simulation.After(lineDelay, run)
 		return
 	}
--- a/internal/simulator/client.go
+++ b/internal/simulator/client.go
@@ -54,8 +54,8 @@
 }
 
 // AddClient adds a caller with its interests.
-func (s *Simulation) AddClient(name string, place int, interests ...gateway.Interest) *Client {
-	client := &Client{simulation: s, Name: name, Place: place, interests: interests, seqs: map[string]uint64{}, pipeline: 1}
+func (s *Simulation) AddClient(name string, zone int, interests ...gateway.Interest) *Client {
+	client := &Client{simulation: s, Name: name, Place: zone, interests: interests, seqs: map[string]uint64{}, pipeline: 1}
 	s.clients = append(s.clients, client)
 	for _, interest := range interests {
 		s.Checker.Asked(name, checker.Interest{Space: interest.Space, Path: interest.Path, Wide: interest.Prefix}, s.Now)
@@ -80,7 +80,7 @@
 		if !node.Ready() {
 			continue
 		}
-		if node.Place == c.Place {
+		if node.Zone == c.Place {
 			near = append(near, node)
 		}
 		far = append(far, node)
@@ -119,10 +119,10 @@
 	c.openedAt = simulation.Now
 	simulation.number++
 	c.channel = simulation.number
-	life := node.life
+	incarnation := node.incarnation
 	// The sink is attached first, as the HTTP side does.
 	simulation.After(100*time.Microsecond, func() {
-		if node.Up && node.life == life {
+		if node.Up && node.incarnation == incarnation {
 			node.sinks[c.channel] = func(deliver statemachine.Delivery) {
 				simulation.After(200*time.Microsecond, func() { c.event(turn, deliver) })
 			}
--- a/internal/simulator/closing_test.go
+++ b/internal/simulator/closing_test.go
@@ -49,7 +49,7 @@
 // closingCrowd is a kind of callers, and how a run with them begins and ends.
 type closingCrowd struct {
 	name  string
-	begin func(seed uint64, size Size) (*Simulation, *Operator)
+	begin func(seed uint64, size Shape) (*Simulation, *Operator)
 	close func(run *Simulation)
 }
 
@@ -58,15 +58,15 @@
 	{name: "spaces", begin: beginSpaces, close: closeSpaces},
 }
 
-func beginRouted(seed uint64, size Size) (*Simulation, *Operator) {
+func beginRouted(seed uint64, size Shape) (*Simulation, *Operator) {
 	run, operator := prepareTopics(seed, size, 0, nil)
-	run.TopicCrowd(size.Callers)
+	run.TopicCrowd(size.Clients)
 	return run, operator
 }
 
-func beginSpaces(seed uint64, size Size) (*Simulation, *Operator) {
+func beginSpaces(seed uint64, size Shape) (*Simulation, *Operator) {
 	run, operator := Prepare(seed, size, nil)
-	run.Crowd(size.Callers)
+	run.Crowd(size.Clients)
 	return run, operator
 }
 
@@ -81,10 +81,10 @@
 // closingShapes are fleets whose controllers are founded by the seeds, with the least
 // number of machines for their tolerance and with spares, and the small fleet with a
 // fixed number of controllers.
-func closingShapes() map[string]Size {
-	shapes := map[string]Size{}
-	add := func(name string, size Size, stores int) {
-		size.Stores, size.Callers, size.Gateways = stores, 6, 3
+func closingShapes() map[string]Shape {
+	shapes := map[string]Shape{}
+	add := func(name string, size Shape, stores int) {
+		size.Stores, size.Clients, size.Gateways = stores, 6, 3
 		shapes[name] = size
 	}
 	add("fixed", Small, 3)
@@ -96,7 +96,7 @@
 }
 
 // tolerated is how many machines of a kind with a disk may be lost in a shape.
-func tolerated(size Size) int {
+func tolerated(size Shape) int {
 	if !size.Seeded {
 		return controller.DefaultTolerance
 	}
@@ -170,12 +170,12 @@
 }
 
 // closeDay runs a day with both kinds of callers, ends it with a fault, and judges it.
-func closeDay(t *testing.T, seed uint64, size Size, callers closingCrowd, fault closingFault) {
+func closeDay(t *testing.T, seed uint64, size Shape, callers closingCrowd, fault closingFault) {
 	t.Helper()
 	run, operator := callers.begin(seed, size)
 	run.Run(2 * time.Second)
 	operator.work(run.Now.Add(topicStorm + 40*time.Second))
-	run.trouble = run.Now.Add(-checker.TroubleFor)
+	run.lastFaultAt = run.Now.Add(-checker.TroubleFor)
 	if fault.day > 0 {
 		run.day(t, faults.Draw(rand.New(rand.NewPCG(seed, 0xc105)), faults.Names, topicStorm, fault.day))
 	}
@@ -188,7 +188,7 @@
 	run.losePowerAndDisks(wiped, fault.delay)
 	run.Run(fault.delay + 1500*time.Millisecond)
 	run.open--
-	run.trouble = run.Now
+	run.lastFaultAt = run.Now
 	run.Run(checker.TroubleFor + 2*time.Second)
 
 	primary := run.Primary()
@@ -209,7 +209,7 @@
 func (s *Simulation) day(t *testing.T, schedule []faults.Fault) {
 	t.Helper()
 	for _, fault := range schedule {
-		s.After(fault.Start, func() { s.bring(fault) })
+		s.After(fault.Start, func() { s.inject(fault) })
 	}
 	s.Run(topicStorm)
 	ended := s.RunUntil(time.Minute, func() bool { return s.open == 0 })
--- a/internal/simulator/controllers_test.go
+++ b/internal/simulator/controllers_test.go
@@ -16,7 +16,7 @@
 	"dahlialock/internal/membership"
 )
 
-func seeded(controllers, tolerance int) Size {
+func seeded(controllers, tolerance int) Shape {
 	size := Small
 	size.Controllers, size.Seeded, size.Tolerance = controllers, true, tolerance
 	return size
@@ -41,7 +41,7 @@
 
 var controllerTroubles = []struct {
 	name   string
-	size   Size
+	size   Shape
 	voters int
 	strike func(t *testing.T, simulation *Simulation)
 }{
@@ -109,10 +109,10 @@
 			t.Parallel()
 			for seed := range uint64(2) {
 				simulation, operator := Prepare(5000+seed, each.size, nil)
-				simulation.Crowd(each.size.Callers)
+				simulation.Crowd(each.size.Clients)
 				simulation.Run(time.Second)
 				operator.work(simulation.Now.Add(24 * time.Second))
-				simulation.trouble = simulation.Now.Add(24 * time.Second)
+				simulation.lastFaultAt = simulation.Now.Add(24 * time.Second)
 				each.strike(t, simulation)
 				simulation.Run(24 * time.Second)
 				assert.Check(t, simulation.RunUntil(10*time.Second, func() bool { return len(simulation.voters()) == each.voters }), "%v", simulation.voters())
--- a/internal/simulator/cutoff_store_test.go
+++ b/internal/simulator/cutoff_store_test.go
@@ -18,13 +18,13 @@
 func cutStore(t trial, each severance, seed uint64) {
 	t.Helper()
 	simulation, _ := Prepare(8100+seed, seeded(5, 1), nil)
-	simulation.Crowd(Small.Callers)
+	simulation.Crowd(Small.Clients)
 	simulation.Run(3 * time.Second)
-	simulation.trouble = simulation.Now.Add(cutLength + contactWithin)
+	simulation.lastFaultAt = simulation.Now.Add(cutLength + contactWithin)
 	firsts := map[string]int{}
 	var store *Node
-	for _, place := range simulation.Primary().watchedState().Places {
-		firsts[place.Leader]++
+	for _, zone := range simulation.Primary().watchedState().Places {
+		firsts[zone.Leader]++
 	}
 	for _, node := range simulation.Nodes(membership.KindStore) {
 		if store == nil || firsts[node.Name] > firsts[store.Name] {
--- a/internal/simulator/cutoff_test.go
+++ b/internal/simulator/cutoff_test.go
@@ -108,11 +108,11 @@
 		}
 	}
 	for _, each := range pairs {
-		simulation.Cut(each.from, each.to)
+		simulation.CutLink(each.from, each.to)
 	}
 	return func() {
 		for _, each := range pairs {
-			simulation.Mend(each.from, each.to)
+			simulation.HealLink(each.from, each.to)
 		}
 	}
 }
@@ -143,10 +143,10 @@
 }
 
 // heard keeps what the operator was told.
-func (q *questioner) heard(method string, began time.Time, races bool, returned membership.ControlResponse) asked {
+func (q *questioner) heard(method string, began time.Time, races bool, response membership.ControlResponse) asked {
 	answer := asked{
 		at: began.Sub(q.began), took: q.simulation.Now.Sub(began), method: method, races: races,
-		status: returned.Status, retry: returned.RetryAfter, body: string(returned.Body),
+		status: response.Status, retry: response.RetryAfter, body: string(response.Body),
 	}
 	q.answers = append(q.answers, answer)
 	return answer
@@ -171,8 +171,8 @@
 		other := bytes.Replace(body, []byte(`"promise":"passing"`), []byte(`"promise":"passing","answer_within":"2s"`), 1)
 		q.operator.put(version, other, nil)
 	}
-	q.operator.order(q.node, version, body, func(_ checker.OrderAnswer, returned membership.ControlResponse, _ bool) {
-		switch answer := q.heard(http.MethodPut, began, races, returned); {
+	q.operator.order(q.node, version, body, func(_ checker.OrderAnswer, response membership.ControlResponse, _ bool) {
+		switch answer := q.heard(http.MethodPut, began, races, response); {
 		case answer.status == http.StatusOK:
 			simulation.Checker.PutTaken(version, string(body), began, simulation.Now)
 			next()
@@ -187,13 +187,13 @@
 
 func (q *questioner) read(next func()) {
 	simulation, began := q.simulation, q.simulation.Now
-	simulation.Control(q.node, http.MethodGet, "/v1/configuration", nil, func(returned membership.ControlResponse, _ bool) {
-		if q.heard(http.MethodGet, began, false, returned).status == http.StatusOK {
+	simulation.Control(q.node, http.MethodGet, "/v1/configuration", nil, func(response membership.ControlResponse, _ bool) {
+		if q.heard(http.MethodGet, began, false, response).status == http.StatusOK {
 			var got struct {
 				Version       uint64          `json:"version"`
 				Configuration json.RawMessage `json:"configuration"`
 			}
-			must(json.Unmarshal(returned.Body, &got))
+			must(json.Unmarshal(response.Body, &got))
 			simulation.Checker.ReadBack(got.Version, string(got.Configuration), began, simulation.Now)
 			simulation.Checker.Register.Read(got.Version, string(got.Configuration), began, simulation.Now)
 		}
@@ -207,7 +207,7 @@
 	simulation, operator := Prepare(8000+seed, seeded(5, 1), nil)
 	simulation.Crowd(4)
 	simulation.Run(2 * time.Second)
-	simulation.trouble = simulation.Now.Add(cutLength + contactWithin)
+	simulation.lastFaultAt = simulation.Now.Add(cutLength + contactWithin)
 	old := simulation.watchDepartures()
 	inside := each.inside(simulation)
 	asking := &questioner{simulation: simulation, operator: operator, node: inside[0], began: simulation.Now}
--- a/internal/simulator/daemons_test.go
+++ b/internal/simulator/daemons_test.go
@@ -16,7 +16,7 @@
 // TestNodesRunTheDaemonsOwnMachines holds the simulator to the machines that the
 // programs run: a stand-in would prove nothing about them.
 func TestNodesRunTheDaemonsOwnMachines(t *testing.T) {
-	fleet, _ := Prepare(5, Size{Gateways: 3, Stores: 4, Controllers: 5, Places: 3, Delay: time.Millisecond}, nil)
+	fleet, _ := Prepare(5, Shape{Gateways: 3, Stores: 4, Controllers: 5, Zones: 3, Delay: time.Millisecond}, nil)
 	assert.Equal(t, len(fleet.Nodes("")), 15)
 	for _, node := range fleet.Nodes("") {
 		var same bool
--- a/internal/simulator/departure_test.go
+++ b/internal/simulator/departure_test.go
@@ -31,7 +31,7 @@
 func (s *Simulation) watchDepartures() *[]string {
 	old := &[]string{}
 	own := map[statemachine.RequestID]bool{}
-	s.Departs = func(from *Node, to string, message any) {
+	s.OnDepart = func(from *Node, to string, message any) {
 		if from.Kind != membership.KindController || !restsOnLease(message) {
 			return
 		}
@@ -82,8 +82,8 @@
 	{"a read answered to its own operator", sendsOf(isAnswer), http.MethodGet, true},
 	{"an order answered to its own operator", sendsOf(isAnswer), http.MethodPut, true},
 	{"an answer that is given to its own operator", func(effects *statemachine.Effects) bool {
-		for _, returned := range effects.Responses {
-			if isAnswer(returned.Value) {
+		for _, response := range effects.Responses {
+			if isAnswer(response.Value) {
 				return true
 			}
 		}
@@ -114,9 +114,9 @@
 	if each.method != "" {
 		operator.version++
 		body := operator.document()
-		simulation.Control(asked, each.method, "/v1/configuration", body, func(returned membership.ControlResponse, alive bool) {
+		simulation.Control(asked, each.method, "/v1/configuration", body, func(response membership.ControlResponse, alive bool) {
 			assert.Check(t, alive)
-			told = append(told, returned.Status)
+			told = append(told, response.Status)
 		})
 	}
 	simulation.Run(10 * time.Second)
--- a/internal/simulator/digest.go
+++ b/internal/simulator/digest.go
@@ -78,15 +78,15 @@
 	if r == nil {
 		return
 	}
-	for _, note := range effects.LogEvents {
+	for _, event := range effects.LogEvents {
 		r.begin(recordNote, node)
-		r.number(uint64(note.Number))
+		r.number(uint64(event.Number))
 		r.end()
 	}
-	for _, returned := range effects.Responses {
+	for _, response := range effects.Responses {
 		r.begin(recordReturn, node)
-		r.number(returned.Request)
-		r.pending = appendValue(r.pending, returned.ValueAt(node.local()))
+		r.number(response.Request)
+		r.pending = appendValue(r.pending, response.ValueAt(node.local()))
 		r.end()
 	}
 	for _, deliver := range effects.Deliveries {
--- a/internal/simulator/grown.go
+++ b/internal/simulator/grown.go
@@ -15,8 +15,8 @@
 
 // Grown is a part of the users' grown deployment: the callers of a gateway and the
 // bandwidth of its link are scaled alike.
-var Grown = Size{
-	Gateways: 12, Stores: 5, Controllers: 5, Places: 3, Callers: 480, Delay: 500 * time.Microsecond, Tolerance: 2, Seeded: true,
+var Grown = Shape{
+	Gateways: 12, Stores: 5, Controllers: 5, Zones: 3, Clients: 480, Delay: 500 * time.Microsecond, Tolerance: 2, Seeded: true,
 	Links: map[string]Bandwidth{
 		membership.KindGateway:    {Up: grownLink, Down: grownLink},
 		membership.KindStore:      {Up: 75_000_000, Down: 75_000_000},
@@ -69,12 +69,12 @@
 }
 
 // RunGrown runs the grown shape: all power is lost in its midst, and comes back.
-func RunGrown(seed uint64, size Size, trace func(line string)) *GrownResult {
+func RunGrown(seed uint64, size Shape, trace func(line string)) *GrownResult {
 	simulation, _ := prepareTopics(seed, size, 0, trace)
 	simulation.world.body, simulation.world.steady = grownBody, true
-	simulation.world.topics = boards(size.Callers * 5 / 3)
-	for number := range size.Callers {
-		client := simulation.AddTopicClient(fmt.Sprintf("caller-%d", number), number%size.Places)
+	simulation.world.topics = boards(size.Clients * 5 / 3)
+	for number := range size.Clients {
+		client := simulation.AddTopicClient(fmt.Sprintf("caller-%d", number), number%size.Zones)
 		client.unjudged = true
 		client.holdsTopics(3)
 	}
@@ -109,7 +109,7 @@
 	}
 	result.Refused, result.RefusedLater = simulation.refusals()-refused, simulation.refusals()-soon
 	simulation.open--
-	simulation.trouble = simulation.Now
+	simulation.lastFaultAt = simulation.Now
 	simulation.closeTopics()
 	result.Before = simulation.world.service(began, grownBefore)
 	result.After = simulation.world.service(back, grownAfter)
--- a/internal/simulator/grown_test.go
+++ b/internal/simulator/grown_test.go
@@ -17,7 +17,7 @@
 
 // thin is the grown shape with links of half the bandwidth, where also what the
 // fleet needs to say fills them for some seconds.
-func thin() Size {
+func thin() Shape {
 	size := Grown
 	half := Bandwidth{Up: grownLink / 2, Down: grownLink / 2}
 	size.Links = map[string]Bandwidth{membership.KindGateway: half}
--- a/internal/simulator/held.go
+++ b/internal/simulator/held.go
@@ -26,26 +26,26 @@
 // holdLinks has half the links from and to a daemon hold what they are given from some
 // moment of a span on.
 func (s *Simulation) holdLinks(node *Node, length time.Duration) {
-	if s.held.until == nil {
-		s.held = heldLinks{until: map[*Node]time.Time{}, release: map[string]time.Time{}}
+	if s.heldLinks.until == nil {
+		s.heldLinks = heldLinks{until: map[*Node]time.Time{}, release: map[string]time.Time{}}
 	}
-	s.held.until[node] = s.Now.Add(length)
+	s.heldLinks.until[node] = s.Now.Add(length)
 }
 
 // heldUntil tells when a message that is sent now arrives, if its link holds it.
 func (s *Simulation) heldUntil(from, to *Node) (time.Time, bool) {
-	if s.held.until == nil || from == to {
+	if s.heldLinks.until == nil || from == to {
 		return time.Time{}, false
 	}
-	key := fmt.Sprint(link(from, to), " ", from.life)
-	if release := s.held.release[key]; release.After(s.Now) {
+	key := fmt.Sprint(link(from, to), " ", from.incarnation)
+	if release := s.heldLinks.release[key]; release.After(s.Now) {
 		return release, true
 	}
-	if !s.held.until[from].After(s.Now) && !s.held.until[to].After(s.Now) || s.Random.IntN(2) == 0 {
+	if !s.heldLinks.until[from].After(s.Now) && !s.heldLinks.until[to].After(s.Now) || s.Random.IntN(2) == 0 {
 		return time.Time{}, false
 	}
 	release := s.Now.Add(time.Duration(s.Random.Int64N(int64(heldMost))))
-	s.held.release[key] = release
+	s.heldLinks.release[key] = release
 	return release, true
 }
 
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -14,11 +14,11 @@
 
 func link(from, to *Node) string { return from.Name + ">" + to.Name }
 
-// Cut cuts the way from one daemon to another.
-func (s *Simulation) Cut(from, to *Node) { s.cuts[link(from, to)]++ }
+// CutLink cuts the way from one daemon to another.
+func (s *Simulation) CutLink(from, to *Node) { s.cuts[link(from, to)]++ }
 
-// Mend takes one cut away again.
-func (s *Simulation) Mend(from, to *Node) {
+// HealLink takes one cut away again.
+func (s *Simulation) HealLink(from, to *Node) {
 	name := link(from, to)
 	if s.cuts[name]--; s.cuts[name] <= 0 {
 		delete(s.cuts, name)
@@ -26,12 +26,12 @@
 	}
 }
 
-// CutAway cuts daemons off from all others, both ways.
-func (s *Simulation) CutAway(inside func(node *Node) bool) {
+// Isolate cuts daemons off from all others, both ways.
+func (s *Simulation) Isolate(inside func(node *Node) bool) {
 	for _, node := range s.Nodes("") {
 		for _, other := range s.Nodes("") {
 			if inside(node) != inside(other) {
-				s.Cut(node, other)
+				s.CutLink(node, other)
 			}
 		}
 	}
@@ -52,7 +52,7 @@
 func (s *Simulation) delay(from, to int) time.Duration {
 	length := 100*time.Microsecond + time.Duration(s.Random.IntN(100))*time.Microsecond
 	if from != to {
-		length += s.Size.Delay + time.Duration(s.Random.Int64N(int64(s.Size.Delay/4)+1))
+		length += s.Shape.Delay + time.Duration(s.Random.Int64N(int64(s.Shape.Delay/4)+1))
 	}
 	if s.loss > 0 && s.Random.Float64() < s.loss {
 		// A lost packet is sent again by the transport below.
@@ -71,12 +71,12 @@
 	}
 	frame, err := transport.Encode(statemachine.Meta{From: from.Address, Version: version}, send.Message)
 	must(err)
-	s.Size.Recorder.frame(from, to, frame)
+	s.Shape.Recorder.frame(from, to, frame)
 	s.Sent[fmt.Sprintf("%T", send.Message)]++
 	if s.cuts[link(from, to)] > 0 {
 		return
 	}
-	if from.Place != to.Place {
+	if from.Zone != to.Zone {
 		s.Away += int64(len(frame))
 	}
 	if release, holds := s.heldUntil(from, to); holds {
@@ -87,7 +87,7 @@
 		s.dispatch(from, to, send.Message, frame)
 		return
 	}
-	at := s.Now.Add(s.delay(from.Place, to.Place))
+	at := s.Now.Add(s.delay(from.Zone, to.Zone))
 	if from == to {
 		at = s.Now
 	}
@@ -110,12 +110,12 @@
 }
 
 func (s *Simulation) arrive(from, to *Node, frame []byte, at time.Time) {
-	key, life := link(from, to), to.life
+	key, incarnation := link(from, to), to.incarnation
 	s.At(at, func() {
 		if to.refuses && s.cuts[key] == 0 {
 			s.refuse(from, to)
 		}
-		if !to.Up || to.life != life || s.cuts[key] > 0 {
+		if !to.Up || to.incarnation != incarnation || s.cuts[key] > 0 {
 			return
 		}
 		to.enter(func() {
--- a/internal/simulator/operator.go
+++ b/internal/simulator/operator.go
@@ -90,18 +90,18 @@
 		return
 	}
 	began := simulation.Now
-	o.order(node, version, body, func(_ checker.OrderAnswer, returned membership.ControlResponse, alive bool) {
+	o.order(node, version, body, func(_ checker.OrderAnswer, response membership.ControlResponse, alive bool) {
 		switch {
-		case alive && returned.Status == http.StatusOK:
+		case alive && response.Status == http.StatusOK:
 			simulation.trace("configuration %d taken through %s", version, node.Name)
 			simulation.Checker.PutTaken(version, string(body), began, simulation.Now)
 			simulation.Checker.RoutesTaken(version, simulation.Now)
 			if done != nil {
 				done()
 			}
-		case alive && returned.Status == http.StatusConflict:
-		case alive && returned.Status == http.StatusBadRequest:
-			simulation.Checker.Violate(checker.BrokenTaken, "a valid configuration was refused: %s", returned.Body)
+		case alive && response.Status == http.StatusConflict:
+		case alive && response.Status == http.StatusBadRequest:
+			simulation.Checker.Violate(checker.BrokenTaken, "a valid configuration was refused: %s", response.Body)
 		default:
 			simulation.After(500*time.Millisecond, func() { o.put(version, body, done) })
 		}
@@ -109,16 +109,16 @@
 }
 
 // order sends one order through one daemon, and tells the checker how it ended.
-func (o *Operator) order(node *Node, version uint64, body []byte, done func(answer checker.OrderAnswer, returned membership.ControlResponse, alive bool)) {
+func (o *Operator) order(node *Node, version uint64, body []byte, done func(answer checker.OrderAnswer, response membership.ControlResponse, alive bool)) {
 	simulation := o.simulation
 	put := simulation.Checker.Register.Put(version, string(body), simulation.Now)
-	simulation.Control(node, http.MethodPut, "/v1/configuration", body, func(returned membership.ControlResponse, alive bool) {
+	simulation.Control(node, http.MethodPut, "/v1/configuration", body, func(response membership.ControlResponse, alive bool) {
 		answer := checker.Unclear
 		if alive {
-			answer = checker.AnswerOf(returned.Status, returned.Body)
+			answer = checker.AnswerOf(response.Status, response.Body)
 		}
 		put.End(answer, simulation.Now)
-		done(answer, returned, alive)
+		done(answer, response, alive)
 	})
 }
 
@@ -130,15 +130,15 @@
 		return
 	}
 	began := simulation.Now
-	simulation.Control(node, http.MethodGet, "/v1/configuration", nil, func(returned membership.ControlResponse, alive bool) {
-		if !alive || returned.Status != http.StatusOK {
+	simulation.Control(node, http.MethodGet, "/v1/configuration", nil, func(response membership.ControlResponse, alive bool) {
+		if !alive || response.Status != http.StatusOK {
 			return
 		}
 		var got struct {
 			Version       uint64          `json:"version"`
 			Configuration json.RawMessage `json:"configuration"`
 		}
-		must(json.Unmarshal(returned.Body, &got))
+		must(json.Unmarshal(response.Body, &got))
 		o.reads++
 		simulation.Checker.ReadBack(got.Version, string(got.Configuration), began, simulation.Now)
 		simulation.Checker.Register.Read(got.Version, string(got.Configuration), began, simulation.Now)
@@ -157,8 +157,8 @@
 		`{"version":900,"spaces":[{"name":"a","promise":"kept","holding":"0s"}]} x`, `{"version":900,"spaces":[],"other":1}`,
 	}
 	body := bodies[simulation.Random.IntN(len(bodies))]
-	simulation.Control(node, http.MethodPut, "/v1/configuration", []byte(body), func(returned membership.ControlResponse, alive bool) {
-		if alive && returned.Status == http.StatusOK {
+	simulation.Control(node, http.MethodPut, "/v1/configuration", []byte(body), func(response membership.ControlResponse, alive bool) {
+		if alive && response.Status == http.StatusOK {
 			simulation.Checker.BrokenWasTaken(body)
 		}
 	})
--- a/internal/simulator/orders.go
+++ b/internal/simulator/orders.go
@@ -87,9 +87,9 @@
 			case answer == checker.Acknowledged:
 				settled = true
 				d.taken++
-				if strike := d.afterTaken; strike != nil {
+				if inject := d.afterTaken; inject != nil {
 					d.afterTaken = nil
-					simulation.After(simulation.between(0, 4*time.Millisecond), strike)
+					simulation.After(simulation.between(0, 4*time.Millisecond), inject)
 				}
 				if simulation.Random.IntN(2) == 0 {
 					simulation.After(simulation.between(0, resentWithin), func() { d.put(version, body, 3, "") })
@@ -106,15 +106,15 @@
 func (d *desk) order(node *Node, version uint64, body []byte, done func(answer checker.OrderAnswer)) {
 	simulation := d.simulation
 	put := simulation.Checker.Register.Put(version, string(body), simulation.Now)
-	simulation.Control(node, http.MethodPut, "/v1/configuration", body, func(returned membership.ControlResponse, alive bool) {
+	simulation.Control(node, http.MethodPut, "/v1/configuration", body, func(response membership.ControlResponse, alive bool) {
 		answer := checker.Unclear
 		if alive && simulation.Random.IntN(answersLostOne) > 0 {
-			answer = checker.AnswerOf(returned.Status, returned.Body)
+			answer = checker.AnswerOf(response.Status, response.Body)
 		}
-		if answer == checker.Unclear && alive && returned.Status == http.StatusBadRequest {
-			simulation.Checker.Violate(checker.BrokenTaken, "a valid configuration was refused: %s", returned.Body)
+		if answer == checker.Unclear && alive && response.Status == http.StatusBadRequest {
+			simulation.Checker.Violate(checker.BrokenTaken, "a valid configuration was refused: %s", response.Body)
 		}
-		simulation.trace("order %d through %s: %d, heard as %d", version, node.Name, returned.Status, answer)
+		simulation.trace("order %d through %s: %d, heard as %d", version, node.Name, response.Status, answer)
 		put.End(answer, simulation.Now)
 		done(answer)
 	})
@@ -194,12 +194,12 @@
 			simulation.After(simulation.between(orderPause, 5*orderPause), func() { d.retire(store, verb, tries-1, done) })
 		}
 		simulation.After(orderPatience, func() { end(0) })
-		simulation.Control(node, http.MethodPost, "/v1/stores/"+store.Name+"/"+verb, nil, func(returned membership.ControlResponse, alive bool) {
-			simulation.trace("%s %s through %s: %d", verb, store.Name, node.Name, returned.Status)
+		simulation.Control(node, http.MethodPost, "/v1/stores/"+store.Name+"/"+verb, nil, func(response membership.ControlResponse, alive bool) {
+			simulation.trace("%s %s through %s: %d", verb, store.Name, node.Name, response.Status)
 			if !alive || simulation.Random.IntN(answersLostOne) == 0 {
-				returned.Status = 0
+				response.Status = 0
 			}
-			end(returned.Status)
+			end(response.Status)
 		})
 	})
 }
@@ -240,7 +240,7 @@
 		return
 	}
 	s.trace("%s is cut off", node.Name)
-	s.CutAway(func(other *Node) bool { return other == node })
+	s.Isolate(func(other *Node) bool { return other == node })
 	s.After(length, s.Heal)
 }
 
--- a/internal/simulator/orders_test.go
+++ b/internal/simulator/orders_test.go
@@ -20,7 +20,7 @@
 			t.Parallel()
 			scenario, found := Find(name)
 			assert.Assert(t, found)
-			run := Run(scenario, 1, Sizes["highest"], nil)
+			run := Run(scenario, 1, Shapes["highest"], nil)
 			for _, line := range run.Checker.Violations() {
 				t.Errorf("fleetlab simulate -scenario %s -size highest -from 1 -seeds 1 -trace: %s", name, line)
 			}
@@ -35,7 +35,7 @@
 	for _, highest := range []bool{true, false} {
 		t.Run(fmt.Sprint("highest ", highest), func(t *testing.T) {
 			t.Parallel()
-			size := Size{Gateways: 1, Stores: 2, Controllers: 5, Places: 3, Delay: time.Millisecond, Highest: highest}
+			size := Shape{Gateways: 1, Stores: 2, Controllers: 5, Zones: 3, Delay: time.Millisecond, HighestVersion: highest}
 			run, operator := Prepare(7, size, nil)
 			const day = 3 * time.Minute
 			desk := newDesk(run)
@@ -58,7 +58,7 @@
 // A store that was emptied is taken away for good; the order that emptied it is sent
 // again for minutes, through all daemons and across take-overs, and is never refused.
 func TestAnOrderToRetireIsAcknowledgedWhenItsStoreIsGone(t *testing.T) {
-	size := Size{Gateways: 1, Stores: 3, Controllers: 5, Places: 3, Delay: time.Millisecond}
+	size := Shape{Gateways: 1, Stores: 3, Controllers: 5, Zones: 3, Delay: time.Millisecond}
 	run, _ := Prepare(11, size, nil)
 	desk := newDesk(run)
 	store := run.Nodes(membership.KindStore)[1]
--- a/internal/simulator/recorded.go
+++ b/internal/simulator/recorded.go
@@ -42,7 +42,7 @@
 		return Recording{rr, recorder.Digest()}, nil
 	}
 	scenario, known := Find(rr.Scenario)
-	size, shaped := Sizes[rr.Shape]
+	size, shaped := Shapes[rr.Shape]
 	if !known || !shaped {
 		return Recording{}, fmt.Errorf("there is no scenario %q on a shape %q", rr.Scenario, rr.Shape)
 	}
--- a/internal/simulator/recorded_test.go
+++ b/internal/simulator/recorded_test.go
@@ -71,7 +71,7 @@
 		run := RecordedRun{Scenario: scenario.Name, Shape: "small", Seed: selectedSeed}
 		assert.Check(t, tried[run], "%s is not recorded", run)
 	}
-	for shape := range Sizes {
+	for shape := range Shapes {
 		assert.Check(t, shape == "small" || len(selectedScenarios[shape]) > 0, "%s is not tried", shape)
 	}
 	for shape, scenarios := range selectedScenarios {
@@ -88,8 +88,8 @@
 	size := Small
 	size.Recorder = NewRecorder()
 	simulation, _ := Prepare(seed, size, nil)
-	simulation.Departs = func(_ *Node, _ string, message any) { alter(message) }
-	simulation.Crowd(size.Callers)
+	simulation.OnDepart = func(_ *Node, _ string, message any) { alter(message) }
+	simulation.Crowd(size.Clients)
 	simulation.Run(3 * time.Second)
 	return size.Recorder.Digest()
 }
--- a/internal/simulator/scenario.go
+++ b/internal/simulator/scenario.go
@@ -23,10 +23,10 @@
 
 // Scenario is one kind of run.
 type Scenario struct {
-	Name   string
-	Length time.Duration
-	Faults func(simulation *Simulation, length time.Duration)
-	Plot   func(seed uint64) Plot
+	Name     string
+	Length   time.Duration
+	Faults   func(simulation *Simulation, length time.Duration)
+	Schedule func(seed uint64) FaultSchedule
 	// Topics is set for runs with callers of routed topics.
 	Topics func(seed uint64) TopicPlot
 }
@@ -86,11 +86,11 @@
 
 // Prepare starts a fleet with a configuration and callers, and waits until it
 // serves.
-func Prepare(seed uint64, size Size, trace func(line string)) (*Simulation, *Operator) {
+func Prepare(seed uint64, size Shape, trace func(line string)) (*Simulation, *Operator) {
 	return prepare(seed, size, 0, trace)
 }
 
-func prepare(seed uint64, size Size, apart time.Duration, trace func(line string)) (*Simulation, *Operator) {
+func prepare(seed uint64, size Shape, apart time.Duration, trace func(line string)) (*Simulation, *Operator) {
 	simulation := New(seed, size)
 	return simulation, simulation.begin(apart, trace)
 }
@@ -98,7 +98,7 @@
 // begin starts the daemons and puts the first configuration.
 func (s *Simulation) begin(apart time.Duration, trace func(line string)) *Operator {
 	s.Trace = trace
-	s.apart = apart
+	s.clockSkew = apart
 	s.StartAll()
 	operator := newOperator(s)
 	s.operator = operator
@@ -118,7 +118,7 @@
 		}
 		return true
 	})
-	s.trouble = s.Now
+	s.lastFaultAt = s.Now
 	s.sample()
 	return operator
 }
@@ -132,7 +132,7 @@
 		}
 	}
 	for number := range count {
-		place := number % s.Size.Places
+		zone := number % s.Shape.Zones
 		random := s.Random
 		interests := []gateway.Interest{
 			{Space: "boards", Path: topics[random.IntN(len(topics))]}, {Space: "boards", Path: fmt.Sprintf("p%d", random.IntN(3)), Prefix: true},
@@ -144,7 +144,7 @@
 		case 2:
 			interests = interests[:2]
 		}
-		client := s.AddClient(fmt.Sprintf("origin-%d", number), place, interests...)
+		client := s.AddClient(fmt.Sprintf("origin-%d", number), zone, interests...)
 		if number%2 == 0 {
 			client.Resends = true
 			client.Publishes(1+number%3,
@@ -156,25 +156,25 @@
 }
 
 // Run runs a scenario under one seed.
-func Run(scenario Scenario, seed uint64, size Size, trace func(line string)) *Simulation {
+func Run(scenario Scenario, seed uint64, size Shape, trace func(line string)) *Simulation {
 	if scenario.Topics != nil {
 		return RunTopics(seed, size, scenario.Topics(seed), trace)
 	}
-	if scenario.Plot != nil {
-		return RunPlot(seed, size, scenario.Plot(seed), trace)
+	if scenario.Schedule != nil {
+		return RunSchedule(seed, size, scenario.Schedule(seed), trace)
 	}
 	simulation, operator := Prepare(seed, size, trace)
-	simulation.Crowd(size.Callers)
+	simulation.Crowd(size.Clients)
 	simulation.Run(3 * time.Second)
 	operator.work(simulation.Now.Add(scenario.Length))
-	simulation.trouble = simulation.Now.Add(-checker.TroubleFor)
+	simulation.lastFaultAt = simulation.Now.Add(-checker.TroubleFor)
 	if scenario.Faults != nil {
 		simulation.open++
 		scenario.Faults(simulation, scenario.Length)
 	}
 	simulation.Run(scenario.Length)
 	if scenario.Faults != nil {
-		simulation.ends(scenario.Name)
+		simulation.faultEnds(scenario.Name)
 	}
 	simulation.Settle(20 * time.Second)
 	return simulation
@@ -187,11 +187,11 @@
 	for _, node := range s.Nodes("") {
 		if node.Frozen {
 			node.Thaw()
-			s.trouble = s.Now
+			s.lastFaultAt = s.Now
 		}
 		if !node.Up {
 			node.Start()
-			s.trouble = s.Now
+			s.lastFaultAt = s.Now
 		}
 	}
 	s.Run(wait * 7 / 10)
@@ -242,8 +242,8 @@
 // subscribed again, and when each part of the recovery was seen.
 func (s *Simulation) ServiceBack(what string) {
 	from := s.Now
-	comeback := &Comeback{What: what}
-	s.back, s.backFrom = comeback, from
+	comeback := &Recovery{What: what}
+	s.recovery, s.recoveryStart = comeback, from
 	var check func()
 	check = func() {
 		after := s.Now.Sub(from)
@@ -251,7 +251,7 @@
 		for _, part := range []struct {
 			there bool
 			since *time.Duration
-		}{{primary, &comeback.TakenOver}, {partitions, &comeback.Refilled}, {callers, &comeback.CallersBack}} {
+		}{{primary, &comeback.TakeoverDone}, {partitions, &comeback.Refilled}, {callers, &comeback.ClientsBack}} {
 			if !part.there {
 				*part.since = 0
 			} else if *part.since == 0 {
@@ -260,14 +260,14 @@
 		}
 		// Word of the loss may come after a moment in which all still seems
 		// well, so service counts as back once it has held for four seconds.
-		if back := max(comeback.TakenOver, comeback.Refilled, comeback.CallersBack); primary && partitions && callers && after-back > 4*time.Second || after > 2*checker.BackWithin {
+		if back := max(comeback.TakeoverDone, comeback.Refilled, comeback.ClientsBack); primary && partitions && callers && after-back > 4*time.Second || after > 2*checker.BackWithin {
 			if !primary || !partitions || !callers {
 				back = after
 			}
 			s.Checker.Served(what, back)
 			s.trace("service is back %s after %s: %+v", back, what, *comeback)
-			s.Comeback = append(s.Comeback, *comeback)
-			s.back = nil
+			s.Recoveries = append(s.Recoveries, *comeback)
+			s.recovery = nil
 			return
 		}
 		s.After(50*time.Millisecond, check)
@@ -433,7 +433,7 @@
 	"wander": func(simulation *Simulation, length time.Duration) {
 		simulation.every(length, 500*time.Millisecond, 2*time.Second, func() {
 			client := simulation.clients[simulation.Random.IntN(len(simulation.clients))]
-			client.Place = simulation.Random.IntN(simulation.Size.Places)
+			client.Place = simulation.Random.IntN(simulation.Shape.Zones)
 			client.Reset(simulation.between(0, 50*time.Millisecond))
 		})
 	},
@@ -449,7 +449,7 @@
 			for range 8 {
 				from, to := nodes[simulation.Random.IntN(len(nodes))], nodes[simulation.Random.IntN(len(nodes))]
 				if from != to && !beside(from, to) {
-					simulation.Cut(from, to)
+					simulation.CutLink(from, to)
 				}
 			}
 			simulation.After(simulation.between(500*time.Millisecond, 5*time.Second), simulation.Heal)
@@ -459,23 +459,23 @@
 		simulation.every(length, 9*time.Second, 12*time.Second, func() {
 			chosen := simulation.pickUp("")
 			simulation.trace("%s is cut off", chosen.Name)
-			simulation.CutAway(func(node *Node) bool { return node == chosen || beside(node, chosen) })
+			simulation.Isolate(func(node *Node) bool { return node == chosen || beside(node, chosen) })
 			simulation.After(simulation.between(500*time.Millisecond, 7*time.Second), simulation.Heal)
 		})
 	},
 	"cut-place": func(simulation *Simulation, length time.Duration) {
 		simulation.every(length, 14*time.Second, 18*time.Second, func() {
-			place := simulation.Random.IntN(simulation.Size.Places)
-			simulation.trace("place %d is cut off", place)
-			simulation.CutAway(func(node *Node) bool { return node.Place == place })
+			zone := simulation.Random.IntN(simulation.Shape.Zones)
+			simulation.trace("place %d is cut off", zone)
+			simulation.Isolate(func(node *Node) bool { return node.Zone == zone })
 			simulation.After(simulation.between(500*time.Millisecond, 8*time.Second), simulation.Heal)
 		})
 	},
 	"lose-place": func(simulation *Simulation, _ time.Duration) {
 		simulation.After(3*time.Second, func() {
-			place := simulation.Random.IntN(simulation.Size.Places)
+			zone := simulation.Random.IntN(simulation.Shape.Zones)
 			for _, node := range simulation.Nodes("") {
-				if node.Place == place {
+				if node.Zone == zone {
 					node.Kill()
 					simulation.After(simulation.between(14*time.Second, 16*time.Second), node.Start)
 				}
@@ -510,8 +510,8 @@
 			simulation.trace("%s is cut off from the other controllers", chosen.Name)
 			for _, other := range simulation.Nodes(membership.KindController) {
 				if other != chosen {
-					simulation.Cut(chosen, other)
-					simulation.Cut(other, chosen)
+					simulation.CutLink(chosen, other)
+					simulation.CutLink(other, chosen)
 				}
 			}
 			simulation.After(simulation.between(6*time.Second, 9*time.Second), simulation.Heal)
@@ -536,11 +536,11 @@
 		simulation.After(length*6/10, func() {
 			simulation.trace("a crowd comes; %d gateways rest", simulation.resting())
 			for number := range 24 {
-				place := number % simulation.Size.Places
+				zone := number % simulation.Shape.Zones
 				if number%2 == 0 {
-					place = 0
+					zone = 0
 				}
-				simulation.AddClient(fmt.Sprintf("crowd-%d", number), place, gateway.Interest{Space: "boards", Path: "p1", Prefix: true})
+				simulation.AddClient(fmt.Sprintf("crowd-%d", number), zone, gateway.Interest{Space: "boards", Path: "p1", Prefix: true})
 			}
 			simulation.ServiceBack("a crowd on a rested fleet")
 		})
@@ -592,7 +592,7 @@
 		})
 		simulation.every(length, 400*time.Millisecond, 900*time.Millisecond, func() {
 			client := simulation.clients[simulation.Random.IntN(len(simulation.clients))]
-			client.Place = simulation.Random.IntN(simulation.Size.Places)
+			client.Place = simulation.Random.IntN(simulation.Shape.Zones)
 			client.Reset(simulation.between(0, 50*time.Millisecond))
 		})
 	},
@@ -645,19 +645,19 @@
 			s.After(500*time.Millisecond, func() { s.retire(node, done, never) })
 			return
 		}
-		s.Control(at, method, path, nil, func(returned membership.ControlResponse, alive bool) {
+		s.Control(at, method, path, nil, func(response membership.ControlResponse, alive bool) {
 			var value struct {
 				Retired bool `json:"retired"`
 			}
-			if alive && returned.Status < 300 {
-				must(json.Unmarshal(returned.Body, &value))
+			if alive && response.Status < 300 {
+				must(json.Unmarshal(response.Body, &value))
 			}
 			switch {
 			case value.Retired:
 				done()
-			case alive && returned.Status == http.StatusConflict:
+			case alive && response.Status == http.StatusConflict:
 				never()
-			case alive && returned.Status < 300:
+			case alive && response.Status < 300:
 				s.After(200*time.Millisecond, poll)
 			default:
 				s.After(500*time.Millisecond, func() { s.retire(node, done, never) })
@@ -677,7 +677,7 @@
 	operator.next(func() {
 		var users []*Client
 		for number := range 4 {
-			client := s.AddClient(fmt.Sprintf("brief-%d", number), number%s.Size.Places, gateway.Interest{Space: "brief", Prefix: true})
+			client := s.AddClient(fmt.Sprintf("brief-%d", number), number%s.Shape.Zones, gateway.Interest{Space: "brief", Prefix: true})
 			client.Publishes(1, Plan{Space: "brief", Topics: []string{"a/b", "c"}, Every: 150 * time.Millisecond})
 			users = append(users, client)
 		}
@@ -686,19 +686,19 @@
 			switch s.Random.IntN(4) {
 			case 0:
 				s.trace("%s is cut off", chosen.Name)
-				s.CutAway(func(node *Node) bool { return node == chosen || beside(node, chosen) })
+				s.Isolate(func(node *Node) bool { return node == chosen || beside(node, chosen) })
 			case 1:
 				for _, controller := range s.Nodes(membership.KindController) {
 					for _, node := range s.Nodes("") {
 						if node == chosen || beside(node, chosen) {
-							s.Cut(node, controller)
-							s.Cut(controller, node)
+							s.CutLink(node, controller)
+							s.CutLink(controller, node)
 						}
 					}
 				}
 			case 2:
-				s.trace("place %d is cut off", chosen.Place)
-				s.CutAway(func(node *Node) bool { return node.Place == chosen.Place })
+				s.trace("place %d is cut off", chosen.Zone)
+				s.Isolate(func(node *Node) bool { return node.Zone == chosen.Zone })
 			}
 			operator.extra = false
 			operator.next(func() {
@@ -727,14 +727,14 @@
 		found = append(found, Scenario{Name: name, Length: 25 * time.Second, Faults: single[name]})
 	}
 	for _, name := range faults.Names {
-		found = append(found, Scenario{Name: "storm-" + name, Plot: func(seed uint64) Plot { return drawPlot(seed, []string{name}, 3) }})
+		found = append(found, Scenario{Name: "storm-" + name, Schedule: func(seed uint64) FaultSchedule { return drawSchedule(seed, []string{name}, 3) }})
 	}
 	for _, name := range faults.Last {
-		found = append(found, Scenario{Name: "last-" + name, Plot: func(uint64) Plot { return Plot{Last: name} }})
+		found = append(found, Scenario{Name: "last-" + name, Schedule: func(uint64) FaultSchedule { return FaultSchedule{Last: name} }})
 	}
 	found = append(found,
-		Scenario{Name: "pairs", Plot: pairPlot},
-		Scenario{Name: "storm", Plot: func(seed uint64) Plot { return drawPlot(seed, faults.Names, 9) }})
+		Scenario{Name: "pairs", Schedule: drawPairSchedule},
+		Scenario{Name: "storm", Schedule: func(seed uint64) FaultSchedule { return drawSchedule(seed, faults.Names, 9) }})
 	return append(found, topicScenarios()...)
 }
 
--- a/internal/simulator/secondloss_test.go
+++ b/internal/simulator/secondloss_test.go
@@ -83,7 +83,7 @@
 		if run.RunUntil(strikeAfter, func() bool { return !leaver.Up }) {
 			run.remove(leaver)
 		}
-		run.strikeAgain(run.Size.Tolerance)
+		run.strikeAgain(run.Shape.Tolerance)
 	}
 }
 
@@ -95,7 +95,7 @@
 		run.Run(300 * time.Millisecond)
 		run.addFresh(17)
 		run.Run(wait)
-		count := run.Size.Tolerance
+		count := run.Shape.Tolerance
 		if wait < catchUp {
 			count--
 		}
@@ -108,8 +108,8 @@
 func retiredStore(t *testing.T, run *Simulation) {
 	name := run.Nodes(membership.KindStore)[run.Seed%2].Name
 	status := 0
-	run.Control(run.Nodes(membership.KindGateway)[0], http.MethodPost, "/v1/stores/"+name+"/retire", nil, func(returned membership.ControlResponse, _ bool) {
-		status = returned.Status
+	run.Control(run.Nodes(membership.KindGateway)[0], http.MethodPost, "/v1/stores/"+name+"/retire", nil, func(response membership.ControlResponse, _ bool) {
+		status = response.Status
 	})
 	assert.Check(t, run.RunUntil(5*time.Second, func() bool {
 		primary := run.Primary()
@@ -117,7 +117,7 @@
 	}), "answered %d", status)
 	run.remove(run.nodes[name])
 	for number, node := range run.Nodes(membership.KindStore) {
-		run.killFor(node, run.between(300*time.Millisecond, 900*time.Millisecond), number < run.Size.Tolerance)
+		run.killFor(node, run.between(300*time.Millisecond, 900*time.Millisecond), number < run.Shape.Tolerance)
 	}
 }
 
@@ -128,7 +128,7 @@
 	assert.Check(t, run.RunUntil(5*time.Second, func() bool { return !leaver.Up }))
 	run.remove(leaver)
 	for number, node := range run.Nodes(membership.KindStore) {
-		run.killFor(node, run.between(300*time.Millisecond, 900*time.Millisecond), number < run.Size.Tolerance)
+		run.killFor(node, run.between(300*time.Millisecond, 900*time.Millisecond), number < run.Shape.Tolerance)
 	}
 }
 
@@ -185,16 +185,16 @@
 	}
 }
 
-func secondLoss(t *testing.T, seed uint64, tolerance int, strike func(t *testing.T, run *Simulation)) {
+func secondLoss(t *testing.T, seed uint64, tolerance int, inject func(t *testing.T, run *Simulation)) {
 	t.Helper()
 	size := seeded(2*tolerance+1, tolerance)
-	size.Stores, size.Callers, size.Gateways = tolerance+2, 4, 3
+	size.Stores, size.Clients, size.Gateways = tolerance+2, 4, 3
 	run, operator := Prepare(seed, size, nil)
-	run.Crowd(size.Callers)
+	run.Crowd(size.Clients)
 	run.Run(time.Second)
 	operator.work(run.Now.Add(16 * time.Second))
-	run.trouble = run.Now.Add(16 * time.Second)
-	strike(t, run)
+	run.lastFaultAt = run.Now.Add(16 * time.Second)
+	inject(t, run)
 	assert.Check(t, run.RunUntil(12*time.Second, func() bool { return run.Primary() != nil }), "seed %d, nobody serves: %s", seed, records(run))
 	assert.Check(t, run.RunUntil(15*time.Second, func() bool { return len(run.voters()) == 2*tolerance+1 }), "%v", run.voters())
 	run.Settle(10 * time.Second)
--- a/internal/simulator/simulator.go
+++ b/internal/simulator/simulator.go
@@ -22,20 +22,20 @@
 	"dahlialock/internal/wal"
 )
 
-// Size is the shape of a simulated fleet.
+// Shape is the shape of a simulated fleet.
 // With Seeded, the first controllers found as the seeds, told so at their first start
 // only, and nobody is told how many controllers there are. With Links, by kind of
 // daemon, the links of machines have a bandwidth, and connections have at most
 // Window bytes under way.
-type Size struct {
-	Gateways, Stores, Controllers, Places, Callers int
-	Delay                                          time.Duration
-	Seeded                                         bool
-	// Highest has the controllers acknowledge a configuration below the one in force.
-	Highest   bool
-	Tolerance int
-	Links     map[string]Bandwidth
-	Window    int
+type Shape struct {
+	Gateways, Stores, Controllers, Zones, Clients int
+	Delay                                         time.Duration
+	Seeded                                        bool
+	// HighestVersion has the controllers acknowledge a configuration below the one in force.
+	HighestVersion bool
+	Tolerance      int
+	Links          map[string]Bandwidth
+	Window         int
 	// Recorder, if there is one, records all that the daemons put into the world.
 	Recorder *Recorder
 }
@@ -43,21 +43,21 @@
 // stepProcessor stands for the processor time of one step of a machine.
 const stepProcessor = 50 * time.Microsecond
 
-// powerCutOperations is how many more operations a disk does at most when the power is
+// maxOperationsAtPowerCut is how many more operations a disk does at most when the power is
 // lost: a snapshot with a new log takes five to nine.
-const powerCutOperations = 12
+const maxOperationsAtPowerCut = 12
 
 // Small is a fleet that is quick to run and has every kind of daemon.
-var Small = Size{Gateways: 5, Stores: 3, Controllers: 5, Places: 3, Delay: time.Millisecond, Callers: 12}
+var Small = Shape{Gateways: 5, Stores: 3, Controllers: 5, Zones: 3, Delay: time.Millisecond, Clients: 12}
 
-// Sizes are the small fleet, also with the highest number counting, the shapes of the
+// Shapes are the small fleet, also with the highest number counting, the shapes of the
 // two deployments, and one with four zones.
-var Sizes = map[string]Size{
+var Shapes = map[string]Shape{
 	"small":    Small,
-	"fjordlys": {Gateways: 7, Stores: 3, Controllers: 5, Places: 3, Delay: 500 * time.Microsecond, Callers: 40},
-	"qureshi":  {Gateways: 9, Stores: 3, Controllers: 5, Places: 3, Delay: 1500 * time.Microsecond, Callers: 40},
-	"highest":  {Gateways: 5, Stores: 3, Controllers: 5, Places: 3, Delay: time.Millisecond, Callers: 12, Highest: true},
-	"four":     {Gateways: 8, Stores: 4, Controllers: 5, Places: 4, Delay: 2 * time.Millisecond, Callers: 24},
+	"fjordlys": {Gateways: 7, Stores: 3, Controllers: 5, Zones: 3, Delay: 500 * time.Microsecond, Clients: 40},
+	"qureshi":  {Gateways: 9, Stores: 3, Controllers: 5, Zones: 3, Delay: 1500 * time.Microsecond, Clients: 40},
+	"highest":  {Gateways: 5, Stores: 3, Controllers: 5, Zones: 3, Delay: time.Millisecond, Clients: 12, HighestVersion: true},
+	"four":     {Gateways: 8, Stores: 4, Controllers: 5, Zones: 4, Delay: 2 * time.Millisecond, Clients: 24},
 }
 
 type event struct {
@@ -89,111 +89,111 @@
 	Random  *rand.Rand
 	Now     time.Time
 	Checker *checker.Checker
-	Size    Size
+	Shape   Shape
 	Trace   func(line string)
-	// Departs, if there is one, is told what leaves a daemon as it leaves, and for
+	// OnDepart, if there is one, is told what leaves a daemon as it leaves, and for
 	// whom: an address, or nothing where it is the answer to whoever asked there.
-	Departs      func(from *Node, to string, message any)
-	started      time.Time
-	queue        events
-	order        uint64
-	nodes        map[string]*Node
-	byPort       map[string]*Node
-	arrival      map[string]time.Time
-	cuts         map[string]int
-	loss         float64
-	lag          time.Duration
-	relinks      int
-	held         heldLinks
-	nics         map[string]*nic
-	connections  map[string]*connection
-	apart        time.Duration
-	seeds        []string
-	trouble      time.Time
-	unready      map[string]time.Duration
-	open         int
-	back         *Comeback
-	backFrom     time.Time
-	primarySince time.Time
-	Comeback     []Comeback
-	clients      []*Client
-	topicClients []*TopicClient
-	probed       map[string]*platform
-	world        *topicWorld
-	operator     *Operator
-	number       uint64
-	Events       int
-	Sent         map[string]int
-	Away         int64
+	OnDepart      func(from *Node, to string, message any)
+	started       time.Time
+	queue         events
+	order         uint64
+	nodes         map[string]*Node
+	byPort        map[string]*Node
+	arrival       map[string]time.Time
+	cuts          map[string]int
+	loss          float64
+	lag           time.Duration
+	relinks       int
+	heldLinks     heldLinks
+	nics          map[string]*nic
+	connections   map[string]*connection
+	clockSkew     time.Duration
+	seeds         []string
+	lastFaultAt   time.Time
+	unready       map[string]time.Duration
+	open          int
+	recovery      *Recovery
+	recoveryStart time.Time
+	primarySince  time.Time
+	Recoveries    []Recovery
+	clients       []*Client
+	topicClients  []*TopicClient
+	probed        map[string]*platform
+	world         *topicWorld
+	operator      *Operator
+	number        uint64
+	Events        int
+	Sent          map[string]int
+	Away          int64
 }
 
 // Node is one daemon of the run.
 type Node struct {
-	simulation   *Simulation
-	Name         string
-	Kind         string
-	Place        int
-	Address      string
-	Machine      hosted
-	build        func(node *Node, stored stored) hosted
-	disk         *wal.MemoryFolder
-	book         *wal.Log
-	Up           bool
-	Frozen       bool
-	Stopping     bool
-	backlog      []func()
-	midway       func(effects *statemachine.Effects) bool
-	midwayFor    time.Duration
-	held         *statemachine.Effects
-	rate         float64
-	simStart     time.Time
-	localStart   time.Time
-	life         uint64
-	writes       []statemachine.Write
-	writing      bool
-	timer        uint64
-	returns      map[uint64]func(value any, alive bool)
-	request      uint64
-	sinks        map[uint64]func(deliver statemachine.Delivery)
-	HealthySince time.Time
-	Steps        int
-	Syncs        int
-	slowDisk     int
-	founded      bool
-	refuses      bool
-	showed       shown
-	nic          *nic
-	trafficOf    map[string]*Traffic
-	order        transport.PriorityQueue[outgoingFrame]
-	pace         *transport.Pacer
-	pumps        bool
-}
-
-// shown is what a gateway last had in force while it served.
-type shown struct {
-	version uint64
-	life    uint64
-}
-
-type stored struct {
-	frame   []byte
-	entries [][]byte
-}
-
-type hosted interface {
+	simulation       *Simulation
+	Name             string
+	Kind             string
+	Zone             int
+	Address          string
+	Machine          hostedMachine
+	build            func(node *Node, stored storedState) hostedMachine
+	disk             *wal.MemoryFolder
+	log              *wal.Log
+	Up               bool
+	Frozen           bool
+	Stopping         bool
+	backlog          []func()
+	suspendAfter     func(effects *statemachine.Effects) bool
+	suspendFor       time.Duration
+	suspendedEffects *statemachine.Effects
+	rate             float64
+	simStart         time.Time
+	localStart       time.Time
+	incarnation      uint64
+	writes           []statemachine.Write
+	writing          bool
+	timer            uint64
+	responses        map[uint64]func(value any, alive bool)
+	request          uint64
+	sinks            map[uint64]func(deliver statemachine.Delivery)
+	HealthySince     time.Time
+	Steps            int
+	Syncs            int
+	slowDisk         int
+	founded          bool
+	refuses          bool
+	lastShown        shownVersion
+	nic              *nic
+	trafficOf        map[string]*Traffic
+	order            transport.PriorityQueue[outgoingFrame]
+	pace             *transport.Pacer
+	sending          bool
+}
+
+// shownVersion is what a gateway last had in force while it served.
+type shownVersion struct {
+	version     uint64
+	incarnation uint64
+}
+
+type storedState struct {
+	snapshot []byte
+	entries  [][]byte
+}
+
+type hostedMachine interface {
 	statemachine.Machine
 	ViewClient() *membership.ViewClient
 }
 
 // New lays out a fleet; nothing runs before Start.
-func New(seed uint64, size Size) *Simulation {
+func New(seed uint64, size Shape) *Simulation {
 	simulation := &Simulation{
-		Seed: seed, Random: rand.New(rand.NewPCG(seed, 0x5eed)), Now: time.Unix(1_700_000_000, 0), Checker: checker.New(), Size: size,
+		Seed: seed, Random: rand.New(rand.NewPCG(seed, 0x5eed)), Now: time.Unix(1_700_000_000, 0), Checker: checker.New(), Shape: size,
 		nodes: map[string]*Node{}, byPort: map[string]*Node{}, arrival: map[string]time.Time{}, cuts: map[string]int{}, Sent: map[string]int{}, unready: map[string]time.Duration{}, probed: map[string]*platform{},
 		nics: map[string]*nic{}, connections: map[string]*connection{},
 	}
 	simulation.started = simulation.Now
-	simulation.Checker.Register.Lax = size.Highest
+	simulation.Checker.Register.Lax = size.HighestVersion
 	for number := range min(3, size.Controllers) {
 		simulation.seeds = append(simulation.seeds, address(membership.KindController, number))
 	}
@@ -210,24 +210,24 @@
 }
 
 func (s *Simulation) addController(number int) *Node {
-	return s.add(membership.KindController, number, func(node *Node, stored stored) hosted {
+	return s.add(membership.KindController, number, func(node *Node, stored storedState) hostedMachine {
 		settings := controller.Settings{
-			Self: node.member(), Count: s.Size.Controllers, Seeds: s.seeds, NewDisk: fmt.Sprintf("disk%d", node.life), Incarnation: node.named(), Highest: s.Size.Highest,
+			Self: node.member(), Count: s.Shape.Controllers, Seeds: s.seeds, NewDisk: fmt.Sprintf("disk%d", node.incarnation), Incarnation: node.randomIncarnation(), Highest: s.Shape.HighestVersion,
 		}
-		if s.Size.Seeded {
-			settings.Count, settings.Tolerance = 0, &s.Size.Tolerance
+		if s.Shape.Seeded {
+			settings.Count, settings.Tolerance = 0, &s.Shape.Tolerance
 			settings.Founding = !node.founded
 			node.founded = true
 		}
-		machine, err := controller.New(settings, stored.frame, stored.entries)
+		machine, err := controller.New(settings, stored.snapshot, stored.entries)
 		must(err)
 		return machine
 	})
 }
 
 func (s *Simulation) addStore(number int) *Node {
-	return s.add(membership.KindStore, number, func(node *Node, stored stored) hosted {
-		machine, err := partition.New(partition.Settings{Self: node.member(), Seeds: s.seeds, NewDisk: fmt.Sprintf("disk%d", node.life), Incarnation: node.named()}, stored.frame, stored.entries)
+	return s.add(membership.KindStore, number, func(node *Node, stored storedState) hostedMachine {
+		machine, err := partition.New(partition.Settings{Self: node.member(), Seeds: s.seeds, NewDisk: fmt.Sprintf("disk%d", node.incarnation), Incarnation: node.randomIncarnation()}, stored.snapshot, stored.entries)
 		must(err)
 		return machine
 	})
@@ -235,13 +235,13 @@
 
 // addGateway adds a gateway and the agent beside it.
 func (s *Simulation) addGateway(number int) (*Node, *Node) {
-	gateway := s.add(membership.KindGateway, number, func(node *Node, _ stored) hosted {
-		return gateway.New(gateway.Settings{Self: node.member(), Agent: address(membership.KindAgent, number), Link: s.Size.Links[membership.KindGateway].Down, Key: []byte("simulated-key-0123"), Incarnation: node.named(), Processor: func() time.Duration {
+	gateway := s.add(membership.KindGateway, number, func(node *Node, _ storedState) hostedMachine {
+		return gateway.New(gateway.Settings{Self: node.member(), Agent: address(membership.KindAgent, number), Link: s.Shape.Links[membership.KindGateway].Down, Key: []byte("simulated-key-0123"), Incarnation: node.randomIncarnation(), Processor: func() time.Duration {
 			return time.Duration(node.Steps) * stepProcessor
 		}})
 	})
-	return gateway, s.add(membership.KindAgent, number, func(node *Node, _ stored) hosted {
-		return agent.New(agent.Settings{Self: node.member(), Seeds: s.seeds, Gateway: address(membership.KindGateway, number), Incarnation: node.named()})
+	return gateway, s.add(membership.KindAgent, number, func(node *Node, _ storedState) hostedMachine {
+		return agent.New(agent.Settings{Self: node.member(), Seeds: s.seeds, Gateway: address(membership.KindGateway, number), Incarnation: node.randomIncarnation()})
 	})
 }
 
@@ -253,9 +253,9 @@
 
 func address(kind string, number int) string { return fmt.Sprintf("%s-%d:1", kind, number+1) }
 
-func (s *Simulation) add(kind string, number int, build func(node *Node, stored stored) hosted) *Node {
+func (s *Simulation) add(kind string, number int, build func(node *Node, stored storedState) hostedMachine) *Node {
 	node := &Node{
-		simulation: s, Name: fmt.Sprintf("%s-%d", kind, number+1), Kind: kind, Place: number % s.Size.Places, Address: address(kind, number),
+		simulation: s, Name: fmt.Sprintf("%s-%d", kind, number+1), Kind: kind, Zone: number % s.Shape.Zones, Address: address(kind, number),
 		build: build, rate: 1 + (s.Random.Float64()-0.5)*0.04, nic: s.linkOf(kind, number), trafficOf: map[string]*Traffic{},
 	}
 	if kind == membership.KindController || kind == membership.KindStore {
@@ -325,19 +325,19 @@
 // Daemons.
 
 func (n *Node) member() membership.Member {
-	incarnation := n.life
-	if n.simulation.apart > 0 {
+	incarnation := n.incarnation
+	if n.simulation.clockSkew > 0 {
 		incarnation = uint64(n.localStart.UnixNano())
 	}
 	return membership.Member{
 		Name: n.Name, Kind: n.Kind, Address: n.Address, Control: n.Address, Caller: n.Address,
-		Zone: fmt.Sprintf("zone-%d", n.Place), Incarnation: incarnation, Alive: true,
+		Zone: fmt.Sprintf("zone-%d", n.Zone), Incarnation: incarnation, Alive: true,
 	}
 }
 
-// named is the name of this life of the daemon, as a real one would draw it.
-func (n *Node) named() statemachine.Incarnation {
-	return statemachine.Incarnation(rand.New(rand.NewPCG(n.simulation.Seed, n.life)).Uint64())
+// randomIncarnation is the name of this life of the daemon, as a real one would draw it.
+func (n *Node) randomIncarnation() statemachine.Incarnation {
+	return statemachine.Incarnation(rand.New(rand.NewPCG(n.simulation.Seed, n.incarnation)).Uint64())
 }
 
 func (n *Node) local() time.Time {
@@ -352,25 +352,25 @@
 	}
 	n.Up, n.Frozen, n.Stopping, n.refuses = true, false, false, false
 	simulation.number++
-	n.life = simulation.number
+	n.incarnation = simulation.number
 	n.simStart = simulation.Now
 	n.localStart = simulation.Now.Add(time.Duration(simulation.Random.IntN(200)-100) * time.Millisecond)
-	if simulation.apart > 0 {
+	if simulation.clockSkew > 0 {
 		// Wall clocks of machines that nobody set, or that were set anew.
-		n.localStart = n.localStart.Add(time.Duration(simulation.Random.Int64N(int64(2*simulation.apart))) - simulation.apart)
+		n.localStart = n.localStart.Add(time.Duration(simulation.Random.Int64N(int64(2*simulation.clockSkew))) - simulation.clockSkew)
 	}
-	n.returns, n.sinks = map[uint64]func(any, bool){}, map[uint64]func(statemachine.Delivery){}
+	n.responses, n.sinks = map[uint64]func(any, bool){}, map[uint64]func(statemachine.Delivery){}
 	n.writes, n.writing, n.backlog = nil, false, nil
-	n.midway, n.held = nil, nil
-	n.order, n.pace, n.pumps = transport.PriorityQueue[outgoingFrame]{}, &transport.Pacer{}, false
-	n.pace.SetRate(simulation.Size.Links[linkKind(n.Kind)].Up)
+	n.suspendAfter, n.suspendedEffects = nil, nil
+	n.order, n.pace, n.sending = transport.PriorityQueue[outgoingFrame]{}, &transport.Pacer{}, false
+	n.pace.SetRate(simulation.Shape.Links[linkKind(n.Kind)].Up)
 	n.HealthySince = simulation.Now
-	var held stored
+	var held storedState
 	if n.disk != nil {
 		book, recovered, err := wal.Open(n.disk)
 		must(err)
-		n.book = book
-		held = stored{frame: recovered.Frame, entries: recovered.Entries}
+		n.log = book
+		held = storedState{snapshot: recovered.Frame, entries: recovered.Entries}
 	}
 	n.Machine = n.build(n, held)
 	simulation.trace("%s starts", n.Name)
@@ -394,9 +394,9 @@
 // losePower stops the disk in the midst of what waits for it, between any two of its
 // operations; of what was not synced each write and each name lasts or not by itself.
 func (n *Node) losePower() {
-	n.disk.Limit(n.simulation.Random.IntN(powerCutOperations))
+	n.disk.Limit(n.simulation.Random.IntN(maxOperationsAtPowerCut))
 	for _, write := range n.writes {
-		if n.tryWrite(write) != nil {
+		if n.attemptWrite(write) != nil {
 			break
 		}
 	}
@@ -426,10 +426,10 @@
 
 // refuse tells a daemon that another one can't be dialled, if that is so by then.
 func (s *Simulation) refuse(from, to *Node) {
-	life := from.life
-	s.After(2*s.delay(from.Place, to.Place), func() {
+	incarnation := from.incarnation
+	s.After(2*s.delay(from.Zone, to.Zone), func() {
 		watcher, watches := from.Machine.(statemachine.LinkObserver)
-		if !watches || !to.refuses || !from.Up || from.life != life || s.cuts[link(from, to)] > 0 {
+		if !watches || !to.refuses || !from.Up || from.incarnation != incarnation || s.cuts[link(from, to)] > 0 {
 			return
 		}
 		from.enter(func() {
@@ -442,10 +442,10 @@
 
 func (n *Node) end() {
 	n.Up, n.Frozen = false, false
-	n.life = 0
+	n.incarnation = 0
 	n.timer++
-	returns := n.returns
-	n.returns = map[uint64]func(any, bool){}
+	returns := n.responses
+	n.responses = map[uint64]func(any, bool){}
 	for _, done := range statemachine.Sorted(returns) {
 		n.simulation.After(time.Millisecond, func() { done(nil, false) })
 	}
@@ -468,7 +468,7 @@
 		return
 	}
 	n.simulation.trace("%s is asked to stop", n.Name)
-	life := n.life
+	incarnation := n.incarnation
 	n.Stopping = true
 	var stop any
 	switch n.Kind {
@@ -485,7 +485,7 @@
 		n.step(func(now time.Time, effects *statemachine.Effects) { n.Machine.HandleCommand(now, stop, effects) })
 	})
 	n.simulation.After(6*time.Second, func() {
-		if n.Up && n.life == life {
+		if n.Up && n.incarnation == incarnation {
 			n.Kill()
 		}
 	})
@@ -502,19 +502,19 @@
 // FreezeMidway stops the process for a while after a step whose effects match,
 // and before any of them leaves.
 func (n *Node) FreezeMidway(length time.Duration, matches func(effects *statemachine.Effects) bool) {
-	n.midway, n.midwayFor = matches, length
+	n.suspendAfter, n.suspendFor = matches, length
 }
 
-// standsStill tells whether the process is stopped before these effects leave.
-func (n *Node) standsStill(effects *statemachine.Effects) bool {
-	if n.midway == nil || !n.midway(effects) {
+// suspends tells whether the process is stopped before these effects leave.
+func (n *Node) suspends(effects *statemachine.Effects) bool {
+	if n.suspendAfter == nil || !n.suspendAfter(effects) {
 		return false
 	}
-	n.midway, n.held = nil, effects
+	n.suspendAfter, n.suspendedEffects = nil, effects
 	n.Freeze()
-	life := n.life
-	n.simulation.After(n.midwayFor, func() {
-		if n.life == life {
+	incarnation := n.incarnation
+	n.simulation.After(n.suspendFor, func() {
+		if n.incarnation == incarnation {
 			n.Thaw()
 		}
 	})
@@ -531,10 +531,10 @@
 	n.HealthySince = n.simulation.Now
 	backlog := n.backlog
 	n.backlog = nil
-	if held := n.held; held != nil {
+	if held := n.suspendedEffects; held != nil {
 		// It goes on where it stood: between a step and what leaves.
-		n.held = nil
-		n.carryOut(held)
+		n.suspendedEffects = nil
+		n.applyEffects(held)
 		if !n.Up {
 			return
 		}
@@ -564,29 +564,29 @@
 	n.Steps++
 	var effects statemachine.Effects
 	run(n.local(), &effects)
-	if n.standsStill(&effects) {
+	if n.suspends(&effects) {
 		return
 	}
-	n.carryOut(&effects)
+	n.applyEffects(&effects)
 	if n.Up {
-		n.judgeForce()
+		n.checkVersionInForce()
 		n.arm()
 	}
 }
 
-// judgeForce looks at a gateway after each of its steps: what it has in force
+// checkVersionInForce looks at a gateway after each of its steps: what it has in force
 // while it serves must never be older than what it had, whatever was restarted
 // in between.
-func (n *Node) judgeForce() {
+func (n *Node) checkVersionInForce() {
 	if n.Kind != membership.KindGateway {
 		return
 	}
 	gateway := n.Gateway()
 	version := gateway.Configuration().Version
-	if n.showed == (shown{version: version, life: n.life}) || !gateway.Confirmed(n.local()) {
+	if n.lastShown == (shownVersion{version: version, incarnation: n.incarnation}) || !gateway.Confirmed(n.local()) {
 		return
 	}
-	n.showed = shown{version: version, life: n.life}
+	n.lastShown = shownVersion{version: version, incarnation: n.incarnation}
 	n.simulation.Checker.Showed(n.Name, version, n.simulation.Now, n.simulation.Now)
 }
 
@@ -611,21 +611,21 @@
 	})
 }
 
-func (n *Node) carryOut(effects *statemachine.Effects) {
+func (n *Node) applyEffects(effects *statemachine.Effects) {
 	simulation := n.simulation
-	for _, note := range effects.LogEvents {
-		if simulation.back != nil {
-			simulation.back.note(note.Number, simulation.Now.Sub(simulation.backFrom))
+	for _, event := range effects.LogEvents {
+		if simulation.recovery != nil {
+			simulation.recovery.note(event.Number, simulation.Now.Sub(simulation.recoveryStart))
 		}
 		if simulation.Trace != nil {
-			simulation.trace("%s: %d %v", n.Name, note.Number, note.Fields)
+			simulation.trace("%s: %d %v", n.Name, event.Number, event.Fields)
 		}
 	}
-	simulation.Size.Recorder.answers(n, effects)
+	simulation.Shape.Recorder.answers(n, effects)
 	version := n.Machine.ConfigurationVersion()
 	for _, send := range effects.Sends {
 		if statemachine.BeforeDeadline(send.NotAfter, n.local()) {
-			n.departs(send.To, send.Message)
+			n.depart(send.To, send.Message)
 			simulation.send(n, send, version)
 		}
 	}
@@ -633,11 +633,11 @@
 		n.writes = append(n.writes, effects.Writes...)
 		n.writeDisk()
 	}
-	for _, returned := range effects.Responses {
-		if done, found := n.returns[returned.Request]; found {
-			delete(n.returns, returned.Request)
-			value := returned.ValueAt(n.local())
-			n.departs("", value)
+	for _, response := range effects.Responses {
+		if done, found := n.responses[response.Request]; found {
+			delete(n.responses, response.Request)
+			value := response.ValueAt(n.local())
+			n.depart("", value)
 			done(value, true)
 		}
 	}
@@ -660,25 +660,25 @@
 	}
 }
 
-func (n *Node) departs(to string, message any) {
-	if n.simulation.Departs != nil {
-		n.simulation.Departs(n, to, message)
+func (n *Node) depart(to string, message any) {
+	if n.simulation.OnDepart != nil {
+		n.simulation.OnDepart(n, to, message)
 	}
 }
 
-func (n *Node) perform(write statemachine.Write) { must(n.tryWrite(write)) }
+func (n *Node) perform(write statemachine.Write) { must(n.attemptWrite(write)) }
 
-func (n *Node) tryWrite(write statemachine.Write) error {
+func (n *Node) attemptWrite(write statemachine.Write) error {
 	n.Syncs++
 	frame, whole := write.SnapshotBytes()
-	n.simulation.Size.Recorder.write(n, frame, whole, write.Entries)
+	n.simulation.Shape.Recorder.write(n, frame, whole, write.Entries)
 	if whole {
-		if err := n.book.Checkpoint(frame); err != nil {
+		if err := n.log.Checkpoint(frame); err != nil {
 			return err
 		}
 	}
 	if len(write.Entries) > 0 {
-		return n.book.Append(write.Entries)
+		return n.log.Append(write.Entries)
 	}
 	return nil
 }
@@ -690,13 +690,13 @@
 	}
 	n.writing = true
 	batch := len(n.writes)
-	life := n.life
+	incarnation := n.incarnation
 	takes := time.Duration(500+n.simulation.Random.IntN(3000)) * time.Microsecond
 	if n.slowDisk > 0 {
 		takes *= time.Duration(1 + n.simulation.Random.IntN(n.slowDisk))
 	}
 	n.simulation.After(takes, func() {
-		if !n.Up || n.life != life {
+		if !n.Up || n.incarnation != incarnation {
 			return
 		}
 		taken := n.writes[:batch:batch]
@@ -728,7 +728,7 @@
 		}
 		node.request++
 		request := node.request
-		node.returns[request] = func(value any, alive bool) { s.After(wait, func() { done(value, alive) }) }
+		node.responses[request] = func(value any, alive bool) { s.After(wait, func() { done(value, alive) }) }
 		node.enter(func() {
 			node.step(func(now time.Time, effects *statemachine.Effects) {
 				node.Machine.HandleCommand(now, command(request), effects)
@@ -738,7 +738,7 @@
 }
 
 // Control asks any daemon's ctl.
-func (s *Simulation) Control(node *Node, method, path string, body []byte, done func(returned membership.ControlResponse, alive bool)) {
+func (s *Simulation) Control(node *Node, method, path string, body []byte, done func(response membership.ControlResponse, alive bool)) {
 	s.Call(node, func(request uint64) any {
 		switch node.Kind {
 		case membership.KindGateway:
@@ -750,8 +750,8 @@
 		}
 		return controller.Request{Local: request, Method: method, Path: path, Body: body}
 	}, func(value any, alive bool) {
-		returned, matches := value.(membership.ControlResponse)
-		done(returned, alive && matches)
+		response, matches := value.(membership.ControlResponse)
+		done(response, alive && matches)
 	})
 }
 
--- a/internal/simulator/simulator_test.go
+++ b/internal/simulator/simulator_test.go
@@ -149,7 +149,7 @@
 		for seed := range uint64(2) {
 			t.Run(fmt.Sprintf("%s-%d", name, seed), func(t *testing.T) {
 				t.Parallel()
-				run := Run(scenario, 2000+seed, Sizes[name], nil)
+				run := Run(scenario, 2000+seed, Shapes[name], nil)
 				for _, line := range run.Checker.Violations() {
 					t.Errorf("fleetlab swell -scenario storm -size %s -from %d -seeds 1 -trace: %s", name, 2000+seed, line)
 				}
@@ -166,7 +166,7 @@
 			t.Parallel()
 			scenario, found := Find(scenarioName)
 			assert.Assert(t, found)
-			run := Run(scenario, 2000, Sizes[name], nil)
+			run := Run(scenario, 2000, Shapes[name], nil)
 			for _, line := range run.Checker.Violations() {
 				t.Errorf("fleetlab swell -scenario %s -size %s -from 2000 -seeds 1 -trace: %s", scenarioName, name, line)
 			}
--- a/internal/simulator/stores_test.go
+++ b/internal/simulator/stores_test.go
@@ -41,14 +41,14 @@
 }
 
 // routed gives a fleet with all shared partitions placed.
-func routed(t *testing.T, seed uint64, size Size) *Simulation {
+func routed(t *testing.T, seed uint64, size Shape) *Simulation {
 	run := New(seed, size)
 	run.StartAll()
 	assert.Assert(t, run.RunUntil(6*time.Second, func() bool { return run.Primary() != nil }))
 	run.Run(2 * time.Second)
 	taken := false
-	run.Control(run.Nodes(membership.KindController)[0], http.MethodPut, "/v1/configuration", []byte(routedDocument), func(returned membership.ControlResponse, _ bool) {
-		taken = returned.Status == http.StatusOK
+	run.Control(run.Nodes(membership.KindController)[0], http.MethodPut, "/v1/configuration", []byte(routedDocument), func(response membership.ControlResponse, _ bool) {
+		taken = response.Status == http.StatusOK
 	})
 	assert.Assert(t, run.RunUntil(3*time.Second, func() bool { return taken && served(run) == config.SharedPartitions }), "%d partitions are served", served(run))
 	run.Run(time.Second)
@@ -67,7 +67,7 @@
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			run := routed(t, seed, Sizes["qureshi"])
+			run := routed(t, seed, Shapes["qureshi"])
 			run.Nodes(membership.KindStore)[seed%3].Crash()
 			length := outage(t, run)
 			t.Logf("after a crash: %s", length)
@@ -80,7 +80,7 @@
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			run := routed(t, seed, Sizes["qureshi"])
+			run := routed(t, seed, Shapes["qureshi"])
 			run.Nodes(membership.KindStore)[seed%3].Kill()
 			length := outage(t, run)
 			t.Logf("after a loss of power: %s", length)
@@ -104,12 +104,12 @@
 		}
 		seq++
 		topic := fmt.Sprintf("reading.%d", seq%200)
-		place := primary.Machine.(*controller.Controller).State().Places[config.SharedPartition(topic)]
+		zone := primary.Machine.(*controller.Controller).State().Places[config.SharedPartition(topic)]
 		gateway := run.Nodes(membership.KindGateway)[0]
 		for _, node := range run.Nodes(membership.KindStore) {
-			if node.Name == place.Leader {
+			if node.Name == zone.Leader {
 				run.send(gateway, statemachine.Send{To: node.Address, Message: partition.Append{
-					Partition: place.Partition, Request: 1_000_000 + seq, Topic: topic, Sender: "sender", Seq: seq, Data: make([]byte, 200),
+					Partition: zone.Partition, Request: 1_000_000 + seq, Topic: topic, Sender: "sender", Seq: seq, Data: make([]byte, 200),
 				}}, 1)
 			}
 		}
@@ -123,7 +123,7 @@
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			run := routed(t, seed, Sizes["qureshi"])
+			run := routed(t, seed, Shapes["qureshi"])
 			traffic(run)
 			run.Run(5 * time.Second)
 			assert.Equal(t, served(run), config.SharedPartitions)
@@ -141,15 +141,15 @@
 		for seed := range uint64(3) {
 			t.Run(fmt.Sprintf("%d-%d", times, seed), func(t *testing.T) {
 				t.Parallel()
-				run := routed(t, seed, Sizes["qureshi"])
+				run := routed(t, seed, Shapes["qureshi"])
 				traffic(run)
 				run.Run(5 * time.Second)
 				store := run.Nodes(membership.KindStore)[seed%3]
 				store.slowDisk = times
 				began := run.Now
 				assert.Assert(t, run.RunUntil(5*time.Second, func() bool {
-					for _, place := range run.Primary().Machine.(*controller.Controller).State().Places {
-						if place.HasReplica(store.Name) || !place.Complete {
+					for _, zone := range run.Primary().Machine.(*controller.Controller).State().Places {
+						if zone.HasReplica(store.Name) || !zone.Complete {
 							return false
 						}
 					}
@@ -171,7 +171,7 @@
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			run := routed(t, seed, Sizes["qureshi"])
+			run := routed(t, seed, Shapes["qureshi"])
 			traffic(run)
 			run.Run(3 * time.Second)
 			run.loss = 0.02
@@ -190,7 +190,7 @@
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			run := routed(t, seed, Sizes["qureshi"])
+			run := routed(t, seed, Shapes["qureshi"])
 			traffic(run)
 			run.Run(3 * time.Second)
 			store := run.Nodes(membership.KindStore)[seed%3]
@@ -212,12 +212,12 @@
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			run := routed(t, seed, Sizes["qureshi"])
+			run := routed(t, seed, Shapes["qureshi"])
 			name := run.Nodes(membership.KindStore)[seed%3].Name
 			asked := func(method, path string) int {
 				var status int
-				run.Control(run.Nodes(membership.KindGateway)[0], method, path, nil, func(returned membership.ControlResponse, _ bool) {
-					status = returned.Status
+				run.Control(run.Nodes(membership.KindGateway)[0], method, path, nil, func(response membership.ControlResponse, _ bool) {
+					status = response.Status
 				})
 				run.RunUntil(2*time.Second, func() bool { return status != 0 })
 				return status
@@ -250,7 +250,7 @@
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			run := routed(t, seed, Sizes["qureshi"])
+			run := routed(t, seed, Shapes["qureshi"])
 			for _, node := range run.Nodes("") {
 				node.Kill()
 			}
--- a/internal/simulator/storm.go
+++ b/internal/simulator/storm.go
@@ -19,34 +19,34 @@
 	"dahlialock/internal/statemachine"
 )
 
-// Plot is what befalls a run: a storm, and the fault that ends it.
-type Plot struct {
-	Storm []faults.Fault
-	Last  string
-	Apart time.Duration
+// FaultSchedule is what befalls a run: a storm, and the fault that ends it.
+type FaultSchedule struct {
+	Faults    []faults.Fault
+	Last      string
+	ClockSkew time.Duration
 }
 
-const stormLength = 24 * time.Second
+const faultPeriod = 24 * time.Second
 
-// drawPlot draws the plot of a seed; its own random numbers keep a shortened
+// drawSchedule draws the plot of a seed; its own random numbers keep a shortened
 // list the same run in all else.
-func drawPlot(seed uint64, names []string, count int) Plot {
+func drawSchedule(seed uint64, names []string, count int) FaultSchedule {
 	random := rand.New(rand.NewPCG(seed, 0x5707))
-	plot := Plot{Storm: faults.Draw(random, names, stormLength, count), Last: faults.Last[random.IntN(len(faults.Last))]}
+	schedule := FaultSchedule{Faults: faults.Draw(random, names, faultPeriod, count), Last: faults.Last[random.IntN(len(faults.Last))]}
 	if random.IntN(3) == 0 {
-		plot.Apart = 3 * time.Hour
+		schedule.ClockSkew = 3 * time.Hour
 	}
-	return plot
+	return schedule
 }
 
-// pairPlot draws two faults that come again and again over each other.
-func pairPlot(seed uint64) Plot {
-	pair := pairOf(rand.New(rand.NewPCG(seed, 0x9a13)))
-	return drawPlot(seed, pair[:], 4)
+// drawPairSchedule draws two faults that come again and again over each other.
+func drawPairSchedule(seed uint64) FaultSchedule {
+	pair := drawPair(rand.New(rand.NewPCG(seed, 0x9a13)))
+	return drawSchedule(seed, pair[:], 4)
 }
 
-// pairOf draws two faults that may come at once.
-func pairOf(random *rand.Rand) [2]string {
+// drawPair draws two faults that may come at once.
+func drawPair(random *rand.Rand) [2]string {
 	left := faults.Names[random.IntN(len(faults.Names))]
 	right := faults.Names[random.IntN(len(faults.Names))]
 	for right == left || faults.Clashes(left, right) {
@@ -55,29 +55,29 @@
 	return [2]string{left, right}
 }
 
-// RunPlot runs a plot under a seed.
-func RunPlot(seed uint64, size Size, plot Plot, trace func(line string)) *Simulation {
-	simulation, operator := prepare(seed, size, plot.Apart, trace)
-	simulation.Crowd(size.Callers)
+// RunSchedule runs a plot under a seed.
+func RunSchedule(seed uint64, size Shape, schedule FaultSchedule, trace func(line string)) *Simulation {
+	simulation, operator := prepare(seed, size, schedule.ClockSkew, trace)
+	simulation.Crowd(size.Clients)
 	simulation.Run(3 * time.Second)
-	operator.work(simulation.Now.Add(stormLength + 40*time.Second))
-	simulation.trouble = simulation.Now.Add(-checker.TroubleFor)
-	simulation.trace("storm: %s; last %s", faults.Format(plot.Storm), plot.Last)
-	for _, fault := range plot.Storm {
-		simulation.After(fault.Start, func() { simulation.bring(fault) })
+	operator.work(simulation.Now.Add(faultPeriod + 40*time.Second))
+	simulation.lastFaultAt = simulation.Now.Add(-checker.TroubleFor)
+	simulation.trace("storm: %s; last %s", faults.Format(schedule.Faults), schedule.Last)
+	for _, fault := range schedule.Faults {
+		simulation.After(fault.Start, func() { simulation.inject(fault) })
 	}
-	simulation.Run(stormLength)
+	simulation.Run(faultPeriod)
 	if !simulation.RunUntil(120*time.Second, func() bool { return simulation.open == 0 }) {
 		simulation.Checker.Violate(checker.NotBack, "a fault has not come to its end after two minutes")
 	}
 	simulation.Run(checker.TroubleFor + 3*time.Second)
-	if plot.Last != "" {
-		simulation.trace("last fault: %s", plot.Last)
+	if schedule.Last != "" {
+		simulation.trace("last fault: %s", schedule.Last)
 		simulation.open++
-		simulation.strikeLast(plot.Last)
-		simulation.ServiceBack(plot.Last)
+		simulation.injectLast(schedule.Last)
+		simulation.ServiceBack(schedule.Last)
 		simulation.open--
-		simulation.trouble = simulation.Now
+		simulation.lastFaultAt = simulation.Now
 		simulation.Run(checker.TroubleFor + 3*time.Second)
 	}
 	simulation.close(8 * time.Second)
@@ -89,13 +89,13 @@
 	if s.open > 0 {
 		return s.Now
 	}
-	return s.trouble
+	return s.lastFaultAt
 }
 
-// ends closes a fault.
-func (s *Simulation) ends(name string) {
+// faultEnds closes a fault.
+func (s *Simulation) faultEnds(name string) {
 	s.open--
-	s.trouble = s.Now
+	s.lastFaultAt = s.Now
 	s.trace("fault ends: %s", name)
 }
 
@@ -114,22 +114,22 @@
 	return up[pick%uint64(len(up))]
 }
 
-// bring brings one fault about.
-func (s *Simulation) bring(fault faults.Fault) {
+// inject brings one fault about.
+func (s *Simulation) inject(fault faults.Fault) {
 	s.open++
 	s.trace("fault: %s", fault)
-	end := func() { s.ends(fault.Name) }
-	strike := brought[fault.Name]
-	if callers, found := topicBrought[fault.Name]; found && s.world != nil {
-		strike = callers
+	end := func() { s.faultEnds(fault.Name) }
+	inject := injectors[fault.Name]
+	if callers, found := topicInjectors[fault.Name]; found && s.world != nil {
+		inject = callers
 	}
-	strike(s, fault, end)
+	inject(s, fault, end)
 }
 
-type bringer func(simulation *Simulation, fault faults.Fault, end func())
+type injector func(simulation *Simulation, fault faults.Fault, end func())
 
 // on makes a fault of what is done to one daemon of a kind.
-func on(kind string, strike func(simulation *Simulation, node *Node, fault faults.Fault, end func())) bringer {
+func on(kind string, inject func(simulation *Simulation, node *Node, fault faults.Fault, end func())) injector {
 	return func(simulation *Simulation, fault faults.Fault, end func()) {
 		var node *Node
 		switch kind {
@@ -142,11 +142,11 @@
 			end()
 			return
 		}
-		strike(simulation, node, fault, end)
+		inject(simulation, node, fault, end)
 	}
 }
 
-func strikeDead(simulation *Simulation, node *Node, fault faults.Fault, end func()) {
+func injectKill(simulation *Simulation, node *Node, fault faults.Fault, end func()) {
 	node.Kill()
 	if faults.Wiping(fault.Name) {
 		node.Wipe()
@@ -154,19 +154,19 @@
 	simulation.After(fault.Length, func() { node.Start(); end() })
 }
 
-func strikeFrozen(simulation *Simulation, node *Node, fault faults.Fault, end func()) {
+func injectFreeze(simulation *Simulation, node *Node, fault faults.Fault, end func()) {
 	node.Freeze()
-	life := node.life
+	incarnation := node.incarnation
 	simulation.After(fault.Length, func() {
-		if node.life == life {
+		if node.incarnation == incarnation {
 			node.Thaw()
 		}
 		end()
 	})
 }
 
-// again restarts a daemon as the platform does, and tells when it has.
-func (s *Simulation) again(node *Node, wait time.Duration, then func()) {
+// restart restarts a daemon as the platform does, and tells when it has.
+func (s *Simulation) restart(node *Node, wait time.Duration, then func()) {
 	if !node.Up {
 		node.Start()
 		then()
@@ -184,18 +184,18 @@
 	poll()
 }
 
-func strikeAgain(simulation *Simulation, node *Node, fault faults.Fault, end func()) {
-	simulation.again(node, fault.Length/3, end)
+func injectRestart(simulation *Simulation, node *Node, fault faults.Fault, end func()) {
+	simulation.restart(node, fault.Length/3, end)
 }
 
-// inTurn restarts daemons one after another, each once the one before is ready.
-func (s *Simulation) inTurn(nodes []*Node, end func()) {
+// restartInTurn restarts daemons one after another, each once the one before is ready.
+func (s *Simulation) restartInTurn(nodes []*Node, end func()) {
 	if len(nodes) == 0 {
 		end()
 		return
 	}
 	node := nodes[0]
-	s.again(node, 300*time.Millisecond, func() {
+	s.restart(node, 300*time.Millisecond, func() {
 		since := s.Now
 		var poll func()
 		poll = func() {
@@ -203,34 +203,34 @@
 				s.After(100*time.Millisecond, poll)
 				return
 			}
-			s.inTurn(nodes[1:], end)
+			s.restartInTurn(nodes[1:], end)
 		}
 		s.After(time.Second, poll)
 	})
 }
 
-// apartFor cuts the ways that a test names for a while, and only those.
-func (s *Simulation) apartFor(length time.Duration, cut func(from, to *Node) bool, end func()) {
+// partitionFor cuts the ways that a test names for a while, and only those.
+func (s *Simulation) partitionFor(length time.Duration, cut func(from, to *Node) bool, end func()) {
 	type way struct{ from, to *Node }
 	var ways []way
 	for _, from := range s.Nodes("") {
 		for _, to := range s.Nodes("") {
 			if from != to && cut(from, to) {
 				ways = append(ways, way{from, to})
-				s.Cut(from, to)
+				s.CutLink(from, to)
 			}
 		}
 	}
 	s.After(length, func() {
 		for _, each := range ways {
-			s.Mend(each.from, each.to)
+			s.HealLink(each.from, each.to)
 		}
 		end()
 	})
 }
 
-// newcomer adds a machine that nobody has heard of.
-func (s *Simulation) newcomer(kind string) {
+// addNewDaemon adds a machine that nobody has heard of.
+func (s *Simulation) addNewDaemon(kind string) {
 	number := len(s.Nodes(kind))
 	switch kind {
 	case membership.KindStore:
@@ -244,9 +244,9 @@
 	}
 }
 
-func join(kind string) bringer {
+func join(kind string) injector {
 	return func(simulation *Simulation, _ faults.Fault, end func()) {
-		simulation.newcomer(kind)
+		simulation.addNewDaemon(kind)
 		simulation.After(2*time.Second, end)
 	}
 }
@@ -255,8 +255,8 @@
 	simulation.After(fault.Length, func() { undo(); end() })
 }
 
-// resetMost cuts the channels of nearly all callers, or of one.
-func (s *Simulation) resetMost(fault faults.Fault, end func()) {
+// resetNearlyAll cuts the channels of nearly all callers, or of one.
+func (s *Simulation) resetNearlyAll(fault faults.Fault, end func()) {
 	for _, client := range s.clients {
 		if s.Random.IntN(10) > 0 {
 			client.Reset(s.between(0, 400*time.Millisecond))
@@ -269,18 +269,18 @@
 	return s.clients[pick%uint64(len(s.clients))]
 }
 
-// strikeSlow stops and continues a daemon in short turns.
-func strikeSlow(simulation *Simulation, node *Node, fault faults.Fault, end func()) {
-	until, life := simulation.Now.Add(fault.Length), node.life
+// injectSlowProcess stops and continues a daemon in short turns.
+func injectSlowProcess(simulation *Simulation, node *Node, fault faults.Fault, end func()) {
+	until, incarnation := simulation.Now.Add(fault.Length), node.incarnation
 	var turn func()
 	turn = func() {
-		if !node.Up || node.life != life || simulation.Now.After(until) {
+		if !node.Up || node.incarnation != incarnation || simulation.Now.After(until) {
 			end()
 			return
 		}
 		node.Freeze()
 		simulation.After(simulation.between(60*time.Millisecond, 250*time.Millisecond), func() {
-			if node.life == life {
+			if node.incarnation == incarnation {
 				node.Thaw()
 			}
 			simulation.After(simulation.between(20*time.Millisecond, 100*time.Millisecond), turn)
@@ -289,24 +289,24 @@
 	turn()
 }
 
-var brought = map[string]bringer{
-	"kill-gateway":       on(membership.KindGateway, strikeDead),
-	"kill-agent":         on(membership.KindAgent, strikeDead),
-	"kill-store":         on(membership.KindStore, strikeDead),
-	"kill-controller":    on(membership.KindController, strikeDead),
-	"kill-primary":       on("primary", strikeDead),
-	"kill-backup":        on("backup", strikeDead),
-	"wipe-store":         on(membership.KindStore, strikeDead),
-	"wipe-controller":    on(membership.KindController, strikeDead),
-	"freeze-gateway":     on(membership.KindGateway, strikeFrozen),
-	"freeze-agent":       on(membership.KindAgent, strikeFrozen),
-	"freeze-store":       on(membership.KindStore, strikeFrozen),
-	"freeze-controller":  on(membership.KindController, strikeFrozen),
-	"freeze-primary":     on("primary", strikeFrozen),
-	"restart-gateway":    on(membership.KindGateway, strikeAgain),
-	"restart-store":      on(membership.KindStore, strikeAgain),
-	"restart-controller": on(membership.KindController, strikeAgain),
-	"slow-daemon":        on("", strikeSlow),
+var injectors = map[string]injector{
+	"kill-gateway":       on(membership.KindGateway, injectKill),
+	"kill-agent":         on(membership.KindAgent, injectKill),
+	"kill-store":         on(membership.KindStore, injectKill),
+	"kill-controller":    on(membership.KindController, injectKill),
+	"kill-primary":       on("primary", injectKill),
+	"kill-backup":        on("backup", injectKill),
+	"wipe-store":         on(membership.KindStore, injectKill),
+	"wipe-controller":    on(membership.KindController, injectKill),
+	"freeze-gateway":     on(membership.KindGateway, injectFreeze),
+	"freeze-agent":       on(membership.KindAgent, injectFreeze),
+	"freeze-store":       on(membership.KindStore, injectFreeze),
+	"freeze-controller":  on(membership.KindController, injectFreeze),
+	"freeze-primary":     on("primary", injectFreeze),
+	"restart-gateway":    on(membership.KindGateway, injectRestart),
+	"restart-store":      on(membership.KindStore, injectRestart),
+	"restart-controller": on(membership.KindController, injectRestart),
+	"slow-daemon":        on("", injectSlowProcess),
 	"join-gateway":       join(membership.KindGateway),
 	"join-store":         join(membership.KindStore),
 	"join-controller":    join(membership.KindController),
@@ -316,15 +316,15 @@
 		if fault.Pick%3 == 0 {
 			agent.Kill()
 		}
-		simulation.again(agent, fault.Length/4, func() {})
-		simulation.again(node, fault.Length/3, end)
+		simulation.restart(agent, fault.Length/4, func() {})
+		simulation.restart(node, fault.Length/3, end)
 	}),
 	"restart-stores": func(simulation *Simulation, _ faults.Fault, end func()) {
-		simulation.inTurn(simulation.Nodes(membership.KindStore), end)
+		simulation.restartInTurn(simulation.Nodes(membership.KindStore), end)
 	},
 	"rolling": func(simulation *Simulation, fault faults.Fault, end func()) {
 		kinds := []string{membership.KindController, membership.KindStore, membership.KindAgent, membership.KindGateway}
-		simulation.inTurn(simulation.Nodes(kinds[fault.Pick%4]), end)
+		simulation.restartInTurn(simulation.Nodes(kinds[fault.Pick%4]), end)
 	},
 	"slow-disk": func(simulation *Simulation, fault faults.Fault, end func()) {
 		kind := membership.KindStore
@@ -350,9 +350,9 @@
 		over(fault, simulation, end, func() {})
 	},
 	"lose-place": func(simulation *Simulation, fault faults.Fault, end func()) {
-		place := int(fault.Pick) % simulation.Size.Places
+		zone := int(fault.Pick) % simulation.Shape.Zones
 		for _, node := range simulation.Nodes("") {
-			if node.Place == place && node.Up {
+			if node.Zone == zone && node.Up {
 				node.Kill()
 				simulation.After(fault.Length+simulation.between(0, time.Second), node.Start)
 			}
@@ -361,10 +361,10 @@
 	},
 	"cut-daemon": on("", func(simulation *Simulation, node *Node, fault faults.Fault, end func()) {
 		inside := func(each *Node) bool { return each == node || beside(each, node) }
-		simulation.apartFor(fault.Length, func(from, to *Node) bool { return inside(from) != inside(to) }, end)
+		simulation.partitionFor(fault.Length, func(from, to *Node) bool { return inside(from) != inside(to) }, end)
 	}),
 	"cut-one-way": on("", func(simulation *Simulation, node *Node, fault faults.Fault, end func()) {
-		simulation.apartFor(fault.Length, func(from, to *Node) bool {
+		simulation.partitionFor(fault.Length, func(from, to *Node) bool {
 			if fault.Pick%2 == 0 {
 				return from == node && !beside(from, to)
 			}
@@ -372,11 +372,11 @@
 		}, end)
 	}),
 	"cut-place": func(simulation *Simulation, fault faults.Fault, end func()) {
-		place := int(fault.Pick) % simulation.Size.Places
-		simulation.apartFor(fault.Length, func(from, to *Node) bool { return (from.Place == place) != (to.Place == place) }, end)
+		zone := int(fault.Pick) % simulation.Shape.Zones
+		simulation.partitionFor(fault.Length, func(from, to *Node) bool { return (from.Zone == zone) != (to.Zone == zone) }, end)
 	},
 	"cut-primary": on("primary", func(simulation *Simulation, node *Node, fault faults.Fault, end func()) {
-		simulation.apartFor(fault.Length+3*time.Second, func(from, to *Node) bool {
+		simulation.partitionFor(fault.Length+3*time.Second, func(from, to *Node) bool {
 			return from.Kind == membership.KindController && to.Kind == membership.KindController && (from == node || to == node)
 		}, end)
 	}),
@@ -396,7 +396,7 @@
 		restartsOverHeldLinks(simulation, fault.Length+2*time.Second)
 		simulation.After(fault.Length+heldMost, end)
 	},
-	"resets": func(simulation *Simulation, fault faults.Fault, end func()) { simulation.resetMost(fault, end) },
+	"resets": func(simulation *Simulation, fault faults.Fault, end func()) { simulation.resetNearlyAll(fault, end) },
 	"vanish": func(simulation *Simulation, fault faults.Fault, end func()) {
 		simulation.someClient(fault.Pick).Reset(fault.Length * 4)
 		simulation.After(fault.Length*4, end)
@@ -404,7 +404,7 @@
 	"wander": func(simulation *Simulation, fault faults.Fault, end func()) {
 		for turn := range 4 {
 			client := simulation.someClient(fault.Pick + uint64(turn))
-			client.Place = simulation.Random.IntN(simulation.Size.Places)
+			client.Place = simulation.Random.IntN(simulation.Shape.Zones)
 			client.Reset(simulation.between(0, 50*time.Millisecond))
 		}
 		over(fault, simulation, end, func() {})
@@ -412,11 +412,11 @@
 	"crowd": func(simulation *Simulation, fault faults.Fault, end func()) {
 		var crowd []*Client
 		for number := range 24 {
-			place := int(fault.Pick)
+			zone := int(fault.Pick)
 			if number%2 == 0 {
-				place = number
+				zone = number
 			}
-			crowd = append(crowd, simulation.AddClient(fmt.Sprintf("crowd-%d-%d", fault.Pick, len(simulation.clients)), place%simulation.Size.Places,
+			crowd = append(crowd, simulation.AddClient(fmt.Sprintf("crowd-%d-%d", fault.Pick, len(simulation.clients)), zone%simulation.Shape.Zones,
 				gateway.Interest{Space: "boards", Path: fmt.Sprintf("p%d", number%3), Prefix: true}))
 		}
 		over(fault, simulation, end, func() {
@@ -445,10 +445,10 @@
 		})
 	}),
 	"edit-settings": on(membership.KindGateway, func(simulation *Simulation, node *Node, fault faults.Fault, end func()) {
-		life := node.life
+		incarnation := node.incarnation
 		node.Gateway().SetMaxClients(1)
 		over(fault, simulation, end, func() {
-			if node.Up && node.life == life {
+			if node.Up && node.incarnation == incarnation {
 				node.Gateway().SetMaxClients(2000)
 			}
 		})
@@ -480,7 +480,7 @@
 	var users []*Client
 	operator.next(func() {
 		for number := range 4 {
-			client := s.AddClient(fmt.Sprintf("%s-%d", name, number), number%s.Size.Places, gateway.Interest{Space: name, Prefix: true})
+			client := s.AddClient(fmt.Sprintf("%s-%d", name, number), number%s.Shape.Zones, gateway.Interest{Space: name, Prefix: true})
 			client.brief = name
 			client.Publishes(1, Plan{Space: name, Topics: []string{"a/b", "c"}, Every: 150 * time.Millisecond})
 			users = append(users, client)
@@ -498,9 +498,9 @@
 	})
 }
 
-// strikeLast brings about the fault that ends a run; nothing takes it away but
+// injectLast brings about the fault that ends a run; nothing takes it away but
 // a restart, where the fault is one.
-func (s *Simulation) strikeLast(name string) {
+func (s *Simulation) injectLast(name string) {
 	kill := func(node *Node) {
 		if node != nil && node.Up {
 			node.Kill()
@@ -518,9 +518,9 @@
 	case "kill-backup":
 		kill(s.controllerIn("backup"))
 	case "lose-place":
-		place := s.Random.IntN(s.Size.Places)
+		zone := s.Random.IntN(s.Shape.Zones)
 		for _, node := range s.Nodes("") {
-			if node.Place == place {
+			if node.Zone == zone {
 				kill(node)
 			}
 		}
@@ -545,16 +545,16 @@
 	return s.nodes[membership.KindAgent+gateway.Name[len(membership.KindGateway):]]
 }
 
-// Comeback is when each part of a recovery was first seen, counted from the
+// Recovery is when each part of a recovery was first seen, counted from the
 // failure: a watcher or the backup noticed, the controllers decided, a primary could
 // act again, every partition had its two copies, and the last caller was back.
-type Comeback struct {
-	What                                               string
-	Noticed, Decided, TakenOver, Refilled, CallersBack time.Duration
+type Recovery struct {
+	What                                                  string
+	Noticed, Decided, TakeoverDone, Refilled, ClientsBack time.Duration
 }
 
 // note takes what daemons log as signs of a recovery's first two parts.
-func (c *Comeback) note(number statemachine.EventNumber, after time.Duration) {
+func (c *Recovery) note(number statemachine.EventNumber, after time.Duration) {
 	switch number {
 	case logevent.MemberSuspected, logevent.TakeoverStarted, logevent.BackupLost, logevent.EpochRecovered:
 		if c.Noticed == 0 {
@@ -572,9 +572,9 @@
 		return false, false, s.callersServed()
 	}
 	partitions = true
-	for _, place := range acting.Machine.(*controller.Controller).State().Places {
-		first := s.nodes[place.Leader]
-		partitions = partitions && place.Complete && first.Up && !first.Frozen
+	for _, zone := range acting.Machine.(*controller.Controller).State().Places {
+		first := s.nodes[zone.Leader]
+		partitions = partitions && zone.Complete && first.Up && !first.Frozen
 	}
 	return true, partitions, s.callersServed()
 }
--- a/internal/simulator/topic_client.go
+++ b/internal/simulator/topic_client.go
@@ -91,8 +91,8 @@
 }
 
 // AddTopicClient adds a caller that holds topics.
-func (s *Simulation) AddTopicClient(name string, place int, topics ...string) *TopicClient {
-	client := &TopicClient{simulation: s, Name: name, Place: place, topics: map[string]*taken{}, outbox: map[string][]*posting{}, pipeline: 1}
+func (s *Simulation) AddTopicClient(name string, zone int, topics ...string) *TopicClient {
+	client := &TopicClient{simulation: s, Name: name, Place: zone, topics: map[string]*taken{}, outbox: map[string][]*posting{}, pipeline: 1}
 	s.topicClients = append(s.topicClients, client)
 	for _, topic := range topics {
 		client.topics[topic] = &taken{topic: topic}
@@ -144,7 +144,7 @@
 	for _, node := range simulation.Nodes(membership.KindGateway) {
 		known, found := simulation.probed[node.Name]
 		switch {
-		case node.Place == tc.Place:
+		case node.Zone == tc.Place:
 			zone = append(zone, node)
 			if found && known.in {
 				in = append(in, node)
@@ -168,23 +168,23 @@
 // say sends a command of a size on the line; done is called with its answer if that comes
 // while the connection lasts.
 func (tc *TopicClient) say(size int, command func(request uint64) any, done func(answer gateway.Reply)) {
-	simulation, node, turn, life, line := tc.simulation, tc.node, tc.turn, tc.life, tc.line
+	simulation, node, turn, incarnation, line := tc.simulation, tc.node, tc.turn, tc.life, tc.line
 	tc.saidAt = simulation.Now
 	lost := func() {
 		simulation.After(lineDelay, func() { tc.cut(turn, true, simulation.between(0, 50*time.Millisecond)) })
 	}
 	tc.toNode(size, func() {
-		if !node.Up || node.life != life {
+		if !node.Up || node.incarnation != incarnation {
 			lost()
 			return
 		}
 		node.enter(func() {
-			if node.life != life {
+			if node.incarnation != incarnation {
 				return
 			}
 			node.request++
 			request := node.request
-			node.returns[request] = func(value any, alive bool) {
+			node.responses[request] = func(value any, alive bool) {
 				if !alive {
 					lost()
 					return
@@ -222,7 +222,7 @@
 		return
 	}
 	node := tc.node
-	tc.life = node.life
+	tc.life = node.incarnation
 	tc.beganAt, tc.heardAt = simulation.Now, simulation.Now
 	simulation.number++
 	channel := simulation.number
@@ -265,7 +265,7 @@
 	if tc.turn != turn {
 		return
 	}
-	simulation, node, life, channel := tc.simulation, tc.node, tc.life, tc.channel
+	simulation, node, incarnation, channel := tc.simulation, tc.node, tc.life, tc.channel
 	tc.turn++
 	tc.line.close()
 	tc.line = nil
@@ -301,11 +301,11 @@
 			gone = lineDelay
 		}
 		simulation.After(gone, func() {
-			if !node.Up || node.life != life {
+			if !node.Up || node.incarnation != incarnation {
 				return
 			}
 			node.enter(func() {
-				if _, open := node.sinks[channel]; !open || node.life != life {
+				if _, open := node.sinks[channel]; !open || node.incarnation != incarnation {
 					return
 				}
 				delete(node.sinks, channel)
@@ -355,14 +355,14 @@
 	}
 	// Signs of life are answered by the line itself.
 	tc.saidAt = simulation.Now
-	node, life, turn, channel := tc.node, tc.life, tc.turn, tc.channel
+	node, incarnation, turn, channel := tc.node, tc.life, tc.turn, tc.channel
 	line := tc.line
 	tc.toNode(0, func() {
-		if !node.Up || node.life != life {
+		if !node.Up || node.incarnation != incarnation {
 			return
 		}
 		node.enter(func() {
-			if node.life != life {
+			if node.incarnation != incarnation {
 				return
 			}
 			node.step(func(now time.Time, effects *statemachine.Effects) {
--- a/internal/simulator/topics.go
+++ b/internal/simulator/topics.go
@@ -72,8 +72,8 @@
 	return topics
 }
 
-func newTopicWorld(size Size) *topicWorld {
-	topics := boards(size.Callers * 2 / 3)
+func newTopicWorld(size Shape) *topicWorld {
+	topics := boards(size.Clients * 2 / 3)
 	for number := range 3 {
 		topics = append(topics, fmt.Sprintf("halt.%d", number))
 	}
@@ -135,13 +135,13 @@
 	}
 	if len(world.saved) < savedMost {
 		world.saved = append(world.saved, saved)
-	} else if place := s.Random.IntN(world.given); place < savedMost {
-		world.saved[place] = saved
+	} else if zone := s.Random.IntN(world.given); zone < savedMost {
+		world.saved[zone] = saved
 	}
 }
 
 // prepareTopics starts a fleet whose configuration routes topics.
-func prepareTopics(seed uint64, size Size, apart time.Duration, trace func(line string)) (*Simulation, *Operator) {
+func prepareTopics(seed uint64, size Shape, apart time.Duration, trace func(line string)) (*Simulation, *Operator) {
 	simulation := New(seed, size)
 	simulation.world = newTopicWorld(size)
 	for _, each := range append(slices.Clone(topicRoutes), fleeting...) {
@@ -157,11 +157,11 @@
 func (s *Simulation) TopicCrowd(count int) {
 	s.world.crowdAt = s.Now
 	for number := range count {
-		client := s.AddTopicClient(fmt.Sprintf("caller-%d", number), number%s.Size.Places)
+		client := s.AddTopicClient(fmt.Sprintf("caller-%d", number), number%s.Shape.Zones)
 		client.settleIn(number)
 	}
 	for number, node := range s.Nodes(membership.KindGateway)[:3] {
-		client := s.AddTopicClient(fmt.Sprintf("prober-%d", number), node.Place)
+		client := s.AddTopicClient(fmt.Sprintf("prober-%d", number), node.Zone)
 		client.fixed, client.unjudged = node, true
 		client.probes()
 	}
@@ -291,28 +291,28 @@
 }
 
 // RunTopics runs a plot with callers of routed topics.
-func RunTopics(seed uint64, size Size, plot TopicPlot, trace func(line string)) *Simulation {
-	simulation, operator := prepareTopics(seed, size, plot.Apart, trace)
-	simulation.world.steady, simulation.world.hot = plot.Steady, plot.Hot
-	simulation.TopicCrowd(size.Callers)
+func RunTopics(seed uint64, size Shape, schedule TopicPlot, trace func(line string)) *Simulation {
+	simulation, operator := prepareTopics(seed, size, schedule.Apart, trace)
+	simulation.world.steady, simulation.world.hot = schedule.Steady, schedule.Hot
+	simulation.TopicCrowd(size.Clients)
 	simulation.Run(2 * time.Second)
-	if plot.Changes {
+	if schedule.Changes {
 		operator.work(simulation.Now.Add(topicStorm + 20*time.Second))
 	}
-	simulation.trouble = simulation.Now.Add(-checker.TroubleFor)
-	simulation.trace("storm: %s; last %s", faults.Format(plot.Storm), plot.Last)
-	for _, fault := range plot.Storm {
-		simulation.After(fault.Start, func() { simulation.bring(fault) })
+	simulation.lastFaultAt = simulation.Now.Add(-checker.TroubleFor)
+	simulation.trace("storm: %s; last %s", faults.Format(schedule.Storm), schedule.Last)
+	for _, fault := range schedule.Storm {
+		simulation.After(fault.Start, func() { simulation.inject(fault) })
 	}
 	simulation.Run(topicStorm)
 	if !simulation.RunUntil(60*time.Second, func() bool { return simulation.open == 0 }) {
 		simulation.Checker.Violate(checker.NotBack, "a fault has not come to its end after a minute")
 	}
-	if len(plot.Storm) > 0 {
+	if len(schedule.Storm) > 0 {
 		simulation.Run(checker.TroubleFor + 4*time.Second)
 	}
-	if plot.Last != "" {
-		simulation.closing(plot.Last)
+	if schedule.Last != "" {
+		simulation.closing(schedule.Last)
 		simulation.Run(checker.TroubleFor + 2*time.Second)
 	}
 	simulation.closeTopics()
@@ -356,7 +356,7 @@
 		kinds := []string{membership.KindStore, membership.KindController}
 		lost = s.pickUp(kinds[s.Random.IntN(len(kinds))])
 	default:
-		s.strikeLast(name)
+		s.injectLast(name)
 	}
 	if slices.Contains(TopicLast, name) {
 		for _, node := range s.Nodes("") {
@@ -376,7 +376,7 @@
 	}
 	s.ServiceBack(name)
 	s.open--
-	s.trouble = s.Now
+	s.lastFaultAt = s.Now
 }
 
 // closeTopics ends publications, lets new callers take up places that others
@@ -424,22 +424,22 @@
 	saved = append(slices.Clone(s.world.early), saved...)
 	var takers []*TopicClient
 	for position := range saved {
-		place := saved[position]
-		if s.world.away[s.fleetingOf(place.Topic)] {
+		zone := saved[position]
+		if s.world.away[s.fleetingOf(zone.Topic)] {
 			continue
 		}
 		chosen := slices.IndexFunc(takers, func(taker *TopicClient) bool {
-			_, found := taker.topics[place.Topic]
+			_, found := taker.topics[zone.Topic]
 			return !found && len(taker.topics) < takeEach
 		})
 		if chosen < 0 {
 			chosen = len(takers)
-			takers = append(takers, s.AddTopicClient(fmt.Sprintf("%s-%d", prefix, chosen), chosen%s.Size.Places))
+			takers = append(takers, s.AddTopicClient(fmt.Sprintf("%s-%d", prefix, chosen), chosen%s.Shape.Zones))
 		}
 		taker := takers[chosen]
 		taker.stopped = true
-		taker.topics[place.Topic] = &taken{
-			topic: place.Topic, cursor: place.Cursor, after: place.After, entry: s.Checker.Subscribing(taker.Name, place.Topic, &place),
+		taker.topics[zone.Topic] = &taken{
+			topic: zone.Topic, cursor: zone.Cursor, after: zone.After, entry: s.Checker.Subscribing(taker.Name, zone.Topic, &zone),
 		}
 	}
 }
@@ -460,9 +460,9 @@
 	s.operator.next(done)
 }
 
-// topicBrought are the faults that strike callers, as callers of routed topics
+// topicInjectors are the faults that strike callers, as callers of routed topics
 // are struck by them.
-var topicBrought = map[string]bringer{
+var topicInjectors = map[string]injector{
 	"resets": func(simulation *Simulation, fault faults.Fault, end func()) {
 		for _, client := range simulation.topicClients {
 			if simulation.Random.IntN(5) > 0 && client.connected {
@@ -479,7 +479,7 @@
 	"wander": func(simulation *Simulation, fault faults.Fault, end func()) {
 		for _, client := range simulation.topicClients {
 			if simulation.Random.IntN(3) == 0 && client.connected {
-				client.Place = simulation.Random.IntN(simulation.Size.Places)
+				client.Place = simulation.Random.IntN(simulation.Shape.Zones)
 				client.Away(true, simulation.between(0, 50*time.Millisecond))
 			}
 		}
@@ -487,8 +487,8 @@
 	},
 	"crowd": func(simulation *Simulation, fault faults.Fault, end func()) {
 		var crowd []*TopicClient
-		for number := range simulation.Size.Callers {
-			client := simulation.AddTopicClient(fmt.Sprintf("crowd-%d-%d", fault.Pick, len(simulation.topicClients)), number%simulation.Size.Places, "board.0", "board.1", "halt.0")
+		for number := range simulation.Shape.Clients {
+			client := simulation.AddTopicClient(fmt.Sprintf("crowd-%d-%d", fault.Pick, len(simulation.topicClients)), number%simulation.Shape.Zones, "board.0", "board.1", "halt.0")
 			client.publishes(time.Second)
 			crowd = append(crowd, client)
 		}
@@ -511,7 +511,7 @@
 			}
 			node := nodes[0]
 			nodes = nodes[1:]
-			simulation.again(node, 100*time.Millisecond, func() { simulation.After(gap, next) })
+			simulation.restart(node, 100*time.Millisecond, func() { simulation.After(gap, next) })
 		}
 		next()
 	},
@@ -532,19 +532,19 @@
 // drawTopicPlot draws the plot of a seed.
 func drawTopicPlot(seed uint64, names []string, count int) TopicPlot {
 	random := rand.New(rand.NewPCG(seed, 0x70b1))
-	plot := TopicPlot{Storm: faults.Draw(random, names, topicStorm, count), Changes: true}
+	schedule := TopicPlot{Storm: faults.Draw(random, names, topicStorm, count), Changes: true}
 	last := append(slices.Clone(TopicLast), faults.Last...)
 	if random.IntN(2) == 0 {
-		plot.Last = last[random.IntN(len(last))]
+		schedule.Last = last[random.IntN(len(last))]
 	}
 	if random.IntN(4) == 0 {
-		plot.Apart = 3 * time.Hour
+		schedule.Apart = 3 * time.Hour
 	}
-	return plot
+	return schedule
 }
 
 func pairTopicPlot(seed uint64) TopicPlot {
-	pair := pairOf(rand.New(rand.NewPCG(seed, 0x9a14)))
+	pair := drawPair(rand.New(rand.NewPCG(seed, 0x9a14)))
 	return drawTopicPlot(seed, pair[:], 4)
 }
 
@@ -557,14 +557,14 @@
 		{Name: "topics-storm", Topics: func(seed uint64) TopicPlot { return drawTopicPlot(seed, faults.Names, 8) }},
 	}
 	found = append(found, Scenario{Name: "topics-steady", Topics: func(seed uint64) TopicPlot {
-		plot := drawTopicPlot(seed, []string{"relink", "cut-one-way", "restart-gateway", "loss"}, 8)
-		plot.Last, plot.Steady, plot.Changes = "", true, false
-		return plot
+		schedule := drawTopicPlot(seed, []string{"relink", "cut-one-way", "restart-gateway", "loss"}, 8)
+		schedule.Last, schedule.Steady, schedule.Changes = "", true, false
+		return schedule
 	}})
 	found = append(found, Scenario{Name: "topics-hot", Topics: func(seed uint64) TopicPlot {
-		plot := drawTopicPlot(seed, []string{"resets", "kill-store", "freeze-store", "vanish", "restart-gateway", "slow-daemon"}, 6)
-		plot.Last, plot.Hot = "", "board.hot"
-		return plot
+		schedule := drawTopicPlot(seed, []string{"resets", "kill-store", "freeze-store", "vanish", "restart-gateway", "slow-daemon"}, 6)
+		schedule.Last, schedule.Hot = "", "board.hot"
+		return schedule
 	}})
 	found = append(found, Scenario{Name: "topics-held-links", Topics: func(uint64) TopicPlot {
 		return TopicPlot{Storm: []faults.Fault{{Name: "held-links", Start: 2 * time.Second, Length: 10 * time.Second}}}
--- a/internal/storedforms/ctl_test.go
+++ b/internal/storedforms/ctl_test.go
@@ -36,8 +36,8 @@
 
 func speak(t *testing.T) *spoken {
 	t.Helper()
-	made := &spoken{T: t, fleet: simulator.New(11, simulator.Size{
-		Gateways: 2, Stores: 3, Controllers: 3, Places: 2, Delay: time.Millisecond,
+	made := &spoken{T: t, fleet: simulator.New(11, simulator.Shape{
+		Gateways: 2, Stores: 3, Controllers: 3, Zones: 2, Delay: time.Millisecond,
 	})}
 	made.fleet.StartAll()
 	made.until(func() bool { return made.fleet.Primary() != nil && made.fleet.Primary().Ready() })
