--- a/cmd/fleetlab/origin.go
+++ b/cmd/fleetlab/client.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	keptTopics   = 1000
-	urgentTopics = 30
+	durableTopics = 1000
+	urgentTopics  = 30
 )
 
-type trialOrigin struct {
+type trialClient struct {
 	run       *trialRun
 	name      string
 	zone      atomic.Pointer[string]
@@ -41,35 +41,35 @@
 	urgent    bool
 }
 
-func keptTopic(number int) string { return fmt.Sprintf("project%d/board%d", number/10, number%10) }
+func durableTopic(number int) string { return fmt.Sprintf("project%d/board%d", number/10, number%10) }
 
 func urgentTopic(number int) string { return fmt.Sprintf("farm%d/halt%d", number/10, number%10) }
 
-func (tr *trialRun) newOrigin(name string, place int, seed uint64) *trialOrigin {
+func (tr *trialRun) newClient(name string, zoneNumber int, seed uint64) *trialClient {
 	living, cancel := context.WithCancel(context.Background())
-	each := &trialOrigin{
+	each := &trialClient{
 		run: tr, name: name, random: rand.New(rand.NewPCG(tr.trial.seed, seed)), resets: make(chan struct{}, 1),
 		living: living, cancel: cancel, seqs: map[string]uint64{},
 	}
-	zone := testfleet.Place(place)
+	zone := testfleet.ZoneName(zoneNumber)
 	each.zone.Store(&zone)
 	// Each caller comes from an address of its own zone.
-	each.caller = &client.Caller{Token: httpapi.Token([]byte(testfleet.Key), each.name), HTTP: client.NewClient(testfleet.Prefix(place) + "2")}
-	each.tell("begins")
+	each.caller = &client.Caller{Token: httpapi.Token([]byte(testfleet.Key), each.name), HTTP: client.NewClient(testfleet.Prefix(zoneNumber) + "2")}
+	each.trace("begins")
 	return each
 }
 
-func (tr *trialRun) startOrigins() {
+func (tr *trialRun) startClients() {
 	for number := range tr.trial.origins {
-		each := tr.newOrigin(fmt.Sprintf("origin-%d", number), number%tr.fleet.Deployment.Places, uint64(number))
+		each := tr.newClient(fmt.Sprintf("origin-%d", number), number%tr.fleet.Deployment.Zones, uint64(number))
 		each.urgent = number%10 == 0
 		each.rate = tr.trial.kept / float64(tr.trial.origins)
 		for range 2 {
-			each.interests = append(each.interests, checker.Interest{Space: "boards", Path: keptTopic(each.random.IntN(keptTopics))})
+			each.interests = append(each.interests, checker.Interest{Space: "boards", Path: durableTopic(each.random.IntN(durableTopics))})
 		}
 		each.interests = append(each.interests,
 			checker.Interest{Space: "urgent", Path: urgentTopic(each.random.IntN(urgentTopics))},
-			checker.Interest{Space: "cursors", Path: keptTopic(each.random.IntN(50))})
+			checker.Interest{Space: "cursors", Path: durableTopic(each.random.IntN(50))})
 		if number%40 == 0 {
 			each.interests = append(each.interests, checker.Interest{Space: "boards", Path: fmt.Sprintf("project%d", each.random.IntN(100)), Wide: true})
 		}
@@ -86,7 +86,7 @@
 
 // probe publishes once to topics of every partition, through any ready gateway, and
 // tells whether all were accepted.
-func (to *trialOrigin) probe() bool {
+func (to *trialClient) probe() bool {
 	daemon := to.run.platform.pick(to.random, *to.zone.Load())
 	if daemon == nil {
 		return false
@@ -94,7 +94,7 @@
 	for number := range 24 {
 		to.seqs["boards"]++
 		message := checker.Message{Space: "boards", Sender: to.name, Seq: to.seqs["boards"]}
-		if outcome, _ := to.try(daemon.Caller, message, keptTopic(number), fmt.Sprintf("%q", message.String())); outcome != "accepted" {
+		if outcome, _ := to.attempt(daemon.Caller, message, durableTopic(number), fmt.Sprintf("%q", message.String())); outcome != "accepted" {
 			return false
 		}
 	}
@@ -102,26 +102,26 @@
 }
 
 // leave ends an origin for good; nothing more is owed to it.
-func (to *trialOrigin) leave() {
-	to.note(func(checker *checker.Checker) { checker.Dropped(to.name) })
+func (to *trialClient) leave() {
+	to.record(func(checker *checker.Checker) { checker.Dropped(to.name) })
 	to.cancel()
 }
 
-func (to *trialOrigin) note(entry func(checker *checker.Checker)) { to.run.book.note(entry) }
+func (to *trialClient) record(entry func(checker *checker.Checker)) { to.run.book.record(entry) }
 
-func (to *trialOrigin) reset() {
+func (to *trialClient) reset() {
 	select {
 	case to.resets <- struct{}{}:
 	default:
 	}
 }
 
-func (to *trialOrigin) tell(text string, values ...any) {
-	line := fmt.Sprintf(text, values...)
-	to.last.Store(&line)
+func (to *trialClient) trace(format string, values ...any) {
+	text := fmt.Sprintf(format, values...)
+	to.last.Store(&text)
 }
 
-func (to *trialOrigin) stop() { to.cancel() }
+func (to *trialClient) stop() { to.cancel() }
 
 func subscriptions(interests []checker.Interest) []client.Subscription {
 	var wanted []client.Subscription
@@ -137,7 +137,7 @@
 }
 
 // live keeps the channel open, again and again, until it is stopped.
-func (to *trialOrigin) live() {
+func (to *trialClient) live() {
 	cursor, target := "", ""
 	var cutAt time.Time
 	asked := false
@@ -155,21 +155,21 @@
 			time.Sleep(200 * time.Millisecond)
 			continue
 		}
-		to.tell("opening at %s", target)
+		to.trace("opening at %s", target)
 		began := time.Now()
 		channel, err := to.caller.Open(to.living, target)
 		target = ""
 		if err != nil {
-			to.tell("opening: %v", err)
+			to.trace("opening: %v", err)
 			time.Sleep(100 * time.Millisecond)
 			continue
 		}
 		shown, at := channel.Hello, time.Now()
-		to.note(func(checker *checker.Checker) { checker.Showed(shown.Daemon, shown.Version, began, at) })
+		to.record(func(checker *checker.Checker) { checker.Showed(shown.Daemon, shown.Version, began, at) })
 		if !asked {
 			asked = true
 			at := time.Now()
-			to.note(func(checker *checker.Checker) {
+			to.record(func(checker *checker.Checker) {
 				for _, interest := range to.interests {
 					checker.Asked(to.name, interest, at)
 				}
@@ -190,9 +190,9 @@
 	}
 }
 
-func (to *trialOrigin) subscribe(channel *client.Channel, cursor *string, cutAt time.Time) bool {
+func (to *trialClient) subscribe(channel *client.Channel, cursor *string, cutAt time.Time) bool {
 	for to.living.Err() == nil {
-		to.tell("subscribing at %s", channel.Address)
+		to.trace("subscribing at %s", channel.Address)
 		within, cancel := context.WithTimeout(to.living, 3*time.Second)
 		wanted := subscriptions(to.interests)
 		resumes := *cursor != ""
@@ -201,7 +201,7 @@
 		}
 		answer, err := to.caller.Subscribe(within, channel, wanted, *cursor)
 		cancel()
-		to.tell("subscribing at %s: %v %+v", channel.Address, err, answer)
+		to.trace("subscribing at %s: %v %+v", channel.Address, err, answer)
 		switch {
 		case err != nil:
 			return false
@@ -211,7 +211,7 @@
 			}
 			if !resumes {
 				at := time.Now()
-				to.note(func(checker *checker.Checker) {
+				to.record(func(checker *checker.Checker) {
 					for _, interest := range to.interests {
 						checker.Subscribed(to.name, interest, at)
 					}
@@ -224,12 +224,12 @@
 			to.leave()
 			return false
 		case answer.RetryAfterMs > 0:
-			to.refused(answer.Code, to.name+" subscribes")
+			to.rejected(answer.Code, to.name+" subscribes")
 			time.Sleep(time.Duration(answer.RetryAfterMs) * time.Millisecond)
 		default:
 			at := time.Now()
-			to.note(func(checker *checker.Checker) {
-				checker.PlaceLost(to.name, cutAt, at)
+			to.record(func(checker *checker.Checker) {
+				checker.CursorLost(to.name, cutAt, at)
 				checker.Violate("place-refused", "%s: %s %s", to.name, answer.Code, answer.Text)
 			})
 			to.cancel()
@@ -240,7 +240,7 @@
 }
 
 // read takes events until the channel ends, and tells where to move to.
-func (to *trialOrigin) read(channel *client.Channel, cursor *string) string {
+func (to *trialClient) read(channel *client.Channel, cursor *string) string {
 	silent := time.NewTimer(8 * time.Second)
 	defer silent.Stop()
 	for {
@@ -262,7 +262,7 @@
 			switch event.Event {
 			case "message":
 				at := time.Now()
-				to.note(func(checker_ *checker.Checker) {
+				to.record(func(checker_ *checker.Checker) {
 					checker_.Got(to.name, checker.Message{Space: event.Space, Sender: event.Sender, Seq: event.Seq}, event.Topic, string(event.Data), at)
 				})
 			case "ping":
@@ -282,16 +282,16 @@
 
 // start begins to publish: kept messages at the origin's share of the load, a
 // few urgent ones from every tenth, and some passing and shared-order ones.
-func (to *trialOrigin) start() { go to.publishAll() }
+func (to *trialClient) start() { go to.publishAll() }
 
-func (to *trialOrigin) publishAll() {
+func (to *trialClient) publishAll() {
 	spaces := []struct {
 		space string
 		rate  float64
 		topic func() string
 	}{
-		{"boards", to.rate, func() string { return keptTopic(to.random.IntN(keptTopics)) }},
-		{"cursors", 0.05, func() string { return keptTopic(to.random.IntN(50)) }},
+		{"boards", to.rate, func() string { return durableTopic(to.random.IntN(durableTopics)) }},
+		{"cursors", 0.05, func() string { return durableTopic(to.random.IntN(50)) }},
 		{"urgent", 0, func() string { return urgentTopic(to.random.IntN(urgentTopics)) }},
 		{"decisions", 0, func() string { return fmt.Sprintf("board%d", to.random.IntN(5)) }},
 	}
@@ -334,7 +334,7 @@
 }
 
 // publish sends one message until its fate is settled.
-func (to *trialOrigin) publish(message checker.Message, topic string) {
+func (to *trialClient) publish(message checker.Message, topic string) {
 	data := fmt.Sprintf("%q", message.String()+" with some text such as a note on a board would have")
 	for to.living.Err() == nil {
 		address := to.address.Load()
@@ -342,7 +342,7 @@
 			time.Sleep(50 * time.Millisecond)
 			continue
 		}
-		outcome, again := to.try(*address, message, topic, data)
+		outcome, again := to.attempt(*address, message, topic, data)
 		if outcome == "accepted" || again == 0 {
 			return
 		}
@@ -350,10 +350,10 @@
 	}
 }
 
-// try sends one seq once, and tells how it ended and when to try again.
-func (to *trialOrigin) try(address string, message checker.Message, topic, data string) (string, time.Duration) {
+// attempt sends one seq once, and tells how it ended and when to try again.
+func (to *trialClient) attempt(address string, message checker.Message, topic, data string) (string, time.Duration) {
 	began := time.Now()
-	to.note(func(checker *checker.Checker) { checker.Try(message, topic, data, began) })
+	to.record(func(checker *checker.Checker) { checker.Attempt(message, topic, data, began) })
 	within, cancel := context.WithTimeout(to.living, 2500*time.Millisecond)
 	answer, err := to.caller.Publish(within, address, message.Space, topic, message.Seq, rawJSON(data))
 	cancel()
@@ -362,16 +362,16 @@
 	if err == nil {
 		outcome, code, again = answer.Outcome, answer.Code, time.Duration(answer.RetryAfterMs)*time.Millisecond
 	}
-	to.note(func(checker *checker.Checker) { checker.Answered(message, outcome, began, at) })
+	to.record(func(checker *checker.Checker) { checker.Answered(message, outcome, began, at) })
 	if outcome != "accepted" && to.living.Err() == nil && to.brief == "" && code != "earlier-refused" && code != "moved" {
-		to.refused(code, message.String())
+		to.rejected(code, message.String())
 	}
 	return outcome, again
 }
 
-func (to *trialOrigin) refused(code, what string) {
+func (to *trialClient) rejected(code, what string) {
 	calm, at := to.run.calmSince(), time.Now()
-	to.note(func(checker *checker.Checker) { checker.RefusedAs(code, what, calm, at) })
+	to.record(func(checker *checker.Checker) { checker.RefusedAs(code, what, calm, at) })
 }
 
 type rawJSON string
--- a/cmd/fleetlab/storm.go
+++ b/cmd/fleetlab/injector.go
@@ -64,7 +64,7 @@
 	do func()
 }
 
-type hand struct {
+type injector struct {
 	run      *trialRun
 	operator *operator
 	queue    []due
@@ -74,12 +74,12 @@
 	away     map[string]bool
 }
 
-func (h *hand) after(wait time.Duration, do func()) {
+func (h *injector) after(wait time.Duration, do func()) {
 	h.queue = append(h.queue, due{at: time.Now().Add(wait), do: do})
 }
 
 // until does what is due until a condition holds or a limit has passed.
-func (h *hand) until(limit time.Duration, holds func() bool) bool {
+func (h *injector) until(limit time.Duration, holds func() bool) bool {
 	end := time.Now().Add(limit)
 	for !holds() {
 		if time.Now().After(end) {
@@ -99,7 +99,7 @@
 
 // poll looks now and then until something holds, or a limit has passed, and then
 // goes on with whether it does.
-func (h *hand) poll(limit time.Duration, holds func() bool, then func(held bool)) {
+func (h *injector) poll(limit time.Duration, holds func() bool, then func(held bool)) {
 	end := time.Now().Add(limit)
 	var look func()
 	look = func() {
@@ -113,31 +113,31 @@
 	look()
 }
 
-func (h *hand) left(name string) bool {
+func (h *injector) left(name string) bool {
 	return h.run.gone.Load() != nil && slices.Contains(*h.run.gone.Load(), name)
 }
 
-// storm brings a list of faults about, and then waits for their end and for the
+// runFaults brings a list of faults about, and then waits for their end and for the
 // calm in which nothing may be amiss.
-func (h *hand) storm(storm []faults.Fault, length time.Duration) {
+func (h *injector) runFaults(schedule []faults.Fault, length time.Duration) {
 	h.frozen, h.away = map[string]int{}, map[string]bool{}
-	if len(storm) > 0 {
-		fmt.Printf("storm: %s\n", faults.Format(storm))
+	if len(schedule) > 0 {
+		fmt.Printf("storm: %s\n", faults.Format(schedule))
 	}
-	for _, fault := range storm {
-		h.after(fault.Start, func() { h.bring(fault) })
+	for _, fault := range schedule {
+		h.after(fault.Start, func() { h.inject(fault) })
 	}
 	h.until(length, func() bool { return false })
-	if len(storm) == 0 {
+	if len(schedule) == 0 {
 		return
 	}
 	if !h.until(3*time.Minute, func() bool { return h.open == 0 }) {
-		h.run.book.note(func(book *checker.Checker) { book.Violate(checker.NotBack, "a fault has not come to its end") })
+		h.run.book.record(func(book *checker.Checker) { book.Violate(checker.NotBack, "a fault has not come to its end") })
 	}
-	h.until(checker.TroubleFor+5*time.Second, func() bool { return false })
+	h.until(checker.FaultSettleTime+5*time.Second, func() bool { return false })
 }
 
-func (h *hand) bring(fault faults.Fault) {
+func (h *injector) inject(fault faults.Fault) {
 	h.open++
 	h.run.calm.Store(0)
 	fmt.Printf("  fault: %s\n", fault)
@@ -154,7 +154,7 @@
 	brought[fault.Name](h, fault, end)
 }
 
-func (h *hand) choose(kind string, pick uint64) *testfleet.Daemon {
+func (h *injector) choose(kind string, pick uint64) *testfleet.Daemon {
 	var up []*testfleet.Daemon
 	for _, name := range h.run.fleet.Names() {
 		daemon := h.run.fleet.Daemons[name]
@@ -169,7 +169,7 @@
 }
 
 // roles finds the controllers that are primary and backup.
-func (h *hand) roles() (primary, backup *testfleet.Daemon) {
+func (h *injector) roles() (primary, backup *testfleet.Daemon) {
 	for _, daemon := range h.run.fleet.OfKind(membership.KindController) {
 		if h.frozen[daemon.Name] > 0 || !daemon.Running() {
 			continue
@@ -188,31 +188,31 @@
 	return nil, nil
 }
 
-type bringer func(hand *hand, fault faults.Fault, end func())
+type injectFunc func(injector *injector, fault faults.Fault, end func())
 
-func on(kind string, strike func(hand *hand, daemon *testfleet.Daemon, fault faults.Fault, end func())) bringer {
-	return func(hand *hand, fault faults.Fault, end func()) {
+func on(kind string, inject func(injector *injector, daemon *testfleet.Daemon, fault faults.Fault, end func())) injectFunc {
+	return func(injector *injector, fault faults.Fault, end func()) {
 		var daemon *testfleet.Daemon
 		switch kind {
 		case "primary":
-			daemon, _ = hand.roles()
+			daemon, _ = injector.roles()
 		case "backup":
-			_, daemon = hand.roles()
+			_, daemon = injector.roles()
 		default:
-			daemon = hand.choose(kind, fault.Pick)
+			daemon = injector.choose(kind, fault.Pick)
 		}
-		if daemon == nil || !daemon.Running() || hand.frozen[daemon.Name] > 0 || hand.away[daemon.Name] {
+		if daemon == nil || !daemon.Running() || injector.frozen[daemon.Name] > 0 || injector.away[daemon.Name] {
 			fmt.Println("    nobody to strike")
 			end()
 			return
 		}
 		fmt.Printf("    %s\n", daemon.Name)
-		strike(hand, daemon, fault, end)
+		inject(injector, daemon, fault, end)
 	}
 }
 
 // start starts a daemon that is away, once.
-func (h *hand) start(daemon *testfleet.Daemon) {
+func (h *injector) start(daemon *testfleet.Daemon) {
 	delete(h.away, daemon.Name)
 	if !daemon.Running() {
 		if err := h.run.fleet.Start(daemon.Name); err != nil {
@@ -221,21 +221,21 @@
 	}
 }
 
-func (h *hand) kill(daemon *testfleet.Daemon) {
+func (h *injector) kill(daemon *testfleet.Daemon) {
 	h.away[daemon.Name] = true
 	delete(h.frozen, daemon.Name)
 	h.run.fleet.Kill(daemon.Name)
 }
 
-func strikeDead(hand *hand, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
-	hand.kill(daemon)
+func injectKill(injector *injector, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
+	injector.kill(daemon)
 	if faults.Wiping(fault.Name) {
-		_ = hand.run.fleet.Wipe(daemon.Name)
+		_ = injector.run.fleet.Wipe(daemon.Name)
 	}
-	hand.after(fault.Length, func() { hand.start(daemon); end() })
+	injector.after(fault.Length, func() { injector.start(daemon); end() })
 }
 
-func (h *hand) freeze(daemon *testfleet.Daemon, length time.Duration, then func()) {
+func (h *injector) freeze(daemon *testfleet.Daemon, length time.Duration, then func()) {
 	h.frozen[daemon.Name]++
 	h.run.fleet.Signal(daemon.Name, syscall.SIGSTOP)
 	h.after(length, func() {
@@ -247,11 +247,11 @@
 	})
 }
 
-func strikeFrozen(hand *hand, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
-	hand.freeze(daemon, fault.Length, end)
+func injectFreeze(injector *injector, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
+	injector.freeze(daemon, fault.Length, end)
 }
 
-func strikeSlow(hand *hand, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
+func injectSlowProcess(injector *injector, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
 	until := time.Now().Add(fault.Length)
 	random := rand.New(rand.NewPCG(fault.Pick, 1))
 	var turn func()
@@ -260,22 +260,22 @@
 			end()
 			return
 		}
-		hand.freeze(daemon, time.Duration(60+random.IntN(190))*time.Millisecond, func() {
-			hand.after(time.Duration(20+random.IntN(80))*time.Millisecond, turn)
+		injector.freeze(daemon, time.Duration(60+random.IntN(190))*time.Millisecond, func() {
+			injector.after(time.Duration(20+random.IntN(80))*time.Millisecond, turn)
 		})
 	}
 	turn()
 }
 
-// again restarts a daemon as the platform does.
-func (h *hand) again(daemon *testfleet.Daemon, wait time.Duration, then func()) {
+// restart restarts a daemon as the platform does.
+func (h *injector) restart(daemon *testfleet.Daemon, wait time.Duration, then func()) {
 	h.away[daemon.Name] = true
 	asked := time.Now()
 	h.run.fleet.Signal(daemon.Name, syscall.SIGTERM)
 	h.poll(6*time.Second, func() bool { return !daemon.Running() }, func(held bool) {
 		if !held {
 			h.run.fleet.Kill(daemon.Name)
-			h.run.book.note(func(checker *checker.Checker) {
+			h.run.book.record(func(checker *checker.Checker) {
 				checker.Violate("stop", "%s had to be killed %s after TERM", daemon.Name, time.Since(asked).Round(time.Millisecond))
 			})
 		}
@@ -283,29 +283,29 @@
 	})
 }
 
-func strikeAgain(hand *hand, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
-	hand.again(daemon, fault.Length/3, end)
+func injectRestart(injector *injector, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
+	injector.restart(daemon, fault.Length/3, end)
 }
 
-func (h *hand) inTurn(daemons []*testfleet.Daemon, end func()) {
+func (h *injector) restartInTurn(daemons []*testfleet.Daemon, end func()) {
 	if len(daemons) == 0 {
 		end()
 		return
 	}
 	daemon := daemons[0]
 	if h.away[daemon.Name] || h.frozen[daemon.Name] > 0 {
-		h.inTurn(daemons[1:], end)
+		h.restartInTurn(daemons[1:], end)
 		return
 	}
-	h.again(daemon, 300*time.Millisecond, func() {
+	h.restart(daemon, 300*time.Millisecond, func() {
 		h.after(time.Second, func() {
-			h.poll(8*time.Second, daemon.Ready, func(bool) { h.inTurn(daemons[1:], end) })
+			h.poll(8*time.Second, daemon.Ready, func(bool) { h.restartInTurn(daemons[1:], end) })
 		})
 	})
 }
 
 // impose puts something on the links or disks of daemons for a while.
-func (h *hand) impose(daemons []*testfleet.Daemon, length time.Duration, trial func(daemon *testfleet.Daemon) testfleet.Trial, end func()) {
+func (h *injector) impose(daemons []*testfleet.Daemon, length time.Duration, trial func(daemon *testfleet.Daemon) testfleet.Trial, end func()) {
 	h.number++
 	number := h.number
 	for _, daemon := range daemons {
@@ -323,7 +323,7 @@
 	})
 }
 
-func (h *hand) all(want func(daemon *testfleet.Daemon) bool) []*testfleet.Daemon {
+func (h *injector) daemons(want func(daemon *testfleet.Daemon) bool) []*testfleet.Daemon {
 	var found []*testfleet.Daemon
 	for _, name := range h.run.fleet.Names() {
 		if daemon := h.run.fleet.Daemons[name]; want(daemon) {
@@ -334,14 +334,14 @@
 }
 
 // agentOf is the agent on a gateway's machine.
-func (h *hand) agentOf(gateway *testfleet.Daemon) *testfleet.Daemon {
+func (h *injector) agentOf(gateway *testfleet.Daemon) *testfleet.Daemon {
 	return h.run.fleet.Daemons[membership.KindAgent+strings.TrimPrefix(gateway.Name, membership.KindGateway)]
 }
 
 // strangers are the addresses of all daemons but one and its machine's other.
-func (h *hand) strangers(daemon *testfleet.Daemon) []string {
+func (h *injector) strangers(daemon *testfleet.Daemon) []string {
 	var addresses []string
-	for _, other := range h.all(func(other *testfleet.Daemon) bool { return other != daemon && !beside(other, daemon) }) {
+	for _, other := range h.daemons(func(other *testfleet.Daemon) bool { return other != daemon && !beside(other, daemon) }) {
 		addresses = append(addresses, other.Address)
 	}
 	return addresses
@@ -355,208 +355,208 @@
 	return left != right && onMachine(left) && onMachine(right) && number(left) == number(right)
 }
 
-func join(kind string) bringer {
-	return func(hand *hand, _ faults.Fault, end func()) {
-		newcomer, found := hand.run.fleet.Spare(kind)
+func join(kind string) injectFunc {
+	return func(injector *injector, _ faults.Fault, end func()) {
+		newcomer, found := injector.run.fleet.Spare(kind)
 		if !found {
 			fmt.Println("    no machine is left to join")
 			end()
 			return
 		}
 		fmt.Printf("    %s\n", newcomer.Name)
-		hand.start(newcomer)
+		injector.start(newcomer)
 		if kind == membership.KindGateway {
-			hand.start(hand.agentOf(newcomer))
+			injector.start(injector.agentOf(newcomer))
 		}
-		hand.poll(12*time.Second, newcomer.Ready, func(held bool) {
+		injector.poll(12*time.Second, newcomer.Ready, func(held bool) {
 			if !held {
-				hand.run.book.note(func(book *checker.Checker) { book.Violate(checker.NotBack, "%s has not joined in 12 s", newcomer.Name) })
+				injector.run.book.record(func(book *checker.Checker) { book.Violate(checker.NotBack, "%s has not joined in 12 s", newcomer.Name) })
 			}
 			end()
 		})
 	}
 }
 
-func (h *hand) wish(wished wish) { h.operator.wishes <- wished }
-
-func (h *hand) place(pick uint64) int { return int(pick % uint64(h.run.fleet.Deployment.Places)) }
-
-var brought = map[string]bringer{
-	"kill-gateway":       on(membership.KindGateway, strikeDead),
-	"kill-agent":         on(membership.KindAgent, strikeDead),
-	"kill-store":         on(membership.KindStore, strikeDead),
-	"kill-controller":    on(membership.KindController, strikeDead),
-	"kill-primary":       on("primary", strikeDead),
-	"kill-backup":        on("backup", strikeDead),
-	"wipe-store":         on(membership.KindStore, strikeDead),
-	"wipe-controller":    on(membership.KindController, strikeDead),
-	"freeze-gateway":     on(membership.KindGateway, strikeFrozen),
-	"freeze-agent":       on(membership.KindAgent, strikeFrozen),
-	"freeze-store":       on(membership.KindStore, strikeFrozen),
-	"freeze-controller":  on(membership.KindController, strikeFrozen),
-	"freeze-primary":     on("primary", strikeFrozen),
-	"restart-gateway":    on(membership.KindGateway, strikeAgain),
-	"restart-store":      on(membership.KindStore, strikeAgain),
-	"restart-controller": on(membership.KindController, strikeAgain),
-	"slow-daemon":        on("", strikeSlow),
+func (h *injector) wish(wished wish) { h.operator.wishes <- wished }
+
+func (h *injector) zone(pick uint64) int { return int(pick % uint64(h.run.fleet.Deployment.Zones)) }
+
+var brought = map[string]injectFunc{
+	"kill-gateway":       on(membership.KindGateway, injectKill),
+	"kill-agent":         on(membership.KindAgent, injectKill),
+	"kill-store":         on(membership.KindStore, injectKill),
+	"kill-controller":    on(membership.KindController, injectKill),
+	"kill-primary":       on("primary", injectKill),
+	"kill-backup":        on("backup", injectKill),
+	"wipe-store":         on(membership.KindStore, injectKill),
+	"wipe-controller":    on(membership.KindController, injectKill),
+	"freeze-gateway":     on(membership.KindGateway, injectFreeze),
+	"freeze-agent":       on(membership.KindAgent, injectFreeze),
+	"freeze-store":       on(membership.KindStore, injectFreeze),
+	"freeze-controller":  on(membership.KindController, injectFreeze),
+	"freeze-primary":     on("primary", injectFreeze),
+	"restart-gateway":    on(membership.KindGateway, injectRestart),
+	"restart-store":      on(membership.KindStore, injectRestart),
+	"restart-controller": on(membership.KindController, injectRestart),
+	"slow-daemon":        on("", injectSlowProcess),
 	"join-gateway":       join(membership.KindGateway),
 	"join-store":         join(membership.KindStore),
 	"join-controller":    join(membership.KindController),
-	"restart-beside": on(membership.KindGateway, func(hand *hand, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
-		agent := hand.agentOf(daemon)
-		if hand.frozen[agent.Name] == 0 && !hand.away[agent.Name] {
-			hand.again(agent, fault.Length/4, func() {})
+	"restart-beside": on(membership.KindGateway, func(injector *injector, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
+		agent := injector.agentOf(daemon)
+		if injector.frozen[agent.Name] == 0 && !injector.away[agent.Name] {
+			injector.restart(agent, fault.Length/4, func() {})
 		}
-		hand.again(daemon, fault.Length/3, end)
+		injector.restart(daemon, fault.Length/3, end)
 	}),
-	"restart-stores": func(hand *hand, _ faults.Fault, end func()) {
-		hand.inTurn(hand.run.fleet.OfKind(membership.KindStore), end)
+	"restart-stores": func(injector *injector, _ faults.Fault, end func()) {
+		injector.restartInTurn(injector.run.fleet.OfKind(membership.KindStore), end)
 	},
-	"rolling": func(hand *hand, fault faults.Fault, end func()) {
+	"rolling": func(injector *injector, fault faults.Fault, end func()) {
 		kinds := []string{membership.KindController, membership.KindStore, membership.KindAgent, membership.KindGateway}
-		hand.inTurn(hand.run.fleet.OfKind(kinds[fault.Pick%4]), end)
+		injector.restartInTurn(injector.run.fleet.OfKind(kinds[fault.Pick%4]), end)
 	},
-	"slow-disk": func(hand *hand, fault faults.Fault, end func()) {
+	"slow-disk": func(injector *injector, fault faults.Fault, end func()) {
 		kind := membership.KindStore
 		if fault.Pick%3 == 0 {
 			kind = membership.KindController
 		}
-		daemon := hand.choose(kind, fault.Pick)
+		daemon := injector.choose(kind, fault.Pick)
 		if daemon == nil {
 			end()
 			return
 		}
-		hand.impose([]*testfleet.Daemon{daemon}, fault.Length, func(*testfleet.Daemon) testfleet.Trial { return testfleet.Trial{Disk: "150ms"} }, end)
+		injector.impose([]*testfleet.Daemon{daemon}, fault.Length, func(*testfleet.Daemon) testfleet.Trial { return testfleet.Trial{Disk: "150ms"} }, end)
 	},
-	"power-loss": func(hand *hand, fault faults.Fault, end func()) {
-		for _, daemon := range hand.run.fleet.OfKind(membership.KindStore) {
+	"power-loss": func(injector *injector, fault faults.Fault, end func()) {
+		for _, daemon := range injector.run.fleet.OfKind(membership.KindStore) {
 			if daemon.Running() {
-				hand.kill(daemon)
-				hand.after(fault.Length, func() { hand.start(daemon) })
+				injector.kill(daemon)
+				injector.after(fault.Length, func() { injector.start(daemon) })
 			}
 		}
-		hand.after(fault.Length+100*time.Millisecond, end)
+		injector.after(fault.Length+100*time.Millisecond, end)
 	},
-	"lose-place": func(hand *hand, fault faults.Fault, end func()) {
-		place := testfleet.Place(hand.place(fault.Pick))
-		for _, daemon := range hand.all(func(daemon *testfleet.Daemon) bool { return daemon.Zone == place && daemon.Running() }) {
-			hand.kill(daemon)
-			hand.after(fault.Length, func() { hand.start(daemon) })
+	"lose-place": func(injector *injector, fault faults.Fault, end func()) {
+		zone := testfleet.ZoneName(injector.zone(fault.Pick))
+		for _, daemon := range injector.daemons(func(daemon *testfleet.Daemon) bool { return daemon.Zone == zone && daemon.Running() }) {
+			injector.kill(daemon)
+			injector.after(fault.Length, func() { injector.start(daemon) })
 		}
-		hand.after(fault.Length+100*time.Millisecond, end)
+		injector.after(fault.Length+100*time.Millisecond, end)
 	},
-	"cut-daemon": on("", func(hand *hand, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
-		machine := hand.all(func(other *testfleet.Daemon) bool { return other == daemon || beside(other, daemon) })
-		hand.impose(machine, fault.Length, func(*testfleet.Daemon) testfleet.Trial { return testfleet.Trial{Cuts: hand.strangers(daemon)} }, end)
+	"cut-daemon": on("", func(injector *injector, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
+		machine := injector.daemons(func(other *testfleet.Daemon) bool { return other == daemon || beside(other, daemon) })
+		injector.impose(machine, fault.Length, func(*testfleet.Daemon) testfleet.Trial { return testfleet.Trial{Cuts: injector.strangers(daemon)} }, end)
 	}),
-	"cut-one-way": on("", func(hand *hand, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
-		hand.impose([]*testfleet.Daemon{daemon}, fault.Length, func(*testfleet.Daemon) testfleet.Trial {
+	"cut-one-way": on("", func(injector *injector, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
+		injector.impose([]*testfleet.Daemon{daemon}, fault.Length, func(*testfleet.Daemon) testfleet.Trial {
 			if fault.Pick%2 == 0 {
-				return testfleet.Trial{Mutes: hand.strangers(daemon)}
+				return testfleet.Trial{Mutes: injector.strangers(daemon)}
 			}
-			return testfleet.Trial{Deaf: hand.strangers(daemon)}
+			return testfleet.Trial{Deaf: injector.strangers(daemon)}
 		}, end)
 	}),
-	"cut-place": func(hand *hand, fault faults.Fault, end func()) {
-		place := hand.place(fault.Pick)
+	"cut-place": func(injector *injector, fault faults.Fault, end func()) {
+		zone := injector.zone(fault.Pick)
 		var others []string
-		for other := range hand.run.fleet.Deployment.Places {
-			if other != place {
+		for other := range injector.run.fleet.Deployment.Zones {
+			if other != zone {
 				others = append(others, testfleet.Prefix(other))
 			}
 		}
-		inside := hand.all(func(daemon *testfleet.Daemon) bool { return daemon.Zone == testfleet.Place(place) })
-		hand.impose(inside, fault.Length, func(*testfleet.Daemon) testfleet.Trial { return testfleet.Trial{Cuts: others} }, end)
+		inside := injector.daemons(func(daemon *testfleet.Daemon) bool { return daemon.Zone == testfleet.ZoneName(zone) })
+		injector.impose(inside, fault.Length, func(*testfleet.Daemon) testfleet.Trial { return testfleet.Trial{Cuts: others} }, end)
 	},
-	"cut-primary": on("primary", func(hand *hand, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
+	"cut-primary": on("primary", func(injector *injector, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
 		var others []string
-		for _, controller := range hand.run.fleet.OfKind(membership.KindController) {
+		for _, controller := range injector.run.fleet.OfKind(membership.KindController) {
 			if controller != daemon {
 				others = append(others, controller.Address)
 			}
 		}
-		hand.impose([]*testfleet.Daemon{daemon}, fault.Length+3*time.Second, func(*testfleet.Daemon) testfleet.Trial { return testfleet.Trial{Cuts: others} }, end)
+		injector.impose([]*testfleet.Daemon{daemon}, fault.Length+3*time.Second, func(*testfleet.Daemon) testfleet.Trial { return testfleet.Trial{Cuts: others} }, end)
 	}),
-	"loss": func(hand *hand, fault faults.Fault, end func()) {
-		hand.impose(hand.all(everyone), fault.Length, func(*testfleet.Daemon) testfleet.Trial {
+	"loss": func(injector *injector, fault faults.Fault, end func()) {
+		injector.impose(injector.daemons(everyone), fault.Length, func(*testfleet.Daemon) testfleet.Trial {
 			return testfleet.Trial{Loss: map[string]float64{"127.": 0.1}}
 		}, end)
 	},
-	"slow-links": func(hand *hand, fault faults.Fault, end func()) {
-		hand.impose(hand.all(everyone), fault.Length, func(daemon *testfleet.Daemon) testfleet.Trial {
+	"slow-links": func(injector *injector, fault faults.Fault, end func()) {
+		injector.impose(injector.daemons(everyone), fault.Length, func(daemon *testfleet.Daemon) testfleet.Trial {
 			delays := map[string]string{}
-			for place := range hand.run.fleet.Deployment.Places {
-				if testfleet.Place(place) != daemon.Zone {
-					delays[testfleet.Prefix(place)] = "40ms"
+			for zone := range injector.run.fleet.Deployment.Zones {
+				if testfleet.ZoneName(zone) != daemon.Zone {
+					delays[testfleet.Prefix(zone)] = "40ms"
 				}
 			}
 			return testfleet.Trial{Delays: delays}
 		}, end)
 	},
-	"relink": func(hand *hand, fault faults.Fault, end func()) {
-		hand.impose(hand.all(everyone), min(fault.Length, 300*time.Millisecond), func(daemon *testfleet.Daemon) testfleet.Trial {
-			return testfleet.Trial{Mutes: hand.strangers(daemon)}
+	"relink": func(injector *injector, fault faults.Fault, end func()) {
+		injector.impose(injector.daemons(everyone), min(fault.Length, 300*time.Millisecond), func(daemon *testfleet.Daemon) testfleet.Trial {
+			return testfleet.Trial{Mutes: injector.strangers(daemon)}
 		}, end)
 	},
-	"resets": func(hand *hand, fault faults.Fault, end func()) {
+	"resets": func(injector *injector, fault faults.Fault, end func()) {
 		random := rand.New(rand.NewPCG(fault.Pick, 2))
-		for _, origin := range hand.run.origins {
+		for _, origin := range injector.run.origins {
 			if random.IntN(10) > 0 {
 				origin.reset()
 			}
 		}
-		hand.after(fault.Length, end)
+		injector.after(fault.Length, end)
 	},
-	"vanish": func(hand *hand, fault faults.Fault, end func()) {
+	"vanish": func(injector *injector, fault faults.Fault, end func()) {
 		for turn := range 5 {
-			origin := hand.run.origins[(fault.Pick+uint64(turn)*97)%uint64(len(hand.run.origins))]
+			origin := injector.run.origins[(fault.Pick+uint64(turn)*97)%uint64(len(injector.run.origins))]
 			origin.awayUntil.Store(time.Now().Add(fault.Length * 4).UnixNano())
 			origin.reset()
 		}
-		hand.after(fault.Length*4, end)
+		injector.after(fault.Length*4, end)
 	},
-	"wander": func(hand *hand, fault faults.Fault, end func()) {
+	"wander": func(injector *injector, fault faults.Fault, end func()) {
 		for turn := range 40 {
-			origin := hand.run.origins[(fault.Pick+uint64(turn)*31)%uint64(len(hand.run.origins))]
-			place := testfleet.Place(hand.place(fault.Pick + uint64(turn)))
-			origin.zone.Store(&place)
+			origin := injector.run.origins[(fault.Pick+uint64(turn)*31)%uint64(len(injector.run.origins))]
+			zone := testfleet.ZoneName(injector.zone(fault.Pick + uint64(turn)))
+			origin.zone.Store(&zone)
 			origin.reset()
 		}
-		hand.after(fault.Length, end)
+		injector.after(fault.Length, end)
 	},
-	"crowd": func(hand *hand, fault faults.Fault, end func()) {
-		hand.number++
-		var crowd []*trialOrigin
+	"crowd": func(injector *injector, fault faults.Fault, end func()) {
+		injector.number++
+		var crowd []*trialClient
 		for number := range 150 {
-			place := hand.place(fault.Pick)
+			zone := injector.zone(fault.Pick)
 			if number%2 == 0 {
-				place = number % hand.run.fleet.Deployment.Places
+				zone = number % injector.run.fleet.Deployment.Zones
 			}
-			origin := hand.run.newOrigin(fmt.Sprintf("crowd-%d-%d", hand.number, number), place, uint64(hand.number*1000+number))
-			origin.interests = []checker.Interest{{Space: "boards", Path: keptTopic(origin.random.IntN(keptTopics))}}
+			origin := injector.run.newClient(fmt.Sprintf("crowd-%d-%d", injector.number, number), zone, uint64(injector.number*1000+number))
+			origin.interests = []checker.Interest{{Space: "boards", Path: durableTopic(origin.random.IntN(durableTopics))}}
 			crowd = append(crowd, origin)
 			go origin.live()
 		}
-		hand.after(fault.Length+4*time.Second, func() {
+		injector.after(fault.Length+4*time.Second, func() {
 			for _, origin := range crowd {
 				origin.leave()
 			}
 			end()
 		})
 	},
-	"operators": func(hand *hand, fault faults.Fault, end func()) {
+	"operators": func(injector *injector, fault faults.Fault, end func()) {
 		for range 2 {
-			hand.wish(func(operator *operator) { operator.race() })
+			injector.wish(func(operator *operator) { operator.race() })
 		}
-		hand.after(fault.Length, end)
+		injector.after(fault.Length, end)
 	},
-	"space": func(hand *hand, fault faults.Fault, end func()) {
-		hand.number++
-		name := fmt.Sprintf("brief-%d", hand.number)
-		users := make(chan *trialOrigin, 4)
-		hand.wish(addSpace(name, func() {
+	"space": func(injector *injector, fault faults.Fault, end func()) {
+		injector.number++
+		name := fmt.Sprintf("brief-%d", injector.number)
+		users := make(chan *trialClient, 4)
+		injector.wish(addSpace(name, func() {
 			for number := range 4 {
-				user := hand.run.newOrigin(fmt.Sprintf("%s-%d", name, number), number%hand.run.fleet.Deployment.Places, uint64(number))
+				user := injector.run.newClient(fmt.Sprintf("%s-%d", name, number), number%injector.run.fleet.Deployment.Zones, uint64(number))
 				user.interests = []checker.Interest{{Space: name, Wide: true}}
 				user.brief = name
 				users <- user
@@ -564,9 +564,9 @@
 				user.start()
 			}
 		}))
-		hand.after(3*time.Second+fault.Length, func() {
-			hand.wish(removeSpace(name))
-			hand.after(8*time.Second, func() {
+		injector.after(3*time.Second+fault.Length, func() {
+			injector.wish(removeSpace(name))
+			injector.after(8*time.Second, func() {
 				for len(users) > 0 {
 					(<-users).leave()
 				}
@@ -574,39 +574,39 @@
 			})
 		})
 	},
-	"drain": on(membership.KindGateway, func(hand *hand, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
-		hand.wish(drain(daemon.Name))
-		hand.after(fault.Length+5*time.Second, func() {
-			hand.wish(drain())
-			hand.after(time.Second, end)
+	"drain": on(membership.KindGateway, func(injector *injector, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
+		injector.wish(drain(daemon.Name))
+		injector.after(fault.Length+5*time.Second, func() {
+			injector.wish(drain())
+			injector.after(time.Second, end)
 		})
 	}),
-	"edit-settings": on("", func(hand *hand, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
+	"edit-settings": on("", func(injector *injector, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
 		text := daemon.Settings()
 		edits := []string{text[:len(text)/2], "", strings.Replace(text, daemon.Name, "another-name", 1), strings.Replace(text, daemon.Zone, "zone-z", 1)}
 		if fault.Pick%5 == 4 {
-			_ = hand.run.fleet.Vanish(daemon.Name)
+			_ = injector.run.fleet.Vanish(daemon.Name)
 		} else {
-			_ = hand.run.fleet.Edit(daemon.Name, []byte(edits[fault.Pick%5]))
+			_ = injector.run.fleet.Edit(daemon.Name, []byte(edits[fault.Pick%5]))
 		}
 		if fault.Pick%2 == 0 {
-			hand.run.fleet.Signal(daemon.Name, syscall.SIGHUP)
+			injector.run.fleet.Signal(daemon.Name, syscall.SIGHUP)
 		}
-		hand.after(fault.Length, func() {
-			_ = hand.run.fleet.Restore(daemon.Name)
-			hand.run.fleet.Signal(daemon.Name, syscall.SIGHUP)
+		injector.after(fault.Length, func() {
+			_ = injector.run.fleet.Restore(daemon.Name)
+			injector.run.fleet.Signal(daemon.Name, syscall.SIGHUP)
 			end()
 		})
 	}),
-	"retire": on(membership.KindStore, func(hand *hand, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
-		hand.retire(daemon, fault.Length, end)
+	"retire": on(membership.KindStore, func(injector *injector, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
+		injector.retire(daemon, fault.Length, end)
 	}),
 }
 
 func everyone(*testfleet.Daemon) bool { return true }
 
 // retire retires a store through any daemon; then its disk is lost.
-func (h *hand) retire(daemon *testfleet.Daemon, length time.Duration, end func()) {
+func (h *injector) retire(daemon *testfleet.Daemon, length time.Duration, end func()) {
 	random := rand.New(rand.NewPCG(uint64(length), 3))
 	refused := false
 	ask := func(method, verb string) bool {
@@ -625,7 +625,7 @@
 		}
 		h.poll(40*time.Second, func() bool { return ask("GET", "") }, func(held bool) {
 			if !held {
-				h.run.book.note(func(checker *checker.Checker) { checker.Violate("retire", "%s was not retired in 40 s", daemon.Name) })
+				h.run.book.record(func(checker *checker.Checker) { checker.Violate("retire", "%s was not retired in 40 s", daemon.Name) })
 			}
 			h.kill(daemon)
 			if held {
@@ -637,7 +637,7 @@
 }
 
 // last brings the fault about that stays, and measures until service is back.
-func (h *hand) last(name string) {
+func (h *injector) last(name string) {
 	random := rand.New(rand.NewPCG(h.run.trial.seed, 0x1a57))
 	if name == "draw" {
 		name = faults.Last[random.IntN(len(faults.Last))]
@@ -645,7 +645,7 @@
 	h.run.calm.Store(0)
 	from := time.Now()
 	var lost []string
-	strike := func(daemon *testfleet.Daemon) {
+	inject := func(daemon *testfleet.Daemon) {
 		if daemon != nil {
 			lost = append(lost, daemon.Name)
 			h.kill(daemon)
@@ -654,23 +654,23 @@
 	primary, backup := h.roles()
 	switch name {
 	case "kill-gateway", "kill-store", "kill-agent":
-		strike(h.choose(strings.TrimPrefix(name, "kill-"), random.Uint64()))
+		inject(h.choose(strings.TrimPrefix(name, "kill-"), random.Uint64()))
 	case "kill-primary":
-		strike(primary)
+		inject(primary)
 	case "kill-backup":
-		strike(backup)
+		inject(backup)
 	case "lose-place":
-		place := testfleet.Place(random.IntN(h.run.fleet.Deployment.Places))
-		for _, daemon := range h.all(func(daemon *testfleet.Daemon) bool { return daemon.Zone == place && daemon.Running() }) {
-			strike(daemon)
+		zone := testfleet.ZoneName(random.IntN(h.run.fleet.Deployment.Zones))
+		for _, daemon := range h.daemons(func(daemon *testfleet.Daemon) bool { return daemon.Zone == zone && daemon.Running() }) {
+			inject(daemon)
 		}
 	case "lose-two":
 		kinds := []string{membership.KindGateway, membership.KindStore, membership.KindController, membership.KindAgent}
 		first := random.IntN(len(kinds))
-		strike(h.choose(kinds[first], random.Uint64()))
-		strike(h.choose(kinds[(first+1+random.IntN(3))%4], random.Uint64()))
+		inject(h.choose(kinds[first], random.Uint64()))
+		inject(h.choose(kinds[(first+1+random.IntN(3))%4], random.Uint64()))
 	case "restart-all":
-		for _, daemon := range h.all((*testfleet.Daemon).Running) {
+		for _, daemon := range h.daemons((*testfleet.Daemon).Running) {
 			h.kill(daemon)
 			h.after(time.Duration(300+random.IntN(1200))*time.Millisecond, func() { h.start(daemon) })
 		}
@@ -683,7 +683,7 @@
 		}
 	}
 	h.run.gone.Store(&gone)
-	prober := h.run.newOrigin("prober", 0, 77)
+	prober := h.run.newClient("prober", 0, 77)
 	var refilled, callers time.Duration
 	h.until(2*checker.BackWithin, func() bool {
 		after := time.Since(from)
@@ -705,9 +705,9 @@
 	noticed, decided, complete := h.run.parts(from)
 	fmt.Printf("service is back %s after %s: noticed %s, decided %s, partitions whole %s, kept again %s, last caller %s\n", back.Round(time.Millisecond), name,
 		noticed.Round(time.Millisecond), decided.Round(time.Millisecond), complete.Round(time.Millisecond), refilled.Round(time.Millisecond), callers.Round(time.Millisecond))
-	h.run.book.note(func(checker *checker.Checker) { checker.Served(name, back) })
+	h.run.book.record(func(checker *checker.Checker) { checker.Served(name, back) })
 	h.run.calm.Store(time.Now().UnixNano())
-	h.until(checker.TroubleFor+3*time.Second, func() bool { return false })
+	h.until(checker.FaultSettleTime+3*time.Second, func() bool { return false })
 }
 
 // parts reads from the daemons' logs when a failure was noticed, decided upon
--- a/cmd/fleetlab/recorded.go
+++ b/cmd/fleetlab/recorded.go
@@ -100,11 +100,11 @@
 	lacks := func(list, name string) bool {
 		return list != everything && !slices.Contains(strings.Split(list, ","), name)
 	}
-	return func(line simulator.Recording) bool {
-		return lacks(h.scenario, line.Scenario) ||
-			given["size"] && lacks(h.size, line.Shape) ||
-			given["from"] && line.Seed < h.from ||
-			given["seeds"] && line.Seed >= h.from+h.seeds
+	return func(text simulator.Recording) bool {
+		return lacks(h.scenario, text.Scenario) ||
+			given["size"] && lacks(h.size, text.Shape) ||
+			given["from"] && text.Seed < h.from ||
+			given["seeds"] && text.Seed >= h.from+h.seeds
 	}
 }
 
--- a/cmd/fleetlab/simulate.go
+++ b/cmd/fleetlab/simulate.go
@@ -79,12 +79,12 @@
 		return subcommands.ExitUsageError
 	}
 	if h.plot != "" || h.last != "" {
-		storm, err := faults.Parse(h.plot)
+		schedule, err := faults.Parse(h.plot)
 		if err != nil || h.last != "" && !slices.Contains(faults.Last, h.last) {
 			fmt.Fprintf(os.Stderr, "fleetlab: %v; last faults are %v\n", err, faults.Last)
 			return subcommands.ExitUsageError
 		}
-		scenarios = []simulator.Scenario{{Name: "plot", Schedule: func(uint64) simulator.FaultSchedule { return simulator.FaultSchedule{Faults: storm, Last: h.last} }}}
+		scenarios = []simulator.Scenario{{Name: "plot", Schedule: func(uint64) simulator.FaultSchedule { return simulator.FaultSchedule{Faults: schedule, Last: h.last} }}}
 	} else if h.scenario != "all" {
 		scenario, found := simulator.Find(h.scenario)
 		if !found {
@@ -139,7 +139,7 @@
 	slices.SortFunc(bad, func(left, right ran) int { return int(left.seed) - int(right.seed) })
 	fmt.Printf("%-18s %d seeds, %d failed, %.1f s; one: %s\n", scenario.Name, h.seeds, len(bad), time.Since(began).Seconds(), last)
 	if h.parts {
-		tellParts(comebacks)
+		printRecoveryParts(comebacks)
 	}
 	for position, result := range bad {
 		if position == 8 {
@@ -152,9 +152,9 @@
 		if result.broken != nil {
 			fmt.Printf("    broken: %v\n", result.broken)
 		}
-		for number, line := range result.violations {
+		for number, text := range result.violations {
 			if number < h.most {
-				fmt.Printf("    %s\n", line)
+				fmt.Printf("    %s\n", text)
 			}
 		}
 	}
@@ -171,9 +171,9 @@
 			}
 		}
 	}()
-	var trace func(line string)
+	var trace func(text string)
 	if h.trace {
-		trace = func(line string) { fmt.Println(line) }
+		trace = func(text string) { fmt.Println(text) }
 	}
 	run := simulator.Run(scenario, seed, simulator.Shapes[h.size], trace)
 	result.summary, result.violations, result.comebacks = run.Checker.Summary(), run.Checker.Violations(), run.Recoveries
@@ -183,17 +183,17 @@
 // shortest leaves faults out of a failing seed's list for as long as it fails.
 func (h *hunt) shortest(scenario simulator.Scenario, seed uint64) {
 	plot := scenario.Schedule(seed)
-	plot.Faults = faults.Shorten(plot.Faults, func(storm []faults.Fault) bool {
+	plot.Faults = faults.Shorten(plot.Faults, func(schedule []faults.Fault) bool {
 		shorter := plot
-		shorter.Faults = storm
+		shorter.Faults = schedule
 		again := h.one(simulator.Scenario{Name: scenario.Name, Schedule: func(uint64) simulator.FaultSchedule { return shorter }}, seed)
 		return len(again.violations) > 0 || again.broken != nil
 	})
 	fmt.Printf("    shortest: -plot %q -last %q, clocks apart %s\n", faults.Format(plot.Faults), plot.Last, plot.ClockSkew)
 }
 
-// tellParts tells the distribution of each part of coming back after a failure.
-func tellParts(comebacks []simulator.Recovery) {
+// printRecoveryParts tells the distribution of each part of coming back after a failure.
+func printRecoveryParts(comebacks []simulator.Recovery) {
 	parts := []struct {
 		name string
 		of   func(simulator.Recovery) time.Duration
--- a/cmd/fleetlab/trial.go
+++ b/cmd/fleetlab/trial.go
@@ -55,15 +55,15 @@
 	set.BoolVar(&t.economy, "economy", false, "let gateways rest")
 }
 
-// book is the one owner of the checker; all others send it what they saw.
-type book struct {
+// checkerLog is the one owner of the checker; all others send it what they saw.
+type checkerLog struct {
 	entries chan func(checker *checker.Checker)
 	done    chan struct{}
 	checker *checker.Checker
 }
 
-func newBook() *book {
-	book := &book{entries: make(chan func(*checker.Checker), 4096), done: make(chan struct{}), checker: checker.New()}
+func newCheckerLog() *checkerLog {
+	book := &checkerLog{entries: make(chan func(*checker.Checker), 4096), done: make(chan struct{}), checker: checker.New()}
 	go func() {
 		defer close(book.done)
 		for entry := range book.entries {
@@ -73,10 +73,10 @@
 	return book
 }
 
-func (b *book) note(entry func(checker *checker.Checker)) { b.entries <- entry }
+func (b *checkerLog) record(entry func(checker *checker.Checker)) { b.entries <- entry }
 
 func (t *trial) Execute(_ context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	storm, err := t.draw()
+	schedule, err := t.draw()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "fleetlab:", err)
 		return subcommands.ExitUsageError
@@ -95,11 +95,11 @@
 		return subcommands.ExitFailure
 	}
 	run := &trialRun{
-		trial: t, fleet: running, book: newBook(), random: rand.New(rand.NewPCG(t.seed, 0xba5e)), platform: newPlatform(running),
-		quiet: make(chan struct{}), storm: storm, unready: map[string]time.Duration{},
+		trial: t, fleet: running, book: newCheckerLog(), random: rand.New(rand.NewPCG(t.seed, 0xba5e)), platform: newPlatform(running),
+		quiet: make(chan struct{}), storm: schedule, unready: map[string]time.Duration{},
 	}
 	run.operator = newOperator(run)
-	run.hand = &hand{run: run, operator: run.operator}
+	run.hand = &injector{run: run, operator: run.operator}
 	return run.run()
 }
 
@@ -175,13 +175,13 @@
 type trialRun struct {
 	trial    *trial
 	fleet    *testfleet.Fleet
-	book     *book
+	book     *checkerLog
 	random   *rand.Rand
 	platform *platform
 	quiet    chan struct{}
-	origins  []*trialOrigin
+	origins  []*trialClient
 	storm    []faults.Fault
-	hand     *hand
+	hand     *injector
 	operator *operator
 	calm     atomic.Int64
 	gone     atomic.Pointer[[]string]
@@ -223,7 +223,7 @@
 					tr.unready[daemon.Name] += sampleEvery
 					calm := tr.calmSince()
 					if !tr.hand.left(daemon.Name) {
-						tr.book.note(func(checker *checker.Checker) { checker.NotReady(daemon.Name, calm, at) })
+						tr.book.record(func(checker *checker.Checker) { checker.NotReady(daemon.Name, calm, at) })
 					}
 				}
 			}
@@ -234,7 +234,7 @@
 			}
 			version, _ := self["version"].(float64)
 			healthy := since[daemon.Name]
-			tr.book.note(func(checker *checker.Checker) {
+			tr.book.record(func(checker *checker.Checker) {
 				checker.InForce(daemon.Name, uint64(version), true, healthy, at)
 				checker.Showed(daemon.Name, uint64(version), began, at)
 			})
@@ -255,7 +255,7 @@
 }
 
 func (tr *trialRun) run() subcommands.ExitStatus {
-	tr.book.note(func(checker *checker.Checker) {
+	tr.book.record(func(checker *checker.Checker) {
 		checker.Space("boards", true, false)
 		checker.Space("urgent", true, false)
 		checker.Space("decisions", true, true)
@@ -275,10 +275,10 @@
 		tr.sample(stopSample)
 	}()
 	began := time.Now()
-	tr.startOrigins()
+	tr.startClients()
 	if !tr.waitSubscribed(60 * time.Second) {
 		fmt.Println("not all origins are subscribed")
-		tr.tellUnserved()
+		tr.printUnserved()
 	}
 	fmt.Printf("%d origins subscribed after %s\n", len(tr.origins), time.Since(began).Round(10*time.Millisecond))
 	before := tr.measure()
@@ -286,9 +286,9 @@
 	for _, each := range tr.origins {
 		each.start()
 	}
-	tr.calm.Store(time.Now().Add(-checker.TroubleFor).UnixNano())
+	tr.calm.Store(time.Now().Add(-checker.FaultSettleTime).UnixNano())
 	tr.operator.work()
-	tr.hand.storm(tr.storm, tr.trial.length)
+	tr.hand.runFaults(tr.storm, tr.trial.length)
 	after := tr.measure()
 	loadFor := time.Since(loadBegan)
 	if tr.trial.last != "" {
@@ -306,9 +306,9 @@
 	}
 	time.Sleep(300 * time.Millisecond)
 	at := time.Now()
-	tr.book.note(func(checker *checker.Checker) {
+	tr.book.record(func(checker *checker.Checker) {
 		if !served {
-			tr.tellUnserved()
+			tr.printUnserved()
 			checker.Violate("not-back", "not all origins are served at the end")
 		}
 		checker.Close(at)
@@ -344,7 +344,7 @@
 	return false
 }
 
-func (tr *trialRun) tellUnserved() {
+func (tr *trialRun) printUnserved() {
 	for _, each := range tr.origins {
 		if !each.served.Load() {
 			fmt.Printf("  %s: %s\n", each.name, *each.last.Load())
@@ -415,7 +415,7 @@
 			after.stray-before.stray, after.copies-before.copies)
 		fmt.Printf("load for %s: delivered %.0f\n", length.Round(time.Second), delivered)
 	}
-	for _, line := range tr.book.checker.Violations() {
-		fmt.Println(" ", line)
+	for _, text := range tr.book.checker.Violations() {
+		fmt.Println(" ", text)
 	}
 }
--- a/internal/checker/checker.go
+++ b/internal/checker/checker.go
@@ -108,12 +108,12 @@
 	Unsettled   int
 	Answers     []time.Duration
 	Late        int
-	// PassingOwed holds passing messages to what kept ones are: each accepted
+	// EphemeralOwed holds passing messages to what kept ones are: each accepted
 	// one is owed to whoever subscribes and is never away for long.
-	PassingOwed bool
-	Codes       map[string]int
-	showed      map[string][]shown
-	Topics      *Topics
+	EphemeralOwed bool
+	Codes         map[string]int
+	showed        map[string][]shown
+	Topics        *Topics
 	// Register is what operators saw of the configuration.
 	Register Register
 }
@@ -129,29 +129,29 @@
 
 // Kinds of violations, each a promise of the brief.
 const (
-	NotInForce   = "not-in-force"
-	WentBack     = "went-back"
-	StaleRead    = "stale-read"
-	BrokenTaken  = "broken-taken"
-	Lost         = "lost"
-	Twice        = "twice"
-	OutOfOrder   = "out-of-order"
-	Disagree     = "channel-order"
-	PlaceRefused = "place-refused"
-	NeverAsked   = "never-asked"
-	AllRefused   = "all-refused"
-	AfterRemoval = "after-removal"
-	NotBack      = "not-back"
-	Unready      = "unready"
-	RefusedCalm  = "refused-in-calm"
-	NotLinear    = "not-linearizable"
-	TooFewLeft   = "too-few-left"
-	RefusedAgain = "refused-again"
+	NotInForce     = "not-in-force"
+	WentBack       = "went-back"
+	StaleRead      = "stale-read"
+	BrokenAccepted = "broken-taken"
+	Lost           = "lost"
+	Twice          = "twice"
+	OutOfOrder     = "out-of-order"
+	Disagree       = "channel-order"
+	CursorRejected = "place-refused"
+	NeverAsked     = "never-asked"
+	AllRefused     = "all-refused"
+	AfterRemoval   = "after-removal"
+	NotBack        = "not-back"
+	Unready        = "unready"
+	RefusedCalm    = "refused-in-calm"
+	NotLinear      = "not-linearizable"
+	TooFewLeft     = "too-few-left"
+	RefusedAgain   = "refused-again"
 )
 
-// TroubleFor is how long after the end of a fault daemons may still be unready
+// FaultSettleTime is how long after the end of a fault daemons may still be unready
 // and requests refused.
-const TroubleFor = 12 * time.Second
+const FaultSettleTime = 12 * time.Second
 
 // Violate records a violation.
 func (c *Checker) Violate(kind, text string, values ...any) {
@@ -183,8 +183,8 @@
 
 // Publishers.
 
-// Try tells that a publication is being tried.
-func (c *Checker) Try(message Message, topic, data string, at time.Time) {
+// Attempt tells that a publication is being tried.
+func (c *Checker) Attempt(message Message, topic, data string, at time.Time) {
 	each, found := c.messages[message]
 	if !found {
 		each = &published{topic: topic, data: data, firstTry: at}
@@ -252,11 +252,11 @@
 // client ended; nothing more is owed to it.
 func (c *Checker) Dropped(name string) { c.subscriber(name).dropped = true }
 
-// PlaceLost tells that a returning client was refused its place; the oldest
+// CursorLost tells that a returning client was refused its place; the oldest
 // message that it missed was sent at the given time.
-func (c *Checker) PlaceLost(name string, cutAt, at time.Time) {
+func (c *Checker) CursorLost(name string, cutAt, at time.Time) {
 	if at.Sub(cutAt) < Holding {
-		c.Violate(PlaceRefused, "%s came back after %s", name, at.Sub(cutAt))
+		c.Violate(CursorRejected, "%s came back after %s", name, at.Sub(cutAt))
 	}
 	c.Dropped(name)
 }
@@ -295,8 +295,8 @@
 
 // Operators.
 
-// PutTaken tells that a configuration was said to be taken.
-func (c *Checker) PutTaken(version uint64, document string, began, at time.Time) {
+// ConfigurationAccepted tells that a configuration was said to be taken.
+func (c *Checker) ConfigurationAccepted(version uint64, document string, began, at time.Time) {
 	if earlier, found := c.asked[version]; found && earlier != document {
 		c.Violate(StaleRead, "version %d was taken twice with different content", version)
 	}
@@ -304,9 +304,9 @@
 	c.puts = append(c.puts, put{version: version, document: document, began: began, taken: at})
 }
 
-// BrokenWasTaken tells that a broken configuration was accepted.
-func (c *Checker) BrokenWasTaken(text string) {
-	c.Violate(BrokenTaken, "%s", text)
+// BrokenAccepted tells that a broken configuration was accepted.
+func (c *Checker) BrokenAccepted(text string) {
+	c.Violate(BrokenAccepted, "%s", text)
 }
 
 // ReadBack tells what reading the configuration back gave.
@@ -369,14 +369,14 @@
 // once all faults have been over for long enough.
 func (c *Checker) RefusedAs(code, what string, calmSince, at time.Time) {
 	c.Codes[code]++
-	if at.Sub(calmSince) > TroubleFor {
+	if at.Sub(calmSince) > FaultSettleTime {
 		c.Violate(RefusedCalm, "%s: %s, %s after the last fault", what, code, at.Sub(calmSince))
 	}
 }
 
 // NotReady tells of a daemon that ought to serve and does not.
 func (c *Checker) NotReady(daemon string, calmSince, at time.Time) {
-	if at.Sub(calmSince) > TroubleFor {
+	if at.Sub(calmSince) > FaultSettleTime {
 		c.Violate(Unready, "%s is not ready, %s after the last fault", daemon, at.Sub(calmSince))
 	}
 }
@@ -422,7 +422,7 @@
 	}
 	for message, sent := range c.messages {
 		here, found := c.spaces[message.Space]
-		if !found || !here.kept && !c.PassingOwed || !sent.accepted || !here.removed.IsZero() {
+		if !found || !here.kept && !c.EphemeralOwed || !sent.accepted || !here.removed.IsZero() {
 			continue
 		}
 		if _, got := each.got[message]; got {
@@ -444,13 +444,13 @@
 		if !here.channel {
 			continue
 		}
-		place := map[Message]int{}
+		cursor := map[Message]int{}
 		for position, message := range right.order[name] {
-			place[message] = position
+			cursor[message] = position
 		}
 		last := -1
 		for _, message := range left.order[name] {
-			position, both := place[message]
+			position, both := cursor[message]
 			if !both {
 				continue
 			}
--- a/internal/checker/checker_test.go
+++ b/internal/checker/checker_test.go
@@ -25,14 +25,14 @@
 		for _, space := range []string{"kept", "one", "pass"} {
 			message := Message{Space: space, Sender: "cy", Seq: seq}
 			began := at(float64(seq))
-			checker.Try(message, "a/b", "data", began)
+			checker.Attempt(message, "a/b", "data", began)
 			checker.Answered(message, "accepted", began, began.Add(time.Millisecond))
 			for _, name := range []string{"ada", "bob"} {
 				checker.Got(name, message, "a/b", "data", began.Add(2*time.Millisecond))
 			}
 		}
 	}
-	checker.PutTaken(1, "one", at(0), at(0))
+	checker.ConfigurationAccepted(1, "one", at(0), at(0))
 	checker.InForce("gateway", 1, true, at(0), at(5))
 	checker.ReadBack(1, "one", at(5), at(5))
 	return checker
@@ -43,25 +43,25 @@
 	at := func(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 	fresh := Message{Space: "kept", Sender: "cy", Seq: 9}
 	try := func(checker *Checker, message Message, outcome string) {
-		checker.Try(message, "a/b", "data", at(9))
+		checker.Attempt(message, "a/b", "data", at(9))
 		checker.Answered(message, outcome, at(9), at(9.1))
 	}
 	plants := map[string]func(checker *Checker){
 		"": func(*Checker) {},
 		NotInForce: func(checker *Checker) {
-			checker.PutTaken(2, "two", at(6), at(6))
+			checker.ConfigurationAccepted(2, "two", at(6), at(6))
 			checker.InForce("gateway", 1, true, at(0), at(9.5))
 		},
 		WentBack: func(checker *Checker) { checker.InForce("gateway", 0, true, at(0), at(1)) },
 		StaleRead: func(checker *Checker) {
-			checker.PutTaken(2, "two", at(6), at(6))
+			checker.ConfigurationAccepted(2, "two", at(6), at(6))
 			checker.ReadBack(1, "one", at(7), at(7))
 		},
 		NotLinear: func(checker *Checker) {
 			checker.Register.Put(1, "one", at(1)).End(Acknowledged, at(2))
 			checker.Register.Put(1, "other", at(1)).End(Acknowledged, at(2))
 		},
-		BrokenTaken: func(checker *Checker) { checker.BrokenWasTaken("a broken one") },
+		BrokenAccepted: func(checker *Checker) { checker.BrokenAccepted("a broken one") },
 		Lost: func(checker *Checker) {
 			try(checker, fresh, "accepted")
 			checker.Got("ada", fresh, "a/b", "data", at(9.2))
@@ -74,7 +74,7 @@
 			try(checker, late, "accepted")
 			checker.Got("ada", late, "a/b", "data", at(9))
 		},
-		PlaceRefused: func(checker *Checker) { checker.PlaceLost("ada", at(5), at(39)) },
+		CursorRejected: func(checker *Checker) { checker.CursorLost("ada", at(5), at(39)) },
 		NeverAsked: func(checker *Checker) {
 			checker.Got("eve", Message{Space: "kept", Sender: "cy", Seq: 2}, "a/b", "data", at(9))
 		},
@@ -122,7 +122,7 @@
 	checker.AnswerWithin("urgent", time.Second)
 	for seq, took := range []time.Duration{time.Millisecond, time.Second, 1001 * time.Millisecond} {
 		message := Message{Space: "urgent", Sender: "cy", Seq: uint64(seq + 1)}
-		checker.Try(message, "a", "data", start)
+		checker.Attempt(message, "a", "data", start)
 		checker.Answered(message, "accepted", start, start.Add(took))
 	}
 	assert.Equal(t, checker.Late, 1)
--- a/internal/checker/topics.go
+++ b/internal/checker/topics.go
@@ -304,7 +304,7 @@
 		excused = excused || at.Sub(each.firstTry) >= route.holding
 	}
 	if !excused && !s.Ended() {
-		checker.Violate(PlaceRefused, "%s lost its place in %s, though all of %d messages that it lacks are held", s.name, s.topic, lacks)
+		checker.Violate(CursorRejected, "%s lost its place in %s, though all of %d messages that it lacks are held", s.name, s.topic, lacks)
 	}
 	s.End(at)
 }
@@ -340,7 +340,7 @@
 	delay := at.Sub(sent.wanted)
 	if s.opened.Before(sent.wanted) && s.connected {
 		topics.Delays = append(topics.Delays, delay)
-		if delay > DeliverWithin && sent.wanted.Sub(calmSince) > TroubleFor {
+		if delay > DeliverWithin && sent.wanted.Sub(calmSince) > FaultSettleTime {
 			checker.Violate(LateInCalm, "%s got %v on %s after %s", who, name, topic, delay)
 		}
 	}
@@ -386,7 +386,7 @@
 		return
 	}
 	c.Topics.CountsWrong++
-	if at.Sub(calmSince) > TroubleFor {
+	if at.Sub(calmSince) > FaultSettleTime {
 		c.Violate(Presence, "%d subscribers of %s were told, and %d to %d were there", number, topic, throughout, once)
 	}
 }
--- a/internal/checker/topics_test.go
+++ b/internal/checker/topics_test.go
@@ -138,15 +138,15 @@
 			run.gets(bob, "dan", 20, 7.1)
 			run.gets(bob, "cy", 20, 7.2)
 		}},
-		{PlaceRefused, "a place, though nothing is missing", func(_ *topicRun, ada, _ *Subscription) { ada.Expired(moment(60)) }},
-		{PlaceRefused, "a place, though all that is missing is young", func(run *topicRun, ada, _ *Subscription) {
+		{CursorRejected, "a place, though nothing is missing", func(_ *topicRun, ada, _ *Subscription) { ada.Expired(moment(60)) }},
+		{CursorRejected, "a place, though all that is missing is young", func(run *topicRun, ada, _ *Subscription) {
 			ada.Cut(moment(6))
 			run.try("cy", 20, keptTopic, "accepted", 26)
 			run.gets(run.held["bob "+keptTopic], "cy", 20, 26.1)
 			run.gets(run.held["eve "+keptTopic], "cy", 20, 26.1)
 			ada.Expired(moment(60))
 		}},
-		{PlaceRefused, "a saved place", func(run *topicRun, _, _ *Subscription) {
+		{CursorRejected, "a saved place", func(run *topicRun, _, _ *Subscription) {
 			run.Subscribing("fay", keptTopic, &Saved{Topic: keptTopic, After: Post{"cy", 4}, At: moment(2.1)}).Expired(moment(20))
 		}},
 		{Lost, "a saved place does not bring a message", func(run *topicRun, _, _ *Subscription) {
--- a/internal/faults/faults.go
+++ b/internal/faults/faults.go
@@ -64,7 +64,7 @@
 // Draw draws a storm: a few names, each coming some times, and no two that
 // clash within the time that one needs to be mended.
 func Draw(random *rand.Rand, names []string, length time.Duration, count int) []Fault {
-	var storm []Fault
+	var schedule []Fault
 	for range count {
 		fault := Fault{
 			Name:   names[random.IntN(len(names))],
@@ -72,12 +72,12 @@
 			Length: (200*time.Millisecond + time.Duration(random.Int64N(int64(5*time.Second)))).Round(time.Millisecond),
 			Pick:   uint64(random.IntN(1 << 16)),
 		}
-		if !slices.ContainsFunc(storm, func(other Fault) bool { return Clashes(fault.Name, other.Name) && near(fault, other) }) {
-			storm = append(storm, fault)
+		if !slices.ContainsFunc(schedule, func(other Fault) bool { return Clashes(fault.Name, other.Name) && near(fault, other) }) {
+			schedule = append(schedule, fault)
 		}
 	}
-	slices.SortStableFunc(storm, func(left, right Fault) int { return int(left.Start - right.Start) })
-	return storm
+	slices.SortStableFunc(schedule, func(left, right Fault) int { return int(left.Start - right.Start) })
+	return schedule
 }
 
 // Mending is how long a partition may need to have its two copies again.
@@ -93,9 +93,9 @@
 }
 
 // Format writes a list.
-func Format(storm []Fault) string {
+func Format(schedule []Fault) string {
 	var parts []string
-	for _, fault := range storm {
+	for _, fault := range schedule {
 		parts = append(parts, fault.String())
 	}
 	return strings.Join(parts, ",")
@@ -103,7 +103,7 @@
 
 // Parse reads what Format writes.
 func Parse(text string) ([]Fault, error) {
-	var storm []Fault
+	var schedule []Fault
 	for _, part := range strings.Split(text, ",") {
 		if part == "" {
 			continue
@@ -124,23 +124,23 @@
 				return nil, ErrorList.Wrap(each, "%q is not name@start+length#pick", part)
 			}
 		}
-		storm = append(storm, fault)
+		schedule = append(schedule, fault)
 	}
-	return storm, nil
+	return schedule, nil
 }
 
 // Shorten leaves out faults for as long as a run without them still fails, and
 // gives the shortest list found.
-func Shorten(storm []Fault, fails func(storm []Fault) bool) []Fault {
+func Shorten(schedule []Fault, fails func(schedule []Fault) bool) []Fault {
 	for again := true; again; {
 		again = false
-		for position := range storm {
-			shorter := slices.Delete(slices.Clone(storm), position, position+1)
+		for position := range schedule {
+			shorter := slices.Delete(slices.Clone(schedule), position, position+1)
 			if fails(shorter) {
-				storm, again = shorter, true
+				schedule, again = shorter, true
 				break
 			}
 		}
 	}
-	return storm
+	return schedule
 }
--- a/internal/faults/faults_test.go
+++ b/internal/faults/faults_test.go
@@ -13,21 +13,21 @@
 
 func TestStormsReadBackAndShorten(t *testing.T) {
 	for seed := range uint64(200) {
-		storm := Draw(rand.New(rand.NewPCG(seed, 1)), Names, 30*time.Second, 12)
-		read, err := Parse(Format(storm))
+		schedule := Draw(rand.New(rand.NewPCG(seed, 1)), Names, 30*time.Second, 12)
+		read, err := Parse(Format(schedule))
 		assert.NilError(t, err)
-		assert.Equal(t, Format(read), Format(storm))
-		for position, left := range storm {
-			for _, right := range storm[position+1:] {
+		assert.Equal(t, Format(read), Format(schedule))
+		for position, left := range schedule {
+			for _, right := range schedule[position+1:] {
 				assert.Assert(t, !Clashes(left.Name, right.Name) || !near(left, right), "%s and %s", left, right)
 			}
 		}
-		if len(storm) < 3 {
+		if len(schedule) < 3 {
 			continue
 		}
-		needed := []Fault{storm[0], storm[2]}
-		short := Shorten(storm, func(storm []Fault) bool {
-			return slices.Contains(storm, needed[0]) && slices.Contains(storm, needed[1])
+		needed := []Fault{schedule[0], schedule[2]}
+		short := Shorten(schedule, func(schedule []Fault) bool {
+			return slices.Contains(schedule, needed[0]) && slices.Contains(schedule, needed[1])
 		})
 		assert.Equal(t, Format(short), Format(needed))
 	}
--- a/internal/simulator/client.go
+++ b/internal/simulator/client.go
@@ -224,7 +224,7 @@
 			}
 		case answer.Code == "place-lost":
 			simulation.trace("%s lost its place, cut %s ago", c.Name, simulation.Now.Sub(c.cutAt))
-			simulation.Checker.PlaceLost(c.Name, c.cutAt, simulation.Now)
+			simulation.Checker.CursorLost(c.Name, c.cutAt, simulation.Now)
 			c.Gone = true
 		case answer.Code == "no-such-channel" || answer.Code == "moved":
 			c.cut(turn, 20*time.Millisecond)
@@ -238,7 +238,7 @@
 				}
 			})
 		default:
-			simulation.Checker.Violate(checker.PlaceRefused, "%s: %s %s", c.Name, answer.Code, answer.Text)
+			simulation.Checker.Violate(checker.CursorRejected, "%s: %s %s", c.Name, answer.Code, answer.Text)
 			c.Gone = true
 		}
 	})
@@ -363,7 +363,7 @@
 	item.tries++
 	began, node := simulation.Now, c.node
 	message := item.message
-	simulation.Checker.Try(message, item.topic, item.data, began)
+	simulation.Checker.Attempt(message, item.topic, item.data, began)
 	settled := false
 	finish := func(outcome, code string, again time.Duration) {
 		if settled {
--- a/internal/simulator/closing_test.go
+++ b/internal/simulator/closing_test.go
@@ -175,7 +175,7 @@
 	run, operator := callers.begin(seed, size)
 	run.Run(2 * time.Second)
 	operator.work(run.Now.Add(topicStorm + 40*time.Second))
-	run.lastFaultAt = run.Now.Add(-checker.TroubleFor)
+	run.lastFaultAt = run.Now.Add(-checker.FaultSettleTime)
 	if fault.day > 0 {
 		run.day(t, faults.Draw(rand.New(rand.NewPCG(seed, 0xc105)), faults.Names, topicStorm, fault.day))
 	}
@@ -189,7 +189,7 @@
 	run.Run(fault.delay + 1500*time.Millisecond)
 	run.open--
 	run.lastFaultAt = run.Now
-	run.Run(checker.TroubleFor + 2*time.Second)
+	run.Run(checker.FaultSettleTime + 2*time.Second)
 
 	primary := run.Primary()
 	if primary == nil {
@@ -214,7 +214,7 @@
 	s.Run(topicStorm)
 	ended := s.RunUntil(time.Minute, func() bool { return s.open == 0 })
 	assert.Check(t, ended, "a fault has not ended: %s", faults.Format(schedule))
-	s.Run(checker.TroubleFor + 4*time.Second)
+	s.Run(checker.FaultSettleTime + 4*time.Second)
 }
 
 // acknowledgeMore waits until a configuration and a message after it are acknowledged,
--- a/internal/simulator/cutoff_test.go
+++ b/internal/simulator/cutoff_test.go
@@ -174,7 +174,7 @@
 	q.operator.order(q.node, version, body, func(_ checker.OrderAnswer, response membership.ControlResponse, _ bool) {
 		switch answer := q.heard(http.MethodPut, began, races, response); {
 		case answer.status == http.StatusOK:
-			simulation.Checker.PutTaken(version, string(body), began, simulation.Now)
+			simulation.Checker.ConfigurationAccepted(version, string(body), began, simulation.Now)
 			next()
 		case races:
 			next()
--- a/internal/simulator/injection.go
+++ b/internal/simulator/injection.go
@@ -61,7 +61,7 @@
 	simulation.Crowd(size.Clients)
 	simulation.Run(3 * time.Second)
 	operator.work(simulation.Now.Add(faultPeriod + 40*time.Second))
-	simulation.lastFaultAt = simulation.Now.Add(-checker.TroubleFor)
+	simulation.lastFaultAt = simulation.Now.Add(-checker.FaultSettleTime)
 	simulation.trace("storm: %s; last %s", faults.Format(schedule.Faults), schedule.Last)
 	for _, fault := range schedule.Faults {
 		simulation.After(fault.Start, func() { simulation.inject(fault) })
@@ -70,7 +70,7 @@
 	if !simulation.RunUntil(120*time.Second, func() bool { return simulation.open == 0 }) {
 		simulation.Checker.Violate(checker.NotBack, "a fault has not come to its end after two minutes")
 	}
-	simulation.Run(checker.TroubleFor + 3*time.Second)
+	simulation.Run(checker.FaultSettleTime + 3*time.Second)
 	if schedule.Last != "" {
 		simulation.trace("last fault: %s", schedule.Last)
 		simulation.open++
@@ -78,7 +78,7 @@
 		simulation.ServiceBack(schedule.Last)
 		simulation.open--
 		simulation.lastFaultAt = simulation.Now
-		simulation.Run(checker.TroubleFor + 3*time.Second)
+		simulation.Run(checker.FaultSettleTime + 3*time.Second)
 	}
 	simulation.close(8 * time.Second)
 	return simulation
--- a/internal/simulator/operator.go
+++ b/internal/simulator/operator.go
@@ -94,14 +94,14 @@
 		switch {
 		case alive && response.Status == http.StatusOK:
 			simulation.trace("configuration %d taken through %s", version, node.Name)
-			simulation.Checker.PutTaken(version, string(body), began, simulation.Now)
+			simulation.Checker.ConfigurationAccepted(version, string(body), began, simulation.Now)
 			simulation.Checker.RoutesTaken(version, simulation.Now)
 			if done != nil {
 				done()
 			}
 		case alive && response.Status == http.StatusConflict:
 		case alive && response.Status == http.StatusBadRequest:
-			simulation.Checker.Violate(checker.BrokenTaken, "a valid configuration was refused: %s", response.Body)
+			simulation.Checker.Violate(checker.BrokenAccepted, "a valid configuration was refused: %s", response.Body)
 		default:
 			simulation.After(500*time.Millisecond, func() { o.put(version, body, done) })
 		}
@@ -159,7 +159,7 @@
 	body := bodies[simulation.Random.IntN(len(bodies))]
 	simulation.Control(node, http.MethodPut, "/v1/configuration", []byte(body), func(response membership.ControlResponse, alive bool) {
 		if alive && response.Status == http.StatusOK {
-			simulation.Checker.BrokenWasTaken(body)
+			simulation.Checker.BrokenAccepted(body)
 		}
 	})
 }
--- a/internal/simulator/orders.go
+++ b/internal/simulator/orders.go
@@ -112,7 +112,7 @@
 			answer = checker.AnswerOf(response.Status, response.Body)
 		}
 		if answer == checker.Unclear && alive && response.Status == http.StatusBadRequest {
-			simulation.Checker.Violate(checker.BrokenTaken, "a valid configuration was refused: %s", response.Body)
+			simulation.Checker.Violate(checker.BrokenAccepted, "a valid configuration was refused: %s", response.Body)
 		}
 		simulation.trace("order %d through %s: %d, heard as %d", version, node.Name, response.Status, answer)
 		put.End(answer, simulation.Now)
--- a/internal/simulator/scenario.go
+++ b/internal/simulator/scenario.go
@@ -167,7 +167,7 @@
 	simulation.Crowd(size.Clients)
 	simulation.Run(3 * time.Second)
 	operator.work(simulation.Now.Add(scenario.Length))
-	simulation.lastFaultAt = simulation.Now.Add(-checker.TroubleFor)
+	simulation.lastFaultAt = simulation.Now.Add(-checker.FaultSettleTime)
 	if scenario.Faults != nil {
 		simulation.open++
 		scenario.Faults(simulation, scenario.Length)
@@ -582,7 +582,7 @@
 		// Gateways are drained in turn and origins move and reconnect all the
 		// time, but no daemon and no link is lost: then not even a passing
 		// message may be missed.
-		simulation.Checker.PassingOwed = true
+		simulation.Checker.EphemeralOwed = true
 		gateways := simulation.Nodes(membership.KindGateway)
 		turn := 0
 		simulation.every(length, 3*time.Second, 4*time.Second, func() {
--- a/internal/simulator/topic_client.go
+++ b/internal/simulator/topic_client.go
@@ -484,7 +484,7 @@
 			tc.cut(turn, true, simulation.between(0, 50*time.Millisecond))
 		default:
 			if answer.RetryAfter == 0 {
-				simulation.Checker.Violate(checker.PlaceRefused, "%s on %s: %s %s", tc.Name, topic, answer.Code, answer.Text)
+				simulation.Checker.Violate(checker.CursorRejected, "%s on %s: %s %s", tc.Name, topic, answer.Code, answer.Text)
 			}
 			tc.blame(answer.Code, "subscription of "+tc.Name+" to "+topic)
 			again(simulation.between(100*time.Millisecond, 900*time.Millisecond))
--- a/internal/simulator/topics.go
+++ b/internal/simulator/topics.go
@@ -299,7 +299,7 @@
 	if schedule.Changes {
 		operator.work(simulation.Now.Add(topicStorm + 20*time.Second))
 	}
-	simulation.lastFaultAt = simulation.Now.Add(-checker.TroubleFor)
+	simulation.lastFaultAt = simulation.Now.Add(-checker.FaultSettleTime)
 	simulation.trace("storm: %s; last %s", faults.Format(schedule.Storm), schedule.Last)
 	for _, fault := range schedule.Storm {
 		simulation.After(fault.Start, func() { simulation.inject(fault) })
@@ -309,11 +309,11 @@
 		simulation.Checker.Violate(checker.NotBack, "a fault has not come to its end after a minute")
 	}
 	if len(schedule.Storm) > 0 {
-		simulation.Run(checker.TroubleFor + 4*time.Second)
+		simulation.Run(checker.FaultSettleTime + 4*time.Second)
 	}
 	if schedule.Last != "" {
 		simulation.closing(schedule.Last)
-		simulation.Run(checker.TroubleFor + 2*time.Second)
+		simulation.Run(checker.FaultSettleTime + 2*time.Second)
 	}
 	simulation.closeTopics()
 	return simulation
--- a/internal/testfleet/testfleet.go
+++ b/internal/testfleet/testfleet.go
@@ -29,16 +29,16 @@
 	Gateways    int
 	Stores      int
 	Controllers int
-	Places      int
+	Zones       int
 	Delay       time.Duration
 	Port        int
 }
 
 // Deployments are the two of the brief, and a small one for quick trials.
 var Deployments = map[string]Deployment{
-	"fjordlys": {Name: "fjordlys", Gateways: 7, Stores: 3, Controllers: 5, Places: 3, Delay: 500 * time.Microsecond, Port: 21000},
-	"qureshi":  {Name: "qureshi", Gateways: 9, Stores: 3, Controllers: 5, Places: 3, Delay: 1500 * time.Microsecond, Port: 22000},
-	"small":    {Name: "small", Gateways: 3, Stores: 3, Controllers: 3, Places: 3, Delay: 500 * time.Microsecond, Port: 23000},
+	"fjordlys": {Name: "fjordlys", Gateways: 7, Stores: 3, Controllers: 5, Zones: 3, Delay: 500 * time.Microsecond, Port: 21000},
+	"qureshi":  {Name: "qureshi", Gateways: 9, Stores: 3, Controllers: 5, Zones: 3, Delay: 1500 * time.Microsecond, Port: 22000},
+	"small":    {Name: "small", Gateways: 3, Stores: 3, Controllers: 3, Zones: 3, Delay: 500 * time.Microsecond, Port: 23000},
 }
 
 // Key is the fleet's key in trials.
@@ -86,8 +86,8 @@
 	names      []string
 }
 
-// Place is the name of a zone.
-func Place(number int) string { return "zone-" + string(rune('a'+number)) }
+// ZoneName is the name of a zone.
+func ZoneName(number int) string { return "zone-" + string(rune('a'+number)) }
 
 // Prefix is the range of addresses of a zone.
 func Prefix(number int) string { return fmt.Sprintf("127.0.%d.", number+1) }
@@ -102,21 +102,21 @@
 	}
 	var controllers, seeds []string
 	for number := range deployment.Controllers {
-		controllers = append(controllers, next(number%deployment.Places))
+		controllers = append(controllers, next(number%deployment.Zones))
 	}
 	seeds = controllers[:min(3, len(controllers))]
 	spare := false
 	add := func(kind string, number int, address string, more map[string]any) *Daemon {
-		place := number % deployment.Places
+		zone := number % deployment.Zones
 		daemon := &Daemon{
-			Name: fmt.Sprintf("%s-%d", kind, number+1), Kind: kind, Zone: Place(place), Address: address, Control: next(place),
+			Name: fmt.Sprintf("%s-%d", kind, number+1), Kind: kind, Zone: ZoneName(zone), Address: address, Control: next(zone),
 			binary: filepath.Join(binaries, kind),
 		}
 		daemon.folder = filepath.Join(folder, daemon.Name)
 		daemon.settings = map[string]any{
 			"name": daemon.Name, "address": daemon.Address, "ctl": daemon.Control, "zone": daemon.Zone, "seeds": seeds,
 		}
-		daemon.base, daemon.imposed = Trial{Delays: fleet.delays(place)}, map[int]Trial{}
+		daemon.base, daemon.imposed = Trial{Delays: fleet.delays(zone)}, map[int]Trial{}
 		daemon.settings["trial"] = daemon.base
 		daemon.joined.Store(!spare)
 		for key, value := range more {
@@ -127,7 +127,7 @@
 		return daemon
 	}
 	addStore := func(number int) {
-		add(membership.KindStore, number, next(number%deployment.Places), map[string]any{
+		add(membership.KindStore, number, next(number%deployment.Zones), map[string]any{
 			"data": filepath.Join(folder, fmt.Sprintf("store-%d", number+1), "data"),
 		})
 	}
@@ -137,8 +137,8 @@
 		})
 	}
 	addGateway := func(number int) {
-		place := number % deployment.Places
-		gatewayAddress, agentAddress, callerAddress := next(place), next(place), next(place)
+		zone := number % deployment.Zones
+		gatewayAddress, agentAddress, callerAddress := next(zone), next(zone), next(zone)
 		gateway := add(membership.KindGateway, number, gatewayAddress, map[string]any{"agent": agentAddress, "caller": callerAddress, "key": Key})
 		gateway.Caller = callerAddress
 		add(membership.KindAgent, number, agentAddress, map[string]any{"gateway": gatewayAddress})
@@ -155,7 +155,7 @@
 	// Machines that are laid out and not started: a trial lets them join.
 	spare = true
 	for number := range Spares {
-		addController(deployment.Controllers+number, next((deployment.Controllers+number)%deployment.Places))
+		addController(deployment.Controllers+number, next((deployment.Controllers+number)%deployment.Zones))
 		addStore(deployment.Stores + number)
 		addGateway(deployment.Gateways + number)
 	}
@@ -170,10 +170,10 @@
 	return fleet, nil
 }
 
-func (f *Fleet) delays(place int) map[string]string {
+func (f *Fleet) delays(zone int) map[string]string {
 	delays := map[string]string{}
-	for other := range f.Deployment.Places {
-		if other != place && f.Deployment.Delay > 0 {
+	for other := range f.Deployment.Zones {
+		if other != zone && f.Deployment.Delay > 0 {
 			delays[Prefix(other)] = f.Deployment.Delay.String()
 		}
 	}
