--- a/cmd/fleetlab/recorded.go
+++ b/cmd/fleetlab/recorded.go
@@ -100,11 +100,11 @@
 	lacks := func(list, name string) bool {
 		return list != everything && !slices.Contains(strings.Split(list, ","), name)
 	}
-	return func(text simulator.Recording) bool {
-		return lacks(h.scenario, text.Scenario) ||
-			given["size"] && lacks(h.size, text.Shape) ||
-			given["from"] && text.Seed < h.from ||
-			given["seeds"] && text.Seed >= h.from+h.seeds
+	return func(recording simulator.Recording) bool {
+		return lacks(h.scenario, recording.Scenario) ||
+			given["size"] && lacks(h.size, recording.Shape) ||
+			given["from"] && recording.Seed < h.from ||
+			given["seeds"] && recording.Seed >= h.from+h.seeds
 	}
 }
 
