--- a/internal/gateway/fetch.go
+++ b/internal/gateway/fetch.go
@@ -71,7 +71,7 @@
 	}
 	g.Counts.Fetches++
 	effects.Send(address, partition.Fetch{
-		Partition: name, Request: id, After: asked.after, Topics: asked.topics, Prefixes: asked.prefixes, Skip: asked.skip,
+		Partition: name, RequestID: id, After: asked.after, Topics: asked.topics, Prefixes: asked.prefixes, SkipOffsets: asked.skip,
 	})
 }
 
@@ -116,7 +116,7 @@
 // had tells whether an answer is one that came before, to an earlier part of what is
 // asked.
 func (f *fetched) had(response partition.FetchResponse) bool {
-	return f.after != everything && response.Until <= f.after && f.after < response.Head && !statemachine.Mutated("any-answer")
+	return f.after != everything && response.Until <= f.after && f.after < response.HighWatermark && !statemachine.Mutated("any-answer")
 }
 
 // lacked are the records beyond what was had before.
@@ -128,7 +128,7 @@
 }
 
 func (g *Gateway) onFetchResponse(now time.Time, response partition.FetchResponse, effects *statemachine.Effects) {
-	round, found := g.fetches[response.Request]
+	round, found := g.fetches[response.RequestID]
 	if !found {
 		g.Counts.Late += uint64(len(response.Records))
 		return
@@ -146,7 +146,7 @@
 	}
 	if asked.after != everything && asked.after < response.Base && round.tracker == "" {
 		// What lies between was kept for the holding time and is gone.
-		g.loseHistory(now, response.Request, round, effects)
+		g.loseHistory(now, response.RequestID, round, effects)
 		return
 	}
 	if asked.had(response) {
@@ -154,18 +154,18 @@
 	}
 	asked.waiting = false
 	if asked.after == everything {
-		asked.until = response.Head
+		asked.until = response.HighWatermark
 	} else {
-		asked.until = max(response.Until, min(asked.after, response.Head))
+		asked.until = max(response.Until, min(asked.after, response.HighWatermark))
 		round.records[response.Partition] = append(round.records[response.Partition], asked.lacked(response.Records)...)
-		if asked.until < response.Head {
+		if asked.until < response.HighWatermark {
 			asked.after = asked.until
-			g.ask(now, response.Request, response.Partition, asked, effects)
+			g.ask(now, response.RequestID, response.Partition, asked, effects)
 			return
 		}
 	}
 	asked.done = true
-	g.advanceFetch(now, response.Request, round, cursor{}, effects)
+	g.advanceFetch(now, response.RequestID, round, cursor{}, effects)
 }
 
 // dropFilling ends the subscriptions that a round did not come to fill.
@@ -325,7 +325,7 @@
 			rest = append(rest, RecordCopy{Partition: name, Record: record})
 		}
 	}
-	slices.SortStableFunc(rest, func(left, right RecordCopy) int { return left.Record.At.Compare(right.Record.At) })
+	slices.SortStableFunc(rest, func(left, right RecordCopy) int { return left.Record.AppendedAt.Compare(right.Record.AppendedAt) })
 	return rest
 }
 
@@ -333,7 +333,7 @@
 // since they were asked before what it refers to was kept, or records that are
 // here and have not had their turn.
 func (f *fetch) before(full, name string, record partition.Record, at map[string]int) (missing []string, waits bool) {
-	for _, mark := range record.Before.Marks {
+	for _, mark := range record.Dependencies.Messages {
 		other := partitionName(full, int(mark.Partition))
 		asked, wanted := f.partitions[other]
 		if !wanted || other == name || !partition.Matches(mark.Topic, asked.topics, asked.prefixes) {
@@ -346,7 +346,7 @@
 			waits = waits || each.Offset == mark.Offset
 		}
 	}
-	for _, reach := range record.Before.Floor {
+	for _, reach := range record.Dependencies.Floor {
 		other := partitionName(full, int(reach.Partition))
 		asked, wanted := f.partitions[other]
 		if !wanted || other == name {
--- a/internal/gateway/topic_delivery.go
+++ b/internal/gateway/topic_delivery.go
@@ -60,7 +60,7 @@
 	if topic.live && record.Offset <= topic.last && (topic.durable || !statemachine.Mutated("no-passing-offsets")) {
 		return true
 	}
-	follows := statemachine.Mutated("no-topic-prior") || record.Prior <= topic.last || !topic.durable && topic.last == 0
+	follows := statemachine.Mutated("no-topic-prior") || record.PreviousInTopic <= topic.last || !topic.durable && topic.last == 0
 	if topic.live && follows {
 		g.process(now, topic, record, effects)
 		g.release(now, topic, effects)
@@ -78,9 +78,9 @@
 		return true
 	}
 	g.Counts.Gaps++
-	effects.Emit(logevent.GapFound, "partition", topic.partition, "offset", record.Offset, "prior", record.Prior)
+	effects.Emit(logevent.GapFound, "partition", topic.partition, "offset", record.Offset, "prior", record.PreviousInTopic)
 	if topic.durable {
-		g.want(now, topic, record.Prior, holeAfter)
+		g.want(now, topic, record.PreviousInTopic, holeAfter)
 	} else {
 		g.scheduleTopic(topic, now.Add(ephemeralGapTimeout))
 	}
@@ -91,7 +91,7 @@
 func (g *Gateway) release(now time.Time, topic *topicState, effects *statemachine.Effects) {
 	for len(topic.pending) > 0 {
 		next := topic.pending[0]
-		if next.Offset > topic.last && next.Prior > topic.last {
+		if next.Offset > topic.last && next.PreviousInTopic > topic.last {
 			return
 		}
 		topic.pending = topic.pending[1:]
@@ -171,7 +171,7 @@
 	}
 	if !topic.durable {
 		if len(topic.pending) > 0 && !topic.pendingSince.Add(ephemeralGapTimeout).After(now) {
-			topic.last = max(topic.last, topic.pending[0].Prior)
+			topic.last = max(topic.last, topic.pending[0].PreviousInTopic)
 			g.release(now, topic, effects)
 		}
 		if len(topic.pending) > 0 {
@@ -204,13 +204,13 @@
 }
 
 // handleTopicHighWatermarks takes which topics of a shared partition moved.
-func (g *Gateway) handleTopicHighWatermarks(now time.Time, head partition.Head, _ *statemachine.Effects) {
+func (g *Gateway) handleTopicHighWatermarks(now time.Time, head partition.HighWatermark, _ *statemachine.Effects) {
 	if _, used := g.routed.partitions[head.Partition]; !used || statemachine.Mutated("no-topic-heads") || head.Epoch < g.viewClient.Placements[head.Partition].Epoch {
 		return
 	}
 	told := g.routed.reportedUpTo[head.Partition]
 	for _, each := range head.Topics {
-		if topic, found := g.routed.numbers[each.Topic]; found && topic.durable && each.Offset > topic.last {
+		if topic, found := g.routed.numbers[each.TopicHash]; found && topic.durable && each.Offset > topic.last {
 			g.want(now, topic, each.Offset, highWatermarkGrace)
 		}
 	}
--- /dev/null
+++ b/internal/partition/log_topics.go
@@ -0,0 +1,79 @@
+package partition
+
+import (
+	"cmp"
+	"slices"
+)
+
+// lastOffsetOf is the offset of a topic's newest record, also if that was dropped; 0 if none
+// is known.
+func (l *log) lastOffsetOf(topic string) uint64 {
+	if offset, found := l.LastOffsets[topic]; found {
+		return offset
+	}
+	return l.ExpiredTopics[topic].LastOffset
+}
+
+// hasExpired tells whether a record after an offset that matches the topics or prefixes may
+// have been dropped. It is exact as far as the table of expired topics goes back.
+func (l *log) hasExpired(after uint64, topics, prefixes []string) bool {
+	if after >= l.BaseOffset {
+		return false
+	}
+	if len(prefixes) == 0 {
+		return slices.ContainsFunc(topics, func(topic string) bool {
+			expired, found := l.ExpiredTopics[topic]
+			return found && expired.LastOffset > after || !found && after < l.ForgottenOffset
+		})
+	}
+	if after < l.ForgottenOffset {
+		return true
+	}
+	for topic, expired := range l.ExpiredTopics {
+		if expired.LastOffset > after && Matches(topic, topics, prefixes) {
+			return true
+		}
+	}
+	return false
+}
+
+// recordsOf gives the retained records of topics after one offset and up to another, in
+// order. It walks back from each topic's newest record, so that its cost follows the topics'
+// records and not those of the log.
+func (l *log) recordsOf(topics []string, after, until uint64) []Record {
+	after = max(after, l.BaseOffset)
+	var found []Record
+	for _, topic := range topics {
+		for offset := l.LastOffsets[topic]; offset > after; {
+			record := &l.Records[offset-l.BaseOffset-1]
+			if offset <= until && !record.OffsetOnly {
+				found = append(found, *record)
+			}
+			offset = record.PreviousInTopic
+		}
+	}
+	slices.SortFunc(found, func(left, right Record) int { return cmp.Compare(left.Offset, right.Offset) })
+	return slices.CompactFunc(found, func(left, right Record) bool { return left.Offset == right.Offset })
+}
+
+// changedTopics gives the newest offset of each topic that has a durable record after one
+// offset and up to another.
+func (l *log) changedTopics(after, until uint64) map[string]uint64 {
+	topics := map[string]uint64{}
+	if after < l.BaseOffset {
+		for topic, expired := range l.ExpiredTopics {
+			if expired.LastOffset > after {
+				topics[topic] = expired.LastOffset
+			}
+		}
+	}
+	for _, record := range l.recordsAfter(after) {
+		if record.Offset > until {
+			break
+		}
+		if !record.OffsetOnly {
+			topics[record.Topic] = record.Offset
+		}
+	}
+	return topics
+}
--- a/internal/simulator/cutoff_store_test.go
+++ b/internal/simulator/cutoff_store_test.go
@@ -23,8 +23,8 @@
 	simulation.lastFaultAt = simulation.Now.Add(cutLength + contactWithin)
 	firsts := map[string]int{}
 	var store *Node
-	for _, zone := range simulation.Primary().watchedState().Places {
-		firsts[zone.Leader]++
+	for _, placement := range simulation.Primary().watchedState().Places {
+		firsts[placement.Leader]++
 	}
 	for _, node := range simulation.Nodes(membership.KindStore) {
 		if store == nil || firsts[node.Name] > firsts[store.Name] {
--- a/internal/simulator/injection.go
+++ b/internal/simulator/injection.go
@@ -572,9 +572,9 @@
 		return false, false, s.callersServed()
 	}
 	partitions = true
-	for _, zone := range acting.Machine.(*controller.Controller).State().Places {
-		first := s.nodes[zone.Leader]
-		partitions = partitions && zone.Complete && first.Up && !first.Frozen
+	for _, placement := range acting.Machine.(*controller.Controller).State().Places {
+		leader := s.nodes[placement.Leader]
+		partitions = partitions && placement.Complete && leader.Up && !leader.Frozen
 	}
 	return true, partitions, s.callersServed()
 }
--- a/internal/simulator/stores_test.go
+++ b/internal/simulator/stores_test.go
@@ -104,12 +104,12 @@
 		}
 		seq++
 		topic := fmt.Sprintf("reading.%d", seq%200)
-		zone := primary.Machine.(*controller.Controller).State().Places[config.SharedPartition(topic)]
+		placement := primary.Machine.(*controller.Controller).State().Places[config.SharedPartition(topic)]
 		gateway := run.Nodes(membership.KindGateway)[0]
 		for _, node := range run.Nodes(membership.KindStore) {
-			if node.Name == zone.Leader {
+			if node.Name == placement.Leader {
 				run.send(gateway, statemachine.Send{To: node.Address, Message: partition.Append{
-					Partition: zone.Partition, Request: 1_000_000 + seq, Topic: topic, Sender: "sender", Seq: seq, Data: make([]byte, 200),
+					Partition: placement.Partition, RequestID: 1_000_000 + seq, Topic: topic, Sender: "sender", Seq: seq, Data: make([]byte, 200),
 				}}, 1)
 			}
 		}
@@ -148,8 +148,8 @@
 				store.slowDisk = times
 				began := run.Now
 				assert.Assert(t, run.RunUntil(5*time.Second, func() bool {
-					for _, zone := range run.Primary().Machine.(*controller.Controller).State().Places {
-						if zone.HasReplica(store.Name) || !zone.Complete {
+					for _, placement := range run.Primary().Machine.(*controller.Controller).State().Places {
+						if placement.HasReplica(store.Name) || !placement.Complete {
 							return false
 						}
 					}
--- a/internal/simulator/topics.go
+++ b/internal/simulator/topics.go
@@ -135,8 +135,8 @@
 	}
 	if len(world.saved) < savedMost {
 		world.saved = append(world.saved, saved)
-	} else if zone := s.Random.IntN(world.given); zone < savedMost {
-		world.saved[zone] = saved
+	} else if index := s.Random.IntN(world.given); index < savedMost {
+		world.saved[index] = saved
 	}
 }
 
@@ -424,12 +424,12 @@
 	saved = append(slices.Clone(s.world.early), saved...)
 	var takers []*TopicClient
 	for position := range saved {
-		zone := saved[position]
-		if s.world.away[s.fleetingOf(zone.Topic)] {
+		cursor := saved[position]
+		if s.world.away[s.fleetingOf(cursor.Topic)] {
 			continue
 		}
 		chosen := slices.IndexFunc(takers, func(taker *TopicClient) bool {
-			_, found := taker.topics[zone.Topic]
+			_, found := taker.topics[cursor.Topic]
 			return !found && len(taker.topics) < takeEach
 		})
 		if chosen < 0 {
@@ -438,8 +438,8 @@
 		}
 		taker := takers[chosen]
 		taker.stopped = true
-		taker.topics[zone.Topic] = &taken{
-			topic: zone.Topic, cursor: zone.Cursor, after: zone.After, entry: s.Checker.Subscribing(taker.Name, zone.Topic, &zone),
+		taker.topics[cursor.Topic] = &taken{
+			topic: cursor.Topic, cursor: cursor.Cursor, after: cursor.After, entry: s.Checker.Subscribing(taker.Name, cursor.Topic, &cursor),
 		}
 	}
 }
