--- a/internal/simulator/closing_test.go
+++ b/internal/simulator/closing_test.go
@@ -71,10 +71,10 @@
 	return run, operator
 }
 
-func beginBoth(seed uint64, size Size) (*Simulation, *Operator) {
+func beginBoth(seed uint64, size Shape) (*Simulation, *Operator) {
 	run, operator := prepareTopics(seed, size, 0, nil)
-	run.Crowd(size.Callers)
-	run.TopicCrowd(size.Callers)
+	run.Crowd(size.Clients)
+	run.TopicCrowd(size.Clients)
 	return run, operator
 }
 
