--- a/internal/overlay/presence.go
+++ b/internal/overlay/presence.go
@@ -67,7 +67,7 @@
 // it.
 func (o *Overlay) SetSubscribers(now time.Time, planeName, topic string, count int, effects *statemachine.Effects) {
 	number := config.TopicHash(topic)
-	if o.parted || count == 0 && o.cellAt(planeName, number) == nil {
+	if count == 0 && o.cellAt(planeName, number) == nil {
 		return
 	}
 	here := o.cell(now, planeName, CellOf(number), effects)
@@ -104,10 +104,6 @@
 // AwaitCell makes sure that a topic's cell has a peer here that knows the others of
 // the cell and their subscribers, and then calls; at once, if it does.
 func (o *Overlay) AwaitCell(now time.Time, planeName, topic string, then Completion, effects *statemachine.Effects) {
-	if o.parted {
-		then(now, effects, false)
-		return
-	}
 	here := o.cell(now, planeName, CellOf(config.TopicHash(topic)), effects)
 	here.lastUse = now
 	if here.joined() {
