--- a/internal/gateway/catchup.go
+++ b/internal/gateway/catchup.go
@@ -155,7 +155,12 @@
 	for store, fetches := range statemachine.Sorted(chosen) {
 		g.nextRequest++
 		sortByMissingBytes(fetches)
-		made := &batch{request: g.nextRequest, store: store, fetches: fetches, bytes: bytes}
+		made := &batch{
+			request: g.nextRequest,
+			store:   store,
+			fetches: fetches,
+			bytes:   bytes,
+		}
 		g.routed.batches[made.request] = made
 		g.routed.batchInFlight[store] = made.request
 		g.sendBatch(now, made, effects)
@@ -245,7 +250,11 @@
 }
 
 // handleTopicsFetched takes the answer to a batch.
-func (g *Gateway) handleTopicsFetched(now time.Time, response partition.FetchTopicsResponse, effects *statemachine.Effects) {
+func (g *Gateway) handleTopicsFetched(
+	now time.Time,
+	response partition.FetchTopicsResponse,
+	effects *statemachine.Effects,
+) {
 	answered, found := g.routed.batches[response.RequestID]
 	if !found || len(response.Topics) != len(answered.fetches) {
 		for _, each := range response.Topics {
@@ -264,7 +273,8 @@
 			continue
 		}
 		state, served := response.State(topic.partition)
-		if placement, placed := g.viewClient.Placements[topic.partition]; !served || !placed || state.Epoch < placement.Epoch {
+		placement, placed := g.viewClient.Placements[topic.partition]
+		if !served || !placed || state.Epoch < placement.Epoch {
 			g.viewClient.PollNow(now)
 			g.scheduleTopic(topic, now.Add(topicFetchRetry))
 			continue
@@ -277,7 +287,13 @@
 }
 
 // applyFetchedTopic takes what a store told of one topic.
-func (g *Gateway) applyFetchedTopic(now time.Time, fetch *topicFetch, state partition.PartitionState, response partition.TopicRecords, effects *statemachine.Effects) {
+func (g *Gateway) applyFetchedTopic(
+	now time.Time,
+	fetch *topicFetch,
+	state partition.PartitionState,
+	response partition.TopicRecords,
+	effects *statemachine.Effects,
+) {
 	topic := fetch.topic
 	g.routed.bases[topic.partition] = state.Base
 	topic.missingBytes = response.RemainingBytes
@@ -288,7 +304,11 @@
 		return
 	}
 	if len(response.Records) > 0 {
-		effects.Emit(logevent.GapFilled, "partition", topic.partition, "records", len(response.Records), "until", response.Until)
+		effects.Emit(logevent.GapFilled,
+			"partition", topic.partition,
+			"records", len(response.Records),
+			"until", response.Until,
+		)
 	}
 	g.applyRecords(now, fetch, state, response, effects)
 	for _, subscription := range slices.Clone(topic.subscriptions) {
@@ -305,7 +325,13 @@
 }
 
 // applyRecords adds fetched records to the topic's own sequence.
-func (g *Gateway) applyRecords(now time.Time, fetch *topicFetch, state partition.PartitionState, response partition.TopicRecords, effects *statemachine.Effects) {
+func (g *Gateway) applyRecords(
+	now time.Time,
+	fetch *topicFetch,
+	state partition.PartitionState,
+	response partition.TopicRecords,
+	effects *statemachine.Effects,
+) {
 	topic := fetch.topic
 	if !topic.live {
 		topic.live = true
@@ -352,7 +378,13 @@
 
 // advanceSubscription confirms a place that a store still holds, and hands over what came
 // for it.
-func (g *Gateway) advanceSubscription(now time.Time, subscription *topicSubscription, after uint64, response partition.TopicRecords, effects *statemachine.Effects) {
+func (g *Gateway) advanceSubscription(
+	now time.Time,
+	subscription *topicSubscription,
+	after uint64,
+	response partition.TopicRecords,
+	effects *statemachine.Effects,
+) {
 	if subscription.resumes && after <= subscription.deliveredUpTo {
 		g.startTopicSubscription(now, subscription, effects)
 		for _, record := range response.Records {
--- a/internal/gateway/commands.go
+++ b/internal/gateway/commands.go
@@ -107,11 +107,23 @@
 }
 
 func rejectedReply(status int, code, text string, retryAfter time.Duration) Reply {
-	return Reply{Status: status, Outcome: OutcomeRejected, Code: code, Text: text, RetryAfter: retryAfter}
+	return Reply{
+		Status:     status,
+		Outcome:    OutcomeRejected,
+		Code:       code,
+		Text:       text,
+		RetryAfter: retryAfter,
+	}
 }
 
 func unsettledReply(code, text string, retryAfter time.Duration) Reply {
-	return Reply{Status: 503, Outcome: OutcomeUnsettled, Code: code, Text: text, RetryAfter: retryAfter}
+	return Reply{
+		Status:     503,
+		Outcome:    OutcomeUnsettled,
+		Code:       code,
+		Text:       text,
+		RetryAfter: retryAfter,
+	}
 }
 
 // Event is one line on a channel.
--- a/internal/gateway/cursor.go
+++ b/internal/gateway/cursor.go
@@ -21,6 +21,9 @@
 	cursorLayout = 1
 	sumSize      = 12
 	cursorLimit  = 256 << 10
+
+	// codeBadCursor is the error code of a cursor that is forged, damaged or of another layout.
+	codeBadCursor = "bad-cursor"
 )
 
 type position struct {
@@ -54,15 +57,15 @@
 // openCursor reads a cursor; the code says why it is refused.
 func openCursor(key []byte, client, text string) (cursor, string) {
 	if len(text) > cursorLimit {
-		return cursor{}, "bad-cursor"
+		return cursor{}, codeBadCursor
 	}
 	packed, err := base64.RawURLEncoding.DecodeString(text)
 	if err != nil || len(packed) <= sumSize || !hmac.Equal(packed[:sumSize], sign(key, packed[sumSize:])) {
-		return cursor{}, "bad-cursor"
+		return cursor{}, codeBadCursor
 	}
 	var contents cursor
 	if err := transport.Unmarshal(packed[sumSize:], &contents); err != nil || contents.Layout != cursorLayout {
-		return cursor{}, "bad-cursor"
+		return cursor{}, codeBadCursor
 	}
 	if contents.Client != client {
 		return cursor{}, "other-origin"
@@ -70,20 +73,48 @@
 	return contents, ""
 }
 
-// cursor tells a channel's present place. A channel that is still being filled,
-// or holds nothing, has none: its origin's earlier place still stands.
+// cursor returns the sealed position of a session. It is empty while a subscription
+// of the session is being filled, or if it has none: the earlier cursor of the client
+// stays valid then.
 func (g *Gateway) cursor(now time.Time, session *session) string {
 	if len(session.subscriptions) == 0 || session.floors == nil && session.filling() {
 		return ""
 	}
-	result := cursor{Layout: cursorLayout, Client: session.client, Partitions: map[string]position{}, Marks: map[string]map[string]uint64{}}
-	floor := func(name string, at uint64) {
-		present, found := result.Partitions[name]
-		if !found || at < present.Floor {
-			present.Floor = at
+	result := cursor{
+		Layout:     cursorLayout,
+		Client:     session.client,
+		Partitions: map[string]position{},
+		Marks:      map[string]map[string]uint64{},
+	}
+	g.addInterests(&result, session)
+	// What is still buffered, or belongs to a backlog that is being delivered, was
+	// not delivered yet.
+	for _, recordCopy := range session.buffer {
+		if _, live := result.Partitions[recordCopy.Partition]; live {
+			result.lowerFloor(recordCopy.Partition, recordCopy.Record.Offset-1)
 		}
-		result.Partitions[name] = present
 	}
+	for name, at := range session.floors {
+		result.lowerFloor(name, at)
+	}
+	for name, at := range result.Partitions {
+		result.Partitions[name] = session.addExtras(name, at)
+	}
+	session.addSequences(now, &result)
+	return seal(g.settings.Key, result)
+}
+
+// lowerFloor lowers the floor of a partition to an offset, unless it is lower already.
+func (c *cursor) lowerFloor(name string, offset uint64) {
+	present, found := c.Partitions[name]
+	if !found || offset < present.Floor {
+		present.Floor = offset
+	}
+	c.Partitions[name] = present
+}
+
+// addInterests adds the subscriptions that are live, and how far their partitions are verified.
+func (g *Gateway) addInterests(result *cursor, session *session) {
 	for interest, subscription := range session.subscriptions {
 		if subscription.filling {
 			continue
@@ -93,34 +124,36 @@
 			if tracker, topic := g.trackers[name]; topic {
 				since = max(since, tracker.verified)
 			}
-			floor(name, since)
+			result.lowerFloor(name, since)
 		}
 	}
 	slices.SortFunc(result.Interests, compareInterests)
-	// What waits in the buffer, or in a backlog that is being handed over, was
-	// not yet given.
-	for _, recordCopy := range session.buffer {
-		if _, live := result.Partitions[recordCopy.Partition]; live {
-			floor(recordCopy.Partition, recordCopy.Record.Offset-1)
-		}
-	}
-	for name, at := range session.floors {
-		floor(name, at)
+}
+
+// addExtras adds what the client has above the floor of a partition, and the interests
+// that began above it.
+func (c *session) addExtras(name string, at position) position {
+	at.Extras = c.extras(name, at.Floor)
+	slices.Sort(at.Extras)
+	if c.floors != nil {
+		return at
 	}
-	for name, at := range result.Partitions {
-		at.Extras = session.extras(name, at.Floor)
-		slices.Sort(at.Extras)
-		for interest, subscription := range session.subscriptions {
-			if since, found := subscription.since[name]; found && !subscription.filling && since > at.Floor && session.floors == nil {
-				if at.Since == nil {
-					at.Since = map[string]uint64{}
-				}
-				at.Since[interest.key()] = since
-			}
+	for interest, subscription := range c.subscriptions {
+		since, found := subscription.since[name]
+		if !found || subscription.filling || since <= at.Floor {
+			continue
+		}
+		if at.Since == nil {
+			at.Since = map[string]uint64{}
 		}
-		result.Partitions[name] = at
+		at.Since[interest.key()] = since
 	}
-	for space, marks := range session.sequences {
+	return at
+}
+
+// addSequences adds the newest sequence of each sender that was seen lately in ephemeral spaces.
+func (c *session) addSequences(now time.Time, result *cursor) {
+	for space, marks := range c.sequences {
 		newest := map[string]uint64{}
 		for sender, mark := range marks {
 			if now.Sub(mark.at) < sequenceMemory {
@@ -131,7 +164,6 @@
 			result.Marks[space] = newest
 		}
 	}
-	return seal(g.settings.Key, result)
 }
 
 func (i Interest) key() string {
--- a/internal/gateway/delivery.go
+++ b/internal/gateway/delivery.go
@@ -27,7 +27,13 @@
 
 // deliverOrBuffer gives a kept message to a channel, if one of its subscriptions wants it
 // and it has not had it.
-func (g *Gateway) deliverOrBuffer(now time.Time, id uint64, session *session, recordCopy RecordCopy, effects *statemachine.Effects) {
+func (g *Gateway) deliverOrBuffer(
+	now time.Time,
+	id uint64,
+	session *session,
+	recordCopy RecordCopy,
+	effects *statemachine.Effects,
+) {
 	space, _ := spaceOf(recordCopy.Partition)
 	wanted, waits := false, false
 	for interest, subscription := range session.subscriptions {
@@ -53,17 +59,34 @@
 }
 
 // deliverRecord gives a kept message to a channel once.
-func (g *Gateway) deliverRecord(now time.Time, id uint64, session *session, recordCopy RecordCopy, effects *statemachine.Effects) {
+func (g *Gateway) deliverRecord(
+	now time.Time,
+	id uint64,
+	session *session,
+	recordCopy RecordCopy,
+	effects *statemachine.Effects,
+) {
 	if !session.movedAt.IsZero() || !session.recordDelivery(now, recordCopy.Partition, recordCopy.Record.Offset) {
 		return
 	}
 	space, _ := spaceOf(recordCopy.Partition)
 	g.Counts.Delivered++
-	g.ring.Record(now, "", decisionlog.MessageName(space, recordCopy.Record.Sender, recordCopy.Record.Seq), session.client, "delivered",
-		"partition", recordCopy.Partition, "offset", recordCopy.Record.Offset)
+	g.ring.Record(now, "", decisionlog.MessageName(
+		space,
+		recordCopy.Record.Sender,
+		recordCopy.Record.Seq,
+	), session.client, "delivered",
+		"partition", recordCopy.Partition,
+		"offset", recordCopy.Record.Offset,
+	)
 	g.emit(id, Event{
-		Event: "message", Space: space, Topic: recordCopy.Record.Topic, Sender: recordCopy.Record.Sender, Seq: recordCopy.Record.Seq,
-		Data: json.RawMessage(recordCopy.Record.Data), Cursor: g.cursor(now, session),
+		Event:  "message",
+		Space:  space,
+		Topic:  recordCopy.Record.Topic,
+		Sender: recordCopy.Record.Sender,
+		Seq:    recordCopy.Record.Seq,
+		Data:   json.RawMessage(recordCopy.Record.Data),
+		Cursor: g.cursor(now, session),
 	}, effects)
 }
 
@@ -80,7 +103,13 @@
 	return true
 }
 
-func (g *Gateway) deliverOrBufferEphemeral(now time.Time, id uint64, session *session, message EphemeralCopy, effects *statemachine.Effects) {
+func (g *Gateway) deliverOrBufferEphemeral(
+	now time.Time,
+	id uint64,
+	session *session,
+	message EphemeralCopy,
+	effects *statemachine.Effects,
+) {
 	if !session.movedAt.IsZero() {
 		return
 	}
@@ -103,8 +132,13 @@
 	g.Counts.Delivered++
 	g.ring.Record(now, "", decisionlog.MessageName(space, message.Sender, message.Seq), session.client, "delivered")
 	g.emit(id, Event{
-		Event: "message", Space: space, Topic: message.Topic, Sender: message.Sender, Seq: message.Seq,
-		Data: json.RawMessage(message.Data), Cursor: g.cursor(now, session),
+		Event:  "message",
+		Space:  space,
+		Topic:  message.Topic,
+		Sender: message.Sender,
+		Seq:    message.Seq,
+		Data:   json.RawMessage(message.Data),
+		Cursor: g.cursor(now, session),
 	}, effects)
 }
 
@@ -144,7 +178,10 @@
 	space, _ := spaceOf(recordCopy.Partition)
 	for _, interest := range interests {
 		subscription, found := c.subscriptions[interest]
-		if found && interest.Space == space && interest.matches(recordCopy.Record.Topic) && recordCopy.Record.Offset > subscription.notBefore[recordCopy.Partition] {
+		if !found || interest.Space != space || !interest.matches(recordCopy.Record.Topic) {
+			continue
+		}
+		if recordCopy.Record.Offset > subscription.notBefore[recordCopy.Partition] {
 			return true
 		}
 	}
--- a/internal/gateway/draining.go
+++ b/internal/gateway/draining.go
@@ -51,22 +51,29 @@
 	return members
 }
 
-func (g *Gateway) moveSome(now time.Time, effects *statemachine.Effects) {
-	orders := g.viewClient.Directives
-	if !orders.Drain && orders.KeepSessions == 0 && !g.stopping {
-		return
+// movesNow returns how many clients to move in this step; zero or less means none.
+func (g *Gateway) movesNow() int {
+	directives := g.viewClient.Directives
+	if !directives.Drain && directives.KeepSessions == 0 && !g.stopping {
+		return 0
 	}
-	count := max(1, orders.MovesPerSecond/int(time.Second/moveInterval))
-	if orders.KeepSessions > 0 && !orders.Drain && !g.stopping {
-		// Those that were told to go and are still here are on their way.
-		count = min(count, g.remainingSessions()-orders.KeepSessions)
-		if count <= 0 {
-			return
-		}
+	count := max(1, directives.MovesPerSecond/int(time.Second/moveInterval))
+	if directives.KeepSessions > 0 && !directives.Drain && !g.stopping {
+		// Clients that were asked to move and are still here are on their way.
+		count = min(count, g.remainingSessions()-directives.KeepSessions)
 	}
 	if g.stopping {
 		count = max(count, stopMoves, (len(g.sessions)+9)/10)
 	}
+	return count
+}
+
+// moveSome asks the next clients to move to other gateways.
+func (g *Gateway) moveSome(now time.Time, effects *statemachine.Effects) {
+	count := g.movesNow()
+	if count <= 0 {
+		return
+	}
 	targets := g.targets()
 	if len(targets) == 0 {
 		g.timers.Arm(timerMove, now.Add(5*moveInterval))
@@ -97,9 +104,20 @@
 	return count
 }
 
-func (g *Gateway) move(now time.Time, id uint64, session *session, target membership.Member, effects *statemachine.Effects) {
+func (g *Gateway) move(
+	now time.Time,
+	id uint64,
+	session *session,
+	target membership.Member,
+	effects *statemachine.Effects,
+) {
 	g.Counts.Moves++
-	event := Event{Event: "move", To: target.Caller, ToName: target.Name, Cursor: g.cursor(now, session)}
+	event := Event{
+		Event:  "move",
+		To:     target.Caller,
+		ToName: target.Name,
+		Cursor: g.cursor(now, session),
+	}
 	session.movedAt = now
 	g.ring.Record(now, "", "", session.client, "moved", "to", target.Name, "stopping", g.stopping)
 	effects.Emit(logevent.SessionMoved, "origin", session.client, "to", target.Name)
@@ -135,7 +153,9 @@
 
 // stopStep ends the gateway once its origins are gone, or its time is up.
 func (g *Gateway) stopStep(now time.Time, effects *statemachine.Effects) {
-	if g.awaitsClients(now) && now.Before(g.stopUntil) || len(g.appends)+len(g.routed.appends) > 0 && now.Before(g.stopUntil.Add(-time.Second)) {
+	awaitsClients := g.awaitsClients(now) && now.Before(g.stopUntil)
+	awaitsAppends := len(g.appends)+len(g.routed.appends) > 0 && now.Before(g.stopUntil.Add(-time.Second))
+	if awaitsClients || awaitsAppends {
 		g.timers.Arm(timerStop, now.Add(moveInterval))
 		return
 	}
@@ -145,9 +165,15 @@
 	g.overlay.LeaveAll(effects)
 	for _, member := range statemachine.Sorted(g.viewClient.Members) {
 		if member.Kind == membership.KindController {
-			effects.Send(member.Address, membership.GracefulLeave{Name: g.settings.Self.Name, Incarnation: g.settings.Self.Incarnation})
+			effects.Send(member.Address, membership.GracefulLeave{
+				Name:        g.settings.Self.Name,
+				Incarnation: g.settings.Self.Incarnation,
+			})
 		}
 	}
-	effects.Send(g.settings.Agent, membership.GracefulLeave{Name: g.settings.Self.Name, Incarnation: g.settings.Self.Incarnation})
+	effects.Send(g.settings.Agent, membership.GracefulLeave{
+		Name:        g.settings.Self.Name,
+		Incarnation: g.settings.Self.Incarnation,
+	})
 	effects.Stop = true
 }
--- a/internal/gateway/fetch.go
+++ b/internal/gateway/fetch.go
@@ -38,7 +38,13 @@
 
 // advanceFetch goes on once the overlay peers have settled: it asks the first
 // of each partition, and ends when all have answered.
-func (g *Gateway) advanceFetch(now time.Time, id uint64, operation *fetchOperation, _ cursor, effects *statemachine.Effects) {
+func (g *Gateway) advanceFetch(
+	now time.Time,
+	id uint64,
+	operation *fetchOperation,
+	_ cursor,
+	effects *statemachine.Effects,
+) {
 	if operation.joins > 0 || g.fetches[id] != operation {
 		return
 	}
@@ -61,7 +67,13 @@
 	}
 }
 
-func (g *Gateway) sendFetch(now time.Time, id uint64, name string, fetch *partitionFetch, effects *statemachine.Effects) {
+func (g *Gateway) sendFetch(
+	now time.Time,
+	id uint64,
+	name string,
+	fetch *partitionFetch,
+	effects *statemachine.Effects,
+) {
 	fetch.waiting, fetch.requestedAt = true, now
 	g.timers.ArmSooner(timerDeadlines, now.Add(fetchRetry))
 	address, _, found := g.leaderOf(name)
@@ -71,11 +83,21 @@
 	}
 	g.Counts.Fetches++
 	effects.Send(address, partition.Fetch{
-		Partition: name, RequestID: id, After: fetch.after, Topics: fetch.topics, Prefixes: fetch.prefixes, SkipOffsets: fetch.skip,
+		Partition: name,
+		RequestID:   id,
+		After:     fetch.after,
+		Topics:    fetch.topics,
+		Prefixes:  fetch.prefixes,
+		SkipOffsets:      fetch.skip,
 	})
 }
 
-func (g *Gateway) retryFetch(now time.Time, id uint64, operation *fetchOperation, effects *statemachine.Effects) time.Time {
+func (g *Gateway) retryFetch(
+	now time.Time,
+	id uint64,
+	operation *fetchOperation,
+	effects *statemachine.Effects,
+) time.Time {
 	if !operation.deadline.After(now) {
 		g.failFetch(now, id, operation, "no-answer", effects)
 		return time.Time{}
@@ -96,7 +118,13 @@
 	return next
 }
 
-func (g *Gateway) failFetch(now time.Time, id uint64, operation *fetchOperation, code string, effects *statemachine.Effects) {
+func (g *Gateway) failFetch(
+	now time.Time,
+	id uint64,
+	operation *fetchOperation,
+	code string,
+	effects *statemachine.Effects,
+) {
 	delete(g.fetches, id)
 	if operation.tracker != "" {
 		if tracker, found := g.trackers[operation.tracker]; found {
@@ -110,13 +138,19 @@
 		g.dropFilling(now, operation, session, effects)
 		g.drain(now, operation.session, session, effects)
 	}
-	g.answerSubscribe(now, operation.request, rejectedReply(503, code, "the place could not be found in time; nothing is subscribed", retryShortDelay), effects)
+	g.answerSubscribe(
+		now,
+		operation.request,
+		rejectedReply(503, code, "the place could not be found in time; nothing is subscribed", retryShortDelay),
+		effects,
+	)
 }
 
 // isDuplicate tells whether an answer is one that came before, to an earlier part of what is
 // asked.
 func (f *partitionFetch) isDuplicate(response partition.FetchResponse) bool {
-	return f.after != everything && response.Until <= f.after && f.after < response.HighWatermark && !statemachine.Mutated("any-answer")
+	return f.after != everything && response.Until <= f.after && f.after < response.HighWatermark &&
+		!statemachine.Mutated("any-answer")
 }
 
 // missing are the records beyond what was had before.
@@ -157,7 +191,8 @@
 		fetch.until = response.HighWatermark
 	} else {
 		fetch.until = max(response.Until, min(fetch.after, response.HighWatermark))
-		operation.records[response.Partition] = append(operation.records[response.Partition], fetch.missing(response.Records)...)
+		records := operation.records[response.Partition]
+		operation.records[response.Partition] = append(records, fetch.missing(response.Records)...)
 		if fetch.until < response.HighWatermark {
 			fetch.after = fetch.until
 			g.sendFetch(now, response.RequestID, response.Partition, fetch, effects)
@@ -169,7 +204,12 @@
 }
 
 // dropFilling ends the subscriptions that a round did not come to fill.
-func (g *Gateway) dropFilling(now time.Time, operation *fetchOperation, session *session, effects *statemachine.Effects) {
+func (g *Gateway) dropFilling(
+	now time.Time,
+	operation *fetchOperation,
+	session *session,
+	effects *statemachine.Effects,
+) {
 	for _, interest := range operation.interests {
 		if subscription, present := session.subscriptions[interest]; present && subscription.filling {
 			g.dropSubscription(now, operation.session, interest, true, effects)
@@ -182,11 +222,17 @@
 	if session, found := g.sessions[operation.session]; found {
 		g.dropFilling(now, operation, session, effects)
 	}
-	g.answerSubscribe(now, operation.request, rejectedReply(410, "place-lost", "what was missed is older than the space holds; subscribe without the cursor", 0), effects)
+	g.answerSubscribe(
+		now,
+		operation.request,
+		rejectedReply(410, "place-lost", "what was missed is older than the space holds; subscribe without the cursor", 0),
+		effects,
+	)
 }
 
-// completeFetch ends a round: for a tracker it takes what was missed; for a
-// channel it hands over the missed messages in an order that fits all senders.
+// completeFetch ends a fetch whose partitions have all answered. The records of a
+// tracker's fetch go to the tracker. For a session the missed messages are delivered
+// in an order that fits all senders.
 func (g *Gateway) completeFetch(now time.Time, id uint64, operation *fetchOperation, effects *statemachine.Effects) {
 	if operation.tracker != "" {
 		delete(g.fetches, id)
@@ -199,27 +245,63 @@
 		return
 	}
 	ordered, again := merge(operation)
+	again = append(again, g.overtakenPartitions(operation)...)
+	if len(again) > 0 && operation.refetches < maxRefetches {
+		g.refetch(now, id, operation, again, effects)
+		return
+	}
+	delete(g.fetches, id)
+	g.startSubscriptions(now, operation, session)
+	missed := g.deliverMissed(now, operation, session, ordered, effects)
+	g.answerSubscribe(now, operation.request, acceptedReply(map[string]any{
+		"subscriptions": len(session.subscriptions),
+		"resumed":       operation.resumes,
+		"missed":        missed,
+		"cursor":        g.cursor(now, session),
+	}), effects)
+	if operation.resumes {
+		g.replayRecent(now, session, operation.interests)
+	}
+	g.drain(now, operation.session, session, effects)
+	g.timers.ArmSooner(timerFollow, now)
+	g.deliverReady(now, effects)
+}
+
+// overtakenPartitions returns the partitions that were verified further for other
+// sessions meanwhile: the records in between were not buffered for this session.
+func (g *Gateway) overtakenPartitions(operation *fetchOperation) []string {
+	var names []string
 	for name, fetch := range statemachine.Sorted(operation.partitions) {
-		// The partition was verified further for others meanwhile; what lies
-		// between was not kept here for this channel.
 		if tracker, topic := g.trackers[name]; topic && tracker.started && fetch.until < tracker.verified {
-			again = append(again, name)
+			names = append(names, name)
 		}
 	}
-	if len(again) > 0 && operation.refetches < maxRefetches {
-		// A message refers to one that another partition had not yet told of.
-		operation.refetches++
-		for _, name := range again {
-			fetch := operation.partitions[name]
-			fetch.done = false
-			if fetch.from != everything {
-				fetch.after = fetch.until
-			}
+	return names
+}
+
+// refetch fetches some partitions further, since a message depends on one that they
+// had not reported yet.
+func (g *Gateway) refetch(
+	now time.Time,
+	id uint64,
+	operation *fetchOperation,
+	names []string,
+	effects *statemachine.Effects,
+) {
+	operation.refetches++
+	for _, name := range names {
+		fetch := operation.partitions[name]
+		fetch.done = false
+		if fetch.from != everything {
+			fetch.after = fetch.until
 		}
-		g.advanceFetch(now, id, operation, cursor{}, effects)
-		return
 	}
-	delete(g.fetches, id)
+	g.advanceFetch(now, id, operation, cursor{}, effects)
+}
+
+// startSubscriptions makes the subscriptions of a completed fetch live, from the
+// offsets up to which their partitions were fetched.
+func (g *Gateway) startSubscriptions(now time.Time, operation *fetchOperation, session *session) {
 	for _, interest := range operation.interests {
 		subscription, present := session.subscriptions[interest]
 		if !present {
@@ -230,15 +312,28 @@
 			subscription.resumedAt = now
 		}
 		for name := range subscription.since {
-			if fetch, wanted := operation.partitions[name]; wanted {
-				subscription.since[name] = fetch.until
-				if tracker, topic := g.trackers[name]; topic {
-					tracker.begin(interest, fetch.until)
-				}
+			fetch, wanted := operation.partitions[name]
+			if !wanted {
+				continue
+			}
+			subscription.since[name] = fetch.until
+			if tracker, topic := g.trackers[name]; topic {
+				tracker.begin(interest, fetch.until)
 			}
 		}
 	}
-	// Until all of it is handed over, a cursor must still say where it began.
+}
+
+// deliverMissed delivers the missed messages of a resumed session and returns how
+// many there were.
+func (g *Gateway) deliverMissed(
+	now time.Time,
+	operation *fetchOperation,
+	session *session,
+	ordered []RecordCopy,
+	effects *statemachine.Effects,
+) int {
+	// Until all of them are delivered, a cursor must still name where the backlog began.
 	session.floors = map[string]uint64{}
 	for name, fetch := range operation.partitions {
 		if fetch.from != everything {
@@ -253,15 +348,7 @@
 		}
 	}
 	session.floors = nil
-	g.answerSubscribe(now, operation.request, acceptedReply(map[string]any{
-		"subscriptions": len(session.subscriptions), "resumed": operation.resumes, "missed": missed, "cursor": g.cursor(now, session),
-	}), effects)
-	if operation.resumes {
-		g.replayRecent(now, session, operation.interests)
-	}
-	g.drain(now, operation.session, session, effects)
-	g.timers.ArmSooner(timerFollow, now)
-	g.deliverReady(now, effects)
+	return missed
 }
 
 // merge puts the records of several partitions in an order in which each partition's
@@ -332,7 +419,11 @@
 // blockers tells what a missed message must wait for: partitions to be asked again,
 // since they were asked before what it refers to was kept, or records that are
 // here and have not had their turn.
-func (f *fetchOperation) blockers(full, name string, record partition.Record, at map[string]int) (missing []string, waits bool) {
+func (f *fetchOperation) blockers(
+	full, name string,
+	record partition.Record,
+	at map[string]int,
+) (missing []string, waits bool) {
 	for _, mark := range record.Dependencies.Messages {
 		other := partitionName(full, int(mark.Partition))
 		fetch, wanted := f.partitions[other]
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -123,14 +123,27 @@
 	settings.ConfirmedFor = orLonger(settings.ConfirmedFor, membership.ConfirmationTimeout)
 	settings.StopWithin = orLonger(settings.StopWithin, stopTimeout)
 	gateway := &Gateway{
-		settings: settings, overlay: overlay.New(settings.Self.Name), ring: decisionlog.NewRing(settings.Self.Name), timers: statemachine.NewTimers[timer](),
-		sessions: map[uint64]*session{}, moving: map[uint64]bool{}, spaces: map[string]*spaceState{},
-		senders: map[senderKey]*sender{}, trackers: map[string]*tracker{},
-		appends: map[uint64]*publication{}, sends: map[uint64]*publication{}, senderLookups: map[uint64]*senderLookup{}, fetches: map[uint64]*fetchOperation{},
-		nextRequest: settings.Incarnation.FirstRequestNumber(), routed: newRouted(), newest: map[string]uint64{},
+		settings:      settings,
+		overlay:       overlay.New(settings.Self.Name),
+		ring:          decisionlog.NewRing(settings.Self.Name),
+		timers:        statemachine.NewTimers[timer](),
+		sessions:      map[uint64]*session{},
+		moving:        map[uint64]bool{},
+		spaces:        map[string]*spaceState{},
+		senders:       map[senderKey]*sender{},
+		trackers:      map[string]*tracker{},
+		appends:       map[uint64]*publication{},
+		sends:         map[uint64]*publication{},
+		senderLookups: map[uint64]*senderLookup{},
+		fetches:       map[uint64]*fetchOperation{},
+		nextRequest:   settings.Incarnation.FirstRequestNumber(),
+		routed:        newRouted(),
+		newest:        map[string]uint64{},
 	}
 	gateway.policies = standardPolicies()
-	gateway.viewClient = membership.NewViewClient(settings.Self, settings.Incarnation, []string{settings.Agent}, gateway.load)
+	gateway.viewClient = membership.NewViewClient(settings.Self, settings.Incarnation, []string{
+		settings.Agent,
+	}, gateway.load)
 	gateway.detector = membership.NewFailureDetector(settings.Self)
 	gateway.viewClient.PinToFirstSeed()
 	upstream := func() string {
@@ -140,7 +153,11 @@
 		return settings.Agent
 	}
 	gateway.controlClient = controlclient.New(controlclient.Settings{
-		Incarnation: settings.Incarnation, Acknowledge: settings.Acknowledge, Upstream: upstream, Next: gateway.viewClient.NextController, Relays: gateway.viewClient.Relays,
+		Incarnation: settings.Incarnation,
+		Acknowledge: settings.Acknowledge,
+		Upstream:    upstream,
+		Next:        gateway.viewClient.NextController,
+		Relays:      gateway.viewClient.Relays,
 	})
 	return gateway
 }
@@ -241,7 +258,12 @@
 		effects.Emit(logevent.Ready, "version", g.ConfigurationVersion())
 		return
 	}
-	effects.Emit(logevent.NotReady, "isolated", g.detector.Isolated(now), "confirmed", g.Confirmed(now), "stopping", g.stopping, "rest", g.viewClient.Directives.Rest)
+	effects.Emit(logevent.NotReady,
+		"isolated", g.detector.Isolated(now),
+		"confirmed", g.Confirmed(now),
+		"stopping", g.stopping,
+		"rest", g.viewClient.Directives.Rest,
+	)
 }
 
 // HandleCommand takes what the adapters bring.
@@ -298,25 +320,13 @@
 	g.logReadiness(now, effects)
 }
 
+// dispatch hands a message to the part that it is for.
 func (g *Gateway) dispatch(now time.Time, meta statemachine.Meta, message any, effects *statemachine.Effects) {
 	switch body := message.(type) {
-	case membership.ViewUpdate:
-		g.handleViewUpdate(now, body, effects)
-	case membership.Redirect:
-		g.viewClient.HandleRedirect(now, body, effects)
-	case membership.Heartbeat:
-		g.detector.ReceiveHeartbeat(now, body)
-	case membership.ControlResponse:
-		g.controlClient.HandleResponse(now, meta.From, body, effects)
-	case membership.ConfigurationRequest:
-		g.viewClient.RespondToConfigurationRequest(meta.From, body, effects)
-	case membership.ConfigurationResponse:
-		if g.viewClient.AdoptConfiguration(body.Version, body.Document, body.SpaceCreatedAt) {
-			g.applyConfiguration(now, effects)
-			g.resume(now, effects)
-		}
 	case overlay.Signals:
-		g.runOverlay(now, effects, func(now time.Time, effects *statemachine.Effects) { g.overlay.HandleSignals(now, body, effects) })
+		g.runOverlay(now, effects, func(now time.Time, effects *statemachine.Effects) {
+			g.overlay.HandleSignals(now, body, effects)
+		})
 	case RecordCopy:
 		g.countCopy(g.handleRecordCopy(now, body, effects))
 	case RoutedCopy:
@@ -333,12 +343,44 @@
 		g.handleSenderResponse(now, meta.From, body, effects)
 	case partition.HighWatermarks:
 		g.handleHighWatermarks(now, body, effects)
+	default:
+		g.dispatchMembership(now, meta, message, effects)
+	}
+}
+
+// dispatchMembership hands on the messages about membership, configuration and control requests.
+func (g *Gateway) dispatchMembership(
+	now time.Time,
+	meta statemachine.Meta,
+	message any,
+	effects *statemachine.Effects,
+) {
+	switch body := message.(type) {
+	case membership.ViewUpdate:
+		g.handleViewUpdate(now, body, effects)
+	case membership.Redirect:
+		g.viewClient.HandleRedirect(now, body, effects)
+	case membership.Heartbeat:
+		g.detector.ReceiveHeartbeat(now, body)
+	case membership.ControlResponse:
+		g.controlClient.HandleResponse(now, meta.From, body, effects)
+	case membership.ConfigurationRequest:
+		g.viewClient.RespondToConfigurationRequest(meta.From, body, effects)
+	case membership.ConfigurationResponse:
+		if g.viewClient.AdoptConfiguration(body.Version, body.Document, body.SpaceCreatedAt) {
+			g.applyConfiguration(now, effects)
+			g.resume(now, effects)
+		}
 	}
 }
 
 // runOverlay runs the overlay. What is offered to gateways that it finds goes out
 // before what it says to them, so that it is there when they have settled.
-func (g *Gateway) runOverlay(now time.Time, effects *statemachine.Effects, run func(now time.Time, effects *statemachine.Effects)) {
+func (g *Gateway) runOverlay(
+	now time.Time,
+	effects *statemachine.Effects,
+	run func(now time.Time, effects *statemachine.Effects),
+) {
 	var later statemachine.Effects
 	run(now, &later)
 	g.repeatRecent(now, effects)
--- a/internal/gateway/messages.go
+++ b/internal/gateway/messages.go
@@ -52,7 +52,12 @@
 
 func (rc RoutedCopy) record() partition.Record {
 	return partition.Record{
-		Topic: rc.Topic, Sender: rc.Sender, Seq: rc.Seq, Offset: rc.Offset, PreviousInTopic: rc.Offset - rc.PriorDistance, Data: rc.Data,
+		Topic:  rc.Topic,
+		Sender: rc.Sender,
+		Seq:    rc.Seq,
+		Offset: rc.Offset,
+		PreviousInTopic:  rc.Offset - rc.PriorDistance,
+		Data:   rc.Data,
 	}
 }
 
--- a/internal/gateway/policy.go
+++ b/internal/gateway/policy.go
@@ -12,9 +12,19 @@
 	"dahlialock/internal/statemachine"
 )
 
+// RequestKind is what a request asks for.
+type RequestKind string
+
+// The kinds of requests that pass the policies.
+const (
+	RequestPublish   RequestKind = "publish"
+	RequestSubscribe RequestKind = "subscribe"
+	RequestCount     RequestKind = "count"
+)
+
 // PolicyRequest is a request as the policies see it.
 type PolicyRequest struct {
-	Kind      string
+	Kind      RequestKind
 	Client    string
 	Sender    string
 	Space     string
@@ -45,11 +55,25 @@
 }
 
 func standardPolicies() []Policy {
-	return []Policy{servingPolicy{}, senderPolicy{}, topicPolicy{}, spacePolicy{}, rightsPolicy{}, sizePolicy{}, newRatePolicy()}
+	return []Policy{
+		servingPolicy{},
+		senderPolicy{},
+		topicPolicy{},
+		spacePolicy{},
+		rightsPolicy{},
+		sizePolicy{},
+		newRatePolicy(),
+	}
 }
 
 // authorize asks all policies in turn; look is called where news may help.
-func (g *Gateway) authorize(now time.Time, request *PolicyRequest, requestName string, retry func(now time.Time, effects *statemachine.Effects), answer func(Reply)) bool {
+func (g *Gateway) authorize(
+	now time.Time,
+	request *PolicyRequest,
+	requestName string,
+	retry func(now time.Time, effects *statemachine.Effects),
+	answer func(Reply),
+) bool {
 	request.Gateway = g
 	for _, policy := range g.policies {
 		verdict := policy.Evaluate(now, request)
@@ -61,7 +85,10 @@
 			g.refreshThen(now, retry)
 			return false
 		}
-		g.ring.Record(now, requestName, g.messageOf(request), request.Client, "refused", "policy", policy.Name(), "code", verdict.Reply.Code)
+		g.ring.Record(now, requestName, g.messageOf(request), request.Client, "refused",
+			"policy", policy.Name(),
+			"code", verdict.Reply.Code,
+		)
 		answer(verdict.Reply)
 		return false
 	}
@@ -78,9 +105,14 @@
 	case gateway.stopping && (!request.Routed || !gateway.servesWhileStopping(now)):
 		return Verdict{Reply: rejectedReply(503, "stopping", "this daemon is stopping", retryShortDelay)}
 	case gateway.newerVersion > gateway.viewClient.Version:
-		return Verdict{NeedsRefresh: true, Reply: rejectedReply(503, "behind", "this daemon is catching up with the configuration", retryShortDelay)}
+		return Verdict{
+			NeedsRefresh: true,
+			Reply:        rejectedReply(503, "behind", "this daemon is catching up with the configuration", retryShortDelay),
+		}
 	case !gateway.Confirmed(now):
-		return Verdict{Reply: rejectedReply(503, "unconfirmed", "this daemon can't confirm its configuration", retryLongDelay)}
+		return Verdict{
+			Reply: rejectedReply(503, "unconfirmed", "this daemon can't confirm its configuration", retryLongDelay),
+		}
 	}
 	return allowed
 }
@@ -90,7 +122,7 @@
 func (senderPolicy) Name() string { return "sender" }
 
 func (senderPolicy) Evaluate(_ time.Time, request *PolicyRequest) Verdict {
-	if request.Kind == "publish" && request.Sender != request.Client {
+	if request.Kind == RequestPublish && request.Sender != request.Client {
 		return Verdict{Reply: rejectedReply(403, "wrong-sender", "an origin publishes under its own name only", 0)}
 	}
 	return allowed
@@ -102,12 +134,13 @@
 
 func (topicPolicy) Evaluate(_ time.Time, request *PolicyRequest) Verdict {
 	if request.Routed {
-		if request.Kind == "publish" && !ValidRoutedTopic(request.Topic) || len(request.Paths) > 0 && !ValidRoutedTopic(request.Paths[0].Path) {
+		if request.Kind == RequestPublish && !ValidRoutedTopic(request.Topic) ||
+			len(request.Paths) > 0 && !ValidRoutedTopic(request.Paths[0].Path) {
 			return Verdict{Reply: rejectedReply(400, "bad-topic", "a routed topic is a name without blanks", 0)}
 		}
 		return allowed
 	}
-	if request.Kind == "publish" && !ValidTopic(request.Topic) {
+	if request.Kind == RequestPublish && !ValidTopic(request.Topic) {
 		return Verdict{Reply: rejectedReply(400, "bad-topic", "a topic is a path of parts that are not empty", 0)}
 	}
 	for _, interest := range request.Paths {
@@ -133,7 +166,10 @@
 
 // ValidTopic tells whether a path may be a topic.
 func ValidTopic(path string) bool {
-	if path == "" || len(path) > 256 || strings.HasPrefix(path, "/") || strings.HasSuffix(path, "/") || strings.Contains(path, "//") {
+	if path == "" || len(path) > 256 || strings.HasPrefix(
+		path,
+		"/",
+	) || strings.HasSuffix(path, "/") || strings.Contains(path, "//") {
 		return false
 	}
 	for _, character := range path {
@@ -151,14 +187,17 @@
 func (spacePolicy) Evaluate(_ time.Time, request *PolicyRequest) Verdict {
 	for _, name := range request.spaces() {
 		if _, found := request.Gateway.spaces[name]; !found {
-			return Verdict{NeedsRefresh: true, Reply: rejectedReply(404, "no-such-space", fmt.Sprintf("no space is named %q", name), 0)}
+			return Verdict{
+				NeedsRefresh: true,
+				Reply:        rejectedReply(404, "no-such-space", fmt.Sprintf("no space is named %q", name), 0),
+			}
 		}
 	}
 	return allowed
 }
 
 func (pr *PolicyRequest) spaces() []string {
-	if pr.Kind == "publish" {
+	if pr.Kind == RequestPublish {
 		return []string{pr.Space}
 	}
 	var names []string
@@ -175,8 +214,16 @@
 func (rightsPolicy) Evaluate(_ time.Time, request *PolicyRequest) Verdict {
 	for _, name := range request.spaces() {
 		space := request.Gateway.spaces[name].space
-		if request.Kind == "publish" && !space.MayPublish(request.Sender) || request.Kind == "subscribe" && !space.MaySubscribe(request.Client) {
-			return Verdict{Reply: rejectedReply(403, "not-allowed", fmt.Sprintf("the space %q does not let this origin %s", name, request.Kind), 0)}
+		if request.Kind == RequestPublish && !space.MayPublish(request.Sender) ||
+			request.Kind == RequestSubscribe && !space.MaySubscribe(request.Client) {
+			return Verdict{
+				Reply: rejectedReply(
+					403,
+					"not-allowed",
+					fmt.Sprintf("the space %q does not let this origin %s", name, request.Kind),
+					0,
+				),
+			}
 		}
 	}
 	return allowed
@@ -187,11 +234,13 @@
 func (sizePolicy) Name() string { return "size" }
 
 func (sizePolicy) Evaluate(_ time.Time, request *PolicyRequest) Verdict {
-	if request.Kind != "publish" {
+	if request.Kind != RequestPublish {
 		return allowed
 	}
 	if maxBytes := request.Gateway.spaces[request.Space].space.DataBytes; len(request.Data) > maxBytes {
-		return Verdict{Reply: rejectedReply(413, "too-large", fmt.Sprintf("%d bytes are more than %d", len(request.Data), maxBytes), 0)}
+		return Verdict{
+			Reply: rejectedReply(413, "too-large", fmt.Sprintf("%d bytes are more than %d", len(request.Data), maxBytes), 0),
+		}
 	}
 	if request.Seq == 0 {
 		return Verdict{Reply: rejectedReply(400, "bad-seq", "a seq begins at 1", 0)}
@@ -213,7 +262,7 @@
 func (*ratePolicy) Name() string { return "rate" }
 
 func (rp *ratePolicy) Evaluate(now time.Time, request *PolicyRequest) Verdict {
-	if request.Kind != "publish" {
+	if request.Kind != RequestPublish {
 		return allowed
 	}
 	maxRate := request.Gateway.spaces[request.Space].space.PublicationsPerSecond
--- a/internal/gateway/presence.go
+++ b/internal/gateway/presence.go
@@ -38,7 +38,11 @@
 		session.pongAt = now
 	}
 	policyRequest := &PolicyRequest{
-		Kind: "count", Client: request.Client, Paths: []Interest{{Space: g.routeOf("", request.Topic), Path: request.Topic}}, Refreshed: refreshed, Routed: true,
+		Kind:      RequestCount,
+		Client:    request.Client,
+		Paths:     []Interest{{Space: g.routeOf("", request.Topic), Path: request.Topic}},
+		Refreshed: refreshed,
+		Routed:    true,
 	}
 	retry := func(now time.Time, effects *statemachine.Effects) { g.count(now, request, true, effects) }
 	answer := func(response Reply) { effects.Respond(request.Request, response) }
--- a/internal/gateway/publish.go
+++ b/internal/gateway/publish.go
@@ -60,7 +60,10 @@
 
 // trail tells the trail that goes with a sender's next message.
 func (s *sender) trail(now time.Time) partition.Dependencies {
-	s.dependencies = slices.DeleteFunc(s.dependencies, func(each dependency) bool { return now.Sub(each.at) > partition.DependencyWindow })
+	s.dependencies = slices.DeleteFunc(
+		s.dependencies,
+		func(each dependency) bool { return now.Sub(each.at) > partition.DependencyWindow },
+	)
 	var trail partition.Dependencies
 	older := max(0, len(s.dependencies)-partition.MaxDependencies)
 	floors := map[uint8]uint64{}
@@ -101,8 +104,11 @@
 	deadline time.Time
 }
 
+// messageName is the name of the message in recorded decisions.
+func (p Publish) messageName() string { return decisionlog.MessageName(p.Space, p.Sender, p.Seq) }
+
 func (g *Gateway) messageOf(request *PolicyRequest) string {
-	if request.Kind != "publish" {
+	if request.Kind != RequestPublish {
 		return ""
 	}
 	return decisionlog.MessageName(request.Space, request.Sender, request.Seq)
@@ -119,8 +125,14 @@
 
 func (g *Gateway) publishAttempt(now time.Time, request Publish, refreshed bool, effects *statemachine.Effects) {
 	policyRequest := &PolicyRequest{
-		Kind: "publish", Client: request.Client, Sender: request.Sender, Space: request.Space, Topic: request.Topic,
-		Seq: request.Seq, Data: request.Data, Refreshed: refreshed,
+		Kind:      RequestPublish,
+		Client:    request.Client,
+		Sender:    request.Sender,
+		Space:     request.Space,
+		Topic:     request.Topic,
+		Seq:       request.Seq,
+		Data:      request.Data,
+		Refreshed: refreshed,
 	}
 	item := &publication{request: request, key: senderKey{space: request.Space, sender: request.Sender}}
 	answer := func(response Reply) { g.answerPublication(now, item, response, effects) }
@@ -136,7 +148,12 @@
 	from.lastUse = now
 	if from.blocked > 0 && request.Seq > from.blocked {
 		if now.Sub(from.blockedAt) < blockFor {
-			answer(rejectedReply(503, "earlier-refused", "an earlier seq of this sender has no accepted answer; send that one first", retryLongDelay))
+			answer(rejectedReply(
+				503,
+				"earlier-refused",
+				"an earlier seq of this sender has no accepted answer; send that one first",
+				retryLongDelay,
+			))
 			return
 		}
 		from.blocked = 0
@@ -174,7 +191,7 @@
 	}
 	item.answered = true
 	g.countOutcome(answer)
-	g.ring.Record(now, item.request.RequestName, decisionlog.MessageName(item.request.Space, item.request.Sender, item.request.Seq),
+	g.ring.Record(now, item.request.RequestName, item.request.messageName(),
 		item.request.Client, "answered", "outcome", answer.Outcome, "code", answer.Code)
 	effects.Respond(item.request.Request, answer)
 }
@@ -223,7 +240,12 @@
 		waiting := from.queue
 		from.queue = nil
 		for _, behind := range waiting {
-			g.answerPublication(now, behind, rejectedReply(503, "earlier-refused", "an earlier seq of this sender was not accepted", retryLongDelay), effects)
+			g.answerPublication(
+				now,
+				behind,
+				rejectedReply(503, "earlier-refused", "an earlier seq of this sender was not accepted", retryLongDelay),
+				effects,
+			)
 		}
 		return
 	}
@@ -250,7 +272,13 @@
 	return overlay.AreaOf(path)
 }
 
-func (g *Gateway) publishDurable(now time.Time, state *spaceState, from *sender, item *publication, effects *statemachine.Effects) {
+func (g *Gateway) publishDurable(
+	now time.Time,
+	state *spaceState,
+	from *sender,
+	item *publication,
+	effects *statemachine.Effects,
+) {
 	// A seq that does not follow the newest one known here may come from a
 	// sender that was elsewhere meanwhile; its trail is learned anew.
 	follows := from.lookedUp && item.request.Seq <= from.lastSeq+1
@@ -295,15 +323,29 @@
 	}
 	item.unanswered[send] = true
 	g.sends[send] = item
-	g.ring.Record(now, item.request.RequestName, decisionlog.MessageName(item.request.Space, item.request.Sender, item.request.Seq),
-		item.request.Client, "append", "partition", item.partition, "store", store, "epoch", g.viewClient.Placements[item.partition].Epoch)
+	g.ring.Record(now, item.request.RequestName, item.request.messageName(),
+		item.request.Client, "append",
+		"partition", item.partition,
+		"store", store,
+		"epoch", g.viewClient.Placements[item.partition].Epoch,
+	)
 	effects.Send(address, partition.Append{
-		Partition: item.partition, RequestID: send, Topic: item.request.Topic, Sender: item.request.Sender, Seq: item.request.Seq,
-		Data: item.request.Data, Dependencies: before, DuplicateOnly: item.request.Seq <= from.lastSeq,
+		Partition: item.partition,
+		RequestID:   send,
+		Topic:     item.request.Topic,
+		Sender:    item.request.Sender,
+		Seq:       item.request.Seq,
+		Data:      item.request.Data,
+		Dependencies:    before,
+		DuplicateOnly: item.request.Seq <= from.lastSeq,
 	})
 }
 
-func (g *Gateway) handleAppendResponse(now time.Time, response partition.AppendResponse, effects *statemachine.Effects) {
+func (g *Gateway) handleAppendResponse(
+	now time.Time,
+	response partition.AppendResponse,
+	effects *statemachine.Effects,
+) {
 	if item, routed := g.routed.sends[response.RequestID]; routed && item.partition == response.Partition {
 		g.handleRoutedResponse(now, item, response, effects)
 		return
@@ -314,16 +356,26 @@
 	}
 	delete(item.unanswered, response.RequestID)
 	delete(g.sends, response.RequestID)
-	message := decisionlog.MessageName(item.request.Space, item.request.Sender, item.request.Seq)
-	g.ring.Record(now, item.request.RequestName, message, item.request.Client, "kept", "outcome", response.Outcome,
-		"code", response.Code, "partition", response.Partition, "epoch", response.Epoch, "offset", response.Record.Offset, "again", response.Duplicate)
+	g.ring.Record(now, item.request.RequestName, item.request.messageName(), item.request.Client, "kept",
+		"outcome", response.Outcome,
+		"code", response.Code,
+		"partition", response.Partition,
+		"epoch", response.Epoch,
+		"offset", response.Record.Offset,
+		"again", response.Duplicate,
+	)
 	switch response.Outcome {
 	case partition.OutcomeAccepted:
 		if from, known := g.senders[item.key]; known {
 			from.lastSeq = max(from.lastSeq, item.request.Seq)
 			from.dependencies = append(from.dependencies, dependency{
-				mark: partition.MessagePosition{Partition: partition.NumberOf(response.Partition), Offset: response.Record.Offset, Topic: item.request.Topic},
-				seq:  item.request.Seq, at: now,
+				mark: partition.MessagePosition{
+					Partition: partition.NumberOf(response.Partition),
+					Offset:    response.Record.Offset,
+					Topic:     item.request.Topic,
+				},
+				seq: item.request.Seq,
+				at:  now,
 			})
 		}
 		if state, present := g.spaces[item.request.Space]; present && !response.Duplicate {
@@ -345,7 +397,12 @@
 				g.finish(now, item, unsettledReply(response.Code, "send the same seq again", response.RetryAfter), effects)
 				return
 			}
-			g.finish(now, item, rejectedReply(503, response.Code, "the partition can't keep two copies at this moment", response.RetryAfter), effects)
+			g.finish(
+				now,
+				item,
+				rejectedReply(503, response.Code, "the partition can't keep two copies at this moment", response.RetryAfter),
+				effects,
+			)
 		}
 	default:
 		g.finish(now, item, unsettledReply(response.Code, "send the same seq again", retryLongDelay), effects)
@@ -359,50 +416,71 @@
 		address, _, found := g.leaderOf(name)
 		if !found {
 			g.viewClient.PollNow(now)
-			g.finish(now, item, rejectedReply(503, "not-placed", "the space's partitions are not placed yet", retryLongDelay), effects)
+			g.finish(
+				now,
+				item,
+				rejectedReply(503, "not-placed", "the space's partitions are not placed yet", retryLongDelay),
+				effects,
+			)
 			return
 		}
 		byStore[address] = append(byStore[address], name)
 	}
 	g.nextRequest++
-	fetch := &senderLookup{key: item.key, waiting: len(byStore), answered: map[string]bool{}, ready: true, deadline: item.deadline}
-	g.senderLookups[g.nextRequest] = fetch
+	lookup := &senderLookup{
+		key:      item.key,
+		waiting:  len(byStore),
+		answered: map[string]bool{},
+		ready:    true,
+		deadline: item.deadline,
+	}
+	g.senderLookups[g.nextRequest] = lookup
 	for address, names := range statemachine.Sorted(byStore) {
-		fetch.answered[address] = false
+		lookup.answered[address] = false
 		effects.Send(address, partition.SenderStateRequest{RequestID: g.nextRequest, Partitions: names, Sender: item.request.Sender})
 	}
 }
 
 // handleSenderResponse counts one answer of each store that was asked.
-func (g *Gateway) handleSenderResponse(now time.Time, store string, response partition.SenderStateResponse, effects *statemachine.Effects) {
-	fetch, found := g.senderLookups[response.RequestID]
+func (g *Gateway) handleSenderResponse(
+	now time.Time,
+	store string,
+	response partition.SenderStateResponse,
+	effects *statemachine.Effects,
+) {
+	lookup, found := g.senderLookups[response.RequestID]
 	if !found {
 		return
 	}
-	if answered, requested := fetch.answered[store]; (!requested || answered) && !statemachine.Mutated("any-answer") {
+	if answered, requested := lookup.answered[store]; (!requested || answered) && !statemachine.Mutated("any-answer") {
 		return
 	}
-	fetch.answered[store] = true
-	fetch.waiting--
-	fetch.ready = fetch.ready && response.Ready
-	fetch.lastSeq = max(fetch.lastSeq, response.LastSeq)
-	fetch.recent = append(fetch.recent, response.RecentMessages...)
-	if fetch.waiting > 0 {
+	lookup.answered[store] = true
+	lookup.waiting--
+	lookup.ready = lookup.ready && response.Ready
+	lookup.lastSeq = max(lookup.lastSeq, response.LastSeq)
+	lookup.recent = append(lookup.recent, response.RecentMessages...)
+	if lookup.waiting > 0 {
 		return
 	}
 	delete(g.senderLookups, response.RequestID)
-	from, known := g.senders[fetch.key]
+	from, known := g.senders[lookup.key]
 	if !known || len(from.queue) == 0 {
 		return
 	}
-	if !fetch.ready {
+	if !lookup.ready {
 		g.viewClient.PollNow(now)
-		g.finish(now, from.queue[0], rejectedReply(503, "partition-moving", "a partition of the space is being taken over", retryLongDelay), effects)
+		g.finish(
+			now,
+			from.queue[0],
+			rejectedReply(503, "partition-moving", "a partition of the space is being taken over", retryLongDelay),
+			effects,
+		)
 		return
 	}
-	from.lookedUp, from.lastSeq, from.dependencies = true, fetch.lastSeq, nil
-	slices.SortFunc(fetch.recent, func(left, right partition.RecentMessage) int { return cmp.Compare(left.Seq, right.Seq) })
-	for _, each := range fetch.recent {
+	from.lookedUp, from.lastSeq, from.dependencies = true, lookup.lastSeq, nil
+	slices.SortFunc(lookup.recent, func(left, right partition.RecentMessage) int { return cmp.Compare(left.Seq, right.Seq) })
+	for _, each := range lookup.recent {
 		from.dependencies = append(from.dependencies, dependency{mark: each.Position, seq: each.Seq, at: now.Add(-each.Age / 2)})
 	}
 	g.begin(now, from, effects)
@@ -410,7 +488,14 @@
 
 // fanOutRecord sends one copy to each destination daemon, and hands the message
 // to this daemon's own subscribers.
-func (g *Gateway) fanOutRecord(now time.Time, state *spaceState, name string, record partition.Record, item *publication, effects *statemachine.Effects) {
+func (g *Gateway) fanOutRecord(
+	now time.Time,
+	state *spaceState,
+	name string,
+	record partition.Record,
+	item *publication,
+	effects *statemachine.Effects,
+) {
 	area := areaOf(state.space, record.Topic)
 	recordCopy := RecordCopy{Partition: name, Record: record}
 	spread := func(now time.Time, effects *statemachine.Effects, stable bool) {
@@ -427,20 +512,37 @@
 	g.overlay.Publish(now, state.name, area, spread, effects)
 }
 
-func (g *Gateway) spread(now time.Time, item *publication, destinations []string, stable bool, message any, effects *statemachine.Effects) {
+func (g *Gateway) spread(
+	now time.Time,
+	item *publication,
+	destinations []string,
+	stable bool,
+	message any,
+	effects *statemachine.Effects,
+) {
 	for _, name := range destinations {
 		if member, found := g.viewClient.Members[name]; found {
 			g.Counts.CopiesOut++
 			effects.Send(member.Address, message)
 		}
 	}
-	g.ring.Record(now, item.request.RequestName, decisionlog.MessageName(item.request.Space, item.request.Sender, item.request.Seq),
-		item.request.Client, "fanned-out", "destinations", destinations, "why", "subscriber list of the peer at the topic's area", "settled", stable)
+	g.ring.Record(now, item.request.RequestName, item.request.messageName(),
+		item.request.Client, "fanned-out",
+		"destinations", destinations,
+		"why", "subscriber list of the peer at the topic's area",
+		"settled", stable,
+	)
 }
 
 // Passing messages.
 
-func (g *Gateway) publishEphemeral(now time.Time, state *spaceState, from *sender, item *publication, effects *statemachine.Effects) {
+func (g *Gateway) publishEphemeral(
+	now time.Time,
+	state *spaceState,
+	from *sender,
+	item *publication,
+	effects *statemachine.Effects,
+) {
 	request := item.request
 	if memory, known := from.recent[request.Seq]; known {
 		if memory.digest != partition.MessageDigest(request.Topic, request.Data) {
@@ -476,7 +578,13 @@
 				delete(from.recent, seq)
 			}
 		}
-		message := EphemeralCopy{Space: state.name, Topic: request.Topic, Sender: request.Sender, Seq: request.Seq, Data: request.Data}
+		message := EphemeralCopy{
+			Space:  state.name,
+			Topic:  request.Topic,
+			Sender: request.Sender,
+			Seq:    request.Seq,
+			Data:   request.Data,
+		}
 		state.remember(now, message, true)
 		g.deliverEphemeral(now, state, message, effects)
 		g.spread(now, item, g.overlay.Destinations(state.name, area), true, message, effects)
@@ -484,17 +592,37 @@
 	}, effects)
 }
 
-// checkDeadlines resends appends that stayed without an answer and gives up on those
-// whose time is up.
+// checkDeadlines sends again what stayed without an answer, and ends what has passed
+// its deadline.
 func (g *Gateway) checkDeadlines(now time.Time, effects *statemachine.Effects) {
+	next := g.endOverdueLookups(now)
+	next = statemachine.Earliest(next, g.retryAppends(now, effects))
+	next = statemachine.Earliest(next, g.endOverduePublications(now, effects))
+	for id, fetch := range statemachine.Sorted(g.fetches) {
+		next = statemachine.Earliest(next, g.retryFetch(now, id, fetch, effects))
+	}
+	if !next.IsZero() {
+		g.timers.ArmSooner(timerDeadlines, next)
+	}
+}
+
+// endOverdueLookups drops the sender lookups that have passed their deadline, and
+// returns the next deadline of the others.
+func (g *Gateway) endOverdueLookups(now time.Time) time.Time {
 	var next time.Time
-	for id, fetch := range statemachine.Sorted(g.senderLookups) {
-		if !fetch.deadline.After(now) {
+	for id, lookup := range statemachine.Sorted(g.senderLookups) {
+		if !lookup.deadline.After(now) {
 			delete(g.senderLookups, id)
 		} else {
-			next = statemachine.Earliest(next, fetch.deadline)
+			next = statemachine.Earliest(next, lookup.deadline)
 		}
 	}
+	return next
+}
+
+// retryAppends sends unanswered appends again, and returns when to look next.
+func (g *Gateway) retryAppends(now time.Time, effects *statemachine.Effects) time.Time {
+	var next time.Time
 	for _, item := range statemachine.Sorted(g.appends) {
 		from, known := g.senders[item.key]
 		if known && item.deadline.After(now) && !item.sentAt.Add(appendRetry).After(now) {
@@ -504,26 +632,35 @@
 			next = statemachine.Earliest(next, item.sentAt.Add(appendRetry), item.deadline)
 		}
 	}
+	return next
+}
+
+// endOverduePublications answers the publications that have passed their deadline,
+// and returns the next deadline of the others.
+func (g *Gateway) endOverduePublications(now time.Time, effects *statemachine.Effects) time.Time {
+	var next time.Time
 	for _, from := range g.sortedSenders() {
 		for len(from.queue) > 0 && !from.queue[0].deadline.After(now) {
 			item := from.queue[0]
-			if statemachine.Mutated("refuse-what-is-open") {
-				g.finish(now, item, rejectedReply(503, "no-answer", "", 0), effects)
-			} else if len(item.unanswered) > 0 {
-				g.finish(now, item, unsettledReply("no-answer", "the store did not answer; send the same seq again", retryLongDelay), effects)
-			} else {
-				g.finish(now, item, rejectedReply(503, "no-answer", "the message was not kept", retryLongDelay), effects)
-			}
+			g.finish(now, item, overdueReply(item), effects)
 		}
 		if len(from.queue) > 0 {
 			next = statemachine.Earliest(next, from.queue[0].deadline)
 		}
 	}
-	for id, fetch := range statemachine.Sorted(g.fetches) {
-		next = statemachine.Earliest(next, g.retryFetch(now, id, fetch, effects))
-	}
-	if !next.IsZero() {
-		g.timers.ArmSooner(timerDeadlines, next)
+	return next
+}
+
+// overdueReply is the final answer of a publication that has passed its deadline. It
+// is unsettled if a store may still append the message.
+func overdueReply(item *publication) Reply {
+	switch {
+	case statemachine.Mutated("refuse-what-is-open"):
+		return rejectedReply(503, "no-answer", "", 0)
+	case len(item.unanswered) > 0:
+		return unsettledReply("no-answer", "the store did not answer; send the same seq again", retryLongDelay)
+	default:
+		return rejectedReply(503, "no-answer", "the message was not kept", retryLongDelay)
 	}
 }
 
--- a/internal/gateway/route.go
+++ b/internal/gateway/route.go
@@ -24,7 +24,12 @@
 	if !placed || !known {
 		return route{}
 	}
-	return route{address: leader.Address, incarnation: leader.Incarnation, epoch: placement.Epoch, complete: placement.Complete}
+	return route{
+		address:     leader.Address,
+		incarnation: leader.Incarnation,
+		epoch:       placement.Epoch,
+		complete:    placement.Complete,
+	}
 }
 
 // changed tells whether something that went one way should go another now.
--- a/internal/gateway/routed_publish.go
+++ b/internal/gateway/routed_publish.go
@@ -42,6 +42,11 @@
 	unanswered map[uint64]bool
 }
 
+// messageName is the name of the message in recorded decisions.
+func (rp *routedPublication) messageName() string {
+	return decisionlog.MessageName(rp.space, rp.request.Sender, rp.request.Seq)
+}
+
 // due is when it is sent again: the later, the more of its sends have no answer.
 func (rp *routedPublication) due() time.Time {
 	return rp.sentAt.Add(backoff(routedRetry, len(rp.unanswered)))
@@ -50,10 +55,22 @@
 func (g *Gateway) publishRouted(now time.Time, request Publish, refreshed bool, effects *statemachine.Effects) {
 	space := g.routeOf(request.Space, request.Topic)
 	policyRequest := &PolicyRequest{
-		Kind: "publish", Client: request.Client, Sender: request.Sender, Space: space, Topic: request.Topic,
-		Seq: request.Seq, Data: request.Data, Refreshed: refreshed, Routed: true,
+		Kind:      RequestPublish,
+		Client:    request.Client,
+		Sender:    request.Sender,
+		Space:     space,
+		Topic:     request.Topic,
+		Seq:       request.Seq,
+		Data:      request.Data,
+		Refreshed: refreshed,
+		Routed:    true,
+	}
+	item := &routedPublication{
+		request:    request,
+		space:      space,
+		partition:  config.SharedPartition(request.Topic),
+		unanswered: map[uint64]bool{},
 	}
-	item := &routedPublication{request: request, space: space, partition: config.SharedPartition(request.Topic), unanswered: map[uint64]bool{}}
 	answer := func(response Reply) { g.answerRouted(now, item, response, effects) }
 	retry := func(now time.Time, effects *statemachine.Effects) { g.publishRouted(now, request, true, effects) }
 	if !g.authorize(now, policyRequest, request.RequestName, retry, answer) {
@@ -81,8 +98,13 @@
 	for send := range item.unanswered {
 		delete(g.routed.sends, send)
 	}
-	g.ring.Record(now, item.request.RequestName, decisionlog.MessageName(item.space, item.request.Sender, item.request.Seq),
-		item.request.Client, "answered", "outcome", response.Outcome, "code", response.Code, "topic", item.request.Topic, "tries", item.sends)
+	g.ring.Record(now, item.request.RequestName, item.messageName(),
+		item.request.Client, "answered",
+		"outcome", response.Outcome,
+		"code", response.Code,
+		"topic", item.request.Topic,
+		"tries", item.sends,
+	)
 	effects.Respond(item.request.Request, response)
 }
 
@@ -104,18 +126,32 @@
 	item.unanswered[g.nextRequest] = true
 	g.routed.sends[g.nextRequest] = item
 	effects.Send(address, partition.Append{
-		Partition: item.partition, RequestID: g.nextRequest, Topic: item.request.Topic, Sender: item.request.Sender, Seq: item.request.Seq, Data: data, OffsetOnly: item.ephemeral,
+		Partition: item.partition,
+		RequestID:   g.nextRequest,
+		Topic:     item.request.Topic,
+		Sender:    item.request.Sender,
+		Seq:       item.request.Seq,
+		Data:      data,
+		OffsetOnly:      item.ephemeral,
 	})
 }
 
-func (g *Gateway) handleRoutedResponse(now time.Time, item *routedPublication, response partition.AppendResponse, effects *statemachine.Effects) {
+func (g *Gateway) handleRoutedResponse(
+	now time.Time,
+	item *routedPublication,
+	response partition.AppendResponse,
+	effects *statemachine.Effects,
+) {
 	delete(item.unanswered, response.RequestID)
 	delete(g.routed.sends, response.RequestID)
 	switch response.Outcome {
 	case partition.OutcomeAccepted:
 		g.routed.accepted[routedKey{topic: item.request.Topic, sender: item.request.Sender, seq: item.request.Seq}] = now
 		record := response.Record
-		record.Topic, record.Sender, record.Seq, record.Data = item.request.Topic, item.request.Sender, item.request.Seq, item.request.Data
+		record.Topic = item.request.Topic
+		record.Sender = item.request.Sender
+		record.Seq = item.request.Seq
+		record.Data = item.request.Data
 		if !response.Duplicate || item.ephemeral || item.sends > 1 {
 			// What was kept before and is not passed on now is found by the
 			// partition's heads; a passing message is not, and who had it, or a
@@ -128,12 +164,27 @@
 		case response.Code == "not-first":
 			g.viewClient.PollNow(now)
 		case response.Code == "old-seq" || response.Code == "seq-reused":
-			g.answerRouted(now, item, rejectedReply(409, response.Code, "this seq is not above the sender's newest of this topic", 0), effects)
+			g.answerRouted(
+				now,
+				item,
+				rejectedReply(409, response.Code, "this seq is not above the sender's newest of this topic", 0),
+				effects,
+			)
 		case len(item.unanswered) > 0:
 			// An earlier try has no answer; it may yet be kept.
 			g.answerRouted(now, item, unsettledReply(response.Code, "send the same seq again", retryShortDelay), effects)
 		default:
-			g.answerRouted(now, item, rejectedReply(503, response.Code, "the partition can't keep all its copies at this moment", max(response.RetryAfter, retryShortDelay)), effects)
+			g.answerRouted(
+				now,
+				item,
+				rejectedReply(
+					503,
+					response.Code,
+					"the partition can't keep all its copies at this moment",
+					max(response.RetryAfter, retryShortDelay),
+				),
+				effects,
+			)
 		}
 	default:
 		g.answerRouted(now, item, unsettledReply(response.Code, "send the same seq again", retryShortDelay), effects)
@@ -142,24 +193,45 @@
 
 // fanOutRouted hands a message to the subscribers here and sends one copy to
 // each gateway that has any.
-func (g *Gateway) fanOutRouted(now time.Time, item *routedPublication, record partition.Record, effects *statemachine.Effects) {
+func (g *Gateway) fanOutRouted(
+	now time.Time,
+	item *routedPublication,
+	record partition.Record,
+	effects *statemachine.Effects,
+) {
 	g.handleRoutedCopy(now, record, effects)
 	message := RoutedCopy{
-		Topic: record.Topic, Sender: record.Sender, Seq: record.Seq, Offset: record.Offset, PriorDistance: record.Offset - record.PreviousInTopic, Data: record.Data,
-		Ephemeral: item.ephemeral,
+		Topic:         record.Topic,
+		Sender:        record.Sender,
+		Seq:           record.Seq,
+		Offset:        record.Offset,
+		PriorDistance: record.Offset - record.PreviousInTopic,
+		Data:          record.Data,
+		Ephemeral:     item.ephemeral,
 	}
-	g.overlay.AwaitCell(now, routedPlane, item.request.Topic, func(now time.Time, effects *statemachine.Effects, stable bool) {
-		destinations := g.overlay.SubscribedDaemons(routedPlane, item.request.Topic)
-		for _, name := range destinations {
-			if member, found := g.viewClient.Members[name]; found {
-				g.Counts.CopiesOut++
-				effects.Send(member.Address, message)
+	g.overlay.AwaitCell(
+		now,
+		routedPlane,
+		item.request.Topic,
+		func(now time.Time, effects *statemachine.Effects, stable bool) {
+			destinations := g.overlay.SubscribedDaemons(routedPlane, item.request.Topic)
+			for _, name := range destinations {
+				if member, found := g.viewClient.Members[name]; found {
+					g.Counts.CopiesOut++
+					effects.Send(member.Address, message)
+				}
 			}
-		}
-		g.ring.Record(now, item.request.RequestName, decisionlog.MessageName(item.space, item.request.Sender, item.request.Seq),
-			item.request.Client, "fanned-out", "destinations", destinations, "why", "subscriber list of the peer at the topic's cell",
-			"settled", stable, "partition", item.partition, "offset", record.Offset)
-	}, effects)
+			g.ring.Record(now, item.request.RequestName, item.messageName(),
+				item.request.Client, "fanned-out",
+				"destinations", destinations,
+				"why", "subscriber list of the peer at the topic's cell",
+				"settled", stable,
+				"partition", item.partition,
+				"offset", record.Offset,
+			)
+		},
+		effects,
+	)
 }
 
 // retryPublications sends again what stayed without an answer, and gives up at
@@ -169,7 +241,12 @@
 	for _, item := range statemachine.Sorted(g.routed.appends) {
 		if !item.deadline.After(now) {
 			if len(item.unanswered) > 0 {
-				g.answerRouted(now, item, unsettledReply("no-answer", "the store did not answer; send the same seq again", retryShortDelay), effects)
+				g.answerRouted(
+					now,
+					item,
+					unsettledReply("no-answer", "the store did not answer; send the same seq again", retryShortDelay),
+					effects,
+				)
 			} else {
 				g.answerRouted(now, item, rejectedReply(503, "no-answer", "the message was not kept", retryShortDelay), effects)
 			}
--- a/internal/gateway/session.go
+++ b/internal/gateway/session.go
@@ -111,13 +111,22 @@
 		effects.Respond(request.Request, rejectedReply(503, "stopping", "this daemon is stopping", retryShortDelay))
 		return
 	case !g.Confirmed(now):
-		effects.Respond(request.Request, rejectedReply(503, "unconfirmed", "this daemon can't confirm its configuration", retryLongDelay))
+		effects.Respond(
+			request.Request,
+			rejectedReply(503, "unconfirmed", "this daemon can't confirm its configuration", retryLongDelay),
+		)
 		return
 	case request.AdapterPings && !g.admits(now):
-		effects.Respond(request.Request, rejectedReply(503, "busy", "this daemon's link can't serve more callers at once", retryShortDelay))
+		effects.Respond(
+			request.Request,
+			rejectedReply(503, "busy", "this daemon's link can't serve more callers at once", retryShortDelay),
+		)
 		return
 	case len(g.sessions) >= g.settings.MaxClients:
-		effects.Respond(request.Request, rejectedReply(503, "full", "this daemon holds all the channels it may", retryShortDelay))
+		effects.Respond(
+			request.Request,
+			rejectedReply(503, "full", "this daemon holds all the channels it may", retryShortDelay),
+		)
 		return
 	}
 	g.sessions[request.Session] = newSession(now, request)
@@ -127,14 +136,26 @@
 	effects.Emit(logevent.SessionOpened, "origin", request.Client)
 	effects.Respond(request.Request, acceptedReply(nil))
 	g.emit(request.Session, Event{
-		Event: "hello", Session: request.Name, Daemon: g.settings.Self.Name, Zone: g.settings.Self.Zone, Version: g.ConfigurationVersion(),
+		Event:   "hello",
+		Session: request.Name,
+		Daemon:  g.settings.Self.Name,
+		Zone:    g.settings.Self.Zone,
+		Version: g.ConfigurationVersion(),
 	}, effects)
 }
 
 func newSession(now time.Time, request OpenSession) *session {
 	return &session{
-		name: request.Name, client: request.Client, subscriptions: map[Interest]*subscription{}, routed: map[string]*topicSubscription{}, adapterPings: request.AdapterPings,
-		delivered: map[string]map[uint64]time.Time{}, deliveredAbove: map[string]map[uint64]bool{}, sequences: map[string]map[string]senderSequence{}, pongAt: now, pingAt: now,
+		name:           request.Name,
+		client:         request.Client,
+		subscriptions:  map[Interest]*subscription{},
+		routed:         map[string]*topicSubscription{},
+		adapterPings:   request.AdapterPings,
+		delivered:      map[string]map[uint64]time.Time{},
+		deliveredAbove: map[string]map[uint64]bool{},
+		sequences:      map[string]map[string]senderSequence{},
+		pongAt:         now,
+		pingAt:         now,
 	}
 }
 
@@ -147,7 +168,12 @@
 
 // redirectClient opens a channel only to say where its origin is better served: that
 // is found sooner so than by trying.
-func (g *Gateway) redirectClient(now time.Time, request OpenSession, targets []membership.Member, effects *statemachine.Effects) {
+func (g *Gateway) redirectClient(
+	now time.Time,
+	request OpenSession,
+	targets []membership.Member,
+	effects *statemachine.Effects,
+) {
 	opened := newSession(now, request)
 	g.sessions[request.Session] = opened
 	g.timers.ArmSooner(timerTick, now.Add(tickInterval))
@@ -194,7 +220,11 @@
 	}
 	if !session.movedAt.IsZero() {
 		if now.Sub(session.movedAt) > moveLinger {
-			effects.Deliveries = append(effects.Deliveries, statemachine.Delivery{Session: id, Event: Event{Event: "gone", Code: "moved"}, Close: true})
+			effects.Deliveries = append(effects.Deliveries, statemachine.Delivery{
+				Session: id,
+				Event:   Event{Event: "gone", Code: "moved"},
+				Close:   true,
+			})
 			g.closeSession(now, CloseSession{Session: id, Reason: "moved"}, effects)
 		}
 		return
--- a/internal/gateway/stats.go
+++ b/internal/gateway/stats.go
@@ -33,9 +33,15 @@
 		processor = g.settings.Processor()
 	}
 	return membership.Load{
-		Copies: g.Counts.CopiesIn, Processor: processor, Delays: g.overlay.RoundTrips(),
-		Sessions: g.remainingSessions(), FreeCapacity: g.settings.MaxClients - len(g.sessions), Requests: g.Counts.Requests,
-		Delivered: g.Counts.Delivered, Ready: g.wasReady, Resting: g.Resting(),
+		Copies:       g.Counts.CopiesIn,
+		Processor:    processor,
+		Delays:       g.overlay.RoundTrips(),
+		Sessions:     g.remainingSessions(),
+		FreeCapacity: g.settings.MaxClients - len(g.sessions),
+		Requests:     g.Counts.Requests,
+		Delivered:    g.Counts.Delivered,
+		Ready:        g.wasReady,
+		Resting:      g.Resting(),
 	}
 }
 
--- a/internal/gateway/subscription.go
+++ b/internal/gateway/subscription.go
@@ -35,6 +35,8 @@
 	effects.Respond(request.Request, answer)
 }
 
+// subscribeAttempt evaluates a subscription and starts its fetch; refreshed is set
+// where the configuration was refreshed for it before.
 func (g *Gateway) subscribeAttempt(now time.Time, request Subscribe, refreshed bool, effects *statemachine.Effects) {
 	answer := func(response Reply) { g.answerSubscribe(now, request, response, effects) }
 	session, found := g.sessions[request.Session]
@@ -47,18 +49,17 @@
 		answer(rejectedReply(409, "moved", "this channel was asked to move", 0))
 		return
 	}
-	var resumeFrom cursor
-	if request.Cursor != "" {
-		var code string
-		if resumeFrom, code = openCursor(g.settings.Key, request.Client, request.Cursor); code != "" {
-			answer(rejectedReply(400, code, "the cursor is not one of this origin's", 0))
-			return
-		}
-		if len(request.Interests) == 0 {
-			request.Interests = g.existingInterests(resumeFrom.Interests)
-		}
+	resumeFrom, code := g.resumeCursor(&request)
+	if code != "" {
+		answer(rejectedReply(400, code, "the cursor is not one of this origin's", 0))
+		return
+	}
+	policyRequest := &PolicyRequest{
+		Kind:      RequestSubscribe,
+		Client:    request.Client,
+		Paths:     request.Interests,
+		Refreshed: refreshed,
 	}
-	policyRequest := &PolicyRequest{Kind: "subscribe", Client: request.Client, Paths: request.Interests, Refreshed: refreshed}
 	retry := func(now time.Time, effects *statemachine.Effects) { g.subscribeAttempt(now, request, true, effects) }
 	if !g.authorize(now, policyRequest, request.RequestName, retry, answer) {
 		return
@@ -67,66 +68,122 @@
 		answer(rejectedReply(429, "too-many-subscriptions", "a channel holds 256 subscriptions at most", 0))
 		return
 	}
-	operation := &fetchOperation{
-		session: request.Session, request: request, resumes: request.Cursor != "", partitions: map[string]*partitionFetch{},
-		records: map[string][]partition.Record{}, deadline: now.Add(defaultSubscribeTimeout),
-	}
 	for space, marks := range resumeFrom.Marks {
 		for sender, seq := range marks {
 			session.markSeen(now, space, sender, seq)
 		}
 	}
-	for _, interest := range request.Interests {
-		if _, present := session.subscriptions[interest]; present {
-			continue
-		}
-		operation.interests = append(operation.interests, interest)
-	}
+	operation := newSubscribeFetch(now, request, session)
 	if len(operation.interests) == 0 {
-		answer(acceptedReply(map[string]any{"subscriptions": len(session.subscriptions), "cursor": g.cursor(now, session)}))
+		answer(acceptedReply(map[string]any{
+			"subscriptions": len(session.subscriptions),
+			"cursor":        g.cursor(now, session),
+		}))
 		return
 	}
+	g.startFetch(now, session, operation, resumeFrom, effects)
+}
+
+// resumeCursor opens the cursor of a request, if it has one. A request without
+// interests resumes those of the cursor. The code says why a cursor is rejected.
+func (g *Gateway) resumeCursor(request *Subscribe) (resumeFrom cursor, code string) {
+	if request.Cursor == "" {
+		return cursor{}, ""
+	}
+	resumeFrom, code = openCursor(g.settings.Key, request.Client, request.Cursor)
+	if code == "" && len(request.Interests) == 0 {
+		request.Interests = g.existingInterests(resumeFrom.Interests)
+	}
+	return resumeFrom, code
+}
+
+// newSubscribeFetch prepares the fetch for those interests of a request that the
+// session does not have yet.
+func newSubscribeFetch(now time.Time, request Subscribe, session *session) *fetchOperation {
+	operation := &fetchOperation{
+		session:    request.Session,
+		request:    request,
+		resumes:    request.Cursor != "",
+		partitions: map[string]*partitionFetch{},
+		records:    map[string][]partition.Record{},
+		deadline:   now.Add(defaultSubscribeTimeout),
+	}
+	for _, interest := range request.Interests {
+		if _, present := session.subscriptions[interest]; !present {
+			operation.interests = append(operation.interests, interest)
+		}
+	}
+	return operation
+}
+
+// startFetch adds the subscriptions, joins the overlay for each of them and begins
+// to fetch once all joins are done.
+func (g *Gateway) startFetch(
+	now time.Time,
+	session *session,
+	operation *fetchOperation,
+	resumeFrom cursor,
+	effects *statemachine.Effects,
+) {
+	request := operation.request
 	g.nextRequest++
 	id := g.nextRequest
 	g.fetches[id] = operation
+	// One join more than there are interests, so that none that is done at once
+	// starts the fetch before the last one began.
 	operation.joins = 1
 	g.timers.ArmSooner(timerDeadlines, operation.deadline)
 	for _, interest := range operation.interests {
 		g.addSubscription(now, session, request.Session, interest)
 	}
+	joined := func(now time.Time, effects *statemachine.Effects, stable bool) {
+		operation.joins--
+		operation.failed = operation.failed || !stable
+		g.advanceFetch(now, id, operation, resumeFrom, effects)
+	}
 	for _, interest := range operation.interests {
 		state := g.spaces[interest.Space]
 		for _, name := range g.partitionsOf(state, interest) {
-			fetch, found := operation.partitions[name]
-			if !found {
-				fetch = &partitionFetch{from: everything, after: everything}
-				operation.partitions[name] = fetch
-			}
-			if at, resumes := resumeFrom.Partitions[name]; resumes {
-				fetch.from, fetch.after, fetch.skip = at.Floor, at.Floor, at.Extras
-				session.markDelivered(now, name, at.Extras)
-				if since, later := at.Since[interest.key()]; later {
-					session.notBefore(interest, name, since)
-				}
-			}
-			if interest.Prefix {
-				fetch.prefixes = append(fetch.prefixes, interest.Path)
-			} else {
-				fetch.topics = append(fetch.topics, interest.Path)
-			}
+			operation.addInterest(now, session, name, interest, resumeFrom)
 		}
 		operation.joins++
-		g.overlay.Subscribe(now, state.name, areaOf(state.space, interest.Path), func(now time.Time, effects *statemachine.Effects, stable bool) {
-			operation.joins--
-			operation.failed = operation.failed || !stable
-			g.advanceFetch(now, id, operation, resumeFrom, effects)
-		}, effects)
+		g.overlay.Subscribe(now, state.name, areaOf(state.space, interest.Path), joined, effects)
 	}
-	g.ring.Record(now, request.RequestName, "", request.Client, "joining", "interests", len(operation.interests), "resumes", operation.resumes)
+	g.ring.Record(now, request.RequestName, "", request.Client, "joining",
+		"interests", len(operation.interests),
+		"resumes", operation.resumes,
+	)
 	operation.joins--
 	g.advanceFetch(now, id, operation, resumeFrom, effects)
 }
 
+// addInterest adds an interest to what is fetched of a partition.
+func (f *fetchOperation) addInterest(
+	now time.Time,
+	session *session,
+	name string,
+	interest Interest,
+	resumeFrom cursor,
+) {
+	fetch, found := f.partitions[name]
+	if !found {
+		fetch = &partitionFetch{from: everything, after: everything}
+		f.partitions[name] = fetch
+	}
+	if at, resumes := resumeFrom.Partitions[name]; resumes {
+		fetch.from, fetch.after, fetch.skip = at.Floor, at.Floor, at.Extras
+		session.markDelivered(now, name, at.Extras)
+		if since, later := at.Since[interest.key()]; later {
+			session.notBefore(interest, name, since)
+		}
+	}
+	if interest.Prefix {
+		fetch.prefixes = append(fetch.prefixes, interest.Path)
+	} else {
+		fetch.topics = append(fetch.topics, interest.Path)
+	}
+}
+
 // existingInterests leaves out interests of a cursor whose space is gone.
 func (g *Gateway) existingInterests(interests []Interest) []Interest {
 	var found []Interest
@@ -173,7 +230,13 @@
 // the overlay peer stays for a while: the origin, or another with the same
 // interest, is likely to come back, and a next try finds the peer further on
 // instead of beginning anew.
-func (g *Gateway) dropSubscription(now time.Time, id uint64, interest Interest, linger bool, effects *statemachine.Effects) {
+func (g *Gateway) dropSubscription(
+	now time.Time,
+	id uint64,
+	interest Interest,
+	linger bool,
+	effects *statemachine.Effects,
+) {
 	session := g.sessions[id]
 	delete(session.subscriptions, interest)
 	state, found := g.spaces[interest.Space]
--- a/internal/gateway/topic.go
+++ b/internal/gateway/topic.go
@@ -109,8 +109,18 @@
 
 func newRouted() *routed {
 	return &routed{
-		topics: map[string]*topicState{}, numbers: map[uint64]*topicState{}, partitions: map[string]int{}, reportedUpTo: map[string]uint64{}, followRoutes: map[string]route{}, bases: map[string]uint64{},
-		batches: map[uint64]*batch{}, batchInFlight: map[string]uint64{}, appends: map[uint64]*routedPublication{}, sends: map[uint64]*routedPublication{}, accepted: map[routedKey]time.Time{}, scheduled: map[string]*topicState{},
+		topics:        map[string]*topicState{},
+		numbers:       map[uint64]*topicState{},
+		partitions:    map[string]int{},
+		reportedUpTo:  map[string]uint64{},
+		followRoutes:  map[string]route{},
+		bases:         map[string]uint64{},
+		batches:       map[uint64]*batch{},
+		batchInFlight: map[string]uint64{},
+		appends:       map[uint64]*routedPublication{},
+		sends:         map[uint64]*routedPublication{},
+		accepted:      map[routedKey]time.Time{},
+		scheduled:     map[string]*topicState{},
 	}
 }
 
--- a/internal/gateway/topic_delivery.go
+++ b/internal/gateway/topic_delivery.go
@@ -11,8 +11,17 @@
 )
 
 // deliverRouted gives a message to a place that is filled and lacks it.
-func (g *Gateway) deliverRouted(_ time.Time, subscription *topicSubscription, record partition.Record, effects *statemachine.Effects) {
-	if subscription.filling || record.Offset <= subscription.deliveredUpTo && (subscription.topic.durable || !statemachine.Mutated("no-passing-offsets")) {
+func (g *Gateway) deliverRouted(
+	_ time.Time,
+	subscription *topicSubscription,
+	record partition.Record,
+	effects *statemachine.Effects,
+) {
+	if subscription.filling {
+		return
+	}
+	delivered := record.Offset <= subscription.deliveredUpTo
+	if delivered && (subscription.topic.durable || !statemachine.Mutated("no-passing-offsets")) {
 		return
 	}
 	session, open := g.sessions[subscription.session]
@@ -22,7 +31,12 @@
 	subscription.deliveredUpTo = record.Offset
 	g.Counts.Delivered++
 	g.emit(subscription.session, Event{
-		Event: "message", Space: subscription.topic.space, Topic: record.Topic, Sender: record.Sender, Seq: record.Seq, Body: record.Data,
+		Event:  "message",
+		Space:  subscription.topic.space,
+		Topic:  record.Topic,
+		Sender: record.Sender,
+		Seq:    record.Seq,
+		Body:   record.Data,
 		Cursor: formatTopicCursor(record.Offset),
 	}, effects)
 }
@@ -50,14 +64,15 @@
 	return len(t.recent) > recentRecords || t.recentSize > recentBytes
 }
 
-// handleRoutedCopy takes a message of a routed topic, and tells whether anybody here
-// wants it.
+// handleRoutedCopy delivers a message of a routed topic, or buffers it until what comes
+// before it is here. It returns whether anybody here subscribes to the topic.
 func (g *Gateway) handleRoutedCopy(now time.Time, record partition.Record, effects *statemachine.Effects) bool {
 	topic, found := g.routed.topics[record.Topic]
 	if !found {
 		return false
 	}
-	if topic.live && record.Offset <= topic.last && (topic.durable || !statemachine.Mutated("no-passing-offsets")) {
+	if topic.live && record.Offset <= topic.last &&
+		(topic.durable || !statemachine.Mutated("no-passing-offsets")) {
 		return true
 	}
 	follows := statemachine.Mutated("no-topic-prior") || record.PreviousInTopic <= topic.last || !topic.durable && topic.last == 0
@@ -66,19 +81,15 @@
 		g.release(now, topic, effects)
 		return true
 	}
-	position, present := slices.BinarySearchFunc(topic.pending, record.Offset, func(each partition.Record, offset uint64) int { return cmp.Compare(each.Offset, offset) })
-	if present || len(topic.pending) >= maxPendingTopicRecords {
-		return true
-	}
-	if len(topic.pending) == 0 {
-		topic.pendingSince = now
-	}
-	topic.pending = slices.Insert(topic.pending, position, record)
-	if !topic.live {
+	if !topic.buffer(now, record) || !topic.live {
 		return true
 	}
 	g.Counts.Gaps++
-	effects.Emit(logevent.GapFound, "partition", topic.partition, "offset", record.Offset, "prior", record.PreviousInTopic)
+	effects.Emit(logevent.GapFound,
+		"partition", topic.partition,
+		"offset", record.Offset,
+		"prior", record.PreviousInTopic,
+	)
 	if topic.durable {
 		g.requireUpTo(now, topic, record.PreviousInTopic, gapTimeout)
 	} else {
@@ -87,6 +98,21 @@
 	return true
 }
 
+// buffer adds a record to the pending ones, in order of offsets. It returns whether
+// the record was added: duplicates are not, nor are records above the bound.
+func (t *topicState) buffer(now time.Time, record partition.Record) bool {
+	byOffset := func(each partition.Record, offset uint64) int { return cmp.Compare(each.Offset, offset) }
+	index, present := slices.BinarySearchFunc(t.pending, record.Offset, byOffset)
+	if present || len(t.pending) >= maxPendingTopicRecords {
+		return false
+	}
+	if len(t.pending) == 0 {
+		t.pendingSince = now
+	}
+	t.pending = slices.Insert(t.pending, index, record)
+	return true
+}
+
 // release hands over what was held for something that has come.
 func (g *Gateway) release(now time.Time, topic *topicState, effects *statemachine.Effects) {
 	for len(topic.pending) > 0 {
@@ -143,15 +169,30 @@
 	g.retryPublications(now, effects)
 }
 
-// tickTopic does what is due for a topic and notes when it is to be looked at
-// again.
+// tickTopic does what is due for a topic and schedules its next tick.
 func (g *Gateway) tickTopic(now time.Time, topic *topicState, effects *statemachine.Effects) {
 	delete(g.routed.scheduled, topic.name)
 	if g.routed.topics[topic.name] != topic {
 		return
 	}
-	var next time.Time
-	filling := false
+	next, filling := g.tickSubscriptions(now, topic, effects)
+	if topic.durable {
+		next = statemachine.Earliest(next, g.tickDurable(now, topic, filling, effects))
+	} else {
+		next = statemachine.Earliest(next, g.tickEphemeral(now, topic, effects))
+	}
+	if !next.IsZero() && g.routed.topics[topic.name] == topic {
+		g.scheduleTopic(topic, next)
+	}
+}
+
+// tickSubscriptions ends the subscriptions that could not be filled in time. It returns
+// the next deadline, and whether a subscription to a durable topic still needs records.
+func (g *Gateway) tickSubscriptions(
+	now time.Time,
+	topic *topicState,
+	effects *statemachine.Effects,
+) (next time.Time, filling bool) {
 	for _, subscription := range slices.Clone(topic.subscriptions) {
 		switch {
 		case !subscription.filling:
@@ -163,49 +204,70 @@
 			filling = true
 		case !subscription.deadline.After(now):
 			topic.reserve(now, subscription)
-			g.rejectTopicSubscription(now, subscription, rejectedReply(503, "no-answer", "the place could not be found in time; nothing is subscribed", retryShortDelay), effects)
+			response := rejectedReply(
+				503,
+				"no-answer",
+				"the place could not be found in time; nothing is subscribed",
+				retryShortDelay,
+			)
+			g.rejectTopicSubscription(now, subscription, response, effects)
 		default:
 			filling = filling || topic.durable
 			next = statemachine.Earliest(next, subscription.deadline)
 		}
 	}
-	if !topic.durable {
-		if len(topic.pending) > 0 && !topic.pendingSince.Add(ephemeralGapTimeout).After(now) {
-			topic.last = max(topic.last, topic.pending[0].PreviousInTopic)
-			g.release(now, topic, effects)
-		}
-		if len(topic.pending) > 0 {
-			next = statemachine.Earliest(next, topic.pendingSince.Add(ephemeralGapTimeout))
-		}
-	} else {
-		if topic.wanted <= topic.last {
-			topic.checkAt = time.Time{}
-		}
-		due := !topic.checkAt.IsZero() && !topic.checkAt.After(now)
-		switch {
-		case topic.fetch != nil || topic.queued:
-		case filling || due || topic.reserved(now):
-			topic.checkAt = time.Time{}
-			g.fetchTopic(now, topic, effects)
-		default:
-			next = statemachine.Earliest(next, topic.checkAt)
-		}
-		if len(topic.subscriptions) == 0 {
-			if !topic.reservedUntil.After(now) {
-				g.dropTopic(topic)
-				return
-			}
-			next = statemachine.Earliest(next, topic.reservedUntil)
-		}
+	return next, filling
+}
+
+// tickEphemeral skips a gap of an ephemeral topic that has not been filled in time, and
+// returns when the next one ends.
+func (g *Gateway) tickEphemeral(now time.Time, topic *topicState, effects *statemachine.Effects) time.Time {
+	if len(topic.pending) > 0 && !topic.pendingSince.Add(ephemeralGapTimeout).After(now) {
+		topic.last = max(topic.last, topic.pending[0].PreviousInTopic)
+		g.release(now, topic, effects)
 	}
-	if !next.IsZero() && g.routed.topics[topic.name] == topic {
-		g.scheduleTopic(topic, next)
+	if len(topic.pending) > 0 {
+		return topic.pendingSince.Add(ephemeralGapTimeout)
+	}
+	return time.Time{}
+}
+
+// tickDurable fetches what a durable topic lacks, and drops a topic without subscriptions.
+// It returns when to look at the topic again.
+func (g *Gateway) tickDurable(
+	now time.Time,
+	topic *topicState,
+	filling bool,
+	effects *statemachine.Effects,
+) (next time.Time) {
+	if topic.wanted <= topic.last {
+		topic.checkAt = time.Time{}
+	}
+	due := !topic.checkAt.IsZero() && !topic.checkAt.After(now)
+	switch {
+	case topic.fetch != nil || topic.queued:
+	case filling || due || topic.reserved(now):
+		topic.checkAt = time.Time{}
+		g.fetchTopic(now, topic, effects)
+	default:
+		next = topic.checkAt
 	}
+	if len(topic.subscriptions) > 0 {
+		return next
+	}
+	if !topic.reservedUntil.After(now) {
+		g.dropTopic(topic)
+		return time.Time{}
+	}
+	return statemachine.Earliest(next, topic.reservedUntil)
 }
 
 // handleTopicHighWatermarks takes which topics of a shared partition moved.
 func (g *Gateway) handleTopicHighWatermarks(now time.Time, head partition.HighWatermark, _ *statemachine.Effects) {
-	if _, used := g.routed.partitions[head.Partition]; !used || statemachine.Mutated("no-topic-heads") || head.Epoch < g.viewClient.Placements[head.Partition].Epoch {
+	if _, used := g.routed.partitions[head.Partition]; !used || statemachine.Mutated("no-topic-heads") {
+		return
+	}
+	if head.Epoch < g.viewClient.Placements[head.Partition].Epoch {
 		return
 	}
 	reported := g.routed.reportedUpTo[head.Partition]
@@ -235,12 +297,22 @@
 		topic.reservedUntil = time.Time{}
 		for _, subscription := range slices.Clone(topic.subscriptions) {
 			if subscription.filling {
-				g.rejectTopicSubscription(now, subscription, rejectedReply(404, "no-such-space", "the space was removed", 0), effects)
+				g.rejectTopicSubscription(
+					now,
+					subscription,
+					rejectedReply(404, "no-such-space", "the space was removed", 0),
+					effects,
+				)
 				continue
 			}
 			if session, open := g.sessions[subscription.session]; open {
 				g.dropTopicSubscription(now, session, name, effects)
-				g.emit(subscription.session, Event{Event: "ended", Space: topic.space, Topic: name, Code: "space-removed"}, effects)
+				g.emit(subscription.session, Event{
+					Event: "ended",
+					Space: topic.space,
+					Topic: name,
+					Code:  "space-removed",
+				}, effects)
 			}
 		}
 		g.dropTopic(topic)
--- a/internal/gateway/topic_subscription.go
+++ b/internal/gateway/topic_subscription.go
@@ -8,6 +8,8 @@
 	"time"
 )
 
+// subscribeRouted subscribes a session to a routed topic; refreshed is set where the
+// configuration was refreshed for the request before.
 func (g *Gateway) subscribeRouted(now time.Time, request Subscribe, refreshed bool, effects *statemachine.Effects) {
 	answer := func(response Reply) { g.answerSubscribe(now, request, response, effects) }
 	session, found := g.sessions[request.Session]
@@ -26,7 +28,13 @@
 	}
 	name := request.Interests[0].Path
 	interest := Interest{Space: g.routeOf(request.Interests[0].Space, name), Path: name}
-	policyRequest := &PolicyRequest{Kind: "subscribe", Client: request.Client, Paths: []Interest{interest}, Refreshed: refreshed, Routed: true}
+	policyRequest := &PolicyRequest{
+		Kind:      RequestSubscribe,
+		Client:    request.Client,
+		Paths:     []Interest{interest},
+		Refreshed: refreshed,
+		Routed:    true,
+	}
 	retry := func(now time.Time, effects *statemachine.Effects) {
 		g.subscribeRouted(now, request, true, effects)
 	}
@@ -45,25 +53,37 @@
 		answer(rejectedReply(429, "too-many-subscriptions", "the channel holds all the subscriptions it may", 0))
 		return
 	}
-	subscription := &topicSubscription{session: request.Session, filling: true, request: request, deadline: now.Add(g.subscribeTimeout)}
+	g.startRouted(now, session, request, interest, effects)
+}
+
+// startRouted adds a subscription that passed all checks, and fills it at once if this
+// gateway has all that it lacks.
+func (g *Gateway) startRouted(
+	now time.Time,
+	session *session,
+	request Subscribe,
+	interest Interest,
+	effects *statemachine.Effects,
+) {
+	subscription := &topicSubscription{
+		session:  request.Session,
+		filling:  true,
+		request:  request,
+		deadline: now.Add(g.subscribeTimeout),
+	}
 	if request.Cursor != "" && request.Cursor != "-" {
 		offset, fit := parseTopicCursor(request.Cursor)
 		if !fit {
-			answer(rejectedReply(400, "bad-cursor", "the cursor is not one of this fleet's", 0))
+			response := rejectedReply(400, codeBadCursor, "the cursor is not one of this fleet's", 0)
+			g.answerSubscribe(now, request, response, effects)
 			return
 		}
 		subscription.deliveredUpTo, subscription.resumes = offset, true
 	}
-	topic := g.addTopicSubscription(now, name, interest.Space, subscription, effects)
-	session.routed[name] = subscription
+	topic := g.addTopicSubscription(now, interest.Path, interest.Space, subscription, effects)
+	session.routed[interest.Path] = subscription
 	if !topic.durable {
-		g.overlay.AwaitCell(now, routedPlane, name, func(now time.Time, effects *statemachine.Effects, _ bool) {
-			g.startEphemeral(now, subscription, effects)
-		}, effects)
-		if subscription.filling {
-			subscription.deadline = now.Add(ephemeralReachTimeout)
-			g.scheduleTopic(topic, subscription.deadline)
-		}
+		g.awaitEphemeral(now, topic, subscription, effects)
 		return
 	}
 	if !g.fill(now, subscription, effects) {
@@ -76,12 +96,30 @@
 	}
 }
 
+// awaitEphemeral starts a subscription to an ephemeral topic once the overlay knows the
+// topic's cell, or after a timeout.
+func (g *Gateway) awaitEphemeral(
+	now time.Time,
+	topic *topicState,
+	subscription *topicSubscription,
+	effects *statemachine.Effects,
+) {
+	g.overlay.AwaitCell(now, routedPlane, topic.name, func(now time.Time, effects *statemachine.Effects, _ bool) {
+		g.startEphemeral(now, subscription, effects)
+	}, effects)
+	if subscription.filling {
+		subscription.deadline = now.Add(ephemeralReachTimeout)
+		g.scheduleTopic(topic, subscription.deadline)
+	}
+}
+
 // certainlyRetained tells whether all that a place may lack is still held: then it is
 // confirmed before that is fetched, which may take its time, and is not refused
 // while the answer is on its way.
 func (g *Gateway) certainlyRetained(topic *topicState, subscription *topicSubscription) bool {
 	base, known := g.routed.bases[topic.partition]
-	return known && subscription.resumes && subscription.deliveredUpTo >= base && !statemachine.Mutated("places-confirmed-late")
+	return known && subscription.resumes && subscription.deliveredUpTo >= base &&
+		!statemachine.Mutated("places-confirmed-late")
 }
 
 // subscribeTimeoutOf is how long a subscription may look for its place under a
@@ -94,12 +132,20 @@
 	return min(longest*6/10, defaultSubscribeTimeout)
 }
 
-func (g *Gateway) addTopicSubscription(now time.Time, name, space string, subscription *topicSubscription, effects *statemachine.Effects) *topicState {
+func (g *Gateway) addTopicSubscription(
+	now time.Time,
+	name, space string,
+	subscription *topicSubscription,
+	effects *statemachine.Effects,
+) *topicState {
 	topic, found := g.routed.topics[name]
 	if !found {
 		topic = &topicState{
-			name: name, number: config.TopicHash(name), partition: config.SharedPartition(name), space: space,
-			durable: g.spaces[space].space.Retention == config.Durable,
+			name:      name,
+			number:    config.TopicHash(name),
+			partition: config.SharedPartition(name),
+			space:     space,
+			durable:   g.spaces[space].space.Retention == config.Durable,
 		}
 		g.routed.topics[name] = topic
 		g.routed.numbers[topic.number] = topic
@@ -176,7 +222,8 @@
 	if !subscription.filling {
 		return
 	}
-	if session, open := g.sessions[subscription.session]; !open || session.routed[subscription.topic.name] != subscription {
+	session, open := g.sessions[subscription.session]
+	if !open || session.routed[subscription.topic.name] != subscription {
 		return
 	}
 	subscription.filling = false
@@ -184,7 +231,13 @@
 	if !subscription.resumes {
 		subscription.deliveredUpTo = subscription.topic.last
 	}
-	g.replyTopicSubscription(now, subscription, subscription.request, formatTopicCursor(subscription.deliveredUpTo), effects)
+	g.replyTopicSubscription(
+		now,
+		subscription,
+		subscription.request,
+		formatTopicCursor(subscription.deliveredUpTo),
+		effects,
+	)
 	for _, record := range subscription.topic.recent {
 		g.deliverRouted(now, subscription, record, effects)
 	}
@@ -194,14 +247,18 @@
 // place lacks, and tells whether it does.
 func (g *Gateway) fill(now time.Time, subscription *topicSubscription, effects *statemachine.Effects) bool {
 	topic := subscription.topic
-	if reported, known := g.routed.reportedUpTo[topic.partition]; known && !topic.live && !subscription.resumes && topic.fetch == nil {
+	reported, known := g.routed.reportedUpTo[topic.partition]
+	if known && !topic.live && !subscription.resumes && topic.fetch == nil {
 		// Who begins here may begin where the first last told that the partition
 		// was: what moves after that will be told.
 		topic.live = true
 		topic.last, topic.recentFrom = reported, reported
 		g.release(now, topic, effects)
 	}
-	if !topic.live || subscription.resumes && subscription.deliveredUpTo < topic.recentFrom && subscription.deliveredUpTo < topic.last {
+	if !topic.live {
+		return false
+	}
+	if subscription.resumes && subscription.deliveredUpTo < min(topic.recentFrom, topic.last) {
 		return false
 	}
 	subscription.filling = false
@@ -222,7 +279,13 @@
 	return true
 }
 
-func (g *Gateway) replyTopicSubscription(now time.Time, _ *topicSubscription, request Subscribe, cursor string, effects *statemachine.Effects) {
+func (g *Gateway) replyTopicSubscription(
+	now time.Time,
+	_ *topicSubscription,
+	request Subscribe,
+	cursor string,
+	effects *statemachine.Effects,
+) {
 	response := acceptedReply(nil)
 	response.Cursor = cursor
 	g.answerSubscribe(now, request, response, effects)
@@ -236,8 +299,14 @@
 	}
 	session.pongAt = now
 	for _, interest := range request.Interests {
-		if subscription, present := session.routed[interest.Path]; present && subscription.filling && subscription.request.Request != 0 {
-			g.answerSubscribe(now, subscription.request, rejectedReply(409, "unsubscribed", "the subscription was ended before it was taken up", retryShortDelay), effects)
+		subscription, present := session.routed[interest.Path]
+		if present && subscription.filling && subscription.request.Request != 0 {
+			g.answerSubscribe(
+				now,
+				subscription.request,
+				rejectedReply(409, "unsubscribed", "the subscription was ended before it was taken up", retryShortDelay),
+				effects,
+			)
 		}
 		g.dropTopicSubscription(now, session, interest.Path, effects)
 	}
@@ -245,16 +314,31 @@
 }
 
 // startTopicSubscription answers a subscription whose missed messages are about to come.
-func (g *Gateway) startTopicSubscription(now time.Time, subscription *topicSubscription, effects *statemachine.Effects) {
+func (g *Gateway) startTopicSubscription(
+	now time.Time,
+	subscription *topicSubscription,
+	effects *statemachine.Effects,
+) {
 	if subscription.request.Request == 0 {
 		return
 	}
-	g.replyTopicSubscription(now, subscription, subscription.request, formatTopicCursor(subscription.deliveredUpTo), effects)
+	g.replyTopicSubscription(
+		now,
+		subscription,
+		subscription.request,
+		formatTopicCursor(subscription.deliveredUpTo),
+		effects,
+	)
 	subscription.request.Request = 0
 }
 
 // deliverFetched gives a missed message to a place that is being filled.
-func (g *Gateway) deliverFetched(now time.Time, subscription *topicSubscription, record partition.Record, effects *statemachine.Effects) {
+func (g *Gateway) deliverFetched(
+	now time.Time,
+	subscription *topicSubscription,
+	record partition.Record,
+	effects *statemachine.Effects,
+) {
 	subscription.filling = false
 	g.deliverRouted(now, subscription, record, effects)
 	subscription.filling = true
@@ -264,15 +348,26 @@
 func (g *Gateway) expireSubscriptions(now time.Time, topic *topicState, after uint64, effects *statemachine.Effects) {
 	for _, subscription := range slices.Clone(topic.subscriptions) {
 		if subscription.filling && subscription.resumes && subscription.deliveredUpTo <= after {
-			g.rejectTopicSubscription(now, subscription, rejectedReply(410, "place-lost", "what was missed is older than the space holds; subscribe without the cursor", 0), effects)
+			g.rejectTopicSubscription(
+				now,
+				subscription,
+				rejectedReply(410, "place-lost", "what was missed is older than the space holds; subscribe without the cursor", 0),
+				effects,
+			)
 		}
 	}
 }
 
 // rejectTopicSubscription refuses a subscription. One that was confirmed before can't be
 // refused any more: its caller is cut off instead, and asks again.
-func (g *Gateway) rejectTopicSubscription(now time.Time, subscription *topicSubscription, response Reply, effects *statemachine.Effects) {
-	if session, open := g.sessions[subscription.session]; open && subscription.request.Request == 0 && response.Code == "place-lost" {
+func (g *Gateway) rejectTopicSubscription(
+	now time.Time,
+	subscription *topicSubscription,
+	response Reply,
+	effects *statemachine.Effects,
+) {
+	session, open := g.sessions[subscription.session]
+	if open && subscription.request.Request == 0 && response.Code == "place-lost" {
 		g.emitLast(now, subscription.session, session, response.Code, effects)
 		g.closeSession(now, CloseSession{Session: subscription.session, Reason: response.Code}, effects)
 	} else if open {
--- a/internal/gateway/tracker.go
+++ b/internal/gateway/tracker.go
@@ -67,7 +67,14 @@
 	if !found {
 		space, full := spaceOf(name)
 		present = &tracker{
-			name: name, space: space, spaceName: full, verifiedAt: now, interests: map[Interest]*trackedInterest{}, delivered: map[uint64]time.Time{}, pending: map[uint64]partition.Record{}, pendingSince: map[uint64]time.Time{},
+			name:         name,
+			space:        space,
+			spaceName:    full,
+			verifiedAt:   now,
+			interests:    map[Interest]*trackedInterest{},
+			delivered:    map[uint64]time.Time{},
+			pending:      map[uint64]partition.Record{},
+			pendingSince: map[uint64]time.Time{},
 		}
 		if state, known := g.spaces[space]; known {
 			present.shared = state.space.Order == config.OrderSpace
@@ -174,8 +181,17 @@
 	if _, waits := tracker.pending[offset]; waits && tracker.started {
 		g.Counts.Gaps++
 		effects.Emit(logevent.GapFound, "partition", recordCopy.Partition, "offset", offset, "prior", recordCopy.Record.PreviousInTopic)
-		g.ring.Record(now, "", decisionlog.MessageName(tracker.space, recordCopy.Record.Sender, recordCopy.Record.Seq), "", "waits",
-			"partition", recordCopy.Partition, "offset", offset, "prior", recordCopy.Record.PreviousInTopic, "before", recordCopy.Record.Dependencies.Messages, "verified", tracker.verified)
+		g.ring.Record(now, "", decisionlog.MessageName(
+			tracker.space,
+			recordCopy.Record.Sender,
+			recordCopy.Record.Seq,
+		), "", "waits",
+			"partition", recordCopy.Partition,
+			"offset", offset,
+			"prior", recordCopy.Record.PreviousInTopic,
+			"before", recordCopy.Record.Dependencies.Messages,
+			"verified", tracker.verified,
+		)
 		tracker.wanted = true
 		g.timers.ArmSooner(timerVerify, now.Add(gapTimeout))
 		g.requestDependencies(tracker, recordCopy.Record)
@@ -183,15 +199,17 @@
 	return true
 }
 
-// requestDependencies marks the partitions in which something before a message is missing.
+// requestDependencies marks the partitions that lack something a record depends on.
 func (g *Gateway) requestDependencies(tracker *tracker, record partition.Record) {
 	for _, mark := range record.Dependencies.Messages {
-		if other, found := g.trackers[partitionName(tracker.spaceName, int(mark.Partition))]; found && !other.resolved(mark.Topic, mark.Offset) {
+		other, found := g.trackers[partitionName(tracker.spaceName, int(mark.Partition))]
+		if found && !other.resolved(mark.Topic, mark.Offset) {
 			other.wanted = true
 		}
 	}
 	for _, reach := range record.Dependencies.Floor {
-		if other, found := g.trackers[partitionName(tracker.spaceName, int(reach.Partition))]; found && !other.resolvedUpTo(reach.Offset) {
+		other, found := g.trackers[partitionName(tracker.spaceName, int(reach.Partition))]
+		if found && !other.resolvedUpTo(reach.Offset) {
 			other.wanted = true
 		}
 	}
@@ -221,7 +239,7 @@
 	return true
 }
 
-// deliverable tells whether a held message may be handed over.
+// deliverable returns whether a pending record may be delivered.
 func (g *Gateway) deliverable(now time.Time, tracker *tracker, record partition.Record) bool {
 	since, matters := tracker.startOf(record.Topic)
 	if matters && since == everything || !tracker.started {
@@ -230,20 +248,25 @@
 	if statemachine.Mutated("no-order") {
 		return true
 	}
-	if tracker.shared && record.Offset > 1 && !tracker.resolved(record.Topic, record.Offset-1) {
-		return false
+	if tracker.shared {
+		return record.Offset <= 1 || tracker.resolved(record.Topic, record.Offset-1)
 	}
-	if !tracker.shared && !tracker.resolved(record.Topic, record.PreviousInTopic) {
+	if !tracker.resolved(record.Topic, record.PreviousInTopic) {
 		return false
 	}
-	if tracker.shared {
-		return true
-	}
-	// Where all is fresh nothing can be missing for long; what still waits is
-	// from a sender that published out of its own order through two gateways.
-	if since, noted := tracker.pendingSince[record.Offset]; noted && now.Sub(since) > cycleTimeout && g.recentlyVerified(now, tracker.spaceName) {
+	// If all partitions were verified lately nothing can be missing for long; what
+	// still waits is from a sender that published out of its own order through two
+	// gateways.
+	pendingSince, noted := tracker.pendingSince[record.Offset]
+	if noted && now.Sub(pendingSince) > cycleTimeout && g.recentlyVerified(now, tracker.spaceName) {
 		return true
 	}
+	return g.dependenciesResolved(tracker, record) && g.recentlyVerified(now, tracker.spaceName)
+}
+
+// dependenciesResolved returns whether all that a record names as earlier messages of
+// its sender was delivered here or need not be.
+func (g *Gateway) dependenciesResolved(tracker *tracker, record partition.Record) bool {
 	for _, mark := range record.Dependencies.Messages {
 		other, found := g.trackers[partitionName(tracker.spaceName, int(mark.Partition))]
 		if found && (other != tracker || mark.Offset < record.Offset) && !other.resolved(mark.Topic, mark.Offset) {
@@ -256,7 +279,7 @@
 			return false
 		}
 	}
-	return g.recentlyVerified(now, tracker.spaceName)
+	return true
 }
 
 // pendingRecord is a held message of a sender, with its partition.
@@ -313,7 +336,10 @@
 		}
 	}
 	for key := range bySender {
-		slices.SortStableFunc(bySender[key], func(left, right pendingRecord) int { return cmp.Compare(left.record.Seq, right.record.Seq) })
+		slices.SortStableFunc(
+			bySender[key],
+			func(left, right pendingRecord) int { return cmp.Compare(left.record.Seq, right.record.Seq) },
+		)
 	}
 	for progress := len(bySender) > 0; progress; {
 		progress = false
@@ -387,7 +413,12 @@
 }
 
 // deliverEphemeral hands a passing message to this gateway's own channels.
-func (g *Gateway) deliverEphemeral(now time.Time, state *spaceState, message EphemeralCopy, effects *statemachine.Effects) bool {
+func (g *Gateway) deliverEphemeral(
+	now time.Time,
+	state *spaceState,
+	message EphemeralCopy,
+	effects *statemachine.Effects,
+) bool {
 	holders := state.subscribedSessions(message.Topic)
 	for id := range statemachine.Sorted(holders) {
 		if session, open := g.sessions[id]; open {
@@ -470,16 +501,19 @@
 	slices.Sort(fetch.skip)
 	g.nextRequest++
 	operation := &fetchOperation{
-		tracker: name, version: tracker.version, partitions: map[string]*partitionFetch{name: fetch}, records: map[string][]partition.Record{},
-		deadline: now.Add(defaultSubscribeTimeout),
+		tracker:    name,
+		version:    tracker.version,
+		partitions: map[string]*partitionFetch{name: fetch},
+		records:    map[string][]partition.Record{},
+		deadline:   now.Add(defaultSubscribeTimeout),
 	}
 	g.fetches[g.nextRequest] = operation
 	g.timers.ArmSooner(timerDeadlines, operation.deadline)
 	g.sendFetch(now, g.nextRequest, name, fetch, effects)
 }
 
-// verified takes the answer to a verification: the missing messages go the way
-// of all others, and once they were handed over the partition is verified so far.
+// verified takes the answer to a verification. The missing records go the way of all
+// others, and once they are delivered the partition is verified up to there.
 func (g *Gateway) verified(now time.Time, operation *fetchOperation, effects *statemachine.Effects) {
 	tracker, found := g.trackers[operation.tracker]
 	if !found {
@@ -487,18 +521,7 @@
 	}
 	tracker.verifying = false
 	until := operation.partitions[operation.tracker].until
-	records := operation.records[operation.tracker]
-	for _, record := range records {
-		if _, had := tracker.delivered[record.Offset]; !had && record.Offset > tracker.verified {
-			tracker.pending[record.Offset] = record
-		}
-	}
-	if len(records) > 0 {
-		effects.Emit(logevent.GapFilled, "partition", operation.tracker, "records", len(records), "until", until)
-		for _, record := range records {
-			g.ring.Record(now, "", decisionlog.MessageName(tracker.space, record.Sender, record.Seq), "", "repaired", "partition", operation.tracker, "offset", record.Offset)
-		}
-	}
+	g.addMissing(now, tracker, operation.records[operation.tracker], until, effects)
 	// The answer holds all of this partition up to there, so nothing within it is
 	// missing; only another partition may still hold a message back.
 	g.deliverReady(now, effects)
@@ -514,16 +537,44 @@
 		tracker.advanceVerifiedAt(tracker.requestedAt)
 		g.deliverReady(now, effects)
 	}
-	if tracker.version != operation.version || len(tracker.pending) > 0 || tracker.highWatermark > tracker.verified {
-		tracker.wanted = true
-		pause := verifyEvery
-		if len(tracker.pending) > 0 || tracker.version != operation.version {
-			pause = gapTimeout
-		}
-		for _, record := range tracker.pending {
-			g.requestDependencies(tracker, record)
+	outdated := tracker.version != operation.version
+	if !outdated && len(tracker.pending) == 0 && tracker.highWatermark <= tracker.verified {
+		return
+	}
+	tracker.wanted = true
+	pause := verifyEvery
+	if len(tracker.pending) > 0 || outdated {
+		pause = gapTimeout
+	}
+	for _, record := range tracker.pending {
+		g.requestDependencies(tracker, record)
+	}
+	g.timers.ArmSooner(timerVerify, now.Add(pause))
+}
+
+// addMissing adds fetched records to the pending ones of a tracker.
+func (g *Gateway) addMissing(
+	now time.Time,
+	tracker *tracker,
+	records []partition.Record,
+	until uint64,
+	effects *statemachine.Effects,
+) {
+	for _, record := range records {
+		if _, delivered := tracker.delivered[record.Offset]; !delivered && record.Offset > tracker.verified {
+			tracker.pending[record.Offset] = record
 		}
-		g.timers.ArmSooner(timerVerify, now.Add(pause))
+	}
+	if len(records) == 0 {
+		return
+	}
+	effects.Emit(logevent.GapFilled, "partition", tracker.name, "records", len(records), "until", until)
+	for _, record := range records {
+		message := decisionlog.MessageName(tracker.space, record.Sender, record.Seq)
+		g.ring.Record(now, "", message, "", "repaired",
+			"partition", tracker.name,
+			"offset", record.Offset,
+		)
 	}
 }
 
@@ -586,8 +637,14 @@
 	statuses := map[string]TrackerStatus{}
 	for name, tracker := range g.trackers {
 		statuses[name] = TrackerStatus{
-			Verified: tracker.verified, Head: tracker.highWatermark, Pending: len(tracker.pending), Started: tracker.started, Verifying: tracker.verifying,
-			Wanted: tracker.wanted, VerifiedAgo: now.Sub(tracker.verifiedAt), Interests: len(tracker.interests),
+			Verified:    tracker.verified,
+			Head:        tracker.highWatermark,
+			Pending:     len(tracker.pending),
+			Started:     tracker.started,
+			Verifying:   tracker.verifying,
+			Wanted:      tracker.wanted,
+			VerifiedAgo: now.Sub(tracker.verifiedAt),
+			Interests:   len(tracker.interests),
 		}
 	}
 	return statuses
--- a/internal/gateway/view.go
+++ b/internal/gateway/view.go
@@ -18,11 +18,12 @@
 
 func (g *Gateway) handleViewUpdate(now time.Time, update membership.ViewUpdate, effects *statemachine.Effects) {
 	wasResting := g.Resting()
-	subscription := g.viewClient.HandleUpdate(now, update)
-	if subscription.View {
+	changed := g.viewClient.HandleUpdate(now, update)
+	if changed.View {
 		g.applyView(now, effects)
 	}
-	if subscription.Document && (!statemachine.Mutated("deaf-gateway") || g.settings.Self.Name != "gateway-1" || g.config.Version <= 0) {
+	deaf := statemachine.Mutated("deaf-gateway") && g.settings.Self.Name == "gateway-1" && g.config.Version > 0
+	if changed.Document && !deaf {
 		g.applyConfiguration(now, effects)
 	}
 	if resting := g.Resting(); resting != wasResting {
@@ -98,7 +99,8 @@
 	for name, state := range statemachine.Sorted(g.spaces) {
 		space, found := document.Spaces[name]
 		full, born := g.spaceName(name)
-		if found && (space.Order == config.OrderTopic && state.space.Order == config.OrderTopic || born && full == state.name) {
+		routed := space.Order == config.OrderTopic && state.space.Order == config.OrderTopic
+		if found && (routed || born && full == state.name) {
 			state.space = space
 			continue
 		}
@@ -113,7 +115,12 @@
 			continue
 		}
 		if full, born := g.spaceName(name); born {
-			g.spaces[name] = &spaceState{space: space, name: full, topics: map[string]map[uint64]bool{}, prefixes: map[string]map[uint64]bool{}}
+			g.spaces[name] = &spaceState{
+				space:    space,
+				name:     full,
+				topics:   map[string]map[uint64]bool{},
+				prefixes: map[string]map[uint64]bool{},
+			}
 		}
 	}
 	g.rerouteAll(now, effects)
