--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -1,10 +1,3 @@
-// Admission of new callers on lines. The platform hands callers to whoever listens
-// first, hundreds within moments; each has missed messages fetched and its interest told
-// to the other gateways, and a link that is full serves nobody. So a gateway lets in only
-// whom its link can serve soon: a steady number of sessions a second, and none while
-// more is to be caught up with than the link takes in a short time. Whoever is refused
-// is told so at once, and finds another gateway.
-
 package gateway
 
 import (
@@ -14,26 +7,26 @@
 )
 
 const (
-	// sessionBytes is what a new session is reckoned to bring over the link, and
-	// admitShare the part of the link that new sessions may take.
+	// sessionBytes is how many bytes a new session is estimated to bring over the link, and
+	// admitShare the share of the link that new sessions may take.
 	sessionBytes = 2 << 10
 	admitShare   = 0.5
-	// admitBurst is for how long sessions may be saved up, and admitLeast how many are
-	// let in at once in any case.
+	// admitBurst is for how long unused admissions add up, and minAdmitted how many
+	// sessions are admitted at once in any case.
 	admitBurst  = 300 * time.Millisecond
 	minAdmitted = 16
-	// backlogAhead is how much of the link's time the records may take that are known
-	// to lack here before nobody else is let in.
+	// backlogAhead is how much of the link's time the missing records may take before
+	// no further session is admitted.
 	backlogAhead = time.Second
 )
 
-// admission counts the sessions that may still be let in.
+// admission is a token bucket of the sessions that may still be admitted.
 type admission struct {
 	left float64
 	at   time.Time
 }
 
-// admits tells whether the link can serve one more session soon, and counts it.
+// admits returns whether the link can serve one more session soon, and takes it off the allowance.
 func (g *Gateway) admits(now time.Time) bool {
 	if g.settings.Link == 0 || statemachine.Mutated("all-admitted") {
 		return true
@@ -52,7 +45,7 @@
 	return true
 }
 
-// backlog is how many bytes of records are known to lack here, of the topics that wait
+// backlog returns how many bytes of records are known to be missing here, of the topics that wait
 // for a batch or are in one.
 func (g *Gateway) backlog(now time.Time) int {
 	sum := 0
--- a/internal/gateway/catchup.go
+++ b/internal/gateway/catchup.go
@@ -1,10 +1,3 @@
-// Catching up with routed topics. Topics that lack something wait in one queue, in
-// the order in which they began to. One batch at a time is on its way to each store
-// and carries all topics that wait for it, so that every subscription is confirmed
-// by the next small answer, however many there are; the records follow within a
-// credit of bytes that the machine's link can take. Nothing is asked for twice while
-// its answer may be on its way.
-
 package gateway
 
 import (
@@ -20,45 +13,52 @@
 const (
 	// maxBatchTopics is how many topics one batch asks for.
 	maxBatchTopics = 256
-	// batchRetry is how long the answer to the first try of a batch may take; the
-	// wait doubles with each further try.
+	// batchRetry is how long the response to the first attempt of a batch may take; the
+	// timeout doubles with each further attempt.
 	batchRetry = 400 * time.Millisecond
 	// catchUpAhead is how much of the link's time the records may take that are
-	// asked for at once, from all stores together.
+	// requested at once, from all stores together.
 	catchUpAhead = 200 * time.Millisecond
 	// Bounds of the bytes of records that one batch asks for.
 	minBatchBytes = 4 << 10
 	maxBatchBytes = 256 << 10
-	// reservedFor is for how long a refused subscription keeps its turn.
+	// reservedFor is for how long a rejected subscription keeps its turn.
 	reservedFor = 3 * time.Second
 )
 
-// topicFetch is a topic in a batch. Its records are wanted after an offset.
+// topicFetch is one topic in a batch. It asks for the records after an offset.
 type topicFetch struct {
-	topic  *topicState
-	after  uint64
+	topic *topicState
+	// after is the offset after which records are wanted; everything if only the high watermark is.
+	after uint64
+	// sentBy is the route by which the batch was sent.
 	sentBy route
 }
 
-// batch is what was asked of one store and not answered yet.
+// batch is a request for several topics to one store that has not been answered yet.
 type batch struct {
-	request  uint64
-	store    string
-	fetches  []*topicFetch
-	bytes    int
+	// request is its number; it stays when the batch is sent again.
+	request uint64
+	// store is the address of the store.
+	store string
+	// fetches are its topics. One that left the batch meanwhile no longer refers to its entry here.
+	fetches []*topicFetch
+	// bytes bounds the records of the response.
+	bytes int
+	// sentAt is when it was last sent, attempts how often.
 	sentAt   time.Time
 	attempts int
 }
 
-// due is when the batch is sent again.
+// due is when it is sent again: the more sends are without a response, the later.
 func (b *batch) due() time.Time { return b.sentAt.Add(backoff(batchRetry, b.attempts)) }
 
-// wanted tells whether anybody still waits for an answer to the batch.
+// wanted returns whether any topic still waits for a response to the batch.
 func (b *batch) wanted() bool {
 	return slices.ContainsFunc(b.fetches, func(fetch *topicFetch) bool { return fetch.topic.fetch == fetch })
 }
 
-// backoff is how long to wait for the answer to a try.
+// backoff returns how long to wait for the response to an attempt; it doubles a few times.
 func backoff(initial time.Duration, attempts int) time.Duration {
 	if statemachine.Mutated("no-retry-pauses") {
 		return initial
@@ -66,7 +66,8 @@
 	return initial << min(max(0, attempts-1), retryDoubles)
 }
 
-// missingAfter gives the offset after which a topic's records are wanted, if any are.
+// missingAfter returns the offset after which records of the topic are missing, and whether any
+// are.
 func (t *topicState) missingAfter(now time.Time) (after uint64, lacking bool) {
 	after = everything
 	if t.live && t.wanted > t.last {
@@ -87,15 +88,15 @@
 	return after, lacking
 }
 
-// reserved tells whether a refused subscription to the topic keeps its turn, and
-// what it lacks is not here.
+// reserved returns whether a rejected subscription keeps its turn while the records that it lacks
+// are not here.
 func (t *topicState) reserved(now time.Time) bool {
 	here := t.live && t.recentFrom <= t.reservedAfter
 	return t.reservedUntil.After(now) && !here
 }
 
-// reserve keeps the turn of a subscription that is refused because its answer did
-// not come in time: what it lacks is fetched all the same, for its next try.
+// reserve keeps the turn of a subscription that is rejected because no response came in time: the
+// records that it lacks are fetched all the same, for its next attempt.
 func (t *topicState) reserve(now time.Time, subscription *topicSubscription) {
 	if statemachine.Mutated("refused-loses-turn") || !subscription.resumes {
 		return
@@ -107,8 +108,8 @@
 	t.reservedUntil = now.Add(reservedFor)
 }
 
-// fetchTopic queues a topic for the next batch to its store, which is sent at once
-// if none is on its way there.
+// fetchTopic queues a topic for the next batch to its store, which is sent at once if none is in
+// flight there.
 func (g *Gateway) fetchTopic(now time.Time, topic *topicState, effects *statemachine.Effects) {
 	if topic.fetch != nil || topic.queued {
 		return
@@ -125,13 +126,13 @@
 	}
 }
 
-// busy tells whether a batch is on its way to a store.
+// busy returns whether a batch is in flight to a store.
 func (g *Gateway) busy(store string) bool {
 	_, busy := g.routed.batchInFlight[store]
 	return busy && !statemachine.Mutated("fetches-without-credit")
 }
 
-// sendBatches sends what is queued to the stores to which no batch is on its way.
+// sendBatches sends the queued topics to the stores to which no batch is in flight.
 func (g *Gateway) sendBatches(now time.Time, effects *statemachine.Effects) {
 	chosen := map[string][]*topicFetch{}
 	var waiting []*topicState
@@ -167,6 +168,7 @@
 	}
 }
 
+// sendBatch sends a batch, or sends it again.
 func (g *Gateway) sendBatch(now time.Time, sent *batch, effects *statemachine.Effects) {
 	sent.sentAt = now
 	sent.attempts++
@@ -179,9 +181,9 @@
 	effects.Send(sent.store, fetch)
 }
 
-// sortByMissingBytes orders topics by what they are known to lack, since the records of an
-// answer go to the first of them: one that lacks a single message must not wait for those
-// that lack hundreds. What is not known yet goes first.
+// sortByMissingBytes orders topics by the bytes that they are known to lack, since the records of a
+// response go to the front topics: one that lacks a single message must not wait for those that
+// lack hundreds. Topics of which that is not known yet come before all others.
 func sortByMissingBytes(fetches []*topicFetch) {
 	if statemachine.Mutated("first-come-first") {
 		return
@@ -191,8 +193,8 @@
 	})
 }
 
-// batchBytes is the credit of a batch while so many stores are asked: their answers
-// together take a short time of the machine's link.
+// batchBytes returns the credit of a batch while batches to that many stores are in flight: their
+// responses together take a short time of the link.
 func (g *Gateway) batchBytes(stores int) int {
 	if g.settings.Link == 0 {
 		return maxBatchBytes
@@ -201,7 +203,7 @@
 	return min(max(ahead/max(1, stores), minBatchBytes), maxBatchBytes)
 }
 
-// endBatch gives the store's credit back.
+// endBatch removes a batch, which returns the store's credit.
 func (g *Gateway) endBatch(ended *batch) {
 	delete(g.routed.batches, ended.request)
 	if g.routed.batchInFlight[ended.store] == ended.request {
@@ -209,8 +211,7 @@
 	}
 }
 
-// retryBatches sends again what stayed without an answer, and lets go of batches for
-// which nobody waits any more.
+// retryBatches sends unanswered batches again, and removes those for which no topic waits any more.
 func (g *Gateway) retryBatches(now time.Time, effects *statemachine.Effects) {
 	for _, sent := range statemachine.Sorted(g.routed.batches) {
 		switch {
@@ -227,8 +228,8 @@
 	}
 }
 
-// rerouteFetches takes topics whose partition is led elsewhere now out of their
-// batches, and queues them in front.
+// rerouteFetches takes the topics whose partition has another leader now out of their batches, and
+// puts them at the front of the queue.
 func (g *Gateway) rerouteFetches(now time.Time, effects *statemachine.Effects) {
 	var rerouted []*topicState
 	for _, sent := range statemachine.Sorted(g.routed.batches) {
@@ -249,7 +250,7 @@
 	}
 }
 
-// handleTopicsFetched takes the answer to a batch.
+// handleTopicsFetched applies the response to a batch.
 func (g *Gateway) handleTopicsFetched(
 	now time.Time,
 	response partition.FetchTopicsResponse,
@@ -286,7 +287,7 @@
 	g.sendBatches(now, effects)
 }
 
-// applyFetchedTopic takes what a store told of one topic.
+// applyFetchedTopic applies what a store responded for one topic.
 func (g *Gateway) applyFetchedTopic(
 	now time.Time,
 	fetch *topicFetch,
@@ -318,7 +319,7 @@
 	}
 	g.release(now, topic, effects)
 	if response.Until < state.HighWatermark {
-		// One answer did not hold all.
+		// One response did not have room for all.
 		g.requireUpTo(now, topic, state.HighWatermark, 0)
 	}
 	g.tickTopic(now, topic, effects)
@@ -359,8 +360,8 @@
 	topic.last = max(topic.last, response.Until)
 }
 
-// extendRecent keeps fetched records that lie before the recent ones, for whoever
-// asks next.
+// extendRecent adds fetched records that precede the recent ones, for the subscriptions that come
+// next.
 func (t *topicState) extendRecent(now time.Time, after uint64, response partition.TopicRecords) {
 	if after >= t.recentFrom || response.Until < t.recentFrom {
 		return
@@ -376,8 +377,8 @@
 	t.recentFrom, t.recentUntil = after, now.Add(reservedFor)
 }
 
-// advanceSubscription confirms a place that a store still holds, and hands over what came
-// for it.
+// advanceSubscription confirms a subscription whose missed records the store still has, and
+// delivers those that came.
 func (g *Gateway) advanceSubscription(
 	now time.Time,
 	subscription *topicSubscription,
--- a/internal/gateway/catchup_test.go
+++ b/internal/gateway/catchup_test.go
@@ -1,4 +1,3 @@
-// One batch is on its way to each store, refused subscriptions keep their turn, places are confirmed before what they lack is fetched, and nobody is told of who still waits for its place.
 package gateway
 
 import (
@@ -139,6 +138,7 @@
 // slow batch was refused for want of an answer, and whether its next try is confirmed
 // at once when that batch has been answered.
 func refusedTurn(t *testing.T) (topics int, confirmed bool) {
+	t.Helper()
 	many := newCrowded(2)
 	slow := many.asked()[0]
 	behind := many.channels[1].routed[many.channels[1].client]
@@ -237,7 +237,7 @@
 	assert.Equal(t, len(next), 1)
 	assert.DeepEqual(t, next[0].Topics, []partition.TopicCursor{{Topic: "topic-0", After: 2}})
 	one.gateway.handleTopicsFetched(one.now, partition.FetchTopicsResponse{
-		RequestID:    next[0].RequestID,
+		RequestID:  next[0].RequestID,
 		Partitions: partitions,
 		Topics: []partition.TopicRecords{
 			{Until: 9, Records: []partition.Record{{Offset: 7, Topic: "topic-0", Sender: "u", Seq: 1}}},
@@ -290,6 +290,7 @@
 // confirmed tells whether a caller who comes back with a cursor is answered before
 // what it missed was fetched.
 func confirmed(t *testing.T, cursor uint64) bool {
+	t.Helper()
 	one := newCrowded(1)
 	one.answer(one.asked()[0])
 	gateway := one.gateway
@@ -321,7 +322,10 @@
 }
 
 func configOf(t *testing.T) config.Configuration {
-	read, faults := config.Read([]byte(`{"version":1,"spaces":[{"name":"boards","promise":"kept","order":"topic"}],"routes":[{"prefix":"topic-","space":"boards"}]}`))
+	t.Helper()
+	read, faults := config.Read([]byte(`{"version":1,
+		"spaces":[{"name":"boards","promise":"kept","order":"topic"}],
+		"routes":[{"prefix":"topic-","space":"boards"}]}`))
 	assert.Equal(t, len(faults), 0, "%v", faults)
 	return read
 }
@@ -336,9 +340,9 @@
 	answer := partition.FetchTopicsResponse{RequestID: fetch.RequestID}
 	for _, each := range fetch.Topics {
 		answer.Partitions = append(answer.Partitions, partition.PartitionState{
-			Partition: config.SharedPartition(each.Topic),
-			Epoch:     1,
-			HighWatermark:      9,
+			Partition:     config.SharedPartition(each.Topic),
+			Epoch:         1,
+			HighWatermark: 9,
 		})
 		records := partition.TopicRecords{Until: 9}
 		if bytes := left[each.Topic]; bytes > 0 {
@@ -394,8 +398,9 @@
 	assert.Assert(t, one.gateway.admits(one.now))
 	fetch := one.asked()[0]
 	one.gateway.handleTopicsFetched(one.now, partition.FetchTopicsResponse{
-		RequestID: fetch.RequestID, Partitions: []partition.PartitionState{{Partition: topic.partition, Epoch: 1, HighWatermark: 9}},
-		Topics: []partition.TopicRecords{{Until: 0, RemainingBytes: thinRate + 1}},
+		RequestID:  fetch.RequestID,
+		Partitions: []partition.PartitionState{{Partition: topic.partition, Epoch: 1, HighWatermark: 9}},
+		Topics:     []partition.TopicRecords{{Until: 0, RemainingBytes: thinRate + 1}},
 	}, &one.effects)
 	assert.Assert(t, !one.gateway.admits(one.now))
 	one.gateway.dropTopicSubscription(one.now, one.channels[0], "topic-0", &one.effects)
@@ -424,8 +429,9 @@
 	for range 2 {
 		fetch := one.asked()[0]
 		gateway.handleTopicsFetched(one.now, partition.FetchTopicsResponse{
-			RequestID: fetch.RequestID, Partitions: []partition.PartitionState{{Partition: topic.partition, Epoch: 1, HighWatermark: 5}},
-			Topics: []partition.TopicRecords{{Until: 1, RemainingBytes: thinRate + 1}},
+			RequestID:  fetch.RequestID,
+			Partitions: []partition.PartitionState{{Partition: topic.partition, Epoch: 1, HighWatermark: 5}},
+			Topics:     []partition.TopicRecords{{Until: 1, RemainingBytes: thinRate + 1}},
 		}, &one.effects)
 		if _, held := gateway.sessions[9].routed["topic-0"]; held {
 			assert.Assert(t, !gateway.admits(one.now))
--- a/internal/gateway/commands.go
+++ b/internal/gateway/commands.go
@@ -5,23 +5,24 @@
 	"time"
 )
 
-// Commands from the adapters.
+// Commands of the adapters. Request, and Local in control commands, is the number under which
+// the gateway responds; RequestName is the name of the request in recorded decisions.
 type (
-	// OpenSession begins a channel for an origin.
+	// OpenSession opens a session for a client. Session is the number that the adapter gave it.
 	OpenSession struct {
 		Request uint64
 		Session uint64
 		Name    string
 		Client  string
-		// AdapterPings tells that the adapter itself watches whether the caller lives.
+		// AdapterPings is set if the adapter itself checks that the client is alive.
 		AdapterPings bool
 	}
-	// CloseSession ends it.
+	// CloseSession reports that the connection of a session has ended; it gets no response.
 	CloseSession struct {
 		Session uint64
 		Reason  string
 	}
-	// Subscribe adds interests to a channel, from a cursor on if there is one.
+	// Subscribe adds interests to a session, from a cursor on if there is one.
 	Subscribe struct {
 		Request     uint64
 		RequestName string
@@ -30,7 +31,7 @@
 		Interests   []Interest
 		Cursor      string
 	}
-	// Unsubscribe takes interests away.
+	// Unsubscribe removes interests from a session.
 	Unsubscribe struct {
 		Request     uint64
 		RequestName string
@@ -38,7 +39,7 @@
 		Client      string
 		Interests   []Interest
 	}
-	// Publish sends a message on.
+	// Publish publishes a message.
 	Publish struct {
 		Request     uint64
 		RequestName string
@@ -49,7 +50,7 @@
 		Seq         uint64
 		Data        []byte
 	}
-	// CountSubscribers asks how many origins subscribe to a routed topic, over all gateways.
+	// CountSubscribers asks how many clients subscribe to a routed topic, over all gateways.
 	CountSubscribers struct {
 		Request     uint64
 		RequestName string
@@ -57,55 +58,62 @@
 		Client      string
 		Topic       string
 	}
-	// ClientActive tells that a channel's caller said something.
+	// ClientActive reports that the client of a session has sent something; it gets no response.
 	ClientActive struct{ Session uint64 }
-	// Pong answers a ping.
+	// Pong is the answer of a client to a ping.
 	Pong struct {
 		Request uint64
 		Session uint64
 		Client  string
 	}
-	// ControlRequest is an operator's request at this daemon's own ctl.
+	// ControlRequest is an operator's request at the ctl of this daemon.
 	ControlRequest struct {
 		Local  uint64
 		Method string
 		Path   string
 		Body   []byte
 	}
-	// FindDecisions asks the ring of recorded decisions.
+	// FindDecisions searches the recorded decisions.
 	FindDecisions struct {
 		Local                    uint64
 		Request, Message, Client string
 	}
-	// Stop asks the gateway to end in good order.
+	// Stop begins a graceful shutdown.
 	Stop struct{}
 )
 
-// Reply goes back to a caller: accepted, refused for sure, or unsettled.
+// Reply is the final answer to the request of a client: accepted, rejected, or unsettled.
 type Reply struct {
-	Status     int
-	Outcome    string
-	Code       string
-	Text       string
+	// Status is the HTTP status that belongs to the outcome.
+	Status  int
+	Outcome string
+	// Code and Text say why a request was not accepted. Both are part of the client protocol.
+	Code string
+	Text string
+	// RetryAfter is after what time a retry may succeed, 0 if it is pointless.
 	RetryAfter time.Duration
-	Fields     map[string]any
-	// Cursor is the place of a subscription to a routed topic, Number a count of
-	// its subscribers.
+	// Fields are added to the JSON of the answer.
+	Fields map[string]any
+	// Cursor is the cursor of a subscription to a routed topic, SubscriberCount the number of its
+	// subscribers.
 	Cursor          string
 	SubscriberCount int
 }
 
-// Outcomes as callers see them.
+// Outcomes as clients see them.
 const (
 	OutcomeAccepted  = "accepted"
 	OutcomeRejected  = "refused"
 	OutcomeUnsettled = "unsettled"
 )
 
+// acceptedReply is the answer to a request that was carried out; fields are added to its JSON.
 func acceptedReply(fields map[string]any) Reply {
 	return Reply{Status: 200, Outcome: OutcomeAccepted, Fields: fields}
 }
 
+// rejectedReply is the answer to a request that had no effect. A retryAfter of zero means that a
+// retry is pointless.
 func rejectedReply(status int, code, text string, retryAfter time.Duration) Reply {
 	return Reply{
 		Status:     status,
@@ -116,6 +124,8 @@
 	}
 }
 
+// unsettledReply is the answer to a publication that may or may not have been appended; the client
+// sends the same sequence again.
 func unsettledReply(code, text string, retryAfter time.Duration) Reply {
 	return Reply{
 		Status:     503,
@@ -126,7 +136,8 @@
 	}
 }
 
-// Event is one line on a channel.
+// Event is one event of a session, as the adapters send it to the client. The JSON keys are part of
+// the client protocol.
 type Event struct {
 	Event   string          `json:"event"`
 	Session string          `json:"channel,omitempty"`
--- a/internal/gateway/cursor.go
+++ b/internal/gateway/cursor.go
@@ -1,8 +1,3 @@
-// A cursor is a returning client's place: what it subscribes to, how far each
-// partition was handed to it, and the newest seq of each sender it saw in passing
-// spaces. It is opaque to callers, bound to its origin by a keyed sum, and
-// refused if forged, of another origin, or of an unknown layout.
-
 package gateway
 
 import (
@@ -26,6 +21,8 @@
 	codeBadCursor = "bad-cursor"
 )
 
+// position is how far one partition was delivered to a client. Its encoding is part of the cursor
+// layout.
 type position struct {
 	_      struct{} `cbor:",toarray"`
 	Floor  uint64
@@ -42,6 +39,7 @@
 	Marks      map[string]map[string]uint64
 }
 
+// sign returns the authentication code of an encoded cursor.
 func sign(key, body []byte) []byte {
 	sum := hmac.New(sha256.New, key)
 	_, _ = sum.Write([]byte("cursor"))
@@ -49,12 +47,13 @@
 	return sum.Sum(nil)[:sumSize]
 }
 
+// seal encodes and signs a cursor.
 func seal(key []byte, contents cursor) string {
 	body := transport.MustMarshal(contents)
 	return base64.RawURLEncoding.EncodeToString(append(sign(key, body), body...))
 }
 
-// openCursor reads a cursor; the code says why it is refused.
+// openCursor verifies and decodes the cursor of a client; the code says why it is rejected.
 func openCursor(key []byte, client, text string) (cursor, string) {
 	if len(text) > cursorLimit {
 		return cursor{}, codeBadCursor
@@ -166,6 +165,8 @@
 	}
 }
 
+// key names the interest within its space: its kind, "t" for a topic and "w" for a prefix, and its
+// path.
 func (i Interest) key() string {
 	wide := "t"
 	if i.Prefix {
@@ -174,6 +175,7 @@
 	return wide + i.Path
 }
 
+// compareInterests orders interests by space and key.
 func compareInterests(left, right Interest) int {
 	if order := strings.Compare(left.Space, right.Space); order != 0 {
 		return order
@@ -181,9 +183,9 @@
 	return strings.Compare(left.key(), right.key())
 }
 
-// extras lists what the origin has above a floor. In the ordinary case floors
-// only rise, and what falls below one is let go; while a backlog is handed over
-// the floor is an older one, and all that is remembered counts.
+// extras returns the offsets above a floor that were delivered to the client. Usually floors only
+// rise, and offsets below one are forgotten; while a backlog is delivered the floor is an older
+// one, and all remembered offsets count.
 func (c *session) extras(name string, floor uint64) []uint64 {
 	var extras []uint64
 	if statemachine.Mutated("no-client-memory") {
--- a/internal/gateway/delivery.go
+++ b/internal/gateway/delivery.go
@@ -1,13 +1,14 @@
 package gateway
 
 import (
-	"dahlialock/internal/decisionlog"
-	"dahlialock/internal/statemachine"
 	"encoding/json"
 	"time"
+
+	"dahlialock/internal/decisionlog"
+	"dahlialock/internal/statemachine"
 )
 
-// drain hands over what waited while a channel was being filled.
+// drain delivers what was buffered while a subscription of the session was being filled.
 func (g *Gateway) drain(now time.Time, id uint64, session *session, effects *statemachine.Effects) {
 	if session.filling() {
 		return
@@ -25,8 +26,8 @@
 	}
 }
 
-// deliverOrBuffer gives a kept message to a channel, if one of its subscriptions wants it
-// and it has not had it.
+// deliverOrBuffer delivers a record to a session if one of its subscriptions matches and the client
+// has not had it, or buffers it while the session is being filled.
 func (g *Gateway) deliverOrBuffer(
 	now time.Time,
 	id uint64,
@@ -48,8 +49,8 @@
 	}
 	wanted = wanted || statemachine.Mutated("no-exact-match")
 	if session.filling() && (wanted || waits) {
-		// While any part is being filled the whole channel waits, since a
-		// sender's order runs across its subscriptions.
+		// While any subscription is being filled the complete session waits, since the
+		// order of a sender runs across its subscriptions.
 		session.buffer = append(session.buffer, recordCopy)
 		return
 	}
@@ -58,7 +59,7 @@
 	}
 }
 
-// deliverRecord gives a kept message to a channel once.
+// deliverRecord delivers a record to a session unless the client has had it.
 func (g *Gateway) deliverRecord(
 	now time.Time,
 	id uint64,
@@ -90,6 +91,8 @@
 	}, effects)
 }
 
+// markSeen notes the sequence of a message of an ephemeral space, and returns whether it is above
+// all seen of its sender.
 func (c *session) markSeen(now time.Time, space, sender string, seq uint64) bool {
 	marks := c.sequences[space]
 	if marks == nil {
@@ -103,6 +106,8 @@
 	return true
 }
 
+// deliverOrBufferEphemeral delivers an ephemeral message to a session if one of its subscriptions
+// matches and the client has not had it, or buffers it while the session is being filled.
 func (g *Gateway) deliverOrBufferEphemeral(
 	now time.Time,
 	id uint64,
@@ -121,8 +126,8 @@
 				session.ephemeralBuffer = append(session.ephemeralBuffer, message)
 				return
 			}
-			// What is offered late is for those who were away, not for those
-			// who had not asked yet.
+			// Repeated messages are for clients that were away, not for those that
+			// had not subscribed yet.
 			wanted = wanted || !message.Repeated || now.Sub(subscription.resumedAt) <= resumedFor
 		}
 	}
@@ -142,15 +147,16 @@
 	}, effects)
 }
 
-// markDelivered notes offsets that the origin had before it came here.
+// markDelivered notes offsets that were delivered to the client by another gateway.
 func (c *session) markDelivered(now time.Time, name string, offsets []uint64) {
 	for _, offset := range offsets {
 		c.recordDelivery(now, name, offset)
 	}
 }
 
-// recordDelivery notes that the origin has a message now, and tells whether it had not.
-// What is above the place's floor is kept apart, since every cursor names it.
+// recordDelivery notes that a record is delivered to the client, and returns whether it was not
+// before. Offsets above the cursor's floor are tracked in deliveredAbove too, since every cursor
+// names them.
 func (c *session) recordDelivery(now time.Time, name string, offset uint64) bool {
 	if c.delivered[name] == nil {
 		c.delivered[name], c.deliveredAbove[name] = map[uint64]time.Time{}, map[uint64]bool{}
@@ -163,7 +169,7 @@
 	return true
 }
 
-// notBefore notes that an interest began above the place's floor.
+// notBefore notes that an interest began at an offset above the floor of the cursor.
 func (c *session) notBefore(interest Interest, name string, since uint64) {
 	subscription := c.subscriptions[interest]
 	if subscription.notBefore == nil {
@@ -172,8 +178,8 @@
 	subscription.notBefore[name] = since
 }
 
-// wantsRecord tells whether a missed message is one that an interest asked for at
-// the time.
+// wantsRecord returns whether a missed record matches an interest that was subscribed to when it
+// was appended.
 func (c *session) wantsRecord(interests []Interest, recordCopy RecordCopy) bool {
 	space, _ := spaceOf(recordCopy.Partition)
 	for _, interest := range interests {
--- a/internal/gateway/draining.go
+++ b/internal/gateway/draining.go
@@ -1,16 +1,17 @@
 package gateway
 
 import (
+	"slices"
+	"time"
+
 	"dahlialock/internal/logevent"
 	"dahlialock/internal/membership"
 	"dahlialock/internal/statemachine"
-	"slices"
-	"time"
 )
 
-// disconnectSome ends channels of a gateway that nobody has confirmed for so long that
-// no takeover explains it: its agent is lost or its machine is cut off, and
-// its origins are served elsewhere. Half of them go each second.
+// disconnectSome closes sessions of a gateway that has been unconfirmed for longer than any change
+// of the leader takes: its agent is lost or its machine is isolated, and its clients are served
+// elsewhere. Half of them are closed each second.
 func (g *Gateway) disconnectSome(now time.Time, effects *statemachine.Effects) {
 	if g.viewClient.Index == 0 || g.Confirmed(now) || now.Sub(g.viewClient.ConfirmedAt) < disconnectAfter {
 		return
@@ -25,7 +26,7 @@
 	}
 }
 
-// targets lists the gateways to which origins may be sent, the best first.
+// targets returns the gateways to which clients may be moved, the best first.
 func (g *Gateway) targets() []membership.Member {
 	var members []membership.Member
 	for _, name := range g.viewClient.Directives.Targets {
@@ -93,7 +94,7 @@
 	}
 }
 
-// remainingSessions counts the channels that were not told to move.
+// remainingSessions returns how many sessions were not asked to move.
 func (g *Gateway) remainingSessions() int {
 	count := 0
 	for _, session := range g.sessions {
@@ -104,6 +105,7 @@
 	return count
 }
 
+// move asks a client to reconnect to another gateway, with its cursor.
 func (g *Gateway) move(
 	now time.Time,
 	id uint64,
@@ -124,6 +126,7 @@
 	g.emit(id, event, effects)
 }
 
+// beginStop starts the graceful shutdown.
 func (g *Gateway) beginStop(now time.Time, _ *statemachine.Effects) {
 	if g.stopping {
 		return
@@ -134,14 +137,14 @@
 	g.timers.Arm(timerStop, now.Add(moveInterval))
 }
 
-// servesWhileStopping tells whether a gateway that stops has time left to serve those who
+// servesWhileStopping returns whether a stopping gateway has time left to serve the clients that
 // are still here.
 func (g *Gateway) servesWhileStopping(now time.Time) bool {
 	return now.Before(g.stopUntil.Add(-time.Second))
 }
 
-// awaitsClients tells whether anybody is left who may yet leave by itself: on lines a
-// caller that was told where to go and is long still here won't.
+// awaitsClients returns whether a client is left that may yet leave by itself. On the line protocol
+// a client that was asked to move and is still here after moveTimeout will not.
 func (g *Gateway) awaitsClients(now time.Time) bool {
 	for _, session := range g.sessions {
 		if !session.adapterPings || session.movedAt.IsZero() || now.Sub(session.movedAt) < moveTimeout {
@@ -151,7 +154,8 @@
 	return false
 }
 
-// stopStep ends the gateway once its origins are gone, or its time is up.
+// stopStep ends the gateway once its clients have left and its appends are answered, or its time is
+// up.
 func (g *Gateway) stopStep(now time.Time, effects *statemachine.Effects) {
 	awaitsClients := g.awaitsClients(now) && now.Before(g.stopUntil)
 	awaitsAppends := len(g.appends)+len(g.routed.appends) > 0 && now.Before(g.stopUntil.Add(-time.Second))
--- a/internal/gateway/fetch.go
+++ b/internal/gateway/fetch.go
@@ -1,43 +1,59 @@
 package gateway
 
 import (
-	"dahlialock/internal/partition"
-	"dahlialock/internal/statemachine"
 	"slices"
 	"time"
+
+	"dahlialock/internal/partition"
+	"dahlialock/internal/statemachine"
 )
 
-// fetchOperation is a round of questions to stores: for a subscribing channel, or for a
-// tracker that verifies what it has.
+// fetchOperation fetches records of several partitions: those that a session missed, or those that
+// a tracker lacks.
 type fetchOperation struct {
-	session    uint64
-	request    Subscribe
-	interests  []Interest
-	resumes    bool
+	// session, request, interests and resumes belong to the subscription that is being filled; they
+	// are unset in the operation of a tracker.
+	session   uint64
+	request   Subscribe
+	interests []Interest
+	resumes   bool
+	// partitions is the progress of each partition, records what came so far, in order.
 	partitions map[string]*partitionFetch
 	records    map[string][]partition.Record
-	refetches  int
-	joins      int
-	failed     bool
-	deadline   time.Time
-	tracker    string
-	version    uint64
+	// refetches counts how often partitions were fetched further for a dependency.
+	refetches int
+	// joins is how many overlay joins are not done; the fetch begins when it is 0. failed is set if
+	// one did not succeed.
+	joins  int
+	failed bool
+	// deadline is when the operation fails.
+	deadline time.Time
+	// tracker is the partition of the tracker that verifies, version its version at the start.
+	tracker string
+	version uint64
 }
 
+// partitionFetch is the progress of a fetchOperation in one partition.
 type partitionFetch struct {
-	from        uint64
-	after       uint64
-	until       uint64
-	skip        []uint64
-	waiting     bool
-	done        bool
+	// from is the offset of the cursor, everything without one; after is the offset after which the
+	// next request asks, and until how far the responses have come.
+	from  uint64
+	after uint64
+	until uint64
+	// skip are offsets above after that are here already.
+	skip []uint64
+	// waiting is set while a request awaits its response, done once all records came.
+	waiting bool
+	done    bool
+	// requestedAt is when the last request was sent.
 	requestedAt time.Time
-	topics      []string
-	prefixes    []string
+	// topics and prefixes are what the interests match.
+	topics   []string
+	prefixes []string
 }
 
-// advanceFetch goes on once the overlay peers have settled: it asks the first
-// of each partition, and ends when all have answered.
+// advanceFetch continues once all joins of the overlay are done: it sends the fetches to the
+// leaders of the partitions, and completes when all have responded.
 func (g *Gateway) advanceFetch(
 	now time.Time,
 	id uint64,
@@ -67,6 +83,7 @@
 	}
 }
 
+// sendFetch sends the fetch of one partition to its leader.
 func (g *Gateway) sendFetch(
 	now time.Time,
 	id uint64,
@@ -83,15 +100,17 @@
 	}
 	g.Counts.Fetches++
 	effects.Send(address, partition.Fetch{
-		Partition: name,
+		Partition:   name,
 		RequestID:   id,
-		After:     fetch.after,
-		Topics:    fetch.topics,
-		Prefixes:  fetch.prefixes,
-		SkipOffsets:      fetch.skip,
+		After:       fetch.after,
+		Topics:      fetch.topics,
+		Prefixes:    fetch.prefixes,
+		SkipOffsets: fetch.skip,
 	})
 }
 
+// retryFetch sends unanswered fetches of an operation again, or fails it after its deadline. It
+// returns when to look at it next, zero if it has ended.
 func (g *Gateway) retryFetch(
 	now time.Time,
 	id uint64,
@@ -118,6 +137,8 @@
 	return next
 }
 
+// failFetch ends an operation without its records. A tracker verifies again later; the
+// subscriptions of a session are removed and rejected.
 func (g *Gateway) failFetch(
 	now time.Time,
 	id uint64,
@@ -146,14 +167,14 @@
 	)
 }
 
-// isDuplicate tells whether an answer is one that came before, to an earlier part of what is
-// asked.
+// isDuplicate returns whether a response answers an earlier part of the fetch, which was applied
+// before.
 func (f *partitionFetch) isDuplicate(response partition.FetchResponse) bool {
 	return f.after != everything && response.Until <= f.after && f.after < response.HighWatermark &&
 		!statemachine.Mutated("any-answer")
 }
 
-// missing are the records beyond what was had before.
+// missing returns the records above the offset after which the fetch asks.
 func (f *partitionFetch) missing(records []partition.Record) []partition.Record {
 	if statemachine.Mutated("any-answer") {
 		return records
@@ -161,6 +182,7 @@
 	return slices.DeleteFunc(records, func(record partition.Record) bool { return record.Offset <= f.after })
 }
 
+// handleFetchResponse applies the response of a partition to its fetch operation.
 func (g *Gateway) handleFetchResponse(now time.Time, response partition.FetchResponse, effects *statemachine.Effects) {
 	operation, found := g.fetches[response.RequestID]
 	if !found {
@@ -179,7 +201,7 @@
 		return
 	}
 	if fetch.after != everything && fetch.after < response.Base && operation.tracker == "" {
-		// What lies between was kept for the holding time and is gone.
+		// The records in between were removed when their retention had passed.
 		g.loseHistory(now, response.RequestID, operation, effects)
 		return
 	}
@@ -203,7 +225,7 @@
 	g.advanceFetch(now, response.RequestID, operation, cursor{}, effects)
 }
 
-// dropFilling ends the subscriptions that a round did not come to fill.
+// dropFilling removes the subscriptions that an operation was to fill.
 func (g *Gateway) dropFilling(
 	now time.Time,
 	operation *fetchOperation,
@@ -217,6 +239,7 @@
 	}
 }
 
+// loseHistory rejects a subscription whose cursor is older than the retention of its space.
 func (g *Gateway) loseHistory(now time.Time, id uint64, operation *fetchOperation, effects *statemachine.Effects) {
 	delete(g.fetches, id)
 	if session, found := g.sessions[operation.session]; found {
@@ -351,9 +374,9 @@
 	return missed
 }
 
-// merge puts the records of several partitions in an order in which each partition's
-// records and each sender's messages follow each other. It names the partitions
-// that must be asked again for a record that another one refers to.
+// merge orders the records of several partitions so that the records of each partition and the
+// messages of each sender follow each other. It also returns the partitions that must be fetched
+// further, since a record depends on one that they had not reported.
 func merge(operation *fetchOperation) (ordered []RecordCopy, again []string) {
 	at := map[string]int{}
 	// What is older than a trail is ordered by the sender's seq alone.
@@ -404,7 +427,7 @@
 	}
 }
 
-// unorderedRecords lists what could not be ordered, by the time at which it was kept.
+// unorderedRecords returns the records that could not be ordered, by the time of their append.
 func unorderedRecords(operation *fetchOperation, at map[string]int) []RecordCopy {
 	var rest []RecordCopy
 	for name, records := range statemachine.Sorted(operation.records) {
@@ -412,13 +435,15 @@
 			rest = append(rest, RecordCopy{Partition: name, Record: record})
 		}
 	}
-	slices.SortStableFunc(rest, func(left, right RecordCopy) int { return left.Record.AppendedAt.Compare(right.Record.AppendedAt) })
+	slices.SortStableFunc(rest, func(left, right RecordCopy) int {
+		return left.Record.AppendedAt.Compare(right.Record.AppendedAt)
+	})
 	return rest
 }
 
-// blockers tells what a missed message must wait for: partitions to be asked again,
-// since they were asked before what it refers to was kept, or records that are
-// here and have not had their turn.
+// blockers returns what a missed record must wait for: partitions to be fetched further, since they
+// responded before the record that it depends on was appended, or records that are here and come
+// before it.
 func (f *fetchOperation) blockers(
 	full, name string,
 	record partition.Record,
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,11 +1,3 @@
-// Package gateway is the state machine of the daemons that hold client connections.
-//
-// A Gateway is the proxy daemon's state machine: it holds client connections,
-// hosts the overlay's peers, passes every request through the policies, and fans
-// messages out. It follows the control state through the agent beside it. It
-// delivers only while it knows that its configuration is the newest: a frame
-// that shows a higher version holds delivery until the gateway has caught up,
-// and a gateway that nobody confirmed for a while holds it too.
 package gateway
 
 import (
@@ -44,22 +36,27 @@
 	minDisconnects          = 10
 )
 
-// Settings are a gateway daemon's settings.
+// Settings are the settings of a gateway daemon.
 type Settings struct {
-	Self       membership.Member
-	Agent      string
-	Key        []byte
+	// Self is how this daemon appears in the membership.
+	Self membership.Member
+	// Agent is the address of the agent on this machine, through which the gateway follows the
+	// control state.
+	Agent string
+	// Key authenticates cursors; all gateways of a fleet have the same.
+	Key []byte
+	// MaxClients is how many sessions the gateway holds at most, 2000 if it is 0.
 	MaxClients int
-	// ConfirmedFor is how long a gateway serves after it last knew that its
-	// configuration is the newest, StopWithin how long it takes to stop; both
-	// have a longest value, which holds if nothing is given.
+	// ConfirmedFor is how long a gateway serves after it last knew that its configuration is the
+	// newest, StopWithin how long a graceful shutdown takes. Both have a longest value, which holds
+	// if they are 0.
 	ConfirmedFor time.Duration
 	StopWithin   time.Duration
-	// Acknowledge is within what time a proper order is to be acknowledged.
+	// Acknowledge is within what time a well-formed control request is to be acknowledged.
 	Acknowledge time.Duration
-	// Link is how many bytes a second the machine's link takes, 0 if nobody says.
+	// Link is how many bytes a second the machine's link takes, 0 if unknown.
 	Link int
-	// Processor tells the processor time used so far; it may be nil.
+	// Processor returns the processor time used so far; it may be nil.
 	Processor func() time.Duration
 	// Incarnation names this run of the process.
 	Incarnation statemachine.Incarnation
@@ -67,55 +64,90 @@
 
 // Gateway is the state machine.
 type Gateway struct {
-	settings      Settings
-	viewClient    *membership.ViewClient
-	detector      *membership.FailureDetector
+	settings Settings
+	// viewClient follows the control state; its Version is the configuration version in force.
+	viewClient *membership.ViewClient
+	// detector decides whether this gateway is isolated.
+	detector *membership.FailureDetector
+	// controlClient forwards control requests to the controllers.
 	controlClient *controlclient.ControlClient
 	overlay       *overlay.Overlay
-	ring          *decisionlog.Ring
-	timers        *statemachine.Timers[timer]
-	policies      []Policy
-
-	config      config.Configuration
+	// ring records decisions for FindDecisions.
+	ring   *decisionlog.Ring
+	timers *statemachine.Timers[timer]
+	// policies are evaluated in this order; it never changes.
+	policies []Policy
+
+	// config is the configuration in force. Its version never falls.
+	config config.Configuration
+	// incarnation is the index at which this run joined, 0 until the view shows it as alive.
 	incarnation uint64
-	sessions    map[uint64]*session
-	moving      map[uint64]bool
-	spaces      map[string]*spaceState
-	senders     map[senderKey]*sender
-	trackers    map[string]*tracker
-
-	nextRequest   uint64
-	appends       map[uint64]*publication
-	sends         map[uint64]*publication
+	// sessions are the open sessions by the number that the adapter gave them.
+	sessions map[uint64]*session
+	// spaces are the spaces of the configuration in force, by name.
+	spaces map[string]*spaceState
+	// senders have an entry for each sender that published to a space here lately.
+	senders map[senderKey]*sender
+	// trackers have an entry for each partition of a space without routed topics that an interest
+	// here reads, by partition name.
+	trackers map[string]*tracker
+
+	// nextRequest is the number of the last request to a store. Numbers of different runs of the
+	// process differ.
+	nextRequest uint64
+	// appends are the publications that are being appended, by publication; sends are the same ones
+	// by the number of each unanswered send.
+	appends map[uint64]*publication
+	sends   map[uint64]*publication
+	// senderLookups and fetches wait for stores, by request number.
 	senderLookups map[uint64]*senderLookup
 	fetches       map[uint64]*fetchOperation
-	routed        *routed
+	// routed is the state of the routed topics.
+	routed *routed
 	// subscribeTimeout follows from the configuration in force.
 	subscribeTimeout time.Duration
-	newest           map[string]uint64
+	// newest is the newest session of each client.
+	newest map[string]uint64
 
+	// highWatermarksRequestedAt is when high watermarks were last subscribed to.
 	highWatermarksRequestedAt time.Time
-	newerVersion              uint64
-	deferred                  []deferred
-	refreshWaiters            []refreshWaiter
-	lingering                 []lingered
-	stopping                  bool
-	stopUntil                 time.Time
-	admission                 admission
-	wasReady                  bool
-	rotation                  int
-	Counts                    Counts
+	// newerVersion is the highest configuration version seen in a message. While it is above the
+	// version in force the gateway is not confirmed.
+	newerVersion uint64
+	// deferred are the copies that came while the gateway was unconfirmed, in the order in which they
+	// came.
+	deferred []deferred
+	// refreshWaiters are the requests that wait for the one refresh that is under way.
+	refreshWaiters []refreshWaiter
+	// lingering are the overlay subscriptions that outlive their last subscription here.
+	lingering []lingered
+	// stopping is set when a graceful shutdown begins and never reset; it ends at stopUntil.
+	stopping  bool
+	stopUntil time.Time
+	admission admission
+	// wasReady is the readiness that was logged last.
+	wasReady bool
+	// rotation spreads moved clients over the targets, and the ends of lingering subscriptions.
+	rotation int
+	// Counts are running sums; only the gateway changes them.
+	Counts Counts
 }
 
+// spaceState is a space of the configuration in force, with its subscriptions here.
 type spaceState struct {
-	space    config.Space
-	name     string
+	space config.Space
+	// name is the name of the space with the index at which it was created, so that a space that is
+	// removed and created again is another one.
+	name string
+	// topics and prefixes are the sessions with a subscription, by path. They are nil in a space with
+	// routed topics.
 	topics   map[string]map[uint64]bool
 	prefixes map[string]map[uint64]bool
-	recent   []recentEphemeral
+	// recent are the ephemeral messages of the last moments, oldest first.
+	recent []recentEphemeral
 }
 
-// New makes a gateway.
+// New returns a gateway that holds no sessions and knows no configuration yet.
 func New(settings Settings) *Gateway {
 	if settings.MaxClients == 0 {
 		settings.MaxClients = 2000
@@ -128,7 +160,6 @@
 		ring:          decisionlog.NewRing(settings.Self.Name),
 		timers:        statemachine.NewTimers[timer](),
 		sessions:      map[uint64]*session{},
-		moving:        map[uint64]bool{},
 		spaces:        map[string]*spaceState{},
 		senders:       map[senderKey]*sender{},
 		trackers:      map[string]*tracker{},
@@ -162,7 +193,7 @@
 	return gateway
 }
 
-// orLonger is a span that may be shorter than a longest one.
+// orLonger returns a span, or the longest allowed one if it is longer or not given.
 func orLonger(span, longest time.Duration) time.Duration {
 	if span <= 0 {
 		return longest
@@ -170,25 +201,24 @@
 	return min(span, longest)
 }
 
-// ConfigurationVersion is the configuration version in force here.
+// ConfigurationVersion returns the version of the configuration in force here.
 func (g *Gateway) ConfigurationVersion() uint64 { return g.viewClient.Version }
 
-// ViewClient gives the gateway's view, for its ctl.
+// ViewClient returns the client of the control state, for the ctl of this daemon.
 func (g *Gateway) ViewClient() *membership.ViewClient { return g.viewClient }
 
-// Overlay gives the overlay part, for counters and tests.
+// Overlay returns the overlay part, for counters and tests.
 func (g *Gateway) Overlay() *overlay.Overlay { return g.overlay }
 
-// Configuration is the one in force, for the simulator's checks.
+// Configuration returns the configuration in force, for the simulator's checks.
 func (g *Gateway) Configuration() config.Configuration { return g.config }
 
-// Resting tells whether the gateway was asked to rest and holds nobody.
+// Resting returns whether the gateway was directed to rest and has no sessions.
 func (g *Gateway) Resting() bool {
 	return g.viewClient.Directives.Rest && len(g.sessions) == 0 && !g.stopping
 }
 
-// Confirmed tells whether the gateway may trust that its configuration is the
-// newest.
+// Confirmed returns whether the gateway may trust that its configuration is the newest.
 func (g *Gateway) Confirmed(now time.Time) bool {
 	limit := g.settings.ConfirmedFor
 	if statemachine.Mutated("never-unconfirmed") {
@@ -198,26 +228,26 @@
 		now.Sub(g.viewClient.ConfirmedAt) <= limit && !g.detector.Isolated(now)
 }
 
-// Ready tells whether the platform should send new connections here.
+// Ready returns whether the platform should send new connections here.
 func (g *Gateway) Ready(now time.Time) bool {
 	return g.Confirmed(now) && !g.stopping && !g.viewClient.Directives.Rest &&
 		len(g.sessions) < g.settings.MaxClients && !slices.Contains(g.config.Draining, g.settings.Self.Name)
 }
 
-// Start begins the gateway's work.
+// Start arms the timers of the gateway. It is called once, before all others.
 func (g *Gateway) Start(now time.Time, effects *statemachine.Effects) {
 	g.viewClient.Start(now)
 	g.detector.Start(now)
 	g.timers.Arm(timerTick, now.Add(tickInterval))
 }
 
-// NextTick is when the gateway wants to run again.
+// NextTick returns when Tick is due.
 func (g *Gateway) NextTick() time.Time {
 	return statemachine.Earliest(g.viewClient.NextTick(), g.detector.NextTick(), g.controlClient.NextTick(),
 		g.overlay.NextTick(), g.timers.Next())
 }
 
-// Tick runs whatever is due.
+// Tick runs everything that is due.
 func (g *Gateway) Tick(now time.Time, effects *statemachine.Effects) {
 	g.viewClient.Tick(now, effects)
 	g.detector.Tick(now, effects)
@@ -248,6 +278,7 @@
 	g.logReadiness(now, effects)
 }
 
+// logReadiness emits a log event when the readiness has changed.
 func (g *Gateway) logReadiness(now time.Time, effects *statemachine.Effects) {
 	ready := g.Ready(now)
 	if ready == g.wasReady {
@@ -266,7 +297,7 @@
 	)
 }
 
-// HandleCommand takes what the adapters bring.
+// HandleCommand handles a command of the adapters; commands of other types are ignored.
 func (g *Gateway) HandleCommand(now time.Time, command any, effects *statemachine.Effects) {
 	switch body := command.(type) {
 	case OpenSession:
@@ -297,7 +328,8 @@
 	g.logReadiness(now, effects)
 }
 
-// HandleMessage takes what other daemons say.
+// HandleMessage handles a message of another daemon. Copies of messages are deferred while the
+// gateway is unconfirmed.
 func (g *Gateway) HandleMessage(now time.Time, meta statemachine.Meta, message any, effects *statemachine.Effects) {
 	if meta.From != g.settings.Agent && meta.From != g.settings.Self.Address {
 		g.detector.ReceiveFromPeer(now)
@@ -374,8 +406,8 @@
 	}
 }
 
-// runOverlay runs the overlay. What is offered to gateways that it finds goes out
-// before what it says to them, so that it is there when they have settled.
+// runOverlay runs a step of the overlay. Repeated messages to newly discovered gateways are sent
+// before what the step sends, so that they arrive before the overlay is stable there.
 func (g *Gateway) runOverlay(
 	now time.Time,
 	effects *statemachine.Effects,
@@ -387,7 +419,8 @@
 	effects.Append(later)
 }
 
-// countCopy counts a copy that came from another gateway.
+// countCopy counts a copy that came from another gateway, and whether anybody here subscribes to
+// it.
 func (g *Gateway) countCopy(wanted bool) {
 	g.Counts.CopiesIn++
 	if !wanted {
@@ -395,9 +428,7 @@
 	}
 }
 
-// News.
-
-// tick does the slow periodic work: pings, silent channels, idle senders.
+// tick does the periodic work of each second: pings, silent sessions, idle senders.
 func (g *Gateway) tick(now time.Time, effects *statemachine.Effects) {
 	g.timers.Arm(timerTick, now.Add(tickInterval))
 	for id, session := range statemachine.Sorted(g.sessions) {
@@ -416,12 +447,10 @@
 	g.forgetRouted(now)
 }
 
-// Moving and stopping.
-
 const everything = uint64(math.MaxUint64)
 
-// SetMaxClients changes how many channels the gateway may hold.
+// SetMaxClients sets how many sessions the gateway may hold.
 func (g *Gateway) SetMaxClients(limit int) { g.settings.MaxClients = limit }
 
-// SetLink changes how many bytes a second the machine's link takes.
+// SetLink sets how many bytes a second the machine's link takes.
 func (g *Gateway) SetLink(rate int) { g.settings.Link = rate }
--- a/internal/gateway/identity_test.go
+++ b/internal/gateway/identity_test.go
@@ -105,7 +105,7 @@
 	present.append(now.Add(time.Second))
 	return present.take(now.Add(1100*time.Millisecond), partition.AppendResponse{
 		Partition: earlier.Partition,
-		RequestID:   earlier.RequestID,
+		RequestID: earlier.RequestID,
 		Outcome:   partition.OutcomeAccepted,
 		Epoch:     1,
 		Record:    partition.Record{Offset: 5},
@@ -142,7 +142,10 @@
 	}
 	sends := asker.recall(now)
 	for range len(sends) {
-		asker.take(now, partition.SenderStateResponse{RequestID: sends[0].Message.(partition.SenderStateRequest).RequestID, Ready: true})
+		asker.take(now, partition.SenderStateResponse{
+			RequestID: sends[0].Message.(partition.SenderStateRequest).RequestID,
+			Ready:     true,
+		})
 	}
 	return asker.gateway.senders[asker.item.key].lookedUp
 }
@@ -159,7 +162,14 @@
 	}
 	asker.gateway.fetches[3] = operation
 	page := func(from, until uint64) partition.FetchResponse {
-		answer := partition.FetchResponse{Partition: "boards~1/0", RequestID: 3, Epoch: 1, HighWatermark: 10, Until: until, Ready: true}
+		answer := partition.FetchResponse{
+			Partition:     "boards~1/0",
+			RequestID:     3,
+			Epoch:         1,
+			HighWatermark: 10,
+			Until:         until,
+			Ready:         true,
+		}
 		for offset := from; offset <= until; offset++ {
 			answer.Records = append(answer.Records, partition.Record{Offset: offset, Epoch: 1, Sender: "u", Seq: offset})
 		}
--- a/internal/gateway/messages.go
+++ b/internal/gateway/messages.go
@@ -1,6 +1,3 @@
-// What gateways say to each other about messages, what their adapters bring in
-// from callers, and what goes back to callers.
-
 package gateway
 
 import (
@@ -8,14 +5,14 @@
 	"dahlialock/internal/transport"
 )
 
-// RecordCopy is the one copy of a kept message for one destination daemon.
+// RecordCopy is the copy of a durable message that one destination gateway gets.
 type RecordCopy struct {
 	_         struct{} `cbor:",toarray"`
 	Partition string
 	Record    partition.Record
 }
 
-// EphemeralCopy is the one copy of a passing message for one destination daemon.
+// EphemeralCopy is the copy of an ephemeral message that one destination gateway gets.
 type EphemeralCopy struct {
 	_      struct{} `cbor:",toarray"`
 	Space  string
@@ -23,26 +20,26 @@
 	Sender string
 	Seq    uint64
 	Data   []byte
-	// Repeated is set where it is offered again, to a gateway that was just found.
+	// Repeated is set if it is sent again, to a gateway that was just discovered.
 	Repeated bool
 }
 
-// RoutedCopy is the one copy of a message of a routed topic for one destination
-// daemon; the partition follows from the topic.
+// RoutedCopy is the copy of a message of a routed topic that one destination gateway gets; the
+// partition follows from the topic.
 type RoutedCopy struct {
 	_      struct{} `cbor:",toarray"`
 	Topic  string
 	Sender string
 	Seq    uint64
 	Offset uint64
-	// PriorDistance is how far the topic's record before it lies below Offset.
+	// PriorDistance is how far the offset of the topic's record before it lies below Offset.
 	PriorDistance uint64
 	Data          []byte
-	// Ephemeral tells that nothing of it is kept.
+	// Ephemeral is set if its data is not stored.
 	Ephemeral bool
 }
 
-// LinkClass tells that a passing message is of use now or never.
+// LinkClass returns the class of the message on a link: an ephemeral one is of use now or never.
 func (rc RoutedCopy) LinkClass() transport.Class {
 	if rc.Ephemeral {
 		return transport.ClassTransient
@@ -50,14 +47,15 @@
 	return transport.ClassLive
 }
 
+// record returns the copy as the record that a fetch would return.
 func (rc RoutedCopy) record() partition.Record {
 	return partition.Record{
-		Topic:  rc.Topic,
-		Sender: rc.Sender,
-		Seq:    rc.Seq,
-		Offset: rc.Offset,
-		PreviousInTopic:  rc.Offset - rc.PriorDistance,
-		Data:   rc.Data,
+		Topic:           rc.Topic,
+		Sender:          rc.Sender,
+		Seq:             rc.Seq,
+		Offset:          rc.Offset,
+		PreviousInTopic: rc.Offset - rc.PriorDistance,
+		Data:            rc.Data,
 	}
 }
 
@@ -67,7 +65,7 @@
 	transport.MustRegister(601, EphemeralCopy{})
 }
 
-// Interest is what a subscription asks for: one topic, or all under a prefix.
+// Interest is what a subscription matches: one topic, or all topics under a prefix.
 type Interest struct {
 	_      struct{} `cbor:",toarray"`
 	Space  string
--- a/internal/gateway/policy.go
+++ b/internal/gateway/policy.go
@@ -1,7 +1,3 @@
-// Every request passes policies: plug-ins behind one interface, in a fixed order.
-// A policy lets a request pass, refuses it with its final answer, or asks for one
-// look at the news before it judges again.
-
 package gateway
 
 import (
@@ -24,36 +20,42 @@
 
 // PolicyRequest is a request as the policies see it.
 type PolicyRequest struct {
-	Kind      RequestKind
-	Client    string
-	Sender    string
-	Space     string
-	Paths     []Interest
-	Topic     string
-	Seq       uint64
-	Data      []byte
+	Kind   RequestKind
+	Client string
+	Sender string
+	Space  string
+	// Paths are the interests of a subscription.
+	Paths []Interest
+	Topic string
+	Seq   uint64
+	Data  []byte
+	// Refreshed is set if the configuration was refreshed for the request before.
 	Refreshed bool
-	// Routed tells that the space was found by the routes: its topics are plain
-	// names.
-	Routed  bool
+	// Routed is set if the space was found by the routes: its topics are plain names.
+	Routed bool
+	// Gateway is the gateway that evaluates the request.
 	Gateway *Gateway
 }
 
-// Verdict is what a policy says.
+// Verdict is the decision of a policy.
 type Verdict struct {
-	Allowed      bool
+	Allowed bool
+	// NeedsRefresh asks for a newer configuration before the rejection is final.
 	NeedsRefresh bool
-	Reply        Reply
+	// Reply is the answer if the request is not allowed.
+	Reply Reply
 }
 
 var allowed = Verdict{Allowed: true}
 
-// Policy judges requests.
+// Policy evaluates requests. Policies run in a fixed order; the first that does not allow a request
+// ends its evaluation.
 type Policy interface {
 	Name() string
 	Evaluate(now time.Time, request *PolicyRequest) Verdict
 }
 
+// standardPolicies returns the policies of a gateway, in the order of their evaluation.
 func standardPolicies() []Policy {
 	return []Policy{
 		servingPolicy{},
@@ -66,7 +68,9 @@
 	}
 }
 
-// authorize asks all policies in turn; look is called where news may help.
+// authorize evaluates all policies in turn and returns whether they allow the request. It calls
+// answer where one rejects it, and retry after a refresh where a newer configuration may change the
+// decision.
 func (g *Gateway) authorize(
 	now time.Time,
 	request *PolicyRequest,
@@ -95,6 +99,7 @@
 	return true
 }
 
+// servingPolicy rejects requests while the gateway may not serve.
 type servingPolicy struct{}
 
 func (servingPolicy) Name() string { return "serving" }
@@ -117,6 +122,7 @@
 	return allowed
 }
 
+// senderPolicy rejects publications under the name of another client.
 type senderPolicy struct{}
 
 func (senderPolicy) Name() string { return "sender" }
@@ -128,6 +134,7 @@
 	return allowed
 }
 
+// topicPolicy rejects malformed topics.
 type topicPolicy struct{}
 
 func (topicPolicy) Name() string { return "topic" }
@@ -151,7 +158,8 @@
 	return allowed
 }
 
-// ValidRoutedTopic tells whether a name may be a routed topic.
+// ValidRoutedTopic returns whether a name may be a routed topic: up to 256 bytes without blanks and
+// control characters.
 func ValidRoutedTopic(name string) bool {
 	if name == "" || len(name) > 256 {
 		return false
@@ -164,7 +172,8 @@
 	return true
 }
 
-// ValidTopic tells whether a path may be a topic.
+// ValidTopic returns whether a path may be a topic: up to 256 bytes and 16 parts that are not
+// empty, without blanks and control characters.
 func ValidTopic(path string) bool {
 	if path == "" || len(path) > 256 || strings.HasPrefix(
 		path,
@@ -180,6 +189,7 @@
 	return strings.Count(path, "/") < 16
 }
 
+// spacePolicy rejects spaces that the configuration does not have, after a refresh.
 type spacePolicy struct{}
 
 func (spacePolicy) Name() string { return "space" }
@@ -196,6 +206,7 @@
 	return allowed
 }
 
+// spaces returns the spaces that the request names.
 func (pr *PolicyRequest) spaces() []string {
 	if pr.Kind == RequestPublish {
 		return []string{pr.Space}
@@ -207,6 +218,7 @@
 	return names
 }
 
+// rightsPolicy rejects clients that the configuration of the space does not allow.
 type rightsPolicy struct{}
 
 func (rightsPolicy) Name() string { return "rights" }
@@ -229,6 +241,7 @@
 	return allowed
 }
 
+// sizePolicy rejects data that is too large and sequences below 1.
 type sizePolicy struct{}
 
 func (sizePolicy) Name() string { return "size" }
@@ -248,8 +261,8 @@
 	return allowed
 }
 
-// ratePolicy lets a space's publications pass at the rate it allows, counted
-// on this gateway in whole seconds.
+// ratePolicy limits the publications of a space to its rate, counted on this gateway in whole
+// seconds.
 type ratePolicy struct {
 	second map[string]int64
 	count  map[string]int
--- a/internal/gateway/presence.go
+++ b/internal/gateway/presence.go
@@ -1,14 +1,15 @@
 package gateway
 
 import (
-	"dahlialock/internal/statemachine"
 	"time"
+
+	"dahlialock/internal/statemachine"
 )
 
-// subscribers counts the origins here that subscribe to a topic. Who was not yet
-// confirmed in a kept topic does not count: it may be refused and come again, and
-// telling all others of that each time takes more of a link than its messages. A
-// passing topic's messages are lost to whoever is not told of.
+// subscribers returns how many clients here subscribe to the topic. A subscription to a durable
+// topic that is not confirmed yet does not count: it may be rejected and retried, and announcing
+// each of these changes takes more of a link than the messages do. In an ephemeral topic it counts
+// at once, since messages are lost to a gateway that the others do not know of.
 func (t *topicState) subscribers() int {
 	if !t.durable || statemachine.Mutated("waiting-counts") {
 		return len(t.subscriptions)
@@ -22,7 +23,8 @@
 	return count
 }
 
-// announceSubscriberCount lets the overlay know how many origins here subscribe to a topic.
+// announceSubscriberCount reports to the overlay how many clients here subscribe to a topic, if
+// that has changed.
 func (g *Gateway) announceSubscriberCount(now time.Time, topic *topicState, effects *statemachine.Effects) {
 	if count := topic.subscribers(); count != topic.announcedCount {
 		topic.announcedCount = count
@@ -30,8 +32,8 @@
 	}
 }
 
-// count tells how many origins subscribe to a topic, over all gateways, from
-// what the overlay's peers tell each other.
+// count answers how many clients subscribe to a topic, over all gateways, from what the peers of
+// the overlay announce to each other.
 func (g *Gateway) count(now time.Time, request CountSubscribers, refreshed bool, effects *statemachine.Effects) {
 	g.Counts.Requests++
 	if session, found := g.sessions[request.Session]; found {
--- a/internal/gateway/publish.go
+++ b/internal/gateway/publish.go
@@ -1,10 +1,3 @@
-// Publishing. The messages of one sender in one space go one after the other:
-// the next begins when the one before has its answer, and a refusal or an
-// unsettled fate holds off those behind it, so that none overtakes. A kept
-// message goes to the first of its partition and is fanned out once it is
-// accepted; a passing one is fanned out at once. The destinations come from the
-// runOverlay peer at the topic's area, one copy for each daemon.
-
 package gateway
 
 import (
@@ -29,36 +22,50 @@
 	joinPatience      = 800 * time.Millisecond
 )
 
+// senderKey names a sender within a space.
 type senderKey struct {
 	space  string
 	sender string
 }
 
+// sentMemory is an ephemeral message of a sender that was accepted a moment ago.
 type sentMemory struct {
 	digest uint64
 	at     time.Time
 }
 
+// sender is the state of one sender in one space.
 type sender struct {
-	queue        []*publication
-	lastSeq      uint64
-	lookedUp     bool
+	// queue are the publications that wait for their turn; the first one is being processed.
+	queue []*publication
+	// lastSeq is the highest accepted sequence that is known here.
+	lastSeq uint64
+	// lookedUp is set once the stores were asked for lastSeq and the dependencies.
+	lookedUp bool
+	// dependencies are the messages that were accepted within the dependency window.
 	dependencies []dependency
-	arrived      time.Time
-	recent       map[uint64]sentMemory
-	blocked      uint64
-	blockedAt    time.Time
-	lastUse      time.Time
-}
-
-// dependency is a message of a sender that was accepted a moment ago.
+	// arrived is when the sender came here, or skipped a sequence, which may mean that it was
+	// elsewhere.
+	arrived time.Time
+	// recent are the ephemeral messages of the last moments, by sequence.
+	recent map[uint64]sentMemory
+	// blocked is the sequence that was not accepted and must be sent again before later ones, 0 if
+	// there is none; it lapses blockFor after blockedAt.
+	blocked   uint64
+	blockedAt time.Time
+	// lastUse is when the sender last published; after senderIdleTimeout it is forgotten.
+	lastUse time.Time
+}
+
+// dependency is a message of a sender that was accepted a moment ago: the sender's next messages
+// depend on it.
 type dependency struct {
 	mark partition.MessagePosition
 	seq  uint64
 	at   time.Time
 }
 
-// trail tells the trail that goes with a sender's next message.
+// trail returns the dependencies that go with a sender's next message.
 func (s *sender) trail(now time.Time) partition.Dependencies {
 	s.dependencies = slices.DeleteFunc(
 		s.dependencies,
@@ -79,34 +86,46 @@
 	return trail
 }
 
+// publication is a message that a client published to a space whose topics are not routed.
 type publication struct {
-	request   Publish
-	key       senderKey
-	id        uint64
+	request Publish
+	key     senderKey
+	// id is its number in appends, 0 before the first append.
+	id uint64
+	// partition is where it is appended.
 	partition string
-	sentAt    time.Time
-	deadline  time.Time
-	// unanswered are the numbers of the sends without an answer; see routedPublication.
+	// sentAt is when the append was last sent.
+	sentAt time.Time
+	// deadline is when it gets its final answer at the latest.
+	deadline time.Time
+	// unanswered are the numbers of the sends without a response; see routedPublication.
 	unanswered map[uint64]bool
-	lookedUp   bool
-	answered   bool
+	// lookedUp is set once the sender was looked up for it, which is done once only.
+	lookedUp bool
+	// answered is set with the final answer.
+	answered bool
 }
 
-// senderLookup asks the stores where a sender's newest messages are; waiting is how many
-// have not answered, and answered tells of each address that was asked whether it has.
+// senderLookup asks the stores of a space for the newest messages of a sender.
 type senderLookup struct {
-	key      senderKey
+	key senderKey
+	// waiting is how many stores have not responded; answered has an entry for each store that was
+	// asked.
 	waiting  int
 	answered map[string]bool
-	ready    bool
-	lastSeq  uint64
-	recent   []partition.RecentMessage
+	// ready is set while all responses came from stores that lead their partitions.
+	ready bool
+	// lastSeq and recent gather what the stores responded.
+	lastSeq uint64
+	recent  []partition.RecentMessage
+	// deadline is when the lookup is dropped.
 	deadline time.Time
 }
 
 // messageName is the name of the message in recorded decisions.
 func (p Publish) messageName() string { return decisionlog.MessageName(p.Space, p.Sender, p.Seq) }
 
+// messageOf returns the name of the message in recorded decisions, empty if the request has none.
 func (g *Gateway) messageOf(request *PolicyRequest) string {
 	if request.Kind != RequestPublish {
 		return ""
@@ -114,6 +133,7 @@
 	return decisionlog.MessageName(request.Space, request.Sender, request.Seq)
 }
 
+// publish handles the publication of a client.
 func (g *Gateway) publish(now time.Time, request Publish, effects *statemachine.Effects) {
 	g.Counts.Requests++
 	if g.isRoutedTopic(request.Space) {
@@ -123,6 +143,8 @@
 	g.publishAttempt(now, request, false, effects)
 }
 
+// publishAttempt evaluates a publication and queues it; refreshed is set where the configuration
+// was refreshed for it before.
 func (g *Gateway) publishAttempt(now time.Time, request Publish, refreshed bool, effects *statemachine.Effects) {
 	policyRequest := &PolicyRequest{
 		Kind:      RequestPublish,
@@ -184,7 +206,7 @@
 	}
 }
 
-// answerPublication gives a publication its final answer.
+// answerPublication gives a publication its final answer, once.
 func (g *Gateway) answerPublication(now time.Time, item *publication, answer Reply, effects *statemachine.Effects) {
 	if item.answered {
 		return
@@ -196,7 +218,7 @@
 	effects.Respond(item.request.Request, answer)
 }
 
-// begin starts the publication at the head of a sender's queue.
+// begin starts the publication at the front of a sender's queue.
 func (g *Gateway) begin(now time.Time, from *sender, effects *statemachine.Effects) {
 	for len(from.queue) > 0 {
 		item := from.queue[0]
@@ -215,8 +237,8 @@
 	}
 }
 
-// finish ends the head of a queue. Where it was not accepted, those behind it
-// are refused, and later seqs are held off until this one is sent again.
+// finish answers the publication at the front of a queue. Where it was not accepted, those behind
+// it are rejected, and later sequences are held off until this one is sent again.
 func (g *Gateway) finish(now time.Time, item *publication, answer Reply, effects *statemachine.Effects) {
 	delete(g.appends, item.id)
 	for send := range item.unanswered {
@@ -252,19 +274,19 @@
 	g.begin(now, from, effects)
 }
 
-// Kept messages.
-
+// partitionOf returns the partition of a topic.
 func (g *Gateway) partitionOf(state *spaceState, topic string) string {
 	return partitionName(state.name, partition.ForTopic(topic, state.space.Partitions()))
 }
 
+// partitionName returns the name of the partition with a number in a space.
 func partitionName(space string, number int) string {
 	name := controller.PartitionName("", 0, number)
 	return space + name[len("~0"):]
 }
 
-// areaOf is where a topic lies: a space with one shared order is one area, so
-// that all who hold a part of it receive the whole of it.
+// areaOf returns where a topic lies in the overlay: a space with one shared order is one area, so
+// that all gateways that have a part of it receive all of it.
 func areaOf(space config.Space, path string) overlay.Area {
 	if space.Order == config.OrderSpace {
 		return overlay.WholeSquare
@@ -272,6 +294,8 @@
 	return overlay.AreaOf(path)
 }
 
+// publishDurable sends a publication to the leader of its partition, after a lookup of the sender
+// where its newest messages are not known here.
 func (g *Gateway) publishDurable(
 	now time.Time,
 	state *spaceState,
@@ -295,6 +319,7 @@
 	g.sendAppend(now, from, item, effects)
 }
 
+// leaderOf returns the address and the name of the store that leads a partition.
 func (g *Gateway) leaderOf(name string) (address, store string, found bool) {
 	placement, placed := g.viewClient.Placements[name]
 	if !placed {
@@ -304,6 +329,7 @@
 	return member.Address, placement.Leader, known
 }
 
+// sendAppend sends an append, or sends it again under a new request number.
 func (g *Gateway) sendAppend(now time.Time, from *sender, item *publication, effects *statemachine.Effects) {
 	item.sentAt = now
 	g.timers.ArmSooner(timerDeadlines, now.Add(appendRetry))
@@ -330,17 +356,18 @@
 		"epoch", g.viewClient.Placements[item.partition].Epoch,
 	)
 	effects.Send(address, partition.Append{
-		Partition: item.partition,
-		RequestID:   send,
-		Topic:     item.request.Topic,
-		Sender:    item.request.Sender,
-		Seq:       item.request.Seq,
-		Data:      item.request.Data,
-		Dependencies:    before,
+		Partition:     item.partition,
+		RequestID:     send,
+		Topic:         item.request.Topic,
+		Sender:        item.request.Sender,
+		Seq:           item.request.Seq,
+		Data:          item.request.Data,
+		Dependencies:  before,
 		DuplicateOnly: item.request.Seq <= from.lastSeq,
 	})
 }
 
+// handleAppendResponse applies the response of a store to a publication.
 func (g *Gateway) handleAppendResponse(
 	now time.Time,
 	response partition.AppendResponse,
@@ -366,49 +393,71 @@
 	)
 	switch response.Outcome {
 	case partition.OutcomeAccepted:
-		if from, known := g.senders[item.key]; known {
-			from.lastSeq = max(from.lastSeq, item.request.Seq)
-			from.dependencies = append(from.dependencies, dependency{
-				mark: partition.MessagePosition{
-					Partition: partition.NumberOf(response.Partition),
-					Offset:    response.Record.Offset,
-					Topic:     item.request.Topic,
-				},
-				seq: item.request.Seq,
-				at:  now,
-			})
-		}
-		if state, present := g.spaces[item.request.Space]; present && !response.Duplicate {
-			g.fanOutRecord(now, state, response.Partition, response.Record, item, effects)
-		}
-		g.finish(now, item, acceptedReply(map[string]any{"again": response.Duplicate}), effects)
+		g.applyAppended(now, item, response, effects)
 	case partition.OutcomeRejected:
-		switch response.Code {
-		case "not-first":
-			// The store or this gateway lacks news; the limit decides.
-			g.viewClient.PollNow(now)
-			item.sentAt = now
-			g.timers.ArmSooner(timerDeadlines, now.Add(appendRetry))
-		case "old-seq", "seq-reused":
-			g.finish(now, item, rejectedReply(409, response.Code, "this seq is not above the sender's newest", 0), effects)
-		default:
-			if len(item.unanswered) > 0 {
-				// An earlier try has no answer; it may yet be kept.
-				g.finish(now, item, unsettledReply(response.Code, "send the same seq again", response.RetryAfter), effects)
-				return
-			}
-			g.finish(
-				now,
-				item,
-				rejectedReply(503, response.Code, "the partition can't keep two copies at this moment", response.RetryAfter),
-				effects,
-			)
-		}
+		g.applyAppendRejected(now, item, response, effects)
 	default:
 		g.finish(now, item, unsettledReply(response.Code, "send the same seq again", retryLongDelay), effects)
 	}
 }
 
+// applyAppended fans out a message that was appended and accepts its publication.
+func (g *Gateway) applyAppended(
+	now time.Time,
+	item *publication,
+	response partition.AppendResponse,
+	effects *statemachine.Effects,
+) {
+	if from, known := g.senders[item.key]; known {
+		from.lastSeq = max(from.lastSeq, item.request.Seq)
+		from.dependencies = append(from.dependencies, dependency{
+			mark: partition.MessagePosition{
+				Partition: partition.NumberOf(response.Partition),
+				Offset:    response.Record.Offset,
+				Topic:     item.request.Topic,
+			},
+			seq: item.request.Seq,
+			at:  now,
+		})
+	}
+	if state, present := g.spaces[item.request.Space]; present && !response.Duplicate {
+		g.fanOutRecord(now, state, response.Partition, response.Record, item, effects)
+	}
+	g.finish(now, item, acceptedReply(map[string]any{"again": response.Duplicate}), effects)
+}
+
+// applyAppendRejected answers a publication that a store rejected, unless it can still
+// succeed within its deadline.
+func (g *Gateway) applyAppendRejected(
+	now time.Time,
+	item *publication,
+	response partition.AppendResponse,
+	effects *statemachine.Effects,
+) {
+	switch response.Code {
+	case "not-first":
+		// The view of the store or of this gateway is old; the deadline decides.
+		g.viewClient.PollNow(now)
+		item.sentAt = now
+		g.timers.ArmSooner(timerDeadlines, now.Add(appendRetry))
+	case "old-seq", "seq-reused":
+		g.finish(now, item, rejectedReply(409, response.Code, "this seq is not above the sender's newest", 0), effects)
+	default:
+		answer := rejectedReply(
+			503,
+			response.Code,
+			"the partition can't keep two copies at this moment",
+			response.RetryAfter,
+		)
+		if len(item.unanswered) > 0 {
+			// An earlier attempt has no response; it may yet be appended.
+			answer = unsettledReply(response.Code, "send the same seq again", response.RetryAfter)
+		}
+		g.finish(now, item, answer, effects)
+	}
+}
+
+// lookUpSender asks all stores of a space for the newest messages of a sender.
 func (g *Gateway) lookUpSender(now time.Time, state *spaceState, item *publication, effects *statemachine.Effects) {
 	byStore := map[string][]string{}
 	for number := range state.space.Partitions() {
@@ -437,11 +486,15 @@
 	g.senderLookups[g.nextRequest] = lookup
 	for address, names := range statemachine.Sorted(byStore) {
 		lookup.answered[address] = false
-		effects.Send(address, partition.SenderStateRequest{RequestID: g.nextRequest, Partitions: names, Sender: item.request.Sender})
+		effects.Send(address, partition.SenderStateRequest{
+			RequestID:  g.nextRequest,
+			Partitions: names,
+			Sender:     item.request.Sender,
+		})
 	}
 }
 
-// handleSenderResponse counts one answer of each store that was asked.
+// handleSenderResponse applies the response of a store to a sender lookup; each store counts once.
 func (g *Gateway) handleSenderResponse(
 	now time.Time,
 	store string,
@@ -479,15 +532,22 @@
 		return
 	}
 	from.lookedUp, from.lastSeq, from.dependencies = true, lookup.lastSeq, nil
-	slices.SortFunc(lookup.recent, func(left, right partition.RecentMessage) int { return cmp.Compare(left.Seq, right.Seq) })
+	slices.SortFunc(
+		lookup.recent,
+		func(left, right partition.RecentMessage) int { return cmp.Compare(left.Seq, right.Seq) },
+	)
 	for _, each := range lookup.recent {
-		from.dependencies = append(from.dependencies, dependency{mark: each.Position, seq: each.Seq, at: now.Add(-each.Age / 2)})
+		from.dependencies = append(from.dependencies, dependency{
+			mark: each.Position,
+			seq:  each.Seq,
+			at:   now.Add(-each.Age / 2),
+		})
 	}
 	g.begin(now, from, effects)
 }
 
-// fanOutRecord sends one copy to each destination daemon, and hands the message
-// to this daemon's own subscribers.
+// fanOutRecord sends one copy of a record to each destination gateway, and delivers it to the
+// subscribers here.
 func (g *Gateway) fanOutRecord(
 	now time.Time,
 	state *spaceState,
@@ -512,6 +572,7 @@
 	g.overlay.Publish(now, state.name, area, spread, effects)
 }
 
+// spread sends one copy to each destination gateway.
 func (g *Gateway) spread(
 	now time.Time,
 	item *publication,
@@ -534,8 +595,7 @@
 	)
 }
 
-// Passing messages.
-
+// publishEphemeral fans out an ephemeral message once the overlay is stable.
 func (g *Gateway) publishEphemeral(
 	now time.Time,
 	state *spaceState,
@@ -556,9 +616,8 @@
 		g.finish(now, item, rejectedReply(409, "old-seq", "this seq is not above the sender's newest", 0), effects)
 		return
 	}
-	// A sender that came here a moment ago may send again what another gateway
-	// passed on. It is passed on once more, and whoever had it, or a later one,
-	// lets it fall.
+	// A sender that came here a moment ago may retry what another gateway fanned out.
+	// It is fanned out once more; a session that has had it, or a later one, ignores it.
 	area := areaOf(state.space, request.Topic)
 	g.overlay.Publish(now, state.name, area, func(now time.Time, effects *statemachine.Effects, stable bool) {
 		if item.answered {
@@ -664,6 +723,7 @@
 	}
 }
 
+// sortedSenders walks the senders with a queue in the order of their space and name.
 func (g *Gateway) sortedSenders() func(yield func(senderKey, *sender) bool) {
 	return func(yield func(senderKey, *sender) bool) {
 		byName := map[string]senderKey{}
--- a/internal/gateway/publish_test.go
+++ b/internal/gateway/publish_test.go
@@ -54,7 +54,7 @@
 	for range 2 {
 		gateway.handleAppendResponse(now, partition.AppendResponse{
 			Partition: item.partition,
-			RequestID:   first,
+			RequestID: first,
 			Outcome:   partition.OutcomeRejected,
 			Code:      "not-first",
 		}, &effects)
--- a/internal/gateway/recent_ephemeral.go
+++ b/internal/gateway/recent_ephemeral.go
@@ -1,10 +1,3 @@
-// Recent passing messages. A space that passes its messages on keeps none, but
-// while origins move and the overlay's peers come and go a message must not fall
-// between two gateways. Each gateway remembers for a moment what it passed on
-// and what came: an origin that resumes gets from that what it has not had, and
-// a gateway that is newly found as a destination is offered what was passed on
-// just before.
-
 package gateway
 
 import (
@@ -21,12 +14,15 @@
 	resumedFor         = 5 * time.Second
 )
 
+// recentEphemeral is an ephemeral message that was published or received a moment ago.
 type recentEphemeral struct {
-	at      time.Time
+	at time.Time
+	// own is set if a client here published it.
 	own     bool
 	message EphemeralCopy
 }
 
+// remember adds an ephemeral message to the recent ones of the space, and forgets old ones.
 func (ss *spaceState) remember(now time.Time, message EphemeralCopy, own bool) {
 	ss.recent = append(ss.recent, recentEphemeral{at: now, own: own, message: message})
 	old := 0
@@ -38,7 +34,7 @@
 	}
 }
 
-// repeatRecent sends newly found destinations what was passed on just before.
+// repeatRecent sends recent messages of clients here to newly discovered destinations.
 func (g *Gateway) repeatRecent(now time.Time, effects *statemachine.Effects) {
 	for _, found := range g.overlay.TakeDiscovered() {
 		member, known := g.viewClient.Members[found.Daemon]
@@ -58,8 +54,8 @@
 	}
 }
 
-// replayRecent puts what passed by here just before an origin resumed in front of what
-// came while it did, each sender's messages in order.
+// replayRecent puts the recent messages that match the interests of a resumed session in front of
+// those that were buffered meanwhile, and sorts them by sender and sequence.
 func (g *Gateway) replayRecent(now time.Time, session *session, interests []Interest) {
 	var replayed []EphemeralCopy
 	for _, interest := range interests {
--- a/internal/gateway/refresh.go
+++ b/internal/gateway/refresh.go
@@ -1,17 +1,19 @@
 package gateway
 
 import (
-	"dahlialock/internal/statemachine"
 	"time"
+
+	"dahlialock/internal/statemachine"
 )
 
+// refreshWaiter is a request that waits for a newer configuration.
 type refreshWaiter struct {
 	until time.Time
 	then  func(now time.Time, effects *statemachine.Effects)
 }
 
-// refreshThen asks for news once, for all requests that met an unknown space meanwhile,
-// and then lets them go on.
+// refreshThen polls the control state, once for all requests that wait meanwhile, and continues
+// with them when it has answered or after refreshTimeout.
 func (g *Gateway) refreshThen(now time.Time, then func(now time.Time, effects *statemachine.Effects)) {
 	if len(g.refreshWaiters) == 0 {
 		g.Counts.Refreshes++
@@ -22,6 +24,7 @@
 	g.timers.ArmSooner(timerRefresh, until)
 }
 
+// completeRefresh continues with all requests that wait for a refresh.
 func (g *Gateway) completeRefresh(now time.Time, effects *statemachine.Effects) {
 	waiters := g.refreshWaiters
 	g.refreshWaiters = nil
--- a/internal/gateway/route.go
+++ b/internal/gateway/route.go
@@ -1,6 +1,3 @@
-// Ways to partitions: to which store, in which of its lives and in which epoch, what
-// waits for an answer was sent. News of other things send nothing again.
-
 package gateway
 
 import (
@@ -9,15 +6,18 @@
 	"dahlialock/internal/statemachine"
 )
 
-// route is where a partition is asked, and whether it can answer.
+// route is where requests for a partition are sent, and whether its leader can answer.
 type route struct {
-	address     string
+	address string
+	// incarnation is the leader's run and epoch the partition's, so that a restart or a takeover
+	// makes another route.
 	incarnation uint64
 	epoch       uint64
-	complete    bool
+	// complete is set if the leader has all records.
+	complete bool
 }
 
-// routeTo is the present way to a partition; the zero way where there is none.
+// routeTo returns the present route to a partition, the zero route if there is none.
 func (g *Gateway) routeTo(name string) route {
 	placement, placed := g.viewClient.Placements[name]
 	leader, known := g.viewClient.Members[placement.Leader]
@@ -32,13 +32,13 @@
 	}
 }
 
-// changed tells whether something that went one way should go another now.
+// changed returns whether something that was sent by this route is to be sent by the present one.
 func (r route) changed(present route) bool {
 	return present != (route{}) && r != present || statemachine.Mutated("all-sent-again-at-news")
 }
 
-// routesChanged tells whether heads are to be asked for anew: a partition that topics
-// here lie in has another way than when they were last asked for.
+// routesChanged returns whether high watermarks are to be subscribed to again: a partition in use
+// here has another route than at the last time.
 func (g *Gateway) routesChanged() bool {
 	if len(g.trackers) > 0 {
 		return true
@@ -51,7 +51,7 @@
 	return false
 }
 
-// resendRouted sends what waits for a store to the partition's new first.
+// resendRouted sends appends and fetches of routed topics to the new leaders of their partitions.
 func (g *Gateway) resendRouted(now time.Time, effects *statemachine.Effects) {
 	for _, item := range statemachine.Sorted(g.routed.appends) {
 		if item.sentBy.changed(g.routeTo(item.partition)) && now.Sub(item.sentAt) > 20*time.Millisecond {
--- a/internal/gateway/routed_publish.go
+++ b/internal/gateway/routed_publish.go
@@ -1,10 +1,3 @@
-// Publishing to routed topics. The partition's first gives every message its place
-// in the topic's order and remembers its sender's seqs; once it is accepted one
-// copy goes to each gateway with subscribers. Messages of different topics don't
-// wait for each other, and those of one topic go to the first in the order in
-// which they came. A passing message's data never goes to a store: only its
-// place in the order does.
-
 package gateway
 
 import (
@@ -21,24 +14,30 @@
 	routedRemember = 30 * time.Second
 )
 
+// routedKey names a message of a routed topic.
 type routedKey struct {
 	topic  string
 	sender string
 	seq    uint64
 }
 
+// routedPublication is a message that a client published to a routed topic.
 type routedPublication struct {
-	request   Publish
+	request Publish
+	// id is its number in appends, which gives the order of retries.
 	id        uint64
 	space     string
 	partition string
+	// ephemeral is set if only its offset, not its data, is appended.
 	ephemeral bool
-	sentAt    time.Time
-	sentBy    route
-	deadline  time.Time
-	sends     int
-	// unanswered are the numbers of the sends without an answer. An answer settles the
-	// send that it names, so that one which comes twice settles no other.
+	// sentAt and sentBy are when and by which route the append was last sent, sends how often.
+	sentAt time.Time
+	sentBy route
+	// deadline is when it gets its final answer at the latest.
+	deadline time.Time
+	sends    int
+	// unanswered are the numbers of the sends without a response. A response answers the send that it
+	// names, so that one that comes twice answers no other.
 	unanswered map[uint64]bool
 }
 
@@ -47,11 +46,13 @@
 	return decisionlog.MessageName(rp.space, rp.request.Sender, rp.request.Seq)
 }
 
-// due is when it is sent again: the later, the more of its sends have no answer.
+// due is when it is sent again: the more sends are without a response, the later.
 func (rp *routedPublication) due() time.Time {
 	return rp.sentAt.Add(backoff(routedRetry, len(rp.unanswered)))
 }
 
+// publishRouted evaluates a publication to a routed topic and sends its append; refreshed is set
+// where the configuration was refreshed for it before.
 func (g *Gateway) publishRouted(now time.Time, request Publish, refreshed bool, effects *statemachine.Effects) {
 	space := g.routeOf(request.Space, request.Topic)
 	policyRequest := &PolicyRequest{
@@ -92,6 +93,7 @@
 	g.timers.ArmSooner(timerRouted, item.deadline)
 }
 
+// answerRouted gives a publication to a routed topic its final answer.
 func (g *Gateway) answerRouted(now time.Time, item *routedPublication, response Reply, effects *statemachine.Effects) {
 	g.countOutcome(response)
 	delete(g.routed.appends, item.id)
@@ -108,6 +110,7 @@
 	effects.Respond(item.request.Request, response)
 }
 
+// sendRouted sends an append to the leader, or sends it again under a new request number.
 func (g *Gateway) sendRouted(now time.Time, item *routedPublication, effects *statemachine.Effects) {
 	item.sentAt = now
 	g.timers.ArmSooner(timerRouted, item.due())
@@ -126,16 +129,17 @@
 	item.unanswered[g.nextRequest] = true
 	g.routed.sends[g.nextRequest] = item
 	effects.Send(address, partition.Append{
-		Partition: item.partition,
-		RequestID:   g.nextRequest,
-		Topic:     item.request.Topic,
-		Sender:    item.request.Sender,
-		Seq:       item.request.Seq,
-		Data:      data,
-		OffsetOnly:      item.ephemeral,
+		Partition:  item.partition,
+		RequestID:  g.nextRequest,
+		Topic:      item.request.Topic,
+		Sender:     item.request.Sender,
+		Seq:        item.request.Seq,
+		Data:       data,
+		OffsetOnly: item.ephemeral,
 	})
 }
 
+// handleRoutedResponse applies the response of a store to a publication to a routed topic.
 func (g *Gateway) handleRoutedResponse(
 	now time.Time,
 	item *routedPublication,
@@ -153,9 +157,9 @@
 		record.Seq = item.request.Seq
 		record.Data = item.request.Data
 		if !response.Duplicate || item.ephemeral || item.sends > 1 {
-			// What was kept before and is not passed on now is found by the
-			// partition's heads; a passing message is not, and who had it, or a
-			// later one, lets it fall.
+			// A duplicate of a durable message that was not fanned out is found by the
+			// high watermarks of the partition. An ephemeral one is not; a session that
+			// has had it, or a later one, ignores it.
 			g.fanOutRouted(now, item, record, effects)
 		}
 		g.answerRouted(now, item, acceptedReply(nil), effects)
@@ -171,7 +175,7 @@
 				effects,
 			)
 		case len(item.unanswered) > 0:
-			// An earlier try has no answer; it may yet be kept.
+			// An earlier attempt has no response; it may yet be appended.
 			g.answerRouted(now, item, unsettledReply(response.Code, "send the same seq again", retryShortDelay), effects)
 		default:
 			g.answerRouted(
@@ -191,8 +195,8 @@
 	}
 }
 
-// fanOutRouted hands a message to the subscribers here and sends one copy to
-// each gateway that has any.
+// fanOutRouted delivers a message to the subscribers here and sends one copy to each gateway that
+// has any.
 func (g *Gateway) fanOutRouted(
 	now time.Time,
 	item *routedPublication,
@@ -234,8 +238,8 @@
 	)
 }
 
-// retryPublications sends again what stayed without an answer, and gives up at
-// once on what can't be had in time.
+// retryPublications sends unanswered appends again, and answers the publications that have passed
+// their deadline.
 func (g *Gateway) retryPublications(now time.Time, effects *statemachine.Effects) {
 	var next time.Time
 	for _, item := range statemachine.Sorted(g.routed.appends) {
@@ -262,7 +266,7 @@
 	}
 }
 
-// forgetRouted lets old memories go.
+// forgetRouted forgets accepted publications after routedRemember.
 func (g *Gateway) forgetRouted(now time.Time) {
 	for key, at := range g.routed.accepted {
 		if now.Sub(at) > routedRemember {
--- a/internal/gateway/session.go
+++ b/internal/gateway/session.go
@@ -1,9 +1,3 @@
-// Channels and what they subscribe to. A subscription to kept topics begins by
-// learning the heads of its partitions, or, with a cursor, by fetching all that was
-// missed; until that is done its live messages wait, so that nothing is handed
-// over twice, skipped or out of order. Several interests resumed together are
-// filled as one, since a sender's order runs across them.
-
 package gateway
 
 import (
@@ -24,30 +18,44 @@
 	maxRefetches    = 64
 )
 
+// senderSequence is the newest sequence of a sender that was delivered, and when.
 type senderSequence struct {
 	seq uint64
 	at  time.Time
 }
 
+// session is the connection of one client.
 type session struct {
-	name            string
-	client          string
-	subscriptions   map[Interest]*subscription
-	routed          map[string]*topicSubscription
-	delivered       map[string]map[uint64]time.Time
-	deliveredAbove  map[string]map[uint64]bool
-	sequences       map[string]map[string]senderSequence
-	buffer          []RecordCopy
+	// name is the name that the adapter gave the session.
+	name string
+	// client is the name under which the client publishes and to which its cursors are bound.
+	client string
+	// subscriptions are those to spaces without routed topics.
+	subscriptions map[Interest]*subscription
+	// routed are the subscriptions to routed topics, by topic.
+	routed map[string]*topicSubscription
+	// delivered is when each offset of a partition was delivered to the client, for deliveredMemory.
+	delivered map[string]map[uint64]time.Time
+	// deliveredAbove are the delivered offsets that are not known to lie below the floor of the
+	// cursor.
+	deliveredAbove map[string]map[uint64]bool
+	// sequences are the newest sequences seen of each sender in ephemeral spaces, for sequenceMemory.
+	sequences map[string]map[string]senderSequence
+	// buffer and ephemeralBuffer hold what comes while a subscription is being filled.
+	buffer []RecordCopy
+	// floors are where the backlog began that is being delivered, by partition; nil at other times.
 	floors          map[string]uint64
 	ephemeralBuffer []EphemeralCopy
-	pongAt          time.Time
-	pingAt          time.Time
-	movedAt         time.Time
-	// adapterPings is set where the adapter itself watches whether the caller lives.
+	// pongAt is when the client last showed that it is alive, pingAt when it was last pinged.
+	pongAt time.Time
+	pingAt time.Time
+	// movedAt is when the client was asked to move; nothing is delivered after that.
+	movedAt time.Time
+	// adapterPings is set where the adapter itself checks that the client is alive.
 	adapterPings bool
 }
 
-// interests lists what a channel subscribes to, in order.
+// interests returns what a session subscribes to, in order.
 func (c *session) interests() []Interest {
 	interests := make([]Interest, 0, len(c.subscriptions))
 	for interest := range c.subscriptions {
@@ -57,6 +65,7 @@
 	return interests
 }
 
+// filling returns whether a subscription of the session is being filled.
 func (c *session) filling() bool {
 	for _, subscription := range c.subscriptions {
 		if subscription.filling {
@@ -66,7 +75,7 @@
 	return false
 }
 
-// catchingUp tells whether a subscription to a routed topic still lacks something.
+// catchingUp returns whether a subscription to a routed topic is being filled.
 func (c *session) catchingUp() bool {
 	for _, subscription := range c.routed {
 		if subscription.filling {
@@ -76,29 +85,33 @@
 	return false
 }
 
-// emit hands an event to a channel's writer.
+// emit delivers an event to a session.
 func (g *Gateway) emit(id uint64, event Event, effects *statemachine.Effects) {
 	effects.Deliveries = append(effects.Deliveries, statemachine.Delivery{Session: id, Event: event})
 }
 
-// emitLast tells a channel why it ends and where its origin may resume.
+// emitLast delivers the last event of a session: why it ends and the cursor with which its client
+// may resume.
 func (g *Gateway) emitLast(now time.Time, id uint64, session *session, code string, effects *statemachine.Effects) {
 	effects.Deliveries = append(effects.Deliveries, statemachine.Delivery{
 		Session: id, Event: Event{Event: "gone", Code: code, Cursor: g.cursor(now, session)}, Close: true,
 	})
 }
 
+// openSession handles a new connection.
 func (g *Gateway) openSession(now time.Time, request OpenSession, effects *statemachine.Effects) {
 	g.Counts.Requests++
 	if request.AdapterPings && !g.stopping && !g.Confirmed(now) {
-		// Its first news, or the next, may be on the way: one look spares a caller
-		// that comes right after a start the pause that follows a refusal.
+		// The first update of the control state, or the next, may be on the way: one
+		// refresh spares a client that connects right after a start the backoff after
+		// a rejection.
 		g.refreshThen(now, func(now time.Time, effects *statemachine.Effects) { g.admitSession(now, request, effects) })
 		return
 	}
 	g.admitSession(now, request, effects)
 }
 
+// admitSession opens a session, or rejects it or redirects its client.
 func (g *Gateway) admitSession(now time.Time, request OpenSession, effects *statemachine.Effects) {
 	if request.AdapterPings && g.draining() && g.Confirmed(now) {
 		if targets := g.targets(); len(targets) > 0 {
@@ -144,6 +157,7 @@
 	}, effects)
 }
 
+// newSession returns a session without subscriptions.
 func newSession(now time.Time, request OpenSession) *session {
 	return &session{
 		name:           request.Name,
@@ -159,15 +173,15 @@
 	}
 }
 
-// draining tells whether this gateway is to be empty soon while others are not:
-// one that is only full or out of touch sends nobody on, since the others may be
-// so too and would send them back.
+// draining returns whether this gateway is being emptied while others are not. One that is only
+// full or unconfirmed redirects nobody, since the others may be so too and would redirect the
+// clients back.
 func (g *Gateway) draining() bool {
 	return g.stopping || g.viewClient.Directives.Rest || slices.Contains(g.config.Draining, g.settings.Self.Name)
 }
 
-// redirectClient opens a channel only to say where its origin is better served: that
-// is found sooner so than by trying.
+// redirectClient opens a session only to redirect its client to another gateway, which is faster
+// than to reject it and let it try.
 func (g *Gateway) redirectClient(
 	now time.Time,
 	request OpenSession,
@@ -182,6 +196,7 @@
 	g.move(now, request.Session, opened, targets[g.rotation%min(len(targets), 3)], effects)
 }
 
+// closeSession removes a session and its subscriptions.
 func (g *Gateway) closeSession(now time.Time, request CloseSession, effects *statemachine.Effects) {
 	session, found := g.sessions[request.Session]
 	if !found {
@@ -203,6 +218,8 @@
 	g.ring.Record(now, "", "", session.client, "channel-closed", "why", request.Reason)
 }
 
+// checkSession forgets old deliveries of a session, pings its client, and closes it if the client
+// has moved or is silent.
 func (g *Gateway) checkSession(now time.Time, id uint64, session *session, effects *statemachine.Effects) {
 	for _, got := range session.delivered {
 		for offset, at := range got {
@@ -243,6 +260,7 @@
 	}
 }
 
+// pong handles the answer to a ping.
 func (g *Gateway) pong(now time.Time, request Pong, effects *statemachine.Effects) {
 	session, found := g.sessions[request.Session]
 	if !found || session.client != request.Client {
@@ -252,7 +270,3 @@
 	session.pongAt = now
 	effects.Respond(request.Request, acceptedReply(nil))
 }
-
-// Subscribing.
-
-// Handing over.
--- a/internal/gateway/stats.go
+++ b/internal/gateway/stats.go
@@ -1,11 +1,12 @@
 package gateway
 
 import (
-	"dahlialock/internal/membership"
 	"time"
+
+	"dahlialock/internal/membership"
 )
 
-// Counts are running sums for measurements and tests.
+// Counts are running sums for measurements and tests. The JSON keys are part of the ctl interface.
 type Counts struct {
 	Requests          uint64 `json:"Requests"`
 	Accepted          uint64 `json:"Accepted"`
@@ -27,6 +28,7 @@
 	Late    uint64 `json:"Late"`
 }
 
+// load returns the load that the gateway reports to the controllers.
 func (g *Gateway) load() membership.Load {
 	var processor time.Duration
 	if g.settings.Processor != nil {
@@ -45,5 +47,5 @@
 	}
 }
 
-// Load is what the gateway reports of itself.
+// Load returns the load that the gateway reports to the controllers.
 func (g *Gateway) Load() membership.Load { return g.load() }
--- a/internal/gateway/stopping_test.go
+++ b/internal/gateway/stopping_test.go
@@ -13,7 +13,9 @@
 	"dahlialock/internal/statemachine"
 )
 
-const document = `{"version":1,"spaces":[{"name":"boards","promise":"kept","order":"topic"}],"routes":[{"prefix":"b.","space":"boards"}]}`
+const document = `{"version":1,
+	"spaces":[{"name":"boards","promise":"kept","order":"topic"}],
+	"routes":[{"prefix":"b.","space":"boards"}]}`
 
 // fleetlab is one gateway that has its first news and another to send callers to.
 type fleetlab struct {
--- a/internal/gateway/subscription.go
+++ b/internal/gateway/subscription.go
@@ -1,20 +1,29 @@
 package gateway
 
 import (
+	"time"
+
 	"dahlialock/internal/config"
 	"dahlialock/internal/overlay"
 	"dahlialock/internal/partition"
 	"dahlialock/internal/statemachine"
-	"time"
 )
 
+// subscription is one interest of a session.
 type subscription struct {
-	since     map[string]uint64
+	// since is the offset of each partition above which records are delivered live, everything while
+	// the subscription is being filled.
+	since map[string]uint64
+	// notBefore are the offsets of partitions below which a resumed cursor's interest had not begun;
+	// they bound the missed records.
 	notBefore map[string]uint64
-	filling   bool
+	// filling is set until the fetch of the subscription has completed.
+	filling bool
+	// resumedAt is when it was resumed from a cursor, zero if it was not.
 	resumedAt time.Time
 }
 
+// subscribe handles the subscription of a client.
 func (g *Gateway) subscribe(now time.Time, request Subscribe, effects *statemachine.Effects) {
 	g.Counts.Requests++
 	if len(request.Interests) > 0 && g.isRoutedTopic(request.Interests[0].Space) {
@@ -24,6 +33,7 @@
 	g.subscribeAttempt(now, request, false, effects)
 }
 
+// answerSubscribe answers a subscription and counts the outcome.
 func (g *Gateway) answerSubscribe(now time.Time, request Subscribe, answer Reply, effects *statemachine.Effects) {
 	switch answer.Outcome {
 	case OutcomeAccepted:
@@ -184,7 +194,7 @@
 	}
 }
 
-// existingInterests leaves out interests of a cursor whose space is gone.
+// existingInterests leaves out the interests whose space was removed.
 func (g *Gateway) existingInterests(interests []Interest) []Interest {
 	var found []Interest
 	for _, interest := range interests {
@@ -195,6 +205,7 @@
 	return found
 }
 
+// partitionsOf returns the partitions that an interest reads; an ephemeral space has none.
 func (g *Gateway) partitionsOf(state *spaceState, interest Interest) []string {
 	if state.space.Retention != config.Durable {
 		return nil
@@ -209,6 +220,8 @@
 	return names
 }
 
+// addSubscription adds an interest to a session, its space and the trackers of its partitions. It
+// is filled later.
 func (g *Gateway) addSubscription(now time.Time, session *session, id uint64, interest Interest) {
 	state := g.spaces[interest.Space]
 	session.subscriptions[interest] = &subscription{since: map[string]uint64{}, filling: true}
@@ -226,10 +239,9 @@
 	}
 }
 
-// dropSubscription ends a subscription. Where its origin did not ask for that,
-// the overlay peer stays for a while: the origin, or another with the same
-// interest, is likely to come back, and a next try finds the peer further on
-// instead of beginning anew.
+// dropSubscription removes a subscription. If linger is set the overlay peer stays for a while: the
+// client, or another with the same interest, is likely to come back, and its next attempt finds the
+// peer joined instead of beginning anew.
 func (g *Gateway) dropSubscription(
 	now time.Time,
 	id uint64,
@@ -268,13 +280,14 @@
 	g.overlay.Unsubscribe(now, state.name, area, effects)
 }
 
-// lingered is an overlay holding that outlives its subscription for a while.
+// lingered is an overlay subscription that outlives the last subscription here for a while.
 type lingered struct {
 	space string
 	area  overlay.Area
 	until time.Time
 }
 
+// endLingering ends the lingering overlay subscriptions whose time is up.
 func (g *Gateway) endLingering(now time.Time, effects *statemachine.Effects) {
 	remaining := g.lingering[:0]
 	for _, each := range g.lingering {
@@ -287,6 +300,7 @@
 	g.lingering = remaining
 }
 
+// unsubscribe handles the request of a client to end subscriptions.
 func (g *Gateway) unsubscribe(now time.Time, request Unsubscribe, effects *statemachine.Effects) {
 	g.Counts.Requests++
 	if len(request.Interests) > 0 && g.isRoutedTopic(request.Interests[0].Space) {
@@ -306,6 +320,7 @@
 	effects.Respond(request.Request, acceptedReply(map[string]any{"subscriptions": len(session.subscriptions)}))
 }
 
+// matches returns whether a topic matches the interest.
 func (i Interest) matches(topic string) bool {
 	if i.Prefix {
 		return partition.HasTopicPrefix(topic, i.Path)
--- a/internal/gateway/topic.go
+++ b/internal/gateway/topic.go
@@ -1,11 +1,3 @@
-// Routed topics. A topic that a route leads to a space keeps one order of its
-// own, which the shared partition it lies in gives. So a subscription needs no more
-// than the newest offset that it has: what comes next names the topic's message
-// before it, and whatever is missing is fetched from the partition's first, for all
-// who lack it at once. The first also tells which topics moved, so that a lost
-// last message shows. Passing topics take the same order and keep nothing: what
-// does not come in time is passed over.
-
 package gateway
 
 import (
@@ -27,86 +19,113 @@
 	recentBytes           = 32 << 10
 	// backlogBytes bounds the recent records of a topic that was just caught up.
 	backlogBytes = 256 << 10
-	// topicFetchRetry is how long to wait before a store is asked again that does not
-	// serve the topic's partition.
+	// topicFetchRetry is how long to wait before the next request to a store that does
+	// not serve the partition of the topic.
 	topicFetchRetry = 200 * time.Millisecond
-	// retryDoubles is how often the wait for a store's answer doubles: one that is
-	// late because a link is full must not be asked for again and again.
+	// retryDoubles is how often the timeout of a request to a store doubles: a response
+	// that is late because a link is full must not be requested again and again.
 	retryDoubles           = 3
 	maxPendingTopicRecords = 4096
 )
 
-// topicState is a routed topic as this gateway follows it for its channels. Once it
-// is live, all of it up to last was handed over to every place that is filled.
+// topicState is a routed topic with subscriptions here. Once it is live, all records up to last
+// were delivered to every filled subscription.
 type topicState struct {
-	name           string
-	number         uint64
-	partition      string
-	space          string
-	durable        bool
-	subscriptions  []*topicSubscription
+	// name is the topic, number its hash, by which leaders report that it moved.
+	name   string
+	number uint64
+	// partition is the shared partition in which the topic lies; it follows from the name.
+	partition string
+	// space is the space to which the routes lead the topic.
+	space string
+	// durable is the retention of the space; a topic whose retention changes is dropped.
+	durable bool
+	// subscriptions are those of the sessions here, in no particular order; each knows its index.
+	subscriptions []*topicSubscription
+	// announcedCount is the subscriber count that was last reported to the overlay.
 	announcedCount int
-	live           bool
-	last           uint64
-	pending        []partition.Record
-	pendingSince   time.Time
-	// queued is set while it waits for a batch to its store, fetch while it is in one.
+	// live is set once the offset is known from which on records are delivered; last is the newest
+	// delivered offset.
+	live bool
+	last uint64
+	// pending are records whose predecessor has not come, by offset; pendingSince is when the wait
+	// for that began.
+	pending      []partition.Record
+	pendingSince time.Time
+	// queued is set while the topic waits for a batch to its store, fetch while it is in one.
 	queued bool
 	fetch  *topicFetch
-	// recent are the newest records, all after recentFrom; until recentUntil they
-	// are kept beyond the usual bounds.
+	// recent are the newest delivered records, all above recentFrom. Until recentUntil they are
+	// retained beyond the usual bounds.
 	recent      []partition.Record
 	recentSize  int
 	recentFrom  uint64
 	recentUntil time.Time
-	wanted      uint64
-	checkAt     time.Time
-	// missingBytes is how many bytes of its records are known to lack here.
+	// wanted is the highest offset that the topic is known to have; checkAt is when to fetch if it
+	// has not come by then, zero if it has.
+	wanted  uint64
+	checkAt time.Time
+	// missingBytes is how many bytes of records are known to be missing here.
 	missingBytes int
-	// reservedAfter is the lowest cursor of subscriptions that were refused without
-	// an answer of the store, and keep their turn until reservedUntil.
+	// reservedAfter is the lowest cursor of the subscriptions that were rejected without a response
+	// of the store. They keep their turn until reservedUntil.
 	reservedAfter uint64
 	reservedUntil time.Time
 }
 
-// topicSubscription is one channel's subscription to a topic, and how far it was handed over.
+// topicSubscription is one session's subscription to a routed topic.
 type topicSubscription struct {
-	topic         *topicState
-	session       uint64
-	index         int
+	topic *topicState
+	// session is the number of the session.
+	session uint64
+	// index is the position in the topic's subscriptions.
+	index int
+	// deliveredUpTo is the newest delivered offset. It never falls, and is the cursor of the
+	// subscription.
 	deliveredUpTo uint64
-	resumes       bool
-	filling       bool
-	request       Subscribe
-	deadline      time.Time
+	// resumes is set if it began with a cursor.
+	resumes bool
+	// filling is set until this gateway has all records above deliveredUpTo; live records are not
+	// delivered to it before.
+	filling bool
+	// request is the request of the client; its number is 0 once it was answered.
+	request Subscribe
+	// deadline is when a subscription that is still unconfirmed is rejected.
+	deadline time.Time
 }
 
-// routed is all that a gateway holds of routed topics.
+// routed is the state of all routed topics of a gateway.
 type routed struct {
-	topics     map[string]*topicState
-	numbers    map[uint64]*topicState
+	// topics are the topics with subscriptions or a reservation, by name; numbers are the same ones
+	// by hash.
+	topics  map[string]*topicState
+	numbers map[uint64]*topicState
+	// partitions is how many durable topics lie in each shared partition.
 	partitions map[string]int
-	// reportedUpTo is how far each partition's first told this gateway what moved. It begins
-	// with the first topic that is fetched from there: what moved before that is of
-	// no use here, and is not asked for.
+	// reportedUpTo is up to which offset the leader of each partition has reported to this gateway
+	// which topics moved. It begins with the first topic that is fetched from there: what moved
+	// before that is of no use here.
 	reportedUpTo map[string]uint64
-	// followRoutes is how heads were last asked for.
+	// followRoutes is the route by which each partition's high watermarks were last subscribed to.
 	followRoutes map[string]route
-	// bases are the offsets above which partitions held all when last heard of.
+	// bases are the offsets above which the partitions had all records at their last response.
 	bases map[string]uint64
-	// batches are what was asked of stores, underway names the one to each store, and
-	// queue holds the topics that wait for the next.
+	// batches are the requests that await a response, by number; batchInFlight names the one to each
+	// store, and queue holds the topics that wait for the next.
 	batches       map[uint64]*batch
 	batchInFlight map[string]uint64
 	queue         []*topicState
-	appends       map[uint64]*routedPublication
-	sends         map[uint64]*routedPublication
-	// accepted is when a publication of this gateway's callers was accepted.
+	// appends are the publications that are being appended, by publication; sends are the same ones
+	// by the number of each unanswered send.
+	appends map[uint64]*routedPublication
+	sends   map[uint64]*routedPublication
+	// accepted is when a publication of a client here was accepted, for routedRemember.
 	accepted map[routedKey]time.Time
-	// scheduled are the topics with something that waits for a moment to come.
+	// scheduled are the topics with a tick to come.
 	scheduled map[string]*topicState
 }
 
+// newRouted returns the state without any topic.
 func newRouted() *routed {
 	return &routed{
 		topics:        map[string]*topicState{},
@@ -124,7 +143,8 @@
 	}
 }
 
-// formatTopicCursor is a topic's cursor: the offset of the message before it.
+// formatTopicCursor returns the cursor of a routed topic: the offset of the newest delivered
+// record.
 func formatTopicCursor(offset uint64) string {
 	if statemachine.Mutated("place-skips-one") {
 		offset++
@@ -132,6 +152,7 @@
 	return topicCursorPrefix + strconv.FormatUint(offset, 36)
 }
 
+// parseTopicCursor returns the offset of a cursor, and whether it is well-formed.
 func parseTopicCursor(text string) (uint64, bool) {
 	if len(text) < 2 || text[:1] != topicCursorPrefix {
 		return 0, false
@@ -140,7 +161,7 @@
 	return offset, err == nil
 }
 
-// isRoutedTopic tells whether a request goes to a routed topic.
+// isRoutedTopic returns whether a request that names a space goes to a routed topic.
 func (g *Gateway) isRoutedTopic(space string) bool {
 	if space == "" {
 		return true
@@ -149,8 +170,8 @@
 	return found && state.space.Order == config.OrderTopic
 }
 
-// routeOf names the space of a routed topic; a request that names another space
-// than the routes do goes nowhere.
+// routeOf returns the space of a routed topic. It is empty if no route matches, or if the request
+// names another space than the routes do.
 func (g *Gateway) routeOf(space, name string) string {
 	target, found := g.config.SpaceForTopic(name)
 	if !found || space != "" && space != target {
@@ -158,11 +179,3 @@
 	}
 	return target
 }
-
-// Subscribing.
-
-// Handing over.
-
-// Fetching.
-
-// Heads.
--- a/internal/gateway/topic_delivery.go
+++ b/internal/gateway/topic_delivery.go
@@ -2,15 +2,16 @@
 
 import (
 	"cmp"
+	"slices"
+	"time"
+
 	"dahlialock/internal/config"
 	"dahlialock/internal/logevent"
 	"dahlialock/internal/partition"
 	"dahlialock/internal/statemachine"
-	"slices"
-	"time"
 )
 
-// deliverRouted gives a message to a place that is filled and lacks it.
+// deliverRouted delivers a record to a filled subscription unless it was delivered before.
 func (g *Gateway) deliverRouted(
 	_ time.Time,
 	subscription *topicSubscription,
@@ -41,7 +42,7 @@
 	}, effects)
 }
 
-// process hands the topic's next message to everybody here.
+// process delivers the next record of the topic to all subscriptions here.
 func (g *Gateway) process(now time.Time, topic *topicState, record partition.Record, effects *statemachine.Effects) {
 	topic.last = record.Offset
 	topic.recent = append(topic.recent, record)
@@ -56,7 +57,7 @@
 	}
 }
 
-// tooMuchRecent tells whether the oldest of the recent records is to be let go.
+// tooMuchRecent returns whether the oldest recent record is to be forgotten.
 func (t *topicState) tooMuchRecent(now time.Time) bool {
 	if t.recentUntil.After(now) {
 		return t.recentSize > backlogBytes
@@ -75,7 +76,8 @@
 		(topic.durable || !statemachine.Mutated("no-passing-offsets")) {
 		return true
 	}
-	follows := statemachine.Mutated("no-topic-prior") || record.PreviousInTopic <= topic.last || !topic.durable && topic.last == 0
+	follows := statemachine.Mutated("no-topic-prior") || record.PreviousInTopic <= topic.last ||
+		!topic.durable && topic.last == 0
 	if topic.live && follows {
 		g.process(now, topic, record, effects)
 		g.release(now, topic, effects)
@@ -113,7 +115,7 @@
 	return true
 }
 
-// release hands over what was held for something that has come.
+// release delivers the pending records whose predecessors have come.
 func (g *Gateway) release(now time.Time, topic *topicState, effects *statemachine.Effects) {
 	for len(topic.pending) > 0 {
 		next := topic.pending[0]
@@ -129,8 +131,8 @@
 	topic.pending = nil
 }
 
-// requireUpTo notes that a topic has more than was handed over; unless it comes by
-// itself in a moment, it is fetched.
+// requireUpTo notes that the topic has records up to an offset. Unless they come by themselves
+// within a grace they are fetched.
 func (g *Gateway) requireUpTo(now time.Time, topic *topicState, offset uint64, grace time.Duration) {
 	if offset <= topic.wanted && offset <= topic.last {
 		return
@@ -143,15 +145,15 @@
 	g.scheduleTopic(topic, topic.checkAt)
 }
 
-// scheduleTopic notes that a topic wants to be looked at.
+// scheduleTopic schedules a tick of the topic.
 func (g *Gateway) scheduleTopic(topic *topicState, at time.Time) {
 	g.routed.scheduled[topic.name] = topic
 	g.timers.ArmSooner(timerRouted, at)
 }
 
-// startReports lets a partition's first tell what moved after an offset up to which
-// one of its topics is known here. What is told while further topics are fetched is
-// noted for them too, so that nothing is to be told again for their sake.
+// startReports subscribes to the partition's reports of moved topics, from an offset up to which
+// one of its topics is known here. Reports that come while further topics are fetched count for
+// those too, so that nothing is to be reported again for their sake.
 func (g *Gateway) startReports(now time.Time, name string, until uint64) {
 	if _, begun := g.routed.reportedUpTo[name]; begun {
 		return
@@ -160,7 +162,7 @@
 	g.timers.ArmSooner(timerFollow, now.Add(gapTimeout))
 }
 
-// tickRouted looks at the topics with something that waits.
+// tickRouted does what is due for routed topics, their batches and publications.
 func (g *Gateway) tickRouted(now time.Time, effects *statemachine.Effects) {
 	for _, topic := range statemachine.Sorted(g.routed.scheduled) {
 		g.tickTopic(now, topic, effects)
@@ -262,7 +264,7 @@
 	return statemachine.Earliest(next, topic.reservedUntil)
 }
 
-// handleTopicHighWatermarks takes which topics of a shared partition moved.
+// handleTopicHighWatermarks applies the report of which topics of a shared partition moved.
 func (g *Gateway) handleTopicHighWatermarks(now time.Time, head partition.HighWatermark, _ *statemachine.Effects) {
 	if _, used := g.routed.partitions[head.Partition]; !used || statemachine.Mutated("no-topic-heads") {
 		return
@@ -277,15 +279,15 @@
 		}
 	}
 	if head.From > reported {
-		// Something was told that did not come.
+		// A report was lost.
 		g.timers.ArmSooner(timerFollow, now)
 		return
 	}
 	g.routed.reportedUpTo[head.Partition] = max(reported, head.Offset)
 }
 
-// rerouteAll puts changed routes in force: what leads elsewhere now, or nowhere,
-// ends.
+// rerouteAll applies changed routes: the subscriptions to topics that lead elsewhere now, or
+// nowhere, end.
 func (g *Gateway) rerouteAll(now time.Time, effects *statemachine.Effects) {
 	for name, topic := range statemachine.Sorted(g.routed.topics) {
 		space := g.routeOf("", name)
--- a/internal/gateway/topic_subscription.go
+++ b/internal/gateway/topic_subscription.go
@@ -1,11 +1,12 @@
 package gateway
 
 import (
+	"slices"
+	"time"
+
 	"dahlialock/internal/config"
 	"dahlialock/internal/partition"
 	"dahlialock/internal/statemachine"
-	"slices"
-	"time"
 )
 
 // subscribeRouted subscribes a session to a routed topic; refreshed is set where the
@@ -113,17 +114,16 @@
 	}
 }
 
-// certainlyRetained tells whether all that a place may lack is still held: then it is
-// confirmed before that is fetched, which may take its time, and is not refused
-// while the answer is on its way.
+// certainlyRetained returns whether the store certainly has all records that a subscription may
+// lack. It is confirmed before they are fetched then, which may take its time, and is not rejected
+// while the response is on its way.
 func (g *Gateway) certainlyRetained(topic *topicState, subscription *topicSubscription) bool {
 	base, known := g.routed.bases[topic.partition]
 	return known && subscription.resumes && subscription.deliveredUpTo >= base &&
 		!statemachine.Mutated("places-confirmed-late")
 }
 
-// subscribeTimeoutOf is how long a subscription may look for its place under a
-// configuration.
+// subscribeTimeoutOf returns how long a subscription may take to be filled under a configuration.
 func subscribeTimeoutOf(config config.Configuration) time.Duration {
 	longest := time.Second
 	for _, space := range config.Spaces {
@@ -132,6 +132,7 @@
 	return min(longest*6/10, defaultSubscribeTimeout)
 }
 
+// addTopicSubscription adds a subscription to its topic, which it creates if need be.
 func (g *Gateway) addTopicSubscription(
 	now time.Time,
 	name, space string,
@@ -163,7 +164,7 @@
 	return topic
 }
 
-// dropTopicSubscription ends a channel's subscription to a routed topic.
+// dropTopicSubscription removes a session's subscription to a routed topic.
 func (g *Gateway) dropTopicSubscription(now time.Time, session *session, name string, effects *statemachine.Effects) {
 	dropped, found := session.routed[name]
 	if !found {
@@ -182,7 +183,7 @@
 	g.dropTopic(topic)
 }
 
-// dropTopic forgets a topic that nobody holds.
+// dropTopic removes a topic without subscriptions.
 func (g *Gateway) dropTopic(topic *topicState) {
 	if len(topic.subscriptions) > 0 || g.routed.topics[topic.name] != topic {
 		return
@@ -200,14 +201,15 @@
 	}
 }
 
+// dropRouted removes all subscriptions of a session to routed topics.
 func (g *Gateway) dropRouted(now time.Time, session *session, effects *statemachine.Effects) {
 	for name := range statemachine.Sorted(session.routed) {
 		g.dropTopicSubscription(now, session, name, effects)
 	}
 }
 
-// supersede takes the routed subscriptions of an origin's older channels away:
-// its newest channel is the one.
+// supersede removes the routed subscriptions of a client's earlier session: only those of its
+// newest session count.
 func (g *Gateway) supersede(now time.Time, client string, newest uint64, effects *statemachine.Effects) {
 	if earlier, found := g.newest[client]; found && earlier != newest {
 		if session, open := g.sessions[earlier]; open {
@@ -217,7 +219,7 @@
 	g.newest[client] = newest
 }
 
-// startEphemeral ends the taking up of a passing topic.
+// startEphemeral confirms a subscription to an ephemeral topic.
 func (g *Gateway) startEphemeral(now time.Time, subscription *topicSubscription, effects *statemachine.Effects) {
 	if !subscription.filling {
 		return
@@ -243,14 +245,14 @@
 	}
 }
 
-// fill ends the taking up of a kept topic where this gateway has all that the
-// place lacks, and tells whether it does.
+// fill confirms a subscription to a durable topic if this gateway has all records that it lacks,
+// and returns whether it has.
 func (g *Gateway) fill(now time.Time, subscription *topicSubscription, effects *statemachine.Effects) bool {
 	topic := subscription.topic
 	reported, known := g.routed.reportedUpTo[topic.partition]
 	if known && !topic.live && !subscription.resumes && topic.fetch == nil {
-		// Who begins here may begin where the first last told that the partition
-		// was: what moves after that will be told.
+		// A subscription without a cursor may begin at the offset that the leader
+		// reported last: what moves after that will be reported.
 		topic.live = true
 		topic.last, topic.recentFrom = reported, reported
 		g.release(now, topic, effects)
@@ -265,7 +267,7 @@
 	g.announceSubscriberCount(now, topic, effects)
 	from := subscription.deliveredUpTo
 	if !subscription.resumes {
-		// What was told of as moved came before this subscription, though the topic
+		// What was reported as moved came before this subscription, though the topic
 		// may not have caught up with it.
 		from = max(topic.last, g.routed.reportedUpTo[topic.partition])
 		subscription.deliveredUpTo = from
@@ -279,6 +281,7 @@
 	return true
 }
 
+// replyTopicSubscription accepts a subscription to a routed topic.
 func (g *Gateway) replyTopicSubscription(
 	now time.Time,
 	_ *topicSubscription,
@@ -291,6 +294,7 @@
 	g.answerSubscribe(now, request, response, effects)
 }
 
+// unsubscribeRouted handles the request of a client to end subscriptions to routed topics.
 func (g *Gateway) unsubscribeRouted(now time.Time, request Unsubscribe, effects *statemachine.Effects) {
 	session, found := g.sessions[request.Session]
 	if !found || session.client != request.Client {
@@ -313,7 +317,7 @@
 	effects.Respond(request.Request, acceptedReply(nil))
 }
 
-// startTopicSubscription answers a subscription whose missed messages are about to come.
+// startTopicSubscription confirms a subscription whose missed records are about to come.
 func (g *Gateway) startTopicSubscription(
 	now time.Time,
 	subscription *topicSubscription,
@@ -332,7 +336,7 @@
 	subscription.request.Request = 0
 }
 
-// deliverFetched gives a missed message to a place that is being filled.
+// deliverFetched delivers a missed record to a subscription that is being filled.
 func (g *Gateway) deliverFetched(
 	now time.Time,
 	subscription *topicSubscription,
@@ -344,7 +348,7 @@
 	subscription.filling = true
 }
 
-// expireSubscriptions refuses the places from which something is no longer held.
+// expireSubscriptions rejects the subscriptions that lack records which the store has removed.
 func (g *Gateway) expireSubscriptions(now time.Time, topic *topicState, after uint64, effects *statemachine.Effects) {
 	for _, subscription := range slices.Clone(topic.subscriptions) {
 		if subscription.filling && subscription.resumes && subscription.deliveredUpTo <= after {
@@ -358,8 +362,8 @@
 	}
 }
 
-// rejectTopicSubscription refuses a subscription. One that was confirmed before can't be
-// refused any more: its caller is cut off instead, and asks again.
+// rejectTopicSubscription rejects a subscription. One that was confirmed before cannot be rejected
+// any more: its session is closed instead, and its client subscribes again.
 func (g *Gateway) rejectTopicSubscription(
 	now time.Time,
 	subscription *topicSubscription,
--- a/internal/gateway/tracker.go
+++ b/internal/gateway/tracker.go
@@ -1,10 +1,3 @@
-// A tracker follows one partition for all the subscribers here. It hands messages
-// over only when what they follow was handed over: the topic's message before,
-// and the sender's message before wherever it is kept. What is missing is
-// fetched from the partition's first. The first tells the head of the partition as it
-// moves, and the tracker then verifies that it missed nothing up to there, so
-// that a lost last message shows too.
-
 package gateway
 
 import (
@@ -30,38 +23,55 @@
 	deliverInterval   = 20 * time.Millisecond
 )
 
+// trackedInterest is an interest in the topics of a partition.
 type trackedInterest struct {
-	interest      Interest
+	interest Interest
+	// subscriptions is how many sessions have the interest; it is never 0.
 	subscriptions int
-	since         uint64
+	// since is the offset above which the interest is live, everything until it is.
+	since uint64
 }
 
+// tracker follows one partition for all subscriptions here.
 type tracker struct {
-	name          string
-	space         string
-	shared        bool
-	interests     map[Interest]*trackedInterest
-	version       uint64
-	verified      uint64
-	started       bool
+	// name is the name of the partition.
+	name string
+	// space is the name of the space, spaceName the same with the index at which it was created.
+	space string
+	// shared is set if all topics of the space have one shared order.
+	shared    bool
+	interests map[Interest]*trackedInterest
+	// version rises with each new interest: a verification that began before does not cover it.
+	version uint64
+	// verified is the offset up to which all matching records were delivered. It never falls. It
+	// holds only if started is set, which is when the first interest is live.
+	verified uint64
+	started  bool
+	// highWatermark is the partition's highest offset that is known here.
 	highWatermark uint64
-	delivered     map[uint64]time.Time
-	pending       map[uint64]partition.Record
-	pendingSince  map[uint64]time.Time
-	verifying     bool
-	wanted        bool
-	verifiedAt    time.Time
-	requestedAt   time.Time
-	spaceName     string
-}
-
-// spaceOf takes a partition's name apart.
+	// delivered is when records were delivered; those up to verified are forgotten.
+	delivered map[uint64]time.Time
+	// pending are records that must wait, by offset, pendingSince is since when.
+	pending      map[uint64]partition.Record
+	pendingSince map[uint64]time.Time
+	// verifying is set while a verification is under way, wanted if another is needed.
+	verifying bool
+	wanted    bool
+	// verifiedAt is a moment up to which all records of the partition were here; requestedAt is when
+	// the verification under way was sent.
+	verifiedAt  time.Time
+	requestedAt time.Time
+	spaceName   string
+}
+
+// spaceOf splits a partition's name: the space, and the space with its creation index.
 func spaceOf(name string) (space, full string) {
 	full, _, _ = strings.Cut(name, "/")
 	space, _, _ = strings.Cut(full, "~")
 	return space, full
 }
 
+// trackerFor returns the tracker of a partition, which it creates if need be.
 func (g *Gateway) trackerFor(now time.Time, name string) *tracker {
 	present, found := g.trackers[name]
 	if !found {
@@ -85,6 +95,7 @@
 	return present
 }
 
+// add adds a subscription with an interest.
 func (t *tracker) add(interest Interest) {
 	present, found := t.interests[interest]
 	if !found {
@@ -95,7 +106,7 @@
 	present.subscriptions++
 }
 
-// remove takes one holder away and tells whether nobody is left.
+// remove removes a subscription with an interest, and returns whether none is left.
 func (t *tracker) remove(interest Interest) bool {
 	present, found := t.interests[interest]
 	if !found {
@@ -108,7 +119,7 @@
 	return len(t.interests) == 0
 }
 
-// begin notes from where on an interest is live.
+// begin notes the offset above which an interest is live.
 func (t *tracker) begin(interest Interest, since uint64) {
 	if present, found := t.interests[interest]; found && since < present.since {
 		present.since = since
@@ -120,7 +131,8 @@
 	}
 }
 
-// startOf is from where on a topic is followed live; everything if not yet.
+// startOf returns the offset above which a topic is live here, everything if it is not yet, and
+// whether any interest matches it.
 func (t *tracker) startOf(topic string) (since uint64, tracked bool) {
 	since = everything
 	for interest, present := range t.interests {
@@ -132,7 +144,7 @@
 	return since, tracked
 }
 
-// resolved tells whether a message was handed over here or need not be.
+// resolved returns whether a record was delivered here or need not be.
 func (t *tracker) resolved(topic string, offset uint64) bool {
 	if offset <= t.verified && t.started {
 		return true
@@ -144,6 +156,7 @@
 	return !matters || offset <= since && since != everything
 }
 
+// prune forgets deliveries that the verified offset covers.
 func (t *tracker) prune(now time.Time) {
 	for offset := range t.pendingSince {
 		if _, waits := t.pending[offset]; !waits {
@@ -157,7 +170,8 @@
 	}
 }
 
-// handleRecordCopy takes a kept message, and tells whether anybody here wants it.
+// handleRecordCopy buffers a record and delivers what is ready. It returns whether anybody here
+// subscribes to its topic.
 func (g *Gateway) handleRecordCopy(now time.Time, recordCopy RecordCopy, effects *statemachine.Effects) bool {
 	tracker, found := g.trackers[recordCopy.Partition]
 	if !found {
@@ -180,7 +194,11 @@
 	g.deliverReady(now, effects)
 	if _, waits := tracker.pending[offset]; waits && tracker.started {
 		g.Counts.Gaps++
-		effects.Emit(logevent.GapFound, "partition", recordCopy.Partition, "offset", offset, "prior", recordCopy.Record.PreviousInTopic)
+		effects.Emit(logevent.GapFound,
+			"partition", recordCopy.Partition,
+			"offset", offset,
+			"prior", recordCopy.Record.PreviousInTopic,
+		)
 		g.ring.Record(now, "", decisionlog.MessageName(
 			tracker.space,
 			recordCopy.Record.Sender,
@@ -215,7 +233,7 @@
 	}
 }
 
-// resolvedUpTo tells whether all of a partition up to an offset is settled here.
+// resolvedUpTo returns whether all records of the partition up to an offset are resolved.
 func (t *tracker) resolvedUpTo(offset uint64) bool {
 	if t.started && offset <= t.verified {
 		return true
@@ -228,8 +246,8 @@
 	return true
 }
 
-// recentlyVerified tells whether every partition of a space that is followed here was
-// verified lately, so that nothing older than a trail can be missing.
+// recentlyVerified returns whether all trackers of a space were verified lately, so that no record
+// older than the dependency window can be missing.
 func (g *Gateway) recentlyVerified(now time.Time, full string) bool {
 	for _, other := range g.trackers {
 		if other.spaceName == full && other.started && now.Sub(other.verifiedAt) > partition.VerificationWindow {
@@ -282,15 +300,15 @@
 	return true
 }
 
-// pendingRecord is a held message of a sender, with its partition.
+// pendingRecord is a pending record with its tracker.
 type pendingRecord struct {
 	tracker *tracker
 	record  partition.Record
 }
 
-// deferDelivery tells whether so much is held that looking through all of it for
-// each message would cost more than a moment's wait; then one look serves all
-// that come meanwhile.
+// deferDelivery arms a timer and returns true if so many records are pending that a scan of all of
+// them for each copy would cost more than a short delay; one scan then serves all copies that come
+// meanwhile.
 func (g *Gateway) deferDelivery(now time.Time) bool {
 	pending := 0
 	for _, tracker := range g.trackers {
@@ -303,7 +321,7 @@
 	return true
 }
 
-// deliverAllReady is that look; what still waits then is asked for.
+// deliverAllReady is that scan; what is still pending after it is fetched.
 func (g *Gateway) deliverAllReady(now time.Time, effects *statemachine.Effects) {
 	g.deliverReady(now, effects)
 	for _, tracker := range statemachine.Sorted(g.trackers) {
@@ -318,8 +336,8 @@
 	}
 }
 
-// deliverReady hands over all that has become ripe, until nothing more does. Of each
-// sender's held messages in a space only the one with the lowest seq may go.
+// deliverReady delivers all pending records that are deliverable, until none is. Of each sender's
+// pending records in a space only the one with the lowest sequence may be delivered.
 func (g *Gateway) deliverReady(now time.Time, effects *statemachine.Effects) {
 	bySender := map[string][]pendingRecord{}
 	for _, tracker := range statemachine.Sorted(g.trackers) {
@@ -356,6 +374,7 @@
 	}
 }
 
+// deliver delivers a record to all sessions with a matching subscription.
 func (g *Gateway) deliver(now time.Time, tracker *tracker, record partition.Record, effects *statemachine.Effects) {
 	tracker.delivered[record.Offset] = now
 	if tracker.shared && record.Offset == tracker.verified+1 {
@@ -372,8 +391,8 @@
 	}
 }
 
-// subscribedSessions lists the channels with a subscription that matches a topic exactly,
-// whatever else shares the topic's square.
+// subscribedSessions returns the sessions with a subscription that matches a topic exactly,
+// whatever else shares its area.
 func (ss *spaceState) subscribedSessions(topic string) map[uint64]bool {
 	found := map[uint64]bool{}
 	if statemachine.Mutated("no-exact-match") {
@@ -399,7 +418,8 @@
 	return found
 }
 
-// handleEphemeralCopy takes a passing message, and tells whether anybody here wants it.
+// handleEphemeralCopy delivers an ephemeral message, and returns whether anybody here subscribes to
+// its topic.
 func (g *Gateway) handleEphemeralCopy(now time.Time, message EphemeralCopy, effects *statemachine.Effects) bool {
 	space, _ := spaceOf(message.Space + "/")
 	state, found := g.spaces[space]
@@ -412,7 +432,8 @@
 	return g.deliverEphemeral(now, state, message, effects)
 }
 
-// deliverEphemeral hands a passing message to this gateway's own channels.
+// deliverEphemeral delivers an ephemeral message to the sessions here, and returns whether there
+// are any.
 func (g *Gateway) deliverEphemeral(
 	now time.Time,
 	state *spaceState,
@@ -428,9 +449,12 @@
 	return len(holders) > 0
 }
 
-// Verifying.
-
-func (g *Gateway) handleHighWatermarks(now time.Time, highWatermarks partition.HighWatermarks, effects *statemachine.Effects) {
+// handleHighWatermarks applies the reports of a store.
+func (g *Gateway) handleHighWatermarks(
+	now time.Time,
+	highWatermarks partition.HighWatermarks,
+	effects *statemachine.Effects,
+) {
 	for _, head := range highWatermarks.HighWatermarks {
 		if config.IsShared(head.Partition) {
 			g.handleTopicHighWatermarks(now, head, effects)
@@ -451,12 +475,14 @@
 	g.deliverReady(now, effects)
 }
 
+// advanceVerifiedAt notes that all records of the partition were here at a moment.
 func (t *tracker) advanceVerifiedAt(at time.Time) {
 	if at.After(t.verifiedAt) {
 		t.verifiedAt = at
 	}
 }
 
+// verifyAll verifies the trackers that may lack a record.
 func (g *Gateway) verifyAll(now time.Time, effects *statemachine.Effects) {
 	for name, tracker := range statemachine.Sorted(g.trackers) {
 		if !tracker.wanted || tracker.verifying || !tracker.started {
@@ -467,6 +493,7 @@
 	}
 }
 
+// verify fetches the records of a partition that the tracker lacks.
 func (g *Gateway) verify(now time.Time, name string, tracker *tracker, effects *statemachine.Effects) {
 	if tracker.shared && tracker.highWatermark <= tracker.verified && len(tracker.pending) == 0 {
 		return
@@ -578,8 +605,8 @@
 	}
 }
 
-// followHighWatermarks asks the stores that are first for the partitions followed here to
-// tell their heads, and asks again before they forget.
+// followHighWatermarks subscribes to the high watermarks of the partitions in use here at their
+// leaders, and again before the leaders forget it.
 func (g *Gateway) followHighWatermarks(now time.Time, effects *statemachine.Effects) {
 	byStore := map[string]partition.SubscribeHighWatermarks{}
 	g.highWatermarksRequestedAt = now
@@ -607,7 +634,7 @@
 	}
 }
 
-// placementsChanged sends what waits for a store to the partition's new first.
+// placementsChanged sends what waits for a store to the new leaders of the partitions.
 func (g *Gateway) placementsChanged(now time.Time, effects *statemachine.Effects) {
 	for _, item := range statemachine.Sorted(g.appends) {
 		if from, known := g.senders[item.key]; known && now.Sub(item.sentAt) > 50*time.Millisecond {
@@ -620,7 +647,7 @@
 	}
 }
 
-// TrackerStatus is one partition as it is followed here.
+// TrackerStatus is the state of one tracker. The JSON keys are part of the ctl interface.
 type TrackerStatus struct {
 	Verified    uint64        `json:"verified"`
 	Head        uint64        `json:"head"`
@@ -632,7 +659,7 @@
 	Interests   int           `json:"interests"`
 }
 
-// Trackers tells of every partition followed here, for ctl and the simulator.
+// Trackers returns the state of all trackers by partition, for ctl and the simulator.
 func (g *Gateway) Trackers(now time.Time) map[string]TrackerStatus {
 	statuses := map[string]TrackerStatus{}
 	for name, tracker := range g.trackers {
--- a/internal/gateway/view.go
+++ b/internal/gateway/view.go
@@ -1,21 +1,24 @@
 package gateway
 
 import (
+	"strings"
+	"time"
+
 	"dahlialock/internal/config"
 	"dahlialock/internal/controller"
 	"dahlialock/internal/logevent"
 	"dahlialock/internal/membership"
 	"dahlialock/internal/overlay"
 	"dahlialock/internal/statemachine"
-	"strings"
-	"time"
 )
 
+// deferred is a message that came while the gateway was unconfirmed.
 type deferred struct {
 	meta    statemachine.Meta
 	message any
 }
 
+// handleViewUpdate applies an update of the control state.
 func (g *Gateway) handleViewUpdate(now time.Time, update membership.ViewUpdate, effects *statemachine.Effects) {
 	wasResting := g.Resting()
 	changed := g.viewClient.HandleUpdate(now, update)
@@ -43,8 +46,7 @@
 	g.resume(now, effects)
 }
 
-// resume goes on with what was held back, and with requests that waited for a
-// look at the news.
+// resume handles the deferred messages, and the requests that wait for a refresh.
 func (g *Gateway) resume(now time.Time, effects *statemachine.Effects) {
 	if !g.Confirmed(now) {
 		return
@@ -57,6 +59,7 @@
 	g.completeRefresh(now, effects)
 }
 
+// applyView applies a changed membership or placement.
 func (g *Gateway) applyView(now time.Time, effects *statemachine.Effects) {
 	g.detector.SetView(now, g.viewClient.Members, g.viewClient.Index)
 	others := map[string]overlay.Gateway{}
@@ -78,7 +81,7 @@
 	g.placementsChanged(now, effects)
 }
 
-// spaceName names a space since its birth.
+// spaceName returns the name of a space with the index at which it was created.
 func (g *Gateway) spaceName(name string) (string, bool) {
 	createdAt, found := g.viewClient.SpaceCreatedAt[name]
 	if !found {
@@ -88,8 +91,8 @@
 	return full[:strings.LastIndex(full, "/")], true
 }
 
-// applyConfiguration puts the newest configuration in force. It is only ever called with
-// a version above the one before.
+// applyConfiguration puts the newest configuration in force. It is called only with a version above
+// the one before.
 func (g *Gateway) applyConfiguration(now time.Time, effects *statemachine.Effects) {
 	document, faults := config.Read(g.viewClient.Document)
 	if len(faults) > 0 || document.Version < g.config.Version {
@@ -128,6 +131,7 @@
 	g.ring.Record(now, "", "", "", "configuration", "version", document.Version)
 }
 
+// removeSpace ends the subscriptions to a removed space and rejects its queued publications.
 func (g *Gateway) removeSpace(now time.Time, name string, state *spaceState, effects *statemachine.Effects) {
 	delete(g.spaces, name)
 	if state.space.Order == config.OrderTopic {
@@ -164,6 +168,7 @@
 	g.overlay.RemoveSpace(now, state.name, effects)
 }
 
+// sendersOf returns the senders of a space by name.
 func (g *Gateway) sendersOf(space string) map[string]*sender {
 	found := map[string]*sender{}
 	for key, sender := range g.senders {
