--- a/internal/gateway/commands.go
+++ b/internal/gateway/commands.go
@@ -86,7 +86,7 @@
 type Reply struct {
 	// Status is the HTTP status that belongs to the outcome.
 	Status  int
-	Outcome string
+	Outcome Outcome
 	// Code and Text say why a request was not accepted. Both are part of the client protocol.
 	Code string
 	Text string
@@ -100,11 +100,17 @@
 	SubscriberCount int
 }
 
-// Outcomes as clients see them.
+// Outcome is what became of a request, as clients see it.
+type Outcome string
+
+// The outcomes of requests. The values are part of the client protocol.
 const (
-	OutcomeAccepted  = "accepted"
-	OutcomeRejected  = "refused"
-	OutcomeUnsettled = "unsettled"
+	// OutcomeAccepted means that the request was carried out.
+	OutcomeAccepted Outcome = "accepted"
+	// OutcomeRejected means that the request had no effect.
+	OutcomeRejected Outcome = "refused"
+	// OutcomeUnsettled means that a message may or may not have been appended.
+	OutcomeUnsettled Outcome = "unsettled"
 )
 
 // acceptedReply is the answer to a request that was carried out; fields are added to its JSON.
--- a/internal/gateway/delivery.go
+++ b/internal/gateway/delivery.go
@@ -161,7 +161,7 @@
 	if c.delivered[name] == nil {
 		c.delivered[name], c.deliveredAbove[name] = map[uint64]time.Time{}, map[uint64]bool{}
 	}
-	if _, had := c.delivered[name][offset]; had {
+	if _, delivered := c.delivered[name][offset]; delivered {
 		return false
 	}
 	c.delivered[name][offset] = now
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -413,10 +413,10 @@
 	effects *statemachine.Effects,
 	run func(now time.Time, effects *statemachine.Effects),
 ) {
-	var later statemachine.Effects
-	run(now, &later)
+	var stepEffects statemachine.Effects
+	run(now, &stepEffects)
 	g.repeatRecent(now, effects)
-	effects.Append(later)
+	effects.Append(stepEffects)
 }
 
 // countCopy counts a copy that came from another gateway, and whether anybody here subscribes to
--- a/internal/gateway/publish.go
+++ b/internal/gateway/publish.go
@@ -19,7 +19,6 @@
 	maxSenderQueue    = 64
 	blockFor          = 3 * time.Second
 	appendRetry       = 150 * time.Millisecond
-	joinPatience      = 800 * time.Millisecond
 )
 
 // senderKey names a sender within a space.
@@ -65,25 +64,25 @@
 	at   time.Time
 }
 
-// trail returns the dependencies that go with a sender's next message.
-func (s *sender) trail(now time.Time) partition.Dependencies {
+// result returns the dependencies that go with a sender's next message.
+func (s *sender) result(now time.Time) partition.Dependencies {
 	s.dependencies = slices.DeleteFunc(
 		s.dependencies,
 		func(each dependency) bool { return now.Sub(each.at) > partition.DependencyWindow },
 	)
-	var trail partition.Dependencies
+	var result partition.Dependencies
 	older := max(0, len(s.dependencies)-partition.MaxDependencies)
 	floors := map[uint8]uint64{}
 	for _, each := range s.dependencies[:older] {
 		floors[each.mark.Partition] = max(floors[each.mark.Partition], each.mark.Offset)
 	}
 	for number, offset := range statemachine.Sorted(floors) {
-		trail.Floor = append(trail.Floor, partition.PartitionOffset{Partition: number, Offset: offset})
+		result.Floor = append(result.Floor, partition.PartitionOffset{Partition: number, Offset: offset})
 	}
 	for _, each := range s.dependencies[older:] {
-		trail.Messages = append(trail.Messages, each.mark)
+		result.Messages = append(result.Messages, each.mark)
 	}
-	return trail
+	return result
 }
 
 // publication is a message that a client published to a space whose topics are not routed.
@@ -340,7 +339,7 @@
 	}
 	var before partition.Dependencies
 	if state, known := g.spaces[item.request.Space]; known && state.space.Partitions() > 1 {
-		before = from.trail(now)
+		before = from.result(now)
 	}
 	g.nextRequest++
 	send := g.nextRequest
--- a/internal/gateway/subscription.go
+++ b/internal/gateway/subscription.go
@@ -183,7 +183,7 @@
 	if at, resumes := resumeFrom.Partitions[name]; resumes {
 		fetch.from, fetch.after, fetch.skip = at.Floor, at.Floor, at.Extras
 		session.markDelivered(now, name, at.Extras)
-		if since, later := at.Since[interest.key()]; later {
+		if since, began := at.Since[interest.key()]; began {
 			session.notBefore(interest, name, since)
 		}
 	}
--- a/internal/gateway/tracker.go
+++ b/internal/gateway/tracker.go
@@ -149,7 +149,7 @@
 	if offset <= t.verified && t.started {
 		return true
 	}
-	if _, had := t.delivered[offset]; had {
+	if _, delivered := t.delivered[offset]; delivered {
 		return true
 	}
 	since, matters := t.startOf(topic)
@@ -178,7 +178,7 @@
 		return false
 	}
 	offset := recordCopy.Record.Offset
-	if _, had := tracker.delivered[offset]; had || tracker.started && offset <= tracker.verified {
+	if _, delivered := tracker.delivered[offset]; delivered || tracker.started && offset <= tracker.verified {
 		return true
 	}
 	if _, matters := tracker.startOf(recordCopy.Record.Topic); !matters {
@@ -342,7 +342,7 @@
 	bySender := map[string][]pendingRecord{}
 	for _, tracker := range statemachine.Sorted(g.trackers) {
 		for offset, record := range statemachine.Sorted(tracker.pending) {
-			if _, had := tracker.delivered[offset]; had || tracker.started && offset <= tracker.verified {
+			if _, delivered := tracker.delivered[offset]; delivered || tracker.started && offset <= tracker.verified {
 				delete(tracker.pending, offset)
 				continue
 			}
--- a/internal/lineserver/owner.go
+++ b/internal/lineserver/owner.go
@@ -111,7 +111,7 @@
 	if to.state == ended {
 		return
 	}
-	s.gather(to, saidKind{kindNames[about.Kind], answer.Outcome}, s.settings.Protocol.AppendAnswer(to.output, about, answer))
+	s.gather(to, saidKind{kindNames[about.Kind], string(answer.Outcome)}, s.settings.Protocol.AppendAnswer(to.output, about, answer))
 }
 
 func refused(code string, back time.Duration) gateway.Reply {
--- a/internal/simulator/client.go
+++ b/internal/simulator/client.go
@@ -403,9 +403,9 @@
 				c.resend(item)
 			}
 		case answer.RetryAfter > 0:
-			finish(answer.Outcome, answer.Code, answer.RetryAfter)
+			finish(string(answer.Outcome), answer.Code, answer.RetryAfter)
 		default:
-			finish(answer.Outcome, answer.Code, -1)
+			finish(string(answer.Outcome), answer.Code, -1)
 		}
 	})
 	simulation.After(clientPatience, func() { finish("unsettled", "silent", 20*time.Millisecond) })
--- a/internal/simulator/topic_client.go
+++ b/internal/simulator/topic_client.go
@@ -620,7 +620,7 @@
 	simulation := tc.simulation
 	item.inFlight = false
 	simulation.Checker.PostAnswered(item.name, outcome, simulation.Now)
-	if outcome != gateway.OutcomeAccepted && code != "cut-off" && code != "moved" && code != "no-such-space" {
+	if outcome != string(gateway.OutcomeAccepted) && code != "cut-off" && code != "moved" && code != "no-such-space" {
 		tc.blame(code, fmt.Sprintf("%s/%d on %s", item.name.Sender, item.name.Seq, item.topic))
 	}
 }
@@ -658,7 +658,7 @@
 	}
 	tc.post(item, func(answer gateway.Reply) {
 		simulation.trace("%s/%d try %d at %s on %s: %s %s", name.Sender, name.Seq, tries, node.Name, item.topic, answer.Outcome, answer.Code)
-		tc.settled(item, answer.Outcome, answer.Code)
+		tc.settled(item, string(answer.Outcome), answer.Code)
 		switch {
 		case answer.Outcome == gateway.OutcomeAccepted:
 			simulation.Checker.Handled("a publication", item.topic, true, sent, simulation.Now)
