--- a/internal/consensus/consensus_test.go
+++ b/internal/consensus/consensus_test.go
@@ -161,7 +161,7 @@
 	c.book = book
 	c.bench.lives++
 	settings.Incarnation = c.bench.lives
-	watch, err := New(settings, c.ledger, recovered.Frame, recovered.Entries)
+	watch, err := New(settings, c.ledger, recovered.Snapshot, recovered.Entries)
 	assert.NilError(c.bench.t, err)
 	c.watch = watch
 	c.duty = watch.NewLease("duty")
@@ -172,13 +172,13 @@
 // two of its operations.
 func (c *controller) kill() {
 	if c.up {
-		c.disk.Limit(c.bench.random.IntN(12))
+		c.disk.FailAfter(c.bench.random.IntN(12))
 		for _, write := range c.waiting {
 			if c.perform(write) != nil {
 				break
 			}
 		}
-		c.disk.PowerCut(c.bench.random.IntN)
+		c.disk.LosePower(c.bench.random.IntN)
 	}
 	c.up, c.life, c.watch, c.waiting, c.landing = false, c.life+1, nil, nil, 0
 }
--- a/internal/controller/restart_test.go
+++ b/internal/controller/restart_test.go
@@ -167,7 +167,7 @@
 	s.up, s.queue, s.writing, s.busy = true, nil, nil, false
 	s.book, s.replayed, err = wal.Open(s.disk)
 	assert.NilError(s.council.t, err)
-	s.machine, err = New(s.settings(founding), s.replayed.Frame, s.replayed.Entries)
+	s.machine, err = New(s.settings(founding), s.replayed.Snapshot, s.replayed.Entries)
 	assert.NilError(s.council.t, err)
 	s.step(func(now time.Time, effects *statemachine.Effects) { s.machine.Start(now, effects) })
 }
@@ -179,15 +179,15 @@
 		return
 	}
 	if random := s.council.random; random != nil {
-		s.disk.Limit(random.IntN(12))
+		s.disk.FailAfter(random.IntN(12))
 		for _, each := range append(s.writing, s.queue...) {
 			if s.perform(each) != nil {
 				break
 			}
 		}
-		s.disk.PowerCut(random.IntN)
+		s.disk.LosePower(random.IntN)
 	} else {
-		s.disk.PowerCut(nil)
+		s.disk.LosePower(nil)
 	}
 	s.up = false
 	s.life++
@@ -346,9 +346,9 @@
 			for name, each := range statemachine.Sorted(c.seats) {
 				recovered := each.recover()
 				read := replayBytes(recovered)
-				t.Logf("%d routes, %d changes, %s: snapshot %d bytes, log %d bytes in %d entries", routes, changes, name, len(recovered.Frame), read, len(recovered.Entries))
-				most := restartMost(len(recovered.Frame), len(sizedDocument(1, routes)))
-				assert.Check(t, read <= most, "%s reads %d bytes of log after %d changes, the state takes %d", name, read, changes, len(recovered.Frame))
+				t.Logf("%d routes, %d changes, %s: snapshot %d bytes, log %d bytes in %d entries", routes, changes, name, len(recovered.Snapshot), read, len(recovered.Entries))
+				most := restartMost(len(recovered.Snapshot), len(sizedDocument(1, routes)))
+				assert.Check(t, read <= most, "%s reads %d bytes of log after %d changes, the state takes %d", name, read, changes, len(recovered.Snapshot))
 			}
 		}
 	}
@@ -492,13 +492,13 @@
 				for range b.N {
 					_, recovered, err := wal.Open(primary.disk)
 					assert.NilError(b, err)
-					_, err = New(primary.settings(false), recovered.Frame, recovered.Entries)
+					_, err = New(primary.settings(false), recovered.Snapshot, recovered.Entries)
 					assert.NilError(b, err)
 				}
 				b.StopTimer()
 				b.ReportMetric(float64(len(recovered.Entries)), "entries")
 				b.ReportMetric(float64(replayBytes(recovered)), "log-B")
-				b.ReportMetric(float64(len(recovered.Frame)), "frame-B")
+				b.ReportMetric(float64(len(recovered.Snapshot)), "frame-B")
 			})
 		}
 	}
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -313,9 +313,9 @@
 		return nil, stored, err
 	}
 	book, recovered, err := p.openBook(folder)
-	if errorx.IsOfType(err, wal.ErrorDamage) {
+	if errorx.IsOfType(err, wal.ErrDamaged) {
 		p.logger.Report(logevent.DiskDamaged, "error", err.Error())
-		if err := wal.PutAside(folder); err != nil {
+		if err := wal.Quarantine(folder); err != nil {
 			return nil, stored, err
 		}
 		book, recovered, err = p.openBook(folder)
@@ -323,10 +323,10 @@
 	if err != nil {
 		return nil, stored, err
 	}
-	if recovered.Torn > 0 {
-		p.logger.Report(logevent.DiskTorn, "bytes", recovered.Torn)
+	if recovered.TornBytes > 0 {
+		p.logger.Report(logevent.DiskTorn, "bytes", recovered.TornBytes)
 	}
-	stored.Frame, stored.Entries = recovered.Frame, recovered.Entries
+	stored.Frame, stored.Entries = recovered.Snapshot, recovered.Entries
 	return book, stored, nil
 }
 
@@ -334,7 +334,7 @@
 func (p *process) openBook(folder wal.Folder) (*wal.Log, wal.Recovered, error) {
 	for tries := 0; ; tries++ {
 		book, recovered, err := wal.Open(folder)
-		if !errorx.IsOfType(err, wal.ErrorDisk) {
+		if !errorx.IsOfType(err, wal.ErrDisk) {
 			return book, recovered, err
 		}
 		if tries%refusedReports == 0 {
@@ -350,7 +350,7 @@
 		return err
 	}
 	if err := syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		return wal.ErrorDisk.New("another process holds %s", path)
+		return wal.ErrDisk.New("another process holds %s", path)
 	}
 	heldLocks = append(heldLocks, file)
 	return nil
--- a/internal/simulator/simulator.go
+++ b/internal/simulator/simulator.go
@@ -368,7 +368,7 @@
 		book, recovered, err := wal.Open(n.disk)
 		must(err)
 		n.book = book
-		held = stored{frame: recovered.Frame, entries: recovered.Entries}
+		held = stored{frame: recovered.Snapshot, entries: recovered.Entries}
 	}
 	n.Machine = n.build(n, held)
 	simulation.trace("%s starts", n.Name)
@@ -392,13 +392,13 @@
 // losePower stops the disk in the midst of what waits for it, between any two of its
 // operations; of what was not synced each write and each name lasts or not by itself.
 func (n *Node) losePower() {
-	n.disk.Limit(n.simulation.Random.IntN(powerCutOperations))
+	n.disk.FailAfter(n.simulation.Random.IntN(powerCutOperations))
 	for _, write := range n.writes {
 		if n.tryWrite(write) != nil {
 			break
 		}
 	}
-	n.disk.PowerCut(n.simulation.Random.IntN)
+	n.disk.LosePower(n.simulation.Random.IntN)
 }
 
 // Crash ends a daemon's process as a bug does, while its machine stays up: what
--- a/internal/wal/aside.go
+++ b/internal/wal/aside.go
@@ -19,20 +19,20 @@
 	return names
 }
 
-// PutAside renames the files of a damaged log, so that the folder is blank. Those of an
+// Quarantine renames the files of a damaged log, so that the folder is blank. Those of an
 // earlier damage are gone then.
-func PutAside(folder Folder) error {
+func Quarantine(folder Folder) error {
 	if statemachine.Mutated("aside-unmarked") {
 		return putAside(folder)
 	}
 	if err := folder.Create(asideMark, []byte(asideMark)); err != nil {
-		return ErrorDisk.Wrap(err, "marking")
+		return ErrDisk.Wrap(err, "marking")
 	}
 	if err := folder.Sync(asideMark); err != nil {
-		return ErrorDisk.Wrap(err, "syncing the mark")
+		return ErrDisk.Wrap(err, "syncing the mark")
 	}
 	if err := folder.SyncFolder(); err != nil {
-		return ErrorDisk.Wrap(err, "syncing the folder")
+		return ErrDisk.Wrap(err, "syncing the folder")
 	}
 	return putAside(folder)
 }
@@ -41,14 +41,14 @@
 func finishPuttingAside(folder Folder) error {
 	_, marked, err := folder.Read(asideMark)
 	if err != nil {
-		return ErrorDisk.Wrap(err, "reading the mark")
+		return ErrDisk.Wrap(err, "reading the mark")
 	}
 	if !marked {
 		return nil
 	}
 	// The mark itself may have been seen before it lasted.
 	if err := folder.SyncFolder(); err != nil {
-		return ErrorDisk.Wrap(err, "syncing the folder")
+		return ErrDisk.Wrap(err, "syncing the folder")
 	}
 	return putAside(folder)
 }
@@ -56,17 +56,17 @@
 func putAside(folder Folder) error {
 	for _, name := range allNames() {
 		if err := folder.Rename(name, asidePrefix+name); err != nil {
-			return ErrorDisk.Wrap(err, "renaming %s", name)
+			return ErrDisk.Wrap(err, "renaming %s", name)
 		}
 	}
 	if err := folder.SyncFolder(); err != nil {
-		return ErrorDisk.Wrap(err, "syncing the folder")
+		return ErrDisk.Wrap(err, "syncing the folder")
 	}
 	if err := folder.Remove(asideMark); err != nil {
-		return ErrorDisk.Wrap(err, "removing the mark")
+		return ErrDisk.Wrap(err, "removing the mark")
 	}
 	if err := folder.SyncFolder(); err != nil {
-		return ErrorDisk.Wrap(err, "syncing the folder")
+		return ErrDisk.Wrap(err, "syncing the folder")
 	}
 	return nil
 }
--- a/internal/wal/folder.go
+++ b/internal/wal/folder.go
@@ -18,7 +18,7 @@
 // OpenFileFolder makes the folder if need be.
 func OpenFileFolder(path string) (*FileFolder, error) {
 	if err := os.MkdirAll(path, 0o755); err != nil {
-		return nil, ErrorDisk.Wrap(err, "making %s", path)
+		return nil, ErrDisk.Wrap(err, "making %s", path)
 	}
 	return &FileFolder{path: path, open: map[string]*os.File{}}, nil
 }
--- a/internal/wal/memory.go
+++ b/internal/wal/memory.go
@@ -8,8 +8,8 @@
 	"slices"
 )
 
-// ErrorPowerLost is what a disk in memory answers once its operations are used up.
-var ErrorPowerLost = errors.New("the power is lost")
+// ErrPowerLost is what a disk in memory answers once its operations are used up.
+var ErrPowerLost = errors.New("the power is lost")
 
 // Draw gives a number from 0 up to, but not including, a bound above 0; it decides what
 // a loss of power leaves. Without one, all that was not synced is gone.
@@ -49,10 +49,10 @@
 	return &MemoryFolder{files: map[string]*file{}, names: map[string]*file{}}
 }
 
-// Limit lets only so many more operations that change anything take place; the one
+// FailAfter lets only so many more operations that change anything take place; the one
 // after them and all later ones are answered with ErrorPowerLost, until PowerCut or
 // Restart.
-func (mf *MemoryFolder) Limit(operations int) { mf.left, mf.limited = operations, true }
+func (mf *MemoryFolder) FailAfter(operations int) { mf.left, mf.limited = operations, true }
 
 // Restart lifts the limit and loses nothing: the process alone had ended.
 func (mf *MemoryFolder) Restart() { mf.limited = false }
@@ -62,7 +62,7 @@
 		return nil
 	}
 	if mf.left == 0 {
-		return ErrorPowerLost
+		return ErrPowerLost
 	}
 	mf.left--
 	return nil
@@ -171,8 +171,8 @@
 	return nil
 }
 
-// PowerCut leaves what a loss of power leaves.
-func (mf *MemoryFolder) PowerCut(draw Draw) {
+// LosePower leaves what a loss of power leaves.
+func (mf *MemoryFolder) LosePower(draw Draw) {
 	mf.limited = false
 	// At some losses of power all that was not synced is gone.
 	if draw != nil && draw(4) == 0 {
@@ -242,8 +242,8 @@
 	return body
 }
 
-// Damage flips a byte that had been synced.
-func (mf *MemoryFolder) Damage(name string, at int) bool {
+// Corrupt flips a byte that had been synced.
+func (mf *MemoryFolder) Corrupt(name string, at int) bool {
 	held, found := mf.files[name]
 	if !found || at >= len(held.body) {
 		return false
--- a/internal/wal/model_test.go
+++ b/internal/wal/model_test.go
@@ -38,15 +38,15 @@
 		w.disk.Restart()
 		return
 	}
-	w.disk.PowerCut(w.random.IntN)
+	w.disk.LosePower(w.random.IntN)
 }
 
 func (w *writer) open(seed uint64) {
 	w.t.Helper()
 	for {
-		w.disk.Limit(w.random.IntN(12))
+		w.disk.FailAfter(w.random.IntN(12))
 		book, recovered, err := Open(w.disk)
-		if errorx.IsOfType(err, ErrorDisk) {
+		if errorx.IsOfType(err, ErrDisk) {
 			w.strike()
 			continue
 		}
@@ -64,8 +64,8 @@
 
 func texts(recovered Recovered) []string {
 	found := []string{}
-	if len(recovered.Frame) > 0 {
-		found = strings.Split(string(recovered.Frame), ",")
+	if len(recovered.Snapshot) > 0 {
+		found = strings.Split(string(recovered.Snapshot), ",")
 	}
 	for _, entry := range recovered.Entries {
 		found = append(found, string(entry))
@@ -98,7 +98,7 @@
 	owner := &writer{t: t, random: random, disk: NewMemoryFolder(), acked: []string{}}
 	for range 10 {
 		owner.open(seed)
-		owner.disk.Limit(random.IntN(40))
+		owner.disk.FailAfter(random.IntN(40))
 		for owner.write() {
 		}
 		owner.strike()
@@ -122,17 +122,17 @@
 		assert.Assert(t, owner.write())
 	}
 	before := owner.acked
-	owner.disk.Limit(random.IntN(14))
-	_ = PutAside(owner.disk)
+	owner.disk.FailAfter(random.IntN(14))
+	_ = Quarantine(owner.disk)
 	owner.strike()
 	var recovered Recovered
 	var err error
 	for {
-		owner.disk.Limit(random.IntN(14))
+		owner.disk.FailAfter(random.IntN(14))
 		if owner.book, recovered, err = Open(owner.disk); err == nil {
 			break
 		}
-		assert.Assert(t, errorx.IsOfType(err, ErrorDisk), "seed %d: %v", seed, err)
+		assert.Assert(t, errorx.IsOfType(err, ErrDisk), "seed %d: %v", seed, err)
 		owner.strike()
 	}
 	owner.disk.Restart()
@@ -140,7 +140,7 @@
 	assert.Assert(t, len(found) == 0 || slices.Equal(found, before), "seed %d: %q of %q was left", seed, found, before)
 	owner.acked, owner.batch = found, nil
 	for range 5 {
-		owner.disk.Limit(random.IntN(30))
+		owner.disk.FailAfter(random.IntN(30))
 		for owner.write() {
 		}
 		owner.strike()
@@ -174,8 +174,8 @@
 		book, _, err := Open(disk)
 		assert.NilError(t, err)
 		assert.NilError(t, book.Append([][]byte{[]byte("an entry")}))
-		disk.Damage(logName(book.generation), at)
+		disk.Corrupt(logName(book.generation), at)
 		_, _, err = Open(disk)
-		assert.Assert(t, errorx.IsOfType(err, ErrorDamage), "byte %d: %v", at, err)
+		assert.Assert(t, errorx.IsOfType(err, ErrDamaged), "byte %d: %v", at, err)
 	}
 }
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -22,14 +22,14 @@
 
 var (
 	namespace = errorx.NewNamespace("logbook")
-	// ErrorDamage says that bytes which had been synced are no longer right.
-	ErrorDamage = namespace.NewType("damage")
-	// ErrorDisk says that the disk itself refused.
-	ErrorDisk = namespace.NewType("disk")
+	// ErrDamaged says that bytes which had been synced are no longer right.
+	ErrDamaged = namespace.NewType("damage")
+	// ErrDisk says that the disk itself refused.
+	ErrDisk = namespace.NewType("disk")
 )
 
-// EntryLimit bounds one entry or frame.
-const EntryLimit = 1 << 30
+// MaxEntrySize bounds one entry or frame.
+const MaxEntrySize = 1 << 30
 
 const (
 	slotMagic   = "dlslot01"
@@ -56,10 +56,10 @@
 
 // Recovered is what a log held when it was opened.
 type Recovered struct {
-	Blank   bool
-	Frame   []byte
-	Entries [][]byte
-	Torn    int
+	Blank     bool
+	Snapshot  []byte
+	Entries   [][]byte
+	TornBytes int
 }
 
 // Log is an open log; one owner uses it.
@@ -126,7 +126,7 @@
 		return nil, nil, false
 	}
 	length := int64(binary.BigEndian.Uint32(body))
-	if length > EntryLimit || int64(len(body)) < entryHeader+length {
+	if length > MaxEntrySize || int64(len(body)) < entryHeader+length {
 		return nil, nil, false
 	}
 	entry = body[entryHeader : entryHeader+length]
@@ -152,7 +152,7 @@
 func readSlot(folder Folder, name string) (slot, error) {
 	body, found, err := folder.Read(name)
 	if err != nil {
-		return slot{}, ErrorDisk.Wrap(err, "reading %s", name)
+		return slot{}, ErrDisk.Wrap(err, "reading %s", name)
 	}
 	if !found {
 		return slot{}, nil
@@ -189,7 +189,7 @@
 	if !newest.whole {
 		return book, Recovered{Blank: true}, book.found(even.present && odd.present)
 	}
-	recovered := Recovered{Frame: newest.frame}
+	recovered := Recovered{Snapshot: newest.frame}
 	book.generation = newest.generation
 	if err := book.lastAgain(even, odd); err != nil {
 		return nil, Recovered{}, err
@@ -218,15 +218,15 @@
 // before, so that one is missing or damaged.
 func (l *Log) found(bothDamaged bool) error {
 	if bothDamaged {
-		return ErrorDamage.New("neither slot is whole")
+		return ErrDamaged.New("neither slot is whole")
 	}
 	for number := range uint64(logNames) {
 		body, _, err := l.folder.Read(logName(number))
 		if err != nil {
-			return ErrorDisk.Wrap(err, "reading a log")
+			return ErrDisk.Wrap(err, "reading a log")
 		}
 		if _, _, whole := readPrefix(body, logMagic); whole {
-			return ErrorDamage.New("a log without any slot")
+			return ErrDamaged.New("a log without any slot")
 		}
 	}
 	return l.Checkpoint(nil)
@@ -241,14 +241,14 @@
 		}
 		next, _, err := l.folder.Read(logName(l.generation + 1))
 		if err != nil {
-			return ErrorDisk.Wrap(err, "reading a log")
+			return ErrDisk.Wrap(err, "reading a log")
 		}
 		followed, _, whole := readPrefix(next, logMagic)
 		if !whole || followed != l.generation+1 {
 			return nil
 		}
 		if !otherTorn {
-			return ErrorDamage.New("log %d follows without its slot", followed)
+			return ErrDamaged.New("log %d follows without its slot", followed)
 		}
 		l.generation++
 	}
@@ -260,14 +260,14 @@
 	name := logName(l.generation)
 	body, found, err := l.folder.Read(name)
 	if err != nil {
-		return true, ErrorDisk.Wrap(err, "reading %s", name)
+		return true, ErrDisk.Wrap(err, "reading %s", name)
 	}
 	// The names that were there when the folder was opened were synced then.
 	l.lasting[name] = found && !statemachine.Mutated("unsynced-opening")
 	generation, rest, whole := readPrefix(body, logMagic)
 	if !whole || generation != l.generation {
 		if laterEntry(body, l.generation) {
-			return true, ErrorDamage.New("%s is damaged at its beginning", name)
+			return true, ErrDamaged.New("%s is damaged at its beginning", name)
 		}
 		// The slot was synced but its log was not begun yet.
 		return true, l.beginLog()
@@ -289,11 +289,11 @@
 	l.logSize = int64(kept)
 	if len(rest) > 0 {
 		if laterEntry(rest, generation) {
-			return true, ErrorDamage.New("%s is damaged at byte %d", name, kept)
+			return true, ErrDamaged.New("%s is damaged at byte %d", name, kept)
 		}
-		recovered.Torn = len(rest)
+		recovered.TornBytes = len(rest)
 		if err := l.folder.Truncate(name, int64(kept)); err != nil {
-			return true, ErrorDisk.Wrap(err, "cutting %s", name)
+			return true, ErrDisk.Wrap(err, "cutting %s", name)
 		}
 	}
 	if statemachine.Mutated("unsynced-opening") {
@@ -321,7 +321,7 @@
 func (l *Log) sync(name string) error {
 	l.Syncs++
 	if err := l.folder.Sync(name); err != nil {
-		return ErrorDisk.Wrap(err, "syncing %s", name)
+		return ErrDisk.Wrap(err, "syncing %s", name)
 	}
 	return nil
 }
@@ -333,12 +333,12 @@
 	name := logName(l.generation)
 	if l.uncut {
 		if err := l.folder.Truncate(name, l.logSize); err != nil {
-			return ErrorDisk.Wrap(err, "cutting %s", name)
+			return ErrDisk.Wrap(err, "cutting %s", name)
 		}
 	}
 	l.uncut = true
 	if err := l.folder.Append(name, body); err != nil {
-		return ErrorDisk.Wrap(err, "appending to %s", name)
+		return ErrDisk.Wrap(err, "appending to %s", name)
 	}
 	if err := l.sync(name); err != nil {
 		return err
@@ -361,7 +361,7 @@
 	body := appendEntry(seal(slotMagic, generation), generation, frame)
 	name := slotName(generation)
 	if err := l.folder.Create(name, body); err != nil {
-		return ErrorDisk.Wrap(err, "writing %s", name)
+		return ErrDisk.Wrap(err, "writing %s", name)
 	}
 	if err := l.sync(name); err != nil {
 		return err
@@ -380,7 +380,7 @@
 		return nil
 	}
 	if err := l.folder.Truncate(earlier, 0); err != nil {
-		return ErrorDisk.Wrap(err, "emptying %s", earlier)
+		return ErrDisk.Wrap(err, "emptying %s", earlier)
 	}
 	return nil
 }
@@ -389,7 +389,7 @@
 	prefix := seal(logMagic, l.generation)
 	name := logName(l.generation)
 	if err := l.folder.Create(name, prefix); err != nil {
-		return ErrorDisk.Wrap(err, "beginning %s", name)
+		return ErrDisk.Wrap(err, "beginning %s", name)
 	}
 	l.logSize = int64(len(prefix))
 	if err := l.sync(name); err != nil {
@@ -413,7 +413,7 @@
 func (l *Log) syncFolder() error {
 	l.Syncs++
 	if err := l.folder.SyncFolder(); err != nil {
-		return ErrorDisk.Wrap(err, "syncing the folder")
+		return ErrDisk.Wrap(err, "syncing the folder")
 	}
 	return nil
 }
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -14,8 +14,8 @@
 
 func replayed(recovered Recovered) []string {
 	var found []string
-	if len(recovered.Frame) > 0 {
-		found = append(found, string(recovered.Frame))
+	if len(recovered.Snapshot) > 0 {
+		found = append(found, string(recovered.Snapshot))
 	}
 	for _, entry := range recovered.Entries {
 		found = append(found, string(entry))
@@ -50,7 +50,7 @@
 			if random.IntN(2) == 0 {
 				torn := appendEntry(nil, book.generation, []byte("never synced"))
 				assert.NilError(t, disk.Append(logName(book.generation), torn[:random.IntN(len(torn))]))
-				disk.PowerCut(random.IntN)
+				disk.LosePower(random.IntN)
 			} else if random.IntN(3) == 0 {
 				generation := book.generation + 1
 				body := appendEntry(seal(slotMagic, generation), generation, []byte("frame that was cut"))
@@ -68,9 +68,9 @@
 		for number := range 6 {
 			assert.NilError(t, book.Append([][]byte{[]byte(fmt.Sprintf("entry number %d", number))}))
 		}
-		assert.Assert(t, disk.Damage(logName(book.generation), at))
+		assert.Assert(t, disk.Corrupt(logName(book.generation), at))
 		_, _, err = Open(disk)
-		assert.Assert(t, errorx.IsOfType(err, ErrorDamage), "byte %d: %v", at, err)
+		assert.Assert(t, errorx.IsOfType(err, ErrDamaged), "byte %d: %v", at, err)
 	}
 }
 
@@ -82,7 +82,7 @@
 	assert.NilError(t, book.Append([][]byte{[]byte("a")}))
 	assert.NilError(t, book.Checkpoint([]byte("second")))
 	assert.NilError(t, book.Append([][]byte{[]byte("b")}))
-	disk.Damage(slotName(book.generation), prefixSize+entryHeader+1)
+	disk.Corrupt(slotName(book.generation), prefixSize+entryHeader+1)
 	_, recovered, err := Open(disk)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, replayed(recovered), []string{"first", "a", "b"})
@@ -116,17 +116,17 @@
 	assert.NilError(t, book.Append([][]byte{[]byte("a")}))
 	folder.full = true
 	for range 3 {
-		assert.Assert(t, errorx.IsOfType(book.Append([][]byte{[]byte("second entry")}), ErrorDisk))
+		assert.Assert(t, errorx.IsOfType(book.Append([][]byte{[]byte("second entry")}), ErrDisk))
 	}
 	_, recovered, err := Open(folder.MemoryFolder)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, replayed(recovered), []string{"a"})
 	folder.full, folder.hoarse = false, true
-	assert.Assert(t, errorx.IsOfType(book.Append([][]byte{[]byte("second entry")}), ErrorDisk))
+	assert.Assert(t, errorx.IsOfType(book.Append([][]byte{[]byte("second entry")}), ErrDisk))
 	folder.hoarse = false
 	assert.NilError(t, book.Append([][]byte{[]byte("second entry")}))
 	assert.NilError(t, book.Append([][]byte{[]byte("third")}))
-	folder.PowerCut(nil)
+	folder.LosePower(nil)
 	_, recovered, err = Open(folder)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, replayed(recovered), []string{"a", "second entry", "third"})
