--- a/internal/wal/model_test.go
+++ b/internal/wal/model_test.go
@@ -1,9 +1,9 @@
-// The log against a model of what must be there: power is lost, or the process alone
-// ends, between any two operations on the disk, again and again; names, writes and
-// parts of writes that were not synced are kept or lost one by one.
-
 package wal
 
+// The log against a model of what it must hold: power is lost, or only the process
+// ends, between any two operations on the disk, again and again; names, writes and
+// parts of writes that were not synced survive or are lost one by one.
+
 import (
 	"fmt"
 	"math/rand/v2"
@@ -15,7 +15,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// trial is what a run reports to: a test, or a proof that a run fails.
+// trial is the part of testing.TB that a run needs; the mutation tests substitute one that
+// is expected to fail.
 type trial interface {
 	assert.TestingT
 	Helper()
@@ -26,14 +27,15 @@
 	t      trial
 	random *rand.Rand
 	disk   *MemoryFolder
-	book   *Log
-	// acked is what must be there, and batch what may be there behind it, from its
-	// beginning on.
+	log    *Log
+	// acked must be recovered, and after it any number of the first entries of batch,
+	// whose write was not acknowledged.
 	acked, batch []string
 	number       int
 }
 
-func (w *writer) strike() {
+// stop ends the process or takes the power.
+func (w *writer) stop() {
 	if w.random.IntN(3) == 0 {
 		w.disk.Restart()
 		return
@@ -41,23 +43,26 @@
 	w.disk.LosePower(w.random.IntN)
 }
 
+// open recovers the log, however often the disk fails meanwhile, and checks what it holds.
 func (w *writer) open(seed uint64) {
 	w.t.Helper()
 	for {
 		w.disk.FailAfter(w.random.IntN(12))
-		book, recovered, err := Open(w.disk)
+		log, recovered, err := Open(w.disk)
 		if errorx.IsOfType(err, ErrDisk) {
-			w.strike()
+			w.stop()
 			continue
 		}
 		w.disk.Restart()
 		assert.NilError(w.t, err, "seed %d", seed)
 		found := texts(recovered)
-		behind := len(found) - len(w.acked)
-		whole := behind >= 0 && behind <= len(w.batch) && slices.Equal(found[:len(w.acked)], w.acked) && slices.Equal(found[len(w.acked):], w.batch[:behind])
-		assert.Assert(w.t, whole, "seed %d: %q is there, %q was synced, and then came %q", seed, found, w.acked, w.batch)
-		// Whoever opened it has told it on.
-		w.book, w.acked, w.batch = book, found, nil
+		unacked := len(found) - len(w.acked)
+		valid := unacked >= 0 && unacked <= len(w.batch) &&
+			slices.Equal(found[:len(w.acked)], w.acked) &&
+			slices.Equal(found[len(w.acked):], w.batch[:unacked])
+		assert.Assert(w.t, valid, "seed %d: %q is there, %q was synced, and then came %q", seed, found, w.acked, w.batch)
+		// What Open returned is durable from then on.
+		w.log, w.acked, w.batch = log, found, nil
 		return
 	}
 }
@@ -73,10 +78,10 @@
 	return found
 }
 
-// write does one thing, and tells whether the disk did it.
+// write checkpoints or appends a batch, and reports whether it succeeded.
 func (w *writer) write() bool {
 	if w.random.IntN(3) == 0 {
-		return w.book.Checkpoint([]byte(strings.Join(w.acked, ","))) == nil
+		return w.log.Checkpoint([]byte(strings.Join(w.acked, ","))) == nil
 	}
 	var entries [][]byte
 	for range 1 + w.random.IntN(4) {
@@ -85,14 +90,14 @@
 		w.batch = append(w.batch, text)
 		entries = append(entries, []byte(text))
 	}
-	if w.book.Append(entries) != nil {
+	if w.log.Append(entries) != nil {
 		return false
 	}
 	w.acked, w.batch = append(w.acked, w.batch...), nil
 	return true
 }
 
-func loseAtAnyMoment(t trial, seed uint64) {
+func stopAtAnyMoment(t trial, seed uint64) {
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 0x3a1))
 	owner := &writer{t: t, random: random, disk: NewMemoryFolder(), acked: []string{}}
@@ -101,19 +106,19 @@
 		owner.disk.FailAfter(random.IntN(40))
 		for owner.write() {
 		}
-		owner.strike()
+		owner.stop()
 	}
 }
 
-func TestWhatIsSyncedOutlastsAnyLossAtAnyMoment(t *testing.T) {
+func TestLogKeepsSyncedEntriesWhenStoppedAtAnyMoment(t *testing.T) {
 	for seed := range uint64(4000) {
-		loseAtAnyMoment(t, seed)
+		stopAtAnyMoment(t, seed)
 	}
 }
 
-// A damaged folder is put aside whole: after a loss of power at any moment of it, either
-// all is there as it was, or nothing, and what is written then is there again.
-func putAsideAtAnyMoment(t trial, seed uint64) {
+// quarantineAtAnyMoment stops a quarantine at any moment: either all is then recovered as
+// it was, or nothing, and what is written later is recovered again.
+func quarantineAtAnyMoment(t trial, seed uint64) {
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 0xa51de))
 	owner := &writer{t: t, random: random, disk: NewMemoryFolder(), acked: []string{}}
@@ -124,16 +129,16 @@
 	before := owner.acked
 	owner.disk.FailAfter(random.IntN(14))
 	_ = Quarantine(owner.disk)
-	owner.strike()
+	owner.stop()
 	var recovered Recovered
 	var err error
 	for {
 		owner.disk.FailAfter(random.IntN(14))
-		if owner.book, recovered, err = Open(owner.disk); err == nil {
+		if owner.log, recovered, err = Open(owner.disk); err == nil {
 			break
 		}
 		assert.Assert(t, errorx.IsOfType(err, ErrDisk), "seed %d: %v", seed, err)
-		owner.strike()
+		owner.stop()
 	}
 	owner.disk.Restart()
 	found := texts(recovered)
@@ -143,38 +148,38 @@
 		owner.disk.FailAfter(random.IntN(30))
 		for owner.write() {
 		}
-		owner.strike()
+		owner.stop()
 		owner.open(seed)
 	}
 }
 
-func TestADamagedFolderIsPutAsideWholeOrNotAtAll(t *testing.T) {
+func TestQuarantineIsAtomic(t *testing.T) {
 	for seed := range uint64(2000) {
-		putAsideAtAnyMoment(t, seed)
+		quarantineAtAnyMoment(t, seed)
 	}
 }
 
-// Steady work makes and syncs no names, and a snapshot costs two syncs.
-func TestASnapshotCostsTwoSyncs(t *testing.T) {
+// Steady operation creates and syncs no names.
+func TestLogCheckpointCostsTwoSyncs(t *testing.T) {
 	disk := NewMemoryFolder()
-	book, _, err := Open(disk)
+	log, _, err := Open(disk)
 	assert.NilError(t, err)
 	for range 6 {
-		assert.NilError(t, book.Checkpoint([]byte("state")))
+		assert.NilError(t, log.Checkpoint([]byte("state")))
 	}
 	before := disk.Syncs
-	assert.NilError(t, book.Checkpoint([]byte("state")))
+	assert.NilError(t, log.Checkpoint([]byte("state")))
 	assert.Equal(t, disk.Syncs-before, 2)
 	assert.DeepEqual(t, disk.Names(), []string{"log-0", "log-1", "log-2", "slot-even", "slot-odd"})
 }
 
-func TestADamagedBeginningOfALogIsReported(t *testing.T) {
-	for at := range prefixSize {
+func TestOpenReportsDamagedLogHeader(t *testing.T) {
+	for at := range fileHeaderSize {
 		disk := NewMemoryFolder()
-		book, _, err := Open(disk)
+		log, _, err := Open(disk)
 		assert.NilError(t, err)
-		assert.NilError(t, book.Append([][]byte{[]byte("an entry")}))
-		disk.Corrupt(logName(book.generation), at)
+		assert.NilError(t, log.Append([][]byte{[]byte("an entry")}))
+		disk.Corrupt(logName(log.generation), at)
 		_, _, err = Open(disk)
 		assert.Assert(t, errorx.IsOfType(err, ErrDamaged), "byte %d: %v", at, err)
 	}
--- a/internal/wal/mutation_test.go
+++ b/internal/wal/mutation_test.go
@@ -1,8 +1,5 @@
 //go:build mutation
 
-// Each mechanism of the log is taken away once, and a run that is green with it must
-// then fail.
-
 package wal
 
 import (
@@ -19,12 +16,14 @@
 	return mutationtest.Run(func(t *mutationtest.Trial) { run(t, seed) })
 }
 
+// TestEachMechanismIsNeeded disables each mechanism once, and expects one of the runs that
+// pass with it to fail.
 func TestEachMechanismIsNeeded(t *testing.T) {
 	for mutation, run := range statemachine.Sorted(map[string]func(t trial, seed uint64){
-		"unsynced-opening": loseAtAnyMoment,
-		"unsynced-names":   loseAtAnyMoment,
-		"one-checksum":     loseAtAnyMoment,
-		"aside-unmarked":   putAsideAtAnyMoment,
+		"unsynced-opening": stopAtAnyMoment,
+		"unsynced-names":   stopAtAnyMoment,
+		"one-checksum":     stopAtAnyMoment,
+		"aside-unmarked":   quarantineAtAnyMoment,
 	}) {
 		restore := statemachine.Mutate(mutation)
 		found := false
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -1,5 +1,3 @@
-// The log against a checker: whatever the disk loses at a power cut, what
-// was synced is there again, and damage to synced bytes is never passed over.
 package wal
 
 import (
@@ -23,75 +21,75 @@
 	return found
 }
 
-func TestSyncedEntriesOutlastPowerCuts(t *testing.T) {
+func TestLogKeepsSyncedEntriesAcrossPowerLosses(t *testing.T) {
 	for seed := range uint64(300) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		disk := NewMemoryFolder()
-		var lasting []string
+		var durable []string
 		for round := range 12 {
-			book, recovered, err := Open(disk)
+			log, recovered, err := Open(disk)
 			assert.NilError(t, err, "seed %d round %d", seed, round)
-			assert.DeepEqual(t, replayed(recovered), lasting)
+			assert.DeepEqual(t, replayed(recovered), durable)
 			for step := range random.IntN(8) {
 				if random.IntN(4) == 0 {
-					frame := fmt.Sprintf("frame %d.%d", round, step)
-					assert.NilError(t, book.Checkpoint([]byte(frame)))
-					lasting = []string{frame}
+					snapshot := fmt.Sprintf("snapshot %d.%d", round, step)
+					assert.NilError(t, log.Checkpoint([]byte(snapshot)))
+					durable = []string{snapshot}
 					continue
 				}
 				var entries [][]byte
 				for number := range 1 + random.IntN(3) {
 					text := fmt.Sprintf("entry %d.%d.%d", round, step, number)
 					entries = append(entries, []byte(text))
-					lasting = append(lasting, text)
+					durable = append(durable, text)
 				}
-				assert.NilError(t, book.Append(entries))
+				assert.NilError(t, log.Append(entries))
 			}
 			if random.IntN(2) == 0 {
-				torn := appendEntry(nil, book.generation, []byte("never synced"))
-				assert.NilError(t, disk.Append(logName(book.generation), torn[:random.IntN(len(torn))]))
+				torn := appendRecord(nil, log.generation, []byte("never synced"))
+				assert.NilError(t, disk.Append(logName(log.generation), torn[:random.IntN(len(torn))]))
 				disk.LosePower(random.IntN)
 			} else if random.IntN(3) == 0 {
-				generation := book.generation + 1
-				body := appendEntry(seal(slotMagic, generation), generation, []byte("frame that was cut"))
+				generation := log.generation + 1
+				body := appendRecord(fileHeader(slotMagic, generation), generation, []byte("snapshot that is torn"))
 				assert.NilError(t, disk.Create(slotName(generation), body[:random.IntN(len(body))]))
 			}
 		}
 	}
 }
 
-func TestDamageIsReported(t *testing.T) {
-	for at := prefixSize; at < 80; at++ {
+func TestOpenReportsDamagedEntries(t *testing.T) {
+	for at := fileHeaderSize; at < 80; at++ {
 		disk := NewMemoryFolder()
-		book, _, err := Open(disk)
+		log, _, err := Open(disk)
 		assert.NilError(t, err)
 		for number := range 6 {
-			assert.NilError(t, book.Append([][]byte{[]byte(fmt.Sprintf("entry number %d", number))}))
+			assert.NilError(t, log.Append([][]byte{[]byte(fmt.Sprintf("entry number %d", number))}))
 		}
-		assert.Assert(t, disk.Corrupt(logName(book.generation), at))
+		assert.Assert(t, disk.Corrupt(logName(log.generation), at))
 		_, _, err = Open(disk)
 		assert.Assert(t, errorx.IsOfType(err, ErrDamaged), "byte %d: %v", at, err)
 	}
 }
 
-func TestDamagedNewestSlotFallsBack(t *testing.T) {
+func TestOpenFallsBackToOlderSlot(t *testing.T) {
 	disk := NewMemoryFolder()
-	book, _, err := Open(disk)
+	log, _, err := Open(disk)
 	assert.NilError(t, err)
-	assert.NilError(t, book.Checkpoint([]byte("first")))
-	assert.NilError(t, book.Append([][]byte{[]byte("a")}))
-	assert.NilError(t, book.Checkpoint([]byte("second")))
-	assert.NilError(t, book.Append([][]byte{[]byte("b")}))
-	disk.Corrupt(slotName(book.generation), prefixSize+entryHeader+1)
+	assert.NilError(t, log.Checkpoint([]byte("first")))
+	assert.NilError(t, log.Append([][]byte{[]byte("a")}))
+	assert.NilError(t, log.Checkpoint([]byte("second")))
+	assert.NilError(t, log.Append([][]byte{[]byte("b")}))
+	disk.Corrupt(slotName(log.generation), fileHeaderSize+recordHeaderSize+1)
 	_, recovered, err := Open(disk)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, replayed(recovered), []string{"first", "a", "b"})
 }
 
-// fullFolder takes only a part of what is appended while it is full.
+// fullFolder writes only a part of what is appended while it is full.
 type fullFolder struct {
 	*MemoryFolder
-	full, hoarse bool
+	full, syncFails bool
 }
 
 func (ff *fullFolder) Append(name string, body []byte) error {
@@ -103,29 +101,29 @@
 }
 
 func (ff *fullFolder) Sync(name string) error {
-	if ff.hoarse {
+	if ff.syncFails {
 		return errors.New("not synced")
 	}
 	return ff.MemoryFolder.Sync(name)
 }
 
-func TestARefusedWriteIsTriedAgain(t *testing.T) {
+func TestLogAppendMayBeRepeatedAfterErrors(t *testing.T) {
 	folder := &fullFolder{MemoryFolder: NewMemoryFolder()}
-	book, _, err := Open(folder)
+	log, _, err := Open(folder)
 	assert.NilError(t, err)
-	assert.NilError(t, book.Append([][]byte{[]byte("a")}))
+	assert.NilError(t, log.Append([][]byte{[]byte("a")}))
 	folder.full = true
 	for range 3 {
-		assert.Assert(t, errorx.IsOfType(book.Append([][]byte{[]byte("second entry")}), ErrDisk))
+		assert.Assert(t, errorx.IsOfType(log.Append([][]byte{[]byte("second entry")}), ErrDisk))
 	}
 	_, recovered, err := Open(folder.MemoryFolder)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, replayed(recovered), []string{"a"})
-	folder.full, folder.hoarse = false, true
-	assert.Assert(t, errorx.IsOfType(book.Append([][]byte{[]byte("second entry")}), ErrDisk))
-	folder.hoarse = false
-	assert.NilError(t, book.Append([][]byte{[]byte("second entry")}))
-	assert.NilError(t, book.Append([][]byte{[]byte("third")}))
+	folder.full, folder.syncFails = false, true
+	assert.Assert(t, errorx.IsOfType(log.Append([][]byte{[]byte("second entry")}), ErrDisk))
+	folder.syncFails = false
+	assert.NilError(t, log.Append([][]byte{[]byte("second entry")}))
+	assert.NilError(t, log.Append([][]byte{[]byte("third")}))
 	folder.LosePower(nil)
 	_, recovered, err = Open(folder)
 	assert.NilError(t, err)
@@ -138,9 +136,9 @@
 		disk := NewMemoryFolder()
 		_ = disk.Create("slot-odd", slotBody)
 		_ = disk.Create("log-1", logBody)
-		book, recovered, err := Open(disk)
+		log, recovered, err := Open(disk)
 		if err == nil {
-			assert.NilError(t, book.Append([][]byte{[]byte("after")}))
+			assert.NilError(t, log.Append([][]byte{[]byte("after")}))
 			_, again, err := Open(disk)
 			assert.NilError(t, err)
 			assert.Equal(t, len(again.Entries), len(recovered.Entries)+1)
