--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -34,8 +34,8 @@
 		Counters: func() any {
 			record := machine.Node().Record()
 			return map[string]any{
-				"epoch": record.Epoch, "primary": record.Primary, "backups": record.Backups, "index": machine.Node().Index(),
-				"complete": machine.Node().Complete(), "holds_lease": machine.Node().HoldsLease(time.Now()),
+				"epoch": record.Epoch, "primary": record.Primary, "backups": record.Backups, "index": machine.Node().AppliedIndex(),
+				"complete": machine.Node().CompleteEpoch(), "holds_lease": machine.Node().HoldsLease(time.Now()),
 			}
 		},
 		Reload:  func(after settings.Settings) { machine.SetTolerance(after.Tolerance) },
--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -19,15 +19,15 @@
 
 // Spans of the watch bill. The lease is the longest wait in a takeover.
 const (
-	LeaseLength  = 1800 * time.Millisecond
-	renewEvery   = 300 * time.Millisecond
-	lostAfter    = 1200 * time.Millisecond
-	helloEvery   = 300 * time.Millisecond
-	retryEvery   = 400 * time.Millisecond
-	waitMargin   = 5 * time.Millisecond
-	confirmLimit = time.Second
-	partAfter    = 2 * time.Second
-	tellFor      = time.Second
+	LeaseDuration = 1800 * time.Millisecond
+	renewEvery    = 300 * time.Millisecond
+	lostAfter     = 1200 * time.Millisecond
+	helloEvery    = 300 * time.Millisecond
+	retryEvery    = 400 * time.Millisecond
+	waitMargin    = 5 * time.Millisecond
+	confirmLimit  = time.Second
+	partAfter     = 2 * time.Second
+	tellFor       = time.Second
 	// quietFor is how long a primary that hears too few voters asks for no lease, so
 	// that another can take over; then it asks again for lostAfter.
 	quietFor = 3 * lostAfter
@@ -47,11 +47,11 @@
 // it is blank. Life names this run of the process.
 type Settings struct {
 	Self        Controller
-	Count       int
+	ClusterSize int
 	Seeds       []string
 	Founding    bool
 	Tolerance   int
-	NewDisk     string
+	NewDiskID   string
 	Incarnation statemachine.Incarnation
 }
 
@@ -61,8 +61,8 @@
 // The outcomes: it lasts; it surely did not happen; nobody can tell yet.
 const (
 	Committed Outcome = iota
-	Refused
-	Unsettled
+	Rejected
+	Indeterminate
 )
 
 type continuation func(now time.Time, effects *statemachine.Effects)
@@ -99,7 +99,7 @@
 type Node struct {
 	settings     Settings
 	stateMachine StateMachine
-	durable      Durable
+	durable      HardState
 	index        uint64
 	frames       map[string]*spareFrame
 	blank        bool
@@ -121,7 +121,7 @@
 	told         Record
 	turn         int
 	recalling    statemachine.RequestID
-	recalls      map[string]Durable
+	recalls      map[string]HardState
 	grantedUntil time.Time
 	grantedTo    string
 	// grantedFor is the renewal that the lease was granted for last.
@@ -158,25 +158,25 @@
 	releases    map[string]bool
 	departs     map[string]time.Time
 	duties      map[string]duty
-	leases      map[string]*Lease
+	leases      map[string]*RoleLease
 }
 
 // New makes a watch from what its disk held.
 func New(settings Settings, stateMachine StateMachine, frame []byte, entries [][]byte) (*Node, error) {
 	node := &Node{
 		settings: settings, stateMachine: stateMachine, requests: statemachine.NewRequestSequence(settings.Incarnation), timers: statemachine.NewTimers[string](),
-		synced: map[uint64]continuation{}, met: map[string]meeting{}, heardOf: map[string]bool{}, recalls: map[string]Durable{},
+		synced: map[uint64]continuation{}, met: map[string]meeting{}, heardOf: map[string]bool{}, recalls: map[string]HardState{},
 		renewals: map[uint64]time.Time{}, grants: map[uint64]map[string]bool{},
 		frames: map[string]*spareFrame{}, copies: map[string]*copied{}, spares: map[string]*asked{},
-		lastGrant: map[string]time.Time{}, heardFrom: map[string]time.Time{}, releases: map[string]bool{}, departs: map[string]time.Time{}, confirms: map[uint64]confirmation{}, duties: map[string]duty{}, leases: map[string]*Lease{},
+		lastGrant: map[string]time.Time{}, heardFrom: map[string]time.Time{}, releases: map[string]bool{}, departs: map[string]time.Time{}, confirms: map[uint64]confirmation{}, duties: map[string]duty{}, leases: map[string]*RoleLease{},
 	}
 	if err := node.readDisk(frame, entries); err != nil {
 		return nil, err
 	}
-	node.diskIndex, node.diskComplete, node.diskEpoch = node.index, node.durable.Complete, node.durable.Record.Epoch
+	node.diskIndex, node.diskComplete, node.diskEpoch = node.index, node.durable.CompleteEpoch, node.durable.Record.Epoch
 	node.blank = node.durable.Record.Epoch == 0
-	if node.blank && node.durable.Disk == "" {
-		node.durable.Disk = settings.NewDisk
+	if node.blank && node.durable.DiskID == "" {
+		node.durable.DiskID = settings.NewDiskID
 	}
 	node.told = node.durable.Record
 	node.watchCopies(time.Time{})
@@ -186,17 +186,17 @@
 // Record is the newest decided epoch this controller knows.
 func (w *Node) Record() Record { return w.durable.Record }
 
-// Index is how many commands the state holds.
-func (w *Node) Index() uint64 { return w.index }
+// AppliedIndex is how many commands the state holds.
+func (w *Node) AppliedIndex() uint64 { return w.index }
 
 // Blank tells whether no epoch is known yet.
 func (w *Node) Blank() bool { return w.blank }
 
-// Complete is the epoch for which this controller's state is known to be whole.
-func (w *Node) Complete() uint64 { return w.durable.Complete }
+// CompleteEpoch is the epoch for which this controller's state is known to be whole.
+func (w *Node) CompleteEpoch() uint64 { return w.durable.CompleteEpoch }
 
-// Known lists the controllers met so far, and the voters.
-func (w *Node) Known() []Controller {
+// KnownControllers lists the controllers met so far, and the voters.
+func (w *Node) KnownControllers() []Controller {
 	if w.durable.Record.Epoch > 0 {
 		return w.durable.Record.Voters
 	}
@@ -209,7 +209,7 @@
 
 // Primary tells who is primary in the newest known epoch.
 func (w *Node) Primary() (Controller, bool) {
-	return w.durable.Record.Find(w.durable.Record.Primary)
+	return w.durable.Record.VoterNamed(w.durable.Record.Primary)
 }
 
 // IsPrimary tells whether this controller is the recorded primary.
@@ -223,7 +223,7 @@
 
 // HoldsLease tells whether this controller may act as primary at this moment.
 func (w *Node) HoldsLease(now time.Time) bool {
-	return w.IsPrimary() && (now.Before(w.leaseUntil) || statemachine.Mutated("lease-for-ever")) && w.durable.Complete == w.durable.Record.Epoch
+	return w.IsPrimary() && (now.Before(w.leaseUntil) || statemachine.Mutated("lease-for-ever")) && w.durable.CompleteEpoch == w.durable.Record.Epoch
 }
 
 // Serving tells whether it may also answer: its backups are level and alive.
@@ -238,14 +238,14 @@
 	return len(lost) == 0
 }
 
-// Speaking tells whether what this controller's state holds was acknowledged by all
+// CanServeReads tells whether what this controller's state holds was acknowledged by all
 // copies, so that it may be told on even while a backup is being replaced.
-func (w *Node) Speaking(now time.Time) bool {
+func (w *Node) CanServeReads(now time.Time) bool {
 	return w.HoldsLease(now) && w.whole
 }
 
-// LeaseLeft is how long the lease still runs.
-func (w *Node) LeaseLeft(now time.Time) time.Duration {
+// LeaseRemaining is how long the lease still runs.
+func (w *Node) LeaseRemaining(now time.Time) time.Duration {
 	if !w.HoldsLease(now) {
 		return 0
 	}
@@ -267,8 +267,8 @@
 // Start begins the watch; a controller that was restarted waits out a whole lease
 // before it lets anybody but the primary have an epoch.
 func (w *Node) Start(now time.Time, effects *statemachine.Effects) {
-	w.grantedUntil, w.grantedTo = now.Add(LeaseLength), w.durable.Record.Primary
-	w.forgetful = now.Add(LeaseLength)
+	w.grantedUntil, w.grantedTo = now.Add(LeaseDuration), w.durable.Record.Primary
+	w.forgetful = now.Add(LeaseDuration)
 	w.primaryHeard, w.decidedAt, w.actingSince = now, now, now
 	w.watchCopies(now)
 	w.enlist(effects)
@@ -304,11 +304,11 @@
 	switch body := message.(type) {
 	case Hello:
 		w.onHello(now, meta.From, body, effects)
-	case RecallAsk:
+	case RecoveryRequest:
 		if !w.blank {
-			effects.Send(meta.From, RecallResponse{Request: body.Request, Durable: w.durable})
+			effects.Send(meta.From, RecoveryResponse{Request: body.Request, HardState: w.durable})
 		}
-	case RecallResponse:
+	case RecoveryResponse:
 		w.onRecallResponse(now, meta.From, body, effects)
 	case Prepare:
 		w.onPrepare(now, meta.From, body, effects)
@@ -320,19 +320,19 @@
 		w.onAccepted(now, meta.From, body, effects)
 	case Decided:
 		w.learn(now, body.Record, effects)
-	case Renew:
+	case RenewLease:
 		w.onRenew(now, meta.From, body, effects)
-	case Grant:
+	case LeaseGrant:
 		w.onGrant(now, meta.From, body, effects)
-	case Yield:
+	case ReleaseLease:
 		w.onYield(now, meta.From, body, effects)
 	case Append:
 		w.onAppend(now, meta.From, body, effects)
 	case AppendResponse:
 		w.onAppendResponse(now, meta.From, body, effects)
-	case Frame:
+	case InstallSnapshot:
 		w.onFrame(now, meta.From, body, effects)
-	case FrameResponse:
+	case InstallSnapshotResponse:
 		w.onFrameResponse(now, meta.From, body, effects)
 	case Confirm:
 		w.onConfirm(now, meta.From, body, effects)
@@ -342,10 +342,10 @@
 		w.onLeave(now, meta.From, body, effects)
 	case LeaveResponse:
 		w.onLeaveResponse(meta.From, body)
-	case DutyAsk:
+	case RoleLeaseRequest:
 		w.onDutyAsk(now, meta.From, body, effects)
-	case DutyResponse:
-		if lease, found := w.leases[body.Duty]; found && body.Given {
+	case RoleLeaseResponse:
+		if lease, found := w.leases[body.Role]; found && body.Granted {
 			lease.given(w.nameOf(meta.From, w.durable.Record.Voters), body.Request)
 		}
 	default:
--- a/internal/consensus/consensus_test.go
+++ b/internal/consensus/consensus_test.go
@@ -64,7 +64,7 @@
 	self   Controller
 	watch  *Node
 	ledger *words
-	duty   *Lease
+	duty   *RoleLease
 	life   int
 	up     bool
 	frozen bool
@@ -151,10 +151,10 @@
 	c.up, c.frozen, c.waits = true, false, nil
 	c.offset = time.Duration(c.bench.random.Int64N(int64(4*time.Hour))) - 2*time.Hour
 	c.ledger = &words{}
-	settings := Settings{Self: c.self, Count: c.bench.count, Seeds: c.bench.seeds, Founding: c.founding, Tolerance: c.bench.tolerance}
-	if settings.Count == 0 {
+	settings := Settings{Self: c.self, ClusterSize: c.bench.count, Seeds: c.bench.seeds, Founding: c.founding, Tolerance: c.bench.tolerance}
+	if settings.ClusterSize == 0 {
 		c.bench.disks++
-		settings.NewDisk = fmt.Sprint("disk-", c.bench.disks)
+		settings.NewDiskID = fmt.Sprint("disk-", c.bench.disks)
 	}
 	book, recovered, err := wal.Open(c.disk)
 	assert.NilError(c.bench.t, err)
@@ -164,7 +164,7 @@
 	watch, err := New(settings, c.ledger, recovered.Snapshot, recovered.Entries)
 	assert.NilError(c.bench.t, err)
 	c.watch = watch
-	c.duty = watch.NewLease("duty")
+	c.duty = watch.NewRoleLease("duty")
 	c.step(func(now time.Time, effects *statemachine.Effects) { watch.Start(now, effects) })
 }
 
@@ -319,7 +319,7 @@
 		if controller.watch.HoldsLease(controller.local()) {
 			primaries = append(primaries, controller.self.Name)
 		}
-		if controller.duty.Held(controller.local()) {
+		if controller.duty.Valid(controller.local()) {
 			holders = append(holders, controller.self.Name)
 		}
 		if controller.watch.Serving(controller.local()) {
@@ -343,9 +343,9 @@
 		return
 	}
 	controller.step(func(now time.Time, effects *statemachine.Effects) {
-		controller.watch.AskDuty(now, controller.duty, effects)
+		controller.watch.RequestRoleLease(now, controller.duty, effects)
 	})
-	if !controller.watch.Serving(controller.local()) || controller.watch.Waiting() > 0 {
+	if !controller.watch.Serving(controller.local()) || controller.watch.PendingProposals() > 0 {
 		return
 	}
 	wb.next++
--- a/internal/consensus/disk.go
+++ b/internal/consensus/disk.go
@@ -21,7 +21,7 @@
 func (w *Node) saveDurable(effects *statemachine.Effects, then continuation) {
 	copied := w.durable
 	w.write(effects, diskEntry{Durable: &copied}, func(now time.Time, effects *statemachine.Effects) {
-		w.diskComplete, w.diskEpoch = copied.Complete, copied.Record.Epoch
+		w.diskComplete, w.diskEpoch = copied.CompleteEpoch, copied.Record.Epoch
 		if then != nil {
 			then(now, effects)
 		}
--- a/internal/consensus/duty.go
+++ b/internal/consensus/duty.go
@@ -15,8 +15,8 @@
 	until  time.Time
 }
 
-// Lease is the asker's side of a duty.
-type Lease struct {
+// RoleLease is the asker's side of a duty.
+type RoleLease struct {
 	duty    string
 	request statemachine.RequestID
 	askedAt time.Time
@@ -25,52 +25,52 @@
 	until   time.Time
 }
 
-// NewLease registers a duty that this controller may come to hold.
-func (w *Node) NewLease(duty string) *Lease {
-	lease := &Lease{duty: duty, givers: map[string]bool{}}
+// NewRoleLease registers a duty that this controller may come to hold.
+func (w *Node) NewRoleLease(duty string) *RoleLease {
+	lease := &RoleLease{duty: duty, givers: map[string]bool{}}
 	w.leases[duty] = lease
 	return lease
 }
 
-func (l *Lease) ask(now time.Time, request statemachine.RequestID, need int) DutyAsk {
+func (l *RoleLease) ask(now time.Time, request statemachine.RequestID, need int) RoleLeaseRequest {
 	l.request, l.askedAt, l.need = request, now, need
 	l.givers = map[string]bool{}
-	return DutyAsk{Duty: l.duty, Request: l.request}
+	return RoleLeaseRequest{Role: l.duty, Request: l.request}
 }
 
-func (l *Lease) given(name string, request statemachine.RequestID) {
+func (l *RoleLease) given(name string, request statemachine.RequestID) {
 	if name == "" || request != l.request {
 		return
 	}
 	l.givers[name] = true
 	if len(l.givers) >= l.need {
-		l.until = l.askedAt.Add(LeaseLength * 9 / 10)
+		l.until = l.askedAt.Add(LeaseDuration * 9 / 10)
 	}
 }
 
-// Held tells whether the duty may be done at this moment.
-func (l *Lease) Held(now time.Time) bool {
+// Valid tells whether the duty may be done at this moment.
+func (l *RoleLease) Valid(now time.Time) bool {
 	return now.Before(l.until)
 }
 
-func (w *Node) onDutyAsk(now time.Time, from string, ask DutyAsk, effects *statemachine.Effects) {
+func (w *Node) onDutyAsk(now time.Time, from string, ask RoleLeaseRequest, effects *statemachine.Effects) {
 	name := w.nameOf(from, w.durable.Record.Voters)
 	if !w.member() || name == "" || w.acceptedAway() {
 		return
 	}
-	held := w.duties[ask.Duty]
+	held := w.duties[ask.Role]
 	// A witness that was restarted has forgotten whom it granted a duty to, and
 	// one that came into the voters does not know whom others did.
 	if now.Before(w.forgetful) || held.holder != name && now.Before(held.until) {
-		w.reply(now, from, DutyResponse{Duty: ask.Duty, Request: ask.Request, Holder: held.holder}, effects)
+		w.reply(now, from, RoleLeaseResponse{Role: ask.Role, Request: ask.Request, Holder: held.holder}, effects)
 		return
 	}
-	w.duties[ask.Duty] = duty{holder: name, until: now.Add(LeaseLength)}
-	w.reply(now, from, DutyResponse{Duty: ask.Duty, Request: ask.Request, Given: true, Holder: name}, effects)
+	w.duties[ask.Role] = duty{holder: name, until: now.Add(LeaseDuration)}
+	w.reply(now, from, RoleLeaseResponse{Role: ask.Role, Request: ask.Request, Granted: true, Holder: name}, effects)
 }
 
-// AskDuty asks the voters for a duty's lease; the answers go to Lease.
-func (w *Node) AskDuty(now time.Time, lease *Lease, effects *statemachine.Effects) {
+// RequestRoleLease asks the voters for a duty's lease; the answers go to Lease.
+func (w *Node) RequestRoleLease(now time.Time, lease *RoleLease, effects *statemachine.Effects) {
 	if !w.member() {
 		return
 	}
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -78,13 +78,13 @@
 	}
 	w.giveWay(now, prepare)
 	if prepare.Epoch > 1 && prepare.Ballot.Name != w.durable.Record.Primary && now.Before(w.grantedUntil) && !statemachine.Mutated("grant-at-once") {
-		refusal.Wait = w.grantedUntil.Sub(now)
+		refusal.RetryAfter = w.grantedUntil.Sub(now)
 		w.reply(now, from, refusal, effects)
 		return
 	}
 	w.durable.Promised = prepare.Ballot
 	given := Promise{
-		Epoch: prepare.Epoch, Ballot: prepare.Ballot, Given: true,
+		Epoch: prepare.Epoch, Ballot: prepare.Ballot, Granted: true,
 		AcceptedBallot: w.durable.AcceptedBallot, Accepted: w.durable.Accepted,
 	}
 	w.saveDurable(effects, func(now time.Time, effects *statemachine.Effects) {
@@ -104,7 +104,7 @@
 	if since.Before(w.actingSince) {
 		since = w.actingSince
 	}
-	if now.Sub(since) < LeaseLength {
+	if now.Sub(since) < LeaseDuration {
 		return
 	}
 	w.grantedUntil = now
@@ -129,10 +129,10 @@
 	if trying == nil || trying.phase != 1 || promise.Ballot != trying.ballot || promise.Epoch != trying.epoch {
 		return
 	}
-	if !promise.Given {
+	if !promise.Granted {
 		w.ballotCount = max(w.ballotCount, promise.Promised.Count)
-		if promise.Wait > 0 {
-			w.timers.Arm("retry", now.Add(promise.Wait+waitMargin))
+		if promise.RetryAfter > 0 {
+			w.timers.Arm("retry", now.Add(promise.RetryAfter+waitMargin))
 		}
 		return
 	}
@@ -165,13 +165,13 @@
 // unsure tells whether this controller, which has learned from the others what its
 // lost disk held, may still have granted something that they don't know of.
 func (w *Node) unsure(now time.Time) bool {
-	return w.durable.Recalled && now.Before(w.forgetful)
+	return w.durable.Recovered && now.Before(w.forgetful)
 }
 
 // mayAccept tells whether this controller has a say on a next record: it is in the
 // present voters, or comes into the next one with the disk that it has.
 func (w *Node) mayAccept(now time.Time, record Record) bool {
-	entry, listed := record.Entry(w.settings.Self)
+	entry, listed := record.Voter(w.settings.Self)
 	if record.Epoch == 1 {
 		addresses := []string{}
 		for _, controller := range record.Voters {
@@ -182,7 +182,7 @@
 	if w.member() {
 		return !w.unsure(now)
 	}
-	return !w.blank && listed && entry.Disk == w.durable.Disk
+	return !w.blank && listed && entry.DiskID == w.durable.DiskID
 }
 
 func (w *Node) onAccept(now time.Time, from string, accept Accept, effects *statemachine.Effects) {
@@ -199,7 +199,7 @@
 	}
 	w.durable.Promised = accept.Ballot
 	w.durable.AcceptedBallot, w.durable.Accepted = accept.Ballot, accept.Record
-	taken := Accepted{Epoch: accept.Epoch, Ballot: accept.Ballot, Taken: true}
+	taken := Accepted{Epoch: accept.Epoch, Ballot: accept.Ballot, Granted: true}
 	w.saveDurable(effects, func(now time.Time, effects *statemachine.Effects) {
 		w.reply(now, from, taken, effects)
 	})
@@ -227,7 +227,7 @@
 	}
 	w.trying = nil
 	tell := w.concerned(record)
-	for _, standby := range w.Standbys(now) {
+	for _, standby := range w.Learners(now) {
 		tell[standby.Address] = true
 	}
 	delete(tell, w.settings.Self.Address)
@@ -245,7 +245,7 @@
 	if record.Epoch <= w.durable.Record.Epoch {
 		return
 	}
-	entry, listed := record.Entry(w.settings.Self)
+	entry, listed := record.Voter(w.settings.Self)
 	if listed && !w.mayEnter(record, entry) {
 		if !w.blank {
 			w.forget(now)
@@ -260,7 +260,7 @@
 	if !statemachine.Mutated("no-hold-back") {
 		w.holdBack(now, earlier.Record, record)
 	}
-	w.durable = Durable{Disk: earlier.Disk, Record: record, Complete: complete}
+	w.durable = HardState{DiskID: earlier.DiskID, Record: record, CompleteEpoch: complete}
 	w.blank = false
 	w.frames = map[string]*spareFrame{}
 	w.trying = nil
@@ -287,7 +287,7 @@
 	w.saveDurable(effects, func(_ time.Time, effects *statemachine.Effects) {
 		// The primary need not ask how far this copy reaches.
 		if primary, _ := w.Primary(); w.isBackup() && complete > 0 && w.durable.Record.Epoch == record.Epoch {
-			effects.Send(primary.Address, Grant{Epoch: record.Epoch, Index: w.diskIndex, Complete: w.diskComplete})
+			effects.Send(primary.Address, LeaseGrant{Epoch: record.Epoch, Index: w.diskIndex, CompleteEpoch: w.diskComplete})
 		}
 	})
 	if !w.IsPrimary() {
@@ -326,7 +326,7 @@
 		}
 	case statemachine.Mutated("copy-counts-at-once"):
 		return record.Epoch
-	case record.Epoch == earlier.Record.Epoch+1 && earlier.Complete == earlier.Record.Epoch && earlier.Record.Epoch > 0 &&
+	case record.Epoch == earlier.Record.Epoch+1 && earlier.CompleteEpoch == earlier.Record.Epoch && earlier.Record.Epoch > 0 &&
 		(earlier.Record.Primary == self || slices.Contains(earlier.Record.Backups, self)):
 		return record.Epoch
 	}
@@ -343,9 +343,9 @@
 	if record.Epoch == 1 || slices.Equal(earlier.Voters, record.Voters) {
 		return
 	}
-	w.grantedUntil = now.Add(LeaseLength)
-	if _, listed := earlier.Entry(w.settings.Self); !listed {
-		w.forgetful = now.Add(LeaseLength)
+	w.grantedUntil = now.Add(LeaseDuration)
+	if _, listed := earlier.Voter(w.settings.Self); !listed {
+		w.forgetful = now.Add(LeaseDuration)
 	}
 }
 
@@ -353,12 +353,12 @@
 	queue := w.queue
 	w.queue = nil
 	for _, waiting := range queue {
-		waiting.done(now, effects, Unsettled)
+		waiting.done(now, effects, Indeterminate)
 	}
 	confirms := w.confirms
 	w.confirms = map[uint64]confirmation{}
 	for _, waiting := range statemachine.Sorted(confirms) {
-		waiting.done(now, effects, Unsettled)
+		waiting.done(now, effects, Indeterminate)
 	}
 }
 
--- a/internal/consensus/explore_test.go
+++ b/internal/consensus/explore_test.go
@@ -125,7 +125,7 @@
 // yielded is a world whose primary has given the lease back, as for a disk that hangs.
 func yielded() explore.World {
 	w := newWorld(3, 3, 1, troubles{submits: 1, losses: 1, crashes: 1, wipes: 1, powers: 1})
-	w.nodes[0].step(func(now time.Time, effects *statemachine.Effects) { w.nodes[0].watch.Yield(now, effects) })
+	w.nodes[0].step(func(now time.Time, effects *statemachine.Effects) { w.nodes[0].watch.ReleaseLease(now, effects) })
 	return w
 }
 
@@ -160,7 +160,7 @@
 	w.mayLose = func(w *world) bool {
 		lasting := 0
 		for _, each := range w.nodes {
-			if _, listed := each.watch.Record().Find("c3"); each.up && listed && each.watch.diskEpoch == each.watch.Record().Epoch {
+			if _, listed := each.watch.Record().VoterNamed("c3"); each.up && listed && each.watch.diskEpoch == each.watch.Record().Epoch {
 				lasting++
 			}
 		}
--- a/internal/consensus/identity_test.go
+++ b/internal/consensus/identity_test.go
@@ -33,7 +33,7 @@
 		if (from == primary || to == primary) && primary.life > first {
 			return 0, true
 		}
-		if _, grants := message.(Grant); grants && to == primary {
+		if _, grants := message.(LeaseGrant); grants && to == primary {
 			return 1850 * time.Millisecond, false
 		}
 		return 0, false
@@ -52,12 +52,12 @@
 func lateYield(t trial, seed uint64) {
 	bench, primary := fiveWatches(t, seed)
 	bench.held = func(_, _ *controller, message any) (time.Duration, bool) {
-		if _, yields := message.(Yield); yields {
+		if _, yields := message.(ReleaseLease); yields {
 			return 1500 * time.Millisecond, false
 		}
 		return 0, false
 	}
-	primary.step(func(now time.Time, effects *statemachine.Effects) { primary.watch.Yield(now, effects) })
+	primary.step(func(now time.Time, effects *statemachine.Effects) { primary.watch.ReleaseLease(now, effects) })
 	primary.kill()
 	primary.start()
 	bench.run(time.Second)
@@ -79,15 +79,17 @@
 		other = bench.controllers[3]
 	}
 	ask := func(asker *controller) {
-		asker.step(func(now time.Time, effects *statemachine.Effects) { asker.watch.AskDuty(now, asker.duty, effects) })
+		asker.step(func(now time.Time, effects *statemachine.Effects) {
+			asker.watch.RequestRoleLease(now, asker.duty, effects)
+		})
 	}
 	holder.kill()
 	first := holder.life + 1
 	bench.held = func(from, to *controller, message any) (time.Duration, bool) {
 		switch message.(type) {
-		case DutyAsk:
+		case RoleLeaseRequest:
 			return 0, from == holder && holder.life > first
-		case DutyResponse:
+		case RoleLeaseResponse:
 			if to == holder {
 				return 1900 * time.Millisecond, false
 			}
@@ -106,7 +108,7 @@
 		bench.run(100 * time.Millisecond)
 		ask(other)
 	}
-	assert.Assert(t, other.duty.Held(other.local()), "nobody else holds the duty")
+	assert.Assert(t, other.duty.Valid(other.local()), "nobody else holds the duty")
 }
 
 // lateRelease has the primary's word that nobody can take a controller's place, which
--- a/internal/consensus/lease.go
+++ b/internal/consensus/lease.go
@@ -16,11 +16,11 @@
 	if w.blank {
 		return
 	}
-	if w.IsPrimary() && w.durable.Complete == w.durable.Record.Epoch {
+	if w.IsPrimary() && w.durable.CompleteEpoch == w.durable.Record.Epoch {
 		w.watchLease(now, effects)
 		if len(w.queue) > 0 && w.queue[0].index > 0 && !w.queue[0].synced && now.Sub(w.queue[0].begun) > ownSlow && !statemachine.Mutated("patient-primary") {
 			if !w.yielded {
-				w.Yield(now, effects)
+				w.ReleaseLease(now, effects)
 			}
 			return
 		}
@@ -32,7 +32,7 @@
 			return
 		}
 		w.yielded = false
-		renew := Renew{Epoch: w.durable.Record.Epoch, Request: w.requests.Next()}
+		renew := RenewLease{Epoch: w.durable.Record.Epoch, Request: w.requests.Next()}
 		number := renew.Request.Number
 		w.renewals[number] = now
 		w.grants[number] = map[string]bool{}
@@ -42,7 +42,7 @@
 			renew.Record = w.durable.Record
 		}
 		for _, controller := range w.durable.Record.Voters {
-			if !controller.At(w.settings.Self) {
+			if !controller.SameAs(w.settings.Self) {
 				effects.Send(controller.Address, renew)
 			}
 		}
@@ -65,7 +65,7 @@
 	}
 	if now.Sub(w.quietUntil) >= lostAfter {
 		w.quietUntil = now.Add(quietFor)
-		w.Yield(now, effects)
+		w.ReleaseLease(now, effects)
 	}
 	return now.Before(w.quietUntil)
 }
@@ -82,7 +82,7 @@
 	}
 	heard := 0
 	for _, controller := range w.durable.Record.Voters {
-		if at, found := w.heardFrom[controller.Address]; controller.At(w.settings.Self) || found && now.Sub(at) < lostAfter {
+		if at, found := w.heardFrom[controller.Address]; controller.SameAs(w.settings.Self) || found && now.Sub(at) < lostAfter {
 			heard++
 		}
 	}
@@ -94,7 +94,7 @@
 	if !w.mayGrant(now) {
 		return
 	}
-	w.grantedUntil, w.grantedTo = now.Add(LeaseLength), w.durable.Record.Primary
+	w.grantedUntil, w.grantedTo = now.Add(LeaseDuration), w.durable.Record.Primary
 	w.countGrant(now, w.settings.Self.Name, number, effects)
 }
 
@@ -112,7 +112,7 @@
 	if len(w.grants[number]) < w.durable.Record.Majority() {
 		return
 	}
-	until := asked.Add(LeaseLength * 9 / 10)
+	until := asked.Add(LeaseDuration * 9 / 10)
 	if until.After(w.leaseUntil) {
 		w.leaseUntil = until
 	}
@@ -165,7 +165,7 @@
 	w.gather(now, nil, nil, effects)
 }
 
-func (w *Node) onRenew(now time.Time, from string, renew Renew, effects *statemachine.Effects) {
+func (w *Node) onRenew(now time.Time, from string, renew RenewLease, effects *statemachine.Effects) {
 	w.learn(now, renew.Record, effects)
 	record := w.durable.Record
 	if w.blank || renew.Epoch < record.Epoch {
@@ -185,21 +185,21 @@
 		return
 	}
 	w.primaryHeard = now
-	w.grantedUntil, w.grantedTo, w.grantedFor = now.Add(LeaseLength), record.Primary, renew.Request
-	effects.Send(from, Grant{Epoch: renew.Epoch, Request: renew.Request, Index: w.diskIndex, Complete: w.diskComplete})
+	w.grantedUntil, w.grantedTo, w.grantedFor = now.Add(LeaseDuration), record.Primary, renew.Request
+	effects.Send(from, LeaseGrant{Epoch: renew.Epoch, Request: renew.Request, Index: w.diskIndex, CompleteEpoch: w.diskComplete})
 }
 
 // gives tells whether it gives the lease back that was granted for a renewal: one
 // of the same life, and none that was asked for later.
-func (y Yield) gives(granted statemachine.RequestID) bool {
+func (y ReleaseLease) gives(granted statemachine.RequestID) bool {
 	if statemachine.Mutated("lives-alike") {
 		return true
 	}
 	return y.Request.Incarnation == granted.Incarnation && y.Request.Number >= granted.Number
 }
 
-// Yield gives the lease back, so that a backup need not wait for its end.
-func (w *Node) Yield(now time.Time, effects *statemachine.Effects) {
+// ReleaseLease gives the lease back, so that a backup need not wait for its end.
+func (w *Node) ReleaseLease(now time.Time, effects *statemachine.Effects) {
 	if !w.IsPrimary() {
 		return
 	}
@@ -211,13 +211,13 @@
 	w.renewals, w.grants = map[uint64]time.Time{}, map[uint64]map[string]bool{}
 	effects.Emit(logevent.LeaseReleased, "epoch", w.durable.Record.Epoch)
 	for _, controller := range w.durable.Record.Voters {
-		if !controller.At(w.settings.Self) {
-			effects.Send(controller.Address, Yield{Epoch: w.durable.Record.Epoch, Request: w.requests.Last()})
+		if !controller.SameAs(w.settings.Self) {
+			effects.Send(controller.Address, ReleaseLease{Epoch: w.durable.Record.Epoch, Request: w.requests.Last()})
 		}
 	}
 }
 
-func (w *Node) onYield(now time.Time, from string, yield Yield, effects *statemachine.Effects) {
+func (w *Node) onYield(now time.Time, from string, yield ReleaseLease, effects *statemachine.Effects) {
 	record := w.durable.Record
 	if yield.Epoch != record.Epoch || !w.member() || w.nameOf(from, record.Voters) != record.Primary || w.grantedTo != record.Primary {
 		return
@@ -230,7 +230,7 @@
 	w.follow(now, effects)
 }
 
-func (w *Node) onGrant(now time.Time, from string, grant Grant, effects *statemachine.Effects) {
+func (w *Node) onGrant(now time.Time, from string, grant LeaseGrant, effects *statemachine.Effects) {
 	record := w.durable.Record
 	if !w.IsPrimary() || grant.Epoch != record.Epoch {
 		return
@@ -255,8 +255,8 @@
 // Confirm asks a majority whether the present epoch still stands, so that an
 // answer read from the primary's state can't be an old one.
 func (w *Node) Confirm(now time.Time, done Done, effects *statemachine.Effects) {
-	if !w.Speaking(now) || !w.stands() {
-		done(now, effects, Refused)
+	if !w.CanServeReads(now) || !w.stands() {
+		done(now, effects, Rejected)
 		return
 	}
 	if statemachine.Mutated("lease-for-ever") {
@@ -268,7 +268,7 @@
 	w.confirms[request.Number] = waiting
 	w.timers.ArmSooner("limits", now.Add(confirmLimit))
 	for _, controller := range w.durable.Record.Voters {
-		if !controller.At(w.settings.Self) {
+		if !controller.SameAs(w.settings.Self) {
 			effects.Send(controller.Address, Confirm{Epoch: w.durable.Record.Epoch, Request: request})
 		}
 	}
@@ -303,8 +303,8 @@
 		return
 	}
 	delete(w.confirms, number)
-	if !w.Speaking(now) || now.After(waiting.limit) {
-		waiting.done(now, effects, Unsettled)
+	if !w.CanServeReads(now) || now.After(waiting.limit) {
+		waiting.done(now, effects, Indeterminate)
 		return
 	}
 	waiting.done(now, effects, Committed)
--- a/internal/consensus/leave.go
+++ b/internal/consensus/leave.go
@@ -45,11 +45,11 @@
 // leaveOn asks, again and again, to be let go.
 func (w *Node) leaveOn(now time.Time, effects *statemachine.Effects) {
 	if statemachine.Mutated("leave-at-once") {
-		w.Yield(now, effects)
+		w.ReleaseLease(now, effects)
 		w.left = true
 	}
 	others := w.others()
-	if w.blank || len(others) == 0 && len(w.Standbys(now)) == 0 {
+	if w.blank || len(others) == 0 && len(w.Learners(now)) == 0 {
 		w.left = true
 	}
 	if w.left {
@@ -66,7 +66,7 @@
 // others are the voters besides this controller.
 func (w *Node) others() []Controller {
 	return slices.DeleteFunc(slices.Clone(w.durable.Record.Voters), func(controller Controller) bool {
-		return controller.At(w.settings.Self)
+		return controller.SameAs(w.settings.Self)
 	})
 }
 
@@ -77,10 +77,10 @@
 	}
 	record := w.durable.Record
 	if slices.ContainsFunc(record.Backups, func(name string) bool {
-		backup, _ := record.Find(name)
+		backup, _ := record.VoterNamed(name)
 		return !w.saidToGo(now, backup.Address)
 	}) {
-		w.Yield(now, effects)
+		w.ReleaseLease(now, effects)
 	}
 }
 
@@ -134,7 +134,7 @@
 		w.left = w.left || w.nameOf(from, record.Voters) == record.Primary
 		return
 	}
-	if _, listed := record.Entry(w.settings.Self); listed {
+	if _, listed := record.Voter(w.settings.Self); listed {
 		return
 	}
 	w.releases[from] = true
@@ -160,7 +160,7 @@
 		return "", false
 	}
 	for _, name := range record.Backups {
-		if backup, _ := record.Find(name); !w.departing(now, backup) {
+		if backup, _ := record.VoterNamed(name); !w.departing(now, backup) {
 			continue
 		}
 		others := slices.DeleteFunc(slices.Clone(record.Backups), func(other string) bool { return other == name })
@@ -184,7 +184,7 @@
 // irreplaceable tells whether nobody is there to take the place of a voter.
 func (w *Node) irreplaceable(now time.Time, name string) bool {
 	record := w.durable.Record
-	if w.trying != nil || w.replacing || w.gathered || !w.level() || len(w.Standbys(now)) > 0 || mayShrink(record) {
+	if w.trying != nil || w.replacing || w.gathered || !w.level() || len(w.Learners(now)) > 0 || mayShrink(record) {
 		return false
 	}
 	if now.Sub(w.actingSince) < hearsStandbys && !statemachine.Mutated("irreplaceable-unheard") {
--- a/internal/consensus/leave_test.go
+++ b/internal/consensus/leave_test.go
@@ -65,7 +65,7 @@
 	w.power()
 	for _, holding := range []bool{true, false} {
 		for _, each := range w.nodes {
-			if each.up && disks > 0 && len(each.entries) > 0 && (each.watch.Complete() > 0) == holding {
+			if each.up && disks > 0 && len(each.entries) > 0 && (each.watch.CompleteEpoch() > 0) == holding {
 				disks--
 				each.wipe()
 			}
--- a/internal/consensus/messages.go
+++ b/internal/consensus/messages.go
@@ -16,12 +16,12 @@
 	Name    string `cbor:"Name"`
 	Address string `cbor:"Address"`
 	Zone    string `cbor:"Zone"`
-	Disk    string `cbor:"Disk"`
+	DiskID  string `cbor:"Disk"`
 }
 
-// At tells whether both are the same controller at the same address, whatever disk
+// SameAs tells whether both are the same controller at the same address, whatever disk
 // it has.
-func (c Controller) At(other Controller) bool {
+func (c Controller) SameAs(other Controller) bool {
 	return c.Name == other.Name && c.Address == other.Address
 }
 
@@ -33,8 +33,8 @@
 	Voters  []Controller `cbor:"Voters"`
 }
 
-// Find gives the voters's entry of a name.
-func (r Record) Find(name string) (Controller, bool) {
+// VoterNamed gives the voters's entry of a name.
+func (r Record) VoterNamed(name string) (Controller, bool) {
 	for _, controller := range r.Voters {
 		if controller.Name == name {
 			return controller, true
@@ -43,10 +43,10 @@
 	return Controller{}, false
 }
 
-// Entry gives the voters's entry of a controller at its address.
-func (r Record) Entry(self Controller) (Controller, bool) {
+// Voter gives the voters's entry of a controller at its address.
+func (r Record) Voter(self Controller) (Controller, bool) {
 	for _, controller := range r.Voters {
-		if controller.At(self) {
+		if controller.SameAs(self) {
 			return controller, true
 		}
 	}
@@ -72,39 +72,39 @@
 	return b.Name < other.Name
 }
 
-// Durable is what a controller must not forget: the newest decided epoch and its
+// HardState is what a controller must not forget: the newest decided epoch and its
 // part in deciding the next one; the name of its disk; and, from its first start
 // until the first epoch, the addresses of the founders that it is one of.
-type Durable struct {
-	Disk           string   `cbor:"Disk"`
+type HardState struct {
+	DiskID         string   `cbor:"Disk"`
 	Founders       []string `cbor:"Founders"`
 	Record         Record   `cbor:"Record"`
 	Promised       Ballot   `cbor:"Promised"`
 	AcceptedBallot Ballot   `cbor:"AcceptedBallot"`
 	Accepted       Record   `cbor:"Accepted"`
-	Complete       uint64   `cbor:"Complete"`
-	Recalled       bool     `cbor:"Recalled"`
+	CompleteEpoch  uint64   `cbor:"Complete"`
+	Recovered      bool     `cbor:"Recalled"`
 }
 
 // Hello lets controllers find each other through the seeds.
 type Hello struct {
-	Self     Controller   `cbor:"Self"`
-	Count    int          `cbor:"Count"`
-	Known    []Controller `cbor:"Known"`
-	Blank    bool         `cbor:"Blank"`
-	Founding bool         `cbor:"Founding"`
-	Record   Record       `cbor:"Record"`
+	Self        Controller   `cbor:"Self"`
+	ClusterSize int          `cbor:"Count"`
+	Known       []Controller `cbor:"Known"`
+	Blank       bool         `cbor:"Blank"`
+	Founding    bool         `cbor:"Founding"`
+	Record      Record       `cbor:"Record"`
 }
 
-// RecallAsk comes from a controller whose disk is blank.
-type RecallAsk struct {
+// RecoveryRequest comes from a controller whose disk is blank.
+type RecoveryRequest struct {
 	Request statemachine.RequestID `cbor:"Request"`
 }
 
-// RecallResponse tells it what one other controller remembers.
-type RecallResponse struct {
-	Request statemachine.RequestID `cbor:"Request"`
-	Durable Durable                `cbor:"Durable"`
+// RecoveryResponse tells it what one other controller remembers.
+type RecoveryResponse struct {
+	Request   statemachine.RequestID `cbor:"Request"`
+	HardState HardState              `cbor:"Durable"`
 }
 
 // Prepare asks for the right to decide an epoch.
@@ -117,8 +117,8 @@
 type Promise struct {
 	Epoch          uint64        `cbor:"Epoch"`
 	Ballot         Ballot        `cbor:"Ballot"`
-	Given          bool          `cbor:"Given"`
-	Wait           time.Duration `cbor:"Wait"`
+	Granted        bool          `cbor:"Given"`
+	RetryAfter     time.Duration `cbor:"Wait"`
 	Promised       Ballot        `cbor:"Promised"`
 	AcceptedBallot Ballot        `cbor:"AcceptedBallot"`
 	Accepted       Record        `cbor:"Accepted"`
@@ -133,9 +133,9 @@
 
 // Accepted answers Accept.
 type Accepted struct {
-	Epoch  uint64 `cbor:"Epoch"`
-	Ballot Ballot `cbor:"Ballot"`
-	Taken  bool   `cbor:"Taken"`
+	Epoch   uint64 `cbor:"Epoch"`
+	Ballot  Ballot `cbor:"Ballot"`
+	Granted bool   `cbor:"Taken"`
 }
 
 // Decided spreads a decided record.
@@ -143,26 +143,26 @@
 	Record Record `cbor:"Record"`
 }
 
-// Renew asks for more lease; soon after an epoch was decided it tells the record
+// RenewLease asks for more lease; soon after an epoch was decided it tells the record
 // too, in case the word of it was lost.
-type Renew struct {
+type RenewLease struct {
 	Epoch   uint64                 `cbor:"Epoch"`
 	Request statemachine.RequestID `cbor:"Request"`
 	Record  Record                 `cbor:"Record"`
 }
 
-// Grant gives lease and tells how far the granter's state reaches; without a
+// LeaseGrant gives lease and tells how far the granter's state reaches; without a
 // request it only tells.
-type Grant struct {
-	Epoch    uint64                 `cbor:"Epoch"`
-	Request  statemachine.RequestID `cbor:"Request"`
-	Index    uint64                 `cbor:"Index"`
-	Complete uint64                 `cbor:"Complete"`
+type LeaseGrant struct {
+	Epoch         uint64                 `cbor:"Epoch"`
+	Request       statemachine.RequestID `cbor:"Request"`
+	Index         uint64                 `cbor:"Index"`
+	CompleteEpoch uint64                 `cbor:"Complete"`
 }
 
-// Yield gives the rest of the lease back: the primary is stopping, or its disk
+// ReleaseLease gives the rest of the lease back: the primary is stopping, or its disk
 // hangs. Request is the newest renewal that it asked for.
-type Yield struct {
+type ReleaseLease struct {
 	Epoch   uint64                 `cbor:"Epoch"`
 	Request statemachine.RequestID `cbor:"Request"`
 }
@@ -180,22 +180,22 @@
 	Index uint64 `cbor:"Index"`
 }
 
-// Frame carries the whole state, either to level a backup at the present epoch
+// InstallSnapshot carries the whole state, either to level a backup at the present epoch
 // or to ready a spare for the next.
-type Frame struct {
-	Epoch uint64 `cbor:"Epoch"`
-	For   uint64 `cbor:"For"`
-	Index uint64 `cbor:"Index"`
-	State []byte `cbor:"State"`
+type InstallSnapshot struct {
+	Epoch       uint64 `cbor:"Epoch"`
+	TargetEpoch uint64 `cbor:"For"`
+	Index       uint64 `cbor:"Index"`
+	State       []byte `cbor:"State"`
 }
 
-// FrameResponse says that the frame is synced, and whether its holder is about to
+// InstallSnapshotResponse says that the frame is synced, and whether its holder is about to
 // leave.
-type FrameResponse struct {
-	Epoch   uint64 `cbor:"Epoch"`
-	For     uint64 `cbor:"For"`
-	Index   uint64 `cbor:"Index"`
-	Leaving bool   `cbor:"Leaving"`
+type InstallSnapshotResponse struct {
+	Epoch       uint64 `cbor:"Epoch"`
+	TargetEpoch uint64 `cbor:"For"`
+	Index       uint64 `cbor:"Index"`
+	Leaving     bool   `cbor:"Leaving"`
 }
 
 // Confirm asks the voters whether the epoch still stands.
@@ -210,17 +210,17 @@
 	Request statemachine.RequestID `cbor:"Request"`
 }
 
-// DutyAsk asks a majority for the lease of a single duty.
-type DutyAsk struct {
-	Duty    string                 `cbor:"Duty"`
+// RoleLeaseRequest asks a majority for the lease of a single duty.
+type RoleLeaseRequest struct {
+	Role    string                 `cbor:"Duty"`
 	Request statemachine.RequestID `cbor:"Request"`
 }
 
-// DutyResponse grants it or names who holds it.
-type DutyResponse struct {
-	Duty    string                 `cbor:"Duty"`
+// RoleLeaseResponse grants it or names who holds it.
+type RoleLeaseResponse struct {
+	Role    string                 `cbor:"Duty"`
 	Request statemachine.RequestID `cbor:"Request"`
-	Given   bool                   `cbor:"Given"`
+	Granted bool                   `cbor:"Given"`
 	Holder  string                 `cbor:"Holder"`
 }
 
@@ -246,7 +246,7 @@
 }
 
 type diskEntry struct {
-	Durable *Durable    `cbor:"Durable"`
+	Durable *HardState  `cbor:"Durable"`
 	Index   uint64      `cbor:"Index"`
 	Command []byte      `cbor:"Command"`
 	State   []byte      `cbor:"State"`
@@ -254,7 +254,7 @@
 }
 
 type diskFrame struct {
-	Durable Durable      `cbor:"Durable"`
+	Durable HardState    `cbor:"Durable"`
 	Index   uint64       `cbor:"Index"`
 	State   []byte       `cbor:"State"`
 	Spares  []spareFrame `cbor:"Spares"`
@@ -264,24 +264,24 @@
 
 func init() {
 	transport.MustRegister(100, Hello{})
-	transport.MustRegister(101, RecallAsk{})
-	transport.MustRegister(102, RecallResponse{})
+	transport.MustRegister(101, RecoveryRequest{})
+	transport.MustRegister(102, RecoveryResponse{})
 	transport.MustRegister(103, Prepare{})
 	transport.MustRegister(104, Promise{})
 	transport.MustRegister(105, Accept{})
 	transport.MustRegister(106, Accepted{})
 	transport.MustRegister(107, Decided{})
-	transport.MustRegister(108, Renew{})
-	transport.MustRegister(109, Grant{})
+	transport.MustRegister(108, RenewLease{})
+	transport.MustRegister(109, LeaseGrant{})
 	transport.MustRegister(110, Append{})
 	transport.MustRegister(111, AppendResponse{})
-	transport.MustRegister(112, Frame{})
-	transport.MustRegister(113, FrameResponse{})
+	transport.MustRegister(112, InstallSnapshot{})
+	transport.MustRegister(113, InstallSnapshotResponse{})
 	transport.MustRegister(114, Confirm{})
 	transport.MustRegister(115, ConfirmResponse{})
-	transport.MustRegister(116, DutyAsk{})
-	transport.MustRegister(117, DutyResponse{})
-	transport.MustRegister(118, Yield{})
+	transport.MustRegister(116, RoleLeaseRequest{})
+	transport.MustRegister(117, RoleLeaseResponse{})
+	transport.MustRegister(118, ReleaseLease{})
 	transport.MustRegister(119, Leave{})
 	transport.MustRegister(120, LeaveResponse{})
 }
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -50,7 +50,7 @@
 // wantedBackups how many there should be: one at least, so that another controller
 // can take over.
 func (w *Node) neededBackups() int {
-	if w.settings.Count > 0 {
+	if w.settings.ClusterSize > 0 {
 		return max(1, w.settings.Tolerance)
 	}
 	if statemachine.Mutated("one-backup") {
@@ -70,7 +70,7 @@
 	for len(chosen) < min(max(1, w.neededBackups()), len(voters)-1) {
 		var others []Controller
 		for _, controller := range voters {
-			if !controller.At(w.settings.Self) && !slices.Contains(chosen, controller.Name) {
+			if !controller.SameAs(w.settings.Self) && !slices.Contains(chosen, controller.Name) {
 				others = append(others, controller)
 			}
 		}
@@ -128,7 +128,7 @@
 // once where this controller may not act.
 func (w *Node) Submit(now time.Time, command []byte, limit time.Duration, done Done, effects *statemachine.Effects) {
 	if !w.HoldsLease(now) {
-		done(now, effects, Refused)
+		done(now, effects, Rejected)
 		return
 	}
 	w.queue = append(w.queue, &submitted{command: command, done: done, limit: now.Add(limit)})
@@ -138,8 +138,8 @@
 	}
 }
 
-// Waiting tells how many commands are not yet committed.
-func (w *Node) Waiting() int { return len(w.queue) }
+// PendingProposals tells how many commands are not yet committed.
+func (w *Node) PendingProposals() int { return len(w.queue) }
 
 func (w *Node) resumeQueue(now time.Time, effects *statemachine.Effects) {
 	if len(w.queue) == 0 {
@@ -179,7 +179,7 @@
 		return
 	}
 	head := w.queue[0]
-	backup, _ := w.durable.Record.Find(name)
+	backup, _ := w.durable.Record.VoterNamed(name)
 	effects.Send(backup.Address, Append{Epoch: w.durable.Record.Epoch, Index: head.index, Command: head.command})
 }
 
@@ -191,7 +191,7 @@
 		}
 		return
 	}
-	if !w.isBackup() || w.durable.Complete != record.Epoch || w.takingOver || w.promisedAway() || w.frozen() ||
+	if !w.isBackup() || w.durable.CompleteEpoch != record.Epoch || w.takingOver || w.promisedAway() || w.frozen() ||
 		w.nameOf(from, record.Voters) != record.Primary {
 		return
 	}
@@ -241,26 +241,26 @@
 	w.queue = w.queue[1:]
 	outcome := Committed
 	if !w.HoldsLease(now) {
-		outcome = Unsettled
+		outcome = Indeterminate
 	}
 	head.done(now, effects, outcome)
 	w.resumeQueue(now, effects)
 }
 
 // onGrantOfBackup looks how far a backup's copy reaches, and levels it.
-func (w *Node) onGrantOfBackup(now time.Time, from, name string, grant Grant, effects *statemachine.Effects) {
+func (w *Node) onGrantOfBackup(now time.Time, from, name string, grant LeaseGrant, effects *statemachine.Effects) {
 	copied := w.copies[name]
 	copied.heard = now
 	record := w.durable.Record
-	if w.gathered || w.durable.Complete != record.Epoch {
+	if w.gathered || w.durable.CompleteEpoch != record.Epoch {
 		return
 	}
 	inFlight := len(w.queue) > 0 && w.queue[0].index > 0
 	ahead := inFlight && grant.Index == w.queue[0].index
 	// A backup that lost its disk can't go on from a command under way either.
-	if grant.Complete != record.Epoch || grant.Index < w.index || grant.Index > w.index && !ahead {
+	if grant.CompleteEpoch != record.Epoch || grant.Index < w.index || grant.Index > w.index && !ahead {
 		copied.level = false
-		effects.Send(from, Frame{Epoch: record.Epoch, For: record.Epoch, Index: w.index, State: w.stateMachine.Snapshot()})
+		effects.Send(from, InstallSnapshot{Epoch: record.Epoch, TargetEpoch: record.Epoch, Index: w.index, State: w.stateMachine.Snapshot()})
 		return
 	}
 	w.copyLevel(now, name, effects)
@@ -285,7 +285,7 @@
 // follow looks after the copies: the primary after its backups, and they after
 // the primary.
 func (w *Node) follow(now time.Time, effects *statemachine.Effects) {
-	if w.durable.Complete != w.durable.Record.Epoch {
+	if w.durable.CompleteEpoch != w.durable.Record.Epoch {
 		return
 	}
 	switch {
@@ -319,7 +319,7 @@
 	record := w.durable.Record
 	seen := map[string]bool{w.settings.Self.Zone: true}
 	for _, name := range record.Backups {
-		backup, _ := record.Find(name)
+		backup, _ := record.VoterNamed(name)
 		if seen[backup.Zone] {
 			others := slices.DeleteFunc(slices.Clone(record.Backups), func(other string) bool { return other == name })
 			if spare, found := w.chooseSpare(now, others, record.Backups); found && !w.hasCopy(spare.Zone) {
@@ -333,7 +333,7 @@
 
 func (w *Node) hasCopy(zone string) bool {
 	return zone == w.settings.Self.Zone || slices.ContainsFunc(w.durable.Record.Backups, func(name string) bool {
-		backup, _ := w.durable.Record.Find(name)
+		backup, _ := w.durable.Record.VoterNamed(name)
 		return backup.Zone == zone
 	})
 }
@@ -417,7 +417,7 @@
 	for number, waiting := range statemachine.Sorted(w.confirms) {
 		if !waiting.limit.After(now) {
 			delete(w.confirms, number)
-			waiting.done(now, effects, Unsettled)
+			waiting.done(now, effects, Indeterminate)
 		} else if next.IsZero() || waiting.limit.Before(next) {
 			next = waiting.limit
 		}
@@ -433,13 +433,13 @@
 		}
 		if position == 0 && waiting.index > 0 {
 			// It stays at the head until it settles, but its caller is told.
-			waiting.done(now, effects, Unsettled)
+			waiting.done(now, effects, Indeterminate)
 			waiting.done = func(time.Time, *statemachine.Effects, Outcome) {}
 			waiting.limit = time.Time{}
 			kept = append(kept, waiting)
 			continue
 		}
-		waiting.done(now, effects, Refused)
+		waiting.done(now, effects, Rejected)
 	}
 	w.queue = kept
 	if !next.IsZero() {
--- a/internal/consensus/replication_test.go
+++ b/internal/consensus/replication_test.go
@@ -26,7 +26,7 @@
 		}
 		wb.after(100*time.Millisecond, try)
 		for _, controller := range wb.controllers {
-			if controller.up && !controller.frozen && !controller.cut && controller.watch.HoldsLease(controller.local()) && controller.watch.Waiting() == 0 {
+			if controller.up && !controller.frozen && !controller.cut && controller.watch.HoldsLease(controller.local()) && controller.watch.PendingProposals() == 0 {
 				wb.next++
 				number := wb.next
 				controller.step(func(now time.Time, effects *statemachine.Effects) {
@@ -204,7 +204,7 @@
 	"frozen": func(controller *controller) { controller.frozen = true },
 	"cut":    func(controller *controller) { controller.cut = true },
 	"stopped": func(controller *controller) {
-		controller.step(func(now time.Time, effects *statemachine.Effects) { controller.watch.Yield(now, effects) })
+		controller.step(func(now time.Time, effects *statemachine.Effects) { controller.watch.ReleaseLease(now, effects) })
 		controller.kill()
 	},
 	"hanging": func(controller *controller) { controller.hung = controller.bench.now + time.Minute },
--- a/internal/consensus/snapshot.go
+++ b/internal/consensus/snapshot.go
@@ -19,7 +19,7 @@
 		taken = append(taken, name)
 	}
 	for _, controller := range w.durable.Record.Voters {
-		if controller.At(w.settings.Self) || slices.Contains(taken, controller.Name) || slices.Contains(without, controller.Name) || slices.Contains(w.passedOver, controller.Name) {
+		if controller.SameAs(w.settings.Self) || slices.Contains(taken, controller.Name) || slices.Contains(without, controller.Name) || slices.Contains(w.passedOver, controller.Name) {
 			continue
 		}
 		if heard, found := w.lastGrant[controller.Name]; w.IsPrimary() && !w.takingOver && (!found || now.Sub(heard) > lostAfter || w.departing(now, controller)) {
@@ -58,8 +58,8 @@
 			break
 		}
 		w.spares[chosen.Name] = &asked{at: now, ready: statemachine.Mutated("copy-counts-at-once")}
-		effects.Send(chosen.Address, Frame{
-			Epoch: w.durable.Record.Epoch, For: w.durable.Record.Epoch + 1, Index: w.index, State: w.stateMachine.Snapshot(),
+		effects.Send(chosen.Address, InstallSnapshot{
+			Epoch: w.durable.Record.Epoch, TargetEpoch: w.durable.Record.Epoch + 1, Index: w.index, State: w.stateMachine.Snapshot(),
 		})
 	}
 	w.keep = keep
@@ -80,7 +80,7 @@
 			pending++
 			continue
 		}
-		if controller, found := w.durable.Record.Find(name); found && spare.leaving {
+		if controller, found := w.durable.Record.VoterNamed(name); found && spare.leaving {
 			leaving = append(leaving, controller)
 		} else if found {
 			ready = append(ready, controller)
@@ -97,7 +97,7 @@
 		for len(several) > 0 && len(backups) < w.wantedBackups() {
 			best := w.farthest(record.Voters, several, backups)
 			backups = append(backups, best.Name)
-			several = slices.DeleteFunc(several, func(controller Controller) bool { return controller.At(best) })
+			several = slices.DeleteFunc(several, func(controller Controller) bool { return controller.SameAs(best) })
 		}
 	}
 	if len(backups) < w.neededBackups() || !w.takingOver && slices.Equal(backups, record.Backups) {
@@ -107,7 +107,7 @@
 	w.begin(now, Record{Epoch: record.Epoch + 1, Primary: w.settings.Self.Name, Backups: backups, Voters: record.Voters}, effects)
 }
 
-func (w *Node) onFrame(_ time.Time, from string, frame Frame, effects *statemachine.Effects) {
+func (w *Node) onFrame(_ time.Time, from string, frame InstallSnapshot, effects *statemachine.Effects) {
 	record := w.durable.Record
 	if w.blank {
 		return
@@ -120,20 +120,20 @@
 		}
 		return
 	}
-	returned := FrameResponse{Epoch: frame.Epoch, For: frame.For, Index: frame.Index, Leaving: w.leaving}
+	returned := InstallSnapshotResponse{Epoch: frame.Epoch, TargetEpoch: frame.TargetEpoch, Index: frame.Index, Leaving: w.leaving}
 	sender := w.nameOf(from, record.Voters)
-	if frame.For == record.Epoch+1 && w.member() && (sender == record.Primary || slices.Contains(record.Backups, sender)) {
-		held := &spareFrame{From: sender, For: frame.For, Index: frame.Index, State: frame.State}
+	if frame.TargetEpoch == record.Epoch+1 && w.member() && (sender == record.Primary || slices.Contains(record.Backups, sender)) {
+		held := &spareFrame{From: sender, For: frame.TargetEpoch, Index: frame.Index, State: frame.State}
 		w.frames[sender] = held
 		w.write(effects, diskEntry{Spare: held}, func(_ time.Time, effects *statemachine.Effects) {
 			effects.Send(from, returned)
 		})
 		return
 	}
-	if frame.For != record.Epoch || sender != record.Primary || !w.isBackup() || w.takingOver || w.frozen() {
+	if frame.TargetEpoch != record.Epoch || sender != record.Primary || !w.isBackup() || w.takingOver || w.frozen() {
 		return
 	}
-	if w.durable.Complete == record.Epoch && frame.Index < w.index {
+	if w.durable.CompleteEpoch == record.Epoch && frame.Index < w.index {
 		// An older frame that came late; what was acknowledged since stays.
 		return
 	}
@@ -142,19 +142,19 @@
 	}
 	w.index = frame.Index
 	w.writeState(frame.State, effects)
-	w.durable.Complete = record.Epoch
+	w.durable.CompleteEpoch = record.Epoch
 	w.saveDurable(effects, func(_ time.Time, effects *statemachine.Effects) {
 		effects.Send(from, returned)
 	})
 }
 
-func (w *Node) onFrameResponse(now time.Time, from string, returned FrameResponse, effects *statemachine.Effects) {
+func (w *Node) onFrameResponse(now time.Time, from string, returned InstallSnapshotResponse, effects *statemachine.Effects) {
 	record := w.durable.Record
 	if returned.Epoch != record.Epoch {
 		return
 	}
 	name := w.nameOf(from, record.Voters)
-	if returned.For == record.Epoch+1 {
+	if returned.TargetEpoch == record.Epoch+1 {
 		spare, found := w.spares[name]
 		if !found || returned.Index != w.index || w.gathered || w.trying != nil {
 			return
--- a/internal/consensus/voters.go
+++ b/internal/consensus/voters.go
@@ -43,15 +43,15 @@
 
 func (w *Node) self() Controller {
 	self := w.settings.Self
-	self.Disk = w.durable.Disk
+	self.DiskID = w.durable.DiskID
 	return self
 }
 
 // member tells whether this controller is in the newest voters that it knows, with
 // the disk that the voters names.
 func (w *Node) member() bool {
-	entry, listed := w.durable.Record.Entry(w.settings.Self)
-	return !w.blank && listed && entry.Disk == w.durable.Disk
+	entry, listed := w.durable.Record.Voter(w.settings.Self)
+	return !w.blank && listed && entry.DiskID == w.durable.DiskID
 }
 
 // mayEnter tells whether this controller may take its part in a decided epoch at
@@ -61,25 +61,25 @@
 		return true
 	}
 	if !w.blank {
-		return entry.Disk == w.durable.Disk
+		return entry.DiskID == w.durable.DiskID
 	}
-	return w.durable.Disk != "" && entry.Disk == w.durable.Disk || record.Epoch == 1 && w.durable.Accepted.Epoch == 1
+	return w.durable.DiskID != "" && entry.DiskID == w.durable.DiskID || record.Epoch == 1 && w.durable.Accepted.Epoch == 1
 }
 
 // forget makes a controller that stood by learn from the others, since the voters
 // that it is now in names a disk that it lost.
 func (w *Node) forget(now time.Time) {
-	w.durable = Durable{Disk: w.durable.Disk}
+	w.durable = HardState{DiskID: w.durable.DiskID}
 	w.blank, w.trying = true, nil
-	w.recalls = map[string]Durable{}
+	w.recalls = map[string]HardState{}
 	w.timers.ArmSooner("hello", now)
 }
 
-// Standbys lists the controllers outside the voters that were heard lately.
-func (w *Node) Standbys(now time.Time) []Controller {
+// Learners lists the controllers outside the voters that were heard lately.
+func (w *Node) Learners(now time.Time) []Controller {
 	var standbys []Controller
 	for _, met := range statemachine.Sorted(w.met) {
-		if _, listed := w.durable.Record.Entry(met.hello.Self); !listed && now.Sub(met.heard) < standbyFresh && !w.saidToGo(now, met.hello.Self.Address) {
+		if _, listed := w.durable.Record.Voter(met.hello.Self); !listed && now.Sub(met.heard) < standbyFresh && !w.saidToGo(now, met.hello.Self.Address) {
 			standbys = append(standbys, met.hello.Self)
 		}
 	}
@@ -90,7 +90,7 @@
 
 func (w *Node) greeting() Hello {
 	return Hello{
-		Self: w.self(), Count: w.settings.Count, Known: w.Known(), Blank: w.blank,
+		Self: w.self(), ClusterSize: w.settings.ClusterSize, Known: w.KnownControllers(), Blank: w.blank,
 		Founding: len(w.durable.Founders) > 0, Record: w.durable.Record,
 	}
 }
@@ -103,7 +103,7 @@
 		for _, seed := range append(slices.Clone(w.settings.Seeds), w.durable.Founders...) {
 			targets[seed] = true
 		}
-		for _, controller := range append(w.Known(), w.told.Voters...) {
+		for _, controller := range append(w.KnownControllers(), w.told.Voters...) {
 			targets[controller.Address] = true
 		}
 		for address := range statemachine.Sorted(w.heardOf) {
@@ -166,14 +166,14 @@
 }
 
 func (w *Node) onHello(now time.Time, from string, hello Hello, effects *statemachine.Effects) {
-	if hello.Self.At(w.settings.Self) {
+	if hello.Self.SameAs(w.settings.Self) {
 		return
 	}
 	w.met[hello.Self.Address] = meeting{hello: hello, heard: now}
 	w.forgetMet(now)
 	if w.blank {
 		for _, controller := range hello.Known {
-			if _, met := w.met[controller.Address]; !met && !w.heardOf[controller.Address] && !controller.At(w.settings.Self) {
+			if _, met := w.met[controller.Address]; !met && !w.heardOf[controller.Address] && !controller.SameAs(w.settings.Self) {
 				// Greeted at once, and from then on with the others in their time.
 				w.heardOf[controller.Address] = true
 				effects.Send(controller.Address, w.greeting())
@@ -193,13 +193,13 @@
 
 // isFounder tells whether this controller may ask for the first epoch.
 func (w *Node) isFounder() bool {
-	return w.settings.Count > 0 || len(w.durable.Founders) > 0
+	return w.settings.ClusterSize > 0 || len(w.durable.Founders) > 0
 }
 
 // enlist notes on the disk that this controller is one of the founders, so that it
 // goes on founding when it is started again with other settings.
 func (w *Node) enlist(effects *statemachine.Effects) {
-	if !w.blank || !w.settings.Founding || w.settings.Count > 0 || len(w.durable.Founders) > 0 ||
+	if !w.blank || !w.settings.Founding || w.settings.ClusterSize > 0 || len(w.durable.Founders) > 0 ||
 		!slices.Contains(w.settings.Seeds, w.settings.Self.Address) {
 		return
 	}
@@ -214,8 +214,8 @@
 		switch {
 		case !met.hello.Blank:
 			return nil, false
-		case w.settings.Count > 0:
-			if met.hello.Count != w.settings.Count {
+		case w.settings.ClusterSize > 0:
+			if met.hello.ClusterSize != w.settings.ClusterSize {
 				return nil, false
 			}
 			voters = append(voters, met.hello.Self)
@@ -224,8 +224,8 @@
 		}
 	}
 	wanted := len(w.durable.Founders)
-	if w.settings.Count > 0 {
-		wanted = w.settings.Count
+	if w.settings.ClusterSize > 0 {
+		wanted = w.settings.ClusterSize
 	}
 	return voters, len(voters) == wanted
 }
@@ -241,10 +241,10 @@
 	slices.SortFunc(voters, func(left, right Controller) int { return cmp.Compare(left.Name, right.Name) })
 	// The first by name asks, of those that know themselves as founders.
 	for _, controller := range voters {
-		if controller.At(w.settings.Self) {
+		if controller.SameAs(w.settings.Self) {
 			break
 		}
-		if met := w.met[controller.Address]; met.hello.Founding || w.settings.Count > 0 {
+		if met := w.met[controller.Address]; met.hello.Founding || w.settings.ClusterSize > 0 {
 			return
 		}
 	}
@@ -254,13 +254,13 @@
 // Recalling.
 
 func (w *Node) recall(effects *statemachine.Effects) {
-	if _, listed := w.told.Entry(w.settings.Self); !listed {
+	if _, listed := w.told.Voter(w.settings.Self); !listed {
 		return
 	}
 	w.recalling = w.requests.Next()
 	for _, controller := range w.told.Voters {
-		if !controller.At(w.settings.Self) {
-			effects.Send(controller.Address, RecallAsk{Request: w.recalling})
+		if !controller.SameAs(w.settings.Self) {
+			effects.Send(controller.Address, RecoveryRequest{Request: w.recalling})
 		}
 	}
 }
@@ -268,21 +268,21 @@
 // onRecallResponse gathers what the others remember. Whatever this controller granted
 // before its disk was lost, a majority with it granted; those that answer must
 // hold one other of any such majority.
-func (w *Node) onRecallResponse(now time.Time, from string, recalled RecallResponse, effects *statemachine.Effects) {
-	if !w.blank || recalled.Request != w.recalling || recalled.Durable.Record.Epoch == 0 {
+func (w *Node) onRecallResponse(now time.Time, from string, recalled RecoveryResponse, effects *statemachine.Effects) {
+	if !w.blank || recalled.Request != w.recalling || recalled.HardState.Record.Epoch == 0 {
 		return
 	}
-	w.recalls[from] = recalled.Durable
-	w.learn(now, recalled.Durable.Record, effects)
-	entry, listed := w.told.Entry(w.settings.Self)
+	w.recalls[from] = recalled.HardState
+	w.learn(now, recalled.HardState.Record, effects)
+	entry, listed := w.told.Voter(w.settings.Self)
 	if !w.blank || !listed {
 		return
 	}
-	newest := Durable{Disk: entry.Disk, Record: w.told, Recalled: true}
+	newest := HardState{DiskID: entry.DiskID, Record: w.told, Recovered: true}
 	answered := 0
 	for _, controller := range newest.Record.Voters {
 		held, found := w.recalls[controller.Address]
-		if !found || controller.At(w.settings.Self) {
+		if !found || controller.SameAs(w.settings.Self) {
 			continue
 		}
 		answered++
@@ -303,8 +303,8 @@
 	w.blank = false
 	w.trying = nil
 	// Whom it granted lease to before, nobody can tell.
-	w.grantedUntil, w.grantedTo = now.Add(LeaseLength), ""
-	w.forgetful = now.Add(LeaseLength)
+	w.grantedUntil, w.grantedTo = now.Add(LeaseDuration), ""
+	w.forgetful = now.Add(LeaseDuration)
 	w.primaryHeard, w.decidedAt = now, now
 	w.watchCopies(now)
 	effects.Emit(logevent.EpochRecovered, "epoch", newest.Record.Epoch)
@@ -331,8 +331,8 @@
 
 // wantedVoters is how many controllers the voters should have.
 func (w *Node) wantedVoters() int {
-	if w.settings.Count > 0 {
-		return w.settings.Count
+	if w.settings.ClusterSize > 0 {
+		return w.settings.ClusterSize
 	}
 	return max(leastVoters, 2*w.settings.Tolerance+1)
 }
@@ -375,7 +375,7 @@
 	}
 	var stay []Controller
 	for _, controller := range w.durable.Record.Voters {
-		if !leaves || !controller.At(leaver) {
+		if !leaves || !controller.SameAs(leaver) {
 			stay = append(stay, controller)
 		}
 	}
@@ -399,14 +399,14 @@
 func (w *Node) leaver(now time.Time) (Controller, bool) {
 	record := w.durable.Record
 	for _, controller := range record.Voters {
-		if controller.At(w.settings.Self) || slices.Contains(record.Backups, controller.Name) && !w.mayDrop(now, controller) {
+		if controller.SameAs(w.settings.Self) || slices.Contains(record.Backups, controller.Name) && !w.mayDrop(now, controller) {
 			continue
 		}
 		if w.departing(now, controller) {
 			return controller, true
 		}
 		silence := w.silence(now, controller.Name)
-		succeeded := slices.ContainsFunc(w.Standbys(now), func(standby Controller) bool { return standby.Name == controller.Name })
+		succeeded := slices.ContainsFunc(w.Learners(now), func(standby Controller) bool { return standby.Name == controller.Name })
 		if silence > replaceAfter || succeeded && silence > succeedAfter {
 			return controller, true
 		}
@@ -418,14 +418,14 @@
 // has two members more.
 func (w *Node) crowded(now time.Time) (Controller, bool) {
 	record := w.durable.Record
-	if w.settings.Count > 0 || !w.Serving(now) || now.Sub(w.decidedAt) < spreadAfter {
+	if w.settings.ClusterSize > 0 || !w.Serving(now) || now.Sub(w.decidedAt) < spreadAfter {
 		return Controller{}, false
 	}
 	counts := map[string]int{}
 	for _, controller := range record.Voters {
 		counts[controller.Zone]++
 	}
-	for _, standby := range w.Standbys(now) {
+	for _, standby := range w.Learners(now) {
 		for _, controller := range record.Voters {
 			if controller.Name != record.Primary && !slices.Contains(record.Backups, controller.Name) && counts[controller.Zone] > counts[standby.Zone]+1 {
 				return controller, true
@@ -440,7 +440,7 @@
 func (w *Node) joiner(now time.Time, stay []Controller) (Controller, bool) {
 	var best Controller
 	found, fewest := false, 0
-	for _, standby := range w.Standbys(now) {
+	for _, standby := range w.Learners(now) {
 		met := w.met[standby.Address]
 		if met.hello.Blank || met.hello.Record.Epoch != w.durable.Record.Epoch ||
 			slices.ContainsFunc(stay, func(controller Controller) bool {
@@ -465,14 +465,14 @@
 func (w *Node) noteVoters(earlier, record Record, effects *statemachine.Effects) {
 	var entered, left []string
 	for _, controller := range record.Voters {
-		if _, listed := earlier.Entry(controller); !listed {
+		if _, listed := earlier.Voter(controller); !listed {
 			entered = append(entered, controller.Name)
 			delete(w.departs, controller.Address)
 			delete(w.lastGrant, controller.Name)
 		}
 	}
 	for _, controller := range earlier.Voters {
-		if _, listed := record.Entry(controller); !listed {
+		if _, listed := record.Voter(controller); !listed {
 			left = append(left, controller.Name)
 		}
 	}
--- a/internal/consensus/voters_test.go
+++ b/internal/consensus/voters_test.go
@@ -97,7 +97,7 @@
 	}
 	for _, each := range voters {
 		if !slices.ContainsFunc(wb.controllers, func(controller *controller) bool {
-			return controller.self.At(each) && controller.up && controller.watch.member() && controller.watch.Record().Epoch == primary.watch.Record().Epoch
+			return controller.self.SameAs(each) && controller.up && controller.watch.member() && controller.watch.Record().Epoch == primary.watch.Record().Epoch
 		}) {
 			return false
 		}
--- a/internal/consensus/world_test.go
+++ b/internal/consensus/world_test.go
@@ -89,7 +89,7 @@
 	record := Record{Epoch: 1, Primary: "c0"}
 	for number := range controllers {
 		name := fmt.Sprint("c", number)
-		self := Controller{Name: name, Address: name, Zone: fmt.Sprint(number), Disk: "disk-" + name}
+		self := Controller{Name: name, Address: name, Zone: fmt.Sprint(number), DiskID: "disk-" + name}
 		w.nodes = append(w.nodes, &node{world: w, number: number, self: self})
 		if number < voters {
 			record.Voters = append(record.Voters, self)
@@ -99,9 +99,9 @@
 		}
 	}
 	for _, each := range w.nodes {
-		durable := Durable{Disk: each.self.Disk, Record: record}
+		durable := HardState{DiskID: each.self.DiskID, Record: record}
 		if each.self.Name == record.Primary || slices.Contains(record.Backups, each.self.Name) {
-			durable.Complete = 1
+			durable.CompleteEpoch = 1
 		}
 		each.entries = [][]byte{transport.MustMarshal(diskEntry{Durable: &durable})}
 	}
@@ -141,10 +141,10 @@
 }
 
 func (n *node) start() {
-	settings := Settings{Self: n.self, Seeds: []string{"c0", "c1", "c2"}, Tolerance: n.world.tolerance, NewDisk: n.self.Disk}
-	settings.Self.Disk = ""
+	settings := Settings{Self: n.self, Seeds: []string{"c0", "c1", "c2"}, Tolerance: n.world.tolerance, NewDiskID: n.self.DiskID}
+	settings.Self.DiskID = ""
 	if n.lives > 0 {
-		settings.NewDisk = fmt.Sprintf("%s-%d", n.self.Disk, n.lives)
+		settings.NewDiskID = fmt.Sprintf("%s-%d", n.self.DiskID, n.lives)
 	}
 	n.lives++
 	settings.Incarnation = statemachine.Incarnation(n.number<<8 + n.lives)
@@ -358,7 +358,7 @@
 }
 
 func (w *world) offerTroubles(first *pending) {
-	if serving := w.serving(); serving != nil && w.left.submits > 0 && serving.watch.Waiting() == 0 {
+	if serving := w.serving(); serving != nil && w.left.submits > 0 && serving.watch.PendingProposals() == 0 {
 		w.offer(0, func() string { return "a command is submitted" }, func() {
 			w.left.submits--
 			w.submit(serving)
--- a/internal/controller/control.go
+++ b/internal/controller/control.go
@@ -91,7 +91,7 @@
 				voters = append(voters, each.Name)
 			}
 			standbys := []string{}
-			for _, each := range c.node.Standbys(now) {
+			for _, each := range c.node.Learners(now) {
 				standbys = append(standbys, each.Name)
 			}
 			return http.StatusOK, map[string]any{
@@ -163,9 +163,9 @@
 	}
 	c.node.Submit(now, mustPack(Command{Configuration: &change}), c.spans.command, func(now time.Time, effects *statemachine.Effects, outcome consensus.Outcome) {
 		switch outcome {
-		case consensus.Refused:
+		case consensus.Rejected:
 			give(effects, http.StatusServiceUnavailable, controlclient.ErrorBody("refused", "the configuration was not taken", nil))
-		case consensus.Unsettled:
+		case consensus.Indeterminate:
 			give(effects, http.StatusServiceUnavailable, controlclient.ErrorBody("unsettled", "the configuration may have been taken; send the same again", nil))
 		case consensus.Committed:
 			decided := c.state.result
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -110,7 +110,7 @@
 	parsedAt      uint64
 	economist     *consolidation.Economist
 	balancer      *balancing.Balancer
-	lease         *consensus.Lease
+	lease         *consensus.RoleLease
 	orders        map[string]membership.Directives
 }
 
@@ -128,13 +128,13 @@
 		tolerance = *settings.Tolerance
 	}
 	watch, err := consensus.New(consensus.Settings{
-		Self: self, Count: settings.Count, Seeds: settings.Seeds, Founding: settings.Founding, Tolerance: tolerance, NewDisk: settings.NewDisk, Incarnation: settings.Incarnation,
+		Self: self, ClusterSize: settings.Count, Seeds: settings.Seeds, Founding: settings.Founding, Tolerance: tolerance, NewDiskID: settings.NewDisk, Incarnation: settings.Incarnation,
 	}, controller.state, frame, entries)
 	if err != nil {
 		return nil, err
 	}
 	controller.node = watch
-	controller.lease = watch.NewLease("economy")
+	controller.lease = watch.NewRoleLease("economy")
 	controller.economist, controller.balancer = consolidation.New(), balancing.New()
 	controller.pulse = membership.NewFailureDetector(settings.Self)
 	controller.follower = membership.NewViewClient(settings.Self, settings.Incarnation, append([]string{settings.Self.Address}, settings.Seeds...), func() membership.Load { return membership.Load{} })
@@ -257,7 +257,7 @@
 // Asking and answering.
 
 func (c *Controller) onAsk(now time.Time, from string, ask membership.ViewRequest, effects *statemachine.Effects) {
-	if !c.node.Speaking(now) {
+	if !c.node.CanServeReads(now) {
 		if c.node.IsPrimary() && c.node.HoldsLease(now) {
 			return
 		}
@@ -289,7 +289,7 @@
 	if primary, found := c.node.Primary(); found && primary.Name != c.settings.Self.Name {
 		redirect.Primary = primary.Address
 	}
-	for _, known := range c.node.Known() {
+	for _, known := range c.node.KnownControllers() {
 		redirect.Controllers = append(redirect.Controllers, known.Address)
 	}
 	return redirect
@@ -320,7 +320,7 @@
 
 // answerNews answers those that wait, once there is news or their time is up.
 func (c *Controller) answerNews(now time.Time, effects *statemachine.Effects) {
-	if len(c.held) == 0 || !c.node.Speaking(now) {
+	if len(c.held) == 0 || !c.node.CanServeReads(now) {
 		return
 	}
 	for _, item := range statemachine.Sorted(c.held) {
--- a/internal/controller/economy.go
+++ b/internal/controller/economy.go
@@ -21,10 +21,10 @@
 // economize lets the economy duty act, under its own lease.
 func (c *Controller) economize(now time.Time, effects *statemachine.Effects) {
 	configuration := c.configuration()
-	c.node.AskDuty(now, c.lease, effects)
+	c.node.RequestRoleLease(now, c.lease, effects)
 	// Right after a take-over few have reported, and after a loss of all the crowd
 	// still comes: what looks like too many then is a share of too few.
-	if !c.lease.Held(now) || now.Sub(c.began) < settleFor {
+	if !c.lease.Valid(now) || now.Sub(c.began) < settleFor {
 		return
 	}
 	decided := c.economist.Decide(now, consolidation.Observation{
--- a/internal/controller/restart_test.go
+++ b/internal/controller/restart_test.go
@@ -379,7 +379,7 @@
 		took, state := c.now.Sub(begun), len(c.primary().machine.state.Snapshot())
 		sent := 0
 		for what, bytes := range c.sent {
-			if strings.Contains(what, "consensus.Frame") || strings.Contains(what, "consensus.Append") {
+			if strings.Contains(what, "consensus.InstallSnapshot") || strings.Contains(what, "consensus.Append") {
 				sent += bytes
 			}
 		}
--- a/internal/simulator/cutoff_test.go
+++ b/internal/simulator/cutoff_test.go
@@ -64,7 +64,7 @@
 	backup := simulation.Node(record.Backups[0])
 	var witness, standby *Node
 	for _, node := range simulation.Nodes(membership.KindController) {
-		_, votes := record.Find(node.Name)
+		_, votes := record.VoterNamed(node.Name)
 		switch {
 		case !votes:
 			standby = node
--- a/internal/simulator/secondloss_test.go
+++ b/internal/simulator/secondloss_test.go
@@ -60,7 +60,7 @@
 func (s *Simulation) strikeAgain(count int) {
 	var wiped []string
 	for _, node := range s.Nodes(membership.KindController) {
-		if len(wiped) < count && node.Up && node.watch().Complete() > 0 {
+		if len(wiped) < count && node.Up && node.watch().CompleteEpoch() > 0 {
 			wiped = append(wiped, node.Name)
 		}
 	}
--- a/internal/storedforms/storedforms_test.go
+++ b/internal/storedforms/storedforms_test.go
@@ -65,7 +65,7 @@
 // others to themselves have such a test of their own.
 func diskForms() []storedforms.Form {
 	return []storedforms.Form{
-		{Name: "consensus-durable", Type: reflect.TypeFor[consensus.Durable]()},
+		{Name: "consensus-durable", Type: reflect.TypeFor[consensus.HardState]()},
 		{Name: "control-command", Type: reflect.TypeFor[controller.Command]()},
 		{Name: "control-state", Type: reflect.TypeFor[controller.State]()},
 		{Name: "control-decision", Type: reflect.TypeFor[controller.Decision]()},
