--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -1,6 +1,3 @@
-// Deciding an epoch: a record is promised and accepted by ballots of a majority
-// of the voters, on their disks, and learned by all that it concerns.
-
 package consensus
 
 import (
@@ -12,371 +9,404 @@
 	"dahlialock/internal/statemachine"
 )
 
-func (w *Node) begin(now time.Time, own Record, effects *statemachine.Effects) {
-	w.ballotCount = max(w.ballotCount, w.durable.Promised.Count) + 1
-	w.trying = &attempt{
-		ballot: Ballot{Count: w.ballotCount, Name: w.settings.Self.Name}, epoch: own.Epoch, own: own,
-		promises: map[string]Promise{}, accepts: map[string]bool{}, phase: 1,
+const (
+	// ballotRetryInterval and a part of ballotRetryJitter, which depends on the proposer,
+	// are how long a ballot may take before it is started anew.
+	ballotRetryInterval = 400 * time.Millisecond
+	ballotRetryJitter   = 300
+	// leaseWaitMargin is added to the time that an acceptor's lease still runs.
+	leaseWaitMargin = 5 * time.Millisecond
+)
+
+// election is this controller's part as a proposer of the next epoch.
+type election struct {
+	// attempt is the present ballot, or nil.
+	attempt *attempt
+	// ballotCount is at least that of any ballot that was started here or heard of as
+	// promised.
+	ballotCount uint64
+	// decidedAt is when the present epoch was learned.
+	decidedAt time.Time
+}
+
+// ballotPhase is the phase of a ballot.
+type ballotPhase int
+
+const (
+	preparing ballotPhase = iota + 1
+	accepting
+)
+
+// attempt is one ballot to decide the record of an epoch.
+type attempt struct {
+	ballot Ballot
+	epoch  uint64
+	// proposed is the record that this controller wants, and chosen the one that it may
+	// ask to accept: one that may have been decided by an earlier ballot goes first.
+	proposed Record
+	chosen   Record
+	// promises and accepted are the answers by address.
+	promises map[string]Promise
+	accepted map[string]bool
+	phase    ballotPhase
+}
+
+// startBallot begins a ballot for a record, in place of any earlier one.
+func (n *Node) startBallot(now time.Time, proposed Record, effects *statemachine.Effects) {
+	n.election.ballotCount = max(n.election.ballotCount, n.hardState.Promised.Count) + 1
+	n.election.attempt = &attempt{
+		ballot:   Ballot{Count: n.election.ballotCount, Name: n.settings.Self.Name},
+		epoch:    proposed.Epoch,
+		proposed: proposed,
+		promises: map[string]Promise{},
+		accepted: map[string]bool{},
+		phase:    preparing,
+	}
+	// Armed first: this controller's own answer may set a better time.
+	n.timers.Arm(ballotTimer, now.Add(n.ballotTimeout()))
+	prepare := Prepare{Epoch: proposed.Epoch, Ballot: n.election.attempt.ballot}
+	for _, voter := range n.electorate(proposed) {
+		n.deliver(now, voter.Address, prepare, effects)
 	}
-	// Armed first: its own answer may already tell a better moment.
+}
+
+// ballotTimeout differs between proposers and ballots, so that two proposers don't
+// supersede each other again and again.
+func (n *Node) ballotTimeout() time.Duration {
 	sum := fnv.New32a()
-	_, _ = sum.Write([]byte(w.settings.Self.Name))
-	_, _ = sum.Write([]byte{byte(w.ballotCount)})
-	w.timers.Arm("retry", now.Add(retryEvery+time.Duration(sum.Sum32()%300)*time.Millisecond))
-	prepare := Prepare{Epoch: own.Epoch, Ballot: w.trying.ballot}
-	for _, controller := range w.deciders(own) {
-		w.reply(now, controller.Address, prepare, effects)
-	}
+	_, _ = sum.Write([]byte(n.settings.Self.Name))
+	_, _ = sum.Write([]byte{byte(n.election.ballotCount)})
+	return ballotRetryInterval + time.Duration(sum.Sum32()%ballotRetryJitter)*time.Millisecond
 }
 
-// deciders are those whose majority decides what a record says: the voters
-// before it, or for the first epoch its own.
-func (w *Node) deciders(record Record) []Controller {
+// electorate returns those whose majority decides a record: the voters of the epoch
+// before, or for the first epoch its own.
+func (n *Node) electorate(record Record) []Controller {
 	if record.Epoch == 1 {
 		return record.Voters
 	}
-	return w.durable.Record.Voters
+	return n.hardState.Record.Voters
 }
 
-// enough tells whether so many of a voters agreed, by their addresses. The first
-// epoch needs all.
-func enough[Kind any](epoch uint64, voters []Controller, agreed map[string]Kind) bool {
+// hasQuorum reports whether enough voters agreed to an epoch, by their addresses: a
+// majority, and for the first epoch all.
+func hasQuorum[Answer any](epoch uint64, voters []Controller, agreed map[string]Answer) bool {
 	count := 0
-	for _, controller := range voters {
-		if _, found := agreed[controller.Address]; found {
+	for _, voter := range voters {
+		if _, found := agreed[voter.Address]; found {
 			count++
 		}
 	}
 	return count > len(voters)/2 && (epoch > 1 || count == len(voters))
 }
 
-func (w *Node) nameOf(address string, voters []Controller) string {
-	for _, controller := range voters {
-		if controller.Address == address {
-			return controller.Name
-		}
-	}
-	return ""
-}
-
-func (w *Node) onPrepare(now time.Time, from string, prepare Prepare, effects *statemachine.Effects) {
-	if prepare.Epoch <= w.durable.Record.Epoch {
-		w.reply(now, from, Decided{Record: w.durable.Record}, effects)
+func (n *Node) handlePrepare(now time.Time, from string, prepare Prepare, effects *statemachine.Effects) {
+	if prepare.Epoch <= n.hardState.Record.Epoch {
+		n.deliver(now, from, Decided{Record: n.hardState.Record}, effects)
 		return
 	}
-	if prepare.Epoch != w.durable.Record.Epoch+1 || (w.blank && prepare.Epoch != 1) {
-		w.askRecord(from, effects)
+	if prepare.Epoch != n.hardState.Record.Epoch+1 || (n.blank && prepare.Epoch != 1) {
+		n.requestRecord(from, effects)
 		return
 	}
-	if prepare.Epoch > 1 && (!w.member() || w.nameOf(from, w.durable.Record.Voters) == "" || w.unsure(now)) {
+	if prepare.Epoch > 1 && (!n.isVoter() || n.voterNameAt(from) == "" || n.grantsUncertain(now)) {
 		return
 	}
-	refusal := Promise{Epoch: prepare.Epoch, Ballot: prepare.Ballot, Promised: w.durable.Promised}
-	if !w.durable.Promised.Before(prepare.Ballot) {
-		w.reply(now, from, refusal, effects)
+	rejection := Promise{Epoch: prepare.Epoch, Ballot: prepare.Ballot, Promised: n.hardState.Promised}
+	if !n.hardState.Promised.Before(prepare.Ballot) {
+		n.deliver(now, from, rejection, effects)
 		return
 	}
-	w.giveWay(now, prepare)
-	if prepare.Epoch > 1 && prepare.Ballot.Name != w.durable.Record.Primary && now.Before(w.grantedUntil) && !statemachine.Mutated("grant-at-once") {
-		refusal.RetryAfter = w.grantedUntil.Sub(now)
-		w.reply(now, from, refusal, effects)
+	n.withdrawOwnGrant(now, prepare)
+	if n.leaseBlocks(now, prepare) {
+		rejection.RetryAfter = n.voter.grantedUntil.Sub(now)
+		n.deliver(now, from, rejection, effects)
 		return
 	}
-	w.durable.Promised = prepare.Ballot
-	given := Promise{
-		Epoch: prepare.Epoch, Ballot: prepare.Ballot, Granted: true,
-		AcceptedBallot: w.durable.AcceptedBallot, Accepted: w.durable.Accepted,
+	n.hardState.Promised = prepare.Ballot
+	promise := Promise{
+		Epoch:          prepare.Epoch,
+		Ballot:         prepare.Ballot,
+		Granted:        true,
+		AcceptedBallot: n.hardState.AcceptedBallot,
+		Accepted:       n.hardState.Accepted,
 	}
-	w.saveDurable(effects, func(now time.Time, effects *statemachine.Effects) {
-		w.reply(now, from, given, effects)
+	n.persistHardState(effects, func(now time.Time, effects *statemachine.Effects) {
+		n.deliver(now, from, promise, effects)
 	})
 }
 
-// giveWay takes back what a primary granted itself, once it has had no lease for as long
-// as one lasts: its own vote serves nobody but itself, and the others may wait for it as
-// it does for theirs. What it still asks for can become no lease any more, and what it
-// granted somebody in an earlier life has run out.
-func (w *Node) giveWay(now time.Time, prepare Prepare) {
-	if !w.IsPrimary() || prepare.Ballot.Name == w.settings.Self.Name || statemachine.Mutated("no-way-given") {
-		return
-	}
-	since := w.leaseUntil
-	if since.Before(w.actingSince) {
-		since = w.actingSince
-	}
-	if now.Sub(since) < LeaseDuration {
-		return
-	}
-	w.grantedUntil = now
-	w.renewals, w.grants = map[uint64]time.Time{}, map[uint64]map[string]bool{}
-}
-
-// reply sends an answer, or takes it at once where a controller asked itself.
-func (w *Node) reply(now time.Time, to string, message any, effects *statemachine.Effects) {
-	if to != w.settings.Self.Address {
-		effects.Send(to, message)
-		return
-	}
-	w.HandleMessage(now, statemachine.Meta{From: to}, message, effects)
-}
-
-func (w *Node) askRecord(from string, effects *statemachine.Effects) {
-	effects.Send(from, w.greeting())
-}
-
-func (w *Node) onPromise(now time.Time, from string, promise Promise, effects *statemachine.Effects) {
-	trying := w.trying
-	if trying == nil || trying.phase != 1 || promise.Ballot != trying.ballot || promise.Epoch != trying.epoch {
+func (n *Node) handlePromise(now time.Time, from string, promise Promise, effects *statemachine.Effects) {
+	attempt := n.election.attempt
+	if attempt == nil || attempt.phase != preparing ||
+		promise.Ballot != attempt.ballot || promise.Epoch != attempt.epoch {
 		return
 	}
 	if !promise.Granted {
-		w.ballotCount = max(w.ballotCount, promise.Promised.Count)
+		n.election.ballotCount = max(n.election.ballotCount, promise.Promised.Count)
 		if promise.RetryAfter > 0 {
-			w.timers.Arm("retry", now.Add(promise.RetryAfter+waitMargin))
+			n.timers.Arm(ballotTimer, now.Add(promise.RetryAfter+leaseWaitMargin))
 		}
 		return
 	}
-	trying.promises[from] = promise
-	if !enough(trying.epoch, w.deciders(trying.own), trying.promises) {
+	attempt.promises[from] = promise
+	if !hasQuorum(attempt.epoch, n.electorate(attempt.proposed), attempt.promises) {
 		return
 	}
-	trying.phase = 2
-	trying.value = trying.own
-	best := Ballot{}
-	for _, held := range statemachine.Sorted(trying.promises) {
-		if held.Accepted.Epoch == trying.epoch && best.Before(held.AcceptedBallot) {
-			best, trying.value = held.AcceptedBallot, held.Accepted
+	attempt.phase = accepting
+	attempt.choose()
+	// This controller's own disk accepts the record first, which seals the present epoch.
+	accept := Accept{Epoch: attempt.epoch, Ballot: attempt.ballot, Record: attempt.chosen}
+	n.handleAccept(now, n.settings.Self.Address, accept, effects)
+}
+
+// choose picks the record of the highest ballot that was accepted, as it may have been
+// decided already, or else the one that this controller wants.
+func (a *attempt) choose() {
+	a.chosen = a.proposed
+	highest := Ballot{}
+	for _, promise := range statemachine.Sorted(a.promises) {
+		if promise.Accepted.Epoch == a.epoch && highest.Before(promise.AcceptedBallot) {
+			highest, a.chosen = promise.AcceptedBallot, promise.Accepted
 		}
 	}
-	// Its own disk takes the record first: see frozen.
-	w.onAccept(now, w.settings.Self.Address, Accept{Epoch: trying.epoch, Ballot: trying.ballot, Record: trying.value}, effects)
 }
 
-// concerned are the addresses of all that a next record concerns: the present
-// voters and the next one.
-func (w *Node) concerned(record Record) map[string]bool {
+// addressesOf returns the addresses of all present voters and those of a next record.
+func (n *Node) addressesOf(record Record) map[string]bool {
 	addresses := map[string]bool{}
-	for _, controller := range append(slices.Clone(w.durable.Record.Voters), record.Voters...) {
-		addresses[controller.Address] = true
+	for _, voter := range n.hardState.Record.Voters {
+		addresses[voter.Address] = true
+	}
+	for _, voter := range record.Voters {
+		addresses[voter.Address] = true
 	}
 	return addresses
 }
 
-// unsure tells whether this controller, which has learned from the others what its
-// lost disk held, may still have granted something that they don't know of.
-func (w *Node) unsure(now time.Time) bool {
-	return w.durable.Recovered && now.Before(w.forgetful)
-}
-
-// mayAccept tells whether this controller has a say on a next record: it is in the
-// present voters, or comes into the next one with the disk that it has.
-func (w *Node) mayAccept(now time.Time, record Record) bool {
-	entry, listed := record.Voter(w.settings.Self)
+// mayAccept reports whether this controller is an acceptor of a next record: it is a
+// present voter, or becomes one with the disk that it has.
+func (n *Node) mayAccept(now time.Time, record Record) bool {
+	entry, listed := record.Voter(n.settings.Self)
 	if record.Epoch == 1 {
-		addresses := []string{}
-		for _, controller := range record.Voters {
-			addresses = append(addresses, controller.Address)
-		}
-		return listed && (len(w.durable.Founders) == 0 || slices.Equal(w.durable.Founders, slices.Sorted(slices.Values(addresses))))
+		return listed && n.foundersAre(record.Voters)
 	}
-	if w.member() {
-		return !w.unsure(now)
+	if n.isVoter() {
+		return !n.grantsUncertain(now)
 	}
-	return !w.blank && listed && entry.DiskID == w.durable.DiskID
+	return !n.blank && listed && entry.DiskID == n.hardState.DiskID
+}
+
+// foundersAre reports whether the voters of a first epoch are the founders that this
+// controller knows, if any.
+func (n *Node) foundersAre(voters []Controller) bool {
+	if len(n.hardState.Founders) == 0 {
+		return true
+	}
+	addresses := []string{}
+	for _, voter := range voters {
+		addresses = append(addresses, voter.Address)
+	}
+	slices.Sort(addresses)
+	return slices.Equal(n.hardState.Founders, addresses)
 }
 
-func (w *Node) onAccept(now time.Time, from string, accept Accept, effects *statemachine.Effects) {
-	if accept.Epoch <= w.durable.Record.Epoch {
-		w.reply(now, from, Decided{Record: w.durable.Record}, effects)
+func (n *Node) handleAccept(now time.Time, from string, accept Accept, effects *statemachine.Effects) {
+	if accept.Epoch <= n.hardState.Record.Epoch {
+		n.deliver(now, from, Decided{Record: n.hardState.Record}, effects)
 		return
 	}
-	if accept.Epoch != w.durable.Record.Epoch+1 {
-		w.askRecord(from, effects)
+	if accept.Epoch != n.hardState.Record.Epoch+1 {
+		n.requestRecord(from, effects)
 		return
 	}
-	if accept.Ballot.Before(w.durable.Promised) || !w.mayAccept(now, accept.Record) {
+	if accept.Ballot.Before(n.hardState.Promised) || !n.mayAccept(now, accept.Record) {
 		return
 	}
-	w.durable.Promised = accept.Ballot
-	w.durable.AcceptedBallot, w.durable.Accepted = accept.Ballot, accept.Record
-	taken := Accepted{Epoch: accept.Epoch, Ballot: accept.Ballot, Granted: true}
-	w.saveDurable(effects, func(now time.Time, effects *statemachine.Effects) {
-		w.reply(now, from, taken, effects)
+	n.hardState.Promised = accept.Ballot
+	n.hardState.AcceptedBallot, n.hardState.Accepted = accept.Ballot, accept.Record
+	accepted := Accepted{Epoch: accept.Epoch, Ballot: accept.Ballot, Granted: true}
+	n.persistHardState(effects, func(now time.Time, effects *statemachine.Effects) {
+		n.deliver(now, from, accepted, effects)
 	})
 }
 
-func (w *Node) onAccepted(now time.Time, from string, accepted Accepted, effects *statemachine.Effects) {
-	trying := w.trying
-	if trying == nil || trying.phase != 2 || accepted.Ballot != trying.ballot || accepted.Epoch != trying.epoch {
+func (n *Node) handleAccepted(now time.Time, from string, accepted Accepted, effects *statemachine.Effects) {
+	attempt := n.election.attempt
+	if attempt == nil || attempt.phase != accepting ||
+		accepted.Ballot != attempt.ballot || accepted.Epoch != attempt.epoch {
 		return
 	}
-	if len(trying.accepts) == 0 && from == w.settings.Self.Address {
-		for address := range statemachine.Sorted(w.concerned(trying.value)) {
+	record := attempt.chosen
+	if len(attempt.accepted) == 0 && from == n.settings.Self.Address {
+		accept := Accept{Epoch: attempt.epoch, Ballot: attempt.ballot, Record: record}
+		for address := range statemachine.Sorted(n.addressesOf(record)) {
 			if address != from {
-				effects.Send(address, Accept{Epoch: trying.epoch, Ballot: trying.ballot, Record: trying.value})
+				effects.Send(address, accept)
 			}
 		}
 	}
-	trying.accepts[from] = true
-	record := trying.value
-	if !enough(trying.epoch, w.deciders(record), trying.accepts) {
+	attempt.accepted[from] = true
+	if !hasQuorum(attempt.epoch, n.electorate(record), attempt.accepted) {
 		return
 	}
-	if !enough(trying.epoch, record.Voters, trying.accepts) && !statemachine.Mutated("old-majority-alone") {
+	if !hasQuorum(attempt.epoch, record.Voters, attempt.accepted) && !statemachine.Mutated("old-majority-alone") {
 		return
 	}
-	w.trying = nil
-	tell := w.concerned(record)
-	for _, standby := range w.Learners(now) {
-		tell[standby.Address] = true
-	}
-	delete(tell, w.settings.Self.Address)
-	for address := range statemachine.Sorted(tell) {
+	n.election.attempt = nil
+	n.announceDecided(now, record, effects)
+	n.learn(now, record, effects)
+}
+
+// announceDecided sends a decided record to all voters before and after it, and to the
+// learners.
+func (n *Node) announceDecided(now time.Time, record Record, effects *statemachine.Effects) {
+	targets := n.addressesOf(record)
+	for _, learner := range n.Learners(now) {
+		targets[learner.Address] = true
+	}
+	delete(targets, n.settings.Self.Address)
+	for address := range statemachine.Sorted(targets) {
 		effects.Send(address, Decided{Record: record})
 	}
-	w.learn(now, record, effects)
 }
 
-// learn takes a decided record that is newer than the present one.
-func (w *Node) learn(now time.Time, record Record, effects *statemachine.Effects) {
-	if record.Epoch > w.told.Epoch {
-		w.told = record
+// mayJoin reports whether this controller may take part in a decided epoch at once, as
+// whatever it promised is on this disk.
+func (n *Node) mayJoin(record Record, entry Controller) bool {
+	if statemachine.Mutated("trust-lost-disk") {
+		return true
+	}
+	sameDisk := entry.DiskID == n.hardState.DiskID
+	if !n.blank {
+		return sameDisk
+	}
+	return n.hardState.DiskID != "" && sameDisk || record.Epoch == 1 && n.hardState.Accepted.Epoch == 1
+}
+
+// learn takes over a decided record if it is newer than the present one.
+func (n *Node) learn(now time.Time, record Record, effects *statemachine.Effects) {
+	if record.Epoch > n.discovery.newestRecord.Epoch {
+		n.discovery.newestRecord = record
 	}
-	if record.Epoch <= w.durable.Record.Epoch {
+	if record.Epoch <= n.hardState.Record.Epoch {
 		return
 	}
-	entry, listed := record.Voter(w.settings.Self)
-	if listed && !w.mayEnter(record, entry) {
-		if !w.blank {
-			w.forget(now)
+	entry, listed := record.Voter(n.settings.Self)
+	if listed && !n.mayJoin(record, entry) {
+		if !n.blank {
+			n.resetToBlank(now)
 		}
 		return
 	}
-	earlier, self := w.durable, w.settings.Self.Name
-	complete := w.completeUnder(record, listed, effects)
+	earlier := n.hardState
+	complete := n.completeEpochUnder(record, listed, effects)
 	if record.Epoch > 1 && !slices.Equal(earlier.Record.Voters, record.Voters) {
-		w.noteVoters(earlier.Record, record, effects)
+		n.emitVotersChanged(earlier.Record, record, effects)
 	}
 	if !statemachine.Mutated("no-hold-back") {
-		w.holdBack(now, earlier.Record, record)
-	}
-	w.durable = HardState{DiskID: earlier.DiskID, Record: record, CompleteEpoch: complete}
-	w.blank = false
-	w.frames = map[string]*spareFrame{}
-	w.trying = nil
-	// Whoever begins an epoch has readied its backups, or they were level before.
-	w.whole = record.Epoch == 1 || record.Primary == self && complete == record.Epoch && (w.whole || earlier.Record.Primary != self)
-	w.takingOver, w.replacing, w.gathered, w.yielded = false, false, false, false
-	w.spares, w.passedOver, w.keep, w.leave = map[string]*asked{}, nil, nil, nil
-	w.watchCopies(now)
-	w.decidedAt = now
-	if record.Primary != earlier.Record.Primary {
-		w.primaryHeard, w.actingSince = now, now
-	}
-	w.renewals, w.grants = map[uint64]time.Time{}, map[uint64]map[string]bool{}
-	w.releases = map[string]bool{}
+		n.holdBackGrants(now, earlier.Record, record)
+	}
+	n.hardState = HardState{DiskID: earlier.DiskID, Record: record, CompleteEpoch: complete}
+	n.blank = false
+	n.beginEpoch(now, earlier.Record)
 	if !listed {
-		// The primary takes in only whoever it knows to be at the present epoch.
-		w.timers.ArmSooner("hello", now)
+		// The primary promotes only learners that it knows to be at the present epoch.
+		n.timers.ArmSooner(helloTimer, now)
 	}
-	w.timers.Disarm("retry")
+	n.timers.Disarm(ballotTimer)
 	if record.Epoch == 1 {
 		effects.Emit(logevent.Founded, "primary", record.Primary, "backups", record.Backups)
 	}
-	effects.Emit(logevent.EpochDecided, "epoch", record.Epoch, "primary", record.Primary, "backups", record.Backups, "complete", complete)
-	w.saveDurable(effects, func(_ time.Time, effects *statemachine.Effects) {
-		// The primary need not ask how far this copy reaches.
-		if primary, _ := w.Primary(); w.isBackup() && complete > 0 && w.durable.Record.Epoch == record.Epoch {
-			effects.Send(primary.Address, LeaseGrant{Epoch: record.Epoch, Index: w.diskIndex, CompleteEpoch: w.diskComplete})
+	effects.Emit(
+		logevent.EpochDecided,
+		"epoch", record.Epoch, "primary", record.Primary, "backups", record.Backups, "complete", complete,
+	)
+	n.persistHardState(effects, func(_ time.Time, effects *statemachine.Effects) {
+		if complete > 0 {
+			n.reportProgress(record.Epoch, effects)
 		}
 	})
-	if !w.IsPrimary() {
-		w.leaseUntil = time.Time{}
-		w.dropQueue(now, effects)
-	} else {
-		if len(w.queue) > 0 && w.queue[0].synced {
-			w.queue[0].begun = now
-			w.timers.ArmSooner("follow", now.Add(slowAfter))
-		}
-		w.resumeQueue(now, effects)
-		w.timers.Arm("renew", now)
+	n.continueProposals(now, effects)
+}
+
+// beginEpoch resets what belonged to the epoch before.
+func (n *Node) beginEpoch(now time.Time, earlier Record) {
+	record, self := n.hardState.Record, n.settings.Self.Name
+	// Whoever proposes an epoch has sent the state to its backups, or they were in sync.
+	n.replication.stateReplicated = record.Epoch == 1 ||
+		record.Primary == self && n.isComplete() && (n.replication.stateReplicated || earlier.Primary != self)
+	n.replication.staged = map[string]*stagedSnapshot{}
+	n.resetProgress(now)
+	n.election.attempt = nil
+	n.election.decidedAt = now
+	n.reconfig = newReconfiguration()
+	n.lease.reset()
+	if record.Primary != earlier.Primary {
+		n.replication.primaryHeard, n.lease.primarySince = now, now
+	}
+	n.departure.acknowledged = map[string]bool{}
+}
+
+// reportProgress tells the primary of an epoch the progress of this backup's replica, so
+// that it need not wait for the next renewal.
+func (n *Node) reportProgress(epoch uint64, effects *statemachine.Effects) {
+	if !n.isBackup() || n.hardState.Record.Epoch != epoch {
+		return
 	}
+	primary, _ := n.Primary()
+	effects.Send(primary.Address, LeaseGrant{
+		Epoch:         epoch,
+		Index:         n.storage.syncedIndex,
+		CompleteEpoch: n.storage.syncedCompleteEpoch,
+	})
 }
 
-// completeUnder gives the epoch for which the state here is whole once a record is
-// learnt, 0 if it is whole for none: whoever was level with the epoch before stays
-// level, and a spare takes the snapshot that it got for this record.
-func (w *Node) completeUnder(record Record, listed bool, effects *statemachine.Effects) uint64 {
-	earlier := w.durable
-	self := w.settings.Self.Name
+// completeEpochUnder returns the epoch as of which the state here is complete once a
+// record is learned, or 0: a replica that was complete in the epoch before stays so, and a
+// spare installs the snapshot that it got for this record.
+func (n *Node) completeEpochUnder(record Record, listed bool, effects *statemachine.Effects) uint64 {
+	self := n.settings.Self.Name
+	staged := n.replication.staged[record.Primary]
 	switch {
 	case !listed:
-		if w.blank || w.member() {
+		if n.blank || n.isVoter() {
 			effects.Emit(logevent.LearnerStarted, "epoch", record.Epoch, "primary", record.Primary)
 		}
 	case record.Epoch == 1:
 		return 1
 	case record.Primary != self && !slices.Contains(record.Backups, self):
-	case record.Primary != self && w.frames[record.Primary] != nil && w.frames[record.Primary].For == record.Epoch:
-		spare := w.frames[record.Primary]
-		if err := w.stateMachine.Restore(spare.State); err == nil {
-			w.index = spare.Index
-			w.writeState(spare.State, effects)
+	case record.Primary != self && staged != nil && staged.TargetEpoch == record.Epoch:
+		if n.installState(staged.Index, staged.State, effects) {
 			return record.Epoch
 		}
 	case statemachine.Mutated("copy-counts-at-once"):
 		return record.Epoch
-	case record.Epoch == earlier.Record.Epoch+1 && earlier.CompleteEpoch == earlier.Record.Epoch && earlier.Record.Epoch > 0 &&
-		(earlier.Record.Primary == self || slices.Contains(earlier.Record.Backups, self)):
+	case n.wasReplicaBefore(record):
 		return record.Epoch
 	}
 	return 0
 }
 
-// holdBack sees to it that this controller lets nobody but the primary have the next
-// epoch while lease that others granted may still run: a new voters's members
-// have not granted it themselves.
-func (w *Node) holdBack(now time.Time, earlier, record Record) {
-	if record.Epoch == 1 || !now.Before(w.grantedUntil) || w.grantedTo == record.Primary {
-		w.grantedTo = record.Primary
-	}
-	if record.Epoch == 1 || slices.Equal(earlier.Voters, record.Voters) {
-		return
-	}
-	w.grantedUntil = now.Add(LeaseDuration)
-	if _, listed := earlier.Voter(w.settings.Self); !listed {
-		w.forgetful = now.Add(LeaseDuration)
-	}
+// wasReplicaBefore reports whether this controller held a complete replica in the epoch
+// right before a record.
+func (n *Node) wasReplicaBefore(record Record) bool {
+	present, self := n.hardState.Record, n.settings.Self.Name
+	return record.Epoch == present.Epoch+1 && n.isComplete() && present.Epoch > 0 &&
+		(present.Primary == self || slices.Contains(present.Backups, self))
 }
 
-func (w *Node) dropQueue(now time.Time, effects *statemachine.Effects) {
-	queue := w.queue
-	w.queue = nil
-	for _, waiting := range queue {
-		waiting.done(now, effects, Indeterminate)
-	}
-	confirms := w.confirms
-	w.confirms = map[uint64]confirmation{}
-	for _, waiting := range statemachine.Sorted(confirms) {
-		waiting.done(now, effects, Indeterminate)
-	}
-}
-
-// retry starts an attempt over after it got stuck, or gives it up.
-func (w *Node) retry(now time.Time, effects *statemachine.Effects) {
-	if w.trying == nil {
-		return
-	}
-	own := w.trying.own
-	if own.Epoch <= w.durable.Record.Epoch {
-		w.trying = nil
+// retryBallot starts a ballot anew that got stuck, or gives it up if it is not needed.
+func (n *Node) retryBallot(now time.Time, effects *statemachine.Effects) {
+	if n.election.attempt == nil {
 		return
 	}
-	w.trying = nil
-	if w.blank {
+	proposed := n.election.attempt.proposed
+	n.election.attempt = nil
+	if proposed.Epoch <= n.hardState.Record.Epoch || n.blank {
 		return
 	}
-	if (w.takingOver || w.replacing) && slices.Equal(own.Voters, w.durable.Record.Voters) {
-		w.begin(now, own, effects)
+	if n.reconfig.active() && slices.Equal(proposed.Voters, n.hardState.Record.Voters) {
+		n.startBallot(now, proposed, effects)
 	}
 }
--- a/internal/consensus/explore_test.go
+++ b/internal/consensus/explore_test.go
@@ -116,7 +116,7 @@
 		w.ordinary()
 	}
 	w.nodes[0].cut = true
-	for !w.nodes[1].watch.takingOver {
+	for !w.nodes[1].watch.reconfig.takingOver {
 		w.ordinary()
 	}
 	return w
@@ -141,7 +141,7 @@
 	w.nodes[1].end()
 	w.nodes[1].gone = true
 	w.submit(w.nodes[0])
-	for !w.nodes[0].watch.replacing {
+	for !w.nodes[0].watch.reconfig.replacing {
 		w.ordinary()
 	}
 	return w
@@ -155,12 +155,12 @@
 	w.meet()
 	w.nodes[2].end()
 	w.nodes[2].gone = true
-	w.nodes[0].watch.lastGrant["c2"] = w.now.Add(-replaceAfter)
-	w.nodes[0].watch.actingSince = w.now.Add(-replaceAfter)
+	w.nodes[0].watch.lease.lastGrant["c2"] = w.now.Add(-voterReplaceTimeout)
+	w.nodes[0].watch.lease.primarySince = w.now.Add(-voterReplaceTimeout)
 	w.mayLose = func(w *world) bool {
 		lasting := 0
 		for _, each := range w.nodes {
-			if _, listed := each.watch.Record().VoterNamed("c3"); each.up && listed && each.watch.diskEpoch == each.watch.Record().Epoch {
+			if _, listed := each.watch.Record().VoterNamed("c3"); each.up && listed && each.watch.storage.syncedEpoch == each.watch.Record().Epoch {
 				lasting++
 			}
 		}
@@ -183,12 +183,12 @@
 // meet lets all know of those that stand by.
 func (w *world) meet() {
 	for _, standby := range w.nodes {
-		if standby.watch.member() {
+		if standby.watch.isVoter() {
 			continue
 		}
 		for _, each := range w.nodes {
 			each.step(func(now time.Time, effects *statemachine.Effects) {
-				each.watch.HandleMessage(now, statemachine.Meta{From: standby.self.Address}, standby.watch.greeting(), effects)
+				each.watch.HandleMessage(now, statemachine.Meta{From: standby.self.Address}, standby.watch.newHello(), effects)
 			})
 		}
 	}
--- a/internal/consensus/forms_test.go
+++ b/internal/consensus/forms_test.go
@@ -10,7 +10,7 @@
 func storedForms() []storedforms.Form {
 	return []storedforms.Form{
 		{Name: "entry", Type: reflect.TypeFor[diskEntry]()},
-		{Name: "snapshot", Type: reflect.TypeFor[diskFrame]()},
+		{Name: "snapshot", Type: reflect.TypeFor[diskSnapshot]()},
 	}
 }
 
--- /dev/null
+++ b/internal/consensus/founding.go
@@ -0,0 +1,98 @@
+package consensus
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"dahlialock/internal/statemachine"
+)
+
+// mayFound reports whether this controller may propose the first epoch.
+func (n *Node) mayFound() bool {
+	return n.settings.ClusterSize > 0 || len(n.hardState.Founders) > 0
+}
+
+// recordFounders persists that this controller is one of the founders, so that it goes on
+// founding if it is restarted before the first epoch with other settings.
+func (n *Node) recordFounders(effects *statemachine.Effects) {
+	if !n.blank || !n.settings.Founding || n.settings.ClusterSize > 0 || len(n.hardState.Founders) > 0 ||
+		!slices.Contains(n.settings.Seeds, n.settings.Self.Address) {
+		return
+	}
+	n.hardState.Founders = slices.Compact(slices.Sorted(slices.Values(n.settings.Seeds)))
+	n.persistHardState(effects, nil)
+}
+
+// foundingVoters returns the voters of the first epoch once all of them were heard and
+// are blank. Where anybody is not, there is a fleet already.
+func (n *Node) foundingVoters() ([]Controller, bool) {
+	voters := []Controller{n.identity()}
+	for address, known := range statemachine.Sorted(n.discovery.peers) {
+		switch {
+		case !known.hello.Blank:
+			return nil, false
+		case n.settings.ClusterSize > 0:
+			if known.hello.ClusterSize != n.settings.ClusterSize {
+				return nil, false
+			}
+			voters = append(voters, known.hello.Self)
+		case slices.Contains(n.hardState.Founders, address):
+			voters = append(voters, known.hello.Self)
+		}
+	}
+	wanted := len(n.hardState.Founders)
+	if n.settings.ClusterSize > 0 {
+		wanted = n.settings.ClusterSize
+	}
+	return voters, len(voters) == wanted
+}
+
+// tryFounding proposes the first epoch once all founders were heard. It needs every one
+// of them, so that a founder whose disk is lost can't help to found a second fleet.
+func (n *Node) tryFounding(now time.Time, effects *statemachine.Effects) {
+	if n.election.attempt != nil || !n.mayFound() {
+		return
+	}
+	voters, complete := n.foundingVoters()
+	if !complete {
+		return
+	}
+	sortByName(voters)
+	// The first by name proposes, of those that know that they are founders.
+	for _, voter := range voters {
+		if voter.SameAs(n.settings.Self) {
+			break
+		}
+		if known := n.discovery.peers[voter.Address]; known.hello.Founding || n.settings.ClusterSize > 0 {
+			return
+		}
+	}
+	n.startBallot(now, Record{
+		Epoch:   1,
+		Primary: n.settings.Self.Name,
+		Backups: n.foundingBackups(voters),
+		Voters:  voters,
+	}, effects)
+}
+
+// foundingBackups chooses the backups of the first epoch, in different zones if possible.
+func (n *Node) foundingBackups(voters []Controller) []string {
+	var chosen []string
+	for len(chosen) < min(max(1, n.neededBackups()), len(voters)-1) {
+		var others []Controller
+		for _, voter := range voters {
+			if !voter.SameAs(n.settings.Self) && !slices.Contains(chosen, voter.Name) {
+				others = append(others, voter)
+			}
+		}
+		chosen = append(chosen, n.inEmptiestZone(voters, others, chosen).Name)
+	}
+	return chosen
+}
+
+func sortByName(controllers []Controller) {
+	slices.SortFunc(controllers, func(left, right Controller) int {
+		return cmp.Compare(left.Name, right.Name)
+	})
+}
--- a/internal/consensus/lease.go
+++ b/internal/consensus/lease.go
@@ -1,6 +1,3 @@
-// The primary's lease: voters grant it against the asking moment, and an answer
-// that is read from the primary's state is confirmed by a majority first.
-
 package consensus
 
 import (
@@ -11,301 +8,272 @@
 	"dahlialock/internal/statemachine"
 )
 
-func (w *Node) renew(now time.Time, effects *statemachine.Effects) {
-	w.timers.Arm("renew", now.Add(renewEvery))
-	if w.blank {
-		return
-	}
-	if w.IsPrimary() && w.durable.CompleteEpoch == w.durable.Record.Epoch {
-		w.watchLease(now, effects)
-		if len(w.queue) > 0 && w.queue[0].index > 0 && !w.queue[0].synced && now.Sub(w.queue[0].begun) > ownSlow && !statemachine.Mutated("patient-primary") {
-			if !w.yielded {
-				w.ReleaseLease(now, effects)
-			}
-			return
-		}
-		if w.keepsQuiet(now, effects) {
-			return
-		}
-		if w.yielded && w.leaving && now.Sub(w.yieldedAt) < takeBackAfter {
-			w.follow(now, effects)
-			return
-		}
-		w.yielded = false
-		renew := RenewLease{Epoch: w.durable.Record.Epoch, Request: w.requests.Next()}
-		number := renew.Request.Number
-		w.renewals[number] = now
-		w.grants[number] = map[string]bool{}
-		delete(w.renewals, number-16)
-		delete(w.grants, number-16)
-		if now.Sub(w.decidedAt) < tellFor {
-			renew.Record = w.durable.Record
-		}
-		for _, controller := range w.durable.Record.Voters {
-			if !controller.SameAs(w.settings.Self) {
-				effects.Send(controller.Address, renew)
-			}
-		}
-		w.grantOwn(now, number, effects)
-		w.follow(now, effects)
-		w.watchVoters(now, effects)
-		return
-	}
-	w.follow(now, effects)
+const (
+	// LeaseDuration is how long a voter's grant lasts. It is the longest wait in a takeover.
+	LeaseDuration = 1800 * time.Millisecond
+	// usableLease is how long the primary uses a lease: clocks may differ by a tenth.
+	usableLease   = LeaseDuration * 9 / 10
+	renewInterval = 300 * time.Millisecond
+	// rememberedRenewals is how many renewals are waited for at a time.
+	rememberedRenewals = 16
+	// failureTimeout is how long a controller that is not heard counts as alive.
+	failureTimeout = 1200 * time.Millisecond
+	// announceDuration is how long renewals have the record of a new epoch.
+	announceDuration = time.Second
+	// quietDuration is how long a primary that hears too few voters requests no lease, so
+	// that another can take over; then it requests leases again for failureTimeout.
+	quietDuration = 3 * failureTimeout
+	// ownDiskTimeout is how long the primary's own disk may take to sync a command before
+	// it releases the lease.
+	ownDiskTimeout = time.Second
+)
+
+// leaseState is the primary's part: the lease that it has from the voters.
+type leaseState struct {
+	// renewals are the times of the newest requests, by their numbers, and grants the names
+	// of the voters that granted each.
+	renewals map[uint64]time.Time
+	grants   map[uint64]map[string]bool
+	// until is when the lease expires, counted from when it was requested; the zero time if
+	// there is none.
+	until time.Time
+	// held is set from when the lease was gained until it was seen to have expired.
+	held bool
+	// released is set after ReleaseLease, at releasedAt, until the lease is requested again.
+	released   bool
+	releasedAt time.Time
+	// primarySince is when the present primary became so, or this controller was started.
+	primarySince time.Time
+	// lastGrant is when each voter, by name, last granted the lease.
+	lastGrant map[string]time.Time
+	// lastHeard is when anything was last heard from each voter, by address.
+	lastHeard map[string]time.Time
+	// quietUntil is the end of the newest time without requests for lease (see staysQuiet).
+	quietUntil time.Time
 }
 
-// keepsQuiet gives the lease back where this primary is deaf, and asks for none for a
-// while. The voters may hear it all the same: if it went on, they would grant what
-// never arrives, and nobody would take over. Since nobody may be able to, it asks
-// again now and then.
-func (w *Node) keepsQuiet(now time.Time, effects *statemachine.Effects) bool {
-	if !w.deaf(now) || statemachine.Mutated("deaf-primary") {
-		w.quietUntil = time.Time{}
-		return false
-	}
-	if now.Sub(w.quietUntil) >= lostAfter {
-		w.quietUntil = now.Add(quietFor)
-		w.ReleaseLease(now, effects)
+func newLeaseState() leaseState {
+	return leaseState{
+		renewals:  map[uint64]time.Time{},
+		grants:    map[uint64]map[string]bool{},
+		lastGrant: map[string]time.Time{},
+		lastHeard: map[string]time.Time{},
 	}
-	return now.Before(w.quietUntil)
 }
 
-// deaf tells whether this primary lost its lease and hears too few of the voters: it
-// has asked them for lease and for the next epoch, which some would have answered.
-func (w *Node) deaf(now time.Time) bool {
-	since := w.leaseUntil
-	if since.Before(w.actingSince) {
-		since = w.actingSince
-	}
-	if now.Sub(since) < lostAfter+renewEvery {
-		return false
-	}
-	heard := 0
-	for _, controller := range w.durable.Record.Voters {
-		if at, found := w.heardFrom[controller.Address]; controller.SameAs(w.settings.Self) || found && now.Sub(at) < lostAfter {
-			heard++
-		}
-	}
-	return heard < w.durable.Record.Majority()
+// dropRenewals makes sure that no pending renewal becomes a lease.
+func (ls *leaseState) dropRenewals() {
+	ls.renewals, ls.grants = map[uint64]time.Time{}, map[uint64]map[string]bool{}
 }
 
-// grantOwn counts the primary's own vote, unless it has promised a ballot away.
-func (w *Node) grantOwn(now time.Time, number uint64, effects *statemachine.Effects) {
-	if !w.mayGrant(now) {
-		return
+// reset prepares for another epoch. A lease of the same primary goes on.
+func (ls *leaseState) reset() {
+	ls.released = false
+	ls.dropRenewals()
+}
+
+// later returns the later of two times.
+func later(left, right time.Time) time.Time {
+	if left.Before(right) {
+		return right
 	}
-	w.grantedUntil, w.grantedTo = now.Add(LeaseDuration), w.durable.Record.Primary
-	w.countGrant(now, w.settings.Self.Name, number, effects)
+	return left
 }
 
-func (w *Node) promisedAway() bool {
-	promised := w.durable.Promised
-	return promised.Count > 0 && promised.Name != w.durable.Record.Primary
+// leaseLostSince is since when this primary has had no lease.
+func (n *Node) leaseLostSince() time.Time {
+	return later(n.lease.until, n.lease.primarySince)
 }
 
-func (w *Node) countGrant(now time.Time, name string, number uint64, effects *statemachine.Effects) {
-	asked, found := w.renewals[number]
-	if !found {
+// renewLease is run in each renewInterval, also by controllers that are no primary.
+func (n *Node) renewLease(now time.Time, effects *statemachine.Effects) {
+	n.timers.Arm(renewTimer, now.Add(renewInterval))
+	if n.blank {
 		return
 	}
-	w.grants[number][name] = true
-	if len(w.grants[number]) < w.durable.Record.Majority() {
+	if !n.IsPrimary() || !n.isComplete() {
+		n.monitor(now, effects)
 		return
 	}
-	until := asked.Add(LeaseDuration * 9 / 10)
-	if until.After(w.leaseUntil) {
-		w.leaseUntil = until
-	}
-	if !w.leaseHeld && now.Before(w.leaseUntil) {
-		w.leaseHeld = true
-		effects.Emit(logevent.LeaseGained, "epoch", w.durable.Record.Epoch)
-	}
-}
-
-func (w *Node) watchLease(now time.Time, effects *statemachine.Effects) {
-	if now.Before(w.leaseUntil) {
-		w.standDown()
+	n.checkLease(now, effects)
+	if n.ownDiskHangs(now) {
+		if !n.lease.released {
+			n.ReleaseLease(now, effects)
+		}
 		return
 	}
-	if w.leaseHeld {
-		w.leaseHeld = false
-		effects.Emit(logevent.LeaseLost, "epoch", w.durable.Record.Epoch)
-	}
-	// Witnesses that promised a ballot away grant nothing more in this epoch;
-	// if that candidate is gone, the primary asks for the next epoch itself.
-	// A new epoch frees what was promised, so it is given time first.
-	since := w.leaseUntil
-	if since.Before(w.decidedAt) && !statemachine.Mutated("epochs-without-pause") {
-		since = w.decidedAt
-	}
-	if since.Before(w.actingSince) {
-		since = w.actingSince
-	}
-	if w.yielded || now.Sub(since) < lostAfter || w.trying != nil || w.gathered {
+	if n.staysQuiet(now, effects) {
 		return
 	}
-	if lost, _ := w.failing(now); len(lost) > 0 {
-		w.takeBack(now, effects)
+	if n.lease.released && n.departure.requested && now.Sub(n.lease.releasedAt) < leaseReclaimTimeout {
+		n.monitor(now, effects)
 		return
 	}
-	record := w.durable.Record
-	record.Epoch++
-	w.replacing, w.gathered = true, true
-	w.begin(now, record, effects)
+	n.requestLease(now, effects)
+	n.monitor(now, effects)
+	n.reconcileVoters(now, effects)
 }
 
-// takeBack goes for the next epoch as who takes over does. The candidate that the
-// voters promised may be the backup that is lost, and a backup that lost its disk does
-// not come back level as long as nobody may grant.
-func (w *Node) takeBack(now time.Time, effects *statemachine.Effects) {
-	if statemachine.Mutated("primary-waits-for-backup") {
-		return
-	}
-	w.replacing, w.takingOver = true, true
-	w.gather(now, nil, nil, effects)
+// requestLease asks all voters for more lease.
+func (n *Node) requestLease(now time.Time, effects *statemachine.Effects) {
+	n.lease.released = false
+	renew := RenewLease{Epoch: n.hardState.Record.Epoch, Request: n.requests.Next()}
+	number := renew.Request.Number
+	n.lease.renewals[number] = now
+	n.lease.grants[number] = map[string]bool{}
+	delete(n.lease.renewals, number-rememberedRenewals)
+	delete(n.lease.grants, number-rememberedRenewals)
+	if now.Sub(n.election.decidedAt) < announceDuration {
+		renew.Record = n.hardState.Record
+	}
+	for _, voter := range n.otherVoters() {
+		effects.Send(voter.Address, renew)
+	}
+	n.grantSelf(now, number, effects)
 }
 
-func (w *Node) onRenew(now time.Time, from string, renew RenewLease, effects *statemachine.Effects) {
-	w.learn(now, renew.Record, effects)
-	record := w.durable.Record
-	if w.blank || renew.Epoch < record.Epoch {
-		if !w.blank {
-			effects.Send(from, Decided{Record: record})
-		}
-		return
-	}
-	if renew.Epoch > record.Epoch {
-		w.askRecord(from, effects)
-		return
-	}
-	if w.nameOf(from, record.Voters) != record.Primary || !w.mayGrant(now) {
-		return
-	}
-	if w.standDown(); w.takingOver {
-		return
-	}
-	w.primaryHeard = now
-	w.grantedUntil, w.grantedTo, w.grantedFor = now.Add(LeaseDuration), record.Primary, renew.Request
-	effects.Send(from, LeaseGrant{Epoch: renew.Epoch, Request: renew.Request, Index: w.diskIndex, CompleteEpoch: w.diskComplete})
+// ownDiskHangs reports whether this primary's disk has not synced the pending command for
+// too long.
+func (n *Node) ownDiskHangs(now time.Time) bool {
+	head, found := n.pendingProposal()
+	return found && head.index > 0 && !head.synced && now.Sub(head.appendedAt) > ownDiskTimeout &&
+		!statemachine.Mutated("patient-primary")
 }
 
-// gives tells whether it gives the lease back that was granted for a renewal: one
-// of the same life, and none that was asked for later.
-func (y ReleaseLease) gives(granted statemachine.RequestID) bool {
-	if statemachine.Mutated("lives-alike") {
-		return true
+// staysQuiet releases the lease if this primary hears no quorum, and then requests none
+// for a while. The voters may hear it all the same: if it went on, they would grant what
+// never arrives, and nobody could take over. Since nobody may be able to, it requests the
+// lease again now and then.
+func (n *Node) staysQuiet(now time.Time, effects *statemachine.Effects) bool {
+	if !n.hearsNoQuorum(now) || statemachine.Mutated("deaf-primary") {
+		n.lease.quietUntil = time.Time{}
+		return false
+	}
+	if now.Sub(n.lease.quietUntil) >= failureTimeout {
+		n.lease.quietUntil = now.Add(quietDuration)
+		n.ReleaseLease(now, effects)
 	}
-	return y.Request.Incarnation == granted.Incarnation && y.Request.Number >= granted.Number
+	return now.Before(n.lease.quietUntil)
 }
 
-// ReleaseLease gives the lease back, so that a backup need not wait for its end.
-func (w *Node) ReleaseLease(now time.Time, effects *statemachine.Effects) {
-	if !w.IsPrimary() {
-		return
-	}
-	w.yielded, w.yieldedAt = true, now
-	w.leaseUntil = time.Time{}
-	if w.grantedTo == w.settings.Self.Name {
-		w.grantedUntil = now
+// hearsNoQuorum reports whether this primary lost its lease and hears too few voters: it
+// has requested the lease and the next epoch, which some would have answered.
+func (n *Node) hearsNoQuorum(now time.Time) bool {
+	if now.Sub(n.leaseLostSince()) < failureTimeout+renewInterval {
+		return false
 	}
-	w.renewals, w.grants = map[uint64]time.Time{}, map[uint64]map[string]bool{}
-	effects.Emit(logevent.LeaseReleased, "epoch", w.durable.Record.Epoch)
-	for _, controller := range w.durable.Record.Voters {
-		if !controller.SameAs(w.settings.Self) {
-			effects.Send(controller.Address, ReleaseLease{Epoch: w.durable.Record.Epoch, Request: w.requests.Last()})
+	heard := 0
+	for _, voter := range n.hardState.Record.Voters {
+		at, found := n.lease.lastHeard[voter.Address]
+		if voter.SameAs(n.settings.Self) || found && now.Sub(at) < failureTimeout {
+			heard++
 		}
 	}
+	return heard < n.hardState.Record.Majority()
 }
 
-func (w *Node) onYield(now time.Time, from string, yield ReleaseLease, effects *statemachine.Effects) {
-	record := w.durable.Record
-	if yield.Epoch != record.Epoch || !w.member() || w.nameOf(from, record.Voters) != record.Primary || w.grantedTo != record.Primary {
+// grantSelf counts the primary's own grant, if it may give it.
+func (n *Node) grantSelf(now time.Time, number uint64, effects *statemachine.Effects) {
+	if !n.mayGrant(now) {
 		return
 	}
-	if !yield.gives(w.grantedFor) {
-		return
-	}
-	w.grantedUntil = now
-	w.primaryHeard = now.Add(-lostAfter)
-	w.follow(now, effects)
+	n.voter.grantedUntil, n.voter.grantedTo = now.Add(LeaseDuration), n.hardState.Record.Primary
+	n.countGrant(now, n.settings.Self.Name, number, effects)
 }
 
-func (w *Node) onGrant(now time.Time, from string, grant LeaseGrant, effects *statemachine.Effects) {
-	record := w.durable.Record
-	if !w.IsPrimary() || grant.Epoch != record.Epoch {
+// countGrant counts a voter's grant for a renewal; a majority makes a lease.
+func (n *Node) countGrant(now time.Time, name string, number uint64, effects *statemachine.Effects) {
+	requestedAt, found := n.lease.renewals[number]
+	if !found {
 		return
 	}
-	name := w.nameOf(from, record.Voters)
-	if name == "" {
+	n.lease.grants[number][name] = true
+	if len(n.lease.grants[number]) < n.hardState.Record.Majority() {
 		return
 	}
-	if grant.Request.IsSet() {
-		number, own := w.requests.NumberOf(grant.Request)
-		if !own {
-			return
-		}
-		w.lastGrant[name] = now
-		w.countGrant(now, name, number, effects)
-	}
-	if slices.Contains(record.Backups, name) {
-		w.onGrantOfBackup(now, from, name, grant, effects)
+	n.lease.until = later(n.lease.until, requestedAt.Add(usableLease))
+	if !n.lease.held && now.Before(n.lease.until) {
+		n.lease.held = true
+		effects.Emit(logevent.LeaseGained, "epoch", n.hardState.Record.Epoch)
 	}
 }
 
-// Confirm asks a majority whether the present epoch still stands, so that an
-// answer read from the primary's state can't be an old one.
-func (w *Node) Confirm(now time.Time, done Done, effects *statemachine.Effects) {
-	if !w.CanServeReads(now) || !w.stands() {
-		done(now, effects, Rejected)
+// checkLease notices that the lease has expired. If it stays so, the primary proposes the
+// next epoch: voters that promised it to another grant nothing more in this one, and
+// that proposer may have failed.
+func (n *Node) checkLease(now time.Time, effects *statemachine.Effects) {
+	if now.Before(n.lease.until) {
+		n.cancelTakeover()
 		return
 	}
-	if statemachine.Mutated("lease-for-ever") {
-		done(now, effects, Committed)
+	if n.lease.held {
+		n.lease.held = false
+		effects.Emit(logevent.LeaseLost, "epoch", n.hardState.Record.Epoch)
+	}
+	// A new epoch ends all promises, so it is given time first.
+	since := n.leaseLostSince()
+	if !statemachine.Mutated("epochs-without-pause") {
+		since = later(since, n.election.decidedAt)
+	}
+	if n.lease.released || now.Sub(since) < failureTimeout || n.election.attempt != nil || n.reconfig.proposed {
 		return
 	}
-	request := w.requests.Next()
-	waiting := confirmation{done: done, limit: now.Add(confirmLimit), givers: map[string]bool{w.settings.Self.Address: true}}
-	w.confirms[request.Number] = waiting
-	w.timers.ArmSooner("limits", now.Add(confirmLimit))
-	for _, controller := range w.durable.Record.Voters {
-		if !controller.SameAs(w.settings.Self) {
-			effects.Send(controller.Address, Confirm{Epoch: w.durable.Record.Epoch, Request: request})
-		}
+	if lost, _ := n.failedBackups(now); len(lost) > 0 {
+		n.reclaimEpoch(now, effects)
+		return
 	}
-	w.confirmed(now, request.Number, effects)
-}
-
-// stands tells whether this controller has let nobody else have the next epoch.
-func (w *Node) stands() bool {
-	return w.member() && !w.promisedAway() && !w.acceptedAway() && !w.takingOver
+	next := n.hardState.Record
+	next.Epoch++
+	n.reconfig.replacing, n.reconfig.proposed = true, true
+	n.startBallot(now, next, effects)
 }
 
-func (w *Node) onConfirm(now time.Time, from string, confirm Confirm, effects *statemachine.Effects) {
-	if confirm.Epoch != w.durable.Record.Epoch || !w.stands() || w.unsure(now) {
+// reclaimEpoch prepares the next epoch as a backup does that takes over: the proposer
+// that the voters promised may be the backup that failed, and a backup whose disk was lost
+// does not get in sync while nobody may grant a lease.
+func (n *Node) reclaimEpoch(now time.Time, effects *statemachine.Effects) {
+	if statemachine.Mutated("primary-waits-for-backup") {
 		return
 	}
-	effects.Send(from, ConfirmResponse(confirm))
+	n.reconfig.replacing, n.reconfig.takingOver = true, true
+	n.prepareSpares(now, nil, nil, effects)
 }
 
-func (w *Node) onConfirmResponse(now time.Time, from string, returned ConfirmResponse, effects *statemachine.Effects) {
-	number, own := w.requests.NumberOf(returned.Request)
-	waiting, found := w.confirms[number]
-	if !own || !found || returned.Epoch != w.durable.Record.Epoch {
+// ReleaseLease gives up the lease, so that a backup need not wait for its end.
+func (n *Node) ReleaseLease(now time.Time, effects *statemachine.Effects) {
+	if !n.IsPrimary() {
 		return
 	}
-	waiting.givers[from] = true
-	w.confirmed(now, number, effects)
+	n.lease.released, n.lease.releasedAt = true, now
+	n.lease.until = time.Time{}
+	if n.voter.grantedTo == n.settings.Self.Name {
+		n.voter.grantedUntil = now
+	}
+	n.lease.dropRenewals()
+	effects.Emit(logevent.LeaseReleased, "epoch", n.hardState.Record.Epoch)
+	for _, voter := range n.otherVoters() {
+		effects.Send(voter.Address, ReleaseLease{
+			Epoch:   n.hardState.Record.Epoch,
+			Request: n.requests.Last(),
+		})
+	}
 }
 
-func (w *Node) confirmed(now time.Time, number uint64, effects *statemachine.Effects) {
-	waiting := w.confirms[number]
-	if !enough(w.durable.Record.Epoch+1, w.durable.Record.Voters, waiting.givers) {
+func (n *Node) handleLeaseGrant(now time.Time, from string, grant LeaseGrant, effects *statemachine.Effects) {
+	record := n.hardState.Record
+	name := record.nameAt(from)
+	if !n.IsPrimary() || grant.Epoch != record.Epoch || name == "" {
 		return
 	}
-	delete(w.confirms, number)
-	if !w.CanServeReads(now) || now.After(waiting.limit) {
-		waiting.done(now, effects, Indeterminate)
-		return
+	if grant.Request.IsSet() {
+		number, own := n.requests.NumberOf(grant.Request)
+		if !own {
+			return
+		}
+		n.lease.lastGrant[name] = now
+		n.countGrant(now, name, number, effects)
+	}
+	if slices.Contains(record.Backups, name) {
+		n.handleBackupProgress(now, from, name, grant, effects)
 	}
-	waiting.done(now, effects, Committed)
 }
--- a/internal/consensus/leave.go
+++ b/internal/consensus/leave.go
@@ -1,10 +1,3 @@
-// Leaving in good order. A controller that is asked to stop can't know whether it
-// comes back, so it goes as if it did not: it gives the lease back once its backups
-// are level, the primary makes its copy elsewhere, and the voters take another in
-// its place. It goes once a majority of the voters without it have that on their
-// disks, so that the loss of any others as are tolerated, and of all power, leaves
-// enough who know. Where nobody can take its place it goes at once.
-
 package consensus
 
 import (
@@ -14,188 +7,201 @@
 	"dahlialock/internal/statemachine"
 )
 
-// Spans of leaving.
 const (
-	leaveEvery   = 100 * time.Millisecond
-	departsFresh = time.Second
-	departsKept  = 10 * time.Second
-	// hearsStandbys is how long a primary acts before it has heard all that stand by.
-	hearsStandbys = standbyEvery + 200*time.Millisecond
-	// takeBackAfter is when a primary that leaves takes the lease back: nobody took
-	// over, so it may hold the only copy.
-	takeBackAfter = lostAfter
+	leaveInterval = 100 * time.Millisecond
+	// departureValidity is how long a Leave counts as present, and departureRetention how
+	// long it is remembered of a controller that is no voter.
+	departureValidity  = time.Second
+	departureRetention = 10 * time.Second
+	// learnerDiscoveryTime is how long a primary acts before it has heard of all learners.
+	learnerDiscoveryTime = learnerHelloInterval + 200*time.Millisecond
+	// leaseReclaimTimeout is when a primary that leaves requests the lease again: nobody
+	// took over, so it may hold the only replica.
+	leaseReclaimTimeout = failureTimeout
 )
 
-// Leave begins to take this controller out of the voters and the copies; it goes on
-// with its part until Left.
-func (w *Node) Leave(now time.Time, effects *statemachine.Effects) {
-	if w.leaving {
+// departure is the graceful leave of this controller, and what it knows of others'.
+type departure struct {
+	// requested is set once this controller was asked to leave, and completed once it may
+	// stop.
+	requested, completed bool
+	// acknowledged holds the addresses of the voters that have voters without this
+	// controller on their disks.
+	acknowledged map[string]bool
+	// announced is when each controller, by address, last said that it leaves.
+	announced map[string]time.Time
+}
+
+func newDeparture() departure {
+	return departure{acknowledged: map[string]bool{}, announced: map[string]time.Time{}}
+}
+
+// Leave begins to take this controller out of the voters and the backups. It does its part
+// until Left reports true, and then may stop.
+//
+// Whoever asks it to stop may never start it again, and may take its disk. So it hands the
+// lease over once its backups are in sync, the primary replaces it as a backup and as a
+// voter, and it may stop once a majority of the voters without it have that on their
+// disks: the loss of any others as are tolerated, and of all power, then leaves enough
+// that know. If there is nobody to replace it, it may stop at once.
+func (n *Node) Leave(now time.Time, effects *statemachine.Effects) {
+	if n.departure.requested {
 		return
 	}
-	w.leaving = true
-	w.leaveOn(now, effects)
+	n.departure.requested = true
+	n.continueLeaving(now, effects)
 }
 
-// Left tells whether nothing that this controller holds is needed any more, or
-// nobody can take it over.
-func (w *Node) Left() bool {
-	return w.left || statemachine.Mutated("leave-when-out") && w.leaving && !w.blank && !w.member()
+// Left reports whether this controller, which was asked to leave, may stop.
+func (n *Node) Left() bool {
+	return n.departure.completed ||
+		statemachine.Mutated("leave-when-out") && n.departure.requested && !n.blank && !n.isVoter()
 }
 
-// leaveOn asks, again and again, to be let go.
-func (w *Node) leaveOn(now time.Time, effects *statemachine.Effects) {
+// continueLeaving asks, again and again, to be replaced.
+func (n *Node) continueLeaving(now time.Time, effects *statemachine.Effects) {
 	if statemachine.Mutated("leave-at-once") {
-		w.ReleaseLease(now, effects)
-		w.left = true
+		n.ReleaseLease(now, effects)
+		n.departure.completed = true
 	}
-	others := w.others()
-	if w.blank || len(others) == 0 && len(w.Learners(now)) == 0 {
-		w.left = true
+	others := n.otherVoters()
+	if n.blank || len(others) == 0 && len(n.Learners(now)) == 0 {
+		n.departure.completed = true
 	}
-	if w.left {
+	if n.departure.completed {
 		return
 	}
-	w.timers.Arm("leave", now.Add(leaveEvery))
-	w.handOver(now, effects)
-	leave := Leave{Epoch: w.durable.Record.Epoch, Request: w.requests.Next()}
-	for _, controller := range others {
-		effects.Send(controller.Address, leave)
+	n.timers.Arm(leaveTimer, now.Add(leaveInterval))
+	n.handOverLease(now, effects)
+	leave := Leave{Epoch: n.hardState.Record.Epoch, Request: n.requests.Next()}
+	for _, voter := range others {
+		effects.Send(voter.Address, leave)
 	}
 }
 
-// others are the voters besides this controller.
-func (w *Node) others() []Controller {
-	return slices.DeleteFunc(slices.Clone(w.durable.Record.Voters), func(controller Controller) bool {
-		return controller.SameAs(w.settings.Self)
-	})
-}
-
-// handOver gives the lease back once a backup that stays can go on at once.
-func (w *Node) handOver(now time.Time, effects *statemachine.Effects) {
-	if !w.Serving(now) || w.trying != nil {
+// handOverLease releases the lease once a backup that stays can take over at once.
+func (n *Node) handOverLease(now time.Time, effects *statemachine.Effects) {
+	if !n.Serving(now) || n.election.attempt != nil {
 		return
 	}
-	record := w.durable.Record
+	record := n.hardState.Record
 	if slices.ContainsFunc(record.Backups, func(name string) bool {
 		backup, _ := record.VoterNamed(name)
-		return !w.saidToGo(now, backup.Address)
+		return !n.announcedDeparture(now, backup.Address)
 	}) {
-		w.ReleaseLease(now, effects)
+		n.ReleaseLease(now, effects)
 	}
 }
 
-// onLeave is told that a controller wants to go. Who is outside the voters may, as
-// far as this controller is concerned, once the voters without it last on this disk.
-func (w *Node) onLeave(now time.Time, from string, leave Leave, effects *statemachine.Effects) {
-	record := w.durable.Record
+// handleLeave answers a controller that leaves. One outside the voters may go, as far as
+// this voter is concerned, once the voters without it are on this disk.
+func (n *Node) handleLeave(now time.Time, from string, leave Leave, effects *statemachine.Effects) {
+	record := n.hardState.Record
 	switch {
-	case w.blank:
+	case n.blank:
 		return
 	case leave.Epoch < record.Epoch:
 		effects.Send(from, Decided{Record: record})
 	case leave.Epoch > record.Epoch:
-		w.askRecord(from, effects)
+		n.requestRecord(from, effects)
 		return
 	}
-	w.noteDeparture(now, from)
-	name := w.nameOf(from, record.Voters)
+	n.recordDeparture(now, from)
+	name := record.nameAt(from)
 	if name == "" {
-		if w.member() && w.diskEpoch == record.Epoch {
+		if n.isVoter() && n.storage.syncedEpoch == record.Epoch {
 			effects.Send(from, LeaveResponse{Epoch: record.Epoch, Request: leave.Request})
 		}
 		return
 	}
-	if !w.HoldsLease(now) {
+	if !n.HoldsLease(now) {
 		return
 	}
-	w.follow(now, effects)
-	w.watchVoters(now, effects)
-	if w.irreplaceable(now, name) {
+	n.monitor(now, effects)
+	n.reconcileVoters(now, effects)
+	if n.irreplaceable(now, name) {
 		effects.Send(from, LeaveResponse{Epoch: record.Epoch, Request: leave.Request, Irreplaceable: true})
 	}
 }
 
-// noteDeparture remembers who goes, for as long as it is a voter or may come back.
-func (w *Node) noteDeparture(now time.Time, from string) {
-	w.departs[from] = now
-	for address, said := range statemachine.Sorted(w.departs) {
-		if now.Sub(said) > departsKept && w.nameOf(address, w.durable.Record.Voters) == "" {
-			delete(w.departs, address)
+// recordDeparture remembers who leaves, for as long as it is a voter or may come back.
+func (n *Node) recordDeparture(now time.Time, from string) {
+	n.departure.announced[from] = now
+	for address, announced := range statemachine.Sorted(n.departure.announced) {
+		if now.Sub(announced) > departureRetention && n.voterNameAt(address) == "" {
+			delete(n.departure.announced, address)
 		}
 	}
 }
 
-func (w *Node) onLeaveResponse(from string, returned LeaveResponse) {
-	record := w.durable.Record
-	if _, own := w.requests.NumberOf(returned.Request); !own || !w.leaving || returned.Epoch < record.Epoch || w.nameOf(from, record.Voters) == "" {
+func (n *Node) handleLeaveResponse(from string, response LeaveResponse) {
+	record := n.hardState.Record
+	_, own := n.requests.NumberOf(response.Request)
+	if !own || !n.departure.requested || response.Epoch < record.Epoch || record.nameAt(from) == "" {
 		return
 	}
-	if returned.Irreplaceable {
-		w.left = w.left || w.nameOf(from, record.Voters) == record.Primary
+	if response.Irreplaceable {
+		n.departure.completed = n.departure.completed || record.nameAt(from) == record.Primary
 		return
 	}
-	if _, listed := record.Voter(w.settings.Self); listed {
+	if _, listed := record.Voter(n.settings.Self); listed {
 		return
 	}
-	w.releases[from] = true
-	w.left = w.left || enough(record.Epoch+1, record.Voters, w.releases)
+	n.departure.acknowledged[from] = true
+	n.departure.completed = n.departure.completed ||
+		hasQuorum(record.Epoch+1, record.Voters, n.departure.acknowledged)
 }
 
-// saidToGo tells whether a controller has just said that it goes.
-func (w *Node) saidToGo(now time.Time, address string) bool {
-	said, found := w.departs[address]
-	return found && now.Sub(said) < departsFresh
+// announcedDeparture reports whether a controller has just said that it leaves.
+func (n *Node) announcedDeparture(now time.Time, address string) bool {
+	announced, found := n.departure.announced[address]
+	return found && now.Sub(announced) < departureValidity
 }
 
-// departing tells whether a voter has said that it goes, and has not come back since.
-func (w *Node) departing(now time.Time, voter Controller) bool {
-	said, found := w.departs[voter.Address]
-	return found && (now.Sub(said) < departsFresh || w.lastGrant[voter.Name].Before(said.Add(departsFresh)))
+// departing reports whether a voter has said that it leaves, and has not come back since.
+func (n *Node) departing(now time.Time, voter Controller) bool {
+	announced, found := n.departure.announced[voter.Address]
+	return found && (now.Sub(announced) < departureValidity ||
+		n.lease.lastGrant[voter.Name].Before(announced.Add(departureValidity)))
 }
 
-// departingBackup is a backup that goes, where another can have its copy.
-func (w *Node) departingBackup(now time.Time) (string, bool) {
-	record := w.durable.Record
-	if !w.level() {
+// departingBackup returns a backup that leaves, if there is a spare to replace it.
+func (n *Node) departingBackup(now time.Time) (string, bool) {
+	record := n.hardState.Record
+	if !n.backupsInSync() {
 		return "", false
 	}
 	for _, name := range record.Backups {
-		if backup, _ := record.VoterNamed(name); !w.departing(now, backup) {
+		if backup, _ := record.VoterNamed(name); !n.departing(now, backup) {
 			continue
 		}
-		others := slices.DeleteFunc(slices.Clone(record.Backups), func(other string) bool { return other == name })
-		if _, found := w.chooseSpare(now, others, record.Backups); found {
+		if _, found := n.chooseSpare(now, without(record.Backups, name), record.Backups); found {
 			return name, true
 		}
 	}
 	return "", false
 }
 
-// mayDrop tells whether a backup that goes need not be replaced: nobody else can have
-// its copy, and there are as many as are needed without it.
-func (w *Node) mayDrop(now time.Time, backup Controller) bool {
-	if !w.departing(now, backup) || len(w.durable.Record.Backups) <= w.neededBackups() {
+// mayDropBackup reports whether a backup that leaves need not be replaced: there is no
+// spare, and there are enough backups without it.
+func (n *Node) mayDropBackup(now time.Time, backup Controller) bool {
+	if !n.departing(now, backup) || len(n.hardState.Record.Backups) <= n.neededBackups() {
 		return false
 	}
-	_, found := w.departingBackup(now)
+	_, found := n.departingBackup(now)
 	return !found
 }
 
-// irreplaceable tells whether nobody is there to take the place of a voter.
-func (w *Node) irreplaceable(now time.Time, name string) bool {
-	record := w.durable.Record
-	if w.trying != nil || w.replacing || w.gathered || !w.level() || len(w.Learners(now)) > 0 || mayShrink(record) {
+// irreplaceable reports whether there is nobody to replace a voter that leaves.
+func (n *Node) irreplaceable(now time.Time, name string) bool {
+	record := n.hardState.Record
+	if n.election.attempt != nil || n.reconfig.replacing || n.reconfig.proposed ||
+		!n.backupsInSync() || len(n.Learners(now)) > 0 || mayShrinkVoters(record) {
 		return false
 	}
-	if now.Sub(w.actingSince) < hearsStandbys && !statemachine.Mutated("irreplaceable-unheard") {
+	if now.Sub(n.lease.primarySince) < learnerDiscoveryTime && !statemachine.Mutated("irreplaceable-unheard") {
 		return false
 	}
-	copies, found := w.departingBackup(now)
-	return !found || copies != name
-}
-
-// mayShrink tells whether the voters are as safe without one: an even number needs
-// as many votes as the odd number above it.
-func mayShrink(record Record) bool {
-	return len(record.Voters)%2 == 0
+	replaceable, found := n.departingBackup(now)
+	return !found || replaceable != name
 }
--- a/internal/consensus/messages.go
+++ b/internal/consensus/messages.go
@@ -1,6 +1,3 @@
-// The words that controllers exchange about epochs, lease and the control state,
-// and what each of them keeps on disk.
-
 package consensus
 
 import (
@@ -10,83 +7,7 @@
 	"dahlialock/internal/transport"
 )
 
-// Controller is one coordinator: its name, where it is, and the name of the disk
-// that it began with, so that one whose disk was lost is known to be another.
-type Controller struct {
-	Name    string `cbor:"Name"`
-	Address string `cbor:"Address"`
-	Zone    string `cbor:"Zone"`
-	DiskID  string `cbor:"Disk"`
-}
-
-// SameAs tells whether both are the same controller at the same address, whatever disk
-// it has.
-func (c Controller) SameAs(other Controller) bool {
-	return c.Name == other.Name && c.Address == other.Address
-}
-
-// Record is an epoch: who is primary, who are its backups, and who may grant.
-type Record struct {
-	Epoch   uint64       `cbor:"Epoch"`
-	Primary string       `cbor:"Primary"`
-	Backups []string     `cbor:"Backups"`
-	Voters  []Controller `cbor:"Voters"`
-}
-
-// VoterNamed gives the voters's entry of a name.
-func (r Record) VoterNamed(name string) (Controller, bool) {
-	for _, controller := range r.Voters {
-		if controller.Name == name {
-			return controller, true
-		}
-	}
-	return Controller{}, false
-}
-
-// Voter gives the voters's entry of a controller at its address.
-func (r Record) Voter(self Controller) (Controller, bool) {
-	for _, controller := range r.Voters {
-		if controller.SameAs(self) {
-			return controller, true
-		}
-	}
-	return Controller{}, false
-}
-
-// Majority is how many of the voters must grant.
-func (r Record) Majority() int {
-	return len(r.Voters)/2 + 1
-}
-
-// Ballot orders the attempts to decide one epoch.
-type Ballot struct {
-	Count uint64 `cbor:"Count"`
-	Name  string `cbor:"Name"`
-}
-
-// Before orders ballots.
-func (b Ballot) Before(other Ballot) bool {
-	if b.Count != other.Count {
-		return b.Count < other.Count
-	}
-	return b.Name < other.Name
-}
-
-// HardState is what a controller must not forget: the newest decided epoch and its
-// part in deciding the next one; the name of its disk; and, from its first start
-// until the first epoch, the addresses of the founders that it is one of.
-type HardState struct {
-	DiskID         string   `cbor:"Disk"`
-	Founders       []string `cbor:"Founders"`
-	Record         Record   `cbor:"Record"`
-	Promised       Ballot   `cbor:"Promised"`
-	AcceptedBallot Ballot   `cbor:"AcceptedBallot"`
-	Accepted       Record   `cbor:"Accepted"`
-	CompleteEpoch  uint64   `cbor:"Complete"`
-	Recovered      bool     `cbor:"Recalled"`
-}
-
-// Hello lets controllers find each other through the seeds.
+// Hello lets controllers find each other through the seeds, and spreads the newest record.
 type Hello struct {
 	Self        Controller   `cbor:"Self"`
 	ClusterSize int          `cbor:"Count"`
@@ -96,24 +17,26 @@
 	Record      Record       `cbor:"Record"`
 }
 
-// RecoveryRequest comes from a controller whose disk is blank.
+// RecoveryRequest comes from a voter whose disk was lost, and asks another voter for its
+// hard state.
 type RecoveryRequest struct {
 	Request statemachine.RequestID `cbor:"Request"`
 }
 
-// RecoveryResponse tells it what one other controller remembers.
+// RecoveryResponse answers RecoveryRequest.
 type RecoveryResponse struct {
 	Request   statemachine.RequestID `cbor:"Request"`
 	HardState HardState              `cbor:"Durable"`
 }
 
-// Prepare asks for the right to decide an epoch.
+// Prepare is phase 1 of a ballot: it asks for a promise.
 type Prepare struct {
 	Epoch  uint64 `cbor:"Epoch"`
 	Ballot Ballot `cbor:"Ballot"`
 }
 
-// Promise answers Prepare.
+// Promise answers Prepare. If it is not granted, RetryAfter is how long a lease still
+// runs that the acceptor granted, and Promised a higher ballot that it promised.
 type Promise struct {
 	Epoch          uint64        `cbor:"Epoch"`
 	Ballot         Ballot        `cbor:"Ballot"`
@@ -124,14 +47,14 @@
 	Accepted       Record        `cbor:"Accepted"`
 }
 
-// Accept asks to take a record for an epoch.
+// Accept is phase 2 of a ballot: it asks to accept a record.
 type Accept struct {
 	Epoch  uint64 `cbor:"Epoch"`
 	Ballot Ballot `cbor:"Ballot"`
 	Record Record `cbor:"Record"`
 }
 
-// Accepted answers Accept.
+// Accepted answers Accept once the record is on the acceptor's disk.
 type Accepted struct {
 	Epoch   uint64 `cbor:"Epoch"`
 	Ballot  Ballot `cbor:"Ballot"`
@@ -143,16 +66,16 @@
 	Record Record `cbor:"Record"`
 }
 
-// RenewLease asks for more lease; soon after an epoch was decided it tells the record
-// too, in case the word of it was lost.
+// RenewLease comes from the primary and asks a voter to extend its lease. Soon after an
+// epoch was decided it has the record too, in case Decided was lost.
 type RenewLease struct {
 	Epoch   uint64                 `cbor:"Epoch"`
 	Request statemachine.RequestID `cbor:"Request"`
 	Record  Record                 `cbor:"Record"`
 }
 
-// LeaseGrant gives lease and tells how far the granter's state reaches; without a
-// request it only tells.
+// LeaseGrant answers RenewLease. From a backup it also reports the progress of its
+// replica; without a request it does only that.
 type LeaseGrant struct {
 	Epoch         uint64                 `cbor:"Epoch"`
 	Request       statemachine.RequestID `cbor:"Request"`
@@ -160,28 +83,28 @@
 	CompleteEpoch uint64                 `cbor:"Complete"`
 }
 
-// ReleaseLease gives the rest of the lease back: the primary is stopping, or its disk
-// hangs. Request is the newest renewal that it asked for.
+// ReleaseLease gives up the rest of the lease: the primary stops, or its disk hangs.
+// Request is the newest renewal that it asked for.
 type ReleaseLease struct {
 	Epoch   uint64                 `cbor:"Epoch"`
 	Request statemachine.RequestID `cbor:"Request"`
 }
 
-// Append carries one command from the primary to each backup.
+// Append replicates one command from the primary to a backup.
 type Append struct {
 	Epoch   uint64 `cbor:"Epoch"`
 	Index   uint64 `cbor:"Index"`
 	Command []byte `cbor:"Command"`
 }
 
-// AppendResponse says that the backup has synced it.
+// AppendResponse says that the backup has synced the command.
 type AppendResponse struct {
 	Epoch uint64 `cbor:"Epoch"`
 	Index uint64 `cbor:"Index"`
 }
 
-// InstallSnapshot carries the whole state, either to level a backup at the present epoch
-// or to ready a spare for the next.
+// InstallSnapshot sends the whole state: to a backup that is not in sync, if TargetEpoch
+// is Epoch, or to a spare that may become a backup in the next epoch, TargetEpoch.
 type InstallSnapshot struct {
 	Epoch       uint64 `cbor:"Epoch"`
 	TargetEpoch uint64 `cbor:"For"`
@@ -189,8 +112,8 @@
 	State       []byte `cbor:"State"`
 }
 
-// InstallSnapshotResponse says that the frame is synced, and whether its holder is about to
-// leave.
+// InstallSnapshotResponse says that the snapshot is synced, and whether its receiver is
+// about to leave.
 type InstallSnapshotResponse struct {
 	Epoch       uint64 `cbor:"Epoch"`
 	TargetEpoch uint64 `cbor:"For"`
@@ -198,25 +121,25 @@
 	Leaving     bool   `cbor:"Leaving"`
 }
 
-// Confirm asks the voters whether the epoch still stands.
+// Confirm asks a voter whether the epoch is still the newest, as ReadIndex does in Raft.
 type Confirm struct {
 	Epoch   uint64                 `cbor:"Epoch"`
 	Request statemachine.RequestID `cbor:"Request"`
 }
 
-// ConfirmResponse answers for the present epoch only.
+// ConfirmResponse answers Confirm for the present epoch only.
 type ConfirmResponse struct {
 	Epoch   uint64                 `cbor:"Epoch"`
 	Request statemachine.RequestID `cbor:"Request"`
 }
 
-// RoleLeaseRequest asks a majority for the lease of a single duty.
+// RoleLeaseRequest asks a voter for the lease of a singleton role.
 type RoleLeaseRequest struct {
 	Role    string                 `cbor:"Duty"`
 	Request statemachine.RequestID `cbor:"Request"`
 }
 
-// RoleLeaseResponse grants it or names who holds it.
+// RoleLeaseResponse grants the lease, or names its present holder.
 type RoleLeaseResponse struct {
 	Role    string                 `cbor:"Duty"`
 	Request statemachine.RequestID `cbor:"Request"`
@@ -224,44 +147,20 @@
 	Holder  string                 `cbor:"Holder"`
 }
 
-// Leave asks the voters to let a controller go.
+// Leave comes from a controller that shuts down, and asks to be taken out of the voters.
 type Leave struct {
 	Epoch   uint64                 `cbor:"Epoch"`
 	Request statemachine.RequestID `cbor:"Request"`
 }
 
-// LeaveResponse says that the voters of the epoch, without the asker, last on this
-// disk; or that nobody can take its place.
+// LeaveResponse says that voters of the epoch, of which the leaver is none, are on the
+// disk of a voter; or, from the primary, that nobody can replace the leaver.
 type LeaveResponse struct {
 	Epoch         uint64                 `cbor:"Epoch"`
 	Request       statemachine.RequestID `cbor:"Request"`
 	Irreplaceable bool                   `cbor:"Irreplaceable"`
 }
 
-type spareFrame struct {
-	From  string `cbor:"From"`
-	For   uint64 `cbor:"For"`
-	Index uint64 `cbor:"Index"`
-	State []byte `cbor:"State"`
-}
-
-type diskEntry struct {
-	Durable *HardState  `cbor:"Durable"`
-	Index   uint64      `cbor:"Index"`
-	Command []byte      `cbor:"Command"`
-	State   []byte      `cbor:"State"`
-	Spare   *spareFrame `cbor:"Spare"`
-}
-
-type diskFrame struct {
-	Durable HardState    `cbor:"Durable"`
-	Index   uint64       `cbor:"Index"`
-	State   []byte       `cbor:"State"`
-	Spares  []spareFrame `cbor:"Spares"`
-	// Pending is the command that was under way when the snapshot was taken.
-	Pending *diskEntry `cbor:"Pending"`
-}
-
 func init() {
 	transport.MustRegister(100, Hello{})
 	transport.MustRegister(101, RecoveryRequest{})
--- /dev/null
+++ b/internal/consensus/node.go
@@ -0,0 +1,386 @@
+package consensus
+
+import (
+	"slices"
+	"time"
+
+	"dahlialock/internal/statemachine"
+)
+
+// StateMachine is the state that is replicated. Apply and Restore are deterministic.
+type StateMachine interface {
+	// Apply changes the state by a command.
+	Apply(now time.Time, command []byte)
+	// Snapshot encodes the state.
+	Snapshot() []byte
+	// Restore replaces the state by an encoded one.
+	Restore(state []byte) error
+}
+
+// Settings configure a Node.
+type Settings struct {
+	// Self is this controller; its DiskID is ignored.
+	Self Controller
+	// ClusterSize, if not 0, is how many controllers found the fleet and are its voters.
+	// Otherwise the controllers at the addresses of Seeds found it, if Founding is set at
+	// their first start, and Tolerance says how many voters there should be.
+	ClusterSize int
+	Seeds       []string
+	Founding    bool
+	// Tolerance is how many controllers may be lost at a time, with their disks.
+	Tolerance int
+	// NewDiskID names the disk if it is blank.
+	NewDiskID string
+	// Incarnation names this run of the process.
+	Incarnation statemachine.Incarnation
+}
+
+// Outcome is the result of a submitted command or of a confirmation.
+type Outcome int
+
+const (
+	// Committed says that the command is durable on all replicas, or that the epoch was
+	// confirmed.
+	Committed Outcome = iota
+	// Rejected says that the command was not and will not be executed.
+	Rejected
+	// Indeterminate says that the command may or may not be executed.
+	Indeterminate
+)
+
+// String names the outcome.
+func (o Outcome) String() string {
+	switch o {
+	case Committed:
+		return "committed"
+	case Rejected:
+		return "rejected"
+	case Indeterminate:
+		return "indeterminate"
+	default:
+		return "unknown"
+	}
+}
+
+// Done is called once with the outcome of a command or of a confirmation.
+type Done func(now time.Time, effects *statemachine.Effects, outcome Outcome)
+
+// timer names the timers of a Node. Among timers that expire at the same moment the lower
+// one runs first; recorded runs depend on that order.
+type timer int
+
+const (
+	monitorTimer timer = iota
+	helloTimer
+	leaveTimer
+	deadlineTimer
+	renewTimer
+	ballotTimer
+)
+
+// Node is one controller's part in the replication of the control state.
+type Node struct {
+	settings     Settings
+	stateMachine StateMachine
+	timers       *statemachine.Timers[timer]
+	requests     statemachine.RequestSequence
+
+	// hardState may be ahead of the disk: what others may rely on is sent only after the
+	// write is synced.
+	hardState HardState
+	// appliedIndex is the index of the last command that was applied to stateMachine.
+	appliedIndex uint64
+	// blank is set until this controller knows an epoch. It then votes for the first epoch
+	// only.
+	blank bool
+
+	storage     storage
+	discovery   discovery
+	recovery    recovery
+	election    election
+	voter       voterState
+	lease       leaseState
+	replication replication
+	reconfig    reconfiguration
+	departure   departure
+	roles       roles
+	// confirmations are the pending calls of Confirm by request number.
+	confirmations map[uint64]confirmation
+}
+
+// New returns a Node with the state that its disk held: a snapshot and the entries after
+// it, as they were written. It fails with ErrStoredState if they can't be decoded.
+func New(settings Settings, stateMachine StateMachine, snapshot []byte, entries [][]byte) (*Node, error) {
+	node := &Node{
+		settings:      settings,
+		stateMachine:  stateMachine,
+		timers:        statemachine.NewTimers[timer](),
+		requests:      statemachine.NewRequestSequence(settings.Incarnation),
+		storage:       newStorage(),
+		discovery:     newDiscovery(),
+		recovery:      newRecovery(),
+		lease:         newLeaseState(),
+		replication:   newReplication(),
+		reconfig:      newReconfiguration(),
+		departure:     newDeparture(),
+		roles:         newRoles(),
+		confirmations: map[uint64]confirmation{},
+	}
+	if err := node.restore(snapshot, entries); err != nil {
+		return nil, err
+	}
+	node.storage.syncedIndex = node.appliedIndex
+	node.storage.syncedCompleteEpoch = node.hardState.CompleteEpoch
+	node.storage.syncedEpoch = node.hardState.Record.Epoch
+	node.blank = node.hardState.Record.Epoch == 0
+	if node.blank && node.hardState.DiskID == "" {
+		node.hardState.DiskID = settings.NewDiskID
+	}
+	node.discovery.newestRecord = node.hardState.Record
+	node.resetProgress(time.Time{})
+	return node, nil
+}
+
+// Record is that of the newest decided epoch that this controller knows.
+func (n *Node) Record() Record { return n.hardState.Record }
+
+// AppliedIndex is the index of the last command that was applied.
+func (n *Node) AppliedIndex() uint64 { return n.appliedIndex }
+
+// Blank reports whether no epoch is known yet.
+func (n *Node) Blank() bool { return n.blank }
+
+// CompleteEpoch is the epoch as of which this controller's state is known to be complete,
+// or 0.
+func (n *Node) CompleteEpoch() uint64 { return n.hardState.CompleteEpoch }
+
+// KnownControllers lists the voters or, before the first epoch, all controllers that were
+// heard of.
+func (n *Node) KnownControllers() []Controller {
+	if n.hardState.Record.Epoch > 0 {
+		return n.hardState.Record.Voters
+	}
+	controllers := []Controller{n.identity()}
+	for _, known := range statemachine.Sorted(n.discovery.peers) {
+		controllers = append(controllers, known.hello.Self)
+	}
+	return controllers
+}
+
+// Primary returns the primary of the newest known epoch.
+func (n *Node) Primary() (Controller, bool) {
+	return n.hardState.Record.VoterNamed(n.hardState.Record.Primary)
+}
+
+// IsPrimary reports whether the newest known epoch names this controller as its primary.
+// It may not serve without the lease.
+func (n *Node) IsPrimary() bool {
+	return n.hardState.Record.Primary == n.settings.Self.Name && n.isVoter()
+}
+
+func (n *Node) isBackup() bool {
+	return slices.Contains(n.hardState.Record.Backups, n.settings.Self.Name) && n.isVoter()
+}
+
+// isComplete reports whether the state here is that of the newest known epoch.
+func (n *Node) isComplete() bool {
+	return n.hardState.CompleteEpoch == n.hardState.Record.Epoch
+}
+
+// HoldsLease reports whether this controller may act as the primary at this moment.
+func (n *Node) HoldsLease(now time.Time) bool {
+	unexpired := now.Before(n.lease.until) || statemachine.Mutated("lease-for-ever")
+	return n.IsPrimary() && unexpired && n.isComplete()
+}
+
+// Serving reports whether commands can be committed: the lease is held, and all backups
+// are in sync and were heard lately.
+func (n *Node) Serving(now time.Time) bool {
+	if statemachine.Mutated("lease-for-ever") {
+		return n.HoldsLease(now)
+	}
+	if !n.HoldsLease(now) || !n.backupsInSync() || n.reconfig.replacing || n.epochSealed() {
+		return false
+	}
+	lost, _ := n.failedBackups(now)
+	return len(lost) == 0
+}
+
+// CanServeReads reports whether this controller may answer from its state: it holds the
+// lease, and all that the state holds is on all replicas. It stays so while a backup is
+// being replaced.
+func (n *Node) CanServeReads(now time.Time) bool {
+	return n.HoldsLease(now) && n.replication.stateReplicated
+}
+
+// LeaseEnd is when the lease expires; nothing that rests on it may be sent after that. It
+// is in the past if the lease is not held.
+func (n *Node) LeaseEnd() time.Time {
+	if statemachine.Mutated("lease-for-ever") {
+		return time.Time{}
+	}
+	return n.lease.until
+}
+
+// SetTolerance applies a tolerance from changed settings. The voters and the backups
+// follow by later epochs.
+func (n *Node) SetTolerance(tolerance int) { n.settings.Tolerance = tolerance }
+
+// NextTick is when Tick has to be called.
+func (n *Node) NextTick() time.Time { return n.timers.Next() }
+
+// Start begins the work of the Node, and is called once before anything else. A
+// controller that was restarted waits for a full lease before it lets anybody but the
+// primary have an epoch.
+func (n *Node) Start(now time.Time, effects *statemachine.Effects) {
+	n.voter.grantedUntil, n.voter.grantedTo = now.Add(LeaseDuration), n.hardState.Record.Primary
+	n.voter.uncertainUntil = now.Add(LeaseDuration)
+	n.replication.primaryHeard, n.election.decidedAt, n.lease.primarySince = now, now, now
+	n.resetProgress(now)
+	n.recordFounders(effects)
+	n.timers.Arm(helloTimer, now)
+	n.timers.Arm(renewTimer, now)
+}
+
+// Tick runs the timers that expired.
+func (n *Node) Tick(now time.Time, effects *statemachine.Effects) {
+	for _, expired := range n.timers.Expired(now) {
+		switch expired {
+		case monitorTimer:
+			n.monitor(now, effects)
+		case helloTimer:
+			n.sendHello(now, effects)
+		case leaveTimer:
+			n.continueLeaving(now, effects)
+		case deadlineTimer:
+			n.expireDeadlines(now, effects)
+		case renewTimer:
+			n.renewLease(now, effects)
+		case ballotTimer:
+			n.retryBallot(now, effects)
+		}
+	}
+}
+
+// HandleMessage handles a message of another controller. It returns false for messages of
+// other packages.
+func (n *Node) HandleMessage(
+	now time.Time, meta statemachine.Meta, message any, effects *statemachine.Effects,
+) bool {
+	if n.voterNameAt(meta.From) != "" {
+		n.lease.lastHeard[meta.From] = now
+	}
+	return n.handleElectionMessage(now, meta.From, message, effects) ||
+		n.handleLeaseMessage(now, meta.From, message, effects) ||
+		n.handleReplicationMessage(now, meta.From, message, effects) ||
+		n.handleMembershipMessage(now, meta.From, message, effects)
+}
+
+func (n *Node) handleElectionMessage(now time.Time, from string, message any, effects *statemachine.Effects) bool {
+	switch message := message.(type) {
+	case Prepare:
+		n.handlePrepare(now, from, message, effects)
+	case Promise:
+		n.handlePromise(now, from, message, effects)
+	case Accept:
+		n.handleAccept(now, from, message, effects)
+	case Accepted:
+		n.handleAccepted(now, from, message, effects)
+	case Decided:
+		n.learn(now, message.Record, effects)
+	default:
+		return false
+	}
+	return true
+}
+
+func (n *Node) handleLeaseMessage(now time.Time, from string, message any, effects *statemachine.Effects) bool {
+	switch message := message.(type) {
+	case RenewLease:
+		n.handleRenewLease(now, from, message, effects)
+	case LeaseGrant:
+		n.handleLeaseGrant(now, from, message, effects)
+	case ReleaseLease:
+		n.handleReleaseLease(now, from, message, effects)
+	case Confirm:
+		n.handleConfirm(now, from, message, effects)
+	case ConfirmResponse:
+		n.handleConfirmResponse(now, from, message, effects)
+	case RoleLeaseRequest:
+		n.handleRoleLeaseRequest(now, from, message, effects)
+	case RoleLeaseResponse:
+		n.handleRoleLeaseResponse(from, message)
+	default:
+		return false
+	}
+	return true
+}
+
+func (n *Node) handleReplicationMessage(now time.Time, from string, message any, effects *statemachine.Effects) bool {
+	switch message := message.(type) {
+	case Append:
+		n.handleAppend(now, from, message, effects)
+	case AppendResponse:
+		n.handleAppendResponse(now, from, message, effects)
+	case InstallSnapshot:
+		n.handleInstallSnapshot(from, message, effects)
+	case InstallSnapshotResponse:
+		n.handleInstallSnapshotResponse(now, from, message, effects)
+	default:
+		return false
+	}
+	return true
+}
+
+func (n *Node) handleMembershipMessage(now time.Time, from string, message any, effects *statemachine.Effects) bool {
+	switch message := message.(type) {
+	case Hello:
+		n.handleHello(now, from, message, effects)
+	case RecoveryRequest:
+		n.handleRecoveryRequest(from, message, effects)
+	case RecoveryResponse:
+		n.handleRecoveryResponse(now, from, message, effects)
+	case Leave:
+		n.handleLeave(now, from, message, effects)
+	case LeaveResponse:
+		n.handleLeaveResponse(from, message)
+	default:
+		return false
+	}
+	return true
+}
+
+// deliver sends a message, or handles it at once if it is for this controller itself.
+func (n *Node) deliver(now time.Time, to string, message any, effects *statemachine.Effects) {
+	if to != n.settings.Self.Address {
+		effects.Send(to, message)
+		return
+	}
+	n.HandleMessage(now, statemachine.Meta{From: to}, message, effects)
+}
+
+// identity is this controller with the name of its disk.
+func (n *Node) identity() Controller {
+	self := n.settings.Self
+	self.DiskID = n.hardState.DiskID
+	return self
+}
+
+// isVoter reports whether this controller is a voter of the newest epoch that it knows,
+// with the disk that the record names.
+func (n *Node) isVoter() bool {
+	entry, listed := n.hardState.Record.Voter(n.settings.Self)
+	return !n.blank && listed && entry.DiskID == n.hardState.DiskID
+}
+
+// voterNameAt returns the name of the present voter at an address, or "".
+func (n *Node) voterNameAt(address string) string {
+	return n.hardState.Record.nameAt(address)
+}
+
+// otherVoters are the present voters without this controller.
+func (n *Node) otherVoters() []Controller {
+	return slices.DeleteFunc(slices.Clone(n.hardState.Record.Voters), func(voter Controller) bool {
+		return voter.SameAs(n.settings.Self)
+	})
+}
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -1,448 +1,346 @@
-// The copies of the control state: the primary's and one on each backup that
-// the epoch's record names, as many as machines may be lost. The primary syncs a
-// command and sends it to all backups, and answers once each of them has synced
-// it. A backup that is lost, or slow with one command, is replaced by a next
-// epoch; any backup can take over. Whoever begins a next epoch first readies
-// spares with the whole state, and takes the record itself, on its disk, before
-// it asks others to: from then on neither it nor any backup that took such a
-// record adds to the state of the present epoch, so that a spare's copy is never
-// older than what was answered.
-
 package consensus
 
 import (
-	"slices"
 	"time"
 
 	"dahlialock/internal/logevent"
 	"dahlialock/internal/statemachine"
 )
 
-// Spans of copying. A spare that is silent is passed over; one that takes over
-// waits a little for more spares to choose from.
-const (
-	slowAfter   = 700 * time.Millisecond
-	ownSlow     = time.Second
-	spareLimit  = 600 * time.Millisecond
-	gatherFor   = 150 * time.Millisecond
-	followEvery = 300 * time.Millisecond
-)
-
-// copied is what the primary knows of one backup's copy.
-type copied struct {
-	heard time.Time
-	level bool
-	acked uint64
+// replication is the replication of commands and snapshots in the present epoch.
+type replication struct {
+	// proposals are the submitted commands that are not committed yet. The first one may be
+	// pending, that is written and sent to the backups; the others wait for it.
+	proposals []*proposal
+	// progress is what the primary knows of each backup, by name.
+	progress map[string]*progress
+	// stateReplicated is set while all that this primary has applied is on all replicas.
+	stateReplicated bool
+	// primaryHeard is when this backup last heard from the primary.
+	primaryHeard time.Time
+	// staged are the snapshots for the next epoch, by the names of those that sent them.
+	staged map[string]*stagedSnapshot
 }
 
-// asked is a spare that was sent the state.
-type asked struct {
-	at      time.Time
-	ready   bool
-	leaving bool
-}
-
-// SetTolerance takes another tolerance from changed settings; the voters and the
-// backups follow.
-func (w *Node) SetTolerance(tolerance int) { w.settings.Tolerance = tolerance }
-
-// neededBackups is how many backups must have synced what is answered, and
-// wantedBackups how many there should be: one at least, so that another controller
-// can take over.
-func (w *Node) neededBackups() int {
-	if w.settings.ClusterSize > 0 {
-		return max(1, w.settings.Tolerance)
-	}
-	if statemachine.Mutated("one-backup") {
-		return min(1, w.settings.Tolerance)
-	}
-	return w.settings.Tolerance
+// proposal is a submitted command.
+type proposal struct {
+	command []byte
+	done    Done
+	// index is that of the command once it is pending, and 0 before.
+	index uint64
+	// synced is set once it is on the primary's own disk.
+	synced bool
+	// appendedAt is when it was written or, once synced, when it was sent.
+	appendedAt time.Time
+	// deadline is when done is called with what is known then; the zero time if it was.
+	deadline time.Time
 }
 
-func (w *Node) wantedBackups() int {
-	return min(max(1, w.neededBackups()), len(w.durable.Record.Voters)-1)
+// progress is what the primary knows of a backup's replica.
+type progress struct {
+	lastHeard time.Time
+	// inSync is set once the replica was seen to hold all that was committed.
+	inSync bool
+	// ackedIndex is the highest index that the backup has synced as far as is known.
+	ackedIndex uint64
 }
 
-// chooseBackups names backups of a voters without a past, in different
-// zones where possible.
-func (w *Node) chooseBackups(voters []Controller) []string {
-	var chosen []string
-	for len(chosen) < min(max(1, w.neededBackups()), len(voters)-1) {
-		var others []Controller
-		for _, controller := range voters {
-			if !controller.SameAs(w.settings.Self) && !slices.Contains(chosen, controller.Name) {
-				others = append(others, controller)
-			}
-		}
-		chosen = append(chosen, w.farthest(voters, others, chosen).Name)
+func newReplication() replication {
+	return replication{
+		progress: map[string]*progress{},
+		staged:   map[string]*stagedSnapshot{},
 	}
-	return chosen
 }
 
-// farthest is the one of several controllers whose zone has the fewest copies:
-// this controller's own, and those of the named.
-func (w *Node) farthest(voters, several []Controller, named []string) Controller {
-	copies := map[string]int{w.settings.Self.Zone: 1}
-	for _, controller := range voters {
-		if slices.Contains(named, controller.Name) {
-			copies[controller.Zone]++
-		}
+// neededBackups is how many backups must have synced a command before it is committed.
+func (n *Node) neededBackups() int {
+	if n.settings.ClusterSize > 0 {
+		return max(1, n.settings.Tolerance)
 	}
-	best := several[0]
-	for _, controller := range several[1:] {
-		if copies[controller.Zone] < copies[best.Zone] {
-			best = controller
-		}
+	if statemachine.Mutated("one-backup") {
+		return min(1, n.settings.Tolerance)
 	}
-	return best
+	return n.settings.Tolerance
 }
 
-// frozen tells whether this controller has taken a next epoch with another primary or
-// other backups: nothing is added to the present one any more.
-func (w *Node) frozen() bool {
-	record, accepted := w.durable.Record, w.durable.Accepted
-	return accepted.Epoch == record.Epoch+1 && (accepted.Primary != record.Primary || !slices.Equal(accepted.Backups, record.Backups))
+// wantedBackups is how many backups there should be: one at least, so that another
+// controller can take over.
+func (n *Node) wantedBackups() int {
+	return min(max(1, n.neededBackups()), len(n.hardState.Record.Voters)-1)
 }
 
-// watchCopies begins to look after the backups that the record names.
-func (w *Node) watchCopies(now time.Time) {
-	w.copies = map[string]*copied{}
-	for _, name := range w.durable.Record.Backups {
-		w.copies[name] = &copied{heard: now}
+// resetProgress begins to follow the backups that the record names.
+func (n *Node) resetProgress(now time.Time) {
+	n.replication.progress = map[string]*progress{}
+	for _, name := range n.hardState.Record.Backups {
+		n.replication.progress[name] = &progress{lastHeard: now}
 	}
 }
 
-// level tells whether all copies that are needed are there and whole.
-func (w *Node) level() bool {
-	for _, name := range w.durable.Record.Backups {
-		if !w.copies[name].level {
+// backupsInSync reports whether there are enough backups and all of them are in sync.
+func (n *Node) backupsInSync() bool {
+	for _, name := range n.hardState.Record.Backups {
+		if !n.replication.progress[name].inSync {
 			return false
 		}
 	}
-	return len(w.durable.Record.Backups) >= w.neededBackups()
+	return len(n.hardState.Record.Backups) >= n.neededBackups()
+}
+
+// pendingProposal returns the command whose turn it is. Its index is 0 until it is
+// written.
+func (n *Node) pendingProposal() (*proposal, bool) {
+	if len(n.replication.proposals) == 0 {
+		return nil, false
+	}
+	return n.replication.proposals[0], true
 }
 
-// Commands.
+// PendingProposals is how many submitted commands are not committed yet.
+func (n *Node) PendingProposals() int { return len(n.replication.proposals) }
 
-// Submit copies a command to all disks and then tells done. It is refused at
-// once where this controller may not act.
-func (w *Node) Submit(now time.Time, command []byte, limit time.Duration, done Done, effects *statemachine.Effects) {
-	if !w.HoldsLease(now) {
+// Submit replicates a command to all disks, and calls done with the outcome: Committed
+// once it is applied here and synced by all backups, Rejected if this controller may not
+// act or did not begin with it within the timeout, and otherwise Indeterminate.
+func (n *Node) Submit(
+	now time.Time, command []byte, timeout time.Duration, done Done, effects *statemachine.Effects,
+) {
+	if !n.HoldsLease(now) {
 		done(now, effects, Rejected)
 		return
 	}
-	w.queue = append(w.queue, &submitted{command: command, done: done, limit: now.Add(limit)})
-	w.timers.ArmSooner("limits", now.Add(limit))
-	if len(w.queue) == 1 {
-		w.resumeQueue(now, effects)
+	submitted := &proposal{command: command, done: done, deadline: now.Add(timeout)}
+	n.replication.proposals = append(n.replication.proposals, submitted)
+	n.timers.ArmSooner(deadlineTimer, submitted.deadline)
+	if len(n.replication.proposals) == 1 {
+		n.proposeNext(now, effects)
 	}
 }
 
-// PendingProposals tells how many commands are not yet committed.
-func (w *Node) PendingProposals() int { return len(w.queue) }
-
-func (w *Node) resumeQueue(now time.Time, effects *statemachine.Effects) {
-	if len(w.queue) == 0 {
+// proposeNext goes on with the first proposal: it is written if it was not yet, and else
+// sent again to the backups that have not acknowledged it.
+func (n *Node) proposeNext(now time.Time, effects *statemachine.Effects) {
+	head, found := n.pendingProposal()
+	if !found {
 		return
 	}
-	head := w.queue[0]
 	if head.index > 0 {
-		w.sendAppend(now, effects)
-		w.settle(now, effects)
+		n.broadcastAppend(effects)
+		n.maybeCommit(now, effects)
 		return
 	}
-	if !w.level() || w.replacing || w.frozen() {
+	if !n.backupsInSync() || n.reconfig.replacing || n.epochSealed() {
 		return
 	}
-	head.index, head.begun = w.index+1, now
-	epoch := w.durable.Record.Epoch
-	w.write(effects, diskEntry{Index: head.index, Command: head.command}, func(now time.Time, effects *statemachine.Effects) {
-		head.synced, head.begun = true, now
-		if len(w.queue) == 0 || w.queue[0] != head || w.durable.Record.Epoch != epoch && !w.IsPrimary() {
+	head.index, head.appendedAt = n.appliedIndex+1, now
+	epoch := n.hardState.Record.Epoch
+	entry := diskEntry{Index: head.index, Command: head.command}
+	n.write(effects, entry, func(now time.Time, effects *statemachine.Effects) {
+		head.synced, head.appendedAt = true, now
+		present, found := n.pendingProposal()
+		if !found || present != head || n.hardState.Record.Epoch != epoch && !n.IsPrimary() {
 			return
 		}
-		w.timers.ArmSooner("follow", now.Add(slowAfter))
-		w.sendAppend(now, effects)
-		w.settle(now, effects)
+		n.timers.ArmSooner(monitorTimer, now.Add(slowBackupTimeout))
+		n.broadcastAppend(effects)
+		n.maybeCommit(now, effects)
 	})
 }
 
-// sendAppend sends the command under way to all backups that lack it.
-func (w *Node) sendAppend(_ time.Time, effects *statemachine.Effects) {
-	for _, name := range w.durable.Record.Backups {
-		w.sendAppendTo(name, effects)
+// broadcastAppend sends the pending command to all backups that have not acknowledged it.
+func (n *Node) broadcastAppend(effects *statemachine.Effects) {
+	for _, name := range n.hardState.Record.Backups {
+		n.sendAppend(name, effects)
 	}
 }
 
-func (w *Node) sendAppendTo(name string, effects *statemachine.Effects) {
-	if len(w.queue) == 0 || w.replacing || !w.queue[0].synced || w.copies[name].acked >= w.queue[0].index || statemachine.Mutated("answer-before-backup") {
+// sendAppend sends the pending command to a backup, once it is on the primary's own disk.
+func (n *Node) sendAppend(name string, effects *statemachine.Effects) {
+	head, found := n.pendingProposal()
+	if !found || n.reconfig.replacing || !head.synced || statemachine.Mutated("answer-before-backup") {
 		return
 	}
-	head := w.queue[0]
-	backup, _ := w.durable.Record.VoterNamed(name)
-	effects.Send(backup.Address, Append{Epoch: w.durable.Record.Epoch, Index: head.index, Command: head.command})
+	if n.replication.progress[name].ackedIndex >= head.index {
+		return
+	}
+	backup, _ := n.hardState.Record.VoterNamed(name)
+	effects.Send(backup.Address, Append{
+		Epoch:   n.hardState.Record.Epoch,
+		Index:   head.index,
+		Command: head.command,
+	})
+}
+
+// mayAppend reports whether this backup takes commands of the present epoch. It takes
+// none once it takes over itself or let another do so.
+func (n *Node) mayAppend() bool {
+	return n.isBackup() && n.isComplete() && !n.reconfig.takingOver && !n.promisedOther() && !n.epochSealed()
 }
 
-func (w *Node) onAppend(now time.Time, from string, entry Append, effects *statemachine.Effects) {
-	record := w.durable.Record
-	if w.blank || entry.Epoch != record.Epoch {
-		if !w.blank && entry.Epoch < record.Epoch {
+func (n *Node) handleAppend(now time.Time, from string, entry Append, effects *statemachine.Effects) {
+	record := n.hardState.Record
+	if n.blank || entry.Epoch != record.Epoch {
+		if !n.blank && entry.Epoch < record.Epoch {
 			effects.Send(from, Decided{Record: record})
 		}
 		return
 	}
-	if !w.isBackup() || w.durable.CompleteEpoch != record.Epoch || w.takingOver || w.promisedAway() || w.frozen() ||
-		w.nameOf(from, record.Voters) != record.Primary {
+	if !n.mayAppend() || record.nameAt(from) != record.Primary {
 		return
 	}
-	w.primaryHeard = now
-	returned := AppendResponse{Epoch: entry.Epoch, Index: entry.Index}
-	if entry.Index == w.index+1 && w.restoring == 0 {
-		w.stateMachine.Apply(now, entry.Command)
-		w.index = entry.Index
-		w.write(effects, diskEntry{Index: entry.Index, Command: entry.Command}, func(_ time.Time, effects *statemachine.Effects) {
-			w.diskIndex = max(w.diskIndex, entry.Index)
-			effects.Send(from, returned)
+	n.replication.primaryHeard = now
+	response := AppendResponse{Epoch: entry.Epoch, Index: entry.Index}
+	if entry.Index == n.appliedIndex+1 && n.storage.pendingStates == 0 {
+		n.stateMachine.Apply(now, entry.Command)
+		n.appliedIndex = entry.Index
+		written := diskEntry{Index: entry.Index, Command: entry.Command}
+		n.write(effects, written, func(_ time.Time, effects *statemachine.Effects) {
+			n.storage.syncedIndex = max(n.storage.syncedIndex, entry.Index)
+			effects.Send(from, response)
 		})
 		return
 	}
-	if entry.Index <= w.diskIndex {
-		effects.Send(from, returned)
+	if entry.Index <= n.storage.syncedIndex {
+		effects.Send(from, response)
 	}
 }
 
-func (w *Node) onAppendResponse(now time.Time, from string, returned AppendResponse, effects *statemachine.Effects) {
-	copied, named := w.copies[w.nameOf(from, w.durable.Record.Voters)]
-	if !named || !w.IsPrimary() || returned.Epoch != w.durable.Record.Epoch {
+func (n *Node) handleAppendResponse(
+	now time.Time, from string, response AppendResponse, effects *statemachine.Effects,
+) {
+	backup, named := n.replication.progress[n.voterNameAt(from)]
+	if !named || !n.IsPrimary() || response.Epoch != n.hardState.Record.Epoch {
 		return
 	}
-	copied.heard = now
-	copied.acked = max(copied.acked, returned.Index)
-	w.settle(now, effects)
+	backup.lastHeard = now
+	backup.ackedIndex = max(backup.ackedIndex, response.Index)
+	n.maybeCommit(now, effects)
 }
 
-// settle ends the command under way once all backups have synced it. While a
-// backup is being replaced nothing ends: the spares hold the state before.
-func (w *Node) settle(now time.Time, effects *statemachine.Effects) {
-	if len(w.queue) == 0 || !w.IsPrimary() || w.replacing || w.frozen() {
+// maybeCommit commits the pending command once all backups have synced it. While a backup
+// is being replaced nothing is committed: the spares hold the state before.
+func (n *Node) maybeCommit(now time.Time, effects *statemachine.Effects) {
+	head, found := n.pendingProposal()
+	if !found || !n.IsPrimary() || n.reconfig.replacing || n.epochSealed() {
 		return
 	}
-	head := w.queue[0]
-	if !head.synced || head.index != w.index+1 || len(w.durable.Record.Backups) < w.neededBackups() {
+	if !head.synced || head.index != n.appliedIndex+1 || len(n.hardState.Record.Backups) < n.neededBackups() {
 		return
 	}
-	for _, name := range w.durable.Record.Backups {
-		if w.copies[name].acked < head.index && !statemachine.Mutated("answer-before-backup") {
+	for _, name := range n.hardState.Record.Backups {
+		acked := n.replication.progress[name].ackedIndex >= head.index
+		if !acked && !statemachine.Mutated("answer-before-backup") {
 			return
 		}
 	}
-	w.stateMachine.Apply(now, head.command)
-	w.index = head.index
-	w.queue = w.queue[1:]
+	n.stateMachine.Apply(now, head.command)
+	n.appliedIndex = head.index
+	n.replication.proposals = n.replication.proposals[1:]
 	outcome := Committed
-	if !w.HoldsLease(now) {
+	if !n.HoldsLease(now) {
 		outcome = Indeterminate
 	}
 	head.done(now, effects, outcome)
-	w.resumeQueue(now, effects)
+	n.proposeNext(now, effects)
 }
 
-// onGrantOfBackup looks how far a backup's copy reaches, and levels it.
-func (w *Node) onGrantOfBackup(now time.Time, from, name string, grant LeaseGrant, effects *statemachine.Effects) {
-	copied := w.copies[name]
-	copied.heard = now
-	record := w.durable.Record
-	if w.gathered || w.durable.CompleteEpoch != record.Epoch {
+// handleBackupProgress compares a backup's replica with the primary's, and sends a
+// snapshot if it is behind, or holds what was not committed.
+func (n *Node) handleBackupProgress(
+	now time.Time, from, name string, grant LeaseGrant, effects *statemachine.Effects,
+) {
+	backup := n.replication.progress[name]
+	backup.lastHeard = now
+	record := n.hardState.Record
+	if n.reconfig.proposed || !n.isComplete() {
 		return
 	}
-	inFlight := len(w.queue) > 0 && w.queue[0].index > 0
-	ahead := inFlight && grant.Index == w.queue[0].index
-	// A backup that lost its disk can't go on from a command under way either.
-	if grant.CompleteEpoch != record.Epoch || grant.Index < w.index || grant.Index > w.index && !ahead {
-		copied.level = false
-		effects.Send(from, InstallSnapshot{Epoch: record.Epoch, TargetEpoch: record.Epoch, Index: w.index, State: w.stateMachine.Snapshot()})
+	head, found := n.pendingProposal()
+	hasPending := found && head.index > 0 && grant.Index == head.index
+	// A backup that lost its disk can't go on from the pending command either.
+	if grant.CompleteEpoch != record.Epoch || grant.Index < n.appliedIndex ||
+		grant.Index > n.appliedIndex && !hasPending {
+		backup.inSync = false
+		effects.Send(from, n.newSnapshot(record.Epoch))
 		return
 	}
-	w.copyLevel(now, name, effects)
-	w.sendAppendTo(name, effects)
+	n.markInSync(now, name, effects)
+	n.sendAppend(name, effects)
 }
 
-// copyLevel notes that one backup's copy is whole.
-func (w *Node) copyLevel(now time.Time, name string, effects *statemachine.Effects) {
-	if w.copies[name].level {
+// markInSync notes that a backup's replica is complete.
+func (n *Node) markInSync(now time.Time, name string, effects *statemachine.Effects) {
+	if n.replication.progress[name].inSync {
 		return
 	}
-	w.copies[name].level = true
-	effects.Emit(logevent.BackupSynchronized, "backup", name, "index", w.index)
-	if w.level() {
-		w.whole = true
-		w.resumeQueue(now, effects)
+	n.replication.progress[name].inSync = true
+	effects.Emit(logevent.BackupSynchronized, "backup", name, "index", n.appliedIndex)
+	if n.backupsInSync() {
+		n.replication.stateReplicated = true
+		n.proposeNext(now, effects)
 	}
 }
 
-// Replacing backups, and taking over from a lost primary.
-
-// follow looks after the copies: the primary after its backups, and they after
-// the primary.
-func (w *Node) follow(now time.Time, effects *statemachine.Effects) {
-	if w.durable.CompleteEpoch != w.durable.Record.Epoch {
+// continueProposals goes on with the proposals in a new epoch, or gives them up if this
+// controller is not its primary.
+func (n *Node) continueProposals(now time.Time, effects *statemachine.Effects) {
+	if !n.IsPrimary() {
+		n.lease.until = time.Time{}
+		n.abortPending(now, effects)
 		return
 	}
-	switch {
-	case w.IsPrimary():
-		w.watchBackups(now, effects)
-	case w.isBackup():
-		w.watchPrimary(now, effects)
+	if head, found := n.pendingProposal(); found && head.synced {
+		head.appendedAt = now
+		n.timers.ArmSooner(monitorTimer, now.Add(slowBackupTimeout))
 	}
+	n.proposeNext(now, effects)
+	n.timers.Arm(renewTimer, now)
 }
 
-// failing lists the backups that are lost, or slow with the command under way.
-func (w *Node) failing(now time.Time) (lost, slow []string) {
-	for _, name := range w.durable.Record.Backups {
-		copied := w.copies[name]
-		switch {
-		case now.Sub(copied.heard) >= lostAfter:
-			lost = append(lost, name)
-		case len(w.queue) > 0 && w.queue[0].synced && copied.acked < w.queue[0].index && now.Sub(w.queue[0].begun) >= slowAfter && !statemachine.Mutated("patient-primary"):
-			slow = append(slow, name)
-		}
+// abortPending ends all proposals and confirmations: the next primary decides about them.
+func (n *Node) abortPending(now time.Time, effects *statemachine.Effects) {
+	proposals := n.replication.proposals
+	n.replication.proposals = nil
+	for _, aborted := range proposals {
+		aborted.done(now, effects, Indeterminate)
 	}
-	return lost, slow
-}
-
-// near is a backup in a zone that already has a copy, where there is a
-// spare in one that has none: both copies would be lost with it.
-func (w *Node) near(now time.Time) (string, bool) {
-	if !w.level() || len(w.queue) > 0 || now.Sub(w.decidedAt) < partAfter {
-		return "", false
-	}
-	record := w.durable.Record
-	seen := map[string]bool{w.settings.Self.Zone: true}
-	for _, name := range record.Backups {
-		backup, _ := record.VoterNamed(name)
-		if seen[backup.Zone] {
-			others := slices.DeleteFunc(slices.Clone(record.Backups), func(other string) bool { return other == name })
-			if spare, found := w.chooseSpare(now, others, record.Backups); found && !w.hasCopy(spare.Zone) {
-				return name, true
-			}
-		}
-		seen[backup.Zone] = true
+	confirmations := n.confirmations
+	n.confirmations = map[uint64]confirmation{}
+	for _, aborted := range statemachine.Sorted(confirmations) {
+		aborted.done(now, effects, Indeterminate)
 	}
-	return "", false
 }
 
-func (w *Node) hasCopy(zone string) bool {
-	return zone == w.settings.Self.Zone || slices.ContainsFunc(w.durable.Record.Backups, func(name string) bool {
-		backup, _ := w.durable.Record.VoterNamed(name)
-		return backup.Zone == zone
-	})
-}
-
-// watchBackups replaces backups that are lost, slow or near, and names more
-// where there are too few. It goes on without, where no spare can be had and
-// the backup comes back.
-func (w *Node) watchBackups(now time.Time, effects *statemachine.Effects) {
-	if !w.HoldsLease(now) || w.trying != nil || w.gathered {
-		return
-	}
-	record := w.durable.Record
-	lost, slow := w.failing(now)
-	leave := append(lost, slow...)
-	if name, found := w.near(now); found && len(leave) == 0 && !w.replacing {
-		effects.Emit(logevent.BackupInSameZone, "backup", name, "epoch", record.Epoch)
-		leave = []string{name}
-	} else if name, found := w.departingBackup(now); found && len(leave) == 0 && !w.replacing {
-		leave = []string{name}
-	} else if w.replacing && len(w.spares) > 0 {
-		// Once begun it is brought to its end, for the same backups.
-		leave = append(leave, slices.DeleteFunc(slices.Clone(w.leave), func(name string) bool { return slices.Contains(leave, name) })...)
-	}
-	few := len(record.Backups) < w.wantedBackups() && len(record.Voters) > w.neededBackups()
-	if few && len(leave) == 0 && !w.replacing {
-		_, found := w.chooseSpare(now, record.Backups, record.Backups)
-		few = found
-	}
-	if len(leave) == 0 && !few {
-		if w.replacing && len(w.spares) == 0 {
-			w.replacing, w.leave = false, nil
-			w.resumeQueue(now, effects)
-		}
-		return
-	}
-	if !w.replacing {
-		w.replacing = true
-		for _, name := range lost {
-			effects.Emit(logevent.BackupLost, "backup", name, "epoch", record.Epoch)
-		}
-		for _, name := range slow {
-			effects.Emit(logevent.BackupSlow, "backup", name, "epoch", record.Epoch, "index", w.queue[0].index)
-		}
-	}
-	w.leave = leave
-	w.gather(now, slices.DeleteFunc(slices.Clone(record.Backups), func(name string) bool { return slices.Contains(leave, name) }), leave, effects)
-}
-
-// watchPrimary takes over from a primary that is silent; the backup that is
-// named first goes first.
-func (w *Node) watchPrimary(now time.Time, effects *statemachine.Effects) {
-	if w.unsure(now) || statemachine.Mutated("no-takeover") {
-		return
-	}
-	patience := lostAfter + time.Duration(slices.Index(w.durable.Record.Backups, w.settings.Self.Name))*followEvery
-	if silence := now.Sub(w.primaryHeard); silence < patience {
-		w.timers.ArmSooner("follow", now.Add(patience-silence))
-		return
-	}
-	if !w.takingOver {
-		w.takingOver = true
-		effects.Emit(logevent.TakeoverStarted, "epoch", w.durable.Record.Epoch, "primary", w.durable.Record.Primary)
-	}
-	// The primary is asked as well: it may be back, and not be able to go on.
-	w.gather(now, nil, nil, effects)
-}
-
-// standDown gives a takeover up that has not been asked for yet, when the
-// primary is heard again.
-func (w *Node) standDown() {
-	if w.takingOver && w.trying == nil && !w.gathered {
-		w.takingOver = false
-		w.spares, w.passedOver = map[string]*asked{}, nil
-	}
-}
-
-// limits gives up on what waited too long; a command that may already be on a
-// disk is unsettled, one that was never begun is refused.
-func (w *Node) limits(now time.Time, effects *statemachine.Effects) {
+// expireDeadlines ends what took too long. A command that may already be on a disk is
+// indeterminate, one that was never written is rejected.
+func (n *Node) expireDeadlines(now time.Time, effects *statemachine.Effects) {
 	var next time.Time
-	for number, waiting := range statemachine.Sorted(w.confirms) {
-		if !waiting.limit.After(now) {
-			delete(w.confirms, number)
-			waiting.done(now, effects, Indeterminate)
-		} else if next.IsZero() || waiting.limit.Before(next) {
-			next = waiting.limit
-		}
-	}
-	var kept []*submitted
-	for position, waiting := range w.queue {
-		if waiting.limit.IsZero() || waiting.limit.After(now) {
-			kept = append(kept, waiting)
-			if !waiting.limit.IsZero() && (next.IsZero() || waiting.limit.Before(next)) {
-				next = waiting.limit
-			}
+	for number, pending := range statemachine.Sorted(n.confirmations) {
+		if pending.deadline.After(now) {
+			next = statemachine.Earliest(next, pending.deadline)
 			continue
 		}
-		if position == 0 && waiting.index > 0 {
-			// It stays at the head until it settles, but its caller is told.
-			waiting.done(now, effects, Indeterminate)
-			waiting.done = func(time.Time, *statemachine.Effects, Outcome) {}
-			waiting.limit = time.Time{}
-			kept = append(kept, waiting)
+		delete(n.confirmations, number)
+		pending.done(now, effects, Indeterminate)
+	}
+	var remaining []*proposal
+	for position, pending := range n.replication.proposals {
+		switch {
+		case pending.deadline.IsZero() || pending.deadline.After(now):
+			next = statemachine.Earliest(next, pending.deadline)
+		case position == 0 && pending.index > 0:
+			// It stays the first until it is committed or aborted.
+			pending.done(now, effects, Indeterminate)
+			pending.done = func(time.Time, *statemachine.Effects, Outcome) {}
+			pending.deadline = time.Time{}
+		default:
+			pending.done(now, effects, Rejected)
 			continue
 		}
-		waiting.done(now, effects, Rejected)
+		remaining = append(remaining, pending)
 	}
-	w.queue = kept
+	n.replication.proposals = remaining
 	if !next.IsZero() {
-		w.timers.Arm("limits", next)
+		n.timers.Arm(deadlineTimer, next)
 	}
 }
--- /dev/null
+++ b/internal/consensus/storage.go
@@ -0,0 +1,201 @@
+package consensus
+
+import (
+	"time"
+
+	"github.com/joomcode/errorx"
+
+	"dahlialock/internal/statemachine"
+	"dahlialock/internal/transport"
+)
+
+var namespace = errorx.NewNamespace("consensus")
+
+// ErrStoredState says that what the disk held can't be decoded.
+var ErrStoredState = namespace.NewType("stored_state")
+
+// The log may grow to logLimitFactor times the bytes of the snapshot before it, and in any
+// case to minLogLimit, so that a small state is not written again at each change. What a
+// restart reads is thereby bounded by the size of the state, not by the number of changes.
+const (
+	minLogLimit    = 64 << 10
+	logLimitFactor = 2
+)
+
+// continuation runs once a write is synced.
+type continuation func(now time.Time, effects *statemachine.Effects)
+
+// storage tracks the writes to this controller's disk.
+type storage struct {
+	// lastToken is that of the newest write, and continuations are those of the writes that
+	// are not synced yet, by token.
+	lastToken     uint64
+	continuations map[uint64]continuation
+	// logBytes is the size of the entries after the newest snapshot, of snapshotBytes.
+	logBytes, snapshotBytes int
+	// syncedIndex is the index up to which commands, or the state, are on the disk.
+	syncedIndex uint64
+	// syncedCompleteEpoch and syncedEpoch are those of the hard state on the disk.
+	syncedCompleteEpoch, syncedEpoch uint64
+	// pendingStates counts the states that are being written. No command is appended after
+	// a state before that is synced.
+	pendingStates int
+}
+
+func newStorage() storage {
+	return storage{continuations: map[uint64]continuation{}}
+}
+
+// write appends an entry to the log, and calls then once it is synced.
+func (n *Node) write(effects *statemachine.Effects, entry diskEntry, then continuation) {
+	n.storage.lastToken++
+	n.storage.continuations[n.storage.lastToken] = then
+	packed := transport.MustMarshal(entry)
+	n.storage.logBytes += len(packed)
+	effects.Writes = append(effects.Writes, statemachine.Write{
+		Token:   n.storage.lastToken,
+		Entries: [][]byte{packed},
+	})
+}
+
+// persistHardState writes the hard state, and calls then, if given, once it is synced.
+func (n *Node) persistHardState(effects *statemachine.Effects, then continuation) {
+	written := n.hardState
+	n.write(effects, diskEntry{HardState: &written}, func(now time.Time, effects *statemachine.Effects) {
+		n.storage.syncedCompleteEpoch, n.storage.syncedEpoch = written.CompleteEpoch, written.Record.Epoch
+		if then != nil {
+			then(now, effects)
+		}
+	})
+}
+
+// persistState writes a state that was installed.
+func (n *Node) persistState(state []byte, effects *statemachine.Effects) {
+	index := n.appliedIndex
+	n.storage.pendingStates++
+	n.write(effects, diskEntry{Index: index, State: state}, func(time.Time, *statemachine.Effects) {
+		n.storage.pendingStates--
+		n.storage.syncedIndex = index
+	})
+}
+
+// Synced says that a write is durable.
+func (n *Node) Synced(now time.Time, token uint64, effects *statemachine.Effects) {
+	then, found := n.storage.continuations[token]
+	if !found {
+		return
+	}
+	delete(n.storage.continuations, token)
+	if then != nil {
+		then(now, effects)
+	}
+	n.compactLog(effects)
+}
+
+// logLimit is how many bytes of entries may follow the present snapshot.
+func (n *Node) logLimit() int {
+	if statemachine.Mutated("log-without-end") {
+		return 1 << 40
+	}
+	return max(minLogLimit, logLimitFactor*n.storage.snapshotBytes)
+}
+
+// compactLog writes a snapshot once the log is long enough. That may be at any moment
+// between two steps, also while a command is pending: the snapshot covers all entries that
+// were written before, including the pending command's.
+func (n *Node) compactLog(effects *statemachine.Effects) {
+	if n.storage.logBytes <= n.logLimit() {
+		return
+	}
+	packed := transport.MustMarshal(diskSnapshot{
+		HardState: n.hardState,
+		Index:     n.appliedIndex,
+		State:     n.stateMachine.Snapshot(),
+		Staged:    n.stagedSnapshots(),
+		Pending:   n.pendingEntry(),
+	})
+	n.storage.logBytes, n.storage.snapshotBytes = 0, len(packed)
+	n.storage.lastToken++
+	n.storage.continuations[n.storage.lastToken] = nil
+	effects.Writes = append(effects.Writes, statemachine.Write{
+		Token:    n.storage.lastToken,
+		Snapshot: packed,
+	})
+}
+
+// pendingEntry is the entry of the pending command, if it was written: a backup may have
+// it already, and this controller's disk counts as having it too.
+func (n *Node) pendingEntry() *diskEntry {
+	head, found := n.pendingProposal()
+	if !found || head.index != n.appliedIndex+1 || statemachine.Mutated("snapshot-without-pending") {
+		return nil
+	}
+	return &diskEntry{Index: head.index, Command: head.command}
+}
+
+func (n *Node) stagedSnapshots() []stagedSnapshot {
+	var snapshots []stagedSnapshot
+	for _, staged := range statemachine.Sorted(n.replication.staged) {
+		snapshots = append(snapshots, *staged)
+	}
+	return snapshots
+}
+
+// restore takes over what the disk held: a snapshot, and the entries after it.
+func (n *Node) restore(snapshot []byte, entries [][]byte) error {
+	n.storage.snapshotBytes = len(snapshot)
+	if len(snapshot) > 0 {
+		if err := n.restoreSnapshot(snapshot); err != nil {
+			return err
+		}
+	}
+	for position, packed := range entries {
+		n.storage.logBytes += len(packed)
+		var entry diskEntry
+		if err := transport.Unmarshal(packed, &entry); err != nil {
+			return ErrStoredState.Wrap(err, "decoding entry %d of the log", position)
+		}
+		if err := n.restoreEntry(entry); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (n *Node) restoreSnapshot(packed []byte) error {
+	var snapshot diskSnapshot
+	if err := transport.Unmarshal(packed, &snapshot); err != nil {
+		return ErrStoredState.Wrap(err, "decoding the snapshot")
+	}
+	n.hardState, n.appliedIndex = snapshot.HardState, snapshot.Index
+	for _, staged := range snapshot.Staged {
+		n.replication.staged[staged.From] = &staged
+	}
+	if len(snapshot.State) > 0 {
+		if err := n.stateMachine.Restore(snapshot.State); err != nil {
+			return ErrStoredState.Wrap(err, "restoring the state of the snapshot")
+		}
+	}
+	if snapshot.Pending != nil {
+		return n.restoreEntry(*snapshot.Pending)
+	}
+	return nil
+}
+
+func (n *Node) restoreEntry(entry diskEntry) error {
+	switch {
+	case entry.HardState != nil:
+		n.hardState = *entry.HardState
+	case entry.Staged != nil:
+		n.replication.staged[entry.Staged.From] = entry.Staged
+	case entry.State != nil:
+		if err := n.stateMachine.Restore(entry.State); err != nil {
+			return ErrStoredState.Wrap(err, "restoring the state at index %d", entry.Index)
+		}
+		n.appliedIndex = entry.Index
+	case entry.Index == n.appliedIndex+1:
+		n.stateMachine.Apply(time.Time{}, entry.Command)
+		n.appliedIndex = entry.Index
+	}
+	return nil
+}
--- a/internal/consensus/voters_test.go
+++ b/internal/consensus/voters_test.go
@@ -97,7 +97,7 @@
 	}
 	for _, each := range voters {
 		if !slices.ContainsFunc(wb.controllers, func(controller *controller) bool {
-			return controller.self.SameAs(each) && controller.up && controller.watch.member() && controller.watch.Record().Epoch == primary.watch.Record().Epoch
+			return controller.self.SameAs(each) && controller.up && controller.watch.isVoter() && controller.watch.Record().Epoch == primary.watch.Record().Epoch
 		}) {
 			return false
 		}
@@ -331,7 +331,7 @@
 func TestControllersThatWentAreNotRemembered(t *testing.T) {
 	bench := settledFleet(t, 1, 1)
 	primary := bench.serving()
-	before := len(primary.watch.met)
+	before := len(primary.watch.discovery.peers)
 	for number := range 500 {
 		gone := Controller{Name: fmt.Sprint("gone-", number), Address: fmt.Sprint("gone-", number), Zone: "0"}
 		primary.step(func(now time.Time, effects *statemachine.Effects) {
@@ -339,5 +339,5 @@
 		})
 		bench.run(time.Second)
 	}
-	assert.Assert(t, len(primary.watch.met) <= before+int(metFor/time.Second)+2, "%d are remembered", len(primary.watch.met))
+	assert.Assert(t, len(primary.watch.discovery.peers) <= before+int(peerRetention/time.Second)+2, "%d are remembered", len(primary.watch.discovery.peers))
 }
--- a/internal/consensus/world_test.go
+++ b/internal/consensus/world_test.go
@@ -103,17 +103,17 @@
 		if each.self.Name == record.Primary || slices.Contains(record.Backups, each.self.Name) {
 			durable.CompleteEpoch = 1
 		}
-		each.entries = [][]byte{transport.MustMarshal(diskEntry{Durable: &durable})}
+		each.entries = [][]byte{transport.MustMarshal(diskEntry{HardState: &durable})}
 	}
 	for _, each := range w.nodes {
 		each.start()
 	}
 	// Whoever was granted something before the beginning has waited it out.
 	for _, each := range w.nodes {
-		each.watch.forgetful = w.now
-		each.watch.lastGrant = map[string]time.Time{}
+		each.watch.voter.uncertainUntil = w.now
+		each.watch.lease.lastGrant = map[string]time.Time{}
 		for _, other := range record.Voters {
-			each.watch.lastGrant[other.Name] = w.now
+			each.watch.lease.lastGrant[other.Name] = w.now
 		}
 	}
 	w.settle()
