--- /dev/null
+++ b/internal/consensus/deaf_primary_test.go
@@ -0,0 +1,61 @@
+package consensus
+
+// A primary that hears nobody and is heard by all must let another take over, and go on
+// itself where none can.
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+)
+
+// deafPrimary makes the primary deaf and returns how long it takes until another one
+// serves; the old one then hears again and must follow.
+func deafPrimary(t trial, seed uint64, tolerance int) time.Duration {
+	t.Helper()
+	cluster := stableCluster(t, seed, tolerance)
+	primary := cluster.named(cluster.serving().node.Record().Primary)
+	primary.deaf = true
+	cluster.run(2 * time.Second)
+	took := cluster.until(6*time.Second, "another serves", func() bool {
+		return cluster.serving() != nil && cluster.serving() != primary
+	})
+	cluster.submit(4 * time.Second)
+	primary.deaf = false
+	cluster.until(8*time.Second, "the deaf one learns of it", func() bool {
+		return primary.node.Record().Epoch == cluster.serving().node.Record().Epoch
+	})
+	cluster.submit(4 * time.Second)
+	return took
+}
+
+func TestDeafPrimaryIsReplaced(t *testing.T) {
+	for tolerance := 1; tolerance <= 2; tolerance++ {
+		for seed := range uint64(8) {
+			t.Run(fmt.Sprint(tolerance, "-", seed), func(t *testing.T) {
+				t.Parallel()
+				deafPrimary(t, seed, tolerance)
+			})
+		}
+	}
+}
+
+// TestDeafPrimaryResumesWithoutBackups stops all backups for longer than the primary stays
+// quiet: it must not wait for a takeover that nobody can do.
+func TestDeafPrimaryResumesWithoutBackups(t *testing.T) {
+	for seed := range uint64(8) {
+		cluster := stableCluster(t, seed, 1)
+		record := cluster.serving().node.Record()
+		primary, backup := cluster.named(record.Primary), cluster.named(record.Backups[0])
+		backup.kill()
+		primary.deaf = true
+		cluster.run(20 * time.Second)
+		primary.deaf = false
+		took := cluster.until(8*time.Second, "the primary serves again", func() bool { return cluster.serving() == primary })
+		assert.Check(t, took < 6*time.Second, "seed %d: %s", seed, took)
+		backup.start()
+		cluster.submit(8 * time.Second)
+	}
+}
--- /dev/null
+++ b/internal/consensus/incarnation_test.go
@@ -0,0 +1,184 @@
+package consensus
+
+// Messages that links delayed reach a later incarnation of the controller that they were
+// meant for: no answer to an earlier incarnation counts, and nothing that an earlier one
+// released is taken from a later one.
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"dahlialock/internal/statemachine"
+)
+
+// fiveControllers returns a cluster with a serving primary.
+func fiveControllers(t trial, seed uint64) (*testCluster, *testController) {
+	cluster := newCluster(t, seed, 5, 5, 2)
+	cluster.startAll()
+	cluster.until(20*time.Second, "a primary", func() bool { return cluster.serving() != nil })
+	cluster.run(time.Second)
+	return cluster, cluster.serving()
+}
+
+// delayedGrants has the grants for one incarnation of the primary reach the next one, which
+// hears nothing else; the others choose another primary meanwhile.
+func delayedGrants(t trial, seed uint64) {
+	cluster, primary := fiveControllers(t, seed)
+	primary.kill()
+	first := primary.run + 1
+	cluster.delayMessage = func(from, to *testController, message any) (time.Duration, bool) {
+		if (from == primary || to == primary) && primary.run > first {
+			return 0, true
+		}
+		if _, grants := message.(LeaseGrant); grants && to == primary {
+			return 1850 * time.Millisecond, false
+		}
+		return 0, false
+	}
+	primary.start()
+	cluster.run(400 * time.Millisecond)
+	primary.kill()
+	cluster.run(1300 * time.Millisecond)
+	primary.start()
+	cluster.run(3 * time.Second)
+	assert.Assert(t, cluster.serving() != nil && cluster.serving() != primary, "the others have no other primary")
+}
+
+// delayedRelease has the ReleaseLease of one incarnation of the primary reach the others
+// once its next one holds the lease again.
+func delayedRelease(t trial, seed uint64) {
+	cluster, primary := fiveControllers(t, seed)
+	cluster.delayMessage = func(_, _ *testController, message any) (time.Duration, bool) {
+		if _, yields := message.(ReleaseLease); yields {
+			return 1500 * time.Millisecond, false
+		}
+		return 0, false
+	}
+	primary.step(func(now time.Time, effects *statemachine.Effects) { primary.node.ReleaseLease(now, effects) })
+	primary.kill()
+	primary.start()
+	cluster.run(time.Second)
+	assert.Assert(t, primary.node.HoldsLease(primary.local()), "the next incarnation holds no lease")
+	cluster.run(2 * time.Second)
+	assert.Assert(t, primary.node.HoldsLease(primary.local()), "the lease was taken away")
+}
+
+// delayedRoleGrants has the grants of a role for one incarnation reach the next one, while
+// another controller gets the role.
+func delayedRoleGrants(t trial, seed uint64) {
+	cluster, primary := fiveControllers(t, seed)
+	holder := cluster.controllers[0]
+	if holder == primary {
+		holder = cluster.controllers[1]
+	}
+	other := cluster.controllers[4]
+	if other == primary {
+		other = cluster.controllers[3]
+	}
+	ask := func(asker *testController) {
+		asker.step(func(now time.Time, effects *statemachine.Effects) {
+			asker.node.RequestRoleLease(now, asker.roleLease, effects)
+		})
+	}
+	holder.kill()
+	first := holder.run + 1
+	cluster.delayMessage = func(from, to *testController, message any) (time.Duration, bool) {
+		switch message.(type) {
+		case RoleLeaseRequest:
+			return 0, from == holder && holder.run > first
+		case RoleLeaseResponse:
+			if to == holder {
+				return 1900 * time.Millisecond, false
+			}
+		}
+		return 0, false
+	}
+	holder.start()
+	cluster.run(2 * time.Second)
+	ask(holder)
+	cluster.run(200 * time.Millisecond)
+	holder.kill()
+	cluster.run(1600 * time.Millisecond)
+	holder.start()
+	ask(holder)
+	for range 20 {
+		cluster.run(100 * time.Millisecond)
+		ask(other)
+	}
+	assert.Assert(t, other.roleLease.Valid(other.local()), "nobody else holds the role")
+}
+
+// delayedLeaveResponse has the primary's answer that a controller is irreplaceable, which
+// an earlier incarnation asked for as it left, reach the next one as that leaves.
+func delayedLeaveResponse(t trial, seed uint64) {
+	cluster, primary := fiveControllers(t, seed)
+	leaving := cluster.controllers[0]
+	if leaving == primary {
+		leaving = cluster.controllers[1]
+	}
+	cluster.delayMessage = func(from, _ *testController, _ any) (time.Duration, bool) { return 0, from == leaving }
+	earlier := statemachine.NewRequestSequence(leaving.node.settings.Incarnation)
+	leaving.kill()
+	leaving.start()
+	leaving.step(func(now time.Time, effects *statemachine.Effects) { leaving.node.Leave(now, effects) })
+	leaving.step(func(now time.Time, effects *statemachine.Effects) {
+		leaving.node.HandleMessage(now, statemachine.Meta{From: primary.self.Address}, LeaveResponse{
+			Epoch: leaving.node.Record().Epoch, Request: earlier.Next(), Irreplaceable: true,
+		}, effects)
+	})
+	assert.Assert(t, !leaving.node.Left(), "it leaves by an answer to its earlier incarnation")
+}
+
+// delaysAcrossRestarts has each link delay what it likes for up to two seconds, across
+// restarts of both ends, while controllers have faults.
+func delaysAcrossRestarts(t trial, seed uint64) {
+	cluster := newCluster(t, seed, 5, 5, 2)
+	cluster.startAll()
+	cluster.until(20*time.Second, "a primary", func() bool { return cluster.serving() != nil })
+	random := rand.New(rand.NewPCG(seed, 0x1d))
+	cluster.delayMessage = func(_, _ *testController, _ any) (time.Duration, bool) {
+		if cluster.faultsOver || random.IntN(6) > 0 {
+			return 0, false
+		}
+		return time.Duration(random.IntN(2000)) * time.Millisecond, false
+	}
+	cluster.after(time.Second, cluster.generateLoad)
+	cluster.after(2*time.Second, cluster.restartControllers)
+	cluster.run(time.Minute)
+	cluster.faultsOver = true
+	for _, controller := range cluster.controllers {
+		controller.start()
+	}
+	cluster.until(12*time.Second, "a primary after the last restart", func() bool { return cluster.serving() != nil })
+	before := len(cluster.committed)
+	cluster.until(5*time.Second, "a command after the last restart", func() bool {
+		return len(cluster.committed) > before
+	})
+}
+
+var incarnationRuns = []struct {
+	name  string
+	seeds uint64
+	run   func(t trial, seed uint64)
+}{
+	{"delayed grants", 10, delayedGrants},
+	{"delayed release", 4, delayedRelease},
+	{"delayed role grants", 4, delayedRoleGrants},
+	{"delayed leave response", 2, delayedLeaveResponse},
+	{"delays across restarts", 8, delaysAcrossRestarts},
+}
+
+func TestNodeIgnoresMessagesOfEarlierIncarnations(t *testing.T) {
+	for _, each := range incarnationRuns {
+		for seed := range each.seeds {
+			t.Run(fmt.Sprintf("%s %d", each.name, seed), func(t *testing.T) {
+				t.Parallel()
+				each.run(t, seed)
+			})
+		}
+	}
+}
--- a/internal/consensus/mutation_test.go
+++ b/internal/consensus/mutation_test.go
@@ -1,7 +1,5 @@
 //go:build mutation
 
-// Each mechanism of the voters and of the copies is taken away once, and a run
-// that is green with it must then fail.
 package consensus
 
 import (
@@ -15,42 +13,44 @@
 	"dahlialock/internal/statemachine"
 )
 
-var proofs = []struct {
+var mechanismProofs = []struct {
 	mutation string
 	run      func(t trial, seed uint64)
 }{
-	{"trust-lost-disk", func(t trial, seed uint64) { allBefalls(t, seed) }},
-	{"no-hold-back", func(t trial, seed uint64) { allBefalls(t, seed) }},
-	// A primary that hears too few keeps quiet, so that few seeds need it to give way too.
-	{"no-way-given", func(t trial, seed uint64) { allBefalls(t, 165+seed) }},
+	{"trust-lost-disk", func(t trial, seed uint64) { allFaults(t, seed) }},
+	{"no-hold-back", func(t trial, seed uint64) { allFaults(t, seed) }},
+	// A primary that hears no quorum stays quiet, so that few seeds need the withdrawal too.
+	{"no-way-given", func(t trial, seed uint64) { allFaults(t, 165+seed) }},
 	{"snapshot-without-pending", func(t trial, seed uint64) { loseDisksAfterSnapshots(t, seed) }},
-	{"lives-alike", lateGrants},
-	{"lives-alike", lateYield},
-	{"lives-alike", lateDuty},
+	{"lives-alike", delayedGrants},
+	{"lives-alike", delayedRelease},
+	{"lives-alike", delayedRoleGrants},
 	{"deaf-primary", func(t trial, seed uint64) { deafPrimary(t, seed, 1) }},
-	{"lives-alike", lateRelease},
-	{"fixed-voters", func(t trial, seed uint64) { replace(t, seed, "witness") }},
+	{"lives-alike", delayedLeaveResponse},
+	{"fixed-voters", func(t trial, seed uint64) { replaceLostController(t, seed, "witness") }},
 	{"one-backup", func(t trial, seed uint64) { loseDisks(t, seed, 2) }},
 	{"patient-primary", func(t trial, seed uint64) {
-		longest := strikeHolder(t, seed, 1, "backup", strikes["hanging"])
+		longest := longestCommandUnder(t, seed, 1, "backup", holderFaults["hanging"])
 		assert.Assert(t, longest < 2*time.Second, "%s", longest)
 	}},
 	{"patient-primary", func(t trial, seed uint64) {
-		longest := strikeHolder(t, seed, 1, "primary", strikes["hanging"])
+		longest := longestCommandUnder(t, seed, 1, "primary", holderFaults["hanging"])
 		assert.Assert(t, longest < 2*time.Second, "%s", longest)
 	}},
 }
 
-func tried(seed uint64, run func(t trial, seed uint64)) *mutationtest.Trial {
+func runExpectingFailure(seed uint64, run func(t trial, seed uint64)) *mutationtest.Trial {
 	return mutationtest.Run(func(t *mutationtest.Trial) { run(t, seed) })
 }
 
+// TestEachMechanismIsNeeded disables each mechanism once, and expects a run that passes with
+// it to fail.
 func TestEachMechanismIsNeeded(t *testing.T) {
-	for _, proof := range proofs {
+	for _, proof := range mechanismProofs {
 		restore := statemachine.Mutate(proof.mutation)
 		found := false
 		for seed := range uint64(60) {
-			if got := tried(seed, proof.run); got.Failed {
+			if got := runExpectingFailure(seed, proof.run); got.Failed {
 				t.Logf("without %s, seed %d: %s", proof.mutation, seed, strings.Join(got.Lines, "; "))
 				found = true
 				break
--- a/internal/consensus/snapshot.go
+++ b/internal/consensus/snapshot.go
@@ -40,23 +40,39 @@
 		return
 	}
 	sender := record.nameAt(from)
-	senderHasState := sender == record.Primary || slices.Contains(record.Backups, sender)
-	if snapshot.TargetEpoch == record.Epoch+1 && n.isVoter() && senderHasState {
+	switch {
+	case n.mayStage(sender, snapshot):
 		n.stageSnapshot(from, sender, snapshot, effects)
-		return
+	case n.mayInstall(sender, snapshot):
+		n.installSnapshot(from, snapshot, effects)
 	}
+}
+
+// mayStage reports whether a snapshot is for the next epoch, from a controller that holds
+// a replica.
+func (n *Node) mayStage(sender string, snapshot InstallSnapshot) bool {
+	record := n.hardState.Record
+	senderHasReplica := sender == record.Primary || slices.Contains(record.Backups, sender)
+	return snapshot.TargetEpoch == record.Epoch+1 && n.isVoter() && senderHasReplica
+}
+
+// mayInstall reports whether a snapshot is for this backup in the present epoch. One that
+// is older than what was acknowledged since came late, and is ignored.
+func (n *Node) mayInstall(sender string, snapshot InstallSnapshot) bool {
+	record := n.hardState.Record
 	if snapshot.TargetEpoch != record.Epoch || sender != record.Primary ||
 		!n.isBackup() || n.reconfig.takingOver || n.epochSealed() {
-		return
-	}
-	if n.isComplete() && snapshot.Index < n.appliedIndex {
-		// An older one that came late; what was acknowledged since stays.
-		return
+		return false
 	}
+	return !n.isComplete() || snapshot.Index >= n.appliedIndex
+}
+
+// installSnapshot replaces the state of this backup, which is then complete.
+func (n *Node) installSnapshot(from string, snapshot InstallSnapshot, effects *statemachine.Effects) {
 	if !n.installState(snapshot.Index, snapshot.State, effects) {
 		return
 	}
-	n.hardState.CompleteEpoch = record.Epoch
+	n.hardState.CompleteEpoch = n.hardState.Record.Epoch
 	response := n.responseTo(snapshot)
 	n.persistHardState(effects, func(_ time.Time, effects *statemachine.Effects) {
 		effects.Send(from, response)
--- a/internal/consensus/world_test.go
+++ b/internal/consensus/world_test.go
@@ -1,10 +1,10 @@
-// A small world of watches for exhaustive walks: every order in which messages
-// arrive and writes last, with losses, repeats, processes that end with and without
-// their disk, and time that passes meanwhile. The ordinary schedule brings what is
-// oldest first and lets time pass once nothing is under way; what differs from it
-// costs.
 package consensus
 
+// A small world of nodes for exhaustive exploration: every order in which messages arrive
+// and writes are synced, with losses, repeats, processes that end with and without their
+// disks, and time that passes meanwhile. The default schedule takes the oldest item first,
+// and lets time pass once nothing is in flight; each deviation from it has a cost.
+
 import (
 	"encoding/binary"
 	"fmt"
@@ -17,8 +17,8 @@
 	"dahlialock/internal/transport"
 )
 
-// troubles is what may still befall a world.
-type troubles struct {
+// faultBudget is how many of each event may still happen.
+type faultBudget struct {
 	submits int
 	losses  int
 	repeats int
@@ -28,43 +28,45 @@
 	powers  int
 }
 
-// pending is a message on its way, or a write that does not last yet.
-type pending struct {
+// inFlight is a message that was not delivered yet, or a write that is not synced.
+type inFlight struct {
 	to      int
 	from    string
 	message any
 	packed  []byte
-	held    bool
-	// ticks is for how many of them it is still held back.
+	delayed bool
+	// ticks is for how many ticks it is still delayed.
 	ticks int
 	write *statemachine.Write
-	// cause is the message that led to the write: what is done once it lasts
-	// follows from both.
+	// cause is the message that led to the write: what is done once that is synced follows
+	// from both.
 	cause []byte
 }
 
-type node struct {
-	world   *world
-	number  int
-	self    Controller
-	watch   *Node
-	ledger  *words
-	frame   []byte
-	entries [][]byte
-	// disk is the fingerprint of what lies on the disk.
-	disk  explore.Key
-	up    bool
-	gone  bool
-	cut   bool
-	lives int
-}
-
+// process is a node with its disk.
+type process struct {
+	world    *world
+	number   int
+	self     Controller
+	node     *Node
+	state    *appliedNumbers
+	snapshot []byte
+	entries  [][]byte
+	// disk is the fingerprint of what is on the disk.
+	disk        explore.Key
+	up          bool
+	removed     bool
+	partitioned bool
+	runs        int
+}
+
+// world is a state of the exploration.
 type world struct {
 	now       time.Time
 	begun     time.Time
-	nodes     []*node
-	items     []*pending
-	left      troubles
+	processes []*process
+	items     []*inFlight
+	remaining faultBudget
 	tolerance int
 	committed []uint64
 	next      uint64
@@ -73,7 +75,7 @@
 	cause     []byte
 	moves     []move
 	// lost is how many were lost with their disks, at most as many as are tolerated;
-	// mayLose, if given, tells whether one may be lost in the present state.
+	// mayLose, if given, reports whether one may be lost in the present state.
 	lost    int
 	mayLose func(w *world) bool
 }
@@ -84,13 +86,19 @@
 	do func()
 }
 
-func newWorld(controllers, voters, tolerance int, left troubles) *world {
-	w := &world{now: origin, begun: origin, left: left, tolerance: tolerance, decided: map[uint64]Record{}}
+func newWorld(controllers, voters, tolerance int, faults faultBudget) *world {
+	w := &world{
+		now:       startTime,
+		begun:     startTime,
+		remaining: faults,
+		tolerance: tolerance,
+		decided:   map[uint64]Record{},
+	}
 	record := Record{Epoch: 1, Primary: "c0"}
 	for number := range controllers {
 		name := fmt.Sprint("c", number)
 		self := Controller{Name: name, Address: name, Zone: fmt.Sprint(number), DiskID: "disk-" + name}
-		w.nodes = append(w.nodes, &node{world: w, number: number, self: self})
+		w.processes = append(w.processes, &process{world: w, number: number, self: self})
 		if number < voters {
 			record.Voters = append(record.Voters, self)
 		}
@@ -98,142 +106,146 @@
 			record.Backups = append(record.Backups, name)
 		}
 	}
-	for _, each := range w.nodes {
-		durable := HardState{DiskID: each.self.DiskID, Record: record}
+	for _, each := range w.processes {
+		hardState := HardState{DiskID: each.self.DiskID, Record: record}
 		if each.self.Name == record.Primary || slices.Contains(record.Backups, each.self.Name) {
-			durable.CompleteEpoch = 1
+			hardState.CompleteEpoch = 1
 		}
-		each.entries = [][]byte{transport.MustMarshal(diskEntry{HardState: &durable})}
+		each.entries = [][]byte{transport.MustMarshal(diskEntry{HardState: &hardState})}
 	}
-	for _, each := range w.nodes {
+	for _, each := range w.processes {
 		each.start()
 	}
-	// Whoever was granted something before the beginning has waited it out.
-	for _, each := range w.nodes {
-		each.watch.voter.uncertainUntil = w.now
-		each.watch.lease.lastGrant = map[string]time.Time{}
+	// All leases that were granted before the beginning have expired.
+	for _, each := range w.processes {
+		each.node.voter.uncertainUntil = w.now
+		each.node.lease.lastGrant = map[string]time.Time{}
 		for _, other := range record.Voters {
-			each.watch.lease.lastGrant[other.Name] = w.now
+			each.node.lease.lastGrant[other.Name] = w.now
 		}
 	}
-	w.settle()
+	w.runUntilServing()
 	return w
 }
 
-// settle lets the ordinary schedule run until somebody serves and nothing is under way.
-func (w *world) settle() {
+// runUntilServing runs the default schedule until somebody serves and nothing is in flight.
+func (w *world) runUntilServing() {
 	for range 400 {
 		if w.serving() != nil && len(w.items) == 0 {
 			return
 		}
-		w.ordinary()
+		w.defaultStep()
 	}
 	panic("nobody serves at the beginning")
 }
 
-func (w *world) serving() *node {
-	for _, each := range w.nodes {
-		if each.up && each.watch.Serving(w.now) {
+func (w *world) serving() *process {
+	for _, each := range w.processes {
+		if each.up && each.node.Serving(w.now) {
 			return each
 		}
 	}
 	return nil
 }
 
-func (n *node) start() {
-	settings := Settings{Self: n.self, Seeds: []string{"c0", "c1", "c2"}, Tolerance: n.world.tolerance, NewDiskID: n.self.DiskID}
+func (p *process) start() {
+	settings := Settings{
+		Self:      p.self,
+		Seeds:     []string{"c0", "c1", "c2"},
+		Tolerance: p.world.tolerance,
+		NewDiskID: p.self.DiskID,
+	}
 	settings.Self.DiskID = ""
-	if n.lives > 0 {
-		settings.NewDiskID = fmt.Sprintf("%s-%d", n.self.DiskID, n.lives)
+	if p.runs > 0 {
+		settings.NewDiskID = fmt.Sprintf("%s-%d", p.self.DiskID, p.runs)
 	}
-	n.lives++
-	settings.Incarnation = statemachine.Incarnation(n.number<<8 + n.lives)
-	n.ledger = &words{}
-	watch, err := New(settings, n.ledger, n.frame, n.entries)
+	p.runs++
+	settings.Incarnation = statemachine.Incarnation(p.number<<8 + p.runs)
+	p.state = &appliedNumbers{}
+	node, err := New(settings, p.state, p.snapshot, p.entries)
 	if err != nil {
 		panic(err)
 	}
-	n.watch, n.up = watch, true
-	n.step(func(now time.Time, effects *statemachine.Effects) { watch.Start(now, effects) })
+	p.node, p.up = node, true
+	p.step(func(now time.Time, effects *statemachine.Effects) { node.Start(now, effects) })
 }
 
-// end ends a process; what it wrote and did not last is lost, and what was on its way to
-// it too.
-func (n *node) end() {
-	n.up = false
-	n.world.items = slices.DeleteFunc(n.world.items, func(item *pending) bool { return item.to == n.number })
+// end ends a process. What it wrote and was not synced is lost, and so is what is in flight
+// to it.
+func (p *process) end() {
+	p.up = false
+	p.world.items = slices.DeleteFunc(p.world.items, func(item *inFlight) bool { return item.to == p.number })
 }
 
-func (n *node) step(run func(now time.Time, effects *statemachine.Effects)) {
-	w := n.world
+func (p *process) step(run func(now time.Time, effects *statemachine.Effects)) {
+	w := p.world
 	var effects statemachine.Effects
 	run(w.now, &effects)
 	for _, send := range effects.Sends {
-		for _, to := range w.nodes {
-			if to.self.Address != send.To || !to.up || to.cut != n.cut {
+		for _, to := range w.processes {
+			if to.self.Address != send.To || !to.up || to.partitioned != p.partitioned {
 				continue
 			}
-			packed, err := transport.Encode(statemachine.Meta{From: n.self.Address}, send.Message)
+			packed, err := transport.Encode(statemachine.Meta{From: p.self.Address}, send.Message)
 			if err != nil {
 				panic(err)
 			}
-			w.items = append(w.items, &pending{to: to.number, from: n.self.Address, message: decoded(packed), packed: packed})
+			w.items = append(w.items, &inFlight{to: to.number, from: p.self.Address, message: decoded(packed), packed: packed})
 		}
 	}
-	if n.watch.Left() {
-		n.end()
-		n.gone = true
+	if p.node.Left() {
+		p.end()
+		p.removed = true
 		return
 	}
 	for _, write := range effects.Writes {
-		w.items = append(w.items, &pending{to: n.number, write: &write, cause: w.cause})
+		w.items = append(w.items, &inFlight{to: p.number, write: &write, cause: w.cause})
 	}
 }
 
-// known are messages that were decoded before: a walk meets the same ones again and
-// again.
-var known = map[string]any{}
+// decodedMessages caches decoded messages: an exploration meets the same ones again and again.
+var decodedMessages = map[string]any{}
 
 func decoded(packed []byte) any {
-	if message, found := known[string(packed)]; found {
+	if message, found := decodedMessages[string(packed)]; found {
 		return message
 	}
 	_, message, err := transport.Decode(packed[4:])
 	if err != nil {
 		panic(err)
 	}
-	known[string(packed)] = message
+	decodedMessages[string(packed)] = message
 	return message
 }
 
-func (w *world) arrive(item *pending) {
-	w.items = slices.DeleteFunc(w.items, func(other *pending) bool { return other == item })
-	w.give(item)
+func (w *world) deliver(item *inFlight) {
+	w.items = slices.DeleteFunc(w.items, func(other *inFlight) bool { return other == item })
+	w.handle(item)
 }
 
-func (w *world) give(item *pending) {
-	to := w.nodes[item.to]
+func (w *world) handle(item *inFlight) {
+	to := w.processes[item.to]
 	if item.write == nil {
 		w.cause = item.packed
 		to.step(func(now time.Time, effects *statemachine.Effects) {
-			to.watch.HandleMessage(now, statemachine.Meta{From: item.from}, item.message, effects)
+			to.node.HandleMessage(now, statemachine.Meta{From: item.from}, item.message, effects)
 		})
 		return
 	}
 	if item.write.Snapshot != nil {
-		to.frame, to.entries = item.write.Snapshot, nil
+		to.snapshot, to.entries = item.write.Snapshot, nil
 	}
 	to.entries = append(to.entries, item.write.Entries...)
 	to.disk = explore.KeyOf(time.Time{}, nil, to.disk, item.write.Entries, item.write.Snapshot)
 	w.cause = item.cause
-	to.step(func(now time.Time, effects *statemachine.Effects) { to.watch.Synced(now, item.write.Token, effects) })
+	to.step(func(now time.Time, effects *statemachine.Effects) { to.node.Synced(now, item.write.Token, effects) })
 }
 
 // tick lets time pass until the next timer of any process, which runs.
 func (w *world) tick() {
-	var next *node
-	for _, each := range w.nodes {
-		if each.up && (next == nil || each.watch.NextTick().Before(next.watch.NextTick())) {
+	var next *process
+	for _, each := range w.processes {
+		if each.up && (next == nil || each.node.NextTick().Before(next.node.NextTick())) {
 			next = each
 		}
 	}
@@ -241,74 +253,76 @@
 		panic("nobody is left")
 	}
 	for _, item := range w.items {
-		if item.held {
+		if item.delayed {
 			item.ticks--
-			item.held = item.ticks > 0
+			item.delayed = item.ticks > 0
 		}
 	}
-	if due := next.watch.NextTick(); due.After(w.now) {
+	if due := next.node.NextTick(); due.After(w.now) {
 		w.now = due
 	}
 	w.cause = []byte("tick")
-	next.step(func(now time.Time, effects *statemachine.Effects) { next.watch.Tick(now, effects) })
+	next.step(func(now time.Time, effects *statemachine.Effects) { next.node.Tick(now, effects) })
 }
 
-// firstItem is the oldest of what is under way and not held back.
-func (w *world) firstItem() *pending {
+// oldestItem is the oldest of what is in flight and not delayed, or nil.
+func (w *world) oldestItem() *inFlight {
 	for _, item := range w.items {
-		if !item.held {
+		if !item.delayed {
 			return item
 		}
 	}
 	return nil
 }
 
-// ordinary takes the ordinary choice.
-func (w *world) ordinary() {
-	if item := w.firstItem(); item != nil {
-		w.arrive(item)
+// defaultStep takes one step of the default schedule.
+func (w *world) defaultStep() {
+	if item := w.oldestItem(); item != nil {
+		w.deliver(item)
 	} else {
 		w.tick()
 	}
 }
 
-func (w *world) submit(to *node) {
+func (w *world) submit(to *process) {
 	w.next++
 	number := w.next
+	command := binary.BigEndian.AppendUint64(nil, number)
+	done := func(_ time.Time, _ *statemachine.Effects, outcome Outcome) {
+		if outcome == Committed {
+			applied := to.state.numbers
+			w.committed = slices.Clone(applied[:slices.Index(applied, number)+1])
+		}
+	}
 	w.cause = []byte("submit")
 	to.step(func(now time.Time, effects *statemachine.Effects) {
-		to.watch.Submit(now, binary.BigEndian.AppendUint64(nil, number), 2*time.Second, func(_ time.Time, _ *statemachine.Effects, outcome Outcome) {
-			if outcome == Committed {
-				said := to.ledger.said
-				w.committed = slices.Clone(said[:slices.Index(said, number)+1])
-			}
-		}, effects)
+		to.node.Submit(now, command, 2*time.Second, done, effects)
 	})
 }
 
-func (p *pending) label(w *world) string {
-	name := w.nodes[p.to].self.Name
+func (p *inFlight) label(w *world) string {
+	name := w.processes[p.to].self.Name
 	if p.write != nil {
-		return fmt.Sprintf("a write of %s lasts", name)
+		return fmt.Sprintf("a write of %s is synced", name)
 	}
-	return fmt.Sprintf("%s takes %T%+v from %s", name, p.message, p.message, p.from)
+	return fmt.Sprintf("%s receives %T%+v from %s", name, p.message, p.message, p.from)
 }
 
-func (w *world) offer(cost int, label func() string, do func()) {
+func (w *world) addMove(cost int, label func() string, do func()) {
 	w.moves = append(w.moves, move{Choice: explore.Choice{Label: label, Cost: cost}, do: do})
 }
 
 // Choices lists what may happen next.
 func (w *world) Choices() []explore.Choice {
 	w.moves = w.moves[:0]
-	first := w.firstItem()
+	first := w.oldestItem()
 	if first != nil {
-		w.offer(0, func() string { return first.label(w) }, func() { w.arrive(first) })
+		w.addMove(0, func() string { return first.label(w) }, func() { w.deliver(first) })
 	} else {
-		w.offer(0, func() string { return "time passes" }, w.tick)
+		w.addMove(0, func() string { return "time passes" }, w.tick)
 	}
-	w.offerItems(first)
-	w.offerTroubles(first)
+	w.addReorderings(first)
+	w.addFaults(first)
 	var choices []explore.Choice
 	for _, each := range w.moves {
 		choices = append(choices, each.Choice)
@@ -316,8 +330,8 @@
 	return choices
 }
 
-// offerItems offers other orders of what is under way.
-func (w *world) offerItems(first *pending) {
+// addReorderings offers other orders of what is in flight.
+func (w *world) addReorderings(first *inFlight) {
 	wrote := map[int]bool{}
 	for _, item := range w.items {
 		if item.write != nil {
@@ -330,150 +344,160 @@
 			continue
 		}
 		cost := 1
-		if item.held {
+		if item.delayed {
 			if first != nil {
 				continue
 			}
 			cost = 0
 		}
-		w.offer(cost, func() string { return item.label(w) }, func() { w.arrive(item) })
+		w.addMove(cost, func() string { return item.label(w) }, func() { w.deliver(item) })
 	}
 	if first != nil {
-		w.offer(1, func() string { return "held back: " + first.label(w) }, func() { w.hold(first) })
+		w.addMove(1, func() string { return "delayed: " + first.label(w) }, func() { w.delay(first) })
 	}
 }
 
-// holdTicks is for how many timers something may be held back.
-const holdTicks = 4
+// delayTicks is for how many timers something may be delayed.
+const delayTicks = 4
 
-// hold keeps one thing back, until some timers have run or, at a choice, until
-// nothing else is under way; later writes of the same disk wait for it.
-func (w *world) hold(item *pending) {
-	item.held, item.ticks = true, holdTicks
+// delay delays an item until some timers have run or, at a choice, until nothing else is
+// in flight; later writes of the same disk wait for it.
+func (w *world) delay(item *inFlight) {
+	item.delayed, item.ticks = true, delayTicks
 	for _, other := range w.items {
 		if item.write != nil && other.write != nil && other.to == item.to {
-			other.held, other.ticks = true, holdTicks
+			other.delayed, other.ticks = true, delayTicks
 		}
 	}
 }
 
-func (w *world) offerTroubles(first *pending) {
-	if serving := w.serving(); serving != nil && w.left.submits > 0 && serving.watch.PendingProposals() == 0 {
-		w.offer(0, func() string { return "a command is submitted" }, func() {
-			w.left.submits--
+func (w *world) addFaults(first *inFlight) {
+	if serving := w.serving(); serving != nil && w.remaining.submits > 0 && serving.node.PendingProposals() == 0 {
+		w.addMove(0, func() string { return "a command is submitted" }, func() {
+			w.remaining.submits--
 			w.submit(serving)
 		})
 	}
 	if first != nil && first.write == nil {
-		if w.left.losses > 0 {
-			w.offer(1, func() string { return "lost: " + first.label(w) }, func() {
-				w.left.losses--
-				w.items = slices.DeleteFunc(w.items, func(other *pending) bool { return other == first })
-			})
-		}
-		if w.left.repeats > 0 {
-			w.offer(1, func() string { return "twice: " + first.label(w) }, func() {
-				w.left.repeats--
-				again := *first
-				again.held, again.ticks = true, holdTicks
-				w.items = append(w.items, &again)
-				w.arrive(first)
-			})
-		}
+		w.addLinkFaults(first)
 	}
 	mayLose := w.lost < w.tolerance && (w.mayLose == nil || w.mayLose(w))
-	for _, each := range w.nodes {
-		if !each.up {
-			continue
-		}
-		if w.left.crashes > 0 {
-			w.offer(1, func() string { return each.self.Name + " is started anew" }, func() {
-				w.left.crashes--
-				each.end()
-				each.start()
-			})
+	for _, each := range w.processes {
+		if each.up {
+			w.addProcessFaults(each, mayLose)
 		}
-		if w.left.wipes > 0 && mayLose {
-			w.offer(1, func() string { return each.self.Name + " loses its disk" }, func() {
-				w.left.wipes--
+	}
+}
+
+// addLinkFaults offers that a message is lost or repeated.
+func (w *world) addLinkFaults(first *inFlight) {
+	if w.remaining.losses > 0 {
+		w.addMove(1, func() string { return "lost: " + first.label(w) }, func() {
+			w.remaining.losses--
+			w.items = slices.DeleteFunc(w.items, func(other *inFlight) bool { return other == first })
+		})
+	}
+	if w.remaining.repeats > 0 {
+		w.addMove(1, func() string { return "twice: " + first.label(w) }, func() {
+			w.remaining.repeats--
+			again := *first
+			again.delayed, again.ticks = true, delayTicks
+			w.items = append(w.items, &again)
+			w.deliver(first)
+		})
+	}
+}
+
+// addProcessFaults offers that a process ends, with or without its disk.
+func (w *world) addProcessFaults(each *process, mayLose bool) {
+	if w.remaining.crashes > 0 {
+		w.addMove(1, func() string { return each.self.Name + " is restarted" }, func() {
+			w.remaining.crashes--
+			each.end()
+			each.start()
+		})
+	}
+	if w.remaining.wipes > 0 && mayLose {
+		w.addMove(1, func() string { return each.self.Name + " loses its disk" }, func() {
+			w.remaining.wipes--
+			each.wipe()
+		})
+		if w.remaining.powers > 0 {
+			w.addMove(1, func() string { return each.self.Name + " loses its disk, and all others lose power" }, func() {
+				w.remaining.wipes--
+				w.remaining.powers--
+				w.losePower()
 				each.wipe()
 			})
-			if w.left.powers > 0 {
-				w.offer(1, func() string { return each.self.Name + " loses its disk, and all others lose power" }, func() {
-					w.left.wipes--
-					w.left.powers--
-					w.power()
-					each.wipe()
-				})
-			}
-		}
-		if w.left.kills > 0 && mayLose {
-			w.offer(1, func() string { return each.self.Name + " is gone" }, func() {
-				w.left.kills--
-				w.lost++
-				each.end()
-				each.gone = true
-			})
 		}
 	}
+	if w.remaining.kills > 0 && mayLose {
+		w.addMove(1, func() string { return each.self.Name + " is lost for good" }, func() {
+			w.remaining.kills--
+			w.lost++
+			each.end()
+			each.removed = true
+		})
+	}
 }
 
-// leave asks a process to stop; its machine goes with it, disk and all.
-func (n *node) leave() {
-	n.world.cause = []byte("leave")
-	n.step(func(now time.Time, effects *statemachine.Effects) { n.watch.Leave(now, effects) })
+// leave asks a process to leave; its machine goes with it, disk and all.
+func (p *process) leave() {
+	p.world.cause = []byte("leave")
+	p.step(func(now time.Time, effects *statemachine.Effects) { p.node.Leave(now, effects) })
 }
 
-func (n *node) wipe() {
-	n.world.lost++
-	n.end()
-	n.frame, n.entries, n.disk = nil, nil, explore.Key{}
-	n.start()
+func (p *process) wipe() {
+	p.world.lost++
+	p.end()
+	p.snapshot, p.entries, p.disk = nil, nil, explore.Key{}
+	p.start()
 }
 
-// power takes the power of all that run; what is on the links is lost.
-func (w *world) power() {
-	for _, each := range w.nodes {
+// losePower takes the power of all that run; what is on the links is lost.
+func (w *world) losePower() {
+	for _, each := range w.processes {
 		if each.up {
 			each.end()
 		}
 	}
 	w.items = nil
-	for _, each := range w.nodes {
-		if !each.gone {
+	for _, each := range w.processes {
+		if !each.removed {
 			each.start()
 		}
 	}
 }
 
-// Take lets one of the choices happen, and looks at what comes of it.
+// Take lets one of the choices happen, and checks the invariants.
 func (w *world) Take(choice int) {
 	w.Choices()
 	w.moves[choice].do()
-	w.judge()
+	w.checkInvariants()
 }
 
-func (w *world) judge() {
+func (w *world) checkInvariants() {
 	if w.broken != nil {
 		return
 	}
 	var holders []string
-	for _, each := range w.nodes {
+	for _, each := range w.processes {
 		if !each.up {
 			continue
 		}
-		if record := each.watch.Record(); record.Epoch > 0 {
+		if record := each.node.Record(); record.Epoch > 0 {
 			if earlier, found := w.decided[record.Epoch]; found && !same(earlier, record) {
 				w.broken = fmt.Errorf("epoch %d is decided as %v and as %v", record.Epoch, earlier, record)
 			}
 			w.decided[record.Epoch] = record
 		}
-		if !each.watch.HoldsLease(w.now) {
+		if !each.node.HoldsLease(w.now) {
 			continue
 		}
 		holders = append(holders, each.self.Name)
-		if said := each.ledger.said; len(said) < len(w.committed) || !slices.Equal(said[:len(w.committed)], w.committed) {
-			w.broken = fmt.Errorf("%s holds the lease with %v, committed were %v", each.self.Name, said, w.committed)
+		applied := each.state.numbers
+		if len(applied) < len(w.committed) || !slices.Equal(applied[:len(w.committed)], w.committed) {
+			w.broken = fmt.Errorf("%s holds the lease with %v, committed were %v", each.self.Name, applied, w.committed)
 		}
 	}
 	if len(holders) > 1 {
@@ -486,50 +510,50 @@
 		slices.Equal(left.Backups, right.Backups) && slices.Equal(left.Voters, right.Voters)
 }
 
-// Broken tells which promise the present state breaks.
+// Broken returns the invariant that was violated, if any.
 func (w *world) Broken() error { return w.broken }
 
-var notPartOfTheState = []reflect.Type{reflect.TypeFor[*world](), reflect.TypeFor[Settings]()}
+var excludedFromKey = []reflect.Type{reflect.TypeFor[*world](), reflect.TypeFor[Settings]()}
 
-// Key names the state.
+// Key is the fingerprint of the state.
 func (w *world) Key() explore.Key {
-	parts := []any{w.left, w.lost, w.committed, w.next, w.now.Sub(w.begun) > catchUp}
-	for _, each := range w.nodes {
-		parts = append(parts, each.up, each.gone, each.cut, each.disk)
+	parts := []any{w.remaining, w.lost, w.committed, w.next, w.now.Sub(w.begun) > newMachineDelay}
+	for _, each := range w.processes {
+		parts = append(parts, each.up, each.removed, each.partitioned, each.disk)
 		if each.up {
-			parts = append(parts, each.watch)
+			parts = append(parts, each.node)
 		}
 	}
 	for _, item := range w.items {
-		parts = append(parts, item.to, item.from, item.packed, item.held, item.ticks, item.cause)
+		parts = append(parts, item.to, item.from, item.packed, item.delayed, item.ticks, item.cause)
 		if item.write != nil {
 			parts = append(parts, item.write.Entries, item.write.Snapshot)
 		}
 	}
-	return explore.KeyOf(w.now, notPartOfTheState, parts...)
+	return explore.KeyOf(w.now, excludedFromKey, parts...)
 }
 
-// catchUp is how long a machine that is new counts as lost.
-const catchUp = 4100 * time.Millisecond
+// newMachineDelay is how long a new machine counts as lost.
+const newMachineDelay = 4100 * time.Millisecond
 
-// mostSteps is far above what twelve seconds take.
-const mostSteps = 10000
+// maxSteps is far above what twelve seconds take.
+const maxSteps = 10000
 
-// Finish lets all that is under way arrive, and then waits for somebody to serve.
+// Finish lets all that is in flight arrive, and then waits until somebody serves.
 func (w *world) Finish() error {
 	for _, item := range w.items {
-		item.held = false
+		item.delayed = false
 	}
-	for _, each := range w.nodes {
-		each.cut = false
+	for _, each := range w.processes {
+		each.partitioned = false
 	}
 	calm := w.now
 	for steps := 0; w.now.Sub(calm) < 12*time.Second; steps++ {
-		if steps > mostSteps {
+		if steps > maxSteps {
 			return fmt.Errorf("something goes on without end: %s", w.Choices()[0].Label())
 		}
-		w.ordinary()
-		w.judge()
+		w.defaultStep()
+		w.checkInvariants()
 		if w.broken != nil {
 			return w.broken
 		}
@@ -537,5 +561,5 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("nobody serves 12s after the last trouble")
+	return fmt.Errorf("nobody serves 12s after the last fault")
 }
