--- a/internal/overlay/notices.go
+++ b/internal/overlay/presence.go
@@ -22,7 +22,6 @@
 package overlay
 
 import (
-	"hash/fnv"
 	"slices"
 	"time"
 
@@ -40,155 +39,33 @@
 	gatherFor = 2 * time.Millisecond
 	// paceEach spaces the frames to all others so that their number in a second
 	// is bounded, however many gateways there are.
-	paceEach   = time.Millisecond
-	countsWait = 200 * time.Millisecond
-	checkEvery = 2 * time.Second
-	// numbersEach is in how many checks one tells the numbers also to those that
+	paceEach      = time.Millisecond
+	countsDelay   = 200 * time.Millisecond
+	checkInterval = 2 * time.Second
+	// numbersEveryChecks is in how many checks one tells the numbers also to those that
 	// may know them, which shows them neighbours in cells that they have no part in.
-	numbersEach = 5
-	checkAfter  = 10 * time.Millisecond
-	checkAgain  = 250 * time.Millisecond
-	askAgain    = 300 * time.Millisecond
-	// asksDouble bounds how long a question waits for another.
-	asksDouble = 3
+	numbersEveryChecks = 5
+	checkAfter         = 10 * time.Millisecond
+	checkAgain         = 250 * time.Millisecond
+	requestRetry       = 300 * time.Millisecond
+	// maxRequestDoublings bounds how long a question waits for another.
+	maxRequestDoublings = 3
 	// membersWait lets joins settle before peers compare whom they know.
 	membersWait = 100 * time.Millisecond
 	// membersQuiet is for how long whom a cell knows must have stayed the same
 	// before it is compared: while many join, all differ from all, and the checks
 	// that each sends to all others make them level by themselves.
 	membersQuiet = 400 * time.Millisecond
-	reachLimit   = time.Second
+	reachTimeout = time.Second
 	keepFor      = 10 * time.Minute
-	// strangersEach is how many daemons of which no peer is known are told in
+	// unknownDaemonsPerCheck is how many daemons of which no peer is known are told in
 	// one comparison, in turn.
-	strangersEach = 16
+	unknownDaemonsPerCheck = 16
 )
 
-// Kinds of notices.
-const (
-	// NoticeWhole tells all counts of a peer.
-	NoticeWhole uint8 = iota + 1
-	// NoticeChanges tells those that changed since the notice before.
-	NoticeChanges
-	// NoticeCheck tells the number of the newest notice.
-	NoticeCheck
-	// NoticeAsk asks for the whole.
-	NoticeAsk
-	// NoticeGone tells that there is no peer in the cell.
-	NoticeGone
-	// NoticeDiffers sums up each of the others of the cell that a peer knows, in
-	// Counts, to one that seems to know others.
-	NoticeDiffers
-	// NoticeMembers names those that were not summed up there.
-	NoticeMembers
-	// NoticeLacks is the answer of who found sums there that it does not know: its
-	// own.
-	NoticeLacks
-)
-
-// Notice is what one daemon's peer in a cell tells another's.
-type Notice struct {
-	_    struct{} `cbor:",toarray"`
-	Kind uint8
-	Cell uint8
-	// Number and Change are those of the sending peer.
-	Number uint64
-	Change uint64
-	// Sequence numbers the peer's notices; changes follow the one before.
-	Sequence uint64
-	// Digest sums up whom the peer knows in its cell, itself among them; changes
-	// carry none.
-	Digest  uint64
-	Topics  []uint64
-	Counts  []uint32
-	Members []PeerKey
-}
-
-// Notices is what the peers of one daemon, in one of its lives, tell those of
-// another.
-type Notices struct {
-	_      struct{} `cbor:",toarray"`
-	Daemon string
-	Life   uint64
-	Plane  string
-	Answer bool
-	// Level sums up the cells there, for whoever can tell from it that it knows
-	// them; who does not asks for the numbers.
-	Level   uint64
-	Notices []Notice
-}
-
-// CellOf is the cell of a topic's number.
-func CellOf(topic uint64) uint8 { return uint8(topic >> 60) }
-
-// cellArea is the area of the topics of a cell: the middle of its square, half
-// as wide. The peers' points lie still closer together, so that the regions of
-// a cell's peers cover the area whole and those of other cells never meet it.
-func cellArea(cell uint8) Area {
-	const side = 1.0 / cellSide
-	return Area{X: (float64(cell%cellSide) + 0.25) * side, Y: (float64(cell/cellSide) + 0.25) * side, Size: side / 2}
-}
-
-// cellPeer is the peer of a daemon in a cell.
-func cellPeer(key PeerKey, cell uint8, change uint64) Peer {
-	area := cellArea(cell)
-	return Peer{Key: key, At: area.scatter(key.Daemon, key.Number, 0.4, 0.2), Area: area, Subscribes: true, Change: change}
-}
-
-type plane struct {
-	name  string
-	cells [CellCount]*cell
-	turn  int
-}
-
-type cell struct {
-	plane  *plane
-	number uint8
-	peer   *hosted
-	// counts are this daemon's subscribers; changed holds what was last told of
-	// those that are to be told anew.
-	counts   map[uint64]uint32
-	changed  map[uint64]uint32
-	sequence uint64
-	due      time.Time
-	members  map[string]*member
-	// order holds the names of the members in order.
-	order []string
-	owed  map[string]bool
-	// digest sums up the members' keys.
-	digest  uint64
-	waiting []Settled
-	// changedAt is when whom it knows last changed.
-	changedAt time.Time
-	// reached is set once it was settled, or somebody waited long enough.
-	reached bool
-	until   time.Time
-	turn    uint64
-	lastUse time.Time
-}
-
-// member is another daemon's peer in a cell, and what it told.
-type member struct {
-	key      PeerKey
-	heard    bool
-	sequence uint64
-	digest   uint64
-	digestAt time.Time
-	counts   map[uint64]uint32
-	// asked is when it was last asked for the whole, and asks how often since it
-	// last told it.
-	asked time.Time
-	asks  int
-	// wanted is set where it is to be asked again.
-	wanted bool
-	// compared sums up the difference that was last looked into.
-	compared   uint64
-	comparedAt time.Time
-}
-
-// Tell says that this daemon now has so many subscribers of a topic; none ends
+// SetSubscribers says that this daemon now has so many subscribers of a topic; none ends
 // it.
-func (o *Overlay) Tell(now time.Time, planeName, topic string, count int, effects *statemachine.Effects) {
+func (o *Overlay) SetSubscribers(now time.Time, planeName, topic string, count int, effects *statemachine.Effects) {
 	number := config.TopicNumber(topic)
 	if o.parted || count == 0 && o.cellAt(planeName, number) == nil {
 		return
@@ -209,7 +86,7 @@
 		told = earlier
 		here.changed[number] = told
 	}
-	due := now.Add(countsWait)
+	due := now.Add(countsDelay)
 	switch {
 	case told == uint32(count):
 		delete(here.changed, number)
@@ -224,28 +101,28 @@
 	o.timers.ArmSooner("notices", here.due)
 }
 
-// Reach makes sure that a topic's cell has a peer here that knows the others of
+// AwaitCell makes sure that a topic's cell has a peer here that knows the others of
 // the cell and their subscribers, and then calls; at once, if it does.
-func (o *Overlay) Reach(now time.Time, planeName, topic string, then Settled, effects *statemachine.Effects) {
+func (o *Overlay) AwaitCell(now time.Time, planeName, topic string, then Completion, effects *statemachine.Effects) {
 	if o.parted {
 		then(now, effects, false)
 		return
 	}
 	here := o.cell(now, planeName, CellOf(config.TopicNumber(topic)), effects)
 	here.lastUse = now
-	if here.settled() {
+	if here.joined() {
 		then(now, effects, true)
 		return
 	}
 	if len(here.waiting) == 0 {
-		here.until = now.Add(reachLimit)
+		here.until = now.Add(reachTimeout)
 		o.timers.ArmSooner("reach", here.until)
 	}
 	here.waiting = append(here.waiting, then)
 }
 
-// Listeners lists the other daemons that have subscribers of a topic, in order.
-func (o *Overlay) Listeners(planeName, topic string) []string {
+// SubscribedDaemons lists the other daemons that have subscribers of a topic, in order.
+func (o *Overlay) SubscribedDaemons(planeName, topic string) []string {
 	number := config.TopicNumber(topic)
 	here := o.cellAt(planeName, number)
 	if here == nil {
@@ -260,8 +137,8 @@
 	return names
 }
 
-// Presence counts the subscribers of a topic on all other daemons.
-func (o *Overlay) Presence(planeName, topic string) int {
+// Subscribers counts the subscribers of a topic on all other daemons.
+func (o *Overlay) Subscribers(planeName, topic string) int {
 	number := config.TopicNumber(topic)
 	here := o.cellAt(planeName, number)
 	if here == nil {
@@ -303,36 +180,19 @@
 	peer.region = newRegion(peer.self.At)
 	peer.cell, here.peer = here, peer
 	peer.holders++
-	o.await(now, peer, true, nil, effects)
-	o.checkSoon(now)
+	o.whenJoined(now, peer, true, nil, effects)
+	o.scheduleCheck(now)
 	return here
 }
 
-// settled tells whether the peer has joined and was told by all it knows.
-func (c *cell) settled() bool {
-	if c.reached {
-		return true
-	}
-	if c.peer.joining != nil || len(c.peer.pending) > 0 {
-		return false
-	}
-	for _, known := range c.members {
-		if !known.heard {
-			return false
-		}
-	}
-	c.reached = true
-	return true
-}
-
-// settleCells calls those who waited for a cell.
-func (o *Overlay) settleCells(now time.Time, effects *statemachine.Effects) {
+// completeWaiting calls those who waited for a cell.
+func (o *Overlay) completeWaiting(now time.Time, effects *statemachine.Effects) {
 	for _, where := range statemachine.Sorted(o.planes) {
 		for _, here := range where.cells {
 			if here == nil || len(here.waiting) == 0 {
 				continue
 			}
-			settled := here.settled()
+			settled := here.joined()
 			if !settled && here.until.After(now) {
 				o.timers.ArmSooner("reach", here.until)
 				continue
@@ -350,7 +210,7 @@
 // meet notes another daemon's peer in the cell, which gets the whole.
 func (o *Overlay) meet(now time.Time, here *cell, key PeerKey) {
 	earlier, found := here.members[key.Daemon]
-	if found && (earlier.key == key || earlier.key.Life > key.Life || earlier.key.Life == key.Life && earlier.key.Number > key.Number) {
+	if found && (earlier.key == key || earlier.key.Incarnation > key.Incarnation || earlier.key.Incarnation == key.Incarnation && earlier.key.Number > key.Number) {
 		return
 	}
 	if found {
@@ -374,25 +234,6 @@
 	o.timers.ArmSooner("owed", now.Add(gatherFor))
 }
 
-// part forgets another daemon's peer in the cell with all that it told.
-func (c *cell) part(key PeerKey) {
-	if known, found := c.members[key.Daemon]; !found || known.key != key {
-		return
-	}
-	c.digest ^= keyHash(key)
-	delete(c.members, key.Daemon)
-	delete(c.owed, key.Daemon)
-	if position, found := slices.BinarySearch(c.order, key.Daemon); found {
-		c.order = slices.Delete(c.order, position, position+1)
-	}
-}
-
-// afresh forgets all others of the cell; they are to be found and told anew.
-func (c *cell) afresh() {
-	c.members, c.order, c.owed = map[string]*member{}, nil, map[string]bool{}
-	c.reached, c.digest = false, 0
-}
-
 // notify puts a notice into the frame to a daemon.
 func (o *Overlay) notify(daemon, planeName string, notice Notice) *Notices {
 	gateway, alive := o.gateways[daemon]
@@ -408,64 +249,18 @@
 			return &frame.Notices[position]
 		}
 	}
-	frame.Notices = append(frame.Notices, Notices{Daemon: o.daemon, Life: o.life, Plane: planeName, Notices: []Notice{notice}})
+	frame.Notices = append(frame.Notices, Notices{Daemon: o.daemon, Incarnation: o.life, Plane: planeName, Notices: []Notice{notice}})
 	return &frame.Notices[len(frame.Notices)-1]
 }
 
-func (c *cell) notice(kind uint8) Notice {
-	return Notice{Kind: kind, Cell: c.number, Number: c.peer.self.Key.Number, Change: c.peer.self.Change, Sequence: c.sequence, Digest: c.digestHere()}
-}
-
-// digestHere sums up all peers of the cell that are known, this one too.
-func (c *cell) digestHere() uint64 { return c.digest ^ keyHash(c.peer.self.Key) }
-
-// keyHash is a number for a peer's key.
-func keyHash(key PeerKey) uint64 {
-	sum := fnv.New64a()
-	_, _ = sum.Write([]byte(key.Daemon))
-	return mix(sum.Sum64() ^ mix(key.Life^mix(key.Number)))
-}
-
-func mix(value uint64) uint64 {
-	value ^= value >> 30
-	value *= 0xbf58476d1ce4e5b9
-	value ^= value >> 27
-	value *= 0x94d049bb133111eb
-	return value ^ value>>31
-}
-
-// whole tells all counts, as of the newest notice.
-func (c *cell) whole() Notice {
-	notice := c.notice(NoticeWhole)
-	for topic := range statemachine.Sorted(c.counts) {
-		count := c.counts[topic]
-		if told, changed := c.changed[topic]; changed {
-			count = told
-		}
-		notice.add(topic, count)
-	}
-	for topic, told := range statemachine.Sorted(c.changed) {
-		if _, counted := c.counts[topic]; !counted {
-			notice.add(topic, told)
-		}
-	}
-	return notice
-}
-
-func (n *Notice) add(topic uint64, count uint32) {
-	if count > 0 || n.Kind != NoticeWhole {
-		n.Topics, n.Counts = append(n.Topics, topic), append(n.Counts, count)
-	}
-}
-
-// giveOwed tells the whole to all who are newly known or asked for it.
-func (o *Overlay) giveOwed() {
+// sendOwed tells the whole to all who are newly known or asked for it.
+func (o *Overlay) sendOwed() {
 	for _, where := range statemachine.Sorted(o.planes) {
 		for _, here := range where.cells {
 			if here == nil || len(here.owed) == 0 {
 				continue
 			}
-			whole := here.whole()
+			whole := here.completeNotice()
 			for daemon := range statemachine.Sorted(here.owed) {
 				o.notify(daemon, where.name, whole)
 			}
@@ -474,9 +269,9 @@
 	}
 }
 
-// tellChanges sends the changes of the cells that are due. With one that is due
+// sendChanges sends the changes of the cells that are due. With one that is due
 // go those of the others, since the frames go out anyhow.
-func (o *Overlay) tellChanges(now time.Time) {
+func (o *Overlay) sendChanges(now time.Time) {
 	var next time.Time
 	any := false
 	for _, where := range o.planes {
@@ -505,7 +300,7 @@
 				continue
 			}
 			// The whole that is owed goes first, so that the changes follow it.
-			o.giveOwed()
+			o.sendOwed()
 			here.sequence++
 			notice := here.notice(NoticeChanges)
 			notice.Digest = 0
@@ -529,13 +324,13 @@
 	} else {
 		o.paced = 0
 	}
-	o.paceUntil = now.Add(min(longer(paceEach*time.Duration(len(o.gateways)), o.paced), max(countsWait, paceEach*time.Duration(len(o.gateways)))))
+	o.paceUntil = now.Add(min(backoff(paceEach*time.Duration(len(o.gateways)), o.paced), max(countsDelay, paceEach*time.Duration(len(o.gateways)))))
 }
 
 // check tells others the numbers of the newest notices here: all those that
 // share a cell, and some of the rest in turn.
 func (o *Overlay) check(now time.Time) {
-	if o.checks++; now.Sub(o.checked) >= checkEvery {
+	if o.checks++; now.Sub(o.checked) >= checkInterval {
 		o.checks = 0
 	}
 	o.checked = now
@@ -557,7 +352,7 @@
 		}
 		var strangers []string
 		for daemon := range statemachine.Sorted(o.gateways) {
-			if sharing[daemon] && o.checkTurn%numbersEach != 0 {
+			if sharing[daemon] && o.checkTurn%numbersEveryChecks != 0 {
 				o.levelWith(daemon, where)
 			} else if sharing[daemon] {
 				o.checkWith(daemon, where, false)
@@ -565,13 +360,13 @@
 				strangers = append(strangers, daemon)
 			}
 		}
-		for range min(len(strangers), strangersEach) {
+		for range min(len(strangers), unknownDaemonsPerCheck) {
 			o.checkWith(strangers[where.turn%len(strangers)], where, true)
 			where.turn++
 		}
 	}
 	if any {
-		o.timers.Arm("checks", now.Add(checkEvery))
+		o.timers.Arm("checks", now.Add(checkInterval))
 	}
 }
 
@@ -587,7 +382,7 @@
 	level := where.level(func(here *cell) (levelPart, bool) {
 		return levelPart{number: here.peer.self.Key.Number, sequence: here.sequence}, true
 	})
-	frame.Notices = append(frame.Notices, Notices{Daemon: o.daemon, Life: o.life, Plane: where.name, Level: level})
+	frame.Notices = append(frame.Notices, Notices{Daemon: o.daemon, Incarnation: o.life, Plane: where.name, Level: level})
 }
 
 // levelPart is what a daemon's level says of one cell.
@@ -614,27 +409,27 @@
 func (p *plane) levelOf(daemon string, life uint64) uint64 {
 	return p.level(func(here *cell) (levelPart, bool) {
 		known, found := here.members[daemon]
-		if !found || !known.heard || known.key.Life != life {
+		if !found || !known.heard || known.key.Incarnation != life {
 			return levelPart{}, false
 		}
 		return levelPart{number: known.key.Number, sequence: known.sequence}, true
 	})
 }
 
-// takeLevel asks for the numbers of the newest notices unless all are known.
-func (o *Overlay) takeLevel(where *plane, told Notices) {
+// handleLevel asks for the numbers of the newest notices unless all are known.
+func (o *Overlay) handleLevel(where *plane, told Notices) {
 	gateway := o.gateways[told.Daemon]
-	if where != nil && where.levelOf(told.Daemon, told.Life) == told.Level {
+	if where != nil && where.levelOf(told.Daemon, told.Incarnation) == told.Level {
 		return
 	}
 	frame := o.frame(gateway.Address)
-	frame.Notices = append(frame.Notices, Notices{Daemon: o.daemon, Life: o.life, Plane: told.Plane, Answer: true})
+	frame.Notices = append(frame.Notices, Notices{Daemon: o.daemon, Incarnation: o.life, Plane: told.Plane, Answer: true})
 }
 
-// checkSoon lets a comparison follow a change in whom this daemon knows, so
+// scheduleCheck lets a comparison follow a change in whom this daemon knows, so
 // that joins at the same time find each other.
-func (o *Overlay) checkSoon(now time.Time) {
-	at := o.checked.Add(longer(checkAgain, o.checks))
+func (o *Overlay) scheduleCheck(now time.Time) {
+	at := o.checked.Add(backoff(checkAgain, o.checks))
 	if soon := now.Add(checkAfter); at.Before(soon) {
 		at = soon
 	}
@@ -654,42 +449,37 @@
 	}
 }
 
-// takeNotices handles what another daemon's peers tell.
-func (o *Overlay) takeNotices(now time.Time, told Notices) {
+// handleNotices handles what another daemon's peers tell.
+func (o *Overlay) handleNotices(now time.Time, told Notices) {
 	gateway, alive := o.gateways[told.Daemon]
-	if !alive || told.Life < gateway.Joined || told.Daemon == o.daemon {
+	if !alive || told.Incarnation < gateway.Joined || told.Daemon == o.daemon {
 		return
 	}
 	where, found := o.planes[told.Plane]
 	if told.Level != 0 {
-		o.takeLevel(where, told)
+		o.handleLevel(where, told)
 	}
 	for _, notice := range told.Notices {
 		if notice.Cell >= CellCount || !notice.fits() {
 			continue
 		}
-		key := PeerKey{Daemon: told.Daemon, Life: told.Life, Number: notice.Number}
+		key := PeerKey{Daemon: told.Daemon, Incarnation: told.Incarnation, Number: notice.Number}
 		if found && notice.Kind == NoticeCheck {
 			o.border(now, where, key, notice)
 		}
 		if !found || where.cells[notice.Cell] == nil {
-			if notice.Kind != NoticeGone && notice.Kind != NoticeCheck {
-				o.notify(told.Daemon, told.Plane, Notice{Kind: NoticeGone, Cell: notice.Cell})
+			if notice.Kind != NoticeAbsent && notice.Kind != NoticeCheck {
+				o.notify(told.Daemon, told.Plane, Notice{Kind: NoticeAbsent, Cell: notice.Cell})
 			}
 			continue
 		}
-		o.takeNotice(now, where.cells[notice.Cell], key, notice)
+		o.handleNotice(now, where.cells[notice.Cell], key, notice)
 	}
 	if found && told.Answer {
 		o.checkWith(told.Daemon, where, false)
 	}
 }
 
-// fits tells whether a notice has as many counts as it should.
-func (n *Notice) fits() bool {
-	return n.Kind == NoticeDiffers || n.Kind == NoticeLacks || len(n.Topics) == len(n.Counts)
-}
-
 // border lets the peers here whose regions a peer of another cell would cut
 // learn of it.
 func (o *Overlay) border(now time.Time, where *plane, key PeerKey, notice Notice) {
@@ -704,16 +494,16 @@
 	}
 }
 
-func (o *Overlay) takeNotice(now time.Time, here *cell, key PeerKey, notice Notice) {
+func (o *Overlay) handleNotice(now time.Time, here *cell, key PeerKey, notice Notice) {
 	known, found := here.members[key.Daemon]
-	if notice.Kind == NoticeGone {
+	if notice.Kind == NoticeAbsent {
 		if found {
 			o.drop(now, here.peer, known.key)
 		}
 		return
 	}
 	if !found || known.key != key {
-		if found && known.key.Life == key.Life && known.key.Number > key.Number {
+		if found && known.key.Incarnation == key.Incarnation && known.key.Number > key.Number {
 			return
 		}
 		o.learn(now, here.peer, key, []Peer{cellPeer(key, here.number, notice.Change)}, true)
@@ -722,13 +512,13 @@
 		}
 	}
 	switch notice.Kind {
-	case NoticeWhole:
+	case NoticeComplete:
 		if known.heard && notice.Sequence < known.sequence {
 			return
 		}
 		known.heard, known.sequence, known.asks, known.wanted = true, notice.Sequence, 0, false
 		known.counts = make(map[uint64]uint32, len(notice.Topics))
-		known.take(notice)
+		known.apply(notice)
 	case NoticeChanges:
 		if statemachine.Mutated("gaps-unheeded") && known.heard {
 			known.sequence = max(known.sequence, notice.Sequence-1)
@@ -737,17 +527,17 @@
 		case known.heard && notice.Sequence <= known.sequence:
 		case known.heard && notice.Sequence == known.sequence+1:
 			known.sequence = notice.Sequence
-			known.take(notice)
+			known.apply(notice)
 		default:
-			o.ask(now, here, known)
+			o.requestComplete(now, here, known)
 		}
 	case NoticeCheck:
 		if !known.heard || notice.Sequence > known.sequence {
-			o.ask(now, here, known)
+			o.requestComplete(now, here, known)
 		}
 	case NoticeAsk:
 		o.owe(now, here, key.Daemon)
-	case NoticeDiffers, NoticeLacks:
+	case NoticeDiffers, NoticeMissing:
 		o.level(here, key, notice)
 		// It knows now, or soon, what is known here.
 		notice.Digest = here.digestHere()
@@ -763,33 +553,17 @@
 	}
 }
 
-func (m *member) take(notice Notice) {
-	if m.counts == nil {
-		m.counts = map[uint64]uint32{}
-	}
-	for position, topic := range notice.Topics {
-		if count := notice.Counts[position]; count > 0 {
-			m.counts[topic] = count
-		} else {
-			delete(m.counts, topic)
-		}
-	}
-}
-
 // merge learns the peers of a cell that another one names.
-func (o *Overlay) merge(now time.Time, here *cell, teller PeerKey, members []PeerKey) {
+func (o *Overlay) merge(now time.Time, here *cell, sender PeerKey, members []PeerKey) {
 	var others []Peer
 	for _, each := range members {
 		if known, met := here.members[each.Daemon]; !met || known.key != each {
 			others = append(others, cellPeer(each, here.number, 0))
 		}
 	}
-	o.learn(now, here.peer, teller, others, false)
+	o.learn(now, here.peer, sender, others, false)
 }
 
-// shortHash sums a peer's key up in a comparison.
-func shortHash(key PeerKey) uint32 { return uint32(keyHash(key) >> 32) }
-
 // level names to a peer those of the cell that it did not sum up, and asks it for
 // those whom nobody here knows.
 func (o *Overlay) level(here *cell, key PeerKey, notice Notice) {
@@ -814,21 +588,10 @@
 		o.notify(key.Daemon, here.plane.name, answer)
 	}
 	if matched < len(summed) && notice.Kind == NoticeDiffers {
-		o.notify(key.Daemon, here.plane.name, here.sums(NoticeLacks, key))
+		o.notify(key.Daemon, here.plane.name, here.sums(NoticeMissing, key))
 	}
 }
 
-// sums sums up the others of a cell for one of them.
-func (c *cell) sums(kind uint8, to PeerKey) Notice {
-	notice := c.notice(kind)
-	for _, name := range c.order {
-		if key := c.members[name].key; key != to {
-			notice.Counts = append(notice.Counts, shortHash(key))
-		}
-	}
-	return notice
-}
-
 // compareMembers tells, in each cell, one of those that seem to know others
 // there than are known here whom this peer knows.
 func (o *Overlay) compareMembers(now time.Time) {
@@ -853,7 +616,7 @@
 					// whether they still differ.
 					continue
 				}
-				if known.compared == digest^known.digest && now.Sub(known.comparedAt) < checkEvery {
+				if known.compared == digest^known.digest && now.Sub(known.comparedAt) < checkInterval {
 					continue
 				}
 				differing = append(differing, known)
@@ -869,10 +632,10 @@
 	}
 }
 
-// ask asks a peer for the whole, at once or when the answer to an earlier question
+// requestComplete asks a peer for the whole, at once or when the answer to an earlier question
 // is overdue.
-func (o *Overlay) ask(now time.Time, here *cell, known *member) {
-	if due := known.askAgainAt(); due.After(now) {
+func (o *Overlay) requestComplete(now time.Time, here *cell, known *member) {
+	if due := known.nextRequestAt(); due.After(now) {
 		known.wanted = true
 		o.timers.ArmSooner("asks", due)
 		return
@@ -882,16 +645,8 @@
 	o.notify(known.key.Daemon, here.plane.name, here.notice(NoticeAsk))
 }
 
-// askAgainAt is when it may be asked for the whole.
-func (m *member) askAgainAt() time.Time {
-	if m.asked.IsZero() {
-		return m.asked
-	}
-	return m.asked.Add(longer(askAgain, min(m.asks, asksDouble)))
-}
-
-// askOverdue asks those again whose answers are overdue.
-func (o *Overlay) askOverdue(now time.Time) {
+// retryRequests asks those again whose answers are overdue.
+func (o *Overlay) retryRequests(now time.Time) {
 	for _, where := range statemachine.Sorted(o.planes) {
 		for _, here := range where.cells {
 			if here == nil {
@@ -899,7 +654,7 @@
 			}
 			for _, name := range here.order {
 				if known := here.members[name]; known.wanted {
-					o.ask(now, here, known)
+					o.requestComplete(now, here, known)
 				}
 			}
 		}
