--- a/internal/consensus/forms_test.go
+++ b/internal/consensus/forms_test.go
@@ -26,40 +26,40 @@
 
 func TestStoredFormsHaveExplicitKeys(t *testing.T) { storedforms.CheckKeys(t, storedForms()) }
 
-// noLedger stands for the control state, which has tests of its own.
-type noLedger struct{ applied, restored, bytes int }
+// countingState stands for the control state, which has tests of its own.
+type countingState struct{ applied, restored, bytes int }
 
-func (nl *noLedger) Apply(_ time.Time, command []byte) {
-	nl.applied++
-	nl.bytes += len(command)
+func (cs *countingState) Apply(_ time.Time, command []byte) {
+	cs.applied++
+	cs.bytes += len(command)
 }
-func (nl *noLedger) Snapshot() []byte { return nil }
-func (nl *noLedger) Restore(packed []byte) error {
-	nl.restored++
-	nl.bytes += len(packed)
+func (cs *countingState) Snapshot() []byte { return nil }
+func (cs *countingState) Restore(packed []byte) error {
+	cs.restored++
+	cs.bytes += len(packed)
 	return nil
 }
 
 func TestRecordedFoldersAreReadAsBefore(t *testing.T) {
 	var lines []string
 	for _, folder := range storedforms.Folders(t, "../storedforms", "controller") {
-		if len(folder.Frame) > 0 {
-			storedforms.CheckRewrite[diskFrame](t, folder.Name, folder.Frame)
+		if len(folder.Snapshot) > 0 {
+			storedforms.CheckRewrite[diskSnapshot](t, folder.Name, folder.Snapshot)
 		}
 		for position, packed := range folder.Entries {
 			storedforms.CheckRewrite[diskEntry](t, fmt.Sprintf("%s, entry %d", folder.Name, position), packed)
 		}
-		ledger := &noLedger{}
-		settings := Settings{Self: Controller{Name: "controller-1"}, Count: 3, Incarnation: 1}
-		watch, err := New(settings, ledger, folder.Frame, folder.Entries)
+		state := &countingState{}
+		settings := Settings{Self: Controller{Name: "controller-1"}, ClusterSize: 3, Incarnation: 1}
+		node, err := New(settings, state, folder.Snapshot, folder.Entries)
 		if err != nil {
 			t.Errorf("%s: %v", folder.Name, err)
 			continue
 		}
 		lines = append(lines, fmt.Sprintf("%s: index %d, %d commands, %d states, %d bytes",
-			folder.Name, watch.index, ledger.applied, ledger.restored, ledger.bytes))
-		lines = append(lines, storedforms.Describe(t, "durable", watch.durable)...)
-		lines = append(lines, storedforms.Describe(t, "spares", watch.heldFrames())...)
+			folder.Name, node.appliedIndex, state.applied, state.restored, state.bytes))
+		lines = append(lines, storedforms.Describe(t, "durable", node.hardState)...)
+		lines = append(lines, storedforms.Describe(t, "spares", node.stagedSnapshots())...)
 	}
 	storedforms.Compare(t, "folders.txt", lines)
 }
--- a/internal/partition/forms_test.go
+++ b/internal/partition/forms_test.go
@@ -33,20 +33,20 @@
 func TestRecordedFoldersAreReadAsBefore(t *testing.T) {
 	var lines []string
 	for _, folder := range storedforms.Folders(t, "../storedforms", "store") {
-		if len(folder.Frame) > 0 {
-			storedforms.CheckRewrite[diskFrame](t, folder.Name, folder.Frame)
+		if len(folder.Snapshot) > 0 {
+			storedforms.CheckRewrite[diskFrame](t, folder.Name, folder.Snapshot)
 		}
 		for position, packed := range folder.Entries {
 			storedforms.CheckRewrite[diskEntry](t, fmt.Sprintf("%s, entry %d", folder.Name, position), packed)
 		}
 		settings := Settings{Self: membership.Member{Name: "store-1", Address: "store-1:1"}, Incarnation: 1}
-		store, err := New(settings, folder.Frame, folder.Entries)
+		store, err := New(settings, folder.Snapshot, folder.Entries)
 		if err != nil {
 			t.Errorf("%s: %v", folder.Name, err)
 			continue
 		}
 		lines = append(lines, fmt.Sprintf("%s: disk %s, %d entries, %d bytes torn, snapshot %x", folder.Name,
-			store.disk, len(folder.Entries), folder.Torn, sha256.Sum256(snapshotOf(store))))
+			store.disk, len(folder.Entries), folder.TornBytes, sha256.Sum256(snapshotOf(store))))
 		for name, partition := range statemachine.Sorted(store.partitions) {
 			lines = append(lines, storedforms.Describe(t, name, partition.log)...)
 		}
--- a/internal/storedforms/folders_test.go
+++ b/internal/storedforms/folders_test.go
@@ -20,14 +20,14 @@
 	var lines []string
 	for _, folder := range storedforms.Folders(t, ".", "controller") {
 		self := membership.Member{Name: "controller-1", Address: "controller-1:1", Zone: "zone-1"}
-		machine, err := controller.New(controller.Settings{Self: self, Count: 3, Incarnation: 1}, folder.Frame, folder.Entries)
+		machine, err := controller.New(controller.Settings{Self: self, Count: 3, Incarnation: 1}, folder.Snapshot, folder.Entries)
 		if err != nil {
 			t.Errorf("%s: %v", folder.Name, err)
 			continue
 		}
 		lines = append(lines, fmt.Sprintf("%s: %d entries, %d bytes torn, index %d, complete %d, blank %t",
-			folder.Name, len(folder.Entries), folder.Torn,
-			machine.Node().Index(), machine.Node().Complete(), machine.Node().Blank()))
+			folder.Name, len(folder.Entries), folder.TornBytes,
+			machine.Node().AppliedIndex(), machine.Node().CompleteEpoch(), machine.Node().Blank()))
 		lines = append(lines, storedforms.Describe(t, "epoch", machine.Node().Record())...)
 		lines = append(lines, storedforms.Describe(t, "state", machine.State())...)
 	}
@@ -37,7 +37,7 @@
 func TestCommandsAndStatesInFoldersAreWrittenAsBefore(t *testing.T) {
 	commands, states := 0, 0
 	for _, folder := range storedforms.Folders(t, ".", "controller") {
-		for position, packed := range append(folder.Entries, folder.Frame) {
+		for position, packed := range append(folder.Entries, folder.Snapshot) {
 			if len(packed) == 0 {
 				continue
 			}
