--- a/internal/gateway/draining.go
+++ b/internal/gateway/draining.go
@@ -40,7 +40,7 @@
 		for name, member := range statemachine.Sorted(g.viewClient.Members) {
 			near := member.Zone == g.settings.Self.Zone
 			if name != g.settings.Self.Name && member.Kind == membership.KindGateway && member.Alive && !member.Resting &&
-				!slices.Contains(g.config.Drains, name) && near == (pass == 0) {
+				!slices.Contains(g.config.Draining, name) && near == (pass == 0) {
 				members = append(members, member)
 			}
 		}
--- a/internal/gateway/messages.go
+++ b/internal/gateway/messages.go
@@ -45,7 +45,7 @@
 // LinkClass tells that a passing message is of use now or never.
 func (rc RoutedCopy) LinkClass() transport.Class {
 	if rc.Ephemeral {
-		return transport.ClassUrgent
+		return transport.ClassTransient
 	}
 	return transport.ClassLive
 }
--- a/internal/gateway/session.go
+++ b/internal/gateway/session.go
@@ -142,7 +142,7 @@
 // one that is only full or out of touch sends nobody on, since the others may be
 // so too and would send them back.
 func (g *Gateway) draining() bool {
-	return g.stopping || g.viewClient.Directives.Rest || slices.Contains(g.config.Drains, g.settings.Self.Name)
+	return g.stopping || g.viewClient.Directives.Rest || slices.Contains(g.config.Draining, g.settings.Self.Name)
 }
 
 // redirectClient opens a channel only to say where its origin is better served: that
--- a/internal/transport/kinds_test.go
+++ b/internal/transport/kind_counters_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-func TestKindsAreCountedByTheirNames(t *testing.T) {
-	sums := newKindSums()
+func TestKindCountersCountByName(t *testing.T) {
+	sums := newKindCounters()
 	sums.add(preamble{}, 12)
 	sums.add(preamble{}, 30)
 	sums.add("no message", 99)
