--- a/internal/gateway/routed_publish.go
+++ b/internal/gateway/routed_publish.go
@@ -104,26 +104,26 @@
 	item.open[g.nextRequest] = true
 	g.routed.sends[g.nextRequest] = item
 	effects.Send(address, partition.Append{
-		Partition: item.partition, Request: g.nextRequest, Topic: item.request.Topic, Sender: item.request.Sender, Seq: item.request.Seq, Data: data, Bare: item.bare,
+		Partition: item.partition, RequestID: g.nextRequest, Topic: item.request.Topic, Sender: item.request.Sender, Seq: item.request.Seq, Data: data, OffsetOnly: item.bare,
 	})
 }
 
 func (g *Gateway) handleRoutedResponse(now time.Time, item *routedPublication, response partition.AppendResponse, effects *statemachine.Effects) {
-	delete(item.open, response.Request)
-	delete(g.routed.sends, response.Request)
+	delete(item.open, response.RequestID)
+	delete(g.routed.sends, response.RequestID)
 	switch response.Outcome {
-	case partition.Accepted:
+	case partition.OutcomeAccepted:
 		g.routed.accepted[routedKey{topic: item.request.Topic, sender: item.request.Sender, seq: item.request.Seq}] = now
 		record := response.Record
 		record.Topic, record.Sender, record.Seq, record.Data = item.request.Topic, item.request.Sender, item.request.Seq, item.request.Data
-		if !response.Again || item.bare || item.sends > 1 {
+		if !response.Duplicate || item.bare || item.sends > 1 {
 			// What was kept before and is not passed on now is found by the
 			// partition's heads; a passing message is not, and who had it, or a
 			// later one, lets it fall.
 			g.fanOutRouted(now, item, record, effects)
 		}
 		g.answerRouted(now, item, acceptedReply(nil), effects)
-	case partition.Refused:
+	case partition.OutcomeRejected:
 		switch {
 		case response.Code == "not-first":
 			g.viewClient.PollNow(now)
@@ -145,7 +145,7 @@
 func (g *Gateway) fanOutRouted(now time.Time, item *routedPublication, record partition.Record, effects *statemachine.Effects) {
 	g.handleRoutedCopy(now, record, effects)
 	copied := RoutedCopy{
-		Topic: record.Topic, Sender: record.Sender, Seq: record.Seq, Offset: record.Offset, PriorDistance: record.Offset - record.Prior, Data: record.Data,
+		Topic: record.Topic, Sender: record.Sender, Seq: record.Seq, Offset: record.Offset, PriorDistance: record.Offset - record.PreviousInTopic, Data: record.Data,
 		Ephemeral: item.bare,
 	}
 	g.overlay.AwaitCell(now, routedPlane, item.request.Topic, func(now time.Time, effects *statemachine.Effects, settled bool) {
--- a/internal/gateway/subscription.go
+++ b/internal/gateway/subscription.go
@@ -245,7 +245,7 @@
 
 func (i Interest) matches(topic string) bool {
 	if i.Prefix {
-		return partition.Under(topic, i.Path)
+		return partition.HasTopicPrefix(topic, i.Path)
 	}
 	return topic == i.Path
 }
--- /dev/null
+++ b/internal/partition/fetch.go
@@ -0,0 +1,144 @@
+package partition
+
+import (
+	"slices"
+
+	"dahlialock/internal/config"
+	"dahlialock/internal/statemachine"
+)
+
+const (
+	// maxFetchRecords bounds the records of one response to Fetch, and those of one topic in a
+	// response to FetchTopics.
+	maxFetchRecords = 512
+	// maxFetchBytes is how many bytes of data a response to Fetch holds before it ends. The last
+	// record may exceed it.
+	maxFetchBytes = 1 << 20
+)
+
+// servingReplica gives a partition that this store leads and whose records may be read.
+func (s *Store) servingReplica(name string) (*replica, bool) {
+	partition, found := s.replicas[name]
+	if !found || !s.Ready() || !s.isLeader(partition) || !partition.established() {
+		return nil, false
+	}
+	return partition, true
+}
+
+// handleFetch answers a gateway with the records after its offset that match its interest.
+func (s *Store) handleFetch(from string, request Fetch, effects *statemachine.Effects) {
+	s.Counts.Fetches++
+	response := FetchResponse{Partition: request.Partition, RequestID: request.RequestID}
+	if partition, serving := s.servingReplica(request.Partition); serving {
+		partition.fetch(request, &response)
+		s.Counts.FetchRecords += uint64(len(response.Records))
+	}
+	effects.Send(from, response)
+}
+
+// fetch completes a response with what the replica holds.
+func (r *replica) fetch(request Fetch, response *FetchResponse) {
+	response.Ready = true
+	response.Epoch = r.placement.Epoch
+	response.Base = r.log.BaseOffset
+	response.HighWatermark = r.highWatermark
+	response.Until = r.highWatermark
+	if config.IsShared(request.Partition) {
+		response.Expired = r.log.hasExpired(request.After, request.Topics, request.Prefixes)
+	}
+	bytes := 0
+	for _, record := range r.candidates(request) {
+		if record.Offset > r.highWatermark {
+			return
+		}
+		if !request.wants(record) {
+			continue
+		}
+		if len(response.Records) == maxFetchRecords || bytes > maxFetchBytes {
+			response.Until = record.Offset - 1
+			return
+		}
+		bytes += len(record.Data)
+		response.Records = append(response.Records, record)
+	}
+}
+
+// candidates gives all records that a request may ask for, and others. A shared partition
+// holds many topics, so there only those of the named topics are visited.
+func (r *replica) candidates(request Fetch) []Record {
+	if len(request.Prefixes) == 0 && config.IsShared(request.Partition) {
+		return r.log.recordsOf(request.Topics, request.After, r.highWatermark)
+	}
+	return r.log.recordsAfter(request.After)
+}
+
+// wants tells whether a request asks for a record.
+func (f Fetch) wants(record Record) bool {
+	return !record.OffsetOnly &&
+		Matches(record.Topic, f.Topics, f.Prefixes) &&
+		!slices.Contains(f.SkipOffsets, record.Offset)
+}
+
+// handleFetchTopics answers a gateway with the records of many topics, each after an offset
+// of its own.
+func (s *Store) handleFetchTopics(from string, request FetchTopics, effects *statemachine.Effects) {
+	s.Counts.Fetches++
+	response := FetchTopicsResponse{
+		RequestID: request.RequestID,
+		Topics:    make([]TopicRecords, len(request.Topics)),
+	}
+	described := map[string]bool{}
+	remaining := request.MaxBytes
+	for position, cursor := range request.Topics {
+		name := config.SharedPartition(cursor.Topic)
+		partition, serving := s.servingReplica(name)
+		if !serving {
+			continue
+		}
+		if !described[name] {
+			described[name] = true
+			response.Partitions = append(response.Partitions, partition.state())
+		}
+		response.Topics[position] = partition.fetchTopic(cursor, &remaining, position == 0)
+		s.Counts.FetchRecords += uint64(len(response.Topics[position].Records))
+	}
+	effects.Send(from, response)
+}
+
+// state describes the replica to a gateway.
+func (r *replica) state() PartitionState {
+	return PartitionState{
+		Partition:     r.log.Name,
+		Epoch:         r.placement.Epoch,
+		Base:          r.log.BaseOffset,
+		HighWatermark: r.highWatermark,
+	}
+}
+
+// fetchTopic gives a topic's accepted records within the remaining bytes, which it uses up.
+// The first record of a response is given whatever its size.
+func (r *replica) fetchTopic(cursor TopicCursor, remaining *int, first bool) TopicRecords {
+	found := TopicRecords{
+		Until:   r.highWatermark,
+		Expired: r.log.hasExpired(cursor.After, []string{cursor.Topic}, nil),
+	}
+	if found.Expired {
+		return found
+	}
+	for _, record := range r.log.recordsOf([]string{cursor.Topic}, cursor.After, r.highWatermark) {
+		fits := len(record.Data) <= *remaining && len(found.Records) < maxFetchRecords
+		always := first && len(found.Records) == 0
+		if found.RemainingBytes == 0 && (fits || always) {
+			*remaining -= len(record.Data)
+			found.Records = append(found.Records, record)
+			continue
+		}
+		if found.RemainingBytes == 0 {
+			found.Until = record.Offset - 1
+			*remaining = 0
+		}
+		// At least one, so that it is above zero from here on if the record has no data.
+		found.RemainingBytes += max(1, len(record.Data))
+	}
+	return found
+}
--- a/internal/partition/forms_test.go
+++ b/internal/partition/forms_test.go
@@ -15,7 +15,7 @@
 func storedForms() []storedforms.Form {
 	return []storedforms.Form{
 		{Name: "entry", Type: reflect.TypeFor[diskEntry]()},
-		{Name: "snapshot", Type: reflect.TypeFor[diskFrame]()},
+		{Name: "snapshot", Type: reflect.TypeFor[diskSnapshot]()},
 		{Name: "log", Type: reflect.TypeFor[log]()},
 	}
 }
@@ -34,7 +34,7 @@
 	var lines []string
 	for _, folder := range storedforms.Folders(t, "../storedforms", "store") {
 		if len(folder.Snapshot) > 0 {
-			storedforms.CheckRewrite[diskFrame](t, folder.Name, folder.Snapshot)
+			storedforms.CheckRewrite[diskSnapshot](t, folder.Name, folder.Snapshot)
 		}
 		for position, packed := range folder.Entries {
 			storedforms.CheckRewrite[diskEntry](t, fmt.Sprintf("%s, entry %d", folder.Name, position), packed)
@@ -47,7 +47,7 @@
 		}
 		lines = append(lines, fmt.Sprintf("%s: disk %s, %d entries, %d bytes torn, snapshot %x", folder.Name,
 			store.disk, len(folder.Entries), folder.TornBytes, sha256.Sum256(snapshotOf(store))))
-		for name, partition := range statemachine.Sorted(store.partitions) {
+		for name, partition := range statemachine.Sorted(store.replicas) {
 			lines = append(lines, storedforms.Describe(t, name, partition.log)...)
 		}
 	}
--- a/internal/transport/bench_test.go
+++ b/internal/transport/bench_test.go
@@ -74,18 +74,18 @@
 	var messages []any
 	for number := range count {
 		record := partition.Record{
-			Offset: uint64(number) + 70000,
-			Epoch:  3,
-			Topic:  "boards/ada/17",
-			Sender: "client-17",
-			Seq:    99,
-			Data:   body,
-			At:     time.Unix(1700000000, 0),
+			Offset:     uint64(number) + 70000,
+			Epoch:      3,
+			Topic:      "boards/ada/17",
+			Sender:     "client-17",
+			Seq:        99,
+			Data:       body,
+			AppendedAt: time.Unix(1700000000, 0),
 		}
 		messages = append(messages,
 			partition.Append{
 				Partition: shared,
-				Request:   123456,
+				RequestID: 123456,
 				Topic:     record.Topic,
 				Sender:    record.Sender,
 				Seq:       record.Seq,
@@ -94,12 +94,12 @@
 			gateway.RecordCopy{Partition: shared, Record: record},
 			partition.AppendResponse{
 				Partition: shared,
-				Request:   123456,
-				Outcome:   partition.Accepted,
+				RequestID: 123456,
+				Outcome:   partition.OutcomeAccepted,
 				Epoch:     3,
 				Record:    record,
 			},
-			partition.CopyResponse{Partition: shared, Epoch: 3, Have: 70000, HaveEpoch: 3},
+			partition.ReplicateResponse{Partition: shared, Epoch: 3, LastOffset: 70000, LastEpoch: 3},
 		)
 	}
 	return messages[:count]
