--- a/cmd/fleetlab/recorded.go
+++ b/cmd/fleetlab/recorded.go
@@ -80,7 +80,7 @@
 		}
 	}
 	if h.size == everything {
-		shapes = slices.Sorted(maps.Keys(simulator.Sizes))
+		shapes = slices.Sorted(maps.Keys(simulator.Shapes))
 	}
 	var chosen []simulator.RecordedRun
 	for _, scenario := range scenarios {
@@ -100,11 +100,11 @@
 	lacks := func(list, name string) bool {
 		return list != everything && !slices.Contains(strings.Split(list, ","), name)
 	}
-	return func(line simulator.Recording) bool {
-		return lacks(h.scenario, line.Scenario) ||
-			given["size"] && lacks(h.size, line.Shape) ||
-			given["from"] && line.Seed < h.from ||
-			given["seeds"] && line.Seed >= h.from+h.seeds
+	return func(recording simulator.Recording) bool {
+		return lacks(h.scenario, recording.Scenario) ||
+			given["size"] && lacks(h.size, recording.Shape) ||
+			given["from"] && recording.Seed < h.from ||
+			given["seeds"] && recording.Seed >= h.from+h.seeds
 	}
 }
 
