--- a/internal/partition/dedup.go
+++ b/internal/partition/dedup.go
@@ -89,8 +89,8 @@
 	return &senderState{}
 }
 
-// MessageDigest is a hash of a message's topic and data, by which two different messages
-// under the same sequence number are told apart.
+// MessageDigest is a hash of a message's topic and data, which differs between two messages
+// under the same sequence number.
 func MessageDigest(topic string, data []byte) uint64 {
 	sum := fnv.New64a()
 	_, _ = sum.Write([]byte(topic))
--- a/internal/partition/disk.go
+++ b/internal/partition/disk.go
@@ -21,7 +21,7 @@
 	Drop      bool
 }
 
-// diskSnapshot is all that a store holds. It replaces the entries before it.
+// diskSnapshot is the complete state of a store. It replaces the entries before it.
 type diskSnapshot struct {
 	Disk       string          `cbor:"Disk"`
 	Partitions map[string]*log `cbor:"Partitions"`
@@ -34,7 +34,7 @@
 type pendingWrite struct {
 	// startedAt counts from the end of a checkpoint before it: see excuseCheckpoint.
 	startedAt time.Time
-	// checkpoint is set for a snapshot, which is as large as all that the store holds.
+	// checkpoint is set for a snapshot, which is as large as all the store's logs.
 	checkpoint bool
 	callbacks  []syncCallback
 }
@@ -63,7 +63,7 @@
 	return writeQueue{pending: map[uint64]*pendingWrite{}, checkpointBytes: minCheckpointBytes}
 }
 
-// restore reads what the disk holds.
+// restore rebuilds the replicas from the disk's snapshot and the entries after it.
 func (s *Store) restore(snapshot []byte, entries [][]byte) error {
 	if len(snapshot) > 0 {
 		var stored diskSnapshot
@@ -204,7 +204,7 @@
 }
 
 // excuseCheckpoint counts the time of the writes behind a checkpoint from its end on: how long
-// it took says how much the store holds, and not that its disk is slow.
+// it took follows from the size of the logs, and doesn't say that the disk is slow.
 func (s *Store) excuseCheckpoint(now time.Time, checkpoint *pendingWrite) {
 	if now.Sub(checkpoint.startedAt) > maxCheckpointTime {
 		return
@@ -215,8 +215,8 @@
 	}
 }
 
-// handleDiskUnavailable is called again and again while the disk takes no writes. What it
-// holds isn't lost, but this store can accept nothing more.
+// handleDiskUnavailable is called repeatedly while the disk takes no writes. Nothing on it is
+// lost, but this store can accept nothing more.
 func (s *Store) handleDiskUnavailable(now time.Time, effects *statemachine.Effects) {
 	s.writes.unavailable = true
 	for _, partition := range statemachine.Sorted(s.replicas) {
--- a/internal/partition/doc.go
+++ b/internal/partition/doc.go
@@ -4,8 +4,9 @@
 //
 // A record that was acknowledged with OutcomeAccepted lies on the disk of the leader and of
 // every follower of the partition's placement, and every later leader has it. Offsets of a
-// partition rise by one from record to record and are never given twice in one epoch. A
-// resent message is recognised by its sender and sequence number, and is stored once.
+// partition rise by one from record to record and are never assigned twice in one epoch.
+// Within the deduplication window a message that is sent again is recognised by its sender
+// and sequence number, and isn't stored again (dedup.go).
 //
 // # How it works
 //
@@ -28,9 +29,9 @@
 // # Shared partitions
 //
 // The topics of all spaces that are ordered by topic lie in a fixed number of shared
-// partitions (config.IsShared). There a sender's sequence numbers count for each topic on
-// their own, and the log remembers the last offset of a topic for longer than its records,
-// so that a reader learns whether it missed any.
+// partitions (config.IsShared). There a sender's sequence numbers are compared per topic,
+// and the log keeps the last offset of a topic for longer than its records, so that a reader
+// learns whether it missed any.
 //
 // # How it is driven
 //
--- a/internal/partition/fetch.go
+++ b/internal/partition/fetch.go
@@ -36,7 +36,7 @@
 	effects.Send(from, response)
 }
 
-// fetch completes a response with what the replica holds.
+// fetch fills a response from the replica's log.
 func (r *replica) fetch(request Fetch, response *FetchResponse) {
 	response.Ready = true
 	response.Epoch = r.placement.Epoch
--- a/internal/partition/log.go
+++ b/internal/partition/log.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// log is one partition's log as a replica holds it. All of its tables follow from the
+// log is one replica's log of a partition. All of its tables follow from the
 // records appended and dropped, so a follower that has the same records has the same tables.
 //
 // Its encoding is stored in snapshots on disk and sent in InstallSnapshot.
@@ -58,8 +58,8 @@
 	return l.Records[offset-l.BaseOffset-1].Epoch, true
 }
 
-// stillHolds tells whether no snapshot has replaced a record by one of another epoch since
-// it was appended. A record that was dropped counts as held.
+// stillHolds tells whether no record of another epoch has taken a record's offset, in a
+// snapshot, since it was appended. An offset outside the log counts as held.
 func (l *log) stillHolds(record Record) bool {
 	epoch, found := l.epochAt(record.Offset)
 	return !found || epoch == record.Epoch
--- a/internal/partition/messages.go
+++ b/internal/partition/messages.go
@@ -258,8 +258,8 @@
 	Topics    []TopicOffset
 }
 
-// TopicOffset is the newest offset of a topic, which stands by its hash to be short
-// (config.TopicHash).
+// TopicOffset is the newest offset of a topic. The topic is named by config.TopicHash, which
+// is shorter.
 type TopicOffset struct {
 	_         struct{} `cbor:",toarray"`
 	TopicHash uint64
--- a/internal/partition/receive.go
+++ b/internal/partition/receive.go
@@ -67,8 +67,8 @@
 	return s.addReplica(request.Partition), true
 }
 
-// appendReplicated appends the records of a request that are not in the log yet. It stops,
-// and says so, at one in whose place the log has a record of another epoch.
+// appendReplicated appends the records of a request that are not in the log yet. It stops and
+// reports false at an offset where the log has a record of another epoch.
 func (s *Store) appendReplicated(now time.Time, partition *replica, request Replicate) (matches bool) {
 	for position, record := range request.Records {
 		epoch, known := partition.log.epochAt(record.Offset)
@@ -106,8 +106,8 @@
 	})
 }
 
-// sendMismatch tells a leader how far this follower's log reaches, since it doesn't go on
-// where the leader's request does.
+// sendMismatch reports the end of this follower's log to a leader whose request doesn't
+// continue it.
 func (s *Store) sendMismatch(partition *replica, leader string, effects *statemachine.Effects) {
 	lastOffset, lastEpoch := partition.log.end()
 	effects.Send(leader, ReplicateResponse{
--- a/internal/partition/replica.go
+++ b/internal/partition/replica.go
@@ -45,14 +45,14 @@
 	return &replica{log: log, pending: map[uint64][]pendingAppend{}}
 }
 
-// resetLog puts an empty log in place of the present one.
+// resetLog replaces the log by an empty one.
 func (r *replica) resetLog() *log {
 	r.log = newLog(r.log.Name)
 	return r.log
 }
 
 // established tells whether the leader knows the high watermark of the placement's epoch.
-// Only then may it be told to others, and records be read.
+// Only then may it be announced, and records be read.
 func (r *replica) established() bool { return r.servingEpoch == r.placement.Epoch }
 
 // replicatedOffset is how far the leader and all followers have synced. It isn't known
--- a/internal/partition/replicate.go
+++ b/internal/partition/replicate.go
@@ -16,7 +16,8 @@
 	maxReplicateRecords = 512
 )
 
-// replicate sends each follower of a partition that this store leads what it lacks.
+// replicate sends each follower of a partition that this store leads the records that it has
+// not acknowledged.
 func (s *Store) replicate(now time.Time, partition *replica, effects *statemachine.Effects) {
 	if !s.isLeader(partition) {
 		return
--- a/internal/partition/sender_state.go
+++ b/internal/partition/sender_state.go
@@ -6,7 +6,7 @@
 	"dahlialock/internal/statemachine"
 )
 
-// handleSenderStateRequest tells a gateway where a sender's newest messages lie in the
+// handleSenderStateRequest answers with the positions of a sender's newest messages in the
 // partitions that this store leads, so that a sender that came from another gateway keeps its
 // order.
 func (s *Store) handleSenderStateRequest(
--- a/internal/partition/status.go
+++ b/internal/partition/status.go
@@ -2,13 +2,16 @@
 
 // PartitionStatus is one partition as a store sees it.
 type PartitionStatus struct {
-	Epoch         uint64 `json:"epoch"`
-	Leader        bool   `json:"first"`
-	Complete      bool   `json:"complete"`
+	// Epoch is that of the placement, and Complete whether its followers have caught up.
+	Epoch    uint64 `json:"epoch"`
+	Leader   bool   `json:"first"`
+	Complete bool   `json:"complete"`
+	// The log holds the records after Base up to LastOffset. Those up to HighWatermark are
+	// accepted, as far as the store knows.
 	Base          uint64 `json:"base"`
 	LastOffset    uint64 `json:"head"`
 	HighWatermark uint64 `json:"accepted"`
-	// Serving says that the store accepts messages at present.
+	// Serving says that the store leads the partition and accepts messages at present.
 	Serving bool `json:"serving"`
 }
 
