--- a/internal/simulator/simulator.go
+++ b/internal/simulator/simulator.go
@@ -370,7 +370,7 @@
 		book, recovered, err := wal.Open(n.disk)
 		must(err)
 		n.log = book
-		held = storedState{snapshot: recovered.Frame, entries: recovered.Entries}
+		held = storedState{snapshot: recovered.Snapshot, entries: recovered.Entries}
 	}
 	n.Machine = n.build(n, held)
 	simulation.trace("%s starts", n.Name)
@@ -394,13 +394,13 @@
 // losePower stops the disk in the midst of what waits for it, between any two of its
 // operations; of what was not synced each write and each name lasts or not by itself.
 func (n *Node) losePower() {
-	n.disk.Limit(n.simulation.Random.IntN(maxOperationsAtPowerCut))
+	n.disk.FailAfter(n.simulation.Random.IntN(maxOperationsAtPowerCut))
 	for _, write := range n.writes {
 		if n.attemptWrite(write) != nil {
 			break
 		}
 	}
-	n.disk.PowerCut(n.simulation.Random.IntN)
+	n.disk.LosePower(n.simulation.Random.IntN)
 }
 
 // Crash ends a daemon's process as a bug does, while its machine stays up: what
