--- a/internal/controller/configuration_requests.go
+++ b/internal/controller/configuration_requests.go
@@ -79,10 +79,10 @@
 ) {
 	done := func(now time.Time, effects *statemachine.Effects, outcome consensus.Outcome) {
 		switch outcome {
-		case consensus.Refused:
+		case consensus.Rejected:
 			refused := unavailableResponse(codeRefused, "the configuration was not taken")
 			responder.respond(refused, effects)
-		case consensus.Unsettled:
+		case consensus.Indeterminate:
 			unsettled := unavailableResponse(
 				codeUnsettled, "the configuration may have been taken; send the same again")
 			responder.respond(unsettled, effects)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -107,7 +107,7 @@
 	// each gateway was asked last.
 	planner      *consolidation.Planner
 	balancer     *balancing.Balancer
-	economyLease *consensus.Lease
+	economyLease *consensus.RoleLease
 	directives   map[string]membership.Directives
 }
 
@@ -140,7 +140,7 @@
 		return nil, err
 	}
 	controller.node = node
-	controller.economyLease = node.NewLease(economyRole)
+	controller.economyLease = node.NewRoleLease(economyRole)
 	controller.connect()
 	return controller, nil
 }
--- a/internal/controller/controller_cluster_test.go
+++ b/internal/controller/controller_cluster_test.go
@@ -227,7 +227,7 @@
 	n.up, n.queue, n.writing, n.writePending = true, nil, nil, false
 	n.log, n.replayed, err = wal.Open(n.disk)
 	assert.NilError(n.cluster.t, err)
-	n.machine, err = New(n.settings(bootstrap), n.replayed.Frame, n.replayed.Entries)
+	n.machine, err = New(n.settings(bootstrap), n.replayed.Snapshot, n.replayed.Entries)
 	assert.NilError(n.cluster.t, err)
 	n.step(func(now time.Time, effects *statemachine.Effects) { n.machine.Start(now, effects) })
 }
@@ -246,15 +246,15 @@
 		return
 	}
 	if random := n.cluster.random; random != nil {
-		n.disk.Limit(random.IntN(12))
+		n.disk.FailAfter(random.IntN(12))
 		for _, write := range append(n.writing, n.queue...) {
 			if n.perform(write) != nil {
 				break
 			}
 		}
-		n.disk.PowerCut(random.IntN)
+		n.disk.LosePower(random.IntN)
 	} else {
-		n.disk.PowerCut(nil)
+		n.disk.LosePower(nil)
 	}
 	n.up = false
 	n.incarnation++
--- a/internal/controller/economy.go
+++ b/internal/controller/economy.go
@@ -19,10 +19,10 @@
 // role.
 func (c *Controller) runEconomy(now time.Time, effects *statemachine.Effects) {
 	configuration := c.configuration()
-	c.node.AskDuty(now, c.economyLease, effects)
+	c.node.RequestRoleLease(now, c.economyLease, effects)
 	// While the term warms up few gateways have reported, and after a loss of all of them
 	// clients still connect: the fair shares would be far too small.
-	if !c.economyLease.Held(now) || c.warmingUp(now, warmupPeriod) {
+	if !c.economyLease.Valid(now) || c.warmingUp(now, warmupPeriod) {
 		return
 	}
 	directives := c.planner.Plan(now, consolidation.Observation{
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -243,7 +243,7 @@
 		Epoch:    record.Epoch,
 		Index:    c.state.Index,
 		Primary:  record.Primary,
-		Standbys: controllerNames(c.node.Standbys(now)),
+		Standbys: controllerNames(c.node.Learners(now)),
 		Voters:   controllerNames(record.Voters),
 	})
 }
--- a/internal/controller/restart_test.go
+++ b/internal/controller/restart_test.go
@@ -57,7 +57,7 @@
 			version = changes
 			for name, node := range statemachine.Sorted(cluster.nodes) {
 				recovered := node.recoverDisk()
-				read, snapshot := replayBytes(recovered), len(recovered.Frame)
+				read, snapshot := replayBytes(recovered), len(recovered.Snapshot)
 				t.Logf("%d routes, %d changes, %s: snapshot %d bytes, log %d bytes in %d entries",
 					routes, changes, name, snapshot, read, len(recovered.Entries))
 				limit := maxReplayBytes(snapshot, len(sizedDocument(1, routes)))
@@ -91,7 +91,7 @@
 		took, state := cluster.now.Sub(began), len(cluster.primary().machine.state.Snapshot())
 		sent := 0
 		for what, bytes := range cluster.sent {
-			if strings.Contains(what, "consensus.Frame") || strings.Contains(what, "consensus.Append") {
+			if strings.Contains(what, "consensus.InstallSnapshot") || strings.Contains(what, "consensus.Append") {
 				sent += bytes
 			}
 		}
@@ -237,11 +237,11 @@
 	for range b.N {
 		_, recovered, err := wal.Open(primary.disk)
 		assert.NilError(b, err)
-		_, err = New(primary.settings(false), recovered.Frame, recovered.Entries)
+		_, err = New(primary.settings(false), recovered.Snapshot, recovered.Entries)
 		assert.NilError(b, err)
 	}
 	b.StopTimer()
 	b.ReportMetric(float64(len(recovered.Entries)), "entries")
 	b.ReportMetric(float64(replayBytes(recovered)), "log-B")
-	b.ReportMetric(float64(len(recovered.Frame)), "frame-B")
+	b.ReportMetric(float64(len(recovered.Snapshot)), "frame-B")
 }
--- a/internal/controller/settings.go
+++ b/internal/controller/settings.go
@@ -53,11 +53,11 @@
 			Address: s.Self.Address,
 			Zone:    s.Self.Zone,
 		},
-		Count:       s.ControllerCount,
+		ClusterSize: s.ControllerCount,
 		Seeds:       s.Seeds,
 		Founding:    s.Bootstrap,
 		Tolerance:   s.tolerance(),
-		NewDisk:     s.NewDisk,
+		NewDiskID:   s.NewDisk,
 		Incarnation: s.Incarnation,
 	}
 }
--- a/internal/controller/views.go
+++ b/internal/controller/views.go
@@ -35,7 +35,7 @@
 func (c *Controller) handleViewRequest(
 	now time.Time, from string, request membership.ViewRequest, effects *statemachine.Effects,
 ) {
-	if !c.node.Speaking(now) {
+	if !c.node.CanServeReads(now) {
 		if c.node.IsPrimary() && c.node.HoldsLease(now) {
 			// The primary answers no poll before its backups have the state; the member
 			// polls again.
@@ -80,7 +80,7 @@
 	if primary, found := c.node.Primary(); found && primary.Name != c.settings.Self.Name {
 		redirect.Primary = primary.Address
 	}
-	for _, known := range c.node.Known() {
+	for _, known := range c.node.KnownControllers() {
 		redirect.Controllers = append(redirect.Controllers, known.Address)
 	}
 	return redirect
@@ -118,7 +118,7 @@
 // answerPolls answers the pending polls of members that lack something, and those whose
 // time is over.
 func (c *Controller) answerPolls(now time.Time, effects *statemachine.Effects) {
-	if len(c.pendingPolls) == 0 || !c.node.Speaking(now) {
+	if len(c.pendingPolls) == 0 || !c.node.CanServeReads(now) {
 		return
 	}
 	for _, poll := range statemachine.Sorted(c.pendingPolls) {
--- a/internal/gateway/draining.go
+++ b/internal/gateway/draining.go
@@ -1,16 +1,17 @@
 package gateway
 
 import (
+	"slices"
+	"time"
+
 	"dahlialock/internal/logevent"
 	"dahlialock/internal/membership"
 	"dahlialock/internal/statemachine"
-	"slices"
-	"time"
 )
 
-// disconnectSome ends channels of a gateway that nobody has confirmed for so long that
-// no takeover explains it: its agent is lost or its machine is cut off, and
-// its origins are served elsewhere. Half of them go each second.
+// disconnectSome closes sessions of a gateway that has been unconfirmed for longer than any change
+// of the leader takes: its agent is lost or its machine is isolated, and its clients are served
+// elsewhere. Half of them are closed each second.
 func (g *Gateway) disconnectSome(now time.Time, effects *statemachine.Effects) {
 	if g.viewClient.Index == 0 || g.Confirmed(now) || now.Sub(g.viewClient.ConfirmedAt) < disconnectAfter {
 		return
@@ -25,7 +26,7 @@
 	}
 }
 
-// targets lists the gateways to which origins may be sent, the best first.
+// targets returns the gateways to which clients may be moved, the best first.
 func (g *Gateway) targets() []membership.Member {
 	var members []membership.Member
 	for _, name := range g.viewClient.Directives.Targets {
@@ -51,22 +52,29 @@
 	return members
 }
 
-func (g *Gateway) moveSome(now time.Time, effects *statemachine.Effects) {
-	orders := g.viewClient.Directives
-	if !orders.Drain && orders.KeepSessions == 0 && !g.stopping {
-		return
+// movesNow returns how many clients to move in this step; zero or less means none.
+func (g *Gateway) movesNow() int {
+	directives := g.viewClient.Directives
+	if !directives.Drain && directives.KeepSessions == 0 && !g.stopping {
+		return 0
 	}
-	count := max(1, orders.MovesPerSecond/int(time.Second/moveInterval))
-	if orders.KeepSessions > 0 && !orders.Drain && !g.stopping {
-		// Those that were told to go and are still here are on their way.
-		count = min(count, g.remainingSessions()-orders.KeepSessions)
-		if count <= 0 {
-			return
-		}
+	count := max(1, directives.MovesPerSecond/int(time.Second/moveInterval))
+	if directives.KeepSessions > 0 && !directives.Drain && !g.stopping {
+		// Clients that were asked to move and are still here are on their way.
+		count = min(count, g.remainingSessions()-directives.KeepSessions)
 	}
 	if g.stopping {
 		count = max(count, stopMoves, (len(g.sessions)+9)/10)
 	}
+	return count
+}
+
+// moveSome asks the next clients to move to other gateways.
+func (g *Gateway) moveSome(now time.Time, effects *statemachine.Effects) {
+	count := g.movesNow()
+	if count <= 0 {
+		return
+	}
 	targets := g.targets()
 	if len(targets) == 0 {
 		g.timers.Arm(timerMove, now.Add(5*moveInterval))
@@ -86,7 +94,7 @@
 	}
 }
 
-// remainingSessions counts the channels that were not told to move.
+// remainingSessions returns how many sessions were not asked to move.
 func (g *Gateway) remainingSessions() int {
 	count := 0
 	for _, session := range g.sessions {
@@ -97,15 +105,28 @@
 	return count
 }
 
-func (g *Gateway) move(now time.Time, id uint64, session *session, target membership.Member, effects *statemachine.Effects) {
+// move asks a client to reconnect to another gateway, with its cursor.
+func (g *Gateway) move(
+	now time.Time,
+	id uint64,
+	session *session,
+	target membership.Member,
+	effects *statemachine.Effects,
+) {
 	g.Counts.Moves++
-	event := Event{Event: "move", To: target.Caller, ToName: target.Name, Cursor: g.cursor(now, session)}
+	event := Event{
+		Event:  "move",
+		To:     target.Caller,
+		ToName: target.Name,
+		Cursor: g.cursor(now, session),
+	}
 	session.movedAt = now
 	g.ring.Record(now, "", "", session.client, "moved", "to", target.Name, "stopping", g.stopping)
 	effects.Emit(logevent.SessionMoved, "origin", session.client, "to", target.Name)
 	g.emit(id, event, effects)
 }
 
+// beginStop starts the graceful shutdown.
 func (g *Gateway) beginStop(now time.Time, _ *statemachine.Effects) {
 	if g.stopping {
 		return
@@ -116,14 +137,14 @@
 	g.timers.Arm(timerStop, now.Add(moveInterval))
 }
 
-// servesWhileStopping tells whether a gateway that stops has time left to serve those who
+// servesWhileStopping returns whether a stopping gateway has time left to serve the clients that
 // are still here.
 func (g *Gateway) servesWhileStopping(now time.Time) bool {
 	return now.Before(g.stopUntil.Add(-time.Second))
 }
 
-// awaitsClients tells whether anybody is left who may yet leave by itself: on lines a
-// caller that was told where to go and is long still here won't.
+// awaitsClients returns whether a client is left that may yet leave by itself. On the line protocol
+// a client that was asked to move and is still here after moveTimeout will not.
 func (g *Gateway) awaitsClients(now time.Time) bool {
 	for _, session := range g.sessions {
 		if !session.adapterPings || session.movedAt.IsZero() || now.Sub(session.movedAt) < moveTimeout {
@@ -133,9 +154,12 @@
 	return false
 }
 
-// stopStep ends the gateway once its origins are gone, or its time is up.
+// stopStep ends the gateway once its clients have left and its appends are answered, or its time is
+// up.
 func (g *Gateway) stopStep(now time.Time, effects *statemachine.Effects) {
-	if g.awaitsClients(now) && now.Before(g.stopUntil) || len(g.appends)+len(g.routed.appends) > 0 && now.Before(g.stopUntil.Add(-time.Second)) {
+	awaitsClients := g.awaitsClients(now) && now.Before(g.stopUntil)
+	awaitsAppends := len(g.appends)+len(g.routed.appends) > 0 && now.Before(g.stopUntil.Add(-time.Second))
+	if awaitsClients || awaitsAppends {
 		g.timers.Arm(timerStop, now.Add(moveInterval))
 		return
 	}
@@ -145,9 +169,15 @@
 	g.overlay.LeaveAll(effects)
 	for _, member := range statemachine.Sorted(g.viewClient.Members) {
 		if member.Kind == membership.KindController {
-			effects.Send(member.Address, membership.GracefulLeave{Name: g.settings.Self.Name, Incarnation: g.settings.Self.Incarnation})
+			effects.Send(member.Address, membership.GracefulLeave{
+				Name:        g.settings.Self.Name,
+				Incarnation: g.settings.Self.Incarnation,
+			})
 		}
 	}
-	effects.Send(g.settings.Agent, membership.GracefulLeave{Name: g.settings.Self.Name, Incarnation: g.settings.Self.Incarnation})
+	effects.Send(g.settings.Agent, membership.GracefulLeave{
+		Name:        g.settings.Self.Name,
+		Incarnation: g.settings.Self.Incarnation,
+	})
 	effects.Stop = true
 }
--- a/internal/gateway/fetch.go
+++ b/internal/gateway/fetch.go
@@ -1,44 +1,66 @@
 package gateway
 
 import (
-	"dahlialock/internal/partition"
-	"dahlialock/internal/statemachine"
 	"slices"
 	"time"
+
+	"dahlialock/internal/partition"
+	"dahlialock/internal/statemachine"
 )
 
-// fetchOperation is a round of questions to stores: for a subscribing channel, or for a
-// tracker that verifies what it has.
+// fetchOperation fetches records of several partitions: those that a session missed, or those that
+// a tracker lacks.
 type fetchOperation struct {
-	session    uint64
-	request    Subscribe
-	interests  []Interest
-	resumes    bool
+	// session, request, interests and resumes belong to the subscription that is being filled; they
+	// are unset in the operation of a tracker.
+	session   uint64
+	request   Subscribe
+	interests []Interest
+	resumes   bool
+	// partitions is the progress of each partition, records what came so far, in order.
 	partitions map[string]*partitionFetch
 	records    map[string][]partition.Record
-	refetches  int
-	joins      int
-	failed     bool
-	deadline   time.Time
-	tracker    string
-	version    uint64
+	// refetches counts how often partitions were fetched further for a dependency.
+	refetches int
+	// joins is how many overlay joins are not done; the fetch begins when it is 0. failed is set if
+	// one did not succeed.
+	joins  int
+	failed bool
+	// deadline is when the operation fails.
+	deadline time.Time
+	// tracker is the partition of the tracker that verifies, version its version at the start.
+	tracker string
+	version uint64
 }
 
+// partitionFetch is the progress of a fetchOperation in one partition.
 type partitionFetch struct {
-	from        uint64
-	after       uint64
-	until       uint64
-	skip        []uint64
-	waiting     bool
-	done        bool
+	// from is the offset of the cursor, everything without one; after is the offset after which the
+	// next request asks, and until how far the responses have come.
+	from  uint64
+	after uint64
+	until uint64
+	// skip are offsets above after that are here already.
+	skip []uint64
+	// waiting is set while a request awaits its response, done once all records came.
+	waiting bool
+	done    bool
+	// requestedAt is when the last request was sent.
 	requestedAt time.Time
-	topics      []string
-	prefixes    []string
+	// topics and prefixes are what the interests match.
+	topics   []string
+	prefixes []string
 }
 
-// advanceFetch goes on once the overlay peers have settled: it asks the first
-// of each partition, and ends when all have answered.
-func (g *Gateway) advanceFetch(now time.Time, id uint64, operation *fetchOperation, _ cursor, effects *statemachine.Effects) {
+// advanceFetch continues once all joins of the overlay are done: it sends the fetches to the
+// leaders of the partitions, and completes when all have responded.
+func (g *Gateway) advanceFetch(
+	now time.Time,
+	id uint64,
+	operation *fetchOperation,
+	_ cursor,
+	effects *statemachine.Effects,
+) {
 	if operation.joins > 0 || g.fetches[id] != operation {
 		return
 	}
@@ -61,7 +83,14 @@
 	}
 }
 
-func (g *Gateway) sendFetch(now time.Time, id uint64, name string, fetch *partitionFetch, effects *statemachine.Effects) {
+// sendFetch sends the fetch of one partition to its leader.
+func (g *Gateway) sendFetch(
+	now time.Time,
+	id uint64,
+	name string,
+	fetch *partitionFetch,
+	effects *statemachine.Effects,
+) {
 	fetch.waiting, fetch.requestedAt = true, now
 	g.timers.ArmSooner(timerDeadlines, now.Add(fetchRetry))
 	address, _, found := g.leaderOf(name)
@@ -71,11 +100,23 @@
 	}
 	g.Counts.Fetches++
 	effects.Send(address, partition.Fetch{
-		Partition: name, RequestID: id, After: fetch.after, Topics: fetch.topics, Prefixes: fetch.prefixes, SkipOffsets: fetch.skip,
+		Partition:   name,
+		RequestID:   id,
+		After:       fetch.after,
+		Topics:      fetch.topics,
+		Prefixes:    fetch.prefixes,
+		SkipOffsets: fetch.skip,
 	})
 }
 
-func (g *Gateway) retryFetch(now time.Time, id uint64, operation *fetchOperation, effects *statemachine.Effects) time.Time {
+// retryFetch sends unanswered fetches of an operation again, or fails it after its deadline. It
+// returns when to look at it next, zero if it has ended.
+func (g *Gateway) retryFetch(
+	now time.Time,
+	id uint64,
+	operation *fetchOperation,
+	effects *statemachine.Effects,
+) time.Time {
 	if !operation.deadline.After(now) {
 		g.failFetch(now, id, operation, "no-answer", effects)
 		return time.Time{}
@@ -96,7 +137,15 @@
 	return next
 }
 
-func (g *Gateway) failFetch(now time.Time, id uint64, operation *fetchOperation, code string, effects *statemachine.Effects) {
+// failFetch ends an operation without its records. A tracker verifies again later; the
+// subscriptions of a session are removed and rejected.
+func (g *Gateway) failFetch(
+	now time.Time,
+	id uint64,
+	operation *fetchOperation,
+	code string,
+	effects *statemachine.Effects,
+) {
 	delete(g.fetches, id)
 	if operation.tracker != "" {
 		if tracker, found := g.trackers[operation.tracker]; found {
@@ -110,16 +159,22 @@
 		g.dropFilling(now, operation, session, effects)
 		g.drain(now, operation.session, session, effects)
 	}
-	g.answerSubscribe(now, operation.request, rejectedReply(503, code, "the place could not be found in time; nothing is subscribed", retryShortDelay), effects)
+	g.answerSubscribe(
+		now,
+		operation.request,
+		rejectedReply(503, code, "the place could not be found in time; nothing is subscribed", retryShortDelay),
+		effects,
+	)
 }
 
-// isDuplicate tells whether an answer is one that came before, to an earlier part of what is
-// asked.
+// isDuplicate returns whether a response answers an earlier part of the fetch, which was applied
+// before.
 func (f *partitionFetch) isDuplicate(response partition.FetchResponse) bool {
-	return f.after != everything && response.Until <= f.after && f.after < response.HighWatermark && !statemachine.Mutated("any-answer")
+	return f.after != everything && response.Until <= f.after && f.after < response.HighWatermark &&
+		!statemachine.Mutated("any-answer")
 }
 
-// missing are the records beyond what was had before.
+// missing returns the records above the offset after which the fetch asks.
 func (f *partitionFetch) missing(records []partition.Record) []partition.Record {
 	if statemachine.Mutated("any-answer") {
 		return records
@@ -127,6 +182,7 @@
 	return slices.DeleteFunc(records, func(record partition.Record) bool { return record.Offset <= f.after })
 }
 
+// handleFetchResponse applies the response of a partition to its fetch operation.
 func (g *Gateway) handleFetchResponse(now time.Time, response partition.FetchResponse, effects *statemachine.Effects) {
 	operation, found := g.fetches[response.RequestID]
 	if !found {
@@ -145,7 +201,7 @@
 		return
 	}
 	if fetch.after != everything && fetch.after < response.Base && operation.tracker == "" {
-		// What lies between was kept for the holding time and is gone.
+		// The records in between were removed when their retention had passed.
 		g.loseHistory(now, response.RequestID, operation, effects)
 		return
 	}
@@ -157,7 +213,8 @@
 		fetch.until = response.HighWatermark
 	} else {
 		fetch.until = max(response.Until, min(fetch.after, response.HighWatermark))
-		operation.records[response.Partition] = append(operation.records[response.Partition], fetch.missing(response.Records)...)
+		records := operation.records[response.Partition]
+		operation.records[response.Partition] = append(records, fetch.missing(response.Records)...)
 		if fetch.until < response.HighWatermark {
 			fetch.after = fetch.until
 			g.sendFetch(now, response.RequestID, response.Partition, fetch, effects)
@@ -168,8 +225,13 @@
 	g.advanceFetch(now, response.RequestID, operation, cursor{}, effects)
 }
 
-// dropFilling ends the subscriptions that a round did not come to fill.
-func (g *Gateway) dropFilling(now time.Time, operation *fetchOperation, session *session, effects *statemachine.Effects) {
+// dropFilling removes the subscriptions that an operation was to fill.
+func (g *Gateway) dropFilling(
+	now time.Time,
+	operation *fetchOperation,
+	session *session,
+	effects *statemachine.Effects,
+) {
 	for _, interest := range operation.interests {
 		if subscription, present := session.subscriptions[interest]; present && subscription.filling {
 			g.dropSubscription(now, operation.session, interest, true, effects)
@@ -177,16 +239,23 @@
 	}
 }
 
+// loseHistory rejects a subscription whose cursor is older than the retention of its space.
 func (g *Gateway) loseHistory(now time.Time, id uint64, operation *fetchOperation, effects *statemachine.Effects) {
 	delete(g.fetches, id)
 	if session, found := g.sessions[operation.session]; found {
 		g.dropFilling(now, operation, session, effects)
 	}
-	g.answerSubscribe(now, operation.request, rejectedReply(410, "place-lost", "what was missed is older than the space holds; subscribe without the cursor", 0), effects)
+	g.answerSubscribe(
+		now,
+		operation.request,
+		rejectedReply(410, "place-lost", "what was missed is older than the space holds; subscribe without the cursor", 0),
+		effects,
+	)
 }
 
-// completeFetch ends a round: for a tracker it takes what was missed; for a
-// channel it hands over the missed messages in an order that fits all senders.
+// completeFetch ends a fetch whose partitions have all answered. The records of a
+// tracker's fetch go to the tracker. For a session the missed messages are delivered
+// in an order that fits all senders.
 func (g *Gateway) completeFetch(now time.Time, id uint64, operation *fetchOperation, effects *statemachine.Effects) {
 	if operation.tracker != "" {
 		delete(g.fetches, id)
@@ -199,27 +268,63 @@
 		return
 	}
 	ordered, again := merge(operation)
+	again = append(again, g.overtakenPartitions(operation)...)
+	if len(again) > 0 && operation.refetches < maxRefetches {
+		g.refetch(now, id, operation, again, effects)
+		return
+	}
+	delete(g.fetches, id)
+	g.startSubscriptions(now, operation, session)
+	missed := g.deliverMissed(now, operation, session, ordered, effects)
+	g.answerSubscribe(now, operation.request, acceptedReply(map[string]any{
+		"subscriptions": len(session.subscriptions),
+		"resumed":       operation.resumes,
+		"missed":        missed,
+		"cursor":        g.cursor(now, session),
+	}), effects)
+	if operation.resumes {
+		g.replayRecent(now, session, operation.interests)
+	}
+	g.drain(now, operation.session, session, effects)
+	g.timers.ArmSooner(timerFollow, now)
+	g.deliverReady(now, effects)
+}
+
+// overtakenPartitions returns the partitions that were verified further for other
+// sessions meanwhile: the records in between were not buffered for this session.
+func (g *Gateway) overtakenPartitions(operation *fetchOperation) []string {
+	var names []string
 	for name, fetch := range statemachine.Sorted(operation.partitions) {
-		// The partition was verified further for others meanwhile; what lies
-		// between was not kept here for this channel.
 		if tracker, topic := g.trackers[name]; topic && tracker.started && fetch.until < tracker.verified {
-			again = append(again, name)
+			names = append(names, name)
 		}
 	}
-	if len(again) > 0 && operation.refetches < maxRefetches {
-		// A message refers to one that another partition had not yet told of.
-		operation.refetches++
-		for _, name := range again {
-			fetch := operation.partitions[name]
-			fetch.done = false
-			if fetch.from != everything {
-				fetch.after = fetch.until
-			}
+	return names
+}
+
+// refetch fetches some partitions further, since a message depends on one that they
+// had not reported yet.
+func (g *Gateway) refetch(
+	now time.Time,
+	id uint64,
+	operation *fetchOperation,
+	names []string,
+	effects *statemachine.Effects,
+) {
+	operation.refetches++
+	for _, name := range names {
+		fetch := operation.partitions[name]
+		fetch.done = false
+		if fetch.from != everything {
+			fetch.after = fetch.until
 		}
-		g.advanceFetch(now, id, operation, cursor{}, effects)
-		return
 	}
-	delete(g.fetches, id)
+	g.advanceFetch(now, id, operation, cursor{}, effects)
+}
+
+// startSubscriptions makes the subscriptions of a completed fetch live, from the
+// offsets up to which their partitions were fetched.
+func (g *Gateway) startSubscriptions(now time.Time, operation *fetchOperation, session *session) {
 	for _, interest := range operation.interests {
 		subscription, present := session.subscriptions[interest]
 		if !present {
@@ -230,15 +335,28 @@
 			subscription.resumedAt = now
 		}
 		for name := range subscription.since {
-			if fetch, wanted := operation.partitions[name]; wanted {
-				subscription.since[name] = fetch.until
-				if tracker, topic := g.trackers[name]; topic {
-					tracker.begin(interest, fetch.until)
-				}
+			fetch, wanted := operation.partitions[name]
+			if !wanted {
+				continue
+			}
+			subscription.since[name] = fetch.until
+			if tracker, topic := g.trackers[name]; topic {
+				tracker.begin(interest, fetch.until)
 			}
 		}
 	}
-	// Until all of it is handed over, a cursor must still say where it began.
+}
+
+// deliverMissed delivers the missed messages of a resumed session and returns how
+// many there were.
+func (g *Gateway) deliverMissed(
+	now time.Time,
+	operation *fetchOperation,
+	session *session,
+	ordered []RecordCopy,
+	effects *statemachine.Effects,
+) int {
+	// Until all of them are delivered, a cursor must still name where the backlog began.
 	session.floors = map[string]uint64{}
 	for name, fetch := range operation.partitions {
 		if fetch.from != everything {
@@ -253,20 +371,12 @@
 		}
 	}
 	session.floors = nil
-	g.answerSubscribe(now, operation.request, acceptedReply(map[string]any{
-		"subscriptions": len(session.subscriptions), "resumed": operation.resumes, "missed": missed, "cursor": g.cursor(now, session),
-	}), effects)
-	if operation.resumes {
-		g.replayRecent(now, session, operation.interests)
-	}
-	g.drain(now, operation.session, session, effects)
-	g.timers.ArmSooner(timerFollow, now)
-	g.deliverReady(now, effects)
+	return missed
 }
 
-// merge puts the records of several partitions in an order in which each partition's
-// records and each sender's messages follow each other. It names the partitions
-// that must be asked again for a record that another one refers to.
+// merge orders the records of several partitions so that the records of each partition and the
+// messages of each sender follow each other. It also returns the partitions that must be fetched
+// further, since a record depends on one that they had not reported.
 func merge(operation *fetchOperation) (ordered []RecordCopy, again []string) {
 	at := map[string]int{}
 	// What is older than a trail is ordered by the sender's seq alone.
@@ -317,7 +427,7 @@
 	}
 }
 
-// unorderedRecords lists what could not be ordered, by the time at which it was kept.
+// unorderedRecords returns the records that could not be ordered, by the time of their append.
 func unorderedRecords(operation *fetchOperation, at map[string]int) []RecordCopy {
 	var rest []RecordCopy
 	for name, records := range statemachine.Sorted(operation.records) {
@@ -325,14 +435,20 @@
 			rest = append(rest, RecordCopy{Partition: name, Record: record})
 		}
 	}
-	slices.SortStableFunc(rest, func(left, right RecordCopy) int { return left.Record.AppendedAt.Compare(right.Record.AppendedAt) })
+	slices.SortStableFunc(rest, func(left, right RecordCopy) int {
+		return left.Record.AppendedAt.Compare(right.Record.AppendedAt)
+	})
 	return rest
 }
 
-// blockers tells what a missed message must wait for: partitions to be asked again,
-// since they were asked before what it refers to was kept, or records that are
-// here and have not had their turn.
-func (f *fetchOperation) blockers(full, name string, record partition.Record, at map[string]int) (missing []string, waits bool) {
+// blockers returns what a missed record must wait for: partitions to be fetched further, since they
+// responded before the record that it depends on was appended, or records that are here and come
+// before it.
+func (f *fetchOperation) blockers(
+	full, name string,
+	record partition.Record,
+	at map[string]int,
+) (missing []string, waits bool) {
 	for _, mark := range record.Dependencies.Messages {
 		other := partitionName(full, int(mark.Partition))
 		fetch, wanted := f.partitions[other]
--- a/internal/gateway/subscription.go
+++ b/internal/gateway/subscription.go
@@ -1,20 +1,29 @@
 package gateway
 
 import (
+	"time"
+
 	"dahlialock/internal/config"
 	"dahlialock/internal/overlay"
 	"dahlialock/internal/partition"
 	"dahlialock/internal/statemachine"
-	"time"
 )
 
+// subscription is one interest of a session.
 type subscription struct {
-	since     map[string]uint64
+	// since is the offset of each partition above which records are delivered live, everything while
+	// the subscription is being filled.
+	since map[string]uint64
+	// notBefore are the offsets of partitions below which a resumed cursor's interest had not begun;
+	// they bound the missed records.
 	notBefore map[string]uint64
-	filling   bool
+	// filling is set until the fetch of the subscription has completed.
+	filling bool
+	// resumedAt is when it was resumed from a cursor, zero if it was not.
 	resumedAt time.Time
 }
 
+// subscribe handles the subscription of a client.
 func (g *Gateway) subscribe(now time.Time, request Subscribe, effects *statemachine.Effects) {
 	g.Counts.Requests++
 	if len(request.Interests) > 0 && g.isRoutedTopic(request.Interests[0].Space) {
@@ -24,6 +33,7 @@
 	g.subscribeAttempt(now, request, false, effects)
 }
 
+// answerSubscribe answers a subscription and counts the outcome.
 func (g *Gateway) answerSubscribe(now time.Time, request Subscribe, answer Reply, effects *statemachine.Effects) {
 	switch answer.Outcome {
 	case OutcomeAccepted:
@@ -35,6 +45,8 @@
 	effects.Respond(request.Request, answer)
 }
 
+// subscribeAttempt evaluates a subscription and starts its fetch; refreshed is set
+// where the configuration was refreshed for it before.
 func (g *Gateway) subscribeAttempt(now time.Time, request Subscribe, refreshed bool, effects *statemachine.Effects) {
 	answer := func(response Reply) { g.answerSubscribe(now, request, response, effects) }
 	session, found := g.sessions[request.Session]
@@ -47,18 +59,17 @@
 		answer(rejectedReply(409, "moved", "this channel was asked to move", 0))
 		return
 	}
-	var resumeFrom cursor
-	if request.Cursor != "" {
-		var code string
-		if resumeFrom, code = openCursor(g.settings.Key, request.Client, request.Cursor); code != "" {
-			answer(rejectedReply(400, code, "the cursor is not one of this origin's", 0))
-			return
-		}
-		if len(request.Interests) == 0 {
-			request.Interests = g.existingInterests(resumeFrom.Interests)
-		}
+	resumeFrom, code := g.resumeCursor(&request)
+	if code != "" {
+		answer(rejectedReply(400, code, "the cursor is not one of this origin's", 0))
+		return
+	}
+	policyRequest := &PolicyRequest{
+		Kind:      RequestSubscribe,
+		Client:    request.Client,
+		Paths:     request.Interests,
+		Refreshed: refreshed,
 	}
-	policyRequest := &PolicyRequest{Kind: "subscribe", Client: request.Client, Paths: request.Interests, Refreshed: refreshed}
 	retry := func(now time.Time, effects *statemachine.Effects) { g.subscribeAttempt(now, request, true, effects) }
 	if !g.authorize(now, policyRequest, request.RequestName, retry, answer) {
 		return
@@ -67,67 +78,123 @@
 		answer(rejectedReply(429, "too-many-subscriptions", "a channel holds 256 subscriptions at most", 0))
 		return
 	}
-	operation := &fetchOperation{
-		session: request.Session, request: request, resumes: request.Cursor != "", partitions: map[string]*partitionFetch{},
-		records: map[string][]partition.Record{}, deadline: now.Add(defaultSubscribeTimeout),
-	}
 	for space, marks := range resumeFrom.Marks {
 		for sender, seq := range marks {
 			session.markSeen(now, space, sender, seq)
 		}
 	}
-	for _, interest := range request.Interests {
-		if _, present := session.subscriptions[interest]; present {
-			continue
-		}
-		operation.interests = append(operation.interests, interest)
-	}
+	operation := newSubscribeFetch(now, request, session)
 	if len(operation.interests) == 0 {
-		answer(acceptedReply(map[string]any{"subscriptions": len(session.subscriptions), "cursor": g.cursor(now, session)}))
+		answer(acceptedReply(map[string]any{
+			"subscriptions": len(session.subscriptions),
+			"cursor":        g.cursor(now, session),
+		}))
 		return
 	}
+	g.startFetch(now, session, operation, resumeFrom, effects)
+}
+
+// resumeCursor opens the cursor of a request, if it has one. A request without
+// interests resumes those of the cursor. The code says why a cursor is rejected.
+func (g *Gateway) resumeCursor(request *Subscribe) (resumeFrom cursor, code string) {
+	if request.Cursor == "" {
+		return cursor{}, ""
+	}
+	resumeFrom, code = openCursor(g.settings.Key, request.Client, request.Cursor)
+	if code == "" && len(request.Interests) == 0 {
+		request.Interests = g.existingInterests(resumeFrom.Interests)
+	}
+	return resumeFrom, code
+}
+
+// newSubscribeFetch prepares the fetch for those interests of a request that the
+// session does not have yet.
+func newSubscribeFetch(now time.Time, request Subscribe, session *session) *fetchOperation {
+	operation := &fetchOperation{
+		session:    request.Session,
+		request:    request,
+		resumes:    request.Cursor != "",
+		partitions: map[string]*partitionFetch{},
+		records:    map[string][]partition.Record{},
+		deadline:   now.Add(defaultSubscribeTimeout),
+	}
+	for _, interest := range request.Interests {
+		if _, present := session.subscriptions[interest]; !present {
+			operation.interests = append(operation.interests, interest)
+		}
+	}
+	return operation
+}
+
+// startFetch adds the subscriptions, joins the overlay for each of them and begins
+// to fetch once all joins are done.
+func (g *Gateway) startFetch(
+	now time.Time,
+	session *session,
+	operation *fetchOperation,
+	resumeFrom cursor,
+	effects *statemachine.Effects,
+) {
+	request := operation.request
 	g.nextRequest++
 	id := g.nextRequest
 	g.fetches[id] = operation
+	// One join more than there are interests, so that none that is done at once
+	// starts the fetch before the last one began.
 	operation.joins = 1
 	g.timers.ArmSooner(timerDeadlines, operation.deadline)
 	for _, interest := range operation.interests {
 		g.addSubscription(now, session, request.Session, interest)
 	}
+	joined := func(now time.Time, effects *statemachine.Effects, stable bool) {
+		operation.joins--
+		operation.failed = operation.failed || !stable
+		g.advanceFetch(now, id, operation, resumeFrom, effects)
+	}
 	for _, interest := range operation.interests {
 		state := g.spaces[interest.Space]
 		for _, name := range g.partitionsOf(state, interest) {
-			fetch, found := operation.partitions[name]
-			if !found {
-				fetch = &partitionFetch{from: everything, after: everything}
-				operation.partitions[name] = fetch
-			}
-			if at, resumes := resumeFrom.Partitions[name]; resumes {
-				fetch.from, fetch.after, fetch.skip = at.Floor, at.Floor, at.Extras
-				session.markDelivered(now, name, at.Extras)
-				if since, later := at.Since[interest.key()]; later {
-					session.notBefore(interest, name, since)
-				}
-			}
-			if interest.Prefix {
-				fetch.prefixes = append(fetch.prefixes, interest.Path)
-			} else {
-				fetch.topics = append(fetch.topics, interest.Path)
-			}
+			operation.addInterest(now, session, name, interest, resumeFrom)
 		}
 		operation.joins++
-		g.overlay.Subscribe(now, state.name, areaOf(state.space, interest.Path), func(now time.Time, effects *statemachine.Effects, stable bool) {
-			operation.joins--
-			operation.failed = operation.failed || !stable
-			g.advanceFetch(now, id, operation, resumeFrom, effects)
-		}, effects)
+		g.overlay.Subscribe(now, state.name, areaOf(state.space, interest.Path), joined, effects)
 	}
-	g.ring.Record(now, request.RequestName, "", request.Client, "joining", "interests", len(operation.interests), "resumes", operation.resumes)
+	g.ring.Record(now, request.RequestName, "", request.Client, "joining",
+		"interests", len(operation.interests),
+		"resumes", operation.resumes,
+	)
 	operation.joins--
 	g.advanceFetch(now, id, operation, resumeFrom, effects)
 }
 
-// existingInterests leaves out interests of a cursor whose space is gone.
+// addInterest adds an interest to what is fetched of a partition.
+func (f *fetchOperation) addInterest(
+	now time.Time,
+	session *session,
+	name string,
+	interest Interest,
+	resumeFrom cursor,
+) {
+	fetch, found := f.partitions[name]
+	if !found {
+		fetch = &partitionFetch{from: everything, after: everything}
+		f.partitions[name] = fetch
+	}
+	if at, resumes := resumeFrom.Partitions[name]; resumes {
+		fetch.from, fetch.after, fetch.skip = at.Floor, at.Floor, at.Extras
+		session.markDelivered(now, name, at.Extras)
+		if since, began := at.Since[interest.key()]; began {
+			session.notBefore(interest, name, since)
+		}
+	}
+	if interest.Prefix {
+		fetch.prefixes = append(fetch.prefixes, interest.Path)
+	} else {
+		fetch.topics = append(fetch.topics, interest.Path)
+	}
+}
+
+// existingInterests leaves out the interests whose space was removed.
 func (g *Gateway) existingInterests(interests []Interest) []Interest {
 	var found []Interest
 	for _, interest := range interests {
@@ -138,6 +205,7 @@
 	return found
 }
 
+// partitionsOf returns the partitions that an interest reads; an ephemeral space has none.
 func (g *Gateway) partitionsOf(state *spaceState, interest Interest) []string {
 	if state.space.Retention != config.Durable {
 		return nil
@@ -152,6 +220,8 @@
 	return names
 }
 
+// addSubscription adds an interest to a session, its space and the trackers of its partitions. It
+// is filled later.
 func (g *Gateway) addSubscription(now time.Time, session *session, id uint64, interest Interest) {
 	state := g.spaces[interest.Space]
 	session.subscriptions[interest] = &subscription{since: map[string]uint64{}, filling: true}
@@ -169,11 +239,16 @@
 	}
 }
 
-// dropSubscription ends a subscription. Where its origin did not ask for that,
-// the overlay peer stays for a while: the origin, or another with the same
-// interest, is likely to come back, and a next try finds the peer further on
-// instead of beginning anew.
-func (g *Gateway) dropSubscription(now time.Time, id uint64, interest Interest, linger bool, effects *statemachine.Effects) {
+// dropSubscription removes a subscription. If linger is set the overlay peer stays for a while: the
+// client, or another with the same interest, is likely to come back, and its next attempt finds the
+// peer joined instead of beginning anew.
+func (g *Gateway) dropSubscription(
+	now time.Time,
+	id uint64,
+	interest Interest,
+	linger bool,
+	effects *statemachine.Effects,
+) {
 	session := g.sessions[id]
 	delete(session.subscriptions, interest)
 	state, found := g.spaces[interest.Space]
@@ -205,13 +280,14 @@
 	g.overlay.Unsubscribe(now, state.name, area, effects)
 }
 
-// lingered is an overlay holding that outlives its subscription for a while.
+// lingered is an overlay subscription that outlives the last subscription here for a while.
 type lingered struct {
 	space string
 	area  overlay.Area
 	until time.Time
 }
 
+// endLingering ends the lingering overlay subscriptions whose time is up.
 func (g *Gateway) endLingering(now time.Time, effects *statemachine.Effects) {
 	remaining := g.lingering[:0]
 	for _, each := range g.lingering {
@@ -224,6 +300,7 @@
 	g.lingering = remaining
 }
 
+// unsubscribe handles the request of a client to end subscriptions.
 func (g *Gateway) unsubscribe(now time.Time, request Unsubscribe, effects *statemachine.Effects) {
 	g.Counts.Requests++
 	if len(request.Interests) > 0 && g.isRoutedTopic(request.Interests[0].Space) {
@@ -243,6 +320,7 @@
 	effects.Respond(request.Request, acceptedReply(map[string]any{"subscriptions": len(session.subscriptions)}))
 }
 
+// matches returns whether a topic matches the interest.
 func (i Interest) matches(topic string) bool {
 	if i.Prefix {
 		return partition.HasTopicPrefix(topic, i.Path)
--- a/internal/gateway/tracker.go
+++ b/internal/gateway/tracker.go
@@ -1,10 +1,3 @@
-// A tracker follows one partition for all the subscribers here. It hands messages
-// over only when what they follow was handed over: the topic's message before,
-// and the sender's message before wherever it is kept. What is missing is
-// fetched from the partition's first. The first tells the head of the partition as it
-// moves, and the tracker then verifies that it missed nothing up to there, so
-// that a lost last message shows too.
-
 package gateway
 
 import (
@@ -30,44 +23,68 @@
 	deliverInterval   = 20 * time.Millisecond
 )
 
+// trackedInterest is an interest in the topics of a partition.
 type trackedInterest struct {
-	interest      Interest
+	interest Interest
+	// subscriptions is how many sessions have the interest; it is never 0.
 	subscriptions int
-	since         uint64
+	// since is the offset above which the interest is live, everything until it is.
+	since uint64
 }
 
+// tracker follows one partition for all subscriptions here.
 type tracker struct {
-	name          string
-	space         string
-	shared        bool
-	interests     map[Interest]*trackedInterest
-	version       uint64
-	verified      uint64
-	started       bool
+	// name is the name of the partition.
+	name string
+	// space is the name of the space, spaceName the same with the index at which it was created.
+	space string
+	// shared is set if all topics of the space have one shared order.
+	shared    bool
+	interests map[Interest]*trackedInterest
+	// version rises with each new interest: a verification that began before does not cover it.
+	version uint64
+	// verified is the offset up to which all matching records were delivered. It never falls. It
+	// holds only if started is set, which is when the first interest is live.
+	verified uint64
+	started  bool
+	// highWatermark is the partition's highest offset that is known here.
 	highWatermark uint64
-	delivered     map[uint64]time.Time
-	pending       map[uint64]partition.Record
-	pendingSince  map[uint64]time.Time
-	verifying     bool
-	wanted        bool
-	verifiedAt    time.Time
-	requestedAt   time.Time
-	spaceName     string
-}
-
-// spaceOf takes a partition's name apart.
+	// delivered is when records were delivered; those up to verified are forgotten.
+	delivered map[uint64]time.Time
+	// pending are records that must wait, by offset, pendingSince is since when.
+	pending      map[uint64]partition.Record
+	pendingSince map[uint64]time.Time
+	// verifying is set while a verification is under way, wanted if another is needed.
+	verifying bool
+	wanted    bool
+	// verifiedAt is a moment up to which all records of the partition were here; requestedAt is when
+	// the verification under way was sent.
+	verifiedAt  time.Time
+	requestedAt time.Time
+	spaceName   string
+}
+
+// spaceOf splits a partition's name: the space, and the space with its creation index.
 func spaceOf(name string) (space, full string) {
 	full, _, _ = strings.Cut(name, "/")
 	space, _, _ = strings.Cut(full, "~")
 	return space, full
 }
 
+// trackerFor returns the tracker of a partition, which it creates if need be.
 func (g *Gateway) trackerFor(now time.Time, name string) *tracker {
 	present, found := g.trackers[name]
 	if !found {
 		space, full := spaceOf(name)
 		present = &tracker{
-			name: name, space: space, spaceName: full, verifiedAt: now, interests: map[Interest]*trackedInterest{}, delivered: map[uint64]time.Time{}, pending: map[uint64]partition.Record{}, pendingSince: map[uint64]time.Time{},
+			name:         name,
+			space:        space,
+			spaceName:    full,
+			verifiedAt:   now,
+			interests:    map[Interest]*trackedInterest{},
+			delivered:    map[uint64]time.Time{},
+			pending:      map[uint64]partition.Record{},
+			pendingSince: map[uint64]time.Time{},
 		}
 		if state, known := g.spaces[space]; known {
 			present.shared = state.space.Order == config.OrderSpace
@@ -78,6 +95,7 @@
 	return present
 }
 
+// add adds a subscription with an interest.
 func (t *tracker) add(interest Interest) {
 	present, found := t.interests[interest]
 	if !found {
@@ -88,7 +106,7 @@
 	present.subscriptions++
 }
 
-// remove takes one holder away and tells whether nobody is left.
+// remove removes a subscription with an interest, and returns whether none is left.
 func (t *tracker) remove(interest Interest) bool {
 	present, found := t.interests[interest]
 	if !found {
@@ -101,7 +119,7 @@
 	return len(t.interests) == 0
 }
 
-// begin notes from where on an interest is live.
+// begin notes the offset above which an interest is live.
 func (t *tracker) begin(interest Interest, since uint64) {
 	if present, found := t.interests[interest]; found && since < present.since {
 		present.since = since
@@ -113,7 +131,8 @@
 	}
 }
 
-// startOf is from where on a topic is followed live; everything if not yet.
+// startOf returns the offset above which a topic is live here, everything if it is not yet, and
+// whether any interest matches it.
 func (t *tracker) startOf(topic string) (since uint64, tracked bool) {
 	since = everything
 	for interest, present := range t.interests {
@@ -125,18 +144,19 @@
 	return since, tracked
 }
 
-// resolved tells whether a message was handed over here or need not be.
+// resolved returns whether a record was delivered here or need not be.
 func (t *tracker) resolved(topic string, offset uint64) bool {
 	if offset <= t.verified && t.started {
 		return true
 	}
-	if _, had := t.delivered[offset]; had {
+	if _, delivered := t.delivered[offset]; delivered {
 		return true
 	}
 	since, matters := t.startOf(topic)
 	return !matters || offset <= since && since != everything
 }
 
+// prune forgets deliveries that the verified offset covers.
 func (t *tracker) prune(now time.Time) {
 	for offset := range t.pendingSince {
 		if _, waits := t.pending[offset]; !waits {
@@ -150,14 +170,15 @@
 	}
 }
 
-// handleRecordCopy takes a kept message, and tells whether anybody here wants it.
+// handleRecordCopy buffers a record and delivers what is ready. It returns whether anybody here
+// subscribes to its topic.
 func (g *Gateway) handleRecordCopy(now time.Time, recordCopy RecordCopy, effects *statemachine.Effects) bool {
 	tracker, found := g.trackers[recordCopy.Partition]
 	if !found {
 		return false
 	}
 	offset := recordCopy.Record.Offset
-	if _, had := tracker.delivered[offset]; had || tracker.started && offset <= tracker.verified {
+	if _, delivered := tracker.delivered[offset]; delivered || tracker.started && offset <= tracker.verified {
 		return true
 	}
 	if _, matters := tracker.startOf(recordCopy.Record.Topic); !matters {
@@ -173,9 +194,22 @@
 	g.deliverReady(now, effects)
 	if _, waits := tracker.pending[offset]; waits && tracker.started {
 		g.Counts.Gaps++
-		effects.Emit(logevent.GapFound, "partition", recordCopy.Partition, "offset", offset, "prior", recordCopy.Record.PreviousInTopic)
-		g.ring.Record(now, "", decisionlog.MessageName(tracker.space, recordCopy.Record.Sender, recordCopy.Record.Seq), "", "waits",
-			"partition", recordCopy.Partition, "offset", offset, "prior", recordCopy.Record.PreviousInTopic, "before", recordCopy.Record.Dependencies.Messages, "verified", tracker.verified)
+		effects.Emit(logevent.GapFound,
+			"partition", recordCopy.Partition,
+			"offset", offset,
+			"prior", recordCopy.Record.PreviousInTopic,
+		)
+		g.ring.Record(now, "", decisionlog.MessageName(
+			tracker.space,
+			recordCopy.Record.Sender,
+			recordCopy.Record.Seq,
+		), "", "waits",
+			"partition", recordCopy.Partition,
+			"offset", offset,
+			"prior", recordCopy.Record.PreviousInTopic,
+			"before", recordCopy.Record.Dependencies.Messages,
+			"verified", tracker.verified,
+		)
 		tracker.wanted = true
 		g.timers.ArmSooner(timerVerify, now.Add(gapTimeout))
 		g.requestDependencies(tracker, recordCopy.Record)
@@ -183,21 +217,23 @@
 	return true
 }
 
-// requestDependencies marks the partitions in which something before a message is missing.
+// requestDependencies marks the partitions that lack something a record depends on.
 func (g *Gateway) requestDependencies(tracker *tracker, record partition.Record) {
 	for _, mark := range record.Dependencies.Messages {
-		if other, found := g.trackers[partitionName(tracker.spaceName, int(mark.Partition))]; found && !other.resolved(mark.Topic, mark.Offset) {
+		other, found := g.trackers[partitionName(tracker.spaceName, int(mark.Partition))]
+		if found && !other.resolved(mark.Topic, mark.Offset) {
 			other.wanted = true
 		}
 	}
 	for _, reach := range record.Dependencies.Floor {
-		if other, found := g.trackers[partitionName(tracker.spaceName, int(reach.Partition))]; found && !other.resolvedUpTo(reach.Offset) {
+		other, found := g.trackers[partitionName(tracker.spaceName, int(reach.Partition))]
+		if found && !other.resolvedUpTo(reach.Offset) {
 			other.wanted = true
 		}
 	}
 }
 
-// resolvedUpTo tells whether all of a partition up to an offset is settled here.
+// resolvedUpTo returns whether all records of the partition up to an offset are resolved.
 func (t *tracker) resolvedUpTo(offset uint64) bool {
 	if t.started && offset <= t.verified {
 		return true
@@ -210,8 +246,8 @@
 	return true
 }
 
-// recentlyVerified tells whether every partition of a space that is followed here was
-// verified lately, so that nothing older than a trail can be missing.
+// recentlyVerified returns whether all trackers of a space were verified lately, so that no record
+// older than the dependency window can be missing.
 func (g *Gateway) recentlyVerified(now time.Time, full string) bool {
 	for _, other := range g.trackers {
 		if other.spaceName == full && other.started && now.Sub(other.verifiedAt) > partition.VerificationWindow {
@@ -221,7 +257,7 @@
 	return true
 }
 
-// deliverable tells whether a held message may be handed over.
+// deliverable returns whether a pending record may be delivered.
 func (g *Gateway) deliverable(now time.Time, tracker *tracker, record partition.Record) bool {
 	since, matters := tracker.startOf(record.Topic)
 	if matters && since == everything || !tracker.started {
@@ -230,20 +266,25 @@
 	if statemachine.Mutated("no-order") {
 		return true
 	}
-	if tracker.shared && record.Offset > 1 && !tracker.resolved(record.Topic, record.Offset-1) {
-		return false
+	if tracker.shared {
+		return record.Offset <= 1 || tracker.resolved(record.Topic, record.Offset-1)
 	}
-	if !tracker.shared && !tracker.resolved(record.Topic, record.PreviousInTopic) {
+	if !tracker.resolved(record.Topic, record.PreviousInTopic) {
 		return false
 	}
-	if tracker.shared {
-		return true
-	}
-	// Where all is fresh nothing can be missing for long; what still waits is
-	// from a sender that published out of its own order through two gateways.
-	if since, noted := tracker.pendingSince[record.Offset]; noted && now.Sub(since) > cycleTimeout && g.recentlyVerified(now, tracker.spaceName) {
+	// If all partitions were verified lately nothing can be missing for long; what
+	// still waits is from a sender that published out of its own order through two
+	// gateways.
+	pendingSince, noted := tracker.pendingSince[record.Offset]
+	if noted && now.Sub(pendingSince) > cycleTimeout && g.recentlyVerified(now, tracker.spaceName) {
 		return true
 	}
+	return g.dependenciesResolved(tracker, record) && g.recentlyVerified(now, tracker.spaceName)
+}
+
+// dependenciesResolved returns whether all that a record names as earlier messages of
+// its sender was delivered here or need not be.
+func (g *Gateway) dependenciesResolved(tracker *tracker, record partition.Record) bool {
 	for _, mark := range record.Dependencies.Messages {
 		other, found := g.trackers[partitionName(tracker.spaceName, int(mark.Partition))]
 		if found && (other != tracker || mark.Offset < record.Offset) && !other.resolved(mark.Topic, mark.Offset) {
@@ -256,18 +297,18 @@
 			return false
 		}
 	}
-	return g.recentlyVerified(now, tracker.spaceName)
+	return true
 }
 
-// pendingRecord is a held message of a sender, with its partition.
+// pendingRecord is a pending record with its tracker.
 type pendingRecord struct {
 	tracker *tracker
 	record  partition.Record
 }
 
-// deferDelivery tells whether so much is held that looking through all of it for
-// each message would cost more than a moment's wait; then one look serves all
-// that come meanwhile.
+// deferDelivery arms a timer and returns true if so many records are pending that a scan of all of
+// them for each copy would cost more than a short delay; one scan then serves all copies that come
+// meanwhile.
 func (g *Gateway) deferDelivery(now time.Time) bool {
 	pending := 0
 	for _, tracker := range g.trackers {
@@ -280,7 +321,7 @@
 	return true
 }
 
-// deliverAllReady is that look; what still waits then is asked for.
+// deliverAllReady is that scan; what is still pending after it is fetched.
 func (g *Gateway) deliverAllReady(now time.Time, effects *statemachine.Effects) {
 	g.deliverReady(now, effects)
 	for _, tracker := range statemachine.Sorted(g.trackers) {
@@ -295,13 +336,13 @@
 	}
 }
 
-// deliverReady hands over all that has become ripe, until nothing more does. Of each
-// sender's held messages in a space only the one with the lowest seq may go.
+// deliverReady delivers all pending records that are deliverable, until none is. Of each sender's
+// pending records in a space only the one with the lowest sequence may be delivered.
 func (g *Gateway) deliverReady(now time.Time, effects *statemachine.Effects) {
 	bySender := map[string][]pendingRecord{}
 	for _, tracker := range statemachine.Sorted(g.trackers) {
 		for offset, record := range statemachine.Sorted(tracker.pending) {
-			if _, had := tracker.delivered[offset]; had || tracker.started && offset <= tracker.verified {
+			if _, delivered := tracker.delivered[offset]; delivered || tracker.started && offset <= tracker.verified {
 				delete(tracker.pending, offset)
 				continue
 			}
@@ -313,7 +354,10 @@
 		}
 	}
 	for key := range bySender {
-		slices.SortStableFunc(bySender[key], func(left, right pendingRecord) int { return cmp.Compare(left.record.Seq, right.record.Seq) })
+		slices.SortStableFunc(
+			bySender[key],
+			func(left, right pendingRecord) int { return cmp.Compare(left.record.Seq, right.record.Seq) },
+		)
 	}
 	for progress := len(bySender) > 0; progress; {
 		progress = false
@@ -330,6 +374,7 @@
 	}
 }
 
+// deliver delivers a record to all sessions with a matching subscription.
 func (g *Gateway) deliver(now time.Time, tracker *tracker, record partition.Record, effects *statemachine.Effects) {
 	tracker.delivered[record.Offset] = now
 	if tracker.shared && record.Offset == tracker.verified+1 {
@@ -346,8 +391,8 @@
 	}
 }
 
-// subscribedSessions lists the channels with a subscription that matches a topic exactly,
-// whatever else shares the topic's square.
+// subscribedSessions returns the sessions with a subscription that matches a topic exactly,
+// whatever else shares its area.
 func (ss *spaceState) subscribedSessions(topic string) map[uint64]bool {
 	found := map[uint64]bool{}
 	if statemachine.Mutated("no-exact-match") {
@@ -373,7 +418,8 @@
 	return found
 }
 
-// handleEphemeralCopy takes a passing message, and tells whether anybody here wants it.
+// handleEphemeralCopy delivers an ephemeral message, and returns whether anybody here subscribes to
+// its topic.
 func (g *Gateway) handleEphemeralCopy(now time.Time, message EphemeralCopy, effects *statemachine.Effects) bool {
 	space, _ := spaceOf(message.Space + "/")
 	state, found := g.spaces[space]
@@ -386,8 +432,14 @@
 	return g.deliverEphemeral(now, state, message, effects)
 }
 
-// deliverEphemeral hands a passing message to this gateway's own channels.
-func (g *Gateway) deliverEphemeral(now time.Time, state *spaceState, message EphemeralCopy, effects *statemachine.Effects) bool {
+// deliverEphemeral delivers an ephemeral message to the sessions here, and returns whether there
+// are any.
+func (g *Gateway) deliverEphemeral(
+	now time.Time,
+	state *spaceState,
+	message EphemeralCopy,
+	effects *statemachine.Effects,
+) bool {
 	holders := state.subscribedSessions(message.Topic)
 	for id := range statemachine.Sorted(holders) {
 		if session, open := g.sessions[id]; open {
@@ -397,9 +449,12 @@
 	return len(holders) > 0
 }
 
-// Verifying.
-
-func (g *Gateway) handleHighWatermarks(now time.Time, highWatermarks partition.HighWatermarks, effects *statemachine.Effects) {
+// handleHighWatermarks applies the reports of a store.
+func (g *Gateway) handleHighWatermarks(
+	now time.Time,
+	highWatermarks partition.HighWatermarks,
+	effects *statemachine.Effects,
+) {
 	for _, head := range highWatermarks.HighWatermarks {
 		if config.IsShared(head.Partition) {
 			g.handleTopicHighWatermarks(now, head, effects)
@@ -420,12 +475,14 @@
 	g.deliverReady(now, effects)
 }
 
+// advanceVerifiedAt notes that all records of the partition were here at a moment.
 func (t *tracker) advanceVerifiedAt(at time.Time) {
 	if at.After(t.verifiedAt) {
 		t.verifiedAt = at
 	}
 }
 
+// verifyAll verifies the trackers that may lack a record.
 func (g *Gateway) verifyAll(now time.Time, effects *statemachine.Effects) {
 	for name, tracker := range statemachine.Sorted(g.trackers) {
 		if !tracker.wanted || tracker.verifying || !tracker.started {
@@ -436,6 +493,7 @@
 	}
 }
 
+// verify fetches the records of a partition that the tracker lacks.
 func (g *Gateway) verify(now time.Time, name string, tracker *tracker, effects *statemachine.Effects) {
 	if tracker.shared && tracker.highWatermark <= tracker.verified && len(tracker.pending) == 0 {
 		return
@@ -470,16 +528,19 @@
 	slices.Sort(fetch.skip)
 	g.nextRequest++
 	operation := &fetchOperation{
-		tracker: name, version: tracker.version, partitions: map[string]*partitionFetch{name: fetch}, records: map[string][]partition.Record{},
-		deadline: now.Add(defaultSubscribeTimeout),
+		tracker:    name,
+		version:    tracker.version,
+		partitions: map[string]*partitionFetch{name: fetch},
+		records:    map[string][]partition.Record{},
+		deadline:   now.Add(defaultSubscribeTimeout),
 	}
 	g.fetches[g.nextRequest] = operation
 	g.timers.ArmSooner(timerDeadlines, operation.deadline)
 	g.sendFetch(now, g.nextRequest, name, fetch, effects)
 }
 
-// verified takes the answer to a verification: the missing messages go the way
-// of all others, and once they were handed over the partition is verified so far.
+// verified takes the answer to a verification. The missing records go the way of all
+// others, and once they are delivered the partition is verified up to there.
 func (g *Gateway) verified(now time.Time, operation *fetchOperation, effects *statemachine.Effects) {
 	tracker, found := g.trackers[operation.tracker]
 	if !found {
@@ -487,18 +548,7 @@
 	}
 	tracker.verifying = false
 	until := operation.partitions[operation.tracker].until
-	records := operation.records[operation.tracker]
-	for _, record := range records {
-		if _, had := tracker.delivered[record.Offset]; !had && record.Offset > tracker.verified {
-			tracker.pending[record.Offset] = record
-		}
-	}
-	if len(records) > 0 {
-		effects.Emit(logevent.GapFilled, "partition", operation.tracker, "records", len(records), "until", until)
-		for _, record := range records {
-			g.ring.Record(now, "", decisionlog.MessageName(tracker.space, record.Sender, record.Seq), "", "repaired", "partition", operation.tracker, "offset", record.Offset)
-		}
-	}
+	g.addMissing(now, tracker, operation.records[operation.tracker], until, effects)
 	// The answer holds all of this partition up to there, so nothing within it is
 	// missing; only another partition may still hold a message back.
 	g.deliverReady(now, effects)
@@ -514,21 +564,49 @@
 		tracker.advanceVerifiedAt(tracker.requestedAt)
 		g.deliverReady(now, effects)
 	}
-	if tracker.version != operation.version || len(tracker.pending) > 0 || tracker.highWatermark > tracker.verified {
-		tracker.wanted = true
-		pause := verifyEvery
-		if len(tracker.pending) > 0 || tracker.version != operation.version {
-			pause = gapTimeout
-		}
-		for _, record := range tracker.pending {
-			g.requestDependencies(tracker, record)
+	outdated := tracker.version != operation.version
+	if !outdated && len(tracker.pending) == 0 && tracker.highWatermark <= tracker.verified {
+		return
+	}
+	tracker.wanted = true
+	pause := verifyEvery
+	if len(tracker.pending) > 0 || outdated {
+		pause = gapTimeout
+	}
+	for _, record := range tracker.pending {
+		g.requestDependencies(tracker, record)
+	}
+	g.timers.ArmSooner(timerVerify, now.Add(pause))
+}
+
+// addMissing adds fetched records to the pending ones of a tracker.
+func (g *Gateway) addMissing(
+	now time.Time,
+	tracker *tracker,
+	records []partition.Record,
+	until uint64,
+	effects *statemachine.Effects,
+) {
+	for _, record := range records {
+		if _, delivered := tracker.delivered[record.Offset]; !delivered && record.Offset > tracker.verified {
+			tracker.pending[record.Offset] = record
 		}
-		g.timers.ArmSooner(timerVerify, now.Add(pause))
+	}
+	if len(records) == 0 {
+		return
+	}
+	effects.Emit(logevent.GapFilled, "partition", tracker.name, "records", len(records), "until", until)
+	for _, record := range records {
+		message := decisionlog.MessageName(tracker.space, record.Sender, record.Seq)
+		g.ring.Record(now, "", message, "", "repaired",
+			"partition", tracker.name,
+			"offset", record.Offset,
+		)
 	}
 }
 
-// followHighWatermarks asks the stores that are first for the partitions followed here to
-// tell their heads, and asks again before they forget.
+// followHighWatermarks subscribes to the high watermarks of the partitions in use here at their
+// leaders, and again before the leaders forget it.
 func (g *Gateway) followHighWatermarks(now time.Time, effects *statemachine.Effects) {
 	byStore := map[string]partition.SubscribeHighWatermarks{}
 	g.highWatermarksRequestedAt = now
@@ -556,7 +634,7 @@
 	}
 }
 
-// placementsChanged sends what waits for a store to the partition's new first.
+// placementsChanged sends what waits for a store to the new leaders of the partitions.
 func (g *Gateway) placementsChanged(now time.Time, effects *statemachine.Effects) {
 	for _, item := range statemachine.Sorted(g.appends) {
 		if from, known := g.senders[item.key]; known && now.Sub(item.sentAt) > 50*time.Millisecond {
@@ -569,7 +647,7 @@
 	}
 }
 
-// TrackerStatus is one partition as it is followed here.
+// TrackerStatus is the state of one tracker. The JSON keys are part of the ctl interface.
 type TrackerStatus struct {
 	Verified    uint64        `json:"verified"`
 	Head        uint64        `json:"head"`
@@ -581,13 +659,19 @@
 	Interests   int           `json:"interests"`
 }
 
-// Trackers tells of every partition followed here, for ctl and the simulator.
+// Trackers returns the state of all trackers by partition, for ctl and the simulator.
 func (g *Gateway) Trackers(now time.Time) map[string]TrackerStatus {
 	statuses := map[string]TrackerStatus{}
 	for name, tracker := range g.trackers {
 		statuses[name] = TrackerStatus{
-			Verified: tracker.verified, Head: tracker.highWatermark, Pending: len(tracker.pending), Started: tracker.started, Verifying: tracker.verifying,
-			Wanted: tracker.wanted, VerifiedAgo: now.Sub(tracker.verifiedAt), Interests: len(tracker.interests),
+			Verified:    tracker.verified,
+			Head:        tracker.highWatermark,
+			Pending:     len(tracker.pending),
+			Started:     tracker.started,
+			Verifying:   tracker.verifying,
+			Wanted:      tracker.wanted,
+			VerifiedAgo: now.Sub(tracker.verifiedAt),
+			Interests:   len(tracker.interests),
 		}
 	}
 	return statuses
