--- a/internal/gateway/admission_mutation_test.go
+++ b/internal/gateway/admission_mutation_test.go
@@ -10,7 +10,7 @@
 	"dahlialock/internal/statemachine"
 )
 
-func TestAdmissionIsNeeded(t *testing.T) {
+func TestAdmissionMutationAdmitsAll(t *testing.T) {
 	defer statemachine.Mutate("all-admitted")()
 	fleetlab := open(t)
 	fleetlab.gateway.SetLink(thinLink)
--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -1,4 +1,3 @@
-// A gateway lets in as many callers as its link can serve soon.
 package gateway_test
 
 import (
@@ -14,8 +13,8 @@
 // thinLink is the link of the smallest machines that are known of.
 const thinLink = 2_600_000 / 8
 
-// letIn counts how many of the callers that come at once are let in, and checks that the
-// others are told at once when to come back.
+// letIn returns how many clients that connect at once are admitted, and checks that the
+// others are rejected at once with a time after which to retry.
 func letIn(t *testing.T, fleetlab *fleetlab, callers int) (count int) {
 	t.Helper()
 	for number := range callers {
@@ -30,7 +29,7 @@
 	return count
 }
 
-func TestACrowdIsLetInAtThePaceOfTheLink(t *testing.T) {
+func TestAdmissionFollowsLinkRate(t *testing.T) {
 	fleetlab := open(t)
 	fleetlab.gateway.SetLink(thinLink)
 	first := letIn(t, fleetlab, 300)
@@ -45,7 +44,7 @@
 	assert.Assert(t, sum >= 70 && sum <= 85, "%d in 1 s", sum)
 }
 
-func TestAWideLinkLetsEverybodyIn(t *testing.T) {
+func TestAdmissionAdmitsAllOnFastLink(t *testing.T) {
 	for _, link := range []int{0, 1_800_000_000 / 8} {
 		fleetlab := open(t)
 		fleetlab.gateway.SetLink(link)
--- a/internal/gateway/catchup_mutation_test.go
+++ b/internal/gateway/catchup_mutation_test.go
@@ -1,7 +1,5 @@
 //go:build mutation
 
-// Without a credit all that callers take up at once is asked for at once, and with
-// those counted who wait for their places others are told of each that is refused.
 package gateway
 
 import (
@@ -12,29 +10,31 @@
 	"dahlialock/internal/statemachine"
 )
 
-func TestAllIsFetchedAtOnceWithoutCredit(t *testing.T) {
+// Without a credit all topics that clients subscribe to at once are fetched at once.
+func TestBatchMutationFetchesWithoutCredit(t *testing.T) {
 	defer statemachine.Mutate("fetches-without-credit")()
 	assert.Equal(t, len(newCrowded(crowdedTopics).asked()), crowdedTopics)
 }
 
-func TestOthersAreToldOfWhoWaitsIfItCounts(t *testing.T) {
+// If unconfirmed subscriptions count, each that is rejected is announced to the others.
+func TestSubscriberCountMutationCountsUnconfirmed(t *testing.T) {
 	defer statemachine.Mutate("waiting-counts")()
-	waiting, _ := toldWhileWaiting()
+	waiting, _ := announcedWhileWaiting()
 	assert.Equal(t, waiting, 1)
 }
 
-func TestAPlaceWaitsForWhatItLacksIfItIsConfirmedLate(t *testing.T) {
+func TestTopicSubscriptionMutationConfirmsLate(t *testing.T) {
 	defer statemachine.Mutate("places-confirmed-late")()
 	assert.Assert(t, !confirmed(t, 5))
 }
 
-func TestAKeptTurnIsNeeded(t *testing.T) {
+func TestTopicSubscriptionMutationLosesTurn(t *testing.T) {
 	defer statemachine.Mutate("refused-loses-turn")()
 	topics, _ := refusedTurn(t)
 	assert.Equal(t, topics, 0)
 }
 
-func TestTheOrderOfABatchIsNeeded(t *testing.T) {
+func TestBatchMutationKeepsArrivalOrder(t *testing.T) {
 	defer statemachine.Mutate("first-come-first")()
 	assert.Equal(t, orderOfRest(t)[0], "topic-0")
 }
--- a/internal/gateway/catchup_test.go
+++ b/internal/gateway/catchup_test.go
@@ -13,7 +13,7 @@
 	"dahlialock/internal/statemachine"
 )
 
-// crowded is a gateway at which callers take up many kept topics at once.
+// crowded is a gateway at which clients subscribe to many durable topics at once.
 type crowded struct {
 	now      time.Time
 	gateway  *Gateway
@@ -61,7 +61,7 @@
 	return made
 }
 
-// asked gives the batches that were sent since it was last called.
+// asked returns the batches that were sent since it was last called.
 func (c *crowded) asked() []partition.FetchTopics {
 	var batches []partition.FetchTopics
 	for _, send := range c.effects.Sends {
@@ -90,7 +90,7 @@
 
 const crowdedTopics = 24
 
-func TestOneBatchCarriesAllThatWaitsForAStore(t *testing.T) {
+func TestBatchCarriesAllWaitingTopics(t *testing.T) {
 	many := newCrowded(crowdedTopics)
 	first := many.asked()
 	assert.Equal(t, len(first), 1)
@@ -106,7 +106,7 @@
 	}
 }
 
-func TestABatchForWhichNobodyWaitsKeepsItsCreditUntilItsAnswer(t *testing.T) {
+func TestBatchWithoutWaitersKeepsCreditUntilResponse(t *testing.T) {
 	many := newCrowded(2)
 	batches := many.asked()
 	many.gateway.dropTopicSubscription(many.now, many.channels[0], batches[0].Topics[0].Topic, &many.effects)
@@ -122,7 +122,7 @@
 	assert.Equal(t, len(many.gateway.routed.batchInFlight), 0)
 }
 
-func TestATopicThatNobodyWantsAnyMoreIsNotFetched(t *testing.T) {
+func TestTopicWithoutSubscriptionsIsNotFetched(t *testing.T) {
 	many := newCrowded(3)
 	batches := many.asked()
 	waiting := many.channels[1]
@@ -134,9 +134,9 @@
 	assert.Equal(t, next[0].Topics[0].Topic, many.channels[2].client)
 }
 
-// refusedTurn tells which topics the next batch asks for after a subscription behind a
-// slow batch was refused for want of an answer, and whether its next try is confirmed
-// at once when that batch has been answered.
+// refusedTurn returns how many topics the next batch fetches after a subscription behind a
+// slow batch was rejected without a response, and whether its retry is confirmed from what
+// was fetched for it.
 func refusedTurn(t *testing.T) (topics int, confirmed bool) {
 	t.Helper()
 	many := newCrowded(2)
@@ -167,13 +167,13 @@
 	return len(next[0].Topics), many.gateway.fill(many.now, again, &many.effects)
 }
 
-func TestARefusedSubscriptionKeepsItsTurn(t *testing.T) {
+func TestTopicSubscriptionKeepsTurnWhenRejected(t *testing.T) {
 	topics, confirmed := refusedTurn(t)
 	assert.Equal(t, topics, 1)
 	assert.Assert(t, confirmed, "what was fetched is used by the next try")
 }
 
-func TestAReservedTurnEnds(t *testing.T) {
+func TestTopicReservationExpires(t *testing.T) {
 	many := newCrowded(1)
 	subscription := many.channels[0].routed[many.channels[0].client]
 	subscription.resumes, subscription.deliveredUpTo = true, 3
@@ -186,8 +186,8 @@
 	assert.Equal(t, len(many.gateway.routed.partitions), 0)
 }
 
-// A subscription without a cursor has no turn to keep: its topic goes, once.
-func TestAPartitionIsFollowedAsLongAsATopicOfItIsHeld(t *testing.T) {
+// A subscription without a cursor has no turn to keep: its topic is removed, once.
+func TestPartitionReportsEndWithLastTopic(t *testing.T) {
 	many := newCrowded(1)
 	refused := many.channels[0].routed[many.channels[0].client]
 	name := refused.topic.partition
@@ -207,7 +207,7 @@
 	assert.Equal(t, many.gateway.routed.partitions[name], 1)
 }
 
-func TestTheCreditOfABatchFollowsFromTheLink(t *testing.T) {
+func TestBatchCreditFollowsLink(t *testing.T) {
 	many := newCrowded(1)
 	assert.Equal(t, many.asked()[0].MaxBytes, maxBatchBytes)
 	many.gateway.SetLink(3_250_000)
@@ -220,7 +220,7 @@
 
 // A subscription is confirmed though the answer had no room for what it missed, which
 // follows with later batches.
-func TestASubscriptionIsConfirmedBeforeItsRecordsCome(t *testing.T) {
+func TestTopicSubscriptionConfirmedBeforeRecords(t *testing.T) {
 	one := newCrowded(1)
 	subscription := one.channels[0].routed["topic-0"]
 	subscription.resumes, subscription.deliveredUpTo = true, 2
@@ -248,9 +248,8 @@
 	assert.Assert(t, !subscription.filling)
 }
 
-// What is told to have moved while a topic is still being fetched is not to be told
-// again once it has been.
-func TestWhatMovedWhileATopicWasFetchedIsFetchedToo(t *testing.T) {
+// A leader does not report again what it reported while the topic was being fetched.
+func TestTopicReportedDuringFetchIsFetched(t *testing.T) {
 	one := newCrowded(1)
 	fetch := one.asked()[0]
 	topic := one.gateway.routed.topics["topic-0"]
@@ -271,9 +270,9 @@
 	assert.Equal(t, one.gateway.routed.reportedUpTo[topic.partition], uint64(8))
 }
 
-// toldWhileWaiting is how many subscribers others are told of while one waits for
-// its place, and once it has it.
-func toldWhileWaiting() (waiting, filled int) {
+// announcedWhileWaiting returns how many subscribers are announced while one is unconfirmed, and
+// once it is confirmed.
+func announcedWhileWaiting() (waiting, filled int) {
 	one := newCrowded(1)
 	topic := one.gateway.routed.topics["topic-0"]
 	waiting = topic.announcedCount
@@ -281,8 +280,8 @@
 	return waiting, topic.announcedCount
 }
 
-func TestNobodyIsToldOfWhoWaitsForItsPlace(t *testing.T) {
-	waiting, filled := toldWhileWaiting()
+func TestSubscriberCountLeavesOutUnconfirmed(t *testing.T) {
+	waiting, filled := announcedWhileWaiting()
 	assert.Equal(t, waiting, 0)
 	assert.Equal(t, filled, 1)
 }
@@ -330,7 +329,7 @@
 	return read
 }
 
-func TestAPlaceOfWhichAllIsHeldIsConfirmedAtOnce(t *testing.T) {
+func TestTopicSubscriptionWithinRetentionConfirmedAtOnce(t *testing.T) {
 	assert.Assert(t, confirmed(t, 5))
 	assert.Assert(t, !confirmed(t, 2), "what lay there may be gone")
 }
@@ -385,13 +384,13 @@
 	return order
 }
 
-// A topic that lacks one message must not wait for those that lack a hundred.
-func TestShortTopicsAreNotHeldUpByLongOnes(t *testing.T) {
+// A topic with one missing record must not wait for those with a hundred.
+func TestBatchFetchesShortBacklogsBeforeLongOnes(t *testing.T) {
 	assert.DeepEqual(t, orderOfRest(t), []string{"topic-3", "topic-2", "topic-1", "topic-0"})
 }
 
-// While more is known to lack than the link takes in a second nobody else is let in.
-func TestABacklogClosesTheGate(t *testing.T) {
+// While more bytes are missing than the link takes in a second no session is admitted.
+func TestAdmissionRejectsDuringBacklog(t *testing.T) {
 	one := newCrowded(1)
 	topic := one.gateway.routed.topics["topic-0"]
 	one.gateway.SetLink(thinRate)
@@ -409,9 +408,9 @@
 
 const thinRate = 100_000
 
-// What a place lacked counts no longer once it is gone, though others hold its topic and
-// the answer is still on its way.
-func TestABacklogGoesWithWhoeverLackedIt(t *testing.T) {
+// What a removed subscription lacked no longer counts, though others subscribe to its topic
+// and the response is still on its way.
+func TestAdmissionForgetsBacklogOfClosedSessions(t *testing.T) {
 	one := newCrowded(1)
 	gateway, topic := one.gateway, one.gateway.routed.topics["topic-0"]
 	one.answer(one.asked()[0])
--- a/internal/gateway/draining.go
+++ b/internal/gateway/draining.go
@@ -122,7 +122,7 @@
 	}
 	session.movedAt = now
 	g.ring.Record(now, "", "", session.client, "moved", "to", target.Name, "stopping", g.stopping)
-	effects.Emit(logevent.SessionMoved, "origin", session.client, "to", target.Name)
+	effects.Emit(logevent.SessionMoved, "client", session.client, "to", target.Name)
 	g.emit(id, event, effects)
 }
 
--- a/internal/gateway/fetch.go
+++ b/internal/gateway/fetch.go
@@ -379,7 +379,7 @@
 // further, since a record depends on one that they had not reported.
 func merge(operation *fetchOperation) (ordered []RecordCopy, again []string) {
 	at := map[string]int{}
-	// What is older than a trail is ordered by the sender's seq alone.
+	// Records older than the dependency window are ordered by the sender's seq alone.
 	turns := map[string][]uint64{}
 	for name, records := range operation.records {
 		_, full := spaceOf(name)
--- a/internal/gateway/forms_test.go
+++ b/internal/gateway/forms_test.go
@@ -25,8 +25,8 @@
 
 var cursorKey = []byte("recorded-key-0123456")
 
-// sampleCursors are places as callers hold them: of one who just came, of one who was
-// handed a part of what there was, and of one who listened to passing messages.
+// sampleCursors are cursors of a client without any messages, of one with a part of them, and
+// of one that saw ephemeral messages.
 func sampleCursors() []cursor {
 	begun := cursor{
 		Layout:     cursorLayout,
--- a/internal/gateway/identity_mutation_test.go
+++ b/internal/gateway/identity_mutation_test.go
@@ -1,7 +1,5 @@
 //go:build mutation
 
-// With the lives alike a caller is told of another's message, and with any answer
-// taken a sender's trail counts as known too early and a part of a fetch counts twice.
 package gateway
 
 import (
@@ -12,7 +10,9 @@
 	"dahlialock/internal/statemachine"
 )
 
-func TestTheIdentityOfAnswersIsNeeded(t *testing.T) {
+// With equal incarnations a client gets the answer to another one's message; with any response
+// accepted a sender lookup completes too early and a part of a fetch counts twice.
+func TestResponseMutationAcceptsAny(t *testing.T) {
 	restore := statemachine.Mutate("lives-alike")
 	response := lateAppend()
 	assert.Equal(t, len(response), 1)
@@ -20,7 +20,7 @@
 	assert.Assert(t, lateFetch())
 	restore()
 	restore = statemachine.Mutate("any-answer")
-	assert.Assert(t, doubledRecall())
+	assert.Assert(t, doubledLookup())
 	assert.Equal(t, doubledPage(), 15)
 	restore()
 }
--- a/internal/gateway/identity_test.go
+++ b/internal/gateway/identity_test.go
@@ -1,5 +1,3 @@
-// What a store answers to an earlier life of a gateway says nothing about what the
-// present one asked, and one answer of each store counts.
 package gateway
 
 import (
@@ -15,8 +13,8 @@
 )
 
 const (
-	earlierLife statemachine.Incarnation = 0x5851_f42d_4c95_7f2d
-	presentLife statemachine.Incarnation = 0x1405_7b7e_f767_814f
+	earlierIncarnation statemachine.Incarnation = 0x5851_f42d_4c95_7f2d
+	presentIncarnation statemachine.Incarnation = 0x1405_7b7e_f767_814f
 )
 
 // asker is a gateway with one space, of which a sender's message waits.
@@ -25,11 +23,13 @@
 	item    *publication
 }
 
-func newAsker(life statemachine.Incarnation, now time.Time, partitions ...string) *asker {
+// newAsker returns a gateway of an incarnation that sends requests to stores. A response of a
+// store to an earlier incarnation must not be taken for one to the present.
+func newAsker(incarnation statemachine.Incarnation, now time.Time, partitions ...string) *asker {
 	gateway := New(Settings{
 		Self:        membership.Member{Name: "gateway-1", Kind: membership.KindGateway, Address: "a:1"},
 		Agent:       "a:2",
-		Incarnation: life,
+		Incarnation: incarnation,
 	})
 	for number, name := range partitions {
 		store := string(rune('k' + number))
@@ -57,7 +57,7 @@
 	return &asker{gateway: gateway, item: item}
 }
 
-// ask lets the gateway ask, and gives what it sends.
+// ask runs a step of the gateway and returns what it sends.
 func (a *asker) ask(run func(effects *statemachine.Effects)) []statemachine.Send {
 	var effects statemachine.Effects
 	run(&effects)
@@ -89,19 +89,19 @@
 	})
 }
 
-// take hands a store's answer to the gateway, and gives what it tells callers.
+// take hands a response of a store to the gateway and returns what clients get.
 func (a *asker) take(now time.Time, answer any) []statemachine.Response {
 	var effects statemachine.Effects
 	a.gateway.dispatch(now, statemachine.Meta{From: "k"}, answer, &effects)
 	return effects.Responses
 }
 
-// lateAppend is what a caller of the present life is told upon the acknowledgement
-// of another's message in the earlier one.
+// lateAppend returns what a client of the present incarnation gets for the response to an
+// append of the earlier one.
 func lateAppend() []statemachine.Response {
 	now := time.Unix(1000, 0)
-	earlier := newAsker(earlierLife, now, "boards~1/0").append(now)
-	present := newAsker(presentLife, now, "boards~1/0")
+	earlier := newAsker(earlierIncarnation, now, "boards~1/0").append(now)
+	present := newAsker(presentIncarnation, now, "boards~1/0")
 	present.append(now.Add(time.Second))
 	return present.take(now.Add(1100*time.Millisecond), partition.AppendResponse{
 		Partition: earlier.Partition,
@@ -112,11 +112,11 @@
 	})
 }
 
-// lateFetch tells whether an answer to the earlier life's fetch ends one of the present.
+// lateFetch returns whether a response to the earlier incarnation's fetch ends one of the present.
 func lateFetch() bool {
 	now := time.Unix(1000, 0)
-	earlier := newAsker(earlierLife, now, "boards~1/0").fetch(now)
-	present := newAsker(presentLife, now, "boards~1/0")
+	earlier := newAsker(earlierIncarnation, now, "boards~1/0").fetch(now)
+	present := newAsker(presentIncarnation, now, "boards~1/0")
 	fetch := present.fetch(now.Add(time.Second))
 	present.take(now.Add(1100*time.Millisecond), partition.FetchTopicsResponse{
 		RequestID: earlier.RequestID, Topics: []partition.TopicRecords{{Until: 5}},
@@ -126,16 +126,15 @@
 	return !waits
 }
 
-func TestNoAnswerToAnEarlierLifeIsTaken(t *testing.T) {
+func TestResponseToEarlierIncarnationIsIgnored(t *testing.T) {
 	assert.Equal(t, len(lateAppend()), 0)
 	assert.Assert(t, !lateFetch())
 }
 
-// doubledRecall tells whether a sender's trail counts as known after the same store
-// answered twice, and another not at all.
-func doubledRecall() bool {
+// doubledLookup returns whether a sender lookup completes after the same store responded twice.
+func doubledLookup() bool {
 	now := time.Unix(1000, 0)
-	asker := newAsker(presentLife, now, partitionName("boards~1", 0), partitionName("boards~1", 1))
+	asker := newAsker(presentIncarnation, now, partitionName("boards~1", 0), partitionName("boards~1", 1))
 	asker.gateway.spaces["boards"].space.Order = config.OrderSender
 	for number := 2; number < asker.gateway.spaces["boards"].space.Partitions(); number++ {
 		asker.gateway.viewClient.Placements[partitionName("boards~1", number)] = membership.Placement{Leader: "k", Epoch: 1}
@@ -150,10 +149,10 @@
 	return asker.gateway.senders[asker.item.key].lookedUp
 }
 
-// doubledPage gives how many records a fetch has after its first part came twice.
+// doubledPage returns how many records a fetch has after its first part came twice.
 func doubledPage() int {
 	now := time.Unix(1000, 0)
-	asker := newAsker(presentLife, now, "boards~1/0")
+	asker := newAsker(presentIncarnation, now, "boards~1/0")
 	operation := &fetchOperation{
 		session:    5,
 		partitions: map[string]*partitionFetch{"boards~1/0": {}},
@@ -181,10 +180,10 @@
 	return len(operation.records["boards~1/0"])
 }
 
-func TestAPartThatComesTwiceCountsOnce(t *testing.T) {
+func TestFetchIgnoresDuplicateResponse(t *testing.T) {
 	assert.Equal(t, doubledPage(), 10)
 }
 
-func TestOneAnswerOfEachStoreCounts(t *testing.T) {
-	assert.Assert(t, !doubledRecall())
+func TestSenderLookupCountsEachStoreOnce(t *testing.T) {
+	assert.Assert(t, !doubledLookup())
 }
--- a/internal/gateway/opening_test.go
+++ b/internal/gateway/opening_test.go
@@ -11,7 +11,7 @@
 	"dahlialock/internal/statemachine"
 )
 
-// begun is a gateway that has no news yet.
+// begun returns a gateway that has had no view update yet.
 func begun() *fleetlab {
 	fleetlab := &fleetlab{now: time.Unix(1000, 0), gateway: gateway.New(gateway.Settings{
 		Self: membership.Member{
@@ -29,7 +29,7 @@
 	return fleetlab
 }
 
-func TestACallerRightAfterAStartWaitsForTheFirstNews(t *testing.T) {
+func TestOpenSessionWaitsForFirstViewUpdate(t *testing.T) {
 	fleetlab := begun()
 	assert.Equal(t, len(fleetlab.greet(t, 1, "u1").Responses), 0)
 	fleetlab.pass(300 * time.Millisecond)
@@ -37,9 +37,9 @@
 	assert.Equal(t, outcome(t, fleetlab.heard).Outcome, gateway.OutcomeAccepted)
 }
 
-func TestACallerIsRefusedOnceTheLookIsOver(t *testing.T) {
+func TestOpenSessionRejectedAfterRefreshTimeout(t *testing.T) {
 	fleetlab := begun()
-	// No news ever: nothing answers what the gateway asks.
+	// The agent never responds.
 	assert.Equal(t, len(fleetlab.greet(t, 1, "u1").Responses), 0)
 	var refused statemachine.Effects
 	from := fleetlab.now
@@ -53,7 +53,7 @@
 	assert.Assert(t, fleetlab.now.Sub(from) <= 600*time.Millisecond, "after %s", fleetlab.now.Sub(from))
 }
 
-func TestAGatewayServesNoLongerUnconfirmedThanItsBoundsAllow(t *testing.T) {
+func TestGatewayConfirmedForIsBounded(t *testing.T) {
 	for given, wanted := range map[time.Duration]time.Duration{
 		0:           2500 * time.Millisecond,
 		time.Second: time.Second,
--- a/internal/gateway/publish.go
+++ b/internal/gateway/publish.go
@@ -64,8 +64,8 @@
 	at   time.Time
 }
 
-// result returns the dependencies that go with a sender's next message.
-func (s *sender) result(now time.Time) partition.Dependencies {
+// currentDependencies returns the dependencies that go with a sender's next message.
+func (s *sender) currentDependencies(now time.Time) partition.Dependencies {
 	s.dependencies = slices.DeleteFunc(
 		s.dependencies,
 		func(each dependency) bool { return now.Sub(each.at) > partition.DependencyWindow },
@@ -303,7 +303,7 @@
 	effects *statemachine.Effects,
 ) {
 	// A seq that does not follow the newest one known here may come from a
-	// sender that was elsewhere meanwhile; its trail is learned anew.
+	// sender that was elsewhere meanwhile; its dependencies are looked up anew.
 	follows := from.lookedUp && item.request.Seq <= from.lastSeq+1
 	if !follows && !item.lookedUp && state.space.Partitions() > 1 {
 		item.lookedUp = true
@@ -339,7 +339,7 @@
 	}
 	var before partition.Dependencies
 	if state, known := g.spaces[item.request.Space]; known && state.space.Partitions() > 1 {
-		before = from.result(now)
+		before = from.currentDependencies(now)
 	}
 	g.nextRequest++
 	send := g.nextRequest
--- a/internal/gateway/publish_test.go
+++ b/internal/gateway/publish_test.go
@@ -1,5 +1,3 @@
-// An answer of a store that comes twice settles the send that it names, and no
-// other: what is still open is unsettled at its limit, and never refused.
 package gateway
 
 import (
@@ -14,7 +12,9 @@
 	"dahlialock/internal/statemachine"
 )
 
-func TestAnAnswerThatComesTwiceSettlesOneSend(t *testing.T) {
+// A response that comes twice answers the one send that it names: the others are still
+// unanswered at the deadline, so that the outcome is unsettled and never rejected.
+func TestPublicationDuplicateResponseAnswersOneSend(t *testing.T) {
 	now := time.Unix(1000, 0)
 	gateway := New(Settings{
 		Self:  membership.Member{Name: "gateway-1", Kind: membership.KindGateway, Address: "a:1"},
--- /dev/null
+++ b/internal/gateway/route_mutation_test.go
@@ -0,0 +1,18 @@
+//go:build mutation
+
+package gateway
+
+import (
+	"testing"
+
+	"gotest.tools/v3/assert"
+
+	"dahlialock/internal/statemachine"
+)
+
+// Without a memory of routes each view update sends all unanswered requests again.
+func TestRouteMutationResendsAll(t *testing.T) {
+	defer statemachine.Mutate("all-sent-again-at-news")()
+	unrelatedUpdate, _ := sentAgain()
+	assert.Assert(t, unrelatedUpdate > 0)
+}
--- a/internal/gateway/route_test.go
+++ b/internal/gateway/route_test.go
@@ -1,5 +1,3 @@
-// What waits for a store is sent again where its way changed, and not with each piece
-// of news: after a loss of all power news come all the time.
 package gateway
 
 import (
@@ -13,9 +11,10 @@
 	"dahlialock/internal/statemachine"
 )
 
-// sentAgain gives what a gateway with an open fetch sends when news bring another
-// member, and when they bring another epoch of the partition.
-func sentAgain() (otherNews, otherEpoch int) {
+// sentAgain returns how much a gateway with an open fetch sends when an unrelated view update
+// comes, and when one with another epoch of the partition comes. After a power loss of the
+// complete fleet view updates come all the time.
+func sentAgain() (unrelatedUpdate, otherEpoch int) {
 	now := time.Unix(1000, 0)
 	gateway := New(Settings{
 		Self:  membership.Member{Name: "gateway-1", Kind: membership.KindGateway, Address: "a:1"},
@@ -54,7 +53,7 @@
 		Address: "b:1",
 		Alive:   true,
 	}
-	otherNews = again()
+	unrelatedUpdate = again()
 	gateway.viewClient.Placements[name] = membership.Placement{
 		Partition: name,
 		Epoch:     2,
@@ -62,16 +61,16 @@
 		Complete:  true,
 	}
 	otherEpoch = again()
-	return otherNews, otherEpoch
+	return unrelatedUpdate, otherEpoch
 }
 
-func TestNewsOfOtherThingsSendNothingAgain(t *testing.T) {
-	otherNews, otherEpoch := sentAgain()
-	assert.Equal(t, otherNews, 0)
+func TestRouteUnrelatedViewUpdateResendsNothing(t *testing.T) {
+	unrelatedUpdate, otherEpoch := sentAgain()
+	assert.Equal(t, unrelatedUpdate, 0)
 	assert.Equal(t, otherEpoch, 1)
 }
 
-func TestABatchWithoutAnAnswerIsSentEverMoreSeldom(t *testing.T) {
+func TestBatchRetriesBackOff(t *testing.T) {
 	sent := &batch{}
 	var waits []time.Duration
 	for sent.attempts = 1; sent.attempts < 7; sent.attempts++ {
--- a/internal/gateway/session.go
+++ b/internal/gateway/session.go
@@ -146,7 +146,7 @@
 	g.supersede(now, request.Client, request.Session, effects)
 	g.timers.ArmSooner(timerTick, now.Add(tickInterval))
 	g.ring.Record(now, "", "", request.Client, "channel-opened", "channel", request.Name)
-	effects.Emit(logevent.SessionOpened, "origin", request.Client)
+	effects.Emit(logevent.SessionOpened, "client", request.Client)
 	effects.Respond(request.Request, acceptedReply(nil))
 	g.emit(request.Session, Event{
 		Event:   "hello",
@@ -214,7 +214,7 @@
 	if request.Reason == "slow" {
 		number = logevent.SessionTooSlow
 	}
-	effects.Emit(number, "origin", session.client, "why", request.Reason)
+	effects.Emit(number, "client", session.client, "reason", request.Reason)
 	g.ring.Record(now, "", "", session.client, "channel-closed", "why", request.Reason)
 }
 
--- a/internal/gateway/stopping_test.go
+++ b/internal/gateway/stopping_test.go
@@ -17,13 +17,13 @@
 	"spaces":[{"name":"boards","promise":"kept","order":"topic"}],
 	"routes":[{"prefix":"b.","space":"boards"}]}`
 
-// fleetlab is one gateway that has its first news and another to send callers to.
+// fleetlab is a gateway that has had its first view update, beside another to move clients to.
 type fleetlab struct {
-	now     time.Time
-	gateway *gateway.Gateway
-	request uint64
-	toldAt  time.Time
-	// heard is what the newest news brought about.
+	now         time.Time
+	gateway     *gateway.Gateway
+	request     uint64
+	heartbeatAt time.Time
+	// heard is the effects of the newest view update.
 	heard statemachine.Effects
 }
 
@@ -46,21 +46,21 @@
 		}
 		var effects statemachine.Effects
 		f.gateway.Tick(f.now, &effects)
-		f.news(effects)
+		f.respondToAgentRequests(effects)
 		all.Append(effects)
 	}
 	f.now = until
 	return all
 }
 
-// news answers what the gateway asks its agent, and tells it of heartbeats.
-func (f *fleetlab) news(effects statemachine.Effects) {
+// respondToAgentRequests responds to the requests that the gateway sends to its agent, and sends heartbeats.
+func (f *fleetlab) respondToAgentRequests(effects statemachine.Effects) {
 	for _, send := range effects.Sends {
 		ask, matches := send.Message.(membership.ViewRequest)
-		if !matches || f.now.Sub(f.toldAt) < 300*time.Millisecond {
+		if !matches || f.now.Sub(f.heartbeatAt) < 300*time.Millisecond {
 			continue
 		}
-		f.toldAt = f.now
+		f.heartbeatAt = f.now
 		partitionName := config.SharedPartition("b.1")
 		f.heard = statemachine.Effects{}
 		f.gateway.HandleMessage(f.now, statemachine.Meta{From: "10.0.0.1:2", Version: 1}, membership.ViewUpdate{
@@ -157,7 +157,7 @@
 	return count
 }
 
-func TestAStoppingGatewayTellsWhoComesWhereToGo(t *testing.T) {
+func TestStoppingGatewayRedirectsNewClients(t *testing.T) {
 	fleetlab := open(t)
 	fleetlab.do(gateway.Stop{})
 	effects := fleetlab.greet(t, 1, "u1")
@@ -168,7 +168,7 @@
 	assert.Equal(t, outcome(t, other).Code, "stopping")
 }
 
-func TestAStoppingGatewayServesThoseWhoAreStillHere(t *testing.T) {
+func TestStoppingGatewayServesRemainingClients(t *testing.T) {
 	fleetlab := open(t)
 	fleetlab.greet(t, 1, "u1")
 	fleetlab.do(gateway.Stop{})
@@ -190,7 +190,7 @@
 	assert.Assert(t, found, "the publication must go to its store: %v", effects.Sends)
 }
 
-func TestAStoppingGatewayDoesNotWaitForThoseWhoDoNotGo(t *testing.T) {
+func TestStoppingGatewayDoesNotAwaitMovedClients(t *testing.T) {
 	fleetlab := open(t)
 	for session := range uint64(40) {
 		fleetlab.greet(t, session+1, "u")
