--- a/cmd/dahlialock/explain.go
+++ b/cmd/dahlialock/explain.go
@@ -30,8 +30,8 @@
 	exitSilent  = subcommands.ExitStatus(3)
 )
 
-// clusterPatience is how long explain waits for the list of members.
-const clusterPatience = 3 * time.Second
+// clusterTimeout is how long explain waits for the list of members.
+const clusterTimeout = 3 * time.Second
 
 // explainOptions says what to explain, and whom to ask.
 type explainOptions struct {
@@ -69,8 +69,8 @@
 	}
 }
 
-func get(patience time.Duration, location string, value any) error {
-	client := http.Client{Timeout: patience}
+func get(timeout time.Duration, location string, value any) error {
+	client := http.Client{Timeout: timeout}
 	response, err := client.Get(location)
 	if err != nil {
 		return err
@@ -139,7 +139,7 @@
 	var last error
 	addresses := strings.Split(control, ",")
 	for _, address := range addresses {
-		if last = get(clusterPatience, "http://"+address+"/v1/cluster", &cluster); last == nil {
+		if last = get(clusterTimeout, "http://"+address+"/v1/cluster", &cluster); last == nil {
 			return cluster.Members, nil
 		}
 	}
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -85,16 +85,16 @@
 	var served *lineserver.Server
 	var admit func(origin, token string) bool
 	if len(key) > 0 {
-		admit = func(origin, token string) bool { return httpapi.Origin(key, token) == origin }
+		admit = func(origin, token string) bool { return httpapi.ClientOf(key, token) == origin }
 	}
 	own := built.Counters
-	built.Counters = func() any { return map[string]any{"machine": own(), "callers": served.Sums(), "told": served.Told()} }
+	built.Counters = func() any { return map[string]any{"machine": own(), "callers": served.Sums(), "told": served.Sent()} }
 	built.ListenClients = func(at *daemon.EventLoop, address string) (daemon.Server, error) {
 		var err error
 		served, err = lineserver.Start(lineserver.Settings{
 			Address: address, Host: at, Protocol: platform.Lines{}, Admit: admit, Silent: 3 * current.Timeouts.Ping,
 			// A few more than may open a channel, so that they are told to go elsewhere.
-			ConnectionsMost: current.MaxSessions + current.MaxSessions/10 + 64,
+			MaxConnections: current.MaxSessions + current.MaxSessions/10 + 64,
 		})
 		return served, err
 	}
--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -31,21 +31,21 @@
 )
 
 const (
-	bodyMost   = config.MaxDataBytes + 512<<10
-	sinkSize   = 1024
-	writeLimit = 10 * time.Second
+	maxBodyBytes = config.MaxDataBytes + 512<<10
+	sinkSize     = 1024
+	writeLimit   = 10 * time.Second
 )
 
 // Token is the pass of an origin: its name, and a keyed sum of it.
-func Token(key []byte, origin string) string {
+func Token(key []byte, client string) string {
 	sum := hmac.New(sha256.New, key)
-	_, _ = sum.Write([]byte("origin:" + origin))
-	return origin + "." + hex.EncodeToString(sum.Sum(nil))
+	_, _ = sum.Write([]byte("origin:" + client))
+	return client + "." + hex.EncodeToString(sum.Sum(nil))
 }
 
-// Origin reads a pass; it is empty if the pass is not a right one. Where there
+// ClientOf reads a pass; it is empty if the pass is not a right one. Where there
 // is no key anyone is admitted, and the pass is the name alone.
-func Origin(key []byte, token string) string {
+func ClientOf(key []byte, token string) string {
 	if len(key) == 0 {
 		if !config.ValidName(token) {
 			return ""
@@ -119,20 +119,20 @@
 // admit reads the caller's pass.
 func (s *Server) admit(writer http.ResponseWriter, request *http.Request, name string) (string, bool) {
 	token, found := strings.CutPrefix(request.Header.Get("Authorization"), "Bearer ")
-	origin := ""
+	client := ""
 	if found {
-		origin = Origin(s.key, token)
+		client = ClientOf(s.key, token)
 	}
-	if origin == "" {
+	if client == "" {
 		s.give(writer, name, refuse(http.StatusUnauthorized, "not-authentic", "a bearer token of this fleet is wanted"))
 		return "", false
 	}
-	return origin, true
+	return client, true
 }
 
 // read reads a body strictly, with the keys that may stand in it.
 func (s *Server) read(writer http.ResponseWriter, request *http.Request, name string, walk *config.Reader, keys ...string) (map[string]*fastjson.Value, bool) {
-	body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, bodyMost))
+	body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, maxBodyBytes))
 	if err != nil {
 		var large *http.MaxBytesError
 		if errors.As(err, &large) {
@@ -142,8 +142,8 @@
 		}
 		return nil, false
 	}
-	value, whole := walk.Parse(body)
-	if !whole {
+	value, valid := walk.Parse(body)
+	if !valid {
 		s.faulty(writer, name, walk)
 		return nil, false
 	}
@@ -151,13 +151,13 @@
 }
 
 // enter admits a request and reads its body.
-func (s *Server) enter(writer http.ResponseWriter, request *http.Request, walk *config.Reader, keys ...string) (name, origin string, members map[string]*fastjson.Value, whole bool) {
+func (s *Server) enter(writer http.ResponseWriter, request *http.Request, walk *config.Reader, keys ...string) (name, client string, members map[string]*fastjson.Value, valid bool) {
 	name = s.requestName()
-	if origin, whole = s.admit(writer, request, name); !whole {
+	if client, valid = s.admit(writer, request, name); !valid {
 		return name, "", nil, false
 	}
-	members, whole = s.read(writer, request, name, walk, keys...)
-	return name, origin, members, whole
+	members, valid = s.read(writer, request, name, walk, keys...)
+	return name, client, members, valid
 }
 
 func (s *Server) faulty(writer http.ResponseWriter, name string, walk *config.Reader) {
@@ -207,7 +207,7 @@
 // channel opens a channel and writes its events until either side ends it.
 func (s *Server) channel(writer http.ResponseWriter, request *http.Request) {
 	name := s.requestName()
-	origin, admitted := s.admit(writer, request, name)
+	client, admitted := s.admit(writer, request, name)
 	if !admitted {
 		return
 	}
@@ -216,7 +216,7 @@
 	sink := make(chan statemachine.Delivery, sinkSize)
 	s.host.AttachSession(number, sink)
 	value, alive := s.host.Call(func(local uint64) any {
-		return gateway.OpenSession{Request: local, Session: number, Name: channel, Client: origin}
+		return gateway.OpenSession{Request: local, Session: number, Name: channel, Client: client}
 	})
 	answer, matches := value.(gateway.Reply)
 	if !alive || !matches || answer.Outcome != gateway.OutcomeAccepted {
@@ -348,8 +348,8 @@
 
 func (s *Server) subscribe(writer http.ResponseWriter, request *http.Request) {
 	var walk config.Reader
-	name, origin, members, whole := s.enter(writer, request, &walk, "channel", "subscriptions", "cursor")
-	if !whole {
+	name, client, members, valid := s.enter(writer, request, &walk, "channel", "subscriptions", "cursor")
+	if !valid {
 		return
 	}
 	need(&walk, members, "channel")
@@ -358,7 +358,7 @@
 	}
 	channel, fit := channelNumber(walk.Text("$.channel", members["channel"], ""))
 	command := gateway.Subscribe{
-		RequestName: name, Session: channel, Client: origin, Interests: interests(&walk, members["subscriptions"]),
+		RequestName: name, Session: channel, Client: client, Interests: interests(&walk, members["subscriptions"]),
 		Cursor: walk.Text("$.cursor", members["cursor"], ""),
 	}
 	if len(walk.Faults) > 0 {
@@ -377,14 +377,14 @@
 
 func (s *Server) unsubscribe(writer http.ResponseWriter, request *http.Request) {
 	var walk config.Reader
-	name, origin, members, whole := s.enter(writer, request, &walk, "channel", "subscriptions")
-	if !whole {
+	name, client, members, valid := s.enter(writer, request, &walk, "channel", "subscriptions")
+	if !valid {
 		return
 	}
 	need(&walk, members, "channel")
 	need(&walk, members, "subscriptions")
 	channel, _ := channelNumber(walk.Text("$.channel", members["channel"], ""))
-	command := gateway.Unsubscribe{RequestName: name, Session: channel, Client: origin, Interests: interests(&walk, members["subscriptions"])}
+	command := gateway.Unsubscribe{RequestName: name, Session: channel, Client: client, Interests: interests(&walk, members["subscriptions"])}
 	if len(walk.Faults) > 0 {
 		s.faulty(writer, name, &walk)
 		return
@@ -397,8 +397,8 @@
 
 func (s *Server) publish(writer http.ResponseWriter, request *http.Request) {
 	var walk config.Reader
-	name, origin, members, whole := s.enter(writer, request, &walk, "space", "topic", "sender", "seq", "data", "data_base64")
-	if !whole {
+	name, client, members, valid := s.enter(writer, request, &walk, "space", "topic", "sender", "seq", "data", "data_base64")
+	if !valid {
 		return
 	}
 	for _, key := range []string{"topic", "seq"} {
@@ -409,7 +409,7 @@
 		need(&walk, members, "data")
 	}
 	command := gateway.Publish{
-		RequestName: name, Client: origin, Sender: walk.Text("$.sender", members["sender"], origin),
+		RequestName: name, Client: client, Sender: walk.Text("$.sender", members["sender"], client),
 		Space: walk.Text("$.space", members["space"], ""), Topic: walk.Text("$.topic", members["topic"], ""),
 		Seq: uint64(walk.Integer("$.seq", members["seq"], 0, 1, math.MaxInt64)),
 	}
@@ -431,8 +431,8 @@
 
 func (s *Server) pong(writer http.ResponseWriter, request *http.Request) {
 	var walk config.Reader
-	name, origin, members, whole := s.enter(writer, request, &walk, "channel")
-	if !whole {
+	name, client, members, valid := s.enter(writer, request, &walk, "channel")
+	if !valid {
 		return
 	}
 	need(&walk, members, "channel")
@@ -441,20 +441,20 @@
 		s.faulty(writer, name, &walk)
 		return
 	}
-	s.do(writer, name, func(local uint64) any { return gateway.Pong{Request: local, Session: channel, Client: origin} })
+	s.do(writer, name, func(local uint64) any { return gateway.Pong{Request: local, Session: channel, Client: client} })
 }
 
 // count tells how many origins subscribe to a routed topic.
 func (s *Server) count(writer http.ResponseWriter, request *http.Request) {
 	var walk config.Reader
-	name, origin, members, whole := s.enter(writer, request, &walk, "channel", "topic")
-	if !whole {
+	name, client, members, valid := s.enter(writer, request, &walk, "channel", "topic")
+	if !valid {
 		return
 	}
 	need(&walk, members, "channel")
 	need(&walk, members, "topic")
 	channel, _ := channelNumber(walk.Text("$.channel", members["channel"], ""))
-	command := gateway.CountSubscribers{RequestName: name, Session: channel, Client: origin, Topic: walk.Text("$.topic", members["topic"], "")}
+	command := gateway.CountSubscribers{RequestName: name, Session: channel, Client: client, Topic: walk.Text("$.topic", members["topic"], "")}
 	if len(walk.Faults) > 0 {
 		s.faulty(writer, name, &walk)
 		return
--- a/internal/lineserver/connection.go
+++ b/internal/lineserver/connection.go
@@ -44,7 +44,7 @@
 
 	// What the owner owns.
 	state  state
-	origin string
+	client string
 	why    string
 	output []byte
 	owed   int
@@ -83,9 +83,9 @@
 	}
 }
 
-// cut ends a connection at once. The reading task closes it: closing waits for
+// closeWith ends a connection at once. The reading task closes it: closing waits for
 // that task, which may wait for the owner.
-func (c *connection) cut(why string) {
+func (c *connection) closeWith(why string) {
 	if c.why == "" {
 		c.why = why
 	}
@@ -93,10 +93,10 @@
 	_ = c.socket.SetDeadline(time.Unix(1, 0))
 }
 
-// asked is a command that is on its way to the owner.
-type asked struct {
+// pendingRequest is a command that is on its way to the owner.
+type pendingRequest struct {
 	about  About
-	origin string
+	client string
 	cursor string
 	body   []byte
 	fault  string
@@ -132,7 +132,7 @@
 		return true
 	})
 	_ = from.socket.Close()
-	s.held.Add(-1)
+	s.openConnections.Add(-1)
 	s.settings.Host.Execute(func(owner daemon.LoopContext) { s.over(owner, from) })
 }
 
@@ -164,7 +164,7 @@
 		from.rest = append(from.rest, bytes...)
 		bytes = from.rest
 	}
-	var batch []asked
+	var batch []pendingRequest
 	pongs := 0
 	for !from.lost {
 		if from.skip > 0 {
@@ -202,14 +202,14 @@
 			return false
 		}
 		if !sent {
-			batch = append(batch, asked{about: About{Kind: Ping}})
+			batch = append(batch, pendingRequest{about: About{Kind: Ping}})
 		}
 	}
 	if len(batch) == 0 {
 		return true
 	}
 	s.Counters.Commands.Add(int64(len(batch)))
-	if from.waiting.Add(int32(len(batch))) > waitingMost {
+	if from.waiting.Add(int32(len(batch))) > maxPendingRequests {
 		s.Counters.Slow.Add(1)
 		return false
 	}
@@ -235,8 +235,8 @@
 }
 
 // ask makes a command last beyond the bytes that it was read from.
-func (s *Server) ask(command Command) asked {
-	made := asked{
+func (s *Server) ask(command Command) pendingRequest {
+	made := pendingRequest{
 		fault: command.Fault, lost: command.Lost,
 		about: About{Kind: command.Kind, Word: string(command.Word), Topic: string(command.Topic), Seq: command.Seq},
 	}
@@ -244,8 +244,8 @@
 		s.Counters.Unreadable.Add(1)
 		return made
 	}
-	made.origin, made.cursor = string(command.Origin), string(command.Cursor)
-	if command.Kind == Open && s.settings.Admit != nil && !s.settings.Admit(made.origin, string(command.Token)) {
+	made.client, made.cursor = string(command.Origin), string(command.Cursor)
+	if command.Kind == Open && s.settings.Admit != nil && !s.settings.Admit(made.client, string(command.Token)) {
 		made.fault = CodeStranger
 		return made
 	}
--- a/internal/lineserver/lineserver.go
+++ b/internal/lineserver/lineserver.go
@@ -23,16 +23,16 @@
 )
 
 const (
-	unsentMost   = 1 << 20
-	waitingMost  = 1024
-	namesMost    = 4096
-	readSize     = 16 << 10
-	spareBuffers = 64
-	keepSize     = 2 << 10
-	comeBack     = 250 * time.Millisecond
-	acceptPause  = 50 * time.Millisecond
-	writeLimit   = 10 * time.Second
-	lingerLimit  = time.Second
+	maxUnsentBytes     = 1 << 20
+	maxPendingRequests = 1024
+	maxNames           = 4096
+	readSize           = 16 << 10
+	spareBuffers       = 64
+	keepSize           = 2 << 10
+	comeBack           = 250 * time.Millisecond
+	acceptPause        = 50 * time.Millisecond
+	writeLimit         = 10 * time.Second
+	lingerLimit        = time.Second
 	// A span of silence is looked at in four ticks, and one more as a tick is when
 	// something was heard.
 	silentTicks = 4
@@ -48,10 +48,10 @@
 	Admit func(origin, token string) bool
 	// Silent is how long a connection may say nothing; zero means for ever.
 	Silent time.Duration
-	// ConnectionsMost is how many connections may be open; zero sets no bound.
-	ConnectionsMost int
-	// UnsentMost is how much may wait for a connection that does not read.
-	UnsentMost int
+	// MaxConnections is how many connections may be open; zero sets no bound.
+	MaxConnections int
+	// MaxUnsentBytes is how much may wait for a connection that does not read.
+	MaxUnsentBytes int
 }
 
 // Counters are running sums, read by anyone.
@@ -61,14 +61,14 @@
 
 // Server serves the connections of callers.
 type Server struct {
-	settings Settings
-	listener net.Listener
-	closing  chan struct{}
-	closed   atomic.Bool
-	held     atomic.Int64
-	ticks    atomic.Int64
-	spare    chan []byte
-	Counters Counters
+	settings        Settings
+	listener        net.Listener
+	closing         chan struct{}
+	closed          atomic.Bool
+	openConnections atomic.Int64
+	ticks           atomic.Int64
+	spare           chan []byte
+	Counters        Counters
 
 	// What the owner owns: connections that said something, those with output,
 	// and one text for each name that comes again and again.
@@ -94,28 +94,28 @@
 	}
 	counters := &s.Counters
 	return map[string]int64{
-		"held": s.held.Load(), "connections": counters.Connections.Load(), "refused": counters.Refused.Load(), "reads": counters.Reads.Load(),
+		"held": s.openConnections.Load(), "connections": counters.Connections.Load(), "refused": counters.Refused.Load(), "reads": counters.Reads.Load(),
 		"commands": counters.Commands.Load(), "writes": counters.Writes.Load(), "bytes_out": counters.BytesOut.Load(), "bytes_in": counters.BytesIn.Load(),
 		"slow": counters.Slow.Load(), "silent": counters.Silent.Load(), "unreadable": counters.Unreadable.Load(),
 	}
 }
 
-// Told gives what callers were told, by kind; for the owner alone.
-func (s *Server) Told() map[string]Said {
+// Sent gives what callers were told, by kind; for the owner alone.
+func (s *Server) Sent() map[string]Said {
 	if s == nil {
 		return nil
 	}
-	told := make(map[string]Said, len(s.said))
+	sent := make(map[string]Said, len(s.said))
 	for kind, said := range s.said {
-		told[strings.TrimSuffix(kind.what+"-"+kind.outcome, "-")] = said
+		sent[strings.TrimSuffix(kind.what+"-"+kind.outcome, "-")] = said
 	}
-	return told
+	return sent
 }
 
 // Start listens and serves until Close.
 func Start(settings Settings) (*Server, error) {
-	if settings.UnsentMost == 0 {
-		settings.UnsentMost = unsentMost
+	if settings.MaxUnsentBytes == 0 {
+		settings.MaxUnsentBytes = maxUnsentBytes
 	}
 	server := &Server{
 		settings: settings, closing: make(chan struct{}), spare: make(chan []byte, spareBuffers),
@@ -131,7 +131,7 @@
 	settings.Host.OnTurnEnd(server.flush)
 	go server.accept()
 	if settings.Silent > 0 {
-		go server.tickAway()
+		go server.tickLoop()
 	}
 	return server, nil
 }
@@ -148,7 +148,7 @@
 			}
 		}
 		socket := accepted.(*net.TCPConn)
-		if most := int64(s.settings.ConnectionsMost); most > 0 && s.held.Load() >= most {
+		if limit := int64(s.settings.MaxConnections); limit > 0 && s.openConnections.Load() >= limit {
 			s.Counters.Refused.Add(1)
 			_ = socket.Close()
 			continue
@@ -158,14 +158,14 @@
 			_ = socket.Close()
 			continue
 		}
-		s.held.Add(1)
+		s.openConnections.Add(1)
 		s.Counters.Connections.Add(1)
 		go s.read(newConnection(socket, raw))
 	}
 }
 
-// tickAway counts the time in which connections are silent.
-func (s *Server) tickAway() {
+// tickLoop counts the time in which connections are silent.
+func (s *Server) tickLoop() {
 	ticker := time.NewTicker(s.settings.Silent / silentTicks)
 	defer ticker.Stop()
 	for {
@@ -174,7 +174,7 @@
 			return
 		case <-ticker.C:
 		}
-		if s.held.Load() > 0 && !s.settings.Host.Execute(func(daemon.LoopContext) { s.tick() }) {
+		if s.openConnections.Load() > 0 && !s.settings.Host.Execute(func(daemon.LoopContext) { s.tick() }) {
 			return
 		}
 	}
@@ -187,7 +187,7 @@
 	for _, each := range s.connections {
 		if now-each.heard.Load() > silentTicks && each.why == "" {
 			s.Counters.Silent.Add(1)
-			each.cut("silent")
+			each.closeWith("silent")
 		}
 	}
 }
@@ -202,7 +202,7 @@
 	done := make(chan struct{})
 	s.settings.Host.Execute(func(daemon.LoopContext) {
 		for _, each := range s.connections {
-			each.cut("stopping")
+			each.closeWith("stopping")
 		}
 		close(done)
 	})
--- a/internal/lineserver/owner.go
+++ b/internal/lineserver/owner.go
@@ -24,16 +24,16 @@
 
 func (s *Server) send(to *connection) {
 	if to.stuck.Load() {
-		if to.owed+len(to.output) > s.settings.UnsentMost {
+		if to.owed+len(to.output) > s.settings.MaxUnsentBytes {
 			s.Counters.Slow.Add(1)
-			to.cut("slow")
+			to.closeWith("slow")
 		}
 		return
 	}
 	if len(to.output) > 0 {
 		to.sent, to.fault = 0, nil
 		if err := to.raw.Write(to.put); err != nil || to.fault != nil {
-			to.cut("closed")
+			to.closeWith("closed")
 			return
 		}
 		s.Counters.Writes.Add(1)
@@ -68,12 +68,12 @@
 			if to.why == "" {
 				s.Counters.Slow.Add(1)
 			}
-			to.cut("slow")
+			to.closeWith("slow")
 			return
 		}
 		to.owed = 0
 		to.stuck.Store(false)
-		s.mark(to)
+		s.markDirty(to)
 	})
 }
 
@@ -90,16 +90,16 @@
 
 // gather keeps what was appended until the end of the turn.
 func (s *Server) gather(to *connection, kind saidKind, output []byte) {
-	told := s.said[kind]
-	s.said[kind] = Said{Times: told.Times + 1, Bytes: told.Bytes + int64(len(output)-len(to.output))}
+	sent := s.said[kind]
+	s.said[kind] = Said{Times: sent.Times + 1, Bytes: sent.Bytes + int64(len(output)-len(to.output))}
 	to.output = output
 	if len(output) > 0 {
-		s.mark(to)
+		s.markDirty(to)
 	}
 }
 
-// mark has a connection looked at when the turn ends.
-func (s *Server) mark(to *connection) {
+// markDirty has a connection looked at when the turn ends.
+func (s *Server) markDirty(to *connection) {
 	if !to.dirty {
 		to.dirty = true
 		s.dirty = append(s.dirty, to)
@@ -119,7 +119,7 @@
 }
 
 // take does what one read of a connection brought.
-func (s *Server) take(owner daemon.LoopContext, from *connection, batch []asked) {
+func (s *Server) take(owner daemon.LoopContext, from *connection, batch []pendingRequest) {
 	if from.state == fresh {
 		s.connections[from.channel] = from
 	}
@@ -144,17 +144,17 @@
 			from.waiting.Add(-1)
 			s.gather(from, saidKind{what: "pong"}, s.settings.Protocol.AppendPong(from.output))
 		default:
-			s.carry(owner, from, command)
+			s.execute(owner, from, command)
 		}
 	}
 }
 
-func (s *Server) open(owner daemon.LoopContext, from *connection, command *asked) {
+func (s *Server) open(owner daemon.LoopContext, from *connection, command *pendingRequest) {
 	about := command.about
-	from.state, from.origin = opening, command.origin
+	from.state, from.client = opening, command.client
 	owner.AttachSession(from.channel, func(deliver statemachine.Delivery) { s.deliver(from, deliver) })
 	owner.Submit(func(request uint64) any {
-		return gateway.OpenSession{Request: request, Session: from.channel, Name: strconv.FormatUint(from.channel, 16), Client: command.origin, AdapterPings: true}
+		return gateway.OpenSession{Request: request, Session: from.channel, Name: strconv.FormatUint(from.channel, 16), Client: command.client, AdapterPings: true}
 	}, func(value any) {
 		answer := answerOf(value)
 		if from.state == opening {
@@ -183,20 +183,20 @@
 	return gateway.Reply{Outcome: gateway.OutcomeUnsettled, Code: CodeStopping, RetryAfter: comeBack}
 }
 
-func (s *Server) carry(owner daemon.LoopContext, from *connection, command *asked) {
+func (s *Server) execute(owner daemon.LoopContext, from *connection, command *pendingRequest) {
 	about := command.about
 	owner.Submit(func(request uint64) any {
 		switch about.Kind {
 		case Subscribe:
 			return gateway.Subscribe{
-				Request: request, Session: from.channel, Client: from.origin, Interests: []gateway.Interest{{Path: about.Topic}}, Cursor: command.cursor,
+				Request: request, Session: from.channel, Client: from.client, Interests: []gateway.Interest{{Path: about.Topic}}, Cursor: command.cursor,
 			}
 		case Unsubscribe:
-			return gateway.Unsubscribe{Request: request, Session: from.channel, Client: from.origin, Interests: []gateway.Interest{{Path: about.Topic}}}
+			return gateway.Unsubscribe{Request: request, Session: from.channel, Client: from.client, Interests: []gateway.Interest{{Path: about.Topic}}}
 		case Publish:
-			return gateway.Publish{Request: request, Client: from.origin, Sender: from.origin, Topic: about.Topic, Seq: about.Seq, Data: command.body}
+			return gateway.Publish{Request: request, Client: from.client, Sender: from.client, Topic: about.Topic, Seq: about.Seq, Data: command.body}
 		default:
-			return gateway.CountSubscribers{Request: request, Session: from.channel, Client: from.origin, Topic: about.Topic}
+			return gateway.CountSubscribers{Request: request, Session: from.channel, Client: from.client, Topic: about.Topic}
 		}
 	}, func(value any) { s.answer(from, about, answerOf(value)) })
 }
@@ -217,7 +217,7 @@
 // end closes a connection after what was written.
 func (s *Server) end(to *connection) {
 	to.ending, to.state = true, ended
-	s.mark(to)
+	s.markDirty(to)
 }
 
 // over ends the channel of a connection that is gone.
@@ -243,7 +243,7 @@
 	if known, found := s.names[text]; found {
 		return known
 	}
-	if len(s.names) >= namesMost {
+	if len(s.names) >= maxNames {
 		clear(s.names)
 	}
 	s.names[text] = text
--- a/internal/overlay/cell.go
+++ b/internal/overlay/cell.go
@@ -64,10 +64,10 @@
 	digest   uint64
 	digestAt time.Time
 	counts   map[uint64]uint32
-	// asked is when it was last asked for the whole, and asks how often since it
+	// requested is when it was last asked for the whole, and asks how often since it
 	// last told it.
-	asked time.Time
-	asks  int
+	requested time.Time
+	asks      int
 	// wanted is set where it is to be asked again.
 	wanted bool
 	// compared sums up the difference that was last looked into.
@@ -177,10 +177,10 @@
 
 // nextRequestAt is when it may be asked for the whole.
 func (m *member) nextRequestAt() time.Time {
-	if m.asked.IsZero() {
-		return m.asked
+	if m.requested.IsZero() {
+		return m.requested
 	}
-	return m.asked.Add(backoff(requestRetry, min(m.asks, maxRequestDoublings)))
+	return m.requested.Add(backoff(requestRetry, min(m.asks, maxRequestDoublings)))
 }
 
 // shortHash sums a peer's key up in a comparison.
--- a/internal/overlay/churn_test.go
+++ b/internal/overlay/churn_test.go
@@ -96,15 +96,15 @@
 		return
 	}
 	others := map[string]Gateway{}
-	for other, life := range s.members {
+	for other, incarnation := range s.members {
 		if other != name {
-			others[other] = Gateway{Name: other, Address: other, Joined: life}
+			others[other] = Gateway{Name: other, Address: other, Joined: incarnation}
 		}
 	}
 	var effects statemachine.Effects
 	part.SetView(s.now, others, &effects)
-	if life, member := s.members[name]; member {
-		part.SetIncarnation(s.now, life, &effects)
+	if incarnation, member := s.members[name]; member {
+		part.SetIncarnation(s.now, incarnation, &effects)
 	}
 	s.carry(name, &effects)
 }
--- a/internal/overlay/cost_test.go
+++ b/internal/overlay/cost_test.go
@@ -175,11 +175,11 @@
 	}
 }
 
-func (h *house) reset(share float64) int {
+func (h *house) reset(fraction float64) int {
 	var kept []seat
 	gone := 0
 	for _, at := range h.seats {
-		if h.random.Float64() < share {
+		if h.random.Float64() < fraction {
 			h.take(at.gateway, at.topic, -1)
 			gone++
 		} else {
--- a/internal/overlay/geometry.go
+++ b/internal/overlay/geometry.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	gridBits  = 8
-	gridSide  = 1 << gridBits
-	depthMost = 4
+	gridBits = 8
+	gridSide = 1 << gridBits
+	maxDepth = 4
 )
 
 // Point is a place in the unit square.
@@ -47,7 +47,7 @@
 	// prefixes that share a square lie apart.
 	sum := fnv.New64a()
 	for depth, part := range strings.Split(path, "/") {
-		if depth == depthMost {
+		if depth == maxDepth {
 			break
 		}
 		_, _ = sum.Write([]byte(part))
@@ -155,8 +155,8 @@
 			taken = append(taken, here)
 		}
 		if hereSide <= 0 && nextSide > 0 || hereSide > 0 && nextSide <= 0 {
-			share := hereSide / (hereSide - nextSide)
-			crossing := corner{x: here.x + share*(next.x-here.x), y: here.y + share*(next.y-here.y)}
+			fraction := hereSide / (hereSide - nextSide)
+			crossing := corner{x: here.x + fraction*(next.x-here.x), y: here.y + fraction*(next.y-here.y)}
 			if hereSide <= 0 {
 				crossing.owner, crossing.there = owner, other
 			} else {
@@ -227,14 +227,14 @@
 	}
 	left, right := area.X-middle.X, area.X+area.Size-middle.X
 	low, high := area.Y-middle.Y, area.Y+area.Size-middle.Y
-	leastX, mostX, leastY, mostY := polygon[0].x, polygon[0].x, polygon[0].y, polygon[0].y
+	minX, maxX, minY, maxY := polygon[0].x, polygon[0].x, polygon[0].y, polygon[0].y
 	for _, at := range polygon {
 		if at.x >= left && at.x <= right && at.y >= low && at.y <= high {
 			return true
 		}
-		leastX, mostX, leastY, mostY = min(leastX, at.x), max(mostX, at.x), min(leastY, at.y), max(mostY, at.y)
+		minX, maxX, minY, maxY = min(minX, at.x), max(maxX, at.x), min(minY, at.y), max(maxY, at.y)
 	}
-	if leastX > right || mostX < left || leastY > high || mostY < low {
+	if minX > right || maxX < left || minY > high || maxY < low {
 		return false
 	}
 	var space [2][32]spot
@@ -252,8 +252,8 @@
 				spare = append(spare, here)
 			}
 			if hereSide <= 0 && nextSide > 0 || hereSide > 0 && nextSide <= 0 {
-				share := hereSide / (hereSide - nextSide)
-				spare = append(spare, spot{here.x + share*(next.x-here.x), here.y + share*(next.y-here.y)})
+				fraction := hereSide / (hereSide - nextSide)
+				spare = append(spare, spot{here.x + fraction*(next.x-here.x), here.y + fraction*(next.y-here.y)})
 			}
 		}
 		if len(spare) == 0 {
@@ -286,7 +286,7 @@
 // counts.
 func segmentMeets(middle Point, from, to corner, area Area) bool {
 	wider := area.Size * 1e-9
-	least, most := 0.0, 1.0
+	low, high := 0.0, 1.0
 	for _, axis := range []struct{ start, step, low, high float64 }{
 		{from.x, to.x - from.x, area.X - middle.X - wider, area.X + area.Size - middle.X + wider},
 		{from.y, to.y - from.y, area.Y - middle.Y - wider, area.Y + area.Size - middle.Y + wider},
@@ -298,7 +298,7 @@
 			continue
 		}
 		enter, leave := (axis.low-axis.start)/axis.step, (axis.high-axis.start)/axis.step
-		least, most = math.Max(least, math.Min(enter, leave)), math.Min(most, math.Max(enter, leave))
+		low, high = math.Max(low, math.Min(enter, leave)), math.Min(high, math.Max(enter, leave))
 	}
-	return least <= most
+	return low <= high
 }
--- a/internal/overlay/greet.go
+++ b/internal/overlay/greet.go
@@ -15,7 +15,7 @@
 	}
 	o.recordPeer(now, peer, newcomer)
 	include := map[PeerKey]Peer{}
-	offer := func(keys []PeerKey) {
+	candidates := func(keys []PeerKey) {
 		for _, key := range keys {
 			if known, found := peer.known[key]; found && key != newcomer.Key {
 				include[key] = known
@@ -23,9 +23,9 @@
 		}
 	}
 	if peer.region.owns(newcomer.Key) && !wasKnown {
-		offer(peer.region.beside(newcomer.Key))
+		candidates(peer.region.beside(newcomer.Key))
 	} else {
-		offer(peer.region.owners())
+		candidates(peer.region.owners())
 	}
 	if peer.cell != nil {
 		// The peers of a cell know each other by their notices.
@@ -280,8 +280,8 @@
 		waiting = &outstanding{}
 		peer.pending[other.Key] = waiting
 	}
-	waiting.tries++
-	waiting.sent, waiting.until = now, now.Add(backoff(greetTimeout, waiting.tries))
+	waiting.attempts++
+	waiting.sent, waiting.until = now, now.Add(backoff(greetTimeout, waiting.attempts))
 	o.timers.ArmSooner("limits", waiting.until)
 	o.signal(other.Key.Daemon, greeting)
 }
--- a/internal/overlay/join.go
+++ b/internal/overlay/join.go
@@ -12,13 +12,13 @@
 	if peer.joining == nil {
 		peer.joining = &outstanding{}
 	}
-	peer.joining.tries++
+	peer.joining.attempts++
 	peer.joining.sent = now
-	peer.joining.until = now.Add(backoff(joinTimeout, peer.joining.tries))
+	peer.joining.until = now.Add(backoff(joinTimeout, peer.joining.attempts))
 	o.timers.ArmSooner("limits", peer.joining.until)
-	clear(peer.joinAsked)
+	clear(peer.joinTargets)
 	peer.queued = false
-	request := Signal{Kind: SignalJoin, Space: peer.space.name, From: peer.self, Attempts: uint8(min(peer.joining.tries, 255))}
+	request := Signal{Kind: SignalJoin, Space: peer.space.name, From: peer.self, Attempts: uint8(min(peer.joining.attempts, 255))}
 	if start := o.nearestHosted(peer.space, peer.self.At, peer); start != nil {
 		o.forward(now, start, request)
 		return
@@ -30,13 +30,13 @@
 			return
 		}
 	}
-	peer.askedAll = false
-	if peer.joining.tries == 1 && len(o.gateways) > firstJoinTargets {
+	peer.joinedThroughAll = false
+	if peer.joining.attempts == 1 && len(o.gateways) > firstJoinTargets {
 		names := slices.Collect(maps.Keys(o.gateways))
 		slices.Sort(names)
 		for step := range firstJoinTargets {
 			name := names[(uint64(step)+keyHash(peer.self.Key))%uint64(len(names))]
-			peer.joinAsked[name] = true
+			peer.joinTargets[name] = true
 			o.signal(name, request)
 		}
 		return
@@ -55,13 +55,13 @@
 // joinThroughAll asks all daemons for the way to an acceptor. That a few know of nobody
 // does not yet make a peer the first.
 func (o *Overlay) joinThroughAll(now time.Time, peer *hosted) {
-	peer.askedAll = true
-	request := Signal{Kind: SignalJoin, Space: peer.space.name, From: peer.self, Attempts: uint8(min(peer.joining.tries, 255))}
+	peer.joinedThroughAll = true
+	request := Signal{Kind: SignalJoin, Space: peer.space.name, From: peer.self, Attempts: uint8(min(peer.joining.attempts, 255))}
 	for name := range statemachine.Sorted(o.gateways) {
-		peer.joinAsked[name] = true
+		peer.joinTargets[name] = true
 		o.signal(name, request)
 	}
-	if len(peer.joinAsked) == 0 {
+	if len(peer.joinTargets) == 0 {
 		o.joined(now, peer)
 	}
 }
@@ -91,9 +91,9 @@
 		if peer == without || peer.joining != nil {
 			continue
 		}
-		away := distance(peer.self.At, at)
-		if best == nil || away < bestDistance || away == bestDistance && peer.self.Key.compare(best.self.Key) < 0 {
-			best, bestDistance = peer, away
+		distanceAway := distance(peer.self.At, at)
+		if best == nil || distanceAway < bestDistance || distanceAway == bestDistance && peer.self.Key.compare(best.self.Key) < 0 {
+			best, bestDistance = peer, distanceAway
 		}
 	}
 	return best
@@ -119,9 +119,9 @@
 			if key == request.From.Key {
 				continue
 			}
-			away := distance(known.At, target)
-			if away < bestDistance || away == bestDistance && key.compare(best.Key) < 0 {
-				best, bestDistance = known, away
+			distanceAway := distance(known.At, target)
+			if distanceAway < bestDistance || distanceAway == bestDistance && key.compare(best.Key) < 0 {
+				best, bestDistance = known, distanceAway
 			}
 		}
 		if best.Key == at.self.Key {
@@ -202,25 +202,25 @@
 // handleNobody counts the daemons that host no peer in a space; when all say so,
 // the joining peer is the first.
 func (o *Overlay) handleNobody(now time.Time, peer *hosted, daemon string) {
-	if peer.joining == nil || peer.queued || len(peer.joinAsked) == 0 {
+	if peer.joining == nil || peer.queued || len(peer.joinTargets) == 0 {
 		return
 	}
-	delete(peer.joinAsked, daemon)
-	for name := range peer.joinAsked {
+	delete(peer.joinTargets, daemon)
+	for name := range peer.joinTargets {
 		if _, alive := o.gateways[name]; alive {
 			return
 		}
 	}
-	if !peer.askedAll {
+	if !peer.joinedThroughAll {
 		o.joinThroughAll(now, peer)
 		return
 	}
 	o.joined(now, peer)
 }
 
-func (o *Overlay) whenJoined(now time.Time, peer *hosted, made bool, settled Completion, effects *statemachine.Effects) {
-	if settled != nil {
-		peer.waiting = append(peer.waiting, settled)
+func (o *Overlay) whenJoined(now time.Time, peer *hosted, made bool, done Completion, effects *statemachine.Effects) {
+	if done != nil {
+		peer.waiting = append(peer.waiting, done)
 	}
 	if made {
 		o.join(now, peer)
--- a/internal/overlay/leave.go
+++ b/internal/overlay/leave.go
@@ -64,27 +64,27 @@
 
 // dropDaemon drops the peers of a daemon's earlier lives; life is zero where it
 // is gone.
-func (o *Overlay) dropDaemon(now time.Time, daemon string, life uint64, effects *statemachine.Effects) {
+func (o *Overlay) dropDaemon(now time.Time, daemon string, incarnation uint64, effects *statemachine.Effects) {
 	for _, here := range statemachine.Sorted(o.spaces) {
 		for _, peer := range here.sorted() {
 			rebuild := false
 			for key := range sortedPeers(peer.known) {
-				if key.Daemon != daemon || key.Incarnation == life {
+				if key.Daemon != daemon || key.Incarnation == incarnation {
 					continue
 				}
 				rebuild = rebuild || peer.region.owns(key)
 				peer.forget(key)
 			}
 			for key := range peer.pending {
-				if key.Daemon == daemon && key.Incarnation != life {
+				if key.Daemon == daemon && key.Incarnation != incarnation {
 					delete(peer.pending, key)
 				}
 			}
 			switch {
 			case peer.joining == nil || peer.queued:
-			case peer.joinAsked[daemon]:
+			case peer.joinTargets[daemon]:
 				o.handleNobody(now, peer, daemon)
-			case len(peer.joinAsked) == 0 && (now.Sub(peer.joining.sent) > joinAttemptValid || statemachine.Mutated("no-retry-pauses")):
+			case len(peer.joinTargets) == 0 && (now.Sub(peer.joining.sent) > joinAttemptValid || statemachine.Mutated("no-retry-pauses")):
 				// Its request may have been on the way through that daemon. Where
 				// many are lost at a time, one new try is enough for all.
 				o.join(now, peer)
@@ -130,17 +130,17 @@
 
 // SetIncarnation begins this daemon's next life in the cluster: a first one, or one after
 // the others had taken it for lost. Every peer joins anew under a new key.
-func (o *Overlay) SetIncarnation(now time.Time, life uint64, effects *statemachine.Effects) {
-	if o.life == life {
+func (o *Overlay) SetIncarnation(now time.Time, incarnation uint64, effects *statemachine.Effects) {
+	if o.incarnation == incarnation {
 		return
 	}
-	o.life = life
+	o.incarnation = incarnation
 	for _, here := range statemachine.Sorted(o.spaces) {
 		for _, peer := range here.sorted() {
 			delete(here.byKey, peer.self.Key)
 			o.number++
 			o.change++
-			peer.self.Key.Incarnation, peer.self.Key.Number = life, o.number
+			peer.self.Key.Incarnation, peer.self.Key.Number = incarnation, o.number
 			peer.self.Change = o.change
 			if peer.cell != nil {
 				peer.self = cellPeer(peer.self.Key, peer.cell.number, o.change)
--- a/internal/overlay/notices_test.go
+++ b/internal/overlay/notices_test.go
@@ -138,9 +138,9 @@
 		for _, topic := range topics {
 			called := false
 			var effects statemachine.Effects
-			net.parts[names[0]].AwaitCell(net.now, trialPlane, topic, func(_ time.Time, _ *statemachine.Effects, settled bool) {
+			net.parts[names[0]].AwaitCell(net.now, trialPlane, topic, func(_ time.Time, _ *statemachine.Effects, done bool) {
 				called = true
-				assert.Assert(t, settled)
+				assert.Assert(t, done)
 				assert.DeepEqual(t, net.parts[names[0]].SubscribedDaemons(trialPlane, topic), names[1:])
 			}, &effects)
 			net.carry(names[0], &effects)
--- a/internal/overlay/overlay.go
+++ b/internal/overlay/overlay.go
@@ -50,12 +50,12 @@
 }
 
 // Completion is called once a peer knows its surroundings, or gave up waiting.
-type Completion func(now time.Time, effects *statemachine.Effects, settled bool)
+type Completion func(now time.Time, effects *statemachine.Effects, done bool)
 
 type outstanding struct {
-	until time.Time
-	sent  time.Time
-	tries int
+	until    time.Time
+	sent     time.Time
+	attempts int
 }
 
 type hosted struct {
@@ -67,19 +67,19 @@
 	region      Region
 	greeted     map[PeerKey]uint64
 	// tookAt tells when another peer made itself known and took its part.
-	tookAt    map[PeerKey]time.Time
-	owed      map[PeerKey]map[PeerKey]bool
-	pending   map[PeerKey]*outstanding
-	joining   *outstanding
-	joinAsked map[string]bool
-	askedAll  bool
-	waiting   []Completion
-	holders   int
-	lastUse   time.Time
-	publishes bool
-	queued    bool
-	requests  []Signal
-	healUntil time.Time
+	tookAt           map[PeerKey]time.Time
+	owed             map[PeerKey]map[PeerKey]bool
+	pending          map[PeerKey]*outstanding
+	joining          *outstanding
+	joinTargets      map[string]bool
+	joinedThroughAll bool
+	waiting          []Completion
+	holders          int
+	lastUse          time.Time
+	publishes        bool
+	queued           bool
+	requests         []Signal
+	healUntil        time.Time
 	// cell is set for a peer of routed topics.
 	cell *cell
 }
@@ -107,22 +107,22 @@
 	ByKind [SignalAnnounce + 1]uint64 `json:"ByKind"`
 	// Notices counts the notices that went out by their kind, Told the topics and
 	// members that they told, and Levels the sums.
-	Notices [NoticeMissing + 1]uint64 `json:"Notices"`
-	Told    [NoticeMissing + 1]uint64 `json:"Told"`
-	Levels  uint64                    `json:"Levels"`
+	Notices   [NoticeMissing + 1]uint64 `json:"Notices"`
+	Announced [NoticeMissing + 1]uint64 `json:"Told"`
+	Levels    uint64                    `json:"Levels"`
 }
 
 // Overlay is one daemon's part of the overlay.
 type Overlay struct {
-	daemon   string
-	life     uint64
-	number   uint64
-	change   uint64
-	gateways map[string]Gateway
-	spaces   map[string]*space
-	planes   map[string]*plane
-	timers   *statemachine.Timers[string]
-	out      map[string]*Signals
+	daemon      string
+	incarnation uint64
+	number      uint64
+	change      uint64
+	gateways    map[string]Gateway
+	spaces      map[string]*space
+	planes      map[string]*plane
+	timers      *statemachine.Timers[string]
+	out         map[string]*Signals
 	// paceUntil is when the next changes may go out to all, and paced counts those
 	// that waited for that.
 	paceUntil time.Time
@@ -149,7 +149,7 @@
 func (o *Overlay) NextTick() time.Time { return o.timers.Next() }
 
 // Subscribe adds one holder to the subscribing peer of an area.
-func (o *Overlay) Subscribe(now time.Time, spaceName string, area Area, settled Completion, effects *statemachine.Effects) {
+func (o *Overlay) Subscribe(now time.Time, spaceName string, area Area, done Completion, effects *statemachine.Effects) {
 	peer, made := o.peer(now, spaceName, area)
 	peer.holders++
 	if !peer.self.Subscribes {
@@ -160,7 +160,7 @@
 			o.regreet(now, peer)
 		}
 	}
-	o.whenJoined(now, peer, made, settled, effects)
+	o.whenJoined(now, peer, made, done, effects)
 }
 
 // Unsubscribe takes one holder away; with the last the peer stops subscribing,
@@ -192,11 +192,11 @@
 
 // Publish makes sure that an area has a publishing peer and tells when its
 // subscriber list is there.
-func (o *Overlay) Publish(now time.Time, spaceName string, area Area, settled Completion, effects *statemachine.Effects) {
+func (o *Overlay) Publish(now time.Time, spaceName string, area Area, done Completion, effects *statemachine.Effects) {
 	peer, made := o.peer(now, spaceName, area)
 	peer.publishes = true
 	peer.lastUse = now
-	o.whenJoined(now, peer, made, settled, effects)
+	o.whenJoined(now, peer, made, done, effects)
 }
 
 // Destinations lists the daemons, this one left out, that hold subscribers of
@@ -239,13 +239,13 @@
 
 // RoundTrips tells the round trips observed to the other living daemons.
 func (o *Overlay) RoundTrips() map[string]time.Duration {
-	ways := make(map[string]time.Duration, len(o.roundTrips))
+	roundTrips := make(map[string]time.Duration, len(o.roundTrips))
 	for name, length := range o.roundTrips {
 		if _, alive := o.gateways[name]; alive {
-			ways[name] = length.Round(10 * time.Microsecond)
+			roundTrips[name] = length.Round(10 * time.Microsecond)
 		}
 	}
-	return ways
+	return roundTrips
 }
 
 // Discovery is a destination that a publishing peer has just come to know.
@@ -296,8 +296,8 @@
 	for _, peer := range here.sorted() {
 		waiting := peer.waiting
 		peer.waiting = nil
-		for _, settled := range waiting {
-			settled(now, effects, false)
+		for _, done := range waiting {
+			done(now, effects, false)
 		}
 	}
 	delete(o.spaces, spaceName)
@@ -349,13 +349,13 @@
 		return peer, false
 	}
 	o.number++
-	key := PeerKey{Daemon: o.daemon, Incarnation: o.life, Number: o.number}
+	key := PeerKey{Daemon: o.daemon, Incarnation: o.incarnation, Number: o.number}
 	o.change++
 	peer = &hosted{
 		self:  Peer{Key: key, At: area.reference(o.daemon, o.number), Area: area, Change: o.change},
 		space: here, known: map[PeerKey]Peer{}, subscribers: map[PeerKey]Peer{}, greeted: map[PeerKey]uint64{}, pending: map[PeerKey]*outstanding{},
 		tookAt: map[PeerKey]time.Time{}, owed: map[PeerKey]map[PeerKey]bool{},
-		joinAsked: map[string]bool{}, lastUse: now,
+		joinTargets: map[string]bool{}, lastUse: now,
 	}
 	peer.region = newRegion(peer.self.At)
 	here.indexPeer(peer)
@@ -373,12 +373,12 @@
 	}
 	o.Counts.SignalsOut++
 	o.Counts.ByKind[signal.Kind]++
-	frame := o.frame(gateway.Address)
+	frame := o.signalsTo(gateway.Address)
 	frame.Signals = append(frame.Signals, signal)
 }
 
-// frame is what goes to an address with the present step.
-func (o *Overlay) frame(address string) *Signals {
+// signalsTo is what goes to an address with the present step.
+func (o *Overlay) signalsTo(address string) *Signals {
 	frame, found := o.out[address]
 	if !found {
 		frame = &Signals{}
@@ -404,7 +404,7 @@
 		o.signal(key.Daemon, signal)
 		return
 	}
-	if key.Incarnation == o.life {
+	if key.Incarnation == o.incarnation {
 		o.handleSignal(now, signal, nil)
 	}
 }
@@ -506,7 +506,7 @@
 			o.greetAs(now, peer, signal.From, false)
 		}
 	case SignalGreeted:
-		if waiting, found := peer.pending[signal.From.Key]; found && waiting.tries == 1 {
+		if waiting, found := peer.pending[signal.From.Key]; found && waiting.attempts == 1 {
 			o.observe(signal.From.Key.Daemon, now.Sub(waiting.sent))
 		}
 		delete(peer.pending, signal.From.Key)
--- a/internal/overlay/overlay_test.go
+++ b/internal/overlay/overlay_test.go
@@ -146,9 +146,9 @@
 func (n *net) view() {
 	for name, part := range statemachine.Sorted(n.parts) {
 		others := map[string]Gateway{}
-		for other, life := range n.lives {
+		for other, incarnation := range n.lives {
 			if other != name && n.parts[other] != nil {
-				others[other] = Gateway{Name: other, Address: other, Joined: life}
+				others[other] = Gateway{Name: other, Address: other, Joined: incarnation}
 			}
 		}
 		var effects statemachine.Effects
@@ -158,9 +158,9 @@
 	}
 }
 
-func (n *net) come(name string, life uint64) {
+func (n *net) come(name string, incarnation uint64) {
 	n.parts[name] = New(name)
-	n.lives[name] = life
+	n.lives[name] = incarnation
 }
 
 type checker struct {
@@ -312,19 +312,19 @@
 			net.run(time.Duration(net.random.IntN(6)) * time.Millisecond)
 		}
 		net.run(3 * time.Second)
-		settled := false
+		done := false
 		area := AreaOf("p1")
 		var effects statemachine.Effects
-		net.parts["a"].Subscribe(net.now, "space", area, func(_ time.Time, _ *statemachine.Effects, well bool) { settled = well }, &effects)
+		net.parts["a"].Subscribe(net.now, "space", area, func(_ time.Time, _ *statemachine.Effects, well bool) { done = well }, &effects)
 		truth.subscribed["a"][area]++
 		net.carry("a", &effects)
 		for range 1000 {
-			if settled {
+			if done {
 				break
 			}
 			net.run(time.Millisecond)
 		}
-		assert.Assert(t, settled, "seed %d", seed)
+		assert.Assert(t, done, "seed %d", seed)
 		net.check(seed, truth)
 		if t.Failed() {
 			return
--- a/internal/overlay/presence.go
+++ b/internal/overlay/presence.go
@@ -188,8 +188,8 @@
 			if here == nil || len(here.waiting) == 0 {
 				continue
 			}
-			settled := here.joined()
-			if !settled && here.until.After(now) {
+			done := here.joined()
+			if !done && here.until.After(now) {
 				o.timers.ArmSooner("reach", here.until)
 				continue
 			}
@@ -197,7 +197,7 @@
 			waiting := here.waiting
 			here.waiting = nil
 			for _, then := range waiting {
-				then(now, effects, settled)
+				then(now, effects, done)
 			}
 		}
 	}
@@ -217,7 +217,7 @@
 	}
 	// It tells the whole by itself once it has met this peer, so that it is asked
 	// only if that does not come.
-	here.members[key.Daemon] = &member{key: key, asked: now}
+	here.members[key.Daemon] = &member{key: key, requested: now}
 	here.digest ^= keyHash(key)
 	here.changedAt = now
 	o.owe(now, here, key.Daemon)
@@ -237,15 +237,15 @@
 		return nil
 	}
 	o.Counts.Notices[notice.Kind]++
-	o.Counts.Told[notice.Kind] += uint64(max(len(notice.Topics), len(notice.Counts)) + len(notice.Members))
-	frame := o.frame(gateway.Address)
+	o.Counts.Announced[notice.Kind] += uint64(max(len(notice.Topics), len(notice.Counts)) + len(notice.Members))
+	frame := o.signalsTo(gateway.Address)
 	for position := range frame.Notices {
 		if frame.Notices[position].Plane == planeName {
 			frame.Notices[position].Notices = append(frame.Notices[position].Notices, notice)
 			return &frame.Notices[position]
 		}
 	}
-	frame.Notices = append(frame.Notices, Notices{Daemon: o.daemon, Incarnation: o.life, Plane: planeName, Notices: []Notice{notice}})
+	frame.Notices = append(frame.Notices, Notices{Daemon: o.daemon, Incarnation: o.incarnation, Plane: planeName, Notices: []Notice{notice}})
 	return &frame.Notices[len(frame.Notices)-1]
 }
 
@@ -256,9 +256,9 @@
 			if here == nil || len(here.owed) == 0 {
 				continue
 			}
-			whole := here.completeNotice()
+			complete := here.completeNotice()
 			for daemon := range statemachine.Sorted(here.owed) {
-				o.notify(daemon, where.name, whole)
+				o.notify(daemon, where.name, complete)
 			}
 			clear(here.owed)
 		}
@@ -373,12 +373,12 @@
 	if !alive {
 		return
 	}
-	frame := o.frame(gateway.Address)
+	frame := o.signalsTo(gateway.Address)
 	o.Counts.Levels++
 	level := where.level(func(here *cell) (levelPart, bool) {
 		return levelPart{number: here.peer.self.Key.Number, sequence: here.sequence}, true
 	})
-	frame.Notices = append(frame.Notices, Notices{Daemon: o.daemon, Incarnation: o.life, Plane: where.name, Level: level})
+	frame.Notices = append(frame.Notices, Notices{Daemon: o.daemon, Incarnation: o.incarnation, Plane: where.name, Level: level})
 }
 
 // levelPart is what a daemon's level says of one cell.
@@ -402,10 +402,10 @@
 }
 
 // levelOf is the level of another daemon's life as far as it is known here.
-func (p *plane) levelOf(daemon string, life uint64) uint64 {
+func (p *plane) levelOf(daemon string, incarnation uint64) uint64 {
 	return p.level(func(here *cell) (levelPart, bool) {
 		known, found := here.members[daemon]
-		if !found || !known.heard || known.key.Incarnation != life {
+		if !found || !known.heard || known.key.Incarnation != incarnation {
 			return levelPart{}, false
 		}
 		return levelPart{number: known.key.Number, sequence: known.sequence}, true
@@ -418,8 +418,8 @@
 	if where != nil && where.levelOf(told.Daemon, told.Incarnation) == told.Level {
 		return
 	}
-	frame := o.frame(gateway.Address)
-	frame.Notices = append(frame.Notices, Notices{Daemon: o.daemon, Incarnation: o.life, Plane: told.Plane, Answer: true})
+	frame := o.signalsTo(gateway.Address)
+	frame.Notices = append(frame.Notices, Notices{Daemon: o.daemon, Incarnation: o.incarnation, Plane: told.Plane, Answer: true})
 }
 
 // scheduleCheck lets a comparison follow a change in whom this daemon knows, so
@@ -636,7 +636,7 @@
 		o.timers.ArmSooner("asks", due)
 		return
 	}
-	known.asked, known.wanted = now, false
+	known.requested, known.wanted = now, false
 	known.asks++
 	o.notify(known.key.Daemon, here.plane.name, here.notice(NoticeAsk))
 }
--- a/internal/overlay/repair.go
+++ b/internal/overlay/repair.go
@@ -21,7 +21,7 @@
 					continue
 				}
 				known, found := peer.known[key]
-				if !found || waiting.tries >= maxGreetAttempts {
+				if !found || waiting.attempts >= maxGreetAttempts {
 					// It stays known; a comparison greets it again.
 					delete(peer.pending, key)
 					peer.greeted[key] = 0
