--- a/internal/gateway/cursor.go
+++ b/internal/gateway/cursor.go
@@ -1,8 +1,3 @@
-// A cursor is a returning client's place: what it subscribes to, how far each
-// partition was handed to it, and the newest seq of each sender it saw in passing
-// spaces. It is opaque to callers, bound to its origin by a keyed sum, and
-// refused if forged, of another origin, or of an unknown layout.
-
 package gateway
 
 import (
@@ -21,8 +16,13 @@
 	cursorLayout = 1
 	sumSize      = 12
 	cursorLimit  = 256 << 10
+
+	// codeBadCursor is the error code of a cursor that is forged, damaged or of another layout.
+	codeBadCursor = "bad-cursor"
 )
 
+// position is how far one partition was delivered to a client. Its encoding is part of the cursor
+// layout.
 type position struct {
 	_      struct{} `cbor:",toarray"`
 	Floor  uint64
@@ -39,6 +39,7 @@
 	Marks      map[string]map[string]uint64
 }
 
+// sign returns the authentication code of an encoded cursor.
 func sign(key, body []byte) []byte {
 	sum := hmac.New(sha256.New, key)
 	_, _ = sum.Write([]byte("cursor"))
@@ -46,23 +47,24 @@
 	return sum.Sum(nil)[:sumSize]
 }
 
+// seal encodes and signs a cursor.
 func seal(key []byte, contents cursor) string {
 	body := transport.MustMarshal(contents)
 	return base64.RawURLEncoding.EncodeToString(append(sign(key, body), body...))
 }
 
-// openCursor reads a cursor; the code says why it is refused.
+// openCursor verifies and decodes the cursor of a client; the code says why it is rejected.
 func openCursor(key []byte, client, text string) (cursor, string) {
 	if len(text) > cursorLimit {
-		return cursor{}, "bad-cursor"
+		return cursor{}, codeBadCursor
 	}
 	packed, err := base64.RawURLEncoding.DecodeString(text)
 	if err != nil || len(packed) <= sumSize || !hmac.Equal(packed[:sumSize], sign(key, packed[sumSize:])) {
-		return cursor{}, "bad-cursor"
+		return cursor{}, codeBadCursor
 	}
 	var contents cursor
 	if err := transport.Unmarshal(packed[sumSize:], &contents); err != nil || contents.Layout != cursorLayout {
-		return cursor{}, "bad-cursor"
+		return cursor{}, codeBadCursor
 	}
 	if contents.Client != client {
 		return cursor{}, "other-origin"
@@ -70,20 +72,48 @@
 	return contents, ""
 }
 
-// cursor tells a channel's present place. A channel that is still being filled,
-// or holds nothing, has none: its origin's earlier place still stands.
+// cursor returns the sealed position of a session. It is empty while a subscription
+// of the session is being filled, or if it has none: the earlier cursor of the client
+// stays valid then.
 func (g *Gateway) cursor(now time.Time, session *session) string {
 	if len(session.subscriptions) == 0 || session.floors == nil && session.filling() {
 		return ""
 	}
-	result := cursor{Layout: cursorLayout, Client: session.client, Partitions: map[string]position{}, Marks: map[string]map[string]uint64{}}
-	floor := func(name string, at uint64) {
-		present, found := result.Partitions[name]
-		if !found || at < present.Floor {
-			present.Floor = at
+	result := cursor{
+		Layout:     cursorLayout,
+		Client:     session.client,
+		Partitions: map[string]position{},
+		Marks:      map[string]map[string]uint64{},
+	}
+	g.addInterests(&result, session)
+	// What is still buffered, or belongs to a backlog that is being delivered, was
+	// not delivered yet.
+	for _, recordCopy := range session.buffer {
+		if _, live := result.Partitions[recordCopy.Partition]; live {
+			result.lowerFloor(recordCopy.Partition, recordCopy.Record.Offset-1)
 		}
-		result.Partitions[name] = present
 	}
+	for name, at := range session.floors {
+		result.lowerFloor(name, at)
+	}
+	for name, at := range result.Partitions {
+		result.Partitions[name] = session.addExtras(name, at)
+	}
+	session.addSequences(now, &result)
+	return seal(g.settings.Key, result)
+}
+
+// lowerFloor lowers the floor of a partition to an offset, unless it is lower already.
+func (c *cursor) lowerFloor(name string, offset uint64) {
+	present, found := c.Partitions[name]
+	if !found || offset < present.Floor {
+		present.Floor = offset
+	}
+	c.Partitions[name] = present
+}
+
+// addInterests adds the subscriptions that are live, and how far their partitions are verified.
+func (g *Gateway) addInterests(result *cursor, session *session) {
 	for interest, subscription := range session.subscriptions {
 		if subscription.filling {
 			continue
@@ -93,34 +123,36 @@
 			if tracker, topic := g.trackers[name]; topic {
 				since = max(since, tracker.verified)
 			}
-			floor(name, since)
+			result.lowerFloor(name, since)
 		}
 	}
 	slices.SortFunc(result.Interests, compareInterests)
-	// What waits in the buffer, or in a backlog that is being handed over, was
-	// not yet given.
-	for _, recordCopy := range session.buffer {
-		if _, live := result.Partitions[recordCopy.Partition]; live {
-			floor(recordCopy.Partition, recordCopy.Record.Offset-1)
-		}
-	}
-	for name, at := range session.floors {
-		floor(name, at)
+}
+
+// addExtras adds what the client has above the floor of a partition, and the interests
+// that began above it.
+func (c *session) addExtras(name string, at position) position {
+	at.Extras = c.extras(name, at.Floor)
+	slices.Sort(at.Extras)
+	if c.floors != nil {
+		return at
 	}
-	for name, at := range result.Partitions {
-		at.Extras = session.extras(name, at.Floor)
-		slices.Sort(at.Extras)
-		for interest, subscription := range session.subscriptions {
-			if since, found := subscription.since[name]; found && !subscription.filling && since > at.Floor && session.floors == nil {
-				if at.Since == nil {
-					at.Since = map[string]uint64{}
-				}
-				at.Since[interest.key()] = since
-			}
+	for interest, subscription := range c.subscriptions {
+		since, found := subscription.since[name]
+		if !found || subscription.filling || since <= at.Floor {
+			continue
+		}
+		if at.Since == nil {
+			at.Since = map[string]uint64{}
 		}
-		result.Partitions[name] = at
+		at.Since[interest.key()] = since
 	}
-	for space, marks := range session.sequences {
+	return at
+}
+
+// addSequences adds the newest sequence of each sender that was seen lately in ephemeral spaces.
+func (c *session) addSequences(now time.Time, result *cursor) {
+	for space, marks := range c.sequences {
 		newest := map[string]uint64{}
 		for sender, mark := range marks {
 			if now.Sub(mark.at) < sequenceMemory {
@@ -131,9 +163,10 @@
 			result.Marks[space] = newest
 		}
 	}
-	return seal(g.settings.Key, result)
 }
 
+// key names the interest within its space: its kind, "t" for a topic and "w" for a prefix, and its
+// path.
 func (i Interest) key() string {
 	wide := "t"
 	if i.Prefix {
@@ -142,6 +175,7 @@
 	return wide + i.Path
 }
 
+// compareInterests orders interests by space and key.
 func compareInterests(left, right Interest) int {
 	if order := strings.Compare(left.Space, right.Space); order != 0 {
 		return order
@@ -149,9 +183,9 @@
 	return strings.Compare(left.key(), right.key())
 }
 
-// extras lists what the origin has above a floor. In the ordinary case floors
-// only rise, and what falls below one is let go; while a backlog is handed over
-// the floor is an older one, and all that is remembered counts.
+// extras returns the offsets above a floor that were delivered to the client. Usually floors only
+// rise, and offsets below one are forgotten; while a backlog is delivered the floor is an older
+// one, and all remembered offsets count.
 func (c *session) extras(name string, floor uint64) []uint64 {
 	var extras []uint64
 	if statemachine.Mutated("no-client-memory") {
--- a/internal/gateway/topic_delivery.go
+++ b/internal/gateway/topic_delivery.go
@@ -2,17 +2,27 @@
 
 import (
 	"cmp"
+	"slices"
+	"time"
+
 	"dahlialock/internal/config"
 	"dahlialock/internal/logevent"
 	"dahlialock/internal/partition"
 	"dahlialock/internal/statemachine"
-	"slices"
-	"time"
 )
 
-// deliverRouted gives a message to a place that is filled and lacks it.
-func (g *Gateway) deliverRouted(_ time.Time, subscription *topicSubscription, record partition.Record, effects *statemachine.Effects) {
-	if subscription.filling || record.Offset <= subscription.deliveredUpTo && (subscription.topic.durable || !statemachine.Mutated("no-passing-offsets")) {
+// deliverRouted delivers a record to a filled subscription unless it was delivered before.
+func (g *Gateway) deliverRouted(
+	_ time.Time,
+	subscription *topicSubscription,
+	record partition.Record,
+	effects *statemachine.Effects,
+) {
+	if subscription.filling {
+		return
+	}
+	delivered := record.Offset <= subscription.deliveredUpTo
+	if delivered && (subscription.topic.durable || !statemachine.Mutated("no-passing-offsets")) {
 		return
 	}
 	session, open := g.sessions[subscription.session]
@@ -22,12 +32,17 @@
 	subscription.deliveredUpTo = record.Offset
 	g.Counts.Delivered++
 	g.emit(subscription.session, Event{
-		Event: "message", Space: subscription.topic.space, Topic: record.Topic, Sender: record.Sender, Seq: record.Seq, Body: record.Data,
+		Event:  "message",
+		Space:  subscription.topic.space,
+		Topic:  record.Topic,
+		Sender: record.Sender,
+		Seq:    record.Seq,
+		Body:   record.Data,
 		Cursor: formatTopicCursor(record.Offset),
 	}, effects)
 }
 
-// process hands the topic's next message to everybody here.
+// process delivers the next record of the topic to all subscriptions here.
 func (g *Gateway) process(now time.Time, topic *topicState, record partition.Record, effects *statemachine.Effects) {
 	topic.last = record.Offset
 	topic.recent = append(topic.recent, record)
@@ -42,7 +57,7 @@
 	}
 }
 
-// tooMuchRecent tells whether the oldest of the recent records is to be let go.
+// tooMuchRecent returns whether the oldest recent record is to be forgotten.
 func (t *topicState) tooMuchRecent(now time.Time) bool {
 	if t.recentUntil.After(now) {
 		return t.recentSize > backlogBytes
@@ -50,35 +65,33 @@
 	return len(t.recent) > recentRecords || t.recentSize > recentBytes
 }
 
-// handleRoutedCopy takes a message of a routed topic, and tells whether anybody here
-// wants it.
+// handleRoutedCopy delivers a message of a routed topic, or buffers it until what comes
+// before it is here. It returns whether anybody here subscribes to the topic.
 func (g *Gateway) handleRoutedCopy(now time.Time, record partition.Record, effects *statemachine.Effects) bool {
 	topic, found := g.routed.topics[record.Topic]
 	if !found {
 		return false
 	}
-	if topic.live && record.Offset <= topic.last && (topic.durable || !statemachine.Mutated("no-passing-offsets")) {
+	if topic.live && record.Offset <= topic.last &&
+		(topic.durable || !statemachine.Mutated("no-passing-offsets")) {
 		return true
 	}
-	follows := statemachine.Mutated("no-topic-prior") || record.PreviousInTopic <= topic.last || !topic.durable && topic.last == 0
+	follows := statemachine.Mutated("no-topic-prior") || record.PreviousInTopic <= topic.last ||
+		!topic.durable && topic.last == 0
 	if topic.live && follows {
 		g.process(now, topic, record, effects)
 		g.release(now, topic, effects)
 		return true
 	}
-	position, present := slices.BinarySearchFunc(topic.pending, record.Offset, func(each partition.Record, offset uint64) int { return cmp.Compare(each.Offset, offset) })
-	if present || len(topic.pending) >= maxPendingTopicRecords {
-		return true
-	}
-	if len(topic.pending) == 0 {
-		topic.pendingSince = now
-	}
-	topic.pending = slices.Insert(topic.pending, position, record)
-	if !topic.live {
+	if !topic.buffer(now, record) || !topic.live {
 		return true
 	}
 	g.Counts.Gaps++
-	effects.Emit(logevent.GapFound, "partition", topic.partition, "offset", record.Offset, "prior", record.PreviousInTopic)
+	effects.Emit(logevent.GapFound,
+		"partition", topic.partition,
+		"offset", record.Offset,
+		"prior", record.PreviousInTopic,
+	)
 	if topic.durable {
 		g.requireUpTo(now, topic, record.PreviousInTopic, gapTimeout)
 	} else {
@@ -87,7 +100,22 @@
 	return true
 }
 
-// release hands over what was held for something that has come.
+// buffer adds a record to the pending ones, in order of offsets. It returns whether
+// the record was added: duplicates are not, nor are records above the bound.
+func (t *topicState) buffer(now time.Time, record partition.Record) bool {
+	byOffset := func(each partition.Record, offset uint64) int { return cmp.Compare(each.Offset, offset) }
+	index, present := slices.BinarySearchFunc(t.pending, record.Offset, byOffset)
+	if present || len(t.pending) >= maxPendingTopicRecords {
+		return false
+	}
+	if len(t.pending) == 0 {
+		t.pendingSince = now
+	}
+	t.pending = slices.Insert(t.pending, index, record)
+	return true
+}
+
+// release delivers the pending records whose predecessors have come.
 func (g *Gateway) release(now time.Time, topic *topicState, effects *statemachine.Effects) {
 	for len(topic.pending) > 0 {
 		next := topic.pending[0]
@@ -103,8 +131,8 @@
 	topic.pending = nil
 }
 
-// requireUpTo notes that a topic has more than was handed over; unless it comes by
-// itself in a moment, it is fetched.
+// requireUpTo notes that the topic has records up to an offset. Unless they come by themselves
+// within a grace they are fetched.
 func (g *Gateway) requireUpTo(now time.Time, topic *topicState, offset uint64, grace time.Duration) {
 	if offset <= topic.wanted && offset <= topic.last {
 		return
@@ -117,15 +145,15 @@
 	g.scheduleTopic(topic, topic.checkAt)
 }
 
-// scheduleTopic notes that a topic wants to be looked at.
+// scheduleTopic schedules a tick of the topic.
 func (g *Gateway) scheduleTopic(topic *topicState, at time.Time) {
 	g.routed.scheduled[topic.name] = topic
 	g.timers.ArmSooner(timerRouted, at)
 }
 
-// startReports lets a partition's first tell what moved after an offset up to which
-// one of its topics is known here. What is told while further topics are fetched is
-// noted for them too, so that nothing is to be told again for their sake.
+// startReports subscribes to the partition's reports of moved topics, from an offset up to which
+// one of its topics is known here. Reports that come while further topics are fetched count for
+// those too, so that nothing is to be reported again for their sake.
 func (g *Gateway) startReports(now time.Time, name string, until uint64) {
 	if _, begun := g.routed.reportedUpTo[name]; begun {
 		return
@@ -134,7 +162,7 @@
 	g.timers.ArmSooner(timerFollow, now.Add(gapTimeout))
 }
 
-// tickRouted looks at the topics with something that waits.
+// tickRouted does what is due for routed topics, their batches and publications.
 func (g *Gateway) tickRouted(now time.Time, effects *statemachine.Effects) {
 	for _, topic := range statemachine.Sorted(g.routed.scheduled) {
 		g.tickTopic(now, topic, effects)
@@ -143,15 +171,30 @@
 	g.retryPublications(now, effects)
 }
 
-// tickTopic does what is due for a topic and notes when it is to be looked at
-// again.
+// tickTopic does what is due for a topic and schedules its next tick.
 func (g *Gateway) tickTopic(now time.Time, topic *topicState, effects *statemachine.Effects) {
 	delete(g.routed.scheduled, topic.name)
 	if g.routed.topics[topic.name] != topic {
 		return
 	}
-	var next time.Time
-	filling := false
+	next, filling := g.tickSubscriptions(now, topic, effects)
+	if topic.durable {
+		next = statemachine.Earliest(next, g.tickDurable(now, topic, filling, effects))
+	} else {
+		next = statemachine.Earliest(next, g.tickEphemeral(now, topic, effects))
+	}
+	if !next.IsZero() && g.routed.topics[topic.name] == topic {
+		g.scheduleTopic(topic, next)
+	}
+}
+
+// tickSubscriptions ends the subscriptions that could not be filled in time. It returns
+// the next deadline, and whether a subscription to a durable topic still needs records.
+func (g *Gateway) tickSubscriptions(
+	now time.Time,
+	topic *topicState,
+	effects *statemachine.Effects,
+) (next time.Time, filling bool) {
 	for _, subscription := range slices.Clone(topic.subscriptions) {
 		switch {
 		case !subscription.filling:
@@ -163,49 +206,70 @@
 			filling = true
 		case !subscription.deadline.After(now):
 			topic.reserve(now, subscription)
-			g.rejectTopicSubscription(now, subscription, rejectedReply(503, "no-answer", "the place could not be found in time; nothing is subscribed", retryShortDelay), effects)
+			response := rejectedReply(
+				503,
+				"no-answer",
+				"the place could not be found in time; nothing is subscribed",
+				retryShortDelay,
+			)
+			g.rejectTopicSubscription(now, subscription, response, effects)
 		default:
 			filling = filling || topic.durable
 			next = statemachine.Earliest(next, subscription.deadline)
 		}
 	}
-	if !topic.durable {
-		if len(topic.pending) > 0 && !topic.pendingSince.Add(ephemeralGapTimeout).After(now) {
-			topic.last = max(topic.last, topic.pending[0].PreviousInTopic)
-			g.release(now, topic, effects)
-		}
-		if len(topic.pending) > 0 {
-			next = statemachine.Earliest(next, topic.pendingSince.Add(ephemeralGapTimeout))
-		}
-	} else {
-		if topic.wanted <= topic.last {
-			topic.checkAt = time.Time{}
-		}
-		due := !topic.checkAt.IsZero() && !topic.checkAt.After(now)
-		switch {
-		case topic.fetch != nil || topic.queued:
-		case filling || due || topic.reserved(now):
-			topic.checkAt = time.Time{}
-			g.fetchTopic(now, topic, effects)
-		default:
-			next = statemachine.Earliest(next, topic.checkAt)
-		}
-		if len(topic.subscriptions) == 0 {
-			if !topic.reservedUntil.After(now) {
-				g.dropTopic(topic)
-				return
-			}
-			next = statemachine.Earliest(next, topic.reservedUntil)
-		}
+	return next, filling
+}
+
+// tickEphemeral skips a gap of an ephemeral topic that has not been filled in time, and
+// returns when the next one ends.
+func (g *Gateway) tickEphemeral(now time.Time, topic *topicState, effects *statemachine.Effects) time.Time {
+	if len(topic.pending) > 0 && !topic.pendingSince.Add(ephemeralGapTimeout).After(now) {
+		topic.last = max(topic.last, topic.pending[0].PreviousInTopic)
+		g.release(now, topic, effects)
 	}
-	if !next.IsZero() && g.routed.topics[topic.name] == topic {
-		g.scheduleTopic(topic, next)
+	if len(topic.pending) > 0 {
+		return topic.pendingSince.Add(ephemeralGapTimeout)
+	}
+	return time.Time{}
+}
+
+// tickDurable fetches what a durable topic lacks, and drops a topic without subscriptions.
+// It returns when to look at the topic again.
+func (g *Gateway) tickDurable(
+	now time.Time,
+	topic *topicState,
+	filling bool,
+	effects *statemachine.Effects,
+) (next time.Time) {
+	if topic.wanted <= topic.last {
+		topic.checkAt = time.Time{}
 	}
+	due := !topic.checkAt.IsZero() && !topic.checkAt.After(now)
+	switch {
+	case topic.fetch != nil || topic.queued:
+	case filling || due || topic.reserved(now):
+		topic.checkAt = time.Time{}
+		g.fetchTopic(now, topic, effects)
+	default:
+		next = topic.checkAt
+	}
+	if len(topic.subscriptions) > 0 {
+		return next
+	}
+	if !topic.reservedUntil.After(now) {
+		g.dropTopic(topic)
+		return time.Time{}
+	}
+	return statemachine.Earliest(next, topic.reservedUntil)
 }
 
-// handleTopicHighWatermarks takes which topics of a shared partition moved.
+// handleTopicHighWatermarks applies the report of which topics of a shared partition moved.
 func (g *Gateway) handleTopicHighWatermarks(now time.Time, head partition.HighWatermark, _ *statemachine.Effects) {
-	if _, used := g.routed.partitions[head.Partition]; !used || statemachine.Mutated("no-topic-heads") || head.Epoch < g.viewClient.Placements[head.Partition].Epoch {
+	if _, used := g.routed.partitions[head.Partition]; !used || statemachine.Mutated("no-topic-heads") {
+		return
+	}
+	if head.Epoch < g.viewClient.Placements[head.Partition].Epoch {
 		return
 	}
 	reported := g.routed.reportedUpTo[head.Partition]
@@ -215,15 +279,15 @@
 		}
 	}
 	if head.From > reported {
-		// Something was told that did not come.
+		// A report was lost.
 		g.timers.ArmSooner(timerFollow, now)
 		return
 	}
 	g.routed.reportedUpTo[head.Partition] = max(reported, head.Offset)
 }
 
-// rerouteAll puts changed routes in force: what leads elsewhere now, or nowhere,
-// ends.
+// rerouteAll applies changed routes: the subscriptions to topics that lead elsewhere now, or
+// nowhere, end.
 func (g *Gateway) rerouteAll(now time.Time, effects *statemachine.Effects) {
 	for name, topic := range statemachine.Sorted(g.routed.topics) {
 		space := g.routeOf("", name)
@@ -235,12 +299,22 @@
 		topic.reservedUntil = time.Time{}
 		for _, subscription := range slices.Clone(topic.subscriptions) {
 			if subscription.filling {
-				g.rejectTopicSubscription(now, subscription, rejectedReply(404, "no-such-space", "the space was removed", 0), effects)
+				g.rejectTopicSubscription(
+					now,
+					subscription,
+					rejectedReply(404, "no-such-space", "the space was removed", 0),
+					effects,
+				)
 				continue
 			}
 			if session, open := g.sessions[subscription.session]; open {
 				g.dropTopicSubscription(now, session, name, effects)
-				g.emit(subscription.session, Event{Event: "ended", Space: topic.space, Topic: name, Code: "space-removed"}, effects)
+				g.emit(subscription.session, Event{
+					Event: "ended",
+					Space: topic.space,
+					Topic: name,
+					Code:  "space-removed",
+				}, effects)
 			}
 		}
 		g.dropTopic(topic)
