--- a/internal/consensus/messages.go
+++ b/internal/consensus/messages.go
@@ -1,6 +1,3 @@
-// The words that controllers exchange about epochs, lease and the control state,
-// and what each of them keeps on disk.
-
 package consensus
 
 import (
@@ -10,132 +7,58 @@
 	"dahlialock/internal/transport"
 )
 
-// Controller is one coordinator: its name, where it is, and the name of the disk
-// that it began with, so that one whose disk was lost is known to be another.
-type Controller struct {
-	Name    string `cbor:"Name"`
-	Address string `cbor:"Address"`
-	Zone    string `cbor:"Zone"`
-	Disk    string `cbor:"Disk"`
-}
-
-// At tells whether both are the same controller at the same address, whatever disk
-// it has.
-func (c Controller) At(other Controller) bool {
-	return c.Name == other.Name && c.Address == other.Address
-}
-
-// Record is an epoch: who is primary, who are its backups, and who may grant.
-type Record struct {
-	Epoch   uint64       `cbor:"Epoch"`
-	Primary string       `cbor:"Primary"`
-	Backups []string     `cbor:"Backups"`
-	Voters  []Controller `cbor:"Voters"`
-}
-
-// Find gives the voters's entry of a name.
-func (r Record) Find(name string) (Controller, bool) {
-	for _, controller := range r.Voters {
-		if controller.Name == name {
-			return controller, true
-		}
-	}
-	return Controller{}, false
-}
-
-// Entry gives the voters's entry of a controller at its address.
-func (r Record) Entry(self Controller) (Controller, bool) {
-	for _, controller := range r.Voters {
-		if controller.At(self) {
-			return controller, true
-		}
-	}
-	return Controller{}, false
-}
-
-// Majority is how many of the voters must grant.
-func (r Record) Majority() int {
-	return len(r.Voters)/2 + 1
-}
-
-// Ballot orders the attempts to decide one epoch.
-type Ballot struct {
-	Count uint64 `cbor:"Count"`
-	Name  string `cbor:"Name"`
-}
-
-// Before orders ballots.
-func (b Ballot) Before(other Ballot) bool {
-	if b.Count != other.Count {
-		return b.Count < other.Count
-	}
-	return b.Name < other.Name
-}
-
-// Durable is what a controller must not forget: the newest decided epoch and its
-// part in deciding the next one; the name of its disk; and, from its first start
-// until the first epoch, the addresses of the founders that it is one of.
-type Durable struct {
-	Disk           string   `cbor:"Disk"`
-	Founders       []string `cbor:"Founders"`
-	Record         Record   `cbor:"Record"`
-	Promised       Ballot   `cbor:"Promised"`
-	AcceptedBallot Ballot   `cbor:"AcceptedBallot"`
-	Accepted       Record   `cbor:"Accepted"`
-	Complete       uint64   `cbor:"Complete"`
-	Recalled       bool     `cbor:"Recalled"`
-}
-
-// Hello lets controllers find each other through the seeds.
+// Hello lets controllers find each other through the seeds, and spreads the newest record.
 type Hello struct {
-	Self     Controller   `cbor:"Self"`
-	Count    int          `cbor:"Count"`
-	Known    []Controller `cbor:"Known"`
-	Blank    bool         `cbor:"Blank"`
-	Founding bool         `cbor:"Founding"`
-	Record   Record       `cbor:"Record"`
+	Self        Controller   `cbor:"Self"`
+	ClusterSize int          `cbor:"Count"`
+	Known       []Controller `cbor:"Known"`
+	Blank       bool         `cbor:"Blank"`
+	Founding    bool         `cbor:"Founding"`
+	Record      Record       `cbor:"Record"`
 }
 
-// RecallAsk comes from a controller whose disk is blank.
-type RecallAsk struct {
+// RecoveryRequest comes from a voter whose disk was lost, and asks another voter for its
+// hard state.
+type RecoveryRequest struct {
 	Request statemachine.RequestID `cbor:"Request"`
 }
 
-// RecallResponse tells it what one other controller remembers.
-type RecallResponse struct {
-	Request statemachine.RequestID `cbor:"Request"`
-	Durable Durable                `cbor:"Durable"`
+// RecoveryResponse answers RecoveryRequest.
+type RecoveryResponse struct {
+	Request   statemachine.RequestID `cbor:"Request"`
+	HardState HardState              `cbor:"Durable"`
 }
 
-// Prepare asks for the right to decide an epoch.
+// Prepare is phase 1 of a ballot: it asks for a promise.
 type Prepare struct {
 	Epoch  uint64 `cbor:"Epoch"`
 	Ballot Ballot `cbor:"Ballot"`
 }
 
-// Promise answers Prepare.
+// Promise answers Prepare. If it is not granted, RetryAfter is how long a lease still
+// runs that the acceptor granted, and Promised a higher ballot that it promised.
 type Promise struct {
 	Epoch          uint64        `cbor:"Epoch"`
 	Ballot         Ballot        `cbor:"Ballot"`
-	Given          bool          `cbor:"Given"`
-	Wait           time.Duration `cbor:"Wait"`
+	Granted        bool          `cbor:"Given"`
+	RetryAfter     time.Duration `cbor:"Wait"`
 	Promised       Ballot        `cbor:"Promised"`
 	AcceptedBallot Ballot        `cbor:"AcceptedBallot"`
 	Accepted       Record        `cbor:"Accepted"`
 }
 
-// Accept asks to take a record for an epoch.
+// Accept is phase 2 of a ballot: it asks to accept a record.
 type Accept struct {
 	Epoch  uint64 `cbor:"Epoch"`
 	Ballot Ballot `cbor:"Ballot"`
 	Record Record `cbor:"Record"`
 }
 
-// Accepted answers Accept.
+// Accepted answers Accept once the record is on the acceptor's disk.
 type Accepted struct {
-	Epoch  uint64 `cbor:"Epoch"`
-	Ballot Ballot `cbor:"Ballot"`
-	Taken  bool   `cbor:"Taken"`
+	Epoch   uint64 `cbor:"Epoch"`
+	Ballot  Ballot `cbor:"Ballot"`
+	Granted bool   `cbor:"Taken"`
 }
 
 // Decided spreads a decided record.
@@ -143,145 +66,121 @@
 	Record Record `cbor:"Record"`
 }
 
-// Renew asks for more lease; soon after an epoch was decided it tells the record
-// too, in case the word of it was lost.
-type Renew struct {
+// RenewLease comes from the primary and asks a voter to extend its lease. Soon after an
+// epoch was decided it has the record too, in case Decided was lost.
+type RenewLease struct {
 	Epoch   uint64                 `cbor:"Epoch"`
 	Request statemachine.RequestID `cbor:"Request"`
 	Record  Record                 `cbor:"Record"`
 }
 
-// Grant gives lease and tells how far the granter's state reaches; without a
-// request it only tells.
-type Grant struct {
-	Epoch    uint64                 `cbor:"Epoch"`
-	Request  statemachine.RequestID `cbor:"Request"`
-	Index    uint64                 `cbor:"Index"`
-	Complete uint64                 `cbor:"Complete"`
+// LeaseGrant answers RenewLease. From a backup it also reports the progress of its
+// replica; without a request it does only that.
+type LeaseGrant struct {
+	Epoch         uint64                 `cbor:"Epoch"`
+	Request       statemachine.RequestID `cbor:"Request"`
+	Index         uint64                 `cbor:"Index"`
+	CompleteEpoch uint64                 `cbor:"Complete"`
 }
 
-// Yield gives the rest of the lease back: the primary is stopping, or its disk
-// hangs. Request is the newest renewal that it asked for.
-type Yield struct {
+// ReleaseLease gives up the rest of the lease: the primary stops, or its disk hangs.
+// Request is the newest renewal that it asked for.
+type ReleaseLease struct {
 	Epoch   uint64                 `cbor:"Epoch"`
 	Request statemachine.RequestID `cbor:"Request"`
 }
 
-// Append carries one command from the primary to each backup.
+// Append replicates one command from the primary to a backup.
 type Append struct {
 	Epoch   uint64 `cbor:"Epoch"`
 	Index   uint64 `cbor:"Index"`
 	Command []byte `cbor:"Command"`
 }
 
-// AppendResponse says that the backup has synced it.
+// AppendResponse says that the backup has synced the command.
 type AppendResponse struct {
 	Epoch uint64 `cbor:"Epoch"`
 	Index uint64 `cbor:"Index"`
 }
 
-// Frame carries the whole state, either to level a backup at the present epoch
-// or to ready a spare for the next.
-type Frame struct {
-	Epoch uint64 `cbor:"Epoch"`
-	For   uint64 `cbor:"For"`
-	Index uint64 `cbor:"Index"`
-	State []byte `cbor:"State"`
+// InstallSnapshot sends the whole state: to a backup that is not in sync, if TargetEpoch
+// is Epoch, or to a spare that may become a backup in the next epoch, TargetEpoch.
+type InstallSnapshot struct {
+	Epoch       uint64 `cbor:"Epoch"`
+	TargetEpoch uint64 `cbor:"For"`
+	Index       uint64 `cbor:"Index"`
+	State       []byte `cbor:"State"`
 }
 
-// FrameResponse says that the frame is synced, and whether its holder is about to
-// leave.
-type FrameResponse struct {
-	Epoch   uint64 `cbor:"Epoch"`
-	For     uint64 `cbor:"For"`
-	Index   uint64 `cbor:"Index"`
-	Leaving bool   `cbor:"Leaving"`
+// InstallSnapshotResponse says that the snapshot is synced, and whether its receiver is
+// about to leave.
+type InstallSnapshotResponse struct {
+	Epoch       uint64 `cbor:"Epoch"`
+	TargetEpoch uint64 `cbor:"For"`
+	Index       uint64 `cbor:"Index"`
+	Leaving     bool   `cbor:"Leaving"`
 }
 
-// Confirm asks the voters whether the epoch still stands.
+// Confirm asks a voter whether the epoch is still the newest, as ReadIndex does in Raft.
 type Confirm struct {
 	Epoch   uint64                 `cbor:"Epoch"`
 	Request statemachine.RequestID `cbor:"Request"`
 }
 
-// ConfirmResponse answers for the present epoch only.
+// ConfirmResponse answers Confirm for the present epoch only.
 type ConfirmResponse struct {
 	Epoch   uint64                 `cbor:"Epoch"`
 	Request statemachine.RequestID `cbor:"Request"`
 }
 
-// DutyAsk asks a majority for the lease of a single duty.
-type DutyAsk struct {
-	Duty    string                 `cbor:"Duty"`
+// RoleLeaseRequest asks a voter for the lease of a singleton role.
+type RoleLeaseRequest struct {
+	Role    string                 `cbor:"Duty"`
 	Request statemachine.RequestID `cbor:"Request"`
 }
 
-// DutyResponse grants it or names who holds it.
-type DutyResponse struct {
-	Duty    string                 `cbor:"Duty"`
+// RoleLeaseResponse grants the lease, or names its present holder.
+type RoleLeaseResponse struct {
+	Role    string                 `cbor:"Duty"`
 	Request statemachine.RequestID `cbor:"Request"`
-	Given   bool                   `cbor:"Given"`
+	Granted bool                   `cbor:"Given"`
 	Holder  string                 `cbor:"Holder"`
 }
 
-// Leave asks the voters to let a controller go.
+// Leave comes from a controller that shuts down, and asks to be taken out of the voters.
 type Leave struct {
 	Epoch   uint64                 `cbor:"Epoch"`
 	Request statemachine.RequestID `cbor:"Request"`
 }
 
-// LeaveResponse says that the voters of the epoch, without the asker, last on this
-// disk; or that nobody can take its place.
+// LeaveResponse says that voters of the epoch, of which the leaver is none, are on the
+// disk of a voter; or, from the primary, that nobody can replace the leaver.
 type LeaveResponse struct {
 	Epoch         uint64                 `cbor:"Epoch"`
 	Request       statemachine.RequestID `cbor:"Request"`
 	Irreplaceable bool                   `cbor:"Irreplaceable"`
 }
 
-type spareFrame struct {
-	From  string `cbor:"From"`
-	For   uint64 `cbor:"For"`
-	Index uint64 `cbor:"Index"`
-	State []byte `cbor:"State"`
-}
-
-type diskEntry struct {
-	Durable *Durable    `cbor:"Durable"`
-	Index   uint64      `cbor:"Index"`
-	Command []byte      `cbor:"Command"`
-	State   []byte      `cbor:"State"`
-	Spare   *spareFrame `cbor:"Spare"`
-}
-
-type diskFrame struct {
-	Durable Durable      `cbor:"Durable"`
-	Index   uint64       `cbor:"Index"`
-	State   []byte       `cbor:"State"`
-	Spares  []spareFrame `cbor:"Spares"`
-	// Pending is the command that was under way when the snapshot was taken.
-	Pending *diskEntry `cbor:"Pending"`
-}
-
 func init() {
 	transport.MustRegister(100, Hello{})
-	transport.MustRegister(101, RecallAsk{})
-	transport.MustRegister(102, RecallResponse{})
+	transport.MustRegister(101, RecoveryRequest{})
+	transport.MustRegister(102, RecoveryResponse{})
 	transport.MustRegister(103, Prepare{})
 	transport.MustRegister(104, Promise{})
 	transport.MustRegister(105, Accept{})
 	transport.MustRegister(106, Accepted{})
 	transport.MustRegister(107, Decided{})
-	transport.MustRegister(108, Renew{})
-	transport.MustRegister(109, Grant{})
+	transport.MustRegister(108, RenewLease{})
+	transport.MustRegister(109, LeaseGrant{})
 	transport.MustRegister(110, Append{})
 	transport.MustRegister(111, AppendResponse{})
-	transport.MustRegister(112, Frame{})
-	transport.MustRegister(113, FrameResponse{})
+	transport.MustRegister(112, InstallSnapshot{})
+	transport.MustRegister(113, InstallSnapshotResponse{})
 	transport.MustRegister(114, Confirm{})
 	transport.MustRegister(115, ConfirmResponse{})
-	transport.MustRegister(116, DutyAsk{})
-	transport.MustRegister(117, DutyResponse{})
-	transport.MustRegister(118, Yield{})
+	transport.MustRegister(116, RoleLeaseRequest{})
+	transport.MustRegister(117, RoleLeaseResponse{})
+	transport.MustRegister(118, ReleaseLease{})
 	transport.MustRegister(119, Leave{})
 	transport.MustRegister(120, LeaveResponse{})
 }
--- a/internal/daemon/storage.go
+++ b/internal/daemon/storage.go
@@ -43,9 +43,9 @@
 		return nil, stored, err
 	}
 	log, recovered, err := p.openLog(folder)
-	if errorx.IsOfType(err, wal.ErrorDamage) {
+	if errorx.IsOfType(err, wal.ErrDamaged) {
 		p.logger.Report(logevent.DiskDamaged, "error", err.Error())
-		if err := wal.PutAside(folder); err != nil {
+		if err := wal.Quarantine(folder); err != nil {
 			return nil, stored, err
 		}
 		log, recovered, err = p.openLog(folder)
@@ -53,10 +53,10 @@
 	if err != nil {
 		return nil, stored, err
 	}
-	if recovered.Torn > 0 {
-		p.logger.Report(logevent.DiskTorn, "bytes", recovered.Torn)
+	if recovered.TornBytes > 0 {
+		p.logger.Report(logevent.DiskTorn, "bytes", recovered.TornBytes)
 	}
-	stored.Snapshot, stored.Entries = recovered.Frame, recovered.Entries
+	stored.Snapshot, stored.Entries = recovered.Snapshot, recovered.Entries
 	return log, stored, nil
 }
 
@@ -64,7 +64,7 @@
 func (p *process) openLog(folder wal.Folder) (*wal.Log, wal.Recovered, error) {
 	for attempt := 0; ; attempt++ {
 		log, recovered, err := wal.Open(folder)
-		if !errorx.IsOfType(err, wal.ErrorDisk) {
+		if !errorx.IsOfType(err, wal.ErrDisk) {
 			return log, recovered, err
 		}
 		if attempt%diskReportEvery == 0 {
@@ -85,7 +85,7 @@
 		return err
 	}
 	if err := syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		return wal.ErrorDisk.New("another process holds %s", path)
+		return wal.ErrDisk.New("another process has locked %s", path)
 	}
 	lockFiles = append(lockFiles, file)
 	return nil
--- a/internal/gateway/catchup_test.go
+++ b/internal/gateway/catchup_test.go
@@ -1,4 +1,3 @@
-// One batch is on its way to each store, refused subscriptions keep their turn, places are confirmed before what they lack is fetched, and nobody is told of who still waits for its place.
 package gateway
 
 import (
@@ -24,14 +23,35 @@
 
 func newCrowded(count int) *crowded {
 	made := &crowded{now: time.Unix(1000, 0)}
-	made.gateway = New(Settings{Self: membership.Member{Name: "gateway-1", Kind: membership.KindGateway, Address: "a:1"}, Agent: "a:2"})
-	made.gateway.viewClient.Members["store-1"] = membership.Member{Name: "store-1", Kind: membership.KindStore, Address: "k:1", Alive: true}
-	made.gateway.spaces["boards"] = &spaceState{space: config.Space{Name: "boards", Retention: config.Durable, Order: config.OrderTopic, Subscribers: []string{"*"}}, name: "boards~0"}
+	made.gateway = New(Settings{
+		Self:  membership.Member{Name: "gateway-1", Kind: membership.KindGateway, Address: "a:1"},
+		Agent: "a:2",
+	})
+	made.gateway.viewClient.Members["store-1"] = membership.Member{
+		Name:    "store-1",
+		Kind:    membership.KindStore,
+		Address: "k:1",
+		Alive:   true,
+	}
+	made.gateway.spaces["boards"] = &spaceState{
+		space: config.Space{Name: "boards", Retention: config.Durable, Order: config.OrderTopic, Subscribers: []string{"*"}},
+		name:  "boards~0",
+	}
 	for number := range count {
 		name := fmt.Sprintf("topic-%d", number)
 		partition := config.SharedPartition(name)
-		made.gateway.viewClient.Placements[partition] = membership.Placement{Partition: partition, Epoch: 1, Leader: "store-1", Complete: true}
-		subscription := &topicSubscription{session: uint64(number + 1), filling: true, request: Subscribe{Request: uint64(number + 1)}, deadline: made.now.Add(time.Second)}
+		made.gateway.viewClient.Placements[partition] = membership.Placement{
+			Partition: partition,
+			Epoch:     1,
+			Leader:    "store-1",
+			Complete:  true,
+		}
+		subscription := &topicSubscription{
+			session:  uint64(number + 1),
+			filling:  true,
+			request:  Subscribe{Request: uint64(number + 1)},
+			deadline: made.now.Add(time.Second),
+		}
 		opened := &session{client: name, routed: map[string]*topicSubscription{name: subscription}}
 		made.gateway.sessions[subscription.session] = opened
 		made.channels = append(made.channels, opened)
@@ -45,8 +65,8 @@
 func (c *crowded) asked() []partition.FetchTopics {
 	var batches []partition.FetchTopics
 	for _, send := range c.effects.Sends {
-		if asked, is := send.Message.(partition.FetchTopics); is {
-			batches = append(batches, asked)
+		if fetch, is := send.Message.(partition.FetchTopics); is {
+			batches = append(batches, fetch)
 		}
 	}
 	c.effects = statemachine.Effects{}
@@ -55,13 +75,13 @@
 
 // answer answers a batch as a store does that holds all from Base on and nothing newer
 // than the cursors.
-func (c *crowded) answer(asked partition.FetchTopics) {
-	answer := partition.FetchTopicsResponse{Request: asked.Request}
-	told := map[string]bool{}
-	for _, each := range asked.Topics {
-		if name := config.SharedPartition(each.Topic); !told[name] {
-			told[name] = true
-			answer.Partitions = append(answer.Partitions, partition.PartitionState{Partition: name, Epoch: 1, Head: 5})
+func (c *crowded) answer(fetch partition.FetchTopics) {
+	answer := partition.FetchTopicsResponse{RequestID: fetch.RequestID}
+	reported := map[string]bool{}
+	for _, each := range fetch.Topics {
+		if name := config.SharedPartition(each.Topic); !reported[name] {
+			reported[name] = true
+			answer.Partitions = append(answer.Partitions, partition.PartitionState{Partition: name, Epoch: 1, HighWatermark: 5})
 		}
 		answer.Topics = append(answer.Topics, partition.TopicRecords{Until: 5})
 	}
@@ -118,6 +138,7 @@
 // slow batch was refused for want of an answer, and whether its next try is confirmed
 // at once when that batch has been answered.
 func refusedTurn(t *testing.T) (topics int, confirmed bool) {
+	t.Helper()
 	many := newCrowded(2)
 	slow := many.asked()[0]
 	behind := many.channels[1].routed[many.channels[1].client]
@@ -134,7 +155,14 @@
 	}
 	many.answer(next[0])
 	many.effects = statemachine.Effects{}
-	again := &topicSubscription{session: behind.session, filling: true, resumes: true, deliveredUpTo: 3, request: Subscribe{Request: 99}, deadline: many.now.Add(time.Second)}
+	again := &topicSubscription{
+		session:       behind.session,
+		filling:       true,
+		resumes:       true,
+		deliveredUpTo: 3,
+		request:       Subscribe{Request: 99},
+		deadline:      many.now.Add(time.Second),
+	}
 	many.gateway.addTopicSubscription(many.now, many.channels[1].client, "boards", again, &many.effects)
 	return len(next[0].Topics), many.gateway.fill(many.now, again, &many.effects)
 }
@@ -166,7 +194,10 @@
 	kept := 0
 	for number := 1; kept == 0; number++ {
 		if topic := fmt.Sprintf("topic-%d", number); config.SharedPartition(topic) == name {
-			many.gateway.addTopicSubscription(many.now, topic, "boards", &topicSubscription{session: 9, deadline: many.now.Add(time.Hour)}, &many.effects)
+			many.gateway.addTopicSubscription(many.now, topic, "boards", &topicSubscription{
+				session:  9,
+				deadline: many.now.Add(time.Hour),
+			}, &many.effects)
 			kept = number
 		}
 	}
@@ -178,13 +209,13 @@
 
 func TestTheCreditOfABatchFollowsFromTheLink(t *testing.T) {
 	many := newCrowded(1)
-	assert.Equal(t, many.asked()[0].Bytes, batchBytesMost)
+	assert.Equal(t, many.asked()[0].MaxBytes, maxBatchBytes)
 	many.gateway.SetLink(3_250_000)
 	assert.Equal(t, many.gateway.batchBytes(10), 65000)
 	assert.Equal(t, many.gateway.batchBytes(4), 162500)
-	assert.Equal(t, many.gateway.batchBytes(1), batchBytesMost)
+	assert.Equal(t, many.gateway.batchBytes(1), maxBatchBytes)
 	many.gateway.SetLink(1000)
-	assert.Equal(t, many.gateway.batchBytes(1), batchBytesLeast)
+	assert.Equal(t, many.gateway.batchBytes(1), minBatchBytes)
 }
 
 // A subscription is confirmed though the answer had no room for what it missed, which
@@ -194,20 +225,23 @@
 	subscription := one.channels[0].routed["topic-0"]
 	subscription.resumes, subscription.deliveredUpTo = true, 2
 	one.gateway.routed.topics["topic-0"].fetch.after = 2
-	asked := one.asked()[0]
+	fetch := one.asked()[0]
 	name := config.SharedPartition("topic-0")
-	partitions := []partition.PartitionState{{Partition: name, Epoch: 1, Head: 9}}
+	partitions := []partition.PartitionState{{Partition: name, Epoch: 1, HighWatermark: 9}}
 	one.gateway.handleTopicsFetched(one.now, partition.FetchTopicsResponse{
-		Request: asked.Request, Partitions: partitions, Topics: []partition.TopicRecords{{Until: 2}},
+		RequestID: fetch.RequestID, Partitions: partitions, Topics: []partition.TopicRecords{{Until: 2}},
 	}, &one.effects)
 	assert.Equal(t, len(one.effects.Responses), 1)
 	assert.Equal(t, one.effects.Responses[0].Value.(Reply).Outcome, OutcomeAccepted)
 	next := one.asked()
 	assert.Equal(t, len(next), 1)
-	assert.DeepEqual(t, next[0].Topics, []partition.TopicAfter{{Topic: "topic-0", After: 2}})
+	assert.DeepEqual(t, next[0].Topics, []partition.TopicCursor{{Topic: "topic-0", After: 2}})
 	one.gateway.handleTopicsFetched(one.now, partition.FetchTopicsResponse{
-		Request: next[0].Request, Partitions: partitions,
-		Topics: []partition.TopicRecords{{Until: 9, Records: []partition.Record{{Offset: 7, Topic: "topic-0", Sender: "u", Seq: 1}}}},
+		RequestID:  next[0].RequestID,
+		Partitions: partitions,
+		Topics: []partition.TopicRecords{
+			{Until: 9, Records: []partition.Record{{Offset: 7, Topic: "topic-0", Sender: "u", Seq: 1}}},
+		},
 	}, &one.effects)
 	assert.Equal(t, len(one.effects.Deliveries), 1)
 	assert.Equal(t, len(one.effects.Responses), 0)
@@ -218,18 +252,22 @@
 // again once it has been.
 func TestWhatMovedWhileATopicWasFetchedIsFetchedToo(t *testing.T) {
 	one := newCrowded(1)
-	asked := one.asked()[0]
+	fetch := one.asked()[0]
 	topic := one.gateway.routed.topics["topic-0"]
 	one.gateway.routed.reportedUpTo[topic.partition] = 5
-	one.gateway.handleTopicHighWatermarks(one.now, partition.Head{
-		Partition: topic.partition, Epoch: 1, From: 5, Offset: 8, Topics: []partition.TopicHead{{Topic: topic.number, Offset: 8}},
+	one.gateway.handleTopicHighWatermarks(one.now, partition.HighWatermark{
+		Partition: topic.partition,
+		Epoch:     1,
+		From:      5,
+		Offset:    8,
+		Topics:    []partition.TopicOffset{{TopicHash: topic.number, Offset: 8}},
 	}, &one.effects)
-	one.answer(asked)
+	one.answer(fetch)
 	one.now = one.now.Add(highWatermarkGrace)
 	one.gateway.tickRouted(one.now, &one.effects)
 	next := one.asked()
 	assert.Equal(t, len(next), 1)
-	assert.DeepEqual(t, next[0].Topics, []partition.TopicAfter{{Topic: "topic-0", After: 5}})
+	assert.DeepEqual(t, next[0].Topics, []partition.TopicCursor{{Topic: "topic-0", After: 5}})
 	assert.Equal(t, one.gateway.routed.reportedUpTo[topic.partition], uint64(8))
 }
 
@@ -252,6 +290,7 @@
 // confirmed tells whether a caller who comes back with a cursor is answered before
 // what it missed was fetched.
 func confirmed(t *testing.T, cursor uint64) bool {
+	t.Helper()
 	one := newCrowded(1)
 	one.answer(one.asked()[0])
 	gateway := one.gateway
@@ -263,7 +302,13 @@
 	gateway.sessions[9] = &session{client: "late", routed: map[string]*topicSubscription{}}
 	gateway.routed.topics["topic-0"].recentFrom, gateway.routed.topics["topic-0"].last = 9, 9
 	one.effects = statemachine.Effects{}
-	gateway.subscribeRouted(one.now, Subscribe{Request: 77, Session: 9, Client: "late", Interests: []Interest{{Path: "topic-0"}}, Cursor: formatTopicCursor(cursor)}, true, &one.effects)
+	gateway.subscribeRouted(one.now, Subscribe{
+		Request:   77,
+		Session:   9,
+		Client:    "late",
+		Interests: []Interest{{Path: "topic-0"}},
+		Cursor:    formatTopicCursor(cursor),
+	}, true, &one.effects)
 	for _, response := range one.effects.Responses {
 		if response.Request == 77 {
 			answer := response.Value.(Reply)
@@ -277,7 +322,10 @@
 }
 
 func configOf(t *testing.T) config.Configuration {
-	read, faults := config.Read([]byte(`{"version":1,"spaces":[{"name":"boards","promise":"kept","order":"topic"}],"routes":[{"prefix":"topic-","space":"boards"}]}`))
+	t.Helper()
+	read, faults := config.Read([]byte(`{"version":1,
+		"spaces":[{"name":"boards","promise":"kept","order":"topic"}],
+		"routes":[{"prefix":"topic-","space":"boards"}]}`))
 	assert.Equal(t, len(faults), 0, "%v", faults)
 	return read
 }
@@ -288,13 +336,17 @@
 }
 
 // answerLeft answers a batch with no records but for topics of which nothing is left.
-func (c *crowded) answerLeft(asked partition.FetchTopics, left map[string]int) {
-	answer := partition.FetchTopicsResponse{Request: asked.Request}
-	for _, each := range asked.Topics {
-		answer.Partitions = append(answer.Partitions, partition.PartitionState{Partition: config.SharedPartition(each.Topic), Epoch: 1, Head: 9})
+func (c *crowded) answerLeft(fetch partition.FetchTopics, left map[string]int) {
+	answer := partition.FetchTopicsResponse{RequestID: fetch.RequestID}
+	for _, each := range fetch.Topics {
+		answer.Partitions = append(answer.Partitions, partition.PartitionState{
+			Partition:     config.SharedPartition(each.Topic),
+			Epoch:         1,
+			HighWatermark: 9,
+		})
 		records := partition.TopicRecords{Until: 9}
 		if bytes := left[each.Topic]; bytes > 0 {
-			records = partition.TopicRecords{Until: each.After, Left: bytes}
+			records = partition.TopicRecords{Until: each.After, RemainingBytes: bytes}
 		}
 		answer.Topics = append(answer.Topics, records)
 	}
@@ -344,10 +396,11 @@
 	topic := one.gateway.routed.topics["topic-0"]
 	one.gateway.SetLink(thinRate)
 	assert.Assert(t, one.gateway.admits(one.now))
-	asked := one.asked()[0]
+	fetch := one.asked()[0]
 	one.gateway.handleTopicsFetched(one.now, partition.FetchTopicsResponse{
-		Request: asked.Request, Partitions: []partition.PartitionState{{Partition: topic.partition, Epoch: 1, Head: 9}},
-		Topics: []partition.TopicRecords{{Until: 0, Left: thinRate + 1}},
+		RequestID:  fetch.RequestID,
+		Partitions: []partition.PartitionState{{Partition: topic.partition, Epoch: 1, HighWatermark: 9}},
+		Topics:     []partition.TopicRecords{{Until: 0, RemainingBytes: thinRate + 1}},
 	}, &one.effects)
 	assert.Assert(t, !one.gateway.admits(one.now))
 	one.gateway.dropTopicSubscription(one.now, one.channels[0], "topic-0", &one.effects)
@@ -363,15 +416,22 @@
 	gateway, topic := one.gateway, one.gateway.routed.topics["topic-0"]
 	one.answer(one.asked()[0])
 	gateway.SetLink(thinRate)
-	late := &topicSubscription{session: 9, filling: true, resumes: true, request: Subscribe{Request: 9}, deadline: one.now.Add(time.Second)}
+	late := &topicSubscription{
+		session:  9,
+		filling:  true,
+		resumes:  true,
+		request:  Subscribe{Request: 9},
+		deadline: one.now.Add(time.Second),
+	}
 	gateway.sessions[9] = &session{client: "late", routed: map[string]*topicSubscription{"topic-0": late}}
 	gateway.addTopicSubscription(one.now, "topic-0", "boards", late, &one.effects)
 	gateway.fetchTopic(one.now, topic, &one.effects)
 	for range 2 {
-		asked := one.asked()[0]
+		fetch := one.asked()[0]
 		gateway.handleTopicsFetched(one.now, partition.FetchTopicsResponse{
-			Request: asked.Request, Partitions: []partition.PartitionState{{Partition: topic.partition, Epoch: 1, Head: 5}},
-			Topics: []partition.TopicRecords{{Until: 1, Left: thinRate + 1}},
+			RequestID:  fetch.RequestID,
+			Partitions: []partition.PartitionState{{Partition: topic.partition, Epoch: 1, HighWatermark: 5}},
+			Topics:     []partition.TopicRecords{{Until: 1, RemainingBytes: thinRate + 1}},
 		}, &one.effects)
 		if _, held := gateway.sessions[9].routed["topic-0"]; held {
 			assert.Assert(t, !gateway.admits(one.now))
--- a/internal/gateway/delivery.go
+++ b/internal/gateway/delivery.go
@@ -1,13 +1,14 @@
 package gateway
 
 import (
-	"dahlialock/internal/decisionlog"
-	"dahlialock/internal/statemachine"
 	"encoding/json"
 	"time"
+
+	"dahlialock/internal/decisionlog"
+	"dahlialock/internal/statemachine"
 )
 
-// drain hands over what waited while a channel was being filled.
+// drain delivers what was buffered while a subscription of the session was being filled.
 func (g *Gateway) drain(now time.Time, id uint64, session *session, effects *statemachine.Effects) {
 	if session.filling() {
 		return
@@ -16,18 +17,24 @@
 	for len(session.buffer) > 0 {
 		recordCopy := session.buffer[0]
 		session.buffer = session.buffer[1:]
-		g.offerRecord(now, id, session, recordCopy, effects)
+		g.deliverOrBuffer(now, id, session, recordCopy, effects)
 	}
-	passes := session.ephemeralBuffer
+	ephemeral := session.ephemeralBuffer
 	session.ephemeralBuffer = nil
-	for _, message := range passes {
-		g.offerEphemeral(now, id, session, message, effects)
+	for _, message := range ephemeral {
+		g.deliverOrBufferEphemeral(now, id, session, message, effects)
 	}
 }
 
-// offerRecord gives a kept message to a channel, if one of its subscriptions wants it
-// and it has not had it.
-func (g *Gateway) offerRecord(now time.Time, id uint64, session *session, recordCopy RecordCopy, effects *statemachine.Effects) {
+// deliverOrBuffer delivers a record to a session if one of its subscriptions matches and the client
+// has not had it, or buffers it while the session is being filled.
+func (g *Gateway) deliverOrBuffer(
+	now time.Time,
+	id uint64,
+	session *session,
+	recordCopy RecordCopy,
+	effects *statemachine.Effects,
+) {
 	space, _ := spaceOf(recordCopy.Partition)
 	wanted, waits := false, false
 	for interest, subscription := range session.subscriptions {
@@ -42,31 +49,50 @@
 	}
 	wanted = wanted || statemachine.Mutated("no-exact-match")
 	if session.filling() && (wanted || waits) {
-		// While any part is being filled the whole channel waits, since a
-		// sender's order runs across its subscriptions.
+		// While any subscription is being filled the complete session waits, since the
+		// order of a sender runs across its subscriptions.
 		session.buffer = append(session.buffer, recordCopy)
 		return
 	}
 	if wanted {
-		g.deliverTo(now, id, session, recordCopy, effects)
+		g.deliverRecord(now, id, session, recordCopy, effects)
 	}
 }
 
-// deliverTo gives a kept message to a channel once.
-func (g *Gateway) deliverTo(now time.Time, id uint64, session *session, recordCopy RecordCopy, effects *statemachine.Effects) {
-	if !session.movedAt.IsZero() || !session.firstDelivery(now, recordCopy.Partition, recordCopy.Record.Offset) {
+// deliverRecord delivers a record to a session unless the client has had it.
+func (g *Gateway) deliverRecord(
+	now time.Time,
+	id uint64,
+	session *session,
+	recordCopy RecordCopy,
+	effects *statemachine.Effects,
+) {
+	if !session.movedAt.IsZero() || !session.recordDelivery(now, recordCopy.Partition, recordCopy.Record.Offset) {
 		return
 	}
 	space, _ := spaceOf(recordCopy.Partition)
 	g.Counts.Delivered++
-	g.ring.Record(now, "", decisionlog.MessageName(space, recordCopy.Record.Sender, recordCopy.Record.Seq), session.client, "delivered",
-		"partition", recordCopy.Partition, "offset", recordCopy.Record.Offset)
+	g.ring.Record(now, "", decisionlog.MessageName(
+		space,
+		recordCopy.Record.Sender,
+		recordCopy.Record.Seq,
+	), session.client, "delivered",
+		"partition", recordCopy.Partition,
+		"offset", recordCopy.Record.Offset,
+	)
 	g.emit(id, Event{
-		Event: "message", Space: space, Topic: recordCopy.Record.Topic, Sender: recordCopy.Record.Sender, Seq: recordCopy.Record.Seq,
-		Data: json.RawMessage(recordCopy.Record.Data), Cursor: g.cursor(now, session),
+		Event:  "message",
+		Space:  space,
+		Topic:  recordCopy.Record.Topic,
+		Sender: recordCopy.Record.Sender,
+		Seq:    recordCopy.Record.Seq,
+		Data:   json.RawMessage(recordCopy.Record.Data),
+		Cursor: g.cursor(now, session),
 	}, effects)
 }
 
+// markSeen notes the sequence of a message of an ephemeral space, and returns whether it is above
+// all seen of its sender.
 func (c *session) markSeen(now time.Time, space, sender string, seq uint64) bool {
 	marks := c.sequences[space]
 	if marks == nil {
@@ -80,7 +106,15 @@
 	return true
 }
 
-func (g *Gateway) offerEphemeral(now time.Time, id uint64, session *session, message EphemeralCopy, effects *statemachine.Effects) {
+// deliverOrBufferEphemeral delivers an ephemeral message to a session if one of its subscriptions
+// matches and the client has not had it, or buffers it while the session is being filled.
+func (g *Gateway) deliverOrBufferEphemeral(
+	now time.Time,
+	id uint64,
+	session *session,
+	message EphemeralCopy,
+	effects *statemachine.Effects,
+) {
 	if !session.movedAt.IsZero() {
 		return
 	}
@@ -92,8 +126,8 @@
 				session.ephemeralBuffer = append(session.ephemeralBuffer, message)
 				return
 			}
-			// What is offered late is for those who were away, not for those
-			// who had not asked yet.
+			// Repeated messages are for clients that were away, not for those that
+			// had not subscribed yet.
 			wanted = wanted || !message.Repeated || now.Sub(subscription.resumedAt) <= resumedFor
 		}
 	}
@@ -103,25 +137,31 @@
 	g.Counts.Delivered++
 	g.ring.Record(now, "", decisionlog.MessageName(space, message.Sender, message.Seq), session.client, "delivered")
 	g.emit(id, Event{
-		Event: "message", Space: space, Topic: message.Topic, Sender: message.Sender, Seq: message.Seq,
-		Data: json.RawMessage(message.Data), Cursor: g.cursor(now, session),
+		Event:  "message",
+		Space:  space,
+		Topic:  message.Topic,
+		Sender: message.Sender,
+		Seq:    message.Seq,
+		Data:   json.RawMessage(message.Data),
+		Cursor: g.cursor(now, session),
 	}, effects)
 }
 
-// markDelivered notes offsets that the origin had before it came here.
+// markDelivered notes offsets that were delivered to the client by another gateway.
 func (c *session) markDelivered(now time.Time, name string, offsets []uint64) {
 	for _, offset := range offsets {
-		c.firstDelivery(now, name, offset)
+		c.recordDelivery(now, name, offset)
 	}
 }
 
-// firstDelivery notes that the origin has a message now, and tells whether it had not.
-// What is above the place's floor is kept apart, since every cursor names it.
-func (c *session) firstDelivery(now time.Time, name string, offset uint64) bool {
+// recordDelivery notes that a record is delivered to the client, and returns whether it was not
+// before. Offsets above the cursor's floor are tracked in deliveredAbove too, since every cursor
+// names them.
+func (c *session) recordDelivery(now time.Time, name string, offset uint64) bool {
 	if c.delivered[name] == nil {
 		c.delivered[name], c.deliveredAbove[name] = map[uint64]time.Time{}, map[uint64]bool{}
 	}
-	if _, had := c.delivered[name][offset]; had {
+	if _, delivered := c.delivered[name][offset]; delivered {
 		return false
 	}
 	c.delivered[name][offset] = now
@@ -129,7 +169,7 @@
 	return true
 }
 
-// notBefore notes that an interest began above the place's floor.
+// notBefore notes that an interest began at an offset above the floor of the cursor.
 func (c *session) notBefore(interest Interest, name string, since uint64) {
 	subscription := c.subscriptions[interest]
 	if subscription.notBefore == nil {
@@ -138,13 +178,16 @@
 	subscription.notBefore[name] = since
 }
 
-// subscribesTo tells whether a missed message is one that an interest asked for at
-// the time.
-func (c *session) subscribesTo(interests []Interest, recordCopy RecordCopy) bool {
+// wantsRecord returns whether a missed record matches an interest that was subscribed to when it
+// was appended.
+func (c *session) wantsRecord(interests []Interest, recordCopy RecordCopy) bool {
 	space, _ := spaceOf(recordCopy.Partition)
 	for _, interest := range interests {
 		subscription, found := c.subscriptions[interest]
-		if found && interest.Space == space && interest.matches(recordCopy.Record.Topic) && recordCopy.Record.Offset > subscription.notBefore[recordCopy.Partition] {
+		if !found || interest.Space != space || !interest.matches(recordCopy.Record.Topic) {
+			continue
+		}
+		if recordCopy.Record.Offset > subscription.notBefore[recordCopy.Partition] {
 			return true
 		}
 	}
--- a/internal/gateway/forms_test.go
+++ b/internal/gateway/forms_test.go
@@ -30,7 +30,7 @@
 func sampleCursors() []cursor {
 	begun := cursor{
 		Layout:     cursorLayout,
-		Origin:     "origin-1",
+		Client:     "origin-1",
 		Interests:  []Interest{{Space: "orders", Path: "a/b"}, {Space: "orders", Path: "a", Prefix: true}},
 		Partitions: map[string]position{"orders~1/0": {Floor: 17}, "orders~1/7": {}},
 		Marks:      map[string]map[string]uint64{},
@@ -67,7 +67,7 @@
 		if _, code := openCursor(cursorKey, "origin-2", text); code != "other-origin" {
 			t.Errorf("cursor %d of another origin is refused as %q", position+1, code)
 		}
-		if _, code := openCursor([]byte("another-key-01234567"), "origin-1", text); code != "bad-cursor" {
+		if _, code := openCursor([]byte("another-key-01234567"), "origin-1", text); code != codeBadCursor {
 			t.Errorf("cursor %d under another key is refused as %q", position+1, code)
 		}
 	}
--- a/internal/gateway/policy.go
+++ b/internal/gateway/policy.go
@@ -1,7 +1,3 @@
-// Every request passes policies: plug-ins behind one interface, in a fixed order.
-// A policy lets a request pass, refuses it with its final answer, or asks for one
-// look at the news before it judges again.
-
 package gateway
 
 import (
@@ -12,44 +8,76 @@
 	"dahlialock/internal/statemachine"
 )
 
+// RequestKind is what a request asks for.
+type RequestKind string
+
+// The kinds of requests that pass the policies.
+const (
+	RequestPublish   RequestKind = "publish"
+	RequestSubscribe RequestKind = "subscribe"
+	RequestCount     RequestKind = "count"
+)
+
 // PolicyRequest is a request as the policies see it.
 type PolicyRequest struct {
-	Kind      string
-	Client    string
-	Sender    string
-	Space     string
-	Paths     []Interest
-	Topic     string
-	Seq       uint64
-	Data      []byte
+	Kind   RequestKind
+	Client string
+	Sender string
+	Space  string
+	// Paths are the interests of a subscription.
+	Paths []Interest
+	Topic string
+	Seq   uint64
+	Data  []byte
+	// Refreshed is set if the configuration was refreshed for the request before.
 	Refreshed bool
-	// Routed tells that the space was found by the routes: its topics are plain
-	// names.
-	Routed  bool
+	// Routed is set if the space was found by the routes: its topics are plain names.
+	Routed bool
+	// Gateway is the gateway that evaluates the request.
 	Gateway *Gateway
 }
 
-// Verdict is what a policy says.
+// Verdict is the decision of a policy.
 type Verdict struct {
-	Allowed      bool
+	Allowed bool
+	// NeedsRefresh asks for a newer configuration before the rejection is final.
 	NeedsRefresh bool
-	Reply        Reply
+	// Reply is the answer if the request is not allowed.
+	Reply Reply
 }
 
-var pass = Verdict{Allowed: true}
+var allowed = Verdict{Allowed: true}
 
-// Policy judges requests.
+// Policy evaluates requests. Policies run in a fixed order; the first that does not allow a request
+// ends its evaluation.
 type Policy interface {
 	Name() string
 	Evaluate(now time.Time, request *PolicyRequest) Verdict
 }
 
+// standardPolicies returns the policies of a gateway, in the order of their evaluation.
 func standardPolicies() []Policy {
-	return []Policy{servingPolicy{}, senderPolicy{}, topicPolicy{}, spacePolicy{}, rightsPolicy{}, sizePolicy{}, newRatePolicy()}
+	return []Policy{
+		servingPolicy{},
+		senderPolicy{},
+		topicPolicy{},
+		spacePolicy{},
+		rightsPolicy{},
+		sizePolicy{},
+		newRatePolicy(),
+	}
 }
 
-// authorize asks all policies in turn; look is called where news may help.
-func (g *Gateway) authorize(now time.Time, request *PolicyRequest, requestName string, retry func(now time.Time, effects *statemachine.Effects), answer func(Reply)) bool {
+// authorize evaluates all policies in turn and returns whether they allow the request. It calls
+// answer where one rejects it, and retry after a refresh where a newer configuration may change the
+// decision.
+func (g *Gateway) authorize(
+	now time.Time,
+	request *PolicyRequest,
+	requestName string,
+	retry func(now time.Time, effects *statemachine.Effects),
+	answer func(Reply),
+) bool {
 	request.Gateway = g
 	for _, policy := range g.policies {
 		verdict := policy.Evaluate(now, request)
@@ -61,13 +89,17 @@
 			g.refreshThen(now, retry)
 			return false
 		}
-		g.ring.Record(now, requestName, g.messageOf(request), request.Client, "refused", "policy", policy.Name(), "code", verdict.Reply.Code)
+		g.ring.Record(now, requestName, g.messageOf(request), request.Client, "refused",
+			"policy", policy.Name(),
+			"code", verdict.Reply.Code,
+		)
 		answer(verdict.Reply)
 		return false
 	}
 	return true
 }
 
+// servingPolicy rejects requests while the gateway may not serve.
 type servingPolicy struct{}
 
 func (servingPolicy) Name() string { return "serving" }
@@ -75,39 +107,47 @@
 func (servingPolicy) Evaluate(now time.Time, request *PolicyRequest) Verdict {
 	gateway := request.Gateway
 	switch {
-	case gateway.stopping && (!request.Routed || !gateway.servesOn(now)):
-		return Verdict{Reply: rejectedReply(503, "stopping", "this daemon is stopping", retrySoon)}
+	case gateway.stopping && (!request.Routed || !gateway.servesWhileStopping(now)):
+		return Verdict{Reply: rejectedReply(503, "stopping", "this daemon is stopping", retryShortDelay)}
 	case gateway.newerVersion > gateway.viewClient.Version:
-		return Verdict{NeedsRefresh: true, Reply: rejectedReply(503, "behind", "this daemon is catching up with the configuration", retrySoon)}
+		return Verdict{
+			NeedsRefresh: true,
+			Reply:        rejectedReply(503, "behind", "this daemon is catching up with the configuration", retryShortDelay),
+		}
 	case !gateway.Confirmed(now):
-		return Verdict{Reply: rejectedReply(503, "unconfirmed", "this daemon can't confirm its configuration", retryLater)}
+		return Verdict{
+			Reply: rejectedReply(503, "unconfirmed", "this daemon can't confirm its configuration", retryLongDelay),
+		}
 	}
-	return pass
+	return allowed
 }
 
+// senderPolicy rejects publications under the name of another client.
 type senderPolicy struct{}
 
 func (senderPolicy) Name() string { return "sender" }
 
 func (senderPolicy) Evaluate(_ time.Time, request *PolicyRequest) Verdict {
-	if request.Kind == "publish" && request.Sender != request.Client {
+	if request.Kind == RequestPublish && request.Sender != request.Client {
 		return Verdict{Reply: rejectedReply(403, "wrong-sender", "an origin publishes under its own name only", 0)}
 	}
-	return pass
+	return allowed
 }
 
+// topicPolicy rejects malformed topics.
 type topicPolicy struct{}
 
 func (topicPolicy) Name() string { return "topic" }
 
 func (topicPolicy) Evaluate(_ time.Time, request *PolicyRequest) Verdict {
 	if request.Routed {
-		if request.Kind == "publish" && !ValidRoutedTopic(request.Topic) || len(request.Paths) > 0 && !ValidRoutedTopic(request.Paths[0].Path) {
+		if request.Kind == RequestPublish && !ValidRoutedTopic(request.Topic) ||
+			len(request.Paths) > 0 && !ValidRoutedTopic(request.Paths[0].Path) {
 			return Verdict{Reply: rejectedReply(400, "bad-topic", "a routed topic is a name without blanks", 0)}
 		}
-		return pass
+		return allowed
 	}
-	if request.Kind == "publish" && !ValidTopic(request.Topic) {
+	if request.Kind == RequestPublish && !ValidTopic(request.Topic) {
 		return Verdict{Reply: rejectedReply(400, "bad-topic", "a topic is a path of parts that are not empty", 0)}
 	}
 	for _, interest := range request.Paths {
@@ -115,35 +155,41 @@
 			return Verdict{Reply: rejectedReply(400, "bad-topic", "a topic is a path of parts that are not empty", 0)}
 		}
 	}
-	return pass
+	return allowed
 }
 
-// ValidRoutedTopic tells whether a name may be a routed topic.
+// ValidRoutedTopic returns whether a name may be a routed topic: up to 256 bytes without blanks and
+// control characters.
 func ValidRoutedTopic(name string) bool {
 	if name == "" || len(name) > 256 {
 		return false
 	}
-	for _, letter := range name {
-		if letter < 0x21 || letter == 0x7f || letter == 0xfffd {
+	for _, character := range name {
+		if character < 0x21 || character == 0x7f || character == 0xfffd {
 			return false
 		}
 	}
 	return true
 }
 
-// ValidTopic tells whether a path may be a topic.
+// ValidTopic returns whether a path may be a topic: up to 256 bytes and 16 parts that are not
+// empty, without blanks and control characters.
 func ValidTopic(path string) bool {
-	if path == "" || len(path) > 256 || strings.HasPrefix(path, "/") || strings.HasSuffix(path, "/") || strings.Contains(path, "//") {
+	if path == "" || len(path) > 256 || strings.HasPrefix(
+		path,
+		"/",
+	) || strings.HasSuffix(path, "/") || strings.Contains(path, "//") {
 		return false
 	}
-	for _, letter := range path {
-		if letter < 0x21 || letter == 0x7f || letter == 0xfffd {
+	for _, character := range path {
+		if character < 0x21 || character == 0x7f || character == 0xfffd {
 			return false
 		}
 	}
 	return strings.Count(path, "/") < 16
 }
 
+// spacePolicy rejects spaces that the configuration does not have, after a refresh.
 type spacePolicy struct{}
 
 func (spacePolicy) Name() string { return "space" }
@@ -151,23 +197,28 @@
 func (spacePolicy) Evaluate(_ time.Time, request *PolicyRequest) Verdict {
 	for _, name := range request.spaces() {
 		if _, found := request.Gateway.spaces[name]; !found {
-			return Verdict{NeedsRefresh: true, Reply: rejectedReply(404, "no-such-space", fmt.Sprintf("no space is named %q", name), 0)}
+			return Verdict{
+				NeedsRefresh: true,
+				Reply:        rejectedReply(404, "no-such-space", fmt.Sprintf("no space is named %q", name), 0),
+			}
 		}
 	}
-	return pass
+	return allowed
 }
 
-func (j *PolicyRequest) spaces() []string {
-	if j.Kind == "publish" {
-		return []string{j.Space}
+// spaces returns the spaces that the request names.
+func (pr *PolicyRequest) spaces() []string {
+	if pr.Kind == RequestPublish {
+		return []string{pr.Space}
 	}
 	var names []string
-	for _, interest := range j.Paths {
+	for _, interest := range pr.Paths {
 		names = append(names, interest.Space)
 	}
 	return names
 }
 
+// rightsPolicy rejects clients that the configuration of the space does not allow.
 type rightsPolicy struct{}
 
 func (rightsPolicy) Name() string { return "rights" }
@@ -175,32 +226,43 @@
 func (rightsPolicy) Evaluate(_ time.Time, request *PolicyRequest) Verdict {
 	for _, name := range request.spaces() {
 		space := request.Gateway.spaces[name].space
-		if request.Kind == "publish" && !space.MayPublish(request.Sender) || request.Kind == "subscribe" && !space.MaySubscribe(request.Client) {
-			return Verdict{Reply: rejectedReply(403, "not-allowed", fmt.Sprintf("the space %q does not let this origin %s", name, request.Kind), 0)}
+		if request.Kind == RequestPublish && !space.MayPublish(request.Sender) ||
+			request.Kind == RequestSubscribe && !space.MaySubscribe(request.Client) {
+			return Verdict{
+				Reply: rejectedReply(
+					403,
+					"not-allowed",
+					fmt.Sprintf("the space %q does not let this origin %s", name, request.Kind),
+					0,
+				),
+			}
 		}
 	}
-	return pass
+	return allowed
 }
 
+// sizePolicy rejects data that is too large and sequences below 1.
 type sizePolicy struct{}
 
 func (sizePolicy) Name() string { return "size" }
 
 func (sizePolicy) Evaluate(_ time.Time, request *PolicyRequest) Verdict {
-	if request.Kind != "publish" {
-		return pass
+	if request.Kind != RequestPublish {
+		return allowed
 	}
-	if most := request.Gateway.spaces[request.Space].space.DataBytes; len(request.Data) > most {
-		return Verdict{Reply: rejectedReply(413, "too-large", fmt.Sprintf("%d bytes are more than %d", len(request.Data), most), 0)}
+	if maxBytes := request.Gateway.spaces[request.Space].space.DataBytes; len(request.Data) > maxBytes {
+		return Verdict{
+			Reply: rejectedReply(413, "too-large", fmt.Sprintf("%d bytes are more than %d", len(request.Data), maxBytes), 0),
+		}
 	}
 	if request.Seq == 0 {
 		return Verdict{Reply: rejectedReply(400, "bad-seq", "a seq begins at 1", 0)}
 	}
-	return pass
+	return allowed
 }
 
-// ratePolicy lets a space's publications pass at the rate it allows, counted
-// on this gateway in whole seconds.
+// ratePolicy limits the publications of a space to its rate, counted on this gateway in whole
+// seconds.
 type ratePolicy struct {
 	second map[string]int64
 	count  map[string]int
@@ -213,20 +275,20 @@
 func (*ratePolicy) Name() string { return "rate" }
 
 func (rp *ratePolicy) Evaluate(now time.Time, request *PolicyRequest) Verdict {
-	if request.Kind != "publish" {
-		return pass
+	if request.Kind != RequestPublish {
+		return allowed
 	}
-	most := request.Gateway.spaces[request.Space].space.PublicationsPerSecond
-	if most == 0 {
-		return pass
+	maxRate := request.Gateway.spaces[request.Space].space.PublicationsPerSecond
+	if maxRate == 0 {
+		return allowed
 	}
 	if second := now.Unix(); rp.second[request.Space] != second {
 		rp.second[request.Space], rp.count[request.Space] = second, 0
 	}
-	if rp.count[request.Space] >= most {
-		back := now.Truncate(time.Second).Add(time.Second).Sub(now)
-		return Verdict{Reply: rejectedReply(429, "too-many", "the space's rate is used up", back)}
+	if rp.count[request.Space] >= maxRate {
+		retryAfter := now.Truncate(time.Second).Add(time.Second).Sub(now)
+		return Verdict{Reply: rejectedReply(429, "too-many", "the space's rate is used up", retryAfter)}
 	}
 	rp.count[request.Space]++
-	return pass
+	return allowed
 }
--- a/internal/gateway/refresh.go
+++ b/internal/gateway/refresh.go
@@ -1,17 +1,19 @@
 package gateway
 
 import (
-	"dahlialock/internal/statemachine"
 	"time"
+
+	"dahlialock/internal/statemachine"
 )
 
+// refreshWaiter is a request that waits for a newer configuration.
 type refreshWaiter struct {
 	until time.Time
 	then  func(now time.Time, effects *statemachine.Effects)
 }
 
-// refreshThen asks for news once, for all requests that met an unknown space meanwhile,
-// and then lets them go on.
+// refreshThen polls the control state, once for all requests that wait meanwhile, and continues
+// with them when it has answered or after refreshTimeout.
 func (g *Gateway) refreshThen(now time.Time, then func(now time.Time, effects *statemachine.Effects)) {
 	if len(g.refreshWaiters) == 0 {
 		g.Counts.Refreshes++
@@ -19,13 +21,14 @@
 	}
 	until := now.Add(refreshTimeout)
 	g.refreshWaiters = append(g.refreshWaiters, refreshWaiter{until: until, then: then})
-	g.timers.ArmSooner("looks", until)
+	g.timers.ArmSooner(timerRefresh, until)
 }
 
+// completeRefresh continues with all requests that wait for a refresh.
 func (g *Gateway) completeRefresh(now time.Time, effects *statemachine.Effects) {
-	looks := g.refreshWaiters
+	waiters := g.refreshWaiters
 	g.refreshWaiters = nil
-	for _, look := range looks {
-		look.then(now, effects)
+	for _, waiter := range waiters {
+		waiter.then(now, effects)
 	}
 }
--- a/internal/gateway/tracker.go
+++ b/internal/gateway/tracker.go
@@ -1,10 +1,3 @@
-// A tracker follows one partition for all the subscribers here. It hands messages
-// over only when what they follow was handed over: the topic's message before,
-// and the sender's message before wherever it is kept. What is missing is
-// fetched from the partition's first. The first tells the head of the partition as it
-// moves, and the tracker then verifies that it missed nothing up to there, so
-// that a lost last message shows too.
-
 package gateway
 
 import (
@@ -21,126 +14,153 @@
 )
 
 const (
-	verifyEvery = time.Second
-	holeAfter   = 40 * time.Millisecond
-	followEvery = 2 * time.Second
-	skipMost    = 2048
-	knotAfter   = 8 * time.Second
-	pumpAtOnce  = 64
-	pumpEvery   = 20 * time.Millisecond
+	verifyEvery       = time.Second
+	gapTimeout        = 40 * time.Millisecond
+	followEvery       = 2 * time.Second
+	maxSkippedOffsets = 2048
+	cycleTimeout      = 8 * time.Second
+	maxImmediateScan  = 64
+	deliverInterval   = 20 * time.Millisecond
 )
 
-type followed struct {
+// trackedInterest is an interest in the topics of a partition.
+type trackedInterest struct {
 	interest Interest
-	holders  int
-	since    uint64
+	// subscriptions is how many sessions have the interest; it is never 0.
+	subscriptions int
+	// since is the offset above which the interest is live, everything until it is.
+	since uint64
 }
 
+// tracker follows one partition for all subscriptions here.
 type tracker struct {
-	name      string
-	space     string
+	// name is the name of the partition.
+	name string
+	// space is the name of the space, spaceName the same with the index at which it was created.
+	space string
+	// shared is set if all topics of the space have one shared order.
 	shared    bool
-	interests map[Interest]*followed
-	version   uint64
-	verified  uint64
-	began     bool
-	head      uint64
+	interests map[Interest]*trackedInterest
+	// version rises with each new interest: a verification that began before does not cover it.
+	version uint64
+	// verified is the offset up to which all matching records were delivered. It never falls. It
+	// holds only if started is set, which is when the first interest is live.
+	verified uint64
+	started  bool
+	// highWatermark is the partition's highest offset that is known here.
+	highWatermark uint64
+	// delivered is when records were delivered; those up to verified are forgotten.
 	delivered map[uint64]time.Time
-	held      map[uint64]partition.Record
-	heldSince map[uint64]time.Time
+	// pending are records that must wait, by offset, pendingSince is since when.
+	pending      map[uint64]partition.Record
+	pendingSince map[uint64]time.Time
+	// verifying is set while a verification is under way, wanted if another is needed.
 	verifying bool
 	wanted    bool
-	freshAt   time.Time
-	askedAt   time.Time
-	full      string
+	// verifiedAt is a moment up to which all records of the partition were here; requestedAt is when
+	// the verification under way was sent.
+	verifiedAt  time.Time
+	requestedAt time.Time
+	spaceName   string
 }
 
-// spaceOf takes a partition's name apart.
+// spaceOf splits a partition's name: the space, and the space with its creation index.
 func spaceOf(name string) (space, full string) {
 	full, _, _ = strings.Cut(name, "/")
 	space, _, _ = strings.Cut(full, "~")
 	return space, full
 }
 
-func (g *Gateway) follow(now time.Time, name string) *tracker {
+// trackerFor returns the tracker of a partition, which it creates if need be.
+func (g *Gateway) trackerFor(now time.Time, name string) *tracker {
 	present, found := g.trackers[name]
 	if !found {
 		space, full := spaceOf(name)
 		present = &tracker{
-			name: name, space: space, full: full, freshAt: now, interests: map[Interest]*followed{}, delivered: map[uint64]time.Time{}, held: map[uint64]partition.Record{}, heldSince: map[uint64]time.Time{},
+			name:         name,
+			space:        space,
+			spaceName:    full,
+			verifiedAt:   now,
+			interests:    map[Interest]*trackedInterest{},
+			delivered:    map[uint64]time.Time{},
+			pending:      map[uint64]partition.Record{},
+			pendingSince: map[uint64]time.Time{},
 		}
 		if state, known := g.spaces[space]; known {
 			present.shared = state.space.Order == config.OrderSpace
 		}
 		g.trackers[name] = present
-		g.timers.ArmSooner("follow", now)
+		g.timers.ArmSooner(timerFollow, now)
 	}
 	return present
 }
 
+// add adds a subscription with an interest.
 func (t *tracker) add(interest Interest) {
 	present, found := t.interests[interest]
 	if !found {
-		present = &followed{interest: interest, since: everything}
+		present = &trackedInterest{interest: interest, since: everything}
 		t.interests[interest] = present
 		t.version++
 	}
-	present.holders++
+	present.subscriptions++
 }
 
-// remove takes one holder away and tells whether nobody is left.
+// remove removes a subscription with an interest, and returns whether none is left.
 func (t *tracker) remove(interest Interest) bool {
 	present, found := t.interests[interest]
 	if !found {
 		return len(t.interests) == 0
 	}
-	present.holders--
-	if present.holders == 0 {
+	present.subscriptions--
+	if present.subscriptions == 0 {
 		delete(t.interests, interest)
 	}
 	return len(t.interests) == 0
 }
 
-// begin notes from where on an interest is live.
+// begin notes the offset above which an interest is live.
 func (t *tracker) begin(interest Interest, since uint64) {
 	if present, found := t.interests[interest]; found && since < present.since {
 		present.since = since
 	}
-	if !t.began {
-		t.began = true
+	if !t.started {
+		t.started = true
 		t.verified = since
-		t.head = max(t.head, since)
+		t.highWatermark = max(t.highWatermark, since)
 	}
 }
 
-// startOf is from where on a topic is followed live; everything if not yet.
-func (t *tracker) startOf(topic string) (since uint64, followedAtAll bool) {
+// startOf returns the offset above which a topic is live here, everything if it is not yet, and
+// whether any interest matches it.
+func (t *tracker) startOf(topic string) (since uint64, tracked bool) {
 	since = everything
 	for interest, present := range t.interests {
 		if t.shared || interest.matches(topic) {
-			followedAtAll = true
+			tracked = true
 			since = min(since, present.since)
 		}
 	}
-	return since, followedAtAll
+	return since, tracked
 }
 
-// settled tells whether a message was handed over here or need not be.
-func (t *tracker) settled(topic string, offset uint64) bool {
-	if offset <= t.verified && t.began {
+// resolved returns whether a record was delivered here or need not be.
+func (t *tracker) resolved(topic string, offset uint64) bool {
+	if offset <= t.verified && t.started {
 		return true
 	}
-	if _, had := t.delivered[offset]; had {
+	if _, delivered := t.delivered[offset]; delivered {
 		return true
 	}
 	since, matters := t.startOf(topic)
 	return !matters || offset <= since && since != everything
 }
 
+// prune forgets deliveries that the verified offset covers.
 func (t *tracker) prune(now time.Time) {
-	for offset := range t.heldSince {
-		if _, waits := t.held[offset]; !waits {
-			delete(t.heldSince, offset)
+	for offset := range t.pendingSince {
+		if _, waits := t.pending[offset]; !waits {
+			delete(t.pendingSince, offset)
 		}
 	}
 	for offset, at := range t.delivered {
@@ -150,56 +170,72 @@
 	}
 }
 
-// onCarry takes a kept message, and tells whether anybody here wants it.
-func (g *Gateway) onCarry(now time.Time, recordCopy RecordCopy, effects *statemachine.Effects) bool {
+// handleRecordCopy buffers a record and delivers what is ready. It returns whether anybody here
+// subscribes to its topic.
+func (g *Gateway) handleRecordCopy(now time.Time, recordCopy RecordCopy, effects *statemachine.Effects) bool {
 	tracker, found := g.trackers[recordCopy.Partition]
 	if !found {
 		return false
 	}
 	offset := recordCopy.Record.Offset
-	if _, had := tracker.delivered[offset]; had || tracker.began && offset <= tracker.verified {
+	if _, delivered := tracker.delivered[offset]; delivered || tracker.started && offset <= tracker.verified {
 		return true
 	}
 	if _, matters := tracker.startOf(recordCopy.Record.Topic); !matters {
 		return false
 	}
-	if len(tracker.held) < maxPendingRecords {
-		tracker.held[offset] = recordCopy.Record
+	if len(tracker.pending) < maxPendingRecords {
+		tracker.pending[offset] = recordCopy.Record
 	}
-	tracker.head = max(tracker.head, offset)
-	if g.pumpLater(now) {
+	tracker.highWatermark = max(tracker.highWatermark, offset)
+	if g.deferDelivery(now) {
 		return true
 	}
-	g.pump(now, effects)
-	if _, waits := tracker.held[offset]; waits && tracker.began {
+	g.deliverReady(now, effects)
+	if _, waits := tracker.pending[offset]; waits && tracker.started {
 		g.Counts.Gaps++
-		effects.Emit(logevent.GapFound, "partition", recordCopy.Partition, "offset", offset, "prior", recordCopy.Record.Prior)
-		g.ring.Record(now, "", decisionlog.MessageName(tracker.space, recordCopy.Record.Sender, recordCopy.Record.Seq), "", "waits",
-			"partition", recordCopy.Partition, "offset", offset, "prior", recordCopy.Record.Prior, "before", recordCopy.Record.Before.Marks, "verified", tracker.verified)
+		effects.Emit(logevent.GapFound,
+			"partition", recordCopy.Partition,
+			"offset", offset,
+			"prior", recordCopy.Record.PreviousInTopic,
+		)
+		g.ring.Record(now, "", decisionlog.MessageName(
+			tracker.space,
+			recordCopy.Record.Sender,
+			recordCopy.Record.Seq,
+		), "", "waits",
+			"partition", recordCopy.Partition,
+			"offset", offset,
+			"prior", recordCopy.Record.PreviousInTopic,
+			"before", recordCopy.Record.Dependencies.Messages,
+			"verified", tracker.verified,
+		)
 		tracker.wanted = true
-		g.timers.ArmSooner("verify", now.Add(holeAfter))
-		g.wantBefore(tracker, recordCopy.Record)
+		g.timers.ArmSooner(timerVerify, now.Add(gapTimeout))
+		g.requestDependencies(tracker, recordCopy.Record)
 	}
 	return true
 }
 
-// wantBefore marks the partitions in which something before a message is missing.
-func (g *Gateway) wantBefore(tracker *tracker, record partition.Record) {
-	for _, mark := range record.Before.Marks {
-		if other, found := g.trackers[partitionName(tracker.full, int(mark.Partition))]; found && !other.settled(mark.Topic, mark.Offset) {
+// requestDependencies marks the partitions that lack something a record depends on.
+func (g *Gateway) requestDependencies(tracker *tracker, record partition.Record) {
+	for _, mark := range record.Dependencies.Messages {
+		other, found := g.trackers[partitionName(tracker.spaceName, int(mark.Partition))]
+		if found && !other.resolved(mark.Topic, mark.Offset) {
 			other.wanted = true
 		}
 	}
-	for _, reach := range record.Before.Floor {
-		if other, found := g.trackers[partitionName(tracker.full, int(reach.Partition))]; found && !other.reached(reach.Offset) {
+	for _, reach := range record.Dependencies.Floor {
+		other, found := g.trackers[partitionName(tracker.spaceName, int(reach.Partition))]
+		if found && !other.resolvedUpTo(reach.Offset) {
 			other.wanted = true
 		}
 	}
 }
 
-// reached tells whether all of a partition up to an offset is settled here.
-func (t *tracker) reached(offset uint64) bool {
-	if t.began && offset <= t.verified {
+// resolvedUpTo returns whether all records of the partition up to an offset are resolved.
+func (t *tracker) resolvedUpTo(offset uint64) bool {
+	if t.started && offset <= t.verified {
 		return true
 	}
 	for _, present := range t.interests {
@@ -210,118 +246,126 @@
 	return true
 }
 
-// fresh tells whether every partition of a space that is followed here was
-// verified lately, so that nothing older than a trail can be missing.
-func (g *Gateway) fresh(now time.Time, full string) bool {
+// recentlyVerified returns whether all trackers of a space were verified lately, so that no record
+// older than the dependency window can be missing.
+func (g *Gateway) recentlyVerified(now time.Time, full string) bool {
 	for _, other := range g.trackers {
-		if other.full == full && other.began && now.Sub(other.freshAt) > partition.FreshFor {
+		if other.spaceName == full && other.started && now.Sub(other.verifiedAt) > partition.VerificationWindow {
 			return false
 		}
 	}
 	return true
 }
 
-// ripe tells whether a held message may be handed over.
-func (g *Gateway) ripe(now time.Time, tracker *tracker, record partition.Record) bool {
+// deliverable returns whether a pending record may be delivered.
+func (g *Gateway) deliverable(now time.Time, tracker *tracker, record partition.Record) bool {
 	since, matters := tracker.startOf(record.Topic)
-	if matters && since == everything || !tracker.began {
+	if matters && since == everything || !tracker.started {
 		return false
 	}
 	if statemachine.Mutated("no-order") {
 		return true
 	}
-	if tracker.shared && record.Offset > 1 && !tracker.settled(record.Topic, record.Offset-1) {
-		return false
+	if tracker.shared {
+		return record.Offset <= 1 || tracker.resolved(record.Topic, record.Offset-1)
 	}
-	if !tracker.shared && !tracker.settled(record.Topic, record.Prior) {
+	if !tracker.resolved(record.Topic, record.PreviousInTopic) {
 		return false
 	}
-	if tracker.shared {
-		return true
-	}
-	// Where all is fresh nothing can be missing for long; what still waits is
-	// from a sender that published out of its own order through two gateways.
-	if since, noted := tracker.heldSince[record.Offset]; noted && now.Sub(since) > knotAfter && g.fresh(now, tracker.full) {
+	// If all partitions were verified lately nothing can be missing for long; what
+	// still waits is from a sender that published out of its own order through two
+	// gateways.
+	pendingSince, noted := tracker.pendingSince[record.Offset]
+	if noted && now.Sub(pendingSince) > cycleTimeout && g.recentlyVerified(now, tracker.spaceName) {
 		return true
 	}
-	for _, mark := range record.Before.Marks {
-		other, found := g.trackers[partitionName(tracker.full, int(mark.Partition))]
-		if found && (other != tracker || mark.Offset < record.Offset) && !other.settled(mark.Topic, mark.Offset) {
+	return g.dependenciesResolved(tracker, record) && g.recentlyVerified(now, tracker.spaceName)
+}
+
+// dependenciesResolved returns whether all that a record names as earlier messages of
+// its sender was delivered here or need not be.
+func (g *Gateway) dependenciesResolved(tracker *tracker, record partition.Record) bool {
+	for _, mark := range record.Dependencies.Messages {
+		other, found := g.trackers[partitionName(tracker.spaceName, int(mark.Partition))]
+		if found && (other != tracker || mark.Offset < record.Offset) && !other.resolved(mark.Topic, mark.Offset) {
 			return false
 		}
 	}
-	for _, reach := range record.Before.Floor {
-		other, found := g.trackers[partitionName(tracker.full, int(reach.Partition))]
-		if found && (other != tracker || reach.Offset < record.Offset) && !other.reached(reach.Offset) {
+	for _, reach := range record.Dependencies.Floor {
+		other, found := g.trackers[partitionName(tracker.spaceName, int(reach.Partition))]
+		if found && (other != tracker || reach.Offset < record.Offset) && !other.resolvedUpTo(reach.Offset) {
 			return false
 		}
 	}
-	return g.fresh(now, tracker.full)
+	return true
 }
 
-// waiting is a held message of a sender, with its partition.
-type waiting struct {
+// pendingRecord is a pending record with its tracker.
+type pendingRecord struct {
 	tracker *tracker
 	record  partition.Record
 }
 
-// pumpLater tells whether so much is held that looking through all of it for
-// each message would cost more than a moment's wait; then one look serves all
-// that come meanwhile.
-func (g *Gateway) pumpLater(now time.Time) bool {
-	held := 0
+// deferDelivery arms a timer and returns true if so many records are pending that a scan of all of
+// them for each copy would cost more than a short delay; one scan then serves all copies that come
+// meanwhile.
+func (g *Gateway) deferDelivery(now time.Time) bool {
+	pending := 0
 	for _, tracker := range g.trackers {
-		held += len(tracker.held)
+		pending += len(tracker.pending)
 	}
-	if held <= pumpAtOnce {
+	if pending <= maxImmediateScan {
 		return false
 	}
-	g.timers.ArmSooner("pump", now.Add(pumpEvery))
+	g.timers.ArmSooner(timerDeliver, now.Add(deliverInterval))
 	return true
 }
 
-// pumpAll is that look; what still waits then is asked for.
-func (g *Gateway) pumpAll(now time.Time, effects *statemachine.Effects) {
-	g.pump(now, effects)
+// deliverAllReady is that scan; what is still pending after it is fetched.
+func (g *Gateway) deliverAllReady(now time.Time, effects *statemachine.Effects) {
+	g.deliverReady(now, effects)
 	for _, tracker := range statemachine.Sorted(g.trackers) {
-		if !tracker.began || len(tracker.held) == 0 {
+		if !tracker.started || len(tracker.pending) == 0 {
 			continue
 		}
 		tracker.wanted = true
-		g.timers.ArmSooner("verify", now.Add(holeAfter))
-		for _, record := range statemachine.Sorted(tracker.held) {
-			g.wantBefore(tracker, record)
+		g.timers.ArmSooner(timerVerify, now.Add(gapTimeout))
+		for _, record := range statemachine.Sorted(tracker.pending) {
+			g.requestDependencies(tracker, record)
 		}
 	}
 }
 
-// pump hands over all that has become ripe, until nothing more does. Of each
-// sender's held messages in a space only the one with the lowest seq may go.
-func (g *Gateway) pump(now time.Time, effects *statemachine.Effects) {
-	bySender := map[string][]waiting{}
+// deliverReady delivers all pending records that are deliverable, until none is. Of each sender's
+// pending records in a space only the one with the lowest sequence may be delivered.
+func (g *Gateway) deliverReady(now time.Time, effects *statemachine.Effects) {
+	bySender := map[string][]pendingRecord{}
 	for _, tracker := range statemachine.Sorted(g.trackers) {
-		for offset, record := range statemachine.Sorted(tracker.held) {
-			if _, had := tracker.delivered[offset]; had || tracker.began && offset <= tracker.verified {
-				delete(tracker.held, offset)
+		for offset, record := range statemachine.Sorted(tracker.pending) {
+			if _, delivered := tracker.delivered[offset]; delivered || tracker.started && offset <= tracker.verified {
+				delete(tracker.pending, offset)
 				continue
 			}
-			if _, noted := tracker.heldSince[offset]; !noted {
-				tracker.heldSince[offset] = now
+			if _, noted := tracker.pendingSince[offset]; !noted {
+				tracker.pendingSince[offset] = now
 			}
-			key := tracker.full + " " + record.Sender
-			bySender[key] = append(bySender[key], waiting{tracker: tracker, record: record})
+			key := tracker.spaceName + " " + record.Sender
+			bySender[key] = append(bySender[key], pendingRecord{tracker: tracker, record: record})
 		}
 	}
 	for key := range bySender {
-		slices.SortStableFunc(bySender[key], func(left, right waiting) int { return cmp.Compare(left.record.Seq, right.record.Seq) })
+		slices.SortStableFunc(
+			bySender[key],
+			func(left, right pendingRecord) int { return cmp.Compare(left.record.Seq, right.record.Seq) },
+		)
 	}
 	for progress := len(bySender) > 0; progress; {
 		progress = false
 		for key, queue := range statemachine.Sorted(bySender) {
-			for len(queue) > 0 && g.ripe(now, queue[0].tracker, queue[0].record) {
+			for len(queue) > 0 && g.deliverable(now, queue[0].tracker, queue[0].record) {
 				next := queue[0]
 				queue = queue[1:]
-				delete(next.tracker.held, next.record.Offset)
+				delete(next.tracker.pending, next.record.Offset)
 				progress = true
 				g.deliver(now, next.tracker, next.record, effects)
 			}
@@ -330,6 +374,7 @@
 	}
 }
 
+// deliver delivers a record to all sessions with a matching subscription.
 func (g *Gateway) deliver(now time.Time, tracker *tracker, record partition.Record, effects *statemachine.Effects) {
 	tracker.delivered[record.Offset] = now
 	if tracker.shared && record.Offset == tracker.verified+1 {
@@ -341,13 +386,13 @@
 	}
 	for id := range statemachine.Sorted(state.subscribedSessions(record.Topic)) {
 		if session, open := g.sessions[id]; open {
-			g.offerRecord(now, id, session, RecordCopy{Partition: tracker.name, Record: record}, effects)
+			g.deliverOrBuffer(now, id, session, RecordCopy{Partition: tracker.name, Record: record}, effects)
 		}
 	}
 }
 
-// subscribedSessions lists the channels with a subscription that matches a topic exactly,
-// whatever else shares the topic's square.
+// subscribedSessions returns the sessions with a subscription that matches a topic exactly,
+// whatever else shares its area.
 func (ss *spaceState) subscribedSessions(topic string) map[uint64]bool {
 	found := map[uint64]bool{}
 	if statemachine.Mutated("no-exact-match") {
@@ -373,7 +418,8 @@
 	return found
 }
 
-// handleEphemeralCopy takes a passing message, and tells whether anybody here wants it.
+// handleEphemeralCopy delivers an ephemeral message, and returns whether anybody here subscribes to
+// its topic.
 func (g *Gateway) handleEphemeralCopy(now time.Time, message EphemeralCopy, effects *statemachine.Effects) bool {
 	space, _ := spaceOf(message.Space + "/")
 	state, found := g.spaces[space]
@@ -386,21 +432,30 @@
 	return g.deliverEphemeral(now, state, message, effects)
 }
 
-// deliverEphemeral hands a passing message to this gateway's own channels.
-func (g *Gateway) deliverEphemeral(now time.Time, state *spaceState, message EphemeralCopy, effects *statemachine.Effects) bool {
+// deliverEphemeral delivers an ephemeral message to the sessions here, and returns whether there
+// are any.
+func (g *Gateway) deliverEphemeral(
+	now time.Time,
+	state *spaceState,
+	message EphemeralCopy,
+	effects *statemachine.Effects,
+) bool {
 	holders := state.subscribedSessions(message.Topic)
 	for id := range statemachine.Sorted(holders) {
 		if session, open := g.sessions[id]; open {
-			g.offerEphemeral(now, id, session, message, effects)
+			g.deliverOrBufferEphemeral(now, id, session, message, effects)
 		}
 	}
 	return len(holders) > 0
 }
 
-// Verifying.
-
-func (g *Gateway) handleHighWatermarks(now time.Time, heads partition.Heads, effects *statemachine.Effects) {
-	for _, head := range heads.Heads {
+// handleHighWatermarks applies the reports of a store.
+func (g *Gateway) handleHighWatermarks(
+	now time.Time,
+	highWatermarks partition.HighWatermarks,
+	effects *statemachine.Effects,
+) {
+	for _, head := range highWatermarks.HighWatermarks {
 		if config.IsShared(head.Partition) {
 			g.handleTopicHighWatermarks(now, head, effects)
 			continue
@@ -409,26 +464,28 @@
 		if !found || head.Epoch < g.viewClient.Placements[head.Partition].Epoch {
 			continue
 		}
-		tracker.head = max(tracker.head, head.Offset)
-		if tracker.began && head.Offset > tracker.verified {
+		tracker.highWatermark = max(tracker.highWatermark, head.Offset)
+		if tracker.started && head.Offset > tracker.verified {
 			tracker.wanted = true
-			g.timers.ArmSooner("verify", now.Add(verifyEvery/2))
-		} else if tracker.began {
-			tracker.freshen(g.highWatermarksRequestedAt)
+			g.timers.ArmSooner(timerVerify, now.Add(verifyEvery/2))
+		} else if tracker.started {
+			tracker.advanceVerifiedAt(g.highWatermarksRequestedAt)
 		}
 	}
-	g.pump(now, effects)
+	g.deliverReady(now, effects)
 }
 
-func (t *tracker) freshen(at time.Time) {
-	if at.After(t.freshAt) {
-		t.freshAt = at
+// advanceVerifiedAt notes that all records of the partition were here at a moment.
+func (t *tracker) advanceVerifiedAt(at time.Time) {
+	if at.After(t.verifiedAt) {
+		t.verifiedAt = at
 	}
 }
 
+// verifyAll verifies the trackers that may lack a record.
 func (g *Gateway) verifyAll(now time.Time, effects *statemachine.Effects) {
 	for name, tracker := range statemachine.Sorted(g.trackers) {
-		if !tracker.wanted || tracker.verifying || !tracker.began {
+		if !tracker.wanted || tracker.verifying || !tracker.started {
 			continue
 		}
 		tracker.wanted = false
@@ -436,106 +493,127 @@
 	}
 }
 
+// verify fetches the records of a partition that the tracker lacks.
 func (g *Gateway) verify(now time.Time, name string, tracker *tracker, effects *statemachine.Effects) {
-	if tracker.shared && tracker.head <= tracker.verified && len(tracker.held) == 0 {
+	if tracker.shared && tracker.highWatermark <= tracker.verified && len(tracker.pending) == 0 {
 		return
 	}
 	g.Counts.Verifies++
 	tracker.verifying = true
-	tracker.askedAt = now
-	asked := &fetched{after: tracker.verified}
+	tracker.requestedAt = now
+	fetch := &partitionFetch{after: tracker.verified}
 	for interest := range tracker.interests {
 		if tracker.shared {
-			asked.prefixes = []string{""}
+			fetch.prefixes = []string{""}
 			break
 		}
 		if interest.Prefix {
-			asked.prefixes = append(asked.prefixes, interest.Path)
+			fetch.prefixes = append(fetch.prefixes, interest.Path)
 		} else {
-			asked.topics = append(asked.topics, interest.Path)
+			fetch.topics = append(fetch.topics, interest.Path)
 		}
 	}
-	slices.Sort(asked.topics)
-	slices.Sort(asked.prefixes)
+	slices.Sort(fetch.topics)
+	slices.Sort(fetch.prefixes)
 	for offset := range tracker.delivered {
-		if offset > tracker.verified && len(asked.skip) < skipMost {
-			asked.skip = append(asked.skip, offset)
+		if offset > tracker.verified && len(fetch.skip) < maxSkippedOffsets {
+			fetch.skip = append(fetch.skip, offset)
 		}
 	}
-	for offset := range tracker.held {
-		if len(asked.skip) < skipMost {
-			asked.skip = append(asked.skip, offset)
+	for offset := range tracker.pending {
+		if len(fetch.skip) < maxSkippedOffsets {
+			fetch.skip = append(fetch.skip, offset)
 		}
 	}
-	slices.Sort(asked.skip)
+	slices.Sort(fetch.skip)
 	g.nextRequest++
-	round := &fetch{
-		tracker: name, version: tracker.version, partitions: map[string]*fetched{name: asked}, records: map[string][]partition.Record{},
-		limit: now.Add(defaultSubscribeTimeout),
-	}
-	g.fetches[g.nextRequest] = round
-	g.timers.ArmSooner("limits", round.limit)
-	g.ask(now, g.nextRequest, name, asked, effects)
-}
-
-// verified takes the answer to a verification: the missing messages go the way
-// of all others, and once they were handed over the partition is verified so far.
-func (g *Gateway) verified(now time.Time, round *fetch, effects *statemachine.Effects) {
-	tracker, found := g.trackers[round.tracker]
+	operation := &fetchOperation{
+		tracker:    name,
+		version:    tracker.version,
+		partitions: map[string]*partitionFetch{name: fetch},
+		records:    map[string][]partition.Record{},
+		deadline:   now.Add(defaultSubscribeTimeout),
+	}
+	g.fetches[g.nextRequest] = operation
+	g.timers.ArmSooner(timerDeadlines, operation.deadline)
+	g.sendFetch(now, g.nextRequest, name, fetch, effects)
+}
+
+// verified takes the answer to a verification. The missing records go the way of all
+// others, and once they are delivered the partition is verified up to there.
+func (g *Gateway) verified(now time.Time, operation *fetchOperation, effects *statemachine.Effects) {
+	tracker, found := g.trackers[operation.tracker]
 	if !found {
 		return
 	}
 	tracker.verifying = false
-	until := round.partitions[round.tracker].until
-	records := round.records[round.tracker]
-	for _, record := range records {
-		if _, had := tracker.delivered[record.Offset]; !had && record.Offset > tracker.verified {
-			tracker.held[record.Offset] = record
-		}
-	}
-	if len(records) > 0 {
-		effects.Emit(logevent.GapFilled, "partition", round.tracker, "records", len(records), "until", until)
-		for _, record := range records {
-			g.ring.Record(now, "", decisionlog.MessageName(tracker.space, record.Sender, record.Seq), "", "repaired", "partition", round.tracker, "offset", record.Offset)
-		}
-	}
+	until := operation.partitions[operation.tracker].until
+	g.addMissing(now, tracker, operation.records[operation.tracker], until, effects)
 	// The answer holds all of this partition up to there, so nothing within it is
 	// missing; only another partition may still hold a message back.
-	g.pump(now, effects)
-	if tracker.version == round.version {
+	g.deliverReady(now, effects)
+	if tracker.version == operation.version {
 		limit := until
-		for offset := range tracker.held {
+		for offset := range tracker.pending {
 			limit = min(limit, offset-1)
 		}
 		if limit > tracker.verified {
 			tracker.verified = limit
 		}
 		// All up to there is here now, though some of it may have to wait.
-		tracker.freshen(tracker.askedAt)
-		g.pump(now, effects)
+		tracker.advanceVerifiedAt(tracker.requestedAt)
+		g.deliverReady(now, effects)
 	}
-	if tracker.version != round.version || len(tracker.held) > 0 || tracker.head > tracker.verified {
-		tracker.wanted = true
-		pause := verifyEvery
-		if len(tracker.held) > 0 || tracker.version != round.version {
-			pause = holeAfter
-		}
-		for _, record := range tracker.held {
-			g.wantBefore(tracker, record)
+	outdated := tracker.version != operation.version
+	if !outdated && len(tracker.pending) == 0 && tracker.highWatermark <= tracker.verified {
+		return
+	}
+	tracker.wanted = true
+	pause := verifyEvery
+	if len(tracker.pending) > 0 || outdated {
+		pause = gapTimeout
+	}
+	for _, record := range tracker.pending {
+		g.requestDependencies(tracker, record)
+	}
+	g.timers.ArmSooner(timerVerify, now.Add(pause))
+}
+
+// addMissing adds fetched records to the pending ones of a tracker.
+func (g *Gateway) addMissing(
+	now time.Time,
+	tracker *tracker,
+	records []partition.Record,
+	until uint64,
+	effects *statemachine.Effects,
+) {
+	for _, record := range records {
+		if _, delivered := tracker.delivered[record.Offset]; !delivered && record.Offset > tracker.verified {
+			tracker.pending[record.Offset] = record
 		}
-		g.timers.ArmSooner("verify", now.Add(pause))
+	}
+	if len(records) == 0 {
+		return
+	}
+	effects.Emit(logevent.GapFilled, "partition", tracker.name, "records", len(records), "until", until)
+	for _, record := range records {
+		message := decisionlog.MessageName(tracker.space, record.Sender, record.Seq)
+		g.ring.Record(now, "", message, "", "repaired",
+			"partition", tracker.name,
+			"offset", record.Offset,
+		)
 	}
 }
 
-// followHighWatermarks asks the stores that are first for the partitions followed here to
-// tell their heads, and asks again before they forget.
+// followHighWatermarks subscribes to the high watermarks of the partitions in use here at their
+// leaders, and again before the leaders forget it.
 func (g *Gateway) followHighWatermarks(now time.Time, effects *statemachine.Effects) {
-	byStore := map[string]partition.Follow{}
+	byStore := map[string]partition.SubscribeHighWatermarks{}
 	g.highWatermarksRequestedAt = now
 	add := func(name string, from uint64) {
-		if address, _, found := g.firstOf(name); found {
+		if address, _, found := g.leaderOf(name); found {
 			follow := byStore[address]
-			follow.Partitions, follow.From = append(follow.Partitions, name), append(follow.From, from)
+			follow.Partitions, follow.KnownOffsets = append(follow.Partitions, name), append(follow.KnownOffsets, from)
 			byStore[address] = follow
 		}
 	}
@@ -552,11 +630,11 @@
 		effects.Send(address, follow)
 	}
 	if len(g.trackers)+len(g.routed.partitions) > 0 {
-		g.timers.Arm("follow", now.Add(followEvery))
+		g.timers.Arm(timerFollow, now.Add(followEvery))
 	}
 }
 
-// placementsChanged sends what waits for a store to the partition's new first.
+// placementsChanged sends what waits for a store to the new leaders of the partitions.
 func (g *Gateway) placementsChanged(now time.Time, effects *statemachine.Effects) {
 	for _, item := range statemachine.Sorted(g.appends) {
 		if from, known := g.senders[item.key]; known && now.Sub(item.sentAt) > 50*time.Millisecond {
@@ -565,11 +643,11 @@
 	}
 	g.resendRouted(now, effects)
 	if g.routesChanged() {
-		g.timers.ArmSooner("follow", now)
+		g.timers.ArmSooner(timerFollow, now)
 	}
 }
 
-// TrackerStatus is one partition as it is followed here.
+// TrackerStatus is the state of one tracker. The JSON keys are part of the ctl interface.
 type TrackerStatus struct {
 	Verified    uint64        `json:"verified"`
 	Head        uint64        `json:"head"`
@@ -581,13 +659,19 @@
 	Interests   int           `json:"interests"`
 }
 
-// Trackers tells of every partition followed here, for ctl and the simulator.
+// Trackers returns the state of all trackers by partition, for ctl and the simulator.
 func (g *Gateway) Trackers(now time.Time) map[string]TrackerStatus {
 	statuses := map[string]TrackerStatus{}
 	for name, tracker := range g.trackers {
 		statuses[name] = TrackerStatus{
-			Verified: tracker.verified, Head: tracker.head, Pending: len(tracker.held), Started: tracker.began, Verifying: tracker.verifying,
-			Wanted: tracker.wanted, VerifiedAgo: now.Sub(tracker.freshAt), Interests: len(tracker.interests),
+			Verified:    tracker.verified,
+			Head:        tracker.highWatermark,
+			Pending:     len(tracker.pending),
+			Started:     tracker.started,
+			Verifying:   tracker.verifying,
+			Wanted:      tracker.wanted,
+			VerifiedAgo: now.Sub(tracker.verifiedAt),
+			Interests:   len(tracker.interests),
 		}
 	}
 	return statuses
--- /dev/null
+++ b/internal/partition/fetch_test.go
@@ -0,0 +1,95 @@
+package partition
+
+import (
+	"testing"
+
+	"gotest.tools/v3/assert"
+
+	"dahlialock/internal/config"
+)
+
+// fetchTopics gives the records of topics within a number of bytes, as a response has them.
+func fetchTopics(log *log, maxBytes int, topics ...TopicCursor) []TopicRecords {
+	highWatermark, _ := log.end()
+	partition := &replica{log: log, highWatermark: highWatermark}
+	var found []TopicRecords
+	for position, cursor := range topics {
+		found = append(found, partition.fetchTopic(cursor, &maxBytes, position == 0))
+	}
+	return found
+}
+
+func offsetsOf(found TopicRecords) []uint64 {
+	var offsets []uint64
+	for _, record := range found.Records {
+		offsets = append(offsets, record.Offset)
+	}
+	return offsets
+}
+
+func threeTopics() *log {
+	data := make([]byte, 100)
+	return filledLog(config.SharedPartitionName(3),
+		Record{Topic: "a", Sender: "s", Seq: 1, Data: data},
+		Record{Topic: "b", Sender: "s", Seq: 2, Data: data},
+		Record{Topic: "a", Sender: "s", Seq: 3, Data: data},
+		Record{Topic: "a", Sender: "s", Seq: 4, Data: data},
+		Record{Topic: "c", Sender: "s", Seq: 5, OffsetOnly: true},
+	)
+}
+
+func TestFetchTopicsShareMaxBytes(t *testing.T) {
+	found := fetchTopics(threeTopics(), 250,
+		TopicCursor{Topic: "a"},
+		TopicCursor{Topic: "b"},
+		TopicCursor{Topic: "quiet"},
+		TopicCursor{Topic: "c"},
+	)
+	assert.DeepEqual(t, offsetsOf(found[0]), []uint64{1, 3})
+	assert.Equal(t, found[0].Until, uint64(3))
+	assert.Equal(t, found[0].RemainingBytes, 100)
+	// There is no capacity left, but the topic is confirmed up to its next record.
+	assert.Equal(t, len(found[1].Records), 0)
+	assert.Equal(t, found[1].Until, uint64(1))
+	assert.Equal(t, found[1].RemainingBytes, 100)
+	for _, complete := range found[2:] {
+		assert.Equal(t, complete.Until, uint64(5))
+		assert.Equal(t, complete.RemainingBytes, 0)
+	}
+}
+
+func TestFetchTopicsAlwaysHasFirstRecord(t *testing.T) {
+	found := fetchTopics(threeTopics(), 10, TopicCursor{Topic: "a", After: 1}, TopicCursor{Topic: "b"})
+	assert.DeepEqual(t, offsetsOf(found[0]), []uint64{3})
+	assert.Equal(t, found[0].Until, uint64(3))
+	assert.Equal(t, len(found[1].Records), 0)
+}
+
+// Whatever the bytes of each response, requests that go on from Until get each record once.
+func TestFetchTopicsInSequenceHasEachRecordOnce(t *testing.T) {
+	for maxBytes := range 400 {
+		log := threeTopics()
+		after, got := uint64(0), []uint64(nil)
+		for round := 0; ; round++ {
+			assert.Assert(t, round < 5, "%d bytes", maxBytes)
+			found := fetchTopics(log, maxBytes, TopicCursor{Topic: "a", After: after})[0]
+			got = append(got, offsetsOf(found)...)
+			after = found.Until
+			if found.RemainingBytes == 0 {
+				break
+			}
+		}
+		assert.DeepEqual(t, got, []uint64{1, 3, 4})
+		assert.Equal(t, after, uint64(5))
+	}
+}
+
+func TestFetchTopicsReportsExpiredRecords(t *testing.T) {
+	log := threeTopics()
+	log.ExpiredTopics = map[string]expiredTopic{"a": {LastOffset: 9}}
+	log.BaseOffset = 3
+	log.Records = log.Records[3:]
+	found := fetchTopics(log, 1000, TopicCursor{Topic: "a", After: 1}, TopicCursor{Topic: "b", After: 4})
+	assert.Assert(t, found[0].Expired && len(found[0].Records) == 0)
+	assert.Assert(t, !found[1].Expired)
+}
--- a/internal/simulator/client.go
+++ b/internal/simulator/client.go
@@ -54,8 +54,8 @@
 }
 
 // AddClient adds a caller with its interests.
-func (s *Simulation) AddClient(name string, place int, interests ...gateway.Interest) *Client {
-	client := &Client{simulation: s, Name: name, Place: place, interests: interests, seqs: map[string]uint64{}, pipeline: 1}
+func (s *Simulation) AddClient(name string, zone int, interests ...gateway.Interest) *Client {
+	client := &Client{simulation: s, Name: name, Place: zone, interests: interests, seqs: map[string]uint64{}, pipeline: 1}
 	s.clients = append(s.clients, client)
 	for _, interest := range interests {
 		s.Checker.Asked(name, checker.Interest{Space: interest.Space, Path: interest.Path, Wide: interest.Prefix}, s.Now)
@@ -80,7 +80,7 @@
 		if !node.Ready() {
 			continue
 		}
-		if node.Place == c.Place {
+		if node.Zone == c.Place {
 			near = append(near, node)
 		}
 		far = append(far, node)
@@ -119,10 +119,10 @@
 	c.openedAt = simulation.Now
 	simulation.number++
 	c.channel = simulation.number
-	life := node.life
+	incarnation := node.incarnation
 	// The sink is attached first, as the HTTP side does.
 	simulation.After(100*time.Microsecond, func() {
-		if node.Up && node.life == life {
+		if node.Up && node.incarnation == incarnation {
 			node.sinks[c.channel] = func(deliver statemachine.Delivery) {
 				simulation.After(200*time.Microsecond, func() { c.event(turn, deliver) })
 			}
@@ -224,7 +224,7 @@
 			}
 		case answer.Code == "place-lost":
 			simulation.trace("%s lost its place, cut %s ago", c.Name, simulation.Now.Sub(c.cutAt))
-			simulation.Checker.PlaceLost(c.Name, c.cutAt, simulation.Now)
+			simulation.Checker.CursorLost(c.Name, c.cutAt, simulation.Now)
 			c.Gone = true
 		case answer.Code == "no-such-channel" || answer.Code == "moved":
 			c.cut(turn, 20*time.Millisecond)
@@ -238,7 +238,7 @@
 				}
 			})
 		default:
-			simulation.Checker.Violate(checker.PlaceRefused, "%s: %s %s", c.Name, answer.Code, answer.Text)
+			simulation.Checker.Violate(checker.CursorRejected, "%s: %s %s", c.Name, answer.Code, answer.Text)
 			c.Gone = true
 		}
 	})
@@ -363,7 +363,7 @@
 	item.tries++
 	began, node := simulation.Now, c.node
 	message := item.message
-	simulation.Checker.Try(message, item.topic, item.data, began)
+	simulation.Checker.Attempt(message, item.topic, item.data, began)
 	settled := false
 	finish := func(outcome, code string, again time.Duration) {
 		if settled {
@@ -403,9 +403,9 @@
 				c.resend(item)
 			}
 		case answer.RetryAfter > 0:
-			finish(answer.Outcome, answer.Code, answer.RetryAfter)
+			finish(string(answer.Outcome), answer.Code, answer.RetryAfter)
 		default:
-			finish(answer.Outcome, answer.Code, -1)
+			finish(string(answer.Outcome), answer.Code, -1)
 		}
 	})
 	simulation.After(clientPatience, func() { finish("unsettled", "silent", 20*time.Millisecond) })
--- a/internal/transport/slow_link_test.go
+++ b/internal/transport/slow_link_test.go
@@ -15,14 +15,14 @@
 	left.links.SetRate(rate)
 	right.links.SetRate(rate)
 	for number := range uint64(count) {
-		assert.NilError(t, left.links.Send(right.address, 0, partition.Append{Request: number, Data: make([]byte, 2000)}))
+		assert.NilError(t, left.links.Send(right.address, 0, partition.Append{RequestID: number, Data: make([]byte, 2000)}))
 		if number%3 == 0 {
 			left.links.Flush()
 		}
 	}
 	left.links.Flush()
 	for number := range uint64(count) {
-		assert.Equal(t, receive(t, right.inbox).Message.(partition.Append).Request, number)
+		assert.Equal(t, receive(t, right.inbox).Message.(partition.Append).RequestID, number)
 	}
 	assert.Assert(t, left.links.Counters.Throttled.Load() > 0, "nothing waited for the link")
 	assert.Equal(t, left.links.Counters.Dropped.Load(), int64(0))
@@ -35,7 +35,7 @@
 	left.links.SetRate(rate)
 	right.links.SetRate(rate)
 	for number := range uint64(count) {
-		assert.NilError(t, left.links.Send(right.address, 0, partition.Append{Request: number, Data: make([]byte, 3000)}))
+		assert.NilError(t, left.links.Send(right.address, 0, partition.Append{RequestID: number, Data: make([]byte, 3000)}))
 	}
 	left.links.Flush()
 	receive(t, right.inbox)
