--- a/internal/storedforms/ctl_test.go
+++ b/internal/storedforms/ctl_test.go
@@ -184,7 +184,9 @@
 	s.call("publish without a route", publication("", "writing.1", 15, `raw`))
 	s.call("subscribe by route", subscription("", "reading.1", ""))
 	s.call("count", func(request uint64) any {
-		return gateway.CountSubscribers{Request: request, RequestName: "count", Session: 7, Client: "origin-1", Topic: "reading.1"}
+		return gateway.CountSubscribers{
+			Request: request, RequestName: "count", Session: 7, Client: "origin-1", Topic: "reading.1",
+		}
 	})
 	s.call("pong", func(request uint64) any { return gateway.Pong{Request: request, Session: 7, Client: "origin-1"} })
 	s.call("pong of another", func(request uint64) any {
