--- a/internal/gateway/admission_mutation_test.go
+++ b/internal/gateway/admission_mutation_test.go
@@ -12,7 +12,7 @@
 
 func TestAdmissionMutationAdmitsAll(t *testing.T) {
 	defer statemachine.Mutate("all-admitted")()
-	fleetlab := open(t)
-	fleetlab.gateway.SetLink(thinLink)
-	assert.Equal(t, letIn(t, fleetlab, 300), 300)
+	fixture := open(t)
+	fixture.gateway.SetLink(thinLink)
+	assert.Equal(t, admitAll(t, fixture, 300), 300)
 }
--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -13,12 +13,12 @@
 // thinLink is the link of the smallest machines that are known of.
 const thinLink = 2_600_000 / 8
 
-// letIn returns how many clients that connect at once are admitted, and checks that the
+// admitAll returns how many clients that connect at once are admitted, and checks that the
 // others are rejected at once with a time after which to retry.
-func letIn(t *testing.T, fleetlab *fleetlab, callers int) (count int) {
+func admitAll(t *testing.T, fixture *fixture, callers int) (count int) {
 	t.Helper()
 	for number := range callers {
-		answer := outcome(t, fleetlab.greet(t, uint64(1000*int(fleetlab.request)+number), fmt.Sprint("u", fleetlab.request)))
+		answer := outcome(t, fixture.greet(t, uint64(1000*int(fixture.request)+number), fmt.Sprint("u", fixture.request)))
 		if answer.Outcome == gateway.OutcomeAccepted {
 			count++
 			continue
@@ -30,24 +30,24 @@
 }
 
 func TestAdmissionFollowsLinkRate(t *testing.T) {
-	fleetlab := open(t)
-	fleetlab.gateway.SetLink(thinLink)
-	first := letIn(t, fleetlab, 300)
+	fixture := open(t)
+	fixture.gateway.SetLink(thinLink)
+	first := admitAll(t, fixture, 300)
 	assert.Assert(t, first >= 16 && first <= 32, "%d", first)
-	fleetlab.pass(700 * time.Millisecond)
-	assert.Equal(t, letIn(t, fleetlab, 300), first, "no more are saved up than for a moment")
+	fixture.pass(700 * time.Millisecond)
+	assert.Equal(t, admitAll(t, fixture, 300), first, "no more are saved up than for a moment")
 	sum := 0
 	for range 10 {
-		fleetlab.pass(100 * time.Millisecond)
-		sum += letIn(t, fleetlab, 300)
+		fixture.pass(100 * time.Millisecond)
+		sum += admitAll(t, fixture, 300)
 	}
 	assert.Assert(t, sum >= 70 && sum <= 85, "%d in 1 s", sum)
 }
 
 func TestAdmissionAdmitsAllOnFastLink(t *testing.T) {
 	for _, link := range []int{0, 1_800_000_000 / 8} {
-		fleetlab := open(t)
-		fleetlab.gateway.SetLink(link)
-		assert.Equal(t, letIn(t, fleetlab, 1500), 1500)
+		fixture := open(t)
+		fixture.gateway.SetLink(link)
+		assert.Equal(t, admitAll(t, fixture, 1500), 1500)
 	}
 }
--- a/internal/gateway/catchup_mutation_test.go
+++ b/internal/gateway/catchup_mutation_test.go
@@ -13,7 +13,7 @@
 // Without a credit all topics that clients subscribe to at once are fetched at once.
 func TestBatchMutationFetchesWithoutCredit(t *testing.T) {
 	defer statemachine.Mutate("fetches-without-credit")()
-	assert.Equal(t, len(newCrowded(crowdedTopics).asked()), crowdedTopics)
+	assert.Equal(t, len(newCrowded(crowdedTopics).sentBatches()), crowdedTopics)
 }
 
 // If unconfirmed subscriptions count, each that is rejected is announced to the others.
@@ -30,7 +30,7 @@
 
 func TestTopicSubscriptionMutationLosesTurn(t *testing.T) {
 	defer statemachine.Mutate("refused-loses-turn")()
-	topics, _ := refusedTurn(t)
+	topics, _ := rejectedTurn(t)
 	assert.Equal(t, topics, 0)
 }
 
--- a/internal/gateway/catchup_test.go
+++ b/internal/gateway/catchup_test.go
@@ -61,8 +61,8 @@
 	return made
 }
 
-// asked returns the batches that were sent since it was last called.
-func (c *crowded) asked() []partition.FetchTopics {
+// sentBatches returns the batches that were sent since it was last called.
+func (c *crowded) sentBatches() []partition.FetchTopics {
 	var batches []partition.FetchTopics
 	for _, send := range c.effects.Sends {
 		if fetch, is := send.Message.(partition.FetchTopics); is {
@@ -92,15 +92,15 @@
 
 func TestBatchCarriesAllWaitingTopics(t *testing.T) {
 	many := newCrowded(crowdedTopics)
-	first := many.asked()
+	first := many.sentBatches()
 	assert.Equal(t, len(first), 1)
 	assert.Equal(t, len(first[0].Topics), 1)
 	many.answer(first[0])
-	second := many.asked()
+	second := many.sentBatches()
 	assert.Equal(t, len(second), 1)
 	assert.Equal(t, len(second[0].Topics), crowdedTopics-1)
 	many.answer(second[0])
-	assert.Equal(t, len(many.asked()), 0)
+	assert.Equal(t, len(many.sentBatches()), 0)
 	for _, opened := range many.channels {
 		assert.Assert(t, !opened.routed[opened.client].filling, opened.client)
 	}
@@ -108,39 +108,39 @@
 
 func TestBatchWithoutWaitersKeepsCreditUntilResponse(t *testing.T) {
 	many := newCrowded(2)
-	batches := many.asked()
+	batches := many.sentBatches()
 	many.gateway.dropTopicSubscription(many.now, many.channels[0], batches[0].Topics[0].Topic, &many.effects)
-	assert.Equal(t, len(many.asked()), 0)
+	assert.Equal(t, len(many.sentBatches()), 0)
 	many.answer(batches[0])
-	next := many.asked()
+	next := many.sentBatches()
 	assert.Equal(t, len(next), 1)
 	// One whose answer never comes, and for which nobody waits, is not sent again.
 	many.gateway.dropTopicSubscription(many.now, many.channels[1], next[0].Topics[0].Topic, &many.effects)
 	many.now = many.now.Add(batchRetry)
 	many.gateway.retryBatches(many.now, &many.effects)
-	assert.Equal(t, len(many.asked()), 0)
+	assert.Equal(t, len(many.sentBatches()), 0)
 	assert.Equal(t, len(many.gateway.routed.batchInFlight), 0)
 }
 
 func TestTopicWithoutSubscriptionsIsNotFetched(t *testing.T) {
 	many := newCrowded(3)
-	batches := many.asked()
+	batches := many.sentBatches()
 	waiting := many.channels[1]
 	many.gateway.dropTopicSubscription(many.now, waiting, waiting.client, &many.effects)
 	many.answer(batches[0])
-	next := many.asked()
+	next := many.sentBatches()
 	assert.Equal(t, len(next), 1)
 	assert.Equal(t, len(next[0].Topics), 1)
 	assert.Equal(t, next[0].Topics[0].Topic, many.channels[2].client)
 }
 
-// refusedTurn returns how many topics the next batch fetches after a subscription behind a
+// rejectedTurn returns how many topics the next batch fetches after a subscription behind a
 // slow batch was rejected without a response, and whether its retry is confirmed from what
 // was fetched for it.
-func refusedTurn(t *testing.T) (topics int, confirmed bool) {
+func rejectedTurn(t *testing.T) (topics int, confirmed bool) {
 	t.Helper()
 	many := newCrowded(2)
-	slow := many.asked()[0]
+	slow := many.sentBatches()[0]
 	behind := many.channels[1].routed[many.channels[1].client]
 	behind.resumes, behind.deliveredUpTo = true, 3
 	many.now = behind.deadline
@@ -149,7 +149,7 @@
 	assert.Equal(t, many.effects.Responses[0].Value.(Reply).Code, "no-answer")
 	many.effects = statemachine.Effects{}
 	many.answer(slow)
-	next := many.asked()
+	next := many.sentBatches()
 	if len(next) == 0 {
 		return 0, false
 	}
@@ -168,7 +168,7 @@
 }
 
 func TestTopicSubscriptionKeepsTurnWhenRejected(t *testing.T) {
-	topics, confirmed := refusedTurn(t)
+	topics, confirmed := rejectedTurn(t)
 	assert.Equal(t, topics, 1)
 	assert.Assert(t, confirmed, "what was fetched is used by the next try")
 }
@@ -209,7 +209,7 @@
 
 func TestBatchCreditFollowsLink(t *testing.T) {
 	many := newCrowded(1)
-	assert.Equal(t, many.asked()[0].MaxBytes, maxBatchBytes)
+	assert.Equal(t, many.sentBatches()[0].MaxBytes, maxBatchBytes)
 	many.gateway.SetLink(3_250_000)
 	assert.Equal(t, many.gateway.batchBytes(10), 65000)
 	assert.Equal(t, many.gateway.batchBytes(4), 162500)
@@ -225,7 +225,7 @@
 	subscription := one.channels[0].routed["topic-0"]
 	subscription.resumes, subscription.deliveredUpTo = true, 2
 	one.gateway.routed.topics["topic-0"].fetch.after = 2
-	fetch := one.asked()[0]
+	fetch := one.sentBatches()[0]
 	name := config.SharedPartition("topic-0")
 	partitions := []partition.PartitionState{{Partition: name, Epoch: 1, HighWatermark: 9}}
 	one.gateway.handleTopicsFetched(one.now, partition.FetchTopicsResponse{
@@ -233,7 +233,7 @@
 	}, &one.effects)
 	assert.Equal(t, len(one.effects.Responses), 1)
 	assert.Equal(t, one.effects.Responses[0].Value.(Reply).Outcome, OutcomeAccepted)
-	next := one.asked()
+	next := one.sentBatches()
 	assert.Equal(t, len(next), 1)
 	assert.DeepEqual(t, next[0].Topics, []partition.TopicCursor{{Topic: "topic-0", After: 2}})
 	one.gateway.handleTopicsFetched(one.now, partition.FetchTopicsResponse{
@@ -251,7 +251,7 @@
 // A leader does not report again what it reported while the topic was being fetched.
 func TestTopicReportedDuringFetchIsFetched(t *testing.T) {
 	one := newCrowded(1)
-	fetch := one.asked()[0]
+	fetch := one.sentBatches()[0]
 	topic := one.gateway.routed.topics["topic-0"]
 	one.gateway.routed.reportedUpTo[topic.partition] = 5
 	one.gateway.handleTopicHighWatermarks(one.now, partition.HighWatermark{
@@ -264,7 +264,7 @@
 	one.answer(fetch)
 	one.now = one.now.Add(highWatermarkGrace)
 	one.gateway.tickRouted(one.now, &one.effects)
-	next := one.asked()
+	next := one.sentBatches()
 	assert.Equal(t, len(next), 1)
 	assert.DeepEqual(t, next[0].Topics, []partition.TopicCursor{{Topic: "topic-0", After: 5}})
 	assert.Equal(t, one.gateway.routed.reportedUpTo[topic.partition], uint64(8))
@@ -276,7 +276,7 @@
 	one := newCrowded(1)
 	topic := one.gateway.routed.topics["topic-0"]
 	waiting = topic.announcedCount
-	one.answer(one.asked()[0])
+	one.answer(one.sentBatches()[0])
 	return waiting, topic.announcedCount
 }
 
@@ -291,7 +291,7 @@
 func confirmed(t *testing.T, cursor uint64) bool {
 	t.Helper()
 	one := newCrowded(1)
-	one.answer(one.asked()[0])
+	one.answer(one.sentBatches()[0])
 	gateway := one.gateway
 	partition := config.SharedPartition("topic-0")
 	gateway.routed.bases[partition] = 3
@@ -316,7 +316,7 @@
 			return true
 		}
 	}
-	assert.Equal(t, len(one.asked()), 1)
+	assert.Equal(t, len(one.sentBatches()), 1)
 	return false
 }
 
@@ -353,7 +353,7 @@
 }
 
 // orderOfRest gives the topics of the batch that follows an answer without room, when
-// each lacks less than the one before it.
+// each misses fewer records than the one before it.
 func orderOfRest(t *testing.T) []string {
 	t.Helper()
 	many := newCrowded(4)
@@ -367,15 +367,15 @@
 	clear(many.gateway.routed.batches)
 	clear(many.gateway.routed.batchInFlight)
 	many.gateway.routed.queue = nil
-	many.asked()
+	many.sentBatches()
 	for _, opened := range many.channels {
 		subscription := opened.routed[opened.client]
 		subscription.topic.queued = true
 		many.gateway.routed.queue = append(many.gateway.routed.queue, subscription.topic)
 	}
 	many.gateway.sendBatches(many.now, &many.effects)
-	many.answerLeft(many.asked()[0], left)
-	next := many.asked()
+	many.answerLeft(many.sentBatches()[0], left)
+	next := many.sentBatches()
 	assert.Equal(t, len(next), 1)
 	var order []string
 	for _, each := range next[0].Topics {
@@ -395,7 +395,7 @@
 	topic := one.gateway.routed.topics["topic-0"]
 	one.gateway.SetLink(thinRate)
 	assert.Assert(t, one.gateway.admits(one.now))
-	fetch := one.asked()[0]
+	fetch := one.sentBatches()[0]
 	one.gateway.handleTopicsFetched(one.now, partition.FetchTopicsResponse{
 		RequestID:  fetch.RequestID,
 		Partitions: []partition.PartitionState{{Partition: topic.partition, Epoch: 1, HighWatermark: 9}},
@@ -413,7 +413,7 @@
 func TestAdmissionForgetsBacklogOfClosedSessions(t *testing.T) {
 	one := newCrowded(1)
 	gateway, topic := one.gateway, one.gateway.routed.topics["topic-0"]
-	one.answer(one.asked()[0])
+	one.answer(one.sentBatches()[0])
 	gateway.SetLink(thinRate)
 	late := &topicSubscription{
 		session:  9,
@@ -426,7 +426,7 @@
 	gateway.addTopicSubscription(one.now, "topic-0", "boards", late, &one.effects)
 	gateway.fetchTopic(one.now, topic, &one.effects)
 	for range 2 {
-		fetch := one.asked()[0]
+		fetch := one.sentBatches()[0]
 		gateway.handleTopicsFetched(one.now, partition.FetchTopicsResponse{
 			RequestID:  fetch.RequestID,
 			Partitions: []partition.PartitionState{{Partition: topic.partition, Epoch: 1, HighWatermark: 5}},
--- a/internal/gateway/cursor.go
+++ b/internal/gateway/cursor.go
@@ -13,9 +13,12 @@
 )
 
 const (
+	// cursorLayout is the version of the encoding of cursors.
 	cursorLayout = 1
-	sumSize      = 12
-	cursorLimit  = 256 << 10
+	// sumSize is the length of the authentication code, cursorLimit the longest accepted cursor, both
+	// in bytes.
+	sumSize     = 12
+	cursorLimit = 256 << 10
 
 	// codeBadCursor is the error code of a cursor that is forged, damaged or of another layout.
 	codeBadCursor = "bad-cursor"
--- a/internal/gateway/forms_test.go
+++ b/internal/gateway/forms_test.go
@@ -55,7 +55,7 @@
 	for position, text := range recorded {
 		place, code := openCursor(cursorKey, "origin-1", text)
 		if code != "" {
-			t.Errorf("cursor %d is refused as %s", position+1, code)
+			t.Errorf("cursor %d is rejected as %s", position+1, code)
 			continue
 		}
 		if again := seal(cursorKey, place); again != text {
@@ -65,10 +65,10 @@
 			t.Errorf("cursor %d is read as %v", position+1, place)
 		}
 		if _, code := openCursor(cursorKey, "origin-2", text); code != "other-origin" {
-			t.Errorf("cursor %d of another origin is refused as %q", position+1, code)
+			t.Errorf("cursor %d of another client is rejected as %q", position+1, code)
 		}
 		if _, code := openCursor([]byte("another-key-01234567"), "origin-1", text); code != codeBadCursor {
-			t.Errorf("cursor %d under another key is refused as %q", position+1, code)
+			t.Errorf("cursor %d under another key is rejected as %q", position+1, code)
 		}
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -17,23 +17,38 @@
 
 // Spans and bounds of a gateway.
 const (
-	pingInterval            = 5 * time.Second
-	pongTimeout             = 16 * time.Second
-	tickInterval            = time.Second
-	moveInterval            = 100 * time.Millisecond
-	moveLinger              = 1500 * time.Millisecond
-	stopTimeout             = 3500 * time.Millisecond
-	stopMoves               = 25
-	moveTimeout             = 600 * time.Millisecond
-	maxPendingRecords       = 20000
-	maxInterests            = 256
-	retryShortDelay         = 250 * time.Millisecond
-	retryLongDelay          = time.Second
-	requestTimeout          = 700 * time.Millisecond
-	refreshTimeout          = 600 * time.Millisecond
+	// pingInterval is how often a client is pinged, pongTimeout after what silence its session is
+	// closed.
+	pingInterval = 5 * time.Second
+	pongTimeout  = 16 * time.Second
+	// tickInterval is the interval of the periodic work.
+	tickInterval = time.Second
+	// moveInterval is the interval of the steps in which clients are moved, moveLinger after what
+	// time the session of a client that was asked to move is closed.
+	moveInterval = 100 * time.Millisecond
+	moveLinger   = 1500 * time.Millisecond
+	// stopTimeout is the longest duration of a graceful shutdown, stopMoves the fewest clients that
+	// it moves in a step, moveTimeout for how long it waits for a client that was asked to move.
+	stopTimeout = 3500 * time.Millisecond
+	stopMoves   = 25
+	moveTimeout = 600 * time.Millisecond
+	// maxPendingRecords bounds the pending records of a tracker, and the deferred messages.
+	maxPendingRecords = 20000
+	// maxInterests bounds the subscriptions of a session to spaces without routed topics.
+	maxInterests = 256
+	// retryShortDelay and retryLongDelay are after what time a rejected client may retry.
+	retryShortDelay = 250 * time.Millisecond
+	retryLongDelay  = time.Second
+	// requestTimeout is the longest time to the final answer of a publication.
+	requestTimeout = 700 * time.Millisecond
+	// refreshTimeout is how long a request waits for a newer configuration.
+	refreshTimeout = 600 * time.Millisecond
+	// defaultSubscribeTimeout is the longest time to the final answer of a subscription.
 	defaultSubscribeTimeout = 1500 * time.Millisecond
-	disconnectAfter         = 5500 * time.Millisecond
-	minDisconnects          = 10
+	// disconnectAfter is after what time without a confirmation sessions are closed, minDisconnects
+	// how many at least in each second.
+	disconnectAfter = 5500 * time.Millisecond
+	minDisconnects  = 10
 )
 
 // Settings are the settings of a gateway daemon.
@@ -64,6 +79,7 @@
 
 // Gateway is the state machine.
 type Gateway struct {
+	// settings are those given, with MaxClients and Link as they were last set.
 	settings Settings
 	// viewClient follows the control state; its Version is the configuration version in force.
 	viewClient *membership.ViewClient
@@ -152,8 +168,8 @@
 	if settings.MaxClients == 0 {
 		settings.MaxClients = 2000
 	}
-	settings.ConfirmedFor = orLonger(settings.ConfirmedFor, membership.ConfirmationTimeout)
-	settings.StopWithin = orLonger(settings.StopWithin, stopTimeout)
+	settings.ConfirmedFor = bounded(settings.ConfirmedFor, membership.ConfirmationTimeout)
+	settings.StopWithin = bounded(settings.StopWithin, stopTimeout)
 	gateway := &Gateway{
 		settings:      settings,
 		overlay:       overlay.New(settings.Self.Name),
@@ -193,8 +209,8 @@
 	return gateway
 }
 
-// orLonger returns a span, or the longest allowed one if it is longer or not given.
-func orLonger(span, longest time.Duration) time.Duration {
+// bounded returns a span, or the longest allowed one if the span is longer or not given.
+func bounded(span, longest time.Duration) time.Duration {
 	if span <= 0 {
 		return longest
 	}
--- a/internal/gateway/opening_test.go
+++ b/internal/gateway/opening_test.go
@@ -12,8 +12,8 @@
 )
 
 // begun returns a gateway that has had no view update yet.
-func begun() *fleetlab {
-	fleetlab := &fleetlab{now: time.Unix(1000, 0), gateway: gateway.New(gateway.Settings{
+func begun() *fixture {
+	fixture := &fixture{now: time.Unix(1000, 0), gateway: gateway.New(gateway.Settings{
 		Self: membership.Member{
 			Name:        "gateway-1",
 			Kind:        membership.KindGateway,
@@ -25,32 +25,32 @@
 		Agent: "10.0.0.1:2",
 	})}
 	var effects statemachine.Effects
-	fleetlab.gateway.Start(fleetlab.now, &effects)
-	return fleetlab
+	fixture.gateway.Start(fixture.now, &effects)
+	return fixture
 }
 
 func TestOpenSessionWaitsForFirstViewUpdate(t *testing.T) {
-	fleetlab := begun()
-	assert.Equal(t, len(fleetlab.greet(t, 1, "u1").Responses), 0)
-	fleetlab.pass(300 * time.Millisecond)
-	assert.Equal(t, fleetlab.gateway.ConfigurationVersion(), uint64(1))
-	assert.Equal(t, outcome(t, fleetlab.heard).Outcome, gateway.OutcomeAccepted)
+	fixture := begun()
+	assert.Equal(t, len(fixture.greet(t, 1, "u1").Responses), 0)
+	fixture.pass(300 * time.Millisecond)
+	assert.Equal(t, fixture.gateway.ConfigurationVersion(), uint64(1))
+	assert.Equal(t, outcome(t, fixture.heard).Outcome, gateway.OutcomeAccepted)
 }
 
 func TestOpenSessionRejectedAfterRefreshTimeout(t *testing.T) {
-	fleetlab := begun()
+	fixture := begun()
 	// The agent never responds.
-	assert.Equal(t, len(fleetlab.greet(t, 1, "u1").Responses), 0)
+	assert.Equal(t, len(fixture.greet(t, 1, "u1").Responses), 0)
 	var refused statemachine.Effects
-	from := fleetlab.now
-	for len(refused.Responses) == 0 && fleetlab.now.Sub(from) < 5*time.Second {
-		fleetlab.now = fleetlab.gateway.NextTick()
-		fleetlab.gateway.Tick(fleetlab.now, &refused)
+	from := fixture.now
+	for len(refused.Responses) == 0 && fixture.now.Sub(from) < 5*time.Second {
+		fixture.now = fixture.gateway.NextTick()
+		fixture.gateway.Tick(fixture.now, &refused)
 	}
 	answer := outcome(t, refused)
 	assert.Equal(t, answer.Outcome, gateway.OutcomeRejected)
 	assert.Assert(t, answer.RetryAfter > 0)
-	assert.Assert(t, fleetlab.now.Sub(from) <= 600*time.Millisecond, "after %s", fleetlab.now.Sub(from))
+	assert.Assert(t, fixture.now.Sub(from) <= 600*time.Millisecond, "after %s", fixture.now.Sub(from))
 }
 
 func TestGatewayConfirmedForIsBounded(t *testing.T) {
@@ -59,7 +59,7 @@
 		time.Second: time.Second,
 		time.Minute: 2500 * time.Millisecond,
 	} {
-		fleetlab := &fleetlab{now: time.Unix(1000, 0), gateway: gateway.New(gateway.Settings{
+		fixture := &fixture{now: time.Unix(1000, 0), gateway: gateway.New(gateway.Settings{
 			Self: membership.Member{
 				Name:        "gateway-1",
 				Kind:        membership.KindGateway,
@@ -72,10 +72,10 @@
 			ConfirmedFor: given,
 		})}
 		var effects statemachine.Effects
-		fleetlab.gateway.Start(fleetlab.now, &effects)
-		fleetlab.pass(time.Millisecond)
-		from := fleetlab.gateway.ViewClient().ConfirmedAt
-		assert.Assert(t, fleetlab.gateway.Confirmed(from.Add(min(wanted, 1900*time.Millisecond))), "%s", given)
-		assert.Assert(t, !fleetlab.gateway.Confirmed(from.Add(wanted+time.Millisecond)), "%s", given)
+		fixture.gateway.Start(fixture.now, &effects)
+		fixture.pass(time.Millisecond)
+		from := fixture.gateway.ViewClient().ConfirmedAt
+		assert.Assert(t, fixture.gateway.Confirmed(from.Add(min(wanted, 1900*time.Millisecond))), "%s", given)
+		assert.Assert(t, !fixture.gateway.Confirmed(from.Add(wanted+time.Millisecond)), "%s", given)
 	}
 }
--- a/internal/gateway/publish.go
+++ b/internal/gateway/publish.go
@@ -14,11 +14,16 @@
 )
 
 const (
+	// senderIdleTimeout is after what time an idle sender is forgotten, seqMemory how long its
+	// ephemeral messages are remembered.
 	senderIdleTimeout = 90 * time.Second
 	seqMemory         = 30 * time.Second
-	maxSenderQueue    = 64
-	blockFor          = 3 * time.Second
-	appendRetry       = 150 * time.Millisecond
+	// maxSenderQueue bounds the publications of a sender that wait.
+	maxSenderQueue = 64
+	// blockFor is how long a publication that was not accepted holds off later ones.
+	blockFor = 3 * time.Second
+	// appendRetry is after what time an unanswered append is sent again.
+	appendRetry = 150 * time.Millisecond
 )
 
 // senderKey names a sender within a space.
@@ -39,7 +44,7 @@
 	queue []*publication
 	// lastSeq is the highest accepted sequence that is known here.
 	lastSeq uint64
-	// lookedUp is set once the stores were asked for lastSeq and the dependencies.
+	// lookedUp is set once the stores have responded with lastSeq and the dependencies.
 	lookedUp bool
 	// dependencies are the messages that were accepted within the dependency window.
 	dependencies []dependency
--- a/internal/gateway/recent_ephemeral.go
+++ b/internal/gateway/recent_ephemeral.go
@@ -9,9 +9,12 @@
 )
 
 const (
+	// recentFor is how long ephemeral messages are remembered, maxRecentEphemeral how many of a
+	// space.
 	recentFor          = 3 * time.Second
 	maxRecentEphemeral = 8192
-	resumedFor         = 5 * time.Second
+	// resumedFor is how long after a resumption repeated messages are delivered.
+	resumedFor = 5 * time.Second
 )
 
 // recentEphemeral is an ephemeral message that was published or received a moment ago.
--- a/internal/gateway/routed_publish.go
+++ b/internal/gateway/routed_publish.go
@@ -10,7 +10,10 @@
 )
 
 const (
-	routedRetry    = 200 * time.Millisecond
+	// routedRetry is the timeout of the first attempt of an append; it doubles with further ones.
+	routedRetry = 200 * time.Millisecond
+	// routedRemember is how long an accepted publication is remembered, so that a retry is accepted
+	// at once.
 	routedRemember = 30 * time.Second
 )
 
--- a/internal/gateway/session.go
+++ b/internal/gateway/session.go
@@ -10,12 +10,18 @@
 )
 
 const (
+	// deliveredMemory is how long delivered offsets are remembered, sequenceMemory how long the
+	// sequences of senders.
 	deliveredMemory = 100 * time.Second
 	sequenceMemory  = 40 * time.Second
-	fetchRetry      = 250 * time.Millisecond
-	lingerFor       = 6 * time.Second
-	lingerSpread    = 24
-	maxRefetches    = 64
+	// fetchRetry is after what time an unanswered fetch is sent again.
+	fetchRetry = 250 * time.Millisecond
+	// lingerFor is how long an overlay subscription outlives its last subscription here; lingerSpread
+	// is over how many seconds the ends of several are spread.
+	lingerFor    = 6 * time.Second
+	lingerSpread = 24
+	// maxRefetches bounds how often the partitions of one operation are fetched further.
+	maxRefetches = 64
 )
 
 // senderSequence is the newest sequence of a sender that was delivered, and when.
--- a/internal/gateway/stopping_test.go
+++ b/internal/gateway/stopping_test.go
@@ -17,8 +17,8 @@
 	"spaces":[{"name":"boards","promise":"kept","order":"topic"}],
 	"routes":[{"prefix":"b.","space":"boards"}]}`
 
-// fleetlab is a gateway that has had its first view update, beside another to move clients to.
-type fleetlab struct {
+// fixture is a gateway that has had its first view update, beside another to move clients to.
+type fixture struct {
 	now         time.Time
 	gateway     *gateway.Gateway
 	request     uint64
@@ -27,13 +27,13 @@
 	heard statemachine.Effects
 }
 
-func (f *fleetlab) do(command any) statemachine.Effects {
+func (f *fixture) do(command any) statemachine.Effects {
 	var effects statemachine.Effects
 	f.gateway.HandleCommand(f.now, command, &effects)
 	return effects
 }
 
-func (f *fleetlab) pass(length time.Duration) statemachine.Effects {
+func (f *fixture) pass(length time.Duration) statemachine.Effects {
 	var all statemachine.Effects
 	until := f.now.Add(length)
 	for {
@@ -54,7 +54,7 @@
 }
 
 // respondToAgentRequests responds to the requests that the gateway sends to its agent, and sends heartbeats.
-func (f *fleetlab) respondToAgentRequests(effects statemachine.Effects) {
+func (f *fixture) respondToAgentRequests(effects statemachine.Effects) {
 	for _, send := range effects.Sends {
 		ask, matches := send.Message.(membership.ViewRequest)
 		if !matches || f.now.Sub(f.heartbeatAt) < 300*time.Millisecond {
@@ -109,9 +109,9 @@
 	}
 }
 
-func open(t *testing.T) *fleetlab {
+func open(t *testing.T) *fixture {
 	t.Helper()
-	fleetlab := &fleetlab{now: time.Unix(1000, 0), gateway: gateway.New(gateway.Settings{
+	fixture := &fixture{now: time.Unix(1000, 0), gateway: gateway.New(gateway.Settings{
 		Self: membership.Member{
 			Name:        "gateway-1",
 			Kind:        membership.KindGateway,
@@ -123,13 +123,13 @@
 		Agent: "10.0.0.1:2",
 	})}
 	var effects statemachine.Effects
-	fleetlab.gateway.Start(fleetlab.now, &effects)
-	fleetlab.pass(time.Millisecond)
-	assert.Equal(t, fleetlab.gateway.ConfigurationVersion(), uint64(1))
-	return fleetlab
+	fixture.gateway.Start(fixture.now, &effects)
+	fixture.pass(time.Millisecond)
+	assert.Equal(t, fixture.gateway.ConfigurationVersion(), uint64(1))
+	return fixture
 }
 
-func (f *fleetlab) greet(t *testing.T, session uint64, origin string) statemachine.Effects {
+func (f *fixture) greet(t *testing.T, session uint64, origin string) statemachine.Effects {
 	t.Helper()
 	f.request++
 	return f.do(gateway.OpenSession{
@@ -158,23 +158,23 @@
 }
 
 func TestStoppingGatewayRedirectsNewClients(t *testing.T) {
-	fleetlab := open(t)
-	fleetlab.do(gateway.Stop{})
-	effects := fleetlab.greet(t, 1, "u1")
+	fixture := open(t)
+	fixture.do(gateway.Stop{})
+	effects := fixture.greet(t, 1, "u1")
 	assert.Equal(t, outcome(t, effects).Outcome, gateway.OutcomeAccepted)
 	assert.Equal(t, moves(effects), 1)
-	fleetlab.request++
-	other := fleetlab.do(gateway.OpenSession{Request: fleetlab.request, Session: 2, Name: "u2", Client: "u2"})
+	fixture.request++
+	other := fixture.do(gateway.OpenSession{Request: fixture.request, Session: 2, Name: "u2", Client: "u2"})
 	assert.Equal(t, outcome(t, other).Code, "stopping")
 }
 
 func TestStoppingGatewayServesRemainingClients(t *testing.T) {
-	fleetlab := open(t)
-	fleetlab.greet(t, 1, "u1")
-	fleetlab.do(gateway.Stop{})
-	fleetlab.request++
-	effects := fleetlab.do(gateway.Publish{
-		Request: fleetlab.request,
+	fixture := open(t)
+	fixture.greet(t, 1, "u1")
+	fixture.do(gateway.Stop{})
+	fixture.request++
+	effects := fixture.do(gateway.Publish{
+		Request: fixture.request,
 		Client:  "u1",
 		Sender:  "u1",
 		Topic:   "b.1",
@@ -191,15 +191,15 @@
 }
 
 func TestStoppingGatewayDoesNotAwaitMovedClients(t *testing.T) {
-	fleetlab := open(t)
+	fixture := open(t)
 	for session := range uint64(40) {
-		fleetlab.greet(t, session+1, "u")
+		fixture.greet(t, session+1, "u")
 	}
-	effects := fleetlab.do(gateway.Stop{})
-	effects.Append(fleetlab.pass(250 * time.Millisecond))
+	effects := fixture.do(gateway.Stop{})
+	effects.Append(fixture.pass(250 * time.Millisecond))
 	assert.Equal(t, moves(effects), 40)
 	assert.Assert(t, !effects.Stop)
-	effects = fleetlab.pass(time.Second)
+	effects = fixture.pass(time.Second)
 	assert.Assert(t, effects.Stop)
 	ended := 0
 	for _, deliver := range effects.Deliveries {
--- a/internal/gateway/topic.go
+++ b/internal/gateway/topic.go
@@ -10,13 +10,19 @@
 )
 
 const (
-	routedPlane           = config.SharedSpace
-	topicCursorPrefix     = "t"
-	highWatermarkGrace    = 120 * time.Millisecond
-	ephemeralGapTimeout   = 50 * time.Millisecond
+	// routedPlane is the name under which the overlay knows all routed topics.
+	routedPlane = config.SharedSpace
+	// topicCursorPrefix is the first letter of the cursors of routed topics.
+	topicCursorPrefix = "t"
+	// highWatermarkGrace is how long a reported record may take to come before it is fetched.
+	highWatermarkGrace = 120 * time.Millisecond
+	// ephemeralGapTimeout is after what time a gap of an ephemeral topic is skipped.
+	ephemeralGapTimeout = 50 * time.Millisecond
+	// ephemeralReachTimeout is how long a subscription to an ephemeral topic waits for the overlay.
 	ephemeralReachTimeout = 300 * time.Millisecond
-	recentRecords         = 32
-	recentBytes           = 32 << 10
+	// recentRecords and recentBytes bound the recent records of a topic.
+	recentRecords = 32
+	recentBytes   = 32 << 10
 	// backlogBytes bounds the recent records of a topic that was just caught up.
 	backlogBytes = 256 << 10
 	// topicFetchRetry is how long to wait before the next request to a store that does
@@ -24,7 +30,8 @@
 	topicFetchRetry = 200 * time.Millisecond
 	// retryDoubles is how often the timeout of a request to a store doubles: a response
 	// that is late because a link is full must not be requested again and again.
-	retryDoubles           = 3
+	retryDoubles = 3
+	// maxPendingTopicRecords bounds the pending records of a topic.
 	maxPendingTopicRecords = 4096
 )
 
--- a/internal/gateway/tracker.go
+++ b/internal/gateway/tracker.go
@@ -14,13 +14,21 @@
 )
 
 const (
-	verifyEvery       = time.Second
-	gapTimeout        = 40 * time.Millisecond
-	followEvery       = 2 * time.Second
+	// verifyEvery is the usual time between verifications, gapTimeout how long a missing record may
+	// take to come before it is fetched.
+	verifyEvery = time.Second
+	gapTimeout  = 40 * time.Millisecond
+	// followEvery is how often high watermarks are subscribed to again.
+	followEvery = 2 * time.Second
+	// maxSkippedOffsets bounds the offsets that a fetch names as present.
 	maxSkippedOffsets = 2048
-	cycleTimeout      = 8 * time.Second
-	maxImmediateScan  = 64
-	deliverInterval   = 20 * time.Millisecond
+	// cycleTimeout is after what time a record is delivered although it depends on one that was not:
+	// if all partitions are verified, only a cycle of dependencies can hold it back for so long.
+	cycleTimeout = 8 * time.Second
+	// maxImmediateScan is up to how many pending records each copy causes a scan of them; above it
+	// there is one scan each deliverInterval.
+	maxImmediateScan = 64
+	deliverInterval  = 20 * time.Millisecond
 )
 
 // trackedInterest is an interest in the topics of a partition.
