--- a/internal/gateway/catchup_test.go
+++ b/internal/gateway/catchup_test.go
@@ -260,7 +260,7 @@
 		From:      5,
 		Offset:    8,
 		Topics:    []partition.TopicOffset{{TopicHash: topic.number, Offset: 8}},
-	}, &one.effects)
+	})
 	one.answer(fetch)
 	one.now = one.now.Add(highWatermarkGrace)
 	one.gateway.tickRouted(one.now, &one.effects)
--- a/internal/gateway/draining.go
+++ b/internal/gateway/draining.go
@@ -127,7 +127,7 @@
 }
 
 // beginStop starts the graceful shutdown.
-func (g *Gateway) beginStop(now time.Time, _ *statemachine.Effects) {
+func (g *Gateway) beginStop(now time.Time) {
 	if g.stopping {
 		return
 	}
--- a/internal/gateway/fetch.go
+++ b/internal/gateway/fetch.go
@@ -58,7 +58,6 @@
 	now time.Time,
 	id uint64,
 	operation *fetchOperation,
-	_ cursor,
 	effects *statemachine.Effects,
 ) {
 	if operation.joins > 0 || g.fetches[id] != operation {
@@ -222,7 +221,7 @@
 		}
 	}
 	fetch.done = true
-	g.advanceFetch(now, response.RequestID, operation, cursor{}, effects)
+	g.advanceFetch(now, response.RequestID, operation, effects)
 }
 
 // dropFilling removes the subscriptions that an operation was to fill.
@@ -319,7 +318,7 @@
 			fetch.after = fetch.until
 		}
 	}
-	g.advanceFetch(now, id, operation, cursor{}, effects)
+	g.advanceFetch(now, id, operation, effects)
 }
 
 // startSubscriptions makes the subscriptions of a completed fetch live, from the
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -339,7 +339,7 @@
 	case FindDecisions:
 		effects.Respond(body.Local, g.ring.Find(body.Request, body.Message, body.Client))
 	case Stop:
-		g.beginStop(now, effects)
+		g.beginStop(now)
 	}
 	g.logReadiness(now, effects)
 }
--- a/internal/gateway/subscription.go
+++ b/internal/gateway/subscription.go
@@ -149,7 +149,7 @@
 	joined := func(now time.Time, effects *statemachine.Effects, stable bool) {
 		operation.joins--
 		operation.failed = operation.failed || !stable
-		g.advanceFetch(now, id, operation, resumeFrom, effects)
+		g.advanceFetch(now, id, operation, effects)
 	}
 	for _, interest := range operation.interests {
 		state := g.spaces[interest.Space]
@@ -164,7 +164,7 @@
 		"resumes", operation.resumes,
 	)
 	operation.joins--
-	g.advanceFetch(now, id, operation, resumeFrom, effects)
+	g.advanceFetch(now, id, operation, effects)
 }
 
 // addInterest adds an interest to what is fetched of a partition.
--- a/internal/gateway/topic_delivery.go
+++ b/internal/gateway/topic_delivery.go
@@ -13,7 +13,6 @@
 
 // deliverRouted delivers a record to a filled subscription unless it was delivered before.
 func (g *Gateway) deliverRouted(
-	_ time.Time,
 	subscription *topicSubscription,
 	record partition.Record,
 	effects *statemachine.Effects,
@@ -53,7 +52,7 @@
 		topic.recent = topic.recent[1:]
 	}
 	for _, subscription := range topic.subscriptions {
-		g.deliverRouted(now, subscription, record, effects)
+		g.deliverRouted(subscription, record, effects)
 	}
 }
 
@@ -265,7 +264,7 @@
 }
 
 // handleTopicHighWatermarks applies the report of which topics of a shared partition moved.
-func (g *Gateway) handleTopicHighWatermarks(now time.Time, head partition.HighWatermark, _ *statemachine.Effects) {
+func (g *Gateway) handleTopicHighWatermarks(now time.Time, head partition.HighWatermark) {
 	if _, used := g.routed.partitions[head.Partition]; !used || statemachine.Mutated("no-topic-heads") {
 		return
 	}
--- a/internal/gateway/topic_subscription.go
+++ b/internal/gateway/topic_subscription.go
@@ -47,7 +47,7 @@
 			answer(rejectedReply(409, "underway", "this subscription is being taken up", retryShortDelay))
 			return
 		}
-		g.replyTopicSubscription(now, present, request, formatTopicCursor(present.deliveredUpTo), effects)
+		g.replyTopicSubscription(now, request, present.deliveredUpTo, effects)
 		return
 	}
 	if len(session.routed)+len(session.subscriptions) >= g.config.SubscriptionsPerSession {
@@ -233,15 +233,9 @@
 	if !subscription.resumes {
 		subscription.deliveredUpTo = subscription.topic.last
 	}
-	g.replyTopicSubscription(
-		now,
-		subscription,
-		subscription.request,
-		formatTopicCursor(subscription.deliveredUpTo),
-		effects,
-	)
+	g.replyTopicSubscription(now, subscription.request, subscription.deliveredUpTo, effects)
 	for _, record := range subscription.topic.recent {
-		g.deliverRouted(now, subscription, record, effects)
+		g.deliverRouted(subscription, record, effects)
 	}
 }
 
@@ -273,10 +267,10 @@
 		subscription.deliveredUpTo = from
 	}
 	if subscription.request.Request != 0 {
-		g.replyTopicSubscription(now, subscription, subscription.request, formatTopicCursor(from), effects)
+		g.replyTopicSubscription(now, subscription.request, from, effects)
 	}
 	for _, record := range topic.recent {
-		g.deliverRouted(now, subscription, record, effects)
+		g.deliverRouted(subscription, record, effects)
 	}
 	return true
 }
@@ -284,13 +278,12 @@
 // replyTopicSubscription accepts a subscription to a routed topic.
 func (g *Gateway) replyTopicSubscription(
 	now time.Time,
-	_ *topicSubscription,
 	request Subscribe,
-	cursor string,
+	offset uint64,
 	effects *statemachine.Effects,
 ) {
 	response := acceptedReply(nil)
-	response.Cursor = cursor
+	response.Cursor = formatTopicCursor(offset)
 	g.answerSubscribe(now, request, response, effects)
 }
 
@@ -326,13 +319,7 @@
 	if subscription.request.Request == 0 {
 		return
 	}
-	g.replyTopicSubscription(
-		now,
-		subscription,
-		subscription.request,
-		formatTopicCursor(subscription.deliveredUpTo),
-		effects,
-	)
+	g.replyTopicSubscription(now, subscription.request, subscription.deliveredUpTo, effects)
 	subscription.request.Request = 0
 }
 
@@ -344,7 +331,7 @@
 	effects *statemachine.Effects,
 ) {
 	subscription.filling = false
-	g.deliverRouted(now, subscription, record, effects)
+	g.deliverRouted(subscription, record, effects)
 	subscription.filling = true
 }
 
--- a/internal/gateway/tracker.go
+++ b/internal/gateway/tracker.go
@@ -45,7 +45,8 @@
 	// name is the name of the partition.
 	name string
 	// space is the name of the space, spaceName the same with the index at which it was created.
-	space string
+	space     string
+	spaceName string
 	// shared is set if all topics of the space have one shared order.
 	shared    bool
 	interests map[Interest]*trackedInterest
@@ -69,7 +70,6 @@
 	// the verification under way was sent.
 	verifiedAt  time.Time
 	requestedAt time.Time
-	spaceName   string
 }
 
 // spaceOf splits a partition's name: the space, and the space with its creation index.
@@ -465,7 +465,7 @@
 ) {
 	for _, head := range highWatermarks.HighWatermarks {
 		if config.IsShared(head.Partition) {
-			g.handleTopicHighWatermarks(now, head, effects)
+			g.handleTopicHighWatermarks(now, head)
 			continue
 		}
 		tracker, found := g.trackers[head.Partition]
