--- /dev/null
+++ b/internal/gateway/append.go
@@ -0,0 +1,225 @@
+package gateway
+
+import (
+	"time"
+
+	"dahlialock/internal/partition"
+	"dahlialock/internal/statemachine"
+)
+
+// publishDurable sends a publication to the leader of its partition, after a lookup of the sender
+// where its newest messages are not known here.
+func (g *Gateway) publishDurable(
+	now time.Time,
+	state *spaceState,
+	from *sender,
+	item *publication,
+	effects *statemachine.Effects,
+) {
+	// A seq that does not follow the newest one known here may come from a
+	// sender that was elsewhere meanwhile; its dependencies are looked up anew.
+	follows := from.lookedUp && item.request.Seq <= from.lastSeq+1
+	if !follows && !item.lookedUp && state.space.Partitions() > 1 {
+		item.lookedUp = true
+		g.lookUpSender(now, state, item, effects)
+		return
+	}
+	item.partition = g.partitionOf(state, item.request.Topic)
+	g.nextRequest++
+	item.id = g.nextRequest
+	g.appends[item.id] = item
+	g.overlay.Publish(now, state.name, areaOf(state.space, item.request.Topic), nil, effects)
+	g.sendAppend(now, from, item, effects)
+}
+
+// sendAppend sends an append, or sends it again under a new request number.
+func (g *Gateway) sendAppend(now time.Time, from *sender, item *publication, effects *statemachine.Effects) {
+	item.sentAt = now
+	g.timers.ArmSooner(timerDeadlines, now.Add(appendRetry))
+	address, store, found := g.leaderOf(item.partition)
+	if !found {
+		g.viewClient.PollNow(now)
+		return
+	}
+	var before partition.Dependencies
+	if state, known := g.spaces[item.request.Space]; known && state.space.Partitions() > 1 {
+		before = from.currentDependencies(now)
+	}
+	g.nextRequest++
+	send := g.nextRequest
+	if item.unanswered == nil {
+		item.unanswered = map[uint64]bool{}
+	}
+	item.unanswered[send] = true
+	g.sends[send] = item
+	g.ring.Record(now, item.request.RequestName, item.request.messageName(),
+		item.request.Client, "append",
+		"partition", item.partition,
+		"store", store,
+		"epoch", g.viewClient.Placements[item.partition].Epoch,
+	)
+	effects.Send(address, partition.Append{
+		Partition:     item.partition,
+		RequestID:     send,
+		Topic:         item.request.Topic,
+		Sender:        item.request.Sender,
+		Seq:           item.request.Seq,
+		Data:          item.request.Data,
+		Dependencies:  before,
+		DuplicateOnly: item.request.Seq <= from.lastSeq,
+	})
+}
+
+// handleAppendResponse applies the response of a store to a publication.
+func (g *Gateway) handleAppendResponse(
+	now time.Time,
+	response partition.AppendResponse,
+	effects *statemachine.Effects,
+) {
+	if item, routed := g.routed.sends[response.RequestID]; routed && item.partition == response.Partition {
+		g.handleRoutedResponse(now, item, response, effects)
+		return
+	}
+	item, found := g.sends[response.RequestID]
+	if !found || item.partition != response.Partition {
+		return
+	}
+	delete(item.unanswered, response.RequestID)
+	delete(g.sends, response.RequestID)
+	g.ring.Record(now, item.request.RequestName, item.request.messageName(), item.request.Client, "kept",
+		"outcome", response.Outcome,
+		"code", response.Code,
+		"partition", response.Partition,
+		"epoch", response.Epoch,
+		"offset", response.Record.Offset,
+		"again", response.Duplicate,
+	)
+	switch response.Outcome {
+	case partition.OutcomeAccepted:
+		g.applyAppended(now, item, response, effects)
+	case partition.OutcomeRejected:
+		g.applyAppendRejected(now, item, response, effects)
+	default:
+		g.finish(now, item, unsettledReply(response.Code, "send the same seq again", retryLongDelay), effects)
+	}
+}
+
+// applyAppended fans out a message that was appended and accepts its publication.
+func (g *Gateway) applyAppended(
+	now time.Time,
+	item *publication,
+	response partition.AppendResponse,
+	effects *statemachine.Effects,
+) {
+	if from, known := g.senders[item.key]; known {
+		from.lastSeq = max(from.lastSeq, item.request.Seq)
+		from.dependencies = append(from.dependencies, dependency{
+			mark: partition.MessagePosition{
+				Partition: partition.NumberOf(response.Partition),
+				Offset:    response.Record.Offset,
+				Topic:     item.request.Topic,
+			},
+			seq: item.request.Seq,
+			at:  now,
+		})
+	}
+	if state, present := g.spaces[item.request.Space]; present && !response.Duplicate {
+		g.fanOutRecord(now, state, response.Partition, response.Record, item, effects)
+	}
+	g.finish(now, item, acceptedReply(map[string]any{"again": response.Duplicate}), effects)
+}
+
+// applyAppendRejected answers a publication that a store rejected, unless it can still
+// succeed within its deadline.
+func (g *Gateway) applyAppendRejected(
+	now time.Time,
+	item *publication,
+	response partition.AppendResponse,
+	effects *statemachine.Effects,
+) {
+	switch response.Code {
+	case "not-first":
+		// The view of the store or of this gateway is old; the deadline decides.
+		g.viewClient.PollNow(now)
+		item.sentAt = now
+		g.timers.ArmSooner(timerDeadlines, now.Add(appendRetry))
+	case "old-seq", "seq-reused":
+		g.finish(now, item, rejectedReply(409, response.Code, "this seq is not above the sender's newest", 0), effects)
+	default:
+		answer := rejectedReply(
+			503,
+			response.Code,
+			"the partition can't keep two copies at this moment",
+			response.RetryAfter,
+		)
+		if len(item.unanswered) > 0 {
+			// An earlier attempt has no response; it may yet be appended.
+			answer = unsettledReply(response.Code, "send the same seq again", response.RetryAfter)
+		}
+		g.finish(now, item, answer, effects)
+	}
+}
+
+// fanOutRecord sends one copy of a record to each destination gateway, and delivers it to the
+// subscribers here.
+func (g *Gateway) fanOutRecord(
+	now time.Time,
+	state *spaceState,
+	name string,
+	record partition.Record,
+	item *publication,
+	effects *statemachine.Effects,
+) {
+	area := areaOf(state.space, record.Topic)
+	recordCopy := RecordCopy{Partition: name, Record: record}
+	spread := func(now time.Time, effects *statemachine.Effects, stable bool) {
+		destinations := g.overlay.Destinations(state.name, area)
+		g.spread(now, item, destinations, stable, recordCopy, effects)
+	}
+	if _, topic := g.trackers[name]; topic {
+		g.handleRecordCopy(now, recordCopy, effects)
+	}
+	if g.overlay.Joined(state.name, area) {
+		spread(now, effects, true)
+		return
+	}
+	g.overlay.Publish(now, state.name, area, spread, effects)
+}
+
+// spread sends one copy to each destination gateway.
+func (g *Gateway) spread(
+	now time.Time,
+	item *publication,
+	destinations []string,
+	stable bool,
+	message any,
+	effects *statemachine.Effects,
+) {
+	for _, name := range destinations {
+		if member, found := g.viewClient.Members[name]; found {
+			g.Counts.CopiesOut++
+			effects.Send(member.Address, message)
+		}
+	}
+	g.ring.Record(now, item.request.RequestName, item.request.messageName(),
+		item.request.Client, "fanned-out",
+		"destinations", destinations,
+		"why", "subscriber list of the peer at the topic's area",
+		"settled", stable,
+	)
+}
+
+// retryAppends sends unanswered appends again, and returns when to look next.
+func (g *Gateway) retryAppends(now time.Time, effects *statemachine.Effects) time.Time {
+	var next time.Time
+	for _, item := range statemachine.Sorted(g.appends) {
+		from, known := g.senders[item.key]
+		if known && item.deadline.After(now) && !item.sentAt.Add(appendRetry).After(now) {
+			g.sendAppend(now, from, item, effects)
+		}
+		if item.deadline.After(now) {
+			next = statemachine.Earliest(next, item.sentAt.Add(appendRetry), item.deadline)
+		}
+	}
+	return next
+}
--- a/internal/gateway/catchup.go
+++ b/internal/gateway/catchup.go
@@ -389,7 +389,7 @@
 	if subscription.resumes && after <= subscription.deliveredUpTo {
 		g.startTopicSubscription(now, subscription, effects)
 		for _, record := range response.Records {
-			g.deliverFetched(now, subscription, record, effects)
+			g.deliverFetched(subscription, record, effects)
 		}
 		subscription.deliveredUpTo = max(subscription.deliveredUpTo, response.Until)
 	}
--- /dev/null
+++ b/internal/gateway/ephemeral.go
@@ -0,0 +1,95 @@
+package gateway
+
+import (
+	"time"
+
+	"dahlialock/internal/partition"
+	"dahlialock/internal/statemachine"
+)
+
+// publishEphemeral fans out an ephemeral message once the overlay is stable.
+func (g *Gateway) publishEphemeral(
+	now time.Time,
+	state *spaceState,
+	from *sender,
+	item *publication,
+	effects *statemachine.Effects,
+) {
+	request := item.request
+	if memory, known := from.recent[request.Seq]; known {
+		if memory.digest != partition.MessageDigest(request.Topic, request.Data) {
+			g.finish(now, item, rejectedReply(409, "seq-reused", "this seq was used for another message", 0), effects)
+			return
+		}
+		g.finish(now, item, acceptedReply(map[string]any{"again": true}), effects)
+		return
+	}
+	if request.Seq <= from.lastSeq && now.Sub(from.arrived) > seqMemory {
+		g.finish(now, item, rejectedReply(409, "old-seq", "this seq is not above the sender's newest", 0), effects)
+		return
+	}
+	// A sender that came here a moment ago may retry what another gateway fanned out.
+	// It is fanned out once more; a session that has had it, or a later one, ignores it.
+	area := areaOf(state.space, request.Topic)
+	g.overlay.Publish(now, state.name, area, func(now time.Time, effects *statemachine.Effects, stable bool) {
+		if item.answered {
+			return
+		}
+		if !stable {
+			g.finish(now, item, rejectedReply(503, "no-neighbours", "the overlay is being mended", retryShortDelay), effects)
+			return
+		}
+		if request.Seq > from.lastSeq+1 {
+			from.arrived = now
+		}
+		from.lastSeq = max(from.lastSeq, request.Seq)
+		from.recent[request.Seq] = sentMemory{digest: partition.MessageDigest(request.Topic, request.Data), at: now}
+		for seq, memory := range from.recent {
+			if now.Sub(memory.at) > seqMemory {
+				delete(from.recent, seq)
+			}
+		}
+		message := EphemeralCopy{
+			Space:  state.name,
+			Topic:  request.Topic,
+			Sender: request.Sender,
+			Seq:    request.Seq,
+			Data:   request.Data,
+		}
+		state.remember(now, message, true)
+		g.deliverEphemeral(now, state, message, effects)
+		g.spread(now, item, g.overlay.Destinations(state.name, area), true, message, effects)
+		g.finish(now, item, acceptedReply(map[string]any{"again": false}), effects)
+	}, effects)
+}
+
+// handleEphemeralCopy delivers an ephemeral message, and returns whether anybody here subscribes to
+// its topic.
+func (g *Gateway) handleEphemeralCopy(now time.Time, message EphemeralCopy, effects *statemachine.Effects) bool {
+	space, _ := spaceOf(message.Space + "/")
+	state, found := g.spaces[space]
+	if !found || state.name != message.Space {
+		return false
+	}
+	if !message.Repeated {
+		state.remember(now, message, false)
+	}
+	return g.deliverEphemeral(now, state, message, effects)
+}
+
+// deliverEphemeral delivers an ephemeral message to the sessions here, and returns whether there
+// are any.
+func (g *Gateway) deliverEphemeral(
+	now time.Time,
+	state *spaceState,
+	message EphemeralCopy,
+	effects *statemachine.Effects,
+) bool {
+	holders := state.subscribedSessions(message.Topic)
+	for id := range statemachine.Sorted(holders) {
+		if session, open := g.sessions[id]; open {
+			g.deliverOrBufferEphemeral(now, id, session, message, effects)
+		}
+	}
+	return len(holders) > 0
+}
--- /dev/null
+++ b/internal/gateway/record_delivery.go
@@ -0,0 +1,236 @@
+package gateway
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"dahlialock/internal/decisionlog"
+	"dahlialock/internal/logevent"
+	"dahlialock/internal/partition"
+	"dahlialock/internal/statemachine"
+)
+
+// handleRecordCopy buffers a record and delivers what is ready. It returns whether anybody here
+// subscribes to its topic.
+func (g *Gateway) handleRecordCopy(now time.Time, recordCopy RecordCopy, effects *statemachine.Effects) bool {
+	tracker, found := g.trackers[recordCopy.Partition]
+	if !found {
+		return false
+	}
+	offset := recordCopy.Record.Offset
+	if _, delivered := tracker.delivered[offset]; delivered || tracker.started && offset <= tracker.verified {
+		return true
+	}
+	if _, matters := tracker.startOf(recordCopy.Record.Topic); !matters {
+		return false
+	}
+	if len(tracker.pending) < maxPendingRecords {
+		tracker.pending[offset] = recordCopy.Record
+	}
+	tracker.highWatermark = max(tracker.highWatermark, offset)
+	if g.deferDelivery(now) {
+		return true
+	}
+	g.deliverReady(now, effects)
+	if _, waits := tracker.pending[offset]; waits && tracker.started {
+		g.Counts.Gaps++
+		effects.Emit(logevent.GapFound,
+			"partition", recordCopy.Partition,
+			"offset", offset,
+			"prior", recordCopy.Record.PreviousInTopic,
+		)
+		g.ring.Record(now, "", decisionlog.MessageName(
+			tracker.space,
+			recordCopy.Record.Sender,
+			recordCopy.Record.Seq,
+		), "", "waits",
+			"partition", recordCopy.Partition,
+			"offset", offset,
+			"prior", recordCopy.Record.PreviousInTopic,
+			"before", recordCopy.Record.Dependencies.Messages,
+			"verified", tracker.verified,
+		)
+		tracker.wanted = true
+		g.timers.ArmSooner(timerVerify, now.Add(gapTimeout))
+		g.requestDependencies(tracker, recordCopy.Record)
+	}
+	return true
+}
+
+// requestDependencies marks the partitions that lack something a record depends on.
+func (g *Gateway) requestDependencies(tracker *tracker, record partition.Record) {
+	for _, mark := range record.Dependencies.Messages {
+		other, found := g.trackers[partitionName(tracker.spaceName, int(mark.Partition))]
+		if found && !other.resolved(mark.Topic, mark.Offset) {
+			other.wanted = true
+		}
+	}
+	for _, reach := range record.Dependencies.Floor {
+		other, found := g.trackers[partitionName(tracker.spaceName, int(reach.Partition))]
+		if found && !other.resolvedUpTo(reach.Offset) {
+			other.wanted = true
+		}
+	}
+}
+
+// deliverable returns whether a pending record may be delivered.
+func (g *Gateway) deliverable(now time.Time, tracker *tracker, record partition.Record) bool {
+	since, matters := tracker.startOf(record.Topic)
+	if matters && since == everything || !tracker.started {
+		return false
+	}
+	if statemachine.Mutated("no-order") {
+		return true
+	}
+	if tracker.shared {
+		return record.Offset <= 1 || tracker.resolved(record.Topic, record.Offset-1)
+	}
+	if !tracker.resolved(record.Topic, record.PreviousInTopic) {
+		return false
+	}
+	// If all partitions were verified lately nothing can be missing for long; what
+	// still waits is from a sender that published out of its own order through two
+	// gateways.
+	pendingSince, noted := tracker.pendingSince[record.Offset]
+	if noted && now.Sub(pendingSince) > cycleTimeout && g.recentlyVerified(now, tracker.spaceName) {
+		return true
+	}
+	return g.dependenciesResolved(tracker, record) && g.recentlyVerified(now, tracker.spaceName)
+}
+
+// dependenciesResolved returns whether all that a record names as earlier messages of
+// its sender was delivered here or need not be.
+func (g *Gateway) dependenciesResolved(tracker *tracker, record partition.Record) bool {
+	for _, mark := range record.Dependencies.Messages {
+		other, found := g.trackers[partitionName(tracker.spaceName, int(mark.Partition))]
+		if found && (other != tracker || mark.Offset < record.Offset) && !other.resolved(mark.Topic, mark.Offset) {
+			return false
+		}
+	}
+	for _, reach := range record.Dependencies.Floor {
+		other, found := g.trackers[partitionName(tracker.spaceName, int(reach.Partition))]
+		if found && (other != tracker || reach.Offset < record.Offset) && !other.resolvedUpTo(reach.Offset) {
+			return false
+		}
+	}
+	return true
+}
+
+// pendingRecord is a pending record with its tracker.
+type pendingRecord struct {
+	tracker *tracker
+	record  partition.Record
+}
+
+// deferDelivery arms a timer and returns true if so many records are pending that a scan of all of
+// them for each copy would cost more than a short delay; one scan then serves all copies that come
+// meanwhile.
+func (g *Gateway) deferDelivery(now time.Time) bool {
+	pending := 0
+	for _, tracker := range g.trackers {
+		pending += len(tracker.pending)
+	}
+	if pending <= maxImmediateScan {
+		return false
+	}
+	g.timers.ArmSooner(timerDeliver, now.Add(deliverInterval))
+	return true
+}
+
+// deliverAllReady is that scan; what is still pending after it is fetched.
+func (g *Gateway) deliverAllReady(now time.Time, effects *statemachine.Effects) {
+	g.deliverReady(now, effects)
+	for _, tracker := range statemachine.Sorted(g.trackers) {
+		if !tracker.started || len(tracker.pending) == 0 {
+			continue
+		}
+		tracker.wanted = true
+		g.timers.ArmSooner(timerVerify, now.Add(gapTimeout))
+		for _, record := range statemachine.Sorted(tracker.pending) {
+			g.requestDependencies(tracker, record)
+		}
+	}
+}
+
+// deliverReady delivers all pending records that are deliverable, until none is. Of each sender's
+// pending records in a space only the one with the lowest sequence may be delivered.
+func (g *Gateway) deliverReady(now time.Time, effects *statemachine.Effects) {
+	bySender := map[string][]pendingRecord{}
+	for _, tracker := range statemachine.Sorted(g.trackers) {
+		for offset, record := range statemachine.Sorted(tracker.pending) {
+			if _, delivered := tracker.delivered[offset]; delivered || tracker.started && offset <= tracker.verified {
+				delete(tracker.pending, offset)
+				continue
+			}
+			if _, noted := tracker.pendingSince[offset]; !noted {
+				tracker.pendingSince[offset] = now
+			}
+			key := tracker.spaceName + " " + record.Sender
+			bySender[key] = append(bySender[key], pendingRecord{tracker: tracker, record: record})
+		}
+	}
+	for key := range bySender {
+		slices.SortStableFunc(
+			bySender[key],
+			func(left, right pendingRecord) int { return cmp.Compare(left.record.Seq, right.record.Seq) },
+		)
+	}
+	for progress := len(bySender) > 0; progress; {
+		progress = false
+		for key, queue := range statemachine.Sorted(bySender) {
+			for len(queue) > 0 && g.deliverable(now, queue[0].tracker, queue[0].record) {
+				next := queue[0]
+				queue = queue[1:]
+				delete(next.tracker.pending, next.record.Offset)
+				progress = true
+				g.deliver(now, next.tracker, next.record, effects)
+			}
+			bySender[key] = queue
+		}
+	}
+}
+
+// deliver delivers a record to all sessions with a matching subscription.
+func (g *Gateway) deliver(now time.Time, tracker *tracker, record partition.Record, effects *statemachine.Effects) {
+	tracker.delivered[record.Offset] = now
+	if tracker.shared && record.Offset == tracker.verified+1 {
+		tracker.verified = record.Offset
+	}
+	state, found := g.spaces[tracker.space]
+	if !found {
+		return
+	}
+	for id := range statemachine.Sorted(state.subscribedSessions(record.Topic)) {
+		if session, open := g.sessions[id]; open {
+			g.deliverOrBuffer(now, id, session, RecordCopy{Partition: tracker.name, Record: record}, effects)
+		}
+	}
+}
+
+// subscribedSessions returns the sessions with a subscription that matches a topic exactly,
+// whatever else shares its area.
+func (ss *spaceState) subscribedSessions(topic string) map[uint64]bool {
+	found := map[uint64]bool{}
+	if statemachine.Mutated("no-exact-match") {
+		for _, ids := range ss.topics {
+			for id := range ids {
+				found[id] = true
+			}
+		}
+	}
+	for id := range ss.topics[topic] {
+		found[id] = true
+	}
+	if len(ss.prefixes) == 0 {
+		return found
+	}
+	for end := len(topic); end >= 0; end-- {
+		if end == len(topic) || end == 0 || topic[end] == '/' {
+			for id := range ss.prefixes[topic[:end]] {
+				found[id] = true
+			}
+		}
+	}
+	return found
+}
--- a/internal/gateway/route.go
+++ b/internal/gateway/route.go
@@ -60,3 +60,26 @@
 	}
 	g.rerouteFetches(now, effects)
 }
+
+// leaderOf returns the address and the name of the store that leads a partition.
+func (g *Gateway) leaderOf(name string) (address, store string, found bool) {
+	placement, placed := g.viewClient.Placements[name]
+	if !placed {
+		return "", "", false
+	}
+	member, known := g.viewClient.Members[placement.Leader]
+	return member.Address, placement.Leader, known
+}
+
+// placementsChanged sends what waits for a store to the new leaders of the partitions.
+func (g *Gateway) placementsChanged(now time.Time, effects *statemachine.Effects) {
+	for _, item := range statemachine.Sorted(g.appends) {
+		if from, known := g.senders[item.key]; known && now.Sub(item.sentAt) > 50*time.Millisecond {
+			g.sendAppend(now, from, item, effects)
+		}
+	}
+	g.resendRouted(now, effects)
+	if g.routesChanged() {
+		g.timers.ArmSooner(timerFollow, now)
+	}
+}
--- /dev/null
+++ b/internal/gateway/sender.go
@@ -0,0 +1,207 @@
+package gateway
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"dahlialock/internal/partition"
+	"dahlialock/internal/statemachine"
+)
+
+// senderKey names a sender within a space.
+type senderKey struct {
+	space  string
+	sender string
+}
+
+// sentMemory is an ephemeral message of a sender that was accepted a moment ago.
+type sentMemory struct {
+	digest uint64
+	at     time.Time
+}
+
+// sender is the state of one sender in one space.
+type sender struct {
+	// queue are the publications that wait for their turn; the first one is being processed.
+	queue []*publication
+	// lastSeq is the highest accepted sequence that is known here.
+	lastSeq uint64
+	// lookedUp is set once the stores have responded with lastSeq and the dependencies.
+	lookedUp bool
+	// dependencies are the messages that were accepted within the dependency window.
+	dependencies []dependency
+	// arrived is when the sender came here, or skipped a sequence, which may mean that it was
+	// elsewhere.
+	arrived time.Time
+	// recent are the ephemeral messages of the last moments, by sequence.
+	recent map[uint64]sentMemory
+	// blocked is the sequence that was not accepted and must be sent again before later ones, 0 if
+	// there is none; it lapses blockFor after blockedAt.
+	blocked   uint64
+	blockedAt time.Time
+	// lastUse is when the sender last published; after senderIdleTimeout it is forgotten.
+	lastUse time.Time
+}
+
+// dependency is a message of a sender that was accepted a moment ago: the sender's next messages
+// depend on it.
+type dependency struct {
+	mark partition.MessagePosition
+	seq  uint64
+	at   time.Time
+}
+
+// currentDependencies returns the dependencies that go with a sender's next message.
+func (s *sender) currentDependencies(now time.Time) partition.Dependencies {
+	s.dependencies = slices.DeleteFunc(
+		s.dependencies,
+		func(each dependency) bool { return now.Sub(each.at) > partition.DependencyWindow },
+	)
+	var result partition.Dependencies
+	older := max(0, len(s.dependencies)-partition.MaxDependencies)
+	floors := map[uint8]uint64{}
+	for _, each := range s.dependencies[:older] {
+		floors[each.mark.Partition] = max(floors[each.mark.Partition], each.mark.Offset)
+	}
+	for number, offset := range statemachine.Sorted(floors) {
+		result.Floor = append(result.Floor, partition.PartitionOffset{Partition: number, Offset: offset})
+	}
+	for _, each := range s.dependencies[older:] {
+		result.Messages = append(result.Messages, each.mark)
+	}
+	return result
+}
+
+// senderLookup asks the stores of a space for the newest messages of a sender.
+type senderLookup struct {
+	key senderKey
+	// waiting is how many stores have not responded; answered has an entry for each store that was
+	// asked.
+	waiting  int
+	answered map[string]bool
+	// ready is set while all responses came from stores that lead their partitions.
+	ready bool
+	// lastSeq and recent gather what the stores responded.
+	lastSeq uint64
+	recent  []partition.RecentMessage
+	// deadline is when the lookup is dropped.
+	deadline time.Time
+}
+
+// lookUpSender asks all stores of a space for the newest messages of a sender.
+func (g *Gateway) lookUpSender(now time.Time, state *spaceState, item *publication, effects *statemachine.Effects) {
+	byStore := map[string][]string{}
+	for number := range state.space.Partitions() {
+		name := partitionName(state.name, number)
+		address, _, found := g.leaderOf(name)
+		if !found {
+			g.viewClient.PollNow(now)
+			g.finish(
+				now,
+				item,
+				rejectedReply(503, "not-placed", "the space's partitions are not placed yet", retryLongDelay),
+				effects,
+			)
+			return
+		}
+		byStore[address] = append(byStore[address], name)
+	}
+	g.nextRequest++
+	lookup := &senderLookup{
+		key:      item.key,
+		waiting:  len(byStore),
+		answered: map[string]bool{},
+		ready:    true,
+		deadline: item.deadline,
+	}
+	g.senderLookups[g.nextRequest] = lookup
+	for address, names := range statemachine.Sorted(byStore) {
+		lookup.answered[address] = false
+		effects.Send(address, partition.SenderStateRequest{
+			RequestID:  g.nextRequest,
+			Partitions: names,
+			Sender:     item.request.Sender,
+		})
+	}
+}
+
+// handleSenderResponse applies the response of a store to a sender lookup; each store counts once.
+func (g *Gateway) handleSenderResponse(
+	now time.Time,
+	store string,
+	response partition.SenderStateResponse,
+	effects *statemachine.Effects,
+) {
+	lookup, found := g.senderLookups[response.RequestID]
+	if !found {
+		return
+	}
+	if answered, requested := lookup.answered[store]; (!requested || answered) && !statemachine.Mutated("any-answer") {
+		return
+	}
+	lookup.answered[store] = true
+	lookup.waiting--
+	lookup.ready = lookup.ready && response.Ready
+	lookup.lastSeq = max(lookup.lastSeq, response.LastSeq)
+	lookup.recent = append(lookup.recent, response.RecentMessages...)
+	if lookup.waiting > 0 {
+		return
+	}
+	delete(g.senderLookups, response.RequestID)
+	from, known := g.senders[lookup.key]
+	if !known || len(from.queue) == 0 {
+		return
+	}
+	if !lookup.ready {
+		g.viewClient.PollNow(now)
+		g.finish(
+			now,
+			from.queue[0],
+			rejectedReply(503, "partition-moving", "a partition of the space is being taken over", retryLongDelay),
+			effects,
+		)
+		return
+	}
+	from.lookedUp, from.lastSeq, from.dependencies = true, lookup.lastSeq, nil
+	slices.SortFunc(
+		lookup.recent,
+		func(left, right partition.RecentMessage) int { return cmp.Compare(left.Seq, right.Seq) },
+	)
+	for _, each := range lookup.recent {
+		from.dependencies = append(from.dependencies, dependency{
+			mark: each.Position,
+			seq:  each.Seq,
+			at:   now.Add(-each.Age / 2),
+		})
+	}
+	g.begin(now, from, effects)
+}
+
+// sortedSenders walks the senders with a queue in the order of their space and name.
+func (g *Gateway) sortedSenders() func(yield func(senderKey, *sender) bool) {
+	return func(yield func(senderKey, *sender) bool) {
+		byName := map[string]senderKey{}
+		for key, from := range g.senders {
+			if len(from.queue) > 0 {
+				byName[key.space+" "+key.sender] = key
+			}
+		}
+		for _, key := range statemachine.Sorted(byName) {
+			if from, found := g.senders[key]; found && !yield(key, from) {
+				return
+			}
+		}
+	}
+}
+
+// sendersOf returns the senders of a space by name.
+func (g *Gateway) sendersOf(space string) map[string]*sender {
+	found := map[string]*sender{}
+	for key, sender := range g.senders {
+		if key.space == space {
+			found[key.sender] = sender
+		}
+	}
+	return found
+}
--- a/internal/gateway/stats.go
+++ b/internal/gateway/stats.go
@@ -49,3 +49,33 @@
 
 // Load returns the load that the gateway reports to the controllers.
 func (g *Gateway) Load() membership.Load { return g.load() }
+
+// TrackerStatus is the state of one tracker. The JSON keys are part of the ctl interface.
+type TrackerStatus struct {
+	Verified    uint64        `json:"verified"`
+	Head        uint64        `json:"head"`
+	Pending     int           `json:"held"`
+	Started     bool          `json:"began"`
+	Verifying   bool          `json:"verifying"`
+	Wanted      bool          `json:"wanted"`
+	VerifiedAgo time.Duration `json:"fresh"`
+	Interests   int           `json:"interests"`
+}
+
+// Trackers returns the state of all trackers by partition, for ctl and the simulator.
+func (g *Gateway) Trackers(now time.Time) map[string]TrackerStatus {
+	statuses := map[string]TrackerStatus{}
+	for name, tracker := range g.trackers {
+		statuses[name] = TrackerStatus{
+			Verified:    tracker.verified,
+			Head:        tracker.highWatermark,
+			Pending:     len(tracker.pending),
+			Started:     tracker.started,
+			Verifying:   tracker.verifying,
+			Wanted:      tracker.wanted,
+			VerifiedAgo: now.Sub(tracker.verifiedAt),
+			Interests:   len(tracker.interests),
+		}
+	}
+	return statuses
+}
--- a/internal/gateway/topic_subscription.go
+++ b/internal/gateway/topic_subscription.go
@@ -325,7 +325,6 @@
 
 // deliverFetched delivers a missed record to a subscription that is being filled.
 func (g *Gateway) deliverFetched(
-	now time.Time,
 	subscription *topicSubscription,
 	record partition.Record,
 	effects *statemachine.Effects,
--- /dev/null
+++ b/internal/gateway/verify.go
@@ -0,0 +1,208 @@
+package gateway
+
+import (
+	"slices"
+	"time"
+
+	"dahlialock/internal/config"
+	"dahlialock/internal/decisionlog"
+	"dahlialock/internal/logevent"
+	"dahlialock/internal/partition"
+	"dahlialock/internal/statemachine"
+)
+
+// handleHighWatermarks applies the reports of a store.
+func (g *Gateway) handleHighWatermarks(
+	now time.Time,
+	highWatermarks partition.HighWatermarks,
+	effects *statemachine.Effects,
+) {
+	for _, head := range highWatermarks.HighWatermarks {
+		if config.IsShared(head.Partition) {
+			g.handleTopicHighWatermarks(now, head)
+			continue
+		}
+		tracker, found := g.trackers[head.Partition]
+		if !found || head.Epoch < g.viewClient.Placements[head.Partition].Epoch {
+			continue
+		}
+		tracker.highWatermark = max(tracker.highWatermark, head.Offset)
+		if tracker.started && head.Offset > tracker.verified {
+			tracker.wanted = true
+			g.timers.ArmSooner(timerVerify, now.Add(verifyEvery/2))
+		} else if tracker.started {
+			tracker.advanceVerifiedAt(g.highWatermarksRequestedAt)
+		}
+	}
+	g.deliverReady(now, effects)
+}
+
+// advanceVerifiedAt notes that all records of the partition were here at a moment.
+func (t *tracker) advanceVerifiedAt(at time.Time) {
+	if at.After(t.verifiedAt) {
+		t.verifiedAt = at
+	}
+}
+
+// verifyAll verifies the trackers that may lack a record.
+func (g *Gateway) verifyAll(now time.Time, effects *statemachine.Effects) {
+	for name, tracker := range statemachine.Sorted(g.trackers) {
+		if !tracker.wanted || tracker.verifying || !tracker.started {
+			continue
+		}
+		tracker.wanted = false
+		g.verify(now, name, tracker, effects)
+	}
+}
+
+// verify fetches the records of a partition that the tracker lacks.
+func (g *Gateway) verify(now time.Time, name string, tracker *tracker, effects *statemachine.Effects) {
+	if tracker.shared && tracker.highWatermark <= tracker.verified && len(tracker.pending) == 0 {
+		return
+	}
+	g.Counts.Verifies++
+	tracker.verifying = true
+	tracker.requestedAt = now
+	fetch := &partitionFetch{after: tracker.verified}
+	for interest := range tracker.interests {
+		if tracker.shared {
+			fetch.prefixes = []string{""}
+			break
+		}
+		if interest.Prefix {
+			fetch.prefixes = append(fetch.prefixes, interest.Path)
+		} else {
+			fetch.topics = append(fetch.topics, interest.Path)
+		}
+	}
+	slices.Sort(fetch.topics)
+	slices.Sort(fetch.prefixes)
+	for offset := range tracker.delivered {
+		if offset > tracker.verified && len(fetch.skip) < maxSkippedOffsets {
+			fetch.skip = append(fetch.skip, offset)
+		}
+	}
+	for offset := range tracker.pending {
+		if len(fetch.skip) < maxSkippedOffsets {
+			fetch.skip = append(fetch.skip, offset)
+		}
+	}
+	slices.Sort(fetch.skip)
+	g.nextRequest++
+	operation := &fetchOperation{
+		tracker:    name,
+		version:    tracker.version,
+		partitions: map[string]*partitionFetch{name: fetch},
+		records:    map[string][]partition.Record{},
+		deadline:   now.Add(defaultSubscribeTimeout),
+	}
+	g.fetches[g.nextRequest] = operation
+	g.timers.ArmSooner(timerDeadlines, operation.deadline)
+	g.sendFetch(now, g.nextRequest, name, fetch, effects)
+}
+
+// verified takes the answer to a verification. The missing records go the way of all
+// others, and once they are delivered the partition is verified up to there.
+func (g *Gateway) verified(now time.Time, operation *fetchOperation, effects *statemachine.Effects) {
+	tracker, found := g.trackers[operation.tracker]
+	if !found {
+		return
+	}
+	tracker.verifying = false
+	until := operation.partitions[operation.tracker].until
+	g.addMissing(now, tracker, operation.records[operation.tracker], until, effects)
+	// The answer holds all of this partition up to there, so nothing within it is
+	// missing; only another partition may still hold a message back.
+	g.deliverReady(now, effects)
+	if tracker.version == operation.version {
+		limit := until
+		for offset := range tracker.pending {
+			limit = min(limit, offset-1)
+		}
+		if limit > tracker.verified {
+			tracker.verified = limit
+		}
+		// All up to there is here now, though some of it may have to wait.
+		tracker.advanceVerifiedAt(tracker.requestedAt)
+		g.deliverReady(now, effects)
+	}
+	outdated := tracker.version != operation.version
+	if !outdated && len(tracker.pending) == 0 && tracker.highWatermark <= tracker.verified {
+		return
+	}
+	tracker.wanted = true
+	pause := verifyEvery
+	if len(tracker.pending) > 0 || outdated {
+		pause = gapTimeout
+	}
+	for _, record := range tracker.pending {
+		g.requestDependencies(tracker, record)
+	}
+	g.timers.ArmSooner(timerVerify, now.Add(pause))
+}
+
+// addMissing adds fetched records to the pending ones of a tracker.
+func (g *Gateway) addMissing(
+	now time.Time,
+	tracker *tracker,
+	records []partition.Record,
+	until uint64,
+	effects *statemachine.Effects,
+) {
+	for _, record := range records {
+		if _, delivered := tracker.delivered[record.Offset]; !delivered && record.Offset > tracker.verified {
+			tracker.pending[record.Offset] = record
+		}
+	}
+	if len(records) == 0 {
+		return
+	}
+	effects.Emit(logevent.GapFilled, "partition", tracker.name, "records", len(records), "until", until)
+	for _, record := range records {
+		message := decisionlog.MessageName(tracker.space, record.Sender, record.Seq)
+		g.ring.Record(now, "", message, "", "repaired",
+			"partition", tracker.name,
+			"offset", record.Offset,
+		)
+	}
+}
+
+// followHighWatermarks subscribes to the high watermarks of the partitions in use here at their
+// leaders, and again before the leaders forget it.
+func (g *Gateway) followHighWatermarks(now time.Time, effects *statemachine.Effects) {
+	byStore := map[string]partition.SubscribeHighWatermarks{}
+	g.highWatermarksRequestedAt = now
+	add := func(name string, from uint64) {
+		if address, _, found := g.leaderOf(name); found {
+			follow := byStore[address]
+			follow.Partitions, follow.KnownOffsets = append(follow.Partitions, name), append(follow.KnownOffsets, from)
+			byStore[address] = follow
+		}
+	}
+	for name := range statemachine.Sorted(g.trackers) {
+		add(name, 0)
+	}
+	for name := range statemachine.Sorted(g.routed.partitions) {
+		if from, begun := g.routed.reportedUpTo[name]; begun {
+			g.routed.followRoutes[name] = g.routeTo(name)
+			add(name, from)
+		}
+	}
+	for address, follow := range statemachine.Sorted(byStore) {
+		effects.Send(address, follow)
+	}
+	if len(g.trackers)+len(g.routed.partitions) > 0 {
+		g.timers.Arm(timerFollow, now.Add(followEvery))
+	}
+}
+
+// recentlyVerified returns whether all trackers of a space were verified lately, so that no record
+// older than the dependency window can be missing.
+func (g *Gateway) recentlyVerified(now time.Time, full string) bool {
+	for _, other := range g.trackers {
+		if other.spaceName == full && other.started && now.Sub(other.verifiedAt) > partition.VerificationWindow {
+			return false
+		}
+	}
+	return true
+}
--- a/internal/gateway/view.go
+++ b/internal/gateway/view.go
@@ -167,14 +167,3 @@
 	}
 	g.overlay.RemoveSpace(now, state.name, effects)
 }
-
-// sendersOf returns the senders of a space by name.
-func (g *Gateway) sendersOf(space string) map[string]*sender {
-	found := map[string]*sender{}
-	for key, sender := range g.senders {
-		if key.space == space {
-			found[key.sender] = sender
-		}
-	}
-	return found
-}
