--- a/internal/simulator/bandwidth.go
+++ b/internal/simulator/bandwidth.go
@@ -44,8 +44,8 @@
 	free time.Time
 }
 
-// pass gives the moment at which bytes that come now are through.
-func (l *lane) pass(now time.Time, size int) time.Time {
+// transmitAt gives the moment at which bytes that come now are through.
+func (l *lane) transmitAt(now time.Time, size int) time.Time {
 	if l == nil || l.rate == 0 {
 		return now
 	}
@@ -114,7 +114,7 @@
 	// enter runs something at the end that reads, once it does.
 	enter    func(run func())
 	queue    []*parcel
-	underWay int
+	inFlight int
 	last     time.Time
 	over     bool
 }
@@ -130,12 +130,12 @@
 func (p *pipe) put(added *parcel) {
 	added.left = added.size
 	p.queue = append(p.queue, added)
-	p.pump()
+	p.transmit()
 }
 
-// pump sends what the window has room for.
-func (p *pipe) pump() {
-	for len(p.queue) > 0 && p.underWay < p.simulation.window() && !p.over {
+// transmit sends what the window has room for.
+func (p *pipe) transmit() {
+	for len(p.queue) > 0 && p.inFlight < p.simulation.window() && !p.over {
 		first := p.queue[0]
 		size := min(first.left, segmentSize)
 		first.left -= size
@@ -150,21 +150,21 @@
 // segment takes a few bytes over both machines' links.
 func (p *pipe) segment(of *parcel, size int, last bool) {
 	simulation := p.simulation
-	p.underWay += size
-	at := p.up.pass(simulation.Now, size).Add(p.delay())
+	p.inFlight += size
+	at := p.up.transmitAt(simulation.Now, size).Add(p.delay())
 	if at.Before(p.last) {
 		at = p.last
 	}
 	p.last = at
 	simulation.At(at, func() {
-		simulation.At(p.down.pass(simulation.Now, size), func() {
+		simulation.At(p.down.transmitAt(simulation.Now, size), func() {
 			if p.over {
 				return
 			}
 			p.enter(func() {
 				simulation.After(p.delay(), func() {
-					p.underWay -= size
-					p.pump()
+					p.inFlight -= size
+					p.transmit()
 				})
 				if last {
 					of.landed()
@@ -220,12 +220,12 @@
 
 // outgoingFrame is a message that waits at its sender.
 type outgoingFrame struct {
-	to    *Node
-	life  uint64
-	kind  string
-	class transport.Class
-	frame []byte
-	at    time.Time
+	to          *Node
+	incarnation uint64
+	kind        string
+	class       transport.Class
+	frame       []byte
+	at          time.Time
 }
 
 // dispatch sends a frame over links with a bandwidth.
@@ -236,28 +236,28 @@
 		}
 		return
 	}
-	waits := outgoingFrame{to: to, life: to.incarnation, kind: strings.TrimPrefix(fmt.Sprintf("%T", message), "*"), class: transport.ClassOf(message), frame: frame, at: s.Now}
+	waits := outgoingFrame{to: to, incarnation: to.incarnation, kind: strings.TrimPrefix(fmt.Sprintf("%T", message), "*"), class: transport.ClassOf(message), frame: frame, at: s.Now}
 	for _, lost := range from.order.Push(to.Address, waits.class, len(frame), waits) {
 		from.traffic(lost.kind).Dropped++
 	}
-	from.pumpLinks()
+	from.sendQueued()
 }
 
-// pumpLinks gives the link what it takes, in the order of the transport.
-func (n *Node) pumpLinks() {
+// sendQueued gives the link what it takes, in the order of the transport.
+func (n *Node) sendQueued() {
 	simulation := n.simulation
 	for {
 		if wait := n.pace.Delay(simulation.Now); wait > 0 {
-			n.pumpLater(wait)
+			n.scheduleSend(wait)
 			return
 		}
 		_, next, found := n.order.Pop(func(_ string, each outgoingFrame) bool {
-			return each.gone() || simulation.connect(n, each.to).window.Admits(each.class)
+			return each.undeliverable() || simulation.connect(n, each.to).window.Admits(each.class)
 		})
 		switch {
 		case !found:
 			return
-		case next.gone(), next.class.Expired(simulation.Now.Sub(next.at)):
+		case next.undeliverable(), next.class.Expired(simulation.Now.Sub(next.at)):
 			n.traffic(next.kind).Dropped++
 		default:
 			n.pace.Spend(simulation.Now, len(next.frame))
@@ -266,10 +266,10 @@
 	}
 }
 
-// gone tells whether the life that a frame was for has ended.
-func (of outgoingFrame) gone() bool { return !of.to.Up || of.to.incarnation != of.life }
+// undeliverable tells whether the life that a frame was for has ended.
+func (of outgoingFrame) undeliverable() bool { return !of.to.Up || of.to.incarnation != of.incarnation }
 
-func (n *Node) pumpLater(wait time.Duration) {
+func (n *Node) scheduleSend(wait time.Duration) {
 	if n.sending {
 		return
 	}
@@ -278,7 +278,7 @@
 	n.simulation.After(wait, func() {
 		if n.incarnation == incarnation {
 			n.sending = false
-			n.pumpLinks()
+			n.sendQueued()
 		}
 	})
 }
@@ -313,18 +313,18 @@
 		return
 	}
 	taken.told = count
-	at := to.nic.up.pass(s.Now, confirmationSize).Add(s.delay(to.Zone, from.Zone))
+	at := to.nic.up.transmitAt(s.Now, confirmationSize).Add(s.delay(to.Zone, from.Zone))
 	if at.Before(taken.confirmationAt) {
 		at = taken.confirmationAt
 	}
 	taken.confirmationAt = at
 	s.At(at, func() {
-		s.At(from.nic.down.pass(s.Now, confirmationSize), func() {
+		s.At(from.nic.down.transmitAt(s.Now, confirmationSize), func() {
 			if taken.over || !from.Up || from.incarnation != taken.from {
 				return
 			}
 			taken.window.Acknowledge(s.Now, count)
-			from.pumpLinks()
+			from.sendQueued()
 		})
 	})
 }
@@ -444,7 +444,7 @@
 		tc.simulation.After(lineDelay, run)
 		return
 	}
-	node, incarnation := tc.node, tc.life
+	node, incarnation := tc.node, tc.incarnation
 	if !node.Up || node.incarnation != incarnation {
 		tc.simulation.After(lineDelay, run)
 		return
--- a/internal/simulator/client.go
+++ b/internal/simulator/client.go
@@ -16,27 +16,27 @@
 	"dahlialock/internal/statemachine"
 )
 
-const clientPatience = 2 * time.Second
+const clientTimeout = 2 * time.Second
 
 // Client is one caller.
 type Client struct {
-	simulation *Simulation
-	Name       string
-	Place      int
-	node       *Node
-	channel    uint64
-	turn       int
-	connected  bool
-	subscribed bool
-	cursor     string
-	cutAt      time.Time
-	awayUntil  time.Time
-	interests  []gateway.Interest
-	heardAt    time.Time
-	openedAt   time.Time
-	moveTo     string
-	Gone       bool
-	brief      string
+	simulation     *Simulation
+	Name           string
+	Zone           int
+	node           *Node
+	channel        uint64
+	turn           int
+	connected      bool
+	subscribed     bool
+	cursor         string
+	disconnectedAt time.Time
+	absentUntil    time.Time
+	interests      []gateway.Interest
+	heardAt        time.Time
+	openedAt       time.Time
+	moveTo         string
+	Closed         bool
+	brief          string
 
 	publishes []Plan
 	seqs      map[string]uint64
@@ -55,7 +55,7 @@
 
 // AddClient adds a caller with its interests.
 func (s *Simulation) AddClient(name string, zone int, interests ...gateway.Interest) *Client {
-	client := &Client{simulation: s, Name: name, Place: zone, interests: interests, seqs: map[string]uint64{}, pipeline: 1}
+	client := &Client{simulation: s, Name: name, Zone: zone, interests: interests, seqs: map[string]uint64{}, pipeline: 1}
 	s.clients = append(s.clients, client)
 	for _, interest := range interests {
 		s.Checker.Asked(name, checker.Interest{Space: interest.Space, Path: interest.Path, Wide: interest.Prefix}, s.Now)
@@ -80,7 +80,7 @@
 		if !node.Ready() {
 			continue
 		}
-		if node.Zone == c.Place {
+		if node.Zone == c.Zone {
 			near = append(near, node)
 		}
 		far = append(far, node)
@@ -94,7 +94,7 @@
 	return nil
 }
 
-func (c *Client) later(wait time.Duration) {
+func (c *Client) schedule(wait time.Duration) {
 	turn := c.turn
 	c.simulation.After(wait, func() {
 		if c.turn == turn && !c.connected {
@@ -104,7 +104,7 @@
 }
 
 func (c *Client) connect() {
-	if c.Gone {
+	if c.Closed {
 		return
 	}
 	simulation := c.simulation
@@ -112,7 +112,7 @@
 	turn := c.turn
 	node := c.pick()
 	if node == nil {
-		c.later(300 * time.Millisecond)
+		c.schedule(300 * time.Millisecond)
 		return
 	}
 	c.node = node
@@ -138,28 +138,28 @@
 		}
 		answer, matches := value.(gateway.Reply)
 		if !alive || !matches || answer.Outcome != gateway.OutcomeAccepted {
-			c.cut(turn, 50*time.Millisecond)
+			c.disconnect(turn, 50*time.Millisecond)
 			return
 		}
 		c.connected = true
 		c.heardAt = simulation.Now
 		c.subscribe(turn)
 	})
-	simulation.After(clientPatience, func() {
+	simulation.After(clientTimeout, func() {
 		if !answered {
-			c.cut(turn, 50*time.Millisecond)
+			c.disconnect(turn, 50*time.Millisecond)
 		}
 	})
 }
 
-// cut ends a connection, from either side, and comes back after a while.
-func (c *Client) cut(turn int, wait time.Duration) {
+// disconnect ends a connection, from either side, and comes back after a while.
+func (c *Client) disconnect(turn int, wait time.Duration) {
 	if c.turn != turn {
 		return
 	}
 	simulation := c.simulation
 	if c.subscribed {
-		c.cutAt = simulation.Now
+		c.disconnectedAt = simulation.Now
 	}
 	c.turn++
 	c.connected, c.subscribed = false, false
@@ -174,20 +174,20 @@
 			})
 		})
 	}
-	c.later(wait)
+	c.schedule(wait)
 }
 
 // leave ends a client for good; nothing more is owed to it.
 func (c *Client) leave() {
-	c.Gone = true
+	c.Closed = true
 	c.simulation.Checker.Dropped(c.Name)
-	c.cut(c.turn, 0)
+	c.disconnect(c.turn, 0)
 }
 
 // Reset cuts the client's connection from outside.
 func (c *Client) Reset(wait time.Duration) {
-	c.awayUntil = c.simulation.Now.Add(wait + 2*time.Second)
-	c.cut(c.turn, wait)
+	c.absentUntil = c.simulation.Now.Add(wait + 2*time.Second)
+	c.disconnect(c.turn, wait)
 }
 
 func (c *Client) subscribe(turn int) {
@@ -213,7 +213,7 @@
 		simulation.trace("%s at %s subscribes, resumes %v: %s %s %v", c.Name, c.node.Name, resumes, answer.Outcome, answer.Code, answer.Fields["missed"])
 		switch {
 		case !alive || !matches:
-			c.cut(turn, 20*time.Millisecond)
+			c.disconnect(turn, 20*time.Millisecond)
 		case answer.Outcome == gateway.OutcomeAccepted:
 			c.subscribed = true
 			c.takeCursor(answer.Fields["cursor"].(string))
@@ -223,11 +223,11 @@
 				}
 			}
 		case answer.Code == "place-lost":
-			simulation.trace("%s lost its place, cut %s ago", c.Name, simulation.Now.Sub(c.cutAt))
-			simulation.Checker.CursorLost(c.Name, c.cutAt, simulation.Now)
-			c.Gone = true
+			simulation.trace("%s lost its place, cut %s ago", c.Name, simulation.Now.Sub(c.disconnectedAt))
+			simulation.Checker.CursorLost(c.Name, c.disconnectedAt, simulation.Now)
+			c.Closed = true
 		case answer.Code == "no-such-channel" || answer.Code == "moved":
-			c.cut(turn, 20*time.Millisecond)
+			c.disconnect(turn, 20*time.Millisecond)
 		case answer.Code == "no-such-space" && c.brief != "":
 			c.leave()
 		case answer.RetryAfter > 0:
@@ -239,12 +239,12 @@
 			})
 		default:
 			simulation.Checker.Violate(checker.CursorRejected, "%s: %s %s", c.Name, answer.Code, answer.Text)
-			c.Gone = true
+			c.Closed = true
 		}
 	})
-	simulation.After(clientPatience+time.Second, func() {
+	simulation.After(clientTimeout+time.Second, func() {
 		if !answered {
-			c.cut(turn, 20*time.Millisecond)
+			c.disconnect(turn, 20*time.Millisecond)
 		}
 	})
 }
@@ -276,19 +276,19 @@
 			}, func(any, bool) {})
 		case "move":
 			c.moveTo = event.To
-			c.cut(turn, time.Duration(simulation.Random.IntN(50))*time.Millisecond)
+			c.disconnect(turn, time.Duration(simulation.Random.IntN(50))*time.Millisecond)
 			return
 		}
 	}
 	if deliver.Close {
-		c.cut(turn, 20*time.Millisecond)
+		c.disconnect(turn, 20*time.Millisecond)
 	}
 }
 
 // watch lets a client notice a daemon that has gone silent.
 func (c *Client) watch() {
 	if c.connected && c.simulation.Now.Sub(c.heardAt) > 7*time.Second {
-		c.cut(c.turn, 10*time.Millisecond)
+		c.disconnect(c.turn, 10*time.Millisecond)
 	}
 }
 
@@ -307,7 +307,7 @@
 
 func (c *Client) tick(plan Plan) {
 	simulation := c.simulation
-	if c.stopped || c.Gone {
+	if c.stopped || c.Closed {
 		return
 	}
 	simulation.After(plan.Every/2+time.Duration(simulation.Random.Int64N(int64(plan.Every))), func() { c.tick(plan) })
@@ -319,7 +319,7 @@
 	c.outbox = append(c.outbox, &outgoing{
 		message: message, topic: plan.Topics[simulation.Random.IntN(len(plan.Topics))], data: fmt.Sprintf("%q", message.String()),
 	})
-	c.pump()
+	c.sendNext()
 }
 
 // outgoing is a publication without a final answer.
@@ -327,25 +327,25 @@
 	message  checker.Message
 	topic    string
 	data     string
-	tries    int
+	attempts int
 	inFlight bool
 	again    bool
 }
 
-// pump sends what may be sent: ahead of answers, but never past one whose fate
+// sendNext sends what may be sent: ahead of answers, but never past one whose fate
 // is open or that was refused for a while.
-func (c *Client) pump() {
-	if c.Gone || !c.connected || c.node == nil {
-		if len(c.outbox) > 0 && !c.Gone {
-			c.simulation.After(100*time.Millisecond, c.pump)
+func (c *Client) sendNext() {
+	if c.Closed || !c.connected || c.node == nil {
+		if len(c.outbox) > 0 && !c.Closed {
+			c.simulation.After(100*time.Millisecond, c.sendNext)
 		}
 		return
 	}
 	for _, item := range c.outbox {
 		if !item.inFlight && !item.again {
-			c.try(item)
+			c.attempt(item)
 		}
-		if item.tries > 1 || item.again {
+		if item.attempts > 1 || item.again {
 			return
 		}
 	}
@@ -356,35 +356,35 @@
 // an earlier seq that is on its way again.
 var expected = []string{"moved", "earlier-refused", "no-such-space"}
 
-// try sends one seq once.
-func (c *Client) try(item *outgoing) {
+// attempt sends one seq once.
+func (c *Client) attempt(item *outgoing) {
 	simulation := c.simulation
 	item.inFlight = true
-	item.tries++
+	item.attempts++
 	began, node := simulation.Now, c.node
 	message := item.message
 	simulation.Checker.Attempt(message, item.topic, item.data, began)
-	settled := false
+	done := false
 	finish := func(outcome, code string, again time.Duration) {
-		if settled {
+		if done {
 			return
 		}
-		settled = true
-		if outcome != "accepted" && c.brief == "" && !c.Gone && !slices.Contains(expected, code) {
+		done = true
+		if outcome != "accepted" && c.brief == "" && !c.Closed && !slices.Contains(expected, code) {
 			simulation.Checker.RefusedAs(code, message.String(), simulation.calmSince(), simulation.Now)
 		}
 		item.inFlight = false
-		simulation.trace("%s try %d at %s on %s: %s", message, item.tries, node.Name, item.topic, outcome)
+		simulation.trace("%s try %d at %s on %s: %s", message, item.attempts, node.Name, item.topic, outcome)
 		simulation.Checker.Answered(message, outcome, began, simulation.Now)
-		if again < 0 || item.tries > 60 {
+		if again < 0 || item.attempts > 60 {
 			c.outbox = slices.DeleteFunc(c.outbox, func(other *outgoing) bool { return other == item })
-			c.pump()
+			c.sendNext()
 			return
 		}
 		item.again = true
 		simulation.After(again, func() {
 			item.again = false
-			c.pump()
+			c.sendNext()
 		})
 	}
 	simulation.Call(c.node, func(request uint64) any {
@@ -408,7 +408,7 @@
 			finish(string(answer.Outcome), answer.Code, -1)
 		}
 	})
-	simulation.After(clientPatience, func() { finish("unsettled", "silent", 20*time.Millisecond) })
+	simulation.After(clientTimeout, func() { finish("unsettled", "silent", 20*time.Millisecond) })
 }
 
 // resend sends an accepted seq again within ten seconds: it must be
@@ -416,7 +416,7 @@
 func (c *Client) resend(item *outgoing) {
 	simulation := c.simulation
 	simulation.After(time.Duration(simulation.Random.IntN(3000))*time.Millisecond, func() {
-		if !c.connected || c.Gone {
+		if !c.connected || c.Closed {
 			return
 		}
 		simulation.Call(c.node, func(request uint64) any {
--- a/internal/simulator/closing_test.go
+++ b/internal/simulator/closing_test.go
@@ -84,7 +84,7 @@
 	}
 	run.Run(3 * time.Second)
 	for _, client := range run.clients {
-		if !client.subscribed && !client.Gone {
+		if !client.subscribed && !client.Closed {
 			run.Checker.Violate(checker.NotBack, "%s is still not served at the end", client.Name)
 		}
 	}
@@ -195,10 +195,10 @@
 	t.Helper()
 	run, operator := callers.begin(seed, size)
 	run.Run(2 * time.Second)
-	operator.work(run.Now.Add(topicStorm + 40*time.Second))
+	operator.work(run.Now.Add(topicScenario + 40*time.Second))
 	run.lastFaultAt = run.Now.Add(-checker.FaultSettleTime)
 	if fault.day > 0 {
-		run.day(t, faults.Draw(rand.New(rand.NewPCG(seed, 0xc105)), faults.Names, topicStorm, fault.day))
+		run.day(t, faults.Draw(rand.New(rand.NewPCG(seed, 0xc105)), faults.Names, topicScenario, fault.day))
 	}
 
 	acknowledged := run.acknowledgeMore(t, seed)
@@ -232,7 +232,7 @@
 	for _, fault := range schedule {
 		s.After(fault.Start, func() { s.inject(fault) })
 	}
-	s.Run(topicStorm)
+	s.Run(topicScenario)
 	ended := s.RunUntil(time.Minute, func() bool { return s.open == 0 })
 	assert.Check(t, ended, "a fault has not ended: %s", faults.Format(schedule))
 	s.Run(checker.FaultSettleTime + 4*time.Second)
--- a/internal/simulator/controllers_test.go
+++ b/internal/simulator/controllers_test.go
@@ -116,7 +116,7 @@
 				each.strike(t, simulation)
 				simulation.Run(24 * time.Second)
 				assert.Check(t, simulation.RunUntil(10*time.Second, func() bool { return len(simulation.voters()) == each.voters }), "%v", simulation.voters())
-				simulation.Settle(20 * time.Second)
+				simulation.WaitUntilStable(20 * time.Second)
 				for _, line := range simulation.Checker.Violations() {
 					t.Errorf("seed %d: %s", seed, line)
 				}
--- a/internal/simulator/cutoff_store_test.go
+++ b/internal/simulator/cutoff_store_test.go
@@ -59,7 +59,7 @@
 	assert.Check(t, len(degraded) == 0, "%s, seed %d: the word of one that was cut off took partitions from %v", each, seed, degraded)
 	_, partitions, callers = simulation.serving()
 	assert.Check(t, partitions && callers, "%s, seed %d: partitions %v callers %v, in touch again", each, seed, partitions, callers)
-	simulation.Settle(20 * time.Second)
+	simulation.WaitUntilStable(20 * time.Second)
 	for _, line := range simulation.Checker.Violations() {
 		assert.Check(t, false, "%s, seed %d: %s", each, seed, line)
 	}
--- a/internal/simulator/cutoff_test.go
+++ b/internal/simulator/cutoff_test.go
@@ -223,7 +223,7 @@
 	simulation.Run(contactWithin)
 	each.judgeGateways(t, simulation, inside, false)
 	simulation.Run(8 * time.Second)
-	simulation.Settle(10 * time.Second)
+	simulation.WaitUntilStable(10 * time.Second)
 	assert.Check(t, len(*old) == 0, "%s, seed %d: %v", each, seed, *old)
 	for _, line := range simulation.Checker.Violations() {
 		assert.Check(t, false, "%s, seed %d: %s", each, seed, line)
--- a/internal/simulator/departure_test.go
+++ b/internal/simulator/departure_test.go
@@ -126,7 +126,7 @@
 	if each.method != "" {
 		assert.Check(t, len(told) == 1, "the operator was told %v", told)
 	}
-	simulation.Settle(10 * time.Second)
+	simulation.WaitUntilStable(10 * time.Second)
 	for _, line := range simulation.Checker.Violations() {
 		assert.Check(t, false, "%s, seed %d: %s", each.name, seed, line)
 	}
--- a/internal/simulator/grown.go
+++ b/internal/simulator/grown.go
@@ -127,15 +127,15 @@
 
 // fullest is how many callers the fullest gateway has over the mean.
 func (s *Simulation) fullest() float64 {
-	most, sum := 0, 0
+	maximum, sum := 0, 0
 	gateways := s.Nodes(membership.KindGateway)
 	for _, node := range gateways {
 		if node.Up {
 			held := node.Gateway().Load().Sessions
-			most, sum = max(most, held), sum+held
+			maximum, sum = max(maximum, held), sum+held
 		}
 	}
-	return float64(most) * float64(len(gateways)) / float64(max(1, sum))
+	return float64(maximum) * float64(len(gateways)) / float64(max(1, sum))
 }
 
 // refusals counts the requests that gateways refused so far, in their present lives.
@@ -166,7 +166,7 @@
 	topics := tc.simulation.world.topics
 	for range count {
 		topic := topics[tc.simulation.Random.IntN(len(topics))]
-		tc.topics[topic] = &taken{topic: topic}
+		tc.topics[topic] = &heldSubscription{topic: topic}
 	}
 }
 
@@ -207,7 +207,7 @@
 		return
 	}
 	simulation.After(grownChurn/2+simulation.between(0, grownChurn), tc.demandsTopics)
-	tc.drop(firstOf(tc.topics))
+	tc.drop(firstTopic(tc.topics))
 	topic := world.topics[simulation.Random.IntN(len(world.topics))]
 	tc.take(topic)
 	present, wanted := tc.topics[topic], simulation.Now
@@ -216,8 +216,8 @@
 	}})
 }
 
-// firstOf is the first of a caller's topics by name.
-func firstOf(topics map[string]*taken) string {
+// firstTopic is the first of a caller's topics by name.
+func firstTopic(topics map[string]*heldSubscription) string {
 	first := ""
 	for name := range topics {
 		if first == "" || name < first {
--- a/internal/simulator/grown_test.go
+++ b/internal/simulator/grown_test.go
@@ -33,11 +33,11 @@
 
 // worst is the least share served in a second.
 func worst(seconds []Service) float64 {
-	least := 1.0
+	minimum := 1.0
 	for _, each := range seconds {
-		least = min(least, float64(each.Served)/float64(max(1, each.Wanted)))
+		minimum = min(minimum, float64(each.Served)/float64(max(1, each.Wanted)))
 	}
-	return least
+	return minimum
 }
 
 func TestServiceIsBackAfterALossOfAllPowerOnThinLinks(t *testing.T) {
--- a/internal/simulator/heldlinks.go
+++ b/internal/simulator/heldlinks.go
@@ -12,8 +12,8 @@
 	"dahlialock/internal/membership"
 )
 
-// heldMost is how long a link holds a message at most.
-const heldMost = 2 * time.Second
+// maxHeld is how long a link holds a message at most.
+const maxHeld = 2 * time.Second
 
 // heldLinks is what is known of links that hold messages.
 type heldLinks struct {
@@ -44,7 +44,7 @@
 	if !s.heldLinks.until[from].After(s.Now) && !s.heldLinks.until[to].After(s.Now) || s.Random.IntN(2) == 0 {
 		return time.Time{}, false
 	}
-	release := s.Now.Add(time.Duration(s.Random.Int64N(int64(heldMost))))
+	release := s.Now.Add(time.Duration(s.Random.Int64N(int64(maxHeld))))
 	s.heldLinks.release[key] = release
 	return release, true
 }
@@ -58,9 +58,9 @@
 	})
 }
 
-// restartOverHeldLinks ends a daemon whose links hold messages, and begins it anew
+// restartWithHeldLinks ends a daemon whose links hold messages, and begins it anew
 // while they do; some of its lives are short.
-func (s *Simulation) restartOverHeldLinks(node *Node, lives int) {
+func (s *Simulation) restartWithHeldLinks(node *Node, incarnations int) {
 	if node == nil {
 		return
 	}
@@ -73,8 +73,8 @@
 		}
 		s.After(s.between(20*time.Millisecond, 300*time.Millisecond), node.Start)
 	})
-	if lives > 1 {
-		s.After(s.between(700*time.Millisecond, 1500*time.Millisecond), func() { s.restartOverHeldLinks(node, lives-1) })
+	if incarnations > 1 {
+		s.After(s.between(700*time.Millisecond, 1500*time.Millisecond), func() { s.restartWithHeldLinks(node, incarnations-1) })
 	}
 }
 
@@ -83,7 +83,7 @@
 	kinds := []string{membership.KindController, membership.KindStore, membership.KindStore, membership.KindGateway, membership.KindAgent}
 	simulation.every(length, 1500*time.Millisecond, 3500*time.Millisecond, func() {
 		for range 1 + simulation.Random.IntN(2) {
-			simulation.restartOverHeldLinks(simulation.pickUp(kinds[simulation.Random.IntN(len(kinds))]), 1+simulation.Random.IntN(3))
+			simulation.restartWithHeldLinks(simulation.pickUp(kinds[simulation.Random.IntN(len(kinds))]), 1+simulation.Random.IntN(3))
 		}
 	})
 }
--- a/internal/simulator/injection.go
+++ b/internal/simulator/injection.go
@@ -394,7 +394,7 @@
 	},
 	"held-links": func(simulation *Simulation, fault faults.Fault, end func()) {
 		restartsOverHeldLinks(simulation, fault.Length+2*time.Second)
-		simulation.After(fault.Length+heldMost, end)
+		simulation.After(fault.Length+maxHeld, end)
 	},
 	"resets": func(simulation *Simulation, fault faults.Fault, end func()) { simulation.resetNearlyAll(fault, end) },
 	"vanish": func(simulation *Simulation, fault faults.Fault, end func()) {
@@ -404,7 +404,7 @@
 	"wander": func(simulation *Simulation, fault faults.Fault, end func()) {
 		for turn := range 4 {
 			client := simulation.someClient(fault.Pick + uint64(turn))
-			client.Place = simulation.Random.IntN(simulation.Shape.Zones)
+			client.Zone = simulation.Random.IntN(simulation.Shape.Zones)
 			client.Reset(simulation.between(0, 50*time.Millisecond))
 		}
 		over(fault, simulation, end, func() {})
@@ -553,8 +553,8 @@
 	Noticed, Decided, TakeoverDone, Refilled, ClientsBack time.Duration
 }
 
-// note takes what daemons log as signs of a recovery's first two parts.
-func (c *Recovery) note(number statemachine.EventNumber, after time.Duration) {
+// record takes what daemons log as signs of a recovery's first two parts.
+func (c *Recovery) record(number statemachine.EventNumber, after time.Duration) {
 	switch number {
 	case logevent.MemberSuspected, logevent.TakeoverStarted, logevent.BackupLost, logevent.EpochRecovered:
 		if c.Noticed == 0 {
@@ -581,12 +581,12 @@
 
 func (s *Simulation) callersServed() bool {
 	for _, client := range s.topicClients {
-		if !client.Gone && client.fixed == nil && !client.holds() && !s.Now.Before(client.awayUntil) {
+		if !client.Closed && client.fixed == nil && !client.holds() && !s.Now.Before(client.absentUntil) {
 			return false
 		}
 	}
 	for _, client := range s.clients {
-		if !client.Gone && !client.subscribed && !s.Now.Before(client.awayUntil) {
+		if !client.Closed && !client.subscribed && !s.Now.Before(client.absentUntil) {
 			return false
 		}
 	}
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -77,7 +77,7 @@
 		return
 	}
 	if from.Zone != to.Zone {
-		s.Away += int64(len(frame))
+		s.InterzoneBytes += int64(len(frame))
 	}
 	if release, holds := s.heldUntil(from, to); holds {
 		s.land(from, to, frame, release)
--- a/internal/simulator/orders.go
+++ b/internal/simulator/orders.go
@@ -17,11 +17,11 @@
 
 // Habits of operators who send the same order again.
 const (
-	orderPatience  = time.Second
-	orderPause     = 100 * time.Millisecond
-	orderTries     = 40
-	answersLostOne = 3 // of so many answers one is lost
-	resentWithin   = 12 * time.Second
+	orderTimeout     = time.Second
+	orderPause       = 100 * time.Millisecond
+	maxOrderAttempts = 40
+	answersLostOne   = 3 // of so many answers one is lost
+	resentWithin     = 12 * time.Second
 )
 
 // desk is where several operators work at once.
@@ -29,10 +29,10 @@
 	simulation *Simulation
 	operator   *Operator
 	highest    uint64
-	taken      int
+	accepted   int
 	refused    int
-	// afterTaken, if given, is done right after the next order was confirmed.
-	afterTaken func()
+	// onAccepted, if given, is done right after the next order was confirmed.
+	onAccepted func()
 }
 
 func newDesk(simulation *Simulation) *desk {
@@ -52,50 +52,50 @@
 	return body
 }
 
-// tryElsewhere does something at any daemon but the one that was tried before.
-func (d *desk) tryElsewhere(before string, try func(node *Node)) {
+// attemptElsewhere does something at any daemon but the one that was tried before.
+func (d *desk) attemptElsewhere(before string, attempt func(node *Node)) {
 	node := d.operator.anyNode()
 	if node == nil || node.Name == before && d.simulation.Random.IntN(4) > 0 {
-		d.simulation.After(orderPause, func() { d.tryElsewhere("", try) })
+		d.simulation.After(orderPause, func() { d.attemptElsewhere("", attempt) })
 		return
 	}
-	try(node)
+	attempt(node)
 }
 
 // put sends an order until its fate is clear: after a lost answer, a long silence or
 // a refusal for now it goes to another daemon.
-func (d *desk) put(version uint64, body []byte, tries int, before string) {
+func (d *desk) put(version uint64, body []byte, attempts int, before string) {
 	simulation := d.simulation
-	if tries == 0 {
+	if attempts == 0 {
 		return
 	}
-	d.tryElsewhere(before, func(node *Node) {
-		settled := false
+	d.attemptElsewhere(before, func(node *Node) {
+		answered := false
 		again := func() {
-			if settled {
+			if answered {
 				return
 			}
-			settled = true
-			simulation.After(orderPause*time.Duration(1+simulation.Random.IntN(orderTries-tries+3)), func() { d.put(version, body, tries-1, node.Name) })
+			answered = true
+			simulation.After(orderPause*time.Duration(1+simulation.Random.IntN(maxOrderAttempts-attempts+3)), func() { d.put(version, body, attempts-1, node.Name) })
 		}
-		simulation.After(orderPatience, again)
+		simulation.After(orderTimeout, again)
 		d.order(node, version, body, func(answer checker.OrderAnswer) {
 			switch {
 			case answer == checker.Unclear:
 				again()
-			case settled:
+			case answered:
 			case answer == checker.Acknowledged:
-				settled = true
-				d.taken++
-				if inject := d.afterTaken; inject != nil {
-					d.afterTaken = nil
+				answered = true
+				d.accepted++
+				if inject := d.onAccepted; inject != nil {
+					d.onAccepted = nil
 					simulation.After(simulation.between(0, 4*time.Millisecond), inject)
 				}
 				if simulation.Random.IntN(2) == 0 {
 					simulation.After(simulation.between(0, resentWithin), func() { d.put(version, body, 3, "") })
 				}
 			default:
-				settled = true
+				answered = true
 				d.refused++
 			}
 		})
@@ -127,7 +127,7 @@
 	for who := range operators {
 		version := first + uint64(who%numbers)
 		d.simulation.After(d.simulation.between(0, 30*time.Millisecond), func() {
-			d.put(version, d.content(version, who), orderTries, "")
+			d.put(version, d.content(version, who), maxOrderAttempts, "")
 		})
 	}
 }
@@ -138,62 +138,62 @@
 	stores := d.simulation.Nodes(membership.KindStore)
 	first := d.simulation.Random.IntN(len(stores))
 	pair := []*Node{stores[first], stores[(first+1)%len(stores)]}
-	var away []*Node
+	var absent []*Node
 	left := len(pair)
 	for _, store := range pair {
-		d.retire(store, "retire", orderTries, func(status int) {
+		d.retire(store, "retire", maxOrderAttempts, func(status int) {
 			if status == http.StatusAccepted {
-				away = append(away, store)
+				absent = append(absent, store)
 			}
 			if left--; left > 0 {
 				return
 			}
-			if len(away) == len(pair) {
+			if len(absent) == len(pair) {
 				d.simulation.Checker.Violate(checker.TooFewLeft, "%s and %s were both ordered away", pair[0].Name, pair[1].Name)
 			}
-			d.repeat(away, done)
+			d.repeat(absent, done)
 		})
 	}
 }
 
 // repeat sends orders that were taken again after a while, and takes them back.
-func (d *desk) repeat(away []*Node, done func()) {
-	if len(away) == 0 {
+func (d *desk) repeat(absent []*Node, done func()) {
+	if len(absent) == 0 {
 		done()
 		return
 	}
-	store, rest := away[0], away[1:]
+	store, rest := absent[0], absent[1:]
 	d.simulation.After(d.simulation.between(0, 4*time.Second), func() {
-		d.retire(store, "retire", orderTries, func(status int) {
+		d.retire(store, "retire", maxOrderAttempts, func(status int) {
 			if status != http.StatusAccepted {
 				d.simulation.Checker.Violate(checker.RefusedAgain, "the order to retire %s was taken and then refused with %d", store.Name, status)
 			}
-			d.retire(store, "return", orderTries, func(int) { d.repeat(rest, done) })
+			d.retire(store, "return", maxOrderAttempts, func(int) { d.repeat(rest, done) })
 		})
 	})
 }
 
 // retire sends an order about a store until its fate is clear.
-func (d *desk) retire(store *Node, verb string, tries int, done func(status int)) {
+func (d *desk) retire(store *Node, verb string, attempts int, done func(status int)) {
 	simulation := d.simulation
-	if tries == 0 {
+	if attempts == 0 {
 		done(0)
 		return
 	}
-	d.tryElsewhere("", func(node *Node) {
-		settled := false
+	d.attemptElsewhere("", func(node *Node) {
+		answered := false
 		end := func(status int) {
-			if settled {
+			if answered {
 				return
 			}
-			settled = true
+			answered = true
 			if slices.Contains([]int{http.StatusAccepted, http.StatusConflict, http.StatusNotFound}, status) {
 				done(status)
 				return
 			}
-			simulation.After(simulation.between(orderPause, 5*orderPause), func() { d.retire(store, verb, tries-1, done) })
+			simulation.After(simulation.between(orderPause, 5*orderPause), func() { d.retire(store, verb, attempts-1, done) })
 		}
-		simulation.After(orderPatience, func() { end(0) })
+		simulation.After(orderTimeout, func() { end(0) })
 		simulation.Control(node, http.MethodPost, "/v1/stores/"+store.Name+"/"+verb, nil, func(response membership.ControlResponse, alive bool) {
 			simulation.trace("%s %s through %s: %d", verb, store.Name, node.Name, response.Status)
 			if !alive || simulation.Random.IntN(answersLostOne) == 0 {
@@ -221,11 +221,11 @@
 		case 2:
 			simulation.cutOff(simulation.controllerIn("primary"), wait)
 		case 3:
-			d.afterTaken = func() { simulation.killFor(simulation.controllerIn("primary"), wait, false) }
+			d.onAccepted = func() { simulation.killFor(simulation.controllerIn("primary"), wait, false) }
 		case 4:
-			d.afterTaken = func() { simulation.killFor(simulation.controllerIn("primary"), wait, true) }
+			d.onAccepted = func() { simulation.killFor(simulation.controllerIn("primary"), wait, true) }
 		case 5:
-			d.afterTaken = func() {
+			d.onAccepted = func() {
 				for _, node := range simulation.Nodes(membership.KindController) {
 					simulation.killFor(node, wait/4, false)
 				}
--- a/internal/simulator/orders_test.go
+++ b/internal/simulator/orders_test.go
@@ -49,8 +49,8 @@
 			run.Run(5 * time.Second)
 			faults := run.Checker.Register.Faults()
 			assert.Equal(t, len(faults), 0, "%v", faults)
-			t.Logf("%d operations, %d taken, %d refused", run.Checker.Register.Operations(), desk.taken, desk.refused)
-			assert.Assert(t, desk.taken > 200 && desk.refused > 30)
+			t.Logf("%d operations, %d taken, %d refused", run.Checker.Register.Operations(), desk.accepted, desk.refused)
+			assert.Assert(t, desk.accepted > 200 && desk.refused > 30)
 		})
 	}
 }
@@ -67,7 +67,7 @@
 		taken++
 		assert.Check(t, status == http.StatusAccepted, "refused with %d at %s", status, run.Now)
 	}
-	desk.retire(store, "retire", orderTries, acknowledged)
+	desk.retire(store, "retire", maxOrderAttempts, acknowledged)
 	assert.Assert(t, run.RunUntil(10*time.Second, func() bool {
 		primary := run.Primary()
 		return primary != nil && primary.Machine.(*controller.Controller).State().Members[store.Name].Retired
@@ -76,7 +76,7 @@
 	store.Wipe()
 	const gone = 3 * time.Minute
 	desk.takeOvers(gone)
-	run.every(gone, time.Second, 5*time.Second, func() { desk.retire(store, "retire", orderTries, acknowledged) })
+	run.every(gone, time.Second, 5*time.Second, func() { desk.retire(store, "retire", maxOrderAttempts, acknowledged) })
 	run.Run(gone + 20*time.Second)
 	t.Logf("%d times acknowledged", taken)
 	assert.Assert(t, taken > 40)
--- a/internal/simulator/scenario.go
+++ b/internal/simulator/scenario.go
@@ -57,7 +57,7 @@
 		if beside.HealthySince.After(healthy) {
 			healthy = beside.HealthySince
 		}
-		if s.cutFromMost(node) || s.cutFromMost(beside) {
+		if s.isolatedFromMajority(node) || s.isolatedFromMajority(beside) {
 			continue
 		}
 		if orders := node.Gateway().ViewClient().Directives; !node.Ready() && !orders.Rest && !slices.Contains(node.Gateway().Configuration().Draining, node.Name) {
@@ -73,7 +73,7 @@
 	}
 }
 
-func (s *Simulation) cutFromMost(node *Node) bool {
+func (s *Simulation) isolatedFromMajority(node *Node) bool {
 	cut, all := 0, 0
 	for _, other := range s.Nodes(membership.KindController) {
 		all++
@@ -176,13 +176,13 @@
 	if scenario.Faults != nil {
 		simulation.faultEnds(scenario.Name)
 	}
-	simulation.Settle(20 * time.Second)
+	simulation.WaitUntilStable(20 * time.Second)
 	return simulation
 }
 
-// Settle takes all faults away, lets callers come back and go on for a while,
+// WaitUntilStable takes all faults away, lets callers come back and go on for a while,
 // and closes the book.
-func (s *Simulation) Settle(wait time.Duration) {
+func (s *Simulation) WaitUntilStable(wait time.Duration) {
 	s.Heal()
 	for _, node := range s.Nodes("") {
 		if node.Frozen {
@@ -205,7 +205,7 @@
 	}
 	s.Run(wait)
 	for _, client := range s.clients {
-		if !client.subscribed && !client.Gone {
+		if !client.subscribed && !client.Closed {
 			s.Checker.Violate(checker.NotBack, "%s is still not served %s after the last fault", client.Name, wait)
 		}
 	}
@@ -290,8 +290,8 @@
 	return up[s.Random.IntN(len(up))]
 }
 
-func (s *Simulation) between(least, most time.Duration) time.Duration {
-	return least + time.Duration(s.Random.Int64N(int64(most-least)+1))
+func (s *Simulation) between(minimum, maximum time.Duration) time.Duration {
+	return minimum + time.Duration(s.Random.Int64N(int64(maximum-minimum)+1))
 }
 
 // killFor kills a daemon and starts it again after a while.
@@ -323,7 +323,7 @@
 }
 
 // every repeats a fault over a run.
-func (s *Simulation) every(length, least, most time.Duration, fault func()) {
+func (s *Simulation) every(length, minimum, maximum time.Duration, fault func()) {
 	until := s.Now.Add(length - 2*time.Second)
 	var again func()
 	again = func() {
@@ -331,9 +331,9 @@
 			return
 		}
 		fault()
-		s.After(s.between(least, most), again)
+		s.After(s.between(minimum, maximum), again)
 	}
-	s.After(s.between(0, least), again)
+	s.After(s.between(0, minimum), again)
 }
 
 func (s *Simulation) controllerIn(role string) *Node {
@@ -433,7 +433,7 @@
 	"wander": func(simulation *Simulation, length time.Duration) {
 		simulation.every(length, 500*time.Millisecond, 2*time.Second, func() {
 			client := simulation.clients[simulation.Random.IntN(len(simulation.clients))]
-			client.Place = simulation.Random.IntN(simulation.Shape.Zones)
+			client.Zone = simulation.Random.IntN(simulation.Shape.Zones)
 			client.Reset(simulation.between(0, 50*time.Millisecond))
 		})
 	},
@@ -522,10 +522,10 @@
 		// as the first comes back: what was accepted meanwhile must be elsewhere.
 		simulation.every(length, 16*time.Second, 18*time.Second, func() {
 			stores := simulation.Nodes(membership.KindStore)
-			away := simulation.Random.IntN(len(stores))
+			absent := simulation.Random.IntN(len(stores))
 			wait := simulation.between(400*time.Millisecond, 1500*time.Millisecond)
-			simulation.killFor(stores[away], wait, false)
-			lost := stores[(away+1+simulation.Random.IntN(len(stores)-1))%len(stores)]
+			simulation.killFor(stores[absent], wait, false)
+			lost := stores[(absent+1+simulation.Random.IntN(len(stores)-1))%len(stores)]
 			simulation.After(wait, func() { simulation.killFor(lost, 3*time.Second, true) })
 		})
 	},
@@ -592,7 +592,7 @@
 		})
 		simulation.every(length, 400*time.Millisecond, 900*time.Millisecond, func() {
 			client := simulation.clients[simulation.Random.IntN(len(simulation.clients))]
-			client.Place = simulation.Random.IntN(simulation.Shape.Zones)
+			client.Zone = simulation.Random.IntN(simulation.Shape.Zones)
 			client.Reset(simulation.between(0, 50*time.Millisecond))
 		})
 	},
@@ -705,7 +705,7 @@
 				s.Checker.Removed("brief", s.Now)
 				s.After(6*time.Second, func() {
 					for _, client := range users {
-						client.Gone = true
+						client.Closed = true
 						s.Checker.Dropped(client.Name)
 					}
 					s.Heal()
--- a/internal/simulator/secondloss_test.go
+++ b/internal/simulator/secondloss_test.go
@@ -197,7 +197,7 @@
 	inject(t, run)
 	assert.Check(t, run.RunUntil(12*time.Second, func() bool { return run.Primary() != nil }), "seed %d, nobody serves: %s", seed, records(run))
 	assert.Check(t, run.RunUntil(15*time.Second, func() bool { return len(run.voters()) == 2*tolerance+1 }), "%v", run.voters())
-	run.Settle(10 * time.Second)
+	run.WaitUntilStable(10 * time.Second)
 	for _, line := range run.Checker.Violations() {
 		t.Errorf("seed %d: %s", seed, line)
 	}
--- a/internal/simulator/simulator.go
+++ b/internal/simulator/simulator.go
@@ -93,38 +93,38 @@
 	Trace   func(line string)
 	// OnDepart, if there is one, is told what leaves a daemon as it leaves, and for
 	// whom: an address, or nothing where it is the answer to whoever asked there.
-	OnDepart      func(from *Node, to string, message any)
-	started       time.Time
-	queue         events
-	order         uint64
-	nodes         map[string]*Node
-	byPort        map[string]*Node
-	arrival       map[string]time.Time
-	cuts          map[string]int
-	loss          float64
-	lag           time.Duration
-	relinks       int
-	heldLinks     heldLinks
-	nics          map[string]*nic
-	connections   map[string]*connection
-	clockSkew     time.Duration
-	seeds         []string
-	lastFaultAt   time.Time
-	unready       map[string]time.Duration
-	open          int
-	recovery      *Recovery
-	recoveryStart time.Time
-	primarySince  time.Time
-	Recoveries    []Recovery
-	clients       []*Client
-	topicClients  []*TopicClient
-	probed        map[string]*platform
-	world         *topicWorld
-	operator      *Operator
-	number        uint64
-	Events        int
-	Sent          map[string]int
-	Away          int64
+	OnDepart       func(from *Node, to string, message any)
+	started        time.Time
+	queue          events
+	order          uint64
+	nodes          map[string]*Node
+	byPort         map[string]*Node
+	arrival        map[string]time.Time
+	cuts           map[string]int
+	loss           float64
+	lag            time.Duration
+	relinks        int
+	heldLinks      heldLinks
+	nics           map[string]*nic
+	connections    map[string]*connection
+	clockSkew      time.Duration
+	seeds          []string
+	lastFaultAt    time.Time
+	unready        map[string]time.Duration
+	open           int
+	recovery       *Recovery
+	recoveryStart  time.Time
+	primarySince   time.Time
+	Recoveries     []Recovery
+	clients        []*Client
+	topicClients   []*TopicClient
+	probed         map[string]*platform
+	world          *topicWorld
+	operator       *Operator
+	number         uint64
+	Events         int
+	Sent           map[string]int
+	InterzoneBytes int64
 }
 
 // Node is one daemon of the run.
@@ -367,9 +367,9 @@
 	n.HealthySince = simulation.Now
 	var held storedState
 	if n.disk != nil {
-		book, recovered, err := wal.Open(n.disk)
+		log, recovered, err := wal.Open(n.disk)
 		must(err)
-		n.log = book
+		n.log = log
 		held = storedState{snapshot: recovered.Snapshot, entries: recovered.Entries}
 	}
 	n.Machine = n.build(n, held)
@@ -615,7 +615,7 @@
 	simulation := n.simulation
 	for _, event := range effects.LogEvents {
 		if simulation.recovery != nil {
-			simulation.recovery.note(event.Number, simulation.Now.Sub(simulation.recoveryStart))
+			simulation.recovery.record(event.Number, simulation.Now.Sub(simulation.recoveryStart))
 		}
 		if simulation.Trace != nil {
 			simulation.trace("%s: %d %v", n.Name, event.Number, event.Fields)
--- a/internal/simulator/simulator_test.go
+++ b/internal/simulator/simulator_test.go
@@ -135,8 +135,8 @@
 		assert.Assert(t, client.subscribed)
 		client.Reset(each.away)
 		run.Run(each.away + 3*time.Second)
-		assert.Equal(t, client.Gone, each.lost, "after %s", each.away)
-		run.Settle(10 * time.Second)
+		assert.Equal(t, client.Closed, each.lost, "after %s", each.away)
+		run.WaitUntilStable(10 * time.Second)
 		assert.Equal(t, len(run.Checker.Violations()), 0, "%v", run.Checker.Violations())
 	}
 }
--- a/internal/simulator/topic_client.go
+++ b/internal/simulator/topic_client.go
@@ -24,45 +24,45 @@
 	pingEvery       = 2 * time.Second
 	silentFor       = 5 * time.Second
 	droppedAfter    = 7 * time.Second
-	dialPatience    = time.Second
-	answerPatience  = 1200 * time.Millisecond
+	dialTimeout     = time.Second
+	responseTimeout = 1200 * time.Millisecond
 	topicDeadline   = 1200 * time.Millisecond
 	resendAgain     = 60 * time.Millisecond
 	joinWithin      = 500 * time.Millisecond
-	renewalsMost    = 2
+	maxRenewals     = 2
 	accountableSpan = 10 * time.Second
 )
 
 // TopicClient is one caller of routed topics.
 type TopicClient struct {
-	simulation *Simulation
-	Name       string
-	Place      int
-	fixed      *Node
-	node       *Node
-	life       uint64
-	channel    uint64
-	line       *line
-	turn       int
-	connected  bool
-	heardAt    time.Time
-	saidAt     time.Time
-	beganAt    time.Time
-	awayUntil  time.Time
-	failures   int
-	moveTo     string
-	Gone       bool
-	stopped    bool
-	unjudged   bool
-
-	topics   map[string]*taken
+	simulation  *Simulation
+	Name        string
+	Zone        int
+	fixed       *Node
+	node        *Node
+	incarnation uint64
+	channel     uint64
+	line        *line
+	turn        int
+	connected   bool
+	heardAt     time.Time
+	saidAt      time.Time
+	beganAt     time.Time
+	absentUntil time.Time
+	failures    int
+	moveTo      string
+	Closed      bool
+	stopped     bool
+	unjudged    bool
+
+	topics   map[string]*heldSubscription
 	seq      uint64
 	pipeline int
 	outbox   map[string][]*posting
 }
 
-// taken is a topic that a caller wants to hold.
-type taken struct {
+// heldSubscription is a topic that a caller wants to hold.
+type heldSubscription struct {
 	topic   string
 	cursor  string
 	after   checker.Post
@@ -92,10 +92,10 @@
 
 // AddTopicClient adds a caller that holds topics.
 func (s *Simulation) AddTopicClient(name string, zone int, topics ...string) *TopicClient {
-	client := &TopicClient{simulation: s, Name: name, Place: zone, topics: map[string]*taken{}, outbox: map[string][]*posting{}, pipeline: 1}
+	client := &TopicClient{simulation: s, Name: name, Zone: zone, topics: map[string]*heldSubscription{}, outbox: map[string][]*posting{}, pipeline: 1}
 	s.topicClients = append(s.topicClients, client)
 	for _, topic := range topics {
-		client.topics[topic] = &taken{topic: topic}
+		client.topics[topic] = &heldSubscription{topic: topic}
 	}
 	turn := client.turn
 	s.After(s.between(0, 400*time.Millisecond), func() { client.connect(turn) })
@@ -144,7 +144,7 @@
 	for _, node := range simulation.Nodes(membership.KindGateway) {
 		known, found := simulation.probed[node.Name]
 		switch {
-		case node.Zone == tc.Place:
+		case node.Zone == tc.Zone:
 			zone = append(zone, node)
 			if found && known.in {
 				in = append(in, node)
@@ -168,7 +168,7 @@
 // say sends a command of a size on the line; done is called with its answer if that comes
 // while the connection lasts.
 func (tc *TopicClient) say(size int, command func(request uint64) any, done func(answer gateway.Reply)) {
-	simulation, node, turn, incarnation, line := tc.simulation, tc.node, tc.turn, tc.life, tc.line
+	simulation, node, turn, incarnation, line := tc.simulation, tc.node, tc.turn, tc.incarnation, tc.line
 	tc.saidAt = simulation.Now
 	lost := func() {
 		simulation.After(lineDelay, func() { tc.cut(turn, true, simulation.between(0, 50*time.Millisecond)) })
@@ -204,25 +204,25 @@
 	})
 }
 
-func (tc *TopicClient) later(wait time.Duration) {
+func (tc *TopicClient) schedule(wait time.Duration) {
 	turn := tc.turn
 	tc.simulation.After(wait, func() { tc.connect(turn) })
 }
 
 func (tc *TopicClient) connect(turn int) {
 	simulation := tc.simulation
-	if tc.Gone || tc.turn != turn || tc.connected {
+	if tc.Closed || tc.turn != turn || tc.connected {
 		return
 	}
 	tc.turn++
 	turn = tc.turn
 	tc.node = tc.pick()
 	if tc.node == nil {
-		tc.later(300 * time.Millisecond)
+		tc.schedule(300 * time.Millisecond)
 		return
 	}
 	node := tc.node
-	tc.life = node.incarnation
+	tc.incarnation = node.incarnation
 	tc.beganAt, tc.heardAt = simulation.Now, simulation.Now
 	simulation.number++
 	channel := simulation.number
@@ -252,7 +252,7 @@
 			tc.pump(topic)
 		}
 	})
-	simulation.After(dialPatience, func() {
+	simulation.After(dialTimeout, func() {
 		if tc.turn == turn && !tc.connected {
 			tc.cut(turn, false, simulation.between(0, 200*time.Millisecond))
 		}
@@ -265,7 +265,7 @@
 	if tc.turn != turn {
 		return
 	}
-	simulation, node, incarnation, channel := tc.simulation, tc.node, tc.life, tc.channel
+	simulation, node, incarnation, channel := tc.simulation, tc.node, tc.incarnation, tc.channel
 	tc.turn++
 	tc.line.close()
 	tc.line = nil
@@ -296,11 +296,11 @@
 		}
 	}
 	if node != nil {
-		gone := droppedAfter
+		removed := droppedAfter
 		if tells {
-			gone = lineDelay
+			removed = lineDelay
 		}
-		simulation.After(gone, func() {
+		simulation.After(removed, func() {
 			if !node.Up || node.incarnation != incarnation {
 				return
 			}
@@ -315,12 +315,12 @@
 			})
 		})
 	}
-	tc.later(wait)
+	tc.schedule(wait)
 }
 
 // leave ends a caller for good.
 func (tc *TopicClient) leave() {
-	tc.Gone = true
+	tc.Closed = true
 	for _, each := range statemachine.Sorted(tc.topics) {
 		if each.entry != nil {
 			each.entry.End(tc.simulation.Now)
@@ -329,16 +329,16 @@
 	tc.cut(tc.turn, true, 0)
 }
 
-// Away cuts the connection, by closing it or by falling silent.
-func (tc *TopicClient) Away(closes bool, wait time.Duration) {
-	tc.awayUntil = tc.simulation.Now.Add(wait + 2*time.Second)
+// Leave cuts the connection, by closing it or by falling silent.
+func (tc *TopicClient) Leave(closes bool, wait time.Duration) {
+	tc.absentUntil = tc.simulation.Now.Add(wait + 2*time.Second)
 	tc.cut(tc.turn, closes, wait)
 }
 
 // watch says something now and then, and resets a connection that is silent.
 func (tc *TopicClient) watch() {
 	simulation := tc.simulation
-	if tc.Gone {
+	if tc.Closed {
 		return
 	}
 	simulation.After(500*time.Millisecond, tc.watch)
@@ -355,7 +355,7 @@
 	}
 	// Signs of life are answered by the line itself.
 	tc.saidAt = simulation.Now
-	node, incarnation, turn, channel := tc.node, tc.life, tc.turn, tc.channel
+	node, incarnation, turn, channel := tc.node, tc.incarnation, tc.turn, tc.channel
 	line := tc.line
 	tc.toNode(0, func() {
 		if !node.Up || node.incarnation != incarnation {
@@ -379,7 +379,7 @@
 
 // blame tells the checker of a request that a daemon refused.
 func (tc *TopicClient) blame(code, what string) {
-	if !tc.unjudged && !tc.Gone {
+	if !tc.unjudged && !tc.Closed {
 		tc.simulation.Checker.RefusedAs(code, what, tc.simulation.calmSince(), tc.simulation.Now)
 	}
 }
@@ -388,10 +388,10 @@
 
 // take begins to hold a topic.
 func (tc *TopicClient) take(topic string) {
-	if present, found := tc.topics[topic]; found && !present.leaving || tc.Gone {
+	if present, found := tc.topics[topic]; found && !present.leaving || tc.Closed {
 		return
 	}
-	tc.topics[topic] = &taken{topic: topic}
+	tc.topics[topic] = &heldSubscription{topic: topic}
 	if tc.connected {
 		tc.subscribe(tc.topics[topic])
 	}
@@ -426,7 +426,7 @@
 	})
 }
 
-func (tc *TopicClient) subscribe(each *taken) {
+func (tc *TopicClient) subscribe(each *heldSubscription) {
 	simulation, turn, topic := tc.simulation, tc.turn, each.topic
 	if each.asked || each.held || each.leaving {
 		return
@@ -480,7 +480,7 @@
 		case each.leaving:
 			// It was taken back before it was answered.
 		case answer.Code == "moved" || answer.Code == "no-such-channel":
-			tc.blameUnlessMoved(answer.Code, "subscription of "+tc.Name)
+			tc.violateUnlessMoved(answer.Code, "subscription of "+tc.Name)
 			tc.cut(turn, true, simulation.between(0, 50*time.Millisecond))
 		default:
 			if answer.RetryAfter == 0 {
@@ -490,7 +490,7 @@
 			again(simulation.between(100*time.Millisecond, 900*time.Millisecond))
 		}
 	})
-	simulation.After(answerPatience+300*time.Millisecond, func() {
+	simulation.After(responseTimeout+300*time.Millisecond, func() {
 		if tc.turn == turn && each.asked && tc.topics[topic] == each && each.askedAt.Equal(sent) {
 			tc.blame("silent", "subscription of "+tc.Name)
 			tc.cut(turn, true, 0)
@@ -498,7 +498,7 @@
 	})
 }
 
-func (tc *TopicClient) blameUnlessMoved(code, what string) {
+func (tc *TopicClient) violateUnlessMoved(code, what string) {
 	if code != "moved" {
 		tc.blame(code, what)
 	}
@@ -592,7 +592,7 @@
 // publish sends something new on a topic, if its earlier ones leave room.
 func (tc *TopicClient) publish(topic string) {
 	queue := tc.outbox[topic]
-	if tc.Gone || tc.stopped || len(queue) >= tc.pipeline || !tc.connected {
+	if tc.Closed || tc.stopped || len(queue) >= tc.pipeline || !tc.connected {
 		return
 	}
 	item := &posting{topic: topic, wanted: tc.simulation.Now}
@@ -642,7 +642,7 @@
 	}
 	item.inFlight = true
 	item.tries++
-	name, tries, sent := item.name, item.tries, simulation.Now
+	name, attempts, sent := item.name, item.tries, simulation.Now
 	simulation.Checker.PostTried(name, item.topic, item.body, item.wanted, sent)
 	node := tc.node
 	again := func(wait time.Duration) {
@@ -657,7 +657,7 @@
 		})
 	}
 	tc.post(item, func(answer gateway.Reply) {
-		simulation.trace("%s/%d try %d at %s on %s: %s %s", name.Sender, name.Seq, tries, node.Name, item.topic, answer.Outcome, answer.Code)
+		simulation.trace("%s/%d try %d at %s on %s: %s %s", name.Sender, name.Seq, attempts, node.Name, item.topic, answer.Outcome, answer.Code)
 		tc.settled(item, string(answer.Outcome), answer.Code)
 		switch {
 		case answer.Outcome == gateway.OutcomeAccepted:
@@ -675,7 +675,7 @@
 			simulation.Checker.Handled("a publication", item.topic, false, sent, simulation.Now)
 			tc.finish(item)
 		case answer.RetryAfter > 0 || answer.Code == "old-seq":
-			if item.renewals++; item.renewals > renewalsMost || late() {
+			if item.renewals++; item.renewals > maxRenewals || late() {
 				tc.finish(item)
 				break
 			}
@@ -691,8 +691,8 @@
 		}
 		tc.pump(item.topic)
 	})
-	simulation.After(answerPatience, func() {
-		if tc.turn == turn && item.inFlight && item.name == name && item.tries == tries {
+	simulation.After(responseTimeout, func() {
+		if tc.turn == turn && item.inFlight && item.name == name && item.tries == attempts {
 			tc.blame("silent", fmt.Sprintf("%s/%d on %s", name.Sender, name.Seq, item.topic))
 			tc.cut(turn, true, 0)
 		}
@@ -713,7 +713,7 @@
 func (tc *TopicClient) resend(item *posting) {
 	simulation, accepted := tc.simulation, tc.simulation.Now
 	simulation.After(simulation.between(0, accountableSpan*8/10), func() {
-		if !tc.connected || tc.Gone {
+		if !tc.connected || tc.Closed {
 			return
 		}
 		tc.post(item, func(answer gateway.Reply) {
--- a/internal/simulator/topics.go
+++ b/internal/simulator/topics.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	topicStorm = 14 * time.Second
-	savedMost  = 300
-	takeEach   = 12
+	topicScenario = 14 * time.Second
+	maxSaved      = 300
+	takeEach      = 12
 )
 
 // topicRoute leads a prefix to a space of its own.
@@ -119,7 +119,7 @@
 }
 
 // save notes some of the cursors that callers are given.
-func (s *Simulation) save(each *taken) {
+func (s *Simulation) save(each *heldSubscription) {
 	world := s.world
 	if each.entry == nil || each.entry.Ended() || each.cursor == "" {
 		return
@@ -133,9 +133,9 @@
 		}
 		return
 	}
-	if len(world.saved) < savedMost {
+	if len(world.saved) < maxSaved {
 		world.saved = append(world.saved, saved)
-	} else if index := s.Random.IntN(world.given); index < savedMost {
+	} else if index := s.Random.IntN(world.given); index < maxSaved {
 		world.saved[index] = saved
 	}
 }
@@ -158,7 +158,7 @@
 	s.world.crowdAt = s.Now
 	for number := range count {
 		client := s.AddTopicClient(fmt.Sprintf("caller-%d", number), number%s.Shape.Zones)
-		client.settleIn(number)
+		client.finishJoining(number)
 	}
 	for number, node := range s.Nodes(membership.KindGateway)[:3] {
 		client := s.AddTopicClient(fmt.Sprintf("prober-%d", number), node.Zone)
@@ -167,24 +167,24 @@
 	}
 }
 
-// settleIn gives a caller its topics and habits.
-func (tc *TopicClient) settleIn(number int) {
+// finishJoining gives a caller its topics and habits.
+func (tc *TopicClient) finishJoining(number int) {
 	simulation := tc.simulation
 	topics := simulation.world.topics
 	for range 3 + number%2 {
 		topic := topics[simulation.Random.IntN(len(topics))]
-		tc.topics[topic] = &taken{topic: topic}
+		tc.topics[topic] = &heldSubscription{topic: topic}
 	}
 	if number%4 == 3 {
 		tc.pipeline = 8
 	}
 	once := onceTopic(number % onceCount)
-	tc.topics[once] = &taken{topic: once}
+	tc.topics[once] = &heldSubscription{topic: once}
 	tc.publishes(180 * time.Millisecond)
 	if hot := simulation.world.hot; hot != "" {
 		// Most gateways have nobody who holds it.
 		if number < 2 {
-			tc.topics[hot] = &taken{topic: hot}
+			tc.topics[hot] = &heldSubscription{topic: hot}
 		}
 		if number == 3 {
 			tc.floods(hot)
@@ -196,7 +196,7 @@
 // floods lets a caller send to one topic as fast as it is answered.
 func (tc *TopicClient) floods(topic string) {
 	tc.simulation.After(30*time.Millisecond, func() {
-		if tc.Gone || tc.stopped {
+		if tc.Closed || tc.stopped {
 			return
 		}
 		tc.publish(topic)
@@ -208,7 +208,7 @@
 func (tc *TopicClient) publishes(every time.Duration) {
 	simulation := tc.simulation
 	simulation.After(every/2+simulation.between(0, every), func() {
-		if tc.Gone || tc.stopped {
+		if tc.Closed || tc.stopped {
 			return
 		}
 		topics := simulation.world.topics
@@ -232,7 +232,7 @@
 func (tc *TopicClient) wanders() {
 	simulation := tc.simulation
 	simulation.After(simulation.between(500*time.Millisecond, 2500*time.Millisecond), func() {
-		if tc.Gone || tc.stopped {
+		if tc.Closed || tc.stopped {
 			return
 		}
 		tc.wanders()
@@ -256,7 +256,7 @@
 			tc.take(topic)
 		case 2:
 			if tc.connected {
-				tc.Away(simulation.Random.IntN(2) == 0, simulation.between(300*time.Millisecond, 8*time.Second))
+				tc.Leave(simulation.Random.IntN(2) == 0, simulation.between(300*time.Millisecond, 8*time.Second))
 			}
 		default:
 			tc.count(topic)
@@ -269,7 +269,7 @@
 func (tc *TopicClient) probes() {
 	simulation := tc.simulation
 	simulation.After(simulation.between(100*time.Millisecond, 500*time.Millisecond), func() {
-		if tc.Gone || tc.stopped {
+		if tc.Closed || tc.stopped {
 			return
 		}
 		tc.probes()
@@ -297,14 +297,14 @@
 	simulation.TopicCrowd(size.Clients)
 	simulation.Run(2 * time.Second)
 	if schedule.Changes {
-		operator.work(simulation.Now.Add(topicStorm + 20*time.Second))
+		operator.work(simulation.Now.Add(topicScenario + 20*time.Second))
 	}
 	simulation.lastFaultAt = simulation.Now.Add(-checker.FaultSettleTime)
 	simulation.trace("storm: %s; last %s", faults.Format(schedule.Storm), schedule.Last)
 	for _, fault := range schedule.Storm {
 		simulation.After(fault.Start, func() { simulation.inject(fault) })
 	}
-	simulation.Run(topicStorm)
+	simulation.Run(topicScenario)
 	if !simulation.RunUntil(60*time.Second, func() bool { return simulation.open == 0 }) {
 		simulation.Checker.Violate(checker.NotBack, "a fault has not come to its end after a minute")
 	}
@@ -392,8 +392,8 @@
 		client.stopped = true
 		if client.fixed != nil {
 			client.leave()
-		} else if !client.connected && !client.Gone {
-			client.later(0)
+		} else if !client.connected && !client.Closed {
+			client.schedule(0)
 		}
 	}
 	s.Run(2 * time.Second)
@@ -408,7 +408,7 @@
 		s.Checker.Violate(checker.StaleRead, "the configuration does not come back at the end")
 	}
 	for _, client := range s.topicClients {
-		if !client.Gone && !client.holds() {
+		if !client.Closed && !client.holds() {
 			s.Checker.Violate(checker.NotBack, "%s is still not served at the end", client.Name)
 		}
 	}
@@ -438,7 +438,7 @@
 		}
 		taker := takers[chosen]
 		taker.stopped = true
-		taker.topics[cursor.Topic] = &taken{
+		taker.topics[cursor.Topic] = &heldSubscription{
 			topic: cursor.Topic, cursor: cursor.Cursor, after: cursor.After, entry: s.Checker.Subscribing(taker.Name, cursor.Topic, &cursor),
 		}
 	}
@@ -455,8 +455,8 @@
 }
 
 // change takes a fleeting route away, or brings it back.
-func (s *Simulation) change(prefix string, away bool, done func()) {
-	s.world.away[prefix] = away
+func (s *Simulation) change(prefix string, absent bool, done func()) {
+	s.world.away[prefix] = absent
 	s.operator.next(done)
 }
 
@@ -466,21 +466,21 @@
 	"resets": func(simulation *Simulation, fault faults.Fault, end func()) {
 		for _, client := range simulation.topicClients {
 			if simulation.Random.IntN(5) > 0 && client.connected {
-				client.Away(true, simulation.between(0, 400*time.Millisecond))
+				client.Leave(true, simulation.between(0, 400*time.Millisecond))
 			}
 		}
 		over(fault, simulation, end, func() {})
 	},
 	"vanish": func(simulation *Simulation, fault faults.Fault, end func()) {
 		client := simulation.topicClients[fault.Pick%uint64(len(simulation.topicClients))]
-		client.Away(fault.Pick%3 == 0, fault.Length*4)
+		client.Leave(fault.Pick%3 == 0, fault.Length*4)
 		simulation.After(fault.Length*4, end)
 	},
 	"wander": func(simulation *Simulation, fault faults.Fault, end func()) {
 		for _, client := range simulation.topicClients {
 			if simulation.Random.IntN(3) == 0 && client.connected {
-				client.Place = simulation.Random.IntN(simulation.Shape.Zones)
-				client.Away(true, simulation.between(0, 50*time.Millisecond))
+				client.Zone = simulation.Random.IntN(simulation.Shape.Zones)
+				client.Leave(true, simulation.between(0, 50*time.Millisecond))
 			}
 		}
 		over(fault, simulation, end, func() {})
@@ -532,7 +532,7 @@
 // drawTopicPlot draws the plot of a seed.
 func drawTopicPlot(seed uint64, names []string, count int) TopicPlot {
 	random := rand.New(rand.NewPCG(seed, 0x70b1))
-	schedule := TopicPlot{Storm: faults.Draw(random, names, topicStorm, count), Changes: true}
+	schedule := TopicPlot{Storm: faults.Draw(random, names, topicScenario, count), Changes: true}
 	last := append(slices.Clone(TopicLast), faults.Last...)
 	if random.IntN(2) == 0 {
 		schedule.Last = last[random.IntN(len(last))]
