--- a/internal/controller/apply.go
+++ b/internal/controller/apply.go
@@ -1,6 +1,3 @@
-// The application of commands: each part is judged by the state that the log's
-// order has led to, and changes only the fields that it is about.
-
 package controller
 
 import (
@@ -14,83 +11,91 @@
 	"dahlialock/internal/transport"
 )
 
-// Apply changes the state by one command; what came of an operator's order in it
-// is the state's result until the next.
-func (s *State) Apply(_ time.Time, packed []byte) {
+// Apply changes the state by one committed command. The consensus node calls it in the
+// order of the log. What became of an operator's order in the command is the state's
+// result until the next command.
+//
+// Apply panics on a command that can't be read: the log is damaged, or of another program.
+func (s *State) Apply(_ time.Time, encoded []byte) {
 	var command Command
-	if err := transport.Unmarshal(packed, &command); err != nil {
+	if err := transport.Unmarshal(encoded, &command); err != nil {
 		panic(err)
 	}
 	s.Index++
-	s.result = result{}
+	s.result = orderResult{}
 	if command.Configuration != nil {
 		s.result = s.applyConfiguration(*command.Configuration)
 	}
 	if command.Retirement != nil {
-		s.result = result{outcome: s.applyRetirement(*command.Retirement)}
+		s.result = orderResult{outcome: s.applyRetirement(*command.Retirement)}
 	}
 	if command.Tolerance != nil {
 		s.Tolerance = *command.Tolerance
 	}
-	for _, departure := range command.Departures {
-		s.applyDeparture(departure)
+	s.applyMemberChanges(command)
+	for _, placement := range command.Placements {
+		s.applyPlacement(placement)
 	}
-	for _, join := range command.Joins {
-		s.applyJoin(join)
+	for _, replicated := range command.Replicated {
+		s.applyReplicated(replicated)
 	}
-	for _, name := range command.Emptied {
-		s.applyEmptied(name)
+	for _, removal := range command.Removals {
+		s.applyRemoval(removal)
 	}
-	s.applyDegradations(command.Degradations)
-	for _, rest := range command.Rests {
-		s.applyRest(rest)
+}
+
+func (s *State) applyMemberChanges(command Command) {
+	for _, leave := range command.Leaves {
+		s.applyLeave(leave)
 	}
-	for _, place := range command.Places {
-		s.applyPlace(place)
+	for _, join := range command.Joins {
+		s.applyJoin(join)
 	}
-	for _, settled := range command.Settled {
-		s.applySettled(settled)
+	for _, name := range command.RetiredStores {
+		s.applyRetired(name)
 	}
-	for _, departure := range command.Forgotten {
-		s.applyForget(departure)
+	s.applyDegradations(command.Degradations)
+	for _, change := range command.RestChanges {
+		s.applyRestChange(change)
 	}
 }
 
 func (s *State) setMember(member membership.Member) {
-	s.Members[member.Name], s.MemberAt[member.Name] = member, s.Index
-	s.unbury(member.Name)
+	s.Members[member.Name], s.MemberModifiedAt[member.Name] = member, s.Index
+	s.dropTombstone(member.Name)
 }
 
-func (s *State) setPlace(place membership.Placement) {
-	s.Places[place.Partition], s.PlaceAt[place.Partition] = place, s.Index
+func (s *State) setPlacement(placement membership.Placement) {
+	s.Placements[placement.Partition] = placement
+	s.PlacementModifiedAt[placement.Partition] = s.Index
 }
 
-// Orders.
-
-func (s *State) applyConfiguration(change ConfigurationChange) result {
-	if outcome, found := s.decided(change); found {
-		return result{outcome: outcome}
+// applyConfiguration decides on an operator's configuration and brings it into force if it
+// is accepted.
+func (s *State) applyConfiguration(change ConfigurationChange) orderResult {
+	if outcome, found := s.recordedOutcome(change); found {
+		return orderResult{outcome: outcome}
 	}
 	if change.Version <= s.Version {
-		if change.Highest {
-			s.remember(change, true)
+		if change.HighestWins {
+			s.recordDecision(change, true)
 		}
-		return result{outcome: Overtaken}
+		return orderResult{outcome: Superseded}
 	}
 	configuration, faults := config.Read(change.Document)
 	if len(faults) > 0 {
-		panic("a command with a faulty configuration")
+		panic("a command with an invalid configuration")
 	}
 	if faults := s.drainFaults(configuration); len(faults) > 0 && !statemachine.Mutated("check-then-act") {
-		return result{outcome: Faulty, faults: faults}
+		return orderResult{outcome: InvalidConfiguration, faults: faults}
 	}
-	s.takeConfiguration(change, configuration)
-	s.remember(change, false)
-	return result{outcome: Taken}
+	s.installConfiguration(change, configuration)
+	s.recordDecision(change, false)
+	return orderResult{outcome: Accepted}
 }
 
-// drainFaults looks at what only the cluster can tell: that the gateways to be
-// drained exist, and that one would be left.
+// drainFaults checks what only the control state can tell: that the gateways to be drained
+// exist, and that a live one would be left.
 func (s *State) drainFaults(configuration config.Configuration) []config.Fault {
 	if len(configuration.Draining) == 0 {
 		return nil
@@ -99,36 +104,44 @@
 	for position, name := range configuration.Draining {
 		if member, found := s.Members[name]; !found || member.Kind != membership.KindGateway {
 			faults = append(faults, config.Fault{
-				Path: fmt.Sprintf("$.drains[%d]", position), Code: "dangling-name", Text: fmt.Sprintf("no gateway is named %q", name),
+				Path: fmt.Sprintf("$.drains[%d]", position),
+				Code: "dangling-name",
+				Text: fmt.Sprintf("no gateway is named %q", name),
 			})
 		}
 	}
 	for _, member := range s.Members {
-		if member.Kind == membership.KindGateway && member.Alive && !slices.Contains(configuration.Draining, member.Name) {
+		drained := slices.Contains(configuration.Draining, member.Name)
+		if member.Kind == membership.KindGateway && member.Alive && !drained {
 			return faults
 		}
 	}
-	return append(faults, config.Fault{Path: "$.drains", Code: "clash", Text: "no living gateway would be left"})
+	return append(faults, config.Fault{
+		Path: "$.drains",
+		Code: "clash",
+		Text: "no living gateway would be left",
+	})
 }
 
+// applyRetirement decides on an order to retire a store, or to use it again.
 func (s *State) applyRetirement(order Retirement) Outcome {
-	member, found := s.member(order.Store)
+	member, found := s.memberOrTombstone(order.Store)
 	switch {
 	case !found || member.Kind != membership.KindStore:
 		return UnknownStore
-	case member.Retiring == order.Retiring || s.tookOrder(order.Order):
-		return Repeated
-	case order.Retiring && !s.maySpare(order.Store) && !statemachine.Mutated("check-then-act"):
+	case member.Retiring == order.Retiring || s.acceptedBefore(order.Order):
+		return Duplicate
+	case order.Retiring && !s.mayRetire(order.Store) && !statemachine.Mutated("check-then-act"):
 		return TooFewStores
 	}
 	member.Retiring, member.Retired = order.Retiring, false
 	s.setMember(member)
-	s.rememberOrder(order.Order)
-	return Taken
+	s.recordOrder(order.Order)
+	return Accepted
 }
 
-// maySpare tells whether enough other stores would be left without one.
-func (s *State) maySpare(store string) bool {
+// mayRetire reports whether enough other stores would be left without one.
+func (s *State) mayRetire(store string) bool {
 	others := 0
 	for _, other := range s.Members {
 		if other.Kind == membership.KindStore && other.Name != store && other.Alive && !other.Retiring {
@@ -138,59 +151,59 @@
 	return others > s.Tolerance
 }
 
-// Members.
-
-// joined is a member's record once a life of it has joined. An order to empty a
-// store holds whatever becomes of its processes and disk, until it is done: then the
-// machine is taken away, and one of its name with another disk is a new one.
-func (s *State) joined(self membership.Member) membership.Member {
-	known, found := s.member(self.Name)
-	anew := !found || known.Incarnation != self.Incarnation
-	next := self
-	next.Alive = true
-	next.Joined, next.Retiring, next.Retired = known.Joined, known.Retiring, known.Retired
-	next.Resting, next.Degraded = known.Resting && !anew, known.Degraded && !anew
+// joinedMember is a member's record after an incarnation of it has joined. An order to
+// retire a store holds for whatever process and disk it comes back with, until it is
+// carried out. After that the machine is taken away, and a store of the name with another
+// disk is a new one.
+func (s *State) joinedMember(self membership.Member) membership.Member {
+	known, found := s.memberOrTombstone(self.Name)
+	sameIncarnation := found && known.Incarnation == self.Incarnation
+	joined := self
+	joined.Alive = true
+	joined.Joined, joined.Retiring, joined.Retired = known.Joined, known.Retiring, known.Retired
+	joined.Resting = known.Resting && sameIncarnation
+	joined.Degraded = known.Degraded && sameIncarnation
 	if known.Retired && known.Disk != self.Disk {
-		next.Retiring, next.Retired = false, false
+		joined.Retiring, joined.Retired = false, false
 	}
-	return next
+	return joined
 }
 
 func (s *State) applyJoin(join Join) {
-	known, found := s.member(join.Self.Name)
-	if found && join.Self.Incarnation < known.Incarnation && join.Over != known.Incarnation {
+	known, found := s.memberOrTombstone(join.Self.Name)
+	if found && join.Self.Incarnation < known.Incarnation && join.Replaces != known.Incarnation {
 		return
 	}
-	next := s.joined(join.Self)
-	if !found || !known.Alive || known.Incarnation != next.Incarnation {
-		next.Joined = s.Index
+	joined := s.joinedMember(join.Self)
+	if !found || !known.Alive || known.Incarnation != joined.Incarnation {
+		joined.Joined = s.Index
 	}
-	s.setMember(next)
-	if found && beginsAnew(known, next) {
-		s.renewEpochs(next.Name)
+	s.setMember(joined)
+	if found && storeRestarted(known, joined) {
+		s.advanceEpochs(joined.Name)
 	}
 }
 
-func (s *State) applyDeparture(departure Departure) {
-	member, found := s.Members[departure.Name]
-	if !found || !member.Alive || member.Incarnation != departure.Incarnation {
+func (s *State) applyLeave(leave MemberIncarnation) {
+	member, found := s.Members[leave.Name]
+	if !found || !member.Alive || member.Incarnation != leave.Incarnation {
 		return
 	}
 	member.Alive, member.Resting = false, false
 	s.setMember(member)
 }
 
-func (s *State) applyEmptied(name string) {
+func (s *State) applyRetired(name string) {
 	member, found := s.Members[name]
-	if !found || !member.Retiring || member.Retired || s.refers(name) {
+	if !found || !member.Retiring || member.Retired || s.storeInUse(name) {
 		return
 	}
 	member.Retired = true
 	s.setMember(member)
 }
 
-// applyDegradations takes a store for degraded only where enough others are well, or
-// another one recovers in its stead.
+// applyDegradations takes a store for degraded only if enough others are healthy, or if
+// another one recovers in its place.
 func (s *State) applyDegradations(changes []Degradation) {
 	recovered := 0
 	for _, change := range changes {
@@ -203,7 +216,7 @@
 			recovered++
 		case recovered > 0:
 			recovered--
-		case s.well() <= s.Tolerance+1:
+		case s.healthyStores() <= s.Tolerance+1:
 			continue
 		}
 		member.Degraded = change.Degraded
@@ -211,8 +224,8 @@
 	}
 }
 
-// well counts the stores that may be given partitions and don't lag.
-func (s *State) well() int {
+// healthyStores counts the stores that may be given replicas and are not degraded.
+func (s *State) healthyStores() int {
 	count := 0
 	for _, member := range s.Members {
 		if member.Kind == membership.KindStore && member.Alive && !member.Retiring && !member.Degraded {
@@ -222,48 +235,59 @@
 	return count
 }
 
-func (s *State) applyRest(rest Rest) {
-	member, found := s.Members[rest.Name]
-	if !found || !member.Alive || member.Incarnation != rest.Incarnation || member.Resting == rest.Resting {
+func (s *State) applyRestChange(change RestChange) {
+	member, found := s.Members[change.Name]
+	if !found || !member.Alive || member.Incarnation != change.Incarnation || member.Resting == change.Resting {
 		return
 	}
-	member.Resting = rest.Resting
+	member.Resting = change.Resting
 	s.setMember(member)
 }
 
-// Placements.
-
-// applyPlace takes a placement that was decided on the index below its epoch,
-// unless its partition changed since or is no longer wanted, or a store that it
-// gives a copy to has been lost or ordered away.
-func (s *State) applyPlace(place membership.Placement) {
-	earlier, found := s.Places[place.Partition]
-	if found && (earlier.Epoch >= place.Epoch || s.PlaceAt[place.Partition] >= place.Epoch) || !s.wants(place.Partition) {
+// applyPlacement accepts a placement that was decided on the index below its epoch, unless
+// its partition has changed since or is no longer wanted, or a store that it gives a
+// replica to has failed or is retiring.
+func (s *State) applyPlacement(placement membership.Placement) {
+	if !s.expects(placement.Partition) {
 		return
 	}
-	given := place.Followers
+	earlier, found := s.Placements[placement.Partition]
+	if found && (earlier.Epoch >= placement.Epoch || s.PlacementModifiedAt[placement.Partition] >= placement.Epoch) {
+		return
+	}
+	given := placement.Followers
 	if !found {
-		given = append([]string{place.Leader}, given...)
+		given = append([]string{placement.Leader}, given...)
 	}
-	if slices.ContainsFunc(given, func(name string) bool { return !s.Members[name].Alive || s.Members[name].Retiring }) {
-		return
+	for _, name := range given {
+		if member := s.Members[name]; !member.Alive || member.Retiring {
+			return
+		}
 	}
-	s.setPlace(place)
+	s.setPlacement(placement)
 }
 
-func (s *State) applySettled(settled membership.PartitionReplicated) {
-	place, found := s.Places[settled.Partition]
-	if !found || place.Epoch != settled.Epoch || place.Complete {
+// applyReplicated completes a placement once all its replicas have the records.
+func (s *State) applyReplicated(replicated membership.PartitionReplicated) {
+	placement, found := s.Placements[replicated.Partition]
+	if !found || placement.Epoch != replicated.Epoch || placement.Complete {
 		return
 	}
-	// A store whose disk was lost meanwhile is no holder, whatever it said.
-	holders := []string{s.Members[place.Leader].ReplicaID()}
-	for _, name := range place.Followers {
-		holders = append(holders, s.Members[name].ReplicaID())
-	}
-	if !slices.Equal(holders, settled.Replicas) {
+	replicas := s.replicaIDs(placement)
+	if !slices.Equal(replicas, replicated.Replicas) {
+		// A replica's disk was lost meanwhile.
 		return
 	}
-	place.Complete, place.InSync = true, holders
-	s.setPlace(place)
+	placement.Complete, placement.InSync = true, replicas
+	s.setPlacement(placement)
+}
+
+// replicaIDs lists the replicas of a placement, each a store on its present disk, the
+// leader first.
+func (s *State) replicaIDs(placement membership.Placement) []string {
+	replicas := []string{s.Members[placement.Leader].ReplicaID()}
+	for _, name := range placement.Followers {
+		replicas = append(replicas, s.Members[name].ReplicaID())
+	}
+	return replicas
 }
--- /dev/null
+++ b/internal/controller/explore_mutation_test.go
@@ -0,0 +1,38 @@
+//go:build mutation
+
+package controller
+
+import (
+	"testing"
+
+	"gotest.tools/v3/assert"
+
+	"dahlialock/internal/explore"
+	"dahlialock/internal/statemachine"
+)
+
+// Each mechanism of retirement and replication is taken away once. An exploration that
+// finds nothing with it must then find a broken promise.
+func TestReplicationMechanismsAreNeeded(t *testing.T) {
+	for _, each := range []struct {
+		mutation    string
+		exploration storeExploration
+		bounds      explore.Bounds
+	}{
+		{"store-ends-at-once", storeExplorations[0], storeExplorations[0].short},
+		{"done-before-copied", storeExplorations[1], storeExplorations[1].short},
+		// The copy must be late, and the disk lost: two faults.
+		{
+			"accept-on-one-disk", storeExplorations[4],
+			explore.Bounds{Depth: 6, Budget: 2, Finish: explore.FinishLast},
+		},
+	} {
+		t.Run(each.mutation+"/"+each.exploration.name, func(t *testing.T) {
+			restore := statemachine.Mutate(each.mutation)
+			defer restore()
+			result := explore.Run(each.exploration.begin, each.bounds)
+			t.Log(result)
+			assert.Assert(t, result.Broken != nil, "%s was not seen to matter", each.mutation)
+		})
+	}
+}
--- a/internal/simulator/closing_test.go
+++ b/internal/simulator/closing_test.go
@@ -151,7 +151,7 @@
 		for _, backup := range record.Backups {
 			rank[backup] = 1
 		}
-		for _, placement := range primary.watchedState().Places {
+		for _, placement := range primary.watchedState().Placements {
 			rank[placement.Leader]++
 		}
 	}
--- a/internal/simulator/cutoff_store_test.go
+++ b/internal/simulator/cutoff_store_test.go
@@ -23,7 +23,7 @@
 	simulation.lastFaultAt = simulation.Now.Add(cutLength + contactWithin)
 	firsts := map[string]int{}
 	var store *Node
-	for _, placement := range simulation.Primary().watchedState().Places {
+	for _, placement := range simulation.Primary().watchedState().Placements {
 		firsts[placement.Leader]++
 	}
 	for _, node := range simulation.Nodes(membership.KindStore) {
--- a/internal/simulator/simulator.go
+++ b/internal/simulator/simulator.go
@@ -212,11 +212,11 @@
 func (s *Simulation) addController(number int) *Node {
 	return s.add(membership.KindController, number, func(node *Node, stored storedState) hostedMachine {
 		settings := controller.Settings{
-			Self: node.member(), Count: s.Shape.Controllers, Seeds: s.seeds, NewDisk: fmt.Sprintf("disk%d", node.incarnation), Incarnation: node.randomIncarnation(), Highest: s.Shape.HighestVersion,
+			Self: node.member(), ControllerCount: s.Shape.Controllers, Seeds: s.seeds, NewDisk: fmt.Sprintf("disk%d", node.incarnation), Incarnation: node.randomIncarnation(), HighestWins: s.Shape.HighestVersion,
 		}
 		if s.Shape.Seeded {
-			settings.Count, settings.Tolerance = 0, &s.Shape.Tolerance
-			settings.Founding = !node.founded
+			settings.ControllerCount, settings.Tolerance = 0, &s.Shape.Tolerance
+			settings.Bootstrap = !node.founded
 			node.founded = true
 		}
 		machine, err := controller.New(settings, stored.snapshot, stored.entries)
