--- a/internal/storedforms/folders_test.go
+++ b/internal/storedforms/folders_test.go
@@ -20,7 +20,8 @@
 	var lines []string
 	for _, folder := range storedforms.Folders(t, ".", "controller") {
 		self := membership.Member{Name: "controller-1", Address: "controller-1:1", Zone: "zone-1"}
-		machine, err := controller.New(controller.Settings{Self: self, Count: 3, Incarnation: 1}, folder.Snapshot, folder.Entries)
+		settings := controller.Settings{Self: self, Count: 3, Incarnation: 1}
+		machine, err := controller.New(settings, folder.Snapshot, folder.Entries)
 		if err != nil {
 			t.Errorf("%s: %v", folder.Name, err)
 			continue
