--- a/internal/simulator/injection.go
+++ b/internal/simulator/injection.go
@@ -572,7 +572,7 @@
 		return false, false, s.callersServed()
 	}
 	partitions = true
-	for _, placement := range acting.Machine.(*controller.Controller).State().Places {
+	for _, placement := range acting.Machine.(*controller.Controller).State().Placements {
 		leader := s.nodes[placement.Leader]
 		partitions = partitions && placement.Complete && leader.Up && !leader.Frozen
 	}
