--- a/cmd/fleetlab/recorded.go
+++ b/cmd/fleetlab/recorded.go
@@ -66,7 +66,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer file.Close()
+	defer func() { _ = file.Close() }()
 	return simulator.ReadRecordings(file)
 }
 
--- a/internal/simulator/canonical_test.go
+++ b/internal/simulator/canonical_test.go
@@ -45,8 +45,8 @@
 func canonical(value any) string { return string(appendValue(nil, value)) }
 
 func TestCanonicalFormIsFreeOfNames(t *testing.T) {
-	before := plainAnswer{Status: 200, Code: "full", fields: map[string]any{"area": "a", "topics": uint64(3)}}
-	after := renamedAnswer{Result: 200, Reason: "full", details: detailsAnswer{Topics: 3, Area: "a"}}
+	before := plainAnswer{Status: 200, Code: "full", fields: map[string]any{"area": "a", "topics": uint64(3)}, at: nil}
+	after := renamedAnswer{Result: 200, Reason: "full", details: detailsAnswer{Topics: 3, Area: "a"}, moment: nil}
 	assert.Equal(t, canonical(before), canonical(after))
 	assert.Equal(t, canonical(&before), canonical(after))
 	assert.Equal(t, canonical(eventBefore{Name: "x", Body: []byte("y"), Seq: 4}), canonical(eventAfter{Title: "x", Payload: []byte("y"), Sequence: 4}))
--- a/internal/simulator/recorded_test.go
+++ b/internal/simulator/recorded_test.go
@@ -36,7 +36,7 @@
 	t.Helper()
 	table, err := os.Open(recordedTable)
 	assert.NilError(t, err)
-	defer table.Close()
+	defer func() { assert.NilError(t, table.Close()) }()
 	found, err := ReadRecordings(table)
 	assert.NilError(t, err)
 	return found
