--- a/cmd/fleetlab/client.go
+++ b/cmd/fleetlab/client.go
@@ -22,23 +22,23 @@
 )
 
 type trialClient struct {
-	run       *trialRun
-	name      string
-	zone      atomic.Pointer[string]
-	awayUntil atomic.Int64
-	brief     string
-	caller    *client.Caller
-	random    *rand.Rand
-	interests []checker.Interest
-	served    atomic.Bool
-	address   atomic.Pointer[string]
-	last      atomic.Pointer[string]
-	resets    chan struct{}
-	cancel    context.CancelFunc
-	living    context.Context
-	seqs      map[string]uint64
-	rate      float64
-	urgent    bool
+	run         *trialRun
+	name        string
+	zone        atomic.Pointer[string]
+	absentUntil atomic.Int64
+	brief       string
+	caller      *client.Caller
+	random      *rand.Rand
+	interests   []checker.Interest
+	served      atomic.Bool
+	address     atomic.Pointer[string]
+	last        atomic.Pointer[string]
+	resets      chan struct{}
+	cancel      context.CancelFunc
+	ctx         context.Context
+	seqs        map[string]uint64
+	rate        float64
+	urgent      bool
 }
 
 func durableTopic(number int) string { return fmt.Sprintf("project%d/board%d", number/10, number%10) }
@@ -46,10 +46,10 @@
 func urgentTopic(number int) string { return fmt.Sprintf("farm%d/halt%d", number/10, number%10) }
 
 func (tr *trialRun) newClient(name string, zoneNumber int, seed uint64) *trialClient {
-	living, cancel := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	each := &trialClient{
 		run: tr, name: name, random: rand.New(rand.NewPCG(tr.trial.seed, seed)), resets: make(chan struct{}, 1),
-		living: living, cancel: cancel, seqs: map[string]uint64{},
+		ctx: ctx, cancel: cancel, seqs: map[string]uint64{},
 	}
 	zone := testfleet.ZoneName(zoneNumber)
 	each.zone.Store(&zone)
@@ -79,7 +79,7 @@
 		if number%120 == 7 {
 			each.interests = append(each.interests, checker.Interest{Space: "boards", Wide: true})
 		}
-		tr.origins = append(tr.origins, each)
+		tr.clients = append(tr.clients, each)
 		go each.live()
 	}
 }
@@ -107,7 +107,7 @@
 	to.cancel()
 }
 
-func (to *trialClient) record(entry func(checker *checker.Checker)) { to.run.book.record(entry) }
+func (to *trialClient) record(entry func(checker *checker.Checker)) { to.run.log.record(entry) }
 
 func (to *trialClient) reset() {
 	select {
@@ -139,10 +139,10 @@
 // live keeps the channel open, again and again, until it is stopped.
 func (to *trialClient) live() {
 	cursor, target := "", ""
-	var cutAt time.Time
-	asked := false
-	for to.living.Err() == nil {
-		if wait := time.Until(time.Unix(0, to.awayUntil.Load())); wait > 0 {
+	var disconnectedAt time.Time
+	requested := false
+	for to.ctx.Err() == nil {
+		if wait := time.Until(time.Unix(0, to.absentUntil.Load())); wait > 0 {
 			time.Sleep(min(wait, 100*time.Millisecond))
 			continue
 		}
@@ -157,7 +157,7 @@
 		}
 		to.trace("opening at %s", target)
 		began := time.Now()
-		channel, err := to.caller.Open(to.living, target)
+		channel, err := to.caller.Open(to.ctx, target)
 		target = ""
 		if err != nil {
 			to.trace("opening: %v", err)
@@ -166,8 +166,8 @@
 		}
 		shown, at := channel.Hello, time.Now()
 		to.record(func(checker *checker.Checker) { checker.Showed(shown.Daemon, shown.Version, began, at) })
-		if !asked {
-			asked = true
+		if !requested {
+			requested = true
 			at := time.Now()
 			to.record(func(checker *checker.Checker) {
 				for _, interest := range to.interests {
@@ -175,7 +175,7 @@
 				}
 			})
 		}
-		if !to.subscribe(channel, &cursor, cutAt) {
+		if !to.subscribe(channel, &cursor, disconnectedAt) {
 			channel.Close()
 			continue
 		}
@@ -186,14 +186,14 @@
 		to.served.Store(false)
 		to.address.Store(nil)
 		channel.Close()
-		cutAt = time.Now()
+		disconnectedAt = time.Now()
 	}
 }
 
-func (to *trialClient) subscribe(channel *client.Channel, cursor *string, cutAt time.Time) bool {
-	for to.living.Err() == nil {
+func (to *trialClient) subscribe(channel *client.Channel, cursor *string, disconnectedAt time.Time) bool {
+	for to.ctx.Err() == nil {
 		to.trace("subscribing at %s", channel.Address)
-		within, cancel := context.WithTimeout(to.living, 3*time.Second)
+		within, cancel := context.WithTimeout(to.ctx, 3*time.Second)
 		wanted := subscriptions(to.interests)
 		resumes := *cursor != ""
 		if resumes {
@@ -229,7 +229,7 @@
 		default:
 			at := time.Now()
 			to.record(func(checker *checker.Checker) {
-				checker.CursorLost(to.name, cutAt, at)
+				checker.CursorLost(to.name, disconnectedAt, at)
 				checker.Violate("place-refused", "%s: %s %s", to.name, answer.Code, answer.Text)
 			})
 			to.cancel()
@@ -245,7 +245,7 @@
 	defer silent.Stop()
 	for {
 		select {
-		case <-to.living.Done():
+		case <-to.ctx.Done():
 			return ""
 		case <-to.resets:
 			return ""
@@ -267,7 +267,7 @@
 				})
 			case "ping":
 				go func() {
-					within, cancel := context.WithTimeout(to.living, 3*time.Second)
+					within, cancel := context.WithTimeout(to.ctx, 3*time.Second)
 					defer cancel()
 					_ = to.caller.Pong(within, channel)
 				}()
@@ -296,8 +296,8 @@
 		{"decisions", 0, func() string { return fmt.Sprintf("board%d", to.random.IntN(5)) }},
 	}
 	if to.urgent {
-		share := float64(max(1, to.run.trial.origins/10))
-		spaces[2].rate, spaces[3].rate = to.run.trial.urgent/share, 4/share
+		fraction := float64(max(1, to.run.trial.origins/10))
+		spaces[2].rate, spaces[3].rate = to.run.trial.urgent/fraction, 4/fraction
 	}
 	if to.brief != "" {
 		spaces = spaces[:1]
@@ -322,7 +322,7 @@
 		select {
 		case <-to.run.quiet:
 			return
-		case <-to.living.Done():
+		case <-to.ctx.Done():
 			return
 		case <-time.After(time.Until(next[earliest])):
 		}
@@ -336,7 +336,7 @@
 // publish sends one message until its fate is settled.
 func (to *trialClient) publish(message checker.Message, topic string) {
 	data := fmt.Sprintf("%q", message.String()+" with some text such as a note on a board would have")
-	for to.living.Err() == nil {
+	for to.ctx.Err() == nil {
 		address := to.address.Load()
 		if address == nil {
 			time.Sleep(50 * time.Millisecond)
@@ -354,7 +354,7 @@
 func (to *trialClient) attempt(address string, message checker.Message, topic, data string) (string, time.Duration) {
 	began := time.Now()
 	to.record(func(checker *checker.Checker) { checker.Attempt(message, topic, data, began) })
-	within, cancel := context.WithTimeout(to.living, 2500*time.Millisecond)
+	within, cancel := context.WithTimeout(to.ctx, 2500*time.Millisecond)
 	answer, err := to.caller.Publish(within, address, message.Space, topic, message.Seq, rawJSON(data))
 	cancel()
 	at := time.Now()
@@ -363,7 +363,7 @@
 		outcome, code, again = answer.Outcome, answer.Code, time.Duration(answer.RetryAfterMs)*time.Millisecond
 	}
 	to.record(func(checker *checker.Checker) { checker.Answered(message, outcome, began, at) })
-	if outcome != "accepted" && to.living.Err() == nil && to.brief == "" && code != "earlier-refused" && code != "moved" {
+	if outcome != "accepted" && to.ctx.Err() == nil && to.brief == "" && code != "earlier-refused" && code != "moved" {
 		to.rejected(code, message.String())
 	}
 	return outcome, again
--- a/cmd/fleetlab/injector.go
+++ b/cmd/fleetlab/injector.go
@@ -99,18 +99,18 @@
 
 // poll looks now and then until something holds, or a limit has passed, and then
 // goes on with whether it does.
-func (h *injector) poll(limit time.Duration, holds func() bool, then func(held bool)) {
+func (h *injector) poll(limit time.Duration, holds func() bool, then func(holding bool)) {
 	end := time.Now().Add(limit)
-	var look func()
-	look = func() {
-		held := holds()
-		if held || time.Now().After(end) {
-			then(held)
+	var check func()
+	check = func() {
+		holding := holds()
+		if holding || time.Now().After(end) {
+			then(holding)
 			return
 		}
-		h.after(50*time.Millisecond, look)
+		h.after(50*time.Millisecond, check)
 	}
-	look()
+	check()
 }
 
 func (h *injector) left(name string) bool {
@@ -132,7 +132,7 @@
 		return
 	}
 	if !h.until(3*time.Minute, func() bool { return h.open == 0 }) {
-		h.run.book.record(func(book *checker.Checker) { book.Violate(checker.NotBack, "a fault has not come to its end") })
+		h.run.log.record(func(log *checker.Checker) { log.Violate(checker.NotBack, "a fault has not come to its end") })
 	}
 	h.until(checker.FaultSettleTime+5*time.Second, func() bool { return false })
 }
@@ -270,13 +270,13 @@
 // restart restarts a daemon as the platform does.
 func (h *injector) restart(daemon *testfleet.Daemon, wait time.Duration, then func()) {
 	h.away[daemon.Name] = true
-	asked := time.Now()
+	requested := time.Now()
 	h.run.fleet.Signal(daemon.Name, syscall.SIGTERM)
-	h.poll(6*time.Second, func() bool { return !daemon.Running() }, func(held bool) {
-		if !held {
+	h.poll(6*time.Second, func() bool { return !daemon.Running() }, func(holding bool) {
+		if !holding {
 			h.run.fleet.Kill(daemon.Name)
-			h.run.book.record(func(checker *checker.Checker) {
-				checker.Violate("stop", "%s had to be killed %s after TERM", daemon.Name, time.Since(asked).Round(time.Millisecond))
+			h.run.log.record(func(checker *checker.Checker) {
+				checker.Violate("stop", "%s had to be killed %s after TERM", daemon.Name, time.Since(requested).Round(time.Millisecond))
 			})
 		}
 		h.after(wait, func() { h.start(daemon); then() })
@@ -368,9 +368,9 @@
 		if kind == membership.KindGateway {
 			injector.start(injector.agentOf(newcomer))
 		}
-		injector.poll(12*time.Second, newcomer.Ready, func(held bool) {
-			if !held {
-				injector.run.book.record(func(book *checker.Checker) { book.Violate(checker.NotBack, "%s has not joined in 12 s", newcomer.Name) })
+		injector.poll(12*time.Second, newcomer.Ready, func(holding bool) {
+			if !holding {
+				injector.run.log.record(func(log *checker.Checker) { log.Violate(checker.NotBack, "%s has not joined in 12 s", newcomer.Name) })
 			}
 			end()
 		})
@@ -500,7 +500,7 @@
 	},
 	"resets": func(injector *injector, fault faults.Fault, end func()) {
 		random := rand.New(rand.NewPCG(fault.Pick, 2))
-		for _, origin := range injector.run.origins {
+		for _, origin := range injector.run.clients {
 			if random.IntN(10) > 0 {
 				origin.reset()
 			}
@@ -509,15 +509,15 @@
 	},
 	"vanish": func(injector *injector, fault faults.Fault, end func()) {
 		for turn := range 5 {
-			origin := injector.run.origins[(fault.Pick+uint64(turn)*97)%uint64(len(injector.run.origins))]
-			origin.awayUntil.Store(time.Now().Add(fault.Length * 4).UnixNano())
+			origin := injector.run.clients[(fault.Pick+uint64(turn)*97)%uint64(len(injector.run.clients))]
+			origin.absentUntil.Store(time.Now().Add(fault.Length * 4).UnixNano())
 			origin.reset()
 		}
 		injector.after(fault.Length*4, end)
 	},
 	"wander": func(injector *injector, fault faults.Fault, end func()) {
 		for turn := range 40 {
-			origin := injector.run.origins[(fault.Pick+uint64(turn)*31)%uint64(len(injector.run.origins))]
+			origin := injector.run.clients[(fault.Pick+uint64(turn)*31)%uint64(len(injector.run.clients))]
 			zone := testfleet.ZoneName(injector.zone(fault.Pick + uint64(turn)))
 			origin.zone.Store(&zone)
 			origin.reset()
@@ -623,12 +623,12 @@
 			end()
 			return
 		}
-		h.poll(40*time.Second, func() bool { return ask("GET", "") }, func(held bool) {
-			if !held {
-				h.run.book.record(func(checker *checker.Checker) { checker.Violate("retire", "%s was not retired in 40 s", daemon.Name) })
+		h.poll(40*time.Second, func() bool { return ask("GET", "") }, func(holding bool) {
+			if !holding {
+				h.run.log.record(func(checker *checker.Checker) { checker.Violate("retire", "%s was not retired in 40 s", daemon.Name) })
 			}
 			h.kill(daemon)
-			if held {
+			if holding {
 				_ = h.run.fleet.Wipe(daemon.Name)
 			}
 			h.after(length, func() { h.start(daemon); end() })
@@ -676,13 +676,13 @@
 		}
 	}
 	fmt.Printf("last fault: %s %v\n", name, lost)
-	gone := slices.Clone(lost)
+	removed := slices.Clone(lost)
 	for _, each := range lost {
 		if daemon := h.run.fleet.Daemons[each]; daemon.Kind == membership.KindAgent {
-			gone = append(gone, membership.KindGateway+strings.TrimPrefix(each, membership.KindAgent))
+			removed = append(removed, membership.KindGateway+strings.TrimPrefix(each, membership.KindAgent))
 		}
 	}
-	h.run.gone.Store(&gone)
+	h.run.gone.Store(&removed)
 	prober := h.run.newClient("prober", 0, 77)
 	var refilled, callers time.Duration
 	h.until(2*checker.BackWithin, func() bool {
@@ -705,7 +705,7 @@
 	noticed, decided, complete := h.run.parts(from)
 	fmt.Printf("service is back %s after %s: noticed %s, decided %s, partitions whole %s, kept again %s, last caller %s\n", back.Round(time.Millisecond), name,
 		noticed.Round(time.Millisecond), decided.Round(time.Millisecond), complete.Round(time.Millisecond), refilled.Round(time.Millisecond), callers.Round(time.Millisecond))
-	h.run.book.record(func(checker *checker.Checker) { checker.Served(name, back) })
+	h.run.log.record(func(checker *checker.Checker) { checker.Served(name, back) })
 	h.run.calm.Store(time.Now().UnixNano())
 	h.until(checker.FaultSettleTime+3*time.Second, func() bool { return false })
 }
--- a/cmd/fleetlab/operator.go
+++ b/cmd/fleetlab/operator.go
@@ -96,21 +96,21 @@
 	for time.Now().Before(until) {
 		began := time.Now()
 		var put *checker.Put
-		o.run.book.record(func(checker *checker.Checker) { put = checker.Register.Put(uint64(version), string(body), began) })
+		o.run.log.record(func(checker *checker.Checker) { put = checker.Register.Put(uint64(version), string(body), began) })
 		status, text := o.control(random, http.MethodPut, "/v1/configuration", string(body))
 		answered := time.Now()
-		o.run.book.record(func(*checker.Checker) { put.End(checker.AnswerOf(status, text), answered) })
+		o.run.log.record(func(*checker.Checker) { put.End(checker.AnswerOf(status, text), answered) })
 		switch status {
 		case http.StatusOK:
-			taken := time.Now()
-			o.run.book.record(func(checker *checker.Checker) {
-				checker.ConfigurationAccepted(uint64(version), string(body), began, taken)
+			accepted := time.Now()
+			o.run.log.record(func(checker *checker.Checker) {
+				checker.ConfigurationAccepted(uint64(version), string(body), began, accepted)
 			})
 			return true
 		case http.StatusConflict:
 			return false
 		case http.StatusBadRequest:
-			o.run.book.record(func(checker_ *checker.Checker) {
+			o.run.log.record(func(checker_ *checker.Checker) {
 				checker_.Violate(checker.BrokenAccepted, "a valid configuration was refused: %s", text)
 			})
 			return false
@@ -156,7 +156,7 @@
 		return
 	}
 	at := time.Now()
-	o.run.book.record(func(checker *checker.Checker) {
+	o.run.log.record(func(checker *checker.Checker) {
 		checker.ReadBack(got.Version, string(got.Configuration), began, at)
 		checker.Register.Read(got.Version, string(got.Configuration), began, at)
 	})
@@ -167,7 +167,7 @@
 	bodies := []string{`{"version":900000,"spaces":[{"name":"boards"}]}`, `{"version":900000,"spaces":[],"spaces":[]}`, `{"version":900000,"spaces":[]} x`}
 	body := bodies[o.random.IntN(len(bodies))]
 	if status, _ := o.control(o.random, http.MethodPut, "/v1/configuration", body); status == http.StatusOK {
-		o.run.book.record(func(checker *checker.Checker) { checker.BrokenAccepted(body) })
+		o.run.log.record(func(checker *checker.Checker) { checker.BrokenAccepted(body) })
 	}
 }
 
@@ -202,12 +202,12 @@
 }
 
 // addSpace adds a space and tells once it was taken.
-func addSpace(name string, taken func()) wish {
+func addSpace(name string, accepted func()) wish {
 	return func(operator *operator) {
 		operator.spaces[name] = true
-		operator.run.book.record(func(checker *checker.Checker) { checker.Space(name, false, false) })
+		operator.run.log.record(func(checker *checker.Checker) { checker.Space(name, false, false) })
 		if operator.next(20 * time.Second) {
-			taken()
+			accepted()
 		}
 	}
 }
@@ -217,7 +217,7 @@
 		delete(operator.spaces, name)
 		if operator.next(20 * time.Second) {
 			at := time.Now()
-			operator.run.book.record(func(checker *checker.Checker) { checker.Removed(name, at) })
+			operator.run.log.record(func(checker *checker.Checker) { checker.Removed(name, at) })
 		}
 	}
 }
--- a/cmd/fleetlab/recorded.go
+++ b/cmd/fleetlab/recorded.go
@@ -97,12 +97,12 @@
 func (h *hunt) leftOut(set *flag.FlagSet) func(simulator.Recording) bool {
 	given := map[string]bool{}
 	set.Visit(func(each *flag.Flag) { given[each.Name] = true })
-	lacks := func(list, name string) bool {
+	excludes := func(list, name string) bool {
 		return list != everything && !slices.Contains(strings.Split(list, ","), name)
 	}
 	return func(recording simulator.Recording) bool {
-		return lacks(h.scenario, recording.Scenario) ||
-			given["size"] && lacks(h.size, recording.Shape) ||
+		return excludes(h.scenario, recording.Scenario) ||
+			given["size"] && excludes(h.size, recording.Shape) ||
 			given["from"] && recording.Seed < h.from ||
 			given["seeds"] && recording.Seed >= h.from+h.seeds
 	}
--- a/cmd/fleetlab/simulate.go
+++ b/cmd/fleetlab/simulate.go
@@ -216,8 +216,8 @@
 			return
 		}
 		slices.Sort(lengths)
-		at := func(share float64) time.Duration {
-			return lengths[min(len(lengths)-1, int(share*float64(len(lengths))))].Round(10 * time.Millisecond)
+		at := func(fraction float64) time.Duration {
+			return lengths[min(len(lengths)-1, int(fraction*float64(len(lengths))))].Round(10 * time.Millisecond)
 		}
 		fmt.Printf("  %-17s half %6s, nine in ten %6s, 99 in 100 %6s, longest %6s\n", part.name, at(0.5), at(0.9), at(0.99), at(1))
 	}
--- a/cmd/fleetlab/trial.go
+++ b/cmd/fleetlab/trial.go
@@ -63,14 +63,14 @@
 }
 
 func newCheckerLog() *checkerLog {
-	book := &checkerLog{entries: make(chan func(*checker.Checker), 4096), done: make(chan struct{}), checker: checker.New()}
+	log := &checkerLog{entries: make(chan func(*checker.Checker), 4096), done: make(chan struct{}), checker: checker.New()}
 	go func() {
-		defer close(book.done)
-		for entry := range book.entries {
-			entry(book.checker)
+		defer close(log.done)
+		for entry := range log.entries {
+			entry(log.checker)
 		}
 	}()
-	return book
+	return log
 }
 
 func (b *checkerLog) record(entry func(checker *checker.Checker)) { b.entries <- entry }
@@ -95,7 +95,7 @@
 		return subcommands.ExitFailure
 	}
 	run := &trialRun{
-		trial: t, fleet: running, book: newCheckerLog(), random: rand.New(rand.NewPCG(t.seed, 0xba5e)), platform: newPlatform(running),
+		trial: t, fleet: running, log: newCheckerLog(), random: rand.New(rand.NewPCG(t.seed, 0xba5e)), platform: newPlatform(running),
 		quiet: make(chan struct{}), storm: schedule, unready: map[string]time.Duration{},
 	}
 	run.operator = newOperator(run)
@@ -175,11 +175,11 @@
 type trialRun struct {
 	trial    *trial
 	fleet    *testfleet.Fleet
-	book     *checkerLog
+	log      *checkerLog
 	random   *rand.Rand
 	platform *platform
 	quiet    chan struct{}
-	origins  []*trialClient
+	clients  []*trialClient
 	storm    []faults.Fault
 	hand     *injector
 	operator *operator
@@ -223,7 +223,7 @@
 					tr.unready[daemon.Name] += sampleEvery
 					calm := tr.calmSince()
 					if !tr.hand.left(daemon.Name) {
-						tr.book.record(func(checker *checker.Checker) { checker.NotReady(daemon.Name, calm, at) })
+						tr.log.record(func(checker *checker.Checker) { checker.NotReady(daemon.Name, calm, at) })
 					}
 				}
 			}
@@ -234,7 +234,7 @@
 			}
 			version, _ := self["version"].(float64)
 			healthy := since[daemon.Name]
-			tr.book.record(func(checker *checker.Checker) {
+			tr.log.record(func(checker *checker.Checker) {
 				checker.InForce(daemon.Name, uint64(version), true, healthy, at)
 				checker.Showed(daemon.Name, uint64(version), began, at)
 			})
@@ -255,7 +255,7 @@
 }
 
 func (tr *trialRun) run() subcommands.ExitStatus {
-	tr.book.record(func(checker *checker.Checker) {
+	tr.log.record(func(checker *checker.Checker) {
 		checker.Space("boards", true, false)
 		checker.Space("urgent", true, false)
 		checker.Space("decisions", true, true)
@@ -280,10 +280,10 @@
 		fmt.Println("not all origins are subscribed")
 		tr.printUnserved()
 	}
-	fmt.Printf("%d origins subscribed after %s\n", len(tr.origins), time.Since(began).Round(10*time.Millisecond))
+	fmt.Printf("%d origins subscribed after %s\n", len(tr.clients), time.Since(began).Round(10*time.Millisecond))
 	before := tr.measure()
 	loadBegan := time.Now()
-	for _, each := range tr.origins {
+	for _, each := range tr.clients {
 		each.start()
 	}
 	tr.calm.Store(time.Now().Add(-checker.FaultSettleTime).UnixNano())
@@ -301,22 +301,22 @@
 	served := tr.waitSubscribed(5 * time.Second)
 	close(stopSample)
 	<-sampled
-	for _, each := range tr.origins {
+	for _, each := range tr.clients {
 		each.stop()
 	}
 	time.Sleep(300 * time.Millisecond)
 	at := time.Now()
-	tr.book.record(func(checker *checker.Checker) {
+	tr.log.record(func(checker *checker.Checker) {
 		if !served {
 			tr.printUnserved()
 			checker.Violate("not-back", "not all origins are served at the end")
 		}
 		checker.Close(at)
 	})
-	close(tr.book.entries)
-	<-tr.book.done
+	close(tr.log.entries)
+	<-tr.log.done
 	tr.report(before, after, loadFor)
-	if len(tr.book.checker.Violations()) > 0 {
+	if len(tr.log.checker.Violations()) > 0 {
 		return subcommands.ExitFailure
 	}
 	return subcommands.ExitSuccess
@@ -325,8 +325,8 @@
 // missing counts the origins that ought to be served and are not.
 func (tr *trialRun) missing() int {
 	missing := 0
-	for _, each := range tr.origins {
-		if !each.served.Load() && time.Now().UnixNano() > each.awayUntil.Load() {
+	for _, each := range tr.clients {
+		if !each.served.Load() && time.Now().UnixNano() > each.absentUntil.Load() {
 			missing++
 		}
 	}
@@ -345,7 +345,7 @@
 }
 
 func (tr *trialRun) printUnserved() {
-	for _, each := range tr.origins {
+	for _, each := range tr.clients {
 		if !each.served.Load() {
 			fmt.Printf("  %s: %s\n", each.name, *each.last.Load())
 		}
@@ -353,15 +353,15 @@
 }
 
 type measured struct {
-	processor map[string]time.Duration
-	bytesAway float64
-	messages  float64
-	syncs     float64
-	steps     float64
-	delivered float64
-	copies    float64
-	stray     float64
-	overlay   float64
+	processor      map[string]time.Duration
+	interzoneBytes float64
+	messages       float64
+	syncs          float64
+	steps          float64
+	delivered      float64
+	copies         float64
+	stray          float64
+	overlay        float64
 }
 
 func (tr *trialRun) measure() measured {
@@ -381,7 +381,7 @@
 			value, _ := table[key].(float64)
 			return value
 		}
-		sum.bytesAway += number(links, "bytes_away")
+		sum.interzoneBytes += number(links, "bytes_away")
 		sum.messages += number(links, "messages_out")
 		sum.syncs += number(self, "syncs")
 		sum.steps += number(self, "steps")
@@ -397,8 +397,8 @@
 }
 
 func (tr *trialRun) report(before, after measured, length time.Duration) {
-	fmt.Println(tr.book.checker.Summary())
-	fmt.Printf("not accepted, by code: %v; unready gateway-seconds: %v\n", tr.book.checker.Codes, tr.unready)
+	fmt.Println(tr.log.checker.Summary())
+	fmt.Printf("not accepted, by code: %v; unready gateway-seconds: %v\n", tr.log.checker.Codes, tr.unready)
 	delivered := after.delivered - before.delivered
 	if delivered > 0 && len(tr.storm) == 0 {
 		kinds := []string{}
@@ -410,12 +410,12 @@
 			fmt.Printf("processor %s: %.2f ms for each 100 delivered\n", kind, float64((after.processor[kind]-before.processor[kind]).Microseconds())/1000/delivered*100)
 		}
 		fmt.Printf("for each delivered: %.0f bytes between zones, %.2f messages, %.3f syncs, %.2f steps, %.3f copies, %.3f overlay signals; stray copies %.0f of %.0f\n",
-			(after.bytesAway-before.bytesAway)/delivered, (after.messages-before.messages)/delivered, (after.syncs-before.syncs)/delivered,
+			(after.interzoneBytes-before.interzoneBytes)/delivered, (after.messages-before.messages)/delivered, (after.syncs-before.syncs)/delivered,
 			(after.steps-before.steps)/delivered, (after.copies-before.copies)/delivered, (after.overlay-before.overlay)/delivered,
 			after.stray-before.stray, after.copies-before.copies)
 		fmt.Printf("load for %s: delivered %.0f\n", length.Round(time.Second), delivered)
 	}
-	for _, text := range tr.book.checker.Violations() {
+	for _, text := range tr.log.checker.Violations() {
 		fmt.Println(" ", text)
 	}
 }
--- a/internal/checker/checker.go
+++ b/internal/checker/checker.go
@@ -74,7 +74,7 @@
 }
 
 type space struct {
-	kept    bool
+	durable bool
 	channel bool
 	removed time.Time
 	within  time.Duration
@@ -165,8 +165,8 @@
 func (c *Checker) Violations() []string { return c.violations }
 
 // Space tells what operators promised.
-func (c *Checker) Space(name string, kept, channel bool) {
-	c.spaces[name] = &space{kept: kept, channel: channel}
+func (c *Checker) Space(name string, durable, channel bool) {
+	c.spaces[name] = &space{durable: durable, channel: channel}
 }
 
 // AnswerWithin tells how soon a space's publications are promised an answer.
@@ -422,7 +422,7 @@
 	}
 	for message, sent := range c.messages {
 		here, found := c.spaces[message.Space]
-		if !found || !here.kept && !c.EphemeralOwed || !sent.accepted || !here.removed.IsZero() {
+		if !found || !here.durable && !c.EphemeralOwed || !sent.accepted || !here.removed.IsZero() {
 			continue
 		}
 		if _, got := each.got[message]; got {
@@ -466,11 +466,11 @@
 // Summary is a line of counts.
 func (c *Checker) Summary() string {
 	slices.Sort(c.Answers)
-	part := func(share float64) time.Duration {
+	part := func(fraction float64) time.Duration {
 		if len(c.Answers) == 0 {
 			return 0
 		}
-		return c.Answers[min(len(c.Answers)-1, int(share*float64(len(c.Answers))))]
+		return c.Answers[min(len(c.Answers)-1, int(fraction*float64(len(c.Answers))))]
 	}
 	return fmt.Sprintf("accepted %d, refused %d, unsettled %d, delivered %d; answers half %s, most %s, slowest %s, late %d; violations %d",
 		c.Accepted, c.Refused, c.Unsettled, c.Delivered,
--- a/internal/checker/register.go
+++ b/internal/checker/register.go
@@ -142,12 +142,12 @@
 			complain("%d was decided by %s, but %s comes before it at %s or later", each.version, stamp(each.until), latestRead, stamp(each.least))
 		}
 		for _, read := range each.reads {
-			least := later(read.began, each.least)
-			if least.After(read.ended) {
-				complain("%d was read by %s, but was decided at %s or later", each.version, stamp(read.ended), stamp(least))
+			minimum := later(read.began, each.least)
+			if minimum.After(read.ended) {
+				complain("%d was read by %s, but was decided at %s or later", each.version, stamp(read.ended), stamp(minimum))
 			}
-			if least.After(latest) {
-				latest, latestRead = least, fmt.Sprintf("a read of %d", each.version)
+			if minimum.After(latest) {
+				latest, latestRead = minimum, fmt.Sprintf("a read of %d", each.version)
 			}
 		}
 		if !r.Lax && each.sure && each.least.After(latest) {
--- a/internal/checker/topics.go
+++ b/internal/checker/topics.go
@@ -15,10 +15,10 @@
 
 // Spans and bounds that the promises of routed topics name.
 const (
-	PresenceFor   = 5 * time.Second
-	PresenceShare = 0.05
-	PresenceSlack = 2
-	DeliverWithin = 150 * time.Millisecond
+	PresenceFor      = 5 * time.Second
+	PresenceFraction = 0.05
+	PresenceSlack    = 2
+	DeliverWithin    = 150 * time.Millisecond
 )
 
 // Kinds of violations that only routed topics know.
@@ -50,7 +50,7 @@
 
 type route struct {
 	prefix  string
-	kept    bool
+	durable bool
 	holding time.Duration
 }
 
@@ -117,8 +117,8 @@
 
 // Route tells of a prefix that configurations lead to a space, in some or all
 // versions.
-func (c *Checker) Route(prefix string, kept bool, holding time.Duration) {
-	c.Topics.routes = append(c.Topics.routes, route{prefix: prefix, kept: kept, holding: holding})
+func (c *Checker) Route(prefix string, durable bool, holding time.Duration) {
+	c.Topics.routes = append(c.Topics.routes, route{prefix: prefix, durable: durable, holding: holding})
 }
 
 // routeOf is the route of a topic: the longest prefix wins.
@@ -147,8 +147,8 @@
 	}
 }
 
-// RoutesTaken tells that it was acknowledged.
-func (c *Checker) RoutesTaken(version uint64, at time.Time) {
+// RoutesAccepted tells that it was acknowledged.
+func (c *Checker) RoutesAccepted(version uint64, at time.Time) {
 	for _, each := range c.Topics.routings {
 		if each.version == version && each.taken.IsZero() {
 			each.taken = at
@@ -233,7 +233,7 @@
 	s.opened, s.connected = at, true
 	s.present = append(s.present, span{from: at})
 	s.checker.Topics.Joins = append(s.checker.Topics.Joins, at.Sub(opened))
-	if !s.checker.Topics.routeOf(s.topic).kept {
+	if !s.checker.Topics.routeOf(s.topic).durable {
 		clear(s.last)
 	}
 }
@@ -294,17 +294,17 @@
 	checker := s.checker
 	checker.Topics.Expired++
 	route := checker.Topics.routeOf(s.topic)
-	excused := !route.kept
-	lacks := 0
+	excused := !route.durable
+	missing := 0
 	for _, each := range checker.Topics.byTopic[s.topic] {
 		if _, got := s.got[each.name]; got || !s.owed(each) {
 			continue
 		}
-		lacks++
+		missing++
 		excused = excused || at.Sub(each.firstTry) >= route.holding
 	}
 	if !excused && !s.Ended() {
-		checker.Violate(CursorRejected, "%s lost its place in %s, though all of %d messages that it lacks are held", s.name, s.topic, lacks)
+		checker.Violate(CursorRejected, "%s lost its place in %s, though all of %d messages that it lacks are held", s.name, s.topic, missing)
 	}
 	s.End(at)
 }
@@ -364,7 +364,7 @@
 	from := at.Add(-PresenceFor)
 	throughout, once := 0, 0
 	for _, each := range c.Topics.subscriptions[topic] {
-		touched, whole := false, false
+		touched, complete := false, false
 		for _, present := range each.present {
 			if present.lingers.After(from) && present.from.Before(at) {
 				once++
@@ -372,16 +372,16 @@
 			}
 			reaches := present.until.IsZero() || !present.until.Before(from)
 			touched = touched || reaches && !present.from.After(at)
-			whole = whole || !present.from.After(from) && (present.until.IsZero() || !present.until.Before(at))
+			complete = complete || !present.from.After(from) && (present.until.IsZero() || !present.until.Before(at))
 		}
 		if touched {
 			once++
 		}
-		if whole {
+		if complete {
 			throughout++
 		}
 	}
-	if float64(number) >= float64(throughout)*(1-PresenceShare)-PresenceSlack && float64(number) <= float64(once)*(1+PresenceShare)+PresenceSlack {
+	if float64(number) >= float64(throughout)*(1-PresenceFraction)-PresenceSlack && float64(number) <= float64(once)*(1+PresenceFraction)+PresenceSlack {
 		c.Topics.CountsRight++
 		return
 	}
@@ -412,7 +412,7 @@
 // subscription to a kept topic has what it is owed.
 func (c *Checker) AllBrought(at time.Time) {
 	for topic, subscriptions := range statemachine.Sorted(c.Topics.subscriptions) {
-		if !c.Topics.routeOf(topic).kept {
+		if !c.Topics.routeOf(topic).durable {
 			continue
 		}
 		for _, each := range subscriptions {
--- a/internal/checker/topics_test.go
+++ b/internal/checker/topics_test.go
@@ -36,7 +36,7 @@
 	run.Route("halt.", false, 0)
 	run.Route("guest.", true, Holding)
 	run.RoutesSent(1, []string{"board.", "halt.", "guest."}, moment(-10))
-	run.RoutesTaken(1, moment(-9.9))
+	run.RoutesAccepted(1, moment(-9.9))
 	for _, name := range []string{"ada", "bob"} {
 		for _, topic := range []string{keptTopic, passingTopic, guestTopic} {
 			run.held[name+" "+topic] = run.Subscribing(name, topic, nil)
@@ -175,13 +175,13 @@
 		}},
 		{AfterRemoval, "a removed space still delivers", func(run *topicRun, _, _ *Subscription) {
 			run.RoutesSent(2, []string{"board.", "halt."}, moment(7))
-			run.RoutesTaken(2, moment(7.1))
+			run.RoutesAccepted(2, moment(7.1))
 			run.try("cy", 20, guestTopic, "unsettled", 10.2)
 			run.deliver("cy", 20, guestTopic, 10.3)
 		}},
 		{WrongRoute, "a removed route is still handled", func(run *topicRun, _, _ *Subscription) {
 			run.RoutesSent(2, []string{"board.", "halt."}, moment(7))
-			run.RoutesTaken(2, moment(7.1))
+			run.RoutesAccepted(2, moment(7.1))
 			run.Handled("a publication", guestTopic, true, moment(10.2), moment(10.3))
 		}},
 		{WrongRoute, "a route that is there is refused", func(run *topicRun, _, _ *Subscription) {
@@ -242,7 +242,7 @@
 	run.sendTo("cy", 23, keptTopic, 47, "eve")
 	run.RoutesSent(2, []string{"board.", "halt."}, moment(48))
 	run.try("cy", 24, guestTopic, "accepted", 48.1)
-	run.RoutesTaken(2, moment(49))
+	run.RoutesAccepted(2, moment(49))
 	// Who fell silent may still be counted for a while, beside the new connection.
 	silent := run.Subscribing("gus", passingTopic, nil)
 	silent.Confirmed(moment(48), moment(48.1))
--- a/internal/simulator/operator.go
+++ b/internal/simulator/operator.go
@@ -95,7 +95,7 @@
 		case alive && response.Status == http.StatusOK:
 			simulation.trace("configuration %d taken through %s", version, node.Name)
 			simulation.Checker.ConfigurationAccepted(version, string(body), began, simulation.Now)
-			simulation.Checker.RoutesTaken(version, simulation.Now)
+			simulation.Checker.RoutesAccepted(version, simulation.Now)
 			if done != nil {
 				done()
 			}
