--- /dev/null
+++ b/internal/controller/removal_mutation_test.go
@@ -0,0 +1,54 @@
+//go:build mutation
+
+package controller
+
+import (
+	"slices"
+	"testing"
+
+	"gotest.tools/v3/assert"
+
+	"dahlialock/internal/statemachine"
+)
+
+// Without the bound on tombstones the state grows, and without the check whether anything
+// refers to a member what is needed is removed. A log without a bound grows with the
+// changes.
+func TestBoundsOfStateAreNeeded(t *testing.T) {
+	for mutation, run := range statemachine.Sorted(map[string]func(t assert.TestingT){
+		"tombstones-for-ever": func(t assert.TestingT) {
+			sizes := replaceMachines(t, 1, 2000)
+			assert.Assert(t, slices.Max(sizes) < slices.Min(sizes)*11/10, "%v", sizes)
+		},
+		"forget-holders": func(t assert.TestingT) {
+			for seed := range uint64(20) {
+				replaceMachines(t, seed, 400)
+			}
+		},
+	}) {
+		assertNeeded(t, mutation, run)
+	}
+	for _, mutation := range []string{"snapshot-without-pending", "unsynced-names"} {
+		assertNeeded(t, mutation, func(t assert.TestingT) {
+			for seed := range uint64(200) {
+				powerLossAtAnyPoint(t.(reporter), seed)
+			}
+		})
+	}
+	restore := statemachine.Mutate("log-without-end")
+	defer restore()
+	cluster := newControllerCluster(t, 3)
+	cluster.putConfigurations(1, 100, 12)
+	recovered := cluster.primary().recoverDisk()
+	assert.Check(t, replayBytes(recovered) > maxReplayBytes(0, len(sizedDocument(1, 12))))
+}
+
+// assertNeeded checks that a run fails under a mutation.
+func assertNeeded(t *testing.T, mutation string, run func(t assert.TestingT)) {
+	t.Helper()
+	restore := statemachine.Mutate(mutation)
+	mutated := trialOf(run)
+	restore()
+	assert.Check(t, mutated.Failed, "nothing is seen of %s", mutation)
+	t.Log(mutation, mutated.Lines)
+}
--- a/internal/gateway/admission_mutation_test.go
+++ b/internal/gateway/admission_mutation_test.go
@@ -10,9 +10,9 @@
 	"dahlialock/internal/statemachine"
 )
 
-func TestAdmissionIsNeeded(t *testing.T) {
+func TestAdmissionMutationAdmitsAll(t *testing.T) {
 	defer statemachine.Mutate("all-admitted")()
-	fleetlab := open(t)
-	fleetlab.gateway.SetLink(thinLink)
-	assert.Equal(t, letIn(t, fleetlab, 300), 300)
+	fixture := open(t)
+	fixture.gateway.SetLink(thinLink)
+	assert.Equal(t, admitAll(t, fixture, 300), 300)
 }
--- a/internal/gateway/catchup_test.go
+++ b/internal/gateway/catchup_test.go
@@ -1,4 +1,3 @@
-// One batch is on its way to each store, refused subscriptions keep their turn, places are confirmed before what they lack is fetched, and nobody is told of who still waits for its place.
 package gateway
 
 import (
@@ -14,7 +13,7 @@
 	"dahlialock/internal/statemachine"
 )
 
-// crowded is a gateway at which callers take up many kept topics at once.
+// crowded is a gateway at which clients subscribe to many durable topics at once.
 type crowded struct {
 	now      time.Time
 	gateway  *Gateway
@@ -24,14 +23,35 @@
 
 func newCrowded(count int) *crowded {
 	made := &crowded{now: time.Unix(1000, 0)}
-	made.gateway = New(Settings{Self: membership.Member{Name: "gateway-1", Kind: membership.KindGateway, Address: "a:1"}, Agent: "a:2"})
-	made.gateway.viewClient.Members["store-1"] = membership.Member{Name: "store-1", Kind: membership.KindStore, Address: "k:1", Alive: true}
-	made.gateway.spaces["boards"] = &spaceState{space: config.Space{Name: "boards", Retention: config.Durable, Order: config.OrderTopic, Subscribers: []string{"*"}}, name: "boards~0"}
+	made.gateway = New(Settings{
+		Self:  membership.Member{Name: "gateway-1", Kind: membership.KindGateway, Address: "a:1"},
+		Agent: "a:2",
+	})
+	made.gateway.viewClient.Members["store-1"] = membership.Member{
+		Name:    "store-1",
+		Kind:    membership.KindStore,
+		Address: "k:1",
+		Alive:   true,
+	}
+	made.gateway.spaces["boards"] = &spaceState{
+		space: config.Space{Name: "boards", Retention: config.Durable, Order: config.OrderTopic, Subscribers: []string{"*"}},
+		name:  "boards~0",
+	}
 	for number := range count {
 		name := fmt.Sprintf("topic-%d", number)
 		partition := config.SharedPartition(name)
-		made.gateway.viewClient.Placements[partition] = membership.Placement{Partition: partition, Epoch: 1, Leader: "store-1", Complete: true}
-		subscription := &topicSubscription{session: uint64(number + 1), filling: true, request: Subscribe{Request: uint64(number + 1)}, deadline: made.now.Add(time.Second)}
+		made.gateway.viewClient.Placements[partition] = membership.Placement{
+			Partition: partition,
+			Epoch:     1,
+			Leader:    "store-1",
+			Complete:  true,
+		}
+		subscription := &topicSubscription{
+			session:  uint64(number + 1),
+			filling:  true,
+			request:  Subscribe{Request: uint64(number + 1)},
+			deadline: made.now.Add(time.Second),
+		}
 		opened := &session{client: name, routed: map[string]*topicSubscription{name: subscription}}
 		made.gateway.sessions[subscription.session] = opened
 		made.channels = append(made.channels, opened)
@@ -41,8 +61,8 @@
 	return made
 }
 
-// asked gives the batches that were sent since it was last called.
-func (c *crowded) asked() []partition.FetchTopics {
+// sentBatches returns the batches that were sent since it was last called.
+func (c *crowded) sentBatches() []partition.FetchTopics {
 	var batches []partition.FetchTopics
 	for _, send := range c.effects.Sends {
 		if fetch, is := send.Message.(partition.FetchTopics); is {
@@ -70,56 +90,57 @@
 
 const crowdedTopics = 24
 
-func TestOneBatchCarriesAllThatWaitsForAStore(t *testing.T) {
+func TestBatchCarriesAllWaitingTopics(t *testing.T) {
 	many := newCrowded(crowdedTopics)
-	first := many.asked()
+	first := many.sentBatches()
 	assert.Equal(t, len(first), 1)
 	assert.Equal(t, len(first[0].Topics), 1)
 	many.answer(first[0])
-	second := many.asked()
+	second := many.sentBatches()
 	assert.Equal(t, len(second), 1)
 	assert.Equal(t, len(second[0].Topics), crowdedTopics-1)
 	many.answer(second[0])
-	assert.Equal(t, len(many.asked()), 0)
+	assert.Equal(t, len(many.sentBatches()), 0)
 	for _, opened := range many.channels {
 		assert.Assert(t, !opened.routed[opened.client].filling, opened.client)
 	}
 }
 
-func TestABatchForWhichNobodyWaitsKeepsItsCreditUntilItsAnswer(t *testing.T) {
+func TestBatchWithoutWaitersKeepsCreditUntilResponse(t *testing.T) {
 	many := newCrowded(2)
-	batches := many.asked()
+	batches := many.sentBatches()
 	many.gateway.dropTopicSubscription(many.now, many.channels[0], batches[0].Topics[0].Topic, &many.effects)
-	assert.Equal(t, len(many.asked()), 0)
+	assert.Equal(t, len(many.sentBatches()), 0)
 	many.answer(batches[0])
-	next := many.asked()
+	next := many.sentBatches()
 	assert.Equal(t, len(next), 1)
 	// One whose answer never comes, and for which nobody waits, is not sent again.
 	many.gateway.dropTopicSubscription(many.now, many.channels[1], next[0].Topics[0].Topic, &many.effects)
 	many.now = many.now.Add(batchRetry)
 	many.gateway.retryBatches(many.now, &many.effects)
-	assert.Equal(t, len(many.asked()), 0)
+	assert.Equal(t, len(many.sentBatches()), 0)
 	assert.Equal(t, len(many.gateway.routed.batchInFlight), 0)
 }
 
-func TestATopicThatNobodyWantsAnyMoreIsNotFetched(t *testing.T) {
+func TestTopicWithoutSubscriptionsIsNotFetched(t *testing.T) {
 	many := newCrowded(3)
-	batches := many.asked()
+	batches := many.sentBatches()
 	waiting := many.channels[1]
 	many.gateway.dropTopicSubscription(many.now, waiting, waiting.client, &many.effects)
 	many.answer(batches[0])
-	next := many.asked()
+	next := many.sentBatches()
 	assert.Equal(t, len(next), 1)
 	assert.Equal(t, len(next[0].Topics), 1)
 	assert.Equal(t, next[0].Topics[0].Topic, many.channels[2].client)
 }
 
-// refusedTurn tells which topics the next batch asks for after a subscription behind a
-// slow batch was refused for want of an answer, and whether its next try is confirmed
-// at once when that batch has been answered.
-func refusedTurn(t *testing.T) (topics int, confirmed bool) {
+// rejectedTurn returns how many topics the next batch fetches after a subscription behind a
+// slow batch was rejected without a response, and whether its retry is confirmed from what
+// was fetched for it.
+func rejectedTurn(t *testing.T) (topics int, confirmed bool) {
+	t.Helper()
 	many := newCrowded(2)
-	slow := many.asked()[0]
+	slow := many.sentBatches()[0]
 	behind := many.channels[1].routed[many.channels[1].client]
 	behind.resumes, behind.deliveredUpTo = true, 3
 	many.now = behind.deadline
@@ -128,24 +149,31 @@
 	assert.Equal(t, many.effects.Responses[0].Value.(Reply).Code, "no-answer")
 	many.effects = statemachine.Effects{}
 	many.answer(slow)
-	next := many.asked()
+	next := many.sentBatches()
 	if len(next) == 0 {
 		return 0, false
 	}
 	many.answer(next[0])
 	many.effects = statemachine.Effects{}
-	again := &topicSubscription{session: behind.session, filling: true, resumes: true, deliveredUpTo: 3, request: Subscribe{Request: 99}, deadline: many.now.Add(time.Second)}
+	again := &topicSubscription{
+		session:       behind.session,
+		filling:       true,
+		resumes:       true,
+		deliveredUpTo: 3,
+		request:       Subscribe{Request: 99},
+		deadline:      many.now.Add(time.Second),
+	}
 	many.gateway.addTopicSubscription(many.now, many.channels[1].client, "boards", again, &many.effects)
 	return len(next[0].Topics), many.gateway.fill(many.now, again, &many.effects)
 }
 
-func TestARefusedSubscriptionKeepsItsTurn(t *testing.T) {
-	topics, confirmed := refusedTurn(t)
+func TestTopicSubscriptionKeepsTurnWhenRejected(t *testing.T) {
+	topics, confirmed := rejectedTurn(t)
 	assert.Equal(t, topics, 1)
 	assert.Assert(t, confirmed, "what was fetched is used by the next try")
 }
 
-func TestAReservedTurnEnds(t *testing.T) {
+func TestTopicReservationExpires(t *testing.T) {
 	many := newCrowded(1)
 	subscription := many.channels[0].routed[many.channels[0].client]
 	subscription.resumes, subscription.deliveredUpTo = true, 3
@@ -158,15 +186,18 @@
 	assert.Equal(t, len(many.gateway.routed.partitions), 0)
 }
 
-// A subscription without a cursor has no turn to keep: its topic goes, once.
-func TestAPartitionIsFollowedAsLongAsATopicOfItIsHeld(t *testing.T) {
+// A subscription without a cursor has no turn to keep: its topic is removed, once.
+func TestPartitionReportsEndWithLastTopic(t *testing.T) {
 	many := newCrowded(1)
 	refused := many.channels[0].routed[many.channels[0].client]
 	name := refused.topic.partition
 	kept := 0
 	for number := 1; kept == 0; number++ {
 		if topic := fmt.Sprintf("topic-%d", number); config.SharedPartition(topic) == name {
-			many.gateway.addTopicSubscription(many.now, topic, "boards", &topicSubscription{session: 9, deadline: many.now.Add(time.Hour)}, &many.effects)
+			many.gateway.addTopicSubscription(many.now, topic, "boards", &topicSubscription{
+				session:  9,
+				deadline: many.now.Add(time.Hour),
+			}, &many.effects)
 			kept = number
 		}
 	}
@@ -176,9 +207,9 @@
 	assert.Equal(t, many.gateway.routed.partitions[name], 1)
 }
 
-func TestTheCreditOfABatchFollowsFromTheLink(t *testing.T) {
+func TestBatchCreditFollowsLink(t *testing.T) {
 	many := newCrowded(1)
-	assert.Equal(t, many.asked()[0].MaxBytes, maxBatchBytes)
+	assert.Equal(t, many.sentBatches()[0].MaxBytes, maxBatchBytes)
 	many.gateway.SetLink(3_250_000)
 	assert.Equal(t, many.gateway.batchBytes(10), 65000)
 	assert.Equal(t, many.gateway.batchBytes(4), 162500)
@@ -189,12 +220,12 @@
 
 // A subscription is confirmed though the answer had no room for what it missed, which
 // follows with later batches.
-func TestASubscriptionIsConfirmedBeforeItsRecordsCome(t *testing.T) {
+func TestTopicSubscriptionConfirmedBeforeRecords(t *testing.T) {
 	one := newCrowded(1)
 	subscription := one.channels[0].routed["topic-0"]
 	subscription.resumes, subscription.deliveredUpTo = true, 2
 	one.gateway.routed.topics["topic-0"].fetch.after = 2
-	fetch := one.asked()[0]
+	fetch := one.sentBatches()[0]
 	name := config.SharedPartition("topic-0")
 	partitions := []partition.PartitionState{{Partition: name, Epoch: 1, HighWatermark: 9}}
 	one.gateway.handleTopicsFetched(one.now, partition.FetchTopicsResponse{
@@ -202,49 +233,55 @@
 	}, &one.effects)
 	assert.Equal(t, len(one.effects.Responses), 1)
 	assert.Equal(t, one.effects.Responses[0].Value.(Reply).Outcome, OutcomeAccepted)
-	next := one.asked()
+	next := one.sentBatches()
 	assert.Equal(t, len(next), 1)
 	assert.DeepEqual(t, next[0].Topics, []partition.TopicCursor{{Topic: "topic-0", After: 2}})
 	one.gateway.handleTopicsFetched(one.now, partition.FetchTopicsResponse{
-		RequestID: next[0].RequestID, Partitions: partitions,
-		Topics: []partition.TopicRecords{{Until: 9, Records: []partition.Record{{Offset: 7, Topic: "topic-0", Sender: "u", Seq: 1}}}},
+		RequestID:  next[0].RequestID,
+		Partitions: partitions,
+		Topics: []partition.TopicRecords{
+			{Until: 9, Records: []partition.Record{{Offset: 7, Topic: "topic-0", Sender: "u", Seq: 1}}},
+		},
 	}, &one.effects)
 	assert.Equal(t, len(one.effects.Deliveries), 1)
 	assert.Equal(t, len(one.effects.Responses), 0)
 	assert.Assert(t, !subscription.filling)
 }
 
-// What is told to have moved while a topic is still being fetched is not to be told
-// again once it has been.
-func TestWhatMovedWhileATopicWasFetchedIsFetchedToo(t *testing.T) {
+// A leader does not report again what it reported while the topic was being fetched.
+func TestTopicReportedDuringFetchIsFetched(t *testing.T) {
 	one := newCrowded(1)
-	fetch := one.asked()[0]
+	fetch := one.sentBatches()[0]
 	topic := one.gateway.routed.topics["topic-0"]
 	one.gateway.routed.reportedUpTo[topic.partition] = 5
 	one.gateway.handleTopicHighWatermarks(one.now, partition.HighWatermark{
-		Partition: topic.partition, Epoch: 1, From: 5, Offset: 8, Topics: []partition.TopicOffset{{TopicHash: topic.number, Offset: 8}},
-	}, &one.effects)
+		Partition: topic.partition,
+		Epoch:     1,
+		From:      5,
+		Offset:    8,
+		Topics:    []partition.TopicOffset{{TopicHash: topic.number, Offset: 8}},
+	})
 	one.answer(fetch)
 	one.now = one.now.Add(highWatermarkGrace)
 	one.gateway.tickRouted(one.now, &one.effects)
-	next := one.asked()
+	next := one.sentBatches()
 	assert.Equal(t, len(next), 1)
 	assert.DeepEqual(t, next[0].Topics, []partition.TopicCursor{{Topic: "topic-0", After: 5}})
 	assert.Equal(t, one.gateway.routed.reportedUpTo[topic.partition], uint64(8))
 }
 
-// toldWhileWaiting is how many subscribers others are told of while one waits for
-// its place, and once it has it.
-func toldWhileWaiting() (waiting, filled int) {
+// announcedWhileWaiting returns how many subscribers are announced while one is unconfirmed, and
+// once it is confirmed.
+func announcedWhileWaiting() (waiting, filled int) {
 	one := newCrowded(1)
 	topic := one.gateway.routed.topics["topic-0"]
 	waiting = topic.announcedCount
-	one.answer(one.asked()[0])
+	one.answer(one.sentBatches()[0])
 	return waiting, topic.announcedCount
 }
 
-func TestNobodyIsToldOfWhoWaitsForItsPlace(t *testing.T) {
-	waiting, filled := toldWhileWaiting()
+func TestSubscriberCountLeavesOutUnconfirmed(t *testing.T) {
+	waiting, filled := announcedWhileWaiting()
 	assert.Equal(t, waiting, 0)
 	assert.Equal(t, filled, 1)
 }
@@ -252,8 +289,9 @@
 // confirmed tells whether a caller who comes back with a cursor is answered before
 // what it missed was fetched.
 func confirmed(t *testing.T, cursor uint64) bool {
+	t.Helper()
 	one := newCrowded(1)
-	one.answer(one.asked()[0])
+	one.answer(one.sentBatches()[0])
 	gateway := one.gateway
 	partition := config.SharedPartition("topic-0")
 	gateway.routed.bases[partition] = 3
@@ -263,7 +301,13 @@
 	gateway.sessions[9] = &session{client: "late", routed: map[string]*topicSubscription{}}
 	gateway.routed.topics["topic-0"].recentFrom, gateway.routed.topics["topic-0"].last = 9, 9
 	one.effects = statemachine.Effects{}
-	gateway.subscribeRouted(one.now, Subscribe{Request: 77, Session: 9, Client: "late", Interests: []Interest{{Path: "topic-0"}}, Cursor: formatTopicCursor(cursor)}, true, &one.effects)
+	gateway.subscribeRouted(one.now, Subscribe{
+		Request:   77,
+		Session:   9,
+		Client:    "late",
+		Interests: []Interest{{Path: "topic-0"}},
+		Cursor:    formatTopicCursor(cursor),
+	}, true, &one.effects)
 	for _, response := range one.effects.Responses {
 		if response.Request == 77 {
 			answer := response.Value.(Reply)
@@ -272,17 +316,20 @@
 			return true
 		}
 	}
-	assert.Equal(t, len(one.asked()), 1)
+	assert.Equal(t, len(one.sentBatches()), 1)
 	return false
 }
 
 func configOf(t *testing.T) config.Configuration {
-	read, faults := config.Read([]byte(`{"version":1,"spaces":[{"name":"boards","promise":"kept","order":"topic"}],"routes":[{"prefix":"topic-","space":"boards"}]}`))
+	t.Helper()
+	read, faults := config.Read([]byte(`{"version":1,
+		"spaces":[{"name":"boards","promise":"kept","order":"topic"}],
+		"routes":[{"prefix":"topic-","space":"boards"}]}`))
 	assert.Equal(t, len(faults), 0, "%v", faults)
 	return read
 }
 
-func TestAPlaceOfWhichAllIsHeldIsConfirmedAtOnce(t *testing.T) {
+func TestTopicSubscriptionWithinRetentionConfirmedAtOnce(t *testing.T) {
 	assert.Assert(t, confirmed(t, 5))
 	assert.Assert(t, !confirmed(t, 2), "what lay there may be gone")
 }
@@ -291,7 +338,11 @@
 func (c *crowded) answerLeft(fetch partition.FetchTopics, left map[string]int) {
 	answer := partition.FetchTopicsResponse{RequestID: fetch.RequestID}
 	for _, each := range fetch.Topics {
-		answer.Partitions = append(answer.Partitions, partition.PartitionState{Partition: config.SharedPartition(each.Topic), Epoch: 1, HighWatermark: 9})
+		answer.Partitions = append(answer.Partitions, partition.PartitionState{
+			Partition:     config.SharedPartition(each.Topic),
+			Epoch:         1,
+			HighWatermark: 9,
+		})
 		records := partition.TopicRecords{Until: 9}
 		if bytes := left[each.Topic]; bytes > 0 {
 			records = partition.TopicRecords{Until: each.After, RemainingBytes: bytes}
@@ -302,7 +353,7 @@
 }
 
 // orderOfRest gives the topics of the batch that follows an answer without room, when
-// each lacks less than the one before it.
+// each misses fewer records than the one before it.
 func orderOfRest(t *testing.T) []string {
 	t.Helper()
 	many := newCrowded(4)
@@ -316,15 +367,15 @@
 	clear(many.gateway.routed.batches)
 	clear(many.gateway.routed.batchInFlight)
 	many.gateway.routed.queue = nil
-	many.asked()
+	many.sentBatches()
 	for _, opened := range many.channels {
 		subscription := opened.routed[opened.client]
 		subscription.topic.queued = true
 		many.gateway.routed.queue = append(many.gateway.routed.queue, subscription.topic)
 	}
 	many.gateway.sendBatches(many.now, &many.effects)
-	many.answerLeft(many.asked()[0], left)
-	next := many.asked()
+	many.answerLeft(many.sentBatches()[0], left)
+	next := many.sentBatches()
 	assert.Equal(t, len(next), 1)
 	var order []string
 	for _, each := range next[0].Topics {
@@ -333,21 +384,22 @@
 	return order
 }
 
-// A topic that lacks one message must not wait for those that lack a hundred.
-func TestShortTopicsAreNotHeldUpByLongOnes(t *testing.T) {
+// A topic with one missing record must not wait for those with a hundred.
+func TestBatchFetchesShortBacklogsBeforeLongOnes(t *testing.T) {
 	assert.DeepEqual(t, orderOfRest(t), []string{"topic-3", "topic-2", "topic-1", "topic-0"})
 }
 
-// While more is known to lack than the link takes in a second nobody else is let in.
-func TestABacklogClosesTheGate(t *testing.T) {
+// While more bytes are missing than the link takes in a second no session is admitted.
+func TestAdmissionRejectsDuringBacklog(t *testing.T) {
 	one := newCrowded(1)
 	topic := one.gateway.routed.topics["topic-0"]
 	one.gateway.SetLink(thinRate)
 	assert.Assert(t, one.gateway.admits(one.now))
-	fetch := one.asked()[0]
+	fetch := one.sentBatches()[0]
 	one.gateway.handleTopicsFetched(one.now, partition.FetchTopicsResponse{
-		RequestID: fetch.RequestID, Partitions: []partition.PartitionState{{Partition: topic.partition, Epoch: 1, HighWatermark: 9}},
-		Topics: []partition.TopicRecords{{Until: 0, RemainingBytes: thinRate + 1}},
+		RequestID:  fetch.RequestID,
+		Partitions: []partition.PartitionState{{Partition: topic.partition, Epoch: 1, HighWatermark: 9}},
+		Topics:     []partition.TopicRecords{{Until: 0, RemainingBytes: thinRate + 1}},
 	}, &one.effects)
 	assert.Assert(t, !one.gateway.admits(one.now))
 	one.gateway.dropTopicSubscription(one.now, one.channels[0], "topic-0", &one.effects)
@@ -356,22 +408,29 @@
 
 const thinRate = 100_000
 
-// What a place lacked counts no longer once it is gone, though others hold its topic and
-// the answer is still on its way.
-func TestABacklogGoesWithWhoeverLackedIt(t *testing.T) {
+// What a removed subscription lacked no longer counts, though others subscribe to its topic
+// and the response is still on its way.
+func TestAdmissionForgetsBacklogOfClosedSessions(t *testing.T) {
 	one := newCrowded(1)
 	gateway, topic := one.gateway, one.gateway.routed.topics["topic-0"]
-	one.answer(one.asked()[0])
+	one.answer(one.sentBatches()[0])
 	gateway.SetLink(thinRate)
-	late := &topicSubscription{session: 9, filling: true, resumes: true, request: Subscribe{Request: 9}, deadline: one.now.Add(time.Second)}
+	late := &topicSubscription{
+		session:  9,
+		filling:  true,
+		resumes:  true,
+		request:  Subscribe{Request: 9},
+		deadline: one.now.Add(time.Second),
+	}
 	gateway.sessions[9] = &session{client: "late", routed: map[string]*topicSubscription{"topic-0": late}}
 	gateway.addTopicSubscription(one.now, "topic-0", "boards", late, &one.effects)
 	gateway.fetchTopic(one.now, topic, &one.effects)
 	for range 2 {
-		fetch := one.asked()[0]
+		fetch := one.sentBatches()[0]
 		gateway.handleTopicsFetched(one.now, partition.FetchTopicsResponse{
-			RequestID: fetch.RequestID, Partitions: []partition.PartitionState{{Partition: topic.partition, Epoch: 1, HighWatermark: 5}},
-			Topics: []partition.TopicRecords{{Until: 1, RemainingBytes: thinRate + 1}},
+			RequestID:  fetch.RequestID,
+			Partitions: []partition.PartitionState{{Partition: topic.partition, Epoch: 1, HighWatermark: 5}},
+			Topics:     []partition.TopicRecords{{Until: 1, RemainingBytes: thinRate + 1}},
 		}, &one.effects)
 		if _, held := gateway.sessions[9].routed["topic-0"]; held {
 			assert.Assert(t, !gateway.admits(one.now))
--- a/internal/gateway/identity_test.go
+++ b/internal/gateway/identity_test.go
@@ -1,5 +1,3 @@
-// What a store answers to an earlier life of a gateway says nothing about what the
-// present one asked, and one answer of each store counts.
 package gateway
 
 import (
@@ -15,8 +13,8 @@
 )
 
 const (
-	earlierLife statemachine.Incarnation = 0x5851_f42d_4c95_7f2d
-	presentLife statemachine.Incarnation = 0x1405_7b7e_f767_814f
+	earlierIncarnation statemachine.Incarnation = 0x5851_f42d_4c95_7f2d
+	presentIncarnation statemachine.Incarnation = 0x1405_7b7e_f767_814f
 )
 
 // asker is a gateway with one space, of which a sender's message waits.
@@ -25,24 +23,41 @@
 	item    *publication
 }
 
-func newAsker(life statemachine.Incarnation, now time.Time, partitions ...string) *asker {
-	gateway := New(Settings{Self: membership.Member{Name: "gateway-1", Kind: membership.KindGateway, Address: "a:1"}, Agent: "a:2", Incarnation: life})
+// newAsker returns a gateway of an incarnation that sends requests to stores. A response of a
+// store to an earlier incarnation must not be taken for one to the present.
+func newAsker(incarnation statemachine.Incarnation, now time.Time, partitions ...string) *asker {
+	gateway := New(Settings{
+		Self:        membership.Member{Name: "gateway-1", Kind: membership.KindGateway, Address: "a:1"},
+		Agent:       "a:2",
+		Incarnation: incarnation,
+	})
 	for number, name := range partitions {
 		store := string(rune('k' + number))
-		gateway.viewClient.Members[store] = membership.Member{Name: store, Kind: membership.KindStore, Address: store, Alive: true}
+		gateway.viewClient.Members[store] = membership.Member{
+			Name:    store,
+			Kind:    membership.KindStore,
+			Address: store,
+			Alive:   true,
+		}
 		gateway.viewClient.Placements[name] = membership.Placement{Partition: name, Epoch: 1, Leader: store}
 	}
-	gateway.spaces["boards"] = &spaceState{space: config.Space{Name: "boards", Retention: config.Durable}, name: "boards~1"}
+	gateway.spaces["boards"] = &spaceState{
+		space: config.Space{Name: "boards", Retention: config.Durable},
+		name:  "boards~1",
+	}
 	item := &publication{
-		request: Publish{Request: 9, Sender: "u", Client: "u", Space: "boards", Topic: "t", Seq: 1}, key: senderKey{space: "boards", sender: "u"},
-		id: 77, partition: partitions[0], deadline: now.Add(500 * time.Millisecond),
+		request:   Publish{Request: 9, Sender: "u", Client: "u", Space: "boards", Topic: "t", Seq: 1},
+		key:       senderKey{space: "boards", sender: "u"},
+		id:        77,
+		partition: partitions[0],
+		deadline:  now.Add(500 * time.Millisecond),
 	}
 	gateway.senders[item.key] = &sender{recent: map[uint64]sentMemory{}, queue: []*publication{item}}
 	gateway.appends[item.id] = item
 	return &asker{gateway: gateway, item: item}
 }
 
-// ask lets the gateway ask, and gives what it sends.
+// ask runs a step of the gateway and returns what it sends.
 func (a *asker) ask(run func(effects *statemachine.Effects)) []statemachine.Send {
 	var effects statemachine.Effects
 	run(&effects)
@@ -59,7 +74,13 @@
 	topic := &topicState{name: "t", partition: a.item.partition, durable: true}
 	topic.subscriptions = []*topicSubscription{{topic: topic, filling: true}}
 	a.gateway.routed.topics[topic.name] = topic
-	return a.ask(func(effects *statemachine.Effects) { a.gateway.fetchTopic(now, topic, effects) })[0].Message.(partition.FetchTopics)
+	return a.ask(func(effects *statemachine.Effects) {
+		a.gateway.fetchTopic(
+			now,
+			topic,
+			effects,
+		)
+	})[0].Message.(partition.FetchTopics)
 }
 
 func (a *asker) recall(now time.Time) []statemachine.Send {
@@ -68,30 +89,34 @@
 	})
 }
 
-// take hands a store's answer to the gateway, and gives what it tells callers.
+// take hands a response of a store to the gateway and returns what clients get.
 func (a *asker) take(now time.Time, answer any) []statemachine.Response {
 	var effects statemachine.Effects
 	a.gateway.dispatch(now, statemachine.Meta{From: "k"}, answer, &effects)
 	return effects.Responses
 }
 
-// lateAppend is what a caller of the present life is told upon the acknowledgement
-// of another's message in the earlier one.
+// lateAppend returns what a client of the present incarnation gets for the response to an
+// append of the earlier one.
 func lateAppend() []statemachine.Response {
 	now := time.Unix(1000, 0)
-	earlier := newAsker(earlierLife, now, "boards~1/0").append(now)
-	present := newAsker(presentLife, now, "boards~1/0")
+	earlier := newAsker(earlierIncarnation, now, "boards~1/0").append(now)
+	present := newAsker(presentIncarnation, now, "boards~1/0")
 	present.append(now.Add(time.Second))
 	return present.take(now.Add(1100*time.Millisecond), partition.AppendResponse{
-		Partition: earlier.Partition, RequestID: earlier.RequestID, Outcome: partition.OutcomeAccepted, Epoch: 1, Record: partition.Record{Offset: 5},
+		Partition: earlier.Partition,
+		RequestID: earlier.RequestID,
+		Outcome:   partition.OutcomeAccepted,
+		Epoch:     1,
+		Record:    partition.Record{Offset: 5},
 	})
 }
 
-// lateFetch tells whether an answer to the earlier life's fetch ends one of the present.
+// lateFetch returns whether a response to the earlier incarnation's fetch ends one of the present.
 func lateFetch() bool {
 	now := time.Unix(1000, 0)
-	earlier := newAsker(earlierLife, now, "boards~1/0").fetch(now)
-	present := newAsker(presentLife, now, "boards~1/0")
+	earlier := newAsker(earlierIncarnation, now, "boards~1/0").fetch(now)
+	present := newAsker(presentIncarnation, now, "boards~1/0")
 	fetch := present.fetch(now.Add(time.Second))
 	present.take(now.Add(1100*time.Millisecond), partition.FetchTopicsResponse{
 		RequestID: earlier.RequestID, Topics: []partition.TopicRecords{{Until: 5}},
@@ -101,37 +126,49 @@
 	return !waits
 }
 
-func TestNoAnswerToAnEarlierLifeIsTaken(t *testing.T) {
+func TestResponseToEarlierIncarnationIsIgnored(t *testing.T) {
 	assert.Equal(t, len(lateAppend()), 0)
 	assert.Assert(t, !lateFetch())
 }
 
-// doubledRecall tells whether a sender's trail counts as known after the same store
-// answered twice, and another not at all.
-func doubledRecall() bool {
+// doubledLookup returns whether a sender lookup completes after the same store responded twice.
+func doubledLookup() bool {
 	now := time.Unix(1000, 0)
-	asker := newAsker(presentLife, now, partitionName("boards~1", 0), partitionName("boards~1", 1))
+	asker := newAsker(presentIncarnation, now, partitionName("boards~1", 0), partitionName("boards~1", 1))
 	asker.gateway.spaces["boards"].space.Order = config.OrderSender
 	for number := 2; number < asker.gateway.spaces["boards"].space.Partitions(); number++ {
 		asker.gateway.viewClient.Placements[partitionName("boards~1", number)] = membership.Placement{Leader: "k", Epoch: 1}
 	}
 	sends := asker.recall(now)
 	for range len(sends) {
-		asker.take(now, partition.SenderStateResponse{RequestID: sends[0].Message.(partition.SenderStateRequest).RequestID, Ready: true})
+		asker.take(now, partition.SenderStateResponse{
+			RequestID: sends[0].Message.(partition.SenderStateRequest).RequestID,
+			Ready:     true,
+		})
 	}
 	return asker.gateway.senders[asker.item.key].lookedUp
 }
 
-// doubledPage gives how many records a fetch has after its first part came twice.
+// doubledPage returns how many records a fetch has after its first part came twice.
 func doubledPage() int {
 	now := time.Unix(1000, 0)
-	asker := newAsker(presentLife, now, "boards~1/0")
+	asker := newAsker(presentIncarnation, now, "boards~1/0")
 	operation := &fetchOperation{
-		session: 5, partitions: map[string]*partitionFetch{"boards~1/0": {}}, records: map[string][]partition.Record{}, deadline: now.Add(time.Second),
+		session:    5,
+		partitions: map[string]*partitionFetch{"boards~1/0": {}},
+		records:    map[string][]partition.Record{},
+		deadline:   now.Add(time.Second),
 	}
 	asker.gateway.fetches[3] = operation
 	page := func(from, until uint64) partition.FetchResponse {
-		answer := partition.FetchResponse{Partition: "boards~1/0", RequestID: 3, Epoch: 1, HighWatermark: 10, Until: until, Ready: true}
+		answer := partition.FetchResponse{
+			Partition:     "boards~1/0",
+			RequestID:     3,
+			Epoch:         1,
+			HighWatermark: 10,
+			Until:         until,
+			Ready:         true,
+		}
 		for offset := from; offset <= until; offset++ {
 			answer.Records = append(answer.Records, partition.Record{Offset: offset, Epoch: 1, Sender: "u", Seq: offset})
 		}
@@ -143,10 +180,10 @@
 	return len(operation.records["boards~1/0"])
 }
 
-func TestAPartThatComesTwiceCountsOnce(t *testing.T) {
+func TestFetchIgnoresDuplicateResponse(t *testing.T) {
 	assert.Equal(t, doubledPage(), 10)
 }
 
-func TestOneAnswerOfEachStoreCounts(t *testing.T) {
-	assert.Assert(t, !doubledRecall())
+func TestSenderLookupCountsEachStoreOnce(t *testing.T) {
+	assert.Assert(t, !doubledLookup())
 }
--- a/internal/gateway/route_test.go
+++ b/internal/gateway/route_test.go
@@ -1,5 +1,3 @@
-// What waits for a store is sent again where its way changed, and not with each piece
-// of news: after a loss of all power news come all the time.
 package gateway
 
 import (
@@ -13,15 +11,32 @@
 	"dahlialock/internal/statemachine"
 )
 
-// sentAgain gives what a gateway with an open fetch sends when news bring another
-// member, and when they bring another epoch of the partition.
-func sentAgain() (otherNews, otherEpoch int) {
+// sentAgain returns how much a gateway with an open fetch sends when an unrelated view update
+// comes, and when one with another epoch of the partition comes. After a power loss of the
+// complete fleet view updates come all the time.
+func sentAgain() (unrelatedUpdate, otherEpoch int) {
 	now := time.Unix(1000, 0)
-	gateway := New(Settings{Self: membership.Member{Name: "gateway-1", Kind: membership.KindGateway, Address: "a:1"}, Agent: "a:2"})
+	gateway := New(Settings{
+		Self:  membership.Member{Name: "gateway-1", Kind: membership.KindGateway, Address: "a:1"},
+		Agent: "a:2",
+	})
 	name := config.SharedPartition("topic")
-	gateway.viewClient.Members["store-1"] = membership.Member{Name: "store-1", Kind: membership.KindStore, Address: "k:1", Alive: true}
-	gateway.viewClient.Placements[name] = membership.Placement{Partition: name, Epoch: 1, Leader: "store-1", Complete: true}
-	gateway.spaces["boards"] = &spaceState{space: config.Space{Name: "boards", Retention: config.Durable, Order: config.OrderTopic}, name: "boards~0"}
+	gateway.viewClient.Members["store-1"] = membership.Member{
+		Name:    "store-1",
+		Kind:    membership.KindStore,
+		Address: "k:1",
+		Alive:   true,
+	}
+	gateway.viewClient.Placements[name] = membership.Placement{
+		Partition: name,
+		Epoch:     1,
+		Leader:    "store-1",
+		Complete:  true,
+	}
+	gateway.spaces["boards"] = &spaceState{
+		space: config.Space{Name: "boards", Retention: config.Durable, Order: config.OrderTopic},
+		name:  "boards~0",
+	}
 	var effects statemachine.Effects
 	subscription := &topicSubscription{session: 1, filling: true, deadline: now.Add(time.Second)}
 	topic := gateway.addTopicSubscription(now, "topic", "boards", subscription, &effects)
@@ -32,20 +47,30 @@
 		gateway.placementsChanged(now, &effects)
 		return len(effects.Sends)
 	}
-	gateway.viewClient.Members["gateway-2"] = membership.Member{Name: "gateway-2", Kind: membership.KindGateway, Address: "b:1", Alive: true}
-	otherNews = again()
-	gateway.viewClient.Placements[name] = membership.Placement{Partition: name, Epoch: 2, Leader: "store-1", Complete: true}
+	gateway.viewClient.Members["gateway-2"] = membership.Member{
+		Name:    "gateway-2",
+		Kind:    membership.KindGateway,
+		Address: "b:1",
+		Alive:   true,
+	}
+	unrelatedUpdate = again()
+	gateway.viewClient.Placements[name] = membership.Placement{
+		Partition: name,
+		Epoch:     2,
+		Leader:    "store-1",
+		Complete:  true,
+	}
 	otherEpoch = again()
-	return otherNews, otherEpoch
+	return unrelatedUpdate, otherEpoch
 }
 
-func TestNewsOfOtherThingsSendNothingAgain(t *testing.T) {
-	otherNews, otherEpoch := sentAgain()
-	assert.Equal(t, otherNews, 0)
+func TestRouteUnrelatedViewUpdateResendsNothing(t *testing.T) {
+	unrelatedUpdate, otherEpoch := sentAgain()
+	assert.Equal(t, unrelatedUpdate, 0)
 	assert.Equal(t, otherEpoch, 1)
 }
 
-func TestABatchWithoutAnAnswerIsSentEverMoreSeldom(t *testing.T) {
+func TestBatchRetriesBackOff(t *testing.T) {
 	sent := &batch{}
 	var waits []time.Duration
 	for sent.attempts = 1; sent.attempts < 7; sent.attempts++ {
--- a/internal/gateway/stats.go
+++ b/internal/gateway/stats.go
@@ -1,11 +1,12 @@
 package gateway
 
 import (
-	"dahlialock/internal/membership"
 	"time"
+
+	"dahlialock/internal/membership"
 )
 
-// Counts are running sums for measurements and tests.
+// Counts are running sums for measurements and tests. The JSON keys are part of the ctl interface.
 type Counts struct {
 	Requests          uint64 `json:"Requests"`
 	Accepted          uint64 `json:"Accepted"`
@@ -27,17 +28,54 @@
 	Late    uint64 `json:"Late"`
 }
 
+// load returns the load that the gateway reports to the controllers.
 func (g *Gateway) load() membership.Load {
 	var processor time.Duration
 	if g.settings.Processor != nil {
 		processor = g.settings.Processor()
 	}
 	return membership.Load{
-		Copies: g.Counts.CopiesIn, Processor: processor, Delays: g.overlay.RoundTrips(),
-		Sessions: g.remainingSessions(), FreeCapacity: g.settings.MaxClients - len(g.sessions), Requests: g.Counts.Requests,
-		Delivered: g.Counts.Delivered, Ready: g.wasReady, Resting: g.Resting(),
+		Copies:       g.Counts.CopiesIn,
+		Processor:    processor,
+		Delays:       g.overlay.RoundTrips(),
+		Sessions:     g.remainingSessions(),
+		FreeCapacity: g.settings.MaxClients - len(g.sessions),
+		Requests:     g.Counts.Requests,
+		Delivered:    g.Counts.Delivered,
+		Ready:        g.wasReady,
+		Resting:      g.Resting(),
 	}
 }
 
-// Load is what the gateway reports of itself.
+// Load returns the load that the gateway reports to the controllers.
 func (g *Gateway) Load() membership.Load { return g.load() }
+
+// TrackerStatus is the state of one tracker. The JSON keys are part of the ctl interface.
+type TrackerStatus struct {
+	Verified    uint64        `json:"verified"`
+	Head        uint64        `json:"head"`
+	Pending     int           `json:"held"`
+	Started     bool          `json:"began"`
+	Verifying   bool          `json:"verifying"`
+	Wanted      bool          `json:"wanted"`
+	VerifiedAgo time.Duration `json:"fresh"`
+	Interests   int           `json:"interests"`
+}
+
+// Trackers returns the state of all trackers by partition, for ctl and the simulator.
+func (g *Gateway) Trackers(now time.Time) map[string]TrackerStatus {
+	statuses := map[string]TrackerStatus{}
+	for name, tracker := range g.trackers {
+		statuses[name] = TrackerStatus{
+			Verified:    tracker.verified,
+			Head:        tracker.highWatermark,
+			Pending:     len(tracker.pending),
+			Started:     tracker.started,
+			Verifying:   tracker.verifying,
+			Wanted:      tracker.wanted,
+			VerifiedAgo: now.Sub(tracker.verifiedAt),
+			Interests:   len(tracker.interests),
+		}
+	}
+	return statuses
+}
--- a/internal/gateway/stopping_test.go
+++ b/internal/gateway/stopping_test.go
@@ -13,25 +13,27 @@
 	"dahlialock/internal/statemachine"
 )
 
-const document = `{"version":1,"spaces":[{"name":"boards","promise":"kept","order":"topic"}],"routes":[{"prefix":"b.","space":"boards"}]}`
+const document = `{"version":1,
+	"spaces":[{"name":"boards","promise":"kept","order":"topic"}],
+	"routes":[{"prefix":"b.","space":"boards"}]}`
 
-// fleetlab is one gateway that has its first news and another to send callers to.
-type fleetlab struct {
-	now     time.Time
-	gateway *gateway.Gateway
-	request uint64
-	toldAt  time.Time
-	// heard is what the newest news brought about.
+// fixture is a gateway that has had its first view update, beside another to move clients to.
+type fixture struct {
+	now         time.Time
+	gateway     *gateway.Gateway
+	request     uint64
+	heartbeatAt time.Time
+	// heard is the effects of the newest view update.
 	heard statemachine.Effects
 }
 
-func (f *fleetlab) do(command any) statemachine.Effects {
+func (f *fixture) do(command any) statemachine.Effects {
 	var effects statemachine.Effects
 	f.gateway.HandleCommand(f.now, command, &effects)
 	return effects
 }
 
-func (f *fleetlab) pass(length time.Duration) statemachine.Effects {
+func (f *fixture) pass(length time.Duration) statemachine.Effects {
 	var all statemachine.Effects
 	until := f.now.Add(length)
 	for {
@@ -44,53 +46,99 @@
 		}
 		var effects statemachine.Effects
 		f.gateway.Tick(f.now, &effects)
-		f.news(effects)
+		f.respondToAgentRequests(effects)
 		all.Append(effects)
 	}
 	f.now = until
 	return all
 }
 
-// news answers what the gateway asks its agent, and tells it of heartbeats.
-func (f *fleetlab) news(effects statemachine.Effects) {
+// respondToAgentRequests responds to the requests that the gateway sends to its agent, and sends heartbeats.
+func (f *fixture) respondToAgentRequests(effects statemachine.Effects) {
 	for _, send := range effects.Sends {
 		ask, matches := send.Message.(membership.ViewRequest)
-		if !matches || f.now.Sub(f.toldAt) < 300*time.Millisecond {
+		if !matches || f.now.Sub(f.heartbeatAt) < 300*time.Millisecond {
 			continue
 		}
-		f.toldAt = f.now
+		f.heartbeatAt = f.now
 		partitionName := config.SharedPartition("b.1")
 		f.heard = statemachine.Effects{}
 		f.gateway.HandleMessage(f.now, statemachine.Meta{From: "10.0.0.1:2", Version: 1}, membership.ViewUpdate{
-			Recipient: "gateway-1", Nonce: ask.Nonce, Epoch: 1, Primary: "10.0.0.9:1", Index: 1, Version: 1, Document: []byte(document), Changed: true,
+			Recipient:      "gateway-1",
+			Nonce:          ask.Nonce,
+			Epoch:          1,
+			Primary:        "10.0.0.9:1",
+			Index:          1,
+			Version:        1,
+			Document:       []byte(document),
+			Changed:        true,
 			SpaceCreatedAt: map[string]uint64{"boards": 1},
 			Members: []membership.Member{
-				{Name: "gateway-1", Kind: membership.KindGateway, Address: "10.0.0.1:1", Caller: "10.0.0.1:8000", Zone: "east", Incarnation: 1, Alive: true, Joined: 1},
-				{Name: "gateway-2", Kind: membership.KindGateway, Address: "10.0.0.2:1", Caller: "10.0.0.2:8000", Zone: "east", Incarnation: 1, Alive: true, Joined: 1},
-				{Name: "store-1", Kind: membership.KindStore, Address: "10.0.0.3:1", Zone: "east", Incarnation: 1, Alive: true, Joined: 1},
+				{
+					Name:        "gateway-1",
+					Kind:        membership.KindGateway,
+					Address:     "10.0.0.1:1",
+					Caller:      "10.0.0.1:8000",
+					Zone:        "east",
+					Incarnation: 1,
+					Alive:       true,
+					Joined:      1,
+				},
+				{
+					Name:        "gateway-2",
+					Kind:        membership.KindGateway,
+					Address:     "10.0.0.2:1",
+					Caller:      "10.0.0.2:8000",
+					Zone:        "east",
+					Incarnation: 1,
+					Alive:       true,
+					Joined:      1,
+				},
+				{
+					Name:        "store-1",
+					Kind:        membership.KindStore,
+					Address:     "10.0.0.3:1",
+					Zone:        "east",
+					Incarnation: 1,
+					Alive:       true,
+					Joined:      1,
+				},
 			},
 			Placements: []membership.Placement{{Partition: partitionName, Epoch: 1, Leader: "store-1"}},
 		}, &f.heard)
 	}
 }
 
-func open(t *testing.T) *fleetlab {
+func open(t *testing.T) *fixture {
 	t.Helper()
-	fleetlab := &fleetlab{now: time.Unix(1000, 0), gateway: gateway.New(gateway.Settings{
-		Self:  membership.Member{Name: "gateway-1", Kind: membership.KindGateway, Address: "10.0.0.1:1", Caller: "10.0.0.1:8000", Zone: "east", Incarnation: 1},
+	fixture := &fixture{now: time.Unix(1000, 0), gateway: gateway.New(gateway.Settings{
+		Self: membership.Member{
+			Name:        "gateway-1",
+			Kind:        membership.KindGateway,
+			Address:     "10.0.0.1:1",
+			Caller:      "10.0.0.1:8000",
+			Zone:        "east",
+			Incarnation: 1,
+		},
 		Agent: "10.0.0.1:2",
 	})}
 	var effects statemachine.Effects
-	fleetlab.gateway.Start(fleetlab.now, &effects)
-	fleetlab.pass(time.Millisecond)
-	assert.Equal(t, fleetlab.gateway.ConfigurationVersion(), uint64(1))
-	return fleetlab
+	fixture.gateway.Start(fixture.now, &effects)
+	fixture.pass(time.Millisecond)
+	assert.Equal(t, fixture.gateway.ConfigurationVersion(), uint64(1))
+	return fixture
 }
 
-func (f *fleetlab) greet(t *testing.T, session uint64, origin string) statemachine.Effects {
+func (f *fixture) greet(t *testing.T, session uint64, origin string) statemachine.Effects {
 	t.Helper()
 	f.request++
-	return f.do(gateway.OpenSession{Request: f.request, Session: session, Name: origin, Client: origin, AdapterPings: true})
+	return f.do(gateway.OpenSession{
+		Request:      f.request,
+		Session:      session,
+		Name:         origin,
+		Client:       origin,
+		AdapterPings: true,
+	})
 }
 
 func outcome(t *testing.T, effects statemachine.Effects) gateway.Reply {
@@ -109,23 +157,30 @@
 	return count
 }
 
-func TestAStoppingGatewayTellsWhoComesWhereToGo(t *testing.T) {
-	fleetlab := open(t)
-	fleetlab.do(gateway.Stop{})
-	effects := fleetlab.greet(t, 1, "u1")
+func TestStoppingGatewayRedirectsNewClients(t *testing.T) {
+	fixture := open(t)
+	fixture.do(gateway.Stop{})
+	effects := fixture.greet(t, 1, "u1")
 	assert.Equal(t, outcome(t, effects).Outcome, gateway.OutcomeAccepted)
 	assert.Equal(t, moves(effects), 1)
-	fleetlab.request++
-	other := fleetlab.do(gateway.OpenSession{Request: fleetlab.request, Session: 2, Name: "u2", Client: "u2"})
+	fixture.request++
+	other := fixture.do(gateway.OpenSession{Request: fixture.request, Session: 2, Name: "u2", Client: "u2"})
 	assert.Equal(t, outcome(t, other).Code, "stopping")
 }
 
-func TestAStoppingGatewayServesThoseWhoAreStillHere(t *testing.T) {
-	fleetlab := open(t)
-	fleetlab.greet(t, 1, "u1")
-	fleetlab.do(gateway.Stop{})
-	fleetlab.request++
-	effects := fleetlab.do(gateway.Publish{Request: fleetlab.request, Client: "u1", Sender: "u1", Topic: "b.1", Seq: 1, Data: []byte("x")})
+func TestStoppingGatewayServesRemainingClients(t *testing.T) {
+	fixture := open(t)
+	fixture.greet(t, 1, "u1")
+	fixture.do(gateway.Stop{})
+	fixture.request++
+	effects := fixture.do(gateway.Publish{
+		Request: fixture.request,
+		Client:  "u1",
+		Sender:  "u1",
+		Topic:   "b.1",
+		Seq:     1,
+		Data:    []byte("x"),
+	})
 	assert.Equal(t, len(effects.Responses), 0)
 	found := false
 	for _, send := range effects.Sends {
@@ -135,16 +190,16 @@
 	assert.Assert(t, found, "the publication must go to its store: %v", effects.Sends)
 }
 
-func TestAStoppingGatewayDoesNotWaitForThoseWhoDoNotGo(t *testing.T) {
-	fleetlab := open(t)
+func TestStoppingGatewayDoesNotAwaitMovedClients(t *testing.T) {
+	fixture := open(t)
 	for session := range uint64(40) {
-		fleetlab.greet(t, session+1, "u")
+		fixture.greet(t, session+1, "u")
 	}
-	effects := fleetlab.do(gateway.Stop{})
-	effects.Append(fleetlab.pass(250 * time.Millisecond))
+	effects := fixture.do(gateway.Stop{})
+	effects.Append(fixture.pass(250 * time.Millisecond))
 	assert.Equal(t, moves(effects), 40)
 	assert.Assert(t, !effects.Stop)
-	effects = fleetlab.pass(time.Second)
+	effects = fixture.pass(time.Second)
 	assert.Assert(t, effects.Stop)
 	ended := 0
 	for _, deliver := range effects.Deliveries {
--- a/internal/simulator/cutoff_store_test.go
+++ b/internal/simulator/cutoff_store_test.go
@@ -23,7 +23,7 @@
 	simulation.lastFaultAt = simulation.Now.Add(cutLength + contactWithin)
 	firsts := map[string]int{}
 	var store *Node
-	for _, placement := range simulation.Primary().watchedState().Places {
+	for _, placement := range simulation.Primary().watchedState().Placements {
 		firsts[placement.Leader]++
 	}
 	for _, node := range simulation.Nodes(membership.KindStore) {
@@ -59,7 +59,7 @@
 	assert.Check(t, len(degraded) == 0, "%s, seed %d: the word of one that was cut off took partitions from %v", each, seed, degraded)
 	_, partitions, callers = simulation.serving()
 	assert.Check(t, partitions && callers, "%s, seed %d: partitions %v callers %v, in touch again", each, seed, partitions, callers)
-	simulation.Settle(20 * time.Second)
+	simulation.WaitUntilStable(20 * time.Second)
 	for _, line := range simulation.Checker.Violations() {
 		assert.Check(t, false, "%s, seed %d: %s", each, seed, line)
 	}
--- a/internal/simulator/simulator.go
+++ b/internal/simulator/simulator.go
@@ -93,38 +93,38 @@
 	Trace   func(line string)
 	// OnDepart, if there is one, is told what leaves a daemon as it leaves, and for
 	// whom: an address, or nothing where it is the answer to whoever asked there.
-	OnDepart      func(from *Node, to string, message any)
-	started       time.Time
-	queue         events
-	order         uint64
-	nodes         map[string]*Node
-	byPort        map[string]*Node
-	arrival       map[string]time.Time
-	cuts          map[string]int
-	loss          float64
-	lag           time.Duration
-	relinks       int
-	heldLinks     heldLinks
-	nics          map[string]*nic
-	connections   map[string]*connection
-	clockSkew     time.Duration
-	seeds         []string
-	lastFaultAt   time.Time
-	unready       map[string]time.Duration
-	open          int
-	recovery      *Recovery
-	recoveryStart time.Time
-	primarySince  time.Time
-	Recoveries    []Recovery
-	clients       []*Client
-	topicClients  []*TopicClient
-	probed        map[string]*platform
-	world         *topicWorld
-	operator      *Operator
-	number        uint64
-	Events        int
-	Sent          map[string]int
-	Away          int64
+	OnDepart       func(from *Node, to string, message any)
+	started        time.Time
+	queue          events
+	order          uint64
+	nodes          map[string]*Node
+	byPort         map[string]*Node
+	arrival        map[string]time.Time
+	cuts           map[string]int
+	loss           float64
+	lag            time.Duration
+	relinks        int
+	heldLinks      heldLinks
+	nics           map[string]*nic
+	connections    map[string]*connection
+	clockSkew      time.Duration
+	seeds          []string
+	lastFaultAt    time.Time
+	unready        map[string]time.Duration
+	open           int
+	recovery       *Recovery
+	recoveryStart  time.Time
+	primarySince   time.Time
+	Recoveries     []Recovery
+	clients        []*Client
+	topicClients   []*TopicClient
+	probed         map[string]*platform
+	world          *topicWorld
+	operator       *Operator
+	number         uint64
+	Events         int
+	Sent           map[string]int
+	InterzoneBytes int64
 }
 
 // Node is one daemon of the run.
@@ -212,11 +212,11 @@
 func (s *Simulation) addController(number int) *Node {
 	return s.add(membership.KindController, number, func(node *Node, stored storedState) hostedMachine {
 		settings := controller.Settings{
-			Self: node.member(), Count: s.Shape.Controllers, Seeds: s.seeds, NewDisk: fmt.Sprintf("disk%d", node.incarnation), Incarnation: node.randomIncarnation(), Highest: s.Shape.HighestVersion,
+			Self: node.member(), ControllerCount: s.Shape.Controllers, Seeds: s.seeds, NewDisk: fmt.Sprintf("disk%d", node.incarnation), Incarnation: node.randomIncarnation(), HighestWins: s.Shape.HighestVersion,
 		}
 		if s.Shape.Seeded {
-			settings.Count, settings.Tolerance = 0, &s.Shape.Tolerance
-			settings.Founding = !node.founded
+			settings.ControllerCount, settings.Tolerance = 0, &s.Shape.Tolerance
+			settings.Bootstrap = !node.founded
 			node.founded = true
 		}
 		machine, err := controller.New(settings, stored.snapshot, stored.entries)
@@ -367,10 +367,10 @@
 	n.HealthySince = simulation.Now
 	var held storedState
 	if n.disk != nil {
-		book, recovered, err := wal.Open(n.disk)
+		log, recovered, err := wal.Open(n.disk)
 		must(err)
-		n.log = book
-		held = storedState{snapshot: recovered.Frame, entries: recovered.Entries}
+		n.log = log
+		held = storedState{snapshot: recovered.Snapshot, entries: recovered.Entries}
 	}
 	n.Machine = n.build(n, held)
 	simulation.trace("%s starts", n.Name)
@@ -394,13 +394,13 @@
 // losePower stops the disk in the midst of what waits for it, between any two of its
 // operations; of what was not synced each write and each name lasts or not by itself.
 func (n *Node) losePower() {
-	n.disk.Limit(n.simulation.Random.IntN(maxOperationsAtPowerCut))
+	n.disk.FailAfter(n.simulation.Random.IntN(maxOperationsAtPowerCut))
 	for _, write := range n.writes {
 		if n.attemptWrite(write) != nil {
 			break
 		}
 	}
-	n.disk.PowerCut(n.simulation.Random.IntN)
+	n.disk.LosePower(n.simulation.Random.IntN)
 }
 
 // Crash ends a daemon's process as a bug does, while its machine stays up: what
@@ -615,7 +615,7 @@
 	simulation := n.simulation
 	for _, event := range effects.LogEvents {
 		if simulation.recovery != nil {
-			simulation.recovery.note(event.Number, simulation.Now.Sub(simulation.recoveryStart))
+			simulation.recovery.record(event.Number, simulation.Now.Sub(simulation.recoveryStart))
 		}
 		if simulation.Trace != nil {
 			simulation.trace("%s: %d %v", n.Name, event.Number, event.Fields)
