--- a/internal/simulator/bandwidth.go
+++ b/internal/simulator/bandwidth.go
@@ -123,7 +123,7 @@
 type parcel struct {
 	size, left int
 	sent       func()
-	landed     func()
+	arrived    func()
 }
 
 // put queues a message.
@@ -167,7 +167,7 @@
 					p.transmit()
 				})
 				if last {
-					of.landed()
+					of.arrived()
 				}
 			})
 		})
@@ -291,7 +291,7 @@
 	connection.put(&parcel{
 		size: size,
 		sent: func() { n.counts(kind, size, 0) },
-		landed: func() {
+		arrived: func() {
 			to.counts(kind, 0, size)
 			to.traffic(kind).arrived(simulation.Now.Sub(next.at))
 			connection.took += int64(size)
@@ -449,7 +449,7 @@
 		tc.simulation.After(lineDelay, run)
 		return
 	}
-	tc.line.up.put(&parcel{size: lineHead + size, sent: func() {}, landed: func() {
+	tc.line.up.put(&parcel{size: lineHead + size, sent: func() {}, arrived: func() {
 		node.counts(lineCommand, 0, lineHead+size)
 		run()
 	}})
@@ -463,6 +463,6 @@
 	}
 	node.pace.Spend(simulation.Now, lineHead+size)
 	l.down.put(&parcel{
-		size: lineHead + size, sent: func() { node.counts(kind, lineHead+size, 0) }, landed: run,
+		size: lineHead + size, sent: func() { node.counts(kind, lineHead+size, 0) }, arrived: run,
 	})
 }
--- a/internal/simulator/bandwidth_test.go
+++ b/internal/simulator/bandwidth_test.go
@@ -33,7 +33,7 @@
 	var landed time.Duration
 	pipe := testPipe(simulation, 100_000, &reads)
 	for range 10 {
-		pipe.put(&parcel{size: 20_000, sent: func() {}, landed: func() { landed = simulation.Now.Sub(began) }})
+		pipe.put(&parcel{size: 20_000, sent: func() {}, arrived: func() { landed = simulation.Now.Sub(began) }})
 	}
 	simulation.Run(10 * time.Second)
 	// Two links in a row, of which the second is a segment behind the first.
@@ -45,13 +45,13 @@
 	reads, landed, sent := false, 0, 0
 	pipe := testPipe(simulation, 0, &reads)
 	for range 20 {
-		pipe.put(&parcel{size: 10_000, sent: func() { sent++ }, landed: func() { landed++ }})
+		pipe.put(&parcel{size: 10_000, sent: func() { sent++ }, arrived: func() { landed++ }})
 	}
 	simulation.Run(time.Second)
 	assert.Equal(t, sent, windowSize/10_000)
 	assert.Equal(t, landed, 0)
 	reads = true
-	pipe.put(&parcel{size: 10_000, sent: func() { sent++ }, landed: func() { landed++ }})
+	pipe.put(&parcel{size: 10_000, sent: func() { sent++ }, arrived: func() { landed++ }})
 	for pipe.enter(func() {}); landed < 21; {
 		assert.Assert(t, simulation.RunUntil(time.Second, func() bool { return landed == 21 }), "%d of 21", landed)
 	}
--- a/internal/simulator/canonical.go
+++ b/internal/simulator/canonical.go
@@ -21,20 +21,20 @@
 	"time"
 )
 
-// Marks of the kinds of values in the canonical form.
+// Tags of the kinds of values in the canonical form.
 const (
-	markNil      = 'z'
-	markFlag     = 'b'
-	markNumber   = 'n'
-	markText     = 's'
-	markBytes    = 'y'
-	markMoment   = 't'
-	markError    = 'e'
-	markFunction = 'f'
-	markList     = '['
-	markObject   = '{'
-	markFields   = '('
-	markEnd      = ')'
+	tagNil      = 'z'
+	tagFlag     = 'b'
+	tagNumber   = 'n'
+	tagText     = 's'
+	tagBytes    = 'y'
+	tagMoment   = 't'
+	tagError    = 'e'
+	tagFunction = 'f'
+	tagList     = '['
+	tagObject   = '{'
+	tagFields   = '('
+	tagEnd      = ')'
 )
 
 var (
@@ -49,8 +49,8 @@
 	return append(body, 0)
 }
 
-func appendSized[T string | []byte](body []byte, mark byte, value T) []byte {
-	body = append(body, mark)
+func appendSized[T string | []byte](body []byte, tag byte, value T) []byte {
+	body = append(body, tag)
 	body = binary.AppendUvarint(body, uint64(len(value)))
 	return append(body, value...)
 }
@@ -62,28 +62,28 @@
 
 func appendReflected(body []byte, value reflect.Value) []byte {
 	if !value.IsValid() {
-		return append(body, markNil)
+		return append(body, tagNil)
 	}
 	if value.Type() == typeOfTime {
 		moment := value.Interface().(time.Time)
-		return binary.BigEndian.AppendUint64(append(body, markMoment), uint64(moment.UnixNano()))
+		return binary.BigEndian.AppendUint64(append(body, tagMoment), uint64(moment.UnixNano()))
 	}
 	if value.Type().Implements(typeOfError) && !isNil(value) {
-		return appendSized(body, markError, value.Interface().(error).Error())
+		return appendSized(body, tagError, value.Interface().(error).Error())
 	}
 	switch value.Kind() {
 	case reflect.Bool:
-		return appendFlag(append(body, markFlag), value.Bool())
+		return appendFlag(append(body, tagFlag), value.Bool())
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
-		return appendSized(body, markNumber, strconv.FormatInt(value.Int(), 10))
+		return appendSized(body, tagNumber, strconv.FormatInt(value.Int(), 10))
 	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64, reflect.Uintptr:
-		return appendSized(body, markNumber, strconv.FormatUint(value.Uint(), 10))
+		return appendSized(body, tagNumber, strconv.FormatUint(value.Uint(), 10))
 	case reflect.Float32, reflect.Float64:
-		return appendSized(body, markNumber, strconv.FormatFloat(value.Float(), 'f', -1, 64))
+		return appendSized(body, tagNumber, strconv.FormatFloat(value.Float(), 'f', -1, 64))
 	case reflect.String:
-		return appendSized(body, markText, value.String())
+		return appendSized(body, tagText, value.String())
 	case reflect.Func, reflect.Chan:
-		return appendFlag(append(body, markFunction), !value.IsNil())
+		return appendFlag(append(body, tagFunction), !value.IsNil())
 	case reflect.Interface:
 		return appendReflected(body, value.Elem())
 	case reflect.Pointer:
@@ -111,17 +111,17 @@
 	if target := value.Type().Elem(); target.Kind() == reflect.Struct && formOf(target).tagged {
 		return appendPairs(body, nil)
 	}
-	return append(body, markNil)
+	return append(body, tagNil)
 }
 
 func appendList(body []byte, value reflect.Value) []byte {
 	if value.Type().Elem().Kind() == reflect.Uint8 && value.Kind() == reflect.Slice {
-		return appendSized(body, markBytes, value.Bytes())
+		return appendSized(body, tagBytes, value.Bytes())
 	}
 	if value.Kind() == reflect.Slice && value.IsNil() {
-		return append(body, markNil)
+		return append(body, tagNil)
 	}
-	body = binary.AppendUvarint(append(body, markList), uint64(value.Len()))
+	body = binary.AppendUvarint(append(body, tagList), uint64(value.Len()))
 	for index := range value.Len() {
 		body = appendReflected(body, value.Index(index))
 	}
@@ -136,9 +136,9 @@
 }
 
 func appendPairs(body []byte, pairs []pair) []byte {
-	body = binary.AppendUvarint(append(body, markObject), uint64(len(pairs)))
+	body = binary.AppendUvarint(append(body, tagObject), uint64(len(pairs)))
 	for _, each := range pairs {
-		body = appendSized(body, markText, each.key)
+		body = appendSized(body, tagText, each.key)
 		body = appendReflected(body, each.value)
 	}
 	return body
@@ -172,11 +172,11 @@
 			return body
 		}
 	}
-	body = append(body, markFields)
+	body = append(body, tagFields)
 	for _, index := range form.rest {
 		body = appendReflected(body, value.FieldByIndex(index))
 	}
-	return append(body, markEnd)
+	return append(body, tagEnd)
 }
 
 // isEmpty is what encoding/json leaves out under omitempty.
--- a/internal/simulator/digest.go
+++ b/internal/simulator/digest.go
@@ -21,11 +21,11 @@
 
 // Kinds of what is recorded.
 const (
-	recordFrame   = 'F'
-	recordWrite   = 'W'
-	recordReturn  = 'R'
-	recordDeliver = 'D'
-	recordNote    = 'N'
+	recordFrame    = 'F'
+	recordWrite    = 'W'
+	recordResponse = 'R'
+	recordDelivery = 'D'
+	recordLogEvent = 'N'
 )
 
 // Recorder hashes what the daemons of one run put into the world, in order, each with
@@ -79,18 +79,18 @@
 		return
 	}
 	for _, event := range effects.LogEvents {
-		r.begin(recordNote, node)
+		r.begin(recordLogEvent, node)
 		r.number(uint64(event.Number))
 		r.end()
 	}
 	for _, response := range effects.Responses {
-		r.begin(recordReturn, node)
+		r.begin(recordResponse, node)
 		r.number(response.Request)
 		r.pending = appendValue(r.pending, response.ValueAt(node.local()))
 		r.end()
 	}
 	for _, deliver := range effects.Deliveries {
-		r.begin(recordDeliver, node)
+		r.begin(recordDelivery, node)
 		r.number(deliver.Session)
 		r.flag(deliver.Close)
 		r.pending = appendValue(r.pending, deliver.Event)
--- a/internal/simulator/grown.go
+++ b/internal/simulator/grown.go
@@ -64,8 +64,8 @@
 	// Fullest is, for each second after the return of power, the callers of the
 	// fullest gateway over the mean; Refused counts what was refused, and RefusedLater
 	// what was from the fourth second on.
-	Fullest               []float64
-	Refused, RefusedLater int
+	Fullest                []float64
+	Refused, RejectedLater int
 }
 
 // RunGrown runs the grown shape: all power is lost in its midst, and comes back.
@@ -107,7 +107,7 @@
 			result.Recovery = simulation.Traffic(membership.KindGateway)
 		}
 	}
-	result.Refused, result.RefusedLater = simulation.refusals()-refused, simulation.refusals()-soon
+	result.Refused, result.RejectedLater = simulation.refusals()-refused, simulation.refusals()-soon
 	simulation.open--
 	simulation.lastFaultAt = simulation.Now
 	simulation.closeTopics()
--- a/internal/simulator/grown_mutation_test.go
+++ b/internal/simulator/grown_mutation_test.go
@@ -23,6 +23,6 @@
 func TestAdmissionOnThinLinksIsNeeded(t *testing.T) {
 	defer statemachine.Mutate("all-admitted")()
 	result := RunGrown(1, thin(), nil)
-	t.Logf("after %s; fullest %.2f; refused later %d", Shares(result.After), result.Fullest, result.RefusedLater)
+	t.Logf("after %s; fullest %.2f; refused later %d", Shares(result.After), result.Fullest, result.RejectedLater)
 	assert.Assert(t, result.Fullest[soonAfter-1] > fullestSoon, "%.2f", result.Fullest)
 }
--- a/internal/simulator/grown_test.go
+++ b/internal/simulator/grown_test.go
@@ -71,10 +71,10 @@
 func TestCallersAreEvenSoonAfterTheReturn(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3, 4} {
 		result := RunGrown(seed, thin(), nil)
-		t.Logf("seed %d: after %s; fullest %.2f; refused %d, later %d", seed, Shares(result.After), result.Fullest, result.Refused, result.RefusedLater)
+		t.Logf("seed %d: after %s; fullest %.2f; refused %d, later %d", seed, Shares(result.After), result.Fullest, result.Refused, result.RejectedLater)
 		assert.Check(t, result.Fullest[soonAfter-1] <= fullestSoon, "seed %d: %.2f", seed, result.Fullest)
 		assert.Check(t, result.Fullest[laterAfter-1] <= fullestLater, "seed %d: %.2f", seed, result.Fullest)
-		assert.Check(t, result.RefusedLater <= refusedMost, "seed %d: %d refused", seed, result.RefusedLater)
+		assert.Check(t, result.RejectedLater <= refusedMost, "seed %d: %d refused", seed, result.RejectedLater)
 		assert.Check(t, len(result.Simulation.Checker.Violations()) == 0, "seed %d: %v", seed, result.Simulation.Checker.Violations())
 	}
 }
--- a/internal/simulator/heldlinks.go
+++ b/internal/simulator/heldlinks.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// restartsOverHeldLinks strikes one daemon after another, sometimes two at once.
-func restartsOverHeldLinks(simulation *Simulation, length time.Duration) {
+// restartsWithHeldLinks strikes one daemon after another, sometimes two at once.
+func restartsWithHeldLinks(simulation *Simulation, length time.Duration) {
 	kinds := []string{membership.KindController, membership.KindStore, membership.KindStore, membership.KindGateway, membership.KindAgent}
 	simulation.every(length, 1500*time.Millisecond, 3500*time.Millisecond, func() {
 		for range 1 + simulation.Random.IntN(2) {
--- a/internal/simulator/injection.go
+++ b/internal/simulator/injection.go
@@ -393,7 +393,7 @@
 		over(fault, simulation, end, func() { simulation.relinks = max(0, simulation.relinks-1) })
 	},
 	"held-links": func(simulation *Simulation, fault faults.Fault, end func()) {
-		restartsOverHeldLinks(simulation, fault.Length+2*time.Second)
+		restartsWithHeldLinks(simulation, fault.Length+2*time.Second)
 		simulation.After(fault.Length+maxHeld, end)
 	},
 	"resets": func(simulation *Simulation, fault faults.Fault, end func()) { simulation.resetNearlyAll(fault, end) },
--- a/internal/simulator/scenario.go
+++ b/internal/simulator/scenario.go
@@ -384,7 +384,7 @@
 	"freeze-store":      freeze(membership.KindStore),
 	"freeze-controller": freeze(membership.KindController),
 	"kill-primary":      killPrimary,
-	"held-links":        restartsOverHeldLinks,
+	"held-links":        restartsWithHeldLinks,
 	"kill-backup": func(simulation *Simulation, length time.Duration) {
 		simulation.every(length, 9*time.Second, 13*time.Second, func() {
 			simulation.killFor(simulation.controllerIn("backup"), simulation.between(time.Second, 8*time.Second), false)
--- a/internal/simulator/topic_client.go
+++ b/internal/simulator/topic_client.go
@@ -63,15 +63,15 @@
 
 // heldSubscription is a topic that a caller wants to hold.
 type heldSubscription struct {
-	topic   string
-	cursor  string
-	after   checker.Post
-	entry   *checker.Subscription
-	asked   bool
-	held    bool
-	leaving bool
-	nowhere bool
-	askedAt time.Time
+	topic       string
+	cursor      string
+	after       checker.Post
+	entry       *checker.Subscription
+	requested   bool
+	held        bool
+	leaving     bool
+	nowhere     bool
+	requestedAt time.Time
 	// heldAt is when it was first held.
 	heldAt time.Time
 }
@@ -275,7 +275,7 @@
 	}
 	tc.connected = false
 	for _, each := range statemachine.Sorted(tc.topics) {
-		each.asked, each.held = false, false
+		each.requested, each.held = false, false
 		switch {
 		case each.entry == nil:
 		case tells:
@@ -407,7 +407,7 @@
 	if present.entry != nil {
 		present.entry.End(simulation.Now)
 	}
-	if !tc.connected || !present.held && !present.asked {
+	if !tc.connected || !present.held && !present.requested {
 		delete(tc.topics, topic)
 		return
 	}
@@ -428,13 +428,13 @@
 
 func (tc *TopicClient) subscribe(each *heldSubscription) {
 	simulation, turn, topic := tc.simulation, tc.turn, each.topic
-	if each.asked || each.held || each.leaving {
+	if each.requested || each.held || each.leaving {
 		return
 	}
 	if each.entry == nil || each.entry.Ended() && each.cursor == "" {
 		each.entry = simulation.Checker.Subscribing(tc.Name, topic, nil)
 	}
-	each.asked, each.askedAt = true, simulation.Now
+	each.requested, each.requestedAt = true, simulation.Now
 	entry, sent := each.entry, simulation.Now
 	tc.say(len(topic)+len(each.cursor), func(request uint64) any {
 		return gateway.Subscribe{Request: request, Session: tc.channel, Client: tc.Name, Interests: []gateway.Interest{{Path: topic}}, Cursor: each.cursor}
@@ -442,7 +442,7 @@
 		if tc.topics[topic] != each {
 			return
 		}
-		each.asked = false
+		each.requested = false
 		again := func(wait time.Duration) {
 			simulation.After(wait, func() {
 				if tc.turn == turn && tc.topics[topic] == each {
@@ -491,7 +491,7 @@
 		}
 	})
 	simulation.After(responseTimeout+300*time.Millisecond, func() {
-		if tc.turn == turn && each.asked && tc.topics[topic] == each && each.askedAt.Equal(sent) {
+		if tc.turn == turn && each.requested && tc.topics[topic] == each && each.requestedAt.Equal(sent) {
 			tc.blame("silent", "subscription of "+tc.Name)
 			tc.cut(turn, true, 0)
 		}
@@ -511,7 +511,7 @@
 	}
 	for _, each := range tc.topics {
 		// One that was just taken up is still under way.
-		underway := each.asked && tc.simulation.Now.Sub(each.askedAt) < joinWithin
+		underway := each.requested && tc.simulation.Now.Sub(each.requestedAt) < joinWithin
 		if !each.held && !each.leaving && !each.nowhere && !underway {
 			return false
 		}
@@ -554,7 +554,7 @@
 	name := checker.Post{Sender: event.Sender, Seq: event.Seq}
 	each, found := tc.topics[event.Topic]
 	simulation.trace("%s at %s gets %s/%d on %s, %s", tc.Name, tc.node.Name, event.Sender, event.Seq, event.Topic, event.Cursor)
-	if !found || !each.asked && !each.held || each.entry == nil {
+	if !found || !each.requested && !each.held || each.entry == nil {
 		simulation.Checker.Unasked(tc.Name, name, event.Topic)
 		return
 	}
--- a/internal/simulator/topics.go
+++ b/internal/simulator/topics.go
@@ -300,15 +300,15 @@
 		operator.work(simulation.Now.Add(topicScenario + 20*time.Second))
 	}
 	simulation.lastFaultAt = simulation.Now.Add(-checker.FaultSettleTime)
-	simulation.trace("storm: %s; last %s", faults.Format(schedule.Storm), schedule.Last)
-	for _, fault := range schedule.Storm {
+	simulation.trace("storm: %s; last %s", faults.Format(schedule.Faults), schedule.Last)
+	for _, fault := range schedule.Faults {
 		simulation.After(fault.Start, func() { simulation.inject(fault) })
 	}
 	simulation.Run(topicScenario)
 	if !simulation.RunUntil(60*time.Second, func() bool { return simulation.open == 0 }) {
 		simulation.Checker.Violate(checker.NotBack, "a fault has not come to its end after a minute")
 	}
-	if len(schedule.Storm) > 0 {
+	if len(schedule.Faults) > 0 {
 		simulation.Run(checker.FaultSettleTime + 4*time.Second)
 	}
 	if schedule.Last != "" {
@@ -321,7 +321,7 @@
 
 // TopicPlot is what befalls a run with routed topics.
 type TopicPlot struct {
-	Storm   []faults.Fault
+	Faults  []faults.Fault
 	Last    string
 	Apart   time.Duration
 	Changes bool
@@ -532,7 +532,7 @@
 // drawTopicPlot draws the plot of a seed.
 func drawTopicPlot(seed uint64, names []string, count int) TopicPlot {
 	random := rand.New(rand.NewPCG(seed, 0x70b1))
-	schedule := TopicPlot{Storm: faults.Draw(random, names, topicScenario, count), Changes: true}
+	schedule := TopicPlot{Faults: faults.Draw(random, names, topicScenario, count), Changes: true}
 	last := append(slices.Clone(TopicLast), faults.Last...)
 	if random.IntN(2) == 0 {
 		schedule.Last = last[random.IntN(len(last))]
@@ -567,7 +567,7 @@
 		return schedule
 	}})
 	found = append(found, Scenario{Name: "topics-held-links", Topics: func(uint64) TopicPlot {
-		return TopicPlot{Storm: []faults.Fault{{Name: "held-links", Start: 2 * time.Second, Length: 10 * time.Second}}}
+		return TopicPlot{Faults: []faults.Fault{{Name: "held-links", Start: 2 * time.Second, Length: 10 * time.Second}}}
 	}})
 	for _, name := range faults.Names {
 		found = append(found, Scenario{Name: "topics-" + name, Topics: func(seed uint64) TopicPlot { return drawTopicPlot(seed, []string{name}, 3) }})
