--- a/internal/testfleet/versions_test.go
+++ b/internal/testfleet/versions_test.go
@@ -36,15 +36,24 @@
 	return binaries
 }
 
-// treeOf unpacks a commit.
+// git runs git in the repository.
+func git(arguments ...string) ([]byte, error) {
+	command := exec.Command("git", arguments...)
+	command.Dir = filepath.Join("..", "..")
+	return command.CombinedOutput()
+}
+
+// treeOf unpacks a commit. A shallow clone, which may lack it, fetches its history.
 func treeOf(t *testing.T, commit string) string {
 	t.Helper()
+	if _, err := git("cat-file", "-e", commit+"^{commit}"); err != nil {
+		output, err := git("fetch", "--quiet", "--unshallow")
+		assert.NilError(t, err, "the history must hold %s: %s", commit, output)
+	}
 	tree := t.TempDir()
 	archive := filepath.Join(t.TempDir(), "tree.tar")
-	git := exec.Command("git", "archive", "-o", archive, commit)
-	git.Dir = filepath.Join("..", "..")
-	output, err := git.CombinedOutput()
-	assert.NilError(t, err, "the history must hold %s: %s", commit, output)
+	output, err := git("archive", "-o", archive, commit)
+	assert.NilError(t, err, "%s", output)
 	output, err = exec.Command("tar", "-x", "-f", archive, "-C", tree).CombinedOutput()
 	assert.NilError(t, err, "%s", output)
 	return tree
