--- a/internal/statemachine/effects.go
+++ b/internal/statemachine/effects.go
@@ -3,7 +3,9 @@
 import "time"
 
 // Effects collects what a machine wants done after one input. The driver carries
-// out each kind in the order in which it was appended.
+// out each kind in the order in which it was appended. Between kinds there is no order:
+// a Send may leave before a Write of the same input is durable, so a machine appends
+// what relies on a write only once it gets Synced.
 type Effects struct {
 	Sends      []Send
 	Writes     []Write
@@ -24,13 +26,15 @@
 }
 
 // Write asks for entries, or a snapshot that replaces all earlier entries, to be
-// written and synced. The driver reports completion with Synced and the token.
+// written and synced; of a write with both, the snapshot goes first. The driver reports
+// completion with Synced and the token, which the machine chooses.
 type Write struct {
 	Token    uint64
 	Entries  [][]byte
 	Snapshot []byte
-	// BuildSnapshot encodes a large snapshot in the goroutine that writes it, so
-	// that the owner need not wait. It must read only data that no longer changes.
+	// BuildSnapshot, if set, is used in place of Snapshot. It encodes a large snapshot
+	// in the goroutine that writes it, so that the owner need not wait. It must read only
+	// data that no longer changes.
 	BuildSnapshot func() []byte
 }
 
@@ -42,7 +46,8 @@
 	return w.Snapshot, w.Snapshot != nil
 }
 
-// Response is the final response to a request that an adapter brought in.
+// Response is the final response to a request that an adapter brought in, by the number
+// that the adapter gave it.
 type Response struct {
 	Request uint64
 	Value   any
@@ -101,7 +106,8 @@
 	e.Responses = append(e.Responses, Response{Request: request, Value: value})
 }
 
-// Emit appends a log event; its fields alternate between names and values.
+// Emit appends a log event; its fields alternate between names, which are strings, and
+// values.
 func (e *Effects) Emit(number EventNumber, fields ...any) {
 	event := LogEvent{Number: number, Fields: make(map[string]any, len(fields)/2)}
 	for index := 0; index+1 < len(fields); index += 2 {
--- a/internal/statemachine/request.go
+++ b/internal/statemachine/request.go
@@ -1,7 +1,9 @@
 package statemachine
 
 // Incarnation identifies one run of a process. It is drawn at random when the
-// process starts, so that it also tells apart two runs of the same daemon.
+// process starts, so that it also tells apart two runs of the same daemon. It has no
+// order; members are ordered by another number, which rises (Member.Incarnation of
+// package membership).
 type Incarnation uint64
 
 // RequestID identifies a request between processes. Links hold messages for up to
