--- a/internal/wal/doc.go
+++ b/internal/wal/doc.go
@@ -13,8 +13,10 @@
 //	log:   "dllog001" generation:8  record*
 //	record: length:4 checksum:4 payload
 //
-// The checksum covers the generation, so that what is left of an older use of a file is
-// never read as a part of a newer one.
+// The checksum covers the generation, the length and the payload, so that what is left of
+// an older use of a file is never read as a part of a newer one. In the checksum of each
+// record of an Append but the first, the highest bit of the generation is set (see
+// continuation in record.go).
 //
 // # Durability
 //
@@ -34,5 +36,6 @@
 // # Use
 //
 // A Log belongs to one goroutine and does no locking. Append and Checkpoint return once
-// the data is durable. After ErrDisk the same call may be repeated.
+// the data is durable. After ErrDisk the same call may be repeated; after a Checkpoint that
+// failed, nothing is to be appended before one has succeeded.
 package wal
--- a/internal/wal/filefolder.go
+++ b/internal/wal/filefolder.go
@@ -99,7 +99,8 @@
 	return err
 }
 
-// Rename renames a file over any other of the new name; it is no error if there is none.
+// Rename gives a file another name, in place of any file that had it. It is no error if
+// there is no file to rename.
 func (ff *FileFolder) Rename(from, to string) error {
 	ff.close(from)
 	ff.close(to)
--- a/internal/wal/memoryfolder.go
+++ b/internal/wal/memoryfolder.go
@@ -132,7 +132,8 @@
 	return nil
 }
 
-// Rename renames a file over any other of the new name; it is no error if there is none.
+// Rename gives a file another name, in place of any file that had it. It is no error if
+// there is no file to rename.
 func (mf *MemoryFolder) Rename(from, to string) error {
 	if err := mf.count(); err != nil {
 		return err
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -7,7 +7,8 @@
 	"dahlialock/internal/statemachine"
 )
 
-// MaxEntrySize bounds the size of one entry or snapshot in bytes.
+// MaxEntrySize bounds the size of one entry or snapshot in bytes. Append and Checkpoint do
+// not check it; Open does not take a longer record for a valid one.
 const MaxEntrySize = 1 << 30
 
 const (
@@ -43,7 +44,7 @@
 // beginning of another batch (see hasLaterBatch).
 const continuation = 1 << 63
 
-// appendBatch encodes the entries of one Append.
+// appendBatch appends the encoded entries of one Append to body.
 func appendBatch(body []byte, generation uint64, entries [][]byte) []byte {
 	for position, entry := range entries {
 		if position > 0 && !statemachine.Mutated("one-checksum") {
--- a/internal/wal/recovery.go
+++ b/internal/wal/recovery.go
@@ -19,7 +19,8 @@
 }
 
 // Open reads the log in a folder, and begins one if the folder is blank. What it returns
-// is durable. It fails with ErrDisk, and may then be repeated, or with ErrDamaged.
+// is durable. It fails with ErrDisk, and may then be repeated, or with ErrDamaged; what it
+// returns beside an error is not to be used.
 func Open(folder Folder) (*Log, Recovered, error) {
 	if err := finishQuarantine(folder); err != nil {
 		return nil, Recovered{}, err
@@ -50,8 +51,9 @@
 	return log, recovered, err
 }
 
-// initialize begins a log in a folder without a valid slot. A log file is begun only
-// after a slot is durable; if there is one, or two slots, a slot was lost or damaged.
+// initialize begins a log in a folder without a valid slot. A log file is begun only after
+// a slot is durable, and the second slot only after the first: a valid log file, or two
+// invalid slots, say that a slot was lost or damaged.
 func (l *Log) initialize(bothInvalid bool) error {
 	if bothInvalid {
 		return ErrDamaged.New("neither slot is valid")
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -47,7 +47,8 @@
 }
 
 // Checkpoint writes a snapshot that replaces all entries so far, and begins a new log
-// file. It returns once the snapshot is durable, and fails with ErrDisk.
+// file. It returns once the snapshot is durable. It fails with ErrDisk, and has then to be
+// repeated before anything is appended.
 func (l *Log) Checkpoint(snapshot []byte) error {
 	generation := l.generation + 1
 	body := appendRecord(fileHeader(slotMagic, generation), generation, snapshot)
@@ -65,7 +66,8 @@
 	if err := l.beginLogFile(); err != nil {
 		return err
 	}
-	// The file that the next generation reuses follows a slot that was overwritten.
+	// The file that the next generation reuses holds entries after a snapshot that has been
+	// overwritten, so nothing needs them any more.
 	next := logName(generation + 1)
 	if !l.durableNames[next] {
 		return nil
