--- a/internal/consensus/confirm.go
+++ b/internal/consensus/confirm.go
@@ -20,7 +20,7 @@
 // Confirm asks a majority whether the present epoch is still the newest, so that what is
 // then read from the primary's state is not stale, whatever the clocks do. It calls done
 // with Committed if so, with Rejected at once if this controller may not serve reads, and
-// otherwise with Indeterminate.
+// otherwise with Indeterminate, at the latest after confirmTimeout.
 func (n *Node) Confirm(now time.Time, done Done, effects *statemachine.Effects) {
 	if !n.CanServeReads(now) || !n.mayConfirm() {
 		done(now, effects, Rejected)
--- a/internal/consensus/doc.go
+++ b/internal/consensus/doc.go
@@ -16,17 +16,17 @@
 // in Vertical Paxos. The primary syncs a command and sends it to all backups, and commits
 // it once each of them has synced it (replication.go). A backup that fails, or is slow, is
 // replaced by a next epoch, and any backup can take over (reconfiguration.go). Whoever
-// proposes a next epoch first sends the state to the spares that are to be its backups,
-// and then accepts the record itself. From then on the present epoch is sealed for it:
-// neither it nor a backup that accepted such a record commits anything more, so that the
-// replica of a spare is never older than what was answered.
+// proposes a next epoch first sends the state to the spares, which are the voters that are
+// to be its new backups, and then accepts the record itself. From then on the present epoch
+// is sealed for it: neither it nor a backup that accepted such a record takes part in a
+// commit any more, so that the replica of a spare is never older than what was answered.
 //
 // # Leases
 //
 // The primary serves only while it holds a lease from a majority of the voters (lease.go).
 // A voter grants another controller a ballot only after the lease that it granted has
-// expired on its own clock (grant.go). The primary counts the lease from when it asked
-// for it, and uses nine tenths of it, so that clocks may differ in rate by up to a tenth.
+// expired on its own clock (grant.go). The primary counts the lease from when it requested
+// it, and uses nine tenths of it, so that clocks may differ in rate by up to a tenth.
 // A voter that was restarted, or recovered a lost disk, waits for a full lease, since it
 // does not know what it granted before. Singleton roles other than the primary's have
 // leases of their own (rolelease.go).
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// ballotRetryInterval and a part of ballotRetryJitter, which depends on the proposer,
-	// are how long a ballot may take before it is started anew.
+	// ballotRetryInterval, and less than ballotRetryJitter milliseconds more (see
+	// ballotTimeout), are how long a ballot may take before it is started anew.
 	ballotRetryInterval = 400 * time.Millisecond
 	ballotRetryJitter   = 300
 	// leaseWaitMargin is added to the time that an acceptor's lease still runs.
@@ -89,7 +89,8 @@
 }
 
 // hasQuorum reports whether enough voters agreed to an epoch, by their addresses: a
-// majority, and for the first epoch all.
+// majority, and for the first epoch all. What is no ballot, and needs a majority also in the
+// first epoch, asks with the epoch after it.
 func hasQuorum[Answer any](epoch uint64, voters []Controller, agreed map[string]Answer) bool {
 	count := 0
 	for _, voter := range voters {
@@ -284,7 +285,8 @@
 	return n.hardState.DiskID != "" && sameDisk || record.Epoch == 1 && n.hardState.Accepted.Epoch == 1
 }
 
-// learn takes over a decided record if it is newer than the present one.
+// learn takes over a decided record if it is newer than the present one. A controller that
+// the record names with a disk that it has lost becomes blank instead, and recovers.
 func (n *Node) learn(now time.Time, record Record, effects *statemachine.Effects) {
 	if record.Epoch > n.discovery.newestRecord.Epoch {
 		n.discovery.newestRecord = record
@@ -396,7 +398,9 @@
 		(present.Primary == self || slices.Contains(present.Backups, self))
 }
 
-// retryBallot starts a ballot anew that got stuck, or gives it up if it is not needed.
+// retryBallot starts a ballot anew that got stuck, or gives it up if it is not needed. Those
+// for the first epoch or for other voters are given up too: tryFounding and reconcileVoters
+// start them again.
 func (n *Node) retryBallot(now time.Time, effects *statemachine.Effects) {
 	if n.election.attempt == nil {
 		return
--- a/internal/consensus/founding.go
+++ b/internal/consensus/founding.go
@@ -14,7 +14,7 @@
 }
 
 // recordFounders persists that this controller is one of the founders, so that it goes on
-// founding if it is restarted before the first epoch with other settings.
+// founding if it is restarted with other settings before the first epoch is decided.
 func (n *Node) recordFounders(effects *statemachine.Effects) {
 	if !n.blank || !n.settings.Founding || n.settings.ClusterSize > 0 || len(n.hardState.Founders) > 0 ||
 		!slices.Contains(n.settings.Seeds, n.settings.Self.Address) {
@@ -25,7 +25,7 @@
 }
 
 // foundingVoters returns the voters of the first epoch once all of them were heard and
-// are blank. Where anybody is not, there is a fleet already.
+// are blank. If any controller that was heard is not blank, there is a fleet already.
 func (n *Node) foundingVoters() ([]Controller, bool) {
 	voters := []Controller{n.identity()}
 	for address, known := range statemachine.Sorted(n.discovery.peers) {
--- a/internal/consensus/lease.go
+++ b/internal/consensus/lease.go
@@ -48,7 +48,8 @@
 	lastGrant map[string]time.Time
 	// lastHeard is when anything was last heard from each voter, by address.
 	lastHeard map[string]time.Time
-	// quietUntil is the end of the newest time without requests for lease (see staysQuiet).
+	// quietUntil is the end of the newest period in which no lease is requested (see
+	// staysQuiet).
 	quietUntil time.Time
 }
 
@@ -114,7 +115,7 @@
 	n.reconcileVoters(now, effects)
 }
 
-// requestLease asks all voters for more lease.
+// requestLease asks all voters for the lease, or to extend it.
 func (n *Node) requestLease(now time.Time, effects *statemachine.Effects) {
 	n.lease.released = false
 	renew := RenewLease{Epoch: n.hardState.Record.Epoch, Request: n.requests.Next()}
--- a/internal/consensus/leave.go
+++ b/internal/consensus/leave.go
@@ -13,7 +13,8 @@
 	// long it is remembered of a controller that is no voter.
 	departureValidity  = time.Second
 	departureRetention = 10 * time.Second
-	// learnerDiscoveryTime is how long a primary acts before it has heard of all learners.
+	// learnerDiscoveryTime is how long a new primary waits before it takes the learners that
+	// it has heard for all that there are.
 	learnerDiscoveryTime = learnerHelloInterval + 200*time.Millisecond
 	// leaseReclaimTimeout is when a primary that leaves requests the lease again: nobody
 	// took over, so it may hold the only replica.
@@ -25,8 +26,8 @@
 	// requested is set once this controller was asked to leave, and completed once it may
 	// stop.
 	requested, completed bool
-	// acknowledged holds the addresses of the voters that have voters without this
-	// controller on their disks.
+	// acknowledged holds the addresses of the voters on whose disks is the present record, in
+	// which this controller is no voter.
 	acknowledged map[string]bool
 	// announced is when each controller, by address, last said that it leaves.
 	announced map[string]time.Time
@@ -42,8 +43,8 @@
 // Whoever asks it to stop may never start it again, and may take its disk. So it hands the
 // lease over once its backups are in sync, the primary replaces it as a backup and as a
 // voter, and it may stop once a majority of the voters without it have that on their
-// disks: the loss of any others as are tolerated, and of all power, then leaves enough
-// that know. If there is nobody to replace it, it may stop at once.
+// disks: even if then as many others are lost as are tolerated, and all power fails, enough
+// are left that know of it. If there is nobody to replace it, it may stop at once.
 func (n *Node) Leave(now time.Time, effects *statemachine.Effects) {
 	if n.departure.requested {
 		return
@@ -158,7 +159,8 @@
 	return found && now.Sub(announced) < departureValidity
 }
 
-// departing reports whether a voter has said that it leaves, and has not come back since.
+// departing reports whether a voter has said that it leaves, and has not come back since: it
+// is back if it grants a lease when its last Leave is older than departureValidity.
 func (n *Node) departing(now time.Time, voter Controller) bool {
 	announced, found := n.departure.announced[voter.Address]
 	return found && (now.Sub(announced) < departureValidity ||
--- a/internal/consensus/messages.go
+++ b/internal/consensus/messages.go
@@ -8,6 +8,9 @@
 )
 
 // Hello lets controllers find each other through the seeds, and spreads the newest record.
+// Known are the voters or, before the first epoch, all controllers that the sender has heard
+// of. ClusterSize is that of its Settings. Blank is set if it knows no epoch, Founding if it
+// recorded that it is a founder (see recordFounders).
 type Hello struct {
 	Self        Controller   `cbor:"Self"`
 	ClusterSize int          `cbor:"Count"`
@@ -54,7 +57,8 @@
 	Record Record `cbor:"Record"`
 }
 
-// Accepted answers Accept once the record is on the acceptor's disk.
+// Accepted answers Accept once the record is on the acceptor's disk. Granted is always set:
+// an acceptor that refuses sends no Accepted.
 type Accepted struct {
 	Epoch   uint64 `cbor:"Epoch"`
 	Ballot  Ballot `cbor:"Ballot"`
@@ -67,15 +71,16 @@
 }
 
 // RenewLease comes from the primary and asks a voter to extend its lease. Soon after an
-// epoch was decided it has the record too, in case Decided was lost.
+// epoch was decided it carries the record too, in case Decided was lost; later Record is
+// zero.
 type RenewLease struct {
 	Epoch   uint64                 `cbor:"Epoch"`
 	Request statemachine.RequestID `cbor:"Request"`
 	Record  Record                 `cbor:"Record"`
 }
 
-// LeaseGrant answers RenewLease. From a backup it also reports the progress of its
-// replica; without a request it does only that.
+// LeaseGrant answers RenewLease. From a backup it also reports the progress of its replica:
+// the index and the complete epoch that are on its disk. Without a request it does only that.
 type LeaseGrant struct {
 	Epoch         uint64                 `cbor:"Epoch"`
 	Request       statemachine.RequestID `cbor:"Request"`
@@ -103,7 +108,7 @@
 	Index uint64 `cbor:"Index"`
 }
 
-// InstallSnapshot sends the whole state: to a backup that is not in sync, if TargetEpoch
+// InstallSnapshot sends the complete state: to a backup that is not in sync, if TargetEpoch
 // is Epoch, or to a spare that may become a backup in the next epoch, TargetEpoch.
 type InstallSnapshot struct {
 	Epoch       uint64 `cbor:"Epoch"`
@@ -153,8 +158,8 @@
 	Request statemachine.RequestID `cbor:"Request"`
 }
 
-// LeaveResponse says that voters of the epoch, of which the leaver is none, are on the
-// disk of a voter; or, from the primary, that nobody can replace the leaver.
+// LeaveResponse comes from a voter whose disk holds the record of the epoch, in which the
+// leaver is no voter; or, with Irreplaceable, from the primary: nobody can replace the leaver.
 type LeaveResponse struct {
 	Epoch         uint64                 `cbor:"Epoch"`
 	Request       statemachine.RequestID `cbor:"Request"`
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -23,13 +23,14 @@
 	Self Controller
 	// ClusterSize, if not 0, is how many controllers found the fleet and are its voters.
 	// Otherwise the controllers at the addresses of Seeds found it, if Founding is set at
-	// their first start, and Tolerance says how many voters there should be.
+	// their first start, and Tolerance says how many voters there should be. Seeds are also
+	// where a controller begins to look for others.
 	ClusterSize int
 	Seeds       []string
 	Founding    bool
 	// Tolerance is how many controllers may be lost at a time, with their disks.
 	Tolerance int
-	// NewDiskID names the disk if it is blank.
+	// NewDiskID names the disk if it is blank; it must not be that of any earlier disk.
 	NewDiskID string
 	// Incarnation names this run of the process.
 	Incarnation statemachine.Incarnation
@@ -42,9 +43,11 @@
 	// Committed says that the command is durable on all replicas, or that the epoch was
 	// confirmed.
 	Committed Outcome = iota
-	// Rejected says that the command was not and will not be executed.
+	// Rejected says that the command was not and will not be executed, or that this
+	// controller may not serve reads.
 	Rejected
-	// Indeterminate says that the command may or may not be executed.
+	// Indeterminate says that the command may or may not be executed, or that no majority
+	// confirmed the epoch in time.
 	Indeterminate
 )
 
@@ -62,7 +65,8 @@
 	}
 }
 
-// Done is called once with the outcome of a command or of a confirmation.
+// Done is called once with the outcome of a command or of a confirmation, by the owner's
+// goroutine, and perhaps before Submit or Confirm returns.
 type Done func(now time.Time, effects *statemachine.Effects, outcome Outcome)
 
 // timer names the timers of a Node. Among timers that expire at the same moment the lower
@@ -90,8 +94,8 @@
 	hardState HardState
 	// appliedIndex is the index of the last command that was applied to stateMachine.
 	appliedIndex uint64
-	// blank is set until this controller knows an epoch. It then votes for the first epoch
-	// only.
+	// blank is set while this controller knows no epoch: before its first one, and after the
+	// loss of its disk until it has recovered. Meanwhile it votes for the first epoch only.
 	blank bool
 
 	storage     storage
@@ -147,7 +151,7 @@
 // AppliedIndex is the index of the last command that was applied.
 func (n *Node) AppliedIndex() uint64 { return n.appliedIndex }
 
-// Blank reports whether no epoch is known yet.
+// Blank reports whether this controller knows no epoch (yet, or since its disk was lost).
 func (n *Node) Blank() bool { return n.blank }
 
 // CompleteEpoch is the epoch as of which this controller's state is known to be complete,
@@ -214,7 +218,8 @@
 }
 
 // LeaseEnd is when the lease expires; nothing that rests on it may be sent after that. It
-// is in the past if the lease is not held.
+// means nothing unless HoldsLease: without a lease it may be the zero time, which Effects
+// take for no deadline.
 func (n *Node) LeaseEnd() time.Time {
 	if statemachine.Mutated("lease-for-ever") {
 		return time.Time{}
@@ -230,8 +235,8 @@
 func (n *Node) NextTick() time.Time { return n.timers.Next() }
 
 // Start begins the work of the Node, and is called once before anything else. A
-// controller that was restarted waits for a full lease before it lets anybody but the
-// primary have an epoch.
+// controller that was restarted waits for a full lease before it promises the next epoch to
+// anybody but the primary.
 func (n *Node) Start(now time.Time, effects *statemachine.Effects) {
 	n.voter.grantedUntil, n.voter.grantedTo = now.Add(LeaseDuration), n.hardState.Record.Primary
 	n.voter.uncertainUntil = now.Add(LeaseDuration)
--- a/internal/consensus/reconfiguration.go
+++ b/internal/consensus/reconfiguration.go
@@ -13,7 +13,7 @@
 	slowBackupTimeout = 700 * time.Millisecond
 	// spareTimeout is how long a spare may take to sync a snapshot.
 	spareTimeout = 600 * time.Millisecond
-	// spareWindow is how long who takes over waits for more spares to choose from.
+	// spareWindow is how long a controller that takes over waits for more spares to choose from.
 	spareWindow = 150 * time.Millisecond
 	// takeoverStagger is how much later each further backup takes over.
 	takeoverStagger = 300 * time.Millisecond
@@ -23,8 +23,9 @@
 
 // reconfiguration prepares a next epoch with other backups, or another primary.
 type reconfiguration struct {
-	// replacing is set while this primary replaces backups, and takingOver while this
-	// controller wants to become the primary, or to remain so after it lost the lease.
+	// replacing is set while this primary replaces backups, or proposes a next epoch after it
+	// lost the lease. takingOver is set while a backup wants to become the primary, or this
+	// primary, without the lease and a backup, to remain so (see reclaimEpoch).
 	replacing, takingOver bool
 	// proposed is set once a ballot for the next epoch was started; spares and backups are
 	// then no longer changed.
@@ -232,8 +233,9 @@
 	return best
 }
 
-// chooseSpare picks a voter without a replica: not one of the retained or excluded, nor
-// one that is a spare already or was skipped.
+// chooseSpare picks a voter that can become a backup: not this controller, one of the retained
+// or excluded, one that is a spare already or one that was skipped. The primary takes only one
+// that granted it a lease lately and stays; a controller that takes over can't know.
 func (n *Node) chooseSpare(now time.Time, retained, excluded []string) (Controller, bool) {
 	var candidates []Controller
 	chosen := slices.Clone(retained)
@@ -263,8 +265,8 @@
 }
 
 // prepareSpares sends the state to spares for the next epoch, which is proposed once
-// enough of them have synced it. The primary takes as many as it lacks; who takes over
-// takes all voters at once, since it can't know which are alive.
+// enough of them have synced it. The primary sends it to as many as are missing; a controller
+// that takes over sends it to all voters at once, since it can't know which are alive.
 func (n *Node) prepareSpares(now time.Time, retained, excluded []string, effects *statemachine.Effects) {
 	if n.election.attempt != nil || n.reconfig.proposed {
 		return
--- a/internal/consensus/record.go
+++ b/internal/consensus/record.go
@@ -17,7 +17,8 @@
 }
 
 // Record is the configuration of an epoch. Each epoch has one record, which is decided
-// by a majority of the voters of the epoch before (see election.go).
+// by majorities of the voters of the epoch before and of its own, or for the first epoch by
+// all founders (see election.go).
 type Record struct {
 	Epoch uint64 `cbor:"Epoch"`
 	// Primary is the name of the voter that may serve while it holds the lease.
@@ -28,7 +29,7 @@
 	Voters []Controller `cbor:"Voters"`
 }
 
-// VoterNamed returns the voter of a name.
+// VoterNamed returns the voter of a name; false if there is none.
 func (r Record) VoterNamed(name string) (Controller, bool) {
 	for _, voter := range r.Voters {
 		if voter.Name == name {
@@ -38,7 +39,8 @@
 	return Controller{}, false
 }
 
-// Voter returns the entry of a controller among the voters; its disk may be another.
+// Voter returns the entry of a controller among the voters, whose disk may be another;
+// false if it is no voter.
 func (r Record) Voter(controller Controller) (Controller, bool) {
 	for _, voter := range r.Voters {
 		if voter.SameAs(controller) {
@@ -94,7 +96,7 @@
 	AcceptedBallot Ballot `cbor:"AcceptedBallot"`
 	Accepted       Record `cbor:"Accepted"`
 	// CompleteEpoch is the epoch as of which the state here holds all that was committed
-	// before it, or 0. A primary or backup has a part in its epoch only if they are equal.
+	// before it, or 0. A primary or backup replicates only if it is the epoch of Record.
 	CompleteEpoch uint64 `cbor:"Complete"`
 	// Recovered is set if the disk was lost in this epoch, and what it held was recovered
 	// from other voters. The leases that were granted before are unknown.
@@ -111,7 +113,7 @@
 }
 
 // diskEntry is one entry of the log on disk: one of a hard state, a staged snapshot, a
-// whole state at an index, or the command of an index.
+// complete state at an index, or the command of an index.
 type diskEntry struct {
 	HardState *HardState      `cbor:"Durable"`
 	Index     uint64          `cbor:"Index"`
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -32,7 +32,7 @@
 	synced bool
 	// appendedAt is when it was written or, once synced, when it was sent.
 	appendedAt time.Time
-	// deadline is when done is called with what is known then; the zero time if it was.
+	// deadline is when done is called with what is known by then; the zero time once it was.
 	deadline time.Time
 }
 
@@ -52,7 +52,8 @@
 	}
 }
 
-// neededBackups is how many backups must have synced a command before it is committed.
+// neededBackups is how many backups an epoch must have for its commands to be committed;
+// each backup that it has must sync them.
 func (n *Node) neededBackups() int {
 	if n.settings.ClusterSize > 0 {
 		return max(1, n.settings.Tolerance)
@@ -63,8 +64,8 @@
 	return n.settings.Tolerance
 }
 
-// wantedBackups is how many backups there should be: one at least, so that another
-// controller can take over.
+// wantedBackups is how many backups there should be, as far as there are voters: one at
+// least, so that another controller can take over.
 func (n *Node) wantedBackups() int {
 	return min(max(1, n.neededBackups()), len(n.hardState.Record.Voters)-1)
 }
@@ -99,9 +100,10 @@
 // PendingProposals is how many submitted commands are not committed yet.
 func (n *Node) PendingProposals() int { return len(n.replication.proposals) }
 
-// Submit replicates a command to all disks, and calls done with the outcome: Committed
-// once it is applied here and synced by all backups, Rejected if this controller may not
-// act or did not begin with it within the timeout, and otherwise Indeterminate.
+// Submit replicates a command, and calls done with the outcome: Committed once it is synced
+// here and by all backups, and applied here, under the lease; Rejected if this controller does
+// not hold the lease or did not begin with the command within the timeout; and otherwise
+// Indeterminate. Commands are replicated one at a time, in the order of their submission.
 func (n *Node) Submit(
 	now time.Time, command []byte, timeout time.Duration, done Done, effects *statemachine.Effects,
 ) {
@@ -172,7 +174,8 @@
 }
 
 // mayAppend reports whether this backup takes commands of the present epoch. It takes
-// none once it takes over itself or let another do so.
+// none once it takes over itself, has promised the next epoch to another than the primary,
+// or has accepted one with another primary or other backups.
 func (n *Node) mayAppend() bool {
 	return n.isBackup() && n.isComplete() && !n.reconfig.takingOver && !n.promisedOther() && !n.epochSealed()
 }
--- a/internal/consensus/rolelease.go
+++ b/internal/consensus/rolelease.go
@@ -25,8 +25,8 @@
 }
 
 // RoleLease is a controller's lease of a singleton role that need not be the primary's. It
-// is granted by a majority of the voters, and counted from when it was requested with a
-// tenth off. Its holder checks Valid before each act.
+// is granted by a majority of the voters, and lasts nine tenths of LeaseDuration from when it
+// was requested. Its holder checks Valid before each act.
 type RoleLease struct {
 	role string
 	// request is the newest one, made at requestedAt.
@@ -38,7 +38,7 @@
 	until    time.Time
 }
 
-// NewRoleLease registers a role that this controller may come to hold.
+// NewRoleLease registers a role that this controller may come to hold, once for each role.
 func (n *Node) NewRoleLease(role string) *RoleLease {
 	lease := &RoleLease{role: role, granters: map[string]bool{}}
 	n.roles.leases[role] = lease
@@ -66,7 +66,8 @@
 	}
 }
 
-// RequestRoleLease asks the voters for the lease of a role, or for more of it.
+// RequestRoleLease asks the voters for the lease of a role, or to extend it. Nothing is
+// repeated: who wants the role calls this well within each lease. Only a voter can have it.
 func (n *Node) RequestRoleLease(now time.Time, lease *RoleLease, effects *statemachine.Effects) {
 	if !n.isVoter() {
 		return
--- a/internal/consensus/snapshot.go
+++ b/internal/consensus/snapshot.go
@@ -7,7 +7,8 @@
 	"dahlialock/internal/statemachine"
 )
 
-// newSnapshot is the present state for a backup in an epoch.
+// newSnapshot returns the present state for a backup in the target epoch: the present one, or
+// the next.
 func (n *Node) newSnapshot(targetEpoch uint64) InstallSnapshot {
 	return InstallSnapshot{
 		Epoch:       n.hardState.Record.Epoch,
--- a/internal/consensus/storage.go
+++ b/internal/consensus/storage.go
@@ -31,14 +31,15 @@
 	// are not synced yet, by token.
 	lastToken     uint64
 	continuations map[uint64]continuation
-	// logBytes is the size of the entries after the newest snapshot, of snapshotBytes.
+	// snapshotBytes is the size of the newest snapshot, and logBytes that of the entries
+	// after it.
 	logBytes, snapshotBytes int
 	// syncedIndex is the index up to which commands, or the state, are on the disk.
 	syncedIndex uint64
 	// syncedCompleteEpoch and syncedEpoch are those of the hard state on the disk.
 	syncedCompleteEpoch, syncedEpoch uint64
-	// pendingStates counts the states that are being written. No command is appended after
-	// a state before that is synced.
+	// pendingStates counts the states that are being written. A backup takes no command
+	// before they are synced.
 	pendingStates int
 }
 
@@ -79,7 +80,8 @@
 	})
 }
 
-// Synced says that a write is durable.
+// Synced is called by the owner once the write with this token is durable. Tokens that the
+// Node did not give, or that were reported before, are ignored.
 func (n *Node) Synced(now time.Time, token uint64, effects *statemachine.Effects) {
 	then, found := n.storage.continuations[token]
 	if !found {
--- a/internal/consensus/voters.go
+++ b/internal/consensus/voters.go
@@ -13,7 +13,7 @@
 	// lets the backups be replaced first. With a takeover before it, a lost voter is
 	// replaced before a new machine counts as one that may be lost again.
 	voterReplaceTimeout = failureTimeout + renewInterval
-	// successorTimeout is that for a voter of whose name there is a learner elsewhere.
+	// successorTimeout is the same for a voter whose name a learner at another address has.
 	successorTimeout = time.Second
 	// voterChangeDelay is how long an epoch lasts at least before the voters are changed,
 	// and zoneBalanceDelay before a voter is replaced to balance the zones.
@@ -30,8 +30,8 @@
 	return max(minVoters, 2*n.settings.Tolerance+1)
 }
 
-// mayShrinkVoters reports whether the voters are as safe with one less: an even number
-// needs as many votes as the odd number above it.
+// mayShrinkVoters reports whether the voters are as safe with one fewer: an even number
+// survives the loss of no more voters than the odd number below it.
 func mayShrinkVoters(record Record) bool {
 	return len(record.Voters)%2 == 0
 }
@@ -179,7 +179,8 @@
 	})
 }
 
-// emitVotersChanged logs which voters were added and removed.
+// emitVotersChanged logs which voters were added and removed. It also forgets what is known of
+// the added ones from before: that they were leaving, and when they last granted the lease.
 func (n *Node) emitVotersChanged(earlier, record Record, effects *statemachine.Effects) {
 	var added, removed []string
 	for _, voter := range record.Voters {
