--- a/internal/membership/failure_detector.go
+++ b/internal/membership/failure_detector.go
@@ -16,8 +16,8 @@
 	// Publications wait for stores, so the silence of a store is noticed sooner.
 	StoreHeartbeatInterval = 200 * time.Millisecond
 	StoreSuspectTimeout    = 700 * time.Millisecond
-	// maxOwnPause is how long the detector itself may have paused without starting its
-	// timeouts anew.
+	// maxOwnPause is how much later than due a step of the detector may come without its
+	// timeouts being started anew (see stepInterval).
 	maxOwnPause = time.Second
 	// IsolationTimeout is how long a daemon may hear no other before it counts itself as
 	// isolated.
@@ -138,7 +138,8 @@
 	return now.Sub(d.heardAnyAt) > IsolationTimeout
 }
 
-// ReceiveHeartbeat takes a heartbeat of a watched member.
+// ReceiveHeartbeat takes a heartbeat of a watched member, of whichever incarnation; those
+// of others are ignored.
 func (d *FailureDetector) ReceiveHeartbeat(now time.Time, heartbeat Heartbeat) {
 	if _, found := d.watched[heartbeat.Name]; found {
 		d.watched[heartbeat.Name] = now
@@ -180,9 +181,9 @@
 	return HeartbeatInterval
 }
 
-// stepInterval returns the pause between steps, and how much longer a pause may have
-// been without being taken for one of this daemon's own. A daemon that watches stores
-// must notice a short silence, so it must notice short pauses of its own, too.
+// stepInterval returns the pause between steps, and how much longer it may become before
+// this daemon counts as having been paused itself. A daemon that watches stores must
+// notice a short silence, so it must notice short pauses of its own, too.
 func (d *FailureDetector) stepInterval() (interval, maxPause time.Duration) {
 	if d.watchesStore && !d.resting {
 		return StoreHeartbeatInterval, StoreSuspectTimeout / 3
@@ -211,8 +212,8 @@
 	}
 }
 
-// silentMembers returns the watched members whose timeouts have passed and logs those
-// that were heard until now.
+// silentMembers returns the watched members whose timeouts have passed, and logs each of
+// them once in each time of silence.
 func (d *FailureDetector) silentMembers(now time.Time, effects *statemachine.Effects) []Suspect {
 	var silent []Suspect
 	for name, heardAt := range statemachine.Sorted(d.watched) {
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -20,14 +20,16 @@
 	Caller  string `json:"caller,omitempty"`
 	// Zone is the failure domain.
 	Zone string `json:"zone"`
-	// Incarnation tells runs of the process apart; a later run has a higher one.
+	// Incarnation tells runs of the process apart; a later run has a higher one. Daemons
+	// take the time of their start. It is not the random statemachine.Incarnation, which
+	// names requests.
 	Incarnation uint64 `json:"incarnation"`
 	// Disk names the disk of a store or controller; a wiped one gets a new name.
 	Disk  string `json:"disk,omitempty"`
 	Alive bool   `json:"alive"`
 	// Joined is the index of the control state at which this incarnation joined.
 	Joined uint64 `json:"joined"`
-	// Retiring stores are being emptied on an operator's order; Retired ones are empty.
+	// Retiring stores are being emptied on an operator's request; Retired ones are empty.
 	Retiring bool `json:"retiring,omitempty"`
 	Retired  bool `json:"retired,omitempty"`
 	// Resting gateways hold no sessions and do almost no work.
--- a/internal/membership/messages.go
+++ b/internal/membership/messages.go
@@ -13,10 +13,11 @@
 type Load struct {
 	_ struct{} `cbor:",toarray"`
 	// Sessions is how many client sessions are open, FreeCapacity how many more may be.
-	Sessions     int    `json:"Origins"`
-	FreeCapacity int    `json:"Room"`
-	Requests     uint64 `json:"Requests"`
-	Delivered    uint64 `json:"Delivered"`
+	Sessions     int `json:"Origins"`
+	FreeCapacity int `json:"Room"`
+	// Requests counts the requests of clients, Delivered the messages given to them.
+	Requests  uint64 `json:"Requests"`
+	Delivered uint64 `json:"Delivered"`
 	// Copies counts the messages that other gateways forwarded to this one.
 	Copies uint64 `json:"Copies"`
 	// Processor is the processor time used.
@@ -152,7 +153,8 @@
 	SpaceCreatedAt map[string]uint64
 }
 
-// GracefulLeave comes from a daemon that stops on purpose.
+// GracefulLeave comes from a daemon that stops on purpose. It goes to the controllers, and
+// from a gateway to its agent, too.
 type GracefulLeave struct {
 	_           struct{} `cbor:",toarray"`
 	Name        string
@@ -182,13 +184,14 @@
 type ControlRequest struct {
 	// Request identifies the request between two daemons.
 	Request statemachine.RequestID `cbor:"Request"`
-	// Order identifies it from the daemon that the operator asked on, so that the
-	// primary recognizes it when it arrives by more than one path.
+	// Order identifies it on its whole way, and is given by the daemon that the operator
+	// asked. By it the primary recognizes a request that arrives by more than one path.
 	Order  statemachine.RequestID `cbor:"Order"`
 	Method string                 `cbor:"Method"`
 	Path   string                 `cbor:"Path"`
 	Body   []byte                 `cbor:"Body"`
-	// Relayed is set on what a daemon that is not a controller is to forward.
+	// Relayed is set on a request that goes to a relay (see package controlclient), which
+	// forwards it to controllers only.
 	Relayed bool `cbor:"Relayed"`
 }
 
--- a/internal/membership/view_client.go
+++ b/internal/membership/view_client.go
@@ -84,7 +84,7 @@
 	Epoch   uint64
 	// Document is the configuration of that Version as the operator sent it.
 	Document []byte
-	// SpaceCreatedAt is the index at which each space was created.
+	// SpaceCreatedAt is the index at which each space, by name, was created.
 	SpaceCreatedAt map[string]uint64
 	// Members and Placements are the view. They are replaced, never changed in place.
 	Members    map[string]Member
@@ -333,7 +333,8 @@
 	Document bool
 }
 
-// HandleUpdate applies an update unless it is older than what the client has.
+// HandleUpdate applies an update unless it is older than what the client has. The first
+// view is taken only from the response to a request that is not too old.
 func (c *ViewClient) HandleUpdate(now time.Time, update ViewUpdate) UpdateResult {
 	if update.Nonce <= c.nonce {
 		c.lastAnswered = max(c.lastAnswered, update.Nonce)
@@ -403,8 +404,8 @@
 	}
 }
 
-// AdoptConfiguration takes a newer configuration from a daemon that had it sooner; it
-// reports whether it was newer.
+// AdoptConfiguration takes a newer configuration from a daemon that had it sooner, and
+// reports whether it did: not if it is no newer, or there is no view yet.
 func (c *ViewClient) AdoptConfiguration(version uint64, document []byte, spaceCreatedAt map[string]uint64) bool {
 	if version <= c.Version || c.Index == 0 {
 		return false
@@ -434,7 +435,8 @@
 	return addresses
 }
 
-// RespondToConfigurationRequest sends the configuration to a daemon that has an older one.
+// RespondToConfigurationRequest sends the configuration to a daemon that has an older one,
+// and nothing to any other.
 func (c *ViewClient) RespondToConfigurationRequest(
 	to string,
 	request ConfigurationRequest,
