--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -14,16 +14,19 @@
 
 // Parts of Settings.Acknowledge and other bounds.
 const (
-	// hedgeDivisor: a further daemon is asked each time this part of it has passed.
+	// hedgeDivisor is the part of Acknowledge after which, each time, further daemons are
+	// asked: a twentieth of it.
 	hedgeDivisor = 20
-	// deadlinePercent of it pass before the operator is told to retry. Operators
-	// tolerate a second of silence; this stays below it.
+	// deadlinePercent is how many hundredths of Acknowledge pass before the operator is
+	// asked to retry. Operators tolerate a second of silence; with DefaultAcknowledge this
+	// is less.
 	deadlinePercent = 18
 	// bytesPerMillisecond extends the deadline of a large request, which must be read,
-	// synced and replicated first.
+	// synced and replicated first: by a millisecond for each so many bytes of its body.
 	bytesPerMillisecond = 100
-	// retryAfter is when an operator may retry at the earliest.
-	retryAfter   = time.Second
+	// retryAfter is how long an operator is asked to wait at least before a retry.
+	retryAfter = time.Second
+	// maxRedirects bounds the redirects that are followed for one request.
 	maxRedirects = 6
 )
 
@@ -148,7 +151,8 @@
 	return c.settings.Acknowledge / hedgeDivisor
 }
 
-// send sends the request to a controller; false if it was sent there before.
+// send sends the request to a controller; false if it was sent there before, or the
+// address is empty.
 func (p *pendingRequest) send(to string, effects *statemachine.Effects) bool {
 	if _, sent := p.awaiting[to]; sent || to == "" {
 		return false
@@ -243,7 +247,7 @@
 }
 
 // reject ends a request that was not served. A daemon that was asked and has not
-// responded may still serve it, so that a change then counts as unsettled.
+// responded may still serve it: a request that changes something then counts as unsettled.
 func (c *ControlClient) reject(
 	pending *pendingRequest,
 	response membership.ControlResponse,
