--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -25,7 +25,8 @@
 	Seeds []string
 	// Gateway is the address of the gateway that the agent serves.
 	Gateway string
-	// Acknowledge is within what time operators expect a valid request to be answered.
+	// Acknowledge is within what time operators expect a valid request to be answered; 0
+	// stands for controlclient.DefaultAcknowledge.
 	Acknowledge time.Duration
 	Incarnation statemachine.Incarnation
 }
@@ -151,7 +152,7 @@
 	}
 }
 
-// leave tells the controllers and ends the process.
+// leave announces to the controllers that this agent stops, and ends the process.
 func (a *Agent) leave(effects *statemachine.Effects) {
 	for _, member := range statemachine.Sorted(a.viewClient.Members) {
 		if member.Kind == membership.KindController {
@@ -205,8 +206,8 @@
 	}
 }
 
-// sendRelayedResponses turns the responses to relayed requests into messages to the
-// daemons that asked; the others stay.
+// sendRelayedResponses turns the responses to relayed requests into messages to the daemons
+// that asked. Those to requests at the agent's own ctl stay in effects.
 func (a *Agent) sendRelayedResponses(effects *statemachine.Effects) {
 	own := effects.Responses[:0]
 	for _, response := range effects.Responses {
@@ -224,7 +225,8 @@
 	effects.Responses = own
 }
 
-// relayPoll sends the gateway's view request on.
+// relayPoll forwards the gateway's view request to where this agent's own would go: to the
+// primary or, while the agent searches for it, to all known controllers and the seeds.
 func (a *Agent) relayPoll(now time.Time, request membership.ViewRequest, effects *statemachine.Effects) {
 	a.polledAt = now
 	a.poll = relayedPoll{request: request, open: true}
@@ -233,7 +235,7 @@
 	}
 }
 
-// handleUpdate takes an update for this agent and passes one for the gateway on.
+// handleUpdate applies an update for this agent, and forwards one for the gateway.
 func (a *Agent) handleUpdate(now time.Time, update membership.ViewUpdate, effects *statemachine.Effects) {
 	if update.Recipient != a.settings.Self.Name {
 		a.poll.open = a.poll.open && update.Nonce != a.poll.request.Nonce
@@ -245,8 +247,9 @@
 	}
 }
 
-// handleRedirect lets a controller that is not the primary correct who is. The gateway's
-// open request is sent again, and its next one takes the right path.
+// handleRedirect takes the response of a controller that is not the primary. The gateway's
+// open request is sent again to the primary that it names, and this agent polls at once, so
+// that it knows the primary for the gateway's next request.
 func (a *Agent) handleRedirect(now time.Time, redirect membership.Redirect, effects *statemachine.Effects) {
 	if redirect.Recipient == a.settings.Self.Name {
 		a.viewClient.HandleRedirect(now, redirect, effects)
