--- a/internal/controller/apply.go
+++ b/internal/controller/apply.go
@@ -15,7 +15,8 @@
 // order of the log. What became of an operator's order in the command is the state's
 // result until the next command.
 //
-// Apply panics on a command that can't be read: the log is damaged, or of another program.
+// Apply panics on a command that can't be read, and on one with a faulty configuration: the log
+// is damaged, or of another program.
 func (s *State) Apply(_ time.Time, encoded []byte) {
 	var command Command
 	if err := transport.Unmarshal(encoded, &command); err != nil {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -17,7 +17,7 @@
 type timer int
 
 const (
-	// timerStop ends the daemon although it has not left the cluster yet.
+	// timerStop wakes the controller at stopDeadline, see finishStop.
 	timerStop timer = iota
 	// timerReconcile starts the next reconciliation.
 	timerReconcile
@@ -68,7 +68,8 @@
 	stopDeadline time.Time
 
 	// active is set while this controller acts as primary, and termStart is when it began
-	// to. The fields below are of use to the primary only; beginTerm resets what it observes.
+	// to. The fields below are of use to the primary only; beginTerm resets what an earlier term
+	// observed, except planner and balancer, and endTerm ends the polls and forgets sentViews.
 	active    bool
 	termStart time.Time
 
@@ -186,13 +187,14 @@
 func (c *Controller) Ready() bool { return !c.node.Blank() }
 
 // SetTolerance changes the tolerance, after the settings were changed. The primary
-// replicates it with its next reconciliation.
+// replicates its own setting with its next reconciliation; that of another controller has no
+// effect until that one is primary.
 func (c *Controller) SetTolerance(tolerance int) {
 	c.settings.Tolerance = &tolerance
 	c.node.SetTolerance(tolerance)
 }
 
-// Start begins the controller's work.
+// Start begins the controller's work. It is called once, before any other step.
 func (c *Controller) Start(now time.Time, effects *statemachine.Effects) {
 	c.node.Start(now, effects)
 	c.failureDetector.Start(now)
--- a/internal/controller/economy.go
+++ b/internal/controller/economy.go
@@ -20,8 +20,8 @@
 func (c *Controller) runEconomy(now time.Time, effects *statemachine.Effects) {
 	configuration := c.configuration()
 	c.node.RequestRoleLease(now, c.economyLease, effects)
-	// While the term warms up few gateways have reported, and after a loss of all of them
-	// clients still connect: the fair shares would be far too small.
+	// While the term warms up, few gateways have reported their sessions, and after a loss of all
+	// gateways their clients are only connecting again: fair shares would be far too small.
 	if !c.economyLease.Valid(now) || c.warmingUp(now, warmupPeriod) {
 		return
 	}
@@ -68,7 +68,8 @@
 }
 
 // issueDirectives sends each gateway its directives where these changed, and records in
-// the control state which gateways rest. A gateway without directives gets empty ones.
+// the control state which gateways rest. A gateway that was asked something before, and for
+// which nothing is planned now, gets empty directives, which cancel the earlier ones.
 func (c *Controller) issueDirectives(
 	now time.Time, planned map[string]membership.Directives, effects *statemachine.Effects,
 ) {
--- a/internal/controller/epochs.go
+++ b/internal/controller/epochs.go
@@ -5,11 +5,11 @@
 	"dahlialock/internal/statemachine"
 )
 
-// advanceEpochs begins the next epoch of each partition that a store leads, as a new
-// incarnation of the store joins. The new incarnation assigns offsets again that the
-// earlier one assigned to records which its disk never had. Only another epoch tells
-// messages about the former from messages about the latter. A partition without followers
-// needs none: nothing of it was sent to anybody before the disk had it.
+// advanceEpochs begins the next epoch of each partition that a store leads, when a new
+// incarnation of the store joins. The earlier incarnation may have assigned offsets to records
+// that never reached its disk, and the new one assigns these offsets again. Only by another
+// epoch are messages about the old records told from messages about the new ones. A partition
+// without followers needs none: nothing of it was sent to anybody before the disk had it.
 func (s *State) advanceEpochs(store string) {
 	if statemachine.Mutated("one-epoch-for-all-lives") {
 		return
--- a/internal/controller/failures.go
+++ b/internal/controller/failures.go
@@ -45,8 +45,8 @@
 		if !member.Alive || containsMember(failed, name) {
 			continue
 		}
-		// A member that its watchers hear and that follows nothing acts on an outdated
-		// view: to the others it is as good as failed.
+		// A member that its watchers hear, but that does not follow the primary, acts on an
+		// outdated view: to the others it is as good as failed.
 		timeout := c.timeouts.poll
 		if member.Resting {
 			timeout += membership.LowPriorityLongPollTimeout
@@ -105,9 +105,9 @@
 }
 
 // suspicionSuffices reports whether a member counts as failed by the suspicions of some
-// watchers and the time since its last poll of the primary. Watchers alone can be misled by their
-// links to the member: one that still polls the primary is not failed by the word of some,
-// but only by that of all.
+// watchers and the time since its last poll of the primary. A watcher can be misled by its own
+// link to the member. So a member that still polls the primary counts as failed only if all of
+// its watchers suspect it.
 func (c *Controller) suspicionSuffices(member membership.Member, reporters int, sinceLastPoll time.Duration) bool {
 	timeout, shortTimeout := c.timeouts.suspicion, c.timeouts.suspicion/2
 	if member.Resting {
--- a/internal/controller/members.go
+++ b/internal/controller/members.go
@@ -23,6 +23,8 @@
 //
 // Incarnations come from wall clocks, which may be set back between two runs of a process:
 // a lower incarnation is accepted once the higher one has been silent for a while.
+//
+// A store that misses its answers does not count as heard, whatever it sends.
 func (c *Controller) recordMember(now time.Time, request membership.ViewRequest) {
 	self := request.Self
 	c.recordAcknowledgement(request)
--- a/internal/controller/outcome.go
+++ b/internal/controller/outcome.go
@@ -15,8 +15,8 @@
 	Accepted Outcome = iota
 	// Duplicate orders were accepted before.
 	Duplicate
-	// Superseded configurations have a version below the one in force, under which nothing
-	// else was confirmed.
+	// Superseded configurations have a version that is not above the one in force, and of which
+	// no other decision is remembered.
 	Superseded
 	// ContentConflict is a configuration under a version that was confirmed with other
 	// content.
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -17,7 +17,9 @@
 // together with the disk on which the accepted records lie: a partition whose in-sync
 // replicas are all away waits for one of them rather than begin empty.
 
-// The score of a store as a follower.
+// The score of a store as a follower. A store has at most one of the latter two, and each exceeds
+// the sum of those that may be set against it: a replica is moved to another zone only if it must
+// be moved anyway.
 const (
 	// scoreZone is for a store in a zone without a replica.
 	scoreZone = 2
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -13,7 +13,8 @@
 
 const (
 	// reconcileInterval is the time between two reconciliations of the primary, and
-	// standbyInterval that between two looks of another controller at its lease.
+	// standbyInterval is after how long another controller checks again whether it has become
+	// primary.
 	reconcileInterval = 200 * time.Millisecond
 	standbyInterval   = 500 * time.Millisecond
 
@@ -48,8 +49,9 @@
 	c.runEconomy(now, effects)
 }
 
-// nextCommand collects the changes that are due. Each of the later steps is taken only if
-// the earlier ones left nothing to change, so that it is decided on their result.
+// nextCommand collects the changes that are due. Degradations, removals and placements are each
+// decided only if the steps before them left nothing to change, and so on a state that has the
+// results of those steps.
 func (c *Controller) nextCommand(now time.Time, effects *statemachine.Effects) Command {
 	command := Command{}
 	command.Leaves, command.Joins = c.takeMembershipChanges(effects)
--- a/internal/controller/removal.go
+++ b/internal/controller/removal.go
@@ -67,8 +67,8 @@
 }
 
 // mayRemove reports whether nothing refers to a member any more: it is dead, it is not
-// being retired, no partition has or had a replica on any of its disks, and the
-// configuration in force does not drain it.
+// being retired, no placement names it or any disk that it had, and the configuration in
+// force does not drain it.
 func (s *State) mayRemove(removal MemberIncarnation) bool {
 	member, found := s.Members[removal.Name]
 	if !found || member.Alive || member.Incarnation != removal.Incarnation {
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -86,8 +86,8 @@
 	request statemachine.RequestID
 }
 
-// respond sends the response. It must leave before the lease ends, unless it says that
-// nothing can be said.
+// respond sends the response. It must leave before the lease ends, except one of status 503,
+// which states nothing about the control state.
 func (r responder) respond(response response, effects *statemachine.Effects) {
 	message := membership.ControlResponse{Request: r.request, Status: response.status, Body: response.body}
 	if response.status == http.StatusServiceUnavailable {
@@ -113,7 +113,7 @@
 	c.node.Confirm(now, done, effects)
 }
 
-// handleControlRequest carries an operator's request out. A controller that may not act
+// handleControlRequest carries out an operator's request. A controller that may not act
 // redirects or refuses the request at once: it never answers from a state that may be
 // outdated.
 func (c *Controller) handleControlRequest(
--- a/internal/controller/settings.go
+++ b/internal/controller/settings.go
@@ -26,9 +26,10 @@
 	// without bringing it into force; otherwise it is a conflict, unless the same content
 	// was accepted under that version.
 	HighestWins bool
-	// AcknowledgeTimeout is the time within which a valid order is acknowledged.
+	// AcknowledgeTimeout is the time within which a valid order is to be acknowledged.
 	AcknowledgeTimeout time.Duration
-	// ContactTimeout is the time within which a daemon that lost contact has it again.
+	// ContactTimeout is the time within which a daemon that lost contact with the cluster is to
+	// have it again (contact in the settings); failure timeouts derive from it, see timeoutsFor.
 	ContactTimeout time.Duration
 	// Tolerance is how many machines with a disk may be lost at once; nil leaves the
 	// tolerance of the control state as it is.
--- a/internal/controller/stop.go
+++ b/internal/controller/stop.go
@@ -35,8 +35,8 @@
 	return gracePeriod * 3 / 4
 }
 
-// finishStop stops the daemon once it has left, or its time is over, and tells the other
-// controllers.
+// finishStop stops the daemon once it has left, or its time is over, and sends the other
+// controllers a GracefulLeave, so that they needn't detect its absence.
 func (c *Controller) finishStop(now time.Time, effects *statemachine.Effects) {
 	if c.stopDeadline.IsZero() || !c.node.Left() && now.Before(c.stopDeadline) {
 		return
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -11,7 +11,8 @@
 const warmupPeriod = 3 * time.Second
 
 // beginTerm resets what a primary has observed, when the controller begins to act as one.
-// What was reported in an earlier term is outdated; members have been heard as of now.
+// What was reported in an earlier term is outdated. All members count as heard now, so that none
+// is taken for failed before it could poll the new primary.
 func (c *Controller) beginTerm(now time.Time) {
 	if c.active {
 		return
--- a/internal/controller/views.go
+++ b/internal/controller/views.go
@@ -22,7 +22,8 @@
 
 // sentView is the view that a member was sent last. A member is sent one at a time: its
 // further polls wait until it has the view, or until the view counts as lost. So a slow
-// link carries a view once, and not again for each poll that was sent meanwhile.
+// link carries a view once, and not again for each poll that was sent meanwhile. Only
+// answerPollOf doesn't wait.
 type sentView struct {
 	address     string
 	incarnation uint64
@@ -131,7 +132,8 @@
 	}
 }
 
-// answerPollOf answers a member's poll at once, if one is pending.
+// answerPollOf answers a member's poll at once, if one is pending, even before its notBefore:
+// its callers have new directives for the member, or want to see whether it polls again.
 func (c *Controller) answerPollOf(now time.Time, name string, effects *statemachine.Effects) {
 	if poll, pending := c.pendingPolls[name]; pending {
 		c.answerPoll(now, poll, effects)
