--- a/internal/balancing/balancing.go
+++ b/internal/balancing/balancing.go
@@ -46,7 +46,7 @@
 
 // Directive asks a gateway to move sessions to other gateways.
 type Directive struct {
-	// KeepSessions is the number of sessions at which the gateway stops to move any.
+	// KeepSessions is the number of sessions at which the gateway stops moving any.
 	KeepSessions int
 	// MovesPerSecond bounds the rate at which sessions are moved.
 	MovesPerSecond int
--- a/internal/balancing/doc.go
+++ b/internal/balancing/doc.go
@@ -7,8 +7,9 @@
 // share and directs overloaded gateways to move sessions to named targets at a bounded
 // rate. Where a zone is almost full, sessions are spread over all zones.
 //
-// The primary controller owns the balancer and calls [Balancer.Plan] on every
-// reconciliation with the loads that the gateways reported last. Plan has no I/O, no
+// The primary controller owns the balancer. While it holds the lease of the economy role it
+// calls [Balancer.Plan], on each reconciliation that has no command to submit, with the loads
+// that the gateways reported last. Plan has no I/O, no
 // clock and no randomness. Hysteresis (a gateway starts to move sessions well above its
 // fair share and stops close to it) keeps the fleet from oscillating on reports that are
 // a second old. Balancing is independent of consolidation, which decides how many
