--- a/internal/consolidation/fleet.go
+++ b/internal/consolidation/fleet.go
@@ -15,8 +15,9 @@
 	// busy: the goroutine that owns its state is a single thread.
 	maxProcessor = 0.6
 
-	// distantDelay is the one-way delay from which a gateway counts as distant, and
-	// defaultZoneDelay what is assumed between two zones that nobody measured.
+	// distantDelay is the delay, as fleet.delay gives it, from which a gateway counts as distant,
+	// and defaultZoneDelay what is assumed between two zones if it is neither measured nor
+	// configured.
 	distantDelay     = 300 * time.Microsecond
 	defaultZoneDelay = 2 * distantDelay
 )
@@ -52,8 +53,8 @@
 	f.processor += added.rate.processor
 }
 
-// directivesFor asks a gateway to rest if it is chosen for it, and to move its sessions
-// away as long as it has any.
+// directivesFor asks a gateway to rest if the planner has chosen it or the operators drain it,
+// and to move its sessions away as long as it has any.
 func (f *fleet) directivesFor(gateway gatewayState) membership.Directives {
 	directives := membership.Directives{Rest: f.idle(gateway.member.Name)}
 	if directives.Rest && gateway.load.Sessions > 0 {
@@ -94,8 +95,9 @@
 	return 1 + int(f.delay(source, target)/distantDelay)
 }
 
-// delay is the delay between two gateways: as either of them measured it, else as the
-// operators configured it between their zones, else a default.
+// delay is the delay between two gateways: the round trip that either of them measured, else
+// the one-way delay that the operators configured between their zones, else a default. The two
+// are compared as they are.
 func (f *fleet) delay(from, to gatewayState) time.Duration {
 	if measured, found := from.load.Delays[to.member.Name]; found {
 		return measured
@@ -133,7 +135,7 @@
 }
 
 // survivesZoneLoss reports whether some awake gateways could lose any one zone and still
-// serve a number of sessions.
+// serve a number of sessions. Gateways that are all in one zone could not.
 func (f *fleet) survivesZoneLoss(awake []gatewayState, sessions int) bool {
 	awakeByZone := countByZone(awake)
 	if len(awakeByZone) < 2 {
--- a/internal/consolidation/planner.go
+++ b/internal/consolidation/planner.go
@@ -144,7 +144,7 @@
 	}
 }
 
-// wake wakes up to count resting gateways, each in the zone with the fewest awake.
+// wake wakes at most count resting gateways, each in the zone with the fewest awake ones.
 func (p *Planner) wake(observed *fleet, count int) {
 	awakeByZone := countByZone(observed.awake(""))
 	for range count {
