--- a/internal/partition/doc.go
+++ b/internal/partition/doc.go
@@ -19,9 +19,9 @@
 //
 // A placement is complete once the controllers have recorded that all its followers hold
 // whatever may have been accepted in earlier epochs. Until then the leader accepts nothing:
-// it brings the followers up to date, reports that, and waits for the record of it
-// (commit.go). A follower whose log doesn't meet the leader's is sent a snapshot of the
-// complete log (snapshot.go).
+// it brings the followers up to date, reports that to the primary controller, and waits for
+// a view in which the placement is complete (commit.go). A follower whose log doesn't meet the
+// leader's is sent a snapshot of the complete log (snapshot.go).
 //
 // A store that left a placement keeps its log for a while (unassigned.go): if it is named
 // again, only the records that it missed are sent.
--- a/internal/partition/fetch.go
+++ b/internal/partition/fetch.go
@@ -115,8 +115,8 @@
 	}
 }
 
-// fetchTopic gives a topic's accepted records within the remaining bytes, which it uses up.
-// The first record of a response is given whatever its size.
+// fetchTopic gives a topic's accepted records within the remaining bytes, from which it takes
+// off their size. The first record of the request's first topic is given whatever its size.
 func (r *replica) fetchTopic(cursor TopicCursor, remaining *int, first bool) TopicRecords {
 	found := TopicRecords{
 		Until:   r.highWatermark,
--- a/internal/partition/followers.go
+++ b/internal/partition/followers.go
@@ -18,7 +18,7 @@
 	acknowledged uint64
 	sent         uint64
 	sentAt       time.Time
-	// attempts counts the requests since the last response, up to maxReplicateBackoff.
+	// attempts counts the retries since the last response, up to maxReplicateBackoff.
 	attempts int
 	// inFlight are the requests without acknowledgement, in order of offsets.
 	inFlight []inFlightBatch
--- a/internal/partition/high_watermarks.go
+++ b/internal/partition/high_watermarks.go
@@ -10,8 +10,8 @@
 const (
 	// subscriptionTimeout is when a subscription to high watermarks ends unless it is renewed.
 	subscriptionTimeout = 6 * time.Second
-	// highWatermarksInterval is how long a high watermark may have advanced before subscribers
-	// are sent it.
+	// highWatermarksInterval is the longest time from a high watermark's advance until it is sent
+	// to subscribers, so that one message announces several advances.
 	highWatermarksInterval = 400 * time.Millisecond
 )
 
@@ -24,7 +24,8 @@
 }
 
 // sentPosition is what a subscriber knows of a partition. In a shared partition an epoch of 0
-// says that it may know only what lay up to the offset.
+// says that the offset is the subscriber's own word, in KnownOffsets, and that it was not yet
+// sent anything in this subscription.
 type sentPosition struct {
 	epoch  uint64
 	offset uint64
--- a/internal/partition/messages.go
+++ b/internal/partition/messages.go
@@ -11,9 +11,10 @@
 
 const (
 	// DependencyWindow is for how long a message counts as a dependency of its sender's next
-	// ones. A gateway that was verified within VerificationWindow has delivered older ones.
+	// ones. Older ones need not be named: a gateway that is verified has them.
 	DependencyWindow = 6 * time.Second
-	// VerificationWindow is for how long a gateway counts as verified: it must be less than
+	// VerificationWindow is for how long a gateway counts as verified for a space: it had all
+	// records of the space's partitions at a moment within the window. It must be less than
 	// DependencyWindow.
 	VerificationWindow = 5 * time.Second
 	// MaxDependencies is how many messages Dependencies names one by one.
@@ -90,8 +91,8 @@
 }
 
 // AppendResponse is the response to Append. Code says why a message wasn't accepted: one of
-// the constants that begin with Code. RetryAfter is when to send it again; zero if there is
-// no use. Of a shared partition's Record the data, names and time are left out, since whoever
+// the constants that begin with Code. RetryAfter is after how long to send it again; zero if
+// that is of no use. Of a shared partition's Record the data, names and time are left out, since whoever
 // sent the request has them.
 type AppendResponse struct {
 	_          struct{} `cbor:",toarray"`
@@ -181,7 +182,7 @@
 
 // FetchTopics is a gateway's request to a store for the records of topics in shared
 // partitions, each after an offset of its own. The data of all records of the response is
-// within MaxBytes, but for the first record.
+// within MaxBytes, except that the first topic gets its first record in any case.
 type FetchTopics struct {
 	_         struct{} `cbor:",toarray"`
 	RequestID uint64
--- a/internal/partition/outcome.go
+++ b/internal/partition/outcome.go
@@ -30,25 +30,30 @@
 	}
 }
 
-// Codes of AppendResponse. Gateways pass some of them on to clients.
+// Codes of AppendResponse, with OutcomeRejected unless they say otherwise. Gateways pass some of
+// them on to clients.
 const (
 	// CodeNotLeader rejects an append at a store that doesn't lead the partition.
 	CodeNotLeader = "not-first"
 	// CodeSequenceReused rejects another message under a sequence number that was used.
 	CodeSequenceReused = "seq-reused"
-	// CodeSequenceStale rejects a sequence number that isn't above the sender's last one.
+	// CodeSequenceStale rejects a sequence number that isn't above the sender's last one, and a
+	// message with DuplicateOnly that isn't stored.
 	CodeSequenceStale = "old-seq"
 	// CodeSequencePassed rejects a sequence number below one that isn't accepted yet. Another
 	// leader may still accept an earlier attempt of the same message.
 	CodeSequencePassed = "passed"
-	// CodeDiskUnavailable says that the leader's disk takes no writes.
+	// CodeDiskUnavailable says that the leader's disk takes no writes; also with
+	// OutcomeUnresolved.
 	CodeDiskUnavailable = "disk-refuses"
 	// CodeFollowerIncomplete rejects an append while the followers are brought up to date.
 	CodeFollowerIncomplete = "follower-incomplete"
-	// CodeFollowerSilent says that a follower doesn't acknowledge.
+	// CodeFollowerSilent says that a follower doesn't acknowledge; also with OutcomeUnresolved.
 	CodeFollowerSilent = "follower-silent"
-	// CodeLeaderChanged says that another store leads the partition now.
+	// CodeLeaderChanged, with OutcomeUnresolved, says that the placement has a newer epoch, in
+	// which another store may lead.
 	CodeLeaderChanged = "moved"
-	// CodeReplicaRemoved says that the store holds no replica of the partition any more.
+	// CodeReplicaRemoved, with OutcomeUnresolved, says that no placement gives the store a
+	// replica of the partition any more.
 	CodeReplicaRemoved = "removed"
 )
--- a/internal/partition/placement.go
+++ b/internal/partition/placement.go
@@ -62,8 +62,8 @@
 	return partition
 }
 
-// applyPlacement takes a partition's newest placement. A new epoch ends whatever was known
-// of followers and of the high watermark.
+// applyPlacement takes over a partition's newest placement. With a new epoch, followers must
+// say anew how far they are, and the high watermark must be established anew.
 func (s *Store) applyPlacement(
 	now time.Time, partition *replica, placement membership.Placement, effects *statemachine.Effects,
 ) {
@@ -94,8 +94,8 @@
 }
 
 // isLeader tells whether this store, with its present disk, may act as a partition's leader.
-// A view that doesn't know of the loss of this store's disk may still name it. Nor does an
-// epoch hold for an incarnation that isn't a member yet: an earlier one was given it.
+// A view that doesn't know of the loss of this store's disk may still name it as leader. And
+// before this incarnation is a member, the epochs of the view were given to an earlier one.
 func (s *Store) isLeader(partition *replica) bool {
 	return partition.placement.Leader == s.settings.Self.Name &&
 		slices.Contains(partition.placement.InSync, s.replicaID()) &&
--- a/internal/partition/replica.go
+++ b/internal/partition/replica.go
@@ -24,20 +24,22 @@
 	placedAt  time.Time
 	// syncedOffset is how far this store's disk holds the log.
 	syncedOffset uint64
-	// followers is the leader's view of each follower of the placement; nil on followers.
+	// followers is what the leader knows of each follower, in the placement's order; nil on
+	// followers.
 	followers []*followerProgress
 	// pending are the appends without an answer, by the offset that they wait for.
 	pending map[uint64][]pendingAppend
-	// highWatermark is the offset up to which the leader and all followers have synced. It
-	// never falls, and counts only while it is established.
+	// highWatermark is the offset up to which the leader and all followers have synced. Only a
+	// leader advances it. It never falls while the process runs, and begins at 0; it counts only
+	// while it is established.
 	highWatermark uint64
 	// servingEpoch is the epoch in which this leader established the high watermark.
 	servingEpoch uint64
 	// epochStart is the end of the log when the placement's epoch came to be known here. All
 	// records up to it may have been accepted in earlier epochs.
 	epochStart uint64
-	// unassignedSince is when the last placement that needs this replica went; zero while
-	// there is one.
+	// unassignedSince is when the view was first seen to have no placement that needs this
+	// replica; zero while there is one.
 	unassignedSince time.Time
 }
 
--- a/internal/partition/replicate.go
+++ b/internal/partition/replicate.go
@@ -10,7 +10,8 @@
 const (
 	// replicateInterval is how often a leader looks for requests without a response.
 	replicateInterval = 150 * time.Millisecond
-	// maxReplicateBackoff bounds the time between attempts, in replicate intervals.
+	// maxReplicateBackoff bounds the time between attempts, in replicate intervals, and the count
+	// of attempts.
 	maxReplicateBackoff = 8
 	// maxReplicateRecords bounds the records of one request.
 	maxReplicateRecords = 512
--- a/internal/partition/retention.go
+++ b/internal/partition/retention.go
@@ -44,7 +44,8 @@
 	s.retention = longest
 }
 
-// sharedRetention is for how long shared partitions retain records at present.
+// sharedRetention is for how long shared partitions retain records at present, apart from the
+// margin of expire.
 func (s *Store) sharedRetention(now time.Time) time.Duration {
 	s.supersededRetentions = slices.DeleteFunc(s.supersededRetentions, func(superseded supersededRetention) bool {
 		return now.After(superseded.expiresAt)
@@ -56,7 +57,8 @@
 	return longest
 }
 
-// applyRetention drops what is older than the retention of its space.
+// applyRetention drops what is older than the retention of its space, or than
+// config.DefaultRetentionTime if that is longer, and the margin of expire.
 func (s *Store) applyRetention(now time.Time) {
 	s.timers.Arm(timerRetention, now.Add(retentionInterval))
 	for name, partition := range statemachine.Sorted(s.replicas) {
--- a/internal/partition/slow_disk.go
+++ b/internal/partition/slow_disk.go
@@ -54,8 +54,9 @@
 // smooth gives a new delay a weight of one eighth.
 func smooth(delay, latest time.Duration) time.Duration { return delay + (latest-delay)/8 }
 
-// recordDiskTime notes how long a follower's disk took for the requests that it acknowledged.
-// It is measured by the follower, so that the link between doesn't count.
+// recordDiskTime records how long a follower's disk took for the requests that it acknowledged,
+// and takes these out of those in flight. The follower measures the time, so that the link
+// between doesn't count.
 func (s *Store) recordDiskTime(follower *followerProgress, diskTime time.Duration) {
 	count := 0
 	for count < len(follower.inFlight) && follower.inFlight[count].lastOffset <= follower.acknowledged {
--- a/internal/partition/snapshot.go
+++ b/internal/partition/snapshot.go
@@ -31,8 +31,8 @@
 	timeout time.Duration
 }
 
-// timedOut tells whether the snapshot in flight must be taken for lost. Links deliver in
-// order, so the response to a later snapshot moves sentAt of the earlier ones, too.
+// timedOut tells whether the snapshot in flight must be taken for lost. A response to one
+// snapshot restarts the time of the others in flight to the follower, see snapshotInstalled.
 func (t *snapshotTransfer) timedOut(now time.Time) bool { return now.Sub(t.sentAt) >= t.timeout }
 
 // requireSnapshot notes that a follower needs a snapshot, and sends it when its turn comes.
--- a/internal/partition/store.go
+++ b/internal/partition/store.go
@@ -30,7 +30,8 @@
 }
 
 // Request is a command: an operator's request at this daemon's own ctl. It is forwarded to
-// the primary controller, and the response goes to Local.
+// the primary controller. Local is the host's number of the request, by which it gets the
+// response.
 type Request struct {
 	Local  uint64
 	Method string
@@ -39,7 +40,7 @@
 }
 
 // FindDecisions is a command: it asks for the recorded decisions about a request, a message
-// or a session. The response, a list of decisionlog.Entry, goes to Local.
+// or a session. The response is a list of decisionlog.Entry; Local is as in Request.
 type FindDecisions struct {
 	Local   uint64
 	Request string
--- a/internal/partition/topic.go
+++ b/internal/partition/topic.go
@@ -32,7 +32,8 @@
 func ForTopic(topic string, partitions int) int {
 	sum := fnv.New64a()
 	_, _ = sum.Write([]byte(topic))
-	// Mixed as at the end of MurmurHash3, since the modulus depends on the low bits only.
+	// Mixed by the second half of MurmurHash3's finalizer, since the modulus depends on the low
+	// bits only.
 	mixed := sum.Sum64()
 	mixed ^= mixed >> 33
 	mixed *= 0xc4ceb9fe1a85ec53
