--- a/internal/config/configuration.go
+++ b/internal/config/configuration.go
@@ -70,7 +70,8 @@
 	// Durable messages are replicated on disk for the space's retention time,
 	// and a subscriber that was away catches up on them.
 	Durable Retention = "kept"
-	// Ephemeral messages reach whoever is subscribed at the time.
+	// Ephemeral messages are sent once, to whoever is subscribed at the time; their data isn't
+	// stored.
 	Ephemeral Retention = "passing"
 )
 
@@ -94,18 +95,19 @@
 	Order     Order
 	// RetentionTime is how long messages of a durable space are kept.
 	RetentionTime time.Duration
-	// Tolerance is how many replicas of a durable space may be lost at one time.
+	// Tolerance is how many replicas of a durable space may be lost at one time. It is only
+	// checked: how many replicas there are follows from the daemons' setting of that name.
 	Tolerance int
 	// DataBytes bounds the data of one publication.
 	DataBytes int
 	// PublicationsPerSecond is how many publications to the space each gateway
-	// accepts a second, 0 for no limit.
+	// accepts in a second of the clock, from all clients; 0 for no limit.
 	PublicationsPerSecond int
 	// Publishers and Subscribers are the clients that may publish and subscribe:
 	// names, or prefixes that end with "*".
 	Publishers  []string
 	Subscribers []string
-	// ResponseTimeout is how soon a publication is to be answered.
+	// ResponseTimeout is within what time a publication is to be answered.
 	ResponseTimeout time.Duration
 	// Priority ranks spaces: where something must wait, the higher goes first.
 	Priority int
@@ -172,7 +174,7 @@
 	// Spaces are by name.
 	Spaces        map[string]Space
 	Consolidation Consolidation
-	// Draining names the gateways that are to hand their sessions to others.
+	// Draining names the gateways that are to move their sessions to others.
 	Draining []string
 	Zones    []string
 	Links    []Link
--- a/internal/config/digest.go
+++ b/internal/config/digest.go
@@ -17,7 +17,8 @@
 type Digest [digestBytes]byte
 
 // DigestOf returns the digest of a document; one that isn't JSON counts by its
-// bytes.
+// bytes. Digests are stored in the control state, so that the canonical form must
+// never change.
 func DigestOf(document []byte) Digest {
 	value, err := fastjson.ParseBytes(document)
 	canonical := append([]byte("text "), document...)
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -12,8 +12,9 @@
 // annotationKey is the document's member that holds the annotation.
 const annotationKey = "annex"
 
-// Read parses a document. It may only come into force if there are no faults;
-// they are sorted by path.
+// Read parses a document. The faults are sorted by path. If there are any, the
+// document must not come into force, and the configuration has fallbacks or
+// nothing in place of what is faulty.
 func Read(document []byte) (Configuration, []Fault) {
 	var reader Reader
 	if len(document) > MaxDocumentBytes {
@@ -29,7 +30,8 @@
 	return configuration, reader.Faults
 }
 
-// ValidName reports whether a name may stand for a space, client, zone or daemon.
+// ValidName reports whether a space, client, zone or daemon may have a name: 1 to
+// MaxNameBytes of the letters a to z and A to Z, digits, '-', '_' and '.'.
 func ValidName(name string) bool {
 	if name == "" || len(name) > MaxNameBytes {
 		return false
--- a/internal/config/reader.go
+++ b/internal/config/reader.go
@@ -165,7 +165,7 @@
 	return truth
 }
 
-// Choice reads one of several texts.
+// Choice reads one of several texts; the fallback must be one of them.
 func (r *Reader) Choice(path string, value *fastjson.Value, fallback string, choices ...string) string {
 	text := r.Text(path, value, fallback)
 	if !slices.Contains(choices, text) {
@@ -175,7 +175,7 @@
 	return text
 }
 
-// List reads an array of at most that many items.
+// List reads an array of at most maximum items.
 func (r *Reader) List(path string, value *fastjson.Value, maximum int) []*fastjson.Value {
 	if value == nil {
 		return nil
@@ -192,7 +192,8 @@
 	return items
 }
 
-// Names reads an array of different texts that are all valid.
+// Names reads an array of texts that are valid and all different. Faulty ones are
+// in the result, too.
 func (r *Reader) Names(path string, value *fastjson.Value, fallback []string, valid func(string) bool) []string {
 	if value == nil {
 		return fallback
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -34,7 +34,8 @@
 	Space  string
 }
 
-// SpaceForTopic returns the name of the space that the routes give a topic.
+// SpaceForTopic returns the name of the space that the longest matching route
+// gives a topic. It relies on the order of Routes.
 func (c Configuration) SpaceForTopic(topic string) (space string, found bool) {
 	for _, route := range c.Routes {
 		if strings.HasPrefix(topic, route.Prefix) {
@@ -49,7 +50,8 @@
 
 // TopicHash returns a 64-bit hash of a topic's name: FNV-1a with the finalizer
 // of MurmurHash3, since FNV spreads short names badly. All daemons must agree
-// on it.
+// on it, and by it a topic's records are found in their shared partition, so it
+// must never change. (partition.ForTopic is another hash.)
 func TopicHash(topic string) uint64 {
 	sum := fnv.New64a()
 	_, _ = sum.Write([]byte(topic))
