--- a/internal/settings/loader.go
+++ b/internal/settings/loader.go
@@ -21,7 +21,8 @@
 // impairmentKey is a further key, which only the flag -trial allows.
 const impairmentKey = "trial"
 
-// Loader loads the settings of a daemon from where its command line says.
+// Loader loads the settings of a daemon from where its command line says. Its
+// methods may not be called from several goroutines at once.
 type Loader struct {
 	kind string
 	// path is that of the settings file, empty if there is none.
@@ -29,7 +30,7 @@
 	// flags are the texts of the flags that were given, by key.
 	flags           map[string]string
 	allowImpairment bool
-	// loaded is the file as last loaded; Poll reports a change from it.
+	// loaded is the file as last loaded. Poll starts from it.
 	loaded fileState
 }
 
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -71,7 +71,8 @@
 	return settings
 }
 
-// cluster reads how the daemon finds or founds the cluster, and what that bears.
+// cluster reads how the daemon finds or founds the cluster, and which losses the
+// cluster is to survive.
 func (p *parser) cluster(settings *Settings) {
 	settings.SeedsPort = p.integer("seeds_port", 0, 0, maxPort)
 	settings.Seeds = p.seeds(settings.SeedsPort)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -16,7 +16,8 @@
 )
 
 // Settings are a daemon's settings. Each field has the key of the settings file
-// in its comment where that differs from the field's name.
+// in its comment where that isn't the field's name in lower case, with words
+// separated by "_".
 type Settings struct {
 	Name string
 	// Kind is that of the daemon, as in membership.Member.
@@ -37,9 +38,9 @@
 	// ports if that is above 0.
 	Seeds     []string
 	SeedsPort int
-	// Controllers is how many controllers found the cluster, 0 if the seeds do.
+	// Controllers is how many controllers are to found the cluster together, 0 if the seeds are.
 	Controllers int
-	// Bootstrap lets the seeds found the cluster if Controllers is 0.
+	// Bootstrap allows the seeds to found the cluster if Controllers is 0.
 	Bootstrap bool
 	// Tolerance is how many machines with a disk may be lost at one time.
 	Tolerance int
@@ -50,11 +51,13 @@
 	Key string
 
 	// ClientProtocol ("callers") and AdmissionMode ("admission") are of gateways.
-	ClientProtocol   ClientProtocol
-	AdmissionMode    AdmissionMode
+	ClientProtocol ClientProtocol
+	AdmissionMode  AdmissionMode
+	// VersionPolicy ("versions") takes effect at the primary controller, OperatorProtocol
+	// ("operators") at every daemon's ctl.
 	VersionPolicy    VersionPolicy
 	OperatorProtocol OperatorProtocol
-	// Compression tells which batches of messages between daemons are compressed.
+	// Compression is which batches of messages between daemons are compressed.
 	Compression Compression
 
 	// MaxSessions ("origins_most") is how many sessions a gateway accepts.
@@ -77,8 +80,9 @@
 // Timeouts are the bounds in time that daemons keep, and by which they judge
 // each other ("bounds").
 type Timeouts struct {
-	// Contact is the time within which a daemon must have reached more than half
-	// of the controllers to count as in touch.
+	// Contact is for how long a daemon must have reached more than half of the
+	// controllers to count as in touch. Controllers derive from it after which
+	// silence a member counts as failed.
 	Contact time.Duration
 	// Acknowledge bounds the time to acknowledge a configuration while the
 	// controllers have a primary.
@@ -86,7 +90,7 @@
 	// CatchUp is how long a machine that returned still counts as lost.
 	CatchUp time.Duration
 	// Drain bounds the time from a request to stop to the end of the process,
-	// Grace is after how long a process that hasn't ended is killed.
+	// and Grace is after how long a process that hasn't ended is killed.
 	Drain time.Duration
 	Grace time.Duration
 	// Apply bounds the time from a configuration's acknowledgement until it is
@@ -95,7 +99,7 @@
 	// RevertSlack is how long an older configuration may still show after the
 	// effect of a newer one was seen.
 	RevertSlack time.Duration
-	// Recovery is how long after the machines are back the service is.
+	// Recovery is within what time the service works again once lost machines are back.
 	Recovery time.Duration
 	// Ping is after how long without traffic a client is pinged.
 	Ping time.Duration
--- a/internal/settings/watch.go
+++ b/internal/settings/watch.go
@@ -55,7 +55,8 @@
 	return changed
 }
 
-// Poll is Watch by reading the file at each tick; it ends with the ticks.
+// Poll is Watch by reading the file at each tick, until the channel of ticks is
+// closed. A change is one from the last load before the call, or from the tick before.
 func (l *Loader) Poll(ticks <-chan time.Time) <-chan struct{} {
 	changed := make(chan struct{}, 1)
 	path, last := l.path, l.loaded
