--- a/internal/transport/compression.go
+++ b/internal/transport/compression.go
@@ -138,8 +138,8 @@
 // compressor is the sending end.
 type compressor struct {
 	model
-	// lastSeen has, by hash of minMatch bytes, their last index in the history,
-	// -1 for none.
+	// lastSeen has, by the hash of four bytes (hashOf), their last index in the
+	// history, -1 for none. Only indexes that at least minMatch bytes follow are in it.
 	lastSeen [1 << hashBits]int32
 	// out is the batch being written; bits has bitCount low bits that aren't yet
 	// in it.
--- a/internal/transport/huffman.go
+++ b/internal/transport/huffman.go
@@ -129,8 +129,9 @@
 	return atDepth
 }
 
-// limitLengths lengthens codes until there is space for all again, which those
-// that were cut to maxBits took (Kraft's inequality).
+// limitLengths lengthens codes until they form a prefix code again (Kraft's
+// inequality): the codes that treeDepths cut to maxBits take more of the code space
+// than they did in the tree.
 func (h *huffman) limitLengths(counts lengthCounts) lengthCounts {
 	used := 0
 	for length := 1; length <= h.maxBits; length++ {
--- a/internal/transport/impairment.go
+++ b/internal/transport/impairment.go
@@ -41,8 +41,9 @@
 	return hasAnyPrefix(address, i.Partitioned) || hasAnyPrefix(address, i.InboundBlocked)
 }
 
-// delay returns how long a frame to an address is held back. Whether it is lost
-// follows from its bytes.
+// delay returns by how much a frame to an address is delayed. Whether it is lost
+// follows from a hash of its bytes. Where several prefixes of Delays match, any one
+// of them counts; where several of Loss match, each may add a retransmission.
 func (i *Impairment) delay(address string, frame []byte) time.Duration {
 	var delay time.Duration
 	for prefix, length := range i.Delays {
--- a/internal/transport/kind_names.go
+++ b/internal/transport/kind_names.go
@@ -3,8 +3,7 @@
 import "reflect"
 
 // kindNames are the names of messages, by number, under which ctl and the log show
-// what was counted. Operators depend on them, so that they don't follow the names of
-// the types.
+// what was counted. Operators depend on them, so they stay when a type is renamed.
 var kindNames = map[uint16]string{
 	1:   "transport.preamble",
 	100: "consensus.Hello",
--- a/internal/transport/link.go
+++ b/internal/transport/link.go
@@ -12,7 +12,7 @@
 // maxSpareBytes bounds the buffers that are kept for the next batch.
 const maxSpareBytes = 16 << 10
 
-// link is the way to one peer. Its state is divided between the owner and the
+// link is the outbound path to one peer, with or without a connection. Its state is divided between the owner and the
 // dialer; direct is where they hand the link to each other.
 type link struct {
 	address string
--- a/internal/transport/pacer.go
+++ b/internal/transport/pacer.go
@@ -13,8 +13,8 @@
 	// usableShare is the part of the link's rate that is for the bytes of frames;
 	// the rest is for what the layers below add.
 	usableShare = 0.9
-	// windowLimitedRate is the rate in bytes a second from which on no FlowWindow
-	// would ever hold anything back: that of the largest window in a burst.
+	// windowLimitedRate is the rate in bytes a second from which on a FlowWindow isn't
+	// needed: at that rate the link takes the largest window within pacerBurst.
 	windowLimitedRate = maxWindow * int64(time.Second/pacerBurst)
 )
 
--- a/internal/transport/registry.go
+++ b/internal/transport/registry.go
@@ -23,7 +23,8 @@
 	typeOfNumber[number] = kind
 }
 
-// numberOf returns the number of a message's type, 0 if it isn't registered.
+// numberOf returns the number of a message's type, 0 if it isn't registered; by
+// that number such a message counts as one of the control state.
 func numberOf(message any) uint16 { return numberOfType[reflect.TypeOf(message)] }
 
 // Numbers returns the registered numbers with the names of their types.
--- a/internal/transport/sender.go
+++ b/internal/transport/sender.go
@@ -28,9 +28,14 @@
 }
 
 // SendBefore adds a message to the batch for a peer, to be sent by Flush if its
-// deadline hasn't passed by then; a zero time is no deadline. It doesn't wait. An
-// error is about the message; nothing tells whether it arrives. Only the owner
-// may call it. Until the first call of Flush each message is a batch of its own.
+// deadline hasn't passed by then; a zero time is no deadline. The version is that of
+// the sender's configuration. An error means that the message can't be encoded;
+// whether a message arrives is never reported. Only the owner may call it. Until
+// the first call of Flush each message is a batch of its own.
+//
+// It doesn't wait, except for a message to the own address: that goes to the
+// channel inbox, without regard to its deadline, and blocks where inbox is full. An
+// EventLoop handles such messages itself and never sends them here.
 func (t *Transport) SendBefore(to string, version uint64, message any, notAfter time.Time) error {
 	if to == t.address {
 		t.inbox <- Inbound{
--- a/internal/transport/socket.go
+++ b/internal/transport/socket.go
@@ -8,8 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// States of a socket. Whoever writes holds it busy; if it is closed meanwhile,
-// the writer closes the descriptor after the write.
+// States of a socket. It is socketBusy during a write; if it is closed meanwhile,
+// it becomes socketClosing, and the writer closes the descriptor after the write.
 const (
 	socketIdle int32 = iota
 	socketBusy
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -39,7 +39,8 @@
 	MessagesIn        atomic.Int64
 	BytesIn           atomic.Int64
 	// Dropped are messages that weren't sent: they waited for too long, too much
-	// was queued, or their connection ended.
+	// was queued, or their connection ended. The rest of a write that was cut short
+	// counts as one, though its messages are in MessagesOut already.
 	Dropped atomic.Int64
 	// Expired are messages that weren't sent since their deadlines had passed.
 	Expired atomic.Int64
