--- a/internal/daemon/disk_writer.go
+++ b/internal/daemon/disk_writer.go
@@ -34,7 +34,7 @@
 	syncs atomic.Int64
 }
 
-// run writes batches until requests is closed.
+// run writes batches for as long as the process runs; requests is never closed.
 func (dw *diskWriter) run() {
 	for writes := range dw.requests {
 		if delay := time.Duration(dw.delay.Load()); delay > 0 {
@@ -72,7 +72,8 @@
 
 // retry repeats a write until the disk takes it. Meanwhile nothing counts as
 // stored, and the machine is notified of each failure, so that other daemons can
-// take its part.
+// take its part. It gives up once the machine has stopped: the tokens of the batch
+// then go to synced although it isn't on disk, and nobody acts on them any more.
 func (dw *diskWriter) retry(write func() error) {
 	for attempt := 0; ; attempt++ {
 		err := write()
--- a/internal/daemon/storage.go
+++ b/internal/daemon/storage.go
@@ -24,7 +24,7 @@
 )
 
 // openDisk locks and opens the data directory; the log is nil for a daemon without
-// one. A damaged directory is put aside, so that the replica is rebuilt from
+// a data directory. A damaged directory is put aside, so that the replica is rebuilt from
 // others.
 func (p *process) openDisk() (*wal.Log, StoredState, error) {
 	stored := StoredState{
--- a/internal/daemon/tasks.go
+++ b/internal/daemon/tasks.go
@@ -6,7 +6,8 @@
 	"dahlialock/internal/statemachine"
 )
 
-// task is work that other goroutines give to the loop.
+// task is work that other goroutines give to the loop. Work without afterStop is
+// discarded once the machine has stopped.
 type task struct {
 	work func(context LoopContext)
 	// afterStop is set for work that is also done once the machine has stopped.
@@ -42,7 +43,9 @@
 
 // Execute runs work on the goroutine of the loop, in the order of the calls. The
 // work must not block. It also runs if the machine has stopped, for which Execute
-// returns false; its commands get nil responses then.
+// returns false; its commands get nil responses then. Execute waits while the queue
+// of tasks is full, so that work on the loop's own goroutine must use its
+// LoopContext instead.
 func (l *EventLoop) Execute(work func(context LoopContext)) bool {
 	l.tasks <- task{work: work, afterStop: true}
 	select {
