--- a/internal/logevent/logger.go
+++ b/internal/logevent/logger.go
@@ -29,8 +29,9 @@
 	return &Logger{logger: logger, name: name}
 }
 
-// Write writes one event. A fatal one is written at error level: the caller ends the
-// process itself, in an orderly way.
+// Write writes one event. One of fatal level is written at error level, since logrus
+// would end the process; the caller does that itself. A number that isn't in the
+// Catalogue is written at error level too. It may be called by any goroutine.
 func (l *Logger) Write(event statemachine.LogEvent) {
 	description, found := Catalogue[event.Number]
 	if !found {
@@ -47,7 +48,8 @@
 	l.logger.WithFields(fields).Log(level, description.Text)
 }
 
-// Report writes one event; its fields alternate between names and values.
+// Report writes one event; its fields alternate between names, which are strings,
+// and values. It may be called by any goroutine.
 func (l *Logger) Report(number statemachine.EventNumber, fields ...any) {
 	var effects statemachine.Effects
 	effects.Emit(number, fields...)
