--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -56,7 +56,8 @@
 }
 
 // Record appends a decision, in place of the oldest if the ring is full. The
-// details are pairs of a name, which must be a string, and a value.
+// details are pairs of a name and a value. It panics if a name isn't a string, and
+// ignores a name without a value. Values must be such that JSON can encode them.
 func (r *Ring) Record(now time.Time, request, message, client string, step Step, details ...any) {
 	entry := Entry{
 		At:      now,
