--- a/internal/overlay/geometry.go
+++ b/internal/overlay/geometry.go
@@ -1,10 +1,3 @@
-// The plane on which topics lie, after VAST's spatial publish and subscribe:
-// each part of a topic's path picks a cell in a grid inside the square of the
-// part before it, so that a prefix is one square and a topic a small one, and
-// every topic under a prefix lies inside that prefix's square. A peer's
-// reference point lies inside its area, moved by a hash of its daemon's name so
-// that no two peers share a point.
-
 package overlay
 
 import (
@@ -13,20 +6,27 @@
 	"strings"
 )
 
+// Topics lie in the unit square, after VAST's spatial publish and subscribe: each
+// part of a topic's path picks a square in a grid inside the square of the part
+// before it, so that a prefix is one square and a topic a small one, and every
+// topic under a prefix lies inside that prefix's square. A peer's reference point
+// lies inside its area, moved by a hash of its daemon's name and its number, so
+// that hardly ever two peers share a point.
 const (
 	gridBits = 8
 	gridSide = 1 << gridBits
+	// maxDepth is how many parts of a path count: longer ones share a square.
 	maxDepth = 4
 )
 
-// Point is a place in the unit square.
+// Point is a point of the unit square.
 type Point struct {
 	_ struct{} `cbor:",toarray"`
 	X float64
 	Y float64
 }
 
-// Area is a square in the unit square.
+// Area is a square in the unit square: its corner nearest to 0, and its width.
 type Area struct {
 	_    struct{} `cbor:",toarray"`
 	X    float64
@@ -34,10 +34,11 @@
 	Size float64
 }
 
-// WholeSquare is the area of everything.
+// WholeSquare is the unit square, the area of all topics.
 var WholeSquare = Area{Size: 1}
 
-// AreaOf is the square of a path: of a topic, or of a prefix.
+// AreaOf returns the square of a path: of a topic, or of a prefix without a slash at
+// its end. The empty path has the unit square.
 func AreaOf(path string) Area {
 	area := WholeSquare
 	if path == "" {
@@ -63,23 +64,24 @@
 	return area
 }
 
-// Contains tells whether a point lies inside.
+// Contains reports whether a point lies inside.
 func (a Area) Contains(point Point) bool {
 	return point.X >= a.X && point.X < a.X+a.Size && point.Y >= a.Y && point.Y < a.Y+a.Size
 }
 
-// Covers tells whether another area lies inside. Areas are cells of one grid,
-// so they either nest or don't meet.
+// Covers reports whether another area lies inside or is the same. Areas are squares
+// of nested grids, so they either nest or don't meet.
 func (a Area) Covers(other Area) bool {
 	return a.Size >= other.Size && a.Contains(Point{X: other.X + other.Size/2, Y: other.Y + other.Size/2})
 }
 
-// reference is a peer's point: near the middle, moved by a hash.
+// reference returns a peer's reference point, in the middle four fifths of each axis.
 func (a Area) reference(daemon string, number uint64) Point {
 	return a.scatter(daemon, number, 0.1, 0.8)
 }
 
-// scatter picks a point by a hash in a part of the area.
+// scatter returns a point by a hash; from and width bound it on both axes, as
+// fractions of the area's width.
 func (a Area) scatter(daemon string, number uint64, from, width float64) Point {
 	sum := fnv.New64a()
 	_, _ = sum.Write([]byte(daemon))
@@ -93,14 +95,16 @@
 	return Point{X: a.X + a.Size*(from+width*across), Y: a.Y + a.Size*(from+width*along)}
 }
 
+// distance returns the square of the distance between two points, which is enough to
+// compare.
 func distance(left, right Point) float64 {
 	across, along := left.X-right.X, left.Y-right.Y
 	return across*across + along*along
 }
 
-// Region is a peer's own Voronoi region, clipped to the unit square, in
-// coordinates relative to the peer, with the owner of each edge: the enclosing
-// neighbour beyond it, or nobody at the border of the square.
+// Region is a peer's own Voronoi region, clipped to the unit square. Its corners, in
+// order around it, are relative to middle, the peer's reference point. Each edge has
+// an owner: the enclosing neighbour beyond it, or nobody at the border of the square.
 type Region struct {
 	middle  Point
 	corners []corner
@@ -108,22 +112,25 @@
 
 type corner struct {
 	x, y float64
-	// owner is beyond the edge from this corner to the next, and there its point.
+	// owner is the neighbour beyond the edge from this corner to the next, empty for
+	// nobody, and there its reference point.
 	owner PeerKey
 	there Point
 }
 
+// newRegion returns the region of a peer without neighbours: the unit square.
 func newRegion(middle Point) Region {
 	left, low, right, high := -middle.X, -middle.Y, 1-middle.X, 1-middle.Y
 	return Region{middle: middle, corners: []corner{{x: left, y: low}, {x: right, y: low}, {x: right, y: high}, {x: left, y: high}}}
 }
 
-// side is positive where a corner is nearer to the other point.
+// side is positive where a corner is nearer to another point, given relative to the
+// middle, than to the middle.
 func (r *Region) side(at corner, across, along float64) float64 {
 	return at.x*across + at.y*along - (across*across+along*along)/2
 }
 
-// cuts tells whether another point would take part of the region.
+// cuts reports whether a peer at another point would take part of the region.
 func (r *Region) cuts(other Point) bool {
 	across, along := other.X-r.middle.X, other.Y-r.middle.Y
 	for _, at := range r.corners {
@@ -134,8 +141,8 @@
 	return false
 }
 
-// clip takes away what is nearer to another point, and tells whether anything
-// was. The part taken away is returned as a polygon.
+// clip removes what is nearer to another point, the owner's, and reports whether
+// anything was. The part removed is returned as a polygon.
 func (r *Region) clip(other Point, owner PeerKey) (taken []corner, changed bool) {
 	across, along := other.X-r.middle.X, other.Y-r.middle.Y
 	if across == 0 && along == 0 {
@@ -170,7 +177,7 @@
 	return taken, true
 }
 
-// owners lists the enclosing neighbours, in the order of the edges.
+// owners returns the enclosing neighbours, in the order of the edges.
 func (r *Region) owners() []PeerKey {
 	var owners []PeerKey
 	for _, at := range r.corners {
@@ -188,6 +195,7 @@
 	return owners
 }
 
+// owns reports whether a peer is an enclosing neighbour: the owner of an edge.
 func (r *Region) owns(key PeerKey) bool {
 	for _, at := range r.corners {
 		if at.owner == key {
@@ -197,8 +205,8 @@
 	return false
 }
 
-// beside lists the owners of the edges next to one owner's edge: the peers that
-// the two have in common.
+// beside returns the owners of the edges next to one owner's edge: the neighbours
+// that this peer and that owner have in common.
 func (r *Region) beside(key PeerKey) []PeerKey {
 	var found []PeerKey
 	count := len(r.corners)
@@ -216,11 +224,12 @@
 	return found
 }
 
-// meets tells whether an area and the region have a point in common.
+// meets reports whether an area and the region have a point in common.
 func (r *Region) meets(area Area) bool { return polygonMeets(r.middle, r.corners, area) }
 
-// polygonMeets clips a convex polygon to an area. Most areas are far away or
-// hold a corner, which the bounds and the corners show without clipping.
+// polygonMeets reports whether a convex polygon, relative to middle, meets an area.
+// Most areas are far away or contain a corner, which the bounds and the corners show
+// without clipping.
 func polygonMeets(middle Point, polygon []corner, area Area) bool {
 	if len(polygon) == 0 {
 		return false
@@ -264,10 +273,11 @@
 	return true
 }
 
+// spot is a corner without its owner.
 type spot struct{ x, y float64 }
 
-// boundary lists the neighbours beyond those edges that meet an area: their
-// regions meet it too.
+// boundary returns the neighbours beyond those edges that meet an area: their
+// regions meet it too. One with several such edges is returned once for each.
 func (r *Region) boundary(area Area) []PeerKey {
 	var found []PeerKey
 	for position, here := range r.corners {
@@ -282,8 +292,8 @@
 	return found
 }
 
-// segmentMeets widens the area a little, so that an edge along its border
-// counts.
+// segmentMeets reports whether an edge, relative to middle, meets an area. It widens
+// the area a little, so that an edge along its border counts.
 func segmentMeets(middle Point, from, to corner, area Area) bool {
 	wider := area.Size * 1e-9
 	low, high := 0.0, 1.0
--- a/internal/overlay/greet.go
+++ b/internal/overlay/greet.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// introduce makes a newcomer known to a hosted peer and gathers what the
-// newcomer ought to know.
+// introduce records a newcomer as known to a peer here, and returns a signal with what
+// the newcomer must know; the caller sets its kind.
 func (o *Overlay) introduce(now time.Time, peer *hosted, newcomer Peer) Signal {
 	answer := Signal{Space: peer.space.name, From: peer.self}
 	if newcomer.Key == peer.self.Key {
@@ -28,7 +28,7 @@
 		candidates(peer.region.owners())
 	}
 	if peer.cell != nil {
-		// The peers of a cell know each other by their notices.
+		// The peers of a cell find each other by their notices.
 		for _, known := range sortedPeers(include) {
 			answer.Peers = append(answer.Peers, known)
 		}
@@ -64,9 +64,9 @@
 	return answer
 }
 
-// recordPeer records what is known of another peer. Subscribers over the part of the
-// region that it takes are owed to it: they are named in the next signal that
-// goes to it.
+// recordPeer records another peer as known, unless a newer version of it is, and
+// clips the region. The subscribers over the part of the region that it takes are owed
+// to it: they are named in the next signal to it.
 func (o *Overlay) recordPeer(now time.Time, peer *hosted, other Peer) {
 	earlier, found := peer.known[other.Key]
 	if found && earlier.Change > other.Change {
@@ -117,7 +117,7 @@
 	}
 }
 
-// owes takes out what is owed to another peer.
+// owes moves the peers that are owed to another one into include.
 func (o *Overlay) owes(peer *hosted, key PeerKey, include map[PeerKey]Peer) {
 	for owed := range peer.owed[key] {
 		if known, found := peer.known[owed]; found {
@@ -129,7 +129,7 @@
 	delete(peer.owed, key)
 }
 
-// owedTo lists what is owed to another peer, and takes it out.
+// owedTo returns the peers that are owed to another one, which aren't from then on.
 func (o *Overlay) owedTo(peer *hosted, key PeerKey) []Peer {
 	include := map[PeerKey]Peer{}
 	o.owes(peer, key, include)
@@ -140,9 +140,9 @@
 	return owed
 }
 
-// announceSubscriber names a subscriber that has just become known to the neighbours that
-// took part of this peer's region a moment ago: the subscriber may have looked
-// here for a part that is theirs now.
+// announceSubscriber names a subscriber that has just become known to the neighbours
+// that took part of this peer's region within rejoinWindow: the subscriber may have
+// greeted this peer for a part of its area that is theirs now.
 func (o *Overlay) announceSubscriber(now time.Time, peer *hosted, subscriber Peer) {
 	for _, key := range peer.region.owners() {
 		if key == subscriber.Key || now.Sub(peer.tookAt[key]) > rejoinWindow {
@@ -160,7 +160,9 @@
 	}
 }
 
-// learn considers peers that somebody told of, and greets those that matter.
+// learn records the peers that a sender has named and that matter to a peer here, or
+// all of them if always is set, and greets those that were not greeted since the
+// peer's last change. The sender is corrected where one of them is gone.
 func (o *Overlay) learn(now time.Time, peer *hosted, sender PeerKey, others []Peer, always bool) {
 	var mates []Peer
 	for _, other := range others {
@@ -199,8 +201,8 @@
 			o.greet(now, peer, other)
 		}
 	}
-	// Of the peers of its own cell it greets those only that are beyond its
-	// edges once all of them are known; who told of itself greets if need be.
+	// Of the peers of its own cell it greets only those that are beyond its edges once
+	// all of them are known; a sender that named itself greets if it must.
 	for _, mate := range mates {
 		if mate.Key != sender && peer.region.owns(mate.Key) && peer.greeted[mate.Key] < peer.self.Change {
 			o.greet(now, peer, mate)
@@ -208,12 +210,12 @@
 	}
 }
 
-// sharesArea tells whether another daemon's peer is of the same cell.
+// sharesArea reports whether another peer is another daemon's in the same cell.
 func (h *hosted) sharesArea(other Peer) bool {
 	return h.cell != nil && other.Area == h.self.Area && other.Key.Daemon != h.self.Key.Daemon
 }
 
-// hasOuterEdge tells whether a peer's region reaches out of its area.
+// hasOuterEdge reports whether a peer's region reaches beyond its area.
 func (h *hosted) hasOuterEdge() bool {
 	area, middle := h.self.Area, h.self.At
 	for _, at := range h.region.corners {
@@ -224,8 +226,8 @@
 	return false
 }
 
-// correct tells a peer that one it spoke of is gone, so that the word of it
-// does not go round for ever.
+// correct reports to a sender that a peer which it named is gone, so that peers don't
+// name it to each other for ever.
 func (o *Overlay) correct(peer *hosted, sender, gone PeerKey) {
 	if sender.Daemon == o.daemon {
 		if neighbour, here := peer.space.byKey[sender]; here && neighbour != peer {
@@ -238,6 +240,8 @@
 	}
 }
 
+// matters reports whether a peer here must know another: a neighbour, a peer in its
+// area if it subscribes, or a subscriber whose area meets its region.
 func (o *Overlay) matters(peer *hosted, other Peer) bool {
 	if peer.region.owns(other.Key) || peer.region.cuts(other.At) {
 		return true
@@ -248,15 +252,17 @@
 	return other.Subscribes && (other.Area.Contains(peer.self.At) || peer.region.meets(other.Area))
 }
 
+// greet introduces a peer to another one and has a response due.
 func (o *Overlay) greet(now time.Time, peer *hosted, other Peer) {
 	o.greetAs(now, peer, other, now.Before(peer.healUntil))
 }
 
+// greetAs is greet, with the greeting marked as healing or not.
 func (o *Overlay) greetAs(now time.Time, peer *hosted, other Peer, heals bool) {
 	peer.greeted[other.Key] = peer.self.Change
 	if peer.sharesArea(other) && !peer.hasOuterEdge() {
-		// What lies beyond an edge inside the cell is known by notices; only who
-		// has neighbours in other cells must be told of theirs.
+		// Neighbours in the same cell are found by notices; only a peer that has
+		// neighbours in other cells needs to be named theirs.
 		delete(peer.pending, other.Key)
 		return
 	}
@@ -286,8 +292,8 @@
 	o.signal(other.Key.Daemon, greeting)
 }
 
-// regreet tells all whom a peer knows that its part has changed, and walks its
-// area anew.
+// regreet greets all that a peer knows after it has changed, which also finds the
+// peers of its area if it has become a subscriber.
 func (o *Overlay) regreet(now time.Time, peer *hosted) {
 	for _, known := range sortedPeers(peer.known) {
 		if peer.greeted[known.Key] < peer.self.Change {
--- a/internal/overlay/join.go
+++ b/internal/overlay/join.go
@@ -7,6 +7,9 @@
 	"time"
 )
 
+// join sends a peer's join, for the first time or again: through the nearest joined
+// peer of the space here, or else to other daemons. If the latter is in progress for
+// another peer here, this one waits for that.
 func (o *Overlay) join(now time.Time, peer *hosted) {
 	o.Counts.Joins++
 	if peer.joining == nil {
@@ -25,7 +28,7 @@
 	}
 	for _, other := range peer.space.peers {
 		if other != peer && other.joining != nil && !other.queued {
-			// The first peer here is still looking for the others.
+			// Another peer here is still looking for the other daemons' ones.
 			peer.queued = true
 			return
 		}
@@ -44,7 +47,7 @@
 	o.joinThroughAll(now, peer)
 }
 
-// backoff is how long to wait for the answer to a try.
+// backoff returns the timeout of an attempt, which doubles up to maxDoublings times.
 func backoff(first time.Duration, attempts int) time.Duration {
 	if statemachine.Mutated("no-retry-pauses") {
 		return first
@@ -52,8 +55,8 @@
 	return first << min(max(0, attempts-1), maxDoublings)
 }
 
-// joinThroughAll asks all daemons for the way to an acceptor. That a few know of nobody
-// does not yet make a peer the first.
+// joinThroughAll sends a join to all daemons. Only if none of them hosts a peer of the
+// space is the joining one the first.
 func (o *Overlay) joinThroughAll(now time.Time, peer *hosted) {
 	peer.joinedThroughAll = true
 	request := Signal{Kind: SignalJoin, Space: peer.space.name, From: peer.self, Attempts: uint8(min(peer.joining.attempts, 255))}
@@ -66,7 +69,8 @@
 	}
 }
 
-// joined ends a peer's joining and lets those go on that waited for it.
+// joined ends a peer's joining, and continues with the requests and the peers that
+// waited for it.
 func (o *Overlay) joined(now time.Time, peer *hosted) {
 	peer.joining = nil
 	o.timers.ArmSooner("settle", now)
@@ -83,7 +87,8 @@
 	}
 }
 
-// nearestHosted finds the hosted peer nearest to a point.
+// nearestHosted returns the joined peer here that is nearest to a point, other than
+// without; nil if there is none.
 func (o *Overlay) nearestHosted(here *space, at Point, without *hosted) *hosted {
 	var best *hosted
 	bestDistance := 0.0
@@ -99,8 +104,7 @@
 	return best
 }
 
-// anyJoining finds a peer that is itself still looking for others, the first
-// by key.
+// anyJoining returns the first peer by key that is still joining, nil if none is.
 func (s *space) anyJoining() *hosted {
 	for _, peer := range s.sorted() {
 		if peer.joining != nil {
@@ -110,7 +114,8 @@
 	return nil
 }
 
-// forward moves a join on to the nearest peer known, or accepts it here.
+// forward passes a join on from a peer here to the nearest one that it knows, until
+// one here is the nearest and accepts it or the next is on another daemon.
 func (o *Overlay) forward(now time.Time, at *hosted, request Signal) {
 	target := request.From.At
 	for {
@@ -152,7 +157,8 @@
 	}
 }
 
-// accept answers a join as the acceptor.
+// accept responds to a join as the acceptor. One of the same cell is sent all
+// members of the cell.
 func (o *Overlay) accept(now time.Time, acceptor *hosted, request Signal) {
 	answer := o.introduce(now, acceptor, request.From)
 	if acceptor.sharesArea(request.From) {
@@ -167,6 +173,8 @@
 	o.sendTo(now, request.From.Key, answer)
 }
 
+// handleJoin handles a join from another daemon; here is nil if the space has no
+// peers on this one.
 func (o *Overlay) handleJoin(now time.Time, here *space, request Signal) {
 	if here == nil || len(here.peers) == 0 {
 		o.signal(request.From.Key.Daemon, Signal{
@@ -180,8 +188,8 @@
 		}
 	}
 	if named, present := here.byKey[request.To]; present && named.holdsOff(request) {
-		// Somebody has accepted that peer, but it does not know its
-		// surroundings yet; the request waits for it.
+		// Others know that peer already, but it does not know its surroundings yet; the
+		// request waits for that.
 		named.requests = append(named.requests, request)
 		return
 	}
@@ -192,15 +200,15 @@
 	o.accept(now, here.anyJoining(), request)
 }
 
-// holdsOff tells whether a request should wait at a peer that is still joining.
-// One that was tried before may be part of a ring of requests that wait for
-// each other, and goes on with what there is.
+// holdsOff reports whether a join must wait at a peer that is still joining. From the
+// third attempt on it doesn't, since joins may wait for each other in a cycle.
 func (h *hosted) holdsOff(request Signal) bool {
 	return h.joining != nil && len(h.known) == 0 && request.Attempts <= 2
 }
 
-// handleNobody counts the daemons that host no peer in a space; when all say so,
-// the joining peer is the first.
+// handleNobody records that a daemon hosts no peer of the space, or was lost. Once
+// that holds for all daemons the join was sent to, it goes to all; if it has, the peer
+// is the first.
 func (o *Overlay) handleNobody(now time.Time, peer *hosted, daemon string) {
 	if peer.joining == nil || peer.queued || len(peer.joinTargets) == 0 {
 		return
@@ -218,6 +226,8 @@
 	o.joined(now, peer)
 }
 
+// whenJoined has done called once a peer has joined, and has a new one begin to join.
+// done may be nil.
 func (o *Overlay) whenJoined(now time.Time, peer *hosted, made bool, done Completion, effects *statemachine.Effects) {
 	if done != nil {
 		peer.waiting = append(peer.waiting, done)
@@ -229,6 +239,8 @@
 	o.flush(effects)
 }
 
+// checkJoined calls those who wait for a peer if it has joined and no greeting is
+// pending.
 func (o *Overlay) checkJoined(now time.Time, peer *hosted, effects *statemachine.Effects) {
 	if peer.joining != nil || len(peer.pending) > 0 {
 		return
--- a/internal/overlay/leave.go
+++ b/internal/overlay/leave.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// drop forgets a peer that is gone.
+// drop removes another peer that is gone from what a peer here knows, and rebuilds the
+// region if it was a neighbour.
 func (o *Overlay) drop(now time.Time, peer *hosted, key PeerKey) {
 	if _, found := peer.known[key]; !found {
 		delete(peer.pending, key)
@@ -18,7 +19,8 @@
 	}
 }
 
-// forget takes another peer out of all that is known here.
+// forget removes another peer from all that this one knows, except the region and the
+// pending greetings.
 func (h *hosted) forget(key PeerKey) {
 	if h.cell != nil {
 		h.cell.part(key)
@@ -30,6 +32,7 @@
 	delete(h.owed, key)
 }
 
+// leave removes a peer here and announces that to all that it knows.
 func (o *Overlay) leave(peer *hosted) {
 	o.Counts.Leaves++
 	peer.space.unindexPeer(peer)
@@ -43,8 +46,8 @@
 		}
 	}
 	for key := range sortedPeers(peer.known) {
-		// Only the enclosing neighbours' regions grow; the others need no more
-		// than the word that the peer is gone.
+		// Only the enclosing neighbours' regions grow, so that only they need to know
+		// who else was around.
 		farewell := Signal{Kind: SignalLeave, Space: peer.space.name, To: key, From: peer.self}
 		if peer.region.owns(key) {
 			farewell.Peers = parting
@@ -57,13 +60,14 @@
 	}
 }
 
+// handleLeave removes a peer that leaves, and learns those that it names.
 func (o *Overlay) handleLeave(now time.Time, peer *hosted, farewell Signal) {
 	o.drop(now, peer, farewell.From.Key)
 	o.learn(now, peer, farewell.From.Key, farewell.Peers, false)
 }
 
-// dropDaemon drops the peers of a daemon's earlier lives; life is zero where it
-// is gone.
+// dropDaemon removes the peers of a daemon that are of another incarnation than the
+// given one, which is 0 where the daemon is gone.
 func (o *Overlay) dropDaemon(now time.Time, daemon string, incarnation uint64, effects *statemachine.Effects) {
 	for _, here := range statemachine.Sorted(o.spaces) {
 		for _, peer := range here.sorted() {
@@ -85,8 +89,8 @@
 			case peer.joinTargets[daemon]:
 				o.handleNobody(now, peer, daemon)
 			case len(peer.joinTargets) == 0 && (now.Sub(peer.joining.sent) > joinAttemptValid || statemachine.Mutated("no-retry-pauses")):
-				// Its request may have been on the way through that daemon. Where
-				// many are lost at a time, one new try is enough for all.
+				// The join may have been on its way through that daemon. Where many are
+				// lost at a time, one new attempt is enough for all.
 				o.join(now, peer)
 			}
 			if rebuild {
@@ -102,8 +106,8 @@
 	}
 }
 
-// probeAll sends each hosted peer's join through one other daemon, which shows
-// neighbours that this side did not know.
+// probeAll sends a probe of each peer here to one other daemon, which finds the
+// neighbours that this side of a split did not know.
 func (o *Overlay) probeAll(_ time.Time, daemon string) {
 	for _, here := range statemachine.Sorted(o.spaces) {
 		if _, cells := o.planes[here.name]; cells {
@@ -116,20 +120,24 @@
 	}
 }
 
+// probe sends a peer's join to a daemon once more, for what the response shows: the
+// neighbours as that side knows them. No response is awaited.
 func (o *Overlay) probe(peer *hosted, daemon string) {
 	o.Counts.Probes++
 	o.signal(daemon, Signal{Kind: SignalJoin, Space: peer.space.name, From: peer.self})
 }
 
-// ended tells whether a peer is of a daemon that is gone, or of an earlier life of one
-// that began anew. Lives rise, and one that the view does not have yet may be there.
+// ended reports whether a peer is of a daemon that isn't in the view, or of an earlier
+// incarnation of one that is. Incarnations rise; a peer of one that is above the
+// view's isn't ended, since the view may be old.
 func (o *Overlay) ended(key PeerKey) bool {
 	gateway, alive := o.gateways[key.Daemon]
 	return !alive || key.Incarnation > 0 && key.Incarnation < gateway.Joined && !statemachine.Mutated("any-life-of-a-peer")
 }
 
-// SetIncarnation begins this daemon's next life in the cluster: a first one, or one after
-// the others had taken it for lost. Every peer joins anew under a new key.
+// SetIncarnation sets this daemon's incarnation: the index at which it joined, for the
+// first time or after the others had declared it lost. Every peer joins anew under a
+// new key. It does nothing if the incarnation is the same.
 func (o *Overlay) SetIncarnation(now time.Time, incarnation uint64, effects *statemachine.Effects) {
 	if o.incarnation == incarnation {
 		return
@@ -164,7 +172,7 @@
 	o.flush(effects)
 }
 
-// LeaveAll lets every peer leave, before the daemon ends.
+// LeaveAll has every peer leave, before the daemon ends.
 func (o *Overlay) LeaveAll(effects *statemachine.Effects) {
 	for _, here := range statemachine.Sorted(o.spaces) {
 		for _, peer := range here.sorted() {
--- a/internal/overlay/notice.go
+++ b/internal/overlay/notice.go
@@ -1,66 +1,72 @@
 package overlay
 
-// Kinds of notices.
+// Kinds of notices. They are part of the wire format.
 const (
-	// NoticeComplete tells all counts of a peer.
+	// NoticeComplete has all subscriber counts of a peer.
 	NoticeComplete uint8 = iota + 1
-	// NoticeChanges tells those that changed since the notice before.
+	// NoticeChanges has the counts that changed since the notice before, 0 for a topic
+	// without subscribers.
 	NoticeChanges
-	// NoticeCheck tells the number of the newest notice.
+	// NoticeCheck has the sequence of the peer's newest notice and no counts.
 	NoticeCheck
-	// NoticeAsk asks for the whole.
+	// NoticeAsk requests a NoticeComplete.
 	NoticeAsk
-	// NoticeAbsent tells that there is no peer in the cell.
+	// NoticeAbsent responds that the daemon has no peer in the cell.
 	NoticeAbsent
-	// NoticeDiffers sums up each of the others of the cell that a peer knows, in
-	// Counts, to one that seems to know others.
+	// NoticeDiffers has in Counts a short hash of each other member of the cell that
+	// the peer knows. It goes to a member whose Digest differs.
 	NoticeDiffers
-	// NoticeMembers names those that were not summed up there.
+	// NoticeMembers responds with the members whose hashes were not among those.
 	NoticeMembers
-	// NoticeMissing is the answer of who found sums there that it does not know: its
-	// own.
+	// NoticeMissing responds with the hashes of the members known here, as in
+	// NoticeDiffers, if some of those received were unknown.
 	NoticeMissing
 )
 
-// Notice is what one daemon's peer in a cell tells another's.
+// Notice is a message from one daemon's peer in a cell to another daemon's.
 type Notice struct {
 	_    struct{} `cbor:",toarray"`
 	Kind uint8
 	Cell uint8
-	// Number and Change are those of the sending peer.
+	// Number and Change are those of the sending peer's key and Peer.
 	Number uint64
 	Change uint64
-	// Sequence numbers the peer's notices; changes follow the one before.
+	// Sequence numbers the peer's NoticeChanges; other kinds have that of the last one.
 	Sequence uint64
-	// Digest sums up whom the peer knows in its cell, itself among them; changes
-	// carry none.
-	Digest  uint64
+	// Digest is that of the members of the cell that the peer knows, itself among
+	// them; 0 in NoticeChanges.
+	Digest uint64
+	// Topics are topics' numbers (config.TopicHash), Counts their subscribers on the
+	// sending daemon; for Counts of other kinds see there.
 	Topics  []uint64
 	Counts  []uint32
 	Members []PeerKey
 }
 
-// Notices is what the peers of one daemon, in one of its lives, tell those of
-// another.
+// Notices is what the peers of one incarnation of a daemon send to those of another
+// daemon in one step, for one plane.
 type Notices struct {
 	_           struct{} `cbor:",toarray"`
 	Daemon      string
 	Incarnation uint64
 	Plane       string
-	Answer      bool
-	// Level sums up the cells there, for whoever can tell from it that it knows
-	// them; who does not asks for the numbers.
+	// Answer requests a NoticeCheck of each of the receiver's cells.
+	Answer bool
+	// Level is a digest of the sender's cells (see plane.level), 0 if there is none.
+	// A receiver that computes another one requests the checks by Answer.
 	Level   uint64
 	Notices []Notice
 }
 
+// add adds a topic's count; a complete notice leaves out those of 0.
 func (n *Notice) add(topic uint64, count uint32) {
 	if count > 0 || n.Kind != NoticeComplete {
 		n.Topics, n.Counts = append(n.Topics, topic), append(n.Counts, count)
 	}
 }
 
-// fits tells whether a notice has as many counts as it should.
+// fits reports whether a received notice has one count for each topic, where its
+// kind has topics.
 func (n *Notice) fits() bool {
 	return n.Kind == NoticeDiffers || n.Kind == NoticeMissing || len(n.Topics) == len(n.Counts)
 }
--- a/internal/overlay/overlay.go
+++ b/internal/overlay/overlay.go
@@ -1,16 +1,27 @@
-// Package overlay finds the daemons that a publication goes to, after VAST's Voronoi-based overlay network.
+// Package overlay finds the gateways with subscribers of a topic, after VAST's
+// Voronoi-based overlay network. A gateway asks it where the copies of a message go.
 //
-// The overlay, after VAST's Voronoi-based overlay network. Each area that this
-// daemon's origins subscribe to, or publish at, has one peer here. A peer keeps
-// its own Voronoi region, always knows the enclosing neighbours beyond its
-// edges, knows the peers inside its area if it subscribes, and knows every
+// Topics are squares in a unit square (AreaOf), one unit square for each space. Each
+// area that this daemon's sessions subscribe to, or publish at, has one peer here. A
+// peer has a Voronoi region around its reference point. It always knows the enclosing
+// neighbours beyond its edges, the peers inside its area if it subscribes, and every
 // subscriber whose area meets its region. A joining peer's request is forwarded
-// greedily to the acceptor whose region covers its point; from there it walks
-// from neighbour to neighbour, and each one it greets tells it of more: the
-// neighbours they have in common, the subscribers over the part of the region
-// that it took, and, if it subscribes, the neighbours beyond the edges that its
-// area meets. Knowledge is mutual, so a publisher's peer holds its subscriber
-// list, from which come the destination daemons, each once.
+// greedily to the acceptor, the peer whose region covers its point. From there it
+// walks from neighbour to neighbour, and each one that it greets names more of them:
+// the neighbours that they have in common, the subscribers over the part of the region
+// that it took, and, if it subscribes, the neighbours beyond the edges that its area
+// meets. Knowledge is mutual, so a publisher's peer has the subscribers of its area,
+// and Destinations returns their daemons.
+//
+// All topics of the routed spaces together are in one plane of 16 cells, with at most
+// one peer of each daemon in a cell. There the peers of a cell announce to each other
+// how many subscribers each topic has on their daemon: see presence.go, SetSubscribers
+// and SubscribedDaemons.
+//
+// An Overlay is a state machine without clock or I/O, driven by the gateway's. All
+// methods are for one goroutine. What is to be sent is added to the effects of the
+// call; timers run by Tick, at NextTick. SetIncarnation and SetView come before any
+// peer.
 package overlay
 
 import (
@@ -20,78 +31,114 @@
 	"dahlialock/internal/statemachine"
 )
 
-// Spans and bounds of the overlay.
+// Times and bounds of the overlay.
 const (
+	// greetTimeout and joinTimeout are for the responses to the first attempts; see
+	// backoff for later ones.
 	greetTimeout     = 300 * time.Millisecond
 	maxGreetAttempts = 4
 	joinTimeout      = 400 * time.Millisecond
-	// joinAttemptValid is how long a try to join is not yet taken for lost with a daemon.
+	// joinAttemptValid is how old an attempt to join must be to be repeated at once
+	// when a daemon is lost.
 	joinAttemptValid = 100 * time.Millisecond
-	// maxDoublings is how often the wait of a join, a greeting or a question to a
-	// peer doubles. An answer that is late because links are full must not be asked
-	// for again and again, which keeps them full.
-	maxDoublings      = 3
-	maxHops           = 48
-	firstJoinTargets  = 3
-	healing           = 1
-	healFor           = 2 * time.Second
-	rejoinWindow      = 3 * time.Second
+	// maxDoublings is how often the timeout of a join, a greeting or a request to a
+	// peer doubles. A response that is late because links are full must not be
+	// requested again and again, which keeps them full.
+	maxDoublings = 3
+	// maxHops is how often a join is forwarded before the peer that has it accepts it.
+	maxHops = 48
+	// firstJoinTargets is to how many daemons the first attempt of a join goes.
+	firstJoinTargets = 3
+	// healing is the Hops of a greeting by a peer whose region has grown by a loss,
+	// which its greetings say for healFor.
+	healing = 1
+	healFor = 2 * time.Second
+	// rejoinWindow is for how long a neighbour that took part of a region is sent the
+	// subscribers that become known over it (see announceSubscriber).
+	rejoinWindow = 3 * time.Second
+	// tombstoneLifetime is how long the keys of peers that left are remembered.
 	tombstoneLifetime = 30 * time.Second
 	compareInterval   = 4 * time.Second
-	quietFor          = 4 * time.Minute
-	sweepInterval     = 5 * time.Second
+	// quietFor is how long a publishing peer stays after the last publication.
+	quietFor      = 4 * time.Minute
+	sweepInterval = 5 * time.Second
 )
 
 // Gateway is another daemon that hosts peers.
 type Gateway struct {
 	Name    string
 	Address string
-	Joined  uint64
+	// Joined is the index of the control state at which this run of the daemon joined:
+	// its peers' PeerKey.Incarnation. It rises from run to run.
+	Joined uint64
 }
 
-// Completion is called once a peer knows its surroundings, or gave up waiting.
+// Completion is called once a peer knows its surroundings, with done, or without once
+// the wait has timed out or the space was removed. The call may come within the call
+// that it was given to.
 type Completion func(now time.Time, effects *statemachine.Effects, done bool)
 
+// outstanding is a join or a greeting without a response: when it times out, when it
+// was last sent, and how often.
 type outstanding struct {
 	until    time.Time
 	sent     time.Time
 	attempts int
 }
 
+// hosted is a peer of this daemon.
 type hosted struct {
 	self  Peer
 	space *space
-	known map[PeerKey]Peer
-	// subscribers are those of the known ones that subscribe.
+	// known are the peers that this one knows, of this daemon too; subscribers are
+	// those of them that subscribe.
+	known       map[PeerKey]Peer
 	subscribers map[PeerKey]Peer
 	region      Region
-	greeted     map[PeerKey]uint64
-	// tookAt tells when another peer made itself known and took its part.
-	tookAt           map[PeerKey]time.Time
-	owed             map[PeerKey]map[PeerKey]bool
-	pending          map[PeerKey]*outstanding
-	joining          *outstanding
+	// greeted is the Change of self with which a peer was last greeted.
+	greeted map[PeerKey]uint64
+	// tookAt is when a peer introduced itself first.
+	tookAt map[PeerKey]time.Time
+	// owed are the subscribers that are to be named to a peer in the next signal to
+	// it: those over the part of the region that it took.
+	owed map[PeerKey]map[PeerKey]bool
+	// pending are the greetings without a response.
+	pending map[PeerKey]*outstanding
+	// joining is nil once the peer has joined.
+	joining *outstanding
+	// joinTargets are the daemons to which the join was sent and that haven't
+	// responded with SignalNobody; joinedThroughAll is set if it went to all.
 	joinTargets      map[string]bool
 	joinedThroughAll bool
-	waiting          []Completion
-	holders          int
-	lastUse          time.Time
-	publishes        bool
-	queued           bool
-	requests         []Signal
-	healUntil        time.Time
+	// waiting are called once the peer has joined and no greeting is pending.
+	waiting []Completion
+	// holders is how many calls of Subscribe no Unsubscribe has ended yet.
+	holders int
+	// publishes is set from a Publish until quietFor after the last one, at lastUse.
+	lastUse   time.Time
+	publishes bool
+	// queued is set while a joining peer only waits for another one of the space here.
+	queued bool
+	// requests are the joins of others that wait until this peer has joined.
+	requests []Signal
+	// healUntil is until when greetings are marked as healing.
+	healUntil time.Time
 	// cell is set for a peer of routed topics.
 	cell *cell
 }
 
+// space is the unit square of a space or a plane, with the peers here.
 type space struct {
 	name  string
 	peers map[Area]*hosted
 	byKey map[PeerKey]*hosted
-	// ordered holds the same peers in the order of their keys.
+	// ordered are the same peers in the order of their keys.
 	ordered []*hosted
-	gone    map[PeerKey]time.Time
-	turn    int
+	// gone are the tombstones of peers of other daemons: when each was last reported
+	// to have left.
+	gone map[PeerKey]time.Time
+	// turn is the next peer that compare treats.
+	turn int
 }
 
 // Counts are running sums for measurements and tests.
@@ -105,8 +152,8 @@
 	Probes     uint64 `json:"Probes"`
 	// ByKind counts the signals that went out, by their kind.
 	ByKind [SignalAnnounce + 1]uint64 `json:"ByKind"`
-	// Notices counts the notices that went out by their kind, Told the topics and
-	// members that they told, and Levels the sums.
+	// Notices counts the notices that went out by their kind, Announced the topics,
+	// hashes and members in them, and Levels the digests of cells.
 	Notices   [NoticeMissing + 1]uint64 `json:"Notices"`
 	Announced [NoticeMissing + 1]uint64 `json:"Told"`
 	Levels    uint64                    `json:"Levels"`
@@ -114,30 +161,39 @@
 
 // Overlay is one daemon's part of the overlay.
 type Overlay struct {
-	daemon      string
+	daemon string
+	// incarnation is that of this daemon's PeerKeys, number the last one's Number, and
+	// change the highest Change of the peers here.
 	incarnation uint64
 	number      uint64
 	change      uint64
-	gateways    map[string]Gateway
-	spaces      map[string]*space
-	planes      map[string]*plane
-	timers      *statemachine.Timers[string]
-	out         map[string]*Signals
+	// gateways are the other living daemons, by name.
+	gateways map[string]Gateway
+	spaces   map[string]*space
+	planes   map[string]*plane
+	timers   *statemachine.Timers[string]
+	// out is what the present step sends, by address.
+	out map[string]*Signals
 	// paceUntil is when the next changes may go out to all, and paced counts those
 	// that waited for that.
 	paceUntil time.Time
 	paced     int
 	// checked is when this daemon last compared its cells with others.
 	checked time.Time
-	// checks counts the comparisons that followed another within checkEvery.
-	checks     int
-	checkTurn  uint64
+	// checks counts the checks that followed another within checkInterval; checkTurn
+	// counts all of them.
+	checks    int
+	checkTurn uint64
+	// roundTrips are smoothed (see observe), by daemon.
 	roundTrips map[string]time.Duration
-	found      []Discovery
-	Counts     Counts
+	// found are the discoveries since the last TakeDiscovered.
+	found []Discovery
+	// Counts are only changed by the overlay.
+	Counts Counts
 }
 
-// New makes the overlay part of one daemon; Live and View come before any peer.
+// New returns a daemon's part of the overlay; SetIncarnation and SetView come before
+// any peer.
 func New(daemon string) *Overlay {
 	return &Overlay{
 		daemon: daemon, gateways: map[string]Gateway{}, spaces: map[string]*space{}, planes: map[string]*plane{},
@@ -145,10 +201,11 @@
 	}
 }
 
-// NextTick is when the overlay wants to run again.
+// NextTick returns when Tick is due, zero for never.
 func (o *Overlay) NextTick() time.Time { return o.timers.Next() }
 
-// Subscribe adds one holder to the subscribing peer of an area.
+// Subscribe adds one holder to the subscribing peer of an area, and makes the peer if
+// need be. Every call is ended by one of Unsubscribe. done may be nil.
 func (o *Overlay) Subscribe(now time.Time, spaceName string, area Area, done Completion, effects *statemachine.Effects) {
 	peer, made := o.peer(now, spaceName, area)
 	peer.holders++
@@ -163,8 +220,8 @@
 	o.whenJoined(now, peer, made, done, effects)
 }
 
-// Unsubscribe takes one holder away; with the last the peer stops subscribing,
-// and leaves if nobody publishes there either.
+// Unsubscribe removes one holder; with the last the peer stops subscribing, and
+// leaves if nobody publishes there either. It ignores an area without holders.
 func (o *Overlay) Unsubscribe(now time.Time, spaceName string, area Area, effects *statemachine.Effects) {
 	here, found := o.spaces[spaceName]
 	if !found {
@@ -190,8 +247,9 @@
 	o.flush(effects)
 }
 
-// Publish makes sure that an area has a publishing peer and tells when its
-// subscriber list is there.
+// Publish ensures that an area has a publishing peer, and calls done once the peer
+// has its subscribers. Before each publication it is called again, since a peer that
+// isn't used for quietFor leaves.
 func (o *Overlay) Publish(now time.Time, spaceName string, area Area, done Completion, effects *statemachine.Effects) {
 	peer, made := o.peer(now, spaceName, area)
 	peer.publishes = true
@@ -199,8 +257,9 @@
 	o.whenJoined(now, peer, made, done, effects)
 }
 
-// Destinations lists the daemons, this one left out, that hold subscribers of
-// an area: the publishing peer's subscriber list.
+// Destinations returns the names of the living daemons, without this one, that have
+// subscribers of an area, in order, as its peer here knows them; none if there is no
+// such peer (see Publish).
 func (o *Overlay) Destinations(spaceName string, area Area) []string {
 	here, found := o.spaces[spaceName]
 	if !found {
@@ -225,8 +284,8 @@
 	return destinations
 }
 
-// observe notes how long a greeting and its answer took; what is short counts
-// more, since a busy daemon only makes the way look longer.
+// observe records the round trip of a greeting. A shorter one replaces the last
+// value, a longer one changes it little, since a busy daemon only lengthens it.
 func (o *Overlay) observe(daemon string, length time.Duration) {
 	present, found := o.roundTrips[daemon]
 	switch {
@@ -237,7 +296,7 @@
 	}
 }
 
-// RoundTrips tells the round trips observed to the other living daemons.
+// RoundTrips returns the round trips observed to the other living daemons, by name.
 func (o *Overlay) RoundTrips() map[string]time.Duration {
 	roundTrips := make(map[string]time.Duration, len(o.roundTrips))
 	for name, length := range o.roundTrips {
@@ -248,21 +307,23 @@
 	return roundTrips
 }
 
-// Discovery is a destination that a publishing peer has just come to know.
+// Discovery is a destination that a publishing peer has newly found: a daemon with a
+// subscriber of the peer's area.
 type Discovery struct {
 	Space  string
 	Area   Area
 	Daemon string
 }
 
-// TakeDiscovered gives what was found since it was last asked.
+// TakeDiscovered returns the discoveries since the last call.
 func (o *Overlay) TakeDiscovered() []Discovery {
 	found := o.found
 	o.found = nil
 	return found
 }
 
-// Joined tells whether an area's peer knows its surroundings.
+// Joined reports whether an area has a peer here that has joined and knows its
+// surroundings.
 func (o *Overlay) Joined(spaceName string, area Area) bool {
 	here, found := o.spaces[spaceName]
 	if !found {
@@ -272,7 +333,8 @@
 	return found && peer.joining == nil && len(peer.pending) == 0
 }
 
-// PeerCounts counts the peers here, by space.
+// PeerCounts returns how many peers here subscribe and publish, over all spaces; one
+// that does both counts twice.
 func (o *Overlay) PeerCounts() (subscribing, publishing int) {
 	for _, here := range o.spaces {
 		for _, peer := range here.peers {
@@ -287,7 +349,8 @@
 	return subscribing, publishing
 }
 
-// RemoveSpace drops a removed space with all its peers.
+// RemoveSpace removes a space with all its peers, without a word to others, which
+// remove it too. Those who wait are called without done.
 func (o *Overlay) RemoveSpace(now time.Time, spaceName string, effects *statemachine.Effects) {
 	here, found := o.spaces[spaceName]
 	if !found {
@@ -303,12 +366,14 @@
 	delete(o.spaces, spaceName)
 }
 
+// sorted returns the peers in the order of their keys, as a copy, since what is done
+// with them may add or remove some.
 func (s *space) sorted() []*hosted {
 	return slices.Clone(s.ordered)
 }
 
-// indexPeer and displace keep the hosted peers in the order of their keys; a new
-// key is always above those before it.
+// indexPeer and unindexPeer add and remove a peer. A new key is always above those
+// before it, so that ordered stays in order.
 func (s *space) indexPeer(peer *hosted) {
 	s.peers[peer.self.Area] = peer
 	s.byKey[peer.self.Key] = peer
@@ -323,6 +388,7 @@
 	}
 }
 
+// sortedPeers walks peers in the order of their keys; entries may be removed meanwhile.
 func sortedPeers(known map[PeerKey]Peer) func(yield func(PeerKey, Peer) bool) {
 	return func(yield func(PeerKey, Peer) bool) {
 		keys := make([]PeerKey, 0, len(known))
@@ -339,6 +405,8 @@
 	}
 }
 
+// peer returns the peer of an area, which it makes if there is none. The caller has a
+// new one join (see whenJoined).
 func (o *Overlay) peer(now time.Time, spaceName string, area Area) (peer *hosted, made bool) {
 	here, found := o.spaces[spaceName]
 	if !found {
@@ -364,8 +432,7 @@
 	return peer, true
 }
 
-// Sending.
-
+// signal adds a signal to the frame for a daemon, unless the view doesn't have it.
 func (o *Overlay) signal(daemon string, signal Signal) {
 	gateway, alive := o.gateways[daemon]
 	if !alive {
@@ -377,7 +444,7 @@
 	frame.Signals = append(frame.Signals, signal)
 }
 
-// signalsTo is what goes to an address with the present step.
+// signalsTo returns the frame that the present step sends to an address.
 func (o *Overlay) signalsTo(address string) *Signals {
 	frame, found := o.out[address]
 	if !found {
@@ -387,6 +454,7 @@
 	return frame
 }
 
+// flush sends the frames of the present step.
 func (o *Overlay) flush(effects *statemachine.Effects) {
 	for address, frame := range statemachine.Sorted(o.out) {
 		o.Counts.BatchesOut++
@@ -395,9 +463,7 @@
 	clear(o.out)
 }
 
-// Joining.
-
-// sendTo hands a signal to a peer, here or away.
+// sendTo sends a signal to a peer; one of this daemon handles it at once.
 func (o *Overlay) sendTo(now time.Time, key PeerKey, signal Signal) {
 	signal.To = key
 	if key.Daemon != o.daemon {
@@ -409,9 +475,9 @@
 	}
 }
 
-// rebuild makes a region anew from all peers that this daemon knows of in the
-// space, so that a hole left by one daemon's loss closes at once where another
-// hosted peer knows who is on the far side.
+// rebuild computes a region anew after the loss of a neighbour, from all peers of the
+// space that any peer here knows: what the neighbour had is then divided at once among
+// those who border on it. New neighbours are greeted.
 func (o *Overlay) rebuild(now time.Time, peer *hosted) {
 	before := peer.region.owners()
 	peer.healUntil = now.Add(healFor)
@@ -419,8 +485,8 @@
 	for _, known := range sortedPeers(peer.known) {
 		peer.region.clip(known.At, known.Key)
 	}
-	// Learning may drop peers from the table, so the walk is over a copy; most of
-	// what it meets lies too far away to matter, which a few products show.
+	// learn may remove peers from the space, so the walk is over a copy. Most peers are
+	// too far away to matter, which cuts finds cheaply.
 	for _, other := range peer.space.sorted() {
 		if other == peer {
 			continue
@@ -446,15 +512,11 @@
 	}
 }
 
-// Leaving.
-
-// Taking signals.
-
-// HandleSignals handles what another daemon's peers say.
+// HandleSignals handles the frame of another daemon's peers.
 func (o *Overlay) HandleSignals(now time.Time, signals Signals, effects *statemachine.Effects) {
 	for _, signal := range signals.Signals {
-		// What a daemon says that is gone from the view rests on an old one, and so
-		// does what an earlier life of it said.
+		// A daemon that isn't in the view, or an earlier incarnation of one that is, sent
+		// it by an older view.
 		if !o.ended(signal.From.Key) {
 			o.handleSignal(now, signal, effects)
 		}
@@ -466,6 +528,8 @@
 	o.flush(effects)
 }
 
+// handleSignal handles one signal. effects is nil for a signal between peers of this
+// daemon: completions wait for the timer then.
 func (o *Overlay) handleSignal(now time.Time, signal Signal, effects *statemachine.Effects) {
 	here, found := o.spaces[signal.Space]
 	if signal.Kind == SignalJoin {
@@ -501,8 +565,8 @@
 		answer.Kind = SignalGreeted
 		o.sendTo(now, signal.From.Key, answer)
 		if signal.Hops == healing && peer.self.Subscribes {
-			// The region of a peer that heals has grown; what lies beyond it
-			// may now meet this area.
+			// The sender's region has grown by a loss; its new neighbours may be in
+			// this peer's area, and the response names them.
 			o.greetAs(now, peer, signal.From, false)
 		}
 	case SignalGreeted:
@@ -527,11 +591,9 @@
 	}
 }
 
-// Changes in the cluster.
-
-// SetView follows the cluster: peers of daemons that are gone leave, and a daemon
-// that comes, or comes again, is probed so that two halves of a split overlay
-// find each other.
+// SetView sets the other living daemons, by name. Peers of daemons that are gone, or
+// that joined anew, are removed. A daemon that is new is probed, so that two halves of
+// a split overlay find each other.
 func (o *Overlay) SetView(now time.Time, gateways map[string]Gateway, effects *statemachine.Effects) {
 	earlier := o.gateways
 	o.gateways = gateways
@@ -555,7 +617,8 @@
 	o.flush(effects)
 }
 
-// Tick runs the timers that expired.
+// Tick runs the timers that are due. A timer without a case only has completeWaiting
+// run.
 func (o *Overlay) Tick(now time.Time, effects *statemachine.Effects) {
 	for _, key := range o.timers.Expired(now) {
 		switch key {
--- a/internal/overlay/presence.go
+++ b/internal/overlay/presence.go
@@ -1,24 +1,3 @@
-// The cells of routed topics, and what their peers tell each other. The unit
-// square of a plane is cut into four by four cells; a topic's number picks one,
-// and the square in the middle of it is the topic's area. This daemon has one
-// peer in each cell that its callers subscribe or publish in, and it stays for
-// a good while after its last use, so that callers who are cut off and come
-// back join nothing anew. All peers of a cell subscribe to the whole of it, so
-// by the overlay's mutual discovery each knows all the others.
-//
-// Peers of one cell tell each other in notices how many subscribers each topic
-// has on their daemon. A peer's changes are numbered; they are gathered for a
-// moment and go to all others of the cell, in one frame for each daemon that
-// holds what there is to tell it in all cells. A topic's first subscriber goes
-// out within the gathering time, another count within countsWait. Whoever is
-// newly known is told the whole. Who finds that a notice is missing asks for
-// the whole, and every checkEvery each daemon tells the others the numbers of
-// its newest notices and of its peers, which shows what was lost, whoever lost
-// it: a notice, or the word of a peer.
-//
-// The overlay sends by timers of its own: the owner runs Due at NextDue, as for
-// joins, and has nothing to call at the end of its turn.
-
 package overlay
 
 import (
@@ -29,42 +8,68 @@
 	"dahlialock/internal/statemachine"
 )
 
-// Spans and bounds of the cells.
+// This file has the cells of routed topics, and what their peers announce to each
+// other. The unit square of a plane is cut into four by four cells; a topic's number
+// picks one, and a square in the middle of it is the area of all the cell's peers.
+// This daemon has one peer in each cell in which its sessions subscribe or publish. It
+// stays for keepFor after its last use, so that clients that are disconnected and come
+// back don't have it join anew. All peers of a cell subscribe to its area, so that by
+// the overlay's mutual discovery each knows all the others, its members.
+//
+// The peers of a cell announce to each other in notices how many subscribers each
+// topic has on their daemon. Changes are gathered for a moment and go to all members as
+// a numbered NoticeChanges, with those of all cells in one frame for each daemon. A
+// topic's first subscriber is announced within the gathering time or the pace, another
+// change of a count within countsDelay. A new member is sent a NoticeComplete. A peer
+// that finds that it lacks a notice requests a NoticeComplete. Every checkInterval each
+// daemon sends the others the sequences of its newest notices and the digests of its
+// cells' members, which shows what was lost: a notice, or the knowledge of a peer.
+//
+// All of this is sent within calls or by the timers of Tick.
+
+// Times and bounds of the cells.
 const (
+	// cellSide is how many cells there are along an axis.
 	cellSide = 4
 	// CellCount is how many cells a plane has.
 	CellCount = cellSide * cellSide
-	// gatherFor lets one frame carry what several callers, or several lines of
-	// one caller, bring about almost at once.
+	// gatherFor is how long changes are gathered, so that one frame has what several
+	// clients, or several requests of one, change almost at once.
 	gatherFor = 2 * time.Millisecond
-	// paceEach spaces the frames to all others so that their number in a second
-	// is bounded, however many gateways there are.
-	paceEach      = time.Millisecond
+	// paceEach is the pause for each gateway between two announcements to all, so that
+	// the frames in a second are bounded, however many gateways there are.
+	paceEach = time.Millisecond
+	// countsDelay is how long a changed count may wait, unless it was 0 before.
 	countsDelay   = 200 * time.Millisecond
 	checkInterval = 2 * time.Second
-	// numbersEveryChecks is in how many checks one tells the numbers also to those that
-	// may know them, which shows them neighbours in cells that they have no part in.
+	// numbersEveryChecks is every how many checks the sequences themselves are sent in
+	// place of a digest. They show neighbours in cells that a receiver has no peer in.
 	numbersEveryChecks = 5
-	checkAfter         = 10 * time.Millisecond
-	checkAgain         = 250 * time.Millisecond
-	requestRetry       = 300 * time.Millisecond
-	// maxRequestDoublings bounds how long a question waits for another.
+	// checkAfter is how soon a check follows a change of the peers known here, and
+	// checkAgain how soon it follows another check for that reason, doubled in a row.
+	checkAfter = 10 * time.Millisecond
+	checkAgain = 250 * time.Millisecond
+	// requestRetry is after what time a NoticeComplete is requested again; it doubles
+	// up to maxRequestDoublings times.
+	requestRetry        = 300 * time.Millisecond
 	maxRequestDoublings = 3
-	// membersWait lets joins settle before peers compare whom they know.
+	// membersWait lets joins become stable before peers compare whom they know.
 	membersWait = 100 * time.Millisecond
-	// membersQuiet is for how long whom a cell knows must have stayed the same
-	// before it is compared: while many join, all differ from all, and the checks
-	// that each sends to all others make them level by themselves.
+	// membersQuiet is for how long the members of a cell must have stayed the same
+	// before they are compared: while many join, all differ from all, and the checks
+	// that each sends to all others make them equal by themselves.
 	membersQuiet = 400 * time.Millisecond
+	// reachTimeout is how long AwaitCell waits at most.
 	reachTimeout = time.Second
-	keepFor      = 10 * time.Minute
-	// unknownDaemonsPerCheck is how many daemons of which no peer is known are told in
-	// one comparison, in turn.
+	// keepFor is how long a cell without subscribers here keeps its peer.
+	keepFor = 10 * time.Minute
+	// unknownDaemonsPerCheck is to how many daemons with which no cell is shared a
+	// check goes, in turn.
 	unknownDaemonsPerCheck = 16
 )
 
-// SetSubscribers says that this daemon now has so many subscribers of a topic; none ends
-// it.
+// SetSubscribers sets how many subscribers of a topic this daemon has; 0 removes it. The
+// change is announced later, by a timer.
 func (o *Overlay) SetSubscribers(now time.Time, planeName, topic string, count int, effects *statemachine.Effects) {
 	number := config.TopicHash(topic)
 	if count == 0 && o.cellAt(planeName, number) == nil {
@@ -101,8 +106,9 @@
 	o.timers.ArmSooner("notices", here.due)
 }
 
-// AwaitCell makes sure that a topic's cell has a peer here that knows the others of
-// the cell and their subscribers, and then calls; at once, if it does.
+// AwaitCell ensures that a topic's cell has a peer here. It calls then once that knows
+// the members of the cell and their subscribers, or without done after reachTimeout; if
+// it knows them already, at once.
 func (o *Overlay) AwaitCell(now time.Time, planeName, topic string, then Completion, effects *statemachine.Effects) {
 	here := o.cell(now, planeName, CellOf(config.TopicHash(topic)), effects)
 	here.lastUse = now
@@ -117,7 +123,8 @@
 	here.waiting = append(here.waiting, then)
 }
 
-// SubscribedDaemons lists the other daemons that have subscribers of a topic, in order.
+// SubscribedDaemons returns the names of the other daemons that have subscribers of a
+// topic, in order, as announced; none if there is no peer in its cell (see AwaitCell).
 func (o *Overlay) SubscribedDaemons(planeName, topic string) []string {
 	number := config.TopicHash(topic)
 	here := o.cellAt(planeName, number)
@@ -133,7 +140,7 @@
 	return names
 }
 
-// Subscribers counts the subscribers of a topic on all other daemons.
+// Subscribers returns how many subscribers of a topic all other daemons have announced.
 func (o *Overlay) Subscribers(planeName, topic string) int {
 	number := config.TopicHash(topic)
 	here := o.cellAt(planeName, number)
@@ -147,6 +154,7 @@
 	return sum
 }
 
+// cellAt returns the cell of a topic, nil if there is no peer in it here.
 func (o *Overlay) cellAt(planeName string, topic uint64) *cell {
 	plane, found := o.planes[planeName]
 	if !found {
@@ -155,8 +163,7 @@
 	return plane.cells[CellOf(topic)]
 }
 
-// cell gives a cell of a plane, and its peer here, which begins to join if it
-// is new.
+// cell returns a cell of a plane; if it is new, its peer here begins to join.
 func (o *Overlay) cell(now time.Time, planeName string, number uint8, effects *statemachine.Effects) *cell {
 	where, found := o.planes[planeName]
 	if !found {
@@ -181,7 +188,8 @@
 	return here
 }
 
-// completeWaiting calls those who waited for a cell.
+// completeWaiting calls those who wait for cells that are joined, or whose wait has
+// timed out.
 func (o *Overlay) completeWaiting(now time.Time, effects *statemachine.Effects) {
 	for _, where := range statemachine.Sorted(o.planes) {
 		for _, here := range where.cells {
@@ -203,7 +211,8 @@
 	}
 }
 
-// meet notes another daemon's peer in the cell, which gets the whole.
+// meet adds another daemon's peer to the members, unless a newer one of the daemon is
+// among them; it is to get a NoticeComplete.
 func (o *Overlay) meet(now time.Time, here *cell, key PeerKey) {
 	earlier, found := here.members[key.Daemon]
 	if found && (earlier.key == key || earlier.key.Incarnation > key.Incarnation || earlier.key.Incarnation == key.Incarnation && earlier.key.Number > key.Number) {
@@ -215,22 +224,22 @@
 		position, _ := slices.BinarySearch(here.order, key.Daemon)
 		here.order = slices.Insert(here.order, position, key.Daemon)
 	}
-	// It tells the whole by itself once it has met this peer, so that it is asked
-	// only if that does not come.
+	// It sends a NoticeComplete by itself once it has met this peer, which is requested
+	// only if it does not come.
 	here.members[key.Daemon] = &member{key: key, requested: now}
 	here.digest ^= keyHash(key)
 	here.changedAt = now
 	o.owe(now, here, key.Daemon)
 }
 
-// owe lets the whole go to a daemon once what else there is for it has been
-// gathered.
+// owe has a NoticeComplete sent to a daemon after gatherFor.
 func (o *Overlay) owe(now time.Time, here *cell, daemon string) {
 	here.owed[daemon] = true
 	o.timers.ArmSooner("owed", now.Add(gatherFor))
 }
 
-// notify puts a notice into the frame to a daemon.
+// notify adds a notice to the frame to a daemon, and returns the part of the frame in
+// which it is, nil if the view doesn't have the daemon.
 func (o *Overlay) notify(daemon, planeName string, notice Notice) *Notices {
 	gateway, alive := o.gateways[daemon]
 	if !alive {
@@ -249,7 +258,7 @@
 	return &frame.Notices[len(frame.Notices)-1]
 }
 
-// sendOwed tells the whole to all who are newly known or asked for it.
+// sendOwed sends a NoticeComplete to all new members and those that requested it.
 func (o *Overlay) sendOwed() {
 	for _, where := range statemachine.Sorted(o.planes) {
 		for _, here := range where.cells {
@@ -265,8 +274,8 @@
 	}
 }
 
-// sendChanges sends the changes of the cells that are due. With one that is due
-// go those of the others, since the frames go out anyhow.
+// sendChanges sends the changes of the cells if any is due, those that aren't due yet
+// too, since the frames are sent in any case.
 func (o *Overlay) sendChanges(now time.Time) {
 	var next time.Time
 	any := false
@@ -295,7 +304,7 @@
 			if len(here.changed) == 0 {
 				continue
 			}
-			// The whole that is owed goes first, so that the changes follow it.
+			// What is owed goes first, so that the changes follow it.
 			o.sendOwed()
 			here.sequence++
 			notice := here.notice(NoticeChanges)
@@ -311,9 +320,8 @@
 	}
 }
 
-// pace sets when the next changes may go out to all. While there is always
-// something to tell it is told less and less often, which makes fewer and fuller
-// frames of it.
+// pace sets when the next changes may go to all. While there always are some, the pause
+// grows, which makes fewer and fuller frames of them.
 func (o *Overlay) pace(now time.Time) {
 	if now.Sub(o.paceUntil) < gatherFor {
 		o.paced++
@@ -323,8 +331,9 @@
 	o.paceUntil = now.Add(min(backoff(paceEach*time.Duration(len(o.gateways)), o.paced), max(countsDelay, paceEach*time.Duration(len(o.gateways)))))
 }
 
-// check tells others the numbers of the newest notices here: all those that
-// share a cell, and some of the rest in turn.
+// check sends a digest or, in every numbersEveryChecks-th check, the sequences of the
+// newest notices here to all daemons with which a cell is shared, and the sequences to
+// some of the others in turn.
 func (o *Overlay) check(now time.Time) {
 	if o.checks++; now.Sub(o.checked) >= checkInterval {
 		o.checks = 0
@@ -366,8 +375,8 @@
 	}
 }
 
-// levelWith tells one daemon a sum of the numbers of the newest notices here: it
-// asks for the numbers themselves unless it knows them all.
+// levelWith sends one daemon the digest of the cells here; it requests the checks
+// themselves unless it computes the same.
 func (o *Overlay) levelWith(daemon string, where *plane) {
 	gateway, alive := o.gateways[daemon]
 	if !alive {
@@ -381,13 +390,14 @@
 	frame.Notices = append(frame.Notices, Notices{Daemon: o.daemon, Incarnation: o.incarnation, Plane: where.name, Level: level})
 }
 
-// levelPart is what a daemon's level says of one cell.
+// levelPart is what goes into a level of a daemon's peer in one cell: the number of its
+// key, and the sequence of its newest notice.
 type levelPart struct{ number, sequence uint64 }
 
-// level sums up cells: who is in each, and a daemon's number and newest notice
-// there. It is 0 if nothing is told of any. Who has no part in one of a daemon's
-// cells never finds its level right, and is told the numbers: from them its peers
-// learn of neighbours in that cell.
+// level returns a digest of cells: of the members of each, and of a daemon's peer
+// there, as told returns it. It is 0 if told knows none. A daemon without a peer in one
+// of another's cells never computes the same level, and requests the checks: from them
+// its peers learn of neighbours in that cell.
 func (p *plane) level(told func(here *cell) (levelPart, bool)) uint64 {
 	sum := uint64(0)
 	for _, here := range p.cells {
@@ -401,7 +411,8 @@
 	return sum
 }
 
-// levelOf is the level of another daemon's life as far as it is known here.
+// levelOf returns the level of an incarnation of another daemon as far as its cells are
+// known here.
 func (p *plane) levelOf(daemon string, incarnation uint64) uint64 {
 	return p.level(func(here *cell) (levelPart, bool) {
 		known, found := here.members[daemon]
@@ -412,7 +423,8 @@
 	})
 }
 
-// handleLevel asks for the numbers of the newest notices unless all are known.
+// handleLevel requests a NoticeCheck of each of a daemon's cells unless its level is the
+// one known here. where is nil if this daemon doesn't have the plane.
 func (o *Overlay) handleLevel(where *plane, told Notices) {
 	gateway := o.gateways[told.Daemon]
 	if where != nil && where.levelOf(told.Daemon, told.Incarnation) == told.Level {
@@ -422,8 +434,8 @@
 	frame.Notices = append(frame.Notices, Notices{Daemon: o.daemon, Incarnation: o.incarnation, Plane: told.Plane, Answer: true})
 }
 
-// scheduleCheck lets a comparison follow a change in whom this daemon knows, so
-// that joins at the same time find each other.
+// scheduleCheck has a check follow a change of the peers known here, so that peers that
+// join at the same time find each other.
 func (o *Overlay) scheduleCheck(now time.Time) {
 	at := o.checked.Add(backoff(checkAgain, o.checks))
 	if soon := now.Add(checkAfter); at.Before(soon) {
@@ -432,8 +444,8 @@
 	o.timers.ArmSooner("checks", at)
 }
 
-// checkWith tells one daemon the numbers of the newest notices of all cells
-// here, and asks for its own if need be.
+// checkWith sends one daemon a NoticeCheck of each cell here, and requests its own if
+// answer is set.
 func (o *Overlay) checkWith(daemon string, where *plane, answer bool) {
 	for _, here := range where.cells {
 		if here == nil {
@@ -445,7 +457,8 @@
 	}
 }
 
-// handleNotices handles what another daemon's peers tell.
+// handleNotices handles the notices of another daemon's peers; those of an earlier
+// incarnation are ignored.
 func (o *Overlay) handleNotices(now time.Time, told Notices) {
 	gateway, alive := o.gateways[told.Daemon]
 	if !alive || told.Incarnation < gateway.Joined || told.Daemon == o.daemon {
@@ -476,8 +489,7 @@
 	}
 }
 
-// border lets the peers here whose regions a peer of another cell would cut
-// learn of it.
+// border has the peers here whose regions a peer of another cell would cut learn of it.
 func (o *Overlay) border(now time.Time, where *plane, key PeerKey, notice Notice) {
 	other := cellPeer(key, notice.Cell, notice.Change)
 	for _, here := range where.cells {
@@ -490,6 +502,7 @@
 	}
 }
 
+// handleNotice handles a notice of a peer in a cell here, which becomes a member by it.
 func (o *Overlay) handleNotice(now time.Time, here *cell, key PeerKey, notice Notice) {
 	known, found := here.members[key.Daemon]
 	if notice.Kind == NoticeAbsent {
@@ -535,7 +548,7 @@
 		o.owe(now, here, key.Daemon)
 	case NoticeDiffers, NoticeMissing:
 		o.level(here, key, notice)
-		// It knows now, or soon, what is known here.
+		// level has sent it what it lacks, so that the two count as equal.
 		notice.Digest = here.digestHere()
 	case NoticeMembers:
 		o.merge(now, here, key, notice.Members)
@@ -549,7 +562,7 @@
 	}
 }
 
-// merge learns the peers of a cell that another one names.
+// merge learns the members of a cell that a sender names.
 func (o *Overlay) merge(now time.Time, here *cell, sender PeerKey, members []PeerKey) {
 	var others []Peer
 	for _, each := range members {
@@ -560,8 +573,8 @@
 	o.learn(now, here.peer, sender, others, false)
 }
 
-// level names to a peer those of the cell that it did not sum up, and asks it for
-// those whom nobody here knows.
+// level responds to NoticeDiffers and NoticeMissing: it names the members whose hashes
+// the sender did not send, and sends those known here if some of its were unknown.
 func (o *Overlay) level(here *cell, key PeerKey, notice Notice) {
 	summed := make(map[uint32]bool, len(notice.Counts))
 	for _, hash := range notice.Counts {
@@ -588,8 +601,8 @@
 	}
 }
 
-// compareMembers tells, in each cell, one of those that seem to know others
-// there than are known here whom this peer knows.
+// compareMembers sends, in each cell, a NoticeDiffers to one of the members whose
+// digests differ from the one here.
 func (o *Overlay) compareMembers(now time.Time) {
 	for _, where := range statemachine.Sorted(o.planes) {
 		for _, here := range where.cells {
@@ -608,8 +621,8 @@
 					continue
 				}
 				if !known.digestAt.After(here.changedAt) && !statemachine.Mutated("no-retry-pauses") {
-					// It was told before the last change here; the next check tells
-					// whether they still differ.
+					// It is from before the last change here; the next check shows whether
+					// they still differ.
 					continue
 				}
 				if known.compared == digest^known.digest && now.Sub(known.comparedAt) < checkInterval {
@@ -628,8 +641,8 @@
 	}
 }
 
-// requestComplete asks a peer for the whole, at once or when the answer to an earlier question
-// is overdue.
+// requestComplete requests a NoticeComplete of a member, at once or when the response to
+// an earlier request is overdue.
 func (o *Overlay) requestComplete(now time.Time, here *cell, known *member) {
 	if due := known.nextRequestAt(); due.After(now) {
 		known.wanted = true
@@ -641,7 +654,7 @@
 	o.notify(known.key.Daemon, here.plane.name, here.notice(NoticeAsk))
 }
 
-// retryRequests asks those again whose answers are overdue.
+// retryRequests sends the requests that waited for an earlier one to be overdue.
 func (o *Overlay) retryRequests(now time.Time) {
 	for _, where := range statemachine.Sorted(o.planes) {
 		for _, here := range where.cells {
@@ -657,7 +670,8 @@
 	}
 }
 
-// releaseCells lets the peers of cells go that nobody used for long.
+// releaseCells has the peers of cells leave that nobody used for keepFor and that have
+// no subscribers here.
 func (o *Overlay) releaseCells(now time.Time) {
 	for _, where := range statemachine.Sorted(o.planes) {
 		for number, here := range where.cells {
--- a/internal/overlay/repair.go
+++ b/internal/overlay/repair.go
@@ -6,13 +6,15 @@
 	"time"
 )
 
+// checkDeadlines repeats the joins and greetings whose responses are overdue. A
+// greeting is given up after maxGreetAttempts, a join never.
 func (o *Overlay) checkDeadlines(now time.Time, effects *statemachine.Effects) {
 	var next time.Time
 	for _, here := range statemachine.Sorted(o.spaces) {
 		for _, peer := range here.sorted() {
 			if peer.joining != nil && !peer.joining.until.After(now) {
-				// Without an acceptor there is nothing to go on with; the
-				// cluster will tell if the way leads through a lost daemon.
+				// Without an acceptor the peer can't go on; where the request was
+				// lost with a daemon, dropDaemon joins sooner.
 				o.join(now, peer)
 			}
 			for key := range sortedPending(peer.pending) {
@@ -22,7 +24,7 @@
 				}
 				known, found := peer.known[key]
 				if !found || waiting.attempts >= maxGreetAttempts {
-					// It stays known; a comparison greets it again.
+					// It stays known; compare greets it again.
 					delete(peer.pending, key)
 					peer.greeted[key] = 0
 					continue
@@ -43,6 +45,8 @@
 	}
 }
 
+// sortedPending walks the keys of pending greetings in order; entries may be removed
+// meanwhile.
 func sortedPending(pending map[PeerKey]*outstanding) func(yield func(PeerKey) bool) {
 	return func(yield func(PeerKey) bool) {
 		keys := make([]PeerKey, 0, len(pending))
@@ -58,9 +62,10 @@
 	}
 }
 
-// compare lets a few peers in turn greet their enclosing neighbours again and
-// send their join through another daemon. What a lost signal, a split or a
-// misjudged edge left out is found so, whoever lost it.
+// compare has a few peers in turn greet their enclosing neighbours again and probe
+// another daemon. This repairs what a lost signal, a split of the network or a
+// misjudged edge left out, at whichever end. It runs every compareInterval while
+// there are peers here.
 func (o *Overlay) compare(now time.Time, _ *statemachine.Effects) {
 	any := false
 	var names []string
@@ -100,7 +105,8 @@
 	}
 }
 
-// sweep lets publishing peers go that nobody used for a while.
+// sweep ends the publishing of peers at which nobody published for quietFor, so that
+// those without subscribers leave, and forgets old tombstones.
 func (o *Overlay) sweep(now time.Time) {
 	any := false
 	for _, here := range statemachine.Sorted(o.spaces) {
