--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -15,18 +15,19 @@
 	// sessions are admitted at once in any case.
 	admitBurst  = 300 * time.Millisecond
 	minAdmitted = 16
-	// backlogAhead is how much of the link's time the missing records may take before
-	// no further session is admitted.
+	// backlogAhead is how long the link may take for the missing records before no further session is
+	// admitted.
 	backlogAhead = time.Second
 )
 
-// admission is a token bucket of the sessions that may still be admitted.
+// admission is a token bucket of the sessions that may still be admitted: how many, as of a moment.
 type admission struct {
 	left float64
 	at   time.Time
 }
 
-// admits returns whether the link can serve one more session soon, and takes it off the allowance.
+// admits returns whether the link can serve one more session soon, and subtracts that from what may
+// still be admitted. It always can if the rate of the link is unknown.
 func (g *Gateway) admits(now time.Time) bool {
 	if g.settings.Link == 0 || statemachine.Mutated("all-admitted") {
 		return true
--- a/internal/gateway/append.go
+++ b/internal/gateway/append.go
@@ -16,8 +16,8 @@
 	item *publication,
 	effects *statemachine.Effects,
 ) {
-	// A seq that does not follow the newest one known here may come from a
-	// sender that was elsewhere meanwhile; its dependencies are looked up anew.
+	// A sender whose seq does not follow the newest one known here may have published through another
+	// gateway in between; its dependencies are looked up anew.
 	follows := from.lookedUp && item.request.Seq <= from.lastSeq+1
 	if !follows && !item.lookedUp && state.space.Partitions() > 1 {
 		item.lookedUp = true
@@ -209,7 +209,7 @@
 	)
 }
 
-// retryAppends sends unanswered appends again, and returns when to look next.
+// retryAppends sends unanswered appends again, and returns when the next one is due.
 func (g *Gateway) retryAppends(now time.Time, effects *statemachine.Effects) time.Time {
 	var next time.Time
 	for _, item := range statemachine.Sorted(g.appends) {
--- a/internal/gateway/catchup.go
+++ b/internal/gateway/catchup.go
@@ -16,8 +16,8 @@
 	// batchRetry is how long the response to the first attempt of a batch may take; the
 	// timeout doubles with each further attempt.
 	batchRetry = 400 * time.Millisecond
-	// catchUpAhead is how much of the link's time the records may take that are
-	// requested at once, from all stores together.
+	// catchUpAhead is how long the link may take for the records that are requested at once, from all
+	// stores together.
 	catchUpAhead = 200 * time.Millisecond
 	// Bounds of the bytes of records that one batch asks for.
 	minBatchBytes = 4 << 10
@@ -50,7 +50,7 @@
 	attempts int
 }
 
-// due is when it is sent again: the more sends are without a response, the later.
+// due returns when the batch is sent again; the timeout doubles with each attempt.
 func (b *batch) due() time.Time { return b.sentAt.Add(backoff(batchRetry, b.attempts)) }
 
 // wanted returns whether any topic still waits for a response to the batch.
@@ -282,7 +282,7 @@
 		}
 		g.applyFetchedTopic(now, fetch, state, records, effects)
 	}
-	// Only now, so that the next batch carries all that is still lacking.
+	// The batch ends only now, so that the next one has all topics that still lack records.
 	g.endBatch(answered)
 	g.sendBatches(now, effects)
 }
@@ -319,7 +319,7 @@
 	}
 	g.release(now, topic, effects)
 	if response.Until < state.HighWatermark {
-		// One response did not have room for all.
+		// The records of the topic did not all fit into the response.
 		g.requireUpTo(now, topic, state.HighWatermark, 0)
 	}
 	g.tickTopic(now, topic, effects)
--- a/internal/gateway/commands.go
+++ b/internal/gateway/commands.go
@@ -8,7 +8,8 @@
 // Commands of the adapters. Request, and Local in control commands, is the number under which
 // the gateway responds; RequestName is the name of the request in recorded decisions.
 type (
-	// OpenSession opens a session for a client. Session is the number that the adapter gave it.
+	// OpenSession opens a session for a client. Session is the number that the adapter gave it, Name
+	// the name under which the client sees it, Client the name of the client.
 	OpenSession struct {
 		Request uint64
 		Session uint64
@@ -17,7 +18,8 @@
 		// AdapterPings is set if the adapter itself checks that the client is alive.
 		AdapterPings bool
 	}
-	// CloseSession reports that the connection of a session has ended; it gets no response.
+	// CloseSession reports that the connection of a session has ended; it gets no response. Reason is
+	// for the log; that of a session whose queue was full is "slow".
 	CloseSession struct {
 		Session uint64
 		Reason  string
@@ -39,7 +41,8 @@
 		Client      string
 		Interests   []Interest
 	}
-	// Publish publishes a message.
+	// Publish publishes a message. Sender must be the name of Client (see senderPolicy); Seq counts its
+	// messages from 1. Space may be empty for a routed topic.
 	Publish struct {
 		Request     uint64
 		RequestName string
@@ -73,7 +76,8 @@
 		Path   string
 		Body   []byte
 	}
-	// FindDecisions searches the recorded decisions.
+	// FindDecisions searches the recorded decisions, as Ring.Find of decisionlog does; the response is
+	// a list of entries.
 	FindDecisions struct {
 		Local                    uint64
 		Request, Message, Client string
--- a/internal/gateway/cursor.go
+++ b/internal/gateway/cursor.go
@@ -24,8 +24,9 @@
 	codeBadCursor = "bad-cursor"
 )
 
-// position is how far one partition was delivered to a client. Its encoding is part of the cursor
-// layout.
+// position is how far one partition was delivered to a client: all that its interests match up to
+// Floor, and the offsets Extras above it. Since has, by Interest.key, the offsets of the interests that
+// began above Floor. Its encoding is part of the cursor layout.
 type position struct {
 	_      struct{} `cbor:",toarray"`
 	Floor  uint64
@@ -33,6 +34,9 @@
 	Since  map[string]uint64
 }
 
+// cursor is the position of a client in spaces without routed topics. Partitions are by partition name,
+// Marks the newest sequences seen in ephemeral spaces, by space and sender. Its encoding is the cursor
+// layout. Cursors of routed topics are only an offset: see formatTopicCursor.
 type cursor struct {
 	_          struct{} `cbor:",toarray"`
 	Layout     uint8
--- a/internal/gateway/draining.go
+++ b/internal/gateway/draining.go
@@ -11,7 +11,7 @@
 
 // disconnectSome closes sessions of a gateway that has been unconfirmed for longer than any change
 // of the leader takes: its agent is lost or its machine is isolated, and its clients are served
-// elsewhere. Half of them are closed each second.
+// by other gateways. Half of them, but at least minDisconnects, are closed each second.
 func (g *Gateway) disconnectSome(now time.Time, effects *statemachine.Effects) {
 	if g.viewClient.Index == 0 || g.Confirmed(now) || now.Sub(g.viewClient.ConfirmedAt) < disconnectAfter {
 		return
--- a/internal/gateway/ephemeral.go
+++ b/internal/gateway/ephemeral.go
@@ -28,7 +28,7 @@
 		g.finish(now, item, rejectedReply(409, "old-seq", "this seq is not above the sender's newest", 0), effects)
 		return
 	}
-	// A sender that came here a moment ago may retry what another gateway fanned out.
+	// A sender that published through another gateway until now may retry what that fanned out.
 	// It is fanned out once more; a session that has had it, or a later one, ignores it.
 	area := areaOf(state.space, request.Topic)
 	g.overlay.Publish(now, state.name, area, func(now time.Time, effects *statemachine.Effects, stable bool) {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -122,7 +122,7 @@
 	routed *routed
 	// subscribeTimeout follows from the configuration in force.
 	subscribeTimeout time.Duration
-	// newest is the newest session of each client.
+	// newest is the newest session of each client, by the client's name.
 	newest map[string]uint64
 
 	// highWatermarksRequestedAt is when high watermarks were last subscribed to.
@@ -130,8 +130,8 @@
 	// newerVersion is the highest configuration version seen in a message. While it is above the
 	// version in force the gateway is not confirmed.
 	newerVersion uint64
-	// deferred are the copies that came while the gateway was unconfirmed, in the order in which they
-	// came.
+	// deferred are the copies that came while the gateway was unconfirmed, in order; at most
+	// maxPendingRecords.
 	deferred []deferred
 	// refreshWaiters are the requests that wait for the one refresh that is under way.
 	refreshWaiters []refreshWaiter
@@ -345,7 +345,7 @@
 }
 
 // HandleMessage handles a message of another daemon. Copies of messages are deferred while the
-// gateway is unconfirmed.
+// gateway is unconfirmed; those beyond maxPendingRecords are dropped, which shows as gaps later.
 func (g *Gateway) HandleMessage(now time.Time, meta statemachine.Meta, message any, effects *statemachine.Effects) {
 	if meta.From != g.settings.Agent && meta.From != g.settings.Self.Address {
 		g.detector.ReceiveFromPeer(now)
@@ -463,6 +463,8 @@
 	g.forgetRouted(now)
 }
 
+// everything stands for an offset that is not known: as the offset after which a fetch asks it means
+// that no records are wanted, as the start of an interest that it is not live yet.
 const everything = uint64(math.MaxUint64)
 
 // SetMaxClients sets how many sessions the gateway may hold.
--- a/internal/gateway/messages.go
+++ b/internal/gateway/messages.go
@@ -32,7 +32,7 @@
 	Sender string
 	Seq    uint64
 	Offset uint64
-	// PriorDistance is how far the offset of the topic's record before it lies below Offset.
+	// PriorDistance is Offset less the offset of the topic's previous record.
 	PriorDistance uint64
 	Data          []byte
 	// Ephemeral is set if its data is not stored.
--- a/internal/gateway/recent_ephemeral.go
+++ b/internal/gateway/recent_ephemeral.go
@@ -17,7 +17,7 @@
 	resumedFor = 5 * time.Second
 )
 
-// recentEphemeral is an ephemeral message that was published or received a moment ago.
+// recentEphemeral is an ephemeral message that was published or received within recentFor.
 type recentEphemeral struct {
 	at time.Time
 	// own is set if a client here published it.
--- a/internal/gateway/routed_publish.go
+++ b/internal/gateway/routed_publish.go
@@ -49,7 +49,7 @@
 	return decisionlog.MessageName(rp.space, rp.request.Sender, rp.request.Seq)
 }
 
-// due is when it is sent again: the more sends are without a response, the later.
+// due returns when the append is sent again; the timeout doubles with each send.
 func (rp *routedPublication) due() time.Time {
 	return rp.sentAt.Add(backoff(routedRetry, len(rp.unanswered)))
 }
--- a/internal/gateway/sender.go
+++ b/internal/gateway/sender.go
@@ -15,7 +15,8 @@
 	sender string
 }
 
-// sentMemory is an ephemeral message of a sender that was accepted a moment ago.
+// sentMemory is an ephemeral message of a sender that was accepted within seqMemory: the hash of its
+// content, by which a retry is told from another message with its sequence, and when.
 type sentMemory struct {
 	digest uint64
 	at     time.Time
@@ -31,8 +32,8 @@
 	lookedUp bool
 	// dependencies are the messages that were accepted within the dependency window.
 	dependencies []dependency
-	// arrived is when the sender came here, or skipped a sequence, which may mean that it was
-	// elsewhere.
+	// arrived is when the sender first published here, or skipped a sequence, which may mean that it
+	// published through another gateway in between.
 	arrived time.Time
 	// recent are the ephemeral messages of the last moments, by sequence.
 	recent map[uint64]sentMemory
@@ -44,8 +45,8 @@
 	lastUse time.Time
 }
 
-// dependency is a message of a sender that was accepted a moment ago: the sender's next messages
-// depend on it.
+// dependency is a message of a sender that was accepted within partition.DependencyWindow: the
+// sender's next messages depend on it.
 type dependency struct {
 	mark partition.MessagePosition
 	seq  uint64
--- a/internal/gateway/session.go
+++ b/internal/gateway/session.go
@@ -47,7 +47,7 @@
 	deliveredAbove map[string]map[uint64]bool
 	// sequences are the newest sequences seen of each sender in ephemeral spaces, for sequenceMemory.
 	sequences map[string]map[string]senderSequence
-	// buffer and ephemeralBuffer hold what comes while a subscription is being filled.
+	// buffer and ephemeralBuffer are the copies that came while a subscription is being filled.
 	buffer []RecordCopy
 	// floors are where the backlog began that is being delivered, by partition; nil at other times.
 	floors          map[string]uint64
@@ -186,8 +186,8 @@
 	return g.stopping || g.viewClient.Directives.Rest || slices.Contains(g.config.Draining, g.settings.Self.Name)
 }
 
-// redirectClient opens a session only to redirect its client to another gateway, which is faster
-// than to reject it and let it try.
+// redirectClient opens a session only to move its client to another gateway. A rejected client would
+// have to search for one, which takes longer.
 func (g *Gateway) redirectClient(
 	now time.Time,
 	request OpenSession,
--- a/internal/gateway/stats.go
+++ b/internal/gateway/stats.go
@@ -8,6 +8,9 @@
 
 // Counts are running sums for measurements and tests. The JSON keys are part of the ctl interface.
 type Counts struct {
+	// CopiesIn counts the copies that came from other gateways, CopiesStray those of them to whose
+	// topics nobody here subscribes. Repeated counts the recent messages that were sent again to newly
+	// discovered gateways.
 	Requests          uint64 `json:"Requests"`
 	Accepted          uint64 `json:"Accepted"`
 	RejectedRequests  uint64 `json:"RefusedRequests"`
@@ -50,7 +53,8 @@
 // Load returns the load that the gateway reports to the controllers.
 func (g *Gateway) Load() membership.Load { return g.load() }
 
-// TrackerStatus is the state of one tracker. The JSON keys are part of the ctl interface.
+// TrackerStatus is the state of one tracker; the fields are those of tracker. Head is its high
+// watermark, VerifiedAgo the time since verifiedAt. The JSON keys are part of the ctl interface.
 type TrackerStatus struct {
 	Verified    uint64        `json:"verified"`
 	Head        uint64        `json:"head"`
--- a/internal/gateway/tracker.go
+++ b/internal/gateway/tracker.go
@@ -53,7 +53,8 @@
 	started  bool
 	// highWatermark is the partition's highest offset that is known here.
 	highWatermark uint64
-	// delivered is when records were delivered; those up to verified are forgotten.
+	// delivered is when records were delivered, by offset; those up to verified are forgotten after
+	// verifyEvery.
 	delivered map[uint64]time.Time
 	// pending are records that must wait, by offset, pendingSince is since when.
 	pending      map[uint64]partition.Record
--- a/internal/gateway/verify.go
+++ b/internal/gateway/verify.go
@@ -101,8 +101,8 @@
 	g.sendFetch(now, g.nextRequest, name, fetch, effects)
 }
 
-// verified takes the answer to a verification. The missing records go the way of all
-// others, and once they are delivered the partition is verified up to there.
+// verified applies the response to a verification. The missing records become pending as if they
+// had come as copies; the partition is verified up to the first one that stays pending.
 func (g *Gateway) verified(now time.Time, operation *fetchOperation, effects *statemachine.Effects) {
 	tracker, found := g.trackers[operation.tracker]
 	if !found {
@@ -111,8 +111,8 @@
 	tracker.verifying = false
 	until := operation.partitions[operation.tracker].until
 	g.addMissing(now, tracker, operation.records[operation.tracker], until, effects)
-	// The answer holds all of this partition up to there, so nothing within it is
-	// missing; only another partition may still hold a message back.
+	// The response has all of this partition up to until, so nothing of it is missing; a message can
+	// only wait for another partition.
 	g.deliverReady(now, effects)
 	if tracker.version == operation.version {
 		limit := until
@@ -122,7 +122,7 @@
 		if limit > tracker.verified {
 			tracker.verified = limit
 		}
-		// All up to there is here now, though some of it may have to wait.
+		// All records up to until are here now, though some may be pending.
 		tracker.advanceVerifiedAt(tracker.requestedAt)
 		g.deliverReady(now, effects)
 	}
