--- a/internal/balancing/balancing.go
+++ b/internal/balancing/balancing.go
@@ -1,7 +1,3 @@
-// Package balancing decides which gateways hand callers on, and to whom, so that the
-// gateways of a zone hold them in the measure of their capacity. It acts whether or
-// not the fleet saves: the platform gives new callers to whoever listens first, and
-// nothing else would ever take them away again.
 package balancing
 
 import (
@@ -11,177 +7,143 @@
 )
 
 const (
-	// A gateway begins to hand callers on above uneven times its share and at least
-	// leastExcess callers more, and ends at even times its share.
-	uneven      = 1.2
-	even        = 1.05
-	leastExcess = 6
-	// fullZone is the part of a zone's capacity beyond which its callers are spread
-	// over the other zones too.
-	fullZone = 0.9
-	// A gateway hands on what it has too much within spreadOver seconds, at a pace
-	// within these bounds; recipients are few, so that each is told of soon.
-	spreadOver = 2
-	paceLeast  = 5
-	paceMost   = 30
-	recipients = 3
+	// startRatio and minExcess bound when a gateway starts to move sessions away: above
+	// startRatio times its fair share, and at least minExcess sessions above it. It stops
+	// at stopRatio times its fair share.
+	startRatio = 1.2
+	stopRatio  = 1.05
+	minExcess  = 6
+
+	// fullZoneRatio is the part of a zone's capacity in use beyond which sessions are
+	// spread over all zones.
+	fullZoneRatio = 0.9
+
+	// A gateway moves its excess within moveSeconds, at a rate between
+	// minMovesPerSecond and maxMovesPerSecond.
+	moveSeconds       = 2
+	minMovesPerSecond = 5
+	maxMovesPerSecond = 30
+
+	// maxTargets bounds the targets of one directive. With few targets each of them
+	// receives enough sessions to report a changed load soon.
+	maxTargets = 3
 )
 
-// Gateway is what a decision knows of one gateway: its callers, how many more it may
-// hold, and whether it takes any now.
+// Gateway is the load of one gateway as it was reported last.
 type Gateway struct {
-	Name    string
-	Zone    string
-	Origins int
-	Room    int
-	Accepts bool
+	Name string
+	Zone string
+	// Sessions is the number of sessions of clients that the gateway serves.
+	Sessions int
+	// FreeCapacity is how many more sessions the gateway can serve. It may be negative.
+	FreeCapacity int
+	// Accepting is set if the gateway may be given sessions now.
+	Accepting bool
 }
 
-// Order asks a gateway to hand on what it holds beyond Keep, at most Pace callers a
-// second, to the targets in turn.
-type Order struct {
-	Keep    int
-	Pace    int
+// capacity is how many sessions the gateway can serve in all.
+func (g Gateway) capacity() int { return g.Sessions + max(0, g.FreeCapacity) }
+
+// Directive asks a gateway to move sessions to other gateways.
+type Directive struct {
+	// KeepSessions is the number of sessions at which the gateway stops to move any.
+	KeepSessions int
+	// MovesPerSecond bounds the rate at which sessions are moved.
+	MovesPerSecond int
+	// Targets are the names of the gateways that take the sessions in turn.
 	Targets []string
 }
 
-// Balancer remembers which gateways are handing callers on.
+// Balancer decides which gateways move sessions away, and to which targets. It may not
+// be called from several goroutines at once.
 type Balancer struct {
-	shedding map[string]bool
+	// overloaded holds the gateways that have exceeded the start threshold and have not
+	// come down to the stop threshold since.
+	overloaded map[string]bool
 }
 
-// New makes a balancer.
-func New() *Balancer { return &Balancer{shedding: map[string]bool{}} }
+// New makes a balancer that takes no gateway for overloaded yet.
+func New() *Balancer { return &Balancer{overloaded: map[string]bool{}} }
 
-// member is a gateway with its share of its group's callers.
-type member struct {
-	Gateway
-	share float64
-	// lacks is how many callers it may still be given.
-	lacks int
+// Plan returns a directive for each gateway that has to move sessions away, by the
+// gateway's name. The caller leaves out gateways whose last report is not recent: a
+// gateway that is not among the given ones is neither asked to move sessions nor a
+// target, and its hysteresis state is dropped.
+func (b *Balancer) Plan(gateways []Gateway) map[string]Directive {
+	directives := map[string]Directive{}
+	for _, group := range groupsOf(gateways) {
+		b.planGroup(group, directives)
+	}
+	b.dropAbsent(gateways)
+	return directives
 }
 
-// Plan gives an order to each gateway that is to hand callers on. Only gateways with
-// fresh reports may be named.
-func (b *Balancer) Plan(gateways []Gateway) map[string]Order {
-	orders := map[string]Order{}
+// dropAbsent drops the state of gateways that are not reported any more.
+func (b *Balancer) dropAbsent(gateways []Gateway) {
 	present := map[string]bool{}
-	for _, group := range groups(gateways) {
-		b.planGroup(group, orders)
-	}
 	for _, gateway := range gateways {
 		present[gateway.Name] = true
 	}
-	for name := range b.shedding {
+	for name := range b.overloaded {
 		if !present[name] {
-			delete(b.shedding, name)
+			delete(b.overloaded, name)
 		}
 	}
-	return orders
-}
-
-// groups are the gateways among which callers are evened out: those of a zone, and all
-// of them together where a zone is full.
-func groups(gateways []Gateway) [][]member {
-	zones := map[string][]Gateway{}
-	for _, gateway := range gateways {
-		zones[gateway.Zone] = append(zones[gateway.Zone], gateway)
-	}
-	var names []string
-	for zone, members := range zones {
-		if callers, capacity := sums(members); float64(callers) > fullZone*float64(capacity) {
-			return [][]member{shared(gateways)}
-		}
-		names = append(names, zone)
-	}
-	slices.Sort(names)
-	var found [][]member
-	for _, zone := range names {
-		found = append(found, shared(zones[zone]))
-	}
-	return found
 }
 
-// sums adds up callers, and the capacity of those that take any.
-func sums(gateways []Gateway) (callers, capacity int) {
-	for _, gateway := range gateways {
-		callers += gateway.Origins
-		if gateway.Accepts {
-			capacity += gateway.Origins + max(0, gateway.Room)
-		}
-	}
-	return callers, capacity
-}
-
-// shared gives each gateway of a group its share, in the measure of its capacity.
-func shared(gateways []Gateway) []member {
-	callers, capacity := sums(gateways)
-	var group []member
-	for _, gateway := range gateways {
-		one := member{Gateway: gateway}
-		if gateway.Accepts && capacity > 0 {
-			one.share = float64(callers) * float64(gateway.Origins+max(0, gateway.Room)) / float64(capacity)
-			one.lacks = max(0, min(int(one.share)-gateway.Origins, gateway.Room))
-		}
-		group = append(group, one)
-	}
-	return group
-}
-
-// planGroup gives the callers that some have too many to those that have too few. What
-// a recipient lacks is given out once, so that it is not flooded from all sides.
-func (b *Balancer) planGroup(group []member, orders map[string]Order) {
+// planGroup moves sessions from the overloaded gateways of a group to the underloaded
+// ones, the most overloaded gateway first. What a target is granted by one gateway is
+// not granted by the next, so that no target is flooded from several sides.
+func (b *Balancer) planGroup(group []member, directives map[string]Directive) {
 	slices.SortFunc(group, func(left, right member) int {
-		return cmp.Or(cmp.Compare(excess(right), excess(left)), cmp.Compare(left.Name, right.Name))
+		return cmp.Or(cmp.Compare(right.excess(), left.excess()), cmp.Compare(left.Name, right.Name))
 	})
 	for position := range group {
-		donor := group[position]
-		if !b.sheds(donor) {
+		source := group[position]
+		if !b.updateOverloaded(source) {
 			continue
 		}
-		if order, found := give(donor, group); found {
-			orders[donor.Name] = order
+		if directive, found := assignTargets(source, group); found {
+			directives[source.Name] = directive
 		}
 	}
 }
 
-// excess is how many callers a gateway holds beyond its share.
-func excess(gateway member) float64 { return float64(gateway.Origins) - gateway.share }
-
-// sheds tells whether a gateway hands callers on, which it does until it has come down
-// to its share.
-func (b *Balancer) sheds(donor member) bool {
-	limit := math.Max(donor.share*uneven, donor.share+leastExcess)
-	if b.shedding[donor.Name] {
-		limit = donor.share * even
+// updateOverloaded applies the hysteresis to a gateway and reports whether it has to
+// move sessions away.
+func (b *Balancer) updateOverloaded(source member) bool {
+	threshold := math.Max(source.fairShare*startRatio, source.fairShare+minExcess)
+	if b.overloaded[source.Name] {
+		threshold = source.fairShare * stopRatio
 	}
-	b.shedding[donor.Name] = donor.Accepts && float64(donor.Origins) > limit
-	return b.shedding[donor.Name]
+	b.overloaded[source.Name] = source.Accepting && float64(source.Sessions) > threshold
+	return b.overloaded[source.Name]
 }
 
-// give finds the gateways that lack most, and notes what they are given.
-func give(donor member, group []member) (Order, bool) {
-	left := donor.Origins - int(math.Ceil(donor.share))
+// assignTargets grants the excess of a gateway to the members of its group with the
+// largest deficits and reduces those deficits. It reports false if there is nothing to
+// move, or no gateway to move it to.
+func assignTargets(source member, group []member) (Directive, bool) {
+	remaining := source.Sessions - int(math.Ceil(source.fairShare))
+	granted := 0
 	var targets []string
-	given := 0
-	for range recipients {
-		best := -1
-		for position := range group {
-			if lacks := group[position].lacks; lacks > 0 && (best < 0 || lacks > group[best].lacks) {
-				best = position
-			}
-		}
-		if best < 0 || left <= 0 {
+	for range maxTargets {
+		target := largestDeficit(group)
+		if target == nil || remaining <= 0 {
 			break
 		}
-		part := min(left, group[best].lacks)
-		group[best].lacks -= part
-		left -= part
-		given += part
-		targets = append(targets, group[best].Name)
+		count := min(remaining, target.deficit)
+		target.deficit -= count
+		remaining -= count
+		granted += count
+		targets = append(targets, target.Name)
 	}
-	if given == 0 {
-		return Order{}, false
+	if granted == 0 {
+		return Directive{}, false
 	}
-	return Order{Keep: donor.Origins - given, Pace: min(max(given/spreadOver, paceLeast), paceMost), Targets: targets}, true
+	return Directive{
+		KeepSessions:   source.Sessions - granted,
+		MovesPerSecond: min(max(granted/moveSeconds, minMovesPerSecond), maxMovesPerSecond),
+		Targets:        targets,
+	}, true
 }
--- a/internal/controller/economy.go
+++ b/internal/controller/economy.go
@@ -44,13 +44,13 @@
 			continue
 		}
 		gateways = append(gateways, balancing.Gateway{
-			Name: name, Zone: member.Zone, Origins: load.Sessions, Room: load.FreeCapacity,
-			Accepts: load.Ready && !member.Resting && !decided[name].Rest && !slices.Contains(configuration.Drains, name),
+			Name: name, Zone: member.Zone, Sessions: load.Sessions, FreeCapacity: load.FreeCapacity,
+			Accepting: load.Ready && !member.Resting && !decided[name].Rest && !slices.Contains(configuration.Drains, name),
 		})
 	}
 	for name, order := range c.balancer.Plan(gateways) {
 		present := decided[name]
-		present.KeepSessions, present.MovesPerSecond, present.Targets = order.Keep, order.Pace, order.Targets
+		present.KeepSessions, present.MovesPerSecond, present.Targets = order.KeepSessions, order.MovesPerSecond, order.Targets
 		decided[name] = present
 	}
 }
