--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -7,27 +7,28 @@
 )
 
 const (
-	// sessionBytes is how many bytes a new session is estimated to bring over the link, and
-	// admitShare the share of the link that new sessions may take.
+	// sessionBytes is the estimated number of bytes that a new session transfers over the link.
+	// admitShare is the share of the link's rate that new sessions may use.
 	sessionBytes = 2 << 10
 	admitShare   = 0.5
-	// admitBurst is for how long unused admissions add up, and minAdmitted how many
-	// sessions are admitted at once in any case.
+	// admitBurst is the time for which unused admissions accumulate. minAdmitted is the minimum burst:
+	// this many sessions may be admitted at once at any link rate.
 	admitBurst  = 300 * time.Millisecond
 	minAdmitted = 16
-	// backlogAhead is how long the link may take for the missing records before no further session is
+	// backlogAhead is the transfer time of the missing records above which no further session is
 	// admitted.
 	backlogAhead = time.Second
 )
 
-// admission is a token bucket of the sessions that may still be admitted: how many, as of a moment.
+// admission is a token bucket that limits new sessions: left is the number of sessions that may be
+// admitted, as of the time at.
 type admission struct {
 	left float64
 	at   time.Time
 }
 
-// admits returns whether the link can serve one more session soon, and subtracts that from what may
-// still be admitted. It always can if the rate of the link is unknown.
+// admits reports whether one more session may be admitted, and takes a token for it. All sessions are
+// admitted if the rate of the link is unknown.
 func (g *Gateway) admits(now time.Time) bool {
 	if g.settings.Link == 0 || statemachine.Mutated("all-admitted") {
 		return true
@@ -46,8 +47,8 @@
 	return true
 }
 
-// backlog returns how many bytes of records are known to be missing here, of the topics that wait
-// for a batch or are in one.
+// backlog returns how many bytes of records this gateway is known to miss, summed over the topics that
+// wait for a batch or are in one.
 func (g *Gateway) backlog(now time.Time) int {
 	sum := 0
 	count := func(waits *topicState) {
--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -10,11 +10,11 @@
 	"dahlialock/internal/gateway"
 )
 
-// thinLink is the link of the smallest machines that are known of.
+// thinLink is the link rate of the smallest known machines, in bytes per second.
 const thinLink = 2_600_000 / 8
 
-// admitAll returns how many clients that connect at once are admitted, and checks that the
-// others are rejected at once with a time after which to retry.
+// admitAll connects clients at the same time and returns how many are admitted. It checks that the
+// others are rejected at once as busy, with a retry delay.
 func admitAll(t *testing.T, fixture *fixture, callers int) (count int) {
 	t.Helper()
 	for number := range callers {
@@ -35,7 +35,7 @@
 	first := admitAll(t, fixture, 300)
 	assert.Assert(t, first >= 16 && first <= 32, "%d", first)
 	fixture.pass(700 * time.Millisecond)
-	assert.Equal(t, admitAll(t, fixture, 300), first, "no more are saved up than for a moment")
+	assert.Equal(t, admitAll(t, fixture, 300), first, "unused admissions must accumulate only for the burst time")
 	sum := 0
 	for range 10 {
 		fixture.pass(100 * time.Millisecond)
--- a/internal/gateway/append.go
+++ b/internal/gateway/append.go
@@ -7,8 +7,8 @@
 	"dahlialock/internal/statemachine"
 )
 
-// publishDurable sends a publication to the leader of its partition, after a lookup of the sender
-// where its newest messages are not known here.
+// publishDurable sends a publication to the leader of its partition. If this gateway does not know the
+// newest messages of the sender, it looks up the sender first.
 func (g *Gateway) publishDurable(
 	now time.Time,
 	state *spaceState,
@@ -16,8 +16,8 @@
 	item *publication,
 	effects *statemachine.Effects,
 ) {
-	// A sender whose seq does not follow the newest one known here may have published through another
-	// gateway in between; its dependencies are looked up anew.
+	// If the seq leaves a gap after the newest known one, the sender may have published through another
+	// gateway in between. Its dependencies are looked up again.
 	follows := from.lookedUp && item.request.Seq <= from.lastSeq+1
 	if !follows && !item.lookedUp && state.space.Partitions() > 1 {
 		item.lookedUp = true
@@ -32,7 +32,8 @@
 	g.sendAppend(now, from, item, effects)
 }
 
-// sendAppend sends an append, or sends it again under a new request number.
+// sendAppend sends the append of a publication to the leader of its partition. Each send has a new
+// request number.
 func (g *Gateway) sendAppend(now time.Time, from *sender, item *publication, effects *statemachine.Effects) {
 	item.sentAt = now
 	g.timers.ArmSooner(timerDeadlines, now.Add(appendRetry))
@@ -70,7 +71,7 @@
 	})
 }
 
-// handleAppendResponse applies the response of a store to a publication.
+// handleAppendResponse handles the response of a store to an append.
 func (g *Gateway) handleAppendResponse(
 	now time.Time,
 	response partition.AppendResponse,
@@ -104,7 +105,7 @@
 	}
 }
 
-// applyAppended fans out a message that was appended and accepts its publication.
+// applyAppended fans out an appended message and accepts its publication.
 func (g *Gateway) applyAppended(
 	now time.Time,
 	item *publication,
@@ -129,8 +130,8 @@
 	g.finish(now, item, acceptedReply(map[string]any{"again": response.Duplicate}), effects)
 }
 
-// applyAppendRejected answers a publication that a store rejected, unless it can still
-// succeed within its deadline.
+// applyAppendRejected answers a publication whose append was rejected. If the store is
+// not the leader, the append is retried until the deadline instead.
 func (g *Gateway) applyAppendRejected(
 	now time.Time,
 	item *publication,
@@ -139,7 +140,7 @@
 ) {
 	switch response.Code {
 	case "not-first":
-		// The view of the store or of this gateway is old; the deadline decides.
+		// The view of the store or of this gateway is stale; the append is retried until the deadline.
 		g.viewClient.PollNow(now)
 		item.sentAt = now
 		g.timers.ArmSooner(timerDeadlines, now.Add(appendRetry))
@@ -149,19 +150,19 @@
 		answer := rejectedReply(
 			503,
 			response.Code,
-			"the partition can't keep two copies at this moment",
+			"the partition can't store the message on two replicas at the moment",
 			response.RetryAfter,
 		)
 		if len(item.unanswered) > 0 {
-			// An earlier attempt has no response; it may yet be appended.
+			// An earlier send has no response; its append may still succeed.
 			answer = unsettledReply(response.Code, "send the same seq again", response.RetryAfter)
 		}
 		g.finish(now, item, answer, effects)
 	}
 }
 
-// fanOutRecord sends one copy of a record to each destination gateway, and delivers it to the
-// subscribers here.
+// fanOutRecord delivers a record to the subscribers of this gateway and sends one copy to each
+// destination gateway.
 func (g *Gateway) fanOutRecord(
 	now time.Time,
 	state *spaceState,
--- a/internal/gateway/commands.go
+++ b/internal/gateway/commands.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Commands of the adapters. Request, and Local in control commands, is the number under which
-// the gateway responds; RequestName is the name of the request in recorded decisions.
+// Commands of the adapters. Request (Local in control commands) is the request number that the
+// gateway's response refers to. RequestName is the name of the request in recorded decisions.
 type (
-	// OpenSession opens a session for a client. Session is the number that the adapter gave it, Name
-	// the name under which the client sees it, Client the name of the client.
+	// OpenSession opens a session for a client. Session is the number that the adapter assigned, Name
+	// is the session name that the client sees, and Client is the name of the client.
 	OpenSession struct {
 		Request uint64
 		Session uint64
@@ -19,12 +19,12 @@
 		AdapterPings bool
 	}
 	// CloseSession reports that the connection of a session has ended; it gets no response. Reason is
-	// for the log; that of a session whose queue was full is "slow".
+	// logged; the reason "slow" means that the queue of the session was full.
 	CloseSession struct {
 		Session uint64
 		Reason  string
 	}
-	// Subscribe adds interests to a session, from a cursor on if there is one.
+	// Subscribe adds interests to a session. If Cursor is not empty, they are resumed from it.
 	Subscribe struct {
 		Request     uint64
 		RequestName string
@@ -41,8 +41,8 @@
 		Client      string
 		Interests   []Interest
 	}
-	// Publish publishes a message. Sender must be the name of Client (see senderPolicy); Seq counts its
-	// messages from 1. Space may be empty for a routed topic.
+	// Publish publishes a message. Sender must equal Client (see senderPolicy). Seq is the sequence
+	// number of the message, counted per sender from 1. Space may be empty for a routed topic.
 	Publish struct {
 		Request     uint64
 		RequestName string
@@ -53,7 +53,7 @@
 		Seq         uint64
 		Data        []byte
 	}
-	// CountSubscribers asks how many clients subscribe to a routed topic, over all gateways.
+	// CountSubscribers requests the number of subscribers of a routed topic over all gateways.
 	CountSubscribers struct {
 		Request     uint64
 		RequestName string
@@ -63,7 +63,7 @@
 	}
 	// ClientActive reports that the client of a session has sent something; it gets no response.
 	ClientActive struct{ Session uint64 }
-	// Pong is the answer of a client to a ping.
+	// Pong is a client's response to a ping.
 	Pong struct {
 		Request uint64
 		Session uint64
@@ -76,8 +76,8 @@
 		Path   string
 		Body   []byte
 	}
-	// FindDecisions searches the recorded decisions, as Ring.Find of decisionlog does; the response is
-	// a list of entries.
+	// FindDecisions searches the recorded decisions with decisionlog.Ring.Find; the response is the
+	// list of matching entries.
 	FindDecisions struct {
 		Local                    uint64
 		Request, Message, Client string
@@ -86,28 +86,29 @@
 	Stop struct{}
 )
 
-// Reply is the final answer to the request of a client: accepted, rejected, or unsettled.
+// Reply is the final answer to a client's request: accepted, rejected or unsettled.
 type Reply struct {
 	// Status is the HTTP status that belongs to the outcome.
 	Status  int
 	Outcome Outcome
-	// Code and Text say why a request was not accepted. Both are part of the client protocol.
+	// Code and Text are the reason if the request was not accepted. Both are part of the client
+	// protocol.
 	Code string
 	Text string
-	// RetryAfter is after what time a retry may succeed, 0 if it is pointless.
+	// RetryAfter is the delay after which a retry may succeed, 0 if no retry can succeed.
 	RetryAfter time.Duration
-	// Fields are added to the JSON of the answer.
+	// Fields are added to the JSON object of the answer.
 	Fields map[string]any
-	// Cursor is the cursor of a subscription to a routed topic, SubscriberCount the number of its
-	// subscribers.
+	// Cursor is the cursor of a subscription to a routed topic. SubscriberCount is the answer to
+	// CountSubscribers.
 	Cursor          string
 	SubscriberCount int
 }
 
-// Outcome is what became of a request, as clients see it.
+// Outcome is the outcome of a request that is reported to the client.
 type Outcome string
 
-// The outcomes of requests. The values are part of the client protocol.
+// Outcomes of requests. The values are part of the client protocol.
 const (
 	// OutcomeAccepted means that the request was carried out.
 	OutcomeAccepted Outcome = "accepted"
@@ -117,13 +118,13 @@
 	OutcomeUnsettled Outcome = "unsettled"
 )
 
-// acceptedReply is the answer to a request that was carried out; fields are added to its JSON.
+// acceptedReply returns the answer to a request that was carried out; fields are added to its JSON.
 func acceptedReply(fields map[string]any) Reply {
 	return Reply{Status: 200, Outcome: OutcomeAccepted, Fields: fields}
 }
 
-// rejectedReply is the answer to a request that had no effect. A retryAfter of zero means that a
-// retry is pointless.
+// rejectedReply returns the answer to a request that had no effect. A retryAfter of zero means that
+// no retry can succeed.
 func rejectedReply(status int, code, text string, retryAfter time.Duration) Reply {
 	return Reply{
 		Status:     status,
@@ -134,8 +135,8 @@
 	}
 }
 
-// unsettledReply is the answer to a publication that may or may not have been appended; the client
-// sends the same sequence again.
+// unsettledReply returns the answer to a publication that may or may not have been appended; the
+// client must send the message again with the same sequence.
 func unsettledReply(code, text string, retryAfter time.Duration) Reply {
 	return Reply{
 		Status:     503,
@@ -146,8 +147,8 @@
 	}
 }
 
-// Event is one event of a session, as the adapters send it to the client. The JSON keys are part of
-// the client protocol.
+// Event is an event of a session that an adapter sends to the client. The JSON keys are part of the
+// client protocol.
 type Event struct {
 	Event   string          `json:"event"`
 	Session string          `json:"channel,omitempty"`
@@ -159,7 +160,7 @@
 	Sender  string          `json:"sender,omitempty"`
 	Seq     uint64          `json:"seq,omitempty"`
 	Data    json.RawMessage `json:"data,omitempty"`
-	// Body is the data of a message of a routed topic, whatever its bytes.
+	// Body is the data of a message of a routed topic; it may contain arbitrary bytes.
 	Body   []byte `json:"-"`
 	Cursor string `json:"cursor,omitempty"`
 	Code   string `json:"code,omitempty"`
--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -1,82 +1,86 @@
-// Package gateway is the state machine of the daemons that hold client connections.
+// Package gateway implements the state machine of the gateway daemons, which serve client
+// connections.
 //
-// A Gateway holds the sessions of clients, runs the peers of the overlay, passes each
-// request through the policies, and fans messages out to the other gateways with
+// A Gateway keeps the sessions of its clients, runs the peers of the overlay, checks each
+// request against the policies, and fans messages out to the other gateways that have
 // subscribers. It follows the control state through the agent on its machine.
 //
-// # How it is driven
-//
-// The gateway does no I/O and starts no goroutine. One loop owns it and calls Start
-// once, HandleCommand for the commands of the adapters (see OpenSession and the types
-// beside it), HandleMessage for the messages of other daemons, and Tick at the moment
-// that NextTick returns. Each call adds what is to be done to its Effects: messages,
-// responses, deliveries to sessions, log events. No method may be called from several
-// goroutines at once. A run depends only on the calls and their moments: maps are walked
-// in sorted order where the order has an effect.
-//
-// # When it serves
-//
-// A gateway delivers only while it knows that its configuration is the newest. A message
-// that shows a higher version defers delivery until the gateway has caught up, and so
-// does a confirmation that is older than Settings.ConfirmedFor; see Gateway.Confirmed.
-//
-// # Spaces with trackers
-//
-// In a space whose topics are not routed, each partition with subscribers here has a
-// tracker. It delivers a record only after what the record depends on was delivered: the
-// record of the topic before it, and the earlier messages of its sender in any partition.
-// What is missing is fetched from the leader of the partition. The leader reports its
-// high watermark as it moves, and the tracker verifies that it has all records up to
-// there, so that a lost last message shows too.
-//
-// A subscription to durable topics begins by learning the high watermarks of its
-// partitions or, with a cursor, by fetching all that was missed. Until that is done the
-// live messages of the session are buffered, so that none is delivered twice, skipped or
-// out of order. Several interests that are resumed together are filled as one, since the
-// order of a sender runs across them.
-//
-// A space with ephemeral retention stores nothing. While clients move, and peers of the
-// overlay come and go, a message must not fall between two gateways; so each gateway
-// remembers for a moment what it published and received. A client that resumes gets from
-// that what it has not had, and a gateway that is newly discovered as a destination gets
-// what was published just before.
-//
-// The publications of one sender in one space are processed one after the other: a
-// rejection or an unsettled outcome holds off those behind it, so that none overtakes.
-// A durable message goes to the leader of its partition and is fanned out once it is
-// appended; an ephemeral one is fanned out at once. The destinations come from the
-// overlay peer at the area of the topic, and each gets one copy.
+// # Driving the state machine
+//
+// The gateway does no I/O and starts no goroutines. A single loop owns it. The loop calls
+// Start once, HandleCommand for each command of an adapter (OpenSession and the other
+// command types), HandleMessage for each message of another daemon, and Tick at the time
+// that NextTick returns. Each call adds its results to an Effects value: messages to send,
+// responses, deliveries to sessions, log events. Methods must not be called concurrently.
+// A run is deterministic: it depends only on the calls and their times, and maps are
+// iterated in sorted order wherever the order has an effect.
+//
+// # Confirmed configuration
+//
+// A gateway delivers messages only while it is certain that its configuration is the newest.
+// Delivery is deferred from the time a message shows a higher configuration version until
+// the gateway has applied that version, and while the last confirmation is older than
+// Settings.ConfirmedFor; see Gateway.Confirmed.
+//
+// # Spaces without routed topics
+//
+// In a space without routed topics, the gateway keeps a tracker for each partition that its
+// sessions subscribe to. The tracker delivers a record only after the records that it
+// depends on: the previous record of its topic, and the earlier messages of its sender in
+// any partition. Missing records are fetched from the leader of the partition. The leader
+// reports each advance of its high watermark, and the tracker verifies that it has all
+// records up to that offset, so that the loss of the last message is detected too.
+//
+// A new subscription to durable topics first requests the high watermarks of its partitions
+// or, if it has a cursor, fetches all missed records. Until that is done, the live messages
+// of the session are buffered, so that no message is delivered twice, skipped or delivered
+// out of order. Interests that are resumed together are filled by one fetch, since the order
+// of a sender's messages extends across them.
+//
+// The messages of a space with ephemeral retention are not stored. Clients move between
+// gateways, and peers of the overlay join and leave; no message may be lost in between.
+// Each gateway therefore remembers for a short time what it published and received. A client
+// that resumes gets the messages that it missed, and a gateway that was just discovered as a
+// destination gets the messages that were published immediately before.
+//
+// The publications of one sender in one space are processed one after the other. A rejected
+// or unsettled publication blocks the later ones, so that none overtakes it. A durable
+// message is sent to the leader of its partition and fanned out once it is appended; an
+// ephemeral message is fanned out at once. The overlay peer at the area of the topic
+// supplies the destinations, and each destination gets one copy.
 //
 // # Routed topics
 //
-// A topic that a route leads to a space has an order of its own, which the shared
-// partition gives in which it lies. A subscription is therefore no more than the newest
-// offset that was delivered: each record names the offset of the topic's record before
-// it, and what is missing is fetched from the partition's leader for all subscriptions at
-// once. The leader also reports which topics moved, so that a lost last message shows.
-// Topics with ephemeral retention have the same order, but their data is not stored: a
-// gap that isn't filled within a short time is skipped.
-//
-// Topics that lack records wait in one queue, in the order in which they began to. One
-// batch at a time is in flight to each store and carries all topics that wait for it, so
-// that every subscription is confirmed by the next small response, however many there
-// are; the records follow within a credit of bytes that the machine's link can take.
-// Nothing is requested twice while its response may be on the way.
-//
-// Messages of different routed topics don't wait for each other; those of one topic go to
-// the leader in the order in which they came. The leader gives every message its offset
-// and remembers the sequences of its sender. After the append one copy goes to each
-// gateway with subscribers. The data of an ephemeral message never goes to a store.
+// A routed topic is a topic that a route assigns to a space. Each routed topic has its own
+// order, which is that of its records in the shared partition that contains the topic. A
+// subscription is therefore just the newest delivered offset: each record names the offset
+// of the topic's previous record, and missing records are fetched from the leader of the
+// partition for all subscriptions at once. The leader also reports which topics have new
+// records, so that the loss of the last message is detected. Topics with ephemeral retention
+// are ordered in the same way, but their data is not stored: a gap that is not filled within
+// a short time is skipped.
+//
+// Topics with missing records wait in a FIFO queue. At most one batch is in flight to each
+// store. The batch contains all topics that wait for this store, so that the next small
+// response confirms every subscription, however many there are. The records follow within a
+// byte credit that matches the rate of the machine's link. No request is repeated while its
+// response may still arrive.
+//
+// Messages of different routed topics don't wait for each other; those of one topic are sent
+// to the leader in the order in which they were received. The leader assigns an offset to
+// each message and remembers the sequences of its sender. After the append, one copy is sent
+// to each gateway with subscribers. The data of an ephemeral message is never sent to a store.
 //
 // # Cursors and admission
 //
-// A cursor is the position of a client that may come back: its subscriptions, how far
-// each partition was delivered, and the newest sequence of each sender that it saw in
-// ephemeral spaces. It is opaque to clients and authenticated with the fleet's key; a
-// forged one, one of another client and one of an unknown layout are rejected.
+// A cursor is the position of a client that may resume: its subscriptions, how far each
+// partition was delivered, and the newest sequence of each sender that it saw in ephemeral
+// spaces. It is opaque to clients and authenticated with the key of the fleet. A cursor that
+// is forged, belongs to another client or has an unknown layout is rejected.
 //
-// The platform spreads new clients over all gateways that listen, hundreds within
-// moments, and each has missed messages fetched over the machine's link. A gateway admits
-// only as many as its link can serve soon, and none while the backlog is longer than the
-// link takes in a short time. A client that is rejected finds another gateway.
+// The platform spreads new clients over all gateways that listen. Hundreds of them may
+// connect within moments, and for each of them missed messages are fetched over the
+// machine's link. A gateway admits only as many clients as its link can serve soon, and none
+// while the link needs longer than a short time for the backlog. A rejected client connects
+// to another gateway.
 package gateway
--- a/internal/gateway/draining.go
+++ b/internal/gateway/draining.go
@@ -10,8 +10,8 @@
 )
 
 // disconnectSome closes sessions of a gateway that has been unconfirmed for longer than any change
-// of the leader takes: its agent is lost or its machine is isolated, and its clients are served
-// by other gateways. Half of them, but at least minDisconnects, are closed each second.
+// of the leader takes. Its agent has failed or its machine is isolated, and other gateways can serve
+// its clients. Half of the sessions, but at least minDisconnects, are closed each second.
 func (g *Gateway) disconnectSome(now time.Time, effects *statemachine.Effects) {
 	if g.viewClient.Index == 0 || g.Confirmed(now) || now.Sub(g.viewClient.ConfirmedAt) < disconnectAfter {
 		return
@@ -26,7 +26,7 @@
 	}
 }
 
-// targets returns the gateways to which clients may be moved, the best first.
+// targets returns the gateways to which clients may be moved, in order of preference.
 func (g *Gateway) targets() []membership.Member {
 	var members []membership.Member
 	for _, name := range g.viewClient.Directives.Targets {
@@ -52,7 +52,7 @@
 	return members
 }
 
-// movesNow returns how many clients to move in this step; zero or less means none.
+// movesNow returns how many clients to move in this step; a value of zero or less means none.
 func (g *Gateway) movesNow() int {
 	directives := g.viewClient.Directives
 	if !directives.Drain && directives.KeepSessions == 0 && !g.stopping {
@@ -60,7 +60,7 @@
 	}
 	count := max(1, directives.MovesPerSecond/int(time.Second/moveInterval))
 	if directives.KeepSessions > 0 && !directives.Drain && !g.stopping {
-		// Clients that were asked to move and are still here are on their way.
+		// Sessions whose clients were asked to move are not counted: these clients are about to leave.
 		count = min(count, g.remainingSessions()-directives.KeepSessions)
 	}
 	if g.stopping {
@@ -69,7 +69,7 @@
 	return count
 }
 
-// moveSome asks the next clients to move to other gateways.
+// moveSome asks the next clients to move to other gateways, and schedules the next step.
 func (g *Gateway) moveSome(now time.Time, effects *statemachine.Effects) {
 	count := g.movesNow()
 	if count <= 0 {
@@ -94,7 +94,7 @@
 	}
 }
 
-// remainingSessions returns how many sessions were not asked to move.
+// remainingSessions returns the number of sessions whose clients were not asked to move.
 func (g *Gateway) remainingSessions() int {
 	count := 0
 	for _, session := range g.sessions {
@@ -105,7 +105,7 @@
 	return count
 }
 
-// move asks a client to reconnect to another gateway, with its cursor.
+// move asks a client to reconnect to another gateway, and sends the cursor with which to resume.
 func (g *Gateway) move(
 	now time.Time,
 	id uint64,
@@ -126,7 +126,7 @@
 	g.emit(id, event, effects)
 }
 
-// beginStop starts the graceful shutdown.
+// beginStop starts a graceful shutdown.
 func (g *Gateway) beginStop(now time.Time) {
 	if g.stopping {
 		return
@@ -137,14 +137,15 @@
 	g.timers.Arm(timerStop, now.Add(moveInterval))
 }
 
-// servesWhileStopping returns whether a stopping gateway has time left to serve the clients that
-// are still here.
+// servesWhileStopping reports whether a stopping gateway has enough time left to serve its remaining
+// clients.
 func (g *Gateway) servesWhileStopping(now time.Time) bool {
 	return now.Before(g.stopUntil.Add(-time.Second))
 }
 
-// awaitsClients returns whether a client is left that may yet leave by itself. On the line protocol
-// a client that was asked to move and is still here after moveTimeout will not.
+// awaitsClients reports whether the shutdown should wait for a client to disconnect. On the line
+// protocol, a client that has not disconnected within moveTimeout after it was asked to move is not
+// expected to do so.
 func (g *Gateway) awaitsClients(now time.Time) bool {
 	for _, session := range g.sessions {
 		if !session.adapterPings || session.movedAt.IsZero() || now.Sub(session.movedAt) < moveTimeout {
@@ -154,8 +155,8 @@
 	return false
 }
 
-// stopStep ends the gateway once its clients have left and its appends are answered, or its time is
-// up.
+// stopStep completes the shutdown once the clients have disconnected and the appends are answered, or
+// the deadline has passed.
 func (g *Gateway) stopStep(now time.Time, effects *statemachine.Effects) {
 	awaitsClients := g.awaitsClients(now) && now.Before(g.stopUntil)
 	awaitsAppends := len(g.appends)+len(g.routed.appends) > 0 && now.Before(g.stopUntil.Add(-time.Second))
--- a/internal/gateway/forms_test.go
+++ b/internal/gateway/forms_test.go
@@ -25,8 +25,8 @@
 
 var cursorKey = []byte("recorded-key-0123456")
 
-// sampleCursors are cursors of a client without any messages, of one with a part of them, and
-// of one that saw ephemeral messages.
+// sampleCursors returns a cursor of a client that has received all messages up to the floor, one with
+// gaps above the floor, and one of a client that saw ephemeral messages.
 func sampleCursors() []cursor {
 	begun := cursor{
 		Layout:     cursorLayout,
@@ -59,7 +59,7 @@
 			continue
 		}
 		if again := seal(cursorKey, place); again != text {
-			t.Errorf("cursor %d, read and written anew, is\n\t%s\nnot\n\t%s", position+1, again, text)
+			t.Errorf("cursor %d, decoded and encoded again, is\n\t%s\nnot\n\t%s", position+1, again, text)
 		}
 		if !reflect.DeepEqual(place, sampleCursors()[position]) {
 			t.Errorf("cursor %d is read as %v", position+1, place)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -15,73 +15,76 @@
 	"dahlialock/internal/statemachine"
 )
 
-// Spans and bounds of a gateway.
+// Intervals, timeouts and limits of a gateway.
 const (
-	// pingInterval is how often a client is pinged, pongTimeout after what silence its session is
-	// closed.
+	// pingInterval is the interval of the pings to a client. A session is closed if its client has
+	// sent nothing for pongTimeout.
 	pingInterval = 5 * time.Second
 	pongTimeout  = 16 * time.Second
-	// tickInterval is the interval of the periodic work.
+	// tickInterval is the interval of the periodic checks in tick.
 	tickInterval = time.Second
-	// moveInterval is the interval of the steps in which clients are moved, moveLinger after what
-	// time the session of a client that was asked to move is closed.
+	// moveInterval is the interval of the steps in which clients are moved. moveLinger is the time
+	// after which the session of a client that was asked to move is closed.
 	moveInterval = 100 * time.Millisecond
 	moveLinger   = 1500 * time.Millisecond
-	// stopTimeout is the longest duration of a graceful shutdown, stopMoves the fewest clients that
-	// it moves in a step, moveTimeout for how long it waits for a client that was asked to move.
+	// stopTimeout is the maximum duration of a graceful shutdown. stopMoves is the minimum number of
+	// clients that a shutdown moves in a step. moveTimeout is how long a shutdown waits for a client
+	// that was asked to move.
 	stopTimeout = 3500 * time.Millisecond
 	stopMoves   = 25
 	moveTimeout = 600 * time.Millisecond
-	// maxPendingRecords bounds the pending records of a tracker, and the deferred messages.
+	// maxPendingRecords is the maximum number of pending records of a tracker, and of deferred
+	// messages.
 	maxPendingRecords = 20000
-	// maxInterests bounds the subscriptions of a session to spaces without routed topics.
+	// maxInterests is the maximum number of subscriptions of a session to spaces without routed
+	// topics.
 	maxInterests = 256
-	// retryShortDelay and retryLongDelay are after what time a rejected client may retry.
+	// retryShortDelay and retryLongDelay are the delays after which rejected clients may retry.
 	retryShortDelay = 250 * time.Millisecond
 	retryLongDelay  = time.Second
-	// requestTimeout is the longest time to the final answer of a publication.
+	// requestTimeout is the maximum time until a publication gets its final answer.
 	requestTimeout = 700 * time.Millisecond
-	// refreshTimeout is how long a request waits for a newer configuration.
+	// refreshTimeout is the maximum time that a request waits for a newer configuration.
 	refreshTimeout = 600 * time.Millisecond
-	// defaultSubscribeTimeout is the longest time to the final answer of a subscription.
+	// defaultSubscribeTimeout is the maximum time until a subscription gets its final answer.
 	defaultSubscribeTimeout = 1500 * time.Millisecond
-	// disconnectAfter is after what time without a confirmation sessions are closed, minDisconnects
-	// how many at least in each second.
+	// disconnectAfter is the time without a confirmation after which sessions are closed.
+	// minDisconnects is the minimum number of sessions that are then closed each second.
 	disconnectAfter = 5500 * time.Millisecond
 	minDisconnects  = 10
 )
 
 // Settings are the settings of a gateway daemon.
 type Settings struct {
-	// Self is how this daemon appears in the membership.
+	// Self is the membership entry of this daemon.
 	Self membership.Member
-	// Agent is the address of the agent on this machine, through which the gateway follows the
+	// Agent is the address of the agent on this machine, from which the gateway receives the
 	// control state.
 	Agent string
-	// Key authenticates cursors; all gateways of a fleet have the same.
+	// Key authenticates cursors; all gateways of a fleet have the same key.
 	Key []byte
-	// MaxClients is how many sessions the gateway holds at most, 2000 if it is 0.
+	// MaxClients is the maximum number of sessions; 0 means 2000.
 	MaxClients int
-	// ConfirmedFor is how long a gateway serves after it last knew that its configuration is the
-	// newest, StopWithin how long a graceful shutdown takes. Both have a longest value, which holds
-	// if they are 0.
+	// ConfirmedFor is how long a gateway serves after the last confirmation that its configuration
+	// is the newest. StopWithin is the maximum duration of a graceful shutdown. Each has an upper
+	// limit, which also applies if the value is 0.
 	ConfirmedFor time.Duration
 	StopWithin   time.Duration
-	// Acknowledge is within what time a well-formed control request is to be acknowledged.
+	// Acknowledge is the time within which a well-formed control request must be acknowledged.
 	Acknowledge time.Duration
-	// Link is how many bytes a second the machine's link takes, 0 if unknown.
+	// Link is the rate of the machine's link in bytes per second, 0 if unknown.
 	Link int
-	// Processor returns the processor time used so far; it may be nil.
+	// Processor returns the processor time that the process has used so far; it may be nil.
 	Processor func() time.Duration
-	// Incarnation names this run of the process.
+	// Incarnation identifies this run of the process.
 	Incarnation statemachine.Incarnation
 }
 
-// Gateway is the state machine.
+// Gateway is the state machine of a gateway daemon.
 type Gateway struct {
-	// settings are those given, with MaxClients and Link as they were last set.
+	// settings are the settings given to New, with the MaxClients and Link that were set last.
 	settings Settings
-	// viewClient follows the control state; its Version is the configuration version in force.
+	// viewClient receives the control state; its Version is the configuration version in force.
 	viewClient *membership.ViewClient
 	// detector decides whether this gateway is isolated.
 	detector *membership.FailureDetector
@@ -91,79 +94,84 @@
 	// ring records decisions for FindDecisions.
 	ring   *decisionlog.Ring
 	timers *statemachine.Timers[timer]
-	// policies are evaluated in this order; it never changes.
+	// policies are evaluated in the order of this slice, which never changes.
 	policies []Policy
 
-	// config is the configuration in force. Its version never falls.
+	// config is the configuration in force. Its version never decreases.
 	config config.Configuration
-	// incarnation is the index at which this run joined, 0 until the view shows it as alive.
+	// incarnation is the index at which this run of the process joined the membership, 0 until the
+	// view shows the run as alive.
 	incarnation uint64
-	// sessions are the open sessions by the number that the adapter gave them.
+	// sessions are the open sessions, by the number that the adapter assigned.
 	sessions map[uint64]*session
 	// spaces are the spaces of the configuration in force, by name.
 	spaces map[string]*spaceState
-	// senders have an entry for each sender that published to a space here lately.
+	// senders has an entry for each sender that recently published through this gateway.
 	senders map[senderKey]*sender
-	// trackers have an entry for each partition of a space without routed topics that an interest
-	// here reads, by partition name.
+	// trackers has an entry for each partition that an interest of a session reads in a space without
+	// routed topics, by partition name.
 	trackers map[string]*tracker
 
-	// nextRequest is the number of the last request to a store. Numbers of different runs of the
-	// process differ.
+	// nextRequest is the number of the last request to a store. Different runs of the process use
+	// different numbers.
 	nextRequest uint64
-	// appends are the publications that are being appended, by publication; sends are the same ones
-	// by the number of each unanswered send.
+	// appends are the publications that are being appended, by publication number. sends are the same
+	// publications by the request number of each unanswered send.
 	appends map[uint64]*publication
 	sends   map[uint64]*publication
-	// senderLookups and fetches wait for stores, by request number.
+	// senderLookups and fetches wait for responses of stores, by request number.
 	senderLookups map[uint64]*senderLookup
 	fetches       map[uint64]*fetchOperation
 	// routed is the state of the routed topics.
 	routed *routed
-	// subscribeTimeout follows from the configuration in force.
+	// subscribeTimeout is derived from the configuration in force.
 	subscribeTimeout time.Duration
-	// newest is the newest session of each client, by the client's name.
+	// newest is the number of the newest session of each client, by the client's name.
 	newest map[string]uint64
 
-	// highWatermarksRequestedAt is when high watermarks were last subscribed to.
+	// highWatermarksRequestedAt is when the gateway last subscribed to high watermarks.
 	highWatermarksRequestedAt time.Time
-	// newerVersion is the highest configuration version seen in a message. While it is above the
-	// version in force the gateway is not confirmed.
+	// newerVersion is the highest configuration version seen in a message. The gateway is not
+	// confirmed while it is above the version in force.
 	newerVersion uint64
-	// deferred are the copies that came while the gateway was unconfirmed, in order; at most
-	// maxPendingRecords.
+	// deferred are the copies that arrived while the gateway was unconfirmed, in order of arrival; at
+	// most maxPendingRecords.
 	deferred []deferred
-	// refreshWaiters are the requests that wait for the one refresh that is under way.
+	// refreshWaiters are the requests that wait for the refresh in progress.
 	refreshWaiters []refreshWaiter
-	// lingering are the overlay subscriptions that outlive their last subscription here.
+	// lingering are the overlay subscriptions that are kept for a while although no session needs
+	// them any more.
 	lingering []lingered
-	// stopping is set when a graceful shutdown begins and never reset; it ends at stopUntil.
+	// stopping is set when a graceful shutdown begins and is never reset. stopUntil is the deadline of
+	// the shutdown.
 	stopping  bool
 	stopUntil time.Time
 	admission admission
-	// wasReady is the readiness that was logged last.
+	// wasReady is the readiness that was last logged.
 	wasReady bool
-	// rotation spreads moved clients over the targets, and the ends of lingering subscriptions.
+	// rotation is a counter that spreads moved clients over their targets, and the ends of lingering
+	// subscriptions over time.
 	rotation int
-	// Counts are running sums; only the gateway changes them.
+	// Counts are cumulative counters; only the gateway changes them.
 	Counts Counts
 }
 
-// spaceState is a space of the configuration in force, with its subscriptions here.
+// spaceState is a space of the configuration in force, with the subscriptions of this gateway's
+// sessions.
 type spaceState struct {
 	space config.Space
-	// name is the name of the space with the index at which it was created, so that a space that is
-	// removed and created again is another one.
+	// name is the name of the space together with the index at which it was created, so that a space
+	// that is removed and created again has another name.
 	name string
-	// topics and prefixes are the sessions with a subscription, by path. They are nil in a space with
-	// routed topics.
+	// topics and prefixes are the subscribed sessions, by topic and by prefix. They are nil in a space
+	// with routed topics.
 	topics   map[string]map[uint64]bool
 	prefixes map[string]map[uint64]bool
-	// recent are the ephemeral messages of the last moments, oldest first.
+	// recent are the most recent ephemeral messages, oldest first.
 	recent []recentEphemeral
 }
 
-// New returns a gateway that holds no sessions and knows no configuration yet.
+// New returns a gateway without sessions and without a configuration.
 func New(settings Settings) *Gateway {
 	if settings.MaxClients == 0 {
 		settings.MaxClients = 2000
@@ -209,7 +217,7 @@
 	return gateway
 }
 
-// bounded returns a span, or the longest allowed one if the span is longer or not given.
+// bounded returns the smaller of the two durations, or the second one if the first is not positive.
 func bounded(span, longest time.Duration) time.Duration {
 	if span <= 0 {
 		return longest
@@ -217,24 +225,24 @@
 	return min(span, longest)
 }
 
-// ConfigurationVersion returns the version of the configuration in force here.
+// ConfigurationVersion returns the version of the configuration in force.
 func (g *Gateway) ConfigurationVersion() uint64 { return g.viewClient.Version }
 
-// ViewClient returns the client of the control state, for the ctl of this daemon.
+// ViewClient returns the client that receives the control state, for the ctl of this daemon.
 func (g *Gateway) ViewClient() *membership.ViewClient { return g.viewClient }
 
-// Overlay returns the overlay part, for counters and tests.
+// Overlay returns the overlay of this gateway, for counters and tests.
 func (g *Gateway) Overlay() *overlay.Overlay { return g.overlay }
 
 // Configuration returns the configuration in force, for the simulator's checks.
 func (g *Gateway) Configuration() config.Configuration { return g.config }
 
-// Resting returns whether the gateway was directed to rest and has no sessions.
+// Resting reports whether the gateway was directed to rest and has no sessions.
 func (g *Gateway) Resting() bool {
 	return g.viewClient.Directives.Rest && len(g.sessions) == 0 && !g.stopping
 }
 
-// Confirmed returns whether the gateway may trust that its configuration is the newest.
+// Confirmed reports whether the gateway may assume that its configuration is the newest.
 func (g *Gateway) Confirmed(now time.Time) bool {
 	limit := g.settings.ConfirmedFor
 	if statemachine.Mutated("never-unconfirmed") {
@@ -244,13 +252,13 @@
 		now.Sub(g.viewClient.ConfirmedAt) <= limit && !g.detector.Isolated(now)
 }
 
-// Ready returns whether the platform should send new connections here.
+// Ready reports whether the platform should send new connections to this gateway.
 func (g *Gateway) Ready(now time.Time) bool {
 	return g.Confirmed(now) && !g.stopping && !g.viewClient.Directives.Rest &&
 		len(g.sessions) < g.settings.MaxClients && !slices.Contains(g.config.Draining, g.settings.Self.Name)
 }
 
-// Start arms the timers of the gateway. It is called once, before all others.
+// Start arms the timers of the gateway. It is called once, before any other method.
 func (g *Gateway) Start(now time.Time, effects *statemachine.Effects) {
 	g.viewClient.Start(now)
 	g.detector.Start(now)
@@ -263,7 +271,7 @@
 		g.overlay.NextTick(), g.timers.Next())
 }
 
-// Tick runs everything that is due.
+// Tick runs all work that is due.
 func (g *Gateway) Tick(now time.Time, effects *statemachine.Effects) {
 	g.viewClient.Tick(now, effects)
 	g.detector.Tick(now, effects)
@@ -313,7 +321,7 @@
 	)
 }
 
-// HandleCommand handles a command of the adapters; commands of other types are ignored.
+// HandleCommand handles a command of an adapter; commands of unknown types are ignored.
 func (g *Gateway) HandleCommand(now time.Time, command any, effects *statemachine.Effects) {
 	switch body := command.(type) {
 	case OpenSession:
@@ -345,7 +353,7 @@
 }
 
 // HandleMessage handles a message of another daemon. Copies of messages are deferred while the
-// gateway is unconfirmed; those beyond maxPendingRecords are dropped, which shows as gaps later.
+// gateway is unconfirmed; those beyond maxPendingRecords are dropped and later detected as gaps.
 func (g *Gateway) HandleMessage(now time.Time, meta statemachine.Meta, message any, effects *statemachine.Effects) {
 	if meta.From != g.settings.Agent && meta.From != g.settings.Self.Address {
 		g.detector.ReceiveFromPeer(now)
@@ -368,7 +376,7 @@
 	g.logReadiness(now, effects)
 }
 
-// dispatch hands a message to the part that it is for.
+// dispatch calls the handler of a message.
 func (g *Gateway) dispatch(now time.Time, meta statemachine.Meta, message any, effects *statemachine.Effects) {
 	switch body := message.(type) {
 	case overlay.Signals:
@@ -396,7 +404,8 @@
 	}
 }
 
-// dispatchMembership hands on the messages about membership, configuration and control requests.
+// dispatchMembership calls the handler of a message about membership, configuration or control
+// requests.
 func (g *Gateway) dispatchMembership(
 	now time.Time,
 	meta statemachine.Meta,
@@ -422,8 +431,9 @@
 	}
 }
 
-// runOverlay runs a step of the overlay. Repeated messages to newly discovered gateways are sent
-// before what the step sends, so that they arrive before the overlay is stable there.
+// runOverlay runs a step of the overlay. Recent messages are repeated to newly discovered gateways
+// before the messages of the step are sent, so that they arrive before the overlay is stable at
+// those gateways.
 func (g *Gateway) runOverlay(
 	now time.Time,
 	effects *statemachine.Effects,
@@ -435,8 +445,8 @@
 	effects.Append(stepEffects)
 }
 
-// countCopy counts a copy that came from another gateway, and whether anybody here subscribes to
-// it.
+// countCopy counts a copy from another gateway; wanted is set if a session of this gateway
+// subscribes to its topic.
 func (g *Gateway) countCopy(wanted bool) {
 	g.Counts.CopiesIn++
 	if !wanted {
@@ -444,7 +454,8 @@
 	}
 }
 
-// tick does the periodic work of each second: pings, silent sessions, idle senders.
+// tick runs the periodic work of each second: it pings clients, closes silent sessions and drops
+// expired state.
 func (g *Gateway) tick(now time.Time, effects *statemachine.Effects) {
 	g.timers.Arm(timerTick, now.Add(tickInterval))
 	for id, session := range statemachine.Sorted(g.sessions) {
@@ -463,12 +474,13 @@
 	g.forgetRouted(now)
 }
 
-// everything stands for an offset that is not known: as the offset after which a fetch asks it means
-// that no records are wanted, as the start of an interest that it is not live yet.
+// everything is a placeholder for an offset. As the offset after which records are fetched, it means
+// that no records are requested. As the start of an interest, it means that the interest is not live
+// yet.
 const everything = uint64(math.MaxUint64)
 
-// SetMaxClients sets how many sessions the gateway may hold.
+// SetMaxClients sets the maximum number of sessions.
 func (g *Gateway) SetMaxClients(limit int) { g.settings.MaxClients = limit }
 
-// SetLink sets how many bytes a second the machine's link takes.
+// SetLink sets the rate of the machine's link in bytes per second.
 func (g *Gateway) SetLink(rate int) { g.settings.Link = rate }
--- a/internal/gateway/identity_mutation_test.go
+++ b/internal/gateway/identity_mutation_test.go
@@ -10,8 +10,9 @@
 	"dahlialock/internal/statemachine"
 )
 
-// With equal incarnations a client gets the answer to another one's message; with any response
-// accepted a sender lookup completes too early and a part of a fetch counts twice.
+// If all incarnations are equal, a response to an earlier run answers the request of another client.
+// If every response is accepted, a sender lookup completes too early and a part of a fetch counts
+// twice.
 func TestResponseMutationAcceptsAny(t *testing.T) {
 	restore := statemachine.Mutate("lives-alike")
 	response := lateAppend()
--- a/internal/gateway/identity_test.go
+++ b/internal/gateway/identity_test.go
@@ -17,14 +17,14 @@
 	presentIncarnation statemachine.Incarnation = 0x1405_7b7e_f767_814f
 )
 
-// asker is a gateway with one space, of which a sender's message waits.
+// asker is a gateway with one space and one pending publication, item.
 type asker struct {
 	gateway *Gateway
 	item    *publication
 }
 
-// newAsker returns a gateway of an incarnation that sends requests to stores. A response of a
-// store to an earlier incarnation must not be taken for one to the present.
+// newAsker returns a gateway with the given incarnation and one store per partition. The response of a
+// store to an earlier incarnation must not be accepted by the current one.
 func newAsker(incarnation statemachine.Incarnation, now time.Time, partitions ...string) *asker {
 	gateway := New(Settings{
 		Self:        membership.Member{Name: "gateway-1", Kind: membership.KindGateway, Address: "a:1"},
@@ -57,7 +57,7 @@
 	return &asker{gateway: gateway, item: item}
 }
 
-// ask runs a step of the gateway and returns what it sends.
+// ask runs a step of the gateway and returns the messages that it sends.
 func (a *asker) ask(run func(effects *statemachine.Effects)) []statemachine.Send {
 	var effects statemachine.Effects
 	run(&effects)
@@ -89,15 +89,15 @@
 	})
 }
 
-// take hands a response of a store to the gateway and returns what clients get.
+// take passes a store's response to the gateway and returns the responses to clients.
 func (a *asker) take(now time.Time, answer any) []statemachine.Response {
 	var effects statemachine.Effects
 	a.gateway.dispatch(now, statemachine.Meta{From: "k"}, answer, &effects)
 	return effects.Responses
 }
 
-// lateAppend returns what a client of the present incarnation gets for the response to an
-// append of the earlier one.
+// lateAppend passes the response to an append of the earlier incarnation to the current one, and
+// returns the responses to clients.
 func lateAppend() []statemachine.Response {
 	now := time.Unix(1000, 0)
 	earlier := newAsker(earlierIncarnation, now, "boards~1/0").append(now)
@@ -112,7 +112,8 @@
 	})
 }
 
-// lateFetch returns whether a response to the earlier incarnation's fetch ends one of the present.
+// lateFetch reports whether a response to a fetch of the earlier incarnation ends a fetch of the
+// current one.
 func lateFetch() bool {
 	now := time.Unix(1000, 0)
 	earlier := newAsker(earlierIncarnation, now, "boards~1/0").fetch(now)
@@ -131,7 +132,8 @@
 	assert.Assert(t, !lateFetch())
 }
 
-// doubledLookup returns whether a sender lookup completes after the same store responded twice.
+// doubledLookup reports whether a sender lookup of two stores completes although only one of them has
+// responded, twice.
 func doubledLookup() bool {
 	now := time.Unix(1000, 0)
 	asker := newAsker(presentIncarnation, now, partitionName("boards~1", 0), partitionName("boards~1", 1))
@@ -149,7 +151,8 @@
 	return asker.gateway.senders[asker.item.key].lookedUp
 }
 
-// doubledPage returns how many records a fetch has after its first part came twice.
+// doubledPage returns how many records a fetch has after each of its two parts of 5 records was
+// received twice.
 func doubledPage() int {
 	now := time.Unix(1000, 0)
 	asker := newAsker(presentIncarnation, now, "boards~1/0")
--- a/internal/gateway/messages.go
+++ b/internal/gateway/messages.go
@@ -5,14 +5,14 @@
 	"dahlialock/internal/transport"
 )
 
-// RecordCopy is the copy of a durable message that one destination gateway gets.
+// RecordCopy is the copy of a durable message that is sent to a destination gateway.
 type RecordCopy struct {
 	_         struct{} `cbor:",toarray"`
 	Partition string
 	Record    partition.Record
 }
 
-// EphemeralCopy is the copy of an ephemeral message that one destination gateway gets.
+// EphemeralCopy is the copy of an ephemeral message that is sent to a destination gateway.
 type EphemeralCopy struct {
 	_      struct{} `cbor:",toarray"`
 	Space  string
@@ -20,26 +20,27 @@
 	Sender string
 	Seq    uint64
 	Data   []byte
-	// Repeated is set if it is sent again, to a gateway that was just discovered.
+	// Repeated is set if the message was sent before and is repeated to a newly discovered gateway.
 	Repeated bool
 }
 
-// RoutedCopy is the copy of a message of a routed topic that one destination gateway gets; the
-// partition follows from the topic.
+// RoutedCopy is the copy of a message of a routed topic that is sent to a destination gateway. The
+// partition is derived from the topic.
 type RoutedCopy struct {
 	_      struct{} `cbor:",toarray"`
 	Topic  string
 	Sender string
 	Seq    uint64
 	Offset uint64
-	// PriorDistance is Offset less the offset of the topic's previous record.
+	// PriorDistance is Offset minus the offset of the topic's previous record.
 	PriorDistance uint64
 	Data          []byte
-	// Ephemeral is set if its data is not stored.
+	// Ephemeral is set if the data of the message is not stored.
 	Ephemeral bool
 }
 
-// LinkClass returns the class of the message on a link: an ephemeral one is of use now or never.
+// LinkClass returns the transport class of the message. Ephemeral messages are transient, since they
+// are of no use if they arrive late.
 func (rc RoutedCopy) LinkClass() transport.Class {
 	if rc.Ephemeral {
 		return transport.ClassTransient
--- a/internal/gateway/opening_test.go
+++ b/internal/gateway/opening_test.go
@@ -11,7 +11,7 @@
 	"dahlialock/internal/statemachine"
 )
 
-// begun returns a gateway that has had no view update yet.
+// begun returns a started gateway that has not received a view update yet.
 func begun() *fixture {
 	fixture := &fixture{now: time.Unix(1000, 0), gateway: gateway.New(gateway.Settings{
 		Self: membership.Member{
--- a/internal/gateway/policy.go
+++ b/internal/gateway/policy.go
@@ -8,17 +8,17 @@
 	"dahlialock/internal/statemachine"
 )
 
-// RequestKind is what a request asks for.
+// RequestKind is the operation that a request asks for.
 type RequestKind string
 
-// The kinds of requests that pass the policies.
+// Kinds of requests that the policies evaluate.
 const (
 	RequestPublish   RequestKind = "publish"
 	RequestSubscribe RequestKind = "subscribe"
 	RequestCount     RequestKind = "count"
 )
 
-// PolicyRequest is a request as the policies see it.
+// PolicyRequest is the part of a request that the policies evaluate.
 type PolicyRequest struct {
 	Kind   RequestKind
 	Client string
@@ -29,9 +29,9 @@
 	Topic string
 	Seq   uint64
 	Data  []byte
-	// Refreshed is set if the configuration was refreshed for the request before.
+	// Refreshed is set if the configuration has already been refreshed for this request.
 	Refreshed bool
-	// Routed is set if the space was found by the routes: its topics are plain names.
+	// Routed is set if the space was found by the routes. Its topics are plain names, not paths.
 	Routed bool
 	// Gateway is the gateway that evaluates the request.
 	Gateway *Gateway
@@ -40,7 +40,7 @@
 // Verdict is the decision of a policy.
 type Verdict struct {
 	Allowed bool
-	// NeedsRefresh asks for a newer configuration before the rejection is final.
+	// NeedsRefresh is set if the configuration must be refreshed before the rejection is final.
 	NeedsRefresh bool
 	// Reply is the answer if the request is not allowed.
 	Reply Reply
@@ -48,8 +48,8 @@
 
 var allowed = Verdict{Allowed: true}
 
-// Policy evaluates requests. Policies run in a fixed order; the first that does not allow a request
-// ends its evaluation.
+// Policy evaluates requests. Policies run in a fixed order; evaluation stops at the first policy that
+// does not allow the request.
 type Policy interface {
 	Name() string
 	Evaluate(now time.Time, request *PolicyRequest) Verdict
@@ -68,9 +68,9 @@
 	}
 }
 
-// authorize evaluates all policies in turn and returns whether they allow the request. It calls
-// answer where one rejects it, and retry after a refresh where a newer configuration may change the
-// decision.
+// authorize evaluates the policies in order and reports whether all of them allow the request. It
+// calls answer if a policy rejects the request. If a newer configuration may change the decision, it
+// refreshes the configuration and calls retry.
 func (g *Gateway) authorize(
 	now time.Time,
 	request *PolicyRequest,
@@ -99,7 +99,7 @@
 	return true
 }
 
-// servingPolicy rejects requests while the gateway may not serve.
+// servingPolicy rejects requests while the gateway must not serve.
 type servingPolicy struct{}
 
 func (servingPolicy) Name() string { return "serving" }
@@ -129,7 +129,7 @@
 
 func (senderPolicy) Evaluate(_ time.Time, request *PolicyRequest) Verdict {
 	if request.Kind == RequestPublish && request.Sender != request.Client {
-		return Verdict{Reply: rejectedReply(403, "wrong-sender", "an origin publishes under its own name only", 0)}
+		return Verdict{Reply: rejectedReply(403, "wrong-sender", "a client may publish only under its own name", 0)}
 	}
 	return allowed
 }
@@ -143,22 +143,22 @@
 	if request.Routed {
 		if request.Kind == RequestPublish && !ValidRoutedTopic(request.Topic) ||
 			len(request.Paths) > 0 && !ValidRoutedTopic(request.Paths[0].Path) {
-			return Verdict{Reply: rejectedReply(400, "bad-topic", "a routed topic is a name without blanks", 0)}
+			return Verdict{Reply: rejectedReply(400, "bad-topic", "a routed topic must be a name without blanks", 0)}
 		}
 		return allowed
 	}
 	if request.Kind == RequestPublish && !ValidTopic(request.Topic) {
-		return Verdict{Reply: rejectedReply(400, "bad-topic", "a topic is a path of parts that are not empty", 0)}
+		return Verdict{Reply: rejectedReply(400, "bad-topic", "a topic must be a path of non-empty parts", 0)}
 	}
 	for _, interest := range request.Paths {
 		if !ValidTopic(interest.Path) && (!interest.Prefix || interest.Path != "") {
-			return Verdict{Reply: rejectedReply(400, "bad-topic", "a topic is a path of parts that are not empty", 0)}
+			return Verdict{Reply: rejectedReply(400, "bad-topic", "a topic must be a path of non-empty parts", 0)}
 		}
 	}
 	return allowed
 }
 
-// ValidRoutedTopic returns whether a name may be a routed topic: up to 256 bytes without blanks and
+// ValidRoutedTopic reports whether a name may be a routed topic: up to 256 bytes without blanks and
 // control characters.
 func ValidRoutedTopic(name string) bool {
 	if name == "" || len(name) > 256 {
@@ -172,8 +172,8 @@
 	return true
 }
 
-// ValidTopic returns whether a path may be a topic: up to 256 bytes and 16 parts that are not
-// empty, without blanks and control characters.
+// ValidTopic reports whether a path may be a topic: up to 256 bytes and 16 non-empty parts,
+// without blanks and control characters.
 func ValidTopic(path string) bool {
 	if path == "" || len(path) > 256 || strings.HasPrefix(
 		path,
@@ -189,7 +189,7 @@
 	return strings.Count(path, "/") < 16
 }
 
-// spacePolicy rejects spaces that the configuration does not have, after a refresh.
+// spacePolicy rejects requests for spaces that are not in the configuration, after a refresh.
 type spacePolicy struct{}
 
 func (spacePolicy) Name() string { return "space" }
@@ -206,7 +206,7 @@
 	return allowed
 }
 
-// spaces returns the spaces that the request names.
+// spaces returns the names of the spaces of the request.
 func (pr *PolicyRequest) spaces() []string {
 	if pr.Kind == RequestPublish {
 		return []string{pr.Space}
@@ -218,7 +218,7 @@
 	return names
 }
 
-// rightsPolicy rejects clients that the configuration of the space does not allow.
+// rightsPolicy rejects clients that the space does not permit to publish or subscribe.
 type rightsPolicy struct{}
 
 func (rightsPolicy) Name() string { return "rights" }
@@ -232,7 +232,7 @@
 				Reply: rejectedReply(
 					403,
 					"not-allowed",
-					fmt.Sprintf("the space %q does not let this origin %s", name, request.Kind),
+					fmt.Sprintf("the space %q does not permit this client to %s", name, request.Kind),
 					0,
 				),
 			}
@@ -241,7 +241,7 @@
 	return allowed
 }
 
-// sizePolicy rejects data that is too large and sequences below 1.
+// sizePolicy rejects publications with too much data or with a sequence below 1.
 type sizePolicy struct{}
 
 func (sizePolicy) Name() string { return "size" }
@@ -252,17 +252,17 @@
 	}
 	if maxBytes := request.Gateway.spaces[request.Space].space.DataBytes; len(request.Data) > maxBytes {
 		return Verdict{
-			Reply: rejectedReply(413, "too-large", fmt.Sprintf("%d bytes are more than %d", len(request.Data), maxBytes), 0),
+			Reply: rejectedReply(413, "too-large", fmt.Sprintf("%d bytes exceed the limit %d", len(request.Data), maxBytes), 0),
 		}
 	}
 	if request.Seq == 0 {
-		return Verdict{Reply: rejectedReply(400, "bad-seq", "a seq begins at 1", 0)}
+		return Verdict{Reply: rejectedReply(400, "bad-seq", "seq must be at least 1", 0)}
 	}
 	return allowed
 }
 
-// ratePolicy limits the publications of a space to its rate, counted on this gateway in whole
-// seconds.
+// ratePolicy limits the publications per second to each space. They are counted per gateway and per
+// second of the clock.
 type ratePolicy struct {
 	second map[string]int64
 	count  map[string]int
@@ -287,7 +287,7 @@
 	}
 	if rp.count[request.Space] >= maxRate {
 		retryAfter := now.Truncate(time.Second).Add(time.Second).Sub(now)
-		return Verdict{Reply: rejectedReply(429, "too-many", "the space's rate is used up", retryAfter)}
+		return Verdict{Reply: rejectedReply(429, "too-many", "the rate limit of the space is exceeded", retryAfter)}
 	}
 	rp.count[request.Space]++
 	return allowed
--- a/internal/gateway/presence.go
+++ b/internal/gateway/presence.go
@@ -6,10 +6,11 @@
 	"dahlialock/internal/statemachine"
 )
 
-// subscribers returns how many clients here subscribe to the topic. A subscription to a durable
-// topic that is not confirmed yet does not count: it may be rejected and retried, and announcing
-// each of these changes takes more of a link than the messages do. In an ephemeral topic it counts
-// at once, since messages are lost to a gateway that the others do not know of.
+// subscribers returns how many clients of this gateway subscribe to the topic. An unconfirmed
+// subscription to a durable topic is not counted: it may be rejected and retried, and announcing
+// each of these changes takes more of a link than the messages do. In an ephemeral topic it is
+// counted at once, since a gateway that is not yet announced to the others misses messages that
+// cannot be fetched later.
 func (t *topicState) subscribers() int {
 	if !t.durable || statemachine.Mutated("waiting-counts") {
 		return len(t.subscriptions)
@@ -23,8 +24,8 @@
 	return count
 }
 
-// announceSubscriberCount reports to the overlay how many clients here subscribe to a topic, if
-// that has changed.
+// announceSubscriberCount reports to the overlay how many clients of this gateway subscribe to a
+// topic, if the number has changed.
 func (g *Gateway) announceSubscriberCount(now time.Time, topic *topicState, effects *statemachine.Effects) {
 	if count := topic.subscribers(); count != topic.announcedCount {
 		topic.announcedCount = count
@@ -32,8 +33,8 @@
 	}
 }
 
-// count answers how many clients subscribe to a topic, over all gateways, from what the peers of
-// the overlay announce to each other.
+// count responds with the number of subscribers of a topic over all gateways. It is computed from
+// the counts that the peers of the overlay announce to each other.
 func (g *Gateway) count(now time.Time, request CountSubscribers, refreshed bool, effects *statemachine.Effects) {
 	g.Counts.Requests++
 	if session, found := g.sessions[request.Session]; found {
--- a/internal/gateway/publish.go
+++ b/internal/gateway/publish.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// senderIdleTimeout is after what time an idle sender is forgotten, seqMemory how long its
-	// ephemeral messages are remembered.
+	// senderIdleTimeout is the time after which the state of an idle sender is dropped. seqMemory is how
+	// long the ephemeral messages of a sender are remembered.
 	senderIdleTimeout = 90 * time.Second
 	seqMemory         = 30 * time.Second
-	// maxSenderQueue bounds the publications of a sender that wait.
+	// maxSenderQueue is the maximum number of queued publications of a sender.
 	maxSenderQueue = 64
-	// blockFor is how long a publication that was not accepted holds off later ones.
+	// blockFor is how long a publication that was not accepted blocks later ones of its sender.
 	blockFor = 3 * time.Second
-	// appendRetry is after what time an unanswered append is sent again.
+	// appendRetry is the time after which an unanswered append is sent again.
 	appendRetry = 150 * time.Millisecond
 )
 
@@ -28,23 +28,23 @@
 type publication struct {
 	request Publish
 	key     senderKey
-	// id is its number in appends, 0 before the first append.
+	// id is the key of the publication in appends, 0 before the first append.
 	id uint64
-	// partition is where it is appended.
+	// partition is the partition to which the message is appended.
 	partition string
 	// sentAt is when the append was last sent.
 	sentAt time.Time
-	// deadline is when it gets its final answer at the latest.
+	// deadline is the latest time of the final answer.
 	deadline time.Time
-	// unanswered are the numbers of the sends without a response; see routedPublication.
+	// unanswered are the request numbers of the sends without a response; see routedPublication.
 	unanswered map[uint64]bool
-	// lookedUp is set once the sender was looked up for it, which is done once only.
+	// lookedUp is set once the sender was looked up for this publication; it is not looked up again.
 	lookedUp bool
-	// answered is set with the final answer.
+	// answered is set once the final answer was given.
 	answered bool
 }
 
-// messageName is the name of the message in recorded decisions.
+// messageName returns the name of the message in recorded decisions.
 func (p Publish) messageName() string { return decisionlog.MessageName(p.Space, p.Sender, p.Seq) }
 
 // messageOf returns the name of the message in recorded decisions, empty if the request has none.
@@ -65,8 +65,8 @@
 	g.publishAttempt(now, request, false, effects)
 }
 
-// publishAttempt evaluates a publication and queues it; refreshed is set where the configuration
-// was refreshed for it before.
+// publishAttempt evaluates a publication and queues it; refreshed is set if the configuration has
+// already been refreshed for it.
 func (g *Gateway) publishAttempt(now time.Time, request Publish, refreshed bool, effects *statemachine.Effects) {
 	policyRequest := &PolicyRequest{
 		Kind:      RequestPublish,
@@ -95,7 +95,7 @@
 			answer(rejectedReply(
 				503,
 				"earlier-refused",
-				"an earlier seq of this sender has no accepted answer; send that one first",
+				"an earlier seq of this sender was not accepted; send that one first",
 				retryLongDelay,
 			))
 			return
@@ -103,7 +103,7 @@
 		from.blocked = 0
 	}
 	if len(from.queue) >= maxSenderQueue {
-		answer(rejectedReply(429, "queue-full", "too many publications of this sender wait", retryLongDelay))
+		answer(rejectedReply(429, "queue-full", "too many publications of this sender are queued", retryLongDelay))
 		return
 	}
 	g.ring.Record(now, request.RequestName, g.messageOf(policyRequest), request.Client, "judged", "topic", request.Topic,
@@ -128,7 +128,7 @@
 	}
 }
 
-// answerPublication gives a publication its final answer, once.
+// answerPublication gives a publication its final answer, unless it already has one.
 func (g *Gateway) answerPublication(now time.Time, item *publication, answer Reply, effects *statemachine.Effects) {
 	if item.answered {
 		return
@@ -159,8 +159,9 @@
 	}
 }
 
-// finish answers the publication at the front of a queue. Where it was not accepted, those behind
-// it are rejected, and later sequences are held off until this one is sent again.
+// finish answers the publication at the front of a sender's queue. If it was not accepted and may be
+// retried, the publications behind it are rejected, and later sequences are blocked until it is sent
+// again.
 func (g *Gateway) finish(now time.Time, item *publication, answer Reply, effects *statemachine.Effects) {
 	delete(g.appends, item.id)
 	for send := range item.unanswered {
@@ -207,8 +208,8 @@
 	return space + name[len("~0"):]
 }
 
-// areaOf returns where a topic lies in the overlay: a space with one shared order is one area, so
-// that all gateways that have a part of it receive all of it.
+// areaOf returns the area of a topic in the overlay. A space with one order for all topics is a single
+// area, so that each gateway that subscribes to a part of the space receives all of its messages.
 func areaOf(space config.Space, path string) overlay.Area {
 	if space.Order == config.OrderSpace {
 		return overlay.WholeSquare
@@ -216,8 +217,8 @@
 	return overlay.AreaOf(path)
 }
 
-// checkDeadlines sends again what stayed without an answer, and ends what has passed
-// its deadline.
+// checkDeadlines retries unanswered requests to stores, and ends publications, sender
+// lookups and fetches that have passed their deadlines.
 func (g *Gateway) checkDeadlines(now time.Time, effects *statemachine.Effects) {
 	next := g.endOverdueLookups(now)
 	next = statemachine.Earliest(next, g.retryAppends(now, effects))
@@ -260,7 +261,7 @@
 	return next
 }
 
-// overdueReply is the final answer of a publication that has passed its deadline. It
+// overdueReply returns the final answer to a publication that has passed its deadline. It
 // is unsettled if a store may still append the message.
 func overdueReply(item *publication) Reply {
 	switch {
@@ -269,6 +270,6 @@
 	case len(item.unanswered) > 0:
 		return unsettledReply("no-answer", "the store did not answer; send the same seq again", retryLongDelay)
 	default:
-		return rejectedReply(503, "no-answer", "the message was not kept", retryLongDelay)
+		return rejectedReply(503, "no-answer", "the message was not stored", retryLongDelay)
 	}
 }
--- a/internal/gateway/publish_test.go
+++ b/internal/gateway/publish_test.go
@@ -12,8 +12,9 @@
 	"dahlialock/internal/statemachine"
 )
 
-// A response that comes twice answers the one send that it names: the others are still
-// unanswered at the deadline, so that the outcome is unsettled and never rejected.
+// A duplicate of a response must not count as the response to another send. The append was sent twice
+// and one send is rejected twice: the other send is still unanswered at the deadline, so the outcome
+// must be unsettled, not rejected.
 func TestPublicationDuplicateResponseAnswersOneSend(t *testing.T) {
 	now := time.Unix(1000, 0)
 	gateway := New(Settings{
--- a/internal/gateway/refresh.go
+++ b/internal/gateway/refresh.go
@@ -12,8 +12,8 @@
 	then  func(now time.Time, effects *statemachine.Effects)
 }
 
-// refreshThen polls the control state, once for all requests that wait meanwhile, and continues
-// with them when it has answered or after refreshTimeout.
+// refreshThen refreshes the control state and then calls the given function, at the latest after
+// refreshTimeout. All requests that wait at the same time share one poll.
 func (g *Gateway) refreshThen(now time.Time, then func(now time.Time, effects *statemachine.Effects)) {
 	if len(g.refreshWaiters) == 0 {
 		g.Counts.Refreshes++
@@ -24,7 +24,7 @@
 	g.timers.ArmSooner(timerRefresh, until)
 }
 
-// completeRefresh continues with all requests that wait for a refresh.
+// completeRefresh continues all requests that wait for a refresh.
 func (g *Gateway) completeRefresh(now time.Time, effects *statemachine.Effects) {
 	waiters := g.refreshWaiters
 	g.refreshWaiters = nil
--- a/internal/gateway/route.go
+++ b/internal/gateway/route.go
@@ -6,18 +6,18 @@
 	"dahlialock/internal/statemachine"
 )
 
-// route is where requests for a partition are sent, and whether its leader can answer.
+// route is the destination of requests for a partition.
 type route struct {
 	address string
-	// incarnation is the leader's run and epoch the partition's, so that a restart or a takeover
-	// makes another route.
+	// incarnation is that of the leader, epoch that of the partition. A restart or a takeover therefore
+	// results in a different route.
 	incarnation uint64
 	epoch       uint64
-	// complete is set if the leader has all records.
+	// complete is set if the leader has all records, so that it can answer.
 	complete bool
 }
 
-// routeTo returns the present route to a partition, the zero route if there is none.
+// routeTo returns the current route to a partition, or the zero route if the leader is unknown.
 func (g *Gateway) routeTo(name string) route {
 	placement, placed := g.viewClient.Placements[name]
 	leader, known := g.viewClient.Members[placement.Leader]
@@ -32,13 +32,14 @@
 	}
 }
 
-// changed returns whether something that was sent by this route is to be sent by the present one.
+// changed reports whether a request that was sent by this route must be sent again by the current
+// route, which is passed as present.
 func (r route) changed(present route) bool {
 	return present != (route{}) && r != present || statemachine.Mutated("all-sent-again-at-news")
 }
 
-// routesChanged returns whether high watermarks are to be subscribed to again: a partition in use
-// here has another route than at the last time.
+// routesChanged reports whether the gateway must subscribe to high watermarks again. It must if the
+// route of a partition in use has changed since the last time, and whenever there are trackers.
 func (g *Gateway) routesChanged() bool {
 	if len(g.trackers) > 0 {
 		return true
@@ -51,7 +52,8 @@
 	return false
 }
 
-// resendRouted sends appends and fetches of routed topics to the new leaders of their partitions.
+// resendRouted sends appends and fetches of routed topics again if the routes of their partitions have
+// changed.
 func (g *Gateway) resendRouted(now time.Time, effects *statemachine.Effects) {
 	for _, item := range statemachine.Sorted(g.routed.appends) {
 		if item.sentBy.changed(g.routeTo(item.partition)) && now.Sub(item.sentAt) > 20*time.Millisecond {
@@ -61,7 +63,7 @@
 	g.rerouteFetches(now, effects)
 }
 
-// leaderOf returns the address and the name of the store that leads a partition.
+// leaderOf returns the address and the name of the store that is the leader of a partition.
 func (g *Gateway) leaderOf(name string) (address, store string, found bool) {
 	placement, placed := g.viewClient.Placements[name]
 	if !placed {
@@ -71,7 +73,8 @@
 	return member.Address, placement.Leader, known
 }
 
-// placementsChanged sends what waits for a store to the new leaders of the partitions.
+// placementsChanged sends unanswered requests to the new leaders of the partitions, and schedules a new
+// subscription to high watermarks if one is needed.
 func (g *Gateway) placementsChanged(now time.Time, effects *statemachine.Effects) {
 	for _, item := range statemachine.Sorted(g.appends) {
 		if from, known := g.senders[item.key]; known && now.Sub(item.sentAt) > 50*time.Millisecond {
--- a/internal/gateway/route_mutation_test.go
+++ b/internal/gateway/route_mutation_test.go
@@ -10,7 +10,7 @@
 	"dahlialock/internal/statemachine"
 )
 
-// Without a memory of routes each view update sends all unanswered requests again.
+// If the route of a request is ignored, each view update sends all unanswered requests again.
 func TestRouteMutationResendsAll(t *testing.T) {
 	defer statemachine.Mutate("all-sent-again-at-news")()
 	unrelatedUpdate, _ := sentAgain()
--- a/internal/gateway/route_test.go
+++ b/internal/gateway/route_test.go
@@ -11,9 +11,9 @@
 	"dahlialock/internal/statemachine"
 )
 
-// sentAgain returns how much a gateway with an open fetch sends when an unrelated view update
-// comes, and when one with another epoch of the partition comes. After a power loss of the
-// complete fleet view updates come all the time.
+// sentAgain returns how many messages a gateway with an unanswered fetch sends after an unrelated view
+// update, and after an update with another epoch of the partition. After a power loss of the complete
+// fleet, view updates arrive continuously.
 func sentAgain() (unrelatedUpdate, otherEpoch int) {
 	now := time.Unix(1000, 0)
 	gateway := New(Settings{
--- a/internal/gateway/routed_publish.go
+++ b/internal/gateway/routed_publish.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// routedRetry is the timeout of the first attempt of an append; it doubles with further ones.
+	// routedRetry is the timeout of the first attempt of an append; it doubles with each further one.
 	routedRetry = 200 * time.Millisecond
-	// routedRemember is how long an accepted publication is remembered, so that a retry is accepted
-	// at once.
+	// routedRemember is how long an accepted publication is remembered. A retry within this time is
+	// accepted at once.
 	routedRemember = 30 * time.Second
 )
 
-// routedKey names a message of a routed topic.
+// routedKey identifies a message of a routed topic.
 type routedKey struct {
 	topic  string
 	sender string
@@ -27,24 +27,25 @@
 // routedPublication is a message that a client published to a routed topic.
 type routedPublication struct {
 	request Publish
-	// id is its number in appends, which gives the order of retries.
+	// id is the key of the publication in appends; retries run in the order of the ids.
 	id        uint64
 	space     string
 	partition string
-	// ephemeral is set if only its offset, not its data, is appended.
+	// ephemeral is set if the message is appended without its data, only to assign an offset.
 	ephemeral bool
-	// sentAt and sentBy are when and by which route the append was last sent, sends how often.
+	// sentAt and sentBy are the time and the route of the last send of the append.
 	sentAt time.Time
 	sentBy route
-	// deadline is when it gets its final answer at the latest.
+	// deadline is the latest time of the final answer.
 	deadline time.Time
-	sends    int
-	// unanswered are the numbers of the sends without a response. A response answers the send that it
-	// names, so that one that comes twice answers no other.
+	// sends is how often the append was sent.
+	sends int
+	// unanswered are the request numbers of the sends without a response. Each send has its own number,
+	// so that a duplicate of a response does not count as the response to another send.
 	unanswered map[uint64]bool
 }
 
-// messageName is the name of the message in recorded decisions.
+// messageName returns the name of the message in recorded decisions.
 func (rp *routedPublication) messageName() string {
 	return decisionlog.MessageName(rp.space, rp.request.Sender, rp.request.Seq)
 }
@@ -54,8 +55,8 @@
 	return rp.sentAt.Add(backoff(routedRetry, len(rp.unanswered)))
 }
 
-// publishRouted evaluates a publication to a routed topic and sends its append; refreshed is set
-// where the configuration was refreshed for it before.
+// publishRouted evaluates a publication to a routed topic and sends its append; refreshed is set if
+// the configuration has already been refreshed for it.
 func (g *Gateway) publishRouted(now time.Time, request Publish, refreshed bool, effects *statemachine.Effects) {
 	space := g.routeOf(request.Space, request.Topic)
 	policyRequest := &PolicyRequest{
@@ -113,7 +114,8 @@
 	effects.Respond(item.request.Request, response)
 }
 
-// sendRouted sends an append to the leader, or sends it again under a new request number.
+// sendRouted sends the append of a publication to the leader of its partition. Each send has a new
+// request number.
 func (g *Gateway) sendRouted(now time.Time, item *routedPublication, effects *statemachine.Effects) {
 	item.sentAt = now
 	g.timers.ArmSooner(timerRouted, item.due())
@@ -142,7 +144,7 @@
 	})
 }
 
-// handleRoutedResponse applies the response of a store to a publication to a routed topic.
+// handleRoutedResponse handles the response of a store to the append of a routed topic.
 func (g *Gateway) handleRoutedResponse(
 	now time.Time,
 	item *routedPublication,
@@ -160,9 +162,9 @@
 		record.Seq = item.request.Seq
 		record.Data = item.request.Data
 		if !response.Duplicate || item.ephemeral || item.sends > 1 {
-			// A duplicate of a durable message that was not fanned out is found by the
-			// high watermarks of the partition. An ephemeral one is not; a session that
-			// has had it, or a later one, ignores it.
+			// If a duplicate of a durable message has not been fanned out, the other gateways detect it
+			// by the high watermarks of the partition. An ephemeral message is not detected in this way
+			// and is fanned out again; sessions that already got it or a later one ignore it.
 			g.fanOutRouted(now, item, record, effects)
 		}
 		g.answerRouted(now, item, acceptedReply(nil), effects)
@@ -178,7 +180,7 @@
 				effects,
 			)
 		case len(item.unanswered) > 0:
-			// An earlier attempt has no response; it may yet be appended.
+			// An earlier send has no response; its append may still succeed.
 			g.answerRouted(now, item, unsettledReply(response.Code, "send the same seq again", retryShortDelay), effects)
 		default:
 			g.answerRouted(
@@ -187,7 +189,7 @@
 				rejectedReply(
 					503,
 					response.Code,
-					"the partition can't keep all its copies at this moment",
+					"the partition can't store the message on enough replicas at the moment",
 					max(response.RetryAfter, retryShortDelay),
 				),
 				effects,
@@ -198,8 +200,8 @@
 	}
 }
 
-// fanOutRouted delivers a message to the subscribers here and sends one copy to each gateway that
-// has any.
+// fanOutRouted delivers a message to the subscribers of this gateway and sends one copy to each other
+// gateway with subscribers.
 func (g *Gateway) fanOutRouted(
 	now time.Time,
 	item *routedPublication,
@@ -241,8 +243,8 @@
 	)
 }
 
-// retryPublications sends unanswered appends again, and answers the publications that have passed
-// their deadline.
+// retryPublications sends unanswered appends of routed topics again, and answers the publications that
+// have passed their deadline.
 func (g *Gateway) retryPublications(now time.Time, effects *statemachine.Effects) {
 	var next time.Time
 	for _, item := range statemachine.Sorted(g.routed.appends) {
@@ -255,7 +257,7 @@
 					effects,
 				)
 			} else {
-				g.answerRouted(now, item, rejectedReply(503, "no-answer", "the message was not kept", retryShortDelay), effects)
+				g.answerRouted(now, item, rejectedReply(503, "no-answer", "the message was not stored", retryShortDelay), effects)
 			}
 			continue
 		}
@@ -269,7 +271,7 @@
 	}
 }
 
-// forgetRouted forgets accepted publications after routedRemember.
+// forgetRouted drops accepted publications that are older than routedRemember.
 func (g *Gateway) forgetRouted(now time.Time) {
 	for key, at := range g.routed.accepted {
 		if now.Sub(at) > routedRemember {
--- a/internal/gateway/sender.go
+++ b/internal/gateway/sender.go
@@ -9,14 +9,14 @@
 	"dahlialock/internal/statemachine"
 )
 
-// senderKey names a sender within a space.
+// senderKey identifies a sender within a space.
 type senderKey struct {
 	space  string
 	sender string
 }
 
-// sentMemory is an ephemeral message of a sender that was accepted within seqMemory: the hash of its
-// content, by which a retry is told from another message with its sequence, and when.
+// sentMemory is an ephemeral message of a sender that was accepted within seqMemory. The digest of its
+// content distinguishes a retry from another message with the same sequence.
 type sentMemory struct {
 	digest uint64
 	at     time.Time
@@ -24,36 +24,36 @@
 
 // sender is the state of one sender in one space.
 type sender struct {
-	// queue are the publications that wait for their turn; the first one is being processed.
+	// queue are the publications of the sender in order; the first one is being processed.
 	queue []*publication
-	// lastSeq is the highest accepted sequence that is known here.
+	// lastSeq is the highest accepted sequence that this gateway knows.
 	lastSeq uint64
-	// lookedUp is set once the stores have responded with lastSeq and the dependencies.
+	// lookedUp is set once the stores have reported lastSeq and the dependencies.
 	lookedUp bool
-	// dependencies are the messages that were accepted within the dependency window.
+	// dependencies are the messages of the sender that were accepted within the dependency window.
 	dependencies []dependency
-	// arrived is when the sender first published here, or skipped a sequence, which may mean that it
-	// published through another gateway in between.
+	// arrived is when the sender first published through this gateway or last skipped a sequence. A
+	// skipped sequence may mean that it published through another gateway in between.
 	arrived time.Time
-	// recent are the ephemeral messages of the last moments, by sequence.
+	// recent are the recent ephemeral messages, by sequence.
 	recent map[uint64]sentMemory
 	// blocked is the sequence that was not accepted and must be sent again before later ones, 0 if
-	// there is none; it lapses blockFor after blockedAt.
+	// there is none. It expires blockFor after blockedAt.
 	blocked   uint64
 	blockedAt time.Time
-	// lastUse is when the sender last published; after senderIdleTimeout it is forgotten.
+	// lastUse is when the sender last published; its state is dropped after senderIdleTimeout.
 	lastUse time.Time
 }
 
-// dependency is a message of a sender that was accepted within partition.DependencyWindow: the
-// sender's next messages depend on it.
+// dependency is a message that was accepted within partition.DependencyWindow. The next messages of its
+// sender depend on it.
 type dependency struct {
 	mark partition.MessagePosition
 	seq  uint64
 	at   time.Time
 }
 
-// currentDependencies returns the dependencies that go with a sender's next message.
+// currentDependencies returns the dependencies of the sender's next message, and drops expired ones.
 func (s *sender) currentDependencies(now time.Time) partition.Dependencies {
 	s.dependencies = slices.DeleteFunc(
 		s.dependencies,
@@ -74,23 +74,23 @@
 	return result
 }
 
-// senderLookup asks the stores of a space for the newest messages of a sender.
+// senderLookup is a pending request to the stores of a space for the newest messages of a sender.
 type senderLookup struct {
 	key senderKey
-	// waiting is how many stores have not responded; answered has an entry for each store that was
-	// asked.
+	// waiting is how many stores have not responded. answered has an entry for each store that the
+	// request was sent to, which is true once the store has responded.
 	waiting  int
 	answered map[string]bool
-	// ready is set while all responses came from stores that lead their partitions.
+	// ready is set as long as all responses came from stores that are the leaders of their partitions.
 	ready bool
-	// lastSeq and recent gather what the stores responded.
+	// lastSeq and recent are the combined results of the responses.
 	lastSeq uint64
 	recent  []partition.RecentMessage
 	// deadline is when the lookup is dropped.
 	deadline time.Time
 }
 
-// lookUpSender asks all stores of a space for the newest messages of a sender.
+// lookUpSender requests the newest messages of a sender from all leaders of the partitions of a space.
 func (g *Gateway) lookUpSender(now time.Time, state *spaceState, item *publication, effects *statemachine.Effects) {
 	byStore := map[string][]string{}
 	for number := range state.space.Partitions() {
@@ -127,7 +127,8 @@
 	}
 }
 
-// handleSenderResponse applies the response of a store to a sender lookup; each store counts once.
+// handleSenderResponse handles the response of a store to a sender lookup. Further responses of the same
+// store are ignored.
 func (g *Gateway) handleSenderResponse(
 	now time.Time,
 	store string,
@@ -179,7 +180,7 @@
 	g.begin(now, from, effects)
 }
 
-// sortedSenders walks the senders with a queue in the order of their space and name.
+// sortedSenders iterates over the senders with queued publications, sorted by space and name.
 func (g *Gateway) sortedSenders() func(yield func(senderKey, *sender) bool) {
 	return func(yield func(senderKey, *sender) bool) {
 		byName := map[string]senderKey{}
@@ -196,7 +197,7 @@
 	}
 }
 
-// sendersOf returns the senders of a space by name.
+// sendersOf returns the senders of a space, by name.
 func (g *Gateway) sendersOf(space string) map[string]*sender {
 	found := map[string]*sender{}
 	for key, sender := range g.senders {
--- a/internal/gateway/session.go
+++ b/internal/gateway/session.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	// deliveredMemory is how long delivered offsets are remembered, sequenceMemory how long the
-	// sequences of senders.
+	// deliveredMemory is how long delivered offsets are remembered. sequenceMemory is how long the
+	// sequences of senders are remembered.
 	deliveredMemory = 100 * time.Second
 	sequenceMemory  = 40 * time.Second
-	// fetchRetry is after what time an unanswered fetch is sent again.
+	// fetchRetry is the time after which an unanswered fetch is sent again.
 	fetchRetry = 250 * time.Millisecond
-	// lingerFor is how long an overlay subscription outlives its last subscription here; lingerSpread
-	// is over how many seconds the ends of several are spread.
+	// lingerFor is how long an overlay subscription is kept after its last subscription of a session
+	// has ended. lingerSpread is the number of seconds over which the ends of several are spread.
 	lingerFor    = 6 * time.Second
 	lingerSpread = 24
-	// maxRefetches bounds how often the partitions of one operation are fetched further.
+	// maxRefetches is the maximum number of times that one operation fetches further records.
 	maxRefetches = 64
 )
 
-// senderSequence is the newest sequence of a sender that was delivered, and when.
+// senderSequence is the newest delivered sequence of a sender, and when it was delivered.
 type senderSequence struct {
 	seq uint64
 	at  time.Time
@@ -32,36 +32,39 @@
 
 // session is the connection of one client.
 type session struct {
-	// name is the name that the adapter gave the session.
+	// name is the name that the adapter assigned to the session.
 	name string
 	// client is the name under which the client publishes and to which its cursors are bound.
 	client string
-	// subscriptions are those to spaces without routed topics.
+	// subscriptions are the subscriptions to spaces without routed topics.
 	subscriptions map[Interest]*subscription
 	// routed are the subscriptions to routed topics, by topic.
 	routed map[string]*topicSubscription
-	// delivered is when each offset of a partition was delivered to the client, for deliveredMemory.
+	// delivered is the time at which each offset was delivered to the client, by partition and offset.
+	// Entries are kept for deliveredMemory.
 	delivered map[string]map[uint64]time.Time
-	// deliveredAbove are the delivered offsets that are not known to lie below the floor of the
-	// cursor.
+	// deliveredAbove are the delivered offsets that are not known to be below the floor of the
+	// cursor, by partition.
 	deliveredAbove map[string]map[uint64]bool
-	// sequences are the newest sequences seen of each sender in ephemeral spaces, for sequenceMemory.
+	// sequences are the newest sequences of each sender that the client saw in ephemeral spaces, by
+	// space and sender. Entries are kept for sequenceMemory.
 	sequences map[string]map[string]senderSequence
-	// buffer and ephemeralBuffer are the copies that came while a subscription is being filled.
+	// buffer and ephemeralBuffer are the copies that arrived while a subscription is being filled.
 	buffer []RecordCopy
-	// floors are where the backlog began that is being delivered, by partition; nil at other times.
+	// floors are the offsets at which the backlog starts while a backlog is being delivered, by
+	// partition; nil at other times.
 	floors          map[string]uint64
 	ephemeralBuffer []EphemeralCopy
-	// pongAt is when the client last showed that it is alive, pingAt when it was last pinged.
+	// pongAt is when the client last sent something, pingAt when it was last pinged.
 	pongAt time.Time
 	pingAt time.Time
 	// movedAt is when the client was asked to move; nothing is delivered after that.
 	movedAt time.Time
-	// adapterPings is set where the adapter itself checks that the client is alive.
+	// adapterPings is set if the adapter itself checks that the client is alive.
 	adapterPings bool
 }
 
-// interests returns what a session subscribes to, in order.
+// interests returns the interests of a session, sorted.
 func (c *session) interests() []Interest {
 	interests := make([]Interest, 0, len(c.subscriptions))
 	for interest := range c.subscriptions {
@@ -71,7 +74,7 @@
 	return interests
 }
 
-// filling returns whether a subscription of the session is being filled.
+// filling reports whether a subscription to a space without routed topics is being filled.
 func (c *session) filling() bool {
 	for _, subscription := range c.subscriptions {
 		if subscription.filling {
@@ -81,7 +84,7 @@
 	return false
 }
 
-// catchingUp returns whether a subscription to a routed topic is being filled.
+// catchingUp reports whether a subscription to a routed topic is being filled.
 func (c *session) catchingUp() bool {
 	for _, subscription := range c.routed {
 		if subscription.filling {
@@ -96,8 +99,8 @@
 	effects.Deliveries = append(effects.Deliveries, statemachine.Delivery{Session: id, Event: event})
 }
 
-// emitLast delivers the last event of a session: why it ends and the cursor with which its client
-// may resume.
+// emitLast delivers the last event of a session: the reason of its end and the cursor with which
+// the client may resume.
 func (g *Gateway) emitLast(now time.Time, id uint64, session *session, code string, effects *statemachine.Effects) {
 	effects.Deliveries = append(effects.Deliveries, statemachine.Delivery{
 		Session: id, Event: Event{Event: "gone", Code: code, Cursor: g.cursor(now, session)}, Close: true,
@@ -108,16 +111,15 @@
 func (g *Gateway) openSession(now time.Time, request OpenSession, effects *statemachine.Effects) {
 	g.Counts.Requests++
 	if request.AdapterPings && !g.stopping && !g.Confirmed(now) {
-		// The first update of the control state, or the next, may be on the way: one
-		// refresh spares a client that connects right after a start the backoff after
-		// a rejection.
+		// The first update of the control state, or the next one, may be in flight. Waiting for one
+		// refresh spares a client that connects right after a start the backoff after a rejection.
 		g.refreshThen(now, func(now time.Time, effects *statemachine.Effects) { g.admitSession(now, request, effects) })
 		return
 	}
 	g.admitSession(now, request, effects)
 }
 
-// admitSession opens a session, or rejects it or redirects its client.
+// admitSession opens a session, rejects it, or redirects its client to another gateway.
 func (g *Gateway) admitSession(now time.Time, request OpenSession, effects *statemachine.Effects) {
 	if request.AdapterPings && g.draining() && g.Confirmed(now) {
 		if targets := g.targets(); len(targets) > 0 {
@@ -138,13 +140,13 @@
 	case request.AdapterPings && !g.admits(now):
 		effects.Respond(
 			request.Request,
-			rejectedReply(503, "busy", "this daemon's link can't serve more callers at once", retryShortDelay),
+			rejectedReply(503, "busy", "this daemon's link can't serve more clients at the moment", retryShortDelay),
 		)
 		return
 	case len(g.sessions) >= g.settings.MaxClients:
 		effects.Respond(
 			request.Request,
-			rejectedReply(503, "full", "this daemon holds all the channels it may", retryShortDelay),
+			rejectedReply(503, "full", "this daemon has reached its limit of channels", retryShortDelay),
 		)
 		return
 	}
@@ -179,15 +181,15 @@
 	}
 }
 
-// draining returns whether this gateway is being emptied while others are not. One that is only
-// full or unconfirmed redirects nobody, since the others may be so too and would redirect the
-// clients back.
+// draining reports whether this gateway is stopping or was told to move its clients to other
+// gateways. A gateway that is only full or unconfirmed does not redirect clients, since the other
+// gateways may be in the same state and would redirect the clients back.
 func (g *Gateway) draining() bool {
 	return g.stopping || g.viewClient.Directives.Rest || slices.Contains(g.config.Draining, g.settings.Self.Name)
 }
 
 // redirectClient opens a session only to move its client to another gateway. A rejected client would
-// have to search for one, which takes longer.
+// have to find another gateway itself, which takes longer.
 func (g *Gateway) redirectClient(
 	now time.Time,
 	request OpenSession,
@@ -224,8 +226,8 @@
 	g.ring.Record(now, "", "", session.client, "channel-closed", "why", request.Reason)
 }
 
-// checkSession forgets old deliveries of a session, pings its client, and closes it if the client
-// has moved or is silent.
+// checkSession drops expired delivery state of a session, pings its client, and closes the session
+// if the client was asked to move or is silent.
 func (g *Gateway) checkSession(now time.Time, id uint64, session *session, effects *statemachine.Effects) {
 	for _, got := range session.delivered {
 		for offset, at := range got {
--- a/internal/gateway/stats.go
+++ b/internal/gateway/stats.go
@@ -6,11 +6,12 @@
 	"dahlialock/internal/membership"
 )
 
-// Counts are running sums for measurements and tests. The JSON keys are part of the ctl interface.
+// Counts are cumulative counters for measurements and tests. The JSON keys are part of the ctl
+// interface.
 type Counts struct {
-	// CopiesIn counts the copies that came from other gateways, CopiesStray those of them to whose
-	// topics nobody here subscribes. Repeated counts the recent messages that were sent again to newly
-	// discovered gateways.
+	// CopiesIn counts the copies received from other gateways. CopiesStray counts those among them
+	// whose topics have no subscription on this gateway. Repeated counts the recent messages that were
+	// repeated to newly discovered gateways.
 	Requests          uint64 `json:"Requests"`
 	Accepted          uint64 `json:"Accepted"`
 	RejectedRequests  uint64 `json:"RefusedRequests"`
@@ -25,13 +26,13 @@
 	Moves             uint64 `json:"Moves"`
 	Refreshes         uint64 `json:"Looks"`
 	Repeated          uint64 `json:"Offered"`
-	// Fetched counts the records of routed topics that came for fetches, and Late
-	// those for which nobody waited any more.
+	// Fetched counts the records of routed topics in responses to fetches. Late counts those among
+	// them that were no longer needed when they arrived.
 	Fetched uint64 `json:"Fetched"`
 	Late    uint64 `json:"Late"`
 }
 
-// load returns the load that the gateway reports to the controllers.
+// load returns the load for the reports to the controllers.
 func (g *Gateway) load() membership.Load {
 	var processor time.Duration
 	if g.settings.Processor != nil {
@@ -53,8 +54,9 @@
 // Load returns the load that the gateway reports to the controllers.
 func (g *Gateway) Load() membership.Load { return g.load() }
 
-// TrackerStatus is the state of one tracker; the fields are those of tracker. Head is its high
-// watermark, VerifiedAgo the time since verifiedAt. The JSON keys are part of the ctl interface.
+// TrackerStatus is the state of one tracker. Its fields correspond to the fields of tracker; Head is
+// the high watermark, and VerifiedAgo is the time since verifiedAt. The JSON keys are part of the ctl
+// interface.
 type TrackerStatus struct {
 	Verified    uint64        `json:"verified"`
 	Head        uint64        `json:"head"`
--- a/internal/gateway/stopping_test.go
+++ b/internal/gateway/stopping_test.go
@@ -17,13 +17,14 @@
 	"spaces":[{"name":"boards","promise":"kept","order":"topic"}],
 	"routes":[{"prefix":"b.","space":"boards"}]}`
 
-// fixture is a gateway that has had its first view update, beside another to move clients to.
+// fixture is a gateway that has received its first view update, which also names a second gateway as
+// the target of moves.
 type fixture struct {
 	now         time.Time
 	gateway     *gateway.Gateway
 	request     uint64
 	heartbeatAt time.Time
-	// heard is the effects of the newest view update.
+	// heard are the effects of the newest view update.
 	heard statemachine.Effects
 }
 
@@ -53,7 +54,8 @@
 	return all
 }
 
-// respondToAgentRequests responds to the requests that the gateway sends to its agent, and sends heartbeats.
+// respondToAgentRequests responds to the view requests of the gateway with a view update, at most once
+// per 300 ms.
 func (f *fixture) respondToAgentRequests(effects statemachine.Effects) {
 	for _, send := range effects.Sends {
 		ask, matches := send.Message.(membership.ViewRequest)
@@ -187,7 +189,7 @@
 		appended, matches := send.Message.(partition.Append)
 		found = found || matches && appended.Topic == "b.1" && send.To == "10.0.0.3:1"
 	}
-	assert.Assert(t, found, "the publication must go to its store: %v", effects.Sends)
+	assert.Assert(t, found, "the publication must be sent to its store: %v", effects.Sends)
 }
 
 func TestStoppingGatewayDoesNotAwaitMovedClients(t *testing.T) {
@@ -213,5 +215,5 @@
 		_, matches := send.Message.(membership.GracefulLeave)
 		farewell = farewell || matches && send.To == "10.0.0.1:2"
 	}
-	assert.Assert(t, farewell, "the agent must hear of the end")
+	assert.Assert(t, farewell, "the agent must receive a GracefulLeave")
 }
--- a/internal/gateway/view.go
+++ b/internal/gateway/view.go
@@ -12,7 +12,7 @@
 	"dahlialock/internal/statemachine"
 )
 
-// deferred is a message that came while the gateway was unconfirmed.
+// deferred is a message that arrived while the gateway was unconfirmed.
 type deferred struct {
 	meta    statemachine.Meta
 	message any
@@ -46,7 +46,8 @@
 	g.resume(now, effects)
 }
 
-// resume handles the deferred messages, and the requests that wait for a refresh.
+// resume handles the deferred messages and continues the requests that wait for a refresh, if the
+// gateway is confirmed.
 func (g *Gateway) resume(now time.Time, effects *statemachine.Effects) {
 	if !g.Confirmed(now) {
 		return
@@ -81,7 +82,7 @@
 	g.placementsChanged(now, effects)
 }
 
-// spaceName returns the name of a space with the index at which it was created.
+// spaceName returns the name of a space together with the index at which it was created.
 func (g *Gateway) spaceName(name string) (string, bool) {
 	createdAt, found := g.viewClient.SpaceCreatedAt[name]
 	if !found {
@@ -91,12 +92,12 @@
 	return full[:strings.LastIndex(full, "/")], true
 }
 
-// applyConfiguration puts the newest configuration in force. It is called only with a version above
-// the one before.
+// applyConfiguration puts the newest configuration in force. It is called only after the version has
+// increased.
 func (g *Gateway) applyConfiguration(now time.Time, effects *statemachine.Effects) {
 	document, faults := config.Read(g.viewClient.Document)
 	if len(faults) > 0 || document.Version < g.config.Version {
-		panic("a configuration was handed on that may not be in force")
+		panic("the configuration is invalid or older than the one in force")
 	}
 	g.config, g.subscribeTimeout = document, subscribeTimeoutOf(document)
 	for name, state := range statemachine.Sorted(g.spaces) {
@@ -131,7 +132,7 @@
 	g.ring.Record(now, "", "", "", "configuration", "version", document.Version)
 }
 
-// removeSpace ends the subscriptions to a removed space and rejects its queued publications.
+// removeSpace ends the subscriptions to a removed space and rejects the queued publications to it.
 func (g *Gateway) removeSpace(now time.Time, name string, state *spaceState, effects *statemachine.Effects) {
 	delete(g.spaces, name)
 	if state.space.Order == config.OrderTopic {
