--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -40,8 +40,8 @@
 		Agent:       current.AgentAddress,
 		Key:         key,
 		MaxClients:  current.MaxSessions,
-		Link:        current.LinkBytesPerSecond,
-		Processor:   processorTime,
+		LinkBytesPerSecond:        current.LinkBytesPerSecond,
+		ProcessorTime:   processorTime,
 		Incarnation: stored.Incarnation,
 		// A sixth of the time in which a version is to be in force is left for news
 		// on its way, and two fifths of the grace for what comes after the callers.
@@ -70,7 +70,7 @@
 		ClientHandler: func(at *daemon.EventLoop) http.Handler { return httpapi.New(current.Name, callersKey, at) },
 		Reload: func(after settings.Settings) {
 			machine.SetMaxClients(after.MaxSessions)
-			machine.SetLink(after.LinkBytesPerSecond)
+			machine.SetLinkBytesPerSecond(after.LinkBytesPerSecond)
 		},
 		ControlAdapter: platform.Adapter(current),
 	}
--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -30,17 +30,17 @@
 // admits reports whether one more session may be admitted, and takes a token for it. All sessions are
 // admitted if the rate of the link is unknown.
 func (g *Gateway) admits(now time.Time) bool {
-	if g.settings.Link == 0 || statemachine.Mutated("all-admitted") {
+	if g.settings.LinkBytesPerSecond == 0 || statemachine.Mutated("all-admitted") {
 		return true
 	}
-	rate := float64(g.settings.Link) * admitShare / sessionBytes
+	rate := float64(g.settings.LinkBytesPerSecond) * admitShare / sessionBytes
 	burst := max(rate*admitBurst.Seconds(), minAdmitted)
 	if g.admission.at.IsZero() {
 		g.admission = admission{left: burst, at: now}
 	}
 	g.admission.left = min(burst, g.admission.left+rate*now.Sub(g.admission.at).Seconds())
 	g.admission.at = now
-	if g.admission.left < 1 || g.backlog(now) > int(float64(g.settings.Link)*backlogAhead.Seconds()) {
+	if g.admission.left < 1 || g.backlog(now) > int(float64(g.settings.LinkBytesPerSecond)*backlogAhead.Seconds()) {
 		return false
 	}
 	g.admission.left--
--- a/internal/gateway/admission_mutation_test.go
+++ b/internal/gateway/admission_mutation_test.go
@@ -13,6 +13,6 @@
 func TestAdmissionMutationAdmitsAll(t *testing.T) {
 	defer statemachine.Mutate("all-admitted")()
 	fixture := open(t)
-	fixture.gateway.SetLink(thinLink)
+	fixture.gateway.SetLinkBytesPerSecond(thinLink)
 	assert.Equal(t, admitAll(t, fixture, 300), 300)
 }
--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -31,7 +31,7 @@
 
 func TestAdmissionFollowsLinkRate(t *testing.T) {
 	fixture := open(t)
-	fixture.gateway.SetLink(thinLink)
+	fixture.gateway.SetLinkBytesPerSecond(thinLink)
 	first := admitAll(t, fixture, 300)
 	assert.Assert(t, first >= 16 && first <= 32, "%d", first)
 	fixture.pass(700 * time.Millisecond)
@@ -47,7 +47,7 @@
 func TestAdmissionAdmitsAllOnFastLink(t *testing.T) {
 	for _, link := range []int{0, 1_800_000_000 / 8} {
 		fixture := open(t)
-		fixture.gateway.SetLink(link)
+		fixture.gateway.SetLinkBytesPerSecond(link)
 		assert.Equal(t, admitAll(t, fixture, 1500), 1500)
 	}
 }
--- a/internal/gateway/catchup.go
+++ b/internal/gateway/catchup.go
@@ -196,10 +196,10 @@
 // batchBytes returns the credit of a batch while batches to that many stores are in flight: their
 // responses together take a short time of the link.
 func (g *Gateway) batchBytes(stores int) int {
-	if g.settings.Link == 0 {
+	if g.settings.LinkBytesPerSecond == 0 {
 		return maxBatchBytes
 	}
-	ahead := int(float64(g.settings.Link) * catchUpAhead.Seconds())
+	ahead := int(float64(g.settings.LinkBytesPerSecond) * catchUpAhead.Seconds())
 	return min(max(ahead/max(1, stores), minBatchBytes), maxBatchBytes)
 }
 
--- a/internal/gateway/catchup_test.go
+++ b/internal/gateway/catchup_test.go
@@ -210,11 +210,11 @@
 func TestBatchCreditFollowsLink(t *testing.T) {
 	many := newCrowded(1)
 	assert.Equal(t, many.sentBatches()[0].MaxBytes, maxBatchBytes)
-	many.gateway.SetLink(3_250_000)
+	many.gateway.SetLinkBytesPerSecond(3_250_000)
 	assert.Equal(t, many.gateway.batchBytes(10), 65000)
 	assert.Equal(t, many.gateway.batchBytes(4), 162500)
 	assert.Equal(t, many.gateway.batchBytes(1), maxBatchBytes)
-	many.gateway.SetLink(1000)
+	many.gateway.SetLinkBytesPerSecond(1000)
 	assert.Equal(t, many.gateway.batchBytes(1), minBatchBytes)
 }
 
@@ -393,7 +393,7 @@
 func TestAdmissionRejectsDuringBacklog(t *testing.T) {
 	one := newCrowded(1)
 	topic := one.gateway.routed.topics["topic-0"]
-	one.gateway.SetLink(thinRate)
+	one.gateway.SetLinkBytesPerSecond(thinRate)
 	assert.Assert(t, one.gateway.admits(one.now))
 	fetch := one.sentBatches()[0]
 	one.gateway.handleTopicsFetched(one.now, partition.FetchTopicsResponse{
@@ -414,7 +414,7 @@
 	one := newCrowded(1)
 	gateway, topic := one.gateway, one.gateway.routed.topics["topic-0"]
 	one.answer(one.sentBatches()[0])
-	gateway.SetLink(thinRate)
+	gateway.SetLinkBytesPerSecond(thinRate)
 	late := &topicSubscription{
 		session:  9,
 		filling:  true,
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -72,17 +72,17 @@
 	StopWithin   time.Duration
 	// Acknowledge is the time within which a well-formed control request must be acknowledged.
 	Acknowledge time.Duration
-	// Link is the rate of the machine's link in bytes per second, 0 if unknown.
-	Link int
-	// Processor returns the processor time that the process has used so far; it may be nil.
-	Processor func() time.Duration
+	// LinkBytesPerSecond is the rate of the machine's link in bytes per second, 0 if unknown.
+	LinkBytesPerSecond int
+	// ProcessorTime returns the processor time that the process has used so far; it may be nil.
+	ProcessorTime func() time.Duration
 	// Incarnation identifies this run of the process.
 	Incarnation statemachine.Incarnation
 }
 
 // Gateway is the state machine of a gateway daemon.
 type Gateway struct {
-	// settings are the settings given to New, with the MaxClients and Link that were set last.
+	// settings are the settings given to New, with the last set MaxClients and LinkBytesPerSecond.
 	settings Settings
 	// viewClient receives the control state; its Version is the configuration version in force.
 	viewClient *membership.ViewClient
@@ -482,5 +482,5 @@
 // SetMaxClients sets the maximum number of sessions.
 func (g *Gateway) SetMaxClients(limit int) { g.settings.MaxClients = limit }
 
-// SetLink sets the rate of the machine's link in bytes per second.
-func (g *Gateway) SetLink(rate int) { g.settings.Link = rate }
+// SetLinkBytesPerSecond sets the rate of the machine's link in bytes per second.
+func (g *Gateway) SetLinkBytesPerSecond(rate int) { g.settings.LinkBytesPerSecond = rate }
--- a/internal/gateway/stats.go
+++ b/internal/gateway/stats.go
@@ -35,8 +35,8 @@
 // load returns the load for the reports to the controllers.
 func (g *Gateway) load() membership.Load {
 	var processor time.Duration
-	if g.settings.Processor != nil {
-		processor = g.settings.Processor()
+	if g.settings.ProcessorTime != nil {
+		processor = g.settings.ProcessorTime()
 	}
 	return membership.Load{
 		Copies:       g.Counts.CopiesIn,
--- a/internal/simulator/simulator.go
+++ b/internal/simulator/simulator.go
@@ -236,7 +236,7 @@
 // addGateway adds a gateway and the agent beside it.
 func (s *Simulation) addGateway(number int) (*Node, *Node) {
 	gateway := s.add(membership.KindGateway, number, func(node *Node, _ storedState) hostedMachine {
-		return gateway.New(gateway.Settings{Self: node.member(), Agent: address(membership.KindAgent, number), Link: s.Shape.Links[membership.KindGateway].Down, Key: []byte("simulated-key-0123"), Incarnation: node.randomIncarnation(), Processor: func() time.Duration {
+		return gateway.New(gateway.Settings{Self: node.member(), Agent: address(membership.KindAgent, number), LinkBytesPerSecond: s.Shape.Links[membership.KindGateway].Down, Key: []byte("simulated-key-0123"), Incarnation: node.randomIncarnation(), ProcessorTime: func() time.Duration {
 			return time.Duration(node.Steps) * stepProcessor
 		}})
 	})
