--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -12,34 +12,33 @@
 // DefaultAcknowledge is the value of Settings.Acknowledge if none is set.
 const DefaultAcknowledge = 5 * time.Second
 
-// Parts of Settings.Acknowledge and other bounds.
+// Fractions of Settings.Acknowledge, and other limits.
 const (
-	// hedgeDivisor is the part of Acknowledge after which, each time, further daemons are
-	// asked: a twentieth of it.
+	// hedgeDivisor is the number of hedge intervals in Acknowledge. After each interval without a
+	// response, the request is sent to further daemons.
 	hedgeDivisor = 20
-	// deadlinePercent is how many hundredths of Acknowledge pass before the operator is
-	// asked to retry. Operators tolerate a second of silence; with DefaultAcknowledge this
-	// is less.
+	// deadlinePercent is the percentage of Acknowledge after which the operator is asked to
+	// retry. Operators tolerate a second without a response; with DefaultAcknowledge the deadline
+	// is earlier.
 	deadlinePercent = 18
-	// bytesPerMillisecond extends the deadline of a large request, which must be read,
-	// synced and replicated first: by a millisecond for each so many bytes of its body.
+	// bytesPerMillisecond extends the deadline of a large request, which must first be read,
+	// synced and replicated: by one millisecond for each so many bytes of its body.
 	bytesPerMillisecond = 100
-	// retryAfter is how long an operator is asked to wait at least before a retry.
+	// retryAfter is the minimum delay that an operator is asked to wait before a retry.
 	retryAfter = time.Second
-	// maxRedirects bounds the redirects that are followed for one request.
+	// maxRedirects limits the redirects that are followed for one request.
 	maxRedirects = 6
 )
 
 // Settings configure a ControlClient.
 type Settings struct {
 	Incarnation statemachine.Incarnation
-	// Acknowledge is within what time operators expect a valid request to be answered.
+	// Acknowledge is the time within which operators expect the response to a valid request.
 	Acknowledge time.Duration
-	// Upstream returns the address of the controller to ask first, Next that of a
-	// further one to ask. An empty address means that none is known.
+	// Upstream returns the address of the controller to ask first, Next the address of another
+	// controller to ask. An empty address means that none is known.
 	Upstream, Next func() string
-	// Relays returns the addresses of daemons that forward requests; nil if there are
-	// none.
+	// Relays returns the addresses of daemons that forward requests. It is nil if there are none.
 	Relays func() []string
 }
 
@@ -48,11 +47,11 @@
 
 const timerHedge clientTimer = iota
 
-// ControlClient is the state machine.
+// ControlClient is the state machine that forwards requests and matches the responses.
 type ControlClient struct {
 	settings Settings
 	requests statemachine.RequestSequence
-	// pending holds the requests without a final response, by number.
+	// pending holds the requests without a final response, by request number.
 	pending map[uint64]*pendingRequest
 	timers  *statemachine.Timers[clientTimer]
 }
@@ -60,16 +59,17 @@
 // pendingRequest is a request that was forwarded and has no final response yet.
 type pendingRequest struct {
 	request membership.ControlRequest
-	// local is the number under which the owner awaits the response.
+	// local is the number under which the owner expects the response.
 	local    uint64
 	deadline time.Time
 	hedgeAt  time.Time
-	// awaiting is true for each address that was asked and has not responded, false
-	// for each that has; unanswered counts the former.
+	// awaiting holds the address of each daemon that was asked; the value is true until the
+	// daemon responds. unanswered counts the addresses without a response.
 	awaiting   map[string]bool
 	unanswered int
 	redirects  int
-	// mayHaveEffect is set once a controller that may act could not tell the outcome.
+	// mayHaveEffect is set once a controller responded that it doesn't know the outcome of a
+	// request that changes state.
 	mayHaveEffect bool
 	// rejection is the newest response of a daemon that reached no controller.
 	rejection *membership.ControlResponse
@@ -88,10 +88,10 @@
 	}
 }
 
-// NextTick is when Tick is to be called next.
+// NextTick returns when Tick is to be called next.
 func (c *ControlClient) NextTick() time.Time { return c.timers.Next() }
 
-// Forward begins to forward an operator's request. The response is an effect for the
+// Forward starts forwarding an operator's request. The response is returned as an effect for the
 // request number local, with a membership.ControlResponse as its value.
 func (c *ControlClient) Forward(
 	now time.Time,
@@ -103,8 +103,8 @@
 	c.forward(now, local, membership.ControlRequest{Method: method, Path: path, Body: body}, effects)
 }
 
-// Relay forwards a request on behalf of another daemon. One that was relayed before
-// goes to controllers only, so that it cannot circulate.
+// Relay forwards a request on behalf of another daemon. A request that was relayed before is sent
+// to controllers only, so that it cannot circulate.
 func (c *ControlClient) Relay(
 	now time.Time,
 	local uint64,
@@ -151,8 +151,8 @@
 	return c.settings.Acknowledge / hedgeDivisor
 }
 
-// send sends the request to a controller; false if it was sent there before, or the
-// address is empty.
+// send sends the request to a controller. It returns false if the request was already sent to
+// that address, or if the address is empty.
 func (p *pendingRequest) send(to string, effects *statemachine.Effects) bool {
 	if _, sent := p.awaiting[to]; sent || to == "" {
 		return false
@@ -163,7 +163,8 @@
 	return true
 }
 
-// sendToRelay sends the request to a relay; false if it was sent there before.
+// sendToRelay sends the request to a relay. It returns false if the request was already sent to
+// that address.
 func (p *pendingRequest) sendToRelay(relay string, effects *statemachine.Effects) bool {
 	if _, sent := p.awaiting[relay]; sent {
 		return false
@@ -176,8 +177,8 @@
 	return true
 }
 
-// hedge sends the request to one more controller and one more relay; false if there
-// is neither.
+// hedge sends the request to one more controller and one more relay. It returns false if there is
+// neither.
 func (c *ControlClient) hedge(pending *pendingRequest, effects *statemachine.Effects) bool {
 	sent := false
 	for range len(pending.awaiting) + 1 {
@@ -190,7 +191,7 @@
 		return sent
 	}
 	relays := c.settings.Relays()
-	// Requests begin at different relays, so that the load spreads.
+	// Requests start at different relays to distribute the load.
 	start := pending.request.Request.Number
 	for position := range relays {
 		relay := relays[(uint64(position)+start)%uint64(len(relays))]
@@ -201,8 +202,8 @@
 	return sent
 }
 
-// HandleResponse takes a response to one of the client's requests. Responses of other
-// incarnations, of daemons that were not asked, and repeated ones are ignored.
+// HandleResponse handles a response to one of the client's requests. It ignores responses to
+// other incarnations, responses from daemons that were not asked, and repeated ones.
 func (c *ControlClient) HandleResponse(
 	_ time.Time,
 	from string,
@@ -235,7 +236,7 @@
 	}
 }
 
-// finish gives the final response to whoever made the request.
+// finish returns the final response to the owner of the request.
 func (c *ControlClient) finish(
 	pending *pendingRequest,
 	response membership.ControlResponse,
@@ -246,8 +247,8 @@
 	effects.Respond(pending.local, response)
 }
 
-// reject ends a request that was not served. A daemon that was asked and has not
-// responded may still serve it: a request that changes something then counts as unsettled.
+// reject ends a request that was not served. A daemon that was asked and has not responded may
+// still serve it, so a request that changes state then counts as unsettled.
 func (c *ControlClient) reject(
 	pending *pendingRequest,
 	response membership.ControlResponse,
@@ -262,7 +263,7 @@
 	c.finish(pending, response, effects)
 }
 
-// timeOut ends a request at its deadline, or one that could be sent nowhere.
+// timeOut ends a request at its deadline, or a request that could not be sent to any daemon.
 func (c *ControlClient) timeOut(pending *pendingRequest, effects *statemachine.Effects) {
 	response := membership.ControlResponse{
 		Status: http.StatusServiceUnavailable,
@@ -274,7 +275,7 @@
 	c.reject(pending, response, effects)
 }
 
-// Tick hedges requests without a response and ends those past their deadlines.
+// Tick hedges requests without a response and ends those whose deadlines have passed.
 func (c *ControlClient) Tick(now time.Time, effects *statemachine.Effects) {
 	if len(c.timers.Expired(now)) == 0 {
 		return
--- a/internal/controlclient/client_test.go
+++ b/internal/controlclient/client_test.go
@@ -23,7 +23,7 @@
 	})
 }
 
-// forward forwards a request without a body and returns what is sent to the primary.
+// forward forwards a request without a body and returns the message to the primary.
 func forward(
 	t *testing.T,
 	client *ControlClient,
@@ -39,7 +39,7 @@
 	return effects.Sends[0].Message.(membership.ControlRequest)
 }
 
-// respond hands the client a response and returns what it responds to operators.
+// respond passes a response to the client and returns the client's responses to operators.
 func respond(
 	client *ControlClient,
 	now time.Time,
@@ -51,8 +51,8 @@
 	return effects.Responses
 }
 
-// responsesToEarlierIncarnation returns what the operator of a second incarnation is given
-// upon a response to a request of the first with the same number.
+// responsesToEarlierIncarnation returns the responses to the operator of a second incarnation
+// when a response to the request of the first with the same number arrives.
 func responsesToEarlierIncarnation(t *testing.T) []statemachine.Response {
 	t.Helper()
 	now := time.Unix(1000, 0)
@@ -90,7 +90,7 @@
 	assert.Equal(t, len(respond(client, now, primary, membership.ControlResponse{Status: 200})), 0)
 }
 
-// Responses from the hedged request and then from the slow primary: the operator gets one.
+// If the hedged request and then the slow primary respond, the operator gets one response.
 func TestControlClientRespondsOnceWhenHedged(t *testing.T) {
 	now := time.Unix(1000, 0)
 	client := newClient(1)
@@ -107,7 +107,7 @@
 	assert.Equal(t, len(respond(client, now, primary, late)), 0)
 }
 
-// A relayed request keeps its Order and gets a request identity of its own on each hop.
+// A relayed request keeps its Order and gets a new request identity on each hop.
 func TestControlClientRelayKeepsOrder(t *testing.T) {
 	now := time.Unix(1000, 0)
 	first := forward(t, newClient(1), now, 7, "POST")
--- a/internal/controlclient/errors.go
+++ b/internal/controlclient/errors.go
@@ -6,13 +6,13 @@
 	"dahlialock/internal/membership"
 )
 
-// Codes of rejections by daemons that reached no controller that may act.
+// Codes of rejections by daemons that reached no controller that can serve requests.
 const (
 	codeNoPrimary = "no-primary"
 	codeNoAnswer  = "no-answer"
 )
 
-// codeUnsettled says that nobody can tell whether a request had an effect.
+// codeUnsettled means that it is unknown whether a request had an effect.
 const codeUnsettled = "unsettled"
 
 // errorBody is the JSON body of a response that is not a success.
@@ -22,8 +22,8 @@
 	Text   string `json:"text"`
 }
 
-// ErrorBody encodes the body of a response that is not a success. The code is for
-// programs, the text for people; faults lists what is wrong in the request, or is nil.
+// ErrorBody encodes the body of a response that is not a success. The code is meant for programs,
+// the text for people; faults lists the errors in the request, or is nil.
 func ErrorBody(code, text string, faults any) []byte {
 	body, err := json.Marshal(errorBody{Code: code, Text: text, Faults: faults})
 	if err != nil {
@@ -32,8 +32,8 @@
 	return body
 }
 
-// reachedNoController reports whether the sender of a rejection reached no controller
-// that may act, so that another daemon might.
+// reachedNoController reports whether the sender of a rejection reached no controller that can
+// serve requests, so that another daemon might.
 func reachedNoController(response membership.ControlResponse) bool {
 	var body struct {
 		Code string `json:"code"`
--- a/internal/controlclient/hedging_test.go
+++ b/internal/controlclient/hedging_test.go
@@ -24,8 +24,8 @@
 	})
 }
 
-// runUntil ticks a client until it responds to an operator, or until a moment. It returns
-// what the client sent, its responses, and the moment of the last tick.
+// runUntil ticks a client until it responds to an operator or a time is reached. It returns the
+// messages and responses of the client and the time of the last tick.
 func runUntil(
 	client *ControlClient,
 	until time.Time,
@@ -72,7 +72,8 @@
 	assert.Equal(t, at.Sub(start), 1900*time.Millisecond)
 }
 
-// A daemon that reaches no controller says so at once, and others are sent at once.
+// A daemon that reaches no controller responds at once, and the request is sent to other daemons
+// without waiting for the hedge interval.
 func TestControlClientHedgesAtOnceWhenNoControllerIsReached(t *testing.T) {
 	client := newClientWithRelays(0)
 	request := forward(t, client, start, 7, "PUT")
@@ -88,8 +89,8 @@
 	assert.Equal(t, responses[0].Value.(membership.ControlResponse).Status, 200)
 }
 
-// The response of a controller that may act and cannot tell the outcome is final: the
-// request is not sent to others.
+// If a controller that can serve requests responds that the outcome is unknown, the response is
+// final: the request is not sent to others.
 func TestControlClientDoesNotHedgeUnsettledRequest(t *testing.T) {
 	client := newClientWithRelays(0)
 	request := forward(t, client, start, 7, "PUT")
@@ -101,7 +102,7 @@
 	assert.Equal(t, len(effects.Sends), 0)
 }
 
-// A relayed request goes to controllers only, and ends once they have rejected it.
+// A relayed request is sent to controllers only, and ends once they have rejected it.
 func TestControlClientDoesNotRelayTwice(t *testing.T) {
 	client := newClientWithRelays(0)
 	var effects statemachine.Effects
--- a/internal/controlclient/mutation_test.go
+++ b/internal/controlclient/mutation_test.go
@@ -11,7 +11,7 @@
 	"dahlialock/internal/statemachine"
 )
 
-// With equal incarnations, an operator gets the response to another request.
+// If incarnations have equal identifiers, an operator gets the response to another request.
 func TestIncarnationIsNeeded(t *testing.T) {
 	defer statemachine.Mutate("lives-alike")()
 	responses := responsesToEarlierIncarnation(t)
--- a/internal/partition/append.go
+++ b/internal/partition/append.go
@@ -9,30 +9,33 @@
 )
 
 const (
-	// notLeaderRetryAfter is when to append again after CodeNotLeader or CodeSequencePassed.
+	// notLeaderRetryAfter is the retry delay sent with CodeNotLeader and CodeSequencePassed.
 	notLeaderRetryAfter = 200 * time.Millisecond
-	// maxCommitLag is for how long the oldest record may wait for its followers before further
-	// appends are rejected. An incomplete partition queues appends for as long.
+	// maxCommitLag is the longest time that the oldest record above the high watermark may wait
+	// for the followers before further appends are rejected. An incomplete partition queues
+	// appends for at most the same time after its placement.
 	maxCommitLag = 400 * time.Millisecond
-	// appendTimeout is when an append that waits is answered OutcomeUnresolved.
+	// appendTimeout is how long an append may be pending before it is answered with
+	// OutcomeUnresolved.
 	appendTimeout = 600 * time.Millisecond
 )
 
-// pendingAppend is an append that waits for its record to be accepted.
+// pendingAppend is an append whose record is not accepted yet.
 type pendingAppend struct {
 	from       string
 	requestID  uint64
 	receivedAt time.Time
 }
 
-// rejection says why an append is rejected, and when to send it again; zero if never.
+// rejection is the reason why an append is rejected, and the delay after which it may be retried;
+// zero if a retry is of no use.
 type rejection struct {
 	code       string
 	retryAfter time.Duration
 }
 
-// handleAppend gives a message its offset, or finds the record that it is a duplicate of. The
-// response follows once the record is accepted.
+// handleAppend appends a message to the partition's log, or finds the record that it duplicates.
+// A rejection is sent at once, any other response once the record is accepted.
 func (s *Store) handleAppend(now time.Time, from string, request Append, effects *statemachine.Effects) {
 	s.Counts.Appends++
 	partition, found := s.replicas[request.Partition]
@@ -56,8 +59,8 @@
 	s.appendRecord(now, from, request)
 }
 
-// handleDuplicate answers a message that was appended before: at once if it is accepted, and
-// otherwise together with the earlier request.
+// handleDuplicate responds to a message that was appended before: at once if its record is
+// accepted, and otherwise together with the earlier request.
 func (s *Store) handleDuplicate(
 	now time.Time, from string, request Append, entry dedupEntry, effects *statemachine.Effects,
 ) {
@@ -92,15 +95,15 @@
 	effects.Send(from, response)
 }
 
-// checkAppend tells whether a message that isn't a duplicate must be rejected.
+// checkAppend reports whether a message that isn't a duplicate must be rejected, and why.
 func (s *Store) checkAppend(
 	now time.Time, partition *replica, sender *senderState, request Append,
 ) (reason rejection, rejected bool) {
 	stale := request.Seq <= sender.LastSeq || request.DuplicateOnly
 	if stale && !statemachine.Mutated("no-resend-memory") {
 		if config.IsShared(request.Partition) && !partition.acceptedAll(sender) {
-			// The later message may still be lost, and then another leader may accept an
-			// earlier attempt of this one.
+			// The later message may still be lost, and then another leader may accept an earlier
+			// attempt of this one.
 			return rejection{code: CodeSequencePassed, retryAfter: notLeaderRetryAfter}, true
 		}
 		return rejection{code: CodeSequenceStale}, true
@@ -108,8 +111,8 @@
 	if s.writes.unavailable {
 		return rejection{code: CodeDiskUnavailable, retryAfter: partition.retryAfter()}, true
 	}
-	// Appends to an incomplete partition wait for its followers, but not for long, and not
-	// where a follower can't be reached.
+	// Appends to an incomplete partition wait for the followers to catch up, but for at most
+	// maxCommitLag after the placement, and only while all followers are alive.
 	late := now.Sub(partition.placedAt) > maxCommitLag
 	if !partition.placement.Complete && (late || !s.followersAlive(partition)) {
 		return rejection{code: CodeFollowerIncomplete, retryAfter: partition.retryAfter()}, true
@@ -120,7 +123,7 @@
 	return rejection{}, false
 }
 
-// appendRecord appends a message to the leader's log and disk.
+// appendRecord appends a message to the leader's log and writes it to disk.
 func (s *Store) appendRecord(now time.Time, from string, request Append) {
 	partition := s.replicas[request.Partition]
 	lastOffset, _ := partition.log.end()
@@ -148,7 +151,7 @@
 	})
 }
 
-// rejectAppend answers an append that this store takes nothing from.
+// rejectAppend responds that an append was rejected, and adds that to the decision log.
 func (s *Store) rejectAppend(
 	now time.Time, from string, request Append, reason rejection, effects *statemachine.Effects,
 ) {
@@ -173,8 +176,8 @@
 	})
 }
 
-// responseRecord is a record as a response carries it. Of a shared partition's the data and
-// the names are left out, since whoever sent the request has them.
+// responseRecord returns a record as it is sent in a response. For a shared partition, the data,
+// the names and the time are omitted, since the gateway that sent the request has the message.
 func responseRecord(partition string, record Record) Record {
 	if config.IsShared(partition) {
 		record.Data, record.Topic, record.Sender, record.AppendedAt = nil, "", "", time.Time{}
@@ -182,12 +185,12 @@
 	return record
 }
 
-// await has an append answered once the record at an offset is accepted.
+// await registers an append that is to be answered once the record at an offset is accepted.
 func (r *replica) await(offset uint64, waiting pendingAppend) {
 	r.pending[offset] = append(r.pending[offset], waiting)
 }
 
-// unresolved is the response to an append whose record may be accepted or lost.
+// unresolved returns the response to an append whose record may be accepted or lost.
 func (r *replica) unresolved(waiting pendingAppend, code string) AppendResponse {
 	return AppendResponse{
 		Partition: r.log.Name,
@@ -198,8 +201,8 @@
 	}
 }
 
-// failPending answers all appends that wait on a partition, since this store won't come to
-// know what becomes of them.
+// failPending answers all pending appends of a partition with OutcomeUnresolved, because this
+// store will not learn whether their records are accepted.
 func (s *Store) failPending(partition *replica, code string, effects *statemachine.Effects) {
 	for offset, waiting := range statemachine.Sorted(partition.pending) {
 		delete(partition.pending, offset)
@@ -209,7 +212,8 @@
 	}
 }
 
-// expirePending answers the appends that have waited for appendTimeout.
+// expirePending answers the appends that have been pending for appendTimeout with
+// OutcomeUnresolved.
 func (s *Store) expirePending(now time.Time, partition *replica, effects *statemachine.Effects) {
 	for offset, waiting := range statemachine.Sorted(partition.pending) {
 		var remaining []pendingAppend
--- a/internal/partition/bench_test.go
+++ b/internal/partition/bench_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// BenchmarkAppend measures what an append costs the leader and a follower, with its messages
-// as they travel and the bytes as they go to disk.
+// BenchmarkAppend measures the cost of an append for the leader and a follower, including the
+// encoding of messages and disk entries.
 func BenchmarkAppend(b *testing.B) {
 	for _, copies := range []int{1, 2, 3} {
 		for _, together := range []int{1, 8} {
--- a/internal/partition/cluster_test.go
+++ b/internal/partition/cluster_test.go
@@ -14,37 +14,37 @@
 	"dahlialock/internal/transport"
 )
 
-// began is when tests begin.
+// began is the time at which tests start.
 var began = time.Unix(1_700_000_000, 0)
 
-// at is a number of seconds after the beginning.
+// at returns the time a number of seconds after the start.
 func at(seconds int) time.Time { return began.Add(time.Duration(seconds) * time.Second) }
 
-// document is a configuration with some spaces.
+// document returns a configuration with the given spaces.
 func document(version int, spaces string) []byte {
 	return fmt.Appendf(nil, `{"version": %d, "spaces": [%s]}`, version, spaces)
 }
 
-// cluster runs a few stores whose disks and links take no time. All of them host all shared
-// partitions, which store-0 leads.
+// cluster runs stores whose disks and links have no delay. All stores host all shared partitions,
+// which store-0 leads.
 type cluster struct {
 	now    time.Time
 	stores map[string]*Store
-	// queue is what is in flight, in order.
+	// queue holds the deliveries in flight, in order.
 	queue []delivery
-	// accepted counts the appends that were acknowledged, linkBytes the bytes of messages and
-	// diskBytes those of writes, and spent is the time that each store ran.
+	// accepted counts the acknowledged appends, linkBytes the bytes of messages and diskBytes
+	// those of writes. spent is the time for which each store ran.
 	accepted  int
 	linkBytes int
 	diskBytes int
 	spent     map[string]time.Duration
-	// slowLinks delay what goes to some stores; passed is set if the next delivery has been
-	// through its link.
+	// slowLinks delay the messages to some stores. passed is set if the next delivery has already
+	// passed its link.
 	slowLinks map[string]*slowLink
 	passed    bool
 }
 
-// delivery is an encoded message to a store, or, without one, the token of a synced write.
+// delivery is an encoded message to a store or, if frame is nil, the token of a synced write.
 type delivery struct {
 	to    string
 	frame []byte
@@ -113,7 +113,7 @@
 	})
 }
 
-// step runs a store once, and queues its messages and writes.
+// step runs one step of a store, and queues its messages and writes.
 func (c *cluster) step(name string, act func(effects *statemachine.Effects)) {
 	started := time.Now()
 	var effects statemachine.Effects
@@ -131,7 +131,8 @@
 	c.spent[name] += time.Since(started)
 }
 
-// send queues a message to a store. Of others only acknowledged appends count.
+// send queues a message to a store. Of messages to any other address, only acknowledgements of
+// appends are counted.
 func (c *cluster) send(from string, send statemachine.Send) {
 	if _, found := c.stores[send.To]; !found {
 		response, matches := send.Message.(AppendResponse)
@@ -155,7 +156,7 @@
 	return frame
 }
 
-// deliverAll delivers everything until nothing is in flight but on slow links.
+// deliverAll delivers messages and synced writes until nothing is in flight except on slow links.
 func (c *cluster) deliverAll() {
 	for len(c.queue) > 0 {
 		next := c.queue[0]
@@ -182,7 +183,8 @@
 	store.HandleMessage(c.now, meta, message, effects)
 }
 
-// publish appends a few messages that arrive in one turn, and lets 3 ms pass.
+// publish appends a number of messages that arrive at the same time, and advances the clock by 3
+// ms.
 func (c *cluster) publish(seq uint64, together int) {
 	for number := range together {
 		topic := fmt.Sprintf("reading.%d", (seq*uint64(together)+uint64(number))%1000)
@@ -209,8 +211,8 @@
 	}
 }
 
-// publishAndDropOldest publishes, and has the leader drop the oldest record of each
-// partition, so that a follower that has nothing needs a snapshot.
+// publishAndDropOldest publishes, and drops the oldest record of each partition on the leader, so
+// that a follower with an empty log needs a snapshot.
 func (c *cluster) publishAndDropOldest(from, until uint64) {
 	for seq := from; seq < until; seq++ {
 		c.publish(seq, 1)
@@ -222,7 +224,8 @@
 	}
 }
 
-// changePlacements gives all stores a next epoch, which store-0 leads with one follower.
+// changePlacements starts the next epoch in all stores, with store-0 as the leader and one
+// follower.
 func (c *cluster) changePlacements(index uint64, follower string, inSync ...string) {
 	update := viewUpdate(index, c.stores["store-0"].view.Document)
 	for _, store := range statemachine.Sorted(c.stores) {
@@ -246,7 +249,8 @@
 	c.deliverAll()
 }
 
-// caughtUp counts the partitions whose follower has all that the leader had in earlier epochs.
+// caughtUp returns the number of partitions whose follower has all records that the leader had in
+// earlier epochs.
 func (c *cluster) caughtUp() int {
 	count := 0
 	for _, partition := range c.stores["store-0"].replicas {
--- a/internal/partition/commit.go
+++ b/internal/partition/commit.go
@@ -10,12 +10,13 @@
 	"dahlialock/internal/statemachine"
 )
 
-// reportInterval is how often a partition is reported as replicated until that is recorded.
+// reportInterval is how often a partition whose followers have caught up is reported, until the
+// view lists it as complete.
 const reportInterval = 400 * time.Millisecond
 
-// checkProgress is called when a follower has acknowledged, or where there is none: it
-// reports the followers of an incomplete partition, and advances the high watermark of a
-// complete one.
+// checkProgress is called when a follower has acknowledged records, and for a partition without
+// followers. It schedules the report of an incomplete partition whose followers have caught up,
+// and advances the high watermark of a complete one.
 func (s *Store) checkProgress(now time.Time, partition *replica, effects *statemachine.Effects) {
 	if s.caughtUp(partition) {
 		s.timers.ArmSooner(timerReportReplicated, now)
@@ -23,15 +24,15 @@
 	s.advanceHighWatermark(now, partition, effects)
 }
 
-// caughtUp tells whether the followers of an incomplete partition hold whatever may have been
-// accepted before its epoch.
+// caughtUp reports whether the followers of an incomplete partition have synced all records that
+// may have been accepted before its epoch.
 func (s *Store) caughtUp(partition *replica) bool {
 	replicated, known := partition.replicatedOffset()
 	return s.isLeader(partition) && !partition.placement.Complete && known && replicated >= partition.epochStart
 }
 
-// reportReplicated reports the partitions whose followers have caught up to the controllers,
-// again and again until a view says that they are complete.
+// reportReplicated reports the partitions whose followers have caught up to the controllers. It
+// repeats the report every reportInterval until a view lists the partitions as complete.
 func (s *Store) reportReplicated(now time.Time, effects *statemachine.Effects) {
 	reported := false
 	for name, partition := range statemachine.Sorted(s.replicas) {
@@ -54,7 +55,9 @@
 	}
 }
 
-// advanceHighWatermark accepts what the leader and all followers have synced.
+// advanceHighWatermark advances the high watermark to the offset that the leader and all
+// followers have synced. It answers the appends up to it and schedules the messages to
+// subscribers.
 func (s *Store) advanceHighWatermark(now time.Time, partition *replica, effects *statemachine.Effects) {
 	if !s.isLeader(partition) || !partition.placement.Complete {
 		return
@@ -63,8 +66,8 @@
 	if !known || partition.established() && replicated <= partition.highWatermark {
 		return
 	}
-	// Whatever lay here when this epoch, or this process, began may have been accepted. Until
-	// all followers have it, the high watermark isn't known.
+	// Any record that existed when this epoch, or this process, began may have been accepted.
+	// Until all followers have synced these records, the high watermark is unknown.
 	if !partition.established() && replicated < partition.epochStart {
 		return
 	}
@@ -82,7 +85,7 @@
 	}
 }
 
-// answerAccepted answers the appends up to the high watermark.
+// answerAccepted answers the pending appends up to the high watermark.
 func (s *Store) answerAccepted(now time.Time, partition *replica, effects *statemachine.Effects) {
 	for offset, waiting := range statemachine.Sorted(partition.pending) {
 		if offset > partition.highWatermark {
--- a/internal/partition/dedup.go
+++ b/internal/partition/dedup.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// dedupWindow is the least time for which a sequence number is recognised as a duplicate.
+	// dedupWindow is the minimum time for which a sequence number is recognised as a duplicate.
 	dedupWindow = 60 * time.Second
-	// senderStateRetention is for how long the last sequence number of a silent sender is known.
+	// senderStateRetention is how long the last sequence number of an inactive sender is kept.
 	senderStateRetention = 10 * time.Minute
 )
 
-// dedupEntry is one appended message of a sender's deduplication window.
+// dedupEntry is an appended message in the deduplication window of its sender.
 type dedupEntry struct {
 	_          struct{} `cbor:",toarray"`
 	Seq        uint64
@@ -25,17 +25,18 @@
 	AppendedAt time.Time
 }
 
-// senderState is what a log knows of a sender; in a shared partition, of a sender's topic.
+// senderState is the deduplication state of a sender; in a shared partition, of one topic of a
+// sender.
 type senderState struct {
 	_            struct{} `cbor:",toarray"`
 	LastSeq      uint64
 	LastAppendAt time.Time
-	// Window holds the newest appends. Their sequence numbers and offsets rise, since lower
-	// sequence numbers are rejected.
+	// Window holds the newest appends. Their sequence numbers and offsets are in ascending order,
+	// since lower sequence numbers are rejected.
 	Window []dedupEntry
 }
 
-// add enters a record that was appended.
+// add adds a record that was appended.
 func (s *senderState) add(record Record) {
 	s.LastSeq = max(s.LastSeq, record.Seq)
 	s.LastAppendAt = record.AppendedAt
@@ -47,7 +48,7 @@
 	})
 }
 
-// find looks up an appended sequence number.
+// find returns the entry of a sequence number, if it is in the window.
 func (s *senderState) find(seq uint64) (dedupEntry, bool) {
 	position, found := slices.BinarySearchFunc(s.Window, seq, func(entry dedupEntry, seq uint64) int {
 		return cmp.Compare(entry.Seq, seq)
@@ -58,8 +59,8 @@
 	return s.Window[position], true
 }
 
-// expire drops the oldest entries that are older than the window and whose records were
-// dropped, too.
+// expire removes the oldest entries that are older than the window and whose records were dropped
+// from the log.
 func (s *senderState) expire(now time.Time, window time.Duration, baseOffset uint64) {
 	count := 0
 	for count < len(s.Window) {
@@ -72,8 +73,8 @@
 	s.Window = slices.Delete(s.Window, 0, count)
 }
 
-// senderKey is the key of Senders: in a shared partition each of a sender's topics has a
-// state of its own.
+// senderKey returns the key of a sender's state in Senders. In a shared partition, each topic of
+// a sender has a separate state.
 func (l *log) senderKey(topic, sender string) string {
 	if config.IsShared(l.Name) {
 		return topic + "\n" + sender
@@ -81,7 +82,7 @@
 	return sender
 }
 
-// sender gives the state of a sender, empty if it is not known.
+// sender returns the state of a sender, or an empty state if the sender is unknown.
 func (l *log) sender(topic, name string) *senderState {
 	if state, known := l.Senders[l.senderKey(topic, name)]; known {
 		return state
@@ -89,8 +90,8 @@
 	return &senderState{}
 }
 
-// MessageDigest is a hash of a message's topic and data, which differs between two messages
-// under the same sequence number.
+// MessageDigest returns a hash of a message's topic and data. It distinguishes a duplicate from
+// another message with the same sequence number.
 func MessageDigest(topic string, data []byte) uint64 {
 	sum := fnv.New64a()
 	_, _ = sum.Write([]byte(topic))
--- a/internal/partition/disk.go
+++ b/internal/partition/disk.go
@@ -7,11 +7,12 @@
 	"dahlialock/internal/transport"
 )
 
-// minCheckpointBytes is how long the log on disk grows at least before a snapshot replaces it.
+// minCheckpointBytes is the minimum size by which the log on disk grows before a snapshot
+// replaces it.
 const minCheckpointBytes = 8 << 20
 
-// diskEntry is one entry of the log on disk: the name of the disk, or a change to one
-// partition, which is an appended record, a snapshot in place of its log, or its removal.
+// diskEntry is one entry of the log on disk: the name of the disk, or a change of one partition,
+// which is an appended record, a snapshot that replaces its log, or its removal.
 type diskEntry struct {
 	_         struct{} `cbor:",toarray"`
 	Disk      string
@@ -21,40 +22,41 @@
 	Drop      bool
 }
 
-// diskSnapshot is the complete state of a store. It replaces the entries before it.
+// diskSnapshot is the complete state of a store. It replaces all earlier entries.
 type diskSnapshot struct {
 	Disk       string          `cbor:"Disk"`
 	Partitions map[string]*log `cbor:"Partitions"`
 }
 
-// syncCallback is run once the writes before it are synced.
+// syncCallback is called once all preceding writes are synced.
 type syncCallback func(now time.Time, effects *statemachine.Effects)
 
-// pendingWrite is a write that isn't synced yet, and what waits for it.
+// pendingWrite is a write that isn't synced yet, with the callbacks that wait for it.
 type pendingWrite struct {
-	// startedAt counts from the end of a checkpoint before it: see excuseCheckpoint.
+	// startedAt is when the write was started; for a write behind a checkpoint, when the
+	// checkpoint was synced (see excuseCheckpoint).
 	startedAt time.Time
-	// checkpoint is set for a snapshot, which is as large as all the store's logs.
+	// checkpoint is set for the write of a snapshot, which is as large as all logs of the store.
 	checkpoint bool
 	callbacks  []syncCallback
 }
 
 // writeQueue is the state of the store's writes to disk.
 type writeQueue struct {
-	// entries and callbacks are those of the present step; flush empties them.
+	// entries and callbacks are those of the current step; flush clears them.
 	entries   [][]byte
 	callbacks []syncCallback
-	// token is that of the newest write, and pending are the writes that aren't synced, by
+	// token is the token of the newest write. pending holds the writes that aren't synced, by
 	// token. The disk syncs them in order.
 	token   uint64
 	pending map[uint64]*pendingWrite
-	// syncedStartedAt is when the newest synced write was started, or when there was nothing
-	// to wait for.
+	// syncedStartedAt is when the newest synced write was started, or the time of a later flush
+	// that had no write to wait for.
 	syncedStartedAt time.Time
-	// unavailable is set while the disk takes no writes.
+	// unavailable is set while the disk rejects writes.
 	unavailable bool
-	// logBytes is the length of the log since the last checkpoint; the next one follows once
-	// it exceeds checkpointBytes.
+	// logBytes is the size of the entries logged since the last checkpoint. The next checkpoint
+	// starts once it exceeds checkpointBytes.
 	logBytes        int
 	checkpointBytes int
 }
@@ -63,7 +65,7 @@
 	return writeQueue{pending: map[uint64]*pendingWrite{}, checkpointBytes: minCheckpointBytes}
 }
 
-// restore rebuilds the replicas from the disk's snapshot and the entries after it.
+// restore rebuilds the replicas from the snapshot on disk and the entries after it.
 func (s *Store) restore(snapshot []byte, entries [][]byte) error {
 	if len(snapshot) > 0 {
 		var stored diskSnapshot
@@ -116,20 +118,20 @@
 	return nil
 }
 
-// logEntry adds an entry to the write of the present step.
+// logEntry adds an entry to the write of the current step.
 func (s *Store) logEntry(entry diskEntry) {
 	packed := transport.MustMarshal(entry)
 	s.writes.entries = append(s.writes.entries, packed)
 	s.writes.logBytes += len(packed)
 }
 
-// afterSync has a callback run once all that was logged so far is synced.
+// afterSync registers a callback to be called once all entries logged so far are synced.
 func (s *Store) afterSync(callback syncCallback) {
 	s.writes.callbacks = append(s.writes.callbacks, callback)
 }
 
-// flush gives whatever the step logged to the disk as one write. Where it logged nothing, its
-// callbacks wait for the newest write, or run at once if that is synced.
+// flush passes the entries logged in the current step to the disk as one write. If there are
+// none, the callbacks of the step wait for the newest write, or run at once if that is synced.
 func (s *Store) flush(now time.Time, effects *statemachine.Effects) {
 	entries, callbacks := s.writes.entries, s.writes.callbacks
 	s.writes.entries, s.writes.callbacks = nil, nil
@@ -150,7 +152,8 @@
 	}
 }
 
-// write starts a write. It is synced once the store is given its token.
+// write starts a write. The store receives a Synced command with the write's token once it is
+// synced.
 func (s *Store) write(
 	now time.Time, callbacks []syncCallback, write statemachine.Write, effects *statemachine.Effects,
 ) {
@@ -167,7 +170,7 @@
 }
 
 // checkpoint starts to write a snapshot of all replicas, which replaces the log on disk. The
-// snapshot is encoded outside the store's steps, so it gets clones of the logs.
+// snapshot is encoded outside the store's steps, so it refers to clones of the logs.
 func (s *Store) checkpoint(now time.Time, effects *statemachine.Effects) {
 	s.writes.logBytes = 0
 	snapshot := diskSnapshot{Disk: s.disk, Partitions: map[string]*log{}}
@@ -178,13 +181,14 @@
 			size += len(record.Data)
 		}
 	}
-	// The log may grow as long as the snapshot that would replace it.
+	// The next checkpoint starts once the log is as large as the snapshot that would replace it.
 	s.writes.checkpointBytes = max(minCheckpointBytes, size)
 	build := func() []byte { return transport.MustMarshal(snapshot) }
 	s.write(now, nil, statemachine.Write{BuildSnapshot: build}, effects)
 }
 
-// handleSynced runs what waited for a write.
+// handleSynced updates the disk's delay after a write was synced, and runs the callbacks that
+// waited for it.
 func (s *Store) handleSynced(now time.Time, token uint64, effects *statemachine.Effects) {
 	written, found := s.writes.pending[token]
 	if !found {
@@ -203,8 +207,9 @@
 	}
 }
 
-// excuseCheckpoint counts the time of the writes behind a checkpoint from its end on: how long
-// it took follows from the size of the logs, and doesn't say that the disk is slow.
+// excuseCheckpoint measures the time of the writes behind a checkpoint from the end of the
+// checkpoint. How long a checkpoint takes depends on the size of the logs and doesn't indicate a
+// slow disk, unless it takes longer than maxCheckpointTime.
 func (s *Store) excuseCheckpoint(now time.Time, checkpoint *pendingWrite) {
 	if now.Sub(checkpoint.startedAt) > maxCheckpointTime {
 		return
@@ -215,8 +220,8 @@
 	}
 }
 
-// handleDiskUnavailable is called repeatedly while the disk takes no writes. Nothing on it is
-// lost, but this store can accept nothing more.
+// handleDiskUnavailable is called repeatedly while the disk rejects writes. Nothing on the disk
+// is lost, but this store can't accept any records.
 func (s *Store) handleDiskUnavailable(now time.Time, effects *statemachine.Effects) {
 	s.writes.unavailable = true
 	for _, partition := range statemachine.Sorted(s.replicas) {
@@ -227,8 +232,8 @@
 	s.reportSlowDisks(now, effects)
 }
 
-// oldestWriteAge is the age of the oldest write that isn't synced. Of a checkpoint, and of
-// the writes behind it, only what exceeds maxCheckpointTime counts.
+// oldestWriteAge returns the age of the oldest write that isn't synced. For a checkpoint and the
+// writes behind it, only the time beyond maxCheckpointTime counts.
 func (s *Store) oldestWriteAge(now time.Time) time.Duration {
 	var oldest time.Duration
 	for token, written := range s.writes.pending {
@@ -241,7 +246,7 @@
 	return oldest
 }
 
-// behindCheckpoint tells whether a write is a checkpoint or waits for one.
+// behindCheckpoint reports whether a write is a checkpoint or is queued behind one.
 func (s *Store) behindCheckpoint(token uint64) bool {
 	for earlier, written := range s.writes.pending {
 		if written.checkpoint && earlier <= token {
--- a/internal/partition/fetch.go
+++ b/internal/partition/fetch.go
@@ -8,15 +8,16 @@
 )
 
 const (
-	// maxFetchRecords bounds the records of one response to Fetch, and those of one topic in a
+	// maxFetchRecords limits the records in a response to Fetch, and those of one topic in a
 	// response to FetchTopics.
 	maxFetchRecords = 512
-	// maxFetchBytes is how many bytes of data a response to Fetch holds before it ends. The last
+	// maxFetchBytes is the number of data bytes after which a response to Fetch ends. The last
 	// record may exceed it.
 	maxFetchBytes = 1 << 20
 )
 
-// servingReplica gives a partition that this store leads and whose records may be read.
+// servingReplica returns the replica of a partition that this store leads and whose records may
+// be read.
 func (s *Store) servingReplica(name string) (*replica, bool) {
 	partition, found := s.replicas[name]
 	if !found || !s.Ready() || !s.isLeader(partition) || !partition.established() {
@@ -25,7 +26,7 @@
 	return partition, true
 }
 
-// handleFetch answers a gateway with the records after its offset that match its interest.
+// handleFetch answers a gateway with the accepted records after an offset that match its request.
 func (s *Store) handleFetch(from string, request Fetch, effects *statemachine.Effects) {
 	s.Counts.Fetches++
 	response := FetchResponse{Partition: request.Partition, RequestID: request.RequestID}
@@ -36,7 +37,7 @@
 	effects.Send(from, response)
 }
 
-// fetch fills a response from the replica's log.
+// fetch fills in a response from the replica's log.
 func (r *replica) fetch(request Fetch, response *FetchResponse) {
 	response.Ready = true
 	response.Epoch = r.placement.Epoch
@@ -63,8 +64,9 @@
 	}
 }
 
-// candidates gives all records that a request may ask for, and others. A shared partition
-// holds many topics, so there only those of the named topics are visited.
+// candidates returns all records that may match a request, and others. A shared partition holds
+// many topics, so only the records of the named topics are visited if the request has no
+// prefixes.
 func (r *replica) candidates(request Fetch) []Record {
 	if len(request.Prefixes) == 0 && config.IsShared(request.Partition) {
 		return r.log.recordsOf(request.Topics, request.After, r.highWatermark)
@@ -72,15 +74,15 @@
 	return r.log.recordsAfter(request.After)
 }
 
-// wants tells whether a request asks for a record.
+// wants reports whether a record matches a request.
 func (f Fetch) wants(record Record) bool {
 	return !record.OffsetOnly &&
 		Matches(record.Topic, f.Topics, f.Prefixes) &&
 		!slices.Contains(f.SkipOffsets, record.Offset)
 }
 
-// handleFetchTopics answers a gateway with the records of many topics, each after an offset
-// of its own.
+// handleFetchTopics answers a gateway with the records of many topics, each after a separate
+// offset.
 func (s *Store) handleFetchTopics(from string, request FetchTopics, effects *statemachine.Effects) {
 	s.Counts.Fetches++
 	response := FetchTopicsResponse{
@@ -105,7 +107,7 @@
 	effects.Send(from, response)
 }
 
-// state describes the replica to a gateway.
+// state returns the state of the partition for a gateway.
 func (r *replica) state() PartitionState {
 	return PartitionState{
 		Partition:     r.log.Name,
@@ -115,8 +117,9 @@
 	}
 }
 
-// fetchTopic gives a topic's accepted records within the remaining bytes, from which it takes
-// off their size. The first record of the request's first topic is given whatever its size.
+// fetchTopic returns the accepted records of a topic that fit into the remaining bytes, and
+// subtracts their size from these. The first record of the request's first topic is returned
+// whatever its size.
 func (r *replica) fetchTopic(cursor TopicCursor, remaining *int, first bool) TopicRecords {
 	found := TopicRecords{
 		Until:   r.highWatermark,
@@ -137,7 +140,8 @@
 			found.Until = record.Offset - 1
 			*remaining = 0
 		}
-		// At least one, so that it is above zero from here on if the record has no data.
+		// At least 1, so that RemainingBytes is above zero from now on even if the record has no
+		// data.
 		found.RemainingBytes += max(1, len(record.Data))
 	}
 	return found
--- a/internal/partition/fetch_test.go
+++ b/internal/partition/fetch_test.go
@@ -8,7 +8,7 @@
 	"dahlialock/internal/config"
 )
 
-// fetchTopics gives the records of topics within a number of bytes, as a response has them.
+// fetchTopics returns the records of topics as in a response with a maximum number of bytes.
 func fetchTopics(log *log, maxBytes int, topics ...TopicCursor) []TopicRecords {
 	highWatermark, _ := log.end()
 	partition := &replica{log: log, highWatermark: highWatermark}
@@ -48,7 +48,7 @@
 	assert.DeepEqual(t, offsetsOf(found[0]), []uint64{1, 3})
 	assert.Equal(t, found[0].Until, uint64(3))
 	assert.Equal(t, found[0].RemainingBytes, 100)
-	// There is no capacity left, but the topic is confirmed up to its next record.
+	// No bytes remain, but the response still covers the topic up to its next record.
 	assert.Equal(t, len(found[1].Records), 0)
 	assert.Equal(t, found[1].Until, uint64(1))
 	assert.Equal(t, found[1].RemainingBytes, 100)
@@ -65,7 +65,7 @@
 	assert.Equal(t, len(found[1].Records), 0)
 }
 
-// Whatever the bytes of each response, requests that go on from Until get each record once.
+// Requests that continue after Until return each record once, whatever the size of each response.
 func TestFetchTopicsInSequenceHasEachRecordOnce(t *testing.T) {
 	for maxBytes := range 400 {
 		log := threeTopics()
--- a/internal/partition/followers.go
+++ b/internal/partition/followers.go
@@ -5,34 +5,37 @@
 	"time"
 )
 
-// followerProgress is what a leader knows of one follower, as of one incarnation and disk.
+// followerProgress is the replication progress of one follower, with a given incarnation and
+// disk.
 type followerProgress struct {
 	name string
-	// replicaID names the follower with its disk, as the view does.
+	// replicaID identifies the follower and its disk, as in the view.
 	replicaID   string
 	incarnation uint64
-	// known is set once the follower has said how far its log meets the leader's.
+	// known is set once the follower has reported up to which offset its log matches the
+	// leader's.
 	known bool
-	// acknowledged is the offset up to which the follower's disk holds the leader's log, and
-	// sent the one up to which records were sent. Sent falls back when they are sent again.
+	// acknowledged is the offset up to which the follower has synced the leader's log. sent is
+	// the offset up to which records were sent; it decreases when records are sent again.
 	acknowledged uint64
 	sent         uint64
 	sentAt       time.Time
 	// attempts counts the retries since the last response, up to maxReplicateBackoff.
 	attempts int
-	// inFlight are the requests without acknowledgement, in order of offsets.
+	// inFlight holds the requests that are not acknowledged, in ascending order of offsets.
 	inFlight []inFlightBatch
 	snapshot snapshotTransfer
 }
 
-// inFlightBatch is a replicate request that the follower didn't acknowledge yet.
+// inFlightBatch is a replicate request that the follower has not acknowledged yet.
 type inFlightBatch struct {
 	lastOffset uint64
 	sentAt     time.Time
 }
 
-// updateFollowers follows the view: what is known of a follower counts on while it runs with
-// the same incarnation and disk; any other is asked how far its log reaches.
+// updateFollowers updates the followers to those of the view. The progress of a follower is kept
+// while its incarnation and disk stay the same; any other follower is asked for the end of its
+// log.
 func (s *Store) updateFollowers(partition *replica) {
 	var followers []*followerProgress
 	for _, name := range partition.placement.Followers {
@@ -48,7 +51,8 @@
 	}
 }
 
-// followerProgress gives what is known of a follower as the view names it.
+// followerProgress returns the progress of a follower. It is reset if the view names another
+// incarnation or disk of the follower.
 func (s *Store) followerProgress(partition *replica, name string) *followerProgress {
 	member := s.view.Members[name]
 	current := &followerProgress{name: name, replicaID: member.ReplicaID(), incarnation: member.Incarnation}
@@ -61,7 +65,7 @@
 	return current
 }
 
-// followersAlive tells whether the view takes all followers for alive.
+// followersAlive reports whether the view lists all followers as alive.
 func (s *Store) followersAlive(partition *replica) bool {
 	for _, name := range partition.placement.Followers {
 		if !s.view.Members[name].Alive {
@@ -71,8 +75,9 @@
 	return true
 }
 
-// followerAt finds the follower that a response came from, with the disk that the view
-// names; nil if there is none. What another disk of that store holds doesn't count.
+// followerAt returns the follower that sent a response, or nil if the response didn't come from a
+// follower with the disk in the view. What another disk of the same store has synced doesn't
+// count.
 func (s *Store) followerAt(partition *replica, address string, hash uint32) *followerProgress {
 	for _, follower := range partition.followers {
 		member := s.view.Members[follower.name]
@@ -83,7 +88,7 @@
 	return nil
 }
 
-// replicaHash is a short form of a replica's ID for responses that must be small.
+// replicaHash returns a short hash of a replica's ID for responses that must be small.
 func replicaHash(replicaID string) uint32 {
 	sum := fnv.New32a()
 	_, _ = sum.Write([]byte(replicaID))
--- a/internal/partition/forms_test.go
+++ b/internal/partition/forms_test.go
@@ -54,7 +54,7 @@
 	storedforms.Compare(t, "folders.txt", lines)
 }
 
-// snapshotOf is the snapshot that a store writes of what it read.
+// snapshotOf returns the snapshot that a store writes of the state that it has read.
 func snapshotOf(store *Store) []byte {
 	var effects statemachine.Effects
 	store.checkpoint(time.Unix(1_700_000_000, 0), &effects)
--- a/internal/partition/high_watermarks.go
+++ b/internal/partition/high_watermarks.go
@@ -8,31 +8,32 @@
 )
 
 const (
-	// subscriptionTimeout is when a subscription to high watermarks ends unless it is renewed.
+	// subscriptionTimeout is how long a subscription to high watermarks lasts unless it is
+	// renewed.
 	subscriptionTimeout = 6 * time.Second
-	// highWatermarksInterval is the longest time from a high watermark's advance until it is sent
-	// to subscribers, so that one message announces several advances.
+	// highWatermarksInterval is the maximum delay between the advance of a high watermark and the
+	// message to subscribers, so that one message announces several advances.
 	highWatermarksInterval = 400 * time.Millisecond
 )
 
-// subscriber is a gateway that is sent high watermarks.
+// subscriber is a gateway that subscribes to high watermarks.
 type subscriber struct {
 	partitions []string
 	expiresAt  time.Time
-	// sent is what the subscriber knows of each partition.
+	// sent holds, for each partition, the newest position that the subscriber has.
 	sent map[string]sentPosition
 }
 
-// sentPosition is what a subscriber knows of a partition. In a shared partition an epoch of 0
-// says that the offset is the subscriber's own word, in KnownOffsets, and that it was not yet
-// sent anything in this subscription.
+// sentPosition is the position of a partition that a subscriber has. In a shared partition, epoch
+// 0 means that the subscriber reported the offset in KnownOffsets, and that nothing was sent in
+// this subscription yet.
 type sentPosition struct {
 	epoch  uint64
 	offset uint64
 }
 
-// handleSubscribe renews a gateway's subscription, and sends it the high watermark of every
-// partition that it names.
+// handleSubscribe starts or renews a gateway's subscription, and sends it the high watermark of
+// every partition in the request.
 func (s *Store) handleSubscribe(
 	now time.Time, from string, request SubscribeHighWatermarks, effects *statemachine.Effects,
 ) {
@@ -52,8 +53,8 @@
 	s.sendHighWatermarks(now, from, true, effects)
 }
 
-// sendHighWatermarks sends a subscriber the high watermarks that advanced since it was last
-// sent them, or those of every partition.
+// sendHighWatermarks sends a subscriber the high watermarks that have advanced since the last
+// message, or those of all its partitions. It removes a subscription that has expired.
 func (s *Store) sendHighWatermarks(now time.Time, address string, every bool, effects *statemachine.Effects) {
 	current, found := s.subscribers[address]
 	if !found || now.After(current.expiresAt) || len(current.partitions) == 0 {
@@ -71,8 +72,8 @@
 			continue
 		}
 		watermark := partition.watermarkSince(sent)
-		// Where no topic changed, only records without data were appended, and there is nothing
-		// to fetch.
+		// If no topic changed, only records without data were appended, and there is nothing to
+		// fetch.
 		nothingNew := config.IsShared(name) && len(watermark.Topics) == 0 && sent.epoch == reached.epoch
 		if nothingNew && !every {
 			continue
@@ -86,12 +87,12 @@
 	}
 }
 
-// reached is the position of the high watermark.
+// reached returns the position of the high watermark.
 func (r *replica) reached() sentPosition {
 	return sentPosition{epoch: r.placement.Epoch, offset: r.highWatermark}
 }
 
-// watermarkSince gives the high watermark; for a shared partition also the newest offset of
+// watermarkSince returns the high watermark; for a shared partition also the newest offset of
 // each topic that has a record after the position that was sent.
 func (r *replica) watermarkSince(sent sentPosition) HighWatermark {
 	watermark := HighWatermark{
--- a/internal/partition/log.go
+++ b/internal/partition/log.go
@@ -6,25 +6,26 @@
 	"time"
 )
 
-// log is one replica's log of a partition. All of its tables follow from the
-// records appended and dropped, so a follower that has the same records has the same tables.
+// log is one replica's log of a partition. All of its tables are derived from the records
+// appended and dropped, so a follower that has the same records has the same tables.
 //
 // Its encoding is stored in snapshots on disk and sent in InstallSnapshot.
 type log struct {
 	Name string `cbor:"Name"`
-	// BaseOffset and BaseEpoch are of the newest record that was dropped; Records begins after it.
+	// BaseOffset and BaseEpoch are the offset and epoch of the newest dropped record. Records
+	// starts after it.
 	BaseOffset uint64 `cbor:"Base"`
 	BaseEpoch  uint64 `cbor:"BaseEpoch"`
-	// Records are those of the offsets after BaseOffset, without gaps. They are only ever
-	// appended, or dropped from the front into a new slice, so clones may share them.
+	// Records holds the records after BaseOffset, without gaps. Records are only ever appended,
+	// or dropped from the front into a new slice, so clones may share them.
 	Records []Record `cbor:"Records"`
-	// LastOffsets holds, for each topic with a record in Records, the offset of its newest.
+	// LastOffsets maps each topic that has a record in Records to the offset of its newest one.
 	LastOffsets map[string]uint64 `cbor:"Topics"`
-	// Senders is the deduplication window, by senderKey.
+	// Senders holds the deduplication state of each sender, by senderKey.
 	Senders map[string]*senderState `cbor:"Senders"`
-	// ExpiredTopics holds the newest dropped record of each topic, and ForgottenOffset the
-	// highest offset that was taken out of that table: of a topic in neither table, nothing
-	// is known at or below it. Both are kept for shared partitions only.
+	// ExpiredTopics holds the newest dropped record of each topic. ForgottenOffset is the highest
+	// offset that was removed from this table: whether a topic without an entry had records up to
+	// that offset is unknown. Both are maintained for shared partitions only.
 	ExpiredTopics   map[string]expiredTopic `cbor:"Trimmed"`
 	ForgottenOffset uint64                  `cbor:"Forgotten"`
 }
@@ -38,7 +39,7 @@
 	}
 }
 
-// end is the offset and epoch of the newest record; those of the base if there is none.
+// end returns the offset and epoch of the newest record, or those of the base if there is none.
 func (l *log) end() (offset, epoch uint64) {
 	if len(l.Records) == 0 {
 		return l.BaseOffset, l.BaseEpoch
@@ -47,7 +48,7 @@
 	return last.Offset, last.Epoch
 }
 
-// epochAt is the epoch of the record at an offset, if the log still knows it.
+// epochAt returns the epoch of the record at an offset, if the record is retained or is the base.
 func (l *log) epochAt(offset uint64) (uint64, bool) {
 	if offset == l.BaseOffset {
 		return l.BaseEpoch, true
@@ -58,23 +59,23 @@
 	return l.Records[offset-l.BaseOffset-1].Epoch, true
 }
 
-// stillHolds tells whether no record of another epoch has taken a record's offset, in a
-// snapshot, since it was appended. An offset outside the log counts as held.
+// stillHolds reports whether an appended record was not replaced by a record of another epoch,
+// which happens when a snapshot is installed. An offset outside the log counts as not replaced.
 func (l *log) stillHolds(record Record) bool {
 	epoch, found := l.epochAt(record.Offset)
 	return !found || epoch == record.Epoch
 }
 
-// isAheadOf tells whether a snapshot by the leader of an epoch is outdated: within an epoch
-// the leader's log only grows, and records of that epoch that lie here were in it.
+// isAheadOf reports whether a snapshot sent by the leader of an epoch is outdated. Within an
+// epoch the leader's log only grows, and all records of that epoch in this log came from it.
 func (l *log) isAheadOf(snapshot *log, epoch uint64) bool {
 	ownOffset, ownEpoch := l.end()
 	snapshotOffset, _ := snapshot.end()
 	return ownEpoch == epoch && snapshotOffset < ownOffset
 }
 
-// recordsAfter gives the records after an offset, or from the oldest on if that was dropped.
-// The slice is the log's own.
+// recordsAfter returns the records after an offset, or all retained records if the offset is
+// below the base. The slice shares memory with the log.
 func (l *log) recordsAfter(offset uint64) []Record {
 	if offset < l.BaseOffset {
 		offset = l.BaseOffset
@@ -85,7 +86,7 @@
 	return l.Records[offset-l.BaseOffset:]
 }
 
-// recordAt gives the record at an offset, if it was not dropped.
+// recordAt returns the record at an offset, if it is retained.
 func (l *log) recordAt(offset uint64) (Record, bool) {
 	if offset <= l.BaseOffset {
 		return Record{}, false
@@ -110,7 +111,8 @@
 	sender.add(record)
 }
 
-// clone is the log as it is now; later changes of either don't reach the other.
+// clone returns a copy of the log that later changes of the original don't affect, nor the
+// reverse.
 func (l *log) clone() *log {
 	cloned := *l
 	cloned.Records = l.Records[:len(l.Records):len(l.Records)]
@@ -127,7 +129,7 @@
 	return &cloned
 }
 
-// mapTimes replaces every time in the log.
+// mapTimes replaces every time in the log with the result of a function.
 func (l *log) mapTimes(change func(time.Time) time.Time) {
 	for position := range l.Records {
 		l.Records[position].AppendedAt = change(l.Records[position].AppendedAt)
@@ -144,14 +146,14 @@
 	}
 }
 
-// shiftTimes moves all times of a log that came from another machine's clock.
+// shiftTimes shifts all times of a log that were set by another machine's clock.
 func (l *log) shiftTimes(by time.Duration) {
 	l.mapTimes(func(at time.Time) time.Time { return at.Add(by) })
 }
 
-// resetTimes sets all times of a log that was read from disk to now. Nobody knows for how
-// long the process was down, nor how its clock was set when the times were written, so
-// everything is retained for too long rather than for too short a time.
+// resetTimes sets all times of a log that was read from disk to now. It is unknown how long the
+// process was down and whether the clock was correct when the times were written, so records are
+// retained for too long rather than for too short a time.
 func (l *log) resetTimes(now time.Time) {
 	l.mapTimes(func(time.Time) time.Time { return now })
 }
--- a/internal/partition/log_retention.go
+++ b/internal/partition/log_retention.go
@@ -8,23 +8,23 @@
 )
 
 const (
-	// retentionMargin is for how much longer than the configured retention a record is held.
+	// retentionMargin is how much longer than the configured retention a record is kept.
 	retentionMargin = 25 * time.Second
-	// expiredTopicRetention is for how long the last offset of a topic without records is
-	// known, and maxExpiredTopics how many such topics are known in any case.
+	// expiredTopicRetention is how long the last offset of a topic without records is kept.
+	// maxExpiredTopics is the number of such topics up to which none is removed.
 	expiredTopicRetention = 10 * time.Minute
 	maxExpiredTopics      = 4096
 )
 
-// expiredTopic is where the newest dropped record of a topic lay.
+// expiredTopic is the position of the newest dropped record of a topic.
 type expiredTopic struct {
 	_          struct{} `cbor:",toarray"`
 	LastOffset uint64
 	AppendedAt time.Time
 }
 
-// expire drops records that are older than the retention and its margin, and the sequence
-// numbers of senders after a window of their own.
+// expire drops the records that are older than the retention and its margin, and removes the
+// senders' sequence numbers that are older than the deduplication window.
 func (l *log) expire(now time.Time, retention, window time.Duration) {
 	limit := now.Add(-retention - retentionMargin)
 	count := sort.Search(len(l.Records), func(position int) bool {
@@ -41,7 +41,7 @@
 	}
 }
 
-// dropOldest drops the oldest records, of which there must be as many as count.
+// dropOldest drops the oldest count records. The log must have at least as many.
 func (l *log) dropOldest(now time.Time, count int) {
 	if config.IsShared(l.Name) {
 		for _, record := range l.Records[:count] {
@@ -53,7 +53,8 @@
 	}
 	last := l.Records[count-1]
 	l.BaseOffset, l.BaseEpoch = last.Offset, last.Epoch
-	// A new slice: clones may still read the old one, and its memory is to be freed.
+	// Copied into a new slice, since clones may still read the old one and its memory is to be
+	// freed.
 	l.Records = append([]Record(nil), l.Records[count:]...)
 	for topic, offset := range l.LastOffsets {
 		if offset <= l.BaseOffset {
@@ -62,7 +63,7 @@
 	}
 }
 
-// forgetExpiredTopics bounds the table of expired topics.
+// forgetExpiredTopics removes old entries from the table of expired topics if it is too large.
 func (l *log) forgetExpiredTopics(now time.Time) {
 	if len(l.ExpiredTopics) <= maxExpiredTopics {
 		return
--- a/internal/partition/log_test.go
+++ b/internal/partition/log_test.go
@@ -10,7 +10,7 @@
 	"dahlialock/internal/config"
 )
 
-// filledLog is a log with records at offsets from 1 on.
+// filledLog returns a log with the given records, at offsets from 1 on.
 func filledLog(name string, records ...Record) *log {
 	log := newLog(name)
 	for position, record := range records {
--- a/internal/partition/log_topics.go
+++ b/internal/partition/log_topics.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// lastOffsetOf is the offset of a topic's newest record, also if that was dropped; 0 if none
+// lastOffsetOf returns the offset of a topic's newest record, even if that was dropped; 0 if none
 // is known.
 func (l *log) lastOffsetOf(topic string) uint64 {
 	if offset, found := l.LastOffsets[topic]; found {
@@ -14,8 +14,9 @@
 	return l.ExpiredTopics[topic].LastOffset
 }
 
-// hasExpired tells whether a record after an offset that matches the topics or prefixes may
-// have been dropped. It is exact as far as the table of expired topics goes back.
+// hasExpired reports whether a record after an offset that matches the topics or prefixes may
+// have been dropped. The result is exact for offsets from ForgottenOffset on; below that it may
+// be true although no matching record was dropped.
 func (l *log) hasExpired(after uint64, topics, prefixes []string) bool {
 	if after >= l.BaseOffset {
 		return false
@@ -37,9 +38,9 @@
 	return false
 }
 
-// recordsOf gives the retained records of topics after one offset and up to another, in
-// order. It walks back from each topic's newest record, so that its cost follows the topics'
-// records and not those of the log.
+// recordsOf returns the retained records of topics after one offset and up to another, in order.
+// It follows PreviousInTopic from each topic's newest record, so its cost depends on the number
+// of the topics' records and not on the length of the log.
 func (l *log) recordsOf(topics []string, after, until uint64) []Record {
 	after = max(after, l.BaseOffset)
 	var found []Record
@@ -56,7 +57,7 @@
 	return slices.CompactFunc(found, func(left, right Record) bool { return left.Offset == right.Offset })
 }
 
-// changedTopics gives the newest offset of each topic that has a durable record after one
+// changedTopics returns the newest offset of each topic that has a durable record after one
 // offset and up to another.
 func (l *log) changedTopics(after, until uint64) map[string]uint64 {
 	topics := map[string]uint64{}
--- a/internal/partition/message_size_test.go
+++ b/internal/partition/message_size_test.go
@@ -10,8 +10,8 @@
 	"dahlialock/internal/transport"
 )
 
-// What the messages about one record of 200 bytes may weigh: traffic between zones costs more
-// than anything else.
+// TestMessagesAreSmall limits the size of the messages about one record of 200 bytes, since
+// traffic between zones is the largest cost.
 func TestMessagesAreSmall(t *testing.T) {
 	record := Record{
 		Offset:          1234,
--- a/internal/partition/messages.go
+++ b/internal/partition/messages.go
@@ -6,23 +6,23 @@
 	"dahlialock/internal/transport"
 )
 
-// The messages between gateways and stores, and among stores. They are encoded as arrays
-// where they say so: the order of fields is the format, and new fields come last.
+// The messages between gateways and stores, and between stores. Types with the option toarray
+// are encoded as arrays: the order of their fields is the format, and new fields must be last.
 
 const (
-	// DependencyWindow is for how long a message counts as a dependency of its sender's next
-	// ones. Older ones need not be named: a gateway that is verified has them.
+	// DependencyWindow is how long a message counts as a dependency of its sender's next
+	// messages. Older messages need not be listed: a verified gateway has them.
 	DependencyWindow = 6 * time.Second
-	// VerificationWindow is for how long a gateway counts as verified for a space: it had all
-	// records of the space's partitions at a moment within the window. It must be less than
+	// VerificationWindow is how long a gateway counts as verified for a space: at some time
+	// within the window it had all records of the space's partitions. It must be less than
 	// DependencyWindow.
 	VerificationWindow = 5 * time.Second
-	// MaxDependencies is how many messages Dependencies names one by one.
+	// MaxDependencies is the maximum number of messages that Dependencies lists individually.
 	MaxDependencies = 12
 )
 
-// MessagePosition is where a message of a space lies: the number of its partition, its offset
-// and its topic.
+// MessagePosition is the position of a message in a space: the number of its partition, its
+// offset and its topic.
 type MessagePosition struct {
 	_         struct{} `cbor:",toarray"`
 	Partition uint8
@@ -38,16 +38,16 @@
 }
 
 // Dependencies are the messages of the same sender and space within DependencyWindow before a
-// message. A reader that lacks one of them waits for it or fetches it. Where there are more
-// than MaxDependencies, Floor says for each partition how far the older ones reach.
+// message. A reader that is missing one of them waits for it or fetches it. If there are more
+// than MaxDependencies, Floor gives the highest offset of the older ones in each partition.
 type Dependencies struct {
 	_        struct{} `cbor:",toarray"`
 	Messages []MessagePosition
 	Floor    []PartitionOffset
 }
 
-// Record is one message in the log. With OffsetOnly it gives an ephemeral message its offset
-// and recognises duplicates; its data was never stored.
+// Record is one message in the log. With OffsetOnly, the record assigns an offset to an ephemeral
+// message and serves to recognise duplicates; the message's data was never stored.
 type Record struct {
 	_      struct{} `cbor:",toarray"`
 	Offset uint64
@@ -56,10 +56,10 @@
 	Sender string
 	Seq    uint64
 	Data   []byte
-	// AppendedAt is by the clock of the store that holds the record.
+	// AppendedAt is the time of the append by the clock of the store that has the record.
 	AppendedAt time.Time
-	// PreviousInTopic is the offset of the topic's record before this one; 0 if none is known.
-	// By it, and by Dependencies, a reader notices every gap.
+	// PreviousInTopic is the offset of the topic's previous record; 0 if none is known. Together
+	// with Dependencies it lets a reader detect every gap.
 	PreviousInTopic uint64
 	Dependencies    Dependencies
 	OffsetOnly      bool
@@ -75,14 +75,15 @@
 	Seq          uint64
 	Data         []byte
 	Dependencies Dependencies
-	// DuplicateOnly asks to acknowledge the message if it is stored, but not to store it now:
-	// the sender has a later one somewhere.
+	// DuplicateOnly requests that the message be acknowledged if it is stored, but not be stored
+	// now: the sender has already sent a later one.
 	DuplicateOnly bool
-	// OffsetOnly asks for an offset for an ephemeral message, whose data isn't stored.
+	// OffsetOnly requests an offset for an ephemeral message, whose data isn't stored.
 	OffsetOnly bool
 }
 
-// LinkClass is transient for an ephemeral message, which is of use now or never.
+// LinkClass returns ClassTransient for an ephemeral message, which is useless if it arrives late,
+// and ClassLive otherwise.
 func (a Append) LinkClass() transport.Class {
 	if a.OffsetOnly {
 		return transport.ClassTransient
@@ -90,10 +91,10 @@
 	return transport.ClassLive
 }
 
-// AppendResponse is the response to Append. Code says why a message wasn't accepted: one of
-// the constants that begin with Code. RetryAfter is after how long to send it again; zero if
-// that is of no use. Of a shared partition's Record the data, names and time are left out, since whoever
-// sent the request has them.
+// AppendResponse is the response to Append. Code is the reason why a message wasn't accepted: one
+// of the constants that begin with Code. RetryAfter is the delay before a retry; zero if a retry
+// is of no use. For a shared partition, the data, the names and the time of Record are omitted,
+// since the gateway that sent the request has the message.
 type AppendResponse struct {
 	_          struct{} `cbor:",toarray"`
 	Partition  string
@@ -102,17 +103,17 @@
 	Code       string
 	RetryAfter time.Duration
 	Epoch      uint64
-	// Duplicate says that the message was stored by an earlier request.
+	// Duplicate is set if the message was stored by an earlier request.
 	Duplicate bool
 	Record    Record
 }
 
-// Replicate carries records from the leader to a follower. They follow the record at
-// PreviousOffset, which is of PreviousEpoch; a follower whose log has no such record appends
-// nothing. Without records it asks how far the follower's log reaches.
+// Replicate sends records from the leader to a follower. They follow the record at
+// PreviousOffset, which has PreviousEpoch; a follower whose log has no such record appends
+// nothing. A request without records asks for the end of the follower's log.
 //
-// Clocks of two stores need not agree. So the records have no times, and Ages holds their
-// ages in milliseconds; zeros at the end are left out.
+// The clocks of two stores may differ. The records therefore have no times, and Ages holds their
+// ages in milliseconds; trailing zeros are omitted.
 type Replicate struct {
 	_              struct{} `cbor:",toarray"`
 	Partition      string
@@ -123,26 +124,26 @@
 	Ages           []uint32
 }
 
-// ReplicateResponse is the response to Replicate and InstallSnapshot: the follower has synced
-// its log up to LastOffset, whose record is of LastEpoch.
+// ReplicateResponse is the response to Replicate and InstallSnapshot: the follower has synced its
+// log up to LastOffset, whose record has LastEpoch.
 type ReplicateResponse struct {
 	_          struct{} `cbor:",toarray"`
 	Partition  string
 	Epoch      uint64
 	LastOffset uint64
 	LastEpoch  uint64
-	// Mismatch says that nothing was appended, since the logs differ. LastOffset may not be
-	// synced then.
+	// Mismatch is set if nothing was appended because the logs differ. In that case LastOffset
+	// may not be synced.
 	Mismatch bool
-	// CurrentEpoch is set if the request's epoch is outdated.
+	// CurrentEpoch is the follower's epoch if that of the request is outdated, and 0 otherwise.
 	CurrentEpoch uint64
 	// ReplicaHash is a short hash of the follower's name and disk.
 	ReplicaHash uint32
-	// DiskMilliseconds is how long the follower's disk took.
+	// DiskMilliseconds is how long the follower's disk took to sync.
 	DiskMilliseconds uint32
 }
 
-// InstallSnapshot carries the leader's complete log to a follower. Its times are by the
+// InstallSnapshot sends the leader's complete log to a follower. Its times are those of the
 // leader's clock, which showed SentAt.
 type InstallSnapshot struct {
 	SentAt    time.Time `cbor:"Now"`
@@ -152,7 +153,7 @@
 }
 
 // Fetch is a gateway's request to a partition's leader for the records after an offset that
-// are of one of Topics or under one of Prefixes, but for those at SkipOffsets.
+// belong to one of Topics or match one of Prefixes, except those at SkipOffsets.
 type Fetch struct {
 	_           struct{} `cbor:",toarray"`
 	Partition   string
@@ -163,8 +164,8 @@
 	SkipOffsets []uint64
 }
 
-// FetchResponse is the response to Fetch: all matching records up to Until. Without Ready
-// this store doesn't serve the partition, and nothing else is set.
+// FetchResponse is the response to Fetch: all matching records up to Until. If Ready is false,
+// this store doesn't serve the partition, and only Partition and RequestID are set.
 type FetchResponse struct {
 	_         struct{} `cbor:",toarray"`
 	Partition string
@@ -176,13 +177,13 @@
 	Until         uint64
 	Records       []Record
 	Ready         bool
-	// Expired says, for a shared partition, that a matching record has been dropped.
+	// Expired is set if a matching record of a shared partition may have been dropped.
 	Expired bool
 }
 
-// FetchTopics is a gateway's request to a store for the records of topics in shared
-// partitions, each after an offset of its own. The data of all records of the response is
-// within MaxBytes, except that the first topic gets its first record in any case.
+// FetchTopics is a gateway's request to a store for the records of topics in shared partitions,
+// each after a separate offset. The data of all records in the response is limited to MaxBytes,
+// except that the first topic always gets its first record.
 type FetchTopics struct {
 	_         struct{} `cbor:",toarray"`
 	RequestID uint64
@@ -190,16 +191,16 @@
 	Topics    []TopicCursor
 }
 
-// TopicCursor is a topic, and the offset after which its records are wanted.
+// TopicCursor is a topic, and the offset after which its records are requested.
 type TopicCursor struct {
 	_     struct{} `cbor:",toarray"`
 	Topic string
 	After uint64
 }
 
-// FetchTopicsResponse is the response to FetchTopics. Topics has an entry for each topic of
-// the request, in the same order. Partitions are those of them that this store serves; the
-// entry of a topic in another partition is empty.
+// FetchTopicsResponse is the response to FetchTopics. Topics has an entry for each topic of the
+// request, in the same order. Partitions lists those of the topics' partitions that this store
+// serves; the entry of a topic in any other partition is empty.
 type FetchTopicsResponse struct {
 	_          struct{} `cbor:",toarray"`
 	RequestID  uint64
@@ -207,7 +208,7 @@
 	Topics     []TopicRecords
 }
 
-// State finds the state of a partition in the response.
+// State returns the state of a partition in the response.
 func (r FetchTopicsResponse) State(partition string) (PartitionState, bool) {
 	for _, state := range r.Partitions {
 		if state.Partition == partition {
@@ -231,25 +232,25 @@
 type TopicRecords struct {
 	_     struct{} `cbor:",toarray"`
 	Until uint64
-	// Expired says that a record after the cursor has been dropped; then there are no records.
+	// Expired is set if a record after the cursor may have been dropped; Records is empty then.
 	Expired bool
-	// RemainingBytes is the size of the records that the response had no capacity for, at
-	// least 1 if there are any.
+	// RemainingBytes is the size of the records that didn't fit into the response, at least 1 if
+	// there are any.
 	RemainingBytes int
 	Records        []Record
 }
 
-// SubscribeHighWatermarks asks a store to send HighWatermarks of partitions that it leads,
-// for subscriptionTimeout. It takes the place of an earlier subscription. KnownOffsets says
-// of each shared partition how far the gateway knows it already.
+// SubscribeHighWatermarks asks a store to send HighWatermarks of partitions that it leads, for
+// subscriptionTimeout. It replaces an earlier subscription. KnownOffsets holds the high watermark
+// that the gateway already has of each shared partition, at the partition's index in Partitions.
 type SubscribeHighWatermarks struct {
 	_            struct{} `cbor:",toarray"`
 	Partitions   []string
 	KnownOffsets []uint64
 }
 
-// HighWatermark is the offset up to which a partition's records are accepted. Of a shared
-// partition, Topics are those with a record after From.
+// HighWatermark is the offset up to which a partition's records are accepted. For a shared
+// partition, Topics lists the topics with a record after From.
 type HighWatermark struct {
 	_         struct{} `cbor:",toarray"`
 	Partition string
@@ -259,22 +260,22 @@
 	Topics    []TopicOffset
 }
 
-// TopicOffset is the newest offset of a topic. The topic is named by config.TopicHash, which
-// is shorter.
+// TopicOffset is the newest offset of a topic. The topic is identified by config.TopicHash, which
+// is shorter than its name.
 type TopicOffset struct {
 	_         struct{} `cbor:",toarray"`
 	TopicHash uint64
 	Offset    uint64
 }
 
-// HighWatermarks are the high watermarks that advanced.
+// HighWatermarks announces high watermarks to a subscriber.
 type HighWatermarks struct {
 	_              struct{} `cbor:",toarray"`
 	HighWatermarks []HighWatermark
 }
 
-// SenderStateRequest asks a store for the newest messages of a sender in partitions of a
-// space that it leads.
+// SenderStateRequest asks a store for the newest messages of a sender in those partitions of a
+// space that the store leads.
 type SenderStateRequest struct {
 	_          struct{} `cbor:",toarray"`
 	RequestID  uint64
@@ -282,7 +283,7 @@
 	Sender     string
 }
 
-// RecentMessage is a message of a sender, and for how long it has been stored.
+// RecentMessage is a message of a sender. Age is the time since it was stored.
 type RecentMessage struct {
 	_        struct{} `cbor:",toarray"`
 	Position MessagePosition
@@ -290,8 +291,8 @@
 	Age      time.Duration
 }
 
-// SenderStateResponse is the response to SenderStateRequest. Without Ready this store doesn't
-// serve all of the partitions, and the response is incomplete.
+// SenderStateResponse is the response to SenderStateRequest. If Ready is false, this store
+// doesn't serve all of the partitions, and the response is incomplete.
 type SenderStateResponse struct {
 	_              struct{} `cbor:",toarray"`
 	RequestID      uint64
--- a/internal/partition/placement.go
+++ b/internal/partition/placement.go
@@ -9,8 +9,8 @@
 	"dahlialock/internal/statemachine"
 )
 
-// handleViewUpdate follows the controllers' view: the replicas take the roles that its
-// placements give them.
+// handleViewUpdate applies an update of the controllers' view: the replicas take the roles that
+// its placements assign.
 func (s *Store) handleViewUpdate(now time.Time, update membership.ViewUpdate, effects *statemachine.Effects) {
 	changed := s.view.HandleUpdate(now, update)
 	if changed.Document {
@@ -32,8 +32,8 @@
 	}
 }
 
-// applyPlacements gives each placement to its replica, which it makes where a placement
-// names this store, and counts the replicas by role.
+// applyPlacements applies each placement to its replica, adds replicas that a placement assigns
+// to this store, and counts the replicas by role.
 func (s *Store) applyPlacements(now time.Time, effects *statemachine.Effects) (leaders, followers int) {
 	for name, placement := range statemachine.Sorted(s.view.Placements) {
 		assigned := placement.HasReplica(s.settings.Self.Name)
@@ -55,15 +55,15 @@
 	return leaders, followers
 }
 
-// addReplica makes an empty replica of a partition.
+// addReplica adds an empty replica of a partition.
 func (s *Store) addReplica(name string) *replica {
 	partition := newReplica(newLog(name))
 	s.replicas[name] = partition
 	return partition
 }
 
-// applyPlacement takes over a partition's newest placement. With a new epoch, followers must
-// say anew how far they are, and the high watermark must be established anew.
+// applyPlacement applies the newest placement of a partition. In a new epoch, the followers must
+// report the ends of their logs again, and the high watermark must be established again.
 func (s *Store) applyPlacement(
 	now time.Time, partition *replica, placement membership.Placement, effects *statemachine.Effects,
 ) {
@@ -83,7 +83,7 @@
 	if leads {
 		s.updateFollowers(partition)
 	} else if changed && slices.Contains(placement.Followers, s.settings.Self.Name) {
-		// The leader may have asked before this view came here.
+		// The leader may have sent its request before this store received the view.
 		if leader, found := s.view.Members[placement.Leader]; found {
 			s.sendMismatch(partition, leader.Address, effects)
 		}
@@ -93,25 +93,26 @@
 	}
 }
 
-// isLeader tells whether this store, with its present disk, may act as a partition's leader.
-// A view that doesn't know of the loss of this store's disk may still name it as leader. And
-// before this incarnation is a member, the epochs of the view were given to an earlier one.
+// isLeader reports whether this store, with its current disk, may act as a partition's leader. A
+// view in which the loss of this store's disk isn't recorded yet may still name the store as
+// leader. Until the view names this incarnation as a member, its epochs were assigned to an
+// earlier incarnation.
 func (s *Store) isLeader(partition *replica) bool {
 	return partition.placement.Leader == s.settings.Self.Name &&
 		slices.Contains(partition.placement.InSync, s.replicaID()) &&
 		s.isMember()
 }
 
-// isFollower tells whether the placement names this store as a follower.
+// isFollower reports whether the placement names this store as a follower.
 func (s *Store) isFollower(partition *replica) bool {
 	return slices.Contains(partition.placement.Followers, s.settings.Self.Name)
 }
 
-// isMember tells whether the view names this incarnation of the store.
+// isMember reports whether the view names this incarnation of the store.
 func (s *Store) isMember() bool {
 	return s.view.Members[s.settings.Self.Name].Incarnation == s.settings.Self.Incarnation ||
 		statemachine.Mutated("one-epoch-for-all-lives")
 }
 
-// replicaID names the store with its present disk, as placements do.
+// replicaID identifies the store and its current disk, as in placements.
 func (s *Store) replicaID() string { return s.settings.Self.ReplicaID() }
--- a/internal/partition/receive.go
+++ b/internal/partition/receive.go
@@ -8,7 +8,7 @@
 	"dahlialock/internal/transport"
 )
 
-// handleReplicate appends a leader's records to a follower's log.
+// handleReplicate appends the records of a leader's request to a follower's log.
 func (s *Store) handleReplicate(now time.Time, from string, request Replicate, effects *statemachine.Effects) {
 	if !s.Ready() {
 		return
@@ -31,7 +31,7 @@
 		return
 	}
 	if request.Epoch > partition.placement.Epoch || !s.isFollower(partition) {
-		// The view of this epoch is on its way; the leader will send again.
+		// This store hasn't received the view of this epoch yet; the leader will retry.
 		s.view.PollNow(now)
 		return
 	}
@@ -46,15 +46,15 @@
 	}
 	lastOffset, _ := partition.log.end()
 	if len(request.Records) == 0 && lastOffset > request.PreviousOffset {
-		// There are more records here than the leader knows of: the logs differ.
+		// This log has records after PreviousOffset that the leader didn't send: the logs differ.
 		s.sendMismatch(partition, from, effects)
 		return
 	}
 	s.acknowledgeAfterSync(partition, from, request.Epoch)
 }
 
-// replicaOfEpoch gives the replica that a request is for. A leader whose view is newer than
-// this store's may ask for one that isn't here yet.
+// replicaOfEpoch returns the replica that a request is for. A leader whose view is newer than
+// this store's may send a request for a replica that has not been added yet.
 func (s *Store) replicaOfEpoch(now time.Time, request Replicate) (*replica, bool) {
 	if partition, found := s.replicas[request.Partition]; found {
 		return partition, true
@@ -67,8 +67,8 @@
 	return s.addReplica(request.Partition), true
 }
 
-// appendReplicated appends the records of a request that are not in the log yet. It stops and
-// reports false at an offset where the log has a record of another epoch.
+// appendReplicated appends those records of a request that are not in the log yet. It stops and
+// returns false at an offset where the log has a record of another epoch.
 func (s *Store) appendReplicated(now time.Time, partition *replica, request Replicate) (matches bool) {
 	for position, record := range request.Records {
 		epoch, known := partition.log.epochAt(record.Offset)
@@ -88,8 +88,8 @@
 	return true
 }
 
-// acknowledgeAfterSync sends the leader an acknowledgement once the disk holds the log as it
-// is now.
+// acknowledgeAfterSync sends the leader an acknowledgement once the disk has synced the log up to
+// its current end.
 func (s *Store) acknowledgeAfterSync(partition *replica, leader string, epoch uint64) {
 	lastOffset, lastEpoch := partition.log.end()
 	s.afterSync(func(now time.Time, effects *statemachine.Effects) {
@@ -106,8 +106,8 @@
 	})
 }
 
-// sendMismatch reports the end of this follower's log to a leader whose request doesn't
-// continue it.
+// sendMismatch reports the end of this follower's log to a leader whose request doesn't match it,
+// or may have been missed.
 func (s *Store) sendMismatch(partition *replica, leader string, effects *statemachine.Effects) {
 	lastOffset, lastEpoch := partition.log.end()
 	effects.Send(leader, ReplicateResponse{
@@ -120,7 +120,7 @@
 	})
 }
 
-// handleInstallSnapshot replaces a follower's log by the leader's.
+// handleInstallSnapshot replaces a follower's log with the leader's.
 func (s *Store) handleInstallSnapshot(
 	now time.Time, from string, request InstallSnapshot, effects *statemachine.Effects,
 ) {
--- a/internal/partition/replicate.go
+++ b/internal/partition/replicate.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	// replicateInterval is how often a leader looks for requests without a response.
+	// replicateInterval is how often a leader checks for unacknowledged requests.
 	replicateInterval = 150 * time.Millisecond
-	// maxReplicateBackoff bounds the time between attempts, in replicate intervals, and the count
-	// of attempts.
+	// maxReplicateBackoff limits the backoff between attempts, in multiples of replicateInterval,
+	// and the count of attempts.
 	maxReplicateBackoff = 8
-	// maxReplicateRecords bounds the records of one request.
+	// maxReplicateRecords limits the records of one request.
 	maxReplicateRecords = 512
 )
 
@@ -31,14 +31,14 @@
 		if follower.known && follower.acknowledged >= lastOffset {
 			continue
 		}
-		// Armed also where the follower is away: it may come back without a new epoch.
+		// Armed even if the follower isn't alive: it may return without a new epoch.
 		s.timers.ArmSooner(timerReplicate, now.Add(replicateInterval))
 		s.replicateTo(now, partition, follower, effects)
 	}
 }
 
-// replicateTo sends a follower the records after those that were sent, or a snapshot if it
-// needs one.
+// replicateTo sends a follower the records after those that were sent, or a snapshot if it needs
+// one.
 func (s *Store) replicateTo(
 	now time.Time, partition *replica, follower *followerProgress, effects *statemachine.Effects,
 ) {
@@ -48,7 +48,7 @@
 		return
 	}
 	if follower.snapshot.bytes > 0 && follower.snapshot.timedOut(now) {
-		// If the response was lost and not the snapshot, an empty request is enough.
+		// If only the response was lost and not the snapshot, an empty request is enough.
 		follower.snapshot = snapshotTransfer{timeout: follower.snapshot.timeout}
 	}
 	if follower.snapshot.needed {
@@ -70,8 +70,8 @@
 	follower.sentAt = now
 }
 
-// replicateRequest makes the next request for a follower. Where the follower's log isn't
-// known yet, the request is empty and asks how far it meets the leader's.
+// replicateRequest builds the next request for a follower. If it is unknown up to which offset
+// the follower's log matches the leader's, the request is empty and asks for that.
 func replicateRequest(now time.Time, partition *replica, follower *followerProgress) Replicate {
 	lastOffset, lastEpoch := partition.log.end()
 	previousOffset := max(follower.sent, follower.acknowledged)
@@ -94,8 +94,8 @@
 	}
 }
 
-// takeTimes clears the times of records and gives their ages in milliseconds, without the
-// zeros at the end.
+// takeTimes clears the times of records and returns their ages in milliseconds, without trailing
+// zeros.
 func takeTimes(now time.Time, records []Record) []uint32 {
 	var ages []uint32
 	for position := range records {
@@ -109,8 +109,8 @@
 	return ages
 }
 
-// retryReplication sends again what was not acknowledged, with a growing backoff, and answers
-// appends that have waited for too long.
+// retryReplication sends unacknowledged records again, with exponential backoff, and answers the
+// appends that have been pending for too long.
 func (s *Store) retryReplication(now time.Time, effects *statemachine.Effects) {
 	waiting := len(s.writes.pending) > 0
 	for _, partition := range statemachine.Sorted(s.replicas) {
@@ -138,12 +138,12 @@
 	}
 }
 
-// backoff is for how long a request may be without a response before it is sent again.
+// backoff returns how long a request may be unacknowledged before it is sent again.
 func (f *followerProgress) backoff() time.Duration {
 	return replicateInterval * time.Duration(min(1<<f.attempts, maxReplicateBackoff))
 }
 
-// handleReplicateResponse takes a follower's acknowledgement, or what it says of a log that
+// handleReplicateResponse handles a follower's acknowledgement, or its report of a log that
 // differs.
 func (s *Store) handleReplicateResponse(
 	now time.Time, from string, response ReplicateResponse, effects *statemachine.Effects,
@@ -177,8 +177,8 @@
 	s.checkProgress(now, partition, effects)
 }
 
-// handleMismatch finds where a follower's log meets the leader's: at its end if the leader
-// has that record, too, and otherwise nowhere, so that it needs a snapshot.
+// handleMismatch determines where to continue a follower's log: at its end if the leader has the
+// same record at that offset. Otherwise the follower needs a snapshot.
 func (s *Store) handleMismatch(
 	now time.Time, partition *replica, follower *followerProgress, response ReplicateResponse,
 	effects *statemachine.Effects,
@@ -188,9 +188,9 @@
 		s.requireSnapshot(now, partition, follower, effects)
 		return
 	}
-	// The follower may not have synced all of it, so it doesn't count as acknowledged; the next
-	// request goes on from there. If there is nothing left to send, an empty request asks for
-	// the acknowledgement.
+	// The follower may not have synced its log up to this offset, so the offset doesn't count as
+	// acknowledged; the next request continues after it. If there is nothing left to send, an
+	// empty request asks for the acknowledgement.
 	lastOffset, _ := partition.log.end()
 	follower.known = response.LastOffset != lastOffset
 	follower.snapshot = snapshotTransfer{}
--- a/internal/partition/retention.go
+++ b/internal/partition/retention.go
@@ -10,24 +10,25 @@
 )
 
 const (
-	// retentionInterval is how often records are dropped.
+	// retentionInterval is how often expired records are dropped.
 	retentionInterval = 5 * time.Second
-	// minRetentionMemory is for how long at least a longer retention counts on once it was
-	// taken back, so that a space that comes again finds its records.
+	// minRetentionMemory is the minimum time for which a longer retention stays in effect after
+	// the configuration reduced it, so that a space that is removed and added again finds its
+	// records.
 	minRetentionMemory = 5 * time.Minute
 )
 
-// supersededRetention is a longer retention of an earlier configuration, and until when it
-// still counts.
+// supersededRetention is a longer retention of an earlier configuration, and the time until which
+// it stays in effect.
 type supersededRetention struct {
 	retention time.Duration
 	expiresAt time.Time
 }
 
-// applyConfiguration takes the configuration of the view. Shared partitions retain records
-// for as long as any durable space that is ordered by topic asks for.
+// applyConfiguration applies the configuration of the view. Shared partitions retain records for
+// the longest retention of all durable spaces that are ordered by topic.
 func (s *Store) applyConfiguration(now time.Time) {
-	// Faults are left out: the controllers put only documents without any in force.
+	// Faults are ignored: the controllers only put documents without faults in force.
 	s.configuration, _ = config.Read(s.view.Document)
 	longest := config.DefaultRetentionTime
 	for _, space := range s.configuration.Spaces {
@@ -44,8 +45,8 @@
 	s.retention = longest
 }
 
-// sharedRetention is for how long shared partitions retain records at present, apart from the
-// margin of expire.
+// sharedRetention returns the current retention of shared partitions, without the margin that
+// expire adds.
 func (s *Store) sharedRetention(now time.Time) time.Duration {
 	s.supersededRetentions = slices.DeleteFunc(s.supersededRetentions, func(superseded supersededRetention) bool {
 		return now.After(superseded.expiresAt)
@@ -57,8 +58,8 @@
 	return longest
 }
 
-// applyRetention drops what is older than the retention of its space, or than
-// config.DefaultRetentionTime if that is longer, and the margin of expire.
+// applyRetention drops the records that are older than the retention of their space, or than
+// config.DefaultRetentionTime if that is longer, plus the margin that expire adds.
 func (s *Store) applyRetention(now time.Time) {
 	s.timers.Arm(timerRetention, now.Add(retentionInterval))
 	for name, partition := range statemachine.Sorted(s.replicas) {
--- a/internal/partition/sender_state.go
+++ b/internal/partition/sender_state.go
@@ -7,8 +7,8 @@
 )
 
 // handleSenderStateRequest answers with the positions of a sender's newest messages in the
-// partitions that this store leads, so that a sender that came from another gateway keeps its
-// order.
+// partitions that this store leads, so that the messages of a sender stay in order after it has
+// moved to another gateway.
 func (s *Store) handleSenderStateRequest(
 	now time.Time, from string, request SenderStateRequest, effects *statemachine.Effects,
 ) {
@@ -29,8 +29,8 @@
 	effects.Send(from, response)
 }
 
-// recentMessages gives the positions of a sender's messages that may still matter as
-// dependencies of its next ones.
+// recentMessages returns the positions of a sender's messages that may be dependencies of its
+// next ones.
 func (l *log) recentMessages(now time.Time, sender *senderState) []RecentMessage {
 	var recent []RecentMessage
 	for _, entry := range sender.Window {
--- a/internal/partition/shutdown.go
+++ b/internal/partition/shutdown.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// defaultShutdownGrace is for how long a daemon that was asked to stop is left running if
-	// the settings don't say.
+	// defaultShutdownGrace is how long a daemon that was asked to stop may keep running if
+	// ShutdownGrace is zero.
 	defaultShutdownGrace = 6 * time.Second
-	// drainInterval is how often a store that shuts down asks to be drained.
+	// drainInterval is how often a store that is shutting down requests to be drained.
 	drainInterval = 100 * time.Millisecond
 )
 
-// beginShutdown begins a graceful shutdown. The machine, and its disk with it, may be lost
-// once the store has stopped. So the store first has the primary controller move its
-// partitions elsewhere, as those of a slow disk, and stops once nothing on its disk is needed
-// or its time is up.
+// beginShutdown starts a graceful shutdown. The machine and its disk may be lost once the store
+// has stopped. The store therefore first has the primary controller move its partitions to other
+// stores, as it does for a slow disk, and stops once its disk isn't needed any more or the
+// deadline has passed.
 func (s *Store) beginShutdown(now time.Time, effects *statemachine.Effects) {
 	if s.stopping {
 		return
@@ -29,12 +29,12 @@
 	if grace == 0 {
 		grace = defaultShutdownGrace
 	}
-	// A quarter of the grace is left for the daemon to end.
+	// A quarter of the grace period is left for the daemon to exit.
 	s.stopDeadline = now.Add(grace * 3 / 4)
 	s.drain(now, effects)
 }
 
-// drain asks again for the store's partitions to be moved, or stops it.
+// drain requests again that the store's partitions be moved, or stops the store.
 func (s *Store) drain(now time.Time, effects *statemachine.Effects) {
 	if !now.Before(s.stopDeadline) || !s.isNeeded() || statemachine.Mutated("store-ends-at-once") {
 		s.finishShutdown(effects)
@@ -49,7 +49,7 @@
 	})
 }
 
-// isNeeded tells whether a placement of the newest view still needs this store's disk.
+// isNeeded reports whether a placement of the newest view still needs this store's disk.
 func (s *Store) isNeeded() bool {
 	for _, placement := range s.view.Placements {
 		inSync := slices.Contains(placement.InSync, s.replicaID())
@@ -60,7 +60,7 @@
 	return false
 }
 
-// finishShutdown takes leave of the controllers and stops.
+// finishShutdown notifies the controllers that the store is leaving, and stops it.
 func (s *Store) finishShutdown(effects *statemachine.Effects) {
 	for _, member := range statemachine.Sorted(s.view.Members) {
 		if member.Kind == membership.KindController {
--- a/internal/partition/slow_disk.go
+++ b/internal/partition/slow_disk.go
@@ -7,34 +7,37 @@
 	"dahlialock/internal/statemachine"
 )
 
-// A store observes its own disk and, by their acknowledgements, those of its followers. One
-// that is far slower than the others, hangs or takes no writes is reported to the primary
-// controller, which moves its partitions to other stores.
+// A store measures the delay of its own disk and, from their acknowledgements, of its followers'
+// disks. A disk that is far slower than the others, stalls or rejects writes is reported to the
+// primary controller, which moves the store's partitions to other stores.
 const (
-	// diskStallTimeout is when a write to the own disk that isn't synced is reported.
+	// diskStallTimeout is how long a write to the store's own disk may be unsynced before it is
+	// reported.
 	diskStallTimeout = 400 * time.Millisecond
-	// followerDoubtTimeout is when a replicate request without acknowledgement is reported, for
-	// the controller to check whether the follower is there.
+	// followerDoubtTimeout is how long a replicate request may be unacknowledged before it is
+	// reported, so that the controller checks whether the follower is reachable.
 	followerDoubtTimeout = 250 * time.Millisecond
-	// A disk is slow if its smoothed delay exceeds slowDiskMinDelay, and slowDiskRatio times
-	// that of the fastest.
+	// A disk is slow if its smoothed delay exceeds slowDiskMinDelay and is more than
+	// slowDiskRatio times that of the fastest disk.
 	slowDiskMinDelay = 60 * time.Millisecond
 	slowDiskRatio    = 4
-	// slowDiskReportInterval is the least time between two reports of one store.
+	// slowDiskReportInterval is the minimum time between two reports of the same store.
 	slowDiskReportInterval = 300 * time.Millisecond
-	// diskProbeInterval is how often a degraded store writes if it has nothing else to write.
+	// diskProbeInterval is how often a degraded store writes to its disk if there are no other
+	// writes.
 	diskProbeInterval = time.Second
-	// maxCheckpointTime is how long a checkpoint may take before the disk counts as slow.
+	// maxCheckpointTime is how long a checkpoint may take before its time counts as a delay of
+	// the disk.
 	maxCheckpointTime = 2 * time.Second
 )
 
-// diskTimes are the delays of disks as this store observes them.
+// diskTimes holds the delays of disks as this store observes them.
 type diskTimes struct {
-	// own is the smoothed time of a write to this store's disk, and followers that of each
-	// store which a leader here replicates to, by its own clock.
+	// own is the smoothed time of a write to this store's disk. followers holds the smoothed time
+	// of writes of each store that this store replicates to as a leader, by that store's clock.
 	own       time.Duration
 	followers map[string]time.Duration
-	// reportedAt is when a store was last reported.
+	// reportedAt is when each store was last reported.
 	reportedAt map[string]time.Time
 }
 
@@ -42,7 +45,7 @@
 	return diskTimes{followers: map[string]time.Duration{}, reportedAt: map[string]time.Time{}}
 }
 
-// fastest is the least delay that is known.
+// fastest returns the lowest known delay.
 func (t *diskTimes) fastest() time.Duration {
 	fastest := t.own
 	for _, delay := range t.followers {
@@ -51,12 +54,12 @@
 	return fastest
 }
 
-// smooth gives a new delay a weight of one eighth.
+// smooth returns a moving average in which the latest delay has a weight of one eighth.
 func smooth(delay, latest time.Duration) time.Duration { return delay + (latest-delay)/8 }
 
 // recordDiskTime records how long a follower's disk took for the requests that it acknowledged,
-// and takes these out of those in flight. The follower measures the time, so that the link
-// between doesn't count.
+// and removes these from the requests in flight. The follower measures the time, so the delay of
+// the link is not included.
 func (s *Store) recordDiskTime(follower *followerProgress, diskTime time.Duration) {
 	count := 0
 	for count < len(follower.inFlight) && follower.inFlight[count].lastOffset <= follower.acknowledged {
@@ -68,7 +71,8 @@
 	follower.inFlight = append(follower.inFlight[:0], follower.inFlight[count:]...)
 }
 
-// pruneFollowerDelays drops the delays of stores that no leader here replicates to any more.
+// pruneFollowerDelays removes the delays of stores that this store doesn't replicate to any more
+// as a leader.
 func (s *Store) pruneFollowerDelays() {
 	replicating := map[string]bool{}
 	for _, partition := range s.replicas {
@@ -83,7 +87,7 @@
 	}
 }
 
-// reportSlowDisks reports the stores whose disks are slow by what is observed here.
+// reportSlowDisks reports the stores whose disks appear slow to this store.
 func (s *Store) reportSlowDisks(now time.Time, effects *statemachine.Effects) {
 	oldest := s.oldestInFlight(now)
 	fastest := s.diskTimes.fastest()
@@ -98,7 +102,7 @@
 	s.reportIfSlow(now, s.settings.Self.Name, own, fastest, effects)
 }
 
-// oldestInFlight gives, for each follower with requests in flight, the age of the oldest.
+// oldestInFlight returns, for each follower with requests in flight, the age of the oldest.
 func (s *Store) oldestInFlight(now time.Time) map[string]time.Duration {
 	oldest := map[string]time.Duration{}
 	for _, partition := range s.replicas {
@@ -111,14 +115,15 @@
 	return oldest
 }
 
-// diskObservation is what is observed of one disk: the smoothed delay of writes, the age of
-// the oldest without acknowledgement, and above which age that is reported.
+// diskObservation is what this store observes of one disk: the smoothed delay of writes, the age
+// of the oldest unacknowledged write, and the age above which that is reported.
 type diskObservation struct {
 	delay   time.Duration
 	oldest  time.Duration
 	timeout time.Duration
 }
 
+// reportIfSlow reports a disk that is slow or stalled, at most once per slowDiskReportInterval.
 func (s *Store) reportIfSlow(
 	now time.Time, name string, observed diskObservation, fastest time.Duration, effects *statemachine.Effects,
 ) {
@@ -140,8 +145,8 @@
 	})
 }
 
-// probeDisk writes a little while this store counts as degraded, since it has no other writes
-// then that show whether its disk is well again.
+// probeDisk writes a small entry while this store is degraded, since it then has no other writes
+// that show whether its disk has recovered.
 func (s *Store) probeDisk(now time.Time) {
 	if !s.view.Members[s.settings.Self.Name].Degraded {
 		return
--- a/internal/partition/slow_disk_test.go
+++ b/internal/partition/slow_disk_test.go
@@ -10,7 +10,7 @@
 	"dahlialock/internal/statemachine"
 )
 
-// diskFixture is a store of which only the disk matters.
+// diskFixture is a store of which only the writes to disk are tested.
 type diskFixture struct {
 	store *Store
 	now   time.Time
@@ -31,21 +31,21 @@
 	return &diskFixture{store: store, now: began}
 }
 
-// write starts a small write and gives its token.
+// write starts a small write and returns its token.
 func (f *diskFixture) write() uint64 {
 	var effects statemachine.Effects
 	f.store.write(f.now, nil, statemachine.Write{Entries: [][]byte{{1}}}, &effects)
 	return f.store.writes.token
 }
 
-// checkpoint starts a checkpoint and gives its token.
+// checkpoint starts a checkpoint and returns its token.
 func (f *diskFixture) checkpoint() uint64 {
 	var effects statemachine.Effects
 	f.store.checkpoint(f.now, &effects)
 	return f.store.writes.token
 }
 
-// reports tells whether the store reports its own disk after a while.
+// reports reports whether the store reports its own disk after a delay.
 func (f *diskFixture) reports(wait time.Duration) bool {
 	f.now = f.now.Add(wait)
 	var effects statemachine.Effects
@@ -65,8 +65,8 @@
 	assert.Assert(t, disk.reports(time.Millisecond))
 }
 
-// largeCheckpoint tells whether a store that writes a large checkpoint, and a small write
-// behind it, reports its disk meanwhile or afterwards.
+// largeCheckpoint reports whether a store that writes a large checkpoint, and a small write
+// behind it, reports its disk during the checkpoint or afterwards.
 func largeCheckpoint(t *testing.T) bool {
 	t.Helper()
 	disk := newDiskFixture(t)
--- a/internal/partition/snapshot.go
+++ b/internal/partition/snapshot.go
@@ -8,35 +8,36 @@
 	"dahlialock/internal/transport"
 )
 
-// A snapshot may be large, and its response takes as long as the link does. So each is sent
-// once until there is a response or it must be taken for lost, and only a few are in flight
-// to one follower.
+// A snapshot may be large, and the time until its response depends on the link. Each snapshot is
+// therefore sent again only after a timeout, and only a few are in flight to one follower.
 const (
-	// maxSnapshotBytesInFlight bounds the snapshots in flight to one follower, below what a
-	// link buffers for a peer that doesn't read; a single snapshot may be larger.
+	// maxSnapshotBytesInFlight limits the total size of the snapshots in flight to one follower.
+	// It is less than what a link buffers for a peer that doesn't read. A single snapshot may be
+	// larger.
 	maxSnapshotBytesInFlight = 768 << 10
-	// snapshotTimeout is when the first snapshot without a response is taken for lost. It
-	// doubles with each further one, up to maxSnapshotTimeout.
+	// snapshotTimeout is how long the first snapshot may be unacknowledged before it counts as
+	// lost. The timeout doubles with each retry, up to maxSnapshotTimeout.
 	snapshotTimeout    = 3 * replicateInterval
 	maxSnapshotTimeout = 8 * snapshotTimeout
 )
 
-// snapshotTransfer is the state of a follower's need for a snapshot of the log.
+// snapshotTransfer is the state of sending a snapshot of the log to a follower.
 type snapshotTransfer struct {
-	// needed is set from the follower's mismatch until its disk holds a snapshot.
+	// needed is set from the follower's mismatch until its disk has synced a snapshot or the
+	// snapshot counts as lost.
 	needed bool
-	// bytes, sentAt and timeout are of the snapshot in flight; bytes is 0 if there is none.
+	// bytes, sentAt and timeout describe the snapshot in flight; bytes is 0 if there is none.
 	bytes   int
 	sentAt  time.Time
 	timeout time.Duration
 }
 
-// timedOut tells whether the snapshot in flight must be taken for lost. A response to one
-// snapshot restarts the time of the others in flight to the follower, see snapshotInstalled.
+// timedOut reports whether the snapshot in flight counts as lost. A response to one snapshot
+// restarts the timeouts of the others in flight to the follower (see snapshotInstalled).
 func (t *snapshotTransfer) timedOut(now time.Time) bool { return now.Sub(t.sentAt) >= t.timeout }
 
-// requireSnapshot notes that a follower needs a snapshot, and sends it when its turn comes.
-// The follower may ask several times before the snapshot has arrived.
+// requireSnapshot marks a follower as needing a snapshot, and sends it unless too many bytes are
+// in flight. The follower may report several mismatches before the snapshot arrives.
 func (s *Store) requireSnapshot(
 	now time.Time, partition *replica, follower *followerProgress, effects *statemachine.Effects,
 ) {
@@ -44,7 +45,8 @@
 	s.sendSnapshot(now, partition, follower, effects)
 }
 
-// sendSnapshot sends a follower the complete log, unless it or too much else is in flight.
+// sendSnapshot sends a follower the complete log, unless it is already in flight or too many
+// bytes of other snapshots are.
 func (s *Store) sendSnapshot(
 	now time.Time, partition *replica, follower *followerProgress, effects *statemachine.Effects,
 ) {
@@ -74,8 +76,8 @@
 	})
 }
 
-// snapshotBytesInFlight is the size of the snapshots, of all partitions, to which a follower
-// has not responded.
+// snapshotBytesInFlight returns the total size of the snapshots in flight to a follower, for all
+// partitions.
 func (s *Store) snapshotBytesInFlight(now time.Time, name string) int {
 	total := 0
 	for _, partition := range s.replicas {
@@ -88,8 +90,9 @@
 	return total
 }
 
-// snapshotInstalled notes that a follower's disk holds the log, which also says that its link
-// makes progress, and sends the snapshots that waited for that.
+// snapshotInstalled handles a follower's acknowledgement of a snapshot. It shows that the
+// follower's link makes progress, so the timeouts of its other snapshots are restarted, and the
+// snapshots that waited are sent.
 func (s *Store) snapshotInstalled(now time.Time, installed *followerProgress, effects *statemachine.Effects) {
 	if !installed.snapshot.needed {
 		return
@@ -105,7 +108,7 @@
 	s.sendSnapshots(now, installed.name, effects)
 }
 
-// sendSnapshots sends a follower the snapshots that it needs, as far as they may be in flight.
+// sendSnapshots sends a follower the snapshots that it needs, up to maxSnapshotBytesInFlight.
 func (s *Store) sendSnapshots(now time.Time, name string, effects *statemachine.Effects) {
 	for _, partition := range statemachine.Sorted(s.replicas) {
 		for _, follower := range partition.followers {
--- a/internal/partition/snapshot_test.go
+++ b/internal/partition/snapshot_test.go
@@ -12,19 +12,19 @@
 	"dahlialock/internal/statemachine"
 )
 
-// slowLink delivers a store's messages a few bytes at a time.
+// slowLink delivers the messages to a store at a limited rate.
 type slowLink struct {
 	queue        []delivery
 	bytesPerStep int
-	// budget is how many bytes may pass now.
+	// budget is the number of bytes that may currently pass.
 	budget int
-	// lost is how many of the next messages are lost.
+	// lost is the number of next messages to lose.
 	lost int
-	// maxQueued is the most bytes that were in the queue.
+	// maxQueued is the maximum number of bytes that were in the queue.
 	maxQueued int
 }
 
-// enqueue takes a message to the link's end.
+// enqueue adds a message to the end of the queue, or loses it.
 func (l *slowLink) enqueue(message delivery) {
 	if l.lost > 0 {
 		l.lost--
@@ -38,7 +38,7 @@
 	l.maxQueued = max(l.maxQueued, queued)
 }
 
-// step gives what comes through in one step.
+// step returns the messages that pass the link in one step.
 func (l *slowLink) step() []delivery {
 	l.budget += l.bytesPerStep
 	count := 0
@@ -54,8 +54,8 @@
 	return passed
 }
 
-// replaceFollower gives all partitions to store-0 with an empty store behind a slow link as
-// their follower.
+// replaceFollower assigns all partitions to store-0, with an empty store behind a slow link as
+// the follower.
 func (c *cluster) replaceFollower(t *testing.T, link *slowLink) {
 	t.Helper()
 	empty := storeMember("store-empty")
@@ -79,15 +79,15 @@
 	c.deliverAll()
 }
 
-// catchUp publishes on while an empty follower is brought up to date over a slow link, and
-// gives how long that took.
+// catchUp publishes while an empty follower is brought up to date over a slow link, and returns
+// how long that took.
 func (c *cluster) catchUp(t *testing.T, link *slowLink, timeout time.Duration) time.Duration {
 	t.Helper()
 	for seq := range uint64(1000) {
 		c.publish(seq, 1)
 	}
 	for _, partition := range statemachine.Sorted(c.stores["store-0"].replicas) {
-		// The oldest record is gone, so an empty store needs a snapshot.
+		// The oldest record is dropped, so an empty store needs a snapshot.
 		partition.log.dropOldest(c.now, 1)
 	}
 	c.replaceFollower(t, link)
--- a/internal/partition/status.go
+++ b/internal/partition/status.go
@@ -1,21 +1,21 @@
 package partition
 
-// PartitionStatus is one partition as a store sees it.
+// PartitionStatus is the status of one partition on a store.
 type PartitionStatus struct {
-	// Epoch is that of the placement, and Complete whether its followers have caught up.
+	// Epoch is the placement's epoch. Complete is set if its followers have caught up.
 	Epoch    uint64 `json:"epoch"`
 	Leader   bool   `json:"first"`
 	Complete bool   `json:"complete"`
-	// The log holds the records after Base up to LastOffset. Those up to HighWatermark are
-	// accepted, as far as the store knows.
+	// The log has the records after Base up to LastOffset. Those up to HighWatermark are known to
+	// be accepted.
 	Base          uint64 `json:"base"`
 	LastOffset    uint64 `json:"head"`
 	HighWatermark uint64 `json:"accepted"`
-	// Serving says that the store leads the partition and accepts messages at present.
+	// Serving is set if the store leads the partition and currently accepts messages.
 	Serving bool `json:"serving"`
 }
 
-// Partitions gives the status of every replica by partition, for ctl and for the simulator's
+// Partitions returns the status of every replica by partition, for ctl and for the simulator's
 // checks.
 func (s *Store) Partitions() map[string]PartitionStatus {
 	statuses := map[string]PartitionStatus{}
--- a/internal/partition/store.go
+++ b/internal/partition/store.go
@@ -12,26 +12,26 @@
 
 // Settings are a store daemon's settings.
 type Settings struct {
-	// Self is the store as it joins the membership. New sets its disk.
+	// Self is the store as a member of the cluster. New sets its disk.
 	Self membership.Member
 	// Seeds are the addresses of controllers to ask for the first view.
 	Seeds []string
-	// NewDisk names the disk if it is empty; otherwise it has its name already.
+	// NewDisk is the name given to the disk if it is empty; any other disk has a name already.
 	NewDisk string
-	// RedeliveryWindow is for how long a client may send an accepted message again.
+	// RedeliveryWindow is how long a client may send an accepted message again.
 	RedeliveryWindow time.Duration
-	// ShutdownGrace is for how long a daemon that was asked to stop is left running;
+	// ShutdownGrace is how long a daemon that was asked to stop may keep running;
 	// defaultShutdownGrace if zero.
 	ShutdownGrace time.Duration
-	// Acknowledge is within what time an operator's request is to be acknowledged.
+	// Acknowledge is the time within which an operator's request is to be acknowledged.
 	Acknowledge time.Duration
-	// Incarnation names this run of the process.
+	// Incarnation identifies this run of the process.
 	Incarnation statemachine.Incarnation
 }
 
-// Request is a command: an operator's request at this daemon's own ctl. It is forwarded to
-// the primary controller. Local is the host's number of the request, by which it gets the
-// response.
+// Request is a command: an operator's request to the ctl interface of this daemon. It is
+// forwarded to the primary controller. Local is the number that the daemon assigned to the
+// request; the response is returned under it.
 type Request struct {
 	Local  uint64
 	Method string
@@ -39,8 +39,8 @@
 	Body   []byte
 }
 
-// FindDecisions is a command: it asks for the recorded decisions about a request, a message
-// or a session. The response is a list of decisionlog.Entry; Local is as in Request.
+// FindDecisions is a command: it looks up the recorded decisions about a request, a message or a
+// session. The response is a list of decisionlog.Entry; Local is as in Request.
 type FindDecisions struct {
 	Local   uint64
 	Request string
@@ -48,10 +48,10 @@
 	Session string
 }
 
-// Stop is a command: it asks the store to shut down in good order.
+// Stop is a command: it starts a graceful shutdown of the store.
 type Stop struct{}
 
-// Counts are running sums, read by ctl and by tests.
+// Counts are cumulative counters, read by ctl and by tests.
 type Counts struct {
 	Appends            uint64 `json:"Appends"`
 	Accepted           uint64 `json:"Accepted"`
@@ -72,12 +72,12 @@
 	Counts Counts
 
 	settings Settings
-	// disk names the disk, and newDisk is set if this run gave it the name.
+	// disk is the name of the disk. newDisk is set if this run assigned the name.
 	disk    string
 	newDisk bool
 
 	replicas map[string]*replica
-	// toReplicate names the partitions whose leader has something to send at the step's end.
+	// toReplicate names the partitions that the leader replicates at the end of the step.
 	toReplicate map[string]bool
 	subscribers map[string]*subscriber
 
@@ -86,24 +86,24 @@
 	controlClient *controlclient.ControlClient
 	timers        *statemachine.Timers[timer]
 	decisions     *decisionlog.Ring
-	// leaderCount and followerCount are how many replicas had these roles when last logged.
+	// leaderCount and followerCount are the numbers of replicas in these roles as last logged.
 	leaderCount   int
 	followerCount int
 
 	configuration config.Configuration
-	// retention is the longest that the configuration asks for in shared partitions.
+	// retention is the longest that the configuration requires in shared partitions.
 	retention            time.Duration
 	supersededRetentions []supersededRetention
 
 	writes    writeQueue
 	diskTimes diskTimes
 
-	// stopping is set once the store was asked to stop; it ends at stopDeadline at the latest.
+	// stopping is set once the store was asked to stop. It stops at stopDeadline at the latest.
 	stopping     bool
 	stopDeadline time.Time
 }
 
-// New makes a store from the newest snapshot of its disk, empty on a new disk, and the
+// New creates a store from the newest snapshot on its disk, which is empty on a new disk, and the
 // entries after it. It fails with ErrorUnreadable if they can't be decoded.
 func New(settings Settings, snapshot []byte, entries [][]byte) (*Store, error) {
 	store := &Store{
@@ -139,19 +139,19 @@
 	return membership.Load{Ready: s.Ready(), Requests: s.Counts.Appends}
 }
 
-// Ready tells whether the store serves: it has a view and isn't about to stop.
+// Ready reports whether the store serves requests: it has a view and isn't shutting down.
 func (s *Store) Ready() bool { return s.view.Index > 0 && !s.stopping }
 
-// ConfigurationVersion is the version of the configuration in force here.
+// ConfigurationVersion returns the version of the configuration in force on this store.
 func (s *Store) ConfigurationVersion() uint64 { return s.view.Version }
 
-// ViewClient gives the store's view, for its ctl.
+// ViewClient returns the client that maintains the store's view, for its ctl.
 func (s *Store) ViewClient() *membership.ViewClient { return s.view }
 
-// Disk is the name of the disk.
+// Disk returns the name of the disk.
 func (s *Store) Disk() string { return s.disk }
 
-// Start begins the store's work. It is called once, before any other step.
+// Start starts the store. It is called once, before any other step.
 func (s *Store) Start(now time.Time, effects *statemachine.Effects) {
 	for _, partition := range statemachine.Sorted(s.replicas) {
 		partition.log.resetTimes(now)
@@ -164,7 +164,7 @@
 	s.timers.Arm(timerRetention, now.Add(retentionInterval))
 }
 
-// NextTick is when the store wants to run again.
+// NextTick returns when Tick is to be called next.
 func (s *Store) NextTick() time.Time {
 	return statemachine.Earliest(
 		s.view.NextTick(),
@@ -174,7 +174,7 @@
 	)
 }
 
-// HandleCommand handles a command of the daemon around the store.
+// HandleCommand handles a command from the daemon that runs the store.
 func (s *Store) HandleCommand(now time.Time, command any, effects *statemachine.Effects) {
 	switch body := command.(type) {
 	case statemachine.Synced:
@@ -191,7 +191,7 @@
 	s.endStep(now, effects)
 }
 
-// Tick runs whatever is due.
+// Tick runs the timers that have expired.
 func (s *Store) Tick(now time.Time, effects *statemachine.Effects) {
 	s.view.Tick(now, effects)
 	s.detector.Tick(now, effects)
@@ -218,7 +218,7 @@
 	s.endStep(now, effects)
 }
 
-// HandleMessage handles a message of another daemon.
+// HandleMessage handles a message from another daemon.
 func (s *Store) HandleMessage(now time.Time, meta statemachine.Meta, message any, effects *statemachine.Effects) {
 	s.detector.ReceiveFromPeer(now)
 	if meta.Version > s.view.Version {
@@ -255,8 +255,8 @@
 	s.endStep(now, effects)
 }
 
-// endStep sends the followers of each partition with new records one request, and gives
-// whatever the step logged to the disk as one write.
+// endStep sends one request to each follower of the partitions to replicate, and passes the
+// entries logged in the step to the disk as one write.
 func (s *Store) endStep(now time.Time, effects *statemachine.Effects) {
 	for name := range statemachine.Sorted(s.toReplicate) {
 		if partition, found := s.replicas[name]; found {
--- a/internal/partition/timers.go
+++ b/internal/partition/timers.go
@@ -2,9 +2,9 @@
 
 import "strings"
 
-// timer is the key of one of the store's timers. Timers that expire at the same moment run
-// in the order of their keys, and recorded runs depend on that order: the numbers at the
-// beginning of the keys must keep it.
+// timer is the key of one of the store's timers. Timers that expire at the same time run in the
+// order of their keys, and recorded runs depend on that order: the numbers at the beginning of
+// the keys must keep it.
 type timer string
 
 const (
@@ -14,14 +14,15 @@
 	timerReportReplicated timer = "5 report replicated"
 	timerRetention        timer = "6 retention"
 
-	// highWatermarksPrefix begins the keys of subscribers' timers; the address follows it.
+	// highWatermarksPrefix is the prefix of the keys of subscribers' timers; the address follows
+	// it.
 	highWatermarksPrefix = "2 high watermarks "
 )
 
-// highWatermarksTimer is the timer after which a subscriber is sent high watermarks.
+// highWatermarksTimer returns the timer that sends high watermarks to a subscriber.
 func highWatermarksTimer(address string) timer { return timer(highWatermarksPrefix + address) }
 
-// subscriber gives the address of the subscriber that a timer is for.
+// subscriber returns the address of the subscriber that a timer belongs to.
 func (t timer) subscriber() (address string, found bool) {
 	return strings.CutPrefix(string(t), highWatermarksPrefix)
 }
--- a/internal/partition/topic.go
+++ b/internal/partition/topic.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Matches tells whether a topic is among the named topics or under one of the prefixes.
+// Matches reports whether a topic is one of the topics or is under one of the prefixes.
 func Matches(topic string, topics, prefixes []string) bool {
 	for _, wanted := range topics {
 		if wanted == topic {
@@ -21,19 +21,19 @@
 	return false
 }
 
-// HasTopicPrefix tells whether a topic lies under a prefix, which ends at a complete segment
+// HasTopicPrefix reports whether a topic is under a prefix, which must end at a complete segment
 // of the topic's path. The empty prefix matches every topic.
 func HasTopicPrefix(topic, prefix string) bool {
 	return prefix == "" || topic == prefix || strings.HasPrefix(topic, prefix) && topic[len(prefix)] == '/'
 }
 
-// ForTopic is the number of the partition, among a space's, that stores a topic. Placements
-// and stored cursors depend on it, so it must never change.
+// ForTopic returns the number of the partition, among those of a space, that stores a topic.
+// Placements and stored cursors depend on it, so it must never change.
 func ForTopic(topic string, partitions int) int {
 	sum := fnv.New64a()
 	_, _ = sum.Write([]byte(topic))
-	// Mixed by the second half of MurmurHash3's finalizer, since the modulus depends on the low
-	// bits only.
+	// The second half of MurmurHash3's finalizer mixes the bits, since the modulus depends only
+	// on the low ones.
 	mixed := sum.Sum64()
 	mixed ^= mixed >> 33
 	mixed *= 0xc4ceb9fe1a85ec53
@@ -41,7 +41,7 @@
 	return int(mixed % uint64(partitions))
 }
 
-// NumberOf is the number at the end of a partition's name, which must have one.
+// NumberOf returns the number at the end of a partition's name. It panics if there is none.
 func NumberOf(name string) uint8 {
 	_, text, _ := strings.Cut(name, "/")
 	number, err := strconv.ParseUint(text, 10, 8)
--- a/internal/partition/unassigned.go
+++ b/internal/partition/unassigned.go
@@ -7,17 +7,18 @@
 	"dahlialock/internal/statemachine"
 )
 
-// unassignedRetention is for how long a log is kept that no placement needs. If the store is
-// named again within it, after another loss, it is sent only the records that it missed
-// instead of a snapshot; later the leader would hardly hold those any more.
+// unassignedRetention is how long a log that no placement needs is kept. If the store is assigned
+// the partition again within this time, after the loss of another store, it is sent only the
+// records that it missed instead of a snapshot; later the leader is unlikely to have retained
+// those.
 //
-// An unassigned log never counts as a replica: the placement says who holds what was accepted,
-// and a follower's log is compared with the leader's by offset and epoch before anything is
-// appended to it.
+// An unassigned log never counts as a replica: the placement lists the replicas that have all
+// accepted records, and a follower's log is compared with the leader's by offset and epoch before
+// anything is appended to it.
 const unassignedRetention = 30 * time.Second
 
-// releaseReplicas notes which replicas no placement needs, and drops those of partitions that
-// are placed nowhere any more.
+// releaseReplicas marks the replicas that no placement needs as unassigned, and drops those of
+// partitions that have no placement any more.
 func (s *Store) releaseReplicas(now time.Time, effects *statemachine.Effects) {
 	for name, partition := range statemachine.Sorted(s.replicas) {
 		placement, placed := s.view.Placements[name]
@@ -35,7 +36,7 @@
 	}
 }
 
-// dropUnassigned drops the replicas that were unassigned for unassignedRetention.
+// dropUnassigned drops the replicas that have been unassigned for unassignedRetention.
 func (s *Store) dropUnassigned(now time.Time, effects *statemachine.Effects) {
 	for name, partition := range statemachine.Sorted(s.replicas) {
 		if !partition.unassignedSince.IsZero() && now.Sub(partition.unassignedSince) > unassignedRetention {
--- a/internal/partition/unassigned_mutation_test.go
+++ b/internal/partition/unassigned_mutation_test.go
@@ -11,7 +11,8 @@
 	"dahlialock/internal/statemachine"
 )
 
-// Without unassigned replicas a store that is named again needs a snapshot of every partition.
+// Without unassigned replicas, a store that is assigned its partitions again needs a snapshot of
+// every one.
 func TestUnassignedReplicaIsNeeded(t *testing.T) {
 	defer statemachine.Mutate("no-spare-logs")()
 	run := newCluster(t, 3)
--- a/internal/partition/unassigned_test.go
+++ b/internal/partition/unassigned_test.go
@@ -21,8 +21,8 @@
 	after := run.stores["store-0"].Counts
 	assert.Equal(t, run.caughtUp(), config.SharedPartitions)
 	assert.Equal(t, after.SnapshotsSent-before.SnapshotsSent, uint64(0))
-	// The hundred that it missed may be sent twice, since the store says how far its log
-	// reaches on its own and when it is asked; the hundred after them are sent once.
+	// The 100 missed records may be sent twice, since the store reports the end of its log both
+	// unasked and in response to a request; the 100 records after them are sent once.
 	replicated := after.ReplicatedRecords - before.ReplicatedRecords
 	assert.Assert(t, replicated <= 300, "%d records", replicated)
 }
@@ -46,7 +46,7 @@
 	run.publishAndDropOldest(0, 300)
 	run.changePlacements(2, "store-2", "store-0", "store-2")
 	for _, partition := range statemachine.Sorted(run.stores["store-1"].replicas) {
-		// A record of the earlier epoch that no other store has, and that was never accepted.
+		// A record of the earlier epoch that no other store has and that was never accepted.
 		lastOffset, epoch := partition.log.end()
 		partition.log.append(Record{
 			Offset:     lastOffset + 1,
--- a/internal/wal/filefolder.go
+++ b/internal/wal/filefolder.go
@@ -7,14 +7,14 @@
 	"path/filepath"
 )
 
-// FileFolder is a folder of the file system. It keeps the files that it writes open, and
-// belongs to one goroutine.
+// FileFolder is a folder of the file system. It keeps the files that it writes open. It must be
+// used by one goroutine only.
 type FileFolder struct {
 	path string
 	open map[string]*os.File
 }
 
-// OpenFileFolder opens a folder, and creates it if need be. It fails with ErrDisk.
+// OpenFileFolder opens a folder, and creates it if necessary. It fails with ErrDisk.
 func OpenFileFolder(path string) (*FileFolder, error) {
 	if err := os.MkdirAll(path, 0o755); err != nil {
 		return nil, ErrDisk.Wrap(err, "creating %s", path)
@@ -51,7 +51,7 @@
 	return body, err == nil, err
 }
 
-// Create writes a file from its beginning, in place of its earlier contents.
+// Create writes a file from its beginning and discards its earlier contents.
 func (ff *FileFolder) Create(name string, body []byte) error {
 	opened, err := ff.file(name, os.O_TRUNC)
 	if err != nil {
@@ -61,7 +61,7 @@
 	return err
 }
 
-// Append writes at the end of a file, which it creates if need be.
+// Append writes at the end of a file, which it creates if necessary.
 func (ff *FileFolder) Append(name string, body []byte) error {
 	opened, err := ff.file(name, 0)
 	if err != nil {
@@ -89,7 +89,7 @@
 	return opened.Sync()
 }
 
-// Remove removes a file; it is no error if there is none.
+// Remove removes a file. It isn't an error if the file doesn't exist.
 func (ff *FileFolder) Remove(name string) error {
 	ff.close(name)
 	err := os.Remove(filepath.Join(ff.path, name))
@@ -99,8 +99,8 @@
 	return err
 }
 
-// Rename gives a file another name, in place of any file that had it. It is no error if
-// there is no file to rename.
+// Rename renames a file, and replaces any file with the new name. It isn't an error if the file
+// doesn't exist.
 func (ff *FileFolder) Rename(from, to string) error {
 	ff.close(from)
 	ff.close(to)
--- a/internal/wal/memoryfolder.go
+++ b/internal/wal/memoryfolder.go
@@ -6,45 +6,46 @@
 	"slices"
 )
 
-// ErrPowerLost is what a MemoryFolder returns once its operations are used up.
+// ErrPowerLost is returned by a MemoryFolder once the operations that FailAfter allows are used
+// up.
 var ErrPowerLost = errors.New("the power is lost")
 
-// Draw returns a random number from 0 up to, but not including, a bound above 0. It
-// decides what a loss of power leaves; without one, all that was not synced is lost.
+// Draw returns a random number from 0 up to, but not including, a bound above 0. It decides which
+// unsynced changes survive a power loss; without one, all are lost.
 type Draw func(bound int) int
 
-// MemoryFolder is a fake disk for tests and for the simulator: it loses what was not
-// synced when it loses its power. A file then holds what was synced, and each later write
-// is there, missing or torn; each name that was created, renamed or removed since the
-// last sync of the folder is there or not, independently of all others.
+// MemoryFolder is a fake disk for tests and for the simulator that simulates power losses. After
+// one, a file has its synced contents, and each later write survives, is lost or is torn. Each
+// name that was created, renamed or removed since the last sync of the folder survives or is
+// lost, independently of all others.
 type MemoryFolder struct {
 	// files are the files as the process sees them, by name.
 	files map[string]*memoryFile
-	// durableNames are the files by the names that the last sync of the folder covered.
+	// durableNames are the files by the names that the last sync of the folder made durable.
 	durableNames map[string]*memoryFile
-	// remaining is how many operations succeed before the power is lost, if limited.
+	// remaining is how many operations succeed before the power is lost, if limited is set.
 	remaining int
 	limited   bool
 	// Syncs counts the syncs of files and of the folder.
 	Syncs int
 }
 
-// memoryFile is a file, which keeps its contents when it is renamed.
+// memoryFile is a file. It keeps its contents when it is renamed.
 type memoryFile struct {
 	contents []byte
-	// durable is the contents at the last sync, and unsynced is what changed since.
+	// durable is the contents at the last sync. unsynced holds the changes since then.
 	durable  []byte
 	unsynced []fileChange
 }
 
-// fileChange is a write at an offset, or a truncation to it.
+// fileChange is a write at an offset, or a truncation to that size.
 type fileChange struct {
 	offset   int
 	bytes    []byte
 	truncate bool
 }
 
-// NewMemoryFolder returns a blank disk.
+// NewMemoryFolder returns an empty disk.
 func NewMemoryFolder() *MemoryFolder {
 	return &MemoryFolder{
 		files:        map[string]*memoryFile{},
@@ -52,11 +53,11 @@
 	}
 }
 
-// FailAfter lets so many more modifying operations succeed; all later ones return
-// ErrPowerLost until LosePower or Restart is called.
+// FailAfter allows a number of further modifying operations; all later ones return ErrPowerLost
+// until LosePower or Restart is called.
 func (mf *MemoryFolder) FailAfter(operations int) { mf.remaining, mf.limited = operations, true }
 
-// Restart lifts the limit of FailAfter and loses nothing: only the process had ended.
+// Restart lifts the limit of FailAfter without a loss of data, as if only the process had ended.
 func (mf *MemoryFolder) Restart() { mf.limited = false }
 
 // count counts a modifying operation against the limit of FailAfter.
@@ -71,10 +72,10 @@
 	return nil
 }
 
-// Names lists the files, sorted.
+// Names returns the names of the files, sorted.
 func (mf *MemoryFolder) Names() []string { return slices.Sorted(maps.Keys(mf.files)) }
 
-// fileOf returns the file of a name, and creates it if need be.
+// fileOf returns the file with a name, and creates it if necessary.
 func (mf *MemoryFolder) fileOf(name string) *memoryFile {
 	file, found := mf.files[name]
 	if !found {
@@ -93,7 +94,7 @@
 	return slices.Clone(file.contents), true, nil
 }
 
-// Create writes a file from its beginning, in place of its earlier contents.
+// Create writes a file from its beginning and discards its earlier contents.
 func (mf *MemoryFolder) Create(name string, body []byte) error {
 	if err := mf.count(); err != nil {
 		return err
@@ -104,7 +105,7 @@
 	return nil
 }
 
-// Append writes at the end of a file, which it creates if need be.
+// Append writes at the end of a file, which it creates if necessary.
 func (mf *MemoryFolder) Append(name string, body []byte) error {
 	if err := mf.count(); err != nil {
 		return err
@@ -132,8 +133,8 @@
 	return nil
 }
 
-// Rename gives a file another name, in place of any file that had it. It is no error if
-// there is no file to rename.
+// Rename renames a file, and replaces any file with the new name. It isn't an error if the file
+// doesn't exist.
 func (mf *MemoryFolder) Rename(from, to string) error {
 	if err := mf.count(); err != nil {
 		return err
@@ -145,7 +146,7 @@
 	return nil
 }
 
-// Remove removes a file; it is no error if there is none.
+// Remove removes a file. It isn't an error if the file doesn't exist.
 func (mf *MemoryFolder) Remove(name string) error {
 	if err := mf.count(); err != nil {
 		return err
@@ -164,11 +165,11 @@
 	return nil
 }
 
-// LosePower leaves what a loss of power leaves, as draw decides; a nil draw loses all that
-// was not synced.
+// LosePower simulates a power loss. draw decides which unsynced changes survive; if it is nil,
+// none does.
 func (mf *MemoryFolder) LosePower(draw Draw) {
 	mf.limited = false
-	// Sometimes all that was not synced is lost at once.
+	// In one of four power losses all unsynced changes are lost.
 	if draw != nil && draw(4) == 0 {
 		draw = nil
 	}
@@ -206,8 +207,8 @@
 	return surviving
 }
 
-// Corrupt flips bits of a byte that had been synced, and reports whether there is one at
-// the offset.
+// Corrupt flips bits of the byte at an offset of a file, durably, and reports whether there is
+// such a byte.
 func (mf *MemoryFolder) Corrupt(name string, offset int) bool {
 	file, found := mf.files[name]
 	if !found || offset >= len(file.contents) {
@@ -219,13 +220,13 @@
 	return true
 }
 
-// Wipe empties the disk.
+// Wipe erases the disk.
 func (mf *MemoryFolder) Wipe() {
 	mf.files, mf.durableNames, mf.limited = map[string]*memoryFile{}, map[string]*memoryFile{}, false
 }
 
 func (f *memoryFile) truncate(size int) {
-	// Clipped, so that what is appended later does not change durable bytes.
+	// Clipped, so that later appends don't overwrite durable bytes.
 	f.contents = slices.Clip(f.contents[:min(size, len(f.contents))])
 	f.unsynced = append(f.unsynced, fileChange{offset: size, truncate: true})
 }
@@ -239,7 +240,7 @@
 	f.durable, f.unsynced = f.contents, nil
 }
 
-// losePower leaves of each unsynced change all, nothing, or a part.
+// losePower keeps each unsynced change completely, in part or not at all.
 func (f *memoryFile) losePower(draw Draw) {
 	contents := slices.Clone(f.durable)
 	for _, change := range f.unsynced {
@@ -251,7 +252,7 @@
 		case 0:
 			continue
 		case 1:
-			// Torn: a part of it is there, wherever that begins.
+			// Torn: a part of the change survives, which need not include its beginning.
 			to = draw(to + 1)
 			from = draw(2) * draw(to+1)
 		}
@@ -264,7 +265,7 @@
 	f.contents, f.durable, f.unsynced = contents, contents, nil
 }
 
-// writeAt writes bytes at an offset, after zeros where the body ends before it.
+// writeAt writes bytes at an offset. If the body ends before it, the gap is filled with zeros.
 func writeAt(body []byte, offset int, bytes []byte) []byte {
 	if len(bytes) == 0 {
 		return body
--- a/internal/wal/model_test.go
+++ b/internal/wal/model_test.go
@@ -1,8 +1,8 @@
 package wal
 
-// The log against a model of what it must hold: power is lost, or only the process
-// ends, between any two operations on the disk, again and again; names, writes and
-// parts of writes that were not synced survive or are lost one by one.
+// These tests compare the log with a model of the entries that must be recovered. The power is
+// lost, or only the process ends, between any two operations on the disk, repeatedly; names,
+// writes and parts of writes that were not synced survive or are lost independently.
 
 import (
 	"fmt"
@@ -15,26 +15,25 @@
 	"gotest.tools/v3/assert"
 )
 
-// trial is the part of testing.TB that a run needs; the mutation tests substitute one that
-// is expected to fail.
+// trial is the part of testing.TB that a run needs. The mutation tests substitute one that is
+// expected to fail.
 type trial interface {
 	assert.TestingT
 	Helper()
 }
 
-// writer is an owner whose state is the list of all that it ever wrote.
+// writer is the owner of a log. Its state is the list of all entries that it has written.
 type writer struct {
 	t      trial
 	random *rand.Rand
 	disk   *MemoryFolder
 	log    *Log
-	// acked must be recovered, and after it any number of the first entries of batch,
-	// whose write was not acknowledged.
+	// acked must be recovered, followed by any prefix of batch, whose write was not acknowledged.
 	acked, batch []string
 	number       int
 }
 
-// stop ends the process or takes the power.
+// stop ends the process or cuts the power.
 func (w *writer) stop() {
 	if w.random.IntN(3) == 0 {
 		w.disk.Restart()
@@ -43,7 +42,7 @@
 	w.disk.LosePower(w.random.IntN)
 }
 
-// open recovers the log, however often the disk fails meanwhile, and checks what it holds.
+// open recovers the log, retrying as often as the disk fails, and checks the recovered entries.
 func (w *writer) open(seed uint64) {
 	w.t.Helper()
 	for {
@@ -61,7 +60,7 @@
 			slices.Equal(found[:len(w.acked)], w.acked) &&
 			slices.Equal(found[len(w.acked):], w.batch[:unacked])
 		assert.Assert(w.t, valid, "seed %d: %q is there, %q was synced, and then came %q", seed, found, w.acked, w.batch)
-		// What Open returned is durable from then on.
+		// Everything that Open returned is durable from now on.
 		w.log, w.acked, w.batch = log, found, nil
 		return
 	}
@@ -78,7 +77,7 @@
 	return found
 }
 
-// write checkpoints or appends a batch, and reports whether it succeeded.
+// write writes a checkpoint or appends a batch, and reports whether it succeeded.
 func (w *writer) write() bool {
 	if w.random.IntN(3) == 0 {
 		return w.log.Checkpoint([]byte(strings.Join(w.acked, ","))) == nil
@@ -116,8 +115,8 @@
 	}
 }
 
-// quarantineAtAnyMoment stops a quarantine at any moment: either all is then recovered as
-// it was, or nothing, and what is written later is recovered again.
+// quarantineAtAnyMoment interrupts a quarantine at any operation. Either all entries or none must
+// be recovered, and entries written later must be recovered again.
 func quarantineAtAnyMoment(t trial, seed uint64) {
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 0xa51de))
@@ -159,7 +158,7 @@
 	}
 }
 
-// Steady operation creates and syncs no names.
+// In steady operation, a checkpoint creates no names, so the folder isn't synced.
 func TestLogCheckpointCostsTwoSyncs(t *testing.T) {
 	disk := NewMemoryFolder()
 	log, _, err := Open(disk)
--- a/internal/wal/mutation_test.go
+++ b/internal/wal/mutation_test.go
@@ -16,8 +16,8 @@
 	return mutationtest.Run(func(t *mutationtest.Trial) { run(t, seed) })
 }
 
-// TestEachMechanismIsNeeded disables each mechanism once, and expects one of the runs that
-// pass with it to fail.
+// TestEachMechanismIsNeeded disables each mechanism in turn and expects that one of the runs,
+// which pass with the mechanism, fails.
 func TestEachMechanismIsNeeded(t *testing.T) {
 	for mutation, run := range statemachine.Sorted(map[string]func(t trial, seed uint64){
 		"unsynced-opening": stopAtAnyMoment,
--- a/internal/wal/quarantine.go
+++ b/internal/wal/quarantine.go
@@ -3,13 +3,13 @@
 import "dahlialock/internal/statemachine"
 
 const (
-	// quarantineMarker is a file that exists while files are being quarantined, so that an
-	// interrupted quarantine is finished by the next Open.
+	// quarantineMarker is a file that exists while files are being quarantined, so that the next
+	// Open completes an interrupted quarantine.
 	quarantineMarker = "putting-aside"
 	quarantinePrefix = "damaged-"
 )
 
-// fileNames lists all files of a log.
+// fileNames returns the names of all files of a log.
 func fileNames() []string {
 	names := []string{evenSlot, oddSlot}
 	for number := range uint64(logFiles) {
@@ -18,10 +18,10 @@
 	return names
 }
 
-// Quarantine renames all files of a damaged log, so that Open then finds a blank folder.
-// The files of an earlier quarantine are overwritten. If power is lost meanwhile, either
-// all files are renamed in the end or none: a part of the old files must never be taken
-// for a log. It fails with ErrDisk.
+// Quarantine renames all files of a damaged log, so that Open then finds an empty folder. The
+// files of an earlier quarantine are overwritten. If power is lost during the quarantine, either
+// all files are renamed in the end or none: a part of the old files must never be mistaken for a
+// log. It fails with ErrDisk.
 func Quarantine(folder Folder) error {
 	if statemachine.Mutated("aside-unmarked") {
 		return quarantineFiles(folder)
@@ -38,7 +38,7 @@
 	return quarantineFiles(folder)
 }
 
-// finishQuarantine continues a quarantine that an earlier process began.
+// finishQuarantine completes a quarantine that an earlier process started.
 func finishQuarantine(folder Folder) error {
 	_, marked, err := folder.Read(quarantineMarker)
 	if err != nil {
@@ -47,7 +47,7 @@
 	if !marked {
 		return nil
 	}
-	// The marker may be visible and not durable yet.
+	// The marker may be visible but not yet durable.
 	if err := folder.SyncFolder(); err != nil {
 		return ErrDisk.Wrap(err, "syncing the folder")
 	}
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -7,22 +7,22 @@
 	"dahlialock/internal/statemachine"
 )
 
-// MaxEntrySize bounds the size of one entry or snapshot in bytes. Append and Checkpoint do
-// not check it; Open does not take a longer record for a valid one.
+// MaxEntrySize is the maximum size of one entry or snapshot in bytes. Append and Checkpoint do
+// not check it; Open treats a longer record as invalid.
 const MaxEntrySize = 1 << 30
 
 const (
 	slotMagic = "dlslot01"
 	logMagic  = "dllog001"
-	// fileHeaderSize is the size of the magic and the generation of a file, and
-	// recordHeaderSize that of the length and the checksum of a record.
+	// fileHeaderSize is the size of a file's magic number and generation. recordHeaderSize is the
+	// size of a record's length and checksum.
 	fileHeaderSize   = 16
 	recordHeaderSize = 8
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// fileHeader encodes what each file begins with.
+// fileHeader encodes the header of a file.
 func fileHeader(magic string, generation uint64) []byte {
 	header := make([]byte, fileHeaderSize, fileHeaderSize+recordHeaderSize)
 	copy(header, magic)
@@ -38,10 +38,10 @@
 	return binary.BigEndian.Uint64(body[8:]), body[fileHeaderSize:], true
 }
 
-// continuation is set in the generation that goes into the checksum of all records of a
-// batch but its first. A batch is written at once and may be torn anywhere: a later
-// record of it may be valid where its first is not, and must not be taken for the
-// beginning of another batch (see hasLaterBatch).
+// continuation is set in the generation that is part of the checksum of all records of a batch
+// except the first. A batch is written at once and may be torn at any byte: a later record may be
+// valid although the first is not, and must not be mistaken for the beginning of another batch
+// (see hasLaterBatch).
 const continuation = 1 << 63
 
 // appendBatch appends the encoded entries of one Append to body.
--- a/internal/wal/recovery.go
+++ b/internal/wal/recovery.go
@@ -6,21 +6,21 @@
 	"dahlialock/internal/statemachine"
 )
 
-// Recovered is the state that a log held when it was opened.
+// Recovered is the state of a log when it was opened.
 type Recovered struct {
-	// Blank is set if the folder held no log.
+	// Blank is set if the folder contained no log.
 	Blank bool
-	// Snapshot is the newest valid snapshot; nil or empty if none was ever given.
+	// Snapshot is the newest valid snapshot; nil or empty if none was ever written.
 	Snapshot []byte
-	// Entries were appended after the snapshot, in order.
+	// Entries are the entries appended after the snapshot, in order.
 	Entries [][]byte
-	// TornBytes is how many bytes of an unfinished write were truncated.
+	// TornBytes is the number of bytes of an incomplete write that were truncated.
 	TornBytes int
 }
 
-// Open reads the log in a folder, and begins one if the folder is blank. What it returns
-// is durable. It fails with ErrDisk, and may then be repeated, or with ErrDamaged; what it
-// returns beside an error is not to be used.
+// Open reads the log in a folder, or creates one if the folder is empty. What it returns is
+// durable. It fails with ErrDisk, and may then be repeated, or with ErrDamaged. If it returns an
+// error, the other results must not be used.
 func Open(folder Folder) (*Log, Recovered, error) {
 	if err := finishQuarantine(folder); err != nil {
 		return nil, Recovered{}, err
@@ -51,9 +51,9 @@
 	return log, recovered, err
 }
 
-// initialize begins a log in a folder without a valid slot. A log file is begun only after
-// a slot is durable, and the second slot only after the first: a valid log file, or two
-// invalid slots, say that a slot was lost or damaged.
+// initialize creates a log in a folder without a valid slot. A log file is created only after a
+// slot is durable, and the second slot only after the first. Therefore a valid log file, or two
+// invalid slots, mean that a slot was lost or damaged.
 func (l *Log) initialize(bothInvalid bool) error {
 	if bothInvalid {
 		return ErrDamaged.New("neither slot is valid")
@@ -70,8 +70,8 @@
 	return l.Checkpoint(nil)
 }
 
-// syncRecovered syncs what the process before may have written and not synced: the slot
-// that was chosen, and all names.
+// syncRecovered syncs what the previous process may have written but not synced: the slot that
+// was chosen, and all names.
 func (l *Log) syncRecovered(even, odd slot) error {
 	if statemachine.Mutated("unsynced-opening") {
 		return nil
@@ -86,8 +86,8 @@
 	return nil
 }
 
-// replay reads the logs from the newest valid slot on. A log of a later generation may
-// follow only where the other slot, which held its snapshot, is invalid.
+// replay reads the logs from the newest valid slot on. A log of a later generation may exist only
+// if the other slot, which contained its snapshot, is invalid.
 func (l *Log) replay(recovered *Recovered, otherInvalid bool) error {
 	for {
 		last, err := l.replayFile(recovered)
@@ -109,22 +109,22 @@
 	}
 }
 
-// replayFile reads the log file of the present generation. It reports whether this is
-// the last one, as its tail is torn or it was never begun.
+// replayFile reads the log file of the current generation. It reports whether this is the last
+// one, because its tail is torn or it has not been started.
 func (l *Log) replayFile(recovered *Recovered) (last bool, err error) {
 	name := logName(l.generation)
 	body, found, err := l.folder.Read(name)
 	if err != nil {
 		return true, ErrDisk.Wrap(err, "reading %s", name)
 	}
-	// The names that were there when the folder was opened were synced then.
+	// Names that existed when the folder was opened were synced by syncRecovered.
 	l.durableNames[name] = found && !statemachine.Mutated("unsynced-opening")
 	generation, records, valid := readFileHeader(body, logMagic)
 	if !valid || generation != l.generation {
 		if hasLaterBatch(body, l.generation) {
 			return true, ErrDamaged.New("%s is damaged at its beginning", name)
 		}
-		// The slot was synced but its log was not begun yet.
+		// The slot was synced, but its log file was not started yet.
 		return true, l.beginLogFile()
 	}
 	entries, torn := readRecords(records, generation)
@@ -146,8 +146,7 @@
 	return last, l.sync(name)
 }
 
-// readRecords decodes records up to the first that is not valid, and returns what is
-// left from there on.
+// readRecords decodes records up to the first invalid one, and returns the bytes from there on.
 func readRecords(body []byte, generation uint64) (entries [][]byte, rest []byte) {
 	rest = body
 	for len(rest) > 0 {
@@ -164,8 +163,9 @@
 	return entries, rest
 }
 
-// hasLaterBatch tells damage from a torn tail: each batch is synced before the next one
-// begins, so that no valid first record of a batch can follow a torn one.
+// hasLaterBatch distinguishes damage from a torn tail: it reports whether a valid first record of
+// a batch follows. Each batch is synced before the next one is written, so no batch can follow a
+// torn one.
 func hasLaterBatch(rest []byte, generation uint64) bool {
 	for offset := 1; offset+recordHeaderSize <= len(rest); offset++ {
 		length := int64(binary.BigEndian.Uint32(rest[offset:]))
--- a/internal/wal/slot.go
+++ b/internal/wal/slot.go
@@ -5,12 +5,12 @@
 const (
 	evenSlot = "slot-even"
 	oddSlot  = "slot-odd"
-	// logFiles is how many log files there are: the present one, the one before it, which
-	// may be needed if the newest slot is damaged, and the one that is reused next.
+	// logFiles is the number of log files: the current one, the previous one, which may be needed
+	// if the newest slot is damaged, and the one that is reused next.
 	logFiles = 3
 )
 
-// slotName is the file of the snapshot of a generation.
+// slotName returns the name of the file with the snapshot of a generation.
 func slotName(generation uint64) string {
 	if generation%2 == 0 {
 		return evenSlot
@@ -18,13 +18,13 @@
 	return oddSlot
 }
 
-// logName is the file of the entries after the snapshot of a generation.
+// logName returns the name of the file with the entries after the snapshot of a generation.
 func logName(generation uint64) string {
 	return fmt.Sprintf("log-%d", generation%logFiles)
 }
 
-// slot is a snapshot file as it was found. One that is present but not valid is damaged
-// or was being written when the power was lost.
+// slot is the content of a snapshot file. A slot that is present but not valid is damaged, or was
+// being written when the power was lost.
 type slot struct {
 	present, valid bool
 	generation     uint64
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -2,17 +2,17 @@
 
 import "dahlialock/internal/statemachine"
 
-// Log is an open log. It belongs to one goroutine.
+// Log is an open log. It must be used by one goroutine only.
 type Log struct {
 	folder Folder
-	// generation is that of the snapshot that the present log file follows.
+	// generation is the generation of the newest snapshot and of the current log file.
 	generation uint64
-	// size is how many valid bytes the present log file holds.
+	// size is the number of valid bytes in the current log file.
 	size int64
-	// partial is set while bytes beyond size may be in the log file, after an Append that
-	// failed. They are truncated before anything is appended.
+	// partial is set while the log file may contain bytes beyond size, after an Append that
+	// failed. They are truncated before the next append.
 	partial bool
-	// durableNames holds the files whose names were covered by a sync of the folder.
+	// durableNames holds the files whose names were made durable by a sync of the folder.
 	durableNames map[string]bool
 	// Syncs counts the syncs of files and of the folder.
 	Syncs int64
@@ -40,15 +40,15 @@
 	return nil
 }
 
-// LogSize is the size in bytes of the present log file, by which an owner decides when
-// to write a snapshot.
+// LogSize returns the size in bytes of the current log file. Owners use it to decide when to
+// write a snapshot.
 func (l *Log) LogSize() int64 {
 	return l.size
 }
 
-// Checkpoint writes a snapshot that replaces all entries so far, and begins a new log
-// file. It returns once the snapshot is durable. It fails with ErrDisk, and has then to be
-// repeated before anything is appended.
+// Checkpoint writes a snapshot that replaces all earlier entries, and starts a new log file. It
+// returns once the snapshot is durable. It fails with ErrDisk, and must then be repeated before
+// anything is appended.
 func (l *Log) Checkpoint(snapshot []byte) error {
 	generation := l.generation + 1
 	body := appendRecord(fileHeader(slotMagic, generation), generation, snapshot)
@@ -66,8 +66,8 @@
 	if err := l.beginLogFile(); err != nil {
 		return err
 	}
-	// The file that the next generation reuses holds entries after a snapshot that has been
-	// overwritten, so nothing needs them any more.
+	// The log file that the next generation reuses holds entries after a snapshot that has been
+	// overwritten, so they are not needed any more.
 	next := logName(generation + 1)
 	if !l.durableNames[next] {
 		return nil
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// beginLogFile writes the header of the log file of the present generation.
+// beginLogFile writes the header of the log file of the current generation.
 func (l *Log) beginLogFile() error {
 	header := fileHeader(logMagic, l.generation)
 	name := logName(l.generation)
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -86,7 +86,7 @@
 	assert.DeepEqual(t, replayed(recovered), []string{"first", "a", "b"})
 }
 
-// fullFolder writes only a part of what is appended while it is full.
+// fullFolder writes only a part of the appended bytes while it is full.
 type fullFolder struct {
 	*MemoryFolder
 	full, syncFails bool
