--- a/cmd/store/main.go
+++ b/cmd/store/main.go
@@ -19,7 +19,7 @@
 func build(current settings.Settings, self membership.Member, stored daemon.StoredState) (daemon.Service, error) {
 	machine, err := partition.New(partition.Settings{
 		Self: self, Seeds: current.Seeds, NewDisk: stored.NewDisk, Incarnation: stored.Incarnation,
-		RedeliveryWindow: current.Timeouts.Redeliver, Acknowledge: current.Timeouts.Acknowledge,
+		RedeliveryWindow: current.Timeouts.Redeliver, AcknowledgeTimeout: current.Timeouts.Acknowledge,
 		ShutdownGrace: current.Timeouts.Grace,
 	}, stored.Snapshot, stored.Entries)
 	if err != nil {
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -26,7 +26,7 @@
 	// Gateway is the address of the gateway that the agent serves.
 	Gateway string
 	// Acknowledge is within what time operators expect a valid request to be answered; 0
-	// stands for controlclient.DefaultAcknowledge.
+	// stands for controlclient.DefaultAcknowledgeTimeout.
 	Acknowledge time.Duration
 	Incarnation statemachine.Incarnation
 }
@@ -85,11 +85,11 @@
 		viewClient: viewClient,
 		detector:   membership.NewFailureDetector(settings.Self),
 		controlClient: controlclient.New(controlclient.Settings{
-			Incarnation: settings.Incarnation,
-			Acknowledge: settings.Acknowledge,
-			Upstream:    viewClient.Upstream,
-			Next:        viewClient.NextController,
-			Relays:      viewClient.Relays,
+			Incarnation:        settings.Incarnation,
+			AcknowledgeTimeout: settings.Acknowledge,
+			Upstream:           viewClient.Upstream,
+			NextController:     viewClient.NextController,
+			Relays:             viewClient.Relays,
 		}),
 		relayed: map[uint64]relayedRequest{},
 		timers:  statemachine.NewTimers[agentTimer](),
--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -9,17 +9,17 @@
 	"dahlialock/internal/statemachine"
 )
 
-// DefaultAcknowledge is the value of Settings.Acknowledge if none is set.
-const DefaultAcknowledge = 5 * time.Second
+// DefaultAcknowledgeTimeout is the value of Settings.AcknowledgeTimeout if none is set.
+const DefaultAcknowledgeTimeout = 5 * time.Second
 
-// Fractions of Settings.Acknowledge, and other limits.
+// Fractions of Settings.AcknowledgeTimeout, and other limits.
 const (
-	// hedgeDivisor is the number of hedge intervals in Acknowledge. After each interval without a
-	// response, the request is sent to further daemons.
+	// hedgeDivisor is the number of hedge intervals in AcknowledgeTimeout. After each interval
+	// without a response, the request is sent to further daemons.
 	hedgeDivisor = 20
-	// deadlinePercent is the percentage of Acknowledge after which the operator is asked to
-	// retry. Operators tolerate a second without a response; with DefaultAcknowledge the deadline
-	// is earlier.
+	// deadlinePercent is the percentage of AcknowledgeTimeout after which the operator is asked
+	// to retry. Operators tolerate a second without a response; with DefaultAcknowledgeTimeout
+	// the deadline is 900 ms.
 	deadlinePercent = 18
 	// bytesPerMillisecond extends the deadline of a large request, which must first be read,
 	// synced and replicated: by one millisecond for each so many bytes of its body.
@@ -33,11 +33,12 @@
 // Settings configure a ControlClient.
 type Settings struct {
 	Incarnation statemachine.Incarnation
-	// Acknowledge is the time within which operators expect the response to a valid request.
-	Acknowledge time.Duration
-	// Upstream returns the address of the controller to ask first, Next the address of another
-	// controller to ask. An empty address means that none is known.
-	Upstream, Next func() string
+	// AcknowledgeTimeout is the time within which operators expect the response to a valid
+	// request.
+	AcknowledgeTimeout time.Duration
+	// Upstream returns the address of the controller to ask first, NextController the address of
+	// another controller to ask. An empty address means that none is known.
+	Upstream, NextController func() string
 	// Relays returns the addresses of daemons that forward requests. It is nil if there are none.
 	Relays func() []string
 }
@@ -77,8 +78,8 @@
 
 // New returns a client without pending requests.
 func New(settings Settings) *ControlClient {
-	if settings.Acknowledge <= 0 {
-		settings.Acknowledge = DefaultAcknowledge
+	if settings.AcknowledgeTimeout <= 0 {
+		settings.AcknowledgeTimeout = DefaultAcknowledgeTimeout
 	}
 	return &ControlClient{
 		settings: settings,
@@ -130,7 +131,7 @@
 	if !request.Order.IsSet() {
 		request.Order = request.Request
 	}
-	timeout := c.settings.Acknowledge * deadlinePercent / 100
+	timeout := c.settings.AcknowledgeTimeout * deadlinePercent / 100
 	extension := time.Duration(len(request.Body)/bytesPerMillisecond) * time.Millisecond
 	pending := &pendingRequest{
 		request:  request,
@@ -148,7 +149,7 @@
 }
 
 func (c *ControlClient) hedgeInterval() time.Duration {
-	return c.settings.Acknowledge / hedgeDivisor
+	return c.settings.AcknowledgeTimeout / hedgeDivisor
 }
 
 // send sends the request to a controller. It returns false if the request was already sent to
@@ -182,7 +183,7 @@
 func (c *ControlClient) hedge(pending *pendingRequest, effects *statemachine.Effects) bool {
 	sent := false
 	for range len(pending.awaiting) + 1 {
-		if pending.send(c.settings.Next(), effects) {
+		if pending.send(c.settings.NextController(), effects) {
 			sent = true
 			break
 		}
--- a/internal/controlclient/client_test.go
+++ b/internal/controlclient/client_test.go
@@ -17,9 +17,9 @@
 
 func newClient(incarnation statemachine.Incarnation) *ControlClient {
 	return New(Settings{
-		Incarnation: incarnation,
-		Upstream:    func() string { return primary },
-		Next:        func() string { return other },
+		Incarnation:    incarnation,
+		Upstream:       func() string { return primary },
+		NextController: func() string { return other },
 	})
 }
 
@@ -95,7 +95,7 @@
 	now := time.Unix(1000, 0)
 	client := newClient(1)
 	sent := forward(t, client, now, 7, "PUT")
-	now = now.Add(DefaultAcknowledge / hedgeDivisor)
+	now = now.Add(DefaultAcknowledgeTimeout / hedgeDivisor)
 	var effects statemachine.Effects
 	client.Tick(now, &effects)
 	assert.Equal(t, effects.Sends[0].To, other)
--- a/internal/controlclient/hedging_test.go
+++ b/internal/controlclient/hedging_test.go
@@ -16,11 +16,11 @@
 
 func newClientWithRelays(acknowledge time.Duration) *ControlClient {
 	return New(Settings{
-		Incarnation: 1,
-		Acknowledge: acknowledge,
-		Upstream:    func() string { return primary },
-		Next:        func() string { return other },
-		Relays:      func() []string { return []string{"agent-1", "agent-2"} },
+		Incarnation:        1,
+		AcknowledgeTimeout: acknowledge,
+		Upstream:           func() string { return primary },
+		NextController:     func() string { return other },
+		Relays:             func() []string { return []string{"agent-1", "agent-2"} },
 	})
 }
 
@@ -44,7 +44,7 @@
 }
 
 func TestControlClientHedgesAndRespondsBeforeDeadline(t *testing.T) {
-	for _, acknowledge := range []time.Duration{DefaultAcknowledge, 2 * DefaultAcknowledge} {
+	for _, acknowledge := range []time.Duration{DefaultAcknowledgeTimeout, 2 * DefaultAcknowledgeTimeout} {
 		client := newClientWithRelays(acknowledge)
 		forward(t, client, start, 7, "PUT")
 		sent, responses, at := runUntil(client, start.Add(time.Minute))
@@ -108,7 +108,7 @@
 	var effects statemachine.Effects
 	client.Relay(start, 7, membership.ControlRequest{Method: "GET", Relayed: true}, &effects)
 	request := effects.Sends[0].Message.(membership.ControlRequest).Request
-	sent, _, _ := runUntil(client, start.Add(DefaultAcknowledge/hedgeDivisor))
+	sent, _, _ := runUntil(client, start.Add(DefaultAcknowledgeTimeout/hedgeDivisor))
 	assert.Equal(t, len(sent), 1)
 	assert.Equal(t, sent[0].To, other)
 	rejection := membership.ControlResponse{Request: request, Status: 503, Body: ErrorBody(codeNoPrimary, "", nil)}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -154,11 +154,11 @@
 	noLoad := func() membership.Load { return membership.Load{} }
 	c.viewClient = membership.NewViewClient(self, c.settings.Incarnation, controllers, noLoad)
 	c.controlClient = controlclient.New(controlclient.Settings{
-		Incarnation: c.settings.Incarnation,
-		Acknowledge: c.settings.AcknowledgeTimeout,
-		Upstream:    c.upstream,
-		Next:        c.viewClient.NextController,
-		Relays:      c.viewClient.Relays,
+		Incarnation:        c.settings.Incarnation,
+		AcknowledgeTimeout: c.settings.AcknowledgeTimeout,
+		Upstream:           c.upstream,
+		NextController:     c.viewClient.NextController,
+		Relays:             c.viewClient.Relays,
 	})
 }
 
--- a/internal/controller/timeouts.go
+++ b/internal/controller/timeouts.go
@@ -28,7 +28,7 @@
 func timeoutsFor(settings Settings) timeouts {
 	acknowledge, contact := settings.AcknowledgeTimeout, settings.ContactTimeout
 	if acknowledge <= 0 {
-		acknowledge = controlclient.DefaultAcknowledge
+		acknowledge = controlclient.DefaultAcknowledgeTimeout
 	}
 	if contact <= 0 {
 		contact = defaultContactTimeout
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -208,11 +208,11 @@
 		return settings.Agent
 	}
 	gateway.controlClient = controlclient.New(controlclient.Settings{
-		Incarnation: settings.Incarnation,
-		Acknowledge: settings.Acknowledge,
-		Upstream:    upstream,
-		Next:        gateway.viewClient.NextController,
-		Relays:      gateway.viewClient.Relays,
+		Incarnation:        settings.Incarnation,
+		AcknowledgeTimeout: settings.Acknowledge,
+		Upstream:           upstream,
+		NextController:     gateway.viewClient.NextController,
+		Relays:             gateway.viewClient.Relays,
 	})
 	return gateway
 }
--- a/internal/partition/store.go
+++ b/internal/partition/store.go
@@ -23,8 +23,8 @@
 	// ShutdownGrace is how long a daemon that was asked to stop may keep running;
 	// defaultShutdownGrace if zero.
 	ShutdownGrace time.Duration
-	// Acknowledge is the time within which an operator's request is to be acknowledged.
-	Acknowledge time.Duration
+	// AcknowledgeTimeout is the time within which an operator's request is to be acknowledged.
+	AcknowledgeTimeout time.Duration
 	// Incarnation identifies this run of the process.
 	Incarnation statemachine.Incarnation
 }
@@ -126,11 +126,11 @@
 	store.view = membership.NewViewClient(store.settings.Self, settings.Incarnation, settings.Seeds, store.load)
 	store.detector = membership.NewFailureDetector(store.settings.Self)
 	store.controlClient = controlclient.New(controlclient.Settings{
-		Incarnation: settings.Incarnation,
-		Acknowledge: settings.Acknowledge,
-		Upstream:    store.view.Upstream,
-		Next:        store.view.NextController,
-		Relays:      store.view.Relays,
+		Incarnation:        settings.Incarnation,
+		AcknowledgeTimeout: settings.AcknowledgeTimeout,
+		Upstream:           store.view.Upstream,
+		NextController:     store.view.NextController,
+		Relays:             store.view.Relays,
 	})
 	return store, nil
 }
