--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -1,9 +1,10 @@
 package consensus
 
 // A simulated cluster for tests with random faults: clocks that differ in time and rate,
-// links that delay, lose and repeat, controllers that are frozen, killed, partitioned and
-// wiped one at a time. At no moment may two controllers hold the lease or the role, and
-// what was committed must be in the state of whoever may answer, in order.
+// links that delay, lose and duplicate messages, and controllers that are frozen, killed,
+// partitioned and wiped one at a time. It checks two invariants: no two controllers hold the
+// lease or the role at the same time, and the state of a serving controller contains all
+// committed commands in order.
 
 import (
 	"container/heap"
@@ -21,13 +22,13 @@
 	"dahlialock/internal/wal"
 )
 
-// commandOf is the command of a number, long enough for snapshots to be written now and
-// then.
+// commandOf returns the command with a number. The command is long enough that snapshots are
+// written from time to time.
 func commandOf(number uint64) []byte {
 	return append(binary.BigEndian.AppendUint64(nil, number), make([]byte, 3000)...)
 }
 
-// appliedNumbers is a StateMachine that holds the numbers of all commands, in order.
+// appliedNumbers is a StateMachine that records the numbers of all applied commands, in order.
 type appliedNumbers struct{ numbers []uint64 }
 
 func (w *appliedNumbers) Apply(_ time.Time, command []byte) {
@@ -75,11 +76,11 @@
 	deferred  []func()
 	disk      *wal.MemoryFolder
 	log       *wal.Log
-	// pendingWrites are the writes that are not synced yet, in order, and writesDoneAt is
-	// when the last of them will be.
+	// pendingWrites are the writes that are not synced yet, in order, and writesDoneAt is when
+	// the last of them will be synced.
 	pendingWrites []statemachine.Write
 	writesDoneAt  time.Duration
-	// snapshots counts those that were written.
+	// snapshots counts the snapshots that were written.
 	snapshots      int
 	offset         time.Duration
 	rate           float64
@@ -88,12 +89,12 @@
 	deaf           bool
 	removed        bool
 	diskHangsUntil time.Duration
-	// founding is the setting at the next start.
+	// bootstrap is the value of Settings.Bootstrap at the next start.
 	founding bool
 }
 
-// trial is the part of testing.TB that a run needs; the mutation tests substitute one that
-// is expected to fail.
+// trial is the part of testing.TB that a run needs. The mutation tests substitute an
+// implementation that is expected to fail.
 type trial interface {
 	assert.TestingT
 	Helper()
@@ -121,8 +122,8 @@
 	snapshots         int
 	incarnations      statemachine.Incarnation
 	founded           map[string]bool
-	// delayMessage, if set, returns for how long the links delay a message, which then
-	// reaches whatever incarnation is there, or that it is lost.
+	// delayMessage, if set, returns how long a message is delayed, or that it is lost. A delayed
+	// message is delivered to the incarnation of the receiver that runs by then.
 	delayMessage func(from, to *testController, message any) (delay time.Duration, lost bool)
 }
 
@@ -179,8 +180,8 @@
 	c.step(func(now time.Time, effects *statemachine.Effects) { node.Start(now, effects) })
 }
 
-// kill takes the power: the disk stops in the midst of the pending writes, between any two
-// of its operations.
+// kill simulates a loss of power. The disk stops during the pending writes, between any two of
+// its operations.
 func (c *testController) kill() {
 	if c.up {
 		c.disk.FailAfter(c.cluster.random.IntN(12))
@@ -221,7 +222,8 @@
 	}
 }
 
-// runIn runs something in an incarnation of a controller, if it still runs.
+// runIn calls run if the given incarnation of the controller is still up. If the controller is
+// frozen, the call is deferred until it is unfrozen.
 func (c *testController) runIn(life int, run func()) {
 	switch {
 	case !c.up || c.run != life:
@@ -243,7 +245,7 @@
 		cluster.send(c, send)
 	}
 	for _, write := range effects.Writes {
-		// The disk does one write after the other.
+		// The disk executes one write after the other.
 		c.pendingWrites = append(c.pendingWrites, write)
 		wait := max(0, c.diskHangsUntil-cluster.now) + time.Duration(1+cluster.random.IntN(8))*time.Millisecond
 		c.writesDoneAt = max(c.writesDoneAt, cluster.now+wait)
@@ -300,7 +302,7 @@
 	}
 }
 
-// receive hands a message to the present incarnation.
+// receive delivers a message to the current incarnation.
 func (c *testController) receive(packed []byte) {
 	c.runIn(c.run, func() {
 		meta, message, err := transport.Decode(packed[4:])
@@ -309,7 +311,7 @@
 	})
 }
 
-// checkLogEvent checks that one fleet only is founded.
+// checkLogEvent checks that only one cluster is bootstrapped.
 func (tc *testCluster) checkLogEvent(controller *testController, note statemachine.LogEvent) {
 	if note.Number != logevent.Founded {
 		return
@@ -349,7 +351,8 @@
 	tc.leaseObservations += len(primaries)
 }
 
-// generateLoad lets controllers submit commands and request the role all the time.
+// generateLoad submits commands to random controllers, and lets them request the role, at random
+// intervals.
 func (tc *testCluster) generateLoad() {
 	tc.after(time.Duration(20+tc.random.IntN(80))*time.Millisecond, tc.generateLoad)
 	controller := tc.controllers[tc.random.IntN(len(tc.controllers))]
@@ -363,13 +366,13 @@
 		return
 	}
 	tc.submitTo(controller, func(number uint64) {
-		// Indeterminate commands that were applied before it are committed with it.
+		// Indeterminate commands that were applied before this one are committed with it.
 		applied := controller.state.numbers
 		tc.committed = append([]uint64(nil), applied[:slices.Index(applied, number)+1]...)
 	})
 }
 
-// injectFaults brings a fault to one controller, or to the links, now and then.
+// injectFaults injects a fault into one controller, or into the links, at random intervals.
 func (tc *testCluster) injectFaults() {
 	if tc.faultsOver {
 		return
@@ -402,7 +405,8 @@
 	}
 }
 
-// mayLoseDisk reports whether another disk may be lost: once the one before was replaced.
+// mayLoseDisk reports whether another disk may be lost: the previously lost one was replaced, and
+// no controller has another fault.
 func (tc *testCluster) mayLoseDisk() bool {
 	for _, controller := range tc.controllers {
 		if !controller.removed && (!controller.up || controller.frozen || controller.partitioned) {
@@ -421,8 +425,8 @@
 	return false
 }
 
-// newCluster returns a cluster whose first controllers are the seeds; all have Founding set
-// at their first start.
+// newCluster returns a cluster whose first controllers are the seeds. All controllers have
+// Bootstrap set at their first start.
 func newCluster(t trial, seed uint64, controllers, seeds, tolerance int) *testCluster {
 	cluster := &testCluster{
 		t:         t,
@@ -458,8 +462,8 @@
 	}
 }
 
-// until runs the cluster until a condition holds, and returns how long that took. It fails
-// after the timeout.
+// until runs the cluster until a condition holds, and returns how long that took. The test fails
+// if it takes longer than the timeout.
 func (tc *testCluster) until(timeout time.Duration, what string, holds func() bool) time.Duration {
 	tc.t.Helper()
 	began := tc.now
@@ -472,7 +476,7 @@
 	return tc.now - began
 }
 
-// serving is the controller that may answer now.
+// serving returns the reachable controller that currently serves, or nil.
 func (tc *testCluster) serving() *testController {
 	for _, controller := range tc.controllers {
 		if controller.up && !controller.frozen && !controller.partitioned && controller.node.Serving(controller.local()) {
@@ -497,8 +501,8 @@
 	c.disk.Wipe()
 }
 
-// hasVoters reports whether there are so many voters, and all of them are up and take part
-// in the newest epoch.
+// hasVoters reports whether there is the given number of voters, and all of them are up and take
+// part in the newest epoch.
 func (tc *testCluster) hasVoters(size int) bool {
 	primary := tc.serving()
 	if primary == nil {
@@ -527,7 +531,7 @@
 	return names
 }
 
-// submit submits a command to whoever holds the lease, again and again until it is
+// submit submits a command to the controller that holds the lease, retries until a command is
 // committed, and returns how long that took.
 func (tc *testCluster) submit(timeout time.Duration) time.Duration {
 	tc.t.Helper()
@@ -555,8 +559,8 @@
 	return tc.now - began
 }
 
-// submitTo submits the command of the next number to a controller, and calls committed if
-// it is.
+// submitTo submits the command with the next number to a controller, and calls committed once
+// the command is committed.
 func (tc *testCluster) submitTo(controller *testController, committed func(number uint64)) {
 	tc.next++
 	number := tc.next
@@ -570,7 +574,8 @@
 	})
 }
 
-// stableCluster returns a cluster with all its voters, which has committed some commands.
+// stableCluster returns a cluster in which all voters take part and which has committed some
+// commands.
 func stableCluster(t trial, seed uint64, tolerance int) *testCluster {
 	cluster := newCluster(t, seed, max(5, 2*tolerance+3), 3, tolerance)
 	cluster.startAll()
@@ -584,7 +589,7 @@
 	return cluster
 }
 
-// hangDisks lets a disk hang for a while now and then.
+// hangDisks lets a random disk stall for up to five seconds, at random intervals.
 func (tc *testCluster) hangDisks() {
 	if tc.faultsOver {
 		return
@@ -594,7 +599,8 @@
 	controller.diskHangsUntil = tc.now + time.Duration(tc.random.IntN(5000))*time.Millisecond
 }
 
-// replaceMachines replaces a machine by an empty one at another address now and then.
+// replaceMachines replaces a random machine with an empty one at another address, at random
+// intervals.
 func (tc *testCluster) replaceMachines() {
 	if tc.faultsOver {
 		return
@@ -618,7 +624,7 @@
 	tc.after(time.Duration(tc.random.IntN(6000))*time.Millisecond, replacement.start)
 }
 
-// restartControllers ends one controller after another, for a short while each.
+// restartControllers kills random controllers, and starts each again after at most 1.5 seconds.
 func (tc *testCluster) restartControllers() {
 	if tc.faultsOver {
 		return
--- a/internal/consensus/confirm.go
+++ b/internal/consensus/confirm.go
@@ -6,7 +6,7 @@
 	"dahlialock/internal/statemachine"
 )
 
-// confirmTimeout is how long a confirmation may take.
+// confirmTimeout is how long Confirm waits for a majority of the voters.
 const confirmTimeout = time.Second
 
 // confirmation is a pending call of Confirm.
@@ -17,10 +17,11 @@
 	acknowledged map[string]bool
 }
 
-// Confirm asks a majority whether the present epoch is still the newest, so that what is
-// then read from the primary's state is not stale, whatever the clocks do. It calls done
-// with Committed if so, with Rejected at once if this controller may not serve reads, and
-// otherwise with Indeterminate, at the latest after confirmTimeout.
+// Confirm asks a majority of the voters whether the current epoch is still the newest. A
+// read from the primary's state after a confirmation is linearizable, independently of the
+// accuracy of the clocks. Confirm calls done with Committed once the epoch is confirmed, with
+// Rejected at once if this controller may not serve reads, and with Indeterminate if the
+// outcome is unknown, after confirmTimeout at the latest.
 func (n *Node) Confirm(now time.Time, done Done, effects *statemachine.Effects) {
 	if !n.CanServeReads(now) || !n.mayConfirm() {
 		done(now, effects, Rejected)
@@ -43,8 +44,8 @@
 	n.completeConfirmation(now, request.Number, effects)
 }
 
-// mayConfirm reports whether this controller has promised and accepted nothing that may
-// end the present epoch.
+// mayConfirm reports whether this controller is a voter that has neither promised nor accepted
+// anything that may end the current epoch.
 func (n *Node) mayConfirm() bool {
 	return n.isVoter() && !n.promisedOther() && !n.acceptedSuccessor() && !n.reconfig.takingOver
 }
@@ -68,7 +69,7 @@
 	n.completeConfirmation(now, number, effects)
 }
 
-// completeConfirmation ends a confirmation once a majority has answered.
+// completeConfirmation completes a confirmation once a majority has responded.
 func (n *Node) completeConfirmation(now time.Time, number uint64, effects *statemachine.Effects) {
 	pending := n.confirmations[number]
 	if !hasQuorum(n.hardState.Record.Epoch+1, n.hardState.Record.Voters, pending.acknowledged) {
--- a/internal/consensus/deaf_primary_test.go
+++ b/internal/consensus/deaf_primary_test.go
@@ -1,7 +1,7 @@
 package consensus
 
-// A primary that hears nobody and is heard by all must let another take over, and go on
-// itself where none can.
+// Tests of a primary that receives no messages while the others receive its messages. It must
+// let another controller take over, and must continue as the primary if none can.
 
 import (
 	"fmt"
@@ -11,8 +11,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// deafPrimary makes the primary deaf and returns how long it takes until another one
-// serves; the old one then hears again and must follow.
+// blockInboundOfPrimary blocks all messages to the primary and returns how long it takes until
+// another controller serves. The old primary then receives messages again and must learn the
+// new epoch.
 func deafPrimary(t trial, seed uint64, tolerance int) time.Duration {
 	t.Helper()
 	cluster := stableCluster(t, seed, tolerance)
@@ -42,8 +43,9 @@
 	}
 }
 
-// TestDeafPrimaryResumesWithoutBackups stops all backups for longer than the primary stays
-// quiet: it must not wait for a takeover that nobody can do.
+// TestPrimaryWithoutInboundMessagesResumesWithoutBackups stops all backups for longer than the
+// primary pauses its lease renewals. The primary must not wait for a takeover, since no backup
+// is left that could take over.
 func TestDeafPrimaryResumesWithoutBackups(t *testing.T) {
 	for seed := range uint64(8) {
 		cluster := stableCluster(t, seed, 1)
--- a/internal/consensus/discovery.go
+++ b/internal/consensus/discovery.go
@@ -8,31 +8,31 @@
 )
 
 const (
-	// A blank controller, a voter and a learner say hello in these intervals.
+	// The Hello intervals of a blank controller, a voter and a learner.
 	blankHelloInterval   = 300 * time.Millisecond
 	voterHelloInterval   = 5 * time.Second
 	learnerHelloInterval = time.Second
-	// learnerTimeout is how long a learner counts as alive after its last hello.
+	// learnerTimeout is how long a learner counts as alive after its last Hello.
 	learnerTimeout = 2500 * time.Millisecond
-	// peerRetention is how long a controller that was heard is remembered.
+	// peerRetention is how long the last Hello of a controller is kept.
 	peerRetention = time.Minute
 )
 
-// discovery is what this controller knows of others by their hellos.
+// discovery holds what this controller has learned about others from their Hello messages.
 type discovery struct {
-	// peers are the controllers that were heard, by address.
+	// peers are the controllers that sent a Hello, by address.
 	peers map[string]peer
-	// contacted holds the addresses that a blank controller only heard of from others, and
-	// says hello to as well.
+	// contacted holds the addresses that a blank controller knows only from the Hello messages
+	// of others. It sends Hello to them too.
 	contacted map[string]bool
-	// newestRecord is that of the newest epoch that was heard of. It is newer than that of
-	// the hard state while this controller is a voter whose disk was lost.
+	// newestRecord is the newest record that was received. It is newer than the record of the
+	// hard state while this controller is a voter that recovers from the loss of its disk.
 	newestRecord Record
-	// rotation counts the addresses that were chosen in turn by nextInRotation.
+	// rotation counts the calls of nextInRotation.
 	rotation int
 }
 
-// peer is what a controller last said of itself.
+// peer is another controller's newest Hello and when it arrived.
 type peer struct {
 	hello     Hello
 	lastHeard time.Time
@@ -42,8 +42,8 @@
 	return discovery{peers: map[string]peer{}, contacted: map[string]bool{}}
 }
 
-// Learners lists the controllers outside the voters that were heard lately and are not
-// leaving.
+// Learners lists the controllers that are not voters, sent a Hello within learnerTimeout, and
+// are not leaving.
 func (n *Node) Learners(now time.Time) []Controller {
 	var learners []Controller
 	for _, known := range statemachine.Sorted(n.discovery.peers) {
@@ -67,13 +67,14 @@
 	}
 }
 
-// requestRecord asks for a newer record: a hello with an older one is answered by it.
+// requestRecord asks another controller for a newer record. A controller that receives a Hello
+// with an older record than its own responds with its own Hello.
 func (n *Node) requestRecord(from string, effects *statemachine.Effects) {
 	effects.Send(from, n.newHello())
 }
 
-// sendHello says hello to those that may know a newer record, or have to know this
-// controller.
+// sendHello sends Hello to the controllers that may know a newer record or need to know about
+// this controller.
 func (n *Node) sendHello(now time.Time, effects *statemachine.Effects) {
 	var targets map[string]bool
 	var interval time.Duration
@@ -130,8 +131,9 @@
 	return targets
 }
 
-// learnerHelloTargets are the primary, and in turn all that may know another: the record
-// of a learner may be so old that none of its voters is left.
+// learnerHelloTargets returns the primary and, in rotation, one of the seeds and voters. The
+// seeds are included because a learner's record may be so old that none of its voters still
+// runs.
 func (n *Node) learnerHelloTargets() map[string]bool {
 	targets := map[string]bool{}
 	if primary, found := n.Primary(); found {
@@ -153,8 +155,9 @@
 	return addresses[n.discovery.rotation%len(addresses)]
 }
 
-// expirePeers forgets the controllers that were not heard for long, once the first epoch
-// is known: otherwise each that was ever replaced would stay.
+// expirePeers removes the peers that have sent no Hello for peerRetention. Otherwise each
+// controller that was ever replaced would stay in the table. A blank controller keeps all of
+// its peers.
 func (n *Node) expirePeers(now time.Time) {
 	if n.blank {
 		return
@@ -185,8 +188,8 @@
 	n.learn(now, hello.Record, effects)
 }
 
-// contactKnown says hello at once to controllers that another one knows; from then on
-// they are among the targets of sendHello.
+// contactKnown sends Hello at once to controllers that were listed in another's Hello. From
+// then on they are among the targets of sendHello.
 func (n *Node) contactKnown(known []Controller, effects *statemachine.Effects) {
 	for _, controller := range known {
 		_, heard := n.discovery.peers[controller.Address]
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	// ballotRetryInterval, and less than ballotRetryJitter milliseconds more (see
-	// ballotTimeout), are how long a ballot may take before it is started anew.
+	// A ballot is retried after ballotRetryInterval plus a jitter of less than
+	// ballotRetryJitter milliseconds (see ballotTimeout).
 	ballotRetryInterval = 400 * time.Millisecond
 	ballotRetryJitter   = 300
-	// leaseWaitMargin is added to the time that an acceptor's lease still runs.
+	// leaseWaitMargin is added to the remaining time of an acceptor's lease before a retry.
 	leaseWaitMargin = 5 * time.Millisecond
 )
 
-// election is this controller's part as a proposer of the next epoch.
+// election is this controller's state as a proposer of the next epoch.
 type election struct {
-	// attempt is the present ballot, or nil.
+	// attempt is the ballot in progress, or nil.
 	attempt *attempt
-	// ballotCount is at least that of any ballot that was started here or heard of as
-	// promised.
+	// ballotCount is at least the count of every ballot that this controller started or that
+	// an acceptor reported as promised.
 	ballotCount uint64
-	// decidedAt is when the present epoch was learned.
+	// decidedAt is when this controller learned the current epoch.
 	decidedAt time.Time
 }
 
@@ -41,17 +41,17 @@
 type attempt struct {
 	ballot Ballot
 	epoch  uint64
-	// proposed is the record that this controller wants, and chosen the one that it may
-	// ask to accept: one that may have been decided by an earlier ballot goes first.
+	// proposed is the record that this controller proposes. chosen is the record that it asks
+	// the voters to accept, which is another one if an earlier ballot may have decided that.
 	proposed Record
 	chosen   Record
-	// promises and accepted are the answers by address.
+	// promises and accepted are the responses by address.
 	promises map[string]Promise
 	accepted map[string]bool
 	phase    ballotPhase
 }
 
-// startBallot begins a ballot for a record, in place of any earlier one.
+// startBallot starts a ballot for a record and replaces any ballot in progress.
 func (n *Node) startBallot(now time.Time, proposed Record, effects *statemachine.Effects) {
 	n.election.ballotCount = max(n.election.ballotCount, n.hardState.Promised.Count) + 1
 	n.election.attempt = &attempt{
@@ -62,7 +62,8 @@
 		accepted: map[string]bool{},
 		phase:    preparing,
 	}
-	// Armed first: this controller's own answer may set a better time.
+	// The timer is armed before the messages are delivered, because this controller's own
+	// rejection may re-arm it for when a lease expires.
 	n.timers.Arm(ballotTimer, now.Add(n.ballotTimeout()))
 	prepare := Prepare{Epoch: proposed.Epoch, Ballot: n.election.attempt.ballot}
 	for _, voter := range n.electorate(proposed) {
@@ -70,8 +71,8 @@
 	}
 }
 
-// ballotTimeout differs between proposers and ballots, so that two proposers don't
-// supersede each other again and again.
+// ballotTimeout returns how long to wait before a ballot is retried. It differs between
+// proposers and ballots, so that two proposers don't supersede each other repeatedly.
 func (n *Node) ballotTimeout() time.Duration {
 	sum := fnv.New32a()
 	_, _ = sum.Write([]byte(n.settings.Self.Name))
@@ -79,8 +80,8 @@
 	return ballotRetryInterval + time.Duration(sum.Sum32()%ballotRetryJitter)*time.Millisecond
 }
 
-// electorate returns those whose majority decides a record: the voters of the epoch
-// before, or for the first epoch its own.
+// electorate returns the controllers that decide a record: the voters of the epoch before it,
+// or for the first epoch the voters of the record itself.
 func (n *Node) electorate(record Record) []Controller {
 	if record.Epoch == 1 {
 		return record.Voters
@@ -88,9 +89,9 @@
 	return n.hardState.Record.Voters
 }
 
-// hasQuorum reports whether enough voters agreed to an epoch, by their addresses: a
-// majority, and for the first epoch all. What is no ballot, and needs a majority also in the
-// first epoch, asks with the epoch after it.
+// hasQuorum reports whether enough voters, by address, agreed to an epoch: a majority, or all
+// of them for the first epoch. Callers that need a majority for a purpose other than a ballot
+// pass the epoch after the current one, so that a majority suffices in the first epoch too.
 func hasQuorum[Answer any](epoch uint64, voters []Controller, agreed map[string]Answer) bool {
 	count := 0
 	for _, voter := range voters {
@@ -156,13 +157,14 @@
 	}
 	attempt.phase = accepting
 	attempt.choose()
-	// This controller's own disk accepts the record first, which seals the present epoch.
+	// This controller accepts the record on its own disk before it asks others to, which seals
+	// the current epoch.
 	accept := Accept{Epoch: attempt.epoch, Ballot: attempt.ballot, Record: attempt.chosen}
 	n.handleAccept(now, n.settings.Self.Address, accept, effects)
 }
 
-// choose picks the record of the highest ballot that was accepted, as it may have been
-// decided already, or else the one that this controller wants.
+// choose selects the accepted record of the highest ballot, since it may already have been
+// decided, or the proposed record if none was accepted.
 func (a *attempt) choose() {
 	a.chosen = a.proposed
 	highest := Ballot{}
@@ -173,7 +175,7 @@
 	}
 }
 
-// addressesOf returns the addresses of all present voters and those of a next record.
+// addressesOf returns the addresses of the current voters and of the voters of a record.
 func (n *Node) addressesOf(record Record) map[string]bool {
 	addresses := map[string]bool{}
 	for _, voter := range n.hardState.Record.Voters {
@@ -185,8 +187,8 @@
 	return addresses
 }
 
-// mayAccept reports whether this controller is an acceptor of a next record: it is a
-// present voter, or becomes one with the disk that it has.
+// mayAccept reports whether this controller may accept a record for the next epoch: it is a
+// current voter, or the record makes it a voter with its current disk.
 func (n *Node) mayAccept(now time.Time, record Record) bool {
 	entry, listed := record.Voter(n.settings.Self)
 	if record.Epoch == 1 {
@@ -199,7 +201,7 @@
 }
 
 // foundersAre reports whether the voters of a first epoch are the founders that this
-// controller knows, if any.
+// controller recorded. It reports true if there are none recorded.
 func (n *Node) foundersAre(voters []Controller) bool {
 	if len(n.hardState.Founders) == 0 {
 		return true
@@ -259,8 +261,8 @@
 	n.learn(now, record, effects)
 }
 
-// announceDecided sends a decided record to all voters before and after it, and to the
-// learners.
+// announceDecided sends a decided record to the current voters, to the voters of the record,
+// and to the learners.
 func (n *Node) announceDecided(now time.Time, record Record, effects *statemachine.Effects) {
 	targets := n.addressesOf(record)
 	for _, learner := range n.Learners(now) {
@@ -272,8 +274,8 @@
 	}
 }
 
-// mayJoin reports whether this controller may take part in a decided epoch at once, as
-// whatever it promised is on this disk.
+// mayJoin reports whether this controller may take part in a decided epoch at once. That
+// requires that everything it has promised is on its current disk.
 func (n *Node) mayJoin(record Record, entry Controller) bool {
 	if statemachine.Mutated("trust-lost-disk") {
 		return true
@@ -285,8 +287,8 @@
 	return n.hardState.DiskID != "" && sameDisk || record.Epoch == 1 && n.hardState.Accepted.Epoch == 1
 }
 
-// learn takes over a decided record if it is newer than the present one. A controller that
-// the record names with a disk that it has lost becomes blank instead, and recovers.
+// learn adopts a decided record if it is newer than the current one. If the record lists this
+// controller with a disk that it has lost, the controller becomes blank instead and recovers.
 func (n *Node) learn(now time.Time, record Record, effects *statemachine.Effects) {
 	if record.Epoch > n.discovery.newestRecord.Epoch {
 		n.discovery.newestRecord = record
@@ -313,7 +315,7 @@
 	n.blank = false
 	n.beginEpoch(now, earlier.Record)
 	if !listed {
-		// The primary promotes only learners that it knows to be at the present epoch.
+		// The primary promotes only learners whose last Hello has the current epoch.
 		n.timers.ArmSooner(helloTimer, now)
 	}
 	n.timers.Disarm(ballotTimer)
@@ -332,10 +334,10 @@
 	n.continueProposals(now, effects)
 }
 
-// beginEpoch resets what belonged to the epoch before.
+// beginEpoch resets the state that belongs to the previous epoch.
 func (n *Node) beginEpoch(now time.Time, earlier Record) {
 	record, self := n.hardState.Record, n.settings.Self.Name
-	// Whoever proposes an epoch has sent the state to its backups, or they were in sync.
+	// The proposer of an epoch has sent the state to its new backups; the others were in sync.
 	n.replication.stateReplicated = record.Epoch == 1 ||
 		record.Primary == self && n.isComplete() && (n.replication.stateReplicated || earlier.Primary != self)
 	n.replication.staged = map[string]*stagedSnapshot{}
@@ -350,8 +352,8 @@
 	n.departure.acknowledged = map[string]bool{}
 }
 
-// reportProgress tells the primary of an epoch the progress of this backup's replica, so
-// that it need not wait for the next renewal.
+// reportProgress reports the progress of this backup's replica to the primary of an epoch, so
+// that the primary need not wait for the response to its next lease renewal.
 func (n *Node) reportProgress(epoch uint64, effects *statemachine.Effects) {
 	if !n.isBackup() || n.hardState.Record.Epoch != epoch {
 		return
@@ -364,9 +366,9 @@
 	})
 }
 
-// completeEpochUnder returns the epoch as of which the state here is complete once a
-// record is learned, or 0: a replica that was complete in the epoch before stays so, and a
-// spare installs the snapshot that it got for this record.
+// completeEpochUnder returns the epoch as of which this controller's state is complete once a
+// record is learned, or 0. A replica that was complete in the previous epoch stays complete,
+// and a spare installs the snapshot that it received for this record.
 func (n *Node) completeEpochUnder(record Record, listed bool, effects *statemachine.Effects) uint64 {
 	self := n.settings.Self.Name
 	staged := n.replication.staged[record.Primary]
@@ -391,16 +393,16 @@
 }
 
 // wasReplicaBefore reports whether this controller held a complete replica in the epoch
-// right before a record.
+// directly before that of a record.
 func (n *Node) wasReplicaBefore(record Record) bool {
 	present, self := n.hardState.Record, n.settings.Self.Name
 	return record.Epoch == present.Epoch+1 && n.isComplete() && present.Epoch > 0 &&
 		(present.Primary == self || slices.Contains(present.Backups, self))
 }
 
-// retryBallot starts a ballot anew that got stuck, or gives it up if it is not needed. Those
-// for the first epoch or for other voters are given up too: tryFounding and reconcileVoters
-// start them again.
+// retryBallot restarts a ballot that timed out, or abandons it if it is no longer needed.
+// Ballots for the first epoch or for a change of voters are always abandoned, since
+// tryBootstrap and reconcileVoters start them again.
 func (n *Node) retryBallot(now time.Time, effects *statemachine.Effects) {
 	if n.election.attempt == nil {
 		return
--- a/internal/consensus/exploration_mutation_test.go
+++ b/internal/consensus/exploration_mutation_test.go
@@ -11,8 +11,8 @@
 	"dahlialock/internal/statemachine"
 )
 
-// TestEachMechanismOfASecondLossIsNeeded disables each mechanism once that keeps the
-// guarantees when a second loss follows a first, and expects an exploration to find a
+// TestEachMechanismOfASecondLossIsNeeded disables one mechanism at a time of those that keep the
+// guarantees when a second loss follows a first one, and expects an exploration to find a
 // violation.
 func TestEachMechanismOfASecondLossIsNeeded(t *testing.T) {
 	for _, each := range []struct {
--- a/internal/consensus/exploration_test.go
+++ b/internal/consensus/exploration_test.go
@@ -13,8 +13,8 @@
 
 var deep = flag.Bool("deep", false, "run the longer explorations too")
 
-// exploration is an exhaustive search of the states that follow from a beginning, with
-// bounds for ordinary runs and for those with -deep.
+// exploration is an exhaustive search of the states that are reachable from an initial state,
+// with bounds for ordinary runs and for runs with -deep.
 type exploration struct {
 	name   string
 	begin  func() explore.World
@@ -73,8 +73,8 @@
 	}
 )
 
-// leaveUnheardLearners has a witness leave as the primary is restarted, which has not heard
-// yet which learners there are.
+// leaveWithUnknownLearners has a witness leave while the primary is restarted and has not yet
+// received the Hello messages of the learners.
 var leaveUnheardLearners = exploration{
 	name: "a witness leaves as the primary begins anew, another loses its disk",
 	begin: func() explore.World {
@@ -92,7 +92,8 @@
 	longer: explore.Bounds{Depth: 40, Budget: 2, Finish: explore.FinishLast},
 }
 
-// leaveExploration has one of three voters leave while another loses its disk.
+// leaveExploration returns an exploration in which one of three voters leaves while another loses
+// its disk.
 func leaveExploration(leaver int, role string) exploration {
 	return exploration{
 		name:   role + " leaves, another loses its disk, all lose power",
@@ -116,8 +117,8 @@
 	leaveUnheardLearners,
 }
 
-// primaryCutOff is a world whose primary was partitioned a while ago, and whose backup is
-// about to take over while the lease still runs.
+// primaryCutOff returns a world whose primary has been partitioned, and whose backup is about to
+// take over while the lease has not expired yet.
 func primaryCutOff() *world {
 	w := newWorld(3, 3, 1, faultBudget{losses: 1, repeats: 1, crashes: 1})
 	w.submit(w.processes[0])
@@ -131,7 +132,8 @@
 	return w
 }
 
-// leaseReleased is a world whose primary has released the lease, as if its disk hung.
+// leaseReleased returns a world whose primary has released the lease, as it does when its disk
+// stalls.
 func leaseReleased() explore.World {
 	w := newWorld(3, 3, 1, faultBudget{submits: 1, losses: 1, crashes: 1, wipes: 1, powers: 1})
 	primary := w.processes[0]
@@ -139,8 +141,8 @@
 	return w
 }
 
-// backupLost is a world of five voters, of which two disks may be lost: one backup was
-// just found lost, and a command is pending.
+// backupLost returns a world of five voters that tolerates the loss of two disks. The primary has
+// just detected the loss of one backup, and a command is pending.
 func backupLost() explore.World {
 	w := newWorld(5, 5, 2, faultBudget{losses: 1, crashes: 1, wipes: 1, kills: 1})
 	w.lost = 1
@@ -157,8 +159,8 @@
 	return w
 }
 
-// voterLost is a world in which a witness is lost for good and there is a learner. A disk
-// may be lost once the learner is a voter and a majority has that on its disks.
+// voterLost returns a world in which a witness is permanently lost and there is a learner. A disk
+// may be lost once the learner is a voter and a majority has synced the record that lists it.
 func voterLost() explore.World {
 	w := newWorld(4, 3, 1, faultBudget{losses: 1, crashes: 1, wipes: 1, powers: 1})
 	w.introduceLearners()
@@ -179,8 +181,8 @@
 	return w
 }
 
-// leavingWorld is a world in which one of three voters was asked to leave, and there is a
-// learner.
+// leavingWorld returns a function that returns a world in which one of three voters was asked to
+// leave and there is a learner.
 func leavingWorld(leaver int) func() explore.World {
 	return func() explore.World {
 		w := newWorld(4, 3, 1, faultBudget{wipes: 1, powers: 1, losses: 1, crashes: 1})
@@ -190,7 +192,7 @@
 	}
 }
 
-// introduceLearners has the learners say hello to all.
+// introduceLearners delivers a Hello of each learner to all processes.
 func (w *world) introduceLearners() {
 	for _, learner := range w.processes {
 		if learner.node.isVoter() {
--- a/internal/consensus/forms_test.go
+++ b/internal/consensus/forms_test.go
@@ -26,7 +26,7 @@
 
 func TestStoredFormsHaveExplicitKeys(t *testing.T) { storedforms.CheckKeys(t, storedForms()) }
 
-// countingState stands for the control state, which has tests of its own.
+// countingState is a substitute for the control state, which is tested in another package.
 type countingState struct{ applied, restored, bytes int }
 
 func (cs *countingState) Apply(_ time.Time, command []byte) {
--- a/internal/consensus/founding.go
+++ b/internal/consensus/founding.go
@@ -8,13 +8,14 @@
 	"dahlialock/internal/statemachine"
 )
 
-// mayFound reports whether this controller may propose the first epoch.
+// mayBootstrap reports whether this controller may propose the first epoch.
 func (n *Node) mayFound() bool {
 	return n.settings.ClusterSize > 0 || len(n.hardState.Founders) > 0
 }
 
-// recordFounders persists that this controller is one of the founders, so that it goes on
-// founding if it is restarted with other settings before the first epoch is decided.
+// recordFounders persists the addresses of the founders if this controller is one of them, so
+// that it continues to bootstrap the cluster if it is restarted with other settings before the
+// first epoch is decided.
 func (n *Node) recordFounders(effects *statemachine.Effects) {
 	if !n.blank || !n.settings.Founding || n.settings.ClusterSize > 0 || len(n.hardState.Founders) > 0 ||
 		!slices.Contains(n.settings.Seeds, n.settings.Self.Address) {
@@ -24,8 +25,9 @@
 	n.persistHardState(effects, nil)
 }
 
-// foundingVoters returns the voters of the first epoch once all of them were heard and
-// are blank. If any controller that was heard is not blank, there is a fleet already.
+// initialVoters returns the voters of the first epoch, and whether it is complete: all of them
+// have sent a Hello and are blank. If any other controller is not blank, a cluster already
+// exists.
 func (n *Node) foundingVoters() ([]Controller, bool) {
 	voters := []Controller{n.identity()}
 	for address, known := range statemachine.Sorted(n.discovery.peers) {
@@ -48,8 +50,8 @@
 	return voters, len(voters) == wanted
 }
 
-// tryFounding proposes the first epoch once all founders were heard. It needs every one
-// of them, so that a founder whose disk is lost can't help to found a second fleet.
+// tryBootstrap proposes the first epoch once all founders have sent a Hello. It needs every
+// founder, so that a founder whose disk was lost can't help to create a second cluster.
 func (n *Node) tryFounding(now time.Time, effects *statemachine.Effects) {
 	if n.election.attempt != nil || !n.mayFound() {
 		return
@@ -59,7 +61,7 @@
 		return
 	}
 	sortByName(voters)
-	// The first by name proposes, of those that know that they are founders.
+	// Of the voters that have recorded that they are founders, the first by name proposes.
 	for _, voter := range voters {
 		if voter.SameAs(n.settings.Self) {
 			break
@@ -76,7 +78,7 @@
 	}, effects)
 }
 
-// foundingBackups chooses the backups of the first epoch, in different zones if possible.
+// initialBackups chooses the backups of the first epoch, in different zones if possible.
 func (n *Node) foundingBackups(voters []Controller) []string {
 	var chosen []string
 	for len(chosen) < min(max(1, n.neededBackups()), len(voters)-1) {
--- a/internal/consensus/grant.go
+++ b/internal/consensus/grant.go
@@ -7,27 +7,28 @@
 	"dahlialock/internal/statemachine"
 )
 
-// voterState is this controller's part as a voter: the lease that it granted.
+// voterState is this controller's state as a voter: the lease that it granted.
 type voterState struct {
-	// grantedUntil is when the lease that was granted expires on this controller's clock.
-	// Until then nobody but grantedTo gets a promise for the next epoch or a lease.
+	// grantedUntil is when the granted lease expires on this controller's clock. Until then
+	// only grantedTo gets a lease or a promise for the next epoch.
 	grantedUntil time.Time
 	grantedTo    string
-	// grantedRequest is the renewal that the lease was last granted for.
+	// grantedRequest is the RenewLease request that was last granted.
 	grantedRequest statemachine.RequestID
-	// uncertainUntil is when the last lease expires that may have been granted without this
-	// controller's knowledge: by it before its restart, or before it became a voter.
+	// uncertainUntil is when every lease has expired that this controller may not know of:
+	// leases that it granted before a restart, or that others granted before it became a
+	// voter.
 	uncertainUntil time.Time
 }
 
-// grantsUncertain reports whether this controller, which recovered what its lost disk held
-// from other voters, may have granted something that they don't know of.
+// grantsUncertain reports whether this controller has recovered its hard state from other
+// voters and may, before the loss of its disk, have granted a lease that has not expired yet.
 func (n *Node) grantsUncertain(now time.Time) bool {
 	return n.hardState.Recovered && now.Before(n.voter.uncertainUntil)
 }
 
-// promisedOther reports whether this controller promised the next epoch to another than
-// the primary.
+// promisedOther reports whether this controller promised the next epoch to a controller other
+// than the primary.
 func (n *Node) promisedOther() bool {
 	promised := n.hardState.Promised
 	return promised.Count > 0 && promised.Name != n.hardState.Record.Primary
@@ -39,8 +40,8 @@
 }
 
 // acceptedSuccessor reports whether this controller accepted a next epoch with another
-// primary or other voters. The present primary then gets no more lease from it, so that
-// no two sets of voters grant leases at a time.
+// primary or other voters. It then grants the current primary no further lease, so that two
+// sets of voters never grant leases at the same time.
 func (n *Node) acceptedSuccessor() bool {
 	record, accepted := n.hardState.Record, n.hardState.Accepted
 	return n.acceptedNext() &&
@@ -48,14 +49,14 @@
 }
 
 // epochSealed reports whether this controller accepted a next epoch with another primary
-// or other backups: it commits and replicates nothing more in the present one.
+// or other backups. It then commits and replicates nothing more in the current epoch.
 func (n *Node) epochSealed() bool {
 	record, accepted := n.hardState.Record, n.hardState.Accepted
 	return n.acceptedNext() &&
 		(accepted.Primary != record.Primary || !slices.Equal(accepted.Backups, record.Backups))
 }
 
-// mayGrant reports whether the primary may have this controller's grant.
+// mayGrant reports whether this controller may grant the primary a lease.
 func (n *Node) mayGrant(now time.Time) bool {
 	if !n.isVoter() || n.promisedOther() || n.acceptedSuccessor() {
 		return false
@@ -64,17 +65,18 @@
 		statemachine.Mutated("grant-at-once")
 }
 
-// leaseBlocks reports whether a lease that was granted still runs and keeps this
-// controller from a promise.
+// leaseBlocks reports whether a granted lease that has not expired prevents this controller
+// from promising a ballot.
 func (n *Node) leaseBlocks(now time.Time, prepare Prepare) bool {
 	return prepare.Epoch > 1 && prepare.Ballot.Name != n.hardState.Record.Primary &&
 		now.Before(n.voter.grantedUntil) && !statemachine.Mutated("grant-at-once")
 }
 
-// withdrawOwnGrant ends what a primary granted itself, once it has had no lease for as
-// long as one lasts: its own grant serves only itself, and two proposers might wait for
-// each other's. None of its pending renewals can become a lease any more, and what it
-// granted another in an earlier incarnation has expired.
+// revokeOwnGrant revokes the grant that a primary gave itself, once it has held no lease for
+// LeaseDuration. Without this, two proposers might each wait for the other's own grant to
+// expire. It is safe: the primary drops its pending renewals, so that none of them can become
+// a lease, and anything that it granted to another controller in an earlier incarnation has
+// expired by then.
 func (n *Node) withdrawOwnGrant(now time.Time, prepare Prepare) {
 	if !n.IsPrimary() || prepare.Ballot.Name == n.settings.Self.Name || statemachine.Mutated("no-way-given") {
 		return
@@ -86,9 +88,9 @@
 	n.lease.dropRenewals()
 }
 
-// holdBackGrants keeps this controller, once it has learned a record, from promising the
-// next epoch to another than the primary while leases may run that other voters granted:
-// new voters have not granted them themselves.
+// reserveGrantForPrimary keeps this controller, when it learns a record with other voters, from
+// promising the next epoch to anyone but the primary until the leases that other voters granted
+// have expired. It is needed because a new voter has not granted those leases itself.
 func (n *Node) holdBackGrants(now time.Time, earlier, record Record) {
 	if record.Epoch == 1 || !now.Before(n.voter.grantedUntil) || n.voter.grantedTo == record.Primary {
 		n.voter.grantedTo = record.Primary
@@ -133,8 +135,8 @@
 	})
 }
 
-// releases reports whether the lease that was granted for a renewal is released: one of
-// the same incarnation that was not requested after the release.
+// releases reports whether the message releases a granted lease: the lease was requested by
+// the same incarnation and not after the release.
 func (rl ReleaseLease) releases(granted statemachine.RequestID) bool {
 	if statemachine.Mutated("lives-alike") {
 		return true
--- a/internal/consensus/incarnation_test.go
+++ b/internal/consensus/incarnation_test.go
@@ -1,8 +1,8 @@
 package consensus
 
-// Messages that links delayed reach a later incarnation of the controller that they were
-// meant for: no answer to an earlier incarnation counts, and nothing that an earlier one
-// released is taken from a later one.
+// Tests of messages that are delayed until a later incarnation of a controller runs. A response
+// to a request of an earlier incarnation must not count, and a lease that an earlier incarnation
+// released must not be taken from a later one.
 
 import (
 	"fmt"
@@ -24,8 +24,8 @@
 	return cluster, cluster.serving()
 }
 
-// delayedGrants has the grants for one incarnation of the primary reach the next one, which
-// hears nothing else; the others choose another primary meanwhile.
+// delayedGrants delivers the grants for one incarnation of the primary to the next one, which
+// receives nothing else, while the others choose another primary.
 func delayedGrants(t trial, seed uint64) {
 	cluster, primary := fiveControllers(t, seed)
 	primary.kill()
@@ -48,8 +48,8 @@
 	assert.Assert(t, cluster.serving() != nil && cluster.serving() != primary, "the others have no other primary")
 }
 
-// delayedRelease has the ReleaseLease of one incarnation of the primary reach the others
-// once its next one holds the lease again.
+// delayedRelease delivers the ReleaseLease of one incarnation of the primary to the others after
+// the next incarnation has obtained the lease again.
 func delayedRelease(t trial, seed uint64) {
 	cluster, primary := fiveControllers(t, seed)
 	cluster.delayMessage = func(_, _ *testController, message any) (time.Duration, bool) {
@@ -67,8 +67,8 @@
 	assert.Assert(t, primary.node.HoldsLease(primary.local()), "the lease was taken away")
 }
 
-// delayedRoleGrants has the grants of a role for one incarnation reach the next one, while
-// another controller gets the role.
+// delayedRoleGrants delivers the grants of a role for one incarnation to the next one, while
+// another controller obtains the role.
 func delayedRoleGrants(t trial, seed uint64) {
 	cluster, primary := fiveControllers(t, seed)
 	holder := cluster.controllers[0]
@@ -112,8 +112,8 @@
 	assert.Assert(t, other.roleLease.Valid(other.local()), "nobody else holds the role")
 }
 
-// delayedLeaveResponse has the primary's answer that a controller is irreplaceable, which
-// an earlier incarnation asked for as it left, reach the next one as that leaves.
+// delayedLeaveResponse delivers the primary's response that a controller is irreplaceable, which
+// answers the Leave of an earlier incarnation, to the next one while that leaves.
 func delayedLeaveResponse(t trial, seed uint64) {
 	cluster, primary := fiveControllers(t, seed)
 	leaving := cluster.controllers[0]
@@ -133,8 +133,8 @@
 	assert.Assert(t, !leaving.node.Left(), "it leaves by an answer to its earlier incarnation")
 }
 
-// delaysAcrossRestarts has each link delay what it likes for up to two seconds, across
-// restarts of both ends, while controllers have faults.
+// delaysAcrossRestarts delays random messages by up to two seconds, across restarts of sender and
+// receiver, while controllers are restarted at random.
 func delaysAcrossRestarts(t trial, seed uint64) {
 	cluster := newCluster(t, seed, 5, 5, 2)
 	cluster.startAll()
--- a/internal/consensus/invariants_test.go
+++ b/internal/consensus/invariants_test.go
@@ -34,7 +34,7 @@
 			assert.Assert(
 				t, busy, "little happened: %d committed, %d snapshots", len(cluster.committed), cluster.snapshots,
 			)
-			// Once all faults are over, somebody serves again within twelve seconds.
+			// Within twelve seconds after the last fault a controller must serve again.
 			cluster.faultsOver = true
 			for _, controller := range cluster.controllers {
 				controller.partitioned = false
--- a/internal/consensus/lease.go
+++ b/internal/consensus/lease.go
@@ -9,47 +9,49 @@
 )
 
 const (
-	// LeaseDuration is how long a voter's grant lasts. It is the longest wait in a takeover.
+	// LeaseDuration is how long a voter's grant lasts. It is the longest wait of a takeover.
 	LeaseDuration = 1800 * time.Millisecond
-	// usableLease is how long the primary uses a lease: clocks may differ by a tenth.
+	// usableLease is how long the primary uses a lease: clocks may differ in rate by a tenth.
 	usableLease   = LeaseDuration * 9 / 10
 	renewInterval = 300 * time.Millisecond
-	// rememberedRenewals is how many renewals are waited for at a time.
+	// maxPendingRenewals is how many of the newest renewals may still be granted.
 	rememberedRenewals = 16
-	// failureTimeout is how long a controller that is not heard counts as alive.
+	// failureTimeout is how long a controller counts as alive after the last contact with it.
 	failureTimeout = 1200 * time.Millisecond
-	// announceDuration is how long renewals have the record of a new epoch.
+	// announceDuration is how long renewals include the record of a new epoch.
 	announceDuration = time.Second
-	// quietDuration is how long a primary that hears too few voters requests no lease, so
-	// that another can take over; then it requests leases again for failureTimeout.
+	// renewalPause is how long a primary that receives messages from too few voters requests no
+	// lease, so that another controller can take over. It then requests leases again for
+	// failureTimeout before the next pause.
 	quietDuration = 3 * failureTimeout
-	// ownDiskTimeout is how long the primary's own disk may take to sync a command before
-	// it releases the lease.
+	// ownDiskTimeout is how long the primary's own disk may take to sync a command before the
+	// primary releases the lease.
 	ownDiskTimeout = time.Second
 )
 
-// leaseState is the primary's part: the lease that it has from the voters.
+// leaseState is the primary's state: the lease that it holds from the voters.
 type leaseState struct {
-	// renewals are the times of the newest requests, by their numbers, and grants the names
-	// of the voters that granted each.
+	// renewals holds when each of the newest renewals was requested, and grants the names of the
+	// voters that granted it, by request number.
 	renewals map[uint64]time.Time
 	grants   map[uint64]map[string]bool
-	// until is when the lease expires, counted from when it was requested; the zero time if
-	// there is none.
+	// until is when the lease expires, measured from when it was requested. It is the zero time
+	// if there is no lease.
 	until time.Time
-	// held is set from when the lease was gained until it was seen to have expired.
+	// held is set from when the lease is gained until its expiry is detected.
 	held bool
-	// released is set after ReleaseLease, at releasedAt, until the lease is requested again.
+	// released is set from ReleaseLease, which was called at releasedAt, until the lease is
+	// requested again.
 	released   bool
 	releasedAt time.Time
-	// primarySince is when the present primary became so, or this controller was started.
+	// primarySince is when the current primary became the primary, or this controller started.
 	primarySince time.Time
 	// lastGrant is when each voter, by name, last granted the lease.
 	lastGrant map[string]time.Time
-	// lastHeard is when anything was last heard from each voter, by address.
+	// lastContact is when the last message of each voter arrived, by address.
 	lastHeard map[string]time.Time
-	// quietUntil is the end of the newest period in which no lease is requested (see
-	// staysQuiet).
+	// renewalsPausedUntil is the end of the newest pause in which no lease is requested (see
+	// pausesRenewals).
 	quietUntil time.Time
 }
 
@@ -62,12 +64,12 @@
 	}
 }
 
-// dropRenewals makes sure that no pending renewal becomes a lease.
+// dropRenewals discards all pending renewals, so that none of them can become a lease.
 func (ls *leaseState) dropRenewals() {
 	ls.renewals, ls.grants = map[uint64]time.Time{}, map[uint64]map[string]bool{}
 }
 
-// reset prepares for another epoch. A lease of the same primary goes on.
+// reset prepares for another epoch. If the primary stays the same, its lease stays valid.
 func (ls *leaseState) reset() {
 	ls.released = false
 	ls.dropRenewals()
@@ -81,12 +83,13 @@
 	return left
 }
 
-// leaseLostSince is since when this primary has had no lease.
+// leaseLostSince returns since when this primary has held no lease.
 func (n *Node) leaseLostSince() time.Time {
 	return later(n.lease.until, n.lease.primarySince)
 }
 
-// renewLease is run in each renewInterval, also by controllers that are no primary.
+// renewLease runs once per renewInterval on every controller. On a controller that is not the
+// primary it only monitors the primary.
 func (n *Node) renewLease(now time.Time, effects *statemachine.Effects) {
 	n.timers.Arm(renewTimer, now.Add(renewInterval))
 	if n.blank {
@@ -115,7 +118,7 @@
 	n.reconcileVoters(now, effects)
 }
 
-// requestLease asks all voters for the lease, or to extend it.
+// requestLease asks all voters to grant or extend the lease.
 func (n *Node) requestLease(now time.Time, effects *statemachine.Effects) {
 	n.lease.released = false
 	renew := RenewLease{Epoch: n.hardState.Record.Epoch, Request: n.requests.Next()}
@@ -133,18 +136,19 @@
 	n.grantSelf(now, number, effects)
 }
 
-// ownDiskHangs reports whether this primary's disk has not synced the pending command for
-// too long.
+// ownDiskStalled reports whether this primary's disk has not synced the pending command within
+// ownDiskTimeout.
 func (n *Node) ownDiskHangs(now time.Time) bool {
 	head, found := n.pendingProposal()
 	return found && head.index > 0 && !head.synced && now.Sub(head.appendedAt) > ownDiskTimeout &&
 		!statemachine.Mutated("patient-primary")
 }
 
-// staysQuiet releases the lease if this primary hears no quorum, and then requests none
-// for a while. The voters may hear it all the same: if it went on, they would grant what
-// never arrives, and nobody could take over. Since nobody may be able to, it requests the
-// lease again now and then.
+// pausesRenewals reports whether this primary requests no lease at the moment. If the primary
+// receives messages from fewer than a quorum, it releases the lease and pauses its renewals.
+// The voters may still receive its requests: if it went on, they would send grants that never
+// arrive, and no other controller could take over. Since there may be no controller that can
+// take over, the primary requests the lease again for failureTimeout between two pauses.
 func (n *Node) staysQuiet(now time.Time, effects *statemachine.Effects) bool {
 	if !n.hearsNoQuorum(now) || statemachine.Mutated("deaf-primary") {
 		n.lease.quietUntil = time.Time{}
@@ -157,8 +161,9 @@
 	return now.Before(n.lease.quietUntil)
 }
 
-// hearsNoQuorum reports whether this primary lost its lease and hears too few voters: it
-// has requested the lease and the next epoch, which some would have answered.
+// lostQuorumContact reports whether this primary has lost its lease and receives messages from
+// fewer than a quorum of the voters. By then it has requested both the lease and the next
+// epoch, and a voter that it can reach and that can reach it would have responded.
 func (n *Node) hearsNoQuorum(now time.Time) bool {
 	if now.Sub(n.leaseLostSince()) < failureTimeout+renewInterval {
 		return false
@@ -173,7 +178,7 @@
 	return heard < n.hardState.Record.Majority()
 }
 
-// grantSelf counts the primary's own grant, if it may give it.
+// grantSelf counts the primary's own grant if it may give one.
 func (n *Node) grantSelf(now time.Time, number uint64, effects *statemachine.Effects) {
 	if !n.mayGrant(now) {
 		return
@@ -182,7 +187,7 @@
 	n.countGrant(now, n.settings.Self.Name, number, effects)
 }
 
-// countGrant counts a voter's grant for a renewal; a majority makes a lease.
+// countGrant counts a voter's grant for a renewal. Grants of a majority extend the lease.
 func (n *Node) countGrant(now time.Time, name string, number uint64, effects *statemachine.Effects) {
 	requestedAt, found := n.lease.renewals[number]
 	if !found {
@@ -199,9 +204,9 @@
 	}
 }
 
-// checkLease notices that the lease has expired. If it stays so, the primary proposes the
-// next epoch: voters that promised it to another grant nothing more in this one, and
-// that proposer may have failed.
+// checkLease detects that the lease has expired. If the primary has not regained it within
+// failureTimeout, it proposes the next epoch: voters that promised the next epoch to another
+// proposer grant no more leases in this one, and that proposer may have failed.
 func (n *Node) checkLease(now time.Time, effects *statemachine.Effects) {
 	if now.Before(n.lease.until) {
 		n.cancelTakeover()
@@ -211,7 +216,7 @@
 		n.lease.held = false
 		effects.Emit(logevent.LeaseLost, "epoch", n.hardState.Record.Epoch)
 	}
-	// A new epoch ends all promises, so it is given time first.
+	// A new epoch discards all promises, so the primary first waits to regain the lease in it.
 	since := n.leaseLostSince()
 	if !statemachine.Mutated("epochs-without-pause") {
 		since = later(since, n.election.decidedAt)
@@ -229,9 +234,9 @@
 	n.startBallot(now, next, effects)
 }
 
-// reclaimEpoch prepares the next epoch as a backup does that takes over: the proposer
-// that the voters promised may be the backup that failed, and a backup whose disk was lost
-// does not get in sync while nobody may grant a lease.
+// reclaimEpoch prepares the next epoch in the same way as a backup that takes over. The
+// proposer that the voters promised may be the backup that failed, and a backup whose disk was
+// lost can't get in sync while no voter may grant a lease.
 func (n *Node) reclaimEpoch(now time.Time, effects *statemachine.Effects) {
 	if statemachine.Mutated("primary-waits-for-backup") {
 		return
@@ -240,7 +245,7 @@
 	n.prepareSpares(now, nil, nil, effects)
 }
 
-// ReleaseLease gives up the lease, so that a backup need not wait for its end.
+// ReleaseLease gives up the lease, so that a backup can take over before it expires.
 func (n *Node) ReleaseLease(now time.Time, effects *statemachine.Effects) {
 	if !n.IsPrimary() {
 		return
--- a/internal/consensus/leave.go
+++ b/internal/consensus/leave.go
@@ -9,27 +9,27 @@
 
 const (
 	leaveInterval = 100 * time.Millisecond
-	// departureValidity is how long a Leave counts as present, and departureRetention how
-	// long it is remembered of a controller that is no voter.
+	// departureValidity is how long a controller counts as leaving after its last Leave, and
+	// departureRetention how long the Leave of a controller that is not a voter is kept.
 	departureValidity  = time.Second
 	departureRetention = 10 * time.Second
-	// learnerDiscoveryTime is how long a new primary waits before it takes the learners that
-	// it has heard for all that there are.
+	// learnerDiscoveryTime is how long a new primary waits before it assumes that all learners
+	// have sent it a Hello.
 	learnerDiscoveryTime = learnerHelloInterval + 200*time.Millisecond
-	// leaseReclaimTimeout is when a primary that leaves requests the lease again: nobody
-	// took over, so it may hold the only replica.
+	// leaseReclaimTimeout is how long after its release a primary that leaves requests the lease
+	// again: no backup has taken over, so the primary may hold the only replica.
 	leaseReclaimTimeout = failureTimeout
 )
 
-// departure is the graceful leave of this controller, and what it knows of others'.
+// departure is the state of this controller's graceful leave, and what other controllers have
+// announced about theirs.
 type departure struct {
-	// requested is set once this controller was asked to leave, and completed once it may
-	// stop.
+	// requested is set once this controller was asked to leave, and completed once it may stop.
 	requested, completed bool
-	// acknowledged holds the addresses of the voters on whose disks is the present record, in
-	// which this controller is no voter.
+	// acknowledged holds the addresses of the voters that have synced the current record, in
+	// which this controller is not a voter.
 	acknowledged map[string]bool
-	// announced is when each controller, by address, last said that it leaves.
+	// announced is when the last Leave of each controller arrived, by address.
 	announced map[string]time.Time
 }
 
@@ -37,14 +37,15 @@
 	return departure{acknowledged: map[string]bool{}, announced: map[string]time.Time{}}
 }
 
-// Leave begins to take this controller out of the voters and the backups. It does its part
-// until Left reports true, and then may stop.
+// Leave starts the removal of this controller from the voters and the backups. The controller
+// keeps working until LeaveCompleted reports true, and may then stop.
 //
-// Whoever asks it to stop may never start it again, and may take its disk. So it hands the
-// lease over once its backups are in sync, the primary replaces it as a backup and as a
-// voter, and it may stop once a majority of the voters without it have that on their
-// disks: even if then as many others are lost as are tolerated, and all power fails, enough
-// are left that know of it. If there is nobody to replace it, it may stop at once.
+// After a stop the controller may never be started again, and its disk may be lost. Therefore
+// it hands over the lease once its backups are in sync, the primary replaces it as a backup
+// and as a voter, and it may stop once a majority of the voters of a record without it have
+// synced that record. Even if then as many other disks are lost as are tolerated, and all
+// controllers lose power, enough voters know the record. If there is no controller to replace
+// it, it may stop at once.
 func (n *Node) Leave(now time.Time, effects *statemachine.Effects) {
 	if n.departure.requested {
 		return
@@ -53,13 +54,14 @@
 	n.continueLeaving(now, effects)
 }
 
-// Left reports whether this controller, which was asked to leave, may stop.
+// LeaveCompleted reports whether this controller was asked to leave and may now stop.
 func (n *Node) Left() bool {
 	return n.departure.completed ||
 		statemachine.Mutated("leave-when-out") && n.departure.requested && !n.blank && !n.isVoter()
 }
 
-// continueLeaving asks, again and again, to be replaced.
+// continueLeaving asks the other voters to replace this controller, once per leaveInterval until
+// the leave is completed.
 func (n *Node) continueLeaving(now time.Time, effects *statemachine.Effects) {
 	if statemachine.Mutated("leave-at-once") {
 		n.ReleaseLease(now, effects)
@@ -80,7 +82,7 @@
 	}
 }
 
-// handOverLease releases the lease once a backup that stays can take over at once.
+// handOverLease releases the lease once there is a backup that is in sync and is not leaving.
 func (n *Node) handOverLease(now time.Time, effects *statemachine.Effects) {
 	if !n.Serving(now) || n.election.attempt != nil {
 		return
@@ -94,8 +96,8 @@
 	}
 }
 
-// handleLeave answers a controller that leaves. One outside the voters may go, as far as
-// this voter is concerned, once the voters without it are on this disk.
+// handleLeave responds to a controller that leaves. A controller that is not a voter any more
+// gets an acknowledgment once this voter has synced the record without it.
 func (n *Node) handleLeave(now time.Time, from string, leave Leave, effects *statemachine.Effects) {
 	record := n.hardState.Record
 	switch {
@@ -125,7 +127,8 @@
 	}
 }
 
-// recordDeparture remembers who leaves, for as long as it is a voter or may come back.
+// recordDeparture records that a controller leaves. The entries of voters are kept, and those
+// of others for departureRetention.
 func (n *Node) recordDeparture(now time.Time, from string) {
 	n.departure.announced[from] = now
 	for address, announced := range statemachine.Sorted(n.departure.announced) {
@@ -153,21 +156,21 @@
 		hasQuorum(record.Epoch+1, record.Voters, n.departure.acknowledged)
 }
 
-// announcedDeparture reports whether a controller has just said that it leaves.
+// announcedDeparture reports whether a Leave of a controller arrived within departureValidity.
 func (n *Node) announcedDeparture(now time.Time, address string) bool {
 	announced, found := n.departure.announced[address]
 	return found && now.Sub(announced) < departureValidity
 }
 
-// departing reports whether a voter has said that it leaves, and has not come back since: it
-// is back if it grants a lease when its last Leave is older than departureValidity.
+// departing reports whether a voter has announced that it leaves and has not returned since. It
+// has returned if it granted a lease at least departureValidity after its last Leave.
 func (n *Node) departing(now time.Time, voter Controller) bool {
 	announced, found := n.departure.announced[voter.Address]
 	return found && (now.Sub(announced) < departureValidity ||
 		n.lease.lastGrant[voter.Name].Before(announced.Add(departureValidity)))
 }
 
-// departingBackup returns a backup that leaves, if there is a spare to replace it.
+// departingBackup returns a backup that is leaving, if there is a spare to replace it.
 func (n *Node) departingBackup(now time.Time) (string, bool) {
 	record := n.hardState.Record
 	if !n.backupsInSync() {
@@ -184,8 +187,8 @@
 	return "", false
 }
 
-// mayDropBackup reports whether a backup that leaves need not be replaced: there is no
-// spare, and there are enough backups without it.
+// mayDropBackup reports whether a backup that leaves can be removed without a replacement:
+// there is no spare, and there are enough backups without it.
 func (n *Node) mayDropBackup(now time.Time, backup Controller) bool {
 	if !n.departing(now, backup) || len(n.hardState.Record.Backups) <= n.neededBackups() {
 		return false
@@ -194,7 +197,7 @@
 	return !found
 }
 
-// irreplaceable reports whether there is nobody to replace a voter that leaves.
+// irreplaceable reports whether there is no controller to replace a voter that leaves.
 func (n *Node) irreplaceable(now time.Time, name string) bool {
 	record := n.hardState.Record
 	if n.election.attempt != nil || n.reconfig.replacing || n.reconfig.proposed ||
--- a/internal/consensus/leave_test.go
+++ b/internal/consensus/leave_test.go
@@ -8,11 +8,12 @@
 	"gotest.tools/v3/assert"
 )
 
-// maxLeaveTime is less than the platform waits for a daemon that was asked to stop.
+// maxLeaveTime is less than the time that the platform waits for a daemon that was asked to stop.
 const maxLeaveTime = 4 * time.Second
 
-// TestLeaveKeepsFaultTolerance has each voter of one to nine leave, with a learner to replace
-// it: from when it stops the others can lose as many disks as are tolerated, and all power.
+// TestLeaveKeepsFaultTolerance has each voter of clusters of one to nine voters leave, with a
+// learner to replace it. Once the voter has stopped, the others must tolerate the loss of as many
+// disks as configured together with a loss of power of all.
 func TestLeaveKeepsFaultTolerance(t *testing.T) {
 	for _, size := range []struct{ voters, tolerance int }{
 		{1, 0}, {2, 0}, {3, 0}, {3, 1}, {4, 1}, {5, 1}, {5, 2}, {6, 2}, {7, 3}, {8, 3}, {9, 3},
@@ -34,7 +35,7 @@
 	}
 }
 
-// TestLeaveWithoutReplacementIsFast has each voter leave where no learner can replace it.
+// TestLeaveWithoutReplacementIsFast has each voter leave while there is no learner to replace it.
 func TestLeaveWithoutReplacementIsFast(t *testing.T) {
 	for voters := 2; voters <= 9; voters++ {
 		for leaver := range voters {
@@ -60,7 +61,8 @@
 	t.Fatal("the condition is not reached")
 }
 
-// loseDisksAndPower takes the power of all and so many disks, those with the state first.
+// loseDisksAndPower restarts all processes and wipes the given number of disks, beginning with
+// those of complete replicas.
 func (w *world) loseDisksAndPower(disks int) {
 	w.losePower()
 	for _, holding := range []bool{true, false} {
--- a/internal/consensus/messages.go
+++ b/internal/consensus/messages.go
@@ -7,10 +7,10 @@
 	"dahlialock/internal/transport"
 )
 
-// Hello lets controllers find each other through the seeds, and spreads the newest record.
-// Known are the voters or, before the first epoch, all controllers that the sender has heard
-// of. ClusterSize is that of its Settings. Blank is set if it knows no epoch, Founding if it
-// recorded that it is a founder (see recordFounders).
+// Hello lets controllers discover each other through the seeds, and spreads the newest record.
+// Known are the voters or, before the first epoch, all controllers that the sender knows.
+// ClusterSize is that of the sender's Settings. Blank is set if the sender knows no epoch, and
+// Founder if it has recorded that it is a founder (see recordFounders).
 type Hello struct {
 	Self        Controller   `cbor:"Self"`
 	ClusterSize int          `cbor:"Count"`
@@ -20,8 +20,8 @@
 	Record      Record       `cbor:"Record"`
 }
 
-// RecoveryRequest comes from a voter whose disk was lost, and asks another voter for its
-// hard state.
+// RecoveryRequest asks another voter for its hard state. It is sent by a voter whose disk was
+// lost.
 type RecoveryRequest struct {
 	Request statemachine.RequestID `cbor:"Request"`
 }
@@ -38,8 +38,8 @@
 	Ballot Ballot `cbor:"Ballot"`
 }
 
-// Promise answers Prepare. If it is not granted, RetryAfter is how long a lease still
-// runs that the acceptor granted, and Promised a higher ballot that it promised.
+// Promise answers Prepare. If the promise is not granted, RetryAfter is the remaining time of a
+// lease that the acceptor granted, and Promised a higher ballot that the acceptor promised.
 type Promise struct {
 	Epoch          uint64        `cbor:"Epoch"`
 	Ballot         Ballot        `cbor:"Ballot"`
@@ -50,15 +50,15 @@
 	Accepted       Record        `cbor:"Accepted"`
 }
 
-// Accept is phase 2 of a ballot: it asks to accept a record.
+// Accept is phase 2 of a ballot: it asks an acceptor to accept a record.
 type Accept struct {
 	Epoch  uint64 `cbor:"Epoch"`
 	Ballot Ballot `cbor:"Ballot"`
 	Record Record `cbor:"Record"`
 }
 
-// Accepted answers Accept once the record is on the acceptor's disk. Granted is always set:
-// an acceptor that refuses sends no Accepted.
+// Accepted answers Accept once the acceptor has synced the record. Granted is always set: an
+// acceptor that rejects the record sends no response.
 type Accepted struct {
 	Epoch   uint64 `cbor:"Epoch"`
 	Ballot  Ballot `cbor:"Ballot"`
@@ -70,17 +70,17 @@
 	Record Record `cbor:"Record"`
 }
 
-// RenewLease comes from the primary and asks a voter to extend its lease. Soon after an
-// epoch was decided it carries the record too, in case Decided was lost; later Record is
-// zero.
+// RenewLease asks a voter to grant or extend the primary's lease. For announceDuration after an
+// epoch was decided it includes the record, in case Decided was lost; later Record is zero.
 type RenewLease struct {
 	Epoch   uint64                 `cbor:"Epoch"`
 	Request statemachine.RequestID `cbor:"Request"`
 	Record  Record                 `cbor:"Record"`
 }
 
-// LeaseGrant answers RenewLease. From a backup it also reports the progress of its replica:
-// the index and the complete epoch that are on its disk. Without a request it does only that.
+// LeaseGrant answers RenewLease. It also reports the progress of the sender's replica: the
+// synced index and the synced complete epoch. A message without a request is not a grant and
+// reports only the progress.
 type LeaseGrant struct {
 	Epoch         uint64                 `cbor:"Epoch"`
 	Request       statemachine.RequestID `cbor:"Request"`
@@ -88,8 +88,8 @@
 	CompleteEpoch uint64                 `cbor:"Complete"`
 }
 
-// ReleaseLease gives up the rest of the lease: the primary stops, or its disk hangs.
-// Request is the newest renewal that it asked for.
+// ReleaseLease gives up the remaining lease, for example because the primary stops or its disk
+// has stalled. Request is the primary's newest request.
 type ReleaseLease struct {
 	Epoch   uint64                 `cbor:"Epoch"`
 	Request statemachine.RequestID `cbor:"Request"`
@@ -102,14 +102,15 @@
 	Command []byte `cbor:"Command"`
 }
 
-// AppendResponse says that the backup has synced the command.
+// AppendResponse acknowledges that the backup has synced the command.
 type AppendResponse struct {
 	Epoch uint64 `cbor:"Epoch"`
 	Index uint64 `cbor:"Index"`
 }
 
-// InstallSnapshot sends the complete state: to a backup that is not in sync, if TargetEpoch
-// is Epoch, or to a spare that may become a backup in the next epoch, TargetEpoch.
+// InstallSnapshot transfers the complete state. If TargetEpoch is Epoch, the receiver is a
+// backup that is not in sync. Otherwise TargetEpoch is the next epoch, and the receiver is a
+// spare that may become a backup in it.
 type InstallSnapshot struct {
 	Epoch       uint64 `cbor:"Epoch"`
 	TargetEpoch uint64 `cbor:"For"`
@@ -117,8 +118,8 @@
 	State       []byte `cbor:"State"`
 }
 
-// InstallSnapshotResponse says that the snapshot is synced, and whether its receiver is
-// about to leave.
+// InstallSnapshotResponse acknowledges that the snapshot is synced. Leaving is set if the
+// sender was asked to leave.
 type InstallSnapshotResponse struct {
 	Epoch       uint64 `cbor:"Epoch"`
 	TargetEpoch uint64 `cbor:"For"`
@@ -132,7 +133,7 @@
 	Request statemachine.RequestID `cbor:"Request"`
 }
 
-// ConfirmResponse answers Confirm for the present epoch only.
+// ConfirmResponse answers Confirm if the epoch is the newest that the voter knows.
 type ConfirmResponse struct {
 	Epoch   uint64                 `cbor:"Epoch"`
 	Request statemachine.RequestID `cbor:"Request"`
@@ -144,7 +145,7 @@
 	Request statemachine.RequestID `cbor:"Request"`
 }
 
-// RoleLeaseResponse grants the lease, or names its present holder.
+// RoleLeaseResponse grants the lease of a role, or names its current holder.
 type RoleLeaseResponse struct {
 	Role    string                 `cbor:"Duty"`
 	Request statemachine.RequestID `cbor:"Request"`
@@ -152,14 +153,15 @@
 	Holder  string                 `cbor:"Holder"`
 }
 
-// Leave comes from a controller that shuts down, and asks to be taken out of the voters.
+// Leave asks for the removal of its sender, which shuts down, from the voters.
 type Leave struct {
 	Epoch   uint64                 `cbor:"Epoch"`
 	Request statemachine.RequestID `cbor:"Request"`
 }
 
-// LeaveResponse comes from a voter whose disk holds the record of the epoch, in which the
-// leaver is no voter; or, with Irreplaceable, from the primary: nobody can replace the leaver.
+// LeaveResponse acknowledges that a voter has synced the record of the epoch, in which the
+// leaving controller is not a voter. With Irreplaceable it comes from the primary instead and
+// says that no controller can replace the leaving one.
 type LeaveResponse struct {
 	Epoch         uint64                 `cbor:"Epoch"`
 	Request       statemachine.RequestID `cbor:"Request"`
--- a/internal/consensus/mutation_test.go
+++ b/internal/consensus/mutation_test.go
@@ -19,7 +19,8 @@
 }{
 	{"trust-lost-disk", func(t trial, seed uint64) { allFaults(t, seed) }},
 	{"no-hold-back", func(t trial, seed uint64) { allFaults(t, seed) }},
-	// A primary that hears no quorum stays quiet, so that few seeds need the withdrawal too.
+	// A primary that has lost contact with a quorum pauses its renewals, so only few seeds also
+	// need the revocation of its own grant.
 	{"no-way-given", func(t trial, seed uint64) { allFaults(t, 165+seed) }},
 	{"snapshot-without-pending", func(t trial, seed uint64) { loseDisksAfterSnapshots(t, seed) }},
 	{"lives-alike", delayedGrants},
@@ -43,8 +44,8 @@
 	return mutationtest.Run(func(t *mutationtest.Trial) { run(t, seed) })
 }
 
-// TestEachMechanismIsNeeded disables each mechanism once, and expects a run that passes with
-// it to fail.
+// TestEachMechanismIsNeeded disables one mechanism at a time, and expects a run that passes with
+// the mechanism to fail without it.
 func TestEachMechanismIsNeeded(t *testing.T) {
 	for _, proof := range mechanismProofs {
 		restore := statemachine.Mutate(proof.mutation)
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -7,13 +7,13 @@
 	"dahlialock/internal/statemachine"
 )
 
-// StateMachine is the state that is replicated. Apply and Restore are deterministic.
+// StateMachine is the replicated state. Apply and Restore must be deterministic.
 type StateMachine interface {
-	// Apply changes the state by a command.
+	// Apply applies a command to the state.
 	Apply(now time.Time, command []byte)
 	// Snapshot encodes the state.
 	Snapshot() []byte
-	// Restore replaces the state by an encoded one.
+	// Restore replaces the state with an encoded one.
 	Restore(state []byte) error
 }
 
@@ -21,18 +21,18 @@
 type Settings struct {
 	// Self is this controller; its DiskID is ignored.
 	Self Controller
-	// ClusterSize, if not 0, is how many controllers found the fleet and are its voters.
-	// Otherwise the controllers at the addresses of Seeds found it, if Founding is set at
-	// their first start, and Tolerance says how many voters there should be. Seeds are also
-	// where a controller begins to look for others.
+	// ClusterSize, if not 0, is the number of controllers that bootstrap the cluster and are its
+	// voters. Otherwise the controllers at the addresses of Seeds bootstrap it, if Bootstrap is
+	// set at their first start, and Tolerance determines how many voters there should be. Seeds
+	// are also the first addresses that a controller contacts to discover others.
 	ClusterSize int
 	Seeds       []string
 	Founding    bool
-	// Tolerance is how many controllers may be lost at a time, with their disks.
+	// Tolerance is how many controllers may be lost at the same time, with their disks.
 	Tolerance int
-	// NewDiskID names the disk if it is blank; it must not be that of any earlier disk.
+	// NewDiskID is the ID that a blank disk gets. It must differ from that of any earlier disk.
 	NewDiskID string
-	// Incarnation names this run of the process.
+	// Incarnation identifies this run of the process.
 	Incarnation statemachine.Incarnation
 }
 
@@ -40,18 +40,18 @@
 type Outcome int
 
 const (
-	// Committed says that the command is durable on all replicas, or that the epoch was
+	// Committed means that the command is durable on all replicas, or that the epoch was
 	// confirmed.
 	Committed Outcome = iota
-	// Rejected says that the command was not and will not be executed, or that this
+	// Rejected means that the command was not and will not be executed, or that this
 	// controller may not serve reads.
 	Rejected
-	// Indeterminate says that the command may or may not be executed, or that no majority
+	// Indeterminate means that the command may or may not be executed, or that no majority
 	// confirmed the epoch in time.
 	Indeterminate
 )
 
-// String names the outcome.
+// String returns the name of the outcome.
 func (o Outcome) String() string {
 	switch o {
 	case Committed:
@@ -65,12 +65,12 @@
 	}
 }
 
-// Done is called once with the outcome of a command or of a confirmation, by the owner's
-// goroutine, and perhaps before Submit or Confirm returns.
+// Done is called once with the outcome of a command or of a confirmation, on the owner's
+// goroutine. It may be called before Submit or Confirm returns.
 type Done func(now time.Time, effects *statemachine.Effects, outcome Outcome)
 
-// timer names the timers of a Node. Among timers that expire at the same moment the lower
-// one runs first; recorded runs depend on that order.
+// timer identifies a timer of a Node. Of timers that expire at the same moment the one with the
+// lowest value runs first; recorded runs depend on that order.
 type timer int
 
 const (
@@ -82,20 +82,20 @@
 	ballotTimer
 )
 
-// Node is one controller's part in the replication of the control state.
+// Node is one controller's state machine for the replication of the control state.
 type Node struct {
 	settings     Settings
 	stateMachine StateMachine
 	timers       *statemachine.Timers[timer]
 	requests     statemachine.RequestSequence
 
-	// hardState may be ahead of the disk: what others may rely on is sent only after the
-	// write is synced.
+	// hardState may be ahead of the disk: messages that others may rely on are sent only after
+	// the write is synced.
 	hardState HardState
 	// appliedIndex is the index of the last command that was applied to stateMachine.
 	appliedIndex uint64
 	// blank is set while this controller knows no epoch: before its first one, and after the
-	// loss of its disk until it has recovered. Meanwhile it votes for the first epoch only.
+	// loss of its disk until it has recovered. A blank controller votes for the first epoch only.
 	blank bool
 
 	storage     storage
@@ -112,8 +112,8 @@
 	confirmations map[uint64]confirmation
 }
 
-// New returns a Node with the state that its disk held: a snapshot and the entries after
-// it, as they were written. It fails with ErrStoredState if they can't be decoded.
+// New returns a Node with the state that is restored from its disk: a snapshot and the entries
+// after it, as they were written. It fails with ErrStoredState if they can't be decoded.
 func New(settings Settings, stateMachine StateMachine, snapshot []byte, entries [][]byte) (*Node, error) {
 	node := &Node{
 		settings:      settings,
@@ -145,21 +145,22 @@
 	return node, nil
 }
 
-// Record is that of the newest decided epoch that this controller knows.
+// Record returns the record of the newest decided epoch that this controller knows.
 func (n *Node) Record() Record { return n.hardState.Record }
 
-// AppliedIndex is the index of the last command that was applied.
+// AppliedIndex returns the index of the last command that was applied.
 func (n *Node) AppliedIndex() uint64 { return n.appliedIndex }
 
-// Blank reports whether this controller knows no epoch (yet, or since its disk was lost).
+// Blank reports whether this controller knows no epoch: none has been decided yet, or its disk
+// was lost and it has not recovered.
 func (n *Node) Blank() bool { return n.blank }
 
-// CompleteEpoch is the epoch as of which this controller's state is known to be complete,
+// CompleteEpoch returns the epoch as of which this controller's state is known to be complete,
 // or 0.
 func (n *Node) CompleteEpoch() uint64 { return n.hardState.CompleteEpoch }
 
-// KnownControllers lists the voters or, before the first epoch, all controllers that were
-// heard of.
+// KnownControllers lists the voters or, before the first epoch, this controller and all those
+// that sent it a Hello.
 func (n *Node) KnownControllers() []Controller {
 	if n.hardState.Record.Epoch > 0 {
 		return n.hardState.Record.Voters
@@ -176,8 +177,8 @@
 	return n.hardState.Record.VoterNamed(n.hardState.Record.Primary)
 }
 
-// IsPrimary reports whether the newest known epoch names this controller as its primary.
-// It may not serve without the lease.
+// IsPrimary reports whether the newest known record names this controller as the primary. A
+// primary may not serve without the lease.
 func (n *Node) IsPrimary() bool {
 	return n.hardState.Record.Primary == n.settings.Self.Name && n.isVoter()
 }
@@ -186,19 +187,19 @@
 	return slices.Contains(n.hardState.Record.Backups, n.settings.Self.Name) && n.isVoter()
 }
 
-// isComplete reports whether the state here is that of the newest known epoch.
+// isComplete reports whether this controller's state is complete in the newest known epoch.
 func (n *Node) isComplete() bool {
 	return n.hardState.CompleteEpoch == n.hardState.Record.Epoch
 }
 
-// HoldsLease reports whether this controller may act as the primary at this moment.
+// HoldsLease reports whether this controller may act as the primary at the given time.
 func (n *Node) HoldsLease(now time.Time) bool {
 	unexpired := now.Before(n.lease.until) || statemachine.Mutated("lease-for-ever")
 	return n.IsPrimary() && unexpired && n.isComplete()
 }
 
-// Serving reports whether commands can be committed: the lease is held, and all backups
-// are in sync and were heard lately.
+// Serving reports whether commands can be committed: this controller holds the lease, and all
+// backups are in sync and have been in contact within failureTimeout.
 func (n *Node) Serving(now time.Time) bool {
 	if statemachine.Mutated("lease-for-ever") {
 		return n.HoldsLease(now)
@@ -210,16 +211,16 @@
 	return len(lost) == 0
 }
 
-// CanServeReads reports whether this controller may answer from its state: it holds the
-// lease, and all that the state holds is on all replicas. It stays so while a backup is
-// being replaced.
+// CanServeReads reports whether this controller may answer reads from its state: it holds the
+// lease, and all replicas have everything that its state contains. Reads remain possible while
+// a backup is being replaced.
 func (n *Node) CanServeReads(now time.Time) bool {
 	return n.HoldsLease(now) && n.replication.stateReplicated
 }
 
-// LeaseEnd is when the lease expires; nothing that rests on it may be sent after that. It
-// means nothing unless HoldsLease: without a lease it may be the zero time, which Effects
-// take for no deadline.
+// LeaseEnd returns when the lease expires. Nothing that depends on the lease may be sent after
+// that. The result is valid only if HoldsLease reports true: without a lease it may be the zero
+// time, which Effects treat as no deadline.
 func (n *Node) LeaseEnd() time.Time {
 	if statemachine.Mutated("lease-for-ever") {
 		return time.Time{}
@@ -227,16 +228,16 @@
 	return n.lease.until
 }
 
-// SetTolerance applies a tolerance from changed settings. The voters and the backups
-// follow by later epochs.
+// SetTolerance applies a tolerance from changed settings. The numbers of voters and backups
+// are adjusted in later epochs.
 func (n *Node) SetTolerance(tolerance int) { n.settings.Tolerance = tolerance }
 
-// NextTick is when Tick has to be called.
+// NextTick returns when Tick has to be called.
 func (n *Node) NextTick() time.Time { return n.timers.Next() }
 
-// Start begins the work of the Node, and is called once before anything else. A
-// controller that was restarted waits for a full lease before it promises the next epoch to
-// anybody but the primary.
+// Start starts the Node. It is called once, before any other method. A controller that was
+// restarted waits for LeaseDuration before it promises the next epoch to any controller other
+// than the primary.
 func (n *Node) Start(now time.Time, effects *statemachine.Effects) {
 	n.voter.grantedUntil, n.voter.grantedTo = now.Add(LeaseDuration), n.hardState.Record.Primary
 	n.voter.uncertainUntil = now.Add(LeaseDuration)
@@ -267,8 +268,8 @@
 	}
 }
 
-// HandleMessage handles a message of another controller. It returns false for messages of
-// other packages.
+// HandleMessage handles a message from another controller. It returns false if the message is
+// not one of this package.
 func (n *Node) HandleMessage(
 	now time.Time, meta statemachine.Meta, message any, effects *statemachine.Effects,
 ) bool {
@@ -355,7 +356,7 @@
 	return true
 }
 
-// deliver sends a message, or handles it at once if it is for this controller itself.
+// deliver sends a message, or handles it at once if it is addressed to this controller.
 func (n *Node) deliver(now time.Time, to string, message any, effects *statemachine.Effects) {
 	if to != n.settings.Self.Address {
 		effects.Send(to, message)
@@ -364,26 +365,26 @@
 	n.HandleMessage(now, statemachine.Meta{From: to}, message, effects)
 }
 
-// identity is this controller with the name of its disk.
+// identity returns this controller with the ID of its disk.
 func (n *Node) identity() Controller {
 	self := n.settings.Self
 	self.DiskID = n.hardState.DiskID
 	return self
 }
 
-// isVoter reports whether this controller is a voter of the newest epoch that it knows,
-// with the disk that the record names.
+// isVoter reports whether this controller is a voter of the newest epoch that it knows, with
+// the disk that the record lists.
 func (n *Node) isVoter() bool {
 	entry, listed := n.hardState.Record.Voter(n.settings.Self)
 	return !n.blank && listed && entry.DiskID == n.hardState.DiskID
 }
 
-// voterNameAt returns the name of the present voter at an address, or "".
+// voterNameAt returns the name of the current voter at an address, or "" if there is none.
 func (n *Node) voterNameAt(address string) string {
 	return n.hardState.Record.nameAt(address)
 }
 
-// otherVoters are the present voters without this controller.
+// otherVoters returns the current voters without this controller.
 func (n *Node) otherVoters() []Controller {
 	return slices.DeleteFunc(slices.Clone(n.hardState.Record.Voters), func(voter Controller) bool {
 		return voter.SameAs(n.settings.Self)
--- a/internal/consensus/reconfiguration.go
+++ b/internal/consensus/reconfiguration.go
@@ -13,35 +13,36 @@
 	slowBackupTimeout = 700 * time.Millisecond
 	// spareTimeout is how long a spare may take to sync a snapshot.
 	spareTimeout = 600 * time.Millisecond
-	// spareWindow is how long a controller that takes over waits for more spares to choose from.
+	// spareWindow is how long a controller that takes over waits for more spares to become ready.
 	spareWindow = 150 * time.Millisecond
-	// takeoverStagger is how much later each further backup takes over.
+	// takeoverStagger is the additional delay before each further backup takes over.
 	takeoverStagger = 300 * time.Millisecond
-	// zoneSpreadDelay is how long an epoch lasts before a backup is moved to another zone.
+	// zoneSpreadDelay is the minimum age of an epoch before a backup is moved to another zone.
 	zoneSpreadDelay = 2 * time.Second
 )
 
-// reconfiguration prepares a next epoch with other backups, or another primary.
+// reconfiguration is the preparation of a next epoch with other backups or another primary.
 type reconfiguration struct {
 	// replacing is set while this primary replaces backups, or proposes a next epoch after it
-	// lost the lease. takingOver is set while a backup wants to become the primary, or this
-	// primary, without the lease and a backup, to remain so (see reclaimEpoch).
+	// lost the lease. takingOver is set while this backup tries to become the primary, or this
+	// primary, which has lost the lease and a backup, tries to remain the primary (see
+	// reclaimEpoch).
 	replacing, takingOver bool
-	// proposed is set once a ballot for the next epoch was started; spares and backups are
-	// then no longer changed.
+	// proposed is set once a ballot for the next epoch was started. From then on spares and
+	// backups are not changed.
 	proposed bool
-	// spares are the voters that were sent the state, by name, and skipped those that did
-	// not sync it in time.
+	// spares are the voters that were sent the state, by name, and skipped the names of those
+	// that did not sync it within spareTimeout.
 	spares  map[string]*spare
 	skipped []string
-	// retained are the backups that stay, and replaced those that don't.
+	// retained are the backups that stay, and replaced the backups that are removed.
 	retained, replaced []string
 }
 
-// spare is a voter that was sent the state, so that it can be a backup in the next epoch.
+// spare is a voter that was sent the state, so that it can become a backup in the next epoch.
 type spare struct {
 	sentAt time.Time
-	// ready is set once the spare has synced the state, and leaving if it shuts down.
+	// ready is set once the spare has synced the state, and leaving if it was asked to leave.
 	ready   bool
 	leaving bool
 }
@@ -59,8 +60,8 @@
 	})
 }
 
-// monitor looks after the replicas: the primary after its backups, and they after the
-// primary.
+// monitor checks the replicas for failures: the primary monitors its backups, and each backup
+// monitors the primary.
 func (n *Node) monitor(now time.Time, effects *statemachine.Effects) {
 	if !n.isComplete() {
 		return
@@ -73,8 +74,8 @@
 	}
 }
 
-// failedBackups lists the backups that were not heard for long, and those that are slow
-// with the pending command.
+// failedBackups lists the backups that were not in contact within failureTimeout as lost, and
+// those that have not synced the pending command within slowBackupTimeout as slow.
 func (n *Node) failedBackups(now time.Time) (lost, slow []string) {
 	for _, name := range n.hardState.Record.Backups {
 		backup := n.replication.progress[name]
@@ -94,8 +95,8 @@
 		now.Sub(head.appendedAt) >= slowBackupTimeout && !statemachine.Mutated("patient-primary")
 }
 
-// backupInSharedZone returns a backup in a zone that has another replica, if there is a
-// spare in a zone without one: both replicas would be lost together.
+// backupInSharedZone returns a backup in a zone that has another replica, if there is a spare
+// in a zone without a replica. The loss of a shared zone would lose both replicas.
 func (n *Node) backupInSharedZone(now time.Time) (string, bool) {
 	if !n.backupsInSync() || len(n.replication.proposals) > 0 || now.Sub(n.election.decidedAt) < zoneSpreadDelay {
 		return "", false
@@ -122,9 +123,9 @@
 	})
 }
 
-// monitorBackups replaces backups that are lost, slow, leaving or in a shared zone, and
-// adds some where there are too few. Where there is no spare, the primary goes on once
-// the backup is back.
+// monitorBackups replaces backups that are lost, slow, leaving or in a shared zone, and adds
+// backups if there are too few. If there is no spare, the primary continues once the failed
+// backup has returned.
 func (n *Node) monitorBackups(now time.Time, effects *statemachine.Effects) {
 	if !n.HoldsLease(now) || n.election.attempt != nil || n.reconfig.proposed {
 		return
@@ -153,7 +154,7 @@
 	n.prepareSpares(now, without(record.Backups, replaced...), replaced, effects)
 }
 
-// backupsToReplace adds to the failed backups those that are replaced for other reasons.
+// backupsToReplace returns the failed backups and those that are replaced for other reasons.
 func (n *Node) backupsToReplace(now time.Time, failed []string, effects *statemachine.Effects) []string {
 	shared, isShared := n.backupInSharedZone(now)
 	idle := len(failed) == 0 && !n.reconfig.replacing
@@ -165,14 +166,14 @@
 		return []string{leaving}
 	}
 	if n.reconfig.replacing && len(n.reconfig.spares) > 0 {
-		// What was begun is finished for the same backups.
+		// A replacement that has begun is completed for the same backups.
 		return append(failed, without(n.reconfig.replaced, failed...)...)
 	}
 	return failed
 }
 
-// needsMoreBackups reports whether there are too few backups and, unless some are being
-// replaced already, a spare for one more.
+// needsMoreBackups reports whether there are too few backups and either a replacement is
+// already in progress or there is a spare that can be added.
 func (n *Node) needsMoreBackups(now time.Time) bool {
 	record := n.hardState.Record
 	if len(record.Backups) >= n.wantedBackups() || len(record.Voters) <= n.neededBackups() {
@@ -185,8 +186,8 @@
 	return found
 }
 
-// monitorPrimary takes over from a primary that was not heard for long. The backups do so
-// in the order in which the record names them.
+// monitorPrimary takes over from a primary that was not in contact within failureTimeout. The
+// backups take over in the order in which the record lists them.
 func (n *Node) monitorPrimary(now time.Time, effects *statemachine.Effects) {
 	if n.grantsUncertain(now) || statemachine.Mutated("no-takeover") {
 		return
@@ -202,12 +203,13 @@
 		record := n.hardState.Record
 		effects.Emit(logevent.TakeoverStarted, "epoch", record.Epoch, "primary", record.Primary)
 	}
-	// The old primary may be a spare: it may be back, and unable to go on.
+	// The old primary is not excluded as a spare: it may have returned without being able to
+	// continue as the primary.
 	n.prepareSpares(now, nil, nil, effects)
 }
 
-// cancelTakeover gives a takeover up, if it was not proposed yet, when the primary is
-// heard again.
+// cancelTakeover cancels a takeover that was not proposed yet. It is called when a backup is in
+// contact with the primary again, or the primary holds the lease.
 func (n *Node) cancelTakeover() {
 	if n.reconfig.takingOver && n.election.attempt == nil && !n.reconfig.proposed {
 		n.reconfig.takingOver = false
@@ -215,8 +217,8 @@
 	}
 }
 
-// inEmptiestZone returns the candidate whose zone has the fewest replicas: this
-// controller's own, and those of the named voters.
+// inEmptiestZone returns the candidate whose zone has the fewest replicas. It counts the
+// replica of this controller and those of the named voters.
 func (n *Node) inEmptiestZone(voters, candidates []Controller, named []string) Controller {
 	replicas := map[string]int{n.settings.Self.Zone: 1}
 	for _, voter := range voters {
@@ -233,9 +235,9 @@
 	return best
 }
 
-// chooseSpare picks a voter that can become a backup: not this controller, one of the retained
-// or excluded, one that is a spare already or one that was skipped. The primary takes only one
-// that granted it a lease lately and stays; a controller that takes over can't know.
+// chooseSpare selects a voter that can become a backup. It excludes this controller, the
+// retained and excluded voters, the current spares, and the skipped voters. The primary selects
+// only voters that pass mayBeSpare; a controller that takes over does not have that information.
 func (n *Node) chooseSpare(now time.Time, retained, excluded []string) (Controller, bool) {
 	var candidates []Controller
 	chosen := slices.Clone(retained)
@@ -258,15 +260,16 @@
 	return n.inEmptiestZone(n.hardState.Record.Voters, candidates, chosen), true
 }
 
-// mayBeSpare reports whether a voter granted the primary a lease lately and stays.
+// mayBeSpare reports whether a voter granted the primary a lease within failureTimeout and is
+// not leaving.
 func (n *Node) mayBeSpare(now time.Time, voter Controller) bool {
 	granted, found := n.lease.lastGrant[voter.Name]
 	return found && now.Sub(granted) <= failureTimeout && !n.departing(now, voter)
 }
 
-// prepareSpares sends the state to spares for the next epoch, which is proposed once
-// enough of them have synced it. The primary sends it to as many as are missing; a controller
-// that takes over sends it to all voters at once, since it can't know which are alive.
+// prepareSpares sends the state to spares for the next epoch, which is proposed once enough of
+// them have synced it. The primary sends it to as many as are missing. A controller that takes
+// over sends it to all voters at once, since it does not know which of them are alive.
 func (n *Node) prepareSpares(now time.Time, retained, excluded []string, effects *statemachine.Effects) {
 	if n.election.attempt != nil || n.reconfig.proposed {
 		return
@@ -284,7 +287,7 @@
 	for len(n.reconfig.spares) < wanted {
 		chosen, found := n.chooseSpare(now, retained, excluded)
 		if !found {
-			// All were tried; those that were skipped are tried again.
+			// All voters have been tried, so the skipped ones are tried again.
 			n.reconfig.skipped = nil
 			break
 		}
@@ -296,7 +299,7 @@
 	n.timers.ArmSooner(monitorTimer, now.Add(spareWindow))
 }
 
-// markSpareReady notes that a spare has synced the present state.
+// markSpareReady records that a spare has synced the current state.
 func (n *Node) markSpareReady(
 	now time.Time, name string, response InstallSnapshotResponse, effects *statemachine.Effects,
 ) {
@@ -320,7 +323,7 @@
 		return
 	}
 	backups := slices.Clone(n.reconfig.retained)
-	// One that is leaving becomes a backup only where no other can.
+	// A spare that is leaving becomes a backup only if there are not enough others.
 	for _, candidates := range [][]Controller{ready, leaving} {
 		for len(candidates) > 0 && len(backups) < n.wantedBackups() {
 			best := n.inEmptiestZone(record.Voters, candidates, backups)
@@ -340,8 +343,8 @@
 	}, effects)
 }
 
-// readySpares returns the spares that have synced the state, those that are leaving apart,
-// and counts the others.
+// readySpares returns the spares that have synced the state, with those that are leaving listed
+// separately, and the number of spares that have not synced it.
 func (n *Node) readySpares() (ready, leaving []Controller, pending int) {
 	for name, prepared := range statemachine.Sorted(n.reconfig.spares) {
 		if !prepared.ready {
@@ -360,7 +363,8 @@
 	return ready, leaving, pending
 }
 
-// oldestSpare is when the first of the present spares was sent the state.
+// oldestSpareSentAt returns when the state was sent to the first of the current spares, or now
+// if there are none.
 func (n *Node) oldestSpare(now time.Time) time.Time {
 	oldest := now
 	for _, prepared := range n.reconfig.spares {
--- a/internal/consensus/record.go
+++ b/internal/consensus/record.go
@@ -1,27 +1,26 @@
 package consensus
 
-// Controller identifies one controller of the fleet.
+// Controller identifies one controller of the cluster.
 type Controller struct {
 	Name    string `cbor:"Name"`
 	Address string `cbor:"Address"`
 	Zone    string `cbor:"Zone"`
-	// DiskID names the disk that the controller began with, so that one whose disk was
-	// lost is recognized as another: it has forgotten what it promised.
+	// DiskID identifies the controller's disk. A changed DiskID shows that the disk was lost, and
+	// with it what the controller promised.
 	DiskID string `cbor:"Disk"`
 }
 
-// SameAs reports whether both are the same controller at the same address, whatever disk
-// it has.
+// SameAs reports whether both have the same name and address. The disks may differ.
 func (c Controller) SameAs(other Controller) bool {
 	return c.Name == other.Name && c.Address == other.Address
 }
 
-// Record is the configuration of an epoch. Each epoch has one record, which is decided
-// by majorities of the voters of the epoch before and of its own, or for the first epoch by
-// all founders (see election.go).
+// Record is the configuration of an epoch. Each epoch has exactly one record. It is decided by
+// majorities of both the voters of the previous epoch and its own voters, or for the first
+// epoch by all founders (see election.go).
 type Record struct {
 	Epoch uint64 `cbor:"Epoch"`
-	// Primary is the name of the voter that may serve while it holds the lease.
+	// Primary is the name of the voter that serves while it holds the lease.
 	Primary string `cbor:"Primary"`
 	// Backups are the names of the voters that replicate the state, in order of takeover.
 	Backups []string `cbor:"Backups"`
@@ -29,7 +28,7 @@
 	Voters []Controller `cbor:"Voters"`
 }
 
-// VoterNamed returns the voter of a name; false if there is none.
+// VoterNamed returns the voter with a name, or false if there is none.
 func (r Record) VoterNamed(name string) (Controller, bool) {
 	for _, voter := range r.Voters {
 		if voter.Name == name {
@@ -39,8 +38,8 @@
 	return Controller{}, false
 }
 
-// Voter returns the entry of a controller among the voters, whose disk may be another;
-// false if it is no voter.
+// Voter returns the entry of a controller in the list of voters, or false if it is not a voter.
+// The disk of the entry may differ from the controller's.
 func (r Record) Voter(controller Controller) (Controller, bool) {
 	for _, voter := range r.Voters {
 		if voter.SameAs(controller) {
@@ -50,7 +49,7 @@
 	return Controller{}, false
 }
 
-// Majority is how many voters make a quorum.
+// Majority returns the number of voters that form a quorum.
 func (r Record) Majority() int {
 	return len(r.Voters)/2 + 1
 }
@@ -71,7 +70,8 @@
 	Name  string `cbor:"Name"`
 }
 
-// Before orders ballots by their count, and then by the names of the proposers.
+// Before reports whether the ballot is lower than another one. Ballots are ordered by count,
+// and then by the name of the proposer.
 func (b Ballot) Before(other Ballot) bool {
 	if b.Count != other.Count {
 		return b.Count < other.Count
@@ -79,32 +79,34 @@
 	return b.Name < other.Name
 }
 
-// HardState is what a controller must not forget: the newest decided epoch and, as an
-// acceptor, what it promised and accepted for the next one.
+// HardState is the state that a controller must persist before it sends messages that depend on
+// it: the newest decided epoch and, as an acceptor, what it promised and accepted for the next
+// epoch.
 type HardState struct {
-	// DiskID names the disk; it is drawn when the disk is first used.
+	// DiskID identifies the disk. It is assigned when the disk is first used.
 	DiskID string `cbor:"Disk"`
-	// Founders are the addresses of the founding controllers, of which this is one, from
-	// its first start until the first epoch is decided.
+	// Founders are the addresses of the founders if this controller is one of them. They are
+	// kept from its first start until the first epoch is decided.
 	Founders []string `cbor:"Founders"`
-	// Record is that of the newest decided epoch this controller takes part in.
+	// Record is the record of the newest decided epoch that this controller takes part in.
 	Record Record `cbor:"Record"`
 	// Promised is the highest ballot that was promised for the epoch after Record.
 	Promised Ballot `cbor:"Promised"`
-	// AcceptedBallot and Accepted are the record that was last accepted for the epoch after
-	// Record, if any.
+	// Accepted is the record that was last accepted for the epoch after Record, if any, and
+	// AcceptedBallot its ballot.
 	AcceptedBallot Ballot `cbor:"AcceptedBallot"`
 	Accepted       Record `cbor:"Accepted"`
-	// CompleteEpoch is the epoch as of which the state here holds all that was committed
-	// before it, or 0. A primary or backup replicates only if it is the epoch of Record.
+	// CompleteEpoch is the epoch as of which this controller's state contains everything that
+	// was committed before that epoch, or 0. A primary or backup replicates only if it is the
+	// epoch of Record.
 	CompleteEpoch uint64 `cbor:"Complete"`
-	// Recovered is set if the disk was lost in this epoch, and what it held was recovered
-	// from other voters. The leases that were granted before are unknown.
+	// Recovered is set if the disk was lost in this epoch and the hard state was recovered from
+	// other voters. The leases that were granted before the loss are unknown.
 	Recovered bool `cbor:"Recalled"`
 }
 
-// stagedSnapshot is the state that a spare got from the proposer of the next epoch. It is
-// installed if that epoch is decided and names this controller as a backup.
+// stagedSnapshot is the state that a spare received from the proposer of the next epoch. It is
+// installed if that epoch is decided and its record lists this controller as a backup.
 type stagedSnapshot struct {
 	From        string `cbor:"From"`
 	TargetEpoch uint64 `cbor:"For"`
@@ -112,8 +114,8 @@
 	State       []byte `cbor:"State"`
 }
 
-// diskEntry is one entry of the log on disk: one of a hard state, a staged snapshot, a
-// complete state at an index, or the command of an index.
+// diskEntry is one entry of the log on disk: a hard state, a staged snapshot, a complete state
+// at an index, or the command at an index.
 type diskEntry struct {
 	HardState *HardState      `cbor:"Durable"`
 	Index     uint64          `cbor:"Index"`
--- a/internal/consensus/recovery.go
+++ b/internal/consensus/recovery.go
@@ -7,9 +7,9 @@
 	"dahlialock/internal/statemachine"
 )
 
-// recovery is the progress of a voter whose disk was lost.
+// recovery is the progress of the recovery of a voter whose disk was lost.
 type recovery struct {
-	// request is that of the newest RecoveryRequest.
+	// request is the ID of the newest RecoveryRequest.
 	request statemachine.RequestID
 	// responses are the hard states of other voters, by address.
 	responses map[string]HardState
@@ -19,8 +19,8 @@
 	return recovery{responses: map[string]HardState{}}
 }
 
-// requestRecovery asks the other voters for their hard states if this blank controller
-// has heard that it is a voter.
+// requestRecovery asks the other voters for their hard states if the newest record that this
+// blank controller received lists it as a voter.
 func (n *Node) requestRecovery(effects *statemachine.Effects) {
 	if _, listed := n.discovery.newestRecord.Voter(n.settings.Self); !listed {
 		return
@@ -39,9 +39,10 @@
 	}
 }
 
-// handleRecoveryResponse collects hard states until they make up for the lost one.
-// Whatever this controller promised or accepted before had an effect only if a majority
-// with it did so; the voters that answered must include another one of each such majority.
+// handleRecoveryResponse collects hard states until they are sufficient to replace the lost one.
+// A promise or acceptance of this controller before the loss mattered only if a majority that
+// includes it did the same. The voters that responded must therefore include at least one other
+// member of every such majority.
 func (n *Node) handleRecoveryResponse(
 	now time.Time, from string, response RecoveryResponse, effects *statemachine.Effects,
 ) {
@@ -61,7 +62,7 @@
 	n.hardState = recovered
 	n.blank = false
 	n.election.attempt = nil
-	// Nobody knows whom it granted a lease before.
+	// It is unknown which leases this controller granted before the loss of its disk.
 	n.voter.grantedUntil, n.voter.grantedTo = now.Add(LeaseDuration), ""
 	n.voter.uncertainUntil = now.Add(LeaseDuration)
 	n.replication.primaryHeard, n.election.decidedAt = now, now
@@ -70,8 +71,8 @@
 	n.persistHardState(effects, nil)
 }
 
-// recoveredHardState combines the hard states that were collected, and counts those that
-// were: it has the highest ballots that anybody promised and accepted.
+// recoveredHardState combines the collected hard states of the other voters, and returns how
+// many there were. The result has the highest ballots that any of them promised and accepted.
 func (n *Node) recoveredHardState(entry Controller) (recovered HardState, answered int) {
 	recovered = HardState{
 		DiskID:    entry.DiskID,
@@ -97,8 +98,8 @@
 	return recovered, answered
 }
 
-// resetToBlank turns a learner into a blank controller that recovers from the others: an
-// epoch has it as a voter with a disk that it lost.
+// resetToBlank turns a learner into a blank controller that recovers from the others, because a
+// decided record lists it as a voter with a disk that it has lost.
 func (n *Node) resetToBlank(now time.Time) {
 	n.hardState = HardState{DiskID: n.hardState.DiskID}
 	n.blank, n.election.attempt = true, nil
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -7,18 +7,18 @@
 	"dahlialock/internal/statemachine"
 )
 
-// replication is the replication of commands and snapshots in the present epoch.
+// replication is the state of the replication of commands and snapshots in the current epoch.
 type replication struct {
-	// proposals are the submitted commands that are not committed yet. The first one may be
-	// pending, that is written and sent to the backups; the others wait for it.
+	// proposals are the submitted commands that are not committed yet. Only the first one may be
+	// pending, which means that it is written and sent to the backups. The others are queued.
 	proposals []*proposal
-	// progress is what the primary knows of each backup, by name.
+	// progress is the known progress of each backup's replica, by name.
 	progress map[string]*progress
-	// stateReplicated is set while all that this primary has applied is on all replicas.
+	// stateReplicated is set while all replicas have everything that this primary has applied.
 	stateReplicated bool
-	// primaryHeard is when this backup last heard from the primary.
+	// primaryLastContact is when this backup last received a message from the primary.
 	primaryHeard time.Time
-	// staged are the snapshots for the next epoch, by the names of those that sent them.
+	// staged are the snapshots for the next epoch, by the name of the sender.
 	staged map[string]*stagedSnapshot
 }
 
@@ -26,22 +26,23 @@
 type proposal struct {
 	command []byte
 	done    Done
-	// index is that of the command once it is pending, and 0 before.
+	// index is the index of the command once it is pending, and 0 before.
 	index uint64
-	// synced is set once it is on the primary's own disk.
+	// synced is set once the command is synced on the primary's own disk.
 	synced bool
-	// appendedAt is when it was written or, once synced, when it was sent.
+	// appendedAt is when the command was written or, once it is synced, when it was sent.
 	appendedAt time.Time
-	// deadline is when done is called with what is known by then; the zero time once it was.
+	// deadline is when done is called with the outcome that is known by then. It is the zero
+	// time after that call.
 	deadline time.Time
 }
 
-// progress is what the primary knows of a backup's replica.
+// progress is what the primary knows about a backup's replica.
 type progress struct {
 	lastHeard time.Time
-	// inSync is set once the replica was seen to hold all that was committed.
+	// inSync is set once the replica is known to have everything that was committed.
 	inSync bool
-	// ackedIndex is the highest index that the backup has synced as far as is known.
+	// ackedIndex is the highest index that the backup has acknowledged as synced.
 	ackedIndex uint64
 }
 
@@ -52,8 +53,8 @@
 	}
 }
 
-// neededBackups is how many backups an epoch must have for its commands to be committed;
-// each backup that it has must sync them.
+// requiredBackups returns the minimum number of backups with which an epoch commits commands.
+// Every backup of the epoch must sync a command, even if there are more.
 func (n *Node) neededBackups() int {
 	if n.settings.ClusterSize > 0 {
 		return max(1, n.settings.Tolerance)
@@ -64,13 +65,13 @@
 	return n.settings.Tolerance
 }
 
-// wantedBackups is how many backups there should be, as far as there are voters: one at
-// least, so that another controller can take over.
+// targetBackups returns how many backups there should be. It is at least one, so that another
+// controller can take over, but limited by the number of voters.
 func (n *Node) wantedBackups() int {
 	return min(max(1, n.neededBackups()), len(n.hardState.Record.Voters)-1)
 }
 
-// resetProgress begins to follow the backups that the record names.
+// resetProgress starts to track the progress of the backups of the current record.
 func (n *Node) resetProgress(now time.Time) {
 	n.replication.progress = map[string]*progress{}
 	for _, name := range n.hardState.Record.Backups {
@@ -88,8 +89,8 @@
 	return len(n.hardState.Record.Backups) >= n.neededBackups()
 }
 
-// pendingProposal returns the command whose turn it is. Its index is 0 until it is
-// written.
+// pendingProposal returns the first proposal, or false if there is none. Its index is 0 until it
+// is written.
 func (n *Node) pendingProposal() (*proposal, bool) {
 	if len(n.replication.proposals) == 0 {
 		return nil, false
@@ -97,13 +98,14 @@
 	return n.replication.proposals[0], true
 }
 
-// PendingProposals is how many submitted commands are not committed yet.
+// PendingProposals returns how many submitted commands are not committed yet.
 func (n *Node) PendingProposals() int { return len(n.replication.proposals) }
 
-// Submit replicates a command, and calls done with the outcome: Committed once it is synced
-// here and by all backups, and applied here, under the lease; Rejected if this controller does
-// not hold the lease or did not begin with the command within the timeout; and otherwise
-// Indeterminate. Commands are replicated one at a time, in the order of their submission.
+// Submit replicates a command and calls done with the outcome. The outcome is Committed once
+// this primary and all backups have synced the command and the primary has applied it while it
+// holds the lease. It is Rejected if this controller does not hold the lease or did not write
+// the command within the timeout, and Indeterminate otherwise. Commands are replicated one at a
+// time, in the order of their submission.
 func (n *Node) Submit(
 	now time.Time, command []byte, timeout time.Duration, done Done, effects *statemachine.Effects,
 ) {
@@ -119,8 +121,8 @@
 	}
 }
 
-// proposeNext goes on with the first proposal: it is written if it was not yet, and else
-// sent again to the backups that have not acknowledged it.
+// proposeNext continues with the first proposal: it writes a proposal that is not written yet,
+// and sends a pending one again to the backups that have not acknowledged it.
 func (n *Node) proposeNext(now time.Time, effects *statemachine.Effects) {
 	head, found := n.pendingProposal()
 	if !found {
@@ -156,7 +158,8 @@
 	}
 }
 
-// sendAppend sends the pending command to a backup, once it is on the primary's own disk.
+// sendAppend sends the pending command to a backup that has not acknowledged it, once the
+// command is synced on the primary's own disk.
 func (n *Node) sendAppend(name string, effects *statemachine.Effects) {
 	head, found := n.pendingProposal()
 	if !found || n.reconfig.replacing || !head.synced || statemachine.Mutated("answer-before-backup") {
@@ -173,9 +176,9 @@
 	})
 }
 
-// mayAppend reports whether this backup takes commands of the present epoch. It takes
-// none once it takes over itself, has promised the next epoch to another than the primary,
-// or has accepted one with another primary or other backups.
+// mayAppend reports whether this backup accepts commands of the current epoch. It accepts none
+// once it takes over, has promised the next epoch to a controller other than the primary, or
+// has accepted a next epoch with another primary or other backups.
 func (n *Node) mayAppend() bool {
 	return n.isBackup() && n.isComplete() && !n.reconfig.takingOver && !n.promisedOther() && !n.epochSealed()
 }
@@ -220,8 +223,8 @@
 	n.maybeCommit(now, effects)
 }
 
-// maybeCommit commits the pending command once all backups have synced it. While a backup
-// is being replaced nothing is committed: the spares hold the state before.
+// maybeCommit commits the pending command once all backups have synced it. Nothing is committed
+// while a backup is being replaced, because the spares were sent the state without the command.
 func (n *Node) maybeCommit(now time.Time, effects *statemachine.Effects) {
 	head, found := n.pendingProposal()
 	if !found || !n.IsPrimary() || n.reconfig.replacing || n.epochSealed() {
@@ -247,8 +250,8 @@
 	n.proposeNext(now, effects)
 }
 
-// handleBackupProgress compares a backup's replica with the primary's, and sends a
-// snapshot if it is behind, or holds what was not committed.
+// handleBackupProgress compares a backup's replica with the primary's, and sends a snapshot if
+// the backup is behind or has a command that was not committed.
 func (n *Node) handleBackupProgress(
 	now time.Time, from, name string, grant LeaseGrant, effects *statemachine.Effects,
 ) {
@@ -260,7 +263,7 @@
 	}
 	head, found := n.pendingProposal()
 	hasPending := found && head.index > 0 && grant.Index == head.index
-	// A backup that lost its disk can't go on from the pending command either.
+	// A backup that lost its disk has no complete state and needs a snapshot too.
 	if grant.CompleteEpoch != record.Epoch || grant.Index < n.appliedIndex ||
 		grant.Index > n.appliedIndex && !hasPending {
 		backup.inSync = false
@@ -271,7 +274,7 @@
 	n.sendAppend(name, effects)
 }
 
-// markInSync notes that a backup's replica is complete.
+// markInSync records that a backup's replica is in sync.
 func (n *Node) markInSync(now time.Time, name string, effects *statemachine.Effects) {
 	if n.replication.progress[name].inSync {
 		return
@@ -284,7 +287,7 @@
 	}
 }
 
-// continueProposals goes on with the proposals in a new epoch, or gives them up if this
+// continueProposals continues with the proposals in a new epoch, or aborts them if this
 // controller is not its primary.
 func (n *Node) continueProposals(now time.Time, effects *statemachine.Effects) {
 	if !n.IsPrimary() {
@@ -300,7 +303,8 @@
 	n.timers.Arm(renewTimer, now)
 }
 
-// abortPending ends all proposals and confirmations: the next primary decides about them.
+// abortPending completes all proposals and confirmations as Indeterminate: the next primary
+// determines the outcome of a proposal.
 func (n *Node) abortPending(now time.Time, effects *statemachine.Effects) {
 	proposals := n.replication.proposals
 	n.replication.proposals = nil
@@ -314,8 +318,9 @@
 	}
 }
 
-// expireDeadlines ends what took too long. A command that may already be on a disk is
-// indeterminate, one that was never written is rejected.
+// expireDeadlines completes the confirmations and proposals whose deadline has passed. The
+// outcome of a command that may already be on a disk is Indeterminate, that of a command that
+// was never written is Rejected.
 func (n *Node) expireDeadlines(now time.Time, effects *statemachine.Effects) {
 	var next time.Time
 	for number, pending := range statemachine.Sorted(n.confirmations) {
@@ -332,7 +337,7 @@
 		case pending.deadline.IsZero() || pending.deadline.After(now):
 			next = statemachine.Earliest(next, pending.deadline)
 		case position == 0 && pending.index > 0:
-			// It stays the first until it is committed or aborted.
+			// The proposal remains the first until it is committed or aborted.
 			pending.done(now, effects, Indeterminate)
 			pending.done = func(time.Time, *statemachine.Effects, Outcome) {}
 			pending.deadline = time.Time{}
--- a/internal/consensus/replication_test.go
+++ b/internal/consensus/replication_test.go
@@ -37,15 +37,15 @@
 	}
 }
 
-// loseDisks takes the power of all and as many disks as are tolerated, right after a command
-// was committed.
+// loseDisks cuts the power of all controllers and wipes as many disks as are tolerated, right
+// after a command was committed.
 func loseDisks(t trial, seed uint64, tolerance int) {
 	t.Helper()
 	cluster := stableCluster(t, seed, tolerance)
 	record := cluster.serving().node.Record()
 	cluster.submit(4 * time.Second)
-	// All lose power at once; the disks of the primary and of all
-	// backups but one, or of some others, are lost with it.
+	// All controllers lose power at once. As many disks as are tolerated are lost with it: of the
+	// primary and the backups except one, and of other voters for the remaining ones.
 	holders := append([]string{record.Primary}, record.Backups...)
 	for _, controller := range cluster.controllers {
 		controller.kill()
@@ -76,8 +76,8 @@
 	assert.Equal(t, len(cluster.founded), 1)
 }
 
-// TestPendingCommandSurvivesSnapshotAndLostDisk loses all power and a disk after a command
-// was committed that was pending while a snapshot was written.
+// TestPendingCommandSurvivesSnapshotAndLostDisk commits a command that was pending while a
+// snapshot was written, and then cuts the power of all controllers and wipes a disk.
 func TestPendingCommandSurvivesSnapshotAndLostDisk(t *testing.T) {
 	for seed := range uint64(30) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -87,8 +87,8 @@
 	}
 }
 
-// loseDisksAfterSnapshots submits commands without a pause, and takes all power and the disk
-// of the backup right after the primary wrote a snapshot.
+// loseDisksAfterSnapshots submits commands continuously. Right after the primary wrote a snapshot,
+// it cuts the power of all controllers and wipes the disk of the backup.
 func loseDisksAfterSnapshots(t trial, seed uint64) {
 	t.Helper()
 	cluster := stableCluster(t, seed, 1)
@@ -122,9 +122,9 @@
 	assert.Assert(t, len(cluster.serving().state.numbers) >= committed)
 }
 
-// TestFaultsDelayCommandsBriefly has a command committed within two seconds whatever fault
-// the backups or the primary have, and within half a second after a primary that releases
-// its lease.
+// TestFaultsDelayCommandsBriefly injects each fault into the backups or the primary. Each command
+// must be committed within two seconds, and within half a second if the primary releases its
+// lease before it stops.
 func TestFaultsDelayCommandsBriefly(t *testing.T) {
 	for name, fault := range statemachine.Sorted(holderFaults) {
 		for tolerance := 1; tolerance < 4; tolerance++ {
@@ -158,8 +158,8 @@
 	"hanging": func(controller *testController) { controller.diskHangsUntil = controller.cluster.now + time.Minute },
 }
 
-// longestCommandUnder brings a fault to the primary or to all backups, and returns the
-// longest time that a command then took.
+// longestCommandUnder injects a fault into the primary or into all backups, and returns the
+// longest time that a command took after it.
 func longestCommandUnder(
 	t trial, seed uint64, tolerance int, role string, fault func(controller *testController),
 ) time.Duration {
@@ -181,7 +181,7 @@
 	return longest
 }
 
-// TestToleranceCanBeChanged changes the tolerance while controllers run.
+// TestToleranceCanBeChanged changes the tolerance while the controllers run.
 func TestToleranceCanBeChanged(t *testing.T) {
 	cluster := stableCluster(t, 1, 1)
 	for _, controller := range cluster.controllers {
--- a/internal/consensus/rolelease.go
+++ b/internal/consensus/rolelease.go
@@ -6,15 +6,15 @@
 	"dahlialock/internal/statemachine"
 )
 
-// roles are the singleton roles other than the primary's.
+// roles is the state of the leases of singleton roles other than the primary's.
 type roles struct {
 	// granted are the leases that this controller granted as a voter, by role.
 	granted map[string]roleGrant
-	// leases are those that this controller may hold, by role.
+	// leases are the leases that this controller may hold, by role.
 	leases map[string]*RoleLease
 }
 
-// roleGrant is a lease of a role that a voter granted.
+// roleGrant is a lease of a role that this voter granted.
 type roleGrant struct {
 	holder string
 	until  time.Time
@@ -24,28 +24,29 @@
 	return roles{granted: map[string]roleGrant{}, leases: map[string]*RoleLease{}}
 }
 
-// RoleLease is a controller's lease of a singleton role that need not be the primary's. It
-// is granted by a majority of the voters, and lasts nine tenths of LeaseDuration from when it
-// was requested. Its holder checks Valid before each act.
+// RoleLease is a controller's lease of a singleton role. The holder need not be the primary. The
+// lease is granted by a majority of the voters, and lasts nine tenths of LeaseDuration from when
+// it was requested. Its holder must check Valid before each action in the role.
 type RoleLease struct {
 	role string
-	// request is the newest one, made at requestedAt.
+	// request is the newest request, which was made at requestedAt.
 	request     statemachine.RequestID
 	requestedAt time.Time
-	// quorum is how many voters have to grant it, and granters the names of those that did.
+	// quorum is how many voters have to grant the request, and granters the names of the voters
+	// that have granted it.
 	quorum   int
 	granters map[string]bool
 	until    time.Time
 }
 
-// NewRoleLease registers a role that this controller may come to hold, once for each role.
+// NewRoleLease registers a role that this controller may hold. It is called once per role.
 func (n *Node) NewRoleLease(role string) *RoleLease {
 	lease := &RoleLease{role: role, granters: map[string]bool{}}
 	n.roles.leases[role] = lease
 	return lease
 }
 
-// Valid reports whether this controller holds the role at this moment.
+// Valid reports whether this controller holds the role at the given time.
 func (rl *RoleLease) Valid(now time.Time) bool {
 	return now.Before(rl.until)
 }
@@ -66,8 +67,9 @@
 	}
 }
 
-// RequestRoleLease asks the voters for the lease of a role, or to extend it. Nothing is
-// repeated: who wants the role calls this well within each lease. Only a voter can have it.
+// RequestRoleLease asks the voters to grant or extend the lease of a role. Requests are not
+// retried: to keep a role, call this well before the lease expires. Only a voter can hold a
+// role.
 func (n *Node) RequestRoleLease(now time.Time, lease *RoleLease, effects *statemachine.Effects) {
 	if !n.isVoter() {
 		return
@@ -91,8 +93,8 @@
 	}
 	present := n.roles.granted[request.Role]
 	response := RoleLeaseResponse{Role: request.Role, Request: request.Request}
-	// A voter that was restarted has forgotten whom it granted a role, and a new one does
-	// not know whom the others did.
+	// A voter that was restarted does not know which roles it granted, and a new voter does not
+	// know which roles the others granted.
 	if now.Before(n.voter.uncertainUntil) || present.holder != name && now.Before(present.until) {
 		response.Holder = present.holder
 	} else {
--- a/internal/consensus/snapshot.go
+++ b/internal/consensus/snapshot.go
@@ -7,8 +7,8 @@
 	"dahlialock/internal/statemachine"
 )
 
-// newSnapshot returns the present state for a backup in the target epoch: the present one, or
-// the next.
+// newSnapshot returns the current state for a backup in the target epoch, which is either the
+// current or the next epoch.
 func (n *Node) newSnapshot(targetEpoch uint64) InstallSnapshot {
 	return InstallSnapshot{
 		Epoch:       n.hardState.Record.Epoch,
@@ -18,7 +18,7 @@
 	}
 }
 
-// installState replaces the state, and reports whether that could be decoded.
+// installState replaces the state, and reports whether the new state could be decoded.
 func (n *Node) installState(index uint64, state []byte, effects *statemachine.Effects) bool {
 	if err := n.stateMachine.Restore(state); err != nil {
 		return false
@@ -49,7 +49,7 @@
 	}
 }
 
-// mayStage reports whether a snapshot is for the next epoch, from a controller that holds
+// mayStage reports whether a snapshot is for the next epoch and comes from a controller that has
 // a replica.
 func (n *Node) mayStage(sender string, snapshot InstallSnapshot) bool {
 	record := n.hardState.Record
@@ -57,8 +57,8 @@
 	return snapshot.TargetEpoch == record.Epoch+1 && n.isVoter() && senderHasReplica
 }
 
-// mayInstall reports whether a snapshot is for this backup in the present epoch. One that
-// is older than what was acknowledged since came late, and is ignored.
+// mayInstall reports whether a snapshot is for this backup in the current epoch. A delayed
+// snapshot that is older than the commands that this backup has applied since is ignored.
 func (n *Node) mayInstall(sender string, snapshot InstallSnapshot) bool {
 	record := n.hardState.Record
 	if snapshot.TargetEpoch != record.Epoch || sender != record.Primary ||
@@ -68,7 +68,7 @@
 	return !n.isComplete() || snapshot.Index >= n.appliedIndex
 }
 
-// installSnapshot replaces the state of this backup, which is then complete.
+// installSnapshot replaces the state of this backup, which is complete from then on.
 func (n *Node) installSnapshot(from string, snapshot InstallSnapshot, effects *statemachine.Effects) {
 	if !n.installState(snapshot.Index, snapshot.State, effects) {
 		return
@@ -80,7 +80,7 @@
 	})
 }
 
-// stageSnapshot keeps a snapshot for the next epoch.
+// stageSnapshot persists a snapshot for the next epoch.
 func (n *Node) stageSnapshot(from, sender string, snapshot InstallSnapshot, effects *statemachine.Effects) {
 	staged := &stagedSnapshot{
 		From:        sender,
--- a/internal/consensus/storage.go
+++ b/internal/consensus/storage.go
@@ -11,12 +11,12 @@
 
 var namespace = errorx.NewNamespace("consensus")
 
-// ErrStoredState says that what the disk held can't be decoded.
+// ErrStoredState is the type of errors in decoding the state on the disk.
 var ErrStoredState = namespace.NewType("stored_state")
 
-// The log may grow to logLimitFactor times the bytes of the snapshot before it, and in any
-// case to minLogLimit, so that a small state is not written again at each change. What a
-// restart reads is thereby bounded by the size of the state, not by the number of changes.
+// The log may grow to logLimitFactor times the size of the snapshot before it, and at least to
+// minLogLimit bytes, so that a small state is not written again at each change. The amount that
+// a restart reads is thereby bounded by the size of the state, not by the number of changes.
 const (
 	minLogLimit    = 64 << 10
 	logLimitFactor = 2
@@ -27,19 +27,20 @@
 
 // storage tracks the writes to this controller's disk.
 type storage struct {
-	// lastToken is that of the newest write, and continuations are those of the writes that
+	// lastToken is the token of the newest write, and continuations are those of the writes that
 	// are not synced yet, by token.
 	lastToken     uint64
 	continuations map[uint64]continuation
-	// snapshotBytes is the size of the newest snapshot, and logBytes that of the entries
+	// snapshotBytes is the size of the newest snapshot, and logBytes the size of the entries
 	// after it.
 	logBytes, snapshotBytes int
-	// syncedIndex is the index up to which commands, or the state, are on the disk.
+	// syncedIndex is the index up to which the disk has the commands or the state.
 	syncedIndex uint64
-	// syncedCompleteEpoch and syncedEpoch are those of the hard state on the disk.
+	// syncedCompleteEpoch is the complete epoch of the hard state on the disk, and syncedEpoch
+	// the epoch of its record.
 	syncedCompleteEpoch, syncedEpoch uint64
-	// pendingStates counts the states that are being written. A backup takes no command
-	// before they are synced.
+	// pendingStates counts the installed states that are not synced yet. A backup accepts no
+	// command before they are synced.
 	pendingStates int
 }
 
@@ -47,7 +48,7 @@
 	return storage{continuations: map[uint64]continuation{}}
 }
 
-// write appends an entry to the log, and calls then once it is synced.
+// write appends an entry to the log, and calls then once the entry is synced.
 func (n *Node) write(effects *statemachine.Effects, entry diskEntry, then continuation) {
 	n.storage.lastToken++
 	n.storage.continuations[n.storage.lastToken] = then
@@ -59,7 +60,7 @@
 	})
 }
 
-// persistHardState writes the hard state, and calls then, if given, once it is synced.
+// persistHardState writes the hard state, and calls then once it is synced, unless then is nil.
 func (n *Node) persistHardState(effects *statemachine.Effects, then continuation) {
 	written := n.hardState
 	n.write(effects, diskEntry{HardState: &written}, func(now time.Time, effects *statemachine.Effects) {
@@ -70,7 +71,7 @@
 	})
 }
 
-// persistState writes a state that was installed.
+// persistState writes an installed state.
 func (n *Node) persistState(state []byte, effects *statemachine.Effects) {
 	index := n.appliedIndex
 	n.storage.pendingStates++
@@ -80,8 +81,8 @@
 	})
 }
 
-// Synced is called by the owner once the write with this token is durable. Tokens that the
-// Node did not give, or that were reported before, are ignored.
+// Synced is called by the owner once the write with this token is durable. Unknown tokens, and
+// tokens that were reported before, are ignored.
 func (n *Node) Synced(now time.Time, token uint64, effects *statemachine.Effects) {
 	then, found := n.storage.continuations[token]
 	if !found {
@@ -94,7 +95,7 @@
 	n.compactLog(effects)
 }
 
-// logLimit is how many bytes of entries may follow the present snapshot.
+// logLimit returns how many bytes of entries may follow the newest snapshot.
 func (n *Node) logLimit() int {
 	if statemachine.Mutated("log-without-end") {
 		return 1 << 40
@@ -102,9 +103,9 @@
 	return max(minLogLimit, logLimitFactor*n.storage.snapshotBytes)
 }
 
-// compactLog writes a snapshot once the log is long enough. That may be at any moment
-// between two steps, also while a command is pending: the snapshot covers all entries that
-// were written before, including the pending command's.
+// compactLog writes a snapshot once the log exceeds its limit. That can happen between any two
+// steps, even while a command is pending: the snapshot replaces all entries that were written
+// before it, including that of the pending command.
 func (n *Node) compactLog(effects *statemachine.Effects) {
 	if n.storage.logBytes <= n.logLimit() {
 		return
@@ -125,8 +126,9 @@
 	})
 }
 
-// pendingEntry is the entry of the pending command, if it was written: a backup may have
-// it already, and this controller's disk counts as having it too.
+// pendingEntry returns the entry of the pending command if it was written, or nil. The snapshot
+// must include it, because a backup may have synced the command already and the command is
+// then committed on the assumption that it is on this controller's disk too.
 func (n *Node) pendingEntry() *diskEntry {
 	head, found := n.pendingProposal()
 	if !found || head.index != n.appliedIndex+1 || statemachine.Mutated("snapshot-without-pending") {
@@ -143,7 +145,7 @@
 	return snapshots
 }
 
-// restore takes over what the disk held: a snapshot, and the entries after it.
+// restore restores the state from a snapshot and the entries after it.
 func (n *Node) restore(snapshot []byte, entries [][]byte) error {
 	n.storage.snapshotBytes = len(snapshot)
 	if len(snapshot) > 0 {
--- a/internal/consensus/voters.go
+++ b/internal/consensus/voters.go
@@ -9,20 +9,22 @@
 )
 
 const (
-	// voterReplaceTimeout is how long a voter may grant nothing before it is replaced. It
-	// lets the backups be replaced first. With a takeover before it, a lost voter is
-	// replaced before a new machine counts as one that may be lost again.
+	// voterReplaceTimeout is how long a voter may grant no lease before it is replaced. It is
+	// long enough that a lost backup is first replaced as a backup. It is short enough that,
+	// even after a takeover, a lost voter is replaced before its new machine counts as available
+	// again and another loss has to be tolerated.
 	voterReplaceTimeout = failureTimeout + renewInterval
-	// successorTimeout is the same for a voter whose name a learner at another address has.
+	// successorTimeout is the same for a voter whose name is used by a learner at another
+	// address.
 	successorTimeout = time.Second
-	// voterChangeDelay is how long an epoch lasts at least before the voters are changed,
-	// and zoneBalanceDelay before a voter is replaced to balance the zones.
+	// voterChangeDelay is the minimum age of an epoch before the voters are changed, and
+	// zoneBalanceDelay before a voter is replaced to balance the zones.
 	voterChangeDelay = 500 * time.Millisecond
 	zoneBalanceDelay = 3 * time.Second
 	minVoters        = 3
 )
 
-// wantedVoters is how many voters there should be.
+// targetVoters returns how many voters there should be.
 func (n *Node) wantedVoters() int {
 	if n.settings.ClusterSize > 0 {
 		return n.settings.ClusterSize
@@ -30,25 +32,26 @@
 	return max(minVoters, 2*n.settings.Tolerance+1)
 }
 
-// mayShrinkVoters reports whether the voters are as safe with one fewer: an even number
-// survives the loss of no more voters than the odd number below it.
+// mayShrinkVoters reports whether removing one voter does not reduce the fault tolerance. An
+// even number of voters tolerates the loss of no more voters than the odd number below it.
 func mayShrinkVoters(record Record) bool {
 	return len(record.Voters)%2 == 0
 }
 
-// sinceLastGrant is how long a voter has granted the primary nothing.
+// sinceLastGrant returns how long a voter has not granted the primary a lease.
 func (n *Node) sinceLastGrant(now time.Time, name string) time.Duration {
 	return now.Sub(later(n.lease.lastGrant[name], n.lease.primarySince))
 }
 
-// reconcileVoters promotes one learner if there are too few voters, or in place of a voter
-// that is lost or leaves.
+// reconcileVoters changes the voters by at most one learner and one voter at a time: it promotes
+// a learner if there are too few voters, replaces a voter that is lost or leaves, or replaces
+// one to balance the zones.
 func (n *Node) reconcileVoters(now time.Time, effects *statemachine.Effects) {
 	if !n.mayChangeVoters() {
 		return
 	}
 	if n.acceptedNext() {
-		// A ballot that was begun is finished before anything else.
+		// An accepted record may be decided, so its ballot is completed before any other change.
 		next := n.hardState.Record
 		next.Epoch++
 		n.startBallot(now, next, effects)
@@ -62,7 +65,8 @@
 	}
 }
 
-// mayChangeVoters reports whether this primary has no other change in progress.
+// mayChangeVoters reports whether this controller is the primary and has no other
+// reconfiguration in progress.
 func (n *Node) mayChangeVoters() bool {
 	if !n.IsPrimary() || n.election.attempt != nil || n.reconfig.takingOver || n.reconfig.proposed ||
 		statemachine.Mutated("fixed-voters") {
@@ -76,7 +80,8 @@
 	return true
 }
 
-// nextVoters returns a record of the next epoch with one voter added, replaced or removed.
+// nextVoters returns a record for the next epoch with one voter added, replaced or removed, or
+// false if no change is needed or possible.
 func (n *Node) nextVoters(now time.Time) (Record, bool) {
 	next := n.hardState.Record
 	removed, removes := n.voterToRemove(now)
@@ -107,7 +112,8 @@
 	return next, true
 }
 
-// voterToRemove returns a voter that leaves or is lost. A backup is replaced as such first.
+// voterToRemove returns a voter that leaves or is lost. A voter that is a backup is replaced as a
+// backup first.
 func (n *Node) voterToRemove(now time.Time) (Controller, bool) {
 	record := n.hardState.Record
 	for _, voter := range record.Voters {
@@ -128,8 +134,8 @@
 	return Controller{}, false
 }
 
-// voterToRebalance returns a voter that makes room for a learner of another zone: its own
-// has two voters more. It holds no replica.
+// voterToRebalance returns a voter without a replica that can be replaced by a learner of
+// another zone, because its zone has at least two voters more than the learner's.
 func (n *Node) voterToRebalance(now time.Time) (Controller, bool) {
 	record := n.hardState.Record
 	if n.settings.ClusterSize > 0 || !n.Serving(now) || now.Sub(n.election.decidedAt) < zoneBalanceDelay {
@@ -150,8 +156,8 @@
 	return Controller{}, false
 }
 
-// learnerToPromote returns a learner that knows the present epoch, in the zone that has
-// the fewest of the voters that stay.
+// learnerToPromote returns a learner that knows the current epoch, from the zone that has the
+// fewest of the remaining voters.
 func (n *Node) learnerToPromote(now time.Time, voters []Controller) (Controller, bool) {
 	var best Controller
 	found, fewest := false, 0
@@ -179,8 +185,9 @@
 	})
 }
 
-// emitVotersChanged logs which voters were added and removed. It also forgets what is known of
-// the added ones from before: that they were leaving, and when they last granted the lease.
+// emitVotersChanged logs which voters were added and removed. For the added voters it also
+// deletes the announced departure and the time of the last grant, which date from before they
+// were added.
 func (n *Node) emitVotersChanged(earlier, record Record, effects *statemachine.Effects) {
 	var added, removed []string
 	for _, voter := range record.Voters {
--- a/internal/consensus/voters_test.go
+++ b/internal/consensus/voters_test.go
@@ -44,8 +44,9 @@
 	}
 }
 
-// TestFounderWithLostDiskFoundsNothing loses a founder's disk, sooner or later after the
-// founding, with and without Founding at the next start: it learns from the others.
+// TestFounderWithLostDiskDoesNotBootstrap wipes a founder's disk at different times during and
+// after the bootstrap, and restarts the founder with and without Bootstrap. The founder must
+// learn the existing cluster from the others instead of bootstrapping a second one.
 func TestFounderWithLostDiskFoundsNothing(t *testing.T) {
 	for _, founding := range []bool{false, true} {
 		for seed := range uint64(40) {
@@ -67,7 +68,7 @@
 	lost.wipe()
 	lost.founding = founding
 	if seed%2 == 0 {
-		// It hears nobody for a while.
+		// The founder is partitioned from the others for four seconds.
 		lost.partitioned = true
 		cluster.after(4*time.Second, func() { lost.partitioned = false })
 	}
@@ -80,8 +81,8 @@
 	assert.Equal(t, len(cluster.founded), 1)
 }
 
-// TestRestartedFoundersFound restarts the founders in the midst of the founding, without
-// Founding: they still found.
+// TestRestartedFoundersBootstrap restarts the founders without Bootstrap while they bootstrap the
+// cluster. They must still complete the bootstrap.
 func TestRestartedFoundersFound(t *testing.T) {
 	for seed := range uint64(12) {
 		cluster := newCluster(t, seed, 4, 3, 1)
@@ -98,7 +99,8 @@
 	}
 }
 
-// TestOnlyFoundersFound has nobody among the seeds have Founding set.
+// TestOnlyFoundersBootstrap sets Bootstrap only on controllers that are not seeds. No cluster may
+// be bootstrapped.
 func TestOnlyFoundersFound(t *testing.T) {
 	cluster := newCluster(t, 1, 5, 3, 1)
 	for number, controller := range cluster.controllers {
@@ -112,8 +114,8 @@
 	}
 }
 
-// TestLostControllerIsReplaced replaces a machine by an empty one at another address, which
-// must be a voter within the time that the platform allows for it.
+// TestLostControllerIsReplaced replaces a machine with an empty one at another address, which must
+// become a voter within newMachineDelay.
 func TestLostControllerIsReplaced(t *testing.T) {
 	for seed := range uint64(12) {
 		for _, role := range []string{"primary", "backup", "witness"} {
@@ -159,8 +161,8 @@
 	assert.Assert(t, len(cluster.committed) > before+25)
 }
 
-// TestNodeKeepsInvariantsUnderVoterChanges brings all faults at random to clusters that are
-// founded by seeds, with three and five voters, learners, lost disks and replaced machines.
+// TestNodeKeepsInvariantsUnderVoterChanges injects all faults at random into clusters that are
+// bootstrapped by seeds, with three and five voters, learners, lost disks and replaced machines.
 func TestNodeKeepsInvariantsUnderVoterChanges(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -195,7 +197,8 @@
 	cluster.until(15*time.Second, "all voters take part", func() bool { return cluster.hasVoters(2*tolerance + 1) })
 }
 
-// TestReplacedPeersAreForgotten has many controllers say hello once.
+// TestReplacedPeersExpire has many controllers send one Hello each. Their entries must expire,
+// or the table of peers would grow without bound.
 func TestReplacedPeersAreForgotten(t *testing.T) {
 	cluster := stableCluster(t, 1, 1)
 	primary := cluster.serving()
--- a/internal/consensus/world_test.go
+++ b/internal/consensus/world_test.go
@@ -1,9 +1,10 @@
 package consensus
 
-// A small world of nodes for exhaustive exploration: every order in which messages arrive
-// and writes are synced, with losses, repeats, processes that end with and without their
-// disks, and time that passes meanwhile. The default schedule takes the oldest item first,
-// and lets time pass once nothing is in flight; each deviation from it has a cost.
+// A small model of a cluster for exhaustive exploration of the orders in which messages are
+// delivered, writes are synced and timers expire, with lost and duplicated messages and with
+// processes that are restarted or lost, with or without their disks. The default schedule
+// processes the oldest item in flight first, and advances the time once nothing is in flight.
+// Each deviation from the default schedule has a cost.
 
 import (
 	"encoding/binary"
@@ -17,7 +18,7 @@
 	"dahlialock/internal/transport"
 )
 
-// faultBudget is how many of each event may still happen.
+// faultBudget is how many events of each type may still happen.
 type faultBudget struct {
 	submits int
 	losses  int
@@ -28,22 +29,22 @@
 	powers  int
 }
 
-// inFlight is a message that was not delivered yet, or a write that is not synced.
+// inFlight is a message that is not delivered yet, or a write that is not synced yet.
 type inFlight struct {
 	to      int
 	from    string
 	message any
 	packed  []byte
 	delayed bool
-	// ticks is for how many ticks it is still delayed.
+	// ticks is the number of ticks for which the item is still delayed.
 	ticks int
 	write *statemachine.Write
-	// cause is the message that led to the write: what is done once that is synced follows
-	// from both.
+	// cause is the message that caused the write. It is part of the fingerprint, since the
+	// continuation of the write depends on both.
 	cause []byte
 }
 
-// process is a node with its disk.
+// process is a node and its disk.
 type process struct {
 	world    *world
 	number   int
@@ -52,7 +53,7 @@
 	state    *appliedNumbers
 	snapshot []byte
 	entries  [][]byte
-	// disk is the fingerprint of what is on the disk.
+	// disk is the fingerprint of the contents of the disk.
 	disk        explore.Key
 	up          bool
 	removed     bool
@@ -74,13 +75,13 @@
 	broken    error
 	cause     []byte
 	moves     []move
-	// lost is how many were lost with their disks, at most as many as are tolerated;
-	// mayLose, if given, reports whether one may be lost in the present state.
+	// lost is how many processes were lost with their disks, at most as many as are tolerated.
+	// mayLose, if set, reports whether another one may be lost in the current state.
 	lost    int
 	mayLose func(w *world) bool
 }
 
-// move is what a choice does.
+// move is a choice of the exploration and its action.
 type move struct {
 	explore.Choice
 	do func()
@@ -116,7 +117,7 @@
 	for _, each := range w.processes {
 		each.start()
 	}
-	// All leases that were granted before the beginning have expired.
+	// Leases that were granted before the initial state have expired.
 	for _, each := range w.processes {
 		each.node.voter.uncertainUntil = w.now
 		each.node.lease.lastGrant = map[string]time.Time{}
@@ -128,7 +129,7 @@
 	return w
 }
 
-// runUntilServing runs the default schedule until somebody serves and nothing is in flight.
+// runUntilServing runs the default schedule until a process serves and nothing is in flight.
 func (w *world) runUntilServing() {
 	for range 400 {
 		if w.serving() != nil && len(w.items) == 0 {
@@ -170,8 +171,7 @@
 	p.step(func(now time.Time, effects *statemachine.Effects) { node.Start(now, effects) })
 }
 
-// end ends a process. What it wrote and was not synced is lost, and so is what is in flight
-// to it.
+// end ends a process. Its unsynced writes and the messages in flight to it are lost.
 func (p *process) end() {
 	p.up = false
 	p.world.items = slices.DeleteFunc(p.world.items, func(item *inFlight) bool { return item.to == p.number })
@@ -203,7 +203,8 @@
 	}
 }
 
-// decodedMessages caches decoded messages: an exploration meets the same ones again and again.
+// decodedMessages caches decoded messages, since an exploration decodes the same messages many
+// times.
 var decodedMessages = map[string]any{}
 
 func decoded(packed []byte) any {
@@ -241,7 +242,7 @@
 	to.step(func(now time.Time, effects *statemachine.Effects) { to.node.Synced(now, item.write.Token, effects) })
 }
 
-// tick lets time pass until the next timer of any process, which runs.
+// tick advances the time to the next timer of any process and runs it.
 func (w *world) tick() {
 	var next *process
 	for _, each := range w.processes {
@@ -265,7 +266,7 @@
 	next.step(func(now time.Time, effects *statemachine.Effects) { next.node.Tick(now, effects) })
 }
 
-// oldestItem is the oldest of what is in flight and not delayed, or nil.
+// oldestItem returns the oldest item that is in flight and not delayed, or nil.
 func (w *world) oldestItem() *inFlight {
 	for _, item := range w.items {
 		if !item.delayed {
@@ -312,7 +313,7 @@
 	w.moves = append(w.moves, move{Choice: explore.Choice{Label: label, Cost: cost}, do: do})
 }
 
-// Choices lists what may happen next.
+// Choices lists the possible next events.
 func (w *world) Choices() []explore.Choice {
 	w.moves = w.moves[:0]
 	first := w.oldestItem()
@@ -330,7 +331,7 @@
 	return choices
 }
 
-// addReorderings offers other orders of what is in flight.
+// addReorderings adds the choices that process items in flight in another order.
 func (w *world) addReorderings(first *inFlight) {
 	wrote := map[int]bool{}
 	for _, item := range w.items {
@@ -357,11 +358,12 @@
 	}
 }
 
-// delayTicks is for how many timers something may be delayed.
+// delayTicks is how many timers run before a delayed item is processed again.
 const delayTicks = 4
 
-// delay delays an item until some timers have run or, at a choice, until nothing else is
-// in flight; later writes of the same disk wait for it.
+// delay delays an item until delayTicks timers have run. The exploration may also choose to
+// process it once only delayed items are in flight. Later writes to the same disk are delayed
+// too.
 func (w *world) delay(item *inFlight) {
 	item.delayed, item.ticks = true, delayTicks
 	for _, other := range w.items {
@@ -389,7 +391,7 @@
 	}
 }
 
-// addLinkFaults offers that a message is lost or repeated.
+// addLinkFaults adds the choices in which the first message is lost or duplicated.
 func (w *world) addLinkFaults(first *inFlight) {
 	if w.remaining.losses > 0 {
 		w.addMove(1, func() string { return "lost: " + first.label(w) }, func() {
@@ -408,7 +410,8 @@
 	}
 }
 
-// addProcessFaults offers that a process ends, with or without its disk.
+// addProcessFaults adds the choices in which a process is restarted, with or without its disk, or
+// is lost.
 func (w *world) addProcessFaults(each *process, mayLose bool) {
 	if w.remaining.crashes > 0 {
 		w.addMove(1, func() string { return each.self.Name + " is restarted" }, func() {
@@ -441,7 +444,7 @@
 	}
 }
 
-// leave asks a process to leave; its machine goes with it, disk and all.
+// leave asks a process to leave. Once it has left, it is removed with its disk.
 func (p *process) leave() {
 	p.world.cause = []byte("leave")
 	p.step(func(now time.Time, effects *statemachine.Effects) { p.node.Leave(now, effects) })
@@ -454,7 +457,7 @@
 	p.start()
 }
 
-// losePower takes the power of all that run; what is on the links is lost.
+// losePower restarts all processes. All items in flight are lost.
 func (w *world) losePower() {
 	for _, each := range w.processes {
 		if each.up {
@@ -469,7 +472,7 @@
 	}
 }
 
-// Take lets one of the choices happen, and checks the invariants.
+// Take executes one of the choices and checks the invariants.
 func (w *world) Take(choice int) {
 	w.Choices()
 	w.moves[choice].do()
@@ -515,7 +518,7 @@
 
 var excludedFromKey = []reflect.Type{reflect.TypeFor[*world](), reflect.TypeFor[Settings]()}
 
-// Key is the fingerprint of the state.
+// Key returns the fingerprint of the state.
 func (w *world) Key() explore.Key {
 	parts := []any{w.remaining, w.lost, w.committed, w.next, w.now.Sub(w.begun) > newMachineDelay}
 	for _, each := range w.processes {
@@ -533,13 +536,13 @@
 	return explore.KeyOf(w.now, excludedFromKey, parts...)
 }
 
-// newMachineDelay is how long a new machine counts as lost.
+// newMachineDelay is how long a new machine counts as lost, so that no other may be lost.
 const newMachineDelay = 4100 * time.Millisecond
 
-// maxSteps is far above what twelve seconds take.
+// maxSteps is far above the number of steps that twelve seconds take.
 const maxSteps = 10000
 
-// Finish lets all that is in flight arrive, and then waits until somebody serves.
+// Finish delivers all items in flight and runs the default schedule until a process serves.
 func (w *world) Finish() error {
 	for _, item := range w.items {
 		item.delayed = false
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -1,18 +1,19 @@
-// Package membership holds what every daemon knows of the cluster: its members, the
-// placements of partitions, and which of the members monitor each other.
+// Package membership implements the cluster view of a daemon: the members of the cluster, the
+// placements of partitions, and the failure detection between members.
 //
-// The primary controller decides the view; each change of it has a rising index. The
-// messages by which daemons obtain the view and report what they observe stand in
-// messages.go. Three state machines use them:
+// The primary controller decides the view, and assigns a higher index to each change of it.
+// The messages with which daemons obtain the view and report failures are in messages.go.
+// The package has these parts:
 //
 //   - ViewClient keeps a daemon's copy of the view up to date by long polls of the
-//     primary controller. It never goes back to an older view.
-//   - FailureDetector sends heartbeats to the members that the Ring names as the
-//     daemon's watchers, and reports to the controllers which of the members that it
-//     watches itself have fallen silent. The controllers decide who is lost.
-//   - Ring derives the watchers of every member from the view alone, so that all
-//     daemons with the same view agree without talking to each other.
+//     primary controller. It never replaces a view with an older one.
+//   - FailureDetector sends heartbeats to the daemon's watchers, which the Ring determines,
+//     and reports to the controllers the members that the daemon watches and that have
+//     sent no heartbeat within their timeout. The controllers decide which members are lost.
+//   - Ring computes the watchers of every member from the view alone, so that all daemons
+//     with the same view agree without communication.
 //
-// The daemons' own machines (gateway, store, controller, agent) own these parts, pass
-// them their messages and call Tick.
+// ViewClient and FailureDetector are state machines without I/O. The state machines of the
+// daemons (gateway, store, controller, agent) own them, pass them their messages and call
+// Tick.
 package membership
--- a/internal/membership/failure_detector.go
+++ b/internal/membership/failure_detector.go
@@ -9,22 +9,23 @@
 
 // Intervals and timeouts of failure detection.
 const (
-	// HeartbeatInterval is the pause between a member's heartbeats; a resting gateway's
-	// is twice as long. SuspectTimeout is how long a member may be silent.
+	// HeartbeatInterval is the interval between a member's heartbeats; that of a resting gateway
+	// is twice as long. SuspectTimeout is how long a member may send no heartbeat before it is
+	// suspected.
 	HeartbeatInterval = 500 * time.Millisecond
 	SuspectTimeout    = 2 * time.Second
-	// Publications wait for stores, so the silence of a store is noticed sooner.
+	// Stores have shorter intervals and timeouts, because publications wait for stores.
 	StoreHeartbeatInterval = 200 * time.Millisecond
 	StoreSuspectTimeout    = 700 * time.Millisecond
-	// maxOwnPause is how much later than due a step of the detector may come without its
-	// timeouts being started anew (see stepInterval).
+	// maxOwnPause is how late a step of the detector may run before the detector restarts all
+	// timeouts (see stepInterval).
 	maxOwnPause = time.Second
-	// IsolationTimeout is how long a daemon may hear no other before it counts itself as
-	// isolated.
+	// IsolationTimeout is how long a daemon may receive no message from another daemon before it
+	// considers itself isolated.
 	IsolationTimeout = 2 * time.Second
 )
 
-// suspectTimeout returns how long a member may be silent before its watchers report it.
+// suspectTimeout returns how long a member may send no heartbeat before its watchers report it.
 func suspectTimeout(member Member) time.Duration {
 	switch {
 	case member.Kind == KindStore:
@@ -35,30 +36,31 @@
 	return SuspectTimeout
 }
 
-// detectorTimer names the timers of a FailureDetector.
+// detectorTimer identifies a timer of a FailureDetector.
 type detectorTimer int
 
 const timerStep detectorTimer = iota
 
-// FailureDetector is one daemon's part in failure detection. It sends heartbeats to the
-// members that the ring names as its watchers, and reports to the controllers those
-// members that it watches itself and no longer hears. It decides nothing. A detector
-// that was paused does not blame others for its own silence: after a long pause between
-// its own steps it starts all timeouts anew.
+// FailureDetector is the failure detector of one daemon. It sends heartbeats to the daemon's
+// watchers on the ring, and reports to the controllers the members that the daemon watches and
+// that have sent no heartbeat within their timeout. It does not decide whether a member is
+// lost. A process that was paused could not receive heartbeats, so the detector restarts all
+// timeouts after a long pause between its own steps.
 type FailureDetector struct {
 	self Member
-	// view and index are those of the newest SetView.
+	// view and index are the arguments of the last SetView.
 	view  map[string]Member
 	index uint64
-	// watchers are the addresses to which heartbeats go.
+	// watchers are the addresses to which heartbeats are sent.
 	watchers []string
-	// watched is when each watched member was heard last; suspected holds those that
-	// were logged as silent since then.
+	// watched is when the timeout of each watched member started, which is usually the arrival
+	// of its last heartbeat. suspected holds the watched members that were logged as suspected
+	// since then.
 	watched   map[string]time.Time
 	suspected map[string]bool
 	// watchesStore is set if any watched member is a store.
 	watchesStore bool
-	// heardAnyAt is when any other daemon was heard last.
+	// lastContact is when the last message from any other daemon arrived.
 	heardAnyAt      time.Time
 	lastStep        time.Time
 	heartbeatSentAt time.Time
@@ -66,7 +68,7 @@
 	timers          *statemachine.Timers[detectorTimer]
 }
 
-// NewFailureDetector returns the detector of a daemon, without a view.
+// NewFailureDetector returns the failure detector of a daemon. It has no view before SetView.
 func NewFailureDetector(self Member) *FailureDetector {
 	return &FailureDetector{
 		self:      self,
@@ -77,17 +79,17 @@
 	}
 }
 
-// Start sends the first heartbeat at the next Tick.
+// Start starts the timers. The first heartbeat is sent at the next Tick.
 func (d *FailureDetector) Start(now time.Time) {
 	d.lastStep, d.heardAnyAt = now, now
 	d.timers.Arm(timerStep, now)
 }
 
-// NextTick is when Tick is to be called next.
+// NextTick returns when Tick has to be called.
 func (d *FailureDetector) NextTick() time.Time { return d.timers.Next() }
 
-// SetResting chooses the slow heartbeats of a resting gateway. A resting gateway
-// watches nobody.
+// SetResting selects the longer heartbeat interval of a resting gateway. A resting gateway
+// reports no members.
 func (d *FailureDetector) SetResting(now time.Time, resting bool) {
 	if d.resting == resting {
 		return
@@ -96,8 +98,8 @@
 	d.timers.Arm(timerStep, now)
 }
 
-// SetView takes a new view. Members that stay watched keep their timeouts; those with a
-// new incarnation get new ones.
+// SetView applies a new view. Members that remain watched keep their timeouts, except that the
+// timeout of a member with a new incarnation is restarted.
 func (d *FailureDetector) SetView(now time.Time, view map[string]Member, index uint64) {
 	ring := NewRing(view)
 	d.watchers = nil
@@ -115,7 +117,8 @@
 			}
 			heard, found := d.watched[name]
 			if !found || d.view[name].Incarnation != member.Incarnation {
-				// A restarted process does not inherit the silence of the one before.
+				// The timeout of a restarted process does not include the silence of its previous
+				// incarnation.
 				heard = now
 				delete(d.suspected, name)
 			}
@@ -130,16 +133,17 @@
 	}
 }
 
-// ReceiveFromPeer is called for every message of another daemon, of whatever kind.
+// ReceiveFromPeer has to be called for every message from another daemon, of any type.
 func (d *FailureDetector) ReceiveFromPeer(now time.Time) { d.heardAnyAt = now }
 
-// Isolated reports whether this daemon has heard no other for IsolationTimeout.
+// Isolated reports whether this daemon has received no message from another daemon for
+// IsolationTimeout.
 func (d *FailureDetector) Isolated(now time.Time) bool {
 	return now.Sub(d.heardAnyAt) > IsolationTimeout
 }
 
-// ReceiveHeartbeat takes a heartbeat of a watched member, of whichever incarnation; those
-// of others are ignored.
+// ReceiveHeartbeat restarts the timeout of a watched member. The heartbeat may be of any
+// incarnation. Heartbeats of members that are not watched are ignored.
 func (d *FailureDetector) ReceiveHeartbeat(now time.Time, heartbeat Heartbeat) {
 	if _, found := d.watched[heartbeat.Name]; found {
 		d.watched[heartbeat.Name] = now
@@ -147,7 +151,7 @@
 	}
 }
 
-// Tick sends heartbeats and reports silent members when they are due.
+// Tick sends the heartbeats that are due and reports the members whose timeout has expired.
 func (d *FailureDetector) Tick(now time.Time, effects *statemachine.Effects) {
 	if len(d.timers.Expired(now)) > 0 {
 		d.step(now, effects)
@@ -170,7 +174,7 @@
 	}
 }
 
-// heartbeatInterval returns the pause between this daemon's heartbeats.
+// heartbeatInterval returns the interval between this daemon's heartbeats.
 func (d *FailureDetector) heartbeatInterval() time.Duration {
 	switch {
 	case d.self.Kind == KindStore:
@@ -181,9 +185,9 @@
 	return HeartbeatInterval
 }
 
-// stepInterval returns the pause between steps, and how much longer it may become before
-// this daemon counts as having been paused itself. A daemon that watches stores must
-// notice a short silence, so it must notice short pauses of its own, too.
+// stepInterval returns the interval between steps, and how late a step may run before this
+// daemon counts as having been paused. A daemon that watches stores detects a short silence, so
+// it must also detect short pauses of its own process.
 func (d *FailureDetector) stepInterval() (interval, maxPause time.Duration) {
 	if d.watchesStore && !d.resting {
 		return StoreHeartbeatInterval, StoreSuspectTimeout / 3
@@ -212,8 +216,8 @@
 	}
 }
 
-// silentMembers returns the watched members whose timeouts have passed, and logs each of
-// them once in each time of silence.
+// silentMembers returns the watched members whose timeout has expired, and logs each of them
+// once per period of silence.
 func (d *FailureDetector) silentMembers(now time.Time, effects *statemachine.Effects) []Suspect {
 	var silent []Suspect
 	for name, heardAt := range statemachine.Sorted(d.watched) {
--- a/internal/membership/failure_detector_test.go
+++ b/internal/membership/failure_detector_test.go
@@ -10,7 +10,7 @@
 )
 
 // newWatchingDetector returns a detector that watches one member of the given kind, named
-// "other", and the moment of its start.
+// "other", and the time at which the detector was started.
 func newWatchingDetector(kind string) (*FailureDetector, time.Time) {
 	now := time.Unix(1000, 0)
 	self := Member{Name: "gateway-1", Kind: KindGateway, Address: "a:1", Zone: "east", Alive: true, Incarnation: 1}
@@ -27,8 +27,8 @@
 	return detector, now
 }
 
-// suspectedAfter ticks the detector until it reports the member other and returns how long
-// that took; zero if it does not within the timeout. Before each tick it calls receive.
+// suspectedAfter ticks the detector until it reports the member "other", and returns how long
+// that took, or zero if it takes longer than the timeout. It calls receive before each tick.
 func suspectedAfter(
 	detector *FailureDetector,
 	from time.Time,
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -1,6 +1,6 @@
 package membership
 
-// Kinds of daemons.
+// The kinds of daemons.
 const (
 	KindGateway    = "gateway"
 	KindAgent      = "agent"
@@ -8,37 +8,39 @@
 	KindController = "controller"
 )
 
-// Member is one daemon as the cluster knows it. The primary controller owns the record;
-// daemons hold copies. Its JSON is part of what operators are given.
+// Member describes one daemon in the view. The primary controller owns the entry; daemons have
+// copies. Its JSON encoding is part of the answers to operators.
 type Member struct {
 	Name string `json:"name"`
 	// Kind is one of the Kind constants.
 	Kind string `json:"kind"`
-	// Address, Control and Caller are where links, operators and clients connect.
+	// Address, ControlAddress and ClientAddress are the addresses to which other daemons,
+	// operators and clients connect.
 	Address string `json:"address"`
 	Control string `json:"ctl"`
 	Caller  string `json:"caller,omitempty"`
 	// Zone is the failure domain.
 	Zone string `json:"zone"`
-	// Incarnation tells runs of the process apart; a later run has a higher one. Daemons
-	// take the time of their start. It is not the random statemachine.Incarnation, which
-	// names requests.
+	// Incarnation identifies a run of the process; a later run has a higher one. Daemons use
+	// the time of their start. It is distinct from the random statemachine.Incarnation, which
+	// is part of request IDs.
 	Incarnation uint64 `json:"incarnation"`
-	// Disk names the disk of a store or controller; a wiped one gets a new name.
+	// Disk is the ID of the disk of a store or controller. A wiped disk gets a new ID.
 	Disk  string `json:"disk,omitempty"`
 	Alive bool   `json:"alive"`
-	// Joined is the index of the control state at which this incarnation joined.
+	// Joined is the index of the control state at which this incarnation joined the cluster.
 	Joined uint64 `json:"joined"`
-	// Retiring stores are being emptied on an operator's request; Retired ones are empty.
+	// Retiring is set while the partitions of a store are moved away on an operator's request,
+	// and Retired once it has none left.
 	Retiring bool `json:"retiring,omitempty"`
 	Retired  bool `json:"retired,omitempty"`
-	// Resting gateways hold no sessions and do almost no work.
+	// Resting is set for a gateway that has no sessions and is idle.
 	Resting bool `json:"resting,omitempty"`
-	// Degraded stores are slow or reject writes; their partitions are given to
-	// others as long as there are enough.
+	// Degraded is set for a store that is slow or rejects writes. Its partitions are placed on
+	// other stores as long as there are enough of them.
 	Degraded bool `json:"degraded,omitempty"`
 }
 
-// ReplicaID names a store together with its disk, so that a store whose disk was wiped
-// does not count as a replica of what it lost.
+// ReplicaID identifies a store together with its disk, so that a store whose disk was wiped
+// does not count as a replica of the data that it lost.
 func (m Member) ReplicaID() string { return m.Name + "@" + m.Disk }
--- a/internal/membership/messages.go
+++ b/internal/membership/messages.go
@@ -8,56 +8,57 @@
 	"dahlialock/internal/transport"
 )
 
-// Load is what a daemon observes of itself. It is reported with every ViewRequest and
-// never stored. Counters run from the start of the process.
+// Load is a daemon's report about itself. It is sent with every ViewRequest and never stored.
+// Counters start at zero when the process starts.
 type Load struct {
 	_ struct{} `cbor:",toarray"`
-	// Sessions is how many client sessions are open, FreeCapacity how many more may be.
+	// Sessions is the number of open client sessions, and FreeCapacity the number of sessions
+	// that can still be opened.
 	Sessions     int `json:"Origins"`
 	FreeCapacity int `json:"Room"`
-	// Requests counts the requests of clients, Delivered the messages given to them.
+	// Requests counts the requests of clients, and Delivered the messages delivered to them.
 	Requests  uint64 `json:"Requests"`
 	Delivered uint64 `json:"Delivered"`
-	// Copies counts the messages that other gateways forwarded to this one.
+	// ForwardedMessages counts the messages that other gateways forwarded to this one.
 	Copies uint64 `json:"Copies"`
-	// Processor is the processor time used.
+	// ProcessorTime is the processor time that the process has used.
 	Processor time.Duration `json:"Processor"`
 	Ready     bool          `json:"Ready"`
 	Resting   bool          `json:"Resting"`
-	// Partitions is not filled in any more; it keeps its position in the message.
+	// Partitions is unused. It is kept because the message is encoded as an array.
 	Partitions []string `json:"Partitions"`
-	// Delays are observed round trips to other daemons, by name.
+	// RoundTripTimes are the measured round-trip times to other daemons, by name.
 	Delays map[string]time.Duration `json:"Delays"`
 }
 
-// ViewRequest is a long poll: a daemon asks the primary for what is newer than what
-// it has. The response comes as soon as there is something newer, at the latest after
-// LongPollTimeout.
+// ViewRequest is a long poll: a daemon requests everything that is newer than its copy of the
+// view and of the configuration. The primary responds as soon as there is something newer, and
+// after LongPollTimeout at the latest.
 type ViewRequest struct {
 	_    struct{} `cbor:",toarray"`
 	Self Member
 	// Nonce numbers the requests of one incarnation.
 	Nonce uint64
-	// Index and Version are of the view and of the configuration that the daemon has.
+	// Index is the index of the daemon's view, and Version the version of its configuration.
 	Index   uint64
 	Version uint64
 	Load    Load
-	// LowPriority asks for the longer LowPriorityLongPollTimeout.
+	// LowPriority requests the longer LowPriorityLongPollTimeout.
 	LowPriority bool
-	// Urgent asks for a response at once, whether or not there is something newer: the
-	// daemon looks for the primary, or a request waits for the newest state.
+	// Urgent requests an immediate response, whether or not there is something newer. It is set
+	// while the daemon searches for the primary, or if a request waits for the newest state.
 	Urgent bool
-	// Epoch is that of the controllers from which the daemon has its view.
+	// Epoch is the epoch of the controllers in which the daemon's view was sent.
 	Epoch uint64
-	// LastAnswered is the newest nonce to which the daemon got a response.
+	// LastAnswered is the newest nonce to which the daemon received a response.
 	LastAnswered uint64
 }
 
-// ViewUpdate is the response to a ViewRequest. It holds what changed after the index
-// Since, or the complete view if Since is zero.
+// ViewUpdate is the response to a ViewRequest. It contains the changes after the index Since,
+// or the complete view if Since is zero.
 type ViewUpdate struct {
 	_ struct{} `cbor:",toarray"`
-	// Recipient is the name of the daemon that asked: an agent relays for its gateway.
+	// Recipient is the name of the requesting daemon. An agent relays updates to its gateway.
 	Recipient string
 	Nonce     uint64
 	Epoch     uint64
@@ -65,35 +66,38 @@
 	Primary string
 	Index   uint64
 	Version uint64
-	// Document is the configuration, if the recipient's is older.
+	// Document is the configuration if the recipient's is older, or nil.
 	Document []byte
-	// Changed is set if the view fields below are to be applied.
+	// Changed is set if the view fields apply: Since, Members, Placements, SpaceCreatedAt and
+	// RemovedMembers.
 	Changed    bool
 	Since      uint64
 	Members    []Member
 	Placements []Placement
-	// SpaceCreatedAt gives the index at which each space was created; nil if unchanged.
+	// SpaceCreatedAt is the index at which each space was created, or nil if it is unchanged.
 	SpaceCreatedAt map[string]uint64
 	Directives     Directives
-	// RemovedMembers are members that were lost long ago and left the view.
+	// RemovedMembers are the names of members that were lost long ago and removed from the view.
 	RemovedMembers []string
 }
 
-// Directives are what the controller asks of one gateway in order to consolidate
-// sessions on few gateways or to balance them.
+// Directives are a controller's instructions to one gateway. They consolidate the sessions on
+// few gateways or balance them.
 type Directives struct {
 	_ struct{} `cbor:",toarray"`
-	// Rest lets an empty gateway rest; Drain empties it first.
+	// Rest lets a gateway without sessions become idle. Drain makes a gateway move all its
+	// sessions to others first.
 	Rest  bool `json:"Rest"`
 	Drain bool `json:"Empty"`
-	// KeepSessions, if above zero, asks it to move its sessions beyond that number.
+	// KeepSessions, if above zero, is the number of sessions above which the gateway moves its
+	// sessions to others.
 	KeepSessions   int `json:"Keep"`
 	MovesPerSecond int `json:"Pace"`
 	// Targets are the gateways to move sessions to.
 	Targets []string `json:"Targets"`
 }
 
-// Equal reports whether two directives ask the same.
+// Equal reports whether two directives are the same.
 func (d Directives) Equal(other Directives) bool {
 	return d.Rest == other.Rest &&
 		d.Drain == other.Drain &&
@@ -108,29 +112,29 @@
 	Recipient string
 	Nonce     uint64
 	Epoch     uint64
-	// Primary is the primary's address as far as the sender knows, or empty.
+	// Primary is the address of the primary that the sender knows, or empty.
 	Primary string
 	// Controllers are the addresses of all controllers that the sender knows.
 	Controllers []string
 }
 
-// Heartbeat goes to a member's watchers.
+// Heartbeat is sent by a member to its watchers.
 type Heartbeat struct {
 	_           struct{} `cbor:",toarray"`
 	Name        string
 	Incarnation uint64
-	// Index is that of the sender's view.
+	// Index is the index of the sender's view.
 	Index uint64
 }
 
-// Suspicion reports to the controllers the members that a watcher no longer hears.
+// Suspicion reports to the controllers the members from which a watcher receives no heartbeats.
 type Suspicion struct {
 	_        struct{} `cbor:",toarray"`
 	Reporter string
 	Silent   []Suspect
 }
 
-// Suspect is one silent member.
+// Suspect is one member that sends no heartbeats.
 type Suspect struct {
 	_           struct{} `cbor:",toarray"`
 	Name        string
@@ -138,14 +142,14 @@
 	SilentFor   time.Duration
 }
 
-// ConfigurationRequest asks any daemon for a configuration newer than Version.
+// ConfigurationRequest requests a configuration newer than Version from any daemon.
 type ConfigurationRequest struct {
 	_       struct{} `cbor:",toarray"`
 	Version uint64
 }
 
-// ConfigurationResponse holds a configuration newer than the requester's. A daemon
-// that has none does not respond.
+// ConfigurationResponse contains a configuration newer than the requester's. A daemon that has
+// no newer one does not respond.
 type ConfigurationResponse struct {
 	_              struct{} `cbor:",toarray"`
 	Version        uint64
@@ -153,30 +157,32 @@
 	SpaceCreatedAt map[string]uint64
 }
 
-// GracefulLeave comes from a daemon that stops on purpose. It goes to the controllers, and
-// from a gateway to its agent, too.
+// GracefulLeave announces that its sender stops on purpose. A daemon sends it to the
+// controllers, and a gateway also to its agent.
 type GracefulLeave struct {
 	_           struct{} `cbor:",toarray"`
 	Name        string
 	Incarnation uint64
 }
 
-// PartitionReplicated comes from a leader whose followers have everything that it has.
+// PartitionReplicated is sent by the leader of a partition once its followers have every record
+// that it has.
 type PartitionReplicated struct {
 	Partition string `cbor:"Partition"`
 	Epoch     uint64 `cbor:"Epoch"`
-	// Replicas are the in-sync replicas (see Member.ReplicaID), the leader's among them.
+	// Replicas are the in-sync replicas, including the leader's (see Member.ReplicaID).
 	Replicas []string `cbor:"Holders"`
 }
 
-// SlowDiskReport comes from a store that sees another store's disk, or its own, take
-// far longer than it should, or reject writes.
+// SlowDiskReport is sent by a store that finds its own disk or another store's much too slow, or
+// finds that the disk rejects writes.
 type SlowDiskReport struct {
 	Reporter    string        `cbor:"Reporter"`
 	Name        string        `cbor:"Name"`
 	Incarnation uint64        `cbor:"Incarnation"`
 	Delay       time.Duration `cbor:"Delay"`
-	// Measured is set if the disk itself was timed; otherwise the link may be at fault.
+	// Measured is set if the delay of the disk itself was measured. Otherwise the link may be
+	// the cause.
 	Measured bool `cbor:"Sure"`
 }
 
@@ -184,25 +190,26 @@
 type ControlRequest struct {
 	// Request identifies the request between two daemons.
 	Request statemachine.RequestID `cbor:"Request"`
-	// Order identifies it on its whole way, and is given by the daemon that the operator
-	// asked. By it the primary recognizes a request that arrives by more than one path.
+	// OriginalRequest identifies the operator's request end to end. It is assigned by the
+	// daemon that received the request from the operator. The primary uses it to recognize a
+	// request that arrives by more than one path.
 	Order  statemachine.RequestID `cbor:"Order"`
 	Method string                 `cbor:"Method"`
 	Path   string                 `cbor:"Path"`
 	Body   []byte                 `cbor:"Body"`
-	// Relayed is set on a request that goes to a relay (see package controlclient), which
-	// forwards it to controllers only.
+	// Relayed is set on a request to a relay (see package controlclient), which forwards the
+	// request to controllers only.
 	Relayed bool `cbor:"Relayed"`
 }
 
 // ControlResponse is the response to a ControlRequest.
 type ControlResponse struct {
 	Request statemachine.RequestID `cbor:"Request"`
-	// Status is an HTTP status.
+	// Status is an HTTP status code.
 	Status     int           `cbor:"Status"`
 	Body       []byte        `cbor:"Body"`
 	RetryAfter time.Duration `cbor:"RetryAfter"`
-	// Redirect is the address of the primary, if the sender knows a better one.
+	// Redirect is the address of the primary if the sender is not the primary and knows it.
 	Redirect string `cbor:"Redirect"`
 }
 
--- a/internal/membership/placement.go
+++ b/internal/membership/placement.go
@@ -5,20 +5,20 @@
 	"slices"
 )
 
-// Placement is the assignment of one partition to stores in one of its epochs.
+// Placement is the assignment of one partition to stores in one epoch of the partition.
 type Placement struct {
 	Partition string   `json:"partition"`
 	Epoch     uint64   `json:"epoch"`
 	Leader    string   `json:"first"`
 	Followers []string `json:"followers"`
-	// Complete is set once all followers have everything that the leader has.
+	// Complete is set once all followers have every record that the leader has.
 	Complete bool `json:"complete"`
-	// InSync lists the replicas (see Member.ReplicaID) that hold every accepted record.
+	// InSync lists the replicas that have every acknowledged record (see Member.ReplicaID).
 	InSync []string `json:"safe"`
 }
 
-// MarshalJSON adds the first of the followers under a key of its own, as operators
-// were given it when a partition had a single follower.
+// MarshalJSON adds the first follower under the separate key "follower". Operators' tools use
+// that key from the time when a partition had a single follower.
 func (p Placement) MarshalJSON() ([]byte, error) {
 	type plain Placement
 	follower := ""
--- a/internal/membership/ring.go
+++ b/internal/membership/ring.go
@@ -8,11 +8,11 @@
 	"dahlialock/internal/statemachine"
 )
 
-// Watchers is how many members monitor each member.
+// Watchers is the number of members that monitor each member.
 const Watchers = 3
 
-// ringPosition spreads names evenly over the ring: FNV alone leaves similar names
-// close together.
+// ringPosition returns the position of a name on the ring. The hash is mixed further, since FNV
+// alone places similar names close together.
 func ringPosition(name string) uint64 {
 	sum := fnv.New64a()
 	_, _ = sum.Write([]byte(name))
@@ -23,13 +23,13 @@
 	return mixed
 }
 
-// Ring orders the live members by the hash of their names.
+// Ring is the list of live members, ordered by the hashes of their names.
 type Ring struct {
 	members []Member
 }
 
-// NewRing returns the ring of a view. Agents are not on it, and neither are resting
-// gateways, which are to do almost no work.
+// NewRing returns the ring of a view. It excludes agents, and resting gateways, which should
+// remain idle.
 func NewRing(members map[string]Member) Ring {
 	var ring Ring
 	for _, member := range statemachine.Sorted(members) {
@@ -50,8 +50,8 @@
 	return ring
 }
 
-// WatchersOf returns the members that monitor one: those that follow it on the ring,
-// at least one of them in another zone where there is any.
+// WatchersOf returns the members that monitor a member. They are the members that follow it on
+// the ring, except that not all of them are in one zone if there is a member in another.
 func (r Ring) WatchersOf(watched Member) []Member {
 	position := ringPosition(watched.Name)
 	start, _ := slices.BinarySearchFunc(r.members, position, func(member Member, position uint64) int {
@@ -60,8 +60,8 @@
 		}
 		return 1
 	})
-	// A new view asks for the watchers of every member, so the walk ends as soon as
-	// enough are found. Members skipped for their zone fill up what is missing.
+	// A new view computes the watchers of every member, so the search stops as soon as there
+	// are enough. Members that were skipped because of their zone are used if there are too few.
 	chosen := make([]Member, 0, Watchers)
 	skipped := make([]Member, 0, Watchers)
 	zones := map[string]int{}
--- a/internal/membership/ring_bench_test.go
+++ b/internal/membership/ring_bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// BenchmarkSetView measures a new view, for which the watchers of every member are computed.
+// BenchmarkSetView measures SetView, which computes the watchers of every member.
 func BenchmarkSetView(b *testing.B) {
 	for _, size := range []int{100, 1000, 4300} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
