--- a/internal/membership/view_client.go
+++ b/internal/membership/view_client.go
@@ -10,88 +10,94 @@
 
 // Timeouts and intervals of the long polls.
 const (
-	// LongPollTimeout is how long the primary holds a request that has nothing newer to
-	// answer; LowPriorityLongPollTimeout applies to requests marked LowPriority.
+	// LongPollTimeout is how long the primary delays its response while there is nothing newer.
+	// LowPriorityLongPollTimeout applies to requests with LowPriority set.
 	LongPollTimeout            = 600 * time.Millisecond
 	LowPriorityLongPollTimeout = 1500 * time.Millisecond
-	// responseTimeout is how long a client waits for the response before it searches
-	// for the primary.
+	// responseTimeout is how long a client waits for the response before it searches for the
+	// primary.
 	responseTimeout            = LongPollTimeout + 300*time.Millisecond
 	lowPriorityResponseTimeout = LowPriorityLongPollTimeout + 300*time.Millisecond
-	// searchInterval is the pause between the first quickSearches searches. Later ones
-	// pause longer, since each response takes up part of a link, which may be why none
-	// arrived.
+	// searchInterval is the interval between the first quickSearches searches for the primary.
+	// Later searches use slowSearchInterval, since the responses to many searches may overload
+	// a link, which may be the reason why no response has arrived.
 	searchInterval     = 300 * time.Millisecond
 	quickSearches      = 4
 	slowSearchInterval = 900 * time.Millisecond
-	// minPollInterval bounds how often PollNow has an effect.
+	// minPollInterval is the minimum interval between a pending request and one that PollNow
+	// sends.
 	minPollInterval = 50 * time.Millisecond
-	// maxOutstanding bounds the requests whose responses still count.
+	// maxOutstanding is the maximum number of requests whose responses still count.
 	maxOutstanding = 16
-	// MaxFirstViewAge is how old the request may be whose response brings the first view.
+	// MaxFirstViewAge is the maximum age of a request whose response is accepted as the first
+	// view.
 	MaxFirstViewAge = time.Second
-	// ConfirmationTimeout is how long after a request was sent its response confirms that
-	// the configuration is the newest.
+	// ConfirmationTimeout is how long, measured from when a request was sent, its response
+	// confirms that the configuration is the newest.
 	ConfirmationTimeout = 2500 * time.Millisecond
 )
 
-// viewTimer names the timers of a ViewClient.
+// viewTimer identifies a timer of a ViewClient.
 type viewTimer int
 
-// The timers, in the order in which they expire at the same moment.
+// Of timers that expire at the same moment, the first one runs first.
 const (
 	timerPoll viewTimer = iota
 	timerResponse
 )
 
 // ViewClient keeps a daemon's copy of the view and the configuration up to date. It is
-// a state machine: its owner passes it ViewUpdates and Redirects and calls Tick. It
-// begins at the seeds, learns the controllers from redirects and from the view, and
-// asks all of them while the primary does not respond. It never takes a state older
-// than what it has.
+// a state machine: its owner passes it ViewUpdates and Redirects and calls Tick. It first
+// sends requests to the seeds, learns the addresses of the controllers from redirects and from
+// the view, and sends requests to all of them while the primary does not respond. It never
+// replaces its state with an older one.
 type ViewClient struct {
 	self Member
-	// seeds are the addresses to begin at; controllers those of the controllers known.
+	// seeds are the initial addresses, and controllers those of the known controllers.
 	seeds          []string
 	controllers    []string
 	nextController int
 	// primary is the address of the primary, empty if unknown.
 	primary string
-	// nonce is that of the newest request, lastAnswered the newest that was answered.
+	// nonce is the nonce of the newest request, and lastAnswered the newest nonce to which a
+	// response arrived.
 	nonce        uint64
 	lastAnswered uint64
-	// polledAt is when the newest request was sent; waiting is set until its response.
+	// polledAt is when the newest request was sent, and waiting is set until its response
+	// arrives.
 	polledAt time.Time
 	waiting  bool
-	// outstanding are the newest requests, oldest first, at most maxOutstanding.
+	// outstanding are the newest requests, at most maxOutstanding, ordered by age with the
+	// oldest first.
 	outstanding []viewRequest
-	// searching is set while the primary does not respond; searches counts the polls
+	// searching is set while the primary does not respond, and searches counts the requests
 	// since then.
 	searching bool
 	searches  int
-	// lowPriority asks for longer polls, urgent for an immediate response.
+	// lowPriority requests longer polls, and urgent an immediate response.
 	lowPriority bool
 	urgent      bool
-	// pinned restricts polls to the first seed.
+	// pinned restricts requests to the first seed.
 	pinned bool
 	load   func() Load
 	timers *statemachine.Timers[viewTimer]
 
-	// Index, Epoch and Version are those of the view, of the controllers that gave it
-	// and of the configuration. They never decrease. Index is zero without a view.
+	// Index is the index of the view, Epoch the epoch of the controllers in which it was sent,
+	// and Version the version of the configuration. They never decrease. Index is zero if there
+	// is no view yet.
 	Index   uint64
 	Version uint64
 	Epoch   uint64
-	// Document is the configuration of that Version as the operator sent it.
+	// Document is the configuration as the operator sent it.
 	Document []byte
 	// SpaceCreatedAt is the index at which each space, by name, was created.
 	SpaceCreatedAt map[string]uint64
-	// Members and Placements are the view. They are replaced, never changed in place.
+	// Members and Placements are the view. The maps are replaced and never modified in place.
 	Members    map[string]Member
 	Placements map[string]Placement
 	Directives Directives
-	// ConfirmedAt is when the newest answered request was sent: at that moment the view
-	// and the configuration were the newest.
+	// ConfirmedAt is when the newest request that has a response was sent: the view and the
+	// configuration were the newest at that time.
 	ConfirmedAt time.Time
 }
 
@@ -101,8 +107,8 @@
 	sentAt time.Time
 }
 
-// NewViewClient returns a client that asks the given seeds first. The load function is
-// called for every request.
+// NewViewClient returns a client that sends its first requests to the given seeds. The load
+// function is called for every request.
 func NewViewClient(
 	self Member,
 	incarnation statemachine.Incarnation,
@@ -122,19 +128,20 @@
 	}
 }
 
-// Start sends the first request at the next Tick.
+// Start starts the timers. The first request is sent at the next Tick.
 func (c *ViewClient) Start(now time.Time) { c.timers.Arm(timerPoll, now) }
 
-// NextTick is when Tick is to be called next.
+// NextTick returns when Tick has to be called.
 func (c *ViewClient) NextTick() time.Time { return c.timers.Next() }
 
-// PinToFirstSeed restricts the client to its first seed: a gateway asks its agent only.
+// PinToFirstSeed restricts the client to its first seed. A gateway uses it to send requests to
+// its agent only.
 func (c *ViewClient) PinToFirstSeed() { c.pinned = true }
 
 // Primary returns the primary's address, or an empty string if it is unknown.
 func (c *ViewClient) Primary() string { return c.primary }
 
-// Upstream returns the address to which a request goes first; empty if none is known.
+// Upstream returns the preferred address for a request, or an empty string if none is known.
 func (c *ViewClient) Upstream() string {
 	if c.pinned {
 		return c.seeds[0]
@@ -148,7 +155,7 @@
 	return c.controllers[c.nextController%len(c.controllers)]
 }
 
-// SetLowPriority chooses between long and short polls; a resting gateway takes long ones.
+// SetLowPriority selects between long and short polls. A resting gateway uses long polls.
 func (c *ViewClient) SetLowPriority(now time.Time, lowPriority bool) {
 	if c.lowPriority != lowPriority {
 		c.lowPriority = lowPriority
@@ -156,8 +163,8 @@
 	}
 }
 
-// PollNow sends a request at the next Tick and asks for an immediate response, unless one
-// was sent just now.
+// PollNow sends a request for an immediate response at the next Tick, unless the client waits
+// for the response to a request that was sent less than minPollInterval ago.
 func (c *ViewClient) PollNow(now time.Time) {
 	if c.waiting && now.Sub(c.polledAt) < minPollInterval {
 		return
@@ -192,8 +199,8 @@
 	}
 }
 
-// requestTimeout returns how long to wait for the response to a request that is sent now
-// before another is sent. It counts searches.
+// requestTimeout returns how long to wait for the response to a request that is sent now before
+// another one is sent. While the client searches for the primary, it also counts the search.
 func (c *ViewClient) requestTimeout() time.Duration {
 	if c.searching {
 		c.searches++
@@ -205,7 +212,8 @@
 	return c.responseTimeout()
 }
 
-// responseTimeout returns how long a response may take while the primary is known.
+// responseTimeout returns how long a response may take while the client does not search for the
+// primary.
 func (c *ViewClient) responseTimeout() time.Duration {
 	if c.lowPriority {
 		return lowPriorityResponseTimeout
@@ -213,9 +221,9 @@
 	return responseTimeout
 }
 
-// recordRequest remembers a request, so that its response counts although a later
-// request was sent: on a full link responses take longer than the pause between
-// requests, and a client that accepted the newest response only would never get one.
+// recordRequest records a request, so that its response counts even after a later request was
+// sent. On a congested link responses take longer than the interval between requests, and a
+// client that accepted only the response to the newest request would never accept one.
 func (c *ViewClient) recordRequest(request viewRequest) {
 	if len(c.outstanding) == maxOutstanding {
 		c.outstanding = slices.Delete(c.outstanding, 0, 1)
@@ -223,8 +231,8 @@
 	c.outstanding = append(c.outstanding, request)
 }
 
-// requestedAt returns when the request was sent to which an update responds; false if
-// no outstanding request has its nonce.
+// requestedAt returns when the request of an update was sent, or false if no outstanding
+// request has the nonce of the update.
 func (c *ViewClient) requestedAt(update ViewUpdate) (time.Time, bool) {
 	for _, request := range c.outstanding {
 		if request.nonce != update.Nonce {
@@ -237,10 +245,11 @@
 	return time.Time{}, false
 }
 
-// maxFirstViewAge returns how old the request may be whose response brings the first
-// view. What a gateway may do with a view depends on when it asked, and an agent does
-// nothing with it; there are many of both, behind thin links, on which a complete view
-// takes long.
+// maxFirstViewAge returns the maximum age of a request whose response is accepted as the first
+// view. Gateways and agents accept older ones: there are many of them behind links with a low
+// bandwidth, on which the transfer of a complete view takes long. That is safe, because what a
+// gateway may do with a view depends on when it requested the view, and an agent does not act
+// on it.
 func (c *ViewClient) maxFirstViewAge() time.Duration {
 	if (c.self.Kind == KindGateway || c.self.Kind == KindAgent) && !statemachine.Mutated("late-answers-unheard") {
 		return ConfirmationTimeout
@@ -248,9 +257,9 @@
 	return MaxFirstViewAge
 }
 
-// recordResponse ends the search for the primary. The response to the newest request
-// lets the next one go out; one to an earlier request shows that responses take long,
-// and gives the newest request its full time.
+// recordResponse ends the search for the primary. After the response to the newest request, the
+// next request is sent at once. The response to an earlier request shows that responses are
+// slow, so the newest request gets the full response timeout.
 func (c *ViewClient) recordResponse(now time.Time, nonce uint64) {
 	wasSearching := c.searching
 	c.searching, c.searches = false, 0
@@ -277,8 +286,8 @@
 	})
 }
 
-// Upstreams returns the addresses to which a request goes: the primary or, while the
-// client searches for it, all known controllers and the seeds.
+// Upstreams returns the addresses to which a request is sent: the primary or, while the client
+// searches for the primary, all known controllers and the seeds.
 func (c *ViewClient) Upstreams() []string {
 	if c.pinned {
 		return c.seeds[:1]
@@ -295,9 +304,9 @@
 	return addresses
 }
 
-// HandleRedirect takes the response of a controller that is not the primary. If it names
-// a primary that was not asked yet, the request goes there at once. Redirects that
-// arrive after the primary's own response are ignored.
+// HandleRedirect handles the response of a controller that is not the primary. If the redirect
+// contains a primary to which the request was not sent yet, the request is sent there at once.
+// Redirects that arrive after the primary's response are ignored.
 func (c *ViewClient) HandleRedirect(now time.Time, redirect Redirect, effects *statemachine.Effects) {
 	if redirect.Nonce != c.nonce || !c.waiting {
 		return
@@ -324,17 +333,17 @@
 	}
 }
 
-// UpdateResult reports what an update changed.
+// UpdateResult describes the effect of an update.
 type UpdateResult struct {
-	// Answered is set if it was the response to a request of this client.
+	// Answered is set if the update was the response to an outstanding request of this client.
 	Answered bool
-	// View and Document are set if the view or the configuration is newer now.
+	// View is set if the update changed the view, and Document if it changed the configuration.
 	View     bool
 	Document bool
 }
 
-// HandleUpdate applies an update unless it is older than what the client has. The first
-// view is taken only from the response to a request that is not too old.
+// HandleUpdate applies an update unless it is older than the client's state. The first view is
+// accepted only in the response to a request that is not older than maxFirstViewAge.
 func (c *ViewClient) HandleUpdate(now time.Time, update ViewUpdate) UpdateResult {
 	if update.Nonce <= c.nonce {
 		c.lastAnswered = max(c.lastAnswered, update.Nonce)
@@ -368,12 +377,12 @@
 	return result
 }
 
-// isStale reports whether an update comes from an older state than the client has.
+// isStale reports whether an update is older than the client's state.
 func (c *ViewClient) isStale(update ViewUpdate) bool {
 	return update.Epoch < c.Epoch || update.Index < c.Index || update.Version < c.Version
 }
 
-// applyView replaces the view, or the part of it that changed.
+// applyView replaces the view, or applies the changes to it if the update is incremental.
 func (c *ViewClient) applyView(update ViewUpdate) {
 	c.Index = update.Index
 	if update.Since == 0 || update.SpaceCreatedAt != nil {
@@ -404,8 +413,9 @@
 	}
 }
 
-// AdoptConfiguration takes a newer configuration from a daemon that had it sooner, and
-// reports whether it did: not if it is no newer, or there is no view yet.
+// AdoptConfiguration applies a newer configuration that was received from another daemon, and
+// reports whether it was applied. It is not applied if it is not newer than the client's, or if
+// there is no view yet.
 func (c *ViewClient) AdoptConfiguration(version uint64, document []byte, spaceCreatedAt map[string]uint64) bool {
 	if version <= c.Version || c.Index == 0 {
 		return false
@@ -414,7 +424,7 @@
 	return true
 }
 
-// NextController returns the address of another controller than the one asked last.
+// NextController advances to the next known controller and returns its address.
 func (c *ViewClient) NextController() string {
 	if len(c.controllers) == 0 {
 		return c.Upstream()
@@ -423,8 +433,8 @@
 	return c.controllers[c.nextController%len(c.controllers)]
 }
 
-// Relays returns the addresses of live agents, which forward operators' requests: they
-// may reach a controller that this daemon cannot.
+// Relays returns the addresses of live agents. Agents forward operators' requests, and may
+// reach a controller that this daemon cannot reach.
 func (c *ViewClient) Relays() []string {
 	var addresses []string
 	for _, member := range statemachine.Sorted(c.Members) {
@@ -435,8 +445,8 @@
 	return addresses
 }
 
-// RespondToConfigurationRequest sends the configuration to a daemon that has an older one,
-// and nothing to any other.
+// RespondToConfigurationRequest sends the configuration to the requester if its version is
+// older. Otherwise it sends nothing.
 func (c *ViewClient) RespondToConfigurationRequest(
 	to string,
 	request ConfigurationRequest,
--- a/internal/membership/view_client_test.go
+++ b/internal/membership/view_client_test.go
@@ -9,8 +9,9 @@
 	"dahlialock/internal/statemachine"
 )
 
-// A client that lost contact with the primary finds it again, although the primary holds
-// requests for which it has nothing newer.
+// A client that lost contact with the primary must find it again, although the primary delays
+// its responses while it has nothing newer. It does so because the requests of a search are
+// urgent.
 func TestViewClientFindsPrimaryThatHasNothingNewer(t *testing.T) {
 	now := time.Unix(1000, 0)
 	client := NewViewClient(Member{Name: "gateway-1"}, 0, []string{"controller"}, func() Load { return Load{} })
@@ -18,8 +19,8 @@
 	respond := func(request ViewRequest) {
 		client.HandleUpdate(now, ViewUpdate{Nonce: request.Nonce, Epoch: 1, Primary: "controller", Index: 1, Changed: true})
 	}
-	// The primary holds a request for LongPollTimeout unless it is urgent; for three
-	// seconds it does not respond at all.
+	// The primary delays the response to a request that is not urgent by LongPollTimeout. For
+	// three seconds it does not respond at all.
 	type pendingPoll struct {
 		request ViewRequest
 		at      time.Time
@@ -53,9 +54,9 @@
 	assert.Assert(t, now.Sub(client.ConfirmedAt) < 2*LongPollTimeout, "confirmed %s ago", now.Sub(client.ConfirmedAt))
 }
 
-// runWithSlowResponses runs a client for six seconds in which each response takes the given
-// time. It returns for how long at most the client was unconfirmed after its first view,
-// and how many requests it sent.
+// runWithSlowResponses runs a client for six seconds. After the first half second each response
+// takes the given time. It returns the longest time for which the client was unconfirmed since
+// then, and how many requests the client sent.
 func runWithSlowResponses(delay time.Duration) (longest time.Duration, requests int) {
 	now := time.Unix(1000, 0)
 	client := NewViewClient(Member{Name: "gateway-1"}, 0, []string{"controller"}, func() Load { return Load{} })
@@ -120,8 +121,9 @@
 	}
 }
 
-// The responses to one search may arrive together, the primary's first: then the search is
-// over, and the next request goes to the primary alone.
+// The responses to one search may arrive together. If the primary's arrives first, the search is
+// over, and a redirect that arrives after it must not restart the search: the next request goes
+// to the primary alone.
 func TestViewClientIgnoresLateRedirect(t *testing.T) {
 	now := time.Unix(1000, 0)
 	seeds := []string{"controller-1", "controller-2"}
