--- a/cmd/dahlialock/explain.go
+++ b/cmd/dahlialock/explain.go
@@ -144,7 +144,7 @@
 		}
 	}
 	for _, address := range addresses {
-		cluster.Members = append(cluster.Members, membership.Member{Name: address, Control: address, Alive: true})
+		cluster.Members = append(cluster.Members, membership.Member{Name: address, ControlAddress: address, Alive: true})
 	}
 	return cluster.Members, last
 }
@@ -167,7 +167,7 @@
 			var value struct {
 				Decisions []decisionlog.Entry `json:"decisions"`
 			}
-			err := get(options.patience, "http://"+member.Control+"/v1/decisions?"+query.Encode(), &value)
+			err := get(options.patience, "http://"+member.ControlAddress+"/v1/decisions?"+query.Encode(), &value)
 			answers <- answer{name: member.Name, entries: value.Decisions, err: err}
 		}()
 	}
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -161,7 +161,7 @@
 		Self:        c.self,
 		ClusterSize: c.cluster.count,
 		Seeds:       c.cluster.seeds,
-		Founding:    c.founding,
+		Bootstrap:   c.founding,
 		Tolerance:   c.cluster.tolerance,
 	}
 	if settings.ClusterSize == 0 {
--- a/internal/consensus/discovery.go
+++ b/internal/consensus/discovery.go
@@ -62,7 +62,7 @@
 		ClusterSize: n.settings.ClusterSize,
 		Known:       n.KnownControllers(),
 		Blank:       n.blank,
-		Founding:    len(n.hardState.Founders) > 0,
+		Founder:     len(n.hardState.Founders) > 0,
 		Record:      n.hardState.Record,
 	}
 }
--- a/internal/consensus/founding.go
+++ b/internal/consensus/founding.go
@@ -17,7 +17,7 @@
 // that it continues to bootstrap the cluster if it is restarted with other settings before the
 // first epoch is decided.
 func (n *Node) recordFounders(effects *statemachine.Effects) {
-	if !n.blank || !n.settings.Founding || n.settings.ClusterSize > 0 || len(n.hardState.Founders) > 0 ||
+	if !n.blank || !n.settings.Bootstrap || n.settings.ClusterSize > 0 || len(n.hardState.Founders) > 0 ||
 		!slices.Contains(n.settings.Seeds, n.settings.Self.Address) {
 		return
 	}
@@ -66,7 +66,7 @@
 		if voter.SameAs(n.settings.Self) {
 			break
 		}
-		if known := n.discovery.peers[voter.Address]; known.hello.Founding || n.settings.ClusterSize > 0 {
+		if known := n.discovery.peers[voter.Address]; known.hello.Founder || n.settings.ClusterSize > 0 {
 			return
 		}
 	}
--- a/internal/consensus/incarnation_test.go
+++ b/internal/consensus/incarnation_test.go
@@ -130,7 +130,7 @@
 			Epoch: leaving.node.Record().Epoch, Request: earlier.Next(), Irreplaceable: true,
 		}, effects)
 	})
-	assert.Assert(t, !leaving.node.Left(), "it leaves by an answer to its earlier incarnation")
+	assert.Assert(t, !leaving.node.LeaveCompleted(), "it leaves by an answer to its earlier incarnation")
 }
 
 // delaysAcrossRestarts delays random messages by up to two seconds, across restarts of sender and
--- a/internal/consensus/leave.go
+++ b/internal/consensus/leave.go
@@ -55,7 +55,7 @@
 }
 
 // LeaveCompleted reports whether this controller was asked to leave and may now stop.
-func (n *Node) Left() bool {
+func (n *Node) LeaveCompleted() bool {
 	return n.departure.completed ||
 		statemachine.Mutated("leave-when-out") && n.departure.requested && !n.blank && !n.isVoter()
 }
--- a/internal/consensus/messages.go
+++ b/internal/consensus/messages.go
@@ -16,7 +16,7 @@
 	ClusterSize int          `cbor:"Count"`
 	Known       []Controller `cbor:"Known"`
 	Blank       bool         `cbor:"Blank"`
-	Founding    bool         `cbor:"Founding"`
+	Founder     bool         `cbor:"Founding"`
 	Record      Record       `cbor:"Record"`
 }
 
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -27,7 +27,7 @@
 	// are also the first addresses that a controller contacts to discover others.
 	ClusterSize int
 	Seeds       []string
-	Founding    bool
+	Bootstrap   bool
 	// Tolerance is how many controllers may be lost at the same time, with their disks.
 	Tolerance int
 	// NewDiskID is the ID that a blank disk gets. It must differ from that of any earlier disk.
--- a/internal/consensus/world_test.go
+++ b/internal/consensus/world_test.go
@@ -193,7 +193,7 @@
 			w.items = append(w.items, &inFlight{to: to.number, from: p.self.Address, message: decoded(packed), packed: packed})
 		}
 	}
-	if p.node.Left() {
+	if p.node.LeaveCompleted() {
 		p.end()
 		p.removed = true
 		return
--- a/internal/consolidation/fleet.go
+++ b/internal/consolidation/fleet.go
@@ -99,10 +99,10 @@
 // the one-way delay that the operators configured between their zones, else a default. The two
 // are compared as they are.
 func (f *fleet) delay(from, to gatewayState) time.Duration {
-	if measured, found := from.load.Delays[to.member.Name]; found {
+	if measured, found := from.load.RoundTripTimes[to.member.Name]; found {
 		return measured
 	}
-	if measured, found := to.load.Delays[from.member.Name]; found {
+	if measured, found := to.load.RoundTripTimes[from.member.Name]; found {
 		return measured
 	}
 	if from.member.Zone == to.member.Zone {
--- a/internal/consolidation/planner_test.go
+++ b/internal/consolidation/planner_test.go
@@ -96,8 +96,8 @@
 	load := m.observation.Loads[name]
 	factor := 1 + noise*(m.random.Float64()-0.5)
 	load.Delivered += uint64(float64(load.Sessions) * 4 * factor)
-	load.Copies += uint64(float64(load.Sessions) * factor)
-	load.Processor += time.Duration(float64(load.Sessions)*factor*0.5) * time.Millisecond
+	load.ForwardedMessages += uint64(float64(load.Sessions) * factor)
+	load.ProcessorTime += time.Duration(float64(load.Sessions)*factor*0.5) * time.Millisecond
 	m.observation.Loads[name] = load
 	m.observation.LastHeard[name] = m.now
 }
--- a/internal/consolidation/rate.go
+++ b/internal/consolidation/rate.go
@@ -29,7 +29,7 @@
 
 // restarted reports whether counters went down, as those of a restarted gateway do.
 func (r *loadRate) restarted(load membership.Load) bool {
-	return load.Delivered < r.load.Delivered || load.Processor < r.load.Processor
+	return load.Delivered < r.load.Delivered || load.ProcessorTime < r.load.ProcessorTime
 }
 
 // update takes the newest counters into the rates, unless the last update is too recent.
@@ -44,8 +44,8 @@
 		load:      load,
 		known:     true,
 		delivered: float64(load.Delivered-r.load.Delivered) / seconds,
-		copies:    float64(load.Copies-r.load.Copies) / seconds,
-		processor: (load.Processor - r.load.Processor).Seconds() / seconds,
+		copies:    float64(load.ForwardedMessages-r.load.ForwardedMessages) / seconds,
+		processor: (load.ProcessorTime - r.load.ProcessorTime).Seconds() / seconds,
 	}
 	if r.known {
 		updated.delivered = smoothed(r.delivered, updated.delivered)
--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -113,11 +113,11 @@
 	effects *statemachine.Effects,
 ) {
 	c.forward(now, local, membership.ControlRequest{
-		Method:  request.Method,
-		Path:    request.Path,
-		Body:    request.Body,
-		Order:   request.Order,
-		Relayed: request.Relayed,
+		Method:          request.Method,
+		Path:            request.Path,
+		Body:            request.Body,
+		OriginalRequest: request.OriginalRequest,
+		Relayed:         request.Relayed,
 	}, effects)
 }
 
@@ -128,8 +128,8 @@
 	effects *statemachine.Effects,
 ) {
 	request.Request = c.requests.Next()
-	if !request.Order.IsSet() {
-		request.Order = request.Request
+	if !request.OriginalRequest.IsSet() {
+		request.OriginalRequest = request.Request
 	}
 	timeout := c.settings.AcknowledgeTimeout * deadlinePercent / 100
 	extension := time.Duration(len(request.Body)/bytesPerMillisecond) * time.Millisecond
--- a/internal/controlclient/client_test.go
+++ b/internal/controlclient/client_test.go
@@ -111,10 +111,10 @@
 func TestControlClientRelayKeepsOrder(t *testing.T) {
 	now := time.Unix(1000, 0)
 	first := forward(t, newClient(1), now, 7, "POST")
-	assert.Equal(t, first.Order, first.Request)
+	assert.Equal(t, first.OriginalRequest, first.Request)
 	var effects statemachine.Effects
 	newClient(2).Relay(now, 9, first, &effects)
 	second := effects.Sends[0].Message.(membership.ControlRequest)
-	assert.Equal(t, second.Order, first.Order)
+	assert.Equal(t, second.OriginalRequest, first.OriginalRequest)
 	assert.Assert(t, second.Request != first.Request)
 }
--- a/internal/controller/settings.go
+++ b/internal/controller/settings.go
@@ -56,7 +56,7 @@
 		},
 		ClusterSize: s.ControllerCount,
 		Seeds:       s.Seeds,
-		Founding:    s.Bootstrap,
+		Bootstrap:   s.Bootstrap,
 		Tolerance:   s.tolerance(),
 		NewDiskID:   s.NewDisk,
 		Incarnation: s.Incarnation,
--- a/internal/controller/stop.go
+++ b/internal/controller/stop.go
@@ -38,7 +38,7 @@
 // finishStop stops the daemon once it has left, or its time is over, and sends the other
 // controllers a GracefulLeave, so that they needn't detect its absence.
 func (c *Controller) finishStop(now time.Time, effects *statemachine.Effects) {
-	if c.stopDeadline.IsZero() || !c.node.Left() && now.Before(c.stopDeadline) {
+	if c.stopDeadline.IsZero() || !c.node.LeaveCompleted() && now.Before(c.stopDeadline) {
 		return
 	}
 	self := c.settings.Self
--- a/internal/controller/store_requests.go
+++ b/internal/controller/store_requests.go
@@ -37,7 +37,7 @@
 		read := func() response { return c.storeResponse(http.StatusOK, name) }
 		c.respondConfirmed(now, responder, read, effects)
 	case request.Method == http.MethodPost && (verb == verbRetire || verb == verbReturn):
-		order := Retirement{Order: request.Order, Store: name, Retiring: verb == verbRetire}
+		order := Retirement{Order: request.OriginalRequest, Store: name, Retiring: verb == verbRetire}
 		c.orderRetirement(now, order, responder, effects)
 	default:
 		unknown := errorResponse(
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -86,14 +86,14 @@
 func (p *process) run(build Builder) ExitCode {
 	current := p.settings
 	p.self = membership.Member{
-		Name:        current.Name,
-		Kind:        p.kind,
-		Address:     current.Address,
-		Control:     current.ControlAddress,
-		Caller:      current.ClientAddress,
-		Zone:        current.Zone,
-		Incarnation: uint64(time.Now().UnixNano()),
-		Alive:       true,
+		Name:           current.Name,
+		Kind:           p.kind,
+		Address:        current.Address,
+		ControlAddress: current.ControlAddress,
+		ClientAddress:  current.ClientAddress,
+		Zone:           current.Zone,
+		Incarnation:    uint64(time.Now().UnixNano()),
+		Alive:          true,
 	}
 	log, stored, err := p.openDisk()
 	if err != nil {
--- a/internal/gateway/draining.go
+++ b/internal/gateway/draining.go
@@ -116,7 +116,7 @@
 	g.Counts.Moves++
 	event := Event{
 		Event:  "move",
-		To:     target.Caller,
+		To:     target.ClientAddress,
 		ToName: target.Name,
 		Cursor: g.cursor(now, session),
 	}
--- a/internal/gateway/opening_test.go
+++ b/internal/gateway/opening_test.go
@@ -15,12 +15,12 @@
 func begun() *fixture {
 	fixture := &fixture{now: time.Unix(1000, 0), gateway: gateway.New(gateway.Settings{
 		Self: membership.Member{
-			Name:        "gateway-1",
-			Kind:        membership.KindGateway,
-			Address:     "10.0.0.1:1",
-			Caller:      "10.0.0.1:8000",
-			Zone:        "east",
-			Incarnation: 1,
+			Name:          "gateway-1",
+			Kind:          membership.KindGateway,
+			Address:       "10.0.0.1:1",
+			ClientAddress: "10.0.0.1:8000",
+			Zone:          "east",
+			Incarnation:   1,
 		},
 		Agent: "10.0.0.1:2",
 	})}
@@ -61,12 +61,12 @@
 	} {
 		fixture := &fixture{now: time.Unix(1000, 0), gateway: gateway.New(gateway.Settings{
 			Self: membership.Member{
-				Name:        "gateway-1",
-				Kind:        membership.KindGateway,
-				Address:     "10.0.0.1:1",
-				Caller:      "10.0.0.1:8000",
-				Zone:        "east",
-				Incarnation: 1,
+				Name:          "gateway-1",
+				Kind:          membership.KindGateway,
+				Address:       "10.0.0.1:1",
+				ClientAddress: "10.0.0.1:8000",
+				Zone:          "east",
+				Incarnation:   1,
 			},
 			Agent:        "10.0.0.1:2",
 			ConfirmedFor: given,
--- a/internal/gateway/stats.go
+++ b/internal/gateway/stats.go
@@ -39,15 +39,15 @@
 		processor = g.settings.ProcessorTime()
 	}
 	return membership.Load{
-		Copies:       g.Counts.CopiesIn,
-		Processor:    processor,
-		Delays:       g.overlay.RoundTrips(),
-		Sessions:     g.remainingSessions(),
-		FreeCapacity: g.settings.MaxClients - len(g.sessions),
-		Requests:     g.Counts.Requests,
-		Delivered:    g.Counts.Delivered,
-		Ready:        g.wasReady,
-		Resting:      g.Resting(),
+		ForwardedMessages: g.Counts.CopiesIn,
+		ProcessorTime:     processor,
+		RoundTripTimes:    g.overlay.RoundTrips(),
+		Sessions:          g.remainingSessions(),
+		FreeCapacity:      g.settings.MaxClients - len(g.sessions),
+		Requests:          g.Counts.Requests,
+		Delivered:         g.Counts.Delivered,
+		Ready:             g.wasReady,
+		Resting:           g.Resting(),
 	}
 }
 
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -16,9 +16,9 @@
 	Kind string `json:"kind"`
 	// Address, ControlAddress and ClientAddress are the addresses to which other daemons,
 	// operators and clients connect.
-	Address string `json:"address"`
-	Control string `json:"ctl"`
-	Caller  string `json:"caller,omitempty"`
+	Address        string `json:"address"`
+	ControlAddress string `json:"ctl"`
+	ClientAddress  string `json:"caller,omitempty"`
 	// Zone is the failure domain.
 	Zone string `json:"zone"`
 	// Incarnation identifies a run of the process; a later run has a higher one. Daemons use
--- a/internal/membership/messages.go
+++ b/internal/membership/messages.go
@@ -20,15 +20,15 @@
 	Requests  uint64 `json:"Requests"`
 	Delivered uint64 `json:"Delivered"`
 	// ForwardedMessages counts the messages that other gateways forwarded to this one.
-	Copies uint64 `json:"Copies"`
+	ForwardedMessages uint64 `json:"Copies"`
 	// ProcessorTime is the processor time that the process has used.
-	Processor time.Duration `json:"Processor"`
-	Ready     bool          `json:"Ready"`
-	Resting   bool          `json:"Resting"`
+	ProcessorTime time.Duration `json:"Processor"`
+	Ready         bool          `json:"Ready"`
+	Resting       bool          `json:"Resting"`
 	// Partitions is unused. It is kept because the message is encoded as an array.
 	Partitions []string `json:"Partitions"`
 	// RoundTripTimes are the measured round-trip times to other daemons, by name.
-	Delays map[string]time.Duration `json:"Delays"`
+	RoundTripTimes map[string]time.Duration `json:"Delays"`
 }
 
 // ViewRequest is a long poll: a daemon requests everything that is newer than its copy of the
@@ -193,10 +193,10 @@
 	// OriginalRequest identifies the operator's request end to end. It is assigned by the
 	// daemon that received the request from the operator. The primary uses it to recognize a
 	// request that arrives by more than one path.
-	Order  statemachine.RequestID `cbor:"Order"`
-	Method string                 `cbor:"Method"`
-	Path   string                 `cbor:"Path"`
-	Body   []byte                 `cbor:"Body"`
+	OriginalRequest statemachine.RequestID `cbor:"Order"`
+	Method          string                 `cbor:"Method"`
+	Path            string                 `cbor:"Path"`
+	Body            []byte                 `cbor:"Body"`
 	// Relayed is set on a request to a relay (see package controlclient), which forwards the
 	// request to controllers only.
 	Relayed bool `cbor:"Relayed"`
--- a/internal/simulator/simulator.go
+++ b/internal/simulator/simulator.go
@@ -330,7 +330,7 @@
 		incarnation = uint64(n.localStart.UnixNano())
 	}
 	return membership.Member{
-		Name: n.Name, Kind: n.Kind, Address: n.Address, Control: n.Address, Caller: n.Address,
+		Name: n.Name, Kind: n.Kind, Address: n.Address, ControlAddress: n.Address, ClientAddress: n.Address,
 		Zone: fmt.Sprintf("zone-%d", n.Zone), Incarnation: incarnation, Alive: true,
 	}
 }
