--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -36,13 +36,13 @@
 		callersKey = nil
 	}
 	machine := gateway.New(gateway.Settings{
-		Self:        self,
-		Agent:       current.AgentAddress,
-		Key:         key,
-		MaxClients:  current.MaxSessions,
-		LinkBytesPerSecond:        current.LinkBytesPerSecond,
-		ProcessorTime:   processorTime,
-		Incarnation: stored.Incarnation,
+		Self:               self,
+		Agent:              current.AgentAddress,
+		Key:                key,
+		MaxClients:         current.MaxSessions,
+		LinkBytesPerSecond: current.LinkBytesPerSecond,
+		ProcessorTime:      processorTime,
+		Incarnation:        stored.Incarnation,
 		// A sixth of the time in which a version is to be in force is left for news
 		// on its way, and two fifths of the grace for what comes after the callers.
 		ConfirmedFor: current.Timeouts.Apply * 5 / 6,
--- a/internal/gateway/append.go
+++ b/internal/gateway/append.go
@@ -78,7 +78,7 @@
 	effects *statemachine.Effects,
 ) {
 	if item, routed := g.routed.sends[response.RequestID]; routed && item.partition == response.Partition {
-		g.handleRoutedResponse(now, item, response, effects)
+		g.handleRoutedAppendResponse(now, item, response, effects)
 		return
 	}
 	item, found := g.sends[response.RequestID]
@@ -101,7 +101,7 @@
 	case partition.OutcomeRejected:
 		g.applyAppendRejected(now, item, response, effects)
 	default:
-		g.finish(now, item, unsettledReply(response.Code, "send the same seq again", retryLongDelay), effects)
+		g.finishPublication(now, item, unsettledReply(response.Code, "send the same seq again", retryLongDelay), effects)
 	}
 }
 
@@ -115,7 +115,7 @@
 	if from, known := g.senders[item.key]; known {
 		from.lastSeq = max(from.lastSeq, item.request.Seq)
 		from.dependencies = append(from.dependencies, dependency{
-			mark: partition.MessagePosition{
+			position: partition.MessagePosition{
 				Partition: partition.NumberOf(response.Partition),
 				Offset:    response.Record.Offset,
 				Topic:     item.request.Topic,
@@ -127,7 +127,7 @@
 	if state, present := g.spaces[item.request.Space]; present && !response.Duplicate {
 		g.fanOutRecord(now, state, response.Partition, response.Record, item, effects)
 	}
-	g.finish(now, item, acceptedReply(map[string]any{"again": response.Duplicate}), effects)
+	g.finishPublication(now, item, acceptedReply(map[string]any{"again": response.Duplicate}), effects)
 }
 
 // applyAppendRejected answers a publication whose append was rejected. If the store is
@@ -145,7 +145,12 @@
 		item.sentAt = now
 		g.timers.ArmSooner(timerDeadlines, now.Add(appendRetry))
 	case "old-seq", "seq-reused":
-		g.finish(now, item, rejectedReply(409, response.Code, "this seq is not above the sender's newest", 0), effects)
+		g.finishPublication(
+			now,
+			item,
+			rejectedReply(409, response.Code, "this seq is not above the sender's newest", 0),
+			effects,
+		)
 	default:
 		answer := rejectedReply(
 			503,
@@ -157,7 +162,7 @@
 			// An earlier send has no response; its append may still succeed.
 			answer = unsettledReply(response.Code, "send the same seq again", response.RetryAfter)
 		}
-		g.finish(now, item, answer, effects)
+		g.finishPublication(now, item, answer, effects)
 	}
 }
 
@@ -175,7 +180,7 @@
 	recordCopy := RecordCopy{Partition: name, Record: record}
 	spread := func(now time.Time, effects *statemachine.Effects, stable bool) {
 		destinations := g.overlay.Destinations(state.name, area)
-		g.spread(now, item, destinations, stable, recordCopy, effects)
+		g.sendToDestinations(now, item, destinations, stable, recordCopy, effects)
 	}
 	if _, topic := g.trackers[name]; topic {
 		g.handleRecordCopy(now, recordCopy, effects)
@@ -187,8 +192,8 @@
 	g.overlay.Publish(now, state.name, area, spread, effects)
 }
 
-// spread sends one copy to each destination gateway.
-func (g *Gateway) spread(
+// sendToDestinations sends one copy to each destination gateway.
+func (g *Gateway) sendToDestinations(
 	now time.Time,
 	item *publication,
 	destinations []string,
--- a/internal/gateway/catchup.go
+++ b/internal/gateway/catchup.go
@@ -29,7 +29,7 @@
 // topicFetch is one topic in a batch. It asks for the records after an offset.
 type topicFetch struct {
 	topic *topicState
-	// after is the offset after which records are wanted; everything if only the high watermark is.
+	// after is the offset after which records are wanted; maxOffset if only the high watermark is.
 	after uint64
 	// sentBy is the route by which the batch was sent.
 	sentBy route
@@ -69,7 +69,7 @@
 // missingAfter returns the offset after which records of the topic are missing, and whether any
 // are.
 func (t *topicState) missingAfter(now time.Time) (after uint64, lacking bool) {
-	after = everything
+	after = maxOffset
 	if t.live && t.wanted > t.last {
 		after, lacking = t.last, len(t.subscriptions) > 0
 	}
@@ -235,7 +235,7 @@
 	for _, sent := range statemachine.Sorted(g.routed.batches) {
 		for _, fetch := range sent.fetches {
 			topic := fetch.topic
-			if topic.fetch == fetch && fetch.sentBy.changed(g.routeTo(topic.partition)) {
+			if topic.fetch == fetch && fetch.sentBy.mustResend(g.routeTo(topic.partition)) {
 				topic.fetch, topic.queued = nil, true
 				rerouted = append(rerouted, topic)
 			}
@@ -337,7 +337,7 @@
 	if !topic.live {
 		topic.live = true
 		topic.last, topic.recentFrom = response.Until, response.Until
-		if fetch.after != everything {
+		if fetch.after != maxOffset {
 			topic.last, topic.recentFrom = fetch.after, fetch.after
 		}
 		if topic.reservedUntil.After(now) {
@@ -345,7 +345,7 @@
 		}
 		g.startReports(now, topic.partition, state.HighWatermark)
 	}
-	if fetch.after == everything {
+	if fetch.after == maxOffset {
 		return
 	}
 	topic.extendRecent(now, fetch.after, response)
--- a/internal/gateway/cursor.go
+++ b/internal/gateway/cursor.go
@@ -83,7 +83,7 @@
 // of the session is being filled, or if it has none: the earlier cursor of the client
 // stays valid then.
 func (g *Gateway) cursor(now time.Time, session *session) string {
-	if len(session.subscriptions) == 0 || session.floors == nil && session.filling() {
+	if len(session.subscriptions) == 0 || session.backlogFloors == nil && session.isFilling() {
 		return ""
 	}
 	result := cursor{
@@ -100,7 +100,7 @@
 			result.lowerFloor(recordCopy.Partition, recordCopy.Record.Offset-1)
 		}
 	}
-	for name, at := range session.floors {
+	for name, at := range session.backlogFloors {
 		result.lowerFloor(name, at)
 	}
 	for name, at := range result.Partitions {
@@ -141,7 +141,7 @@
 func (c *session) addExtras(name string, at position) position {
 	at.Extras = c.extras(name, at.Floor)
 	slices.Sort(at.Extras)
-	if c.floors != nil {
+	if c.backlogFloors != nil {
 		return at
 	}
 	for interest, subscription := range c.subscriptions {
@@ -162,7 +162,7 @@
 	for space, marks := range c.sequences {
 		newest := map[string]uint64{}
 		for sender, mark := range marks {
-			if now.Sub(mark.at) < sequenceMemory {
+			if now.Sub(mark.at) < sequenceRetention {
 				newest[sender] = mark.seq
 			}
 		}
@@ -198,7 +198,7 @@
 	if statemachine.Mutated("no-client-memory") {
 		return nil
 	}
-	if c.floors != nil {
+	if c.backlogFloors != nil {
 		for offset := range c.delivered[name] {
 			if offset > floor {
 				extras = append(extras, offset)
--- a/internal/gateway/delivery.go
+++ b/internal/gateway/delivery.go
@@ -10,7 +10,7 @@
 
 // drain delivers what was buffered while a subscription of the session was being filled.
 func (g *Gateway) drain(now time.Time, id uint64, session *session, effects *statemachine.Effects) {
-	if session.filling() {
+	if session.isFilling() {
 		return
 	}
 	// What is left in the buffer keeps the cursor's floor below it.
@@ -48,7 +48,7 @@
 		wanted = wanted || recordCopy.Record.Offset > subscription.since[recordCopy.Partition]
 	}
 	wanted = wanted || statemachine.Mutated("no-exact-match")
-	if session.filling() && (wanted || waits) {
+	if session.isFilling() && (wanted || waits) {
 		// While any subscription is being filled the complete session waits, since the
 		// order of a sender runs across its subscriptions.
 		session.buffer = append(session.buffer, recordCopy)
@@ -122,7 +122,7 @@
 	wanted := false
 	for interest, subscription := range session.subscriptions {
 		if interest.Space == space && interest.matches(message.Topic) {
-			if subscription.filling || session.filling() {
+			if subscription.filling || session.isFilling() {
 				session.ephemeralBuffer = append(session.ephemeralBuffer, message)
 				return
 			}
--- a/internal/gateway/draining.go
+++ b/internal/gateway/draining.go
@@ -21,7 +21,7 @@
 		if count--; count < 0 {
 			return
 		}
-		g.emitLast(now, id, session, "unconfirmed", effects)
+		g.emitFinalEvent(now, id, session, "unconfirmed", effects)
 		g.closeSession(now, CloseSession{Session: id, Reason: "unconfirmed"}, effects)
 	}
 }
@@ -64,7 +64,7 @@
 		count = min(count, g.remainingSessions()-directives.KeepSessions)
 	}
 	if g.stopping {
-		count = max(count, stopMoves, (len(g.sessions)+9)/10)
+		count = max(count, minStopMoves, (len(g.sessions)+9)/10)
 	}
 	return count
 }
@@ -81,7 +81,7 @@
 		return
 	}
 	for id, session := range statemachine.Sorted(g.sessions) {
-		if session.movedAt.IsZero() && !session.filling() && (g.draining() || !session.catchingUp()) {
+		if session.movedAt.IsZero() && !session.isFilling() && (g.draining() || !session.isFillingRouted()) {
 			g.rotation++
 			g.move(now, id, session, targets[g.rotation%min(len(targets), 3)], effects)
 			if count--; count == 0 {
@@ -165,7 +165,7 @@
 		return
 	}
 	for id, session := range statemachine.Sorted(g.sessions) {
-		g.emitLast(now, id, session, "stopping", effects)
+		g.emitFinalEvent(now, id, session, "stopping", effects)
 	}
 	g.overlay.LeaveAll(effects)
 	for _, member := range statemachine.Sorted(g.viewClient.Members) {
--- a/internal/gateway/ephemeral.go
+++ b/internal/gateway/ephemeral.go
@@ -18,14 +18,14 @@
 	request := item.request
 	if memory, known := from.recent[request.Seq]; known {
 		if memory.digest != partition.MessageDigest(request.Topic, request.Data) {
-			g.finish(now, item, rejectedReply(409, "seq-reused", "this seq was used for another message", 0), effects)
+			g.finishPublication(now, item, rejectedReply(409, "seq-reused", "this seq was used for another message", 0), effects)
 			return
 		}
-		g.finish(now, item, acceptedReply(map[string]any{"again": true}), effects)
+		g.finishPublication(now, item, acceptedReply(map[string]any{"again": true}), effects)
 		return
 	}
-	if request.Seq <= from.lastSeq && now.Sub(from.arrived) > seqMemory {
-		g.finish(now, item, rejectedReply(409, "old-seq", "this seq is not above the sender's newest", 0), effects)
+	if request.Seq <= from.lastSeq && now.Sub(from.arrived) > ephemeralSeqRetention {
+		g.finishPublication(now, item, rejectedReply(409, "old-seq", "this seq is not above the sender's newest", 0), effects)
 		return
 	}
 	// A sender that published through another gateway until now may retry what that fanned out.
@@ -36,16 +36,21 @@
 			return
 		}
 		if !stable {
-			g.finish(now, item, rejectedReply(503, "no-neighbours", "the overlay is being mended", retryShortDelay), effects)
+			g.finishPublication(
+				now,
+				item,
+				rejectedReply(503, "no-neighbours", "the overlay is being mended", retryShortDelay),
+				effects,
+			)
 			return
 		}
 		if request.Seq > from.lastSeq+1 {
 			from.arrived = now
 		}
 		from.lastSeq = max(from.lastSeq, request.Seq)
-		from.recent[request.Seq] = sentMemory{digest: partition.MessageDigest(request.Topic, request.Data), at: now}
+		from.recent[request.Seq] = acceptedEphemeral{digest: partition.MessageDigest(request.Topic, request.Data), at: now}
 		for seq, memory := range from.recent {
-			if now.Sub(memory.at) > seqMemory {
+			if now.Sub(memory.at) > ephemeralSeqRetention {
 				delete(from.recent, seq)
 			}
 		}
@@ -58,8 +63,8 @@
 		}
 		state.remember(now, message, true)
 		g.deliverEphemeral(now, state, message, effects)
-		g.spread(now, item, g.overlay.Destinations(state.name, area), true, message, effects)
-		g.finish(now, item, acceptedReply(map[string]any{"again": false}), effects)
+		g.sendToDestinations(now, item, g.overlay.Destinations(state.name, area), true, message, effects)
+		g.finishPublication(now, item, acceptedReply(map[string]any{"again": false}), effects)
 	}, effects)
 }
 
--- a/internal/gateway/fetch.go
+++ b/internal/gateway/fetch.go
@@ -35,7 +35,7 @@
 
 // partitionFetch is the progress of a fetchOperation in one partition.
 type partitionFetch struct {
-	// from is the offset of the cursor, everything without one; after is the offset after which the
+	// from is the offset of the cursor, maxOffset without one; after is the offset after which the
 	// next request asks, and until how far the responses have come.
 	from  uint64
 	after uint64
@@ -169,7 +169,7 @@
 // isDuplicate returns whether a response answers an earlier part of the fetch, which was applied
 // before.
 func (f *partitionFetch) isDuplicate(response partition.FetchResponse) bool {
-	return f.after != everything && response.Until <= f.after && f.after < response.HighWatermark &&
+	return f.after != maxOffset && response.Until <= f.after && f.after < response.HighWatermark &&
 		!statemachine.Mutated("any-answer")
 }
 
@@ -199,7 +199,7 @@
 		}
 		return
 	}
-	if fetch.after != everything && fetch.after < response.Base && operation.tracker == "" {
+	if fetch.after != maxOffset && fetch.after < response.Base && operation.tracker == "" {
 		// The records in between were removed when their retention had passed.
 		g.loseHistory(now, response.RequestID, operation, effects)
 		return
@@ -208,7 +208,7 @@
 		return
 	}
 	fetch.waiting = false
-	if fetch.after == everything {
+	if fetch.after == maxOffset {
 		fetch.until = response.HighWatermark
 	} else {
 		fetch.until = max(response.Until, min(fetch.after, response.HighWatermark))
@@ -285,7 +285,7 @@
 		g.replayRecent(now, session, operation.interests)
 	}
 	g.drain(now, operation.session, session, effects)
-	g.timers.ArmSooner(timerFollow, now)
+	g.timers.ArmSooner(timerHighWatermarks, now)
 	g.deliverReady(now, effects)
 }
 
@@ -314,7 +314,7 @@
 	for _, name := range names {
 		fetch := operation.partitions[name]
 		fetch.done = false
-		if fetch.from != everything {
+		if fetch.from != maxOffset {
 			fetch.after = fetch.until
 		}
 	}
@@ -356,10 +356,10 @@
 	effects *statemachine.Effects,
 ) int {
 	// Until all of them are delivered, a cursor must still name where the backlog began.
-	session.floors = map[string]uint64{}
+	session.backlogFloors = map[string]uint64{}
 	for name, fetch := range operation.partitions {
-		if fetch.from != everything {
-			session.floors[name] = fetch.from
+		if fetch.from != maxOffset {
+			session.backlogFloors[name] = fetch.from
 		}
 	}
 	missed := 0
@@ -369,7 +369,7 @@
 			g.deliverRecord(now, operation.session, session, each, effects)
 		}
 	}
-	session.floors = nil
+	session.backlogFloors = nil
 	return missed
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -23,16 +23,16 @@
 	pongTimeout  = 16 * time.Second
 	// tickInterval is the interval of the periodic checks in tick.
 	tickInterval = time.Second
-	// moveInterval is the interval of the steps in which clients are moved. moveLinger is the time
+	// moveInterval is the interval of the steps in which clients are moved. moveCloseDelay is the time
 	// after which the session of a client that was asked to move is closed.
-	moveInterval = 100 * time.Millisecond
-	moveLinger   = 1500 * time.Millisecond
-	// stopTimeout is the maximum duration of a graceful shutdown. stopMoves is the minimum number of
+	moveInterval   = 100 * time.Millisecond
+	moveCloseDelay = 1500 * time.Millisecond
+	// stopTimeout is the maximum duration of a graceful shutdown. minStopMoves is the minimum number of
 	// clients that a shutdown moves in a step. moveTimeout is how long a shutdown waits for a client
 	// that was asked to move.
-	stopTimeout = 3500 * time.Millisecond
-	stopMoves   = 25
-	moveTimeout = 600 * time.Millisecond
+	stopTimeout  = 3500 * time.Millisecond
+	minStopMoves = 25
+	moveTimeout  = 600 * time.Millisecond
 	// maxPendingRecords is the maximum number of pending records of a tracker, and of deferred
 	// messages.
 	maxPendingRecords = 20000
@@ -126,8 +126,8 @@
 	routed *routed
 	// subscribeTimeout is derived from the configuration in force.
 	subscribeTimeout time.Duration
-	// newest is the number of the newest session of each client, by the client's name.
-	newest map[string]uint64
+	// newestSession is the number of the newest session of each client, by the client's name.
+	newestSession map[string]uint64
 
 	// highWatermarksRequestedAt is when the gateway last subscribed to high watermarks.
 	highWatermarksRequestedAt time.Time
@@ -193,7 +193,7 @@
 		fetches:       map[uint64]*fetchOperation{},
 		nextRequest:   settings.Incarnation.FirstRequestNumber(),
 		routed:        newRouted(),
-		newest:        map[string]uint64{},
+		newestSession: map[string]uint64{},
 	}
 	gateway.policies = standardPolicies()
 	gateway.viewClient = membership.NewViewClient(settings.Self, settings.Incarnation, []string{
@@ -291,7 +291,7 @@
 			g.verifyAll(now, effects)
 		case timerDeliver:
 			g.deliverAllReady(now, effects)
-		case timerFollow:
+		case timerHighWatermarks:
 			g.followHighWatermarks(now, effects)
 		case timerRouted:
 			g.tickRouted(now, effects)
@@ -337,7 +337,7 @@
 	case Pong:
 		g.pong(now, body, effects)
 	case CountSubscribers:
-		g.count(now, body, false, effects)
+		g.countSubscribers(now, body, false, effects)
 	case ClientActive:
 		if session, found := g.sessions[body.Session]; found {
 			session.pongAt = now
@@ -471,13 +471,12 @@
 	for _, tracker := range g.trackers {
 		tracker.prune(now)
 	}
-	g.forgetRouted(now)
+	g.dropExpiredAccepted(now)
 }
 
-// everything is a placeholder for an offset. As the offset after which records are fetched, it means
-// that no records are requested. As the start of an interest, it means that the interest is not live
-// yet.
-const everything = uint64(math.MaxUint64)
+// maxOffset is above the offsets of all records. A fetch of the records after it requests no records,
+// and an interest that starts at it is not live yet.
+const maxOffset = uint64(math.MaxUint64)
 
 // SetMaxClients sets the maximum number of sessions.
 func (g *Gateway) SetMaxClients(limit int) { g.settings.MaxClients = limit }
--- a/internal/gateway/identity_test.go
+++ b/internal/gateway/identity_test.go
@@ -52,7 +52,7 @@
 		partition: partitions[0],
 		deadline:  now.Add(500 * time.Millisecond),
 	}
-	gateway.senders[item.key] = &sender{recent: map[uint64]sentMemory{}, queue: []*publication{item}}
+	gateway.senders[item.key] = &sender{recent: map[uint64]acceptedEphemeral{}, queue: []*publication{item}}
 	gateway.appends[item.id] = item
 	return &asker{gateway: gateway, item: item}
 }
--- a/internal/gateway/policy.go
+++ b/internal/gateway/policy.go
@@ -89,7 +89,7 @@
 			g.refreshThen(now, retry)
 			return false
 		}
-		g.ring.Record(now, requestName, g.messageOf(request), request.Client, "refused",
+		g.ring.Record(now, requestName, g.messageNameOf(request), request.Client, "refused",
 			"policy", policy.Name(),
 			"code", verdict.Reply.Code,
 		)
--- a/internal/gateway/presence.go
+++ b/internal/gateway/presence.go
@@ -33,9 +33,14 @@
 	}
 }
 
-// count responds with the number of subscribers of a topic over all gateways. It is computed from
-// the counts that the peers of the overlay announce to each other.
-func (g *Gateway) count(now time.Time, request CountSubscribers, refreshed bool, effects *statemachine.Effects) {
+// countSubscribers responds with the number of subscribers of a topic over all gateways. It is
+// computed from the counts that the peers of the overlay announce to each other.
+func (g *Gateway) countSubscribers(
+	now time.Time,
+	request CountSubscribers,
+	refreshed bool,
+	effects *statemachine.Effects,
+) {
 	g.Counts.Requests++
 	if session, found := g.sessions[request.Session]; found {
 		session.pongAt = now
@@ -47,7 +52,7 @@
 		Refreshed: refreshed,
 		Routed:    true,
 	}
-	retry := func(now time.Time, effects *statemachine.Effects) { g.count(now, request, true, effects) }
+	retry := func(now time.Time, effects *statemachine.Effects) { g.countSubscribers(now, request, true, effects) }
 	answer := func(response Reply) { effects.Respond(request.Request, response) }
 	if !g.authorize(now, policyRequest, request.RequestName, retry, answer) {
 		return
--- a/internal/gateway/publish.go
+++ b/internal/gateway/publish.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// senderIdleTimeout is the time after which the state of an idle sender is dropped. seqMemory is how
-	// long the ephemeral messages of a sender are remembered.
-	senderIdleTimeout = 90 * time.Second
-	seqMemory         = 30 * time.Second
+	// senderIdleTimeout is the time after which the state of an idle sender is dropped.
+	// ephemeralSeqRetention is how long the ephemeral messages of a sender are remembered.
+	senderIdleTimeout     = 90 * time.Second
+	ephemeralSeqRetention = 30 * time.Second
 	// maxSenderQueue is the maximum number of queued publications of a sender.
 	maxSenderQueue = 64
-	// blockFor is how long a publication that was not accepted blocks later ones of its sender.
-	blockFor = 3 * time.Second
+	// blockDuration is how long a publication that was not accepted blocks later ones of its sender.
+	blockDuration = 3 * time.Second
 	// appendRetry is the time after which an unanswered append is sent again.
 	appendRetry = 150 * time.Millisecond
 )
@@ -47,8 +47,8 @@
 // messageName returns the name of the message in recorded decisions.
 func (p Publish) messageName() string { return decisionlog.MessageName(p.Space, p.Sender, p.Seq) }
 
-// messageOf returns the name of the message in recorded decisions, empty if the request has none.
-func (g *Gateway) messageOf(request *PolicyRequest) string {
+// messageNameOf returns the name of the message in recorded decisions, empty if the request has none.
+func (g *Gateway) messageNameOf(request *PolicyRequest) string {
 	if request.Kind != RequestPublish {
 		return ""
 	}
@@ -86,12 +86,12 @@
 	}
 	from, found := g.senders[item.key]
 	if !found {
-		from = &sender{recent: map[uint64]sentMemory{}, arrived: now}
+		from = &sender{recent: map[uint64]acceptedEphemeral{}, arrived: now}
 		g.senders[item.key] = from
 	}
 	from.lastUse = now
 	if from.blocked > 0 && request.Seq > from.blocked {
-		if now.Sub(from.blockedAt) < blockFor {
+		if now.Sub(from.blockedAt) < blockDuration {
 			answer(rejectedReply(
 				503,
 				"earlier-refused",
@@ -106,13 +106,13 @@
 		answer(rejectedReply(429, "queue-full", "too many publications of this sender are queued", retryLongDelay))
 		return
 	}
-	g.ring.Record(now, request.RequestName, g.messageOf(policyRequest), request.Client, "judged", "topic", request.Topic,
-		"version", g.viewClient.Version, "queued", len(from.queue))
+	g.ring.Record(now, request.RequestName, g.messageNameOf(policyRequest), request.Client, "judged",
+		"topic", request.Topic, "version", g.viewClient.Version, "queued", len(from.queue))
 	item.deadline = now.Add(min(requestTimeout, g.spaces[request.Space].space.ResponseTimeout*7/10))
 	from.queue = append(from.queue, item)
 	g.timers.ArmSooner(timerDeadlines, item.deadline)
 	if len(from.queue) == 1 {
-		g.begin(now, from, effects)
+		g.startNextPublication(now, from, effects)
 	}
 }
 
@@ -140,8 +140,8 @@
 	effects.Respond(item.request.Request, answer)
 }
 
-// begin starts the publication at the front of a sender's queue.
-func (g *Gateway) begin(now time.Time, from *sender, effects *statemachine.Effects) {
+// startNextPublication starts the publication at the front of a sender's queue.
+func (g *Gateway) startNextPublication(now time.Time, from *sender, effects *statemachine.Effects) {
 	for len(from.queue) > 0 {
 		item := from.queue[0]
 		state, found := g.spaces[item.request.Space]
@@ -159,10 +159,10 @@
 	}
 }
 
-// finish answers the publication at the front of a sender's queue. If it was not accepted and may be
-// retried, the publications behind it are rejected, and later sequences are blocked until it is sent
-// again.
-func (g *Gateway) finish(now time.Time, item *publication, answer Reply, effects *statemachine.Effects) {
+// finishPublication answers the publication at the front of a sender's queue. If it was not accepted
+// and may be retried, the publications behind it are rejected, and later sequences are blocked until
+// it is sent again.
+func (g *Gateway) finishPublication(now time.Time, item *publication, answer Reply, effects *statemachine.Effects) {
 	delete(g.appends, item.id)
 	for send := range item.unanswered {
 		delete(g.sends, send)
@@ -177,7 +177,7 @@
 		if item.request.Seq >= from.blocked {
 			from.blocked = 0
 		}
-		g.begin(now, from, effects)
+		g.startNextPublication(now, from, effects)
 		return
 	}
 	if answer.RetryAfter > 0 {
@@ -194,7 +194,7 @@
 		}
 		return
 	}
-	g.begin(now, from, effects)
+	g.startNextPublication(now, from, effects)
 }
 
 // partitionOf returns the partition of a topic.
@@ -252,7 +252,7 @@
 	for _, from := range g.sortedSenders() {
 		for len(from.queue) > 0 && !from.queue[0].deadline.After(now) {
 			item := from.queue[0]
-			g.finish(now, item, overdueReply(item), effects)
+			g.finishPublication(now, item, overdueReply(item), effects)
 		}
 		if len(from.queue) > 0 {
 			next = statemachine.Earliest(next, from.queue[0].deadline)
--- a/internal/gateway/publish_test.go
+++ b/internal/gateway/publish_test.go
@@ -37,7 +37,7 @@
 		name:  "boards~1",
 	}
 	key := senderKey{space: "boards", sender: "u"}
-	from := &sender{recent: map[uint64]sentMemory{}}
+	from := &sender{recent: map[uint64]acceptedEphemeral{}}
 	item := &publication{
 		request:   Publish{Request: 9, Sender: "u", Client: "u", Space: "boards", Topic: "t", Seq: 1},
 		key:       key,
--- a/internal/gateway/record_delivery.go
+++ b/internal/gateway/record_delivery.go
@@ -77,7 +77,7 @@
 // deliverable returns whether a pending record may be delivered.
 func (g *Gateway) deliverable(now time.Time, tracker *tracker, record partition.Record) bool {
 	since, matters := tracker.startOf(record.Topic)
-	if matters && since == everything || !tracker.started {
+	if matters && since == maxOffset || !tracker.started {
 		return false
 	}
 	if statemachine.Mutated("no-order") {
--- a/internal/gateway/route.go
+++ b/internal/gateway/route.go
@@ -32,20 +32,20 @@
 	}
 }
 
-// changed reports whether a request that was sent by this route must be sent again by the current
+// mustResend reports whether a request that was sent by this route must be sent again by the current
 // route, which is passed as present.
-func (r route) changed(present route) bool {
+func (r route) mustResend(present route) bool {
 	return present != (route{}) && r != present || statemachine.Mutated("all-sent-again-at-news")
 }
 
-// routesChanged reports whether the gateway must subscribe to high watermarks again. It must if the
+// mustFollowAgain reports whether the gateway must subscribe to high watermarks again. It must if the
 // route of a partition in use has changed since the last time, and whenever there are trackers.
-func (g *Gateway) routesChanged() bool {
+func (g *Gateway) mustFollowAgain() bool {
 	if len(g.trackers) > 0 {
 		return true
 	}
 	for name := range g.routed.partitions {
-		if g.routed.followRoutes[name].changed(g.routeTo(name)) {
+		if g.routed.followRoutes[name].mustResend(g.routeTo(name)) {
 			return true
 		}
 	}
@@ -56,8 +56,8 @@
 // changed.
 func (g *Gateway) resendRouted(now time.Time, effects *statemachine.Effects) {
 	for _, item := range statemachine.Sorted(g.routed.appends) {
-		if item.sentBy.changed(g.routeTo(item.partition)) && now.Sub(item.sentAt) > 20*time.Millisecond {
-			g.sendRouted(now, item, effects)
+		if item.sentRoute.mustResend(g.routeTo(item.partition)) && now.Sub(item.sentAt) > 20*time.Millisecond {
+			g.sendRoutedAppend(now, item, effects)
 		}
 	}
 	g.rerouteFetches(now, effects)
@@ -73,16 +73,16 @@
 	return member.Address, placement.Leader, known
 }
 
-// placementsChanged sends unanswered requests to the new leaders of the partitions, and schedules a new
-// subscription to high watermarks if one is needed.
-func (g *Gateway) placementsChanged(now time.Time, effects *statemachine.Effects) {
+// handlePlacementsChanged sends unanswered requests to the new leaders of the partitions, and
+// schedules a new subscription to high watermarks if one is needed.
+func (g *Gateway) handlePlacementsChanged(now time.Time, effects *statemachine.Effects) {
 	for _, item := range statemachine.Sorted(g.appends) {
 		if from, known := g.senders[item.key]; known && now.Sub(item.sentAt) > 50*time.Millisecond {
 			g.sendAppend(now, from, item, effects)
 		}
 	}
 	g.resendRouted(now, effects)
-	if g.routesChanged() {
-		g.timers.ArmSooner(timerFollow, now)
+	if g.mustFollowAgain() {
+		g.timers.ArmSooner(timerHighWatermarks, now)
 	}
 }
--- a/internal/gateway/route_test.go
+++ b/internal/gateway/route_test.go
@@ -44,7 +44,7 @@
 	again := func() int {
 		now = now.Add(30 * time.Millisecond)
 		var effects statemachine.Effects
-		gateway.placementsChanged(now, &effects)
+		gateway.handlePlacementsChanged(now, &effects)
 		return len(effects.Sends)
 	}
 	gateway.viewClient.Members["gateway-2"] = membership.Member{
--- a/internal/gateway/routed_publish.go
+++ b/internal/gateway/routed_publish.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// routedRetry is the timeout of the first attempt of an append; it doubles with each further one.
-	routedRetry = 200 * time.Millisecond
-	// routedRemember is how long an accepted publication is remembered. A retry within this time is
+	// routedAppendTimeout is the timeout of the first attempt of an append; it doubles with each further one.
+	routedAppendTimeout = 200 * time.Millisecond
+	// acceptedRetention is how long an accepted publication is remembered. A retry within this time is
 	// accepted at once.
-	routedRemember = 30 * time.Second
+	acceptedRetention = 30 * time.Second
 )
 
 // routedKey identifies a message of a routed topic.
@@ -33,13 +33,13 @@
 	partition string
 	// ephemeral is set if the message is appended without its data, only to assign an offset.
 	ephemeral bool
-	// sentAt and sentBy are the time and the route of the last send of the append.
-	sentAt time.Time
-	sentBy route
+	// sentAt and sentRoute are the time and the route of the last send of the append.
+	sentAt    time.Time
+	sentRoute route
 	// deadline is the latest time of the final answer.
 	deadline time.Time
-	// sends is how often the append was sent.
-	sends int
+	// sendCount is how often the append was sent.
+	sendCount int
 	// unanswered are the request numbers of the sends without a response. Each send has its own number,
 	// so that a duplicate of a response does not count as the response to another send.
 	unanswered map[uint64]bool
@@ -52,7 +52,7 @@
 
 // due returns when the append is sent again; the timeout doubles with each send.
 func (rp *routedPublication) due() time.Time {
-	return rp.sentAt.Add(backoff(routedRetry, len(rp.unanswered)))
+	return rp.sentAt.Add(backoff(routedAppendTimeout, len(rp.unanswered)))
 }
 
 // publishRouted evaluates a publication to a routed topic and sends its append; refreshed is set if
@@ -76,7 +76,7 @@
 		partition:  config.SharedPartition(request.Topic),
 		unanswered: map[uint64]bool{},
 	}
-	answer := func(response Reply) { g.answerRouted(now, item, response, effects) }
+	answer := func(response Reply) { g.answerRoutedPublication(now, item, response, effects) }
 	retry := func(now time.Time, effects *statemachine.Effects) { g.publishRouted(now, request, true, effects) }
 	if !g.authorize(now, policyRequest, request.RequestName, retry, answer) {
 		return
@@ -93,12 +93,17 @@
 	item.id = g.nextRequest
 	g.routed.appends[item.id] = item
 	g.overlay.AwaitCell(now, routedPlane, request.Topic, func(time.Time, *statemachine.Effects, bool) {}, effects)
-	g.sendRouted(now, item, effects)
+	g.sendRoutedAppend(now, item, effects)
 	g.timers.ArmSooner(timerRouted, item.deadline)
 }
 
-// answerRouted gives a publication to a routed topic its final answer.
-func (g *Gateway) answerRouted(now time.Time, item *routedPublication, response Reply, effects *statemachine.Effects) {
+// answerRoutedPublication gives a publication to a routed topic its final answer.
+func (g *Gateway) answerRoutedPublication(
+	now time.Time,
+	item *routedPublication,
+	response Reply,
+	effects *statemachine.Effects,
+) {
 	g.countOutcome(response)
 	delete(g.routed.appends, item.id)
 	for send := range item.unanswered {
@@ -109,14 +114,14 @@
 		"outcome", response.Outcome,
 		"code", response.Code,
 		"topic", item.request.Topic,
-		"tries", item.sends,
+		"tries", item.sendCount,
 	)
 	effects.Respond(item.request.Request, response)
 }
 
-// sendRouted sends the append of a publication to the leader of its partition. Each send has a new
+// sendRoutedAppend sends the append of a publication to the leader of its partition. Each send has a new
 // request number.
-func (g *Gateway) sendRouted(now time.Time, item *routedPublication, effects *statemachine.Effects) {
+func (g *Gateway) sendRoutedAppend(now time.Time, item *routedPublication, effects *statemachine.Effects) {
 	item.sentAt = now
 	g.timers.ArmSooner(timerRouted, item.due())
 	address, _, found := g.leaderOf(item.partition)
@@ -128,8 +133,8 @@
 	if item.ephemeral {
 		data = nil
 	}
-	item.sends++
-	item.sentBy = g.routeTo(item.partition)
+	item.sendCount++
+	item.sentRoute = g.routeTo(item.partition)
 	g.nextRequest++
 	item.unanswered[g.nextRequest] = true
 	g.routed.sends[g.nextRequest] = item
@@ -144,8 +149,8 @@
 	})
 }
 
-// handleRoutedResponse handles the response of a store to the append of a routed topic.
-func (g *Gateway) handleRoutedResponse(
+// handleRoutedAppendResponse handles the response of a store to the append of a routed topic.
+func (g *Gateway) handleRoutedAppendResponse(
 	now time.Time,
 	item *routedPublication,
 	response partition.AppendResponse,
@@ -161,19 +166,19 @@
 		record.Sender = item.request.Sender
 		record.Seq = item.request.Seq
 		record.Data = item.request.Data
-		if !response.Duplicate || item.ephemeral || item.sends > 1 {
+		if !response.Duplicate || item.ephemeral || item.sendCount > 1 {
 			// If a duplicate of a durable message has not been fanned out, the other gateways detect it
 			// by the high watermarks of the partition. An ephemeral message is not detected in this way
 			// and is fanned out again; sessions that already got it or a later one ignore it.
 			g.fanOutRouted(now, item, record, effects)
 		}
-		g.answerRouted(now, item, acceptedReply(nil), effects)
+		g.answerRoutedPublication(now, item, acceptedReply(nil), effects)
 	case partition.OutcomeRejected:
 		switch {
 		case response.Code == "not-first":
 			g.viewClient.PollNow(now)
 		case response.Code == "old-seq" || response.Code == "seq-reused":
-			g.answerRouted(
+			g.answerRoutedPublication(
 				now,
 				item,
 				rejectedReply(409, response.Code, "this seq is not above the sender's newest of this topic", 0),
@@ -181,9 +186,14 @@
 			)
 		case len(item.unanswered) > 0:
 			// An earlier send has no response; its append may still succeed.
-			g.answerRouted(now, item, unsettledReply(response.Code, "send the same seq again", retryShortDelay), effects)
+			g.answerRoutedPublication(
+				now,
+				item,
+				unsettledReply(response.Code, "send the same seq again", retryShortDelay),
+				effects,
+			)
 		default:
-			g.answerRouted(
+			g.answerRoutedPublication(
 				now,
 				item,
 				rejectedReply(
@@ -196,7 +206,12 @@
 			)
 		}
 	default:
-		g.answerRouted(now, item, unsettledReply(response.Code, "send the same seq again", retryShortDelay), effects)
+		g.answerRoutedPublication(
+			now,
+			item,
+			unsettledReply(response.Code, "send the same seq again", retryShortDelay),
+			effects,
+		)
 	}
 }
 
@@ -243,26 +258,31 @@
 	)
 }
 
-// retryPublications sends unanswered appends of routed topics again, and answers the publications that
+// retryRoutedPublications sends unanswered appends of routed topics again, and answers the publications that
 // have passed their deadline.
-func (g *Gateway) retryPublications(now time.Time, effects *statemachine.Effects) {
+func (g *Gateway) retryRoutedPublications(now time.Time, effects *statemachine.Effects) {
 	var next time.Time
 	for _, item := range statemachine.Sorted(g.routed.appends) {
 		if !item.deadline.After(now) {
 			if len(item.unanswered) > 0 {
-				g.answerRouted(
+				g.answerRoutedPublication(
 					now,
 					item,
 					unsettledReply("no-answer", "the store did not answer; send the same seq again", retryShortDelay),
 					effects,
 				)
 			} else {
-				g.answerRouted(now, item, rejectedReply(503, "no-answer", "the message was not stored", retryShortDelay), effects)
+				g.answerRoutedPublication(
+					now,
+					item,
+					rejectedReply(503, "no-answer", "the message was not stored", retryShortDelay),
+					effects,
+				)
 			}
 			continue
 		}
 		if !item.due().After(now) {
-			g.sendRouted(now, item, effects)
+			g.sendRoutedAppend(now, item, effects)
 		}
 		next = statemachine.Earliest(next, item.due(), item.deadline)
 	}
@@ -271,10 +291,10 @@
 	}
 }
 
-// forgetRouted drops accepted publications that are older than routedRemember.
-func (g *Gateway) forgetRouted(now time.Time) {
+// dropExpiredAccepted drops accepted publications that are older than acceptedRetention.
+func (g *Gateway) dropExpiredAccepted(now time.Time) {
 	for key, at := range g.routed.accepted {
-		if now.Sub(at) > routedRemember {
+		if now.Sub(at) > acceptedRetention {
 			delete(g.routed.accepted, key)
 		}
 	}
--- a/internal/gateway/sender.go
+++ b/internal/gateway/sender.go
@@ -15,9 +15,10 @@
 	sender string
 }
 
-// sentMemory is an ephemeral message of a sender that was accepted within seqMemory. The digest of its
-// content distinguishes a retry from another message with the same sequence.
-type sentMemory struct {
+// acceptedEphemeral is an ephemeral message of a sender that was accepted within
+// ephemeralSeqRetention. The digest of its content distinguishes a retry from another message with
+// the same sequence.
+type acceptedEphemeral struct {
 	digest uint64
 	at     time.Time
 }
@@ -36,9 +37,9 @@
 	// skipped sequence may mean that it published through another gateway in between.
 	arrived time.Time
 	// recent are the recent ephemeral messages, by sequence.
-	recent map[uint64]sentMemory
+	recent map[uint64]acceptedEphemeral
 	// blocked is the sequence that was not accepted and must be sent again before later ones, 0 if
-	// there is none. It expires blockFor after blockedAt.
+	// there is none. It expires blockDuration after blockedAt.
 	blocked   uint64
 	blockedAt time.Time
 	// lastUse is when the sender last published; its state is dropped after senderIdleTimeout.
@@ -48,9 +49,9 @@
 // dependency is a message that was accepted within partition.DependencyWindow. The next messages of its
 // sender depend on it.
 type dependency struct {
-	mark partition.MessagePosition
-	seq  uint64
-	at   time.Time
+	position partition.MessagePosition
+	seq      uint64
+	at       time.Time
 }
 
 // currentDependencies returns the dependencies of the sender's next message, and drops expired ones.
@@ -63,13 +64,13 @@
 	older := max(0, len(s.dependencies)-partition.MaxDependencies)
 	floors := map[uint8]uint64{}
 	for _, each := range s.dependencies[:older] {
-		floors[each.mark.Partition] = max(floors[each.mark.Partition], each.mark.Offset)
+		floors[each.position.Partition] = max(floors[each.position.Partition], each.position.Offset)
 	}
 	for number, offset := range statemachine.Sorted(floors) {
 		result.Floor = append(result.Floor, partition.PartitionOffset{Partition: number, Offset: offset})
 	}
 	for _, each := range s.dependencies[older:] {
-		result.Messages = append(result.Messages, each.mark)
+		result.Messages = append(result.Messages, each.position)
 	}
 	return result
 }
@@ -98,7 +99,7 @@
 		address, _, found := g.leaderOf(name)
 		if !found {
 			g.viewClient.PollNow(now)
-			g.finish(
+			g.finishPublication(
 				now,
 				item,
 				rejectedReply(503, "not-placed", "the space's partitions are not placed yet", retryLongDelay),
@@ -157,7 +158,7 @@
 	}
 	if !lookup.ready {
 		g.viewClient.PollNow(now)
-		g.finish(
+		g.finishPublication(
 			now,
 			from.queue[0],
 			rejectedReply(503, "partition-moving", "a partition of the space is being taken over", retryLongDelay),
@@ -172,12 +173,12 @@
 	)
 	for _, each := range lookup.recent {
 		from.dependencies = append(from.dependencies, dependency{
-			mark: each.Position,
-			seq:  each.Seq,
-			at:   now.Add(-each.Age / 2),
+			position: each.Position,
+			seq:      each.Seq,
+			at:       now.Add(-each.Age / 2),
 		})
 	}
-	g.begin(now, from, effects)
+	g.startNextPublication(now, from, effects)
 }
 
 // sortedSenders iterates over the senders with queued publications, sorted by space and name.
--- a/internal/gateway/session.go
+++ b/internal/gateway/session.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// deliveredMemory is how long delivered offsets are remembered. sequenceMemory is how long the
+	// deliveredRetention is how long delivered offsets are remembered. sequenceRetention is how long the
 	// sequences of senders are remembered.
-	deliveredMemory = 100 * time.Second
-	sequenceMemory  = 40 * time.Second
+	deliveredRetention = 100 * time.Second
+	sequenceRetention  = 40 * time.Second
 	// fetchRetry is the time after which an unanswered fetch is sent again.
 	fetchRetry = 250 * time.Millisecond
-	// lingerFor is how long an overlay subscription is kept after its last subscription of a session
-	// has ended. lingerSpread is the number of seconds over which the ends of several are spread.
-	lingerFor    = 6 * time.Second
-	lingerSpread = 24
+	// lingerDuration is how long an overlay subscription is kept after its last subscription of a session
+	// has ended. lingerSpreadSeconds is the number of seconds over which the ends of several are spread.
+	lingerDuration      = 6 * time.Second
+	lingerSpreadSeconds = 24
 	// maxRefetches is the maximum number of times that one operation fetches further records.
 	maxRefetches = 64
 )
@@ -41,19 +41,19 @@
 	// routed are the subscriptions to routed topics, by topic.
 	routed map[string]*topicSubscription
 	// delivered is the time at which each offset was delivered to the client, by partition and offset.
-	// Entries are kept for deliveredMemory.
+	// Entries are kept for deliveredRetention.
 	delivered map[string]map[uint64]time.Time
 	// deliveredAbove are the delivered offsets that are not known to be below the floor of the
 	// cursor, by partition.
 	deliveredAbove map[string]map[uint64]bool
 	// sequences are the newest sequences of each sender that the client saw in ephemeral spaces, by
-	// space and sender. Entries are kept for sequenceMemory.
+	// space and sender. Entries are kept for sequenceRetention.
 	sequences map[string]map[string]senderSequence
 	// buffer and ephemeralBuffer are the copies that arrived while a subscription is being filled.
 	buffer []RecordCopy
-	// floors are the offsets at which the backlog starts while a backlog is being delivered, by
+	// backlogFloors are the offsets at which the backlog starts while a backlog is being delivered, by
 	// partition; nil at other times.
-	floors          map[string]uint64
+	backlogFloors   map[string]uint64
 	ephemeralBuffer []EphemeralCopy
 	// pongAt is when the client last sent something, pingAt when it was last pinged.
 	pongAt time.Time
@@ -74,8 +74,8 @@
 	return interests
 }
 
-// filling reports whether a subscription to a space without routed topics is being filled.
-func (c *session) filling() bool {
+// isFilling reports whether a subscription to a space without routed topics is being filled.
+func (c *session) isFilling() bool {
 	for _, subscription := range c.subscriptions {
 		if subscription.filling {
 			return true
@@ -84,8 +84,8 @@
 	return false
 }
 
-// catchingUp reports whether a subscription to a routed topic is being filled.
-func (c *session) catchingUp() bool {
+// isFillingRouted reports whether a subscription to a routed topic is being filled.
+func (c *session) isFillingRouted() bool {
 	for _, subscription := range c.routed {
 		if subscription.filling {
 			return true
@@ -99,9 +99,15 @@
 	effects.Deliveries = append(effects.Deliveries, statemachine.Delivery{Session: id, Event: event})
 }
 
-// emitLast delivers the last event of a session: the reason of its end and the cursor with which
+// emitFinalEvent delivers the last event of a session: the reason of its end and the cursor with which
 // the client may resume.
-func (g *Gateway) emitLast(now time.Time, id uint64, session *session, code string, effects *statemachine.Effects) {
+func (g *Gateway) emitFinalEvent(
+	now time.Time,
+	id uint64,
+	session *session,
+	code string,
+	effects *statemachine.Effects,
+) {
 	effects.Deliveries = append(effects.Deliveries, statemachine.Delivery{
 		Session: id, Event: Event{Event: "gone", Code: code, Cursor: g.cursor(now, session)}, Close: true,
 	})
@@ -214,8 +220,8 @@
 		g.dropSubscription(now, request.Session, interest, true, effects)
 	}
 	g.dropRouted(now, session, effects)
-	if g.newest[session.client] == request.Session {
-		delete(g.newest, session.client)
+	if g.newestSession[session.client] == request.Session {
+		delete(g.newestSession, session.client)
 	}
 	delete(g.sessions, request.Session)
 	number := logevent.SessionClosed
@@ -231,20 +237,20 @@
 func (g *Gateway) checkSession(now time.Time, id uint64, session *session, effects *statemachine.Effects) {
 	for _, got := range session.delivered {
 		for offset, at := range got {
-			if now.Sub(at) > deliveredMemory {
+			if now.Sub(at) > deliveredRetention {
 				delete(got, offset)
 			}
 		}
 	}
 	for _, marks := range session.sequences {
 		for sender, mark := range marks {
-			if now.Sub(mark.at) > sequenceMemory {
+			if now.Sub(mark.at) > sequenceRetention {
 				delete(marks, sender)
 			}
 		}
 	}
 	if !session.movedAt.IsZero() {
-		if now.Sub(session.movedAt) > moveLinger {
+		if now.Sub(session.movedAt) > moveCloseDelay {
 			effects.Deliveries = append(effects.Deliveries, statemachine.Delivery{
 				Session: id,
 				Event:   Event{Event: "gone", Code: "moved"},
@@ -258,7 +264,7 @@
 		return
 	}
 	if now.Sub(session.pongAt) > pongTimeout {
-		g.emitLast(now, id, session, "no-pong", effects)
+		g.emitFinalEvent(now, id, session, "no-pong", effects)
 		g.closeSession(now, CloseSession{Session: id, Reason: "no-pong"}, effects)
 		return
 	}
--- a/internal/gateway/subscription.go
+++ b/internal/gateway/subscription.go
@@ -11,7 +11,7 @@
 
 // subscription is one interest of a session.
 type subscription struct {
-	// since is the offset of each partition above which records are delivered live, everything while
+	// since is the offset of each partition above which records are delivered live, maxOffset while
 	// the subscription is being filled.
 	since map[string]uint64
 	// notBefore are the offsets of partitions below which a resumed cursor's interest had not begun;
@@ -177,7 +177,7 @@
 ) {
 	fetch, found := f.partitions[name]
 	if !found {
-		fetch = &partitionFetch{from: everything, after: everything}
+		fetch = &partitionFetch{from: maxOffset, after: maxOffset}
 		f.partitions[name] = fetch
 	}
 	if at, resumes := resumeFrom.Partitions[name]; resumes {
@@ -234,7 +234,7 @@
 	}
 	table[interest.Path][id] = true
 	for _, name := range g.partitionsOf(state, interest) {
-		session.subscriptions[interest].since[name] = everything
+		session.subscriptions[interest].since[name] = maxOffset
 		g.trackerFor(now, name).add(interest)
 	}
 }
@@ -273,8 +273,8 @@
 		// Spread, so that the peers of many who left together don't leave
 		// together.
 		g.rotation++
-		spread := time.Duration(g.rotation%lingerSpread) * time.Second
-		g.lingering = append(g.lingering, lingered{space: state.name, area: area, until: now.Add(lingerFor + spread)})
+		spread := time.Duration(g.rotation%lingerSpreadSeconds) * time.Second
+		g.lingering = append(g.lingering, lingered{space: state.name, area: area, until: now.Add(lingerDuration + spread)})
 		return
 	}
 	g.overlay.Unsubscribe(now, state.name, area, effects)
--- a/internal/gateway/timers.go
+++ b/internal/gateway/timers.go
@@ -8,8 +8,8 @@
 // ("follow", "limits", "looks", "move", "pump", "routed", "stop", "tick", "verify"),
 // and must not change, since recorded runs depend on it.
 const (
-	// timerFollow subscribes to the high watermarks of the partitions in use.
-	timerFollow timer = iota
+	// timerHighWatermarks subscribes to the high watermarks of the partitions in use.
+	timerHighWatermarks timer = iota
 	// timerDeadlines retries publications and fetches, and ends those whose deadline has passed.
 	timerDeadlines
 	// timerRefresh ends the wait of requests for a newer configuration.
--- a/internal/gateway/topic.go
+++ b/internal/gateway/topic.go
@@ -126,7 +126,7 @@
 	// by the number of each unanswered send.
 	appends map[uint64]*routedPublication
 	sends   map[uint64]*routedPublication
-	// accepted is when a publication of a client here was accepted, for routedRemember.
+	// accepted is when a publication of a client here was accepted, for acceptedRetention.
 	accepted map[routedKey]time.Time
 	// scheduled are the topics with a tick to come.
 	scheduled map[string]*topicState
--- a/internal/gateway/topic_delivery.go
+++ b/internal/gateway/topic_delivery.go
@@ -158,7 +158,7 @@
 		return
 	}
 	g.routed.reportedUpTo[name] = until
-	g.timers.ArmSooner(timerFollow, now.Add(gapTimeout))
+	g.timers.ArmSooner(timerHighWatermarks, now.Add(gapTimeout))
 }
 
 // tickRouted does what is due for routed topics, their batches and publications.
@@ -167,7 +167,7 @@
 		g.tickTopic(now, topic, effects)
 	}
 	g.retryBatches(now, effects)
-	g.retryPublications(now, effects)
+	g.retryRoutedPublications(now, effects)
 }
 
 // tickTopic does what is due for a topic and schedules its next tick.
@@ -279,7 +279,7 @@
 	}
 	if head.From > reported {
 		// A report was lost.
-		g.timers.ArmSooner(timerFollow, now)
+		g.timers.ArmSooner(timerHighWatermarks, now)
 		return
 	}
 	g.routed.reportedUpTo[head.Partition] = max(reported, head.Offset)
--- a/internal/gateway/topic_subscription.go
+++ b/internal/gateway/topic_subscription.go
@@ -211,12 +211,12 @@
 // supersede removes the routed subscriptions of a client's earlier session: only those of its
 // newest session count.
 func (g *Gateway) supersede(now time.Time, client string, newest uint64, effects *statemachine.Effects) {
-	if earlier, found := g.newest[client]; found && earlier != newest {
+	if earlier, found := g.newestSession[client]; found && earlier != newest {
 		if session, open := g.sessions[earlier]; open {
 			g.dropRouted(now, session, effects)
 		}
 	}
-	g.newest[client] = newest
+	g.newestSession[client] = newest
 }
 
 // startEphemeral confirms a subscription to an ephemeral topic.
@@ -358,7 +358,7 @@
 ) {
 	session, open := g.sessions[subscription.session]
 	if open && subscription.request.Request == 0 && response.Code == "place-lost" {
-		g.emitLast(now, subscription.session, session, response.Code, effects)
+		g.emitFinalEvent(now, subscription.session, session, response.Code, effects)
 		g.closeSession(now, CloseSession{Session: subscription.session, Reason: response.Code}, effects)
 	} else if open {
 		g.dropTopicSubscription(now, session, subscription.topic.name, effects)
--- a/internal/gateway/tracker.go
+++ b/internal/gateway/tracker.go
@@ -31,7 +31,7 @@
 	interest Interest
 	// subscriptions is how many sessions have the interest; it is never 0.
 	subscriptions int
-	// since is the offset above which the interest is live, everything until it is.
+	// since is the offset above which the interest is live, maxOffset until it is.
 	since uint64
 }
 
@@ -94,7 +94,7 @@
 			present.shared = state.space.Order == config.OrderSpace
 		}
 		g.trackers[name] = present
-		g.timers.ArmSooner(timerFollow, now)
+		g.timers.ArmSooner(timerHighWatermarks, now)
 	}
 	return present
 }
@@ -103,7 +103,7 @@
 func (t *tracker) add(interest Interest) {
 	present, found := t.interests[interest]
 	if !found {
-		present = &trackedInterest{interest: interest, since: everything}
+		present = &trackedInterest{interest: interest, since: maxOffset}
 		t.interests[interest] = present
 		t.version++
 	}
@@ -135,10 +135,10 @@
 	}
 }
 
-// startOf returns the offset above which a topic is live here, everything if it is not yet, and
+// startOf returns the offset above which a topic is live here, maxOffset if it is not yet, and
 // whether any interest matches it.
 func (t *tracker) startOf(topic string) (since uint64, tracked bool) {
-	since = everything
+	since = maxOffset
 	for interest, present := range t.interests {
 		if t.shared || interest.matches(topic) {
 			tracked = true
@@ -157,7 +157,7 @@
 		return true
 	}
 	since, matters := t.startOf(topic)
-	return !matters || offset <= since && since != everything
+	return !matters || offset <= since && since != maxOffset
 }
 
 // prune forgets deliveries that the verified offset covers.
@@ -180,7 +180,7 @@
 		return true
 	}
 	for _, present := range t.interests {
-		if present.since == everything || present.since < offset {
+		if present.since == maxOffset || present.since < offset {
 			return false
 		}
 	}
--- a/internal/gateway/verify.go
+++ b/internal/gateway/verify.go
@@ -192,7 +192,7 @@
 		effects.Send(address, follow)
 	}
 	if len(g.trackers)+len(g.routed.partitions) > 0 {
-		g.timers.Arm(timerFollow, now.Add(followEvery))
+		g.timers.Arm(timerHighWatermarks, now.Add(followEvery))
 	}
 }
 
--- a/internal/gateway/view.go
+++ b/internal/gateway/view.go
@@ -79,7 +79,7 @@
 	if g.incarnation > 0 {
 		g.overlay.SetIncarnation(now, g.incarnation, effects)
 	}
-	g.placementsChanged(now, effects)
+	g.handlePlacementsChanged(now, effects)
 }
 
 // spaceName returns the name of a space together with the index at which it was created.
