--- a/internal/gateway/catchup.go
+++ b/internal/gateway/catchup.go
@@ -11,54 +11,58 @@
 )
 
 const (
-	// maxBatchTopics is how many topics one batch asks for.
+	// maxBatchTopics bounds the topics of one batch.
 	maxBatchTopics = 256
-	// batchRetry is how long the response to the first attempt of a batch may take; the
-	// timeout doubles with each further attempt.
+	// batchTimeout is how long the response to the first attempt of a batch may take. The timeout
+	// doubles with each further attempt.
 	batchRetry = 400 * time.Millisecond
-	// catchUpAhead is how long the link may take for the records that are requested at once, from all
-	// stores together.
+	// maxCatchUpLinkTime is how long the transfer of all records that are requested at the same time,
+	// from all stores together, may occupy the link.
 	catchUpAhead = 200 * time.Millisecond
-	// Bounds of the bytes of records that one batch asks for.
+	// minBatchBytes and maxBatchBytes bound the bytes of records that one batch requests.
 	minBatchBytes = 4 << 10
 	maxBatchBytes = 256 << 10
-	// reservedFor is for how long a rejected subscription keeps its turn.
+	// reservationTimeout is how long the topic of a rejected subscription is still fetched for its
+	// retry, and how long the fetched records are retained for it.
 	reservedFor = 3 * time.Second
 )
 
-// topicFetch is one topic in a batch. It asks for the records after an offset.
+// topicFetch is one topic of a batch, which requests its records after an offset.
 type topicFetch struct {
 	topic *topicState
-	// after is the offset after which records are wanted; maxOffset if only the high watermark is.
+	// after is the offset after which records are requested, or maxOffset if only the high watermark
+	// is requested.
 	after uint64
-	// sentBy is the route by which the batch was sent.
+	// sentBy is the route over which the batch was sent.
 	sentBy route
 }
 
-// batch is a request for several topics to one store that has not been answered yet.
+// batch is a request to one store for the records of several topics, which awaits its response.
 type batch struct {
-	// request is its number; it stays when the batch is sent again.
+	// request is the request number, which stays the same for all attempts.
 	request uint64
 	// store is the address of the store.
 	store string
-	// fetches are its topics. One that left the batch meanwhile no longer refers to its entry here.
+	// fetches are the topics in the batch. A topic that was removed from the batch after it was sent
+	// no longer refers to its entry.
 	fetches []*topicFetch
-	// bytes bounds the records of the response.
+	// bytes bounds the size of the records in the response.
 	bytes int
-	// sentAt is when it was last sent, attempts how often.
+	// sentAt is when the batch was last sent, attempts is how often it was sent.
 	sentAt   time.Time
 	attempts int
 }
 
-// due returns when the batch is sent again; the timeout doubles with each attempt.
+// due returns when the batch is sent again. The timeout doubles with each attempt.
 func (b *batch) due() time.Time { return b.sentAt.Add(backoff(batchRetry, b.attempts)) }
 
-// wanted returns whether any topic still waits for a response to the batch.
+// hasWaitingTopics reports whether any topic still waits for the response to the batch.
 func (b *batch) wanted() bool {
 	return slices.ContainsFunc(b.fetches, func(fetch *topicFetch) bool { return fetch.topic.fetch == fetch })
 }
 
-// backoff returns how long to wait for the response to an attempt; it doubles a few times.
+// backoff returns how long to wait for the response to an attempt. The timeout doubles with each
+// attempt, maxTimeoutDoublings times at most.
 func backoff(initial time.Duration, attempts int) time.Duration {
 	if statemachine.Mutated("no-retry-pauses") {
 		return initial
@@ -66,8 +70,8 @@
 	return initial << min(max(0, attempts-1), retryDoubles)
 }
 
-// missingAfter returns the offset after which records of the topic are missing, and whether any
-// are.
+// missingAfter returns the offset after which records of the topic are to be fetched, maxOffset if
+// only its high watermark is needed, and whether anything is to be fetched.
 func (t *topicState) missingAfter(now time.Time) (after uint64, lacking bool) {
 	after = maxOffset
 	if t.live && t.wanted > t.last {
@@ -88,15 +92,15 @@
 	return after, lacking
 }
 
-// reserved returns whether a rejected subscription keeps its turn while the records that it lacks
-// are not here.
+// reserved reports whether the topic is still to be fetched for the retry of a rejected subscription:
+// its reservation has not expired, and this gateway lacks some of the records.
 func (t *topicState) reserved(now time.Time) bool {
 	here := t.live && t.recentFrom <= t.reservedAfter
 	return t.reservedUntil.After(now) && !here
 }
 
-// reserve keeps the turn of a subscription that is rejected because no response came in time: the
-// records that it lacks are fetched all the same, for its next attempt.
+// reserve adds a reservation for a subscription that is rejected because the store did not respond in
+// time: the records that it missed are fetched all the same, for the client's retry.
 func (t *topicState) reserve(now time.Time, subscription *topicSubscription) {
 	if statemachine.Mutated("refused-loses-turn") || !subscription.resumes {
 		return
@@ -108,8 +112,8 @@
 	t.reservedUntil = now.Add(reservedFor)
 }
 
-// fetchTopic queues a topic for the next batch to its store, which is sent at once if none is in
-// flight there.
+// fetchTopic queues a topic for the next batch to its store. The batch is sent at once if no other one
+// is in flight to the store.
 func (g *Gateway) fetchTopic(now time.Time, topic *topicState, effects *statemachine.Effects) {
 	if topic.fetch != nil || topic.queued {
 		return
@@ -126,7 +130,7 @@
 	}
 }
 
-// busy returns whether a batch is in flight to a store.
+// hasBatchInFlight reports whether a batch is in flight to a store.
 func (g *Gateway) busy(store string) bool {
 	_, busy := g.routed.batchInFlight[store]
 	return busy && !statemachine.Mutated("fetches-without-credit")
@@ -168,7 +172,7 @@
 	}
 }
 
-// sendBatch sends a batch, or sends it again.
+// sendBatch sends the first or a further attempt of a batch.
 func (g *Gateway) sendBatch(now time.Time, sent *batch, effects *statemachine.Effects) {
 	sent.sentAt = now
 	sent.attempts++
@@ -181,9 +185,9 @@
 	effects.Send(sent.store, fetch)
 }
 
-// sortByMissingBytes orders topics by the bytes that they are known to lack, since the records of a
-// response go to the front topics: one that lacks a single message must not wait for those that
-// lack hundreds. Topics of which that is not known yet come before all others.
+// sortByMissingBytes sorts topics by the number of bytes that they are known to lack. A store fills its
+// response with the records of the first topics, and a topic that lacks a single message must not wait
+// for topics that lack hundreds. Topics for which the number is not known yet are sorted to the front.
 func sortByMissingBytes(fetches []*topicFetch) {
 	if statemachine.Mutated("first-come-first") {
 		return
@@ -193,8 +197,8 @@
 	})
 }
 
-// batchBytes returns the credit of a batch while batches to that many stores are in flight: their
-// responses together take a short time of the link.
+// batchBytes returns the credit in bytes of a batch while batches to the given number of stores are in
+// flight. All responses together occupy the link for maxCatchUpLinkTime.
 func (g *Gateway) batchBytes(stores int) int {
 	if g.settings.LinkBytesPerSecond == 0 {
 		return maxBatchBytes
@@ -203,7 +207,7 @@
 	return min(max(ahead/max(1, stores), minBatchBytes), maxBatchBytes)
 }
 
-// endBatch removes a batch, which returns the store's credit.
+// endBatch removes a batch, so that the next one can be sent to its store.
 func (g *Gateway) endBatch(ended *batch) {
 	delete(g.routed.batches, ended.request)
 	if g.routed.batchInFlight[ended.store] == ended.request {
@@ -211,7 +215,8 @@
 	}
 }
 
-// retryBatches sends unanswered batches again, and removes those for which no topic waits any more.
+// retryBatches sends batches again whose response is overdue, and removes those for which no topic
+// waits any more.
 func (g *Gateway) retryBatches(now time.Time, effects *statemachine.Effects) {
 	for _, sent := range statemachine.Sorted(g.routed.batches) {
 		switch {
@@ -228,8 +233,8 @@
 	}
 }
 
-// rerouteFetches takes the topics whose partition has another leader now out of their batches, and
-// puts them at the front of the queue.
+// rerouteFetches moves the topics whose route has changed, for instance after a change of leader, from
+// their batches to the front of the queue.
 func (g *Gateway) rerouteFetches(now time.Time, effects *statemachine.Effects) {
 	var rerouted []*topicState
 	for _, sent := range statemachine.Sorted(g.routed.batches) {
@@ -282,12 +287,13 @@
 		}
 		g.applyFetchedTopic(now, fetch, state, records, effects)
 	}
-	// The batch ends only now, so that the next one has all topics that still lack records.
+	// The batch ends after its topics were handled, so that the next one includes all topics that still
+	// lack records.
 	g.endBatch(answered)
 	g.sendBatches(now, effects)
 }
 
-// applyFetchedTopic applies what a store responded for one topic.
+// applyFetchedTopic applies the response of a store for one topic.
 func (g *Gateway) applyFetchedTopic(
 	now time.Time,
 	fetch *topicFetch,
@@ -319,13 +325,14 @@
 	}
 	g.release(now, topic, effects)
 	if response.Until < state.HighWatermark {
-		// The records of the topic did not all fit into the response.
+		// The response was too small for all records of the topic; fetch the rest.
 		g.requireUpTo(now, topic, state.HighWatermark, 0)
 	}
 	g.tickTopic(now, topic, effects)
 }
 
-// applyRecords adds fetched records to the topic's own sequence.
+// applyRecords starts a topic that is not started yet, and delivers the fetched records that follow
+// the topic's newest delivered one.
 func (g *Gateway) applyRecords(
 	now time.Time,
 	fetch *topicFetch,
@@ -360,8 +367,8 @@
 	topic.last = max(topic.last, response.Until)
 }
 
-// extendRecent adds fetched records that precede the recent ones, for the subscriptions that come
-// next.
+// prependRecent adds fetched records that precede the recent ones, so that further subscriptions can
+// catch up from them.
 func (t *topicState) extendRecent(now time.Time, after uint64, response partition.TopicRecords) {
 	if after >= t.recentFrom || response.Until < t.recentFrom {
 		return
@@ -377,8 +384,8 @@
 	t.recentFrom, t.recentUntil = after, now.Add(reservedFor)
 }
 
-// advanceSubscription confirms a subscription whose missed records the store still has, and
-// delivers those that came.
+// advanceSubscription confirms a subscription whose missed records the store still has, and delivers
+// those in the response.
 func (g *Gateway) advanceSubscription(
 	now time.Time,
 	subscription *topicSubscription,
--- a/internal/gateway/catchup_mutation_test.go
+++ b/internal/gateway/catchup_mutation_test.go
@@ -10,13 +10,14 @@
 	"dahlialock/internal/statemachine"
 )
 
-// Without a credit all topics that clients subscribe to at once are fetched at once.
+// Without the limit of one batch in flight to each store, each new subscription sends a batch at once.
 func TestBatchMutationFetchesWithoutCredit(t *testing.T) {
 	defer statemachine.Mutate("fetches-without-credit")()
 	assert.Equal(t, len(newCrowded(crowdedTopics).sentBatches()), crowdedTopics)
 }
 
-// If unconfirmed subscriptions count, each that is rejected is announced to the others.
+// If unconfirmed subscriptions were counted, subscriptions that are rejected later would be announced to the
+// other gateways.
 func TestSubscriberCountMutationCountsUnconfirmed(t *testing.T) {
 	defer statemachine.Mutate("waiting-counts")()
 	waiting, _ := announcedWhileWaiting()
--- a/internal/gateway/catchup_test.go
+++ b/internal/gateway/catchup_test.go
@@ -13,7 +13,8 @@
 	"dahlialock/internal/statemachine"
 )
 
-// crowded is a gateway at which clients subscribe to many durable topics at once.
+// topicFixture is a gateway with unconfirmed subscriptions of several clients, each to a different durable
+// topic.
 type crowded struct {
 	now      time.Time
 	gateway  *Gateway
@@ -61,7 +62,7 @@
 	return made
 }
 
-// sentBatches returns the batches that were sent since it was last called.
+// takeSentBatches returns the batches that were sent since the previous call.
 func (c *crowded) sentBatches() []partition.FetchTopics {
 	var batches []partition.FetchTopics
 	for _, send := range c.effects.Sends {
@@ -73,8 +74,7 @@
 	return batches
 }
 
-// answer answers a batch as a store does that holds all from Base on and nothing newer
-// than the cursors.
+// respond answers a batch like a store that has no records of the topics, with the high watermark 5.
 func (c *crowded) answer(fetch partition.FetchTopics) {
 	answer := partition.FetchTopicsResponse{RequestID: fetch.RequestID}
 	reported := map[string]bool{}
@@ -114,7 +114,7 @@
 	many.answer(batches[0])
 	next := many.sentBatches()
 	assert.Equal(t, len(next), 1)
-	// One whose answer never comes, and for which nobody waits, is not sent again.
+	// A batch without a response for which no topic waits is not sent again.
 	many.gateway.dropTopicSubscription(many.now, many.channels[1], next[0].Topics[0].Topic, &many.effects)
 	many.now = many.now.Add(batchRetry)
 	many.gateway.retryBatches(many.now, &many.effects)
@@ -134,9 +134,8 @@
 	assert.Equal(t, next[0].Topics[0].Topic, many.channels[2].client)
 }
 
-// rejectedTurn returns how many topics the next batch fetches after a subscription behind a
-// slow batch was rejected without a response, and whether its retry is confirmed from what
-// was fetched for it.
+// batchAfterRejection rejects a subscription whose topic waits for the response to a slow batch. It returns
+// how many topics the next batch fetches, and whether the client's retry is confirmed from the response.
 func rejectedTurn(t *testing.T) (topics int, confirmed bool) {
 	t.Helper()
 	many := newCrowded(2)
@@ -170,7 +169,7 @@
 func TestTopicSubscriptionKeepsTurnWhenRejected(t *testing.T) {
 	topics, confirmed := rejectedTurn(t)
 	assert.Equal(t, topics, 1)
-	assert.Assert(t, confirmed, "what was fetched is used by the next try")
+	assert.Assert(t, confirmed, "the retry is confirmed from the records that were fetched after the rejection")
 }
 
 func TestTopicReservationExpires(t *testing.T) {
@@ -186,7 +185,8 @@
 	assert.Equal(t, len(many.gateway.routed.partitions), 0)
 }
 
-// A subscription without a cursor has no turn to keep: its topic is removed, once.
+// A rejected subscription without a cursor has no reservation. Its topic is removed, and subtracted from
+// the topics of the partition once only.
 func TestPartitionReportsEndWithLastTopic(t *testing.T) {
 	many := newCrowded(1)
 	refused := many.channels[0].routed[many.channels[0].client]
@@ -218,8 +218,8 @@
 	assert.Equal(t, many.gateway.batchBytes(1), minBatchBytes)
 }
 
-// A subscription is confirmed though the answer had no room for what it missed, which
-// follows with later batches.
+// A subscription is confirmed even if the response is too small for the missed records. They are fetched
+// with later batches.
 func TestTopicSubscriptionConfirmedBeforeRecords(t *testing.T) {
 	one := newCrowded(1)
 	subscription := one.channels[0].routed["topic-0"]
@@ -248,7 +248,8 @@
 	assert.Assert(t, !subscription.filling)
 }
 
-// A leader does not report again what it reported while the topic was being fetched.
+// A report that arrives while the topic is being fetched must not be lost, since the leader doesn't repeat
+// it.
 func TestTopicReportedDuringFetchIsFetched(t *testing.T) {
 	one := newCrowded(1)
 	fetch := one.sentBatches()[0]
@@ -270,8 +271,8 @@
 	assert.Equal(t, one.gateway.routed.reportedUpTo[topic.partition], uint64(8))
 }
 
-// announcedWhileWaiting returns how many subscribers are announced while one is unconfirmed, and
-// once it is confirmed.
+// announcedSubscribers returns how many subscribers are announced while the only one is unconfirmed, and
+// after it is confirmed.
 func announcedWhileWaiting() (waiting, filled int) {
 	one := newCrowded(1)
 	topic := one.gateway.routed.topics["topic-0"]
@@ -286,8 +287,8 @@
 	assert.Equal(t, filled, 1)
 }
 
-// confirmed tells whether a caller who comes back with a cursor is answered before
-// what it missed was fetched.
+// confirmedBeforeFetch reports whether a subscription that is resumed with a cursor is confirmed before the
+// missed records are fetched.
 func confirmed(t *testing.T, cursor uint64) bool {
 	t.Helper()
 	one := newCrowded(1)
@@ -331,10 +332,11 @@
 
 func TestTopicSubscriptionWithinRetentionConfirmedAtOnce(t *testing.T) {
 	assert.Assert(t, confirmed(t, 5))
-	assert.Assert(t, !confirmed(t, 2), "what lay there may be gone")
+	assert.Assert(t, !confirmed(t, 2), "records below the base offset may have been removed")
 }
 
-// answerLeft answers a batch with no records but for topics of which nothing is left.
+// respondWithRemaining answers a batch without records. remaining is how many bytes of records the store
+// reports as missing of each topic.
 func (c *crowded) answerLeft(fetch partition.FetchTopics, left map[string]int) {
 	answer := partition.FetchTopicsResponse{RequestID: fetch.RequestID}
 	for _, each := range fetch.Topics {
@@ -352,8 +354,8 @@
 	c.gateway.handleTopicsFetched(c.now, answer, &c.effects)
 }
 
-// orderOfRest gives the topics of the batch that follows an answer without room, when
-// each misses fewer records than the one before it.
+// nextBatchOrder returns the topics of the batch that follows a response without records, in the order of
+// the batch. Each topic lacks fewer bytes than the one before it in the first batch.
 func orderOfRest(t *testing.T) []string {
 	t.Helper()
 	many := newCrowded(4)
@@ -384,12 +386,12 @@
 	return order
 }
 
-// A topic with one missing record must not wait for those with a hundred.
+// A topic that lacks a single record must not wait for topics that lack hundreds.
 func TestBatchFetchesShortBacklogsBeforeLongOnes(t *testing.T) {
 	assert.DeepEqual(t, orderOfRest(t), []string{"topic-3", "topic-2", "topic-1", "topic-0"})
 }
 
-// While more bytes are missing than the link takes in a second no session is admitted.
+// No session is admitted while more bytes are missing than the link transfers in a second.
 func TestAdmissionRejectsDuringBacklog(t *testing.T) {
 	one := newCrowded(1)
 	topic := one.gateway.routed.topics["topic-0"]
@@ -403,13 +405,13 @@
 	}, &one.effects)
 	assert.Assert(t, !one.gateway.admits(one.now))
 	one.gateway.dropTopicSubscription(one.now, one.channels[0], "topic-0", &one.effects)
-	assert.Assert(t, one.gateway.admits(one.now), "nobody wants it any more")
+	assert.Assert(t, one.gateway.admits(one.now), "no subscription lacks the records any more")
 }
 
 const thinRate = 100_000
 
-// What a removed subscription lacked no longer counts, though others subscribe to its topic
-// and the response is still on its way.
+// The bytes that a removed subscription lacked don't count as backlog any more, even if other sessions
+// subscribe to the topic and the response is still in flight.
 func TestAdmissionForgetsBacklogOfClosedSessions(t *testing.T) {
 	one := newCrowded(1)
 	gateway, topic := one.gateway, one.gateway.routed.topics["topic-0"]
--- a/internal/gateway/cursor.go
+++ b/internal/gateway/cursor.go
@@ -15,8 +15,8 @@
 const (
 	// cursorLayout is the version of the encoding of cursors.
 	cursorLayout = 1
-	// sumSize is the length of the authentication code, cursorLimit the longest accepted cursor, both
-	// in bytes.
+	// macSize is the length of the message authentication code, maxCursorSize the length of the longest
+	// accepted cursor, both in bytes.
 	sumSize     = 12
 	cursorLimit = 256 << 10
 
@@ -24,9 +24,10 @@
 	codeBadCursor = "bad-cursor"
 )
 
-// position is how far one partition was delivered to a client: all that its interests match up to
-// Floor, and the offsets Extras above it. Since has, by Interest.key, the offsets of the interests that
-// began above Floor. Its encoding is part of the cursor layout.
+// position describes which records of one partition were delivered to a client: all records up to Floor
+// that match its interests, and the records with the offsets Extras above Floor. Since contains the start
+// offsets, by Interest.key, of the interests that began above Floor. The encoding of a position is part of
+// the cursor layout.
 type position struct {
 	_      struct{} `cbor:",toarray"`
 	Floor  uint64
@@ -34,9 +35,10 @@
 	Since  map[string]uint64
 }
 
-// cursor is the position of a client in spaces without routed topics. Partitions are by partition name,
-// Marks the newest sequences seen in ephemeral spaces, by space and sender. Its encoding is the cursor
-// layout. Cursors of routed topics are only an offset: see formatTopicCursor.
+// cursor is the position of a client in spaces without routed topics. Partitions contains the positions
+// by partition name, Marks the newest delivered sequences in ephemeral spaces by space and sender. The
+// encoding of a cursor is the cursor layout. The cursor of a routed topic consists of an offset only, see
+// formatTopicCursor.
 type cursor struct {
 	_          struct{} `cbor:",toarray"`
 	Layout     uint8
@@ -46,7 +48,7 @@
 	Marks      map[string]map[string]uint64
 }
 
-// sign returns the authentication code of an encoded cursor.
+// sign returns the message authentication code of an encoded cursor.
 func sign(key, body []byte) []byte {
 	sum := hmac.New(sha256.New, key)
 	_, _ = sum.Write([]byte("cursor"))
@@ -60,7 +62,8 @@
 	return base64.RawURLEncoding.EncodeToString(append(sign(key, body), body...))
 }
 
-// openCursor verifies and decodes the cursor of a client; the code says why it is rejected.
+// openCursor verifies and decodes the cursor of a client. If the cursor is rejected it returns the error
+// code.
 func openCursor(key []byte, client, text string) (cursor, string) {
 	if len(text) > cursorLimit {
 		return cursor{}, codeBadCursor
@@ -79,9 +82,8 @@
 	return contents, ""
 }
 
-// cursor returns the sealed position of a session. It is empty while a subscription
-// of the session is being filled, or if it has none: the earlier cursor of the client
-// stays valid then.
+// cursor returns the encoded and signed cursor of a session. It is empty if the session has no
+// subscriptions or one of them is catching up: the previous cursor of the client stays valid then.
 func (g *Gateway) cursor(now time.Time, session *session) string {
 	if len(session.subscriptions) == 0 || session.backlogFloors == nil && session.isFilling() {
 		return ""
@@ -93,8 +95,8 @@
 		Marks:      map[string]map[string]uint64{},
 	}
 	g.addInterests(&result, session)
-	// What is still buffered, or belongs to a backlog that is being delivered, was
-	// not delivered yet.
+	// Buffered records and the rest of a backlog that is being delivered have not been delivered yet,
+	// so the floor must be below them.
 	for _, recordCopy := range session.buffer {
 		if _, live := result.Partitions[recordCopy.Partition]; live {
 			result.lowerFloor(recordCopy.Partition, recordCopy.Record.Offset-1)
@@ -110,7 +112,7 @@
 	return seal(g.settings.Key, result)
 }
 
-// lowerFloor lowers the floor of a partition to an offset, unless it is lower already.
+// lowerFloor lowers the floor of a partition to an offset, unless the floor is lower already.
 func (c *cursor) lowerFloor(name string, offset uint64) {
 	present, found := c.Partitions[name]
 	if !found || offset < present.Floor {
@@ -119,7 +121,8 @@
 	c.Partitions[name] = present
 }
 
-// addInterests adds the subscriptions that are live, and how far their partitions are verified.
+// addInterests adds the interests whose subscriptions are live, and the verified offsets of their
+// partitions.
 func (g *Gateway) addInterests(result *cursor, session *session) {
 	for interest, subscription := range session.subscriptions {
 		if subscription.filling {
@@ -136,8 +139,8 @@
 	slices.SortFunc(result.Interests, compareInterests)
 }
 
-// addExtras adds what the client has above the floor of a partition, and the interests
-// that began above it.
+// addExtras adds the offsets that were delivered above the floor of a partition, and the start offsets of
+// the interests that began above the floor.
 func (c *session) addExtras(name string, at position) position {
 	at.Extras = c.extras(name, at.Floor)
 	slices.Sort(at.Extras)
@@ -157,7 +160,8 @@
 	return at
 }
 
-// addSequences adds the newest sequence of each sender that was seen lately in ephemeral spaces.
+// addSequences adds the newest sequence of each sender from whom the client recently received a message
+// in an ephemeral space.
 func (c *session) addSequences(now time.Time, result *cursor) {
 	for space, marks := range c.sequences {
 		newest := map[string]uint64{}
@@ -172,8 +176,8 @@
 	}
 }
 
-// key names the interest within its space: its kind, "t" for a topic and "w" for a prefix, and its
-// path.
+// key identifies the interest within its space. It consists of the kind, "t" for a topic and "w" for a
+// prefix, and the path.
 func (i Interest) key() string {
 	wide := "t"
 	if i.Prefix {
@@ -190,9 +194,9 @@
 	return strings.Compare(left.key(), right.key())
 }
 
-// extras returns the offsets above a floor that were delivered to the client. Usually floors only
-// rise, and offsets below one are forgotten; while a backlog is delivered the floor is an older
-// one, and all remembered offsets count.
+// extras returns the offsets above a floor that were delivered to the client. Usually a floor never
+// decreases, so the offsets below it are removed from deliveredAbove. While a backlog is being delivered
+// the floor is lower than before, and all remembered offsets are considered.
 func (c *session) extras(name string, floor uint64) []uint64 {
 	var extras []uint64
 	if statemachine.Mutated("no-client-memory") {
--- a/internal/gateway/delivery.go
+++ b/internal/gateway/delivery.go
@@ -8,12 +8,13 @@
 	"dahlialock/internal/statemachine"
 )
 
-// drain delivers what was buffered while a subscription of the session was being filled.
+// deliverBuffered delivers the messages that were buffered while a subscription of the session was
+// catching up. It does nothing while one still is.
 func (g *Gateway) drain(now time.Time, id uint64, session *session, effects *statemachine.Effects) {
 	if session.isFilling() {
 		return
 	}
-	// What is left in the buffer keeps the cursor's floor below it.
+	// The records that are still in the buffer keep the floor of the cursor below them.
 	for len(session.buffer) > 0 {
 		recordCopy := session.buffer[0]
 		session.buffer = session.buffer[1:]
@@ -26,8 +27,8 @@
 	}
 }
 
-// deliverOrBuffer delivers a record to a session if one of its subscriptions matches and the client
-// has not had it, or buffers it while the session is being filled.
+// deliverOrBuffer delivers a record to a session if one of its subscriptions matches and the client has
+// not received the record. While the session is catching up the record is buffered instead.
 func (g *Gateway) deliverOrBuffer(
 	now time.Time,
 	id uint64,
@@ -49,8 +50,9 @@
 	}
 	wanted = wanted || statemachine.Mutated("no-exact-match")
 	if session.isFilling() && (wanted || waits) {
-		// While any subscription is being filled the complete session waits, since the
-		// order of a sender runs across its subscriptions.
+		// While any subscription is catching up the records of all subscriptions of the
+		// session are buffered, since the messages of a sender must be delivered in order
+		// across them.
 		session.buffer = append(session.buffer, recordCopy)
 		return
 	}
@@ -59,7 +61,7 @@
 	}
 }
 
-// deliverRecord delivers a record to a session unless the client has had it.
+// deliverRecord delivers a record to a session unless the client has received it.
 func (g *Gateway) deliverRecord(
 	now time.Time,
 	id uint64,
@@ -91,8 +93,8 @@
 	}, effects)
 }
 
-// markSeen notes the sequence of a message of an ephemeral space, and returns whether it is above
-// all seen of its sender.
+// markSeen records the sequence of a message in an ephemeral space, and reports whether it is above all
+// sequences of the sender recorded before.
 func (c *session) markSeen(now time.Time, space, sender string, seq uint64) bool {
 	marks := c.sequences[space]
 	if marks == nil {
@@ -106,8 +108,9 @@
 	return true
 }
 
-// deliverOrBufferEphemeral delivers an ephemeral message to a session if one of its subscriptions
-// matches and the client has not had it, or buffers it while the session is being filled.
+// deliverOrBufferEphemeral delivers an ephemeral message to a session if one of its subscriptions matches
+// and the client has not received the message. While the session is catching up the message is buffered
+// instead.
 func (g *Gateway) deliverOrBufferEphemeral(
 	now time.Time,
 	id uint64,
@@ -126,8 +129,8 @@
 				session.ephemeralBuffer = append(session.ephemeralBuffer, message)
 				return
 			}
-			// Repeated messages are for clients that were away, not for those that
-			// had not subscribed yet.
+			// Repeated messages are delivered to clients that were disconnected, but
+			// not to new subscriptions.
 			wanted = wanted || !message.Repeated || now.Sub(subscription.resumedAt) <= resumedFor
 		}
 	}
@@ -147,16 +150,16 @@
 	}, effects)
 }
 
-// markDelivered notes offsets that were delivered to the client by another gateway.
+// markDelivered records offsets that were delivered to the client by another gateway.
 func (c *session) markDelivered(now time.Time, name string, offsets []uint64) {
 	for _, offset := range offsets {
 		c.recordDelivery(now, name, offset)
 	}
 }
 
-// recordDelivery notes that a record is delivered to the client, and returns whether it was not
-// before. Offsets above the cursor's floor are tracked in deliveredAbove too, since every cursor
-// names them.
+// recordDelivery records that an offset is delivered to the client, and reports whether it was not
+// delivered before. Offsets are also added to deliveredAbove, which contains those above the cursor's
+// floor, since every cursor lists them.
 func (c *session) recordDelivery(now time.Time, name string, offset uint64) bool {
 	if c.delivered[name] == nil {
 		c.delivered[name], c.deliveredAbove[name] = map[uint64]time.Time{}, map[uint64]bool{}
@@ -169,7 +172,7 @@
 	return true
 }
 
-// notBefore notes that an interest began at an offset above the floor of the cursor.
+// setNotBefore records that an interest began at an offset above the floor of the cursor.
 func (c *session) notBefore(interest Interest, name string, since uint64) {
 	subscription := c.subscriptions[interest]
 	if subscription.notBefore == nil {
@@ -178,8 +181,8 @@
 	subscription.notBefore[name] = since
 }
 
-// wantsRecord returns whether a missed record matches an interest that was subscribed to when it
-// was appended.
+// matchesMissedRecord reports whether a missed record matches an interest that the client was already
+// subscribed to when the record was appended.
 func (c *session) wantsRecord(interests []Interest, recordCopy RecordCopy) bool {
 	space, _ := spaceOf(recordCopy.Partition)
 	for _, interest := range interests {
--- a/internal/gateway/ephemeral.go
+++ b/internal/gateway/ephemeral.go
@@ -28,20 +28,16 @@
 		g.finishPublication(now, item, rejectedReply(409, "old-seq", "this seq is not above the sender's newest", 0), effects)
 		return
 	}
-	// A sender that published through another gateway until now may retry what that fanned out.
-	// It is fanned out once more; a session that has had it, or a later one, ignores it.
+	// A sender that published through another gateway before may retry a message that was already
+	// fanned out there. It is fanned out again; a session that has received this or a later message
+	// of the sender ignores it.
 	area := areaOf(state.space, request.Topic)
 	g.overlay.Publish(now, state.name, area, func(now time.Time, effects *statemachine.Effects, stable bool) {
 		if item.answered {
 			return
 		}
 		if !stable {
-			g.finishPublication(
-				now,
-				item,
-				rejectedReply(503, "no-neighbours", "the overlay is being mended", retryShortDelay),
-				effects,
-			)
+			g.finishPublication(now, item, rejectedReply(503, "no-neighbours", "the overlay is being repaired", retryShortDelay), effects)
 			return
 		}
 		if request.Seq > from.lastSeq+1 {
@@ -68,7 +64,7 @@
 	}, effects)
 }
 
-// handleEphemeralCopy delivers an ephemeral message, and returns whether anybody here subscribes to
+// handleEphemeralCopy delivers an ephemeral message, and reports whether this gateway has subscriptions to
 // its topic.
 func (g *Gateway) handleEphemeralCopy(now time.Time, message EphemeralCopy, effects *statemachine.Effects) bool {
 	space, _ := spaceOf(message.Space + "/")
@@ -82,8 +78,8 @@
 	return g.deliverEphemeral(now, state, message, effects)
 }
 
-// deliverEphemeral delivers an ephemeral message to the sessions here, and returns whether there
-// are any.
+// deliverEphemeral delivers an ephemeral message to the sessions with a matching subscription, and reports
+// whether there are any.
 func (g *Gateway) deliverEphemeral(
 	now time.Time,
 	state *spaceState,
--- a/internal/gateway/fetch.go
+++ b/internal/gateway/fetch.go
@@ -8,52 +8,55 @@
 	"dahlialock/internal/statemachine"
 )
 
-// fetchOperation fetches records of several partitions: those that a session missed, or those that
-// a tracker lacks.
+// fetchOperation fetches the records of several partitions that a resumed session missed, or the
+// records of one partition that a tracker lacks.
 type fetchOperation struct {
-	// session, request, interests and resumes belong to the subscription that is being filled; they
-	// are unset in the operation of a tracker.
+	// session, request, interests and resumes belong to the request whose subscriptions are catching
+	// up. They are unset in the operation of a tracker.
 	session   uint64
 	request   Subscribe
 	interests []Interest
 	resumes   bool
-	// partitions is the progress of each partition, records what came so far, in order.
+	// partitions is the progress in each partition. records are the records received so far from each
+	// partition, in order of offset.
 	partitions map[string]*partitionFetch
 	records    map[string][]partition.Record
-	// refetches counts how often partitions were fetched further for a dependency.
+	// refetches counts how often the fetch was extended in some partitions, see refetch.
 	refetches int
-	// joins is how many overlay joins are not done; the fetch begins when it is 0. failed is set if
-	// one did not succeed.
+	// pendingJoins is the number of overlay joins that are not complete; the fetch starts when it is 0.
+	// joinFailed is set if a join failed.
 	joins  int
 	failed bool
 	// deadline is when the operation fails.
 	deadline time.Time
-	// tracker is the partition of the tracker that verifies, version its version at the start.
+	// tracker is the partition of the tracker that is being verified, empty in the operation of a
+	// session. version is the tracker's version when the operation started.
 	tracker string
 	version uint64
 }
 
 // partitionFetch is the progress of a fetchOperation in one partition.
 type partitionFetch struct {
-	// from is the offset of the cursor, maxOffset without one; after is the offset after which the
-	// next request asks, and until how far the responses have come.
+	// cursorOffset is the offset of the cursor, or maxOffset without a cursor. after is the offset
+	// after which the next request asks for records, or maxOffset if it asks for the high watermark
+	// only. until is the offset up to which the responses have covered the partition.
 	from  uint64
 	after uint64
 	until uint64
-	// skip are offsets above after that are here already.
+	// skip are offsets above after that need not be fetched, since their records were received before.
 	skip []uint64
-	// waiting is set while a request awaits its response, done once all records came.
+	// awaitingResponse is set while a request is in flight. done is set once all records are received.
 	waiting bool
 	done    bool
 	// requestedAt is when the last request was sent.
 	requestedAt time.Time
-	// topics and prefixes are what the interests match.
+	// topics and prefixes are the paths of the interests.
 	topics   []string
 	prefixes []string
 }
 
-// advanceFetch continues once all joins of the overlay are done: it sends the fetches to the
-// leaders of the partitions, and completes when all have responded.
+// advanceFetch continues an operation once all overlay joins are complete. It sends the fetches to the
+// leaders of the partitions, and completes the operation when all partitions are done.
 func (g *Gateway) advanceFetch(
 	now time.Time,
 	id uint64,
@@ -108,8 +111,8 @@
 	})
 }
 
-// retryFetch sends unanswered fetches of an operation again, or fails it after its deadline. It
-// returns when to look at it next, zero if it has ended.
+// retryFetch sends the fetches of an operation again that have no response after fetchRetry, and fails
+// the operation after its deadline. It returns when the next retry is due, zero if the operation ended.
 func (g *Gateway) retryFetch(
 	now time.Time,
 	id uint64,
@@ -136,8 +139,8 @@
 	return next
 }
 
-// failFetch ends an operation without its records. A tracker verifies again later; the
-// subscriptions of a session are removed and rejected.
+// failFetch ends an operation that could not be completed. A tracker is verified again later. The
+// subscriptions of a session are removed, and their request is rejected.
 func (g *Gateway) failFetch(
 	now time.Time,
 	id uint64,
@@ -161,19 +164,19 @@
 	g.answerSubscribe(
 		now,
 		operation.request,
-		rejectedReply(503, code, "the place could not be found in time; nothing is subscribed", retryShortDelay),
+		rejectedReply(503, code, "the missed messages could not be found in time; nothing is subscribed", retryShortDelay),
 		effects,
 	)
 }
 
-// isDuplicate returns whether a response answers an earlier part of the fetch, which was applied
-// before.
+// isDuplicate reports whether a response belongs to an earlier request of the fetch whose response was
+// already applied.
 func (f *partitionFetch) isDuplicate(response partition.FetchResponse) bool {
 	return f.after != maxOffset && response.Until <= f.after && f.after < response.HighWatermark &&
 		!statemachine.Mutated("any-answer")
 }
 
-// missing returns the records above the offset after which the fetch asks.
+// missing returns the records of a response above the offset after which the fetch requests records.
 func (f *partitionFetch) missing(records []partition.Record) []partition.Record {
 	if statemachine.Mutated("any-answer") {
 		return records
@@ -200,7 +203,7 @@
 		return
 	}
 	if fetch.after != maxOffset && fetch.after < response.Base && operation.tracker == "" {
-		// The records in between were removed when their retention had passed.
+		// The records in between were removed after the retention period.
 		g.loseHistory(now, response.RequestID, operation, effects)
 		return
 	}
@@ -224,7 +227,7 @@
 	g.advanceFetch(now, response.RequestID, operation, effects)
 }
 
-// dropFilling removes the subscriptions that an operation was to fill.
+// dropUnfinished removes the subscriptions of an operation that are still catching up.
 func (g *Gateway) dropFilling(
 	now time.Time,
 	operation *fetchOperation,
@@ -238,7 +241,8 @@
 	}
 }
 
-// loseHistory rejects a subscription whose cursor is older than the retention of its space.
+// rejectExpiredCursor ends an operation and rejects its request, because the cursor is older than the
+// retention of the space.
 func (g *Gateway) loseHistory(now time.Time, id uint64, operation *fetchOperation, effects *statemachine.Effects) {
 	delete(g.fetches, id)
 	if session, found := g.sessions[operation.session]; found {
@@ -247,14 +251,14 @@
 	g.answerSubscribe(
 		now,
 		operation.request,
-		rejectedReply(410, "place-lost", "what was missed is older than the space holds; subscribe without the cursor", 0),
+		rejectedReply(410, "place-lost", "the missed messages are no longer retained; subscribe without the cursor", 0),
 		effects,
 	)
 }
 
-// completeFetch ends a fetch whose partitions have all answered. The records of a
-// tracker's fetch go to the tracker. For a session the missed messages are delivered
-// in an order that fits all senders.
+// completeFetch completes an operation whose partitions are all done. The records of a tracker's
+// operation are applied to the tracker. For a session the missed messages are delivered in an order
+// that keeps the order of each sender, and the subscriptions start.
 func (g *Gateway) completeFetch(now time.Time, id uint64, operation *fetchOperation, effects *statemachine.Effects) {
 	if operation.tracker != "" {
 		delete(g.fetches, id)
@@ -289,8 +293,8 @@
 	g.deliverReady(now, effects)
 }
 
-// overtakenPartitions returns the partitions that were verified further for other
-// sessions meanwhile: the records in between were not buffered for this session.
+// overtakenPartitions returns the partitions whose tracker has delivered records to other sessions
+// beyond the fetched offset during the operation. Those records were not buffered for this session.
 func (g *Gateway) overtakenPartitions(operation *fetchOperation) []string {
 	var names []string
 	for name, fetch := range statemachine.Sorted(operation.partitions) {
@@ -301,8 +305,8 @@
 	return names
 }
 
-// refetch fetches some partitions further, since a message depends on one that they
-// had not reported yet.
+// refetch extends the fetch of some partitions: a fetched record depends on one above their fetched
+// offset, or their tracker has passed that offset.
 func (g *Gateway) refetch(
 	now time.Time,
 	id uint64,
@@ -321,7 +325,7 @@
 	g.advanceFetch(now, id, operation, effects)
 }
 
-// startSubscriptions makes the subscriptions of a completed fetch live, from the
+// startSubscriptions starts the live delivery of the subscriptions of a completed operation, above the
 // offsets up to which their partitions were fetched.
 func (g *Gateway) startSubscriptions(now time.Time, operation *fetchOperation, session *session) {
 	for _, interest := range operation.interests {
@@ -346,8 +350,7 @@
 	}
 }
 
-// deliverMissed delivers the missed messages of a resumed session and returns how
-// many there were.
+// deliverMissed delivers the missed messages of a resumed session and returns their number.
 func (g *Gateway) deliverMissed(
 	now time.Time,
 	operation *fetchOperation,
@@ -355,7 +358,8 @@
 	ordered []RecordCopy,
 	effects *statemachine.Effects,
 ) int {
-	// Until all of them are delivered, a cursor must still name where the backlog began.
+	// Until all missed messages are delivered, a cursor must still contain the offsets at which they
+	// begin.
 	session.backlogFloors = map[string]uint64{}
 	for name, fetch := range operation.partitions {
 		if fetch.from != maxOffset {
@@ -373,12 +377,13 @@
 	return missed
 }
 
-// merge orders the records of several partitions so that the records of each partition and the
-// messages of each sender follow each other. It also returns the partitions that must be fetched
-// further, since a record depends on one that they had not reported.
+// merge merges the records of several partitions so that the order of each partition and of each
+// sender is kept. It also returns the partitions whose fetch must be extended, because a record depends
+// on one above their fetched offset.
 func merge(operation *fetchOperation) (ordered []RecordCopy, again []string) {
 	at := map[string]int{}
-	// Records older than the dependency window are ordered by the sender's seq alone.
+	// The dependencies of a record only name messages within the dependency window. Older records of
+	// the sender are ordered by seq alone.
 	turns := map[string][]uint64{}
 	for name, records := range operation.records {
 		_, full := spaceOf(name)
@@ -415,8 +420,8 @@
 			return ordered, nil
 		}
 		if !progress && len(again) == 0 {
-			// Only a sender that published through two gateways at once, out
-			// of its own order, brings this about.
+			// This happens only if a sender published through two gateways at the
+			// same time and not in the order of its sequences.
 			return append(ordered, unorderedRecords(operation, at)...), nil
 		}
 		if !progress {
@@ -426,7 +431,7 @@
 	}
 }
 
-// unorderedRecords returns the records that could not be ordered, by the time of their append.
+// unorderedRecords returns the records that could not be merged, in order of their append time.
 func unorderedRecords(operation *fetchOperation, at map[string]int) []RecordCopy {
 	var rest []RecordCopy
 	for name, records := range statemachine.Sorted(operation.records) {
@@ -440,9 +445,9 @@
 	return rest
 }
 
-// blockers returns what a missed record must wait for: partitions to be fetched further, since they
-// responded before the record that it depends on was appended, or records that are here and come
-// before it.
+// blockers returns what prevents the delivery of a missed record: the partitions whose fetch must be
+// extended, since they responded before a dependency of the record was appended, and whether a fetched
+// record must be delivered before it.
 func (f *fetchOperation) blockers(
 	full, name string,
 	record partition.Record,
--- a/internal/gateway/recent_ephemeral.go
+++ b/internal/gateway/recent_ephemeral.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	// recentFor is how long ephemeral messages are remembered, maxRecentEphemeral how many of a
-	// space.
+	// recentRetention is how long recent ephemeral messages are retained, maxRecentEphemeral how many
+	// of each space.
 	recentFor          = 3 * time.Second
 	maxRecentEphemeral = 8192
-	// resumedFor is how long after a resumption repeated messages are delivered.
+	// repeatWindow is how long repeated messages are delivered to a subscription after it was resumed.
 	resumedFor = 5 * time.Second
 )
 
-// recentEphemeral is an ephemeral message that was published or received within recentFor.
+// recentEphemeral is an ephemeral message that was published or received here within recentRetention.
 type recentEphemeral struct {
 	at time.Time
-	// own is set if a client here published it.
+	// publishedHere is set if a client of this gateway published the message.
 	own     bool
 	message EphemeralCopy
 }
 
-// remember adds an ephemeral message to the recent ones of the space, and forgets old ones.
+// addRecent adds an ephemeral message to the recent messages of the space, and removes old ones.
 func (ss *spaceState) remember(now time.Time, message EphemeralCopy, own bool) {
 	ss.recent = append(ss.recent, recentEphemeral{at: now, own: own, message: message})
 	old := 0
@@ -37,7 +37,8 @@
 	}
 }
 
-// repeatRecent sends recent messages of clients here to newly discovered destinations.
+// repeatRecent sends the recent messages of the clients of this gateway to newly discovered
+// destinations.
 func (g *Gateway) repeatRecent(now time.Time, effects *statemachine.Effects) {
 	for _, found := range g.overlay.TakeDiscovered() {
 		member, known := g.viewClient.Members[found.Daemon]
@@ -57,8 +58,8 @@
 	}
 }
 
-// replayRecent puts the recent messages that match the interests of a resumed session in front of
-// those that were buffered meanwhile, and sorts them by sender and sequence.
+// replayRecent adds the recent messages that match the interests of a resumed session to its buffered
+// messages, and sorts the buffer by sender and sequence.
 func (g *Gateway) replayRecent(now time.Time, session *session, interests []Interest) {
 	var replayed []EphemeralCopy
 	for _, interest := range interests {
--- a/internal/gateway/record_delivery.go
+++ b/internal/gateway/record_delivery.go
@@ -11,8 +11,8 @@
 	"dahlialock/internal/statemachine"
 )
 
-// handleRecordCopy buffers a record and delivers what is ready. It returns whether anybody here
-// subscribes to its topic.
+// handleRecordCopy adds a record to the pending records and delivers all that are deliverable. It reports
+// whether this gateway has subscriptions to the record's topic.
 func (g *Gateway) handleRecordCopy(now time.Time, recordCopy RecordCopy, effects *statemachine.Effects) bool {
 	tracker, found := g.trackers[recordCopy.Partition]
 	if !found {
@@ -58,7 +58,8 @@
 	return true
 }
 
-// requestDependencies marks the partitions that lack something a record depends on.
+// requestDependencies requests a verification of the partitions in which a dependency of a record is
+// missing.
 func (g *Gateway) requestDependencies(tracker *tracker, record partition.Record) {
 	for _, mark := range record.Dependencies.Messages {
 		other, found := g.trackers[partitionName(tracker.spaceName, int(mark.Partition))]
@@ -74,7 +75,7 @@
 	}
 }
 
-// deliverable returns whether a pending record may be delivered.
+// deliverable reports whether a pending record may be delivered.
 func (g *Gateway) deliverable(now time.Time, tracker *tracker, record partition.Record) bool {
 	since, matters := tracker.startOf(record.Topic)
 	if matters && since == maxOffset || !tracker.started {
@@ -89,9 +90,9 @@
 	if !tracker.resolved(record.Topic, record.PreviousInTopic) {
 		return false
 	}
-	// If all partitions were verified lately nothing can be missing for long; what
-	// still waits is from a sender that published out of its own order through two
-	// gateways.
+	// If all partitions were verified recently no record can be missing for long. A record
+	// that still waits was published through two gateways by a sender that did not keep the
+	// order of its sequences.
 	pendingSince, noted := tracker.pendingSince[record.Offset]
 	if noted && now.Sub(pendingSince) > cycleTimeout && g.recentlyVerified(now, tracker.spaceName) {
 		return true
@@ -99,8 +100,8 @@
 	return g.dependenciesResolved(tracker, record) && g.recentlyVerified(now, tracker.spaceName)
 }
 
-// dependenciesResolved returns whether all that a record names as earlier messages of
-// its sender was delivered here or need not be.
+// dependenciesResolved reports whether all dependencies of a record, which are earlier messages of its
+// sender, are resolved: they were delivered, or no subscription here needs them.
 func (g *Gateway) dependenciesResolved(tracker *tracker, record partition.Record) bool {
 	for _, mark := range record.Dependencies.Messages {
 		other, found := g.trackers[partitionName(tracker.spaceName, int(mark.Partition))]
@@ -123,9 +124,9 @@
 	record  partition.Record
 }
 
-// deferDelivery arms a timer and returns true if so many records are pending that a scan of all of
-// them for each copy would cost more than a short delay; one scan then serves all copies that come
-// meanwhile.
+// deferDelivery arms a timer and returns true if so many records are pending that a scan of all of them
+// for each copy would cost more than a short delay. One scan then handles all copies that arrive before
+// the timer expires.
 func (g *Gateway) deferDelivery(now time.Time) bool {
 	pending := 0
 	for _, tracker := range g.trackers {
@@ -138,7 +139,8 @@
 	return true
 }
 
-// deliverAllReady is that scan; what is still pending after it is fetched.
+// deliverAllReady delivers all deliverable records of all trackers after deferDelivery, and requests the
+// verification of the partitions with records that are still pending.
 func (g *Gateway) deliverAllReady(now time.Time, effects *statemachine.Effects) {
 	g.deliverReady(now, effects)
 	for _, tracker := range statemachine.Sorted(g.trackers) {
@@ -153,8 +155,8 @@
 	}
 }
 
-// deliverReady delivers all pending records that are deliverable, until none is. Of each sender's
-// pending records in a space only the one with the lowest sequence may be delivered.
+// deliverReady delivers pending records until none is deliverable. Of the pending records of a sender in a
+// space, only the one with the lowest sequence may be delivered.
 func (g *Gateway) deliverReady(now time.Time, effects *statemachine.Effects) {
 	bySender := map[string][]pendingRecord{}
 	for _, tracker := range statemachine.Sorted(g.trackers) {
@@ -208,8 +210,8 @@
 	}
 }
 
-// subscribedSessions returns the sessions with a subscription that matches a topic exactly,
-// whatever else shares its area.
+// subscribedSessions returns the sessions with a subscription that matches a topic. Sessions whose
+// interests are only in the same overlay area are not included.
 func (ss *spaceState) subscribedSessions(topic string) map[uint64]bool {
 	found := map[uint64]bool{}
 	if statemachine.Mutated("no-exact-match") {
--- a/internal/gateway/subscription.go
+++ b/internal/gateway/subscription.go
@@ -11,19 +11,19 @@
 
 // subscription is one interest of a session.
 type subscription struct {
-	// since is the offset of each partition above which records are delivered live, maxOffset while
-	// the subscription is being filled.
+	// since is the offset of each partition above which records are delivered live, or maxOffset while
+	// the subscription is catching up.
 	since map[string]uint64
-	// notBefore are the offsets of partitions below which a resumed cursor's interest had not begun;
-	// they bound the missed records.
+	// notBefore are the offsets of the partitions at which the interest began, if the resumed cursor
+	// contains them. Only records above them count as missed.
 	notBefore map[string]uint64
-	// filling is set until the fetch of the subscription has completed.
+	// catchingUp is set until the fetch of the subscription is complete.
 	filling bool
-	// resumedAt is when it was resumed from a cursor, zero if it was not.
+	// resumedAt is when the subscription was resumed from a cursor, zero if it was not resumed.
 	resumedAt time.Time
 }
 
-// subscribe handles the subscription of a client.
+// subscribe handles the request of a client to subscribe.
 func (g *Gateway) subscribe(now time.Time, request Subscribe, effects *statemachine.Effects) {
 	g.Counts.Requests++
 	if len(request.Interests) > 0 && g.isRoutedTopic(request.Interests[0].Space) {
@@ -33,7 +33,7 @@
 	g.subscribeAttempt(now, request, false, effects)
 }
 
-// answerSubscribe answers a subscription and counts the outcome.
+// answerSubscribe responds to a subscribe request and counts the outcome.
 func (g *Gateway) answerSubscribe(now time.Time, request Subscribe, answer Reply, effects *statemachine.Effects) {
 	switch answer.Outcome {
 	case OutcomeAccepted:
@@ -45,8 +45,8 @@
 	effects.Respond(request.Request, answer)
 }
 
-// subscribeAttempt evaluates a subscription and starts its fetch; refreshed is set
-// where the configuration was refreshed for it before.
+// subscribeAttempt evaluates a subscribe request and starts its fetch. refreshed is set if the
+// configuration was already refreshed for this request.
 func (g *Gateway) subscribeAttempt(now time.Time, request Subscribe, refreshed bool, effects *statemachine.Effects) {
 	answer := func(response Reply) { g.answerSubscribe(now, request, response, effects) }
 	session, found := g.sessions[request.Session]
@@ -61,7 +61,7 @@
 	}
 	resumeFrom, code := g.resumeCursor(&request)
 	if code != "" {
-		answer(rejectedReply(400, code, "the cursor is not one of this origin's", 0))
+		answer(rejectedReply(400, code, "the cursor is invalid or belongs to another client", 0))
 		return
 	}
 	policyRequest := &PolicyRequest{
@@ -75,7 +75,7 @@
 		return
 	}
 	if len(session.subscriptions)+len(request.Interests) > maxInterests {
-		answer(rejectedReply(429, "too-many-subscriptions", "a channel holds 256 subscriptions at most", 0))
+		answer(rejectedReply(429, "too-many-subscriptions", "a channel can have at most 256 subscriptions", 0))
 		return
 	}
 	for space, marks := range resumeFrom.Marks {
@@ -94,8 +94,8 @@
 	g.startFetch(now, session, operation, resumeFrom, effects)
 }
 
-// resumeCursor opens the cursor of a request, if it has one. A request without
-// interests resumes those of the cursor. The code says why a cursor is rejected.
+// resumeCursor opens the cursor of a request, if it has one. A request without interests resumes the
+// interests of the cursor. The code is set if the cursor is rejected.
 func (g *Gateway) resumeCursor(request *Subscribe) (resumeFrom cursor, code string) {
 	if request.Cursor == "" {
 		return cursor{}, ""
@@ -107,8 +107,8 @@
 	return resumeFrom, code
 }
 
-// newSubscribeFetch prepares the fetch for those interests of a request that the
-// session does not have yet.
+// newSubscribeFetch returns the operation for the interests of a request that the session is not
+// subscribed to yet.
 func newSubscribeFetch(now time.Time, request Subscribe, session *session) *fetchOperation {
 	operation := &fetchOperation{
 		session:    request.Session,
@@ -126,8 +126,8 @@
 	return operation
 }
 
-// startFetch adds the subscriptions, joins the overlay for each of them and begins
-// to fetch once all joins are done.
+// startFetch adds the subscriptions, joins the overlay for each of them and starts to fetch once all
+// joins are complete.
 func (g *Gateway) startFetch(
 	now time.Time,
 	session *session,
@@ -139,8 +139,8 @@
 	g.nextRequest++
 	id := g.nextRequest
 	g.fetches[id] = operation
-	// One join more than there are interests, so that none that is done at once
-	// starts the fetch before the last one began.
+	// The count starts at one, so that a join that completes at once doesn't start the fetch before
+	// the last join was started.
 	operation.joins = 1
 	g.timers.ArmSooner(timerDeadlines, operation.deadline)
 	for _, interest := range operation.interests {
@@ -167,7 +167,7 @@
 	g.advanceFetch(now, id, operation, effects)
 }
 
-// addInterest adds an interest to what is fetched of a partition.
+// addInterest adds an interest to the fetch of a partition.
 func (f *fetchOperation) addInterest(
 	now time.Time,
 	session *session,
@@ -194,7 +194,7 @@
 	}
 }
 
-// existingInterests leaves out the interests whose space was removed.
+// existingInterests returns the interests whose space still exists.
 func (g *Gateway) existingInterests(interests []Interest) []Interest {
 	var found []Interest
 	for _, interest := range interests {
@@ -205,7 +205,7 @@
 	return found
 }
 
-// partitionsOf returns the partitions that an interest reads; an ephemeral space has none.
+// partitionsOf returns the partitions with topics that an interest matches. An ephemeral space has none.
 func (g *Gateway) partitionsOf(state *spaceState, interest Interest) []string {
 	if state.space.Retention != config.Durable {
 		return nil
@@ -220,8 +220,8 @@
 	return names
 }
 
-// addSubscription adds an interest to a session, its space and the trackers of its partitions. It
-// is filled later.
+// addSubscription adds an interest to a session, its space and the trackers of its partitions. The
+// subscription is catching up at first.
 func (g *Gateway) addSubscription(now time.Time, session *session, id uint64, interest Interest) {
 	state := g.spaces[interest.Space]
 	session.subscriptions[interest] = &subscription{since: map[string]uint64{}, filling: true}
@@ -239,9 +239,9 @@
 	}
 }
 
-// dropSubscription removes a subscription. If linger is set the overlay peer stays for a while: the
-// client, or another with the same interest, is likely to come back, and its next attempt finds the
-// peer joined instead of beginning anew.
+// dropSubscription removes a subscription. If linger is set the overlay subscription is kept for a while:
+// the client, or another one with the same interest, is likely to subscribe again, and then need not wait
+// for the overlay peer to join again.
 func (g *Gateway) dropSubscription(
 	now time.Time,
 	id uint64,
@@ -270,8 +270,8 @@
 	}
 	area := areaOf(state.space, interest.Path)
 	if linger {
-		// Spread, so that the peers of many who left together don't leave
-		// together.
+		// The end is spread, so that the peers of many clients that disconnected at the same
+		// time don't leave the overlay at the same time.
 		g.rotation++
 		spread := time.Duration(g.rotation%lingerSpreadSeconds) * time.Second
 		g.lingering = append(g.lingering, lingered{space: state.name, area: area, until: now.Add(lingerDuration + spread)})
@@ -280,14 +280,15 @@
 	g.overlay.Unsubscribe(now, state.name, area, effects)
 }
 
-// lingered is an overlay subscription that outlives the last subscription here for a while.
+// lingered is an overlay subscription that is kept for a while after the subscription of a session was
+// removed.
 type lingered struct {
 	space string
 	area  overlay.Area
 	until time.Time
 }
 
-// endLingering ends the lingering overlay subscriptions whose time is up.
+// endLingering ends the lingering overlay subscriptions that have expired.
 func (g *Gateway) endLingering(now time.Time, effects *statemachine.Effects) {
 	remaining := g.lingering[:0]
 	for _, each := range g.lingering {
@@ -300,7 +301,7 @@
 	g.lingering = remaining
 }
 
-// unsubscribe handles the request of a client to end subscriptions.
+// unsubscribe handles the request of a client to unsubscribe.
 func (g *Gateway) unsubscribe(now time.Time, request Unsubscribe, effects *statemachine.Effects) {
 	g.Counts.Requests++
 	if len(request.Interests) > 0 && g.isRoutedTopic(request.Interests[0].Space) {
@@ -320,7 +321,7 @@
 	effects.Respond(request.Request, acceptedReply(map[string]any{"subscriptions": len(session.subscriptions)}))
 }
 
-// matches returns whether a topic matches the interest.
+// matches reports whether a topic matches the interest.
 func (i Interest) matches(topic string) bool {
 	if i.Prefix {
 		return partition.HasTopicPrefix(topic, i.Path)
--- a/internal/gateway/topic.go
+++ b/internal/gateway/topic.go
@@ -10,72 +10,77 @@
 )
 
 const (
-	// routedPlane is the name under which the overlay knows all routed topics.
+	// routedOverlaySpace is the space name under which the overlay manages all routed topics.
 	routedPlane = config.SharedSpace
-	// topicCursorPrefix is the first letter of the cursors of routed topics.
+	// topicCursorPrefix is the first letter of each cursor of a routed topic.
 	topicCursorPrefix = "t"
-	// highWatermarkGrace is how long a reported record may take to come before it is fetched.
+	// highWatermarkGrace is how long the copy of a reported record may take to arrive before the record
+	// is fetched.
 	highWatermarkGrace = 120 * time.Millisecond
-	// ephemeralGapTimeout is after what time a gap of an ephemeral topic is skipped.
+	// ephemeralGapTimeout is how long a gap in an ephemeral topic may last before it is skipped.
 	ephemeralGapTimeout = 50 * time.Millisecond
-	// ephemeralReachTimeout is how long a subscription to an ephemeral topic waits for the overlay.
+	// ephemeralSubscribeTimeout is how long a subscription to an ephemeral topic waits for the overlay to
+	// locate the topic's cell before it is confirmed in any case.
 	ephemeralReachTimeout = 300 * time.Millisecond
-	// recentRecords and recentBytes bound the recent records of a topic.
+	// maxRecentRecords and maxRecentBytes bound the recent records of a topic.
 	recentRecords = 32
 	recentBytes   = 32 << 10
-	// backlogBytes bounds the recent records of a topic that was just caught up.
+	// maxBacklogBytes bounds the recent records of a topic that has just caught up.
 	backlogBytes = 256 << 10
-	// topicFetchRetry is how long to wait before the next request to a store that does
-	// not serve the partition of the topic.
+	// topicFetchRetryDelay is the delay before the next request for a topic whose partition the store
+	// does not serve.
 	topicFetchRetry = 200 * time.Millisecond
-	// retryDoubles is how often the timeout of a request to a store doubles: a response
-	// that is late because a link is full must not be requested again and again.
+	// maxTimeoutDoublings limits how often the timeout of a request to a store doubles. It doubles so
+	// that a response that is late because a link is saturated is not requested over and over.
 	retryDoubles = 3
 	// maxPendingTopicRecords bounds the pending records of a topic.
 	maxPendingTopicRecords = 4096
 )
 
-// topicState is a routed topic with subscriptions here. Once it is live, all records up to last
-// were delivered to every filled subscription.
+// topicState is a routed topic with subscriptions at this gateway, or with a reservation. Once started
+// is set, all records up to deliveredUpTo were delivered to every subscription that has caught up.
 type topicState struct {
-	// name is the topic, number its hash, by which leaders report that it moved.
+	// name is the topic. hash is its hash, by which leaders report new records of the topic.
 	name   string
 	number uint64
-	// partition is the shared partition in which the topic lies; it follows from the name.
+	// partition is the shared partition of the topic, which follows from its name.
 	partition string
-	// space is the space to which the routes lead the topic.
+	// space is the space to which the routes assign the topic.
 	space string
 	// durable is the retention of the space; a topic whose retention changes is dropped.
 	durable bool
-	// subscriptions are those of the sessions here, in no particular order; each knows its index.
+	// subscriptions are those of the sessions of this gateway, in no particular order. The index of a
+	// subscription is stored in its index field.
 	subscriptions []*topicSubscription
 	// announcedCount is the subscriber count that was last reported to the overlay.
 	announcedCount int
-	// live is set once the offset is known from which on records are delivered; last is the newest
-	// delivered offset.
+	// started is set once the offset after which records are delivered is known. deliveredUpTo is the
+	// newest delivered offset.
 	live bool
 	last uint64
-	// pending are records whose predecessor has not come, by offset; pendingSince is when the wait
-	// for that began.
+	// pending are the received records whose predecessor in the topic is still missing, in order of
+	// offset. pendingSince is when the wait for the first missing record began.
 	pending      []partition.Record
 	pendingSince time.Time
-	// queued is set while the topic waits for a batch to its store, fetch while it is in one.
+	// queued is set while the topic waits for the next batch to its store. fetch is its entry in the
+	// batch that is in flight, nil if it is in none.
 	queued bool
 	fetch  *topicFetch
-	// recent are the newest delivered records, all above recentFrom. Until recentUntil they are
-	// retained beyond the usual bounds.
+	// recent are the newest delivered records: all above recentFrom. Until recentUntil the larger
+	// bound maxBacklogBytes applies to them. recentSize is the size of their data in bytes.
 	recent      []partition.Record
 	recentSize  int
 	recentFrom  uint64
 	recentUntil time.Time
-	// wanted is the highest offset that the topic is known to have; checkAt is when to fetch if it
-	// has not come by then, zero if it has.
+	// highestKnown is the highest offset that the topic is known to have. fetchAt is when the records
+	// up to there are fetched if they have not arrived, zero if none are missing.
 	wanted  uint64
 	checkAt time.Time
-	// missingBytes is how many bytes of records are known to be missing here.
+	// missingBytes is how many bytes of records this gateway still lacks, according to the last
+	// response of the store.
 	missingBytes int
-	// reservedAfter is the lowest cursor of the subscriptions that were rejected without a response
-	// of the store. They keep their turn until reservedUntil.
+	// reservedAfter is the lowest cursor of the subscriptions that were rejected because the store did
+	// not respond in time. Until reservedUntil the topic continues to be fetched for their retries.
 	reservedAfter uint64
 	reservedUntil time.Time
 }
@@ -87,52 +92,56 @@
 	session uint64
 	// index is the position in the topic's subscriptions.
 	index int
-	// deliveredUpTo is the newest delivered offset. It never falls, and is the cursor of the
-	// subscription.
+	// deliveredUpTo is the newest delivered offset and the cursor of the subscription. It never
+	// decreases.
 	deliveredUpTo uint64
-	// resumes is set if it began with a cursor.
+	// resumes is set if the subscription was requested with a cursor.
 	resumes bool
-	// filling is set until this gateway has all records above deliveredUpTo; live records are not
-	// delivered to it before.
+	// catchingUp is set until this gateway has all records above deliveredUpTo. Live records are not
+	// delivered to the subscription before that.
 	filling bool
-	// request is the request of the client; its number is 0 once it was answered.
+	// request is the request of the client; its request number is set to 0 when it is answered before
+	// the subscription has caught up.
 	request Subscribe
-	// deadline is when a subscription that is still unconfirmed is rejected.
+	// deadline is when the subscription is rejected if it is still unconfirmed.
 	deadline time.Time
 }
 
-// routed is the state of all routed topics of a gateway.
+// routedState is the state of all routed topics of a gateway.
 type routed struct {
-	// topics are the topics with subscriptions or a reservation, by name; numbers are the same ones
-	// by hash.
+	// topics are the topics with subscriptions or a reservation, by name; topicsByHash are the same
+	// topics by hash.
 	topics  map[string]*topicState
 	numbers map[uint64]*topicState
-	// partitions is how many durable topics lie in each shared partition.
+	// topicCounts is the number of durable topics in topics for each shared partition.
 	partitions map[string]int
-	// reportedUpTo is up to which offset the leader of each partition has reported to this gateway
-	// which topics moved. It begins with the first topic that is fetched from there: what moved
-	// before that is of no use here.
+	// reportedUpTo is the offset up to which the leader of each partition has reported to this gateway
+	// which topics have new records. It starts at the high watermark of the first fetch from the
+	// partition, since reports of earlier records are not needed.
 	reportedUpTo map[string]uint64
-	// followRoutes is the route by which each partition's high watermarks were last subscribed to.
+	// highWatermarkRoutes contains the route over which the high watermarks of each partition were last
+	// subscribed to.
 	followRoutes map[string]route
-	// bases are the offsets above which the partitions had all records at their last response.
+	// baseOffsets are the offsets above which the partitions still had all records at their last
+	// response.
 	bases map[string]uint64
-	// batches are the requests that await a response, by number; batchInFlight names the one to each
-	// store, and queue holds the topics that wait for the next.
+	// batches are the requests that await a response, by request number. batchInFlight is the request
+	// number of the batch to each store. queue are the topics that wait for the next batch.
 	batches       map[uint64]*batch
 	batchInFlight map[string]uint64
 	queue         []*topicState
-	// appends are the publications that are being appended, by publication; sends are the same ones
-	// by the number of each unanswered send.
+	// appends are the publications that are being appended, by publication number; sends are the same
+	// publications by the request number of each send without a response.
 	appends map[uint64]*routedPublication
 	sends   map[uint64]*routedPublication
-	// accepted is when a publication of a client here was accepted, for acceptedRetention.
+	// accepted is when each recently accepted publication of a client of this gateway was accepted, so
+	// that a retry is accepted at once.
 	accepted map[routedKey]time.Time
-	// scheduled are the topics with a tick to come.
+	// scheduled are the topics with a scheduled tick.
 	scheduled map[string]*topicState
 }
 
-// newRouted returns the state without any topic.
+// newRoutedState returns the state without topics.
 func newRouted() *routed {
 	return &routed{
 		topics:        map[string]*topicState{},
@@ -168,7 +177,7 @@
 	return offset, err == nil
 }
 
-// isRoutedTopic returns whether a request that names a space goes to a routed topic.
+// isRoutedTopic reports whether a request with this space, which may be empty, is for a routed topic.
 func (g *Gateway) isRoutedTopic(space string) bool {
 	if space == "" {
 		return true
@@ -177,8 +186,8 @@
 	return found && state.space.Order == config.OrderTopic
 }
 
-// routeOf returns the space of a routed topic. It is empty if no route matches, or if the request
-// names another space than the routes do.
+// routedSpace returns the space to which the routes assign a topic. It is empty if no route matches, or
+// if the request names a different space.
 func (g *Gateway) routeOf(space, name string) string {
 	target, found := g.config.SpaceForTopic(name)
 	if !found || space != "" && space != target {
--- a/internal/gateway/topic_delivery.go
+++ b/internal/gateway/topic_delivery.go
@@ -11,7 +11,7 @@
 	"dahlialock/internal/statemachine"
 )
 
-// deliverRouted delivers a record to a filled subscription unless it was delivered before.
+// deliverRouted delivers a record to a subscription that has caught up, unless it was delivered before.
 func (g *Gateway) deliverRouted(
 	subscription *topicSubscription,
 	record partition.Record,
@@ -41,7 +41,8 @@
 	}, effects)
 }
 
-// process delivers the next record of the topic to all subscriptions here.
+// deliverNext delivers the next record of a topic to all subscriptions, and adds it to the recent
+// records.
 func (g *Gateway) process(now time.Time, topic *topicState, record partition.Record, effects *statemachine.Effects) {
 	topic.last = record.Offset
 	topic.recent = append(topic.recent, record)
@@ -56,7 +57,7 @@
 	}
 }
 
-// tooMuchRecent returns whether the oldest recent record is to be forgotten.
+// exceedsRecentBounds reports whether the oldest recent record is to be removed.
 func (t *topicState) tooMuchRecent(now time.Time) bool {
 	if t.recentUntil.After(now) {
 		return t.recentSize > backlogBytes
@@ -64,8 +65,8 @@
 	return len(t.recent) > recentRecords || t.recentSize > recentBytes
 }
 
-// handleRoutedCopy delivers a message of a routed topic, or buffers it until what comes
-// before it is here. It returns whether anybody here subscribes to the topic.
+// handleRoutedCopy delivers a message of a routed topic, or buffers it until its predecessor in the
+// topic was delivered. It reports whether this gateway has subscriptions to the topic.
 func (g *Gateway) handleRoutedCopy(now time.Time, record partition.Record, effects *statemachine.Effects) bool {
 	topic, found := g.routed.topics[record.Topic]
 	if !found {
@@ -99,8 +100,8 @@
 	return true
 }
 
-// buffer adds a record to the pending ones, in order of offsets. It returns whether
-// the record was added: duplicates are not, nor are records above the bound.
+// addPending adds a record to the pending records, which are in order of offset. It reports whether
+// the record was added: a duplicate is not, nor is a record beyond maxPendingTopicRecords.
 func (t *topicState) buffer(now time.Time, record partition.Record) bool {
 	byOffset := func(each partition.Record, offset uint64) int { return cmp.Compare(each.Offset, offset) }
 	index, present := slices.BinarySearchFunc(t.pending, record.Offset, byOffset)
@@ -114,7 +115,7 @@
 	return true
 }
 
-// release delivers the pending records whose predecessors have come.
+// deliverPending delivers the pending records whose predecessors were delivered.
 func (g *Gateway) release(now time.Time, topic *topicState, effects *statemachine.Effects) {
 	for len(topic.pending) > 0 {
 		next := topic.pending[0]
@@ -130,8 +131,8 @@
 	topic.pending = nil
 }
 
-// requireUpTo notes that the topic has records up to an offset. Unless they come by themselves
-// within a grace they are fetched.
+// requireUpTo records that the topic has records up to an offset. They are fetched unless their copies
+// arrive within the grace period.
 func (g *Gateway) requireUpTo(now time.Time, topic *topicState, offset uint64, grace time.Duration) {
 	if offset <= topic.wanted && offset <= topic.last {
 		return
@@ -150,9 +151,9 @@
 	g.timers.ArmSooner(timerRouted, at)
 }
 
-// startReports subscribes to the partition's reports of moved topics, from an offset up to which
-// one of its topics is known here. Reports that come while further topics are fetched count for
-// those too, so that nothing is to be reported again for their sake.
+// startReports subscribes to the leader's reports of topics with new records in a partition, from the
+// high watermark of the first fetch. Reports that arrive while other topics of the partition are being
+// fetched apply to these too, so the leader need not repeat them.
 func (g *Gateway) startReports(now time.Time, name string, until uint64) {
 	if _, begun := g.routed.reportedUpTo[name]; begun {
 		return
@@ -161,7 +162,7 @@
 	g.timers.ArmSooner(timerHighWatermarks, now.Add(gapTimeout))
 }
 
-// tickRouted does what is due for routed topics, their batches and publications.
+// tickRouted runs the due ticks of routed topics, and retries their batches and publications.
 func (g *Gateway) tickRouted(now time.Time, effects *statemachine.Effects) {
 	for _, topic := range statemachine.Sorted(g.routed.scheduled) {
 		g.tickTopic(now, topic, effects)
@@ -170,7 +171,7 @@
 	g.retryRoutedPublications(now, effects)
 }
 
-// tickTopic does what is due for a topic and schedules its next tick.
+// tickTopic handles the expired deadlines of a topic and schedules its next tick.
 func (g *Gateway) tickTopic(now time.Time, topic *topicState, effects *statemachine.Effects) {
 	delete(g.routed.scheduled, topic.name)
 	if g.routed.topics[topic.name] != topic {
@@ -187,8 +188,9 @@
 	}
 }
 
-// tickSubscriptions ends the subscriptions that could not be filled in time. It returns
-// the next deadline, and whether a subscription to a durable topic still needs records.
+// tickSubscriptions rejects the subscriptions to a durable topic that were not confirmed by their
+// deadline, and confirms those to an ephemeral topic. It returns the next deadline, and whether a
+// subscription to a durable topic still needs records.
 func (g *Gateway) tickSubscriptions(
 	now time.Time,
 	topic *topicState,
@@ -200,15 +202,15 @@
 		case !subscription.deadline.After(now) && !topic.durable:
 			g.startEphemeral(now, subscription, effects)
 		case !subscription.deadline.After(now) && subscription.request.Request == 0:
-			// It was confirmed, and some of what it missed has come: the rest is
-			// fetched however long that takes.
+			// The subscription is confirmed, so its missed records are fetched without
+			// a deadline.
 			filling = true
 		case !subscription.deadline.After(now):
 			topic.reserve(now, subscription)
 			response := rejectedReply(
 				503,
 				"no-answer",
-				"the place could not be found in time; nothing is subscribed",
+				"the missed messages could not be found in time; nothing is subscribed",
 				retryShortDelay,
 			)
 			g.rejectTopicSubscription(now, subscription, response, effects)
@@ -220,8 +222,8 @@
 	return next, filling
 }
 
-// tickEphemeral skips a gap of an ephemeral topic that has not been filled in time, and
-// returns when the next one ends.
+// tickEphemeral skips a gap in an ephemeral topic after ephemeralGapTimeout, and returns when the next
+// gap times out.
 func (g *Gateway) tickEphemeral(now time.Time, topic *topicState, effects *statemachine.Effects) time.Time {
 	if len(topic.pending) > 0 && !topic.pendingSince.Add(ephemeralGapTimeout).After(now) {
 		topic.last = max(topic.last, topic.pending[0].PreviousInTopic)
@@ -233,8 +235,8 @@
 	return time.Time{}
 }
 
-// tickDurable fetches what a durable topic lacks, and drops a topic without subscriptions.
-// It returns when to look at the topic again.
+// tickDurable fetches the missing records of a durable topic, and removes a topic without
+// subscriptions and reservation. It returns when the next tick of the topic is due.
 func (g *Gateway) tickDurable(
 	now time.Time,
 	topic *topicState,
@@ -263,7 +265,8 @@
 	return statemachine.Earliest(next, topic.reservedUntil)
 }
 
-// handleTopicHighWatermarks applies the report of which topics of a shared partition moved.
+// handleTopicHighWatermarks applies a leader's report of the topics of a shared partition that have new
+// records.
 func (g *Gateway) handleTopicHighWatermarks(now time.Time, head partition.HighWatermark) {
 	if _, used := g.routed.partitions[head.Partition]; !used || statemachine.Mutated("no-topic-heads") {
 		return
@@ -278,15 +281,15 @@
 		}
 	}
 	if head.From > reported {
-		// A report was lost.
+		// An earlier report was lost; subscribe again from the last one received.
 		g.timers.ArmSooner(timerHighWatermarks, now)
 		return
 	}
 	g.routed.reportedUpTo[head.Partition] = max(reported, head.Offset)
 }
 
-// rerouteAll applies changed routes: the subscriptions to topics that lead elsewhere now, or
-// nowhere, end.
+// applyRoutes applies changed routes. The subscriptions to a topic end if no route matches it any more,
+// or if its retention has changed.
 func (g *Gateway) rerouteAll(now time.Time, effects *statemachine.Effects) {
 	for name, topic := range statemachine.Sorted(g.routed.topics) {
 		space := g.routeOf("", name)
--- a/internal/gateway/topic_subscription.go
+++ b/internal/gateway/topic_subscription.go
@@ -9,8 +9,8 @@
 	"dahlialock/internal/statemachine"
 )
 
-// subscribeRouted subscribes a session to a routed topic; refreshed is set where the
-// configuration was refreshed for the request before.
+// subscribeRouted subscribes a session to a routed topic. refreshed is set if the configuration was
+// already refreshed for this request.
 func (g *Gateway) subscribeRouted(now time.Time, request Subscribe, refreshed bool, effects *statemachine.Effects) {
 	answer := func(response Reply) { g.answerSubscribe(now, request, response, effects) }
 	session, found := g.sessions[request.Session]
@@ -19,7 +19,7 @@
 		answer(rejectedReply(404, "no-such-channel", "this channel is not open here", 0))
 		return
 	case len(request.Interests) != 1 || request.Interests[0].Prefix:
-		answer(rejectedReply(400, "one-topic", "routed topics are subscribed to one by one", 0))
+		answer(rejectedReply(400, "one-topic", "a request subscribes to one routed topic only", 0))
 		return
 	}
 	session.pongAt = now
@@ -44,21 +44,21 @@
 	}
 	if present, subscribed := session.routed[name]; subscribed {
 		if present.filling {
-			answer(rejectedReply(409, "underway", "this subscription is being taken up", retryShortDelay))
+			answer(rejectedReply(409, "underway", "this subscription is still being started", retryShortDelay))
 			return
 		}
 		g.replyTopicSubscription(now, request, present.deliveredUpTo, effects)
 		return
 	}
 	if len(session.routed)+len(session.subscriptions) >= g.config.SubscriptionsPerSession {
-		answer(rejectedReply(429, "too-many-subscriptions", "the channel holds all the subscriptions it may", 0))
+		answer(rejectedReply(429, "too-many-subscriptions", "the channel has reached its limit of subscriptions", 0))
 		return
 	}
 	g.startRouted(now, session, request, interest, effects)
 }
 
-// startRouted adds a subscription that passed all checks, and fills it at once if this
-// gateway has all that it lacks.
+// startRouted adds a subscription that passed all checks. It is confirmed at once if this gateway has
+// all records that the client missed, or if the store certainly has them.
 func (g *Gateway) startRouted(
 	now time.Time,
 	session *session,
@@ -75,7 +75,7 @@
 	if request.Cursor != "" && request.Cursor != "-" {
 		offset, fit := parseTopicCursor(request.Cursor)
 		if !fit {
-			response := rejectedReply(400, codeBadCursor, "the cursor is not one of this fleet's", 0)
+			response := rejectedReply(400, codeBadCursor, "the cursor was not issued by this fleet", 0)
 			g.answerSubscribe(now, request, response, effects)
 			return
 		}
@@ -97,8 +97,8 @@
 	}
 }
 
-// awaitEphemeral starts a subscription to an ephemeral topic once the overlay knows the
-// topic's cell, or after a timeout.
+// awaitEphemeral starts a subscription to an ephemeral topic once the overlay has located the topic's
+// cell, or after a timeout.
 func (g *Gateway) awaitEphemeral(
 	now time.Time,
 	topic *topicState,
@@ -114,16 +114,17 @@
 	}
 }
 
-// certainlyRetained returns whether the store certainly has all records that a subscription may
-// lack. It is confirmed before they are fetched then, which may take its time, and is not rejected
-// while the response is on its way.
+// certainlyRetained reports whether the store certainly has all records that a subscription may lack.
+// Such a subscription is confirmed before they are fetched, so that it isn't rejected when the fetch
+// takes longer than its deadline.
 func (g *Gateway) certainlyRetained(topic *topicState, subscription *topicSubscription) bool {
 	base, known := g.routed.bases[topic.partition]
 	return known && subscription.resumes && subscription.deliveredUpTo >= base &&
 		!statemachine.Mutated("places-confirmed-late")
 }
 
-// subscribeTimeoutOf returns how long a subscription may take to be filled under a configuration.
+// subscribeTimeoutOf returns how long the confirmation of a subscription may take under a
+// configuration.
 func subscribeTimeoutOf(config config.Configuration) time.Duration {
 	longest := time.Second
 	for _, space := range config.Spaces {
@@ -132,7 +133,7 @@
 	return min(longest*6/10, defaultSubscribeTimeout)
 }
 
-// addTopicSubscription adds a subscription to its topic, which it creates if need be.
+// addTopicSubscription adds a subscription to its topic, and creates the topic if it doesn't exist yet.
 func (g *Gateway) addTopicSubscription(
 	now time.Time,
 	name, space string,
@@ -164,7 +165,8 @@
 	return topic
 }
 
-// dropTopicSubscription removes a session's subscription to a routed topic.
+// dropTopicSubscription removes the subscription of a session to a routed topic. The topic is removed
+// with its last subscription, or once its reservation has expired.
 func (g *Gateway) dropTopicSubscription(now time.Time, session *session, name string, effects *statemachine.Effects) {
 	dropped, found := session.routed[name]
 	if !found {
@@ -183,7 +185,7 @@
 	g.dropTopic(topic)
 }
 
-// dropTopic removes a topic without subscriptions.
+// dropTopic removes a topic if it has no subscriptions.
 func (g *Gateway) dropTopic(topic *topicState) {
 	if len(topic.subscriptions) > 0 || g.routed.topics[topic.name] != topic {
 		return
@@ -208,8 +210,8 @@
 	}
 }
 
-// supersede removes the routed subscriptions of a client's earlier session: only those of its
-// newest session count.
+// supersede records the newest session of a client and removes the routed subscriptions of its
+// previous session: a client has routed subscriptions in its newest session only.
 func (g *Gateway) supersede(now time.Time, client string, newest uint64, effects *statemachine.Effects) {
 	if earlier, found := g.newestSession[client]; found && earlier != newest {
 		if session, open := g.sessions[earlier]; open {
@@ -219,7 +221,7 @@
 	g.newestSession[client] = newest
 }
 
-// startEphemeral confirms a subscription to an ephemeral topic.
+// startEphemeral confirms a subscription to an ephemeral topic and delivers the recent records to it.
 func (g *Gateway) startEphemeral(now time.Time, subscription *topicSubscription, effects *statemachine.Effects) {
 	if !subscription.filling {
 		return
@@ -239,14 +241,14 @@
 	}
 }
 
-// fill confirms a subscription to a durable topic if this gateway has all records that it lacks,
-// and returns whether it has.
+// completeCatchUp confirms a subscription to a durable topic and delivers the records that the client
+// missed, if this gateway has all of them. It reports whether it has.
 func (g *Gateway) fill(now time.Time, subscription *topicSubscription, effects *statemachine.Effects) bool {
 	topic := subscription.topic
 	reported, known := g.routed.reportedUpTo[topic.partition]
 	if known && !topic.live && !subscription.resumes && topic.fetch == nil {
-		// A subscription without a cursor may begin at the offset that the leader
-		// reported last: what moves after that will be reported.
+		// A subscription without a cursor may start at the offset up to which the leader
+		// has reported, since the leader reports all later records.
 		topic.live = true
 		topic.last, topic.recentFrom = reported, reported
 		g.release(now, topic, effects)
@@ -261,8 +263,8 @@
 	g.announceSubscriberCount(now, topic, effects)
 	from := subscription.deliveredUpTo
 	if !subscription.resumes {
-		// What was reported as moved came before this subscription, though the topic
-		// may not have caught up with it.
+		// Records that were already reported precede this subscription, even if the
+		// topic has not caught up with them yet.
 		from = max(topic.last, g.routed.reportedUpTo[topic.partition])
 		subscription.deliveredUpTo = from
 	}
@@ -287,7 +289,7 @@
 	g.answerSubscribe(now, request, response, effects)
 }
 
-// unsubscribeRouted handles the request of a client to end subscriptions to routed topics.
+// unsubscribeRouted handles the request of a client to unsubscribe from routed topics.
 func (g *Gateway) unsubscribeRouted(now time.Time, request Unsubscribe, effects *statemachine.Effects) {
 	session, found := g.sessions[request.Session]
 	if !found || session.client != request.Client {
@@ -301,7 +303,7 @@
 			g.answerSubscribe(
 				now,
 				subscription.request,
-				rejectedReply(409, "unsubscribed", "the subscription was ended before it was taken up", retryShortDelay),
+				rejectedReply(409, "unsubscribed", "the client unsubscribed before the confirmation", retryShortDelay),
 				effects,
 			)
 		}
@@ -310,7 +312,7 @@
 	effects.Respond(request.Request, acceptedReply(nil))
 }
 
-// startTopicSubscription confirms a subscription whose missed records are about to come.
+// confirmTopicSubscription confirms a subscription whose missed records are delivered afterwards.
 func (g *Gateway) startTopicSubscription(
 	now time.Time,
 	subscription *topicSubscription,
@@ -323,7 +325,7 @@
 	subscription.request.Request = 0
 }
 
-// deliverFetched delivers a missed record to a subscription that is being filled.
+// deliverFetched delivers a missed record to a subscription that is catching up.
 func (g *Gateway) deliverFetched(
 	subscription *topicSubscription,
 	record partition.Record,
@@ -334,22 +336,23 @@
 	subscription.filling = true
 }
 
-// expireSubscriptions rejects the subscriptions that lack records which the store has removed.
+// expireSubscriptions rejects the subscriptions whose cursor is at or below an offset, since the store
+// no longer has the records that they missed.
 func (g *Gateway) expireSubscriptions(now time.Time, topic *topicState, after uint64, effects *statemachine.Effects) {
 	for _, subscription := range slices.Clone(topic.subscriptions) {
 		if subscription.filling && subscription.resumes && subscription.deliveredUpTo <= after {
 			g.rejectTopicSubscription(
 				now,
 				subscription,
-				rejectedReply(410, "place-lost", "what was missed is older than the space holds; subscribe without the cursor", 0),
+				rejectedReply(410, "place-lost", "the missed messages are no longer retained; subscribe without the cursor", 0),
 				effects,
 			)
 		}
 	}
 }
 
-// rejectTopicSubscription rejects a subscription. One that was confirmed before cannot be rejected
-// any more: its session is closed instead, and its client subscribes again.
+// rejectTopicSubscription rejects a subscription. If it was confirmed before and its missed records are
+// no longer retained, the session is closed instead, and its client subscribes again.
 func (g *Gateway) rejectTopicSubscription(
 	now time.Time,
 	subscription *topicSubscription,
--- a/internal/gateway/tracker.go
+++ b/internal/gateway/tracker.go
@@ -9,73 +9,76 @@
 )
 
 const (
-	// verifyEvery is the usual time between verifications, gapTimeout how long a missing record may
-	// take to come before it is fetched.
+	// verifyInterval is the usual time between verifications. gapTimeout is how long a missing record
+	// may take to arrive before it is fetched.
 	verifyEvery = time.Second
 	gapTimeout  = 40 * time.Millisecond
-	// followEvery is how often high watermarks are subscribed to again.
+	// highWatermarkRenewal is the interval at which the subscriptions to high watermarks are renewed.
 	followEvery = 2 * time.Second
-	// maxSkippedOffsets bounds the offsets that a fetch names as present.
+	// maxSkippedOffsets bounds the offsets that a fetch lists as already received.
 	maxSkippedOffsets = 2048
-	// cycleTimeout is after what time a record is delivered although it depends on one that was not:
-	// if all partitions are verified, only a cycle of dependencies can hold it back for so long.
+	// cycleTimeout is how long a record may wait for its dependencies before it is delivered without
+	// them. If all partitions are verified, only a cycle of dependencies can delay a record so long.
 	cycleTimeout = 8 * time.Second
-	// maxImmediateScan is up to how many pending records each copy causes a scan of them; above it
-	// there is one scan each deliverInterval.
+	// maxImmediateScan is the number of pending records up to which each copy triggers a scan of all of
+	// them. With more pending records there is one scan every deliverInterval.
 	maxImmediateScan = 64
 	deliverInterval  = 20 * time.Millisecond
 )
 
-// trackedInterest is an interest in the topics of a partition.
+// trackedInterest is an interest that matches topics of a partition.
 type trackedInterest struct {
 	interest Interest
-	// subscriptions is how many sessions have the interest; it is never 0.
+	// subscriptions is the number of sessions with the interest. It is never 0.
 	subscriptions int
-	// since is the offset above which the interest is live, maxOffset until it is.
+	// since is the offset above which the interest is live, or maxOffset until then.
 	since uint64
 }
 
-// tracker follows one partition for all subscriptions here.
+// tracker keeps track of the delivered and missing records of one partition, for all subscriptions of
+// this gateway.
 type tracker struct {
 	// name is the name of the partition.
 	name string
-	// space is the name of the space, spaceName the same with the index at which it was created.
+	// space is the name of the space. spaceName is the name with the index at which the space was
+	// created.
 	space     string
 	spaceName string
-	// shared is set if all topics of the space have one shared order.
+	// spaceOrdered is set if the records of all topics of the space are delivered in one common order.
 	shared    bool
 	interests map[Interest]*trackedInterest
-	// version rises with each new interest: a verification that began before does not cover it.
+	// version is incremented with each new interest, which a verification that was started before
+	// doesn't cover.
 	version uint64
-	// verified is the offset up to which all matching records were delivered. It never falls. It
-	// holds only if started is set, which is when the first interest is live.
+	// verified is the offset up to which all matching records were delivered. It never decreases, and
+	// is valid only if started is set. started is set when the first interest becomes live.
 	verified uint64
 	started  bool
-	// highWatermark is the partition's highest offset that is known here.
+	// highWatermark is the highest known offset of the partition.
 	highWatermark uint64
-	// delivered is when records were delivered, by offset; those up to verified are forgotten after
-	// verifyEvery.
+	// delivered contains the delivery time of records by offset. Entries up to verified are removed
+	// after verifyInterval.
 	delivered map[uint64]time.Time
-	// pending are records that must wait, by offset, pendingSince is since when.
+	// pending are the records that wait for others, by offset. pendingSince is when they began to wait.
 	pending      map[uint64]partition.Record
 	pendingSince map[uint64]time.Time
-	// verifying is set while a verification is under way, wanted if another is needed.
+	// verifying is set while a verification is in flight. verifyNeeded is set if a further one is needed.
 	verifying bool
 	wanted    bool
-	// verifiedAt is a moment up to which all records of the partition were here; requestedAt is when
-	// the verification under way was sent.
+	// verifiedAt is the time of the latest verification or high watermark request that showed that no
+	// record of the partition was missing. requestedAt is when the verification in flight was sent.
 	verifiedAt  time.Time
 	requestedAt time.Time
 }
 
-// spaceOf splits a partition's name: the space, and the space with its creation index.
+// spaceOf returns the space in the name of a partition, without and with its creation index.
 func spaceOf(name string) (space, full string) {
 	full, _, _ = strings.Cut(name, "/")
 	space, _, _ = strings.Cut(full, "~")
 	return space, full
 }
 
-// trackerFor returns the tracker of a partition, which it creates if need be.
+// trackerFor returns the tracker of a partition, and creates it if it doesn't exist yet.
 func (g *Gateway) trackerFor(now time.Time, name string) *tracker {
 	present, found := g.trackers[name]
 	if !found {
@@ -99,7 +102,7 @@
 	return present
 }
 
-// add adds a subscription with an interest.
+// addSubscription adds a subscription with an interest.
 func (t *tracker) add(interest Interest) {
 	present, found := t.interests[interest]
 	if !found {
@@ -110,7 +113,8 @@
 	present.subscriptions++
 }
 
-// remove removes a subscription with an interest, and returns whether none is left.
+// removeSubscription removes a subscription with an interest, and reports whether it was the last one of
+// the tracker.
 func (t *tracker) remove(interest Interest) bool {
 	present, found := t.interests[interest]
 	if !found {
@@ -123,7 +127,7 @@
 	return len(t.interests) == 0
 }
 
-// begin notes the offset above which an interest is live.
+// startInterest records the offset above which an interest is live.
 func (t *tracker) begin(interest Interest, since uint64) {
 	if present, found := t.interests[interest]; found && since < present.since {
 		present.since = since
@@ -135,8 +139,8 @@
 	}
 }
 
-// startOf returns the offset above which a topic is live here, maxOffset if it is not yet, and
-// whether any interest matches it.
+// startOf returns the offset above which a topic is delivered live, or maxOffset if it isn't yet, and
+// whether an interest matches the topic.
 func (t *tracker) startOf(topic string) (since uint64, tracked bool) {
 	since = maxOffset
 	for interest, present := range t.interests {
@@ -148,7 +152,7 @@
 	return since, tracked
 }
 
-// resolved returns whether a record was delivered here or need not be.
+// resolved reports whether a record was delivered, or need not be because no interest covers it.
 func (t *tracker) resolved(topic string, offset uint64) bool {
 	if offset <= t.verified && t.started {
 		return true
@@ -160,7 +164,7 @@
 	return !matters || offset <= since && since != maxOffset
 }
 
-// prune forgets deliveries that the verified offset covers.
+// prune removes the delivery times of verified records and the start times of waits that have ended.
 func (t *tracker) prune(now time.Time) {
 	for offset := range t.pendingSince {
 		if _, waits := t.pending[offset]; !waits {
@@ -174,7 +178,7 @@
 	}
 }
 
-// resolvedUpTo returns whether all records of the partition up to an offset are resolved.
+// resolvedUpTo reports whether all records of the partition up to an offset are resolved.
 func (t *tracker) resolvedUpTo(offset uint64) bool {
 	if t.started && offset <= t.verified {
 		return true
--- a/internal/gateway/verify.go
+++ b/internal/gateway/verify.go
@@ -11,7 +11,7 @@
 	"dahlialock/internal/statemachine"
 )
 
-// handleHighWatermarks applies the reports of a store.
+// handleHighWatermarks applies the high watermarks that a store reports.
 func (g *Gateway) handleHighWatermarks(
 	now time.Time,
 	highWatermarks partition.HighWatermarks,
@@ -37,14 +37,14 @@
 	g.deliverReady(now, effects)
 }
 
-// advanceVerifiedAt notes that all records of the partition were here at a moment.
+// advanceVerifiedAt records that all records of the partition up to the given time were received.
 func (t *tracker) advanceVerifiedAt(at time.Time) {
 	if at.After(t.verifiedAt) {
 		t.verifiedAt = at
 	}
 }
 
-// verifyAll verifies the trackers that may lack a record.
+// verifyAll starts the verification of the trackers that need one.
 func (g *Gateway) verifyAll(now time.Time, effects *statemachine.Effects) {
 	for name, tracker := range statemachine.Sorted(g.trackers) {
 		if !tracker.wanted || tracker.verifying || !tracker.started {
@@ -55,7 +55,7 @@
 	}
 }
 
-// verify fetches the records of a partition that the tracker lacks.
+// verify fetches the records of a partition that the tracker has not received.
 func (g *Gateway) verify(now time.Time, name string, tracker *tracker, effects *statemachine.Effects) {
 	if tracker.shared && tracker.highWatermark <= tracker.verified && len(tracker.pending) == 0 {
 		return
@@ -101,8 +101,8 @@
 	g.sendFetch(now, g.nextRequest, name, fetch, effects)
 }
 
-// verified applies the response to a verification. The missing records become pending as if they
-// had come as copies; the partition is verified up to the first one that stays pending.
+// applyVerification applies the result of a verification. The fetched records become pending, as if their
+// copies had arrived. The partition is verified up to the first record that remains pending.
 func (g *Gateway) verified(now time.Time, operation *fetchOperation, effects *statemachine.Effects) {
 	tracker, found := g.trackers[operation.tracker]
 	if !found {
@@ -111,8 +111,8 @@
 	tracker.verifying = false
 	until := operation.partitions[operation.tracker].until
 	g.addMissing(now, tracker, operation.records[operation.tracker], until, effects)
-	// The response has all of this partition up to until, so nothing of it is missing; a message can
-	// only wait for another partition.
+	// The fetch covers all records of this partition up to until, so a record that is still pending
+	// can only wait for a record of another partition.
 	g.deliverReady(now, effects)
 	if tracker.version == operation.version {
 		limit := until
@@ -122,7 +122,7 @@
 		if limit > tracker.verified {
 			tracker.verified = limit
 		}
-		// All records up to until are here now, though some may be pending.
+		// All records up to until were received, though some may still be pending.
 		tracker.advanceVerifiedAt(tracker.requestedAt)
 		g.deliverReady(now, effects)
 	}
@@ -141,7 +141,7 @@
 	g.timers.ArmSooner(timerVerify, now.Add(pause))
 }
 
-// addMissing adds fetched records to the pending ones of a tracker.
+// addMissing adds fetched records to the pending records of a tracker.
 func (g *Gateway) addMissing(
 	now time.Time,
 	tracker *tracker,
@@ -167,8 +167,8 @@
 	}
 }
 
-// followHighWatermarks subscribes to the high watermarks of the partitions in use here at their
-// leaders, and again before the leaders forget it.
+// subscribeToHighWatermarks subscribes to the high watermarks of the partitions with subscriptions here at
+// their leaders. The subscriptions are renewed before they expire at the leaders.
 func (g *Gateway) followHighWatermarks(now time.Time, effects *statemachine.Effects) {
 	byStore := map[string]partition.SubscribeHighWatermarks{}
 	g.highWatermarksRequestedAt = now
@@ -196,8 +196,8 @@
 	}
 }
 
-// recentlyVerified returns whether all trackers of a space were verified lately, so that no record
-// older than the dependency window can be missing.
+// recentlyVerified reports whether all trackers of a space were verified within the verification window,
+// so that no record older than the dependency window can be missing.
 func (g *Gateway) recentlyVerified(now time.Time, full string) bool {
 	for _, other := range g.trackers {
 		if other.spaceName == full && other.started && now.Sub(other.verifiedAt) > partition.VerificationWindow {
