--- a/internal/gateway/catchup.go
+++ b/internal/gateway/catchup.go
@@ -15,16 +15,16 @@
 	maxBatchTopics = 256
 	// batchTimeout is how long the response to the first attempt of a batch may take. The timeout
 	// doubles with each further attempt.
-	batchRetry = 400 * time.Millisecond
+	batchTimeout = 400 * time.Millisecond
 	// maxCatchUpLinkTime is how long the transfer of all records that are requested at the same time,
 	// from all stores together, may occupy the link.
-	catchUpAhead = 200 * time.Millisecond
+	maxCatchUpLinkTime = 200 * time.Millisecond
 	// minBatchBytes and maxBatchBytes bound the bytes of records that one batch requests.
 	minBatchBytes = 4 << 10
 	maxBatchBytes = 256 << 10
 	// reservationTimeout is how long the topic of a rejected subscription is still fetched for its
 	// retry, and how long the fetched records are retained for it.
-	reservedFor = 3 * time.Second
+	reservationTimeout = 3 * time.Second
 )
 
 // topicFetch is one topic of a batch, which requests its records after an offset.
@@ -54,10 +54,10 @@
 }
 
 // due returns when the batch is sent again. The timeout doubles with each attempt.
-func (b *batch) due() time.Time { return b.sentAt.Add(backoff(batchRetry, b.attempts)) }
+func (b *batch) due() time.Time { return b.sentAt.Add(backoff(batchTimeout, b.attempts)) }
 
 // hasWaitingTopics reports whether any topic still waits for the response to the batch.
-func (b *batch) wanted() bool {
+func (b *batch) hasWaitingTopics() bool {
 	return slices.ContainsFunc(b.fetches, func(fetch *topicFetch) bool { return fetch.topic.fetch == fetch })
 }
 
@@ -67,18 +67,18 @@
 	if statemachine.Mutated("no-retry-pauses") {
 		return initial
 	}
-	return initial << min(max(0, attempts-1), retryDoubles)
+	return initial << min(max(0, attempts-1), maxTimeoutDoublings)
 }
 
 // missingAfter returns the offset after which records of the topic are to be fetched, maxOffset if
 // only its high watermark is needed, and whether anything is to be fetched.
 func (t *topicState) missingAfter(now time.Time) (after uint64, lacking bool) {
 	after = maxOffset
-	if t.live && t.wanted > t.last {
-		after, lacking = t.last, len(t.subscriptions) > 0
+	if t.started && t.highestKnown > t.deliveredUpTo {
+		after, lacking = t.deliveredUpTo, len(t.subscriptions) > 0
 	}
 	for _, subscription := range t.subscriptions {
-		if !subscription.filling {
+		if !subscription.catchingUp {
 			continue
 		}
 		lacking = true
@@ -95,7 +95,7 @@
 // reserved reports whether the topic is still to be fetched for the retry of a rejected subscription:
 // its reservation has not expired, and this gateway lacks some of the records.
 func (t *topicState) reserved(now time.Time) bool {
-	here := t.live && t.recentFrom <= t.reservedAfter
+	here := t.started && t.recentFrom <= t.reservedAfter
 	return t.reservedUntil.After(now) && !here
 }
 
@@ -109,7 +109,7 @@
 		t.reservedAfter = subscription.deliveredUpTo
 	}
 	t.reservedAfter = min(t.reservedAfter, subscription.deliveredUpTo)
-	t.reservedUntil = now.Add(reservedFor)
+	t.reservedUntil = now.Add(reservationTimeout)
 }
 
 // fetchTopic queues a topic for the next batch to its store. The batch is sent at once if no other one
@@ -125,13 +125,13 @@
 		g.viewClient.PollNow(now)
 		return
 	}
-	if !g.busy(store) {
+	if !g.hasBatchInFlight(store) {
 		g.sendBatches(now, effects)
 	}
 }
 
 // hasBatchInFlight reports whether a batch is in flight to a store.
-func (g *Gateway) busy(store string) bool {
+func (g *Gateway) hasBatchInFlight(store string) bool {
 	_, busy := g.routed.batchInFlight[store]
 	return busy && !statemachine.Mutated("fetches-without-credit")
 }
@@ -147,7 +147,7 @@
 			continue
 		}
 		present := g.routeTo(next.partition)
-		if present == (route{}) || g.busy(present.address) || len(chosen[present.address]) >= maxBatchTopics {
+		if present == (route{}) || g.hasBatchInFlight(present.address) || len(chosen[present.address]) >= maxBatchTopics {
 			waiting = append(waiting, next)
 			continue
 		}
@@ -203,7 +203,7 @@
 	if g.settings.LinkBytesPerSecond == 0 {
 		return maxBatchBytes
 	}
-	ahead := int(float64(g.settings.LinkBytesPerSecond) * catchUpAhead.Seconds())
+	ahead := int(float64(g.settings.LinkBytesPerSecond) * maxCatchUpLinkTime.Seconds())
 	return min(max(ahead/max(1, stores), minBatchBytes), maxBatchBytes)
 }
 
@@ -222,7 +222,7 @@
 		switch {
 		case sent.due().After(now):
 			g.timers.ArmSooner(timerRouted, sent.due())
-		case !sent.wanted():
+		case !sent.hasWaitingTopics():
 			g.endBatch(sent)
 		default:
 			g.sendBatch(now, sent, effects)
@@ -245,7 +245,7 @@
 				rerouted = append(rerouted, topic)
 			}
 		}
-		if !sent.wanted() {
+		if !sent.hasWaitingTopics() {
 			g.endBatch(sent)
 		}
 	}
@@ -282,7 +282,7 @@
 		placement, placed := g.viewClient.Placements[topic.partition]
 		if !served || !placed || state.Epoch < placement.Epoch {
 			g.viewClient.PollNow(now)
-			g.scheduleTopic(topic, now.Add(topicFetchRetry))
+			g.scheduleTopic(topic, now.Add(topicFetchRetryDelay))
 			continue
 		}
 		g.applyFetchedTopic(now, fetch, state, records, effects)
@@ -302,7 +302,7 @@
 	effects *statemachine.Effects,
 ) {
 	topic := fetch.topic
-	g.routed.bases[topic.partition] = state.Base
+	g.routed.baseOffsets[topic.partition] = state.Base
 	topic.missingBytes = response.RemainingBytes
 	if response.Expired {
 		topic.reservedUntil = time.Time{}
@@ -319,11 +319,11 @@
 	}
 	g.applyRecords(now, fetch, state, response, effects)
 	for _, subscription := range slices.Clone(topic.subscriptions) {
-		if subscription.filling {
+		if subscription.catchingUp {
 			g.advanceSubscription(now, subscription, fetch.after, response, effects)
 		}
 	}
-	g.release(now, topic, effects)
+	g.deliverPending(now, topic, effects)
 	if response.Until < state.HighWatermark {
 		// The response was too small for all records of the topic; fetch the rest.
 		g.requireUpTo(now, topic, state.HighWatermark, 0)
@@ -341,11 +341,11 @@
 	effects *statemachine.Effects,
 ) {
 	topic := fetch.topic
-	if !topic.live {
-		topic.live = true
-		topic.last, topic.recentFrom = response.Until, response.Until
+	if !topic.started {
+		topic.started = true
+		topic.deliveredUpTo, topic.recentFrom = response.Until, response.Until
 		if fetch.after != maxOffset {
-			topic.last, topic.recentFrom = fetch.after, fetch.after
+			topic.deliveredUpTo, topic.recentFrom = fetch.after, fetch.after
 		}
 		if topic.reservedUntil.After(now) {
 			topic.recentUntil = topic.reservedUntil
@@ -355,21 +355,21 @@
 	if fetch.after == maxOffset {
 		return
 	}
-	topic.extendRecent(now, fetch.after, response)
-	if fetch.after > topic.last {
+	topic.prependRecent(now, fetch.after, response)
+	if fetch.after > topic.deliveredUpTo {
 		return
 	}
 	for _, record := range response.Records {
-		if record.Offset > topic.last {
-			g.process(now, topic, record, effects)
+		if record.Offset > topic.deliveredUpTo {
+			g.deliverNext(now, topic, record, effects)
 		}
 	}
-	topic.last = max(topic.last, response.Until)
+	topic.deliveredUpTo = max(topic.deliveredUpTo, response.Until)
 }
 
 // prependRecent adds fetched records that precede the recent ones, so that further subscriptions can
 // catch up from them.
-func (t *topicState) extendRecent(now time.Time, after uint64, response partition.TopicRecords) {
+func (t *topicState) prependRecent(now time.Time, after uint64, response partition.TopicRecords) {
 	if after >= t.recentFrom || response.Until < t.recentFrom {
 		return
 	}
@@ -381,7 +381,7 @@
 		}
 	}
 	t.recent = append(earlier, t.recent...)
-	t.recentFrom, t.recentUntil = after, now.Add(reservedFor)
+	t.recentFrom, t.recentUntil = after, now.Add(reservationTimeout)
 }
 
 // advanceSubscription confirms a subscription whose missed records the store still has, and delivers
@@ -394,11 +394,11 @@
 	effects *statemachine.Effects,
 ) {
 	if subscription.resumes && after <= subscription.deliveredUpTo {
-		g.startTopicSubscription(now, subscription, effects)
+		g.confirmTopicSubscription(now, subscription, effects)
 		for _, record := range response.Records {
 			g.deliverFetched(subscription, record, effects)
 		}
 		subscription.deliveredUpTo = max(subscription.deliveredUpTo, response.Until)
 	}
-	g.fill(now, subscription, effects)
+	g.completeCatchUp(now, subscription, effects)
 }
--- a/internal/gateway/catchup_test.go
+++ b/internal/gateway/catchup_test.go
@@ -48,10 +48,10 @@
 			Complete:  true,
 		}
 		subscription := &topicSubscription{
-			session:  uint64(number + 1),
-			filling:  true,
-			request:  Subscribe{Request: uint64(number + 1)},
-			deadline: made.now.Add(time.Second),
+			session:    uint64(number + 1),
+			catchingUp: true,
+			request:    Subscribe{Request: uint64(number + 1)},
+			deadline:   made.now.Add(time.Second),
 		}
 		opened := &session{client: name, routed: map[string]*topicSubscription{name: subscription}}
 		made.gateway.sessions[subscription.session] = opened
@@ -102,7 +102,7 @@
 	many.answer(second[0])
 	assert.Equal(t, len(many.sentBatches()), 0)
 	for _, opened := range many.channels {
-		assert.Assert(t, !opened.routed[opened.client].filling, opened.client)
+		assert.Assert(t, !opened.routed[opened.client].catchingUp, opened.client)
 	}
 }
 
@@ -116,7 +116,7 @@
 	assert.Equal(t, len(next), 1)
 	// A batch without a response for which no topic waits is not sent again.
 	many.gateway.dropTopicSubscription(many.now, many.channels[1], next[0].Topics[0].Topic, &many.effects)
-	many.now = many.now.Add(batchRetry)
+	many.now = many.now.Add(batchTimeout)
 	many.gateway.retryBatches(many.now, &many.effects)
 	assert.Equal(t, len(many.sentBatches()), 0)
 	assert.Equal(t, len(many.gateway.routed.batchInFlight), 0)
@@ -156,14 +156,14 @@
 	many.effects = statemachine.Effects{}
 	again := &topicSubscription{
 		session:       behind.session,
-		filling:       true,
+		catchingUp:    true,
 		resumes:       true,
 		deliveredUpTo: 3,
 		request:       Subscribe{Request: 99},
 		deadline:      many.now.Add(time.Second),
 	}
 	many.gateway.addTopicSubscription(many.now, many.channels[1].client, "boards", again, &many.effects)
-	return len(next[0].Topics), many.gateway.fill(many.now, again, &many.effects)
+	return len(next[0].Topics), many.gateway.completeCatchUp(many.now, again, &many.effects)
 }
 
 func TestTopicSubscriptionKeepsTurnWhenRejected(t *testing.T) {
@@ -179,10 +179,10 @@
 	many.now = subscription.deadline
 	many.gateway.tickTopic(many.now, subscription.topic, &many.effects)
 	assert.Equal(t, len(many.gateway.routed.topics), 1)
-	many.now = many.now.Add(reservedFor)
+	many.now = many.now.Add(reservationTimeout)
 	many.gateway.tickRouted(many.now, &many.effects)
 	assert.Equal(t, len(many.gateway.routed.topics), 0)
-	assert.Equal(t, len(many.gateway.routed.partitions), 0)
+	assert.Equal(t, len(many.gateway.routed.topicCounts), 0)
 }
 
 // A rejected subscription without a cursor has no reservation. Its topic is removed, and subtracted from
@@ -201,10 +201,10 @@
 			kept = number
 		}
 	}
-	assert.Equal(t, many.gateway.routed.partitions[name], 2)
+	assert.Equal(t, many.gateway.routed.topicCounts[name], 2)
 	many.now = refused.deadline
 	many.gateway.tickTopic(many.now, refused.topic, &many.effects)
-	assert.Equal(t, many.gateway.routed.partitions[name], 1)
+	assert.Equal(t, many.gateway.routed.topicCounts[name], 1)
 }
 
 func TestBatchCreditFollowsLink(t *testing.T) {
@@ -245,7 +245,7 @@
 	}, &one.effects)
 	assert.Equal(t, len(one.effects.Deliveries), 1)
 	assert.Equal(t, len(one.effects.Responses), 0)
-	assert.Assert(t, !subscription.filling)
+	assert.Assert(t, !subscription.catchingUp)
 }
 
 // A report that arrives while the topic is being fetched must not be lost, since the leader doesn't repeat
@@ -260,7 +260,7 @@
 		Epoch:     1,
 		From:      5,
 		Offset:    8,
-		Topics:    []partition.TopicOffset{{TopicHash: topic.number, Offset: 8}},
+		Topics:    []partition.TopicOffset{{TopicHash: topic.hash, Offset: 8}},
 	})
 	one.answer(fetch)
 	one.now = one.now.Add(highWatermarkGrace)
@@ -295,12 +295,12 @@
 	one.answer(one.sentBatches()[0])
 	gateway := one.gateway
 	partition := config.SharedPartition("topic-0")
-	gateway.routed.bases[partition] = 3
+	gateway.routed.baseOffsets[partition] = 3
 	gateway.viewClient.Index, gateway.viewClient.ConfirmedAt = 1, one.now
 	gateway.detector.ReceiveFromPeer(one.now)
 	gateway.config = configOf(t)
 	gateway.sessions[9] = &session{client: "late", routed: map[string]*topicSubscription{}}
-	gateway.routed.topics["topic-0"].recentFrom, gateway.routed.topics["topic-0"].last = 9, 9
+	gateway.routed.topics["topic-0"].recentFrom, gateway.routed.topics["topic-0"].deliveredUpTo = 9, 9
 	one.effects = statemachine.Effects{}
 	gateway.subscribeRouted(one.now, Subscribe{
 		Request:   77,
@@ -418,11 +418,11 @@
 	one.answer(one.sentBatches()[0])
 	gateway.SetLinkBytesPerSecond(thinRate)
 	late := &topicSubscription{
-		session:  9,
-		filling:  true,
-		resumes:  true,
-		request:  Subscribe{Request: 9},
-		deadline: one.now.Add(time.Second),
+		session:    9,
+		catchingUp: true,
+		resumes:    true,
+		request:    Subscribe{Request: 9},
+		deadline:   one.now.Add(time.Second),
 	}
 	gateway.sessions[9] = &session{client: "late", routed: map[string]*topicSubscription{"topic-0": late}}
 	gateway.addTopicSubscription(one.now, "topic-0", "boards", late, &one.effects)
--- a/internal/gateway/cursor.go
+++ b/internal/gateway/cursor.go
@@ -17,8 +17,8 @@
 	cursorLayout = 1
 	// macSize is the length of the message authentication code, maxCursorSize the length of the longest
 	// accepted cursor, both in bytes.
-	sumSize     = 12
-	cursorLimit = 256 << 10
+	macSize       = 12
+	maxCursorSize = 256 << 10
 
 	// codeBadCursor is the error code of a cursor that is forged, damaged or of another layout.
 	codeBadCursor = "bad-cursor"
@@ -53,7 +53,7 @@
 	sum := hmac.New(sha256.New, key)
 	_, _ = sum.Write([]byte("cursor"))
 	_, _ = sum.Write(body)
-	return sum.Sum(nil)[:sumSize]
+	return sum.Sum(nil)[:macSize]
 }
 
 // seal encodes and signs a cursor.
@@ -65,15 +65,15 @@
 // openCursor verifies and decodes the cursor of a client. If the cursor is rejected it returns the error
 // code.
 func openCursor(key []byte, client, text string) (cursor, string) {
-	if len(text) > cursorLimit {
+	if len(text) > maxCursorSize {
 		return cursor{}, codeBadCursor
 	}
 	packed, err := base64.RawURLEncoding.DecodeString(text)
-	if err != nil || len(packed) <= sumSize || !hmac.Equal(packed[:sumSize], sign(key, packed[sumSize:])) {
+	if err != nil || len(packed) <= macSize || !hmac.Equal(packed[:macSize], sign(key, packed[macSize:])) {
 		return cursor{}, codeBadCursor
 	}
 	var contents cursor
-	if err := transport.Unmarshal(packed[sumSize:], &contents); err != nil || contents.Layout != cursorLayout {
+	if err := transport.Unmarshal(packed[macSize:], &contents); err != nil || contents.Layout != cursorLayout {
 		return cursor{}, codeBadCursor
 	}
 	if contents.Client != client {
@@ -125,7 +125,7 @@
 // partitions.
 func (g *Gateway) addInterests(result *cursor, session *session) {
 	for interest, subscription := range session.subscriptions {
-		if subscription.filling {
+		if subscription.catchingUp {
 			continue
 		}
 		result.Interests = append(result.Interests, interest)
@@ -149,7 +149,7 @@
 	}
 	for interest, subscription := range c.subscriptions {
 		since, found := subscription.since[name]
-		if !found || subscription.filling || since <= at.Floor {
+		if !found || subscription.catchingUp || since <= at.Floor {
 			continue
 		}
 		if at.Since == nil {
--- a/internal/gateway/delivery.go
+++ b/internal/gateway/delivery.go
@@ -10,7 +10,7 @@
 
 // deliverBuffered delivers the messages that were buffered while a subscription of the session was
 // catching up. It does nothing while one still is.
-func (g *Gateway) drain(now time.Time, id uint64, session *session, effects *statemachine.Effects) {
+func (g *Gateway) deliverBuffered(now time.Time, id uint64, session *session, effects *statemachine.Effects) {
 	if session.isFilling() {
 		return
 	}
@@ -42,7 +42,7 @@
 		if interest.Space != space || !interest.matches(recordCopy.Record.Topic) {
 			continue
 		}
-		if subscription.filling {
+		if subscription.catchingUp {
 			waits = true
 			continue
 		}
@@ -125,13 +125,13 @@
 	wanted := false
 	for interest, subscription := range session.subscriptions {
 		if interest.Space == space && interest.matches(message.Topic) {
-			if subscription.filling || session.isFilling() {
+			if subscription.catchingUp || session.isFilling() {
 				session.ephemeralBuffer = append(session.ephemeralBuffer, message)
 				return
 			}
 			// Repeated messages are delivered to clients that were disconnected, but
 			// not to new subscriptions.
-			wanted = wanted || !message.Repeated || now.Sub(subscription.resumedAt) <= resumedFor
+			wanted = wanted || !message.Repeated || now.Sub(subscription.resumedAt) <= repeatWindow
 		}
 	}
 	if !wanted || !session.markSeen(now, message.Space, message.Sender, message.Seq) {
@@ -173,7 +173,7 @@
 }
 
 // setNotBefore records that an interest began at an offset above the floor of the cursor.
-func (c *session) notBefore(interest Interest, name string, since uint64) {
+func (c *session) setNotBefore(interest Interest, name string, since uint64) {
 	subscription := c.subscriptions[interest]
 	if subscription.notBefore == nil {
 		subscription.notBefore = map[string]uint64{}
@@ -183,7 +183,7 @@
 
 // matchesMissedRecord reports whether a missed record matches an interest that the client was already
 // subscribed to when the record was appended.
-func (c *session) wantsRecord(interests []Interest, recordCopy RecordCopy) bool {
+func (c *session) matchesMissedRecord(interests []Interest, recordCopy RecordCopy) bool {
 	space, _ := spaceOf(recordCopy.Partition)
 	for _, interest := range interests {
 		subscription, found := c.subscriptions[interest]
--- a/internal/gateway/ephemeral.go
+++ b/internal/gateway/ephemeral.go
@@ -37,7 +37,12 @@
 			return
 		}
 		if !stable {
-			g.finishPublication(now, item, rejectedReply(503, "no-neighbours", "the overlay is being repaired", retryShortDelay), effects)
+			g.finishPublication(
+				now,
+				item,
+				rejectedReply(503, "no-neighbours", "the overlay is being repaired", retryShortDelay),
+				effects,
+			)
 			return
 		}
 		if request.Seq > from.lastSeq+1 {
@@ -57,7 +62,7 @@
 			Seq:    request.Seq,
 			Data:   request.Data,
 		}
-		state.remember(now, message, true)
+		state.addRecent(now, message, true)
 		g.deliverEphemeral(now, state, message, effects)
 		g.sendToDestinations(now, item, g.overlay.Destinations(state.name, area), true, message, effects)
 		g.finishPublication(now, item, acceptedReply(map[string]any{"again": false}), effects)
@@ -73,7 +78,7 @@
 		return false
 	}
 	if !message.Repeated {
-		state.remember(now, message, false)
+		state.addRecent(now, message, false)
 	}
 	return g.deliverEphemeral(now, state, message, effects)
 }
--- a/internal/gateway/fetch.go
+++ b/internal/gateway/fetch.go
@@ -25,8 +25,8 @@
 	refetches int
 	// pendingJoins is the number of overlay joins that are not complete; the fetch starts when it is 0.
 	// joinFailed is set if a join failed.
-	joins  int
-	failed bool
+	pendingJoins int
+	joinFailed   bool
 	// deadline is when the operation fails.
 	deadline time.Time
 	// tracker is the partition of the tracker that is being verified, empty in the operation of a
@@ -40,14 +40,14 @@
 	// cursorOffset is the offset of the cursor, or maxOffset without a cursor. after is the offset
 	// after which the next request asks for records, or maxOffset if it asks for the high watermark
 	// only. until is the offset up to which the responses have covered the partition.
-	from  uint64
-	after uint64
-	until uint64
+	cursorOffset uint64
+	after        uint64
+	until        uint64
 	// skip are offsets above after that need not be fetched, since their records were received before.
 	skip []uint64
 	// awaitingResponse is set while a request is in flight. done is set once all records are received.
-	waiting bool
-	done    bool
+	awaitingResponse bool
+	done             bool
 	// requestedAt is when the last request was sent.
 	requestedAt time.Time
 	// topics and prefixes are the paths of the interests.
@@ -63,19 +63,19 @@
 	operation *fetchOperation,
 	effects *statemachine.Effects,
 ) {
-	if operation.joins > 0 || g.fetches[id] != operation {
+	if operation.pendingJoins > 0 || g.fetches[id] != operation {
 		return
 	}
-	if operation.failed {
+	if operation.joinFailed {
 		g.failFetch(now, id, operation, "no-neighbours", effects)
 		return
 	}
-	operation.joins = 0
+	operation.pendingJoins = 0
 	open := false
 	for name, fetch := range statemachine.Sorted(operation.partitions) {
 		if !fetch.done {
 			open = true
-			if !fetch.waiting {
+			if !fetch.awaitingResponse {
 				g.sendFetch(now, id, name, fetch, effects)
 			}
 		}
@@ -93,7 +93,7 @@
 	fetch *partitionFetch,
 	effects *statemachine.Effects,
 ) {
-	fetch.waiting, fetch.requestedAt = true, now
+	fetch.awaitingResponse, fetch.requestedAt = true, now
 	g.timers.ArmSooner(timerDeadlines, now.Add(fetchRetry))
 	address, _, found := g.leaderOf(name)
 	if !found {
@@ -124,11 +124,11 @@
 		return time.Time{}
 	}
 	next := operation.deadline
-	if operation.joins > 0 {
+	if operation.pendingJoins > 0 {
 		return next
 	}
 	for name, fetch := range statemachine.Sorted(operation.partitions) {
-		if fetch.done || !fetch.waiting {
+		if fetch.done || !fetch.awaitingResponse {
 			continue
 		}
 		if !fetch.requestedAt.Add(fetchRetry).After(now) {
@@ -152,14 +152,14 @@
 	if operation.tracker != "" {
 		if tracker, found := g.trackers[operation.tracker]; found {
 			tracker.verifying = false
-			tracker.wanted = true
-			g.timers.ArmSooner(timerVerify, now.Add(verifyEvery))
+			tracker.verifyNeeded = true
+			g.timers.ArmSooner(timerVerify, now.Add(verifyInterval))
 		}
 		return
 	}
 	if session, found := g.sessions[operation.session]; found {
-		g.dropFilling(now, operation, session, effects)
-		g.drain(now, operation.session, session, effects)
+		g.dropUnfinished(now, operation, session, effects)
+		g.deliverBuffered(now, operation.session, session, effects)
 	}
 	g.answerSubscribe(
 		now,
@@ -204,13 +204,13 @@
 	}
 	if fetch.after != maxOffset && fetch.after < response.Base && operation.tracker == "" {
 		// The records in between were removed after the retention period.
-		g.loseHistory(now, response.RequestID, operation, effects)
+		g.rejectExpiredCursor(now, response.RequestID, operation, effects)
 		return
 	}
 	if fetch.isDuplicate(response) {
 		return
 	}
-	fetch.waiting = false
+	fetch.awaitingResponse = false
 	if fetch.after == maxOffset {
 		fetch.until = response.HighWatermark
 	} else {
@@ -228,14 +228,14 @@
 }
 
 // dropUnfinished removes the subscriptions of an operation that are still catching up.
-func (g *Gateway) dropFilling(
+func (g *Gateway) dropUnfinished(
 	now time.Time,
 	operation *fetchOperation,
 	session *session,
 	effects *statemachine.Effects,
 ) {
 	for _, interest := range operation.interests {
-		if subscription, present := session.subscriptions[interest]; present && subscription.filling {
+		if subscription, present := session.subscriptions[interest]; present && subscription.catchingUp {
 			g.dropSubscription(now, operation.session, interest, true, effects)
 		}
 	}
@@ -243,10 +243,15 @@
 
 // rejectExpiredCursor ends an operation and rejects its request, because the cursor is older than the
 // retention of the space.
-func (g *Gateway) loseHistory(now time.Time, id uint64, operation *fetchOperation, effects *statemachine.Effects) {
+func (g *Gateway) rejectExpiredCursor(
+	now time.Time,
+	id uint64,
+	operation *fetchOperation,
+	effects *statemachine.Effects,
+) {
 	delete(g.fetches, id)
 	if session, found := g.sessions[operation.session]; found {
-		g.dropFilling(now, operation, session, effects)
+		g.dropUnfinished(now, operation, session, effects)
 	}
 	g.answerSubscribe(
 		now,
@@ -262,7 +267,7 @@
 func (g *Gateway) completeFetch(now time.Time, id uint64, operation *fetchOperation, effects *statemachine.Effects) {
 	if operation.tracker != "" {
 		delete(g.fetches, id)
-		g.verified(now, operation, effects)
+		g.applyVerification(now, operation, effects)
 		return
 	}
 	session, found := g.sessions[operation.session]
@@ -288,7 +293,7 @@
 	if operation.resumes {
 		g.replayRecent(now, session, operation.interests)
 	}
-	g.drain(now, operation.session, session, effects)
+	g.deliverBuffered(now, operation.session, session, effects)
 	g.timers.ArmSooner(timerHighWatermarks, now)
 	g.deliverReady(now, effects)
 }
@@ -318,7 +323,7 @@
 	for _, name := range names {
 		fetch := operation.partitions[name]
 		fetch.done = false
-		if fetch.from != maxOffset {
+		if fetch.cursorOffset != maxOffset {
 			fetch.after = fetch.until
 		}
 	}
@@ -333,7 +338,7 @@
 		if !present {
 			continue
 		}
-		subscription.filling = false
+		subscription.catchingUp = false
 		if operation.resumes {
 			subscription.resumedAt = now
 		}
@@ -344,7 +349,7 @@
 			}
 			subscription.since[name] = fetch.until
 			if tracker, topic := g.trackers[name]; topic {
-				tracker.begin(interest, fetch.until)
+				tracker.startInterest(interest, fetch.until)
 			}
 		}
 	}
@@ -362,13 +367,13 @@
 	// begin.
 	session.backlogFloors = map[string]uint64{}
 	for name, fetch := range operation.partitions {
-		if fetch.from != maxOffset {
-			session.backlogFloors[name] = fetch.from
+		if fetch.cursorOffset != maxOffset {
+			session.backlogFloors[name] = fetch.cursorOffset
 		}
 	}
 	missed := 0
 	for _, each := range ordered {
-		if session.wantsRecord(operation.interests, each) {
+		if session.matchesMissedRecord(operation.interests, each) {
 			missed++
 			g.deliverRecord(now, operation.session, session, each, effects)
 		}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -123,7 +123,7 @@
 	senderLookups map[uint64]*senderLookup
 	fetches       map[uint64]*fetchOperation
 	// routed is the state of the routed topics.
-	routed *routed
+	routed *routedState
 	// subscribeTimeout is derived from the configuration in force.
 	subscribeTimeout time.Duration
 	// newestSession is the number of the newest session of each client, by the client's name.
@@ -192,7 +192,7 @@
 		senderLookups: map[uint64]*senderLookup{},
 		fetches:       map[uint64]*fetchOperation{},
 		nextRequest:   settings.Incarnation.FirstRequestNumber(),
-		routed:        newRouted(),
+		routed:        newRoutedState(),
 		newestSession: map[string]uint64{},
 	}
 	gateway.policies = standardPolicies()
@@ -292,7 +292,7 @@
 		case timerDeliver:
 			g.deliverAllReady(now, effects)
 		case timerHighWatermarks:
-			g.followHighWatermarks(now, effects)
+			g.subscribeToHighWatermarks(now, effects)
 		case timerRouted:
 			g.tickRouted(now, effects)
 		case timerStop:
--- a/internal/gateway/identity_test.go
+++ b/internal/gateway/identity_test.go
@@ -72,7 +72,7 @@
 
 func (a *asker) fetch(now time.Time) partition.FetchTopics {
 	topic := &topicState{name: "t", partition: a.item.partition, durable: true}
-	topic.subscriptions = []*topicSubscription{{topic: topic, filling: true}}
+	topic.subscriptions = []*topicSubscription{{topic: topic, catchingUp: true}}
 	a.gateway.routed.topics[topic.name] = topic
 	return a.ask(func(effects *statemachine.Effects) {
 		a.gateway.fetchTopic(
--- a/internal/gateway/presence.go
+++ b/internal/gateway/presence.go
@@ -17,7 +17,7 @@
 	}
 	count := 0
 	for _, subscription := range t.subscriptions {
-		if !subscription.filling || subscription.request.Request == 0 {
+		if !subscription.catchingUp || subscription.request.Request == 0 {
 			count++
 		}
 	}
@@ -29,7 +29,7 @@
 func (g *Gateway) announceSubscriberCount(now time.Time, topic *topicState, effects *statemachine.Effects) {
 	if count := topic.subscribers(); count != topic.announcedCount {
 		topic.announcedCount = count
-		g.overlay.SetSubscribers(now, routedPlane, topic.name, count, effects)
+		g.overlay.SetSubscribers(now, routedOverlaySpace, topic.name, count, effects)
 	}
 }
 
@@ -48,7 +48,7 @@
 	policyRequest := &PolicyRequest{
 		Kind:      RequestCount,
 		Client:    request.Client,
-		Paths:     []Interest{{Space: g.routeOf("", request.Topic), Path: request.Topic}},
+		Paths:     []Interest{{Space: g.routedSpace("", request.Topic), Path: request.Topic}},
 		Refreshed: refreshed,
 		Routed:    true,
 	}
@@ -57,9 +57,9 @@
 	if !g.authorize(now, policyRequest, request.RequestName, retry, answer) {
 		return
 	}
-	g.overlay.AwaitCell(now, routedPlane, request.Topic, func(_ time.Time, effects *statemachine.Effects, _ bool) {
+	g.overlay.AwaitCell(now, routedOverlaySpace, request.Topic, func(_ time.Time, effects *statemachine.Effects, _ bool) {
 		response := acceptedReply(nil)
-		response.SubscriberCount = g.overlay.Subscribers(routedPlane, request.Topic)
+		response.SubscriberCount = g.overlay.Subscribers(routedOverlaySpace, request.Topic)
 		if topic, found := g.routed.topics[request.Topic]; found {
 			response.SubscriberCount += topic.subscribers()
 		}
--- a/internal/gateway/recent_ephemeral.go
+++ b/internal/gateway/recent_ephemeral.go
@@ -11,25 +11,25 @@
 const (
 	// recentRetention is how long recent ephemeral messages are retained, maxRecentEphemeral how many
 	// of each space.
-	recentFor          = 3 * time.Second
+	recentRetention    = 3 * time.Second
 	maxRecentEphemeral = 8192
 	// repeatWindow is how long repeated messages are delivered to a subscription after it was resumed.
-	resumedFor = 5 * time.Second
+	repeatWindow = 5 * time.Second
 )
 
 // recentEphemeral is an ephemeral message that was published or received here within recentRetention.
 type recentEphemeral struct {
 	at time.Time
 	// publishedHere is set if a client of this gateway published the message.
-	own     bool
-	message EphemeralCopy
+	publishedHere bool
+	message       EphemeralCopy
 }
 
 // addRecent adds an ephemeral message to the recent messages of the space, and removes old ones.
-func (ss *spaceState) remember(now time.Time, message EphemeralCopy, own bool) {
-	ss.recent = append(ss.recent, recentEphemeral{at: now, own: own, message: message})
+func (ss *spaceState) addRecent(now time.Time, message EphemeralCopy, own bool) {
+	ss.recent = append(ss.recent, recentEphemeral{at: now, publishedHere: own, message: message})
 	old := 0
-	for old < len(ss.recent) && (now.Sub(ss.recent[old].at) > recentFor || len(ss.recent)-old > maxRecentEphemeral) {
+	for old < len(ss.recent) && (now.Sub(ss.recent[old].at) > recentRetention || len(ss.recent)-old > maxRecentEphemeral) {
 		old++
 	}
 	if old > 0 {
@@ -48,7 +48,8 @@
 			continue
 		}
 		for _, each := range state.recent {
-			if each.own && now.Sub(each.at) <= recentFor && areaOf(state.space, each.message.Topic) == found.Area {
+			if each.publishedHere && now.Sub(each.at) <= recentRetention &&
+				areaOf(state.space, each.message.Topic) == found.Area {
 				late := each.message
 				late.Repeated = true
 				g.Counts.Repeated++
@@ -68,7 +69,7 @@
 			continue
 		}
 		for _, each := range state.recent {
-			if now.Sub(each.at) <= recentFor && interest.matches(each.message.Topic) {
+			if now.Sub(each.at) <= recentRetention && interest.matches(each.message.Topic) {
 				replayed = append(replayed, each.message)
 			}
 		}
--- a/internal/gateway/record_delivery.go
+++ b/internal/gateway/record_delivery.go
@@ -51,7 +51,7 @@
 			"before", recordCopy.Record.Dependencies.Messages,
 			"verified", tracker.verified,
 		)
-		tracker.wanted = true
+		tracker.verifyNeeded = true
 		g.timers.ArmSooner(timerVerify, now.Add(gapTimeout))
 		g.requestDependencies(tracker, recordCopy.Record)
 	}
@@ -64,13 +64,13 @@
 	for _, mark := range record.Dependencies.Messages {
 		other, found := g.trackers[partitionName(tracker.spaceName, int(mark.Partition))]
 		if found && !other.resolved(mark.Topic, mark.Offset) {
-			other.wanted = true
+			other.verifyNeeded = true
 		}
 	}
 	for _, reach := range record.Dependencies.Floor {
 		other, found := g.trackers[partitionName(tracker.spaceName, int(reach.Partition))]
 		if found && !other.resolvedUpTo(reach.Offset) {
-			other.wanted = true
+			other.verifyNeeded = true
 		}
 	}
 }
@@ -84,7 +84,7 @@
 	if statemachine.Mutated("no-order") {
 		return true
 	}
-	if tracker.shared {
+	if tracker.spaceOrdered {
 		return record.Offset <= 1 || tracker.resolved(record.Topic, record.Offset-1)
 	}
 	if !tracker.resolved(record.Topic, record.PreviousInTopic) {
@@ -147,7 +147,7 @@
 		if !tracker.started || len(tracker.pending) == 0 {
 			continue
 		}
-		tracker.wanted = true
+		tracker.verifyNeeded = true
 		g.timers.ArmSooner(timerVerify, now.Add(gapTimeout))
 		for _, record := range statemachine.Sorted(tracker.pending) {
 			g.requestDependencies(tracker, record)
@@ -196,7 +196,7 @@
 // deliver delivers a record to all sessions with a matching subscription.
 func (g *Gateway) deliver(now time.Time, tracker *tracker, record partition.Record, effects *statemachine.Effects) {
 	tracker.delivered[record.Offset] = now
-	if tracker.shared && record.Offset == tracker.verified+1 {
+	if tracker.spaceOrdered && record.Offset == tracker.verified+1 {
 		tracker.verified = record.Offset
 	}
 	state, found := g.spaces[tracker.space]
--- a/internal/gateway/route.go
+++ b/internal/gateway/route.go
@@ -44,8 +44,8 @@
 	if len(g.trackers) > 0 {
 		return true
 	}
-	for name := range g.routed.partitions {
-		if g.routed.followRoutes[name].mustResend(g.routeTo(name)) {
+	for name := range g.routed.topicCounts {
+		if g.routed.highWatermarkRoutes[name].mustResend(g.routeTo(name)) {
 			return true
 		}
 	}
--- a/internal/gateway/route_test.go
+++ b/internal/gateway/route_test.go
@@ -38,7 +38,7 @@
 		name:  "boards~0",
 	}
 	var effects statemachine.Effects
-	subscription := &topicSubscription{session: 1, filling: true, deadline: now.Add(time.Second)}
+	subscription := &topicSubscription{session: 1, catchingUp: true, deadline: now.Add(time.Second)}
 	topic := gateway.addTopicSubscription(now, "topic", "boards", subscription, &effects)
 	gateway.fetchTopic(now, topic, &effects)
 	again := func() int {
@@ -77,6 +77,6 @@
 		waits = append(waits, sent.due().Sub(sent.sentAt))
 	}
 	assert.DeepEqual(t, waits, []time.Duration{
-		batchRetry, 2 * batchRetry, 4 * batchRetry, 8 * batchRetry, 8 * batchRetry, 8 * batchRetry,
+		batchTimeout, 2 * batchTimeout, 4 * batchTimeout, 8 * batchTimeout, 8 * batchTimeout, 8 * batchTimeout,
 	})
 }
--- a/internal/gateway/routed_publish.go
+++ b/internal/gateway/routed_publish.go
@@ -58,7 +58,7 @@
 // publishRouted evaluates a publication to a routed topic and sends its append; refreshed is set if
 // the configuration has already been refreshed for it.
 func (g *Gateway) publishRouted(now time.Time, request Publish, refreshed bool, effects *statemachine.Effects) {
-	space := g.routeOf(request.Space, request.Topic)
+	space := g.routedSpace(request.Space, request.Topic)
 	policyRequest := &PolicyRequest{
 		Kind:      RequestPublish,
 		Client:    request.Client,
@@ -92,7 +92,7 @@
 	g.nextRequest++
 	item.id = g.nextRequest
 	g.routed.appends[item.id] = item
-	g.overlay.AwaitCell(now, routedPlane, request.Topic, func(time.Time, *statemachine.Effects, bool) {}, effects)
+	g.overlay.AwaitCell(now, routedOverlaySpace, request.Topic, func(time.Time, *statemachine.Effects, bool) {}, effects)
 	g.sendRoutedAppend(now, item, effects)
 	g.timers.ArmSooner(timerRouted, item.deadline)
 }
@@ -235,10 +235,10 @@
 	}
 	g.overlay.AwaitCell(
 		now,
-		routedPlane,
+		routedOverlaySpace,
 		item.request.Topic,
 		func(now time.Time, effects *statemachine.Effects, stable bool) {
-			destinations := g.overlay.SubscribedDaemons(routedPlane, item.request.Topic)
+			destinations := g.overlay.SubscribedDaemons(routedOverlaySpace, item.request.Topic)
 			for _, name := range destinations {
 				if member, found := g.viewClient.Members[name]; found {
 					g.Counts.CopiesOut++
--- a/internal/gateway/session.go
+++ b/internal/gateway/session.go
@@ -77,7 +77,7 @@
 // isFilling reports whether a subscription to a space without routed topics is being filled.
 func (c *session) isFilling() bool {
 	for _, subscription := range c.subscriptions {
-		if subscription.filling {
+		if subscription.catchingUp {
 			return true
 		}
 	}
@@ -87,7 +87,7 @@
 // isFillingRouted reports whether a subscription to a routed topic is being filled.
 func (c *session) isFillingRouted() bool {
 	for _, subscription := range c.routed {
-		if subscription.filling {
+		if subscription.catchingUp {
 			return true
 		}
 	}
--- a/internal/gateway/stats.go
+++ b/internal/gateway/stats.go
@@ -78,7 +78,7 @@
 			Pending:     len(tracker.pending),
 			Started:     tracker.started,
 			Verifying:   tracker.verifying,
-			Wanted:      tracker.wanted,
+			Wanted:      tracker.verifyNeeded,
 			VerifiedAgo: now.Sub(tracker.verifiedAt),
 			Interests:   len(tracker.interests),
 		}
--- a/internal/gateway/subscription.go
+++ b/internal/gateway/subscription.go
@@ -18,7 +18,7 @@
 	// contains them. Only records above them count as missed.
 	notBefore map[string]uint64
 	// catchingUp is set until the fetch of the subscription is complete.
-	filling bool
+	catchingUp bool
 	// resumedAt is when the subscription was resumed from a cursor, zero if it was not resumed.
 	resumedAt time.Time
 }
@@ -141,14 +141,14 @@
 	g.fetches[id] = operation
 	// The count starts at one, so that a join that completes at once doesn't start the fetch before
 	// the last join was started.
-	operation.joins = 1
+	operation.pendingJoins = 1
 	g.timers.ArmSooner(timerDeadlines, operation.deadline)
 	for _, interest := range operation.interests {
 		g.addSubscription(now, session, request.Session, interest)
 	}
 	joined := func(now time.Time, effects *statemachine.Effects, stable bool) {
-		operation.joins--
-		operation.failed = operation.failed || !stable
+		operation.pendingJoins--
+		operation.joinFailed = operation.joinFailed || !stable
 		g.advanceFetch(now, id, operation, effects)
 	}
 	for _, interest := range operation.interests {
@@ -156,14 +156,14 @@
 		for _, name := range g.partitionsOf(state, interest) {
 			operation.addInterest(now, session, name, interest, resumeFrom)
 		}
-		operation.joins++
+		operation.pendingJoins++
 		g.overlay.Subscribe(now, state.name, areaOf(state.space, interest.Path), joined, effects)
 	}
 	g.ring.Record(now, request.RequestName, "", request.Client, "joining",
 		"interests", len(operation.interests),
 		"resumes", operation.resumes,
 	)
-	operation.joins--
+	operation.pendingJoins--
 	g.advanceFetch(now, id, operation, effects)
 }
 
@@ -177,14 +177,14 @@
 ) {
 	fetch, found := f.partitions[name]
 	if !found {
-		fetch = &partitionFetch{from: maxOffset, after: maxOffset}
+		fetch = &partitionFetch{cursorOffset: maxOffset, after: maxOffset}
 		f.partitions[name] = fetch
 	}
 	if at, resumes := resumeFrom.Partitions[name]; resumes {
-		fetch.from, fetch.after, fetch.skip = at.Floor, at.Floor, at.Extras
+		fetch.cursorOffset, fetch.after, fetch.skip = at.Floor, at.Floor, at.Extras
 		session.markDelivered(now, name, at.Extras)
 		if since, began := at.Since[interest.key()]; began {
-			session.notBefore(interest, name, since)
+			session.setNotBefore(interest, name, since)
 		}
 	}
 	if interest.Prefix {
@@ -224,7 +224,7 @@
 // subscription is catching up at first.
 func (g *Gateway) addSubscription(now time.Time, session *session, id uint64, interest Interest) {
 	state := g.spaces[interest.Space]
-	session.subscriptions[interest] = &subscription{since: map[string]uint64{}, filling: true}
+	session.subscriptions[interest] = &subscription{since: map[string]uint64{}, catchingUp: true}
 	table := state.topics
 	if interest.Prefix {
 		table = state.prefixes
@@ -235,7 +235,7 @@
 	table[interest.Path][id] = true
 	for _, name := range g.partitionsOf(state, interest) {
 		session.subscriptions[interest].since[name] = maxOffset
-		g.trackerFor(now, name).add(interest)
+		g.trackerFor(now, name).addSubscription(interest)
 	}
 }
 
@@ -264,7 +264,7 @@
 		delete(table, interest.Path)
 	}
 	for _, name := range g.partitionsOf(state, interest) {
-		if tracker, topic := g.trackers[name]; topic && tracker.remove(interest) {
+		if tracker, topic := g.trackers[name]; topic && tracker.removeSubscription(interest) {
 			delete(g.trackers, name)
 		}
 	}
--- a/internal/gateway/topic.go
+++ b/internal/gateway/topic.go
@@ -11,7 +11,7 @@
 
 const (
 	// routedOverlaySpace is the space name under which the overlay manages all routed topics.
-	routedPlane = config.SharedSpace
+	routedOverlaySpace = config.SharedSpace
 	// topicCursorPrefix is the first letter of each cursor of a routed topic.
 	topicCursorPrefix = "t"
 	// highWatermarkGrace is how long the copy of a reported record may take to arrive before the record
@@ -21,18 +21,18 @@
 	ephemeralGapTimeout = 50 * time.Millisecond
 	// ephemeralSubscribeTimeout is how long a subscription to an ephemeral topic waits for the overlay to
 	// locate the topic's cell before it is confirmed in any case.
-	ephemeralReachTimeout = 300 * time.Millisecond
+	ephemeralSubscribeTimeout = 300 * time.Millisecond
 	// maxRecentRecords and maxRecentBytes bound the recent records of a topic.
-	recentRecords = 32
-	recentBytes   = 32 << 10
+	maxRecentRecords = 32
+	maxRecentBytes   = 32 << 10
 	// maxBacklogBytes bounds the recent records of a topic that has just caught up.
-	backlogBytes = 256 << 10
+	maxBacklogBytes = 256 << 10
 	// topicFetchRetryDelay is the delay before the next request for a topic whose partition the store
 	// does not serve.
-	topicFetchRetry = 200 * time.Millisecond
+	topicFetchRetryDelay = 200 * time.Millisecond
 	// maxTimeoutDoublings limits how often the timeout of a request to a store doubles. It doubles so
 	// that a response that is late because a link is saturated is not requested over and over.
-	retryDoubles = 3
+	maxTimeoutDoublings = 3
 	// maxPendingTopicRecords bounds the pending records of a topic.
 	maxPendingTopicRecords = 4096
 )
@@ -41,8 +41,8 @@
 // is set, all records up to deliveredUpTo were delivered to every subscription that has caught up.
 type topicState struct {
 	// name is the topic. hash is its hash, by which leaders report new records of the topic.
-	name   string
-	number uint64
+	name string
+	hash uint64
 	// partition is the shared partition of the topic, which follows from its name.
 	partition string
 	// space is the space to which the routes assign the topic.
@@ -56,8 +56,8 @@
 	announcedCount int
 	// started is set once the offset after which records are delivered is known. deliveredUpTo is the
 	// newest delivered offset.
-	live bool
-	last uint64
+	started       bool
+	deliveredUpTo uint64
 	// pending are the received records whose predecessor in the topic is still missing, in order of
 	// offset. pendingSince is when the wait for the first missing record began.
 	pending      []partition.Record
@@ -74,8 +74,8 @@
 	recentUntil time.Time
 	// highestKnown is the highest offset that the topic is known to have. fetchAt is when the records
 	// up to there are fetched if they have not arrived, zero if none are missing.
-	wanted  uint64
-	checkAt time.Time
+	highestKnown uint64
+	fetchAt      time.Time
 	// missingBytes is how many bytes of records this gateway still lacks, according to the last
 	// response of the store.
 	missingBytes int
@@ -99,7 +99,7 @@
 	resumes bool
 	// catchingUp is set until this gateway has all records above deliveredUpTo. Live records are not
 	// delivered to the subscription before that.
-	filling bool
+	catchingUp bool
 	// request is the request of the client; its request number is set to 0 when it is answered before
 	// the subscription has caught up.
 	request Subscribe
@@ -108,23 +108,23 @@
 }
 
 // routedState is the state of all routed topics of a gateway.
-type routed struct {
+type routedState struct {
 	// topics are the topics with subscriptions or a reservation, by name; topicsByHash are the same
 	// topics by hash.
-	topics  map[string]*topicState
-	numbers map[uint64]*topicState
+	topics       map[string]*topicState
+	topicsByHash map[uint64]*topicState
 	// topicCounts is the number of durable topics in topics for each shared partition.
-	partitions map[string]int
+	topicCounts map[string]int
 	// reportedUpTo is the offset up to which the leader of each partition has reported to this gateway
 	// which topics have new records. It starts at the high watermark of the first fetch from the
 	// partition, since reports of earlier records are not needed.
 	reportedUpTo map[string]uint64
 	// highWatermarkRoutes contains the route over which the high watermarks of each partition were last
 	// subscribed to.
-	followRoutes map[string]route
+	highWatermarkRoutes map[string]route
 	// baseOffsets are the offsets above which the partitions still had all records at their last
 	// response.
-	bases map[string]uint64
+	baseOffsets map[string]uint64
 	// batches are the requests that await a response, by request number. batchInFlight is the request
 	// number of the batch to each store. queue are the topics that wait for the next batch.
 	batches       map[uint64]*batch
@@ -142,20 +142,20 @@
 }
 
 // newRoutedState returns the state without topics.
-func newRouted() *routed {
-	return &routed{
-		topics:        map[string]*topicState{},
-		numbers:       map[uint64]*topicState{},
-		partitions:    map[string]int{},
-		reportedUpTo:  map[string]uint64{},
-		followRoutes:  map[string]route{},
-		bases:         map[string]uint64{},
-		batches:       map[uint64]*batch{},
-		batchInFlight: map[string]uint64{},
-		appends:       map[uint64]*routedPublication{},
-		sends:         map[uint64]*routedPublication{},
-		accepted:      map[routedKey]time.Time{},
-		scheduled:     map[string]*topicState{},
+func newRoutedState() *routedState {
+	return &routedState{
+		topics:              map[string]*topicState{},
+		topicsByHash:        map[uint64]*topicState{},
+		topicCounts:         map[string]int{},
+		reportedUpTo:        map[string]uint64{},
+		highWatermarkRoutes: map[string]route{},
+		baseOffsets:         map[string]uint64{},
+		batches:             map[uint64]*batch{},
+		batchInFlight:       map[string]uint64{},
+		appends:             map[uint64]*routedPublication{},
+		sends:               map[uint64]*routedPublication{},
+		accepted:            map[routedKey]time.Time{},
+		scheduled:           map[string]*topicState{},
 	}
 }
 
@@ -188,7 +188,7 @@
 
 // routedSpace returns the space to which the routes assign a topic. It is empty if no route matches, or
 // if the request names a different space.
-func (g *Gateway) routeOf(space, name string) string {
+func (g *Gateway) routedSpace(space, name string) string {
 	target, found := g.config.SpaceForTopic(name)
 	if !found || space != "" && space != target {
 		return ""
--- a/internal/gateway/topic_delivery.go
+++ b/internal/gateway/topic_delivery.go
@@ -17,7 +17,7 @@
 	record partition.Record,
 	effects *statemachine.Effects,
 ) {
-	if subscription.filling {
+	if subscription.catchingUp {
 		return
 	}
 	delivered := record.Offset <= subscription.deliveredUpTo
@@ -43,11 +43,16 @@
 
 // deliverNext delivers the next record of a topic to all subscriptions, and adds it to the recent
 // records.
-func (g *Gateway) process(now time.Time, topic *topicState, record partition.Record, effects *statemachine.Effects) {
-	topic.last = record.Offset
+func (g *Gateway) deliverNext(
+	now time.Time,
+	topic *topicState,
+	record partition.Record,
+	effects *statemachine.Effects,
+) {
+	topic.deliveredUpTo = record.Offset
 	topic.recent = append(topic.recent, record)
 	topic.recentSize += len(record.Data)
-	for len(topic.recent) > 1 && topic.tooMuchRecent(now) {
+	for len(topic.recent) > 1 && topic.exceedsRecentBounds(now) {
 		topic.recentFrom = topic.recent[0].Offset
 		topic.recentSize -= len(topic.recent[0].Data)
 		topic.recent = topic.recent[1:]
@@ -58,11 +63,11 @@
 }
 
 // exceedsRecentBounds reports whether the oldest recent record is to be removed.
-func (t *topicState) tooMuchRecent(now time.Time) bool {
+func (t *topicState) exceedsRecentBounds(now time.Time) bool {
 	if t.recentUntil.After(now) {
-		return t.recentSize > backlogBytes
+		return t.recentSize > maxBacklogBytes
 	}
-	return len(t.recent) > recentRecords || t.recentSize > recentBytes
+	return len(t.recent) > maxRecentRecords || t.recentSize > maxRecentBytes
 }
 
 // handleRoutedCopy delivers a message of a routed topic, or buffers it until its predecessor in the
@@ -72,18 +77,18 @@
 	if !found {
 		return false
 	}
-	if topic.live && record.Offset <= topic.last &&
+	if topic.started && record.Offset <= topic.deliveredUpTo &&
 		(topic.durable || !statemachine.Mutated("no-passing-offsets")) {
 		return true
 	}
-	follows := statemachine.Mutated("no-topic-prior") || record.PreviousInTopic <= topic.last ||
-		!topic.durable && topic.last == 0
-	if topic.live && follows {
-		g.process(now, topic, record, effects)
-		g.release(now, topic, effects)
+	follows := statemachine.Mutated("no-topic-prior") || record.PreviousInTopic <= topic.deliveredUpTo ||
+		!topic.durable && topic.deliveredUpTo == 0
+	if topic.started && follows {
+		g.deliverNext(now, topic, record, effects)
+		g.deliverPending(now, topic, effects)
 		return true
 	}
-	if !topic.buffer(now, record) || !topic.live {
+	if !topic.addPending(now, record) || !topic.started {
 		return true
 	}
 	g.Counts.Gaps++
@@ -102,7 +107,7 @@
 
 // addPending adds a record to the pending records, which are in order of offset. It reports whether
 // the record was added: a duplicate is not, nor is a record beyond maxPendingTopicRecords.
-func (t *topicState) buffer(now time.Time, record partition.Record) bool {
+func (t *topicState) addPending(now time.Time, record partition.Record) bool {
 	byOffset := func(each partition.Record, offset uint64) int { return cmp.Compare(each.Offset, offset) }
 	index, present := slices.BinarySearchFunc(t.pending, record.Offset, byOffset)
 	if present || len(t.pending) >= maxPendingTopicRecords {
@@ -116,16 +121,16 @@
 }
 
 // deliverPending delivers the pending records whose predecessors were delivered.
-func (g *Gateway) release(now time.Time, topic *topicState, effects *statemachine.Effects) {
+func (g *Gateway) deliverPending(now time.Time, topic *topicState, effects *statemachine.Effects) {
 	for len(topic.pending) > 0 {
 		next := topic.pending[0]
-		if next.Offset > topic.last && next.PreviousInTopic > topic.last {
+		if next.Offset > topic.deliveredUpTo && next.PreviousInTopic > topic.deliveredUpTo {
 			return
 		}
 		topic.pending = topic.pending[1:]
 		topic.pendingSince = now
-		if next.Offset > topic.last {
-			g.process(now, topic, next, effects)
+		if next.Offset > topic.deliveredUpTo {
+			g.deliverNext(now, topic, next, effects)
 		}
 	}
 	topic.pending = nil
@@ -134,15 +139,15 @@
 // requireUpTo records that the topic has records up to an offset. They are fetched unless their copies
 // arrive within the grace period.
 func (g *Gateway) requireUpTo(now time.Time, topic *topicState, offset uint64, grace time.Duration) {
-	if offset <= topic.wanted && offset <= topic.last {
+	if offset <= topic.highestKnown && offset <= topic.deliveredUpTo {
 		return
 	}
-	topic.wanted = max(topic.wanted, offset)
+	topic.highestKnown = max(topic.highestKnown, offset)
 	at := now.Add(grace)
-	if topic.checkAt.IsZero() || at.Before(topic.checkAt) {
-		topic.checkAt = at
+	if topic.fetchAt.IsZero() || at.Before(topic.fetchAt) {
+		topic.fetchAt = at
 	}
-	g.scheduleTopic(topic, topic.checkAt)
+	g.scheduleTopic(topic, topic.fetchAt)
 }
 
 // scheduleTopic schedules a tick of the topic.
@@ -198,7 +203,7 @@
 ) (next time.Time, filling bool) {
 	for _, subscription := range slices.Clone(topic.subscriptions) {
 		switch {
-		case !subscription.filling:
+		case !subscription.catchingUp:
 		case !subscription.deadline.After(now) && !topic.durable:
 			g.startEphemeral(now, subscription, effects)
 		case !subscription.deadline.After(now) && subscription.request.Request == 0:
@@ -226,8 +231,8 @@
 // gap times out.
 func (g *Gateway) tickEphemeral(now time.Time, topic *topicState, effects *statemachine.Effects) time.Time {
 	if len(topic.pending) > 0 && !topic.pendingSince.Add(ephemeralGapTimeout).After(now) {
-		topic.last = max(topic.last, topic.pending[0].PreviousInTopic)
-		g.release(now, topic, effects)
+		topic.deliveredUpTo = max(topic.deliveredUpTo, topic.pending[0].PreviousInTopic)
+		g.deliverPending(now, topic, effects)
 	}
 	if len(topic.pending) > 0 {
 		return topic.pendingSince.Add(ephemeralGapTimeout)
@@ -243,17 +248,17 @@
 	filling bool,
 	effects *statemachine.Effects,
 ) (next time.Time) {
-	if topic.wanted <= topic.last {
-		topic.checkAt = time.Time{}
+	if topic.highestKnown <= topic.deliveredUpTo {
+		topic.fetchAt = time.Time{}
 	}
-	due := !topic.checkAt.IsZero() && !topic.checkAt.After(now)
+	due := !topic.fetchAt.IsZero() && !topic.fetchAt.After(now)
 	switch {
 	case topic.fetch != nil || topic.queued:
 	case filling || due || topic.reserved(now):
-		topic.checkAt = time.Time{}
+		topic.fetchAt = time.Time{}
 		g.fetchTopic(now, topic, effects)
 	default:
-		next = topic.checkAt
+		next = topic.fetchAt
 	}
 	if len(topic.subscriptions) > 0 {
 		return next
@@ -268,7 +273,7 @@
 // handleTopicHighWatermarks applies a leader's report of the topics of a shared partition that have new
 // records.
 func (g *Gateway) handleTopicHighWatermarks(now time.Time, head partition.HighWatermark) {
-	if _, used := g.routed.partitions[head.Partition]; !used || statemachine.Mutated("no-topic-heads") {
+	if _, used := g.routed.topicCounts[head.Partition]; !used || statemachine.Mutated("no-topic-heads") {
 		return
 	}
 	if head.Epoch < g.viewClient.Placements[head.Partition].Epoch {
@@ -276,7 +281,8 @@
 	}
 	reported := g.routed.reportedUpTo[head.Partition]
 	for _, each := range head.Topics {
-		if topic, found := g.routed.numbers[each.TopicHash]; found && topic.durable && each.Offset > topic.last {
+		topic, found := g.routed.topicsByHash[each.TopicHash]
+		if found && topic.durable && each.Offset > topic.deliveredUpTo {
 			g.requireUpTo(now, topic, each.Offset, highWatermarkGrace)
 		}
 	}
@@ -290,9 +296,9 @@
 
 // applyRoutes applies changed routes. The subscriptions to a topic end if no route matches it any more,
 // or if its retention has changed.
-func (g *Gateway) rerouteAll(now time.Time, effects *statemachine.Effects) {
+func (g *Gateway) applyRoutes(now time.Time, effects *statemachine.Effects) {
 	for name, topic := range statemachine.Sorted(g.routed.topics) {
-		space := g.routeOf("", name)
+		space := g.routedSpace("", name)
 		state, present := g.spaces[space]
 		if present && (state.space.Retention == config.Durable) == topic.durable {
 			topic.space = space
@@ -300,7 +306,7 @@
 		}
 		topic.reservedUntil = time.Time{}
 		for _, subscription := range slices.Clone(topic.subscriptions) {
-			if subscription.filling {
+			if subscription.catchingUp {
 				g.rejectTopicSubscription(
 					now,
 					subscription,
--- a/internal/gateway/topic_subscription.go
+++ b/internal/gateway/topic_subscription.go
@@ -28,7 +28,7 @@
 		return
 	}
 	name := request.Interests[0].Path
-	interest := Interest{Space: g.routeOf(request.Interests[0].Space, name), Path: name}
+	interest := Interest{Space: g.routedSpace(request.Interests[0].Space, name), Path: name}
 	policyRequest := &PolicyRequest{
 		Kind:      RequestSubscribe,
 		Client:    request.Client,
@@ -43,7 +43,7 @@
 		return
 	}
 	if present, subscribed := session.routed[name]; subscribed {
-		if present.filling {
+		if present.catchingUp {
 			answer(rejectedReply(409, "underway", "this subscription is still being started", retryShortDelay))
 			return
 		}
@@ -67,10 +67,10 @@
 	effects *statemachine.Effects,
 ) {
 	subscription := &topicSubscription{
-		session:  request.Session,
-		filling:  true,
-		request:  request,
-		deadline: now.Add(g.subscribeTimeout),
+		session:    request.Session,
+		catchingUp: true,
+		request:    request,
+		deadline:   now.Add(g.subscribeTimeout),
 	}
 	if request.Cursor != "" && request.Cursor != "-" {
 		offset, fit := parseTopicCursor(request.Cursor)
@@ -87,9 +87,9 @@
 		g.awaitEphemeral(now, topic, subscription, effects)
 		return
 	}
-	if !g.fill(now, subscription, effects) {
+	if !g.completeCatchUp(now, subscription, effects) {
 		if g.certainlyRetained(topic, subscription) {
-			g.startTopicSubscription(now, subscription, effects)
+			g.confirmTopicSubscription(now, subscription, effects)
 			g.announceSubscriberCount(now, topic, effects)
 		}
 		g.scheduleTopic(topic, subscription.deadline)
@@ -105,11 +105,11 @@
 	subscription *topicSubscription,
 	effects *statemachine.Effects,
 ) {
-	g.overlay.AwaitCell(now, routedPlane, topic.name, func(now time.Time, effects *statemachine.Effects, _ bool) {
+	g.overlay.AwaitCell(now, routedOverlaySpace, topic.name, func(now time.Time, effects *statemachine.Effects, _ bool) {
 		g.startEphemeral(now, subscription, effects)
 	}, effects)
-	if subscription.filling {
-		subscription.deadline = now.Add(ephemeralReachTimeout)
+	if subscription.catchingUp {
+		subscription.deadline = now.Add(ephemeralSubscribeTimeout)
 		g.scheduleTopic(topic, subscription.deadline)
 	}
 }
@@ -118,7 +118,7 @@
 // Such a subscription is confirmed before they are fetched, so that it isn't rejected when the fetch
 // takes longer than its deadline.
 func (g *Gateway) certainlyRetained(topic *topicState, subscription *topicSubscription) bool {
-	base, known := g.routed.bases[topic.partition]
+	base, known := g.routed.baseOffsets[topic.partition]
 	return known && subscription.resumes && subscription.deliveredUpTo >= base &&
 		!statemachine.Mutated("places-confirmed-late")
 }
@@ -144,19 +144,19 @@
 	if !found {
 		topic = &topicState{
 			name:      name,
-			number:    config.TopicHash(name),
+			hash:      config.TopicHash(name),
 			partition: config.SharedPartition(name),
 			space:     space,
 			durable:   g.spaces[space].space.Retention == config.Durable,
 		}
 		g.routed.topics[name] = topic
-		g.routed.numbers[topic.number] = topic
+		g.routed.topicsByHash[topic.hash] = topic
 		if topic.durable {
-			g.routed.partitions[topic.partition]++
+			g.routed.topicCounts[topic.partition]++
 		}
 	}
-	if found && len(topic.subscriptions) == 0 && topic.wanted > topic.last {
-		topic.checkAt = now
+	if found && len(topic.subscriptions) == 0 && topic.highestKnown > topic.deliveredUpTo {
+		topic.fetchAt = now
 		g.scheduleTopic(topic, now)
 	}
 	subscription.topic, subscription.index = topic, len(topic.subscriptions)
@@ -192,13 +192,13 @@
 	}
 	topic.fetch = nil
 	delete(g.routed.topics, topic.name)
-	delete(g.routed.numbers, topic.number)
+	delete(g.routed.topicsByHash, topic.hash)
 	delete(g.routed.scheduled, topic.name)
 	if topic.durable {
-		if g.routed.partitions[topic.partition]--; g.routed.partitions[topic.partition] == 0 {
-			delete(g.routed.partitions, topic.partition)
+		if g.routed.topicCounts[topic.partition]--; g.routed.topicCounts[topic.partition] == 0 {
+			delete(g.routed.topicCounts, topic.partition)
 			delete(g.routed.reportedUpTo, topic.partition)
-			delete(g.routed.followRoutes, topic.partition)
+			delete(g.routed.highWatermarkRoutes, topic.partition)
 		}
 	}
 }
@@ -223,17 +223,17 @@
 
 // startEphemeral confirms a subscription to an ephemeral topic and delivers the recent records to it.
 func (g *Gateway) startEphemeral(now time.Time, subscription *topicSubscription, effects *statemachine.Effects) {
-	if !subscription.filling {
+	if !subscription.catchingUp {
 		return
 	}
 	session, open := g.sessions[subscription.session]
 	if !open || session.routed[subscription.topic.name] != subscription {
 		return
 	}
-	subscription.filling = false
-	subscription.topic.live = true
+	subscription.catchingUp = false
+	subscription.topic.started = true
 	if !subscription.resumes {
-		subscription.deliveredUpTo = subscription.topic.last
+		subscription.deliveredUpTo = subscription.topic.deliveredUpTo
 	}
 	g.replyTopicSubscription(now, subscription.request, subscription.deliveredUpTo, effects)
 	for _, record := range subscription.topic.recent {
@@ -243,29 +243,29 @@
 
 // completeCatchUp confirms a subscription to a durable topic and delivers the records that the client
 // missed, if this gateway has all of them. It reports whether it has.
-func (g *Gateway) fill(now time.Time, subscription *topicSubscription, effects *statemachine.Effects) bool {
+func (g *Gateway) completeCatchUp(now time.Time, subscription *topicSubscription, effects *statemachine.Effects) bool {
 	topic := subscription.topic
 	reported, known := g.routed.reportedUpTo[topic.partition]
-	if known && !topic.live && !subscription.resumes && topic.fetch == nil {
+	if known && !topic.started && !subscription.resumes && topic.fetch == nil {
 		// A subscription without a cursor may start at the offset up to which the leader
 		// has reported, since the leader reports all later records.
-		topic.live = true
-		topic.last, topic.recentFrom = reported, reported
-		g.release(now, topic, effects)
+		topic.started = true
+		topic.deliveredUpTo, topic.recentFrom = reported, reported
+		g.deliverPending(now, topic, effects)
 	}
-	if !topic.live {
+	if !topic.started {
 		return false
 	}
-	if subscription.resumes && subscription.deliveredUpTo < min(topic.recentFrom, topic.last) {
+	if subscription.resumes && subscription.deliveredUpTo < min(topic.recentFrom, topic.deliveredUpTo) {
 		return false
 	}
-	subscription.filling = false
+	subscription.catchingUp = false
 	g.announceSubscriberCount(now, topic, effects)
 	from := subscription.deliveredUpTo
 	if !subscription.resumes {
 		// Records that were already reported precede this subscription, even if the
 		// topic has not caught up with them yet.
-		from = max(topic.last, g.routed.reportedUpTo[topic.partition])
+		from = max(topic.deliveredUpTo, g.routed.reportedUpTo[topic.partition])
 		subscription.deliveredUpTo = from
 	}
 	if subscription.request.Request != 0 {
@@ -299,7 +299,7 @@
 	session.pongAt = now
 	for _, interest := range request.Interests {
 		subscription, present := session.routed[interest.Path]
-		if present && subscription.filling && subscription.request.Request != 0 {
+		if present && subscription.catchingUp && subscription.request.Request != 0 {
 			g.answerSubscribe(
 				now,
 				subscription.request,
@@ -313,7 +313,7 @@
 }
 
 // confirmTopicSubscription confirms a subscription whose missed records are delivered afterwards.
-func (g *Gateway) startTopicSubscription(
+func (g *Gateway) confirmTopicSubscription(
 	now time.Time,
 	subscription *topicSubscription,
 	effects *statemachine.Effects,
@@ -331,16 +331,16 @@
 	record partition.Record,
 	effects *statemachine.Effects,
 ) {
-	subscription.filling = false
+	subscription.catchingUp = false
 	g.deliverRouted(subscription, record, effects)
-	subscription.filling = true
+	subscription.catchingUp = true
 }
 
 // expireSubscriptions rejects the subscriptions whose cursor is at or below an offset, since the store
 // no longer has the records that they missed.
 func (g *Gateway) expireSubscriptions(now time.Time, topic *topicState, after uint64, effects *statemachine.Effects) {
 	for _, subscription := range slices.Clone(topic.subscriptions) {
-		if subscription.filling && subscription.resumes && subscription.deliveredUpTo <= after {
+		if subscription.catchingUp && subscription.resumes && subscription.deliveredUpTo <= after {
 			g.rejectTopicSubscription(
 				now,
 				subscription,
--- a/internal/gateway/tracker.go
+++ b/internal/gateway/tracker.go
@@ -11,10 +11,10 @@
 const (
 	// verifyInterval is the usual time between verifications. gapTimeout is how long a missing record
 	// may take to arrive before it is fetched.
-	verifyEvery = time.Second
-	gapTimeout  = 40 * time.Millisecond
+	verifyInterval = time.Second
+	gapTimeout     = 40 * time.Millisecond
 	// highWatermarkRenewal is the interval at which the subscriptions to high watermarks are renewed.
-	followEvery = 2 * time.Second
+	highWatermarkRenewal = 2 * time.Second
 	// maxSkippedOffsets bounds the offsets that a fetch lists as already received.
 	maxSkippedOffsets = 2048
 	// cycleTimeout is how long a record may wait for its dependencies before it is delivered without
@@ -45,8 +45,8 @@
 	space     string
 	spaceName string
 	// spaceOrdered is set if the records of all topics of the space are delivered in one common order.
-	shared    bool
-	interests map[Interest]*trackedInterest
+	spaceOrdered bool
+	interests    map[Interest]*trackedInterest
 	// version is incremented with each new interest, which a verification that was started before
 	// doesn't cover.
 	version uint64
@@ -63,8 +63,8 @@
 	pending      map[uint64]partition.Record
 	pendingSince map[uint64]time.Time
 	// verifying is set while a verification is in flight. verifyNeeded is set if a further one is needed.
-	verifying bool
-	wanted    bool
+	verifying    bool
+	verifyNeeded bool
 	// verifiedAt is the time of the latest verification or high watermark request that showed that no
 	// record of the partition was missing. requestedAt is when the verification in flight was sent.
 	verifiedAt  time.Time
@@ -94,7 +94,7 @@
 			pendingSince: map[uint64]time.Time{},
 		}
 		if state, known := g.spaces[space]; known {
-			present.shared = state.space.Order == config.OrderSpace
+			present.spaceOrdered = state.space.Order == config.OrderSpace
 		}
 		g.trackers[name] = present
 		g.timers.ArmSooner(timerHighWatermarks, now)
@@ -103,7 +103,7 @@
 }
 
 // addSubscription adds a subscription with an interest.
-func (t *tracker) add(interest Interest) {
+func (t *tracker) addSubscription(interest Interest) {
 	present, found := t.interests[interest]
 	if !found {
 		present = &trackedInterest{interest: interest, since: maxOffset}
@@ -115,7 +115,7 @@
 
 // removeSubscription removes a subscription with an interest, and reports whether it was the last one of
 // the tracker.
-func (t *tracker) remove(interest Interest) bool {
+func (t *tracker) removeSubscription(interest Interest) bool {
 	present, found := t.interests[interest]
 	if !found {
 		return len(t.interests) == 0
@@ -128,7 +128,7 @@
 }
 
 // startInterest records the offset above which an interest is live.
-func (t *tracker) begin(interest Interest, since uint64) {
+func (t *tracker) startInterest(interest Interest, since uint64) {
 	if present, found := t.interests[interest]; found && since < present.since {
 		present.since = since
 	}
@@ -144,7 +144,7 @@
 func (t *tracker) startOf(topic string) (since uint64, tracked bool) {
 	since = maxOffset
 	for interest, present := range t.interests {
-		if t.shared || interest.matches(topic) {
+		if t.spaceOrdered || interest.matches(topic) {
 			tracked = true
 			since = min(since, present.since)
 		}
@@ -172,7 +172,7 @@
 		}
 	}
 	for offset, at := range t.delivered {
-		if offset <= t.verified && now.Sub(at) > verifyEvery {
+		if offset <= t.verified && now.Sub(at) > verifyInterval {
 			delete(t.delivered, offset)
 		}
 	}
--- a/internal/gateway/verify.go
+++ b/internal/gateway/verify.go
@@ -28,8 +28,8 @@
 		}
 		tracker.highWatermark = max(tracker.highWatermark, head.Offset)
 		if tracker.started && head.Offset > tracker.verified {
-			tracker.wanted = true
-			g.timers.ArmSooner(timerVerify, now.Add(verifyEvery/2))
+			tracker.verifyNeeded = true
+			g.timers.ArmSooner(timerVerify, now.Add(verifyInterval/2))
 		} else if tracker.started {
 			tracker.advanceVerifiedAt(g.highWatermarksRequestedAt)
 		}
@@ -47,17 +47,17 @@
 // verifyAll starts the verification of the trackers that need one.
 func (g *Gateway) verifyAll(now time.Time, effects *statemachine.Effects) {
 	for name, tracker := range statemachine.Sorted(g.trackers) {
-		if !tracker.wanted || tracker.verifying || !tracker.started {
+		if !tracker.verifyNeeded || tracker.verifying || !tracker.started {
 			continue
 		}
-		tracker.wanted = false
+		tracker.verifyNeeded = false
 		g.verify(now, name, tracker, effects)
 	}
 }
 
 // verify fetches the records of a partition that the tracker has not received.
 func (g *Gateway) verify(now time.Time, name string, tracker *tracker, effects *statemachine.Effects) {
-	if tracker.shared && tracker.highWatermark <= tracker.verified && len(tracker.pending) == 0 {
+	if tracker.spaceOrdered && tracker.highWatermark <= tracker.verified && len(tracker.pending) == 0 {
 		return
 	}
 	g.Counts.Verifies++
@@ -65,7 +65,7 @@
 	tracker.requestedAt = now
 	fetch := &partitionFetch{after: tracker.verified}
 	for interest := range tracker.interests {
-		if tracker.shared {
+		if tracker.spaceOrdered {
 			fetch.prefixes = []string{""}
 			break
 		}
@@ -103,7 +103,7 @@
 
 // applyVerification applies the result of a verification. The fetched records become pending, as if their
 // copies had arrived. The partition is verified up to the first record that remains pending.
-func (g *Gateway) verified(now time.Time, operation *fetchOperation, effects *statemachine.Effects) {
+func (g *Gateway) applyVerification(now time.Time, operation *fetchOperation, effects *statemachine.Effects) {
 	tracker, found := g.trackers[operation.tracker]
 	if !found {
 		return
@@ -130,8 +130,8 @@
 	if !outdated && len(tracker.pending) == 0 && tracker.highWatermark <= tracker.verified {
 		return
 	}
-	tracker.wanted = true
-	pause := verifyEvery
+	tracker.verifyNeeded = true
+	pause := verifyInterval
 	if len(tracker.pending) > 0 || outdated {
 		pause = gapTimeout
 	}
@@ -169,7 +169,7 @@
 
 // subscribeToHighWatermarks subscribes to the high watermarks of the partitions with subscriptions here at
 // their leaders. The subscriptions are renewed before they expire at the leaders.
-func (g *Gateway) followHighWatermarks(now time.Time, effects *statemachine.Effects) {
+func (g *Gateway) subscribeToHighWatermarks(now time.Time, effects *statemachine.Effects) {
 	byStore := map[string]partition.SubscribeHighWatermarks{}
 	g.highWatermarksRequestedAt = now
 	add := func(name string, from uint64) {
@@ -182,17 +182,17 @@
 	for name := range statemachine.Sorted(g.trackers) {
 		add(name, 0)
 	}
-	for name := range statemachine.Sorted(g.routed.partitions) {
+	for name := range statemachine.Sorted(g.routed.topicCounts) {
 		if from, begun := g.routed.reportedUpTo[name]; begun {
-			g.routed.followRoutes[name] = g.routeTo(name)
+			g.routed.highWatermarkRoutes[name] = g.routeTo(name)
 			add(name, from)
 		}
 	}
 	for address, follow := range statemachine.Sorted(byStore) {
 		effects.Send(address, follow)
 	}
-	if len(g.trackers)+len(g.routed.partitions) > 0 {
-		g.timers.Arm(timerHighWatermarks, now.Add(followEvery))
+	if len(g.trackers)+len(g.routed.topicCounts) > 0 {
+		g.timers.Arm(timerHighWatermarks, now.Add(highWatermarkRenewal))
 	}
 }
 
--- a/internal/gateway/view.go
+++ b/internal/gateway/view.go
@@ -127,7 +127,7 @@
 			}
 		}
 	}
-	g.rerouteAll(now, effects)
+	g.applyRoutes(now, effects)
 	effects.Emit(logevent.ConfigurationApplied, "version", document.Version, "spaces", len(document.Spaces))
 	g.ring.Record(now, "", "", "", "configuration", "version", document.Version)
 }
