--- a/internal/gateway/catchup.go
+++ b/internal/gateway/catchup.go
@@ -72,31 +72,31 @@
 
 // missingAfter returns the offset after which records of the topic are to be fetched, maxOffset if
 // only its high watermark is needed, and whether anything is to be fetched.
-func (t *topicState) missingAfter(now time.Time) (after uint64, lacking bool) {
+func (t *topicState) missingAfter(now time.Time) (after uint64, missing bool) {
 	after = maxOffset
 	if t.started && t.highestKnown > t.deliveredUpTo {
-		after, lacking = t.deliveredUpTo, len(t.subscriptions) > 0
+		after, missing = t.deliveredUpTo, len(t.subscriptions) > 0
 	}
 	for _, subscription := range t.subscriptions {
 		if !subscription.catchingUp {
 			continue
 		}
-		lacking = true
+		missing = true
 		if subscription.resumes {
 			after = min(after, subscription.deliveredUpTo)
 		}
 	}
 	if t.reserved(now) {
-		after, lacking = min(after, t.reservedAfter), true
+		after, missing = min(after, t.reservedAfter), true
 	}
-	return after, lacking
+	return after, missing
 }
 
 // reserved reports whether the topic is still to be fetched for the retry of a rejected subscription:
 // its reservation has not expired, and this gateway lacks some of the records.
 func (t *topicState) reserved(now time.Time) bool {
-	here := t.started && t.recentFrom <= t.reservedAfter
-	return t.reservedUntil.After(now) && !here
+	available := t.started && t.recentFrom <= t.reservedAfter
+	return t.reservedUntil.After(now) && !available
 }
 
 // reserve adds a reservation for a subscription that is rejected because the store did not respond in
@@ -138,37 +138,38 @@
 
 // sendBatches sends the queued topics to the stores to which no batch is in flight.
 func (g *Gateway) sendBatches(now time.Time, effects *statemachine.Effects) {
-	chosen := map[string][]*topicFetch{}
+	fetchesByStore := map[string][]*topicFetch{}
 	var waiting []*topicState
-	for _, next := range g.routed.queue {
-		after, lacking := next.missingAfter(now)
-		if !lacking || g.routed.topics[next.name] != next {
-			next.queued = false
+	for _, topic := range g.routed.queue {
+		after, missing := topic.missingAfter(now)
+		if !missing || g.routed.topics[topic.name] != topic {
+			topic.queued = false
 			continue
 		}
-		present := g.routeTo(next.partition)
-		if present == (route{}) || g.hasBatchInFlight(present.address) || len(chosen[present.address]) >= maxBatchTopics {
-			waiting = append(waiting, next)
+		current := g.routeTo(topic.partition)
+		if current == (route{}) || g.hasBatchInFlight(current.address) ||
+			len(fetchesByStore[current.address]) >= maxBatchTopics {
+			waiting = append(waiting, topic)
 			continue
 		}
-		next.queued = false
-		next.fetch = &topicFetch{topic: next, after: after, sentBy: present}
-		chosen[present.address] = append(chosen[present.address], next.fetch)
+		topic.queued = false
+		topic.fetch = &topicFetch{topic: topic, after: after, sentBy: current}
+		fetchesByStore[current.address] = append(fetchesByStore[current.address], topic.fetch)
 	}
 	g.routed.queue = waiting
-	bytes := g.batchBytes(len(g.routed.batchInFlight) + len(chosen))
-	for store, fetches := range statemachine.Sorted(chosen) {
+	bytes := g.batchBytes(len(g.routed.batchInFlight) + len(fetchesByStore))
+	for store, fetches := range statemachine.Sorted(fetchesByStore) {
 		g.nextRequest++
 		sortByMissingBytes(fetches)
-		made := &batch{
+		created := &batch{
 			request: g.nextRequest,
 			store:   store,
 			fetches: fetches,
 			bytes:   bytes,
 		}
-		g.routed.batches[made.request] = made
-		g.routed.batchInFlight[store] = made.request
-		g.sendBatch(now, made, effects)
+		g.routed.batches[created.request] = created
+		g.routed.batchInFlight[store] = created.request
+		g.sendBatch(now, created, effects)
 	}
 }
 
@@ -203,8 +204,8 @@
 	if g.settings.LinkBytesPerSecond == 0 {
 		return maxBatchBytes
 	}
-	ahead := int(float64(g.settings.LinkBytesPerSecond) * maxCatchUpLinkTime.Seconds())
-	return min(max(ahead/max(1, stores), minBatchBytes), maxBatchBytes)
+	linkBytes := int(float64(g.settings.LinkBytesPerSecond) * maxCatchUpLinkTime.Seconds())
+	return min(max(linkBytes/max(1, stores), minBatchBytes), maxBatchBytes)
 }
 
 // endBatch removes a batch, so that the next one can be sent to its store.
--- a/internal/gateway/catchup_mutation_test.go
+++ b/internal/gateway/catchup_mutation_test.go
@@ -13,29 +13,29 @@
 // Without the limit of one batch in flight to each store, each new subscription sends a batch at once.
 func TestBatchMutationFetchesWithoutCredit(t *testing.T) {
 	defer statemachine.Mutate("fetches-without-credit")()
-	assert.Equal(t, len(newCrowded(crowdedTopics).sentBatches()), crowdedTopics)
+	assert.Equal(t, len(newTopicFixture(fixtureTopics).takeSentBatches()), fixtureTopics)
 }
 
 // If unconfirmed subscriptions were counted, subscriptions that are rejected later would be announced to the
 // other gateways.
 func TestSubscriberCountMutationCountsUnconfirmed(t *testing.T) {
 	defer statemachine.Mutate("waiting-counts")()
-	waiting, _ := announcedWhileWaiting()
-	assert.Equal(t, waiting, 1)
+	unconfirmed, _ := announcedSubscribers()
+	assert.Equal(t, unconfirmed, 1)
 }
 
 func TestTopicSubscriptionMutationConfirmsLate(t *testing.T) {
 	defer statemachine.Mutate("places-confirmed-late")()
-	assert.Assert(t, !confirmed(t, 5))
+	assert.Assert(t, !confirmedBeforeFetch(t, 5))
 }
 
 func TestTopicSubscriptionMutationLosesTurn(t *testing.T) {
 	defer statemachine.Mutate("refused-loses-turn")()
-	topics, _ := rejectedTurn(t)
+	topics, _ := batchAfterRejection(t)
 	assert.Equal(t, topics, 0)
 }
 
 func TestBatchMutationKeepsArrivalOrder(t *testing.T) {
 	defer statemachine.Mutate("first-come-first")()
-	assert.Equal(t, orderOfRest(t)[0], "topic-0")
+	assert.Equal(t, nextBatchOrder(t)[0], "topic-0")
 }
--- a/internal/gateway/cursor.go
+++ b/internal/gateway/cursor.go
@@ -130,7 +130,7 @@
 		}
 		result.Interests = append(result.Interests, interest)
 		for name, since := range subscription.since {
-			if tracker, topic := g.trackers[name]; topic {
+			if tracker, tracked := g.trackers[name]; tracked {
 				since = max(since, tracker.verified)
 			}
 			result.lowerFloor(name, since)
@@ -141,23 +141,23 @@
 
 // addExtras adds the offsets that were delivered above the floor of a partition, and the start offsets of
 // the interests that began above the floor.
-func (c *session) addExtras(name string, at position) position {
-	at.Extras = c.extras(name, at.Floor)
-	slices.Sort(at.Extras)
+func (c *session) addExtras(name string, entry position) position {
+	entry.Extras = c.extras(name, entry.Floor)
+	slices.Sort(entry.Extras)
 	if c.backlogFloors != nil {
-		return at
+		return entry
 	}
 	for interest, subscription := range c.subscriptions {
 		since, found := subscription.since[name]
-		if !found || subscription.catchingUp || since <= at.Floor {
+		if !found || subscription.catchingUp || since <= entry.Floor {
 			continue
 		}
-		if at.Since == nil {
-			at.Since = map[string]uint64{}
+		if entry.Since == nil {
+			entry.Since = map[string]uint64{}
 		}
-		at.Since[interest.key()] = since
+		entry.Since[interest.key()] = since
 	}
-	return at
+	return entry
 }
 
 // addSequences adds the newest sequence of each sender from whom the client recently received a message
@@ -179,11 +179,11 @@
 // key identifies the interest within its space. It consists of the kind, "t" for a topic and "w" for a
 // prefix, and the path.
 func (i Interest) key() string {
-	wide := "t"
+	kind := "t"
 	if i.Prefix {
-		wide = "w"
+		kind = "w"
 	}
-	return wide + i.Path
+	return kind + i.Path
 }
 
 // compareInterests orders interests by space and key.
--- a/internal/gateway/delivery.go
+++ b/internal/gateway/delivery.go
@@ -37,26 +37,26 @@
 	effects *statemachine.Effects,
 ) {
 	space, _ := spaceOf(recordCopy.Partition)
-	wanted, waits := false, false
+	matches, waiting := false, false
 	for interest, subscription := range session.subscriptions {
 		if interest.Space != space || !interest.matches(recordCopy.Record.Topic) {
 			continue
 		}
 		if subscription.catchingUp {
-			waits = true
+			waiting = true
 			continue
 		}
-		wanted = wanted || recordCopy.Record.Offset > subscription.since[recordCopy.Partition]
+		matches = matches || recordCopy.Record.Offset > subscription.since[recordCopy.Partition]
 	}
-	wanted = wanted || statemachine.Mutated("no-exact-match")
-	if session.isFilling() && (wanted || waits) {
+	matches = matches || statemachine.Mutated("no-exact-match")
+	if session.isFilling() && (matches || waiting) {
 		// While any subscription is catching up the records of all subscriptions of the
 		// session are buffered, since the messages of a sender must be delivered in order
 		// across them.
 		session.buffer = append(session.buffer, recordCopy)
 		return
 	}
-	if wanted {
+	if matches {
 		g.deliverRecord(now, id, session, recordCopy, effects)
 	}
 }
@@ -122,7 +122,7 @@
 		return
 	}
 	space, _ := spaceOf(message.Space + "/")
-	wanted := false
+	matches := false
 	for interest, subscription := range session.subscriptions {
 		if interest.Space == space && interest.matches(message.Topic) {
 			if subscription.catchingUp || session.isFilling() {
@@ -131,10 +131,10 @@
 			}
 			// Repeated messages are delivered to clients that were disconnected, but
 			// not to new subscriptions.
-			wanted = wanted || !message.Repeated || now.Sub(subscription.resumedAt) <= repeatWindow
+			matches = matches || !message.Repeated || now.Sub(subscription.resumedAt) <= repeatWindow
 		}
 	}
-	if !wanted || !session.markSeen(now, message.Space, message.Sender, message.Seq) {
+	if !matches || !session.markSeen(now, message.Space, message.Sender, message.Seq) {
 		return
 	}
 	g.Counts.Delivered++
--- a/internal/gateway/ephemeral.go
+++ b/internal/gateway/ephemeral.go
@@ -91,11 +91,11 @@
 	message EphemeralCopy,
 	effects *statemachine.Effects,
 ) bool {
-	holders := state.subscribedSessions(message.Topic)
-	for id := range statemachine.Sorted(holders) {
+	subscribed := state.subscribedSessions(message.Topic)
+	for id := range statemachine.Sorted(subscribed) {
 		if session, open := g.sessions[id]; open {
 			g.deliverOrBufferEphemeral(now, id, session, message, effects)
 		}
 	}
-	return len(holders) > 0
+	return len(subscribed) > 0
 }
--- a/internal/gateway/fetch.go
+++ b/internal/gateway/fetch.go
@@ -71,16 +71,16 @@
 		return
 	}
 	operation.pendingJoins = 0
-	open := false
+	incomplete := false
 	for name, fetch := range statemachine.Sorted(operation.partitions) {
 		if !fetch.done {
-			open = true
+			incomplete = true
 			if !fetch.awaitingResponse {
 				g.sendFetch(now, id, name, fetch, effects)
 			}
 		}
 	}
-	if !open {
+	if !incomplete {
 		g.completeFetch(now, id, operation, effects)
 	}
 }
@@ -191,8 +191,8 @@
 		g.Counts.Late += uint64(len(response.Records))
 		return
 	}
-	fetch, wanted := operation.partitions[response.Partition]
-	if !wanted || fetch.done {
+	fetch, requested := operation.partitions[response.Partition]
+	if !requested || fetch.done {
 		return
 	}
 	placement, placed := g.viewClient.Placements[response.Partition]
@@ -275,10 +275,10 @@
 		delete(g.fetches, id)
 		return
 	}
-	ordered, again := merge(operation)
-	again = append(again, g.overtakenPartitions(operation)...)
-	if len(again) > 0 && operation.refetches < maxRefetches {
-		g.refetch(now, id, operation, again, effects)
+	ordered, incomplete := merge(operation)
+	incomplete = append(incomplete, g.overtakenPartitions(operation)...)
+	if len(incomplete) > 0 && operation.refetches < maxRefetches {
+		g.refetch(now, id, operation, incomplete, effects)
 		return
 	}
 	delete(g.fetches, id)
@@ -303,7 +303,7 @@
 func (g *Gateway) overtakenPartitions(operation *fetchOperation) []string {
 	var names []string
 	for name, fetch := range statemachine.Sorted(operation.partitions) {
-		if tracker, topic := g.trackers[name]; topic && tracker.started && fetch.until < tracker.verified {
+		if tracker, tracked := g.trackers[name]; tracked && tracker.started && fetch.until < tracker.verified {
 			names = append(names, name)
 		}
 	}
@@ -343,12 +343,12 @@
 			subscription.resumedAt = now
 		}
 		for name := range subscription.since {
-			fetch, wanted := operation.partitions[name]
-			if !wanted {
+			fetch, fetched := operation.partitions[name]
+			if !fetched {
 				continue
 			}
 			subscription.since[name] = fetch.until
-			if tracker, topic := g.trackers[name]; topic {
+			if tracker, tracked := g.trackers[name]; tracked {
 				tracker.startInterest(interest, fetch.until)
 			}
 		}
@@ -385,62 +385,62 @@
 // merge merges the records of several partitions so that the order of each partition and of each
 // sender is kept. It also returns the partitions whose fetch must be extended, because a record depends
 // on one above their fetched offset.
-func merge(operation *fetchOperation) (ordered []RecordCopy, again []string) {
-	at := map[string]int{}
+func merge(operation *fetchOperation) (ordered []RecordCopy, incomplete []string) {
+	positions := map[string]int{}
 	// The dependencies of a record only name messages within the dependency window. Older records of
 	// the sender are ordered by seq alone.
-	turns := map[string][]uint64{}
+	sequences := map[string][]uint64{}
 	for name, records := range operation.records {
-		_, full := spaceOf(name)
+		_, fullSpace := spaceOf(name)
 		for _, record := range records {
-			turns[full+" "+record.Sender] = append(turns[full+" "+record.Sender], record.Seq)
+			sequences[fullSpace+" "+record.Sender] = append(sequences[fullSpace+" "+record.Sender], record.Seq)
 		}
 	}
-	for key := range turns {
-		slices.Sort(turns[key])
+	for key := range sequences {
+		slices.Sort(sequences[key])
 	}
 	for {
-		progress, left := false, false
-		again = nil
+		progress, remaining := false, false
+		incomplete = nil
 		for name, records := range statemachine.Sorted(operation.records) {
-			for at[name] < len(records) {
-				record := records[at[name]]
-				_, full := spaceOf(name)
-				missing, waits := operation.blockers(full, name, record, at)
+			for positions[name] < len(records) {
+				record := records[positions[name]]
+				_, fullSpace := spaceOf(name)
+				missing, blocked := operation.blockers(fullSpace, name, record, positions)
 				if len(missing) > 0 {
-					again = append(again, missing...)
+					incomplete = append(incomplete, missing...)
 				}
-				turn := full + " " + record.Sender
-				if len(missing) > 0 || waits || turns[turn][0] < record.Seq {
-					left = true
+				key := fullSpace + " " + record.Sender
+				if len(missing) > 0 || blocked || sequences[key][0] < record.Seq {
+					remaining = true
 					break
 				}
-				turns[turn] = turns[turn][1:]
+				sequences[key] = sequences[key][1:]
 				ordered = append(ordered, RecordCopy{Partition: name, Record: record})
-				at[name]++
+				positions[name]++
 				progress = true
 			}
 		}
-		if !left {
+		if !remaining {
 			return ordered, nil
 		}
-		if !progress && len(again) == 0 {
+		if !progress && len(incomplete) == 0 {
 			// This happens only if a sender published through two gateways at the
 			// same time and not in the order of its sequences.
-			return append(ordered, unorderedRecords(operation, at)...), nil
+			return append(ordered, unorderedRecords(operation, positions)...), nil
 		}
 		if !progress {
-			slices.Sort(again)
-			return ordered, slices.Compact(again)
+			slices.Sort(incomplete)
+			return ordered, slices.Compact(incomplete)
 		}
 	}
 }
 
 // unorderedRecords returns the records that could not be merged, in order of their append time.
-func unorderedRecords(operation *fetchOperation, at map[string]int) []RecordCopy {
+func unorderedRecords(operation *fetchOperation, positions map[string]int) []RecordCopy {
 	var rest []RecordCopy
 	for name, records := range statemachine.Sorted(operation.records) {
-		for _, record := range records[at[name]:] {
+		for _, record := range records[positions[name]:] {
 			rest = append(rest, RecordCopy{Partition: name, Record: record})
 		}
 	}
@@ -454,35 +454,35 @@
 // extended, since they responded before a dependency of the record was appended, and whether a fetched
 // record must be delivered before it.
 func (f *fetchOperation) blockers(
-	full, name string,
+	fullSpace, name string,
 	record partition.Record,
-	at map[string]int,
-) (missing []string, waits bool) {
-	for _, mark := range record.Dependencies.Messages {
-		other := partitionName(full, int(mark.Partition))
-		fetch, wanted := f.partitions[other]
-		if !wanted || other == name || !partition.Matches(mark.Topic, fetch.topics, fetch.prefixes) {
+	positions map[string]int,
+) (missing []string, blocked bool) {
+	for _, message := range record.Dependencies.Messages {
+		other := partitionName(fullSpace, int(message.Partition))
+		fetch, fetched := f.partitions[other]
+		if !fetched || other == name || !partition.Matches(message.Topic, fetch.topics, fetch.prefixes) {
 			continue
 		}
-		if mark.Offset > fetch.until {
+		if message.Offset > fetch.until {
 			missing = append(missing, other)
 		}
-		for _, each := range f.records[other][at[other]:] {
-			waits = waits || each.Offset == mark.Offset
+		for _, each := range f.records[other][positions[other]:] {
+			blocked = blocked || each.Offset == message.Offset
 		}
 	}
-	for _, reach := range record.Dependencies.Floor {
-		other := partitionName(full, int(reach.Partition))
-		fetch, wanted := f.partitions[other]
-		if !wanted || other == name {
+	for _, floor := range record.Dependencies.Floor {
+		other := partitionName(fullSpace, int(floor.Partition))
+		fetch, fetched := f.partitions[other]
+		if !fetched || other == name {
 			continue
 		}
-		if reach.Offset > fetch.until {
+		if floor.Offset > fetch.until {
 			missing = append(missing, other)
 		}
-		for _, each := range f.records[other][at[other]:] {
-			waits = waits || each.Offset <= reach.Offset
+		for _, each := range f.records[other][positions[other]:] {
+			blocked = blocked || each.Offset <= floor.Offset
 		}
 	}
-	return missing, waits
+	return missing, blocked
 }
--- a/internal/gateway/recent_ephemeral.go
+++ b/internal/gateway/recent_ephemeral.go
@@ -40,20 +40,20 @@
 // repeatRecent sends the recent messages of the clients of this gateway to newly discovered
 // destinations.
 func (g *Gateway) repeatRecent(now time.Time, effects *statemachine.Effects) {
-	for _, found := range g.overlay.TakeDiscovered() {
-		member, known := g.viewClient.Members[found.Daemon]
-		space, _ := spaceOf(found.Space + "/")
+	for _, discovered := range g.overlay.TakeDiscovered() {
+		member, known := g.viewClient.Members[discovered.Daemon]
+		space, _ := spaceOf(discovered.Space + "/")
 		state, present := g.spaces[space]
-		if !known || !present || state.name != found.Space || statemachine.Mutated("no-recent") {
+		if !known || !present || state.name != discovered.Space || statemachine.Mutated("no-recent") {
 			continue
 		}
 		for _, each := range state.recent {
 			if each.publishedHere && now.Sub(each.at) <= recentRetention &&
-				areaOf(state.space, each.message.Topic) == found.Area {
-				late := each.message
-				late.Repeated = true
+				areaOf(state.space, each.message.Topic) == discovered.Area {
+				repeated := each.message
+				repeated.Repeated = true
 				g.Counts.Repeated++
-				effects.Send(member.Address, late)
+				effects.Send(member.Address, repeated)
 			}
 		}
 	}
--- a/internal/gateway/record_delivery.go
+++ b/internal/gateway/record_delivery.go
@@ -22,7 +22,7 @@
 	if _, delivered := tracker.delivered[offset]; delivered || tracker.started && offset <= tracker.verified {
 		return true
 	}
-	if _, matters := tracker.startOf(recordCopy.Record.Topic); !matters {
+	if _, tracked := tracker.startOf(recordCopy.Record.Topic); !tracked {
 		return false
 	}
 	if len(tracker.pending) < maxPendingRecords {
@@ -33,7 +33,7 @@
 		return true
 	}
 	g.deliverReady(now, effects)
-	if _, waits := tracker.pending[offset]; waits && tracker.started {
+	if _, stillPending := tracker.pending[offset]; stillPending && tracker.started {
 		g.Counts.Gaps++
 		effects.Emit(logevent.GapFound,
 			"partition", recordCopy.Partition,
@@ -61,15 +61,15 @@
 // requestDependencies requests a verification of the partitions in which a dependency of a record is
 // missing.
 func (g *Gateway) requestDependencies(tracker *tracker, record partition.Record) {
-	for _, mark := range record.Dependencies.Messages {
-		other, found := g.trackers[partitionName(tracker.spaceName, int(mark.Partition))]
-		if found && !other.resolved(mark.Topic, mark.Offset) {
+	for _, message := range record.Dependencies.Messages {
+		other, found := g.trackers[partitionName(tracker.spaceName, int(message.Partition))]
+		if found && !other.resolved(message.Topic, message.Offset) {
 			other.verifyNeeded = true
 		}
 	}
-	for _, reach := range record.Dependencies.Floor {
-		other, found := g.trackers[partitionName(tracker.spaceName, int(reach.Partition))]
-		if found && !other.resolvedUpTo(reach.Offset) {
+	for _, floor := range record.Dependencies.Floor {
+		other, found := g.trackers[partitionName(tracker.spaceName, int(floor.Partition))]
+		if found && !other.resolvedUpTo(floor.Offset) {
 			other.verifyNeeded = true
 		}
 	}
@@ -77,8 +77,8 @@
 
 // deliverable reports whether a pending record may be delivered.
 func (g *Gateway) deliverable(now time.Time, tracker *tracker, record partition.Record) bool {
-	since, matters := tracker.startOf(record.Topic)
-	if matters && since == maxOffset || !tracker.started {
+	since, tracked := tracker.startOf(record.Topic)
+	if tracked && since == maxOffset || !tracker.started {
 		return false
 	}
 	if statemachine.Mutated("no-order") {
@@ -93,8 +93,8 @@
 	// If all partitions were verified recently no record can be missing for long. A record
 	// that still waits was published through two gateways by a sender that did not keep the
 	// order of its sequences.
-	pendingSince, noted := tracker.pendingSince[record.Offset]
-	if noted && now.Sub(pendingSince) > cycleTimeout && g.recentlyVerified(now, tracker.spaceName) {
+	pendingSince, waiting := tracker.pendingSince[record.Offset]
+	if waiting && now.Sub(pendingSince) > cycleTimeout && g.recentlyVerified(now, tracker.spaceName) {
 		return true
 	}
 	return g.dependenciesResolved(tracker, record) && g.recentlyVerified(now, tracker.spaceName)
@@ -103,15 +103,15 @@
 // dependenciesResolved reports whether all dependencies of a record, which are earlier messages of its
 // sender, are resolved: they were delivered, or no subscription here needs them.
 func (g *Gateway) dependenciesResolved(tracker *tracker, record partition.Record) bool {
-	for _, mark := range record.Dependencies.Messages {
-		other, found := g.trackers[partitionName(tracker.spaceName, int(mark.Partition))]
-		if found && (other != tracker || mark.Offset < record.Offset) && !other.resolved(mark.Topic, mark.Offset) {
+	for _, message := range record.Dependencies.Messages {
+		other, found := g.trackers[partitionName(tracker.spaceName, int(message.Partition))]
+		if found && (other != tracker || message.Offset < record.Offset) && !other.resolved(message.Topic, message.Offset) {
 			return false
 		}
 	}
-	for _, reach := range record.Dependencies.Floor {
-		other, found := g.trackers[partitionName(tracker.spaceName, int(reach.Partition))]
-		if found && (other != tracker || reach.Offset < record.Offset) && !other.resolvedUpTo(reach.Offset) {
+	for _, floor := range record.Dependencies.Floor {
+		other, found := g.trackers[partitionName(tracker.spaceName, int(floor.Partition))]
+		if found && (other != tracker || floor.Offset < record.Offset) && !other.resolvedUpTo(floor.Offset) {
 			return false
 		}
 	}
@@ -165,7 +165,7 @@
 				delete(tracker.pending, offset)
 				continue
 			}
-			if _, noted := tracker.pendingSince[offset]; !noted {
+			if _, waiting := tracker.pendingSince[offset]; !waiting {
 				tracker.pendingSince[offset] = now
 			}
 			key := tracker.spaceName + " " + record.Sender
--- a/internal/gateway/subscription.go
+++ b/internal/gateway/subscription.go
@@ -225,14 +225,14 @@
 func (g *Gateway) addSubscription(now time.Time, session *session, id uint64, interest Interest) {
 	state := g.spaces[interest.Space]
 	session.subscriptions[interest] = &subscription{since: map[string]uint64{}, catchingUp: true}
-	table := state.topics
+	sessionsByPath := state.topics
 	if interest.Prefix {
-		table = state.prefixes
+		sessionsByPath = state.prefixes
 	}
-	if table[interest.Path] == nil {
-		table[interest.Path] = map[uint64]bool{}
+	if sessionsByPath[interest.Path] == nil {
+		sessionsByPath[interest.Path] = map[uint64]bool{}
 	}
-	table[interest.Path][id] = true
+	sessionsByPath[interest.Path][id] = true
 	for _, name := range g.partitionsOf(state, interest) {
 		session.subscriptions[interest].since[name] = maxOffset
 		g.trackerFor(now, name).addSubscription(interest)
@@ -255,16 +255,16 @@
 	if !found {
 		return
 	}
-	table := state.topics
+	sessionsByPath := state.topics
 	if interest.Prefix {
-		table = state.prefixes
+		sessionsByPath = state.prefixes
 	}
-	delete(table[interest.Path], id)
-	if len(table[interest.Path]) == 0 {
-		delete(table, interest.Path)
+	delete(sessionsByPath[interest.Path], id)
+	if len(sessionsByPath[interest.Path]) == 0 {
+		delete(sessionsByPath, interest.Path)
 	}
 	for _, name := range g.partitionsOf(state, interest) {
-		if tracker, topic := g.trackers[name]; topic && tracker.removeSubscription(interest) {
+		if tracker, tracked := g.trackers[name]; tracked && tracker.removeSubscription(interest) {
 			delete(g.trackers, name)
 		}
 	}
--- a/internal/gateway/topic_delivery.go
+++ b/internal/gateway/topic_delivery.go
@@ -272,26 +272,26 @@
 
 // handleTopicHighWatermarks applies a leader's report of the topics of a shared partition that have new
 // records.
-func (g *Gateway) handleTopicHighWatermarks(now time.Time, head partition.HighWatermark) {
-	if _, used := g.routed.topicCounts[head.Partition]; !used || statemachine.Mutated("no-topic-heads") {
+func (g *Gateway) handleTopicHighWatermarks(now time.Time, report partition.HighWatermark) {
+	if _, used := g.routed.topicCounts[report.Partition]; !used || statemachine.Mutated("no-topic-heads") {
 		return
 	}
-	if head.Epoch < g.viewClient.Placements[head.Partition].Epoch {
+	if report.Epoch < g.viewClient.Placements[report.Partition].Epoch {
 		return
 	}
-	reported := g.routed.reportedUpTo[head.Partition]
-	for _, each := range head.Topics {
+	reported := g.routed.reportedUpTo[report.Partition]
+	for _, each := range report.Topics {
 		topic, found := g.routed.topicsByHash[each.TopicHash]
 		if found && topic.durable && each.Offset > topic.deliveredUpTo {
 			g.requireUpTo(now, topic, each.Offset, highWatermarkGrace)
 		}
 	}
-	if head.From > reported {
+	if report.From > reported {
 		// An earlier report was lost; subscribe again from the last one received.
 		g.timers.ArmSooner(timerHighWatermarks, now)
 		return
 	}
-	g.routed.reportedUpTo[head.Partition] = max(reported, head.Offset)
+	g.routed.reportedUpTo[report.Partition] = max(reported, report.Offset)
 }
 
 // applyRoutes applies changed routes. The subscriptions to a topic end if no route matches it any more,
--- a/internal/gateway/topic_subscription.go
+++ b/internal/gateway/topic_subscription.go
@@ -42,12 +42,12 @@
 	if !g.authorize(now, policyRequest, request.RequestName, retry, answer) {
 		return
 	}
-	if present, subscribed := session.routed[name]; subscribed {
-		if present.catchingUp {
+	if existing, subscribed := session.routed[name]; subscribed {
+		if existing.catchingUp {
 			answer(rejectedReply(409, "underway", "this subscription is still being started", retryShortDelay))
 			return
 		}
-		g.replyTopicSubscription(now, request, present.deliveredUpTo, effects)
+		g.replyTopicSubscription(now, request, existing.deliveredUpTo, effects)
 		return
 	}
 	if len(session.routed)+len(session.subscriptions) >= g.config.SubscriptionsPerSession {
@@ -73,8 +73,8 @@
 		deadline:   now.Add(g.subscribeTimeout),
 	}
 	if request.Cursor != "" && request.Cursor != "-" {
-		offset, fit := parseTopicCursor(request.Cursor)
-		if !fit {
+		offset, valid := parseTopicCursor(request.Cursor)
+		if !valid {
 			response := rejectedReply(400, codeBadCursor, "the cursor was not issued by this fleet", 0)
 			g.answerSubscribe(now, request, response, effects)
 			return
--- a/internal/gateway/tracker.go
+++ b/internal/gateway/tracker.go
@@ -72,21 +72,21 @@
 }
 
 // spaceOf returns the space in the name of a partition, without and with its creation index.
-func spaceOf(name string) (space, full string) {
-	full, _, _ = strings.Cut(name, "/")
-	space, _, _ = strings.Cut(full, "~")
-	return space, full
+func spaceOf(name string) (space, fullSpace string) {
+	fullSpace, _, _ = strings.Cut(name, "/")
+	space, _, _ = strings.Cut(fullSpace, "~")
+	return space, fullSpace
 }
 
 // trackerFor returns the tracker of a partition, and creates it if it doesn't exist yet.
 func (g *Gateway) trackerFor(now time.Time, name string) *tracker {
-	present, found := g.trackers[name]
+	result, found := g.trackers[name]
 	if !found {
-		space, full := spaceOf(name)
-		present = &tracker{
+		space, fullSpace := spaceOf(name)
+		result = &tracker{
 			name:         name,
 			space:        space,
-			spaceName:    full,
+			spaceName:    fullSpace,
 			verifiedAt:   now,
 			interests:    map[Interest]*trackedInterest{},
 			delivered:    map[uint64]time.Time{},
@@ -94,34 +94,34 @@
 			pendingSince: map[uint64]time.Time{},
 		}
 		if state, known := g.spaces[space]; known {
-			present.spaceOrdered = state.space.Order == config.OrderSpace
+			result.spaceOrdered = state.space.Order == config.OrderSpace
 		}
-		g.trackers[name] = present
+		g.trackers[name] = result
 		g.timers.ArmSooner(timerHighWatermarks, now)
 	}
-	return present
+	return result
 }
 
 // addSubscription adds a subscription with an interest.
 func (t *tracker) addSubscription(interest Interest) {
-	present, found := t.interests[interest]
+	tracked, found := t.interests[interest]
 	if !found {
-		present = &trackedInterest{interest: interest, since: maxOffset}
-		t.interests[interest] = present
+		tracked = &trackedInterest{interest: interest, since: maxOffset}
+		t.interests[interest] = tracked
 		t.version++
 	}
-	present.subscriptions++
+	tracked.subscriptions++
 }
 
 // removeSubscription removes a subscription with an interest, and reports whether it was the last one of
 // the tracker.
 func (t *tracker) removeSubscription(interest Interest) bool {
-	present, found := t.interests[interest]
+	tracked, found := t.interests[interest]
 	if !found {
 		return len(t.interests) == 0
 	}
-	present.subscriptions--
-	if present.subscriptions == 0 {
+	tracked.subscriptions--
+	if tracked.subscriptions == 0 {
 		delete(t.interests, interest)
 	}
 	return len(t.interests) == 0
@@ -129,8 +129,8 @@
 
 // startInterest records the offset above which an interest is live.
 func (t *tracker) startInterest(interest Interest, since uint64) {
-	if present, found := t.interests[interest]; found && since < present.since {
-		present.since = since
+	if tracked, found := t.interests[interest]; found && since < tracked.since {
+		tracked.since = since
 	}
 	if !t.started {
 		t.started = true
@@ -160,14 +160,14 @@
 	if _, delivered := t.delivered[offset]; delivered {
 		return true
 	}
-	since, matters := t.startOf(topic)
-	return !matters || offset <= since && since != maxOffset
+	since, tracked := t.startOf(topic)
+	return !tracked || offset <= since && since != maxOffset
 }
 
 // prune removes the delivery times of verified records and the start times of waits that have ended.
 func (t *tracker) prune(now time.Time) {
 	for offset := range t.pendingSince {
-		if _, waits := t.pending[offset]; !waits {
+		if _, stillPending := t.pending[offset]; !stillPending {
 			delete(t.pendingSince, offset)
 		}
 	}
--- a/internal/gateway/verify.go
+++ b/internal/gateway/verify.go
@@ -17,17 +17,17 @@
 	highWatermarks partition.HighWatermarks,
 	effects *statemachine.Effects,
 ) {
-	for _, head := range highWatermarks.HighWatermarks {
-		if config.IsShared(head.Partition) {
-			g.handleTopicHighWatermarks(now, head)
+	for _, report := range highWatermarks.HighWatermarks {
+		if config.IsShared(report.Partition) {
+			g.handleTopicHighWatermarks(now, report)
 			continue
 		}
-		tracker, found := g.trackers[head.Partition]
-		if !found || head.Epoch < g.viewClient.Placements[head.Partition].Epoch {
+		tracker, found := g.trackers[report.Partition]
+		if !found || report.Epoch < g.viewClient.Placements[report.Partition].Epoch {
 			continue
 		}
-		tracker.highWatermark = max(tracker.highWatermark, head.Offset)
-		if tracker.started && head.Offset > tracker.verified {
+		tracker.highWatermark = max(tracker.highWatermark, report.Offset)
+		if tracker.started && report.Offset > tracker.verified {
 			tracker.verifyNeeded = true
 			g.timers.ArmSooner(timerVerify, now.Add(verifyInterval/2))
 		} else if tracker.started {
@@ -131,14 +131,14 @@
 		return
 	}
 	tracker.verifyNeeded = true
-	pause := verifyInterval
+	delay := verifyInterval
 	if len(tracker.pending) > 0 || outdated {
-		pause = gapTimeout
+		delay = gapTimeout
 	}
 	for _, record := range tracker.pending {
 		g.requestDependencies(tracker, record)
 	}
-	g.timers.ArmSooner(timerVerify, now.Add(pause))
+	g.timers.ArmSooner(timerVerify, now.Add(delay))
 }
 
 // addMissing adds fetched records to the pending records of a tracker.
@@ -174,22 +174,22 @@
 	g.highWatermarksRequestedAt = now
 	add := func(name string, from uint64) {
 		if address, _, found := g.leaderOf(name); found {
-			follow := byStore[address]
-			follow.Partitions, follow.KnownOffsets = append(follow.Partitions, name), append(follow.KnownOffsets, from)
-			byStore[address] = follow
+			request := byStore[address]
+			request.Partitions, request.KnownOffsets = append(request.Partitions, name), append(request.KnownOffsets, from)
+			byStore[address] = request
 		}
 	}
 	for name := range statemachine.Sorted(g.trackers) {
 		add(name, 0)
 	}
 	for name := range statemachine.Sorted(g.routed.topicCounts) {
-		if from, begun := g.routed.reportedUpTo[name]; begun {
+		if from, started := g.routed.reportedUpTo[name]; started {
 			g.routed.highWatermarkRoutes[name] = g.routeTo(name)
 			add(name, from)
 		}
 	}
-	for address, follow := range statemachine.Sorted(byStore) {
-		effects.Send(address, follow)
+	for address, request := range statemachine.Sorted(byStore) {
+		effects.Send(address, request)
 	}
 	if len(g.trackers)+len(g.routed.topicCounts) > 0 {
 		g.timers.Arm(timerHighWatermarks, now.Add(highWatermarkRenewal))
@@ -198,9 +198,9 @@
 
 // recentlyVerified reports whether all trackers of a space were verified within the verification window,
 // so that no record older than the dependency window can be missing.
-func (g *Gateway) recentlyVerified(now time.Time, full string) bool {
+func (g *Gateway) recentlyVerified(now time.Time, fullSpace string) bool {
 	for _, other := range g.trackers {
-		if other.spaceName == full && other.started && now.Sub(other.verifiedAt) > partition.VerificationWindow {
+		if other.spaceName == fullSpace && other.started && now.Sub(other.verifiedAt) > partition.VerificationWindow {
 			return false
 		}
 	}
