--- a/internal/gateway/topic_delivery.go
+++ b/internal/gateway/topic_delivery.go
@@ -281,8 +281,8 @@
 	}
 	reported := g.routed.reportedUpTo[report.Partition]
 	for _, each := range report.Topics {
-		topic, found := g.routed.topicsByHash[each.TopicHash]
-		if found && topic.durable && each.Offset > topic.deliveredUpTo {
+		if topic, found := g.routed.topicsByHash[each.TopicHash]; found &&
+			topic.durable && each.Offset > topic.deliveredUpTo {
 			g.requireUpTo(now, topic, each.Offset, highWatermarkGrace)
 		}
 	}
