--- a/internal/gateway/cursor.go
+++ b/internal/gateway/cursor.go
@@ -163,11 +163,11 @@
 // addSequences adds the newest sequence of each sender from whom the client recently received a message
 // in an ephemeral space.
 func (c *session) addSequences(now time.Time, result *cursor) {
-	for space, marks := range c.sequences {
+	for space, senders := range c.sequences {
 		newest := map[string]uint64{}
-		for sender, mark := range marks {
-			if now.Sub(mark.at) < sequenceRetention {
-				newest[sender] = mark.seq
+		for sender, sequence := range senders {
+			if now.Sub(sequence.at) < sequenceRetention {
+				newest[sender] = sequence.seq
 			}
 		}
 		if len(newest) > 0 {
--- a/internal/gateway/delivery.go
+++ b/internal/gateway/delivery.go
@@ -96,15 +96,15 @@
 // markSeen records the sequence of a message in an ephemeral space, and reports whether it is above all
 // sequences of the sender recorded before.
 func (c *session) markSeen(now time.Time, space, sender string, seq uint64) bool {
-	marks := c.sequences[space]
-	if marks == nil {
-		marks = map[string]senderSequence{}
-		c.sequences[space] = marks
+	senders := c.sequences[space]
+	if senders == nil {
+		senders = map[string]senderSequence{}
+		c.sequences[space] = senders
 	}
-	if marks[sender].seq >= seq {
+	if senders[sender].seq >= seq {
 		return false
 	}
-	marks[sender] = senderSequence{seq: seq, at: now}
+	senders[sender] = senderSequence{seq: seq, at: now}
 	return true
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -141,7 +141,7 @@
 	refreshWaiters []refreshWaiter
 	// lingering are the overlay subscriptions that are kept for a while although no session needs
 	// them any more.
-	lingering []lingered
+	lingering []lingeringSubscription
 	// stopping is set when a graceful shutdown begins and is never reset. stopUntil is the deadline of
 	// the shutdown.
 	stopping  bool
--- a/internal/gateway/subscription.go
+++ b/internal/gateway/subscription.go
@@ -78,8 +78,8 @@
 		answer(rejectedReply(429, "too-many-subscriptions", "a channel can have at most 256 subscriptions", 0))
 		return
 	}
-	for space, marks := range resumeFrom.Marks {
-		for sender, seq := range marks {
+	for space, sequences := range resumeFrom.Marks {
+		for sender, seq := range sequences {
 			session.markSeen(now, space, sender, seq)
 		}
 	}
@@ -274,15 +274,19 @@
 		// time don't leave the overlay at the same time.
 		g.rotation++
 		spread := time.Duration(g.rotation%lingerSpreadSeconds) * time.Second
-		g.lingering = append(g.lingering, lingered{space: state.name, area: area, until: now.Add(lingerDuration + spread)})
+		g.lingering = append(g.lingering, lingeringSubscription{
+			space: state.name,
+			area:  area,
+			until: now.Add(lingerDuration + spread),
+		})
 		return
 	}
 	g.overlay.Unsubscribe(now, state.name, area, effects)
 }
 
-// lingered is an overlay subscription that is kept for a while after the subscription of a session was
-// removed.
-type lingered struct {
+// lingeringSubscription is an overlay subscription that is kept for a while after the subscription of a
+// session was removed.
+type lingeringSubscription struct {
 	space string
 	area  overlay.Area
 	until time.Time
--- a/internal/gateway/topic_delivery.go
+++ b/internal/gateway/topic_delivery.go
@@ -182,9 +182,9 @@
 	if g.routed.topics[topic.name] != topic {
 		return
 	}
-	next, filling := g.tickSubscriptions(now, topic, effects)
+	next, catchingUp := g.tickSubscriptions(now, topic, effects)
 	if topic.durable {
-		next = statemachine.Earliest(next, g.tickDurable(now, topic, filling, effects))
+		next = statemachine.Earliest(next, g.tickDurable(now, topic, catchingUp, effects))
 	} else {
 		next = statemachine.Earliest(next, g.tickEphemeral(now, topic, effects))
 	}
@@ -200,7 +200,7 @@
 	now time.Time,
 	topic *topicState,
 	effects *statemachine.Effects,
-) (next time.Time, filling bool) {
+) (next time.Time, catchingUp bool) {
 	for _, subscription := range slices.Clone(topic.subscriptions) {
 		switch {
 		case !subscription.catchingUp:
@@ -209,7 +209,7 @@
 		case !subscription.deadline.After(now) && subscription.request.Request == 0:
 			// The subscription is confirmed, so its missed records are fetched without
 			// a deadline.
-			filling = true
+			catchingUp = true
 		case !subscription.deadline.After(now):
 			topic.reserve(now, subscription)
 			response := rejectedReply(
@@ -220,11 +220,11 @@
 			)
 			g.rejectTopicSubscription(now, subscription, response, effects)
 		default:
-			filling = filling || topic.durable
+			catchingUp = catchingUp || topic.durable
 			next = statemachine.Earliest(next, subscription.deadline)
 		}
 	}
-	return next, filling
+	return next, catchingUp
 }
 
 // tickEphemeral skips a gap in an ephemeral topic after ephemeralGapTimeout, and returns when the next
@@ -245,7 +245,7 @@
 func (g *Gateway) tickDurable(
 	now time.Time,
 	topic *topicState,
-	filling bool,
+	catchingUp bool,
 	effects *statemachine.Effects,
 ) (next time.Time) {
 	if topic.highestKnown <= topic.deliveredUpTo {
@@ -254,7 +254,7 @@
 	due := !topic.fetchAt.IsZero() && !topic.fetchAt.After(now)
 	switch {
 	case topic.fetch != nil || topic.queued:
-	case filling || due || topic.reserved(now):
+	case catchingUp || due || topic.reserved(now):
 		topic.fetchAt = time.Time{}
 		g.fetchTopic(now, topic, effects)
 	default:
