--- a/internal/gateway/fetch.go
+++ b/internal/gateway/fetch.go
@@ -391,9 +391,9 @@
 	// the sender are ordered by seq alone.
 	sequences := map[string][]uint64{}
 	for name, records := range operation.records {
-		_, fullSpace := spaceOf(name)
+		_, spaceName := spaceOf(name)
 		for _, record := range records {
-			sequences[fullSpace+" "+record.Sender] = append(sequences[fullSpace+" "+record.Sender], record.Seq)
+			sequences[spaceName+" "+record.Sender] = append(sequences[spaceName+" "+record.Sender], record.Seq)
 		}
 	}
 	for key := range sequences {
@@ -405,12 +405,12 @@
 		for name, records := range statemachine.Sorted(operation.records) {
 			for positions[name] < len(records) {
 				record := records[positions[name]]
-				_, fullSpace := spaceOf(name)
-				missing, blocked := operation.blockers(fullSpace, name, record, positions)
+				_, spaceName := spaceOf(name)
+				missing, blocked := operation.blockers(spaceName, name, record, positions)
 				if len(missing) > 0 {
 					incomplete = append(incomplete, missing...)
 				}
-				key := fullSpace + " " + record.Sender
+				key := spaceName + " " + record.Sender
 				if len(missing) > 0 || blocked || sequences[key][0] < record.Seq {
 					remaining = true
 					break
@@ -454,12 +454,12 @@
 // extended, since they responded before a dependency of the record was appended, and whether a fetched
 // record must be delivered before it.
 func (f *fetchOperation) blockers(
-	fullSpace, name string,
+	spaceName, name string,
 	record partition.Record,
 	positions map[string]int,
 ) (missing []string, blocked bool) {
 	for _, message := range record.Dependencies.Messages {
-		other := partitionName(fullSpace, int(message.Partition))
+		other := partitionName(spaceName, int(message.Partition))
 		fetch, fetched := f.partitions[other]
 		if !fetched || other == name || !partition.Matches(message.Topic, fetch.topics, fetch.prefixes) {
 			continue
@@ -472,7 +472,7 @@
 		}
 	}
 	for _, floor := range record.Dependencies.Floor {
-		other := partitionName(fullSpace, int(floor.Partition))
+		other := partitionName(spaceName, int(floor.Partition))
 		fetch, fetched := f.partitions[other]
 		if !fetched || other == name {
 			continue
--- a/internal/gateway/tracker.go
+++ b/internal/gateway/tracker.go
@@ -71,22 +71,22 @@
 	requestedAt time.Time
 }
 
-// spaceOf returns the space in the name of a partition, without and with its creation index.
-func spaceOf(name string) (space, fullSpace string) {
-	fullSpace, _, _ = strings.Cut(name, "/")
-	space, _, _ = strings.Cut(fullSpace, "~")
-	return space, fullSpace
+// spaceOf returns the space of a partition, without and with the index at which the space was created.
+func spaceOf(name string) (space, spaceName string) {
+	spaceName, _, _ = strings.Cut(name, "/")
+	space, _, _ = strings.Cut(spaceName, "~")
+	return space, spaceName
 }
 
 // trackerFor returns the tracker of a partition, and creates it if it doesn't exist yet.
 func (g *Gateway) trackerFor(now time.Time, name string) *tracker {
 	result, found := g.trackers[name]
 	if !found {
-		space, fullSpace := spaceOf(name)
+		space, spaceName := spaceOf(name)
 		result = &tracker{
 			name:         name,
 			space:        space,
-			spaceName:    fullSpace,
+			spaceName:    spaceName,
 			verifiedAt:   now,
 			interests:    map[Interest]*trackedInterest{},
 			delivered:    map[uint64]time.Time{},
--- a/internal/gateway/verify.go
+++ b/internal/gateway/verify.go
@@ -198,9 +198,9 @@
 
 // recentlyVerified reports whether all trackers of a space were verified within the verification window,
 // so that no record older than the dependency window can be missing.
-func (g *Gateway) recentlyVerified(now time.Time, fullSpace string) bool {
+func (g *Gateway) recentlyVerified(now time.Time, spaceName string) bool {
 	for _, other := range g.trackers {
-		if other.spaceName == fullSpace && other.started && now.Sub(other.verifiedAt) > partition.VerificationWindow {
+		if other.spaceName == spaceName && other.started && now.Sub(other.verifiedAt) > partition.VerificationWindow {
 			return false
 		}
 	}
