--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -45,9 +45,9 @@
 		Incarnation:        stored.Incarnation,
 		// A sixth of the time in which a version is to be in force is left for news
 		// on its way, and two fifths of the grace for what comes after the callers.
-		ConfirmedFor: current.Timeouts.Apply * 5 / 6,
-		StopWithin:   current.Timeouts.Grace * 3 / 5,
-		Acknowledge:  current.Timeouts.Acknowledge,
+		ConfirmedFor:       current.Timeouts.Apply * 5 / 6,
+		StopWithin:         current.Timeouts.Grace * 3 / 5,
+		AcknowledgeTimeout: current.Timeouts.Acknowledge,
 	})
 	built := daemon.Service{
 		Machine:          machine,
--- a/internal/gateway/admission_mutation_test.go
+++ b/internal/gateway/admission_mutation_test.go
@@ -12,7 +12,7 @@
 
 func TestAdmissionMutationAdmitsAll(t *testing.T) {
 	defer statemachine.Mutate("all-admitted")()
-	fixture := open(t)
-	fixture.gateway.SetLinkBytesPerSecond(thinLink)
+	fixture := newFixture(t)
+	fixture.gateway.SetLinkBytesPerSecond(slowLink)
 	assert.Equal(t, admitAll(t, fixture, 300), 300)
 }
--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -10,15 +10,19 @@
 	"dahlialock/internal/gateway"
 )
 
-// thinLink is the link rate of the smallest known machines, in bytes per second.
-const thinLink = 2_600_000 / 8
+// slowLink is the link rate of the smallest known machines, in bytes per second.
+const slowLink = 2_600_000 / 8
 
 // admitAll connects clients at the same time and returns how many are admitted. It checks that the
 // others are rejected at once as busy, with a retry delay.
-func admitAll(t *testing.T, fixture *fixture, callers int) (count int) {
+func admitAll(t *testing.T, fixture *fixture, clients int) (count int) {
 	t.Helper()
-	for number := range callers {
-		answer := outcome(t, fixture.greet(t, uint64(1000*int(fixture.request)+number), fmt.Sprint("u", fixture.request)))
+	for number := range clients {
+		answer := outcome(t, fixture.openSession(
+			t,
+			uint64(1000*int(fixture.request)+number),
+			fmt.Sprint("u", fixture.request),
+		))
 		if answer.Outcome == gateway.OutcomeAccepted {
 			count++
 			continue
@@ -30,15 +34,15 @@
 }
 
 func TestAdmissionFollowsLinkRate(t *testing.T) {
-	fixture := open(t)
-	fixture.gateway.SetLinkBytesPerSecond(thinLink)
+	fixture := newFixture(t)
+	fixture.gateway.SetLinkBytesPerSecond(slowLink)
 	first := admitAll(t, fixture, 300)
 	assert.Assert(t, first >= 16 && first <= 32, "%d", first)
-	fixture.pass(700 * time.Millisecond)
+	fixture.advance(700 * time.Millisecond)
 	assert.Equal(t, admitAll(t, fixture, 300), first, "unused admissions must accumulate only for the burst time")
 	sum := 0
 	for range 10 {
-		fixture.pass(100 * time.Millisecond)
+		fixture.advance(100 * time.Millisecond)
 		sum += admitAll(t, fixture, 300)
 	}
 	assert.Assert(t, sum >= 70 && sum <= 85, "%d in 1 s", sum)
@@ -46,7 +50,7 @@
 
 func TestAdmissionAdmitsAllOnFastLink(t *testing.T) {
 	for _, link := range []int{0, 1_800_000_000 / 8} {
-		fixture := open(t)
+		fixture := newFixture(t)
 		fixture.gateway.SetLinkBytesPerSecond(link)
 		assert.Equal(t, admitAll(t, fixture, 1500), 1500)
 	}
--- a/internal/gateway/append.go
+++ b/internal/gateway/append.go
@@ -12,13 +12,13 @@
 func (g *Gateway) publishDurable(
 	now time.Time,
 	state *spaceState,
-	from *sender,
+	senderState *sender,
 	item *publication,
 	effects *statemachine.Effects,
 ) {
 	// If the seq leaves a gap after the newest known one, the sender may have published through another
 	// gateway in between. Its dependencies are looked up again.
-	follows := from.lookedUp && item.request.Seq <= from.lastSeq+1
+	follows := senderState.lookedUp && item.request.Seq <= senderState.lastSeq+1
 	if !follows && !item.lookedUp && state.space.Partitions() > 1 {
 		item.lookedUp = true
 		g.lookUpSender(now, state, item, effects)
@@ -29,12 +29,12 @@
 	item.id = g.nextRequest
 	g.appends[item.id] = item
 	g.overlay.Publish(now, state.name, areaOf(state.space, item.request.Topic), nil, effects)
-	g.sendAppend(now, from, item, effects)
+	g.sendAppend(now, senderState, item, effects)
 }
 
 // sendAppend sends the append of a publication to the leader of its partition. Each send has a new
 // request number.
-func (g *Gateway) sendAppend(now time.Time, from *sender, item *publication, effects *statemachine.Effects) {
+func (g *Gateway) sendAppend(now time.Time, senderState *sender, item *publication, effects *statemachine.Effects) {
 	item.sentAt = now
 	g.timers.ArmSooner(timerDeadlines, now.Add(appendRetry))
 	address, store, found := g.leaderOf(item.partition)
@@ -42,9 +42,9 @@
 		g.viewClient.PollNow(now)
 		return
 	}
-	var before partition.Dependencies
+	var dependencies partition.Dependencies
 	if state, known := g.spaces[item.request.Space]; known && state.space.Partitions() > 1 {
-		before = from.currentDependencies(now)
+		dependencies = senderState.currentDependencies(now)
 	}
 	g.nextRequest++
 	send := g.nextRequest
@@ -66,8 +66,8 @@
 		Sender:        item.request.Sender,
 		Seq:           item.request.Seq,
 		Data:          item.request.Data,
-		Dependencies:  before,
-		DuplicateOnly: item.request.Seq <= from.lastSeq,
+		Dependencies:  dependencies,
+		DuplicateOnly: item.request.Seq <= senderState.lastSeq,
 	})
 }
 
@@ -112,9 +112,9 @@
 	response partition.AppendResponse,
 	effects *statemachine.Effects,
 ) {
-	if from, known := g.senders[item.key]; known {
-		from.lastSeq = max(from.lastSeq, item.request.Seq)
-		from.dependencies = append(from.dependencies, dependency{
+	if senderState, known := g.senders[item.key]; known {
+		senderState.lastSeq = max(senderState.lastSeq, item.request.Seq)
+		senderState.dependencies = append(senderState.dependencies, dependency{
 			position: partition.MessagePosition{
 				Partition: partition.NumberOf(response.Partition),
 				Offset:    response.Record.Offset,
@@ -178,18 +178,18 @@
 ) {
 	area := areaOf(state.space, record.Topic)
 	recordCopy := RecordCopy{Partition: name, Record: record}
-	spread := func(now time.Time, effects *statemachine.Effects, stable bool) {
+	fanOut := func(now time.Time, effects *statemachine.Effects, stable bool) {
 		destinations := g.overlay.Destinations(state.name, area)
 		g.sendToDestinations(now, item, destinations, stable, recordCopy, effects)
 	}
-	if _, topic := g.trackers[name]; topic {
+	if _, tracked := g.trackers[name]; tracked {
 		g.handleRecordCopy(now, recordCopy, effects)
 	}
 	if g.overlay.Joined(state.name, area) {
-		spread(now, effects, true)
+		fanOut(now, effects, true)
 		return
 	}
-	g.overlay.Publish(now, state.name, area, spread, effects)
+	g.overlay.Publish(now, state.name, area, fanOut, effects)
 }
 
 // sendToDestinations sends one copy to each destination gateway.
@@ -219,9 +219,9 @@
 func (g *Gateway) retryAppends(now time.Time, effects *statemachine.Effects) time.Time {
 	var next time.Time
 	for _, item := range statemachine.Sorted(g.appends) {
-		from, known := g.senders[item.key]
+		senderState, known := g.senders[item.key]
 		if known && item.deadline.After(now) && !item.sentAt.Add(appendRetry).After(now) {
-			g.sendAppend(now, from, item, effects)
+			g.sendAppend(now, senderState, item, effects)
 		}
 		if item.deadline.After(now) {
 			next = statemachine.Earliest(next, item.sentAt.Add(appendRetry), item.deadline)
--- a/internal/gateway/catchup_test.go
+++ b/internal/gateway/catchup_test.go
@@ -396,16 +396,16 @@
 	fixture := newTopicFixture(1)
 	topic := fixture.gateway.routed.topics["topic-0"]
 	fixture.gateway.SetLinkBytesPerSecond(lowLinkRate)
-	assert.Assert(t, fixture.gateway.admits(fixture.now))
+	assert.Assert(t, fixture.gateway.tryAdmit(fixture.now))
 	fetch := fixture.takeSentBatches()[0]
 	fixture.gateway.handleTopicsFetched(fixture.now, partition.FetchTopicsResponse{
 		RequestID:  fetch.RequestID,
 		Partitions: []partition.PartitionState{{Partition: topic.partition, Epoch: 1, HighWatermark: 9}},
 		Topics:     []partition.TopicRecords{{Until: 0, RemainingBytes: lowLinkRate + 1}},
 	}, &fixture.effects)
-	assert.Assert(t, !fixture.gateway.admits(fixture.now))
+	assert.Assert(t, !fixture.gateway.tryAdmit(fixture.now))
 	fixture.gateway.dropTopicSubscription(fixture.now, fixture.sessions[0], "topic-0", &fixture.effects)
-	assert.Assert(t, fixture.gateway.admits(fixture.now), "no subscription lacks the records any more")
+	assert.Assert(t, fixture.gateway.tryAdmit(fixture.now), "no subscription lacks the records any more")
 }
 
 const lowLinkRate = 100_000
@@ -435,9 +435,9 @@
 			Topics:     []partition.TopicRecords{{Until: 1, RemainingBytes: lowLinkRate + 1}},
 		}, &fixture.effects)
 		if _, held := gateway.sessions[9].routed["topic-0"]; held {
-			assert.Assert(t, !gateway.admits(fixture.now))
+			assert.Assert(t, !gateway.tryAdmit(fixture.now))
 			gateway.dropTopicSubscription(fixture.now, gateway.sessions[9], "topic-0", &fixture.effects)
 		}
 	}
-	assert.Assert(t, gateway.admits(fixture.now))
+	assert.Assert(t, gateway.tryAdmit(fixture.now))
 }
--- a/internal/gateway/draining.go
+++ b/internal/gateway/draining.go
@@ -9,10 +9,10 @@
 	"dahlialock/internal/statemachine"
 )
 
-// disconnectSome closes sessions of a gateway that has been unconfirmed for longer than any change
+// closeUnconfirmedSessions closes sessions of a gateway that has been unconfirmed for longer than any change
 // of the leader takes. Its agent has failed or its machine is isolated, and other gateways can serve
 // its clients. Half of the sessions, but at least minDisconnects, are closed each second.
-func (g *Gateway) disconnectSome(now time.Time, effects *statemachine.Effects) {
+func (g *Gateway) closeUnconfirmedSessions(now time.Time, effects *statemachine.Effects) {
 	if g.viewClient.Index == 0 || g.Confirmed(now) || now.Sub(g.viewClient.ConfirmedAt) < disconnectAfter {
 		return
 	}
@@ -26,8 +26,8 @@
 	}
 }
 
-// targets returns the gateways to which clients may be moved, in order of preference.
-func (g *Gateway) targets() []membership.Member {
+// moveTargets returns the gateways to which clients may be moved, in order of preference.
+func (g *Gateway) moveTargets() []membership.Member {
 	var members []membership.Member
 	for _, name := range g.viewClient.Directives.Targets {
 		if member, found := g.viewClient.Members[name]; found && member.Alive {
@@ -39,9 +39,9 @@
 	}
 	for phase := range 2 {
 		for name, member := range statemachine.Sorted(g.viewClient.Members) {
-			near := member.Zone == g.settings.Self.Zone
+			sameZone := member.Zone == g.settings.Self.Zone
 			if name != g.settings.Self.Name && member.Kind == membership.KindGateway && member.Alive && !member.Resting &&
-				!slices.Contains(g.config.Draining, name) && near == (phase == 0) {
+				!slices.Contains(g.config.Draining, name) && sameZone == (phase == 0) {
 				members = append(members, member)
 			}
 		}
@@ -52,8 +52,8 @@
 	return members
 }
 
-// movesNow returns how many clients to move in this step; a value of zero or less means none.
-func (g *Gateway) movesNow() int {
+// sessionsToMove returns how many clients to move in this step; a value of zero or less means none.
+func (g *Gateway) sessionsToMove() int {
 	directives := g.viewClient.Directives
 	if !directives.Drain && directives.KeepSessions == 0 && !g.stopping {
 		return 0
@@ -69,13 +69,13 @@
 	return count
 }
 
-// moveSome asks the next clients to move to other gateways, and schedules the next step.
-func (g *Gateway) moveSome(now time.Time, effects *statemachine.Effects) {
-	count := g.movesNow()
+// moveNextSessions asks the next clients to move to other gateways, and schedules the next step.
+func (g *Gateway) moveNextSessions(now time.Time, effects *statemachine.Effects) {
+	count := g.sessionsToMove()
 	if count <= 0 {
 		return
 	}
-	targets := g.targets()
+	targets := g.moveTargets()
 	if len(targets) == 0 {
 		g.timers.Arm(timerMove, now.Add(5*moveInterval))
 		return
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -70,8 +70,8 @@
 	// limit, which also applies if the value is 0.
 	ConfirmedFor time.Duration
 	StopWithin   time.Duration
-	// Acknowledge is the time within which a well-formed control request must be acknowledged.
-	Acknowledge time.Duration
+	// AcknowledgeTimeout is the time within which a well-formed control request must be acknowledged.
+	AcknowledgeTimeout time.Duration
 	// LinkBytesPerSecond is the rate of the machine's link in bytes per second, 0 if unknown.
 	LinkBytesPerSecond int
 	// ProcessorTime returns the processor time that the process has used so far; it may be nil.
@@ -136,7 +136,7 @@
 	newerVersion uint64
 	// deferred are the copies that arrived while the gateway was unconfirmed, in order of arrival; at
 	// most maxPendingRecords.
-	deferred []deferred
+	deferred []deferredMessage
 	// refreshWaiters are the requests that wait for the refresh in progress.
 	refreshWaiters []refreshWaiter
 	// lingering are the overlay subscriptions that are kept for a while although no session needs
@@ -209,7 +209,7 @@
 	}
 	gateway.controlClient = controlclient.New(controlclient.Settings{
 		Incarnation:        settings.Incarnation,
-		AcknowledgeTimeout: settings.Acknowledge,
+		AcknowledgeTimeout: settings.AcknowledgeTimeout,
 		Upstream:           upstream,
 		NextController:     gateway.viewClient.NextController,
 		Relays:             gateway.viewClient.Relays,
@@ -218,11 +218,11 @@
 }
 
 // bounded returns the smaller of the two durations, or the second one if the first is not positive.
-func bounded(span, longest time.Duration) time.Duration {
-	if span <= 0 {
-		return longest
+func bounded(duration, limit time.Duration) time.Duration {
+	if duration <= 0 {
+		return limit
 	}
-	return min(span, longest)
+	return min(duration, limit)
 }
 
 // ConfigurationVersion returns the version of the configuration in force.
@@ -282,7 +282,7 @@
 		case timerTick:
 			g.tick(now, effects)
 		case timerMove:
-			g.moveSome(now, effects)
+			g.moveNextSessions(now, effects)
 		case timerRefresh:
 			g.completeRefresh(now, effects)
 		case timerDeadlines:
@@ -367,7 +367,7 @@
 	case RecordCopy, EphemeralCopy, RoutedCopy:
 		if !g.Confirmed(now) {
 			if len(g.deferred) < maxPendingRecords {
-				g.deferred = append(g.deferred, deferred{meta: meta, message: message})
+				g.deferred = append(g.deferred, deferredMessage{meta: meta, message: message})
 			}
 			return
 		}
@@ -462,7 +462,7 @@
 		g.checkSession(now, id, session, effects)
 	}
 	g.endLingering(now, effects)
-	g.disconnectSome(now, effects)
+	g.closeUnconfirmedSessions(now, effects)
 	for key, sender := range g.senders {
 		if len(sender.queue) == 0 && now.Sub(sender.lastUse) > senderIdleTimeout {
 			delete(g.senders, key)
--- a/internal/gateway/identity_mutation_test.go
+++ b/internal/gateway/identity_mutation_test.go
@@ -15,13 +15,13 @@
 // twice.
 func TestResponseMutationAcceptsAny(t *testing.T) {
 	restore := statemachine.Mutate("lives-alike")
-	response := lateAppend()
+	response := responsesToStaleAppend()
 	assert.Equal(t, len(response), 1)
 	assert.Equal(t, response[0].Value.(Reply).Outcome, OutcomeAccepted)
-	assert.Assert(t, lateFetch())
+	assert.Assert(t, staleResponseEndsFetch())
 	restore()
 	restore = statemachine.Mutate("any-answer")
-	assert.Assert(t, doubledLookup())
-	assert.Equal(t, doubledPage(), 15)
+	assert.Assert(t, duplicateCompletesLookup())
+	assert.Equal(t, recordsAfterDuplicates(), 15)
 	restore()
 }
--- a/internal/gateway/identity_test.go
+++ b/internal/gateway/identity_test.go
@@ -14,18 +14,18 @@
 
 const (
 	earlierIncarnation statemachine.Incarnation = 0x5851_f42d_4c95_7f2d
-	presentIncarnation statemachine.Incarnation = 0x1405_7b7e_f767_814f
+	currentIncarnation statemachine.Incarnation = 0x1405_7b7e_f767_814f
 )
 
-// asker is a gateway with one space and one pending publication, item.
-type asker struct {
-	gateway *Gateway
-	item    *publication
+// requester is a gateway with one space and one pending publication.
+type requester struct {
+	gateway     *Gateway
+	publication *publication
 }
 
-// newAsker returns a gateway with the given incarnation and one store per partition. The response of a
+// newRequester returns a gateway with the given incarnation and one store per partition. The response of a
 // store to an earlier incarnation must not be accepted by the current one.
-func newAsker(incarnation statemachine.Incarnation, now time.Time, partitions ...string) *asker {
+func newRequester(incarnation statemachine.Incarnation, now time.Time, partitions ...string) *requester {
 	gateway := New(Settings{
 		Self:        membership.Member{Name: "gateway-1", Kind: membership.KindGateway, Address: "a:1"},
 		Agent:       "a:2",
@@ -54,28 +54,28 @@
 	}
 	gateway.senders[item.key] = &sender{recent: map[uint64]acceptedEphemeral{}, queue: []*publication{item}}
 	gateway.appends[item.id] = item
-	return &asker{gateway: gateway, item: item}
+	return &requester{gateway: gateway, publication: item}
 }
 
-// ask runs a step of the gateway and returns the messages that it sends.
-func (a *asker) ask(run func(effects *statemachine.Effects)) []statemachine.Send {
+// sendsOf runs a step of the gateway and returns the messages that it sends.
+func (r *requester) sendsOf(run func(effects *statemachine.Effects)) []statemachine.Send {
 	var effects statemachine.Effects
 	run(&effects)
 	return effects.Sends
 }
 
-func (a *asker) append(now time.Time) partition.Append {
-	return a.ask(func(effects *statemachine.Effects) {
-		a.gateway.sendAppend(now, a.gateway.senders[a.item.key], a.item, effects)
+func (r *requester) sendAppend(now time.Time) partition.Append {
+	return r.sendsOf(func(effects *statemachine.Effects) {
+		r.gateway.sendAppend(now, r.gateway.senders[r.publication.key], r.publication, effects)
 	})[0].Message.(partition.Append)
 }
 
-func (a *asker) fetch(now time.Time) partition.FetchTopics {
-	topic := &topicState{name: "t", partition: a.item.partition, durable: true}
+func (r *requester) sendFetch(now time.Time) partition.FetchTopics {
+	topic := &topicState{name: "t", partition: r.publication.partition, durable: true}
 	topic.subscriptions = []*topicSubscription{{topic: topic, catchingUp: true}}
-	a.gateway.routed.topics[topic.name] = topic
-	return a.ask(func(effects *statemachine.Effects) {
-		a.gateway.fetchTopic(
+	r.gateway.routed.topics[topic.name] = topic
+	return r.sendsOf(func(effects *statemachine.Effects) {
+		r.gateway.fetchTopic(
 			now,
 			topic,
 			effects,
@@ -83,27 +83,27 @@
 	})[0].Message.(partition.FetchTopics)
 }
 
-func (a *asker) recall(now time.Time) []statemachine.Send {
-	return a.ask(func(effects *statemachine.Effects) {
-		a.gateway.lookUpSender(now, a.gateway.spaces["boards"], a.item, effects)
+func (r *requester) lookUpSender(now time.Time) []statemachine.Send {
+	return r.sendsOf(func(effects *statemachine.Effects) {
+		r.gateway.lookUpSender(now, r.gateway.spaces["boards"], r.publication, effects)
 	})
 }
 
-// take passes a store's response to the gateway and returns the responses to clients.
-func (a *asker) take(now time.Time, answer any) []statemachine.Response {
+// handleResponse passes a store's response to the gateway and returns the responses to clients.
+func (r *requester) handleResponse(now time.Time, answer any) []statemachine.Response {
 	var effects statemachine.Effects
-	a.gateway.dispatch(now, statemachine.Meta{From: "k"}, answer, &effects)
+	r.gateway.dispatch(now, statemachine.Meta{From: "k"}, answer, &effects)
 	return effects.Responses
 }
 
-// lateAppend passes the response to an append of the earlier incarnation to the current one, and
+// responsesToStaleAppend passes the response to an append of the earlier incarnation to the current one, and
 // returns the responses to clients.
-func lateAppend() []statemachine.Response {
+func responsesToStaleAppend() []statemachine.Response {
 	now := time.Unix(1000, 0)
-	earlier := newAsker(earlierIncarnation, now, "boards~1/0").append(now)
-	present := newAsker(presentIncarnation, now, "boards~1/0")
-	present.append(now.Add(time.Second))
-	return present.take(now.Add(1100*time.Millisecond), partition.AppendResponse{
+	earlier := newRequester(earlierIncarnation, now, "boards~1/0").sendAppend(now)
+	current := newRequester(currentIncarnation, now, "boards~1/0")
+	current.sendAppend(now.Add(time.Second))
+	return current.handleResponse(now.Add(1100*time.Millisecond), partition.AppendResponse{
 		Partition: earlier.Partition,
 		RequestID: earlier.RequestID,
 		Outcome:   partition.OutcomeAccepted,
@@ -112,57 +112,57 @@
 	})
 }
 
-// lateFetch reports whether a response to a fetch of the earlier incarnation ends a fetch of the
+// staleResponseEndsFetch reports whether a response to a fetch of the earlier incarnation ends a fetch of the
 // current one.
-func lateFetch() bool {
+func staleResponseEndsFetch() bool {
 	now := time.Unix(1000, 0)
-	earlier := newAsker(earlierIncarnation, now, "boards~1/0").fetch(now)
-	present := newAsker(presentIncarnation, now, "boards~1/0")
-	fetch := present.fetch(now.Add(time.Second))
-	present.take(now.Add(1100*time.Millisecond), partition.FetchTopicsResponse{
+	earlier := newRequester(earlierIncarnation, now, "boards~1/0").sendFetch(now)
+	current := newRequester(currentIncarnation, now, "boards~1/0")
+	fetch := current.sendFetch(now.Add(time.Second))
+	current.handleResponse(now.Add(1100*time.Millisecond), partition.FetchTopicsResponse{
 		RequestID: earlier.RequestID, Topics: []partition.TopicRecords{{Until: 5}},
 		Partitions: []partition.PartitionState{{Partition: "boards~1/0", Epoch: 1, HighWatermark: 5}},
 	})
-	_, waits := present.gateway.routed.batches[fetch.RequestID]
+	_, waits := current.gateway.routed.batches[fetch.RequestID]
 	return !waits
 }
 
 func TestResponseToEarlierIncarnationIsIgnored(t *testing.T) {
-	assert.Equal(t, len(lateAppend()), 0)
-	assert.Assert(t, !lateFetch())
+	assert.Equal(t, len(responsesToStaleAppend()), 0)
+	assert.Assert(t, !staleResponseEndsFetch())
 }
 
-// doubledLookup reports whether a sender lookup of two stores completes although only one of them has
+// duplicateCompletesLookup reports whether a sender lookup of two stores completes although only one of them has
 // responded, twice.
-func doubledLookup() bool {
+func duplicateCompletesLookup() bool {
 	now := time.Unix(1000, 0)
-	asker := newAsker(presentIncarnation, now, partitionName("boards~1", 0), partitionName("boards~1", 1))
-	asker.gateway.spaces["boards"].space.Order = config.OrderSender
-	for number := 2; number < asker.gateway.spaces["boards"].space.Partitions(); number++ {
-		asker.gateway.viewClient.Placements[partitionName("boards~1", number)] = membership.Placement{Leader: "k", Epoch: 1}
+	current := newRequester(currentIncarnation, now, partitionName("boards~1", 0), partitionName("boards~1", 1))
+	current.gateway.spaces["boards"].space.Order = config.OrderSender
+	for number := 2; number < current.gateway.spaces["boards"].space.Partitions(); number++ {
+		current.gateway.viewClient.Placements[partitionName("boards~1", number)] = membership.Placement{Leader: "k", Epoch: 1}
 	}
-	sends := asker.recall(now)
+	sends := current.lookUpSender(now)
 	for range len(sends) {
-		asker.take(now, partition.SenderStateResponse{
+		current.handleResponse(now, partition.SenderStateResponse{
 			RequestID: sends[0].Message.(partition.SenderStateRequest).RequestID,
 			Ready:     true,
 		})
 	}
-	return asker.gateway.senders[asker.item.key].lookedUp
+	return current.gateway.senders[current.publication.key].lookedUp
 }
 
-// doubledPage returns how many records a fetch has after each of its two parts of 5 records was
+// recordsAfterDuplicates returns how many records a fetch has after each of its two parts of 5 records was
 // received twice.
-func doubledPage() int {
+func recordsAfterDuplicates() int {
 	now := time.Unix(1000, 0)
-	asker := newAsker(presentIncarnation, now, "boards~1/0")
+	current := newRequester(currentIncarnation, now, "boards~1/0")
 	operation := &fetchOperation{
 		session:    5,
 		partitions: map[string]*partitionFetch{"boards~1/0": {}},
 		records:    map[string][]partition.Record{},
 		deadline:   now.Add(time.Second),
 	}
-	asker.gateway.fetches[3] = operation
+	current.gateway.fetches[3] = operation
 	page := func(from, until uint64) partition.FetchResponse {
 		answer := partition.FetchResponse{
 			Partition:     "boards~1/0",
@@ -178,15 +178,15 @@
 		return answer
 	}
 	for _, answer := range []partition.FetchResponse{page(1, 5), page(1, 5), page(6, 10), page(6, 10)} {
-		asker.take(now, answer)
+		current.handleResponse(now, answer)
 	}
 	return len(operation.records["boards~1/0"])
 }
 
 func TestFetchIgnoresDuplicateResponse(t *testing.T) {
-	assert.Equal(t, doubledPage(), 10)
+	assert.Equal(t, recordsAfterDuplicates(), 10)
 }
 
 func TestSenderLookupCountsEachStoreOnce(t *testing.T) {
-	assert.Assert(t, !doubledLookup())
+	assert.Assert(t, !duplicateCompletesLookup())
 }
--- a/internal/gateway/opening_test.go
+++ b/internal/gateway/opening_test.go
@@ -11,8 +11,8 @@
 	"dahlialock/internal/statemachine"
 )
 
-// begun returns a started gateway that has not received a view update yet.
-func begun() *fixture {
+// newStartedFixture returns a started gateway that has not received a view update yet.
+func newStartedFixture() *fixture {
 	fixture := &fixture{now: time.Unix(1000, 0), gateway: gateway.New(gateway.Settings{
 		Self: membership.Member{
 			Name:          "gateway-1",
@@ -30,24 +30,24 @@
 }
 
 func TestOpenSessionWaitsForFirstViewUpdate(t *testing.T) {
-	fixture := begun()
-	assert.Equal(t, len(fixture.greet(t, 1, "u1").Responses), 0)
-	fixture.pass(300 * time.Millisecond)
+	fixture := newStartedFixture()
+	assert.Equal(t, len(fixture.openSession(t, 1, "u1").Responses), 0)
+	fixture.advance(300 * time.Millisecond)
 	assert.Equal(t, fixture.gateway.ConfigurationVersion(), uint64(1))
-	assert.Equal(t, outcome(t, fixture.heard).Outcome, gateway.OutcomeAccepted)
+	assert.Equal(t, outcome(t, fixture.updateEffects).Outcome, gateway.OutcomeAccepted)
 }
 
 func TestOpenSessionRejectedAfterRefreshTimeout(t *testing.T) {
-	fixture := begun()
+	fixture := newStartedFixture()
 	// The agent never responds.
-	assert.Equal(t, len(fixture.greet(t, 1, "u1").Responses), 0)
-	var refused statemachine.Effects
+	assert.Equal(t, len(fixture.openSession(t, 1, "u1").Responses), 0)
+	var effects statemachine.Effects
 	from := fixture.now
-	for len(refused.Responses) == 0 && fixture.now.Sub(from) < 5*time.Second {
+	for len(effects.Responses) == 0 && fixture.now.Sub(from) < 5*time.Second {
 		fixture.now = fixture.gateway.NextTick()
-		fixture.gateway.Tick(fixture.now, &refused)
+		fixture.gateway.Tick(fixture.now, &effects)
 	}
-	answer := outcome(t, refused)
+	answer := outcome(t, effects)
 	assert.Equal(t, answer.Outcome, gateway.OutcomeRejected)
 	assert.Assert(t, answer.RetryAfter > 0)
 	assert.Assert(t, fixture.now.Sub(from) <= 600*time.Millisecond, "after %s", fixture.now.Sub(from))
@@ -73,7 +73,7 @@
 		})}
 		var effects statemachine.Effects
 		fixture.gateway.Start(fixture.now, &effects)
-		fixture.pass(time.Millisecond)
+		fixture.advance(time.Millisecond)
 		from := fixture.gateway.ViewClient().ConfirmedAt
 		assert.Assert(t, fixture.gateway.Confirmed(from.Add(min(wanted, 1900*time.Millisecond))), "%s", given)
 		assert.Assert(t, !fixture.gateway.Confirmed(from.Add(wanted+time.Millisecond)), "%s", given)
--- a/internal/gateway/publish.go
+++ b/internal/gateway/publish.go
@@ -84,14 +84,14 @@
 	if !g.authorize(now, policyRequest, request.RequestName, retry, answer) {
 		return
 	}
-	from, found := g.senders[item.key]
+	senderState, found := g.senders[item.key]
 	if !found {
-		from = &sender{recent: map[uint64]acceptedEphemeral{}, arrived: now}
-		g.senders[item.key] = from
+		senderState = &sender{recent: map[uint64]acceptedEphemeral{}, arrived: now}
+		g.senders[item.key] = senderState
 	}
-	from.lastUse = now
-	if from.blocked > 0 && request.Seq > from.blocked {
-		if now.Sub(from.blockedAt) < blockDuration {
+	senderState.lastUse = now
+	if senderState.blocked > 0 && request.Seq > senderState.blocked {
+		if now.Sub(senderState.blockedAt) < blockDuration {
 			answer(rejectedReply(
 				503,
 				"earlier-refused",
@@ -100,19 +100,19 @@
 			))
 			return
 		}
-		from.blocked = 0
+		senderState.blocked = 0
 	}
-	if len(from.queue) >= maxSenderQueue {
+	if len(senderState.queue) >= maxSenderQueue {
 		answer(rejectedReply(429, "queue-full", "too many publications of this sender are queued", retryLongDelay))
 		return
 	}
 	g.ring.Record(now, request.RequestName, g.messageNameOf(policyRequest), request.Client, "judged",
-		"topic", request.Topic, "version", g.viewClient.Version, "queued", len(from.queue))
+		"topic", request.Topic, "version", g.viewClient.Version, "queued", len(senderState.queue))
 	item.deadline = now.Add(min(requestTimeout, g.spaces[request.Space].space.ResponseTimeout*7/10))
-	from.queue = append(from.queue, item)
+	senderState.queue = append(senderState.queue, item)
 	g.timers.ArmSooner(timerDeadlines, item.deadline)
-	if len(from.queue) == 1 {
-		g.startNextPublication(now, from, effects)
+	if len(senderState.queue) == 1 {
+		g.startNextPublication(now, senderState, effects)
 	}
 }
 
@@ -141,20 +141,20 @@
 }
 
 // startNextPublication starts the publication at the front of a sender's queue.
-func (g *Gateway) startNextPublication(now time.Time, from *sender, effects *statemachine.Effects) {
-	for len(from.queue) > 0 {
-		item := from.queue[0]
+func (g *Gateway) startNextPublication(now time.Time, senderState *sender, effects *statemachine.Effects) {
+	for len(senderState.queue) > 0 {
+		item := senderState.queue[0]
 		state, found := g.spaces[item.request.Space]
 		if !found {
-			from.queue = from.queue[1:]
+			senderState.queue = senderState.queue[1:]
 			g.answerPublication(now, item, rejectedReply(404, "no-such-space", "the space was removed", 0), effects)
 			continue
 		}
 		if state.space.Retention == config.Durable {
-			g.publishDurable(now, state, from, item, effects)
+			g.publishDurable(now, state, senderState, item, effects)
 			return
 		}
-		g.publishEphemeral(now, state, from, item, effects)
+		g.publishEphemeral(now, state, senderState, item, effects)
 		return
 	}
 }
@@ -168,23 +168,23 @@
 		delete(g.sends, send)
 	}
 	g.answerPublication(now, item, answer, effects)
-	from, found := g.senders[item.key]
-	if !found || len(from.queue) == 0 || from.queue[0] != item {
+	senderState, found := g.senders[item.key]
+	if !found || len(senderState.queue) == 0 || senderState.queue[0] != item {
 		return
 	}
-	from.queue = from.queue[1:]
+	senderState.queue = senderState.queue[1:]
 	if answer.Outcome == OutcomeAccepted {
-		if item.request.Seq >= from.blocked {
-			from.blocked = 0
+		if item.request.Seq >= senderState.blocked {
+			senderState.blocked = 0
 		}
-		g.startNextPublication(now, from, effects)
+		g.startNextPublication(now, senderState, effects)
 		return
 	}
 	if answer.RetryAfter > 0 {
-		from.blocked, from.blockedAt = item.request.Seq, now
-		waiting := from.queue
-		from.queue = nil
-		for _, behind := range waiting {
+		senderState.blocked, senderState.blockedAt = item.request.Seq, now
+		queued := senderState.queue
+		senderState.queue = nil
+		for _, behind := range queued {
 			g.answerPublication(
 				now,
 				behind,
@@ -194,7 +194,7 @@
 		}
 		return
 	}
-	g.startNextPublication(now, from, effects)
+	g.startNextPublication(now, senderState, effects)
 }
 
 // partitionOf returns the partition of a topic.
@@ -249,13 +249,13 @@
 // and returns the next deadline of the others.
 func (g *Gateway) endOverduePublications(now time.Time, effects *statemachine.Effects) time.Time {
 	var next time.Time
-	for _, from := range g.sortedSenders() {
-		for len(from.queue) > 0 && !from.queue[0].deadline.After(now) {
-			item := from.queue[0]
+	for _, senderState := range g.sortedSenders() {
+		for len(senderState.queue) > 0 && !senderState.queue[0].deadline.After(now) {
+			item := senderState.queue[0]
 			g.finishPublication(now, item, overdueReply(item), effects)
 		}
-		if len(from.queue) > 0 {
-			next = statemachine.Earliest(next, from.queue[0].deadline)
+		if len(senderState.queue) > 0 {
+			next = statemachine.Earliest(next, senderState.queue[0].deadline)
 		}
 	}
 	return next
--- a/internal/gateway/refresh.go
+++ b/internal/gateway/refresh.go
@@ -8,8 +8,8 @@
 
 // refreshWaiter is a request that waits for a newer configuration.
 type refreshWaiter struct {
-	until time.Time
-	then  func(now time.Time, effects *statemachine.Effects)
+	deadline time.Time
+	then     func(now time.Time, effects *statemachine.Effects)
 }
 
 // refreshThen refreshes the control state and then calls the given function, at the latest after
@@ -20,7 +20,7 @@
 		g.viewClient.PollNow(now)
 	}
 	until := now.Add(refreshTimeout)
-	g.refreshWaiters = append(g.refreshWaiters, refreshWaiter{until: until, then: then})
+	g.refreshWaiters = append(g.refreshWaiters, refreshWaiter{deadline: until, then: then})
 	g.timers.ArmSooner(timerRefresh, until)
 }
 
--- a/internal/gateway/route.go
+++ b/internal/gateway/route.go
@@ -33,9 +33,9 @@
 }
 
 // mustResend reports whether a request that was sent by this route must be sent again by the current
-// route, which is passed as present.
-func (r route) mustResend(present route) bool {
-	return present != (route{}) && r != present || statemachine.Mutated("all-sent-again-at-news")
+// route.
+func (r route) mustResend(current route) bool {
+	return current != (route{}) && r != current || statemachine.Mutated("all-sent-again-at-news")
 }
 
 // mustFollowAgain reports whether the gateway must subscribe to high watermarks again. It must if the
@@ -77,8 +77,8 @@
 // schedules a new subscription to high watermarks if one is needed.
 func (g *Gateway) handlePlacementsChanged(now time.Time, effects *statemachine.Effects) {
 	for _, item := range statemachine.Sorted(g.appends) {
-		if from, known := g.senders[item.key]; known && now.Sub(item.sentAt) > 50*time.Millisecond {
-			g.sendAppend(now, from, item, effects)
+		if senderState, known := g.senders[item.key]; known && now.Sub(item.sentAt) > 50*time.Millisecond {
+			g.sendAppend(now, senderState, item, effects)
 		}
 	}
 	g.resendRouted(now, effects)
--- a/internal/gateway/route_mutation_test.go
+++ b/internal/gateway/route_mutation_test.go
@@ -13,6 +13,6 @@
 // If the route of a request is ignored, each view update sends all unanswered requests again.
 func TestRouteMutationResendsAll(t *testing.T) {
 	defer statemachine.Mutate("all-sent-again-at-news")()
-	unrelatedUpdate, _ := sentAgain()
+	unrelatedUpdate, _ := resentMessages()
 	assert.Assert(t, unrelatedUpdate > 0)
 }
--- a/internal/gateway/route_test.go
+++ b/internal/gateway/route_test.go
@@ -11,10 +11,10 @@
 	"dahlialock/internal/statemachine"
 )
 
-// sentAgain returns how many messages a gateway with an unanswered fetch sends after an unrelated view
+// resentMessages returns how many messages a gateway with an unanswered fetch sends after an unrelated view
 // update, and after an update with another epoch of the partition. After a power loss of the complete
 // fleet, view updates arrive continuously.
-func sentAgain() (unrelatedUpdate, otherEpoch int) {
+func resentMessages() (unrelatedUpdate, otherEpoch int) {
 	now := time.Unix(1000, 0)
 	gateway := New(Settings{
 		Self:  membership.Member{Name: "gateway-1", Kind: membership.KindGateway, Address: "a:1"},
@@ -65,7 +65,7 @@
 }
 
 func TestRouteUnrelatedViewUpdateResendsNothing(t *testing.T) {
-	unrelatedUpdate, otherEpoch := sentAgain()
+	unrelatedUpdate, otherEpoch := resentMessages()
 	assert.Equal(t, unrelatedUpdate, 0)
 	assert.Equal(t, otherEpoch, 1)
 }
--- a/internal/gateway/sender.go
+++ b/internal/gateway/sender.go
@@ -78,10 +78,10 @@
 // senderLookup is a pending request to the stores of a space for the newest messages of a sender.
 type senderLookup struct {
 	key senderKey
-	// waiting is how many stores have not responded. answered has an entry for each store that the
+	// outstanding is how many stores have not responded. responded has an entry for each store that the
 	// request was sent to, which is true once the store has responded.
-	waiting  int
-	answered map[string]bool
+	outstanding int
+	responded   map[string]bool
 	// ready is set as long as all responses came from stores that are the leaders of their partitions.
 	ready bool
 	// lastSeq and recent are the combined results of the responses.
@@ -111,15 +111,15 @@
 	}
 	g.nextRequest++
 	lookup := &senderLookup{
-		key:      item.key,
-		waiting:  len(byStore),
-		answered: map[string]bool{},
-		ready:    true,
-		deadline: item.deadline,
+		key:         item.key,
+		outstanding: len(byStore),
+		responded:   map[string]bool{},
+		ready:       true,
+		deadline:    item.deadline,
 	}
 	g.senderLookups[g.nextRequest] = lookup
 	for address, names := range statemachine.Sorted(byStore) {
-		lookup.answered[address] = false
+		lookup.responded[address] = false
 		effects.Send(address, partition.SenderStateRequest{
 			RequestID:  g.nextRequest,
 			Partitions: names,
@@ -140,58 +140,58 @@
 	if !found {
 		return
 	}
-	if answered, requested := lookup.answered[store]; (!requested || answered) && !statemachine.Mutated("any-answer") {
+	if responded, requested := lookup.responded[store]; (!requested || responded) && !statemachine.Mutated("any-answer") {
 		return
 	}
-	lookup.answered[store] = true
-	lookup.waiting--
+	lookup.responded[store] = true
+	lookup.outstanding--
 	lookup.ready = lookup.ready && response.Ready
 	lookup.lastSeq = max(lookup.lastSeq, response.LastSeq)
 	lookup.recent = append(lookup.recent, response.RecentMessages...)
-	if lookup.waiting > 0 {
+	if lookup.outstanding > 0 {
 		return
 	}
 	delete(g.senderLookups, response.RequestID)
-	from, known := g.senders[lookup.key]
-	if !known || len(from.queue) == 0 {
+	senderState, known := g.senders[lookup.key]
+	if !known || len(senderState.queue) == 0 {
 		return
 	}
 	if !lookup.ready {
 		g.viewClient.PollNow(now)
 		g.finishPublication(
 			now,
-			from.queue[0],
+			senderState.queue[0],
 			rejectedReply(503, "partition-moving", "a partition of the space is being taken over", retryLongDelay),
 			effects,
 		)
 		return
 	}
-	from.lookedUp, from.lastSeq, from.dependencies = true, lookup.lastSeq, nil
+	senderState.lookedUp, senderState.lastSeq, senderState.dependencies = true, lookup.lastSeq, nil
 	slices.SortFunc(
 		lookup.recent,
 		func(left, right partition.RecentMessage) int { return cmp.Compare(left.Seq, right.Seq) },
 	)
 	for _, each := range lookup.recent {
-		from.dependencies = append(from.dependencies, dependency{
+		senderState.dependencies = append(senderState.dependencies, dependency{
 			position: each.Position,
 			seq:      each.Seq,
 			at:       now.Add(-each.Age / 2),
 		})
 	}
-	g.startNextPublication(now, from, effects)
+	g.startNextPublication(now, senderState, effects)
 }
 
 // sortedSenders iterates over the senders with queued publications, sorted by space and name.
 func (g *Gateway) sortedSenders() func(yield func(senderKey, *sender) bool) {
 	return func(yield func(senderKey, *sender) bool) {
 		byName := map[string]senderKey{}
-		for key, from := range g.senders {
-			if len(from.queue) > 0 {
+		for key, senderState := range g.senders {
+			if len(senderState.queue) > 0 {
 				byName[key.space+" "+key.sender] = key
 			}
 		}
 		for _, key := range statemachine.Sorted(byName) {
-			if from, found := g.senders[key]; found && !yield(key, from) {
+			if senderState, found := g.senders[key]; found && !yield(key, senderState) {
 				return
 			}
 		}
--- a/internal/gateway/session.go
+++ b/internal/gateway/session.go
@@ -128,7 +128,7 @@
 // admitSession opens a session, rejects it, or redirects its client to another gateway.
 func (g *Gateway) admitSession(now time.Time, request OpenSession, effects *statemachine.Effects) {
 	if request.AdapterPings && g.draining() && g.Confirmed(now) {
-		if targets := g.targets(); len(targets) > 0 {
+		if targets := g.moveTargets(); len(targets) > 0 {
 			g.redirectClient(now, request, targets, effects)
 			return
 		}
@@ -143,7 +143,7 @@
 			rejectedReply(503, "unconfirmed", "this daemon can't confirm its configuration", retryLongDelay),
 		)
 		return
-	case request.AdapterPings && !g.admits(now):
+	case request.AdapterPings && !g.tryAdmit(now):
 		effects.Respond(
 			request.Request,
 			rejectedReply(503, "busy", "this daemon's link can't serve more clients at the moment", retryShortDelay),
@@ -224,28 +224,28 @@
 		delete(g.newestSession, session.client)
 	}
 	delete(g.sessions, request.Session)
-	number := logevent.SessionClosed
+	eventNumber := logevent.SessionClosed
 	if request.Reason == "slow" {
-		number = logevent.SessionTooSlow
+		eventNumber = logevent.SessionTooSlow
 	}
-	effects.Emit(number, "client", session.client, "reason", request.Reason)
+	effects.Emit(eventNumber, "client", session.client, "reason", request.Reason)
 	g.ring.Record(now, "", "", session.client, "channel-closed", "why", request.Reason)
 }
 
 // checkSession drops expired delivery state of a session, pings its client, and closes the session
 // if the client was asked to move or is silent.
 func (g *Gateway) checkSession(now time.Time, id uint64, session *session, effects *statemachine.Effects) {
-	for _, got := range session.delivered {
-		for offset, at := range got {
+	for _, offsets := range session.delivered {
+		for offset, at := range offsets {
 			if now.Sub(at) > deliveredRetention {
-				delete(got, offset)
+				delete(offsets, offset)
 			}
 		}
 	}
-	for _, marks := range session.sequences {
-		for sender, mark := range marks {
-			if now.Sub(mark.at) > sequenceRetention {
-				delete(marks, sender)
+	for _, sequences := range session.sequences {
+		for sender, sequence := range sequences {
+			if now.Sub(sequence.at) > sequenceRetention {
+				delete(sequences, sender)
 			}
 		}
 	}
--- a/internal/gateway/stopping_test.go
+++ b/internal/gateway/stopping_test.go
@@ -20,21 +20,21 @@
 // fixture is a gateway that has received its first view update, which also names a second gateway as
 // the target of moves.
 type fixture struct {
-	now         time.Time
-	gateway     *gateway.Gateway
-	request     uint64
-	heartbeatAt time.Time
-	// heard are the effects of the newest view update.
-	heard statemachine.Effects
+	now           time.Time
+	gateway       *gateway.Gateway
+	request       uint64
+	viewUpdatedAt time.Time
+	// updateEffects are the effects of the newest view update.
+	updateEffects statemachine.Effects
 }
 
-func (f *fixture) do(command any) statemachine.Effects {
+func (f *fixture) handleCommand(command any) statemachine.Effects {
 	var effects statemachine.Effects
 	f.gateway.HandleCommand(f.now, command, &effects)
 	return effects
 }
 
-func (f *fixture) pass(length time.Duration) statemachine.Effects {
+func (f *fixture) advance(length time.Duration) statemachine.Effects {
 	var all statemachine.Effects
 	until := f.now.Add(length)
 	for {
@@ -58,16 +58,16 @@
 // per 300 ms.
 func (f *fixture) respondToAgentRequests(effects statemachine.Effects) {
 	for _, send := range effects.Sends {
-		ask, matches := send.Message.(membership.ViewRequest)
-		if !matches || f.now.Sub(f.heartbeatAt) < 300*time.Millisecond {
+		request, matches := send.Message.(membership.ViewRequest)
+		if !matches || f.now.Sub(f.viewUpdatedAt) < 300*time.Millisecond {
 			continue
 		}
-		f.heartbeatAt = f.now
+		f.viewUpdatedAt = f.now
 		partitionName := config.SharedPartition("b.1")
-		f.heard = statemachine.Effects{}
+		f.updateEffects = statemachine.Effects{}
 		f.gateway.HandleMessage(f.now, statemachine.Meta{From: "10.0.0.1:2", Version: 1}, membership.ViewUpdate{
 			Recipient:      "gateway-1",
-			Nonce:          ask.Nonce,
+			Nonce:          request.Nonce,
 			Epoch:          1,
 			Primary:        "10.0.0.9:1",
 			Index:          1,
@@ -107,11 +107,11 @@
 				},
 			},
 			Placements: []membership.Placement{{Partition: partitionName, Epoch: 1, Leader: "store-1"}},
-		}, &f.heard)
+		}, &f.updateEffects)
 	}
 }
 
-func open(t *testing.T) *fixture {
+func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	fixture := &fixture{now: time.Unix(1000, 0), gateway: gateway.New(gateway.Settings{
 		Self: membership.Member{
@@ -126,19 +126,19 @@
 	})}
 	var effects statemachine.Effects
 	fixture.gateway.Start(fixture.now, &effects)
-	fixture.pass(time.Millisecond)
+	fixture.advance(time.Millisecond)
 	assert.Equal(t, fixture.gateway.ConfigurationVersion(), uint64(1))
 	return fixture
 }
 
-func (f *fixture) greet(t *testing.T, session uint64, origin string) statemachine.Effects {
+func (f *fixture) openSession(t *testing.T, session uint64, client string) statemachine.Effects {
 	t.Helper()
 	f.request++
-	return f.do(gateway.OpenSession{
+	return f.handleCommand(gateway.OpenSession{
 		Request:      f.request,
 		Session:      session,
-		Name:         origin,
-		Client:       origin,
+		Name:         client,
+		Client:       client,
 		AdapterPings: true,
 	})
 }
@@ -160,22 +160,22 @@
 }
 
 func TestStoppingGatewayRedirectsNewClients(t *testing.T) {
-	fixture := open(t)
-	fixture.do(gateway.Stop{})
-	effects := fixture.greet(t, 1, "u1")
+	fixture := newFixture(t)
+	fixture.handleCommand(gateway.Stop{})
+	effects := fixture.openSession(t, 1, "u1")
 	assert.Equal(t, outcome(t, effects).Outcome, gateway.OutcomeAccepted)
 	assert.Equal(t, moves(effects), 1)
 	fixture.request++
-	other := fixture.do(gateway.OpenSession{Request: fixture.request, Session: 2, Name: "u2", Client: "u2"})
+	other := fixture.handleCommand(gateway.OpenSession{Request: fixture.request, Session: 2, Name: "u2", Client: "u2"})
 	assert.Equal(t, outcome(t, other).Code, "stopping")
 }
 
 func TestStoppingGatewayServesRemainingClients(t *testing.T) {
-	fixture := open(t)
-	fixture.greet(t, 1, "u1")
-	fixture.do(gateway.Stop{})
+	fixture := newFixture(t)
+	fixture.openSession(t, 1, "u1")
+	fixture.handleCommand(gateway.Stop{})
 	fixture.request++
-	effects := fixture.do(gateway.Publish{
+	effects := fixture.handleCommand(gateway.Publish{
 		Request: fixture.request,
 		Client:  "u1",
 		Sender:  "u1",
@@ -193,15 +193,15 @@
 }
 
 func TestStoppingGatewayDoesNotAwaitMovedClients(t *testing.T) {
-	fixture := open(t)
+	fixture := newFixture(t)
 	for session := range uint64(40) {
-		fixture.greet(t, session+1, "u")
+		fixture.openSession(t, session+1, "u")
 	}
-	effects := fixture.do(gateway.Stop{})
-	effects.Append(fixture.pass(250 * time.Millisecond))
+	effects := fixture.handleCommand(gateway.Stop{})
+	effects.Append(fixture.advance(250 * time.Millisecond))
 	assert.Equal(t, moves(effects), 40)
 	assert.Assert(t, !effects.Stop)
-	effects = fixture.pass(time.Second)
+	effects = fixture.advance(time.Second)
 	assert.Assert(t, effects.Stop)
 	ended := 0
 	for _, deliver := range effects.Deliveries {
@@ -210,10 +210,10 @@
 		}
 	}
 	assert.Equal(t, ended, 40)
-	farewell := false
+	leaveSent := false
 	for _, send := range effects.Sends {
 		_, matches := send.Message.(membership.GracefulLeave)
-		farewell = farewell || matches && send.To == "10.0.0.1:2"
+		leaveSent = leaveSent || matches && send.To == "10.0.0.1:2"
 	}
-	assert.Assert(t, farewell, "the agent must receive a GracefulLeave")
+	assert.Assert(t, leaveSent, "the agent must receive a GracefulLeave")
 }
--- a/internal/gateway/view.go
+++ b/internal/gateway/view.go
@@ -12,8 +12,8 @@
 	"dahlialock/internal/statemachine"
 )
 
-// deferred is a message that arrived while the gateway was unconfirmed.
-type deferred struct {
+// deferredMessage is a message that arrived while the gateway was unconfirmed.
+type deferredMessage struct {
 	meta    statemachine.Meta
 	message any
 }
@@ -25,8 +25,8 @@
 	if changed.View {
 		g.applyView(now, effects)
 	}
-	deaf := statemachine.Mutated("deaf-gateway") && g.settings.Self.Name == "gateway-1" && g.config.Version > 0
-	if changed.Document && !deaf {
+	ignored := statemachine.Mutated("deaf-gateway") && g.settings.Self.Name == "gateway-1" && g.config.Version > 0
+	if changed.Document && !ignored {
 		g.applyConfiguration(now, effects)
 	}
 	if resting := g.Resting(); resting != wasResting {
@@ -40,7 +40,8 @@
 			effects.Emit(logevent.GatewayWoken, "gateway", g.settings.Self.Name)
 		}
 	}
-	if orders := g.viewClient.Directives; (orders.Drain || orders.KeepSessions > 0) && !g.timers.Armed(timerMove) {
+	if directives := g.viewClient.Directives; (directives.Drain || directives.KeepSessions > 0) &&
+		!g.timers.Armed(timerMove) {
 		g.timers.Arm(timerMove, now)
 	}
 	g.resume(now, effects)
@@ -88,8 +89,8 @@
 	if !found {
 		return "", false
 	}
-	full := controller.PartitionName(name, createdAt, 0)
-	return full[:strings.LastIndex(full, "/")], true
+	fullName := controller.PartitionName(name, createdAt, 0)
+	return fullName[:strings.LastIndex(fullName, "/")], true
 }
 
 // applyConfiguration puts the newest configuration in force. It is called only after the version has
@@ -102,9 +103,9 @@
 	g.config, g.subscribeTimeout = document, subscribeTimeoutOf(document)
 	for name, state := range statemachine.Sorted(g.spaces) {
 		space, found := document.Spaces[name]
-		full, born := g.spaceName(name)
+		fullName, created := g.spaceName(name)
 		routed := space.Order == config.OrderTopic && state.space.Order == config.OrderTopic
-		if found && (routed || born && full == state.name) {
+		if found && (routed || created && fullName == state.name) {
 			state.space = space
 			continue
 		}
@@ -118,10 +119,10 @@
 			g.spaces[name] = &spaceState{space: space, name: name + "~0"}
 			continue
 		}
-		if full, born := g.spaceName(name); born {
+		if fullName, created := g.spaceName(name); created {
 			g.spaces[name] = &spaceState{
 				space:    space,
-				name:     full,
+				name:     fullName,
 				topics:   map[string]map[uint64]bool{},
 				prefixes: map[string]map[uint64]bool{},
 			}
@@ -150,9 +151,9 @@
 			g.emit(id, Event{Event: "ended", Space: name, Code: "space-removed"}, effects)
 		}
 	}
-	for full := range statemachine.Sorted(g.trackers) {
-		if strings.HasPrefix(full, state.name+"/") {
-			delete(g.trackers, full)
+	for trackerName := range statemachine.Sorted(g.trackers) {
+		if strings.HasPrefix(trackerName, state.name+"/") {
+			delete(g.trackers, trackerName)
 		}
 	}
 	for _, sender := range statemachine.Sorted(g.sendersOf(name)) {
