--- a/internal/consensus/founding.go
+++ b/internal/consensus/bootstrap.go
@@ -9,7 +9,7 @@
 )
 
 // mayBootstrap reports whether this controller may propose the first epoch.
-func (n *Node) mayFound() bool {
+func (n *Node) mayBootstrap() bool {
 	return n.settings.ClusterSize > 0 || len(n.hardState.Founders) > 0
 }
 
@@ -28,7 +28,7 @@
 // initialVoters returns the voters of the first epoch, and whether it is complete: all of them
 // have sent a Hello and are blank. If any other controller is not blank, a cluster already
 // exists.
-func (n *Node) foundingVoters() ([]Controller, bool) {
+func (n *Node) initialVoters() ([]Controller, bool) {
 	voters := []Controller{n.identity()}
 	for address, known := range statemachine.Sorted(n.discovery.peers) {
 		switch {
@@ -43,20 +43,20 @@
 			voters = append(voters, known.hello.Self)
 		}
 	}
-	wanted := len(n.hardState.Founders)
+	expected := len(n.hardState.Founders)
 	if n.settings.ClusterSize > 0 {
-		wanted = n.settings.ClusterSize
+		expected = n.settings.ClusterSize
 	}
-	return voters, len(voters) == wanted
+	return voters, len(voters) == expected
 }
 
 // tryBootstrap proposes the first epoch once all founders have sent a Hello. It needs every
 // founder, so that a founder whose disk was lost can't help to create a second cluster.
-func (n *Node) tryFounding(now time.Time, effects *statemachine.Effects) {
-	if n.election.attempt != nil || !n.mayFound() {
+func (n *Node) tryBootstrap(now time.Time, effects *statemachine.Effects) {
+	if n.election.attempt != nil || !n.mayBootstrap() {
 		return
 	}
-	voters, complete := n.foundingVoters()
+	voters, complete := n.initialVoters()
 	if !complete {
 		return
 	}
@@ -73,15 +73,15 @@
 	n.startBallot(now, Record{
 		Epoch:   1,
 		Primary: n.settings.Self.Name,
-		Backups: n.foundingBackups(voters),
+		Backups: n.initialBackups(voters),
 		Voters:  voters,
 	}, effects)
 }
 
 // initialBackups chooses the backups of the first epoch, in different zones if possible.
-func (n *Node) foundingBackups(voters []Controller) []string {
+func (n *Node) initialBackups(voters []Controller) []string {
 	var chosen []string
-	for len(chosen) < min(max(1, n.neededBackups()), len(voters)-1) {
+	for len(chosen) < min(max(1, n.requiredBackups()), len(voters)-1) {
 		var others []Controller
 		for _, voter := range voters {
 			if !voter.SameAs(n.settings.Self) && !slices.Contains(chosen, voter.Name) {
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -65,17 +65,17 @@
 
 // testController is a simulated controller with its disk.
 type testController struct {
-	cluster   *testCluster
-	self      Controller
-	node      *Node
-	state     *appliedNumbers
-	roleLease *RoleLease
-	run       int
-	up        bool
-	frozen    bool
-	deferred  []func()
-	disk      *wal.MemoryFolder
-	log       *wal.Log
+	cluster     *testCluster
+	self        Controller
+	node        *Node
+	state       *appliedNumbers
+	roleLease   *RoleLease
+	incarnation int
+	up          bool
+	frozen      bool
+	deferred    []func()
+	disk        *wal.MemoryFolder
+	log         *wal.Log
 	// pendingWrites are the writes that are not synced yet, in order, and writesDoneAt is when
 	// the last of them will be synced.
 	pendingWrites []statemachine.Write
@@ -86,11 +86,11 @@
 	rate           float64
 	timer          int
 	partitioned    bool
-	deaf           bool
+	inboundBlocked bool
 	removed        bool
 	diskHangsUntil time.Duration
 	// bootstrap is the value of Settings.Bootstrap at the next start.
-	founding bool
+	bootstrap bool
 }
 
 // trial is the part of testing.TB that a run needs. The mutation tests substitute an
@@ -121,7 +121,7 @@
 	diskCount         int
 	snapshots         int
 	incarnations      statemachine.Incarnation
-	founded           map[string]bool
+	bootstrapped      map[string]bool
 	// delayMessage, if set, returns how long a message is delayed, or that it is lost. A delayed
 	// message is delivered to the incarnation of the receiver that runs by then.
 	delayMessage func(from, to *testController, message any) (delay time.Duration, lost bool)
@@ -153,7 +153,7 @@
 	if c.up || c.removed {
 		return
 	}
-	c.run++
+	c.incarnation++
 	c.up, c.frozen, c.deferred = true, false, nil
 	c.offset = time.Duration(c.cluster.random.Int64N(int64(4*time.Hour))) - 2*time.Hour
 	c.state = &appliedNumbers{}
@@ -161,7 +161,7 @@
 		Self:        c.self,
 		ClusterSize: c.cluster.count,
 		Seeds:       c.cluster.seeds,
-		Bootstrap:   c.founding,
+		Bootstrap:   c.bootstrap,
 		Tolerance:   c.cluster.tolerance,
 	}
 	if settings.ClusterSize == 0 {
@@ -192,7 +192,7 @@
 		}
 		c.disk.LosePower(c.cluster.random.IntN)
 	}
-	c.up, c.run, c.node, c.pendingWrites, c.writesDoneAt = false, c.run+1, nil, nil, 0
+	c.up, c.incarnation, c.node, c.pendingWrites, c.writesDoneAt = false, c.incarnation+1, nil, nil, 0
 }
 
 func (c *testController) perform(write statemachine.Write) error {
@@ -214,32 +214,32 @@
 		return
 	}
 	c.frozen = false
-	waits := c.deferred
+	deferred := c.deferred
 	c.deferred = nil
 	c.step(func(now time.Time, effects *statemachine.Effects) { c.node.Tick(now, effects) })
-	for _, run := range waits {
+	for _, run := range deferred {
 		run()
 	}
 }
 
 // runIn calls run if the given incarnation of the controller is still up. If the controller is
 // frozen, the call is deferred until it is unfrozen.
-func (c *testController) runIn(life int, run func()) {
+func (c *testController) runIn(incarnation int, run func()) {
 	switch {
-	case !c.up || c.run != life:
+	case !c.up || c.incarnation != incarnation:
 	case c.frozen:
-		c.deferred = append(c.deferred, func() { c.runIn(life, run) })
+		c.deferred = append(c.deferred, func() { c.runIn(incarnation, run) })
 	default:
 		run()
 	}
 }
 
 func (c *testController) step(run func(now time.Time, effects *statemachine.Effects)) {
-	cluster, life := c.cluster, c.run
+	cluster, incarnation := c.cluster, c.incarnation
 	var effects statemachine.Effects
 	run(c.local(), &effects)
-	for _, note := range effects.LogEvents {
-		cluster.checkLogEvent(c, note)
+	for _, event := range effects.LogEvents {
+		cluster.checkLogEvent(c, event)
 	}
 	for _, send := range effects.Sends {
 		cluster.send(c, send)
@@ -250,12 +250,12 @@
 		wait := max(0, c.diskHangsUntil-cluster.now) + time.Duration(1+cluster.random.IntN(8))*time.Millisecond
 		c.writesDoneAt = max(c.writesDoneAt, cluster.now+wait)
 		cluster.after(c.writesDoneAt-cluster.now, func() {
-			if !c.up || c.run != life {
+			if !c.up || c.incarnation != incarnation {
 				return
 			}
 			c.pendingWrites = c.pendingWrites[1:]
 			assert.NilError(cluster.t, c.perform(write))
-			c.runIn(life, func() {
+			c.runIn(incarnation, func() {
 				c.step(func(now time.Time, effects *statemachine.Effects) { c.node.Synced(now, write.Token, effects) })
 			})
 		})
@@ -266,7 +266,7 @@
 		wait := max(0, time.Duration(float64(due.Sub(c.local()))/c.rate))
 		cluster.after(wait+time.Microsecond, func() {
 			if c.timer == timer {
-				c.runIn(life, func() {
+				c.runIn(incarnation, func() {
 					c.step(func(now time.Time, effects *statemachine.Effects) { c.node.Tick(now, effects) })
 				})
 			}
@@ -276,7 +276,8 @@
 
 func (tc *testCluster) send(from *testController, send statemachine.Send) {
 	for _, to := range tc.controllers {
-		if to.self.Address != send.To || from.partitioned != to.partitioned || to.deaf || tc.random.Float64() < tc.loss {
+		if to.self.Address != send.To || from.partitioned != to.partitioned || to.inboundBlocked ||
+			tc.random.Float64() < tc.loss {
 			continue
 		}
 		packed, err := transport.Encode(statemachine.Meta{From: from.self.Address}, send.Message)
@@ -292,9 +293,9 @@
 			}
 		}
 		for range 1 + tc.random.IntN(20)/19 {
-			life := to.run
+			incarnation := to.incarnation
 			tc.after(time.Duration(100+tc.random.IntN(3000))*time.Microsecond, func() {
-				if to.run == life {
+				if to.incarnation == incarnation {
 					to.receive(packed)
 				}
 			})
@@ -304,7 +305,7 @@
 
 // receive delivers a message to the current incarnation.
 func (c *testController) receive(packed []byte) {
-	c.runIn(c.run, func() {
+	c.runIn(c.incarnation, func() {
 		meta, message, err := transport.Decode(packed[4:])
 		assert.NilError(c.cluster.t, err)
 		c.step(func(now time.Time, effects *statemachine.Effects) { c.node.HandleMessage(now, meta, message, effects) })
@@ -312,13 +313,13 @@
 }
 
 // checkLogEvent checks that only one cluster is bootstrapped.
-func (tc *testCluster) checkLogEvent(controller *testController, note statemachine.LogEvent) {
-	if note.Number != logevent.Founded {
+func (tc *testCluster) checkLogEvent(controller *testController, event statemachine.LogEvent) {
+	if event.Number != logevent.Founded {
 		return
 	}
-	tc.founded[fmt.Sprint(controller.node.Record())] = true
-	if len(tc.founded) > 1 {
-		tc.t.Fatalf("%s at %s founded another fleet: %v", controller.self.Name, tc.now, tc.founded)
+	tc.bootstrapped[fmt.Sprint(controller.node.Record())] = true
+	if len(tc.bootstrapped) > 1 {
+		tc.t.Fatalf("%s at %s bootstrapped a second cluster: %v", controller.self.Name, tc.now, tc.bootstrapped)
 	}
 }
 
@@ -339,7 +340,7 @@
 			applied := controller.state.numbers
 			if len(applied) < len(tc.committed) || !slices.Equal(applied[:len(tc.committed)], tc.committed) {
 				tc.t.Fatalf(
-					"%s at %s may answer and has %v, committed were %v",
+					"%s at %s serves with state %v, but %v were committed",
 					controller.self.Name, tc.now, applied, tc.committed,
 				)
 			}
@@ -429,15 +430,15 @@
 // Bootstrap set at their first start.
 func newCluster(t trial, seed uint64, controllers, seeds, tolerance int) *testCluster {
 	cluster := &testCluster{
-		t:         t,
-		random:    rand.New(rand.NewPCG(seed, 0xf1ee7)),
-		tolerance: tolerance,
-		founded:   map[string]bool{},
+		t:            t,
+		random:       rand.New(rand.NewPCG(seed, 0xf1ee7)),
+		tolerance:    tolerance,
+		bootstrapped: map[string]bool{},
 	}
 	for number := range controllers {
 		name := fmt.Sprintf("controller-%d", number)
 		controller := cluster.add(name, name, fmt.Sprint(number%3))
-		controller.founding = true
+		controller.bootstrap = true
 		if number < seeds {
 			cluster.seeds = append(cluster.seeds, controller.self.Address)
 		}
@@ -466,14 +467,14 @@
 // if it takes longer than the timeout.
 func (tc *testCluster) until(timeout time.Duration, what string, holds func() bool) time.Duration {
 	tc.t.Helper()
-	began := tc.now
+	started := tc.now
 	for !holds() {
-		if tc.now-began > timeout {
-			tc.t.Fatalf("after %s still not: %s", timeout, what)
+		if tc.now-started > timeout {
+			tc.t.Fatalf("condition not reached within %s: %s", timeout, what)
 		}
 		tc.run(20 * time.Millisecond)
 	}
-	return tc.now - began
+	return tc.now - started
 }
 
 // serving returns the reachable controller that currently serves, or nil.
@@ -535,7 +536,7 @@
 // committed, and returns how long that took.
 func (tc *testCluster) submit(timeout time.Duration) time.Duration {
 	tc.t.Helper()
-	began, committed := tc.now, false
+	started, committed := tc.now, false
 	var attempt func()
 	attempt = func() {
 		if committed {
@@ -556,7 +557,7 @@
 	}
 	attempt()
 	tc.until(timeout, "a command is committed", func() bool { return committed })
-	return tc.now - began
+	return tc.now - started
 }
 
 // submitTo submits the command with the next number to a controller, and calls committed once
--- a/internal/consensus/discovery.go
+++ b/internal/consensus/discovery.go
@@ -34,8 +34,8 @@
 
 // peer is another controller's newest Hello and when it arrived.
 type peer struct {
-	hello     Hello
-	lastHeard time.Time
+	hello       Hello
+	lastContact time.Time
 }
 
 func newDiscovery() discovery {
@@ -49,7 +49,7 @@
 	for _, known := range statemachine.Sorted(n.discovery.peers) {
 		self := known.hello.Self
 		_, listed := n.hardState.Record.Voter(self)
-		if !listed && now.Sub(known.lastHeard) < learnerTimeout && !n.announcedDeparture(now, self.Address) {
+		if !listed && now.Sub(known.lastContact) < learnerTimeout && !n.announcedDeparture(now, self.Address) {
 			learners = append(learners, self)
 		}
 	}
@@ -99,7 +99,7 @@
 		return
 	}
 	n.requestRecovery(effects)
-	n.tryFounding(now, effects)
+	n.tryBootstrap(now, effects)
 }
 
 func (n *Node) blankHelloTargets() map[string]bool {
@@ -163,7 +163,7 @@
 		return
 	}
 	for address, known := range n.discovery.peers {
-		if now.Sub(known.lastHeard) > peerRetention {
+		if now.Sub(known.lastContact) > peerRetention {
 			delete(n.discovery.peers, address)
 		}
 	}
@@ -174,7 +174,7 @@
 	if hello.Self.SameAs(n.settings.Self) {
 		return
 	}
-	n.discovery.peers[hello.Self.Address] = peer{hello: hello, lastHeard: now}
+	n.discovery.peers[hello.Self.Address] = peer{hello: hello, lastContact: now}
 	n.expirePeers(now)
 	if n.blank {
 		n.contactKnown(hello.Known, effects)
@@ -192,8 +192,8 @@
 // then on they are among the targets of sendHello.
 func (n *Node) contactKnown(known []Controller, effects *statemachine.Effects) {
 	for _, controller := range known {
-		_, heard := n.discovery.peers[controller.Address]
-		if heard || n.discovery.contacted[controller.Address] || controller.SameAs(n.settings.Self) {
+		_, isPeer := n.discovery.peers[controller.Address]
+		if isPeer || n.discovery.contacted[controller.Address] || controller.SameAs(n.settings.Self) {
 			continue
 		}
 		n.discovery.contacted[controller.Address] = true
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -119,7 +119,7 @@
 		n.deliver(now, from, rejection, effects)
 		return
 	}
-	n.withdrawOwnGrant(now, prepare)
+	n.revokeOwnGrant(now, prepare)
 	if n.leaseBlocks(now, prepare) {
 		rejection.RetryAfter = n.voter.grantedUntil.Sub(now)
 		n.deliver(now, from, rejection, effects)
@@ -192,7 +192,7 @@
 func (n *Node) mayAccept(now time.Time, record Record) bool {
 	entry, listed := record.Voter(n.settings.Self)
 	if record.Epoch == 1 {
-		return listed && n.foundersAre(record.Voters)
+		return listed && n.matchesFounders(record.Voters)
 	}
 	if n.isVoter() {
 		return !n.grantsUncertain(now)
@@ -200,9 +200,9 @@
 	return !n.blank && listed && entry.DiskID == n.hardState.DiskID
 }
 
-// foundersAre reports whether the voters of a first epoch are the founders that this
+// matchesFounders reports whether the voters of a first epoch are the founders that this
 // controller recorded. It reports true if there are none recorded.
-func (n *Node) foundersAre(voters []Controller) bool {
+func (n *Node) matchesFounders(voters []Controller) bool {
 	if len(n.hardState.Founders) == 0 {
 		return true
 	}
@@ -309,7 +309,7 @@
 		n.emitVotersChanged(earlier.Record, record, effects)
 	}
 	if !statemachine.Mutated("no-hold-back") {
-		n.holdBackGrants(now, earlier.Record, record)
+		n.reserveGrantForPrimary(now, earlier.Record, record)
 	}
 	n.hardState = HardState{DiskID: earlier.DiskID, Record: record, CompleteEpoch: complete}
 	n.blank = false
@@ -347,7 +347,7 @@
 	n.reconfig = newReconfiguration()
 	n.lease.reset()
 	if record.Primary != earlier.Primary {
-		n.replication.primaryHeard, n.lease.primarySince = now, now
+		n.replication.primaryLastContact, n.lease.primarySince = now, now
 	}
 	n.departure.acknowledged = map[string]bool{}
 }
--- a/internal/consensus/exploration_mutation_test.go
+++ b/internal/consensus/exploration_mutation_test.go
@@ -25,7 +25,7 @@
 		{"leave-at-once", leaveExploration(2, "a witness")},
 		{"leave-at-once", leaveExploration(0, "the primary")},
 		{"leave-when-out", leaveExploration(2, "a witness")},
-		{"irreplaceable-unheard", leaveUnheardLearners},
+		{"irreplaceable-unheard", leaveWithUnknownLearners},
 		{"primary-waits-for-backup", releaseExploration},
 		{"epochs-without-pause", leaveExploration(0, "the primary")},
 	} {
@@ -34,7 +34,7 @@
 			defer restore()
 			result := explore.Run(each.search.begin, each.search.short)
 			t.Log(result)
-			assert.Assert(t, result.Broken != nil, "%s was not seen to matter", each.mutation)
+			assert.Assert(t, result.Broken != nil, "the exploration found no violation without %s", each.mutation)
 		})
 	}
 }
--- a/internal/consensus/exploration_test.go
+++ b/internal/consensus/exploration_test.go
@@ -34,19 +34,19 @@
 		longer: explore.Bounds{Depth: 7, Budget: unlimitedBudget, Finish: explore.FinishLast},
 	}
 	takeoverExploration = exploration{
-		name:   "three voters, the primary is cut off, all orders",
-		begin:  func() explore.World { return primaryCutOff() },
+		name:   "three voters, the primary is partitioned, all orders",
+		begin:  func() explore.World { return primaryPartitioned() },
 		short:  explore.Bounds{Depth: 9, Budget: unlimitedBudget, Finish: explore.FinishLast},
 		longer: explore.Bounds{Depth: 13, Budget: unlimitedBudget, Finish: explore.FinishLast},
 	}
 	longTakeoverExploration = exploration{
-		name:   "three voters, the primary is cut off, troubles in a long run",
-		begin:  func() explore.World { return primaryCutOff() },
+		name:   "three voters, the primary is partitioned, faults in a long run",
+		begin:  func() explore.World { return primaryPartitioned() },
 		short:  explore.Bounds{Depth: 60, Budget: 1, Finish: explore.FinishLast},
 		longer: explore.Bounds{Depth: 30, Budget: 2, Finish: explore.FinishLast},
 	}
 	longExploration = exploration{
-		name: "three voters, troubles in a long run",
+		name: "three voters, faults in a long run",
 		begin: func() explore.World {
 			return newWorld(3, 3, 1, faultBudget{submits: 1, losses: 1, repeats: 1, crashes: 1, wipes: 1, kills: 1})
 		},
@@ -54,19 +54,19 @@
 		longer: explore.Bounds{Depth: 20, Budget: 2, Finish: explore.FinishLast},
 	}
 	releaseExploration = exploration{
-		name:   "the primary gives the lease back, another loses its disk, all lose power",
+		name:   "the primary releases the lease, another loses its disk, all lose power",
 		begin:  leaseReleased,
 		short:  explore.Bounds{Depth: 60, Budget: 1, Finish: explore.FinishLast},
 		longer: explore.Bounds{Depth: 30, Budget: 2, Finish: explore.FinishLast},
 	}
 	backupExploration = exploration{
-		name:   "five voters, a backup is replaced under a command, another loses its disk",
+		name:   "five voters, a backup is replaced while a command is pending, another loses its disk",
 		begin:  backupLost,
 		short:  explore.Bounds{Depth: 60, Budget: 1, Finish: explore.FinishLast},
 		longer: explore.Bounds{Depth: 30, Budget: 2, Finish: explore.FinishLast},
 	}
 	voterExploration = exploration{
-		name:   "one voter in for one that is gone, then another loses its disk, all lose power",
+		name:   "a lost voter is replaced, then another loses its disk, all lose power",
 		begin:  voterLost,
 		short:  explore.Bounds{Depth: 90, Budget: 1, Finish: explore.FinishLast},
 		longer: explore.Bounds{Depth: 40, Budget: 2, Finish: explore.FinishLast},
@@ -75,10 +75,10 @@
 
 // leaveWithUnknownLearners has a witness leave while the primary is restarted and has not yet
 // received the Hello messages of the learners.
-var leaveUnheardLearners = exploration{
-	name: "a witness leaves as the primary begins anew, another loses its disk",
+var leaveWithUnknownLearners = exploration{
+	name: "a witness leaves while the primary restarts, another loses its disk",
 	begin: func() explore.World {
-		w := newWorld(4, 3, 1, faultBudget{wipes: 1, powers: 1, losses: 1})
+		w := newWorld(4, 3, 1, faultBudget{wipes: 1, powerLosses: 1, losses: 1})
 		w.introduceLearners()
 		w.processes[2].leave()
 		for range 12 {
@@ -114,12 +114,12 @@
 	leaveExploration(0, "the primary"),
 	leaveExploration(1, "the backup"),
 	leaveExploration(2, "a witness"),
-	leaveUnheardLearners,
+	leaveWithUnknownLearners,
 }
 
-// primaryCutOff returns a world whose primary has been partitioned, and whose backup is about to
+// primaryPartitioned returns a world whose primary has been partitioned, and whose backup is about to
 // take over while the lease has not expired yet.
-func primaryCutOff() *world {
+func primaryPartitioned() *world {
 	w := newWorld(3, 3, 1, faultBudget{losses: 1, repeats: 1, crashes: 1})
 	w.submit(w.processes[0])
 	for len(w.committed) == 0 {
@@ -135,7 +135,7 @@
 // leaseReleased returns a world whose primary has released the lease, as it does when its disk
 // stalls.
 func leaseReleased() explore.World {
-	w := newWorld(3, 3, 1, faultBudget{submits: 1, losses: 1, crashes: 1, wipes: 1, powers: 1})
+	w := newWorld(3, 3, 1, faultBudget{submits: 1, losses: 1, crashes: 1, wipes: 1, powerLosses: 1})
 	primary := w.processes[0]
 	primary.step(func(now time.Time, effects *statemachine.Effects) { primary.node.ReleaseLease(now, effects) })
 	return w
@@ -162,7 +162,7 @@
 // voterLost returns a world in which a witness is permanently lost and there is a learner. A disk
 // may be lost once the learner is a voter and a majority has synced the record that lists it.
 func voterLost() explore.World {
-	w := newWorld(4, 3, 1, faultBudget{losses: 1, crashes: 1, wipes: 1, powers: 1})
+	w := newWorld(4, 3, 1, faultBudget{losses: 1, crashes: 1, wipes: 1, powerLosses: 1})
 	w.introduceLearners()
 	w.processes[2].end()
 	w.processes[2].removed = true
@@ -185,7 +185,7 @@
 // leave and there is a learner.
 func leavingWorld(leaver int) func() explore.World {
 	return func() explore.World {
-		w := newWorld(4, 3, 1, faultBudget{wipes: 1, powers: 1, losses: 1, crashes: 1})
+		w := newWorld(4, 3, 1, faultBudget{wipes: 1, powerLosses: 1, losses: 1, crashes: 1})
 		w.introduceLearners()
 		w.processes[leaver].leave()
 		return w
--- a/internal/consensus/grant.go
+++ b/internal/consensus/grant.go
@@ -77,7 +77,7 @@
 // expire. It is safe: the primary drops its pending renewals, so that none of them can become
 // a lease, and anything that it granted to another controller in an earlier incarnation has
 // expired by then.
-func (n *Node) withdrawOwnGrant(now time.Time, prepare Prepare) {
+func (n *Node) revokeOwnGrant(now time.Time, prepare Prepare) {
 	if !n.IsPrimary() || prepare.Ballot.Name == n.settings.Self.Name || statemachine.Mutated("no-way-given") {
 		return
 	}
@@ -91,7 +91,7 @@
 // reserveGrantForPrimary keeps this controller, when it learns a record with other voters, from
 // promising the next epoch to anyone but the primary until the leases that other voters granted
 // have expired. It is needed because a new voter has not granted those leases itself.
-func (n *Node) holdBackGrants(now time.Time, earlier, record Record) {
+func (n *Node) reserveGrantForPrimary(now time.Time, earlier, record Record) {
 	if record.Epoch == 1 || !now.Before(n.voter.grantedUntil) || n.voter.grantedTo == record.Primary {
 		n.voter.grantedTo = record.Primary
 	}
@@ -124,7 +124,7 @@
 	if n.reconfig.takingOver {
 		return
 	}
-	n.replication.primaryHeard = now
+	n.replication.primaryLastContact = now
 	n.voter.grantedUntil, n.voter.grantedTo = now.Add(LeaseDuration), record.Primary
 	n.voter.grantedRequest = renew.Request
 	effects.Send(from, LeaseGrant{
@@ -154,6 +154,6 @@
 		return
 	}
 	n.voter.grantedUntil = now
-	n.replication.primaryHeard = now.Add(-failureTimeout)
+	n.replication.primaryLastContact = now.Add(-failureTimeout)
 	n.monitor(now, effects)
 }
--- a/internal/consensus/deaf_primary_test.go
+++ b/internal/consensus/inbound_blocked_test.go
@@ -14,30 +14,30 @@
 // blockInboundOfPrimary blocks all messages to the primary and returns how long it takes until
 // another controller serves. The old primary then receives messages again and must learn the
 // new epoch.
-func deafPrimary(t trial, seed uint64, tolerance int) time.Duration {
+func blockInboundOfPrimary(t trial, seed uint64, tolerance int) time.Duration {
 	t.Helper()
 	cluster := stableCluster(t, seed, tolerance)
 	primary := cluster.named(cluster.serving().node.Record().Primary)
-	primary.deaf = true
+	primary.inboundBlocked = true
 	cluster.run(2 * time.Second)
-	took := cluster.until(6*time.Second, "another serves", func() bool {
+	took := cluster.until(6*time.Second, "another controller serves", func() bool {
 		return cluster.serving() != nil && cluster.serving() != primary
 	})
 	cluster.submit(4 * time.Second)
-	primary.deaf = false
-	cluster.until(8*time.Second, "the deaf one learns of it", func() bool {
+	primary.inboundBlocked = false
+	cluster.until(8*time.Second, "the old primary learns the new epoch", func() bool {
 		return primary.node.Record().Epoch == cluster.serving().node.Record().Epoch
 	})
 	cluster.submit(4 * time.Second)
 	return took
 }
 
-func TestDeafPrimaryIsReplaced(t *testing.T) {
+func TestPrimaryWithoutInboundMessagesIsReplaced(t *testing.T) {
 	for tolerance := 1; tolerance <= 2; tolerance++ {
 		for seed := range uint64(8) {
 			t.Run(fmt.Sprint(tolerance, "-", seed), func(t *testing.T) {
 				t.Parallel()
-				deafPrimary(t, seed, tolerance)
+				blockInboundOfPrimary(t, seed, tolerance)
 			})
 		}
 	}
@@ -46,15 +46,15 @@
 // TestPrimaryWithoutInboundMessagesResumesWithoutBackups stops all backups for longer than the
 // primary pauses its lease renewals. The primary must not wait for a takeover, since no backup
 // is left that could take over.
-func TestDeafPrimaryResumesWithoutBackups(t *testing.T) {
+func TestPrimaryWithoutInboundMessagesResumesWithoutBackups(t *testing.T) {
 	for seed := range uint64(8) {
 		cluster := stableCluster(t, seed, 1)
 		record := cluster.serving().node.Record()
 		primary, backup := cluster.named(record.Primary), cluster.named(record.Backups[0])
 		backup.kill()
-		primary.deaf = true
+		primary.inboundBlocked = true
 		cluster.run(20 * time.Second)
-		primary.deaf = false
+		primary.inboundBlocked = false
 		took := cluster.until(8*time.Second, "the primary serves again", func() bool { return cluster.serving() == primary })
 		assert.Check(t, took < 6*time.Second, "seed %d: %s", seed, took)
 		backup.start()
--- a/internal/consensus/incarnation_test.go
+++ b/internal/consensus/incarnation_test.go
@@ -19,7 +19,7 @@
 func fiveControllers(t trial, seed uint64) (*testCluster, *testController) {
 	cluster := newCluster(t, seed, 5, 5, 2)
 	cluster.startAll()
-	cluster.until(20*time.Second, "a primary", func() bool { return cluster.serving() != nil })
+	cluster.until(20*time.Second, "a controller serves", func() bool { return cluster.serving() != nil })
 	cluster.run(time.Second)
 	return cluster, cluster.serving()
 }
@@ -29,12 +29,12 @@
 func delayedGrants(t trial, seed uint64) {
 	cluster, primary := fiveControllers(t, seed)
 	primary.kill()
-	first := primary.run + 1
+	firstIncarnation := primary.incarnation + 1
 	cluster.delayMessage = func(from, to *testController, message any) (time.Duration, bool) {
-		if (from == primary || to == primary) && primary.run > first {
+		if (from == primary || to == primary) && primary.incarnation > firstIncarnation {
 			return 0, true
 		}
-		if _, grants := message.(LeaseGrant); grants && to == primary {
+		if _, isGrant := message.(LeaseGrant); isGrant && to == primary {
 			return 1850 * time.Millisecond, false
 		}
 		return 0, false
@@ -45,7 +45,7 @@
 	cluster.run(1300 * time.Millisecond)
 	primary.start()
 	cluster.run(3 * time.Second)
-	assert.Assert(t, cluster.serving() != nil && cluster.serving() != primary, "the others have no other primary")
+	assert.Assert(t, cluster.serving() != nil && cluster.serving() != primary, "no other controller became the primary")
 }
 
 // delayedRelease delivers the ReleaseLease of one incarnation of the primary to the others after
@@ -53,7 +53,7 @@
 func delayedRelease(t trial, seed uint64) {
 	cluster, primary := fiveControllers(t, seed)
 	cluster.delayMessage = func(_, _ *testController, message any) (time.Duration, bool) {
-		if _, yields := message.(ReleaseLease); yields {
+		if _, isRelease := message.(ReleaseLease); isRelease {
 			return 1500 * time.Millisecond, false
 		}
 		return 0, false
@@ -62,9 +62,9 @@
 	primary.kill()
 	primary.start()
 	cluster.run(time.Second)
-	assert.Assert(t, primary.node.HoldsLease(primary.local()), "the next incarnation holds no lease")
+	assert.Assert(t, primary.node.HoldsLease(primary.local()), "the next incarnation does not hold the lease")
 	cluster.run(2 * time.Second)
-	assert.Assert(t, primary.node.HoldsLease(primary.local()), "the lease was taken away")
+	assert.Assert(t, primary.node.HoldsLease(primary.local()), "the release of an earlier incarnation ended the lease")
 }
 
 // delayedRoleGrants delivers the grants of a role for one incarnation to the next one, while
@@ -79,17 +79,17 @@
 	if other == primary {
 		other = cluster.controllers[3]
 	}
-	ask := func(asker *testController) {
-		asker.step(func(now time.Time, effects *statemachine.Effects) {
-			asker.node.RequestRoleLease(now, asker.roleLease, effects)
+	requestRole := func(requester *testController) {
+		requester.step(func(now time.Time, effects *statemachine.Effects) {
+			requester.node.RequestRoleLease(now, requester.roleLease, effects)
 		})
 	}
 	holder.kill()
-	first := holder.run + 1
+	firstIncarnation := holder.incarnation + 1
 	cluster.delayMessage = func(from, to *testController, message any) (time.Duration, bool) {
 		switch message.(type) {
 		case RoleLeaseRequest:
-			return 0, from == holder && holder.run > first
+			return 0, from == holder && holder.incarnation > firstIncarnation
 		case RoleLeaseResponse:
 			if to == holder {
 				return 1900 * time.Millisecond, false
@@ -99,17 +99,17 @@
 	}
 	holder.start()
 	cluster.run(2 * time.Second)
-	ask(holder)
+	requestRole(holder)
 	cluster.run(200 * time.Millisecond)
 	holder.kill()
 	cluster.run(1600 * time.Millisecond)
 	holder.start()
-	ask(holder)
+	requestRole(holder)
 	for range 20 {
 		cluster.run(100 * time.Millisecond)
-		ask(other)
+		requestRole(other)
 	}
-	assert.Assert(t, other.roleLease.Valid(other.local()), "nobody else holds the role")
+	assert.Assert(t, other.roleLease.Valid(other.local()), "the other controller does not hold the role")
 }
 
 // delayedLeaveResponse delivers the primary's response that a controller is irreplaceable, which
@@ -130,7 +130,7 @@
 			Epoch: leaving.node.Record().Epoch, Request: earlier.Next(), Irreplaceable: true,
 		}, effects)
 	})
-	assert.Assert(t, !leaving.node.LeaveCompleted(), "it leaves by an answer to its earlier incarnation")
+	assert.Assert(t, !leaving.node.LeaveCompleted(), "a response to an earlier incarnation completed the leave")
 }
 
 // delaysAcrossRestarts delays random messages by up to two seconds, across restarts of sender and
@@ -138,7 +138,7 @@
 func delaysAcrossRestarts(t trial, seed uint64) {
 	cluster := newCluster(t, seed, 5, 5, 2)
 	cluster.startAll()
-	cluster.until(20*time.Second, "a primary", func() bool { return cluster.serving() != nil })
+	cluster.until(20*time.Second, "a controller serves", func() bool { return cluster.serving() != nil })
 	random := rand.New(rand.NewPCG(seed, 0x1d))
 	cluster.delayMessage = func(_, _ *testController, _ any) (time.Duration, bool) {
 		if cluster.faultsOver || random.IntN(6) > 0 {
@@ -153,9 +153,9 @@
 	for _, controller := range cluster.controllers {
 		controller.start()
 	}
-	cluster.until(12*time.Second, "a primary after the last restart", func() bool { return cluster.serving() != nil })
+	cluster.until(12*time.Second, "a controller serves after restarts", func() bool { return cluster.serving() != nil })
 	before := len(cluster.committed)
-	cluster.until(5*time.Second, "a command after the last restart", func() bool {
+	cluster.until(5*time.Second, "a command is committed after restarts", func() bool {
 		return len(cluster.committed) > before
 	})
 }
--- a/internal/consensus/invariants_test.go
+++ b/internal/consensus/invariants_test.go
@@ -14,11 +14,11 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			cluster := &testCluster{
-				t:       t,
-				random:  rand.New(rand.NewPCG(seed, 0x7e)),
-				count:   5,
-				seeds:   []string{"controller-0", "controller-1", "controller-2"},
-				founded: map[string]bool{},
+				t:            t,
+				random:       rand.New(rand.NewPCG(seed, 0x7e)),
+				count:        5,
+				seeds:        []string{"controller-0", "controller-1", "controller-2"},
+				bootstrapped: map[string]bool{},
 			}
 			for number := range 5 {
 				name := fmt.Sprintf("controller-%d", number)
@@ -32,7 +32,7 @@
 			cluster.run(3 * time.Minute)
 			busy := len(cluster.committed) > 200 && cluster.leaseObservations > 1000 && cluster.snapshots > 20
 			assert.Assert(
-				t, busy, "little happened: %d committed, %d snapshots", len(cluster.committed), cluster.snapshots,
+				t, busy, "too little activity: %d committed, %d snapshots", len(cluster.committed), cluster.snapshots,
 			)
 			// Within twelve seconds after the last fault a controller must serve again.
 			cluster.faultsOver = true
@@ -43,12 +43,12 @@
 			}
 			cluster.loss = 0
 			before := len(cluster.committed)
-			calm := cluster.now
-			for cluster.now-calm < 12*time.Second && !cluster.anyServing() {
+			lastFault := cluster.now
+			for cluster.now-lastFault < 12*time.Second && !cluster.anyServing() {
 				cluster.run(50 * time.Millisecond)
 			}
 			recovered := cluster.anyServing() || len(cluster.committed) > before
-			assert.Assert(t, recovered, "nobody serves %s after the last fault", cluster.now-calm)
+			assert.Assert(t, recovered, "no controller serves %s after the last fault", cluster.now-lastFault)
 		})
 	}
 }
--- a/internal/consensus/lease.go
+++ b/internal/consensus/lease.go
@@ -15,7 +15,7 @@
 	usableLease   = LeaseDuration * 9 / 10
 	renewInterval = 300 * time.Millisecond
 	// maxPendingRenewals is how many of the newest renewals may still be granted.
-	rememberedRenewals = 16
+	maxPendingRenewals = 16
 	// failureTimeout is how long a controller counts as alive after the last contact with it.
 	failureTimeout = 1200 * time.Millisecond
 	// announceDuration is how long renewals include the record of a new epoch.
@@ -23,7 +23,7 @@
 	// renewalPause is how long a primary that receives messages from too few voters requests no
 	// lease, so that another controller can take over. It then requests leases again for
 	// failureTimeout before the next pause.
-	quietDuration = 3 * failureTimeout
+	renewalPause = 3 * failureTimeout
 	// ownDiskTimeout is how long the primary's own disk may take to sync a command before the
 	// primary releases the lease.
 	ownDiskTimeout = time.Second
@@ -49,18 +49,18 @@
 	// lastGrant is when each voter, by name, last granted the lease.
 	lastGrant map[string]time.Time
 	// lastContact is when the last message of each voter arrived, by address.
-	lastHeard map[string]time.Time
+	lastContact map[string]time.Time
 	// renewalsPausedUntil is the end of the newest pause in which no lease is requested (see
 	// pausesRenewals).
-	quietUntil time.Time
+	renewalsPausedUntil time.Time
 }
 
 func newLeaseState() leaseState {
 	return leaseState{
-		renewals:  map[uint64]time.Time{},
-		grants:    map[uint64]map[string]bool{},
-		lastGrant: map[string]time.Time{},
-		lastHeard: map[string]time.Time{},
+		renewals:    map[uint64]time.Time{},
+		grants:      map[uint64]map[string]bool{},
+		lastGrant:   map[string]time.Time{},
+		lastContact: map[string]time.Time{},
 	}
 }
 
@@ -100,13 +100,13 @@
 		return
 	}
 	n.checkLease(now, effects)
-	if n.ownDiskHangs(now) {
+	if n.ownDiskStalled(now) {
 		if !n.lease.released {
 			n.ReleaseLease(now, effects)
 		}
 		return
 	}
-	if n.staysQuiet(now, effects) {
+	if n.pausesRenewals(now, effects) {
 		return
 	}
 	if n.lease.released && n.departure.requested && now.Sub(n.lease.releasedAt) < leaseReclaimTimeout {
@@ -125,8 +125,8 @@
 	number := renew.Request.Number
 	n.lease.renewals[number] = now
 	n.lease.grants[number] = map[string]bool{}
-	delete(n.lease.renewals, number-rememberedRenewals)
-	delete(n.lease.grants, number-rememberedRenewals)
+	delete(n.lease.renewals, number-maxPendingRenewals)
+	delete(n.lease.grants, number-maxPendingRenewals)
 	if now.Sub(n.election.decidedAt) < announceDuration {
 		renew.Record = n.hardState.Record
 	}
@@ -138,7 +138,7 @@
 
 // ownDiskStalled reports whether this primary's disk has not synced the pending command within
 // ownDiskTimeout.
-func (n *Node) ownDiskHangs(now time.Time) bool {
+func (n *Node) ownDiskStalled(now time.Time) bool {
 	head, found := n.pendingProposal()
 	return found && head.index > 0 && !head.synced && now.Sub(head.appendedAt) > ownDiskTimeout &&
 		!statemachine.Mutated("patient-primary")
@@ -149,33 +149,33 @@
 // The voters may still receive its requests: if it went on, they would send grants that never
 // arrive, and no other controller could take over. Since there may be no controller that can
 // take over, the primary requests the lease again for failureTimeout between two pauses.
-func (n *Node) staysQuiet(now time.Time, effects *statemachine.Effects) bool {
-	if !n.hearsNoQuorum(now) || statemachine.Mutated("deaf-primary") {
-		n.lease.quietUntil = time.Time{}
+func (n *Node) pausesRenewals(now time.Time, effects *statemachine.Effects) bool {
+	if !n.lostQuorumContact(now) || statemachine.Mutated("deaf-primary") {
+		n.lease.renewalsPausedUntil = time.Time{}
 		return false
 	}
-	if now.Sub(n.lease.quietUntil) >= failureTimeout {
-		n.lease.quietUntil = now.Add(quietDuration)
+	if now.Sub(n.lease.renewalsPausedUntil) >= failureTimeout {
+		n.lease.renewalsPausedUntil = now.Add(renewalPause)
 		n.ReleaseLease(now, effects)
 	}
-	return now.Before(n.lease.quietUntil)
+	return now.Before(n.lease.renewalsPausedUntil)
 }
 
 // lostQuorumContact reports whether this primary has lost its lease and receives messages from
 // fewer than a quorum of the voters. By then it has requested both the lease and the next
 // epoch, and a voter that it can reach and that can reach it would have responded.
-func (n *Node) hearsNoQuorum(now time.Time) bool {
+func (n *Node) lostQuorumContact(now time.Time) bool {
 	if now.Sub(n.leaseLostSince()) < failureTimeout+renewInterval {
 		return false
 	}
-	heard := 0
+	inContact := 0
 	for _, voter := range n.hardState.Record.Voters {
-		at, found := n.lease.lastHeard[voter.Address]
+		at, found := n.lease.lastContact[voter.Address]
 		if voter.SameAs(n.settings.Self) || found && now.Sub(at) < failureTimeout {
-			heard++
+			inContact++
 		}
 	}
-	return heard < n.hardState.Record.Majority()
+	return inContact < n.hardState.Record.Majority()
 }
 
 // grantSelf counts the primary's own grant if it may give one.
--- a/internal/consensus/leave.go
+++ b/internal/consensus/leave.go
@@ -190,7 +190,7 @@
 // mayDropBackup reports whether a backup that leaves can be removed without a replacement:
 // there is no spare, and there are enough backups without it.
 func (n *Node) mayDropBackup(now time.Time, backup Controller) bool {
-	if !n.departing(now, backup) || len(n.hardState.Record.Backups) <= n.neededBackups() {
+	if !n.departing(now, backup) || len(n.hardState.Record.Backups) <= n.requiredBackups() {
 		return false
 	}
 	_, found := n.departingBackup(now)
--- a/internal/consensus/leave_test.go
+++ b/internal/consensus/leave_test.go
@@ -65,9 +65,9 @@
 // those of complete replicas.
 func (w *world) loseDisksAndPower(disks int) {
 	w.losePower()
-	for _, holding := range []bool{true, false} {
+	for _, complete := range []bool{true, false} {
 		for _, each := range w.processes {
-			if each.up && disks > 0 && len(each.entries) > 0 && (each.node.CompleteEpoch() > 0) == holding {
+			if each.up && disks > 0 && len(each.entries) > 0 && (each.node.CompleteEpoch() > 0) == complete {
 				disks--
 				each.wipe()
 			}
--- a/internal/consensus/mutation_test.go
+++ b/internal/consensus/mutation_test.go
@@ -26,16 +26,16 @@
 	{"lives-alike", delayedGrants},
 	{"lives-alike", delayedRelease},
 	{"lives-alike", delayedRoleGrants},
-	{"deaf-primary", func(t trial, seed uint64) { deafPrimary(t, seed, 1) }},
+	{"deaf-primary", func(t trial, seed uint64) { blockInboundOfPrimary(t, seed, 1) }},
 	{"lives-alike", delayedLeaveResponse},
 	{"fixed-voters", func(t trial, seed uint64) { replaceLostController(t, seed, "witness") }},
 	{"one-backup", func(t trial, seed uint64) { loseDisks(t, seed, 2) }},
 	{"patient-primary", func(t trial, seed uint64) {
-		longest := longestCommandUnder(t, seed, 1, "backup", holderFaults["hanging"])
+		longest := longestCommandUnder(t, seed, 1, "backup", replicaFaults["hanging"])
 		assert.Assert(t, longest < 2*time.Second, "%s", longest)
 	}},
 	{"patient-primary", func(t trial, seed uint64) {
-		longest := longestCommandUnder(t, seed, 1, "primary", holderFaults["hanging"])
+		longest := longestCommandUnder(t, seed, 1, "primary", replicaFaults["hanging"])
 		assert.Assert(t, longest < 2*time.Second, "%s", longest)
 	}},
 }
@@ -58,6 +58,6 @@
 			}
 		}
 		restore()
-		assert.Check(t, found, "%s was not seen to matter", proof.mutation)
+		assert.Check(t, found, "no run failed without %s", proof.mutation)
 	}
 }
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -241,7 +241,7 @@
 func (n *Node) Start(now time.Time, effects *statemachine.Effects) {
 	n.voter.grantedUntil, n.voter.grantedTo = now.Add(LeaseDuration), n.hardState.Record.Primary
 	n.voter.uncertainUntil = now.Add(LeaseDuration)
-	n.replication.primaryHeard, n.election.decidedAt, n.lease.primarySince = now, now, now
+	n.replication.primaryLastContact, n.election.decidedAt, n.lease.primarySince = now, now, now
 	n.resetProgress(now)
 	n.recordFounders(effects)
 	n.timers.Arm(helloTimer, now)
@@ -274,7 +274,7 @@
 	now time.Time, meta statemachine.Meta, message any, effects *statemachine.Effects,
 ) bool {
 	if n.voterNameAt(meta.From) != "" {
-		n.lease.lastHeard[meta.From] = now
+		n.lease.lastContact[meta.From] = now
 	}
 	return n.handleElectionMessage(now, meta.From, message, effects) ||
 		n.handleLeaseMessage(now, meta.From, message, effects) ||
--- a/internal/consensus/reconfiguration.go
+++ b/internal/consensus/reconfiguration.go
@@ -80,7 +80,7 @@
 	for _, name := range n.hardState.Record.Backups {
 		backup := n.replication.progress[name]
 		switch {
-		case now.Sub(backup.lastHeard) >= failureTimeout:
+		case now.Sub(backup.lastContact) >= failureTimeout:
 			lost = append(lost, name)
 		case n.isSlow(now, backup):
 			slow = append(slow, name)
@@ -176,7 +176,7 @@
 // already in progress or there is a spare that can be added.
 func (n *Node) needsMoreBackups(now time.Time) bool {
 	record := n.hardState.Record
-	if len(record.Backups) >= n.wantedBackups() || len(record.Voters) <= n.neededBackups() {
+	if len(record.Backups) >= n.targetBackups() || len(record.Voters) <= n.requiredBackups() {
 		return false
 	}
 	if n.reconfig.replacing {
@@ -194,7 +194,7 @@
 	}
 	position := slices.Index(n.hardState.Record.Backups, n.settings.Self.Name)
 	timeout := failureTimeout + time.Duration(position)*takeoverStagger
-	if elapsed := now.Sub(n.replication.primaryHeard); elapsed < timeout {
+	if elapsed := now.Sub(n.replication.primaryLastContact); elapsed < timeout {
 		n.timers.ArmSooner(monitorTimer, now.Add(timeout-elapsed))
 		return
 	}
@@ -280,7 +280,7 @@
 			delete(n.reconfig.spares, name)
 		}
 	}
-	wanted := n.wantedBackups() - len(retained)
+	wanted := n.targetBackups() - len(retained)
 	if n.reconfig.takingOver {
 		wanted = len(n.hardState.Record.Voters)
 	}
@@ -318,20 +318,20 @@
 func (n *Node) proposeNextEpoch(now time.Time, effects *statemachine.Effects) {
 	record := n.hardState.Record
 	ready, leaving, pending := n.readySpares()
-	missing := n.wantedBackups() - len(n.reconfig.retained) - len(ready) - len(leaving)
-	if pending > 0 && (missing > 0 || n.reconfig.takingOver && now.Sub(n.oldestSpare(now)) < spareWindow) {
+	missing := n.targetBackups() - len(n.reconfig.retained) - len(ready) - len(leaving)
+	if pending > 0 && (missing > 0 || n.reconfig.takingOver && now.Sub(n.oldestSpareSentAt(now)) < spareWindow) {
 		return
 	}
 	backups := slices.Clone(n.reconfig.retained)
 	// A spare that is leaving becomes a backup only if there are not enough others.
 	for _, candidates := range [][]Controller{ready, leaving} {
-		for len(candidates) > 0 && len(backups) < n.wantedBackups() {
+		for len(candidates) > 0 && len(backups) < n.targetBackups() {
 			best := n.inEmptiestZone(record.Voters, candidates, backups)
 			backups = append(backups, best.Name)
 			candidates = slices.DeleteFunc(candidates, func(candidate Controller) bool { return candidate.SameAs(best) })
 		}
 	}
-	if len(backups) < n.neededBackups() || !n.reconfig.takingOver && slices.Equal(backups, record.Backups) {
+	if len(backups) < n.requiredBackups() || !n.reconfig.takingOver && slices.Equal(backups, record.Backups) {
 		return
 	}
 	n.reconfig.proposed = true
@@ -365,7 +365,7 @@
 
 // oldestSpareSentAt returns when the state was sent to the first of the current spares, or now
 // if there are none.
-func (n *Node) oldestSpare(now time.Time) time.Time {
+func (n *Node) oldestSpareSentAt(now time.Time) time.Time {
 	oldest := now
 	for _, prepared := range n.reconfig.spares {
 		if prepared.sentAt.Before(oldest) {
--- a/internal/consensus/recovery.go
+++ b/internal/consensus/recovery.go
@@ -65,7 +65,7 @@
 	// It is unknown which leases this controller granted before the loss of its disk.
 	n.voter.grantedUntil, n.voter.grantedTo = now.Add(LeaseDuration), ""
 	n.voter.uncertainUntil = now.Add(LeaseDuration)
-	n.replication.primaryHeard, n.election.decidedAt = now, now
+	n.replication.primaryLastContact, n.election.decidedAt = now, now
 	n.resetProgress(now)
 	effects.Emit(logevent.EpochRecovered, "epoch", recovered.Record.Epoch)
 	n.persistHardState(effects, nil)
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -17,7 +17,7 @@
 	// stateReplicated is set while all replicas have everything that this primary has applied.
 	stateReplicated bool
 	// primaryLastContact is when this backup last received a message from the primary.
-	primaryHeard time.Time
+	primaryLastContact time.Time
 	// staged are the snapshots for the next epoch, by the name of the sender.
 	staged map[string]*stagedSnapshot
 }
@@ -39,7 +39,7 @@
 
 // progress is what the primary knows about a backup's replica.
 type progress struct {
-	lastHeard time.Time
+	lastContact time.Time
 	// inSync is set once the replica is known to have everything that was committed.
 	inSync bool
 	// ackedIndex is the highest index that the backup has acknowledged as synced.
@@ -55,7 +55,7 @@
 
 // requiredBackups returns the minimum number of backups with which an epoch commits commands.
 // Every backup of the epoch must sync a command, even if there are more.
-func (n *Node) neededBackups() int {
+func (n *Node) requiredBackups() int {
 	if n.settings.ClusterSize > 0 {
 		return max(1, n.settings.Tolerance)
 	}
@@ -67,15 +67,15 @@
 
 // targetBackups returns how many backups there should be. It is at least one, so that another
 // controller can take over, but limited by the number of voters.
-func (n *Node) wantedBackups() int {
-	return min(max(1, n.neededBackups()), len(n.hardState.Record.Voters)-1)
+func (n *Node) targetBackups() int {
+	return min(max(1, n.requiredBackups()), len(n.hardState.Record.Voters)-1)
 }
 
 // resetProgress starts to track the progress of the backups of the current record.
 func (n *Node) resetProgress(now time.Time) {
 	n.replication.progress = map[string]*progress{}
 	for _, name := range n.hardState.Record.Backups {
-		n.replication.progress[name] = &progress{lastHeard: now}
+		n.replication.progress[name] = &progress{lastContact: now}
 	}
 }
 
@@ -86,7 +86,7 @@
 			return false
 		}
 	}
-	return len(n.hardState.Record.Backups) >= n.neededBackups()
+	return len(n.hardState.Record.Backups) >= n.requiredBackups()
 }
 
 // pendingProposal returns the first proposal, or false if there is none. Its index is 0 until it
@@ -194,7 +194,7 @@
 	if !n.mayAppend() || record.nameAt(from) != record.Primary {
 		return
 	}
-	n.replication.primaryHeard = now
+	n.replication.primaryLastContact = now
 	response := AppendResponse{Epoch: entry.Epoch, Index: entry.Index}
 	if entry.Index == n.appliedIndex+1 && n.storage.pendingStates == 0 {
 		n.stateMachine.Apply(now, entry.Command)
@@ -218,7 +218,7 @@
 	if !named || !n.IsPrimary() || response.Epoch != n.hardState.Record.Epoch {
 		return
 	}
-	backup.lastHeard = now
+	backup.lastContact = now
 	backup.ackedIndex = max(backup.ackedIndex, response.Index)
 	n.maybeCommit(now, effects)
 }
@@ -230,7 +230,7 @@
 	if !found || !n.IsPrimary() || n.reconfig.replacing || n.epochSealed() {
 		return
 	}
-	if !head.synced || head.index != n.appliedIndex+1 || len(n.hardState.Record.Backups) < n.neededBackups() {
+	if !head.synced || head.index != n.appliedIndex+1 || len(n.hardState.Record.Backups) < n.requiredBackups() {
 		return
 	}
 	for _, name := range n.hardState.Record.Backups {
@@ -256,7 +256,7 @@
 	now time.Time, from, name string, grant LeaseGrant, effects *statemachine.Effects,
 ) {
 	backup := n.replication.progress[name]
-	backup.lastHeard = now
+	backup.lastContact = now
 	record := n.hardState.Record
 	if n.reconfig.proposed || !n.isComplete() {
 		return
--- a/internal/consensus/replication_test.go
+++ b/internal/consensus/replication_test.go
@@ -46,34 +46,34 @@
 	cluster.submit(4 * time.Second)
 	// All controllers lose power at once. As many disks as are tolerated are lost with it: of the
 	// primary and the backups except one, and of other voters for the remaining ones.
-	holders := append([]string{record.Primary}, record.Backups...)
+	replicas := append([]string{record.Primary}, record.Backups...)
 	for _, controller := range cluster.controllers {
 		controller.kill()
 	}
-	spared := int(seed) % (tolerance + 1)
+	keptReplica := int(seed) % (tolerance + 1)
 	lost := 0
-	for number, name := range holders {
-		if lost < tolerance && number != spared {
+	for number, name := range replicas {
+		if lost < tolerance && number != keptReplica {
 			cluster.named(name).wipe()
 			lost++
 		}
 	}
 	for _, controller := range cluster.controllers {
-		if lost < tolerance && !slices.Contains(holders, controller.self.Name) {
+		if lost < tolerance && !slices.Contains(replicas, controller.self.Name) {
 			controller.wipe()
 			lost++
 		}
 	}
 	for _, controller := range cluster.controllers {
-		controller.founding = false
+		controller.bootstrap = false
 		cluster.after(time.Duration(cluster.random.IntN(3000))*time.Millisecond, controller.start)
 	}
 	before := len(cluster.committed)
-	cluster.until(12*time.Second, "somebody serves", func() bool { return cluster.serving() != nil })
+	cluster.until(12*time.Second, "a controller serves", func() bool { return cluster.serving() != nil })
 	assert.Assert(t, len(cluster.serving().state.numbers) >= before)
 	cluster.until(12*time.Second, "all voters take part", func() bool { return cluster.hasVoters(max(3, 2*tolerance+1)) })
 	cluster.submit(4 * time.Second)
-	assert.Equal(t, len(cluster.founded), 1)
+	assert.Equal(t, len(cluster.bootstrapped), 1)
 }
 
 // TestPendingCommandSurvivesSnapshotAndLostDisk commits a command that was pending while a
@@ -94,17 +94,17 @@
 	cluster := stableCluster(t, seed, 1)
 	record := cluster.serving().node.Record()
 	primary, backup := cluster.named(record.Primary), cluster.named(record.Backups[0])
-	var more func()
-	more = func() {
+	var submitNext func()
+	submitNext = func() {
 		if !primary.up {
 			return
 		}
 		cluster.submitTo(primary, func(uint64) {
 			cluster.committed = append([]uint64(nil), primary.state.numbers...)
 		})
-		cluster.after(2*time.Millisecond, more)
+		cluster.after(2*time.Millisecond, submitNext)
 	}
-	more()
+	submitNext()
 	cluster.run(time.Duration(cluster.random.IntN(300)) * time.Millisecond)
 	before := primary.snapshots
 	cluster.until(4*time.Second, "the primary writes a snapshot", func() bool { return primary.snapshots > before })
@@ -114,11 +114,11 @@
 	}
 	backup.wipe()
 	for _, controller := range cluster.controllers {
-		controller.founding = false
+		controller.bootstrap = false
 		cluster.after(time.Duration(cluster.random.IntN(1000))*time.Millisecond, controller.start)
 	}
 	committed := len(cluster.committed)
-	cluster.until(12*time.Second, "somebody serves", func() bool { return cluster.serving() != nil })
+	cluster.until(12*time.Second, "a controller serves", func() bool { return cluster.serving() != nil })
 	assert.Assert(t, len(cluster.serving().state.numbers) >= committed)
 }
 
@@ -126,7 +126,7 @@
 // must be committed within two seconds, and within half a second if the primary releases its
 // lease before it stops.
 func TestFaultsDelayCommandsBriefly(t *testing.T) {
-	for name, fault := range statemachine.Sorted(holderFaults) {
+	for name, fault := range statemachine.Sorted(replicaFaults) {
 		for tolerance := 1; tolerance < 4; tolerance++ {
 			for _, role := range []string{"backup", "primary"} {
 				t.Run(fmt.Sprint(name, " ", role, " ", tolerance), func(t *testing.T) {
@@ -147,7 +147,7 @@
 	}
 }
 
-var holderFaults = map[string]func(controller *testController){
+var replicaFaults = map[string]func(controller *testController){
 	"killed": func(controller *testController) { controller.kill() },
 	"frozen": func(controller *testController) { controller.frozen = true },
 	"cut":    func(controller *testController) { controller.partitioned = true },
--- a/internal/consensus/snapshot.go
+++ b/internal/consensus/snapshot.go
@@ -118,7 +118,7 @@
 	}
 	backup, named := n.replication.progress[name]
 	if named && n.IsPrimary() && response.Index == n.appliedIndex && !n.reconfig.proposed {
-		backup.lastHeard = now
+		backup.lastContact = now
 		n.markInSync(now, name, effects)
 	}
 }
--- a/internal/consensus/voters.go
+++ b/internal/consensus/voters.go
@@ -25,7 +25,7 @@
 )
 
 // targetVoters returns how many voters there should be.
-func (n *Node) wantedVoters() int {
+func (n *Node) targetVoters() int {
 	if n.settings.ClusterSize > 0 {
 		return n.settings.ClusterSize
 	}
@@ -85,7 +85,7 @@
 func (n *Node) nextVoters(now time.Time) (Record, bool) {
 	next := n.hardState.Record
 	removed, removes := n.voterToRemove(now)
-	if !removes && len(next.Voters) >= n.wantedVoters() {
+	if !removes && len(next.Voters) >= n.targetVoters() {
 		if removed, removes = n.voterToRebalance(now); !removes {
 			return Record{}, false
 		}
--- a/internal/consensus/voters_test.go
+++ b/internal/consensus/voters_test.go
@@ -12,7 +12,7 @@
 	"dahlialock/internal/statemachine"
 )
 
-func TestSeedsFoundAndVotersGrow(t *testing.T) {
+func TestSeedsBootstrapClusterAndVotersGrow(t *testing.T) {
 	for _, each := range []struct{ controllers, seeds, tolerance, voters int }{
 		{3, 3, 1, 3}, {5, 3, 1, 3}, {9, 3, 2, 5}, {9, 3, 3, 7}, {3, 2, 1, 3}, {2, 2, 1, 2}, {5, 1, 1, 3}, {4, 1, 2, 4},
 	} {
@@ -22,7 +22,7 @@
 				cluster := newCluster(t, seed, each.controllers, each.seeds, each.tolerance)
 				cluster.startAll()
 				cluster.after(time.Second, cluster.generateLoad)
-				first := cluster.until(8*time.Second, "somebody serves", func() bool { return cluster.serving() != nil })
+				first := cluster.until(8*time.Second, "a controller serves", func() bool { return cluster.serving() != nil })
 				complete := cluster.until(12*time.Second, "all voters take part", func() bool {
 					return cluster.hasVoters(each.voters)
 				})
@@ -37,7 +37,7 @@
 				cluster.run(10 * time.Second)
 				assert.Assert(t, len(cluster.committed) > 10)
 				for _, controller := range cluster.controllers {
-					assert.Assert(t, !controller.node.Blank(), "%s knows nothing", controller.self.Name)
+					assert.Assert(t, !controller.node.Blank(), "%s is blank", controller.self.Name)
 				}
 			}
 		})
@@ -47,18 +47,18 @@
 // TestFounderWithLostDiskDoesNotBootstrap wipes a founder's disk at different times during and
 // after the bootstrap, and restarts the founder with and without Bootstrap. The founder must
 // learn the existing cluster from the others instead of bootstrapping a second one.
-func TestFounderWithLostDiskFoundsNothing(t *testing.T) {
-	for _, founding := range []bool{false, true} {
+func TestFounderWithLostDiskDoesNotBootstrap(t *testing.T) {
+	for _, bootstrap := range []bool{false, true} {
 		for seed := range uint64(40) {
-			t.Run(fmt.Sprint(founding, seed), func(t *testing.T) {
+			t.Run(fmt.Sprint(bootstrap, seed), func(t *testing.T) {
 				t.Parallel()
-				loseFounder(t, seed, founding)
+				wipeFounder(t, seed, bootstrap)
 			})
 		}
 	}
 }
 
-func loseFounder(t trial, seed uint64, founding bool) {
+func wipeFounder(t trial, seed uint64, bootstrap bool) {
 	t.Helper()
 	cluster := newCluster(t, seed, 5, 3, 1)
 	cluster.startAll()
@@ -66,7 +66,7 @@
 	cluster.run(time.Duration(300+seed*60) * time.Millisecond)
 	lost := cluster.controllers[seed%3]
 	lost.wipe()
-	lost.founding = founding
+	lost.bootstrap = bootstrap
 	if seed%2 == 0 {
 		// The founder is partitioned from the others for four seconds.
 		lost.partitioned = true
@@ -78,12 +78,12 @@
 	before := len(cluster.committed)
 	cluster.run(5 * time.Second)
 	assert.Assert(t, len(cluster.committed) > before+5)
-	assert.Equal(t, len(cluster.founded), 1)
+	assert.Equal(t, len(cluster.bootstrapped), 1)
 }
 
 // TestRestartedFoundersBootstrap restarts the founders without Bootstrap while they bootstrap the
 // cluster. They must still complete the bootstrap.
-func TestRestartedFoundersFound(t *testing.T) {
+func TestRestartedFoundersBootstrap(t *testing.T) {
 	for seed := range uint64(12) {
 		cluster := newCluster(t, seed, 4, 3, 1)
 		for number, controller := range cluster.controllers {
@@ -92,23 +92,23 @@
 		cluster.run(time.Duration(100+40*seed) * time.Millisecond)
 		for _, controller := range cluster.controllers {
 			controller.kill()
-			controller.founding = false
+			controller.bootstrap = false
 			cluster.after(time.Second, controller.start)
 		}
-		cluster.until(8*time.Second, "somebody serves", func() bool { return cluster.serving() != nil })
+		cluster.until(8*time.Second, "a controller serves", func() bool { return cluster.serving() != nil })
 	}
 }
 
 // TestOnlyFoundersBootstrap sets Bootstrap only on controllers that are not seeds. No cluster may
 // be bootstrapped.
-func TestOnlyFoundersFound(t *testing.T) {
+func TestOnlyFoundersBootstrap(t *testing.T) {
 	cluster := newCluster(t, 1, 5, 3, 1)
 	for number, controller := range cluster.controllers {
-		controller.founding = number > 2
+		controller.bootstrap = number > 2
 		controller.start()
 	}
 	cluster.run(20 * time.Second)
-	assert.Equal(t, len(cluster.founded), 0)
+	assert.Equal(t, len(cluster.bootstrapped), 0)
 	for _, controller := range cluster.controllers {
 		assert.Assert(t, controller.node.Blank())
 	}
@@ -129,7 +129,7 @@
 	cluster := newCluster(t, seed, 3, 3, 1)
 	cluster.startAll()
 	cluster.after(time.Second, cluster.generateLoad)
-	cluster.until(5*time.Second, "somebody serves", func() bool { return cluster.serving() != nil })
+	cluster.until(5*time.Second, "a controller serves", func() bool { return cluster.serving() != nil })
 	cluster.run(3 * time.Second)
 	record := cluster.serving().node.Record()
 	lost := cluster.named(record.Primary)
@@ -183,7 +183,7 @@
 	cluster.after(4*time.Second, cluster.hangDisks)
 	cluster.run(3 * time.Minute)
 	busy := len(cluster.committed) > 100 && cluster.leaseObservations > 1000
-	assert.Assert(t, busy, "little happened: %d committed", len(cluster.committed))
+	assert.Assert(t, busy, "too little activity: %d committed", len(cluster.committed))
 	cluster.faultsOver = true
 	for _, controller := range cluster.controllers {
 		controller.partitioned = false
@@ -193,13 +193,13 @@
 		}
 	}
 	cluster.loss = 0
-	cluster.until(12*time.Second, "somebody serves", func() bool { return cluster.serving() != nil })
+	cluster.until(12*time.Second, "a controller serves", func() bool { return cluster.serving() != nil })
 	cluster.until(15*time.Second, "all voters take part", func() bool { return cluster.hasVoters(2*tolerance + 1) })
 }
 
 // TestReplacedPeersExpire has many controllers send one Hello each. Their entries must expire,
 // or the table of peers would grow without bound.
-func TestReplacedPeersAreForgotten(t *testing.T) {
+func TestReplacedPeersExpire(t *testing.T) {
 	cluster := stableCluster(t, 1, 1)
 	primary := cluster.serving()
 	before := len(primary.node.discovery.peers)
@@ -212,6 +212,6 @@
 		})
 		cluster.run(time.Second)
 	}
-	remembered := len(primary.node.discovery.peers)
-	assert.Assert(t, remembered <= before+int(peerRetention/time.Second)+2, "%d are remembered", remembered)
+	remaining := len(primary.node.discovery.peers)
+	assert.Assert(t, remaining <= before+int(peerRetention/time.Second)+2, "%d peers remain", remaining)
 }
--- a/internal/consensus/world_test.go
+++ b/internal/consensus/world_test.go
@@ -20,13 +20,13 @@
 
 // faultBudget is how many events of each type may still happen.
 type faultBudget struct {
-	submits int
-	losses  int
-	repeats int
-	crashes int
-	wipes   int
-	kills   int
-	powers  int
+	submits     int
+	losses      int
+	repeats     int
+	crashes     int
+	wipes       int
+	kills       int
+	powerLosses int
 }
 
 // inFlight is a message that is not delivered yet, or a write that is not synced yet.
@@ -137,7 +137,7 @@
 		}
 		w.defaultStep()
 	}
-	panic("nobody serves at the beginning")
+	panic("no process serves in the initial state")
 }
 
 func (w *world) serving() *process {
@@ -251,7 +251,7 @@
 		}
 	}
 	if next == nil {
-		panic("nobody is left")
+		panic("no process is up")
 	}
 	for _, item := range w.items {
 		if item.delayed {
@@ -320,7 +320,7 @@
 	if first != nil {
 		w.addMove(0, func() string { return first.label(w) }, func() { w.deliver(first) })
 	} else {
-		w.addMove(0, func() string { return "time passes" }, w.tick)
+		w.addMove(0, func() string { return "the time advances" }, w.tick)
 	}
 	w.addReorderings(first)
 	w.addFaults(first)
@@ -333,13 +333,13 @@
 
 // addReorderings adds the choices that process items in flight in another order.
 func (w *world) addReorderings(first *inFlight) {
-	wrote := map[int]bool{}
+	hasWrite := map[int]bool{}
 	for _, item := range w.items {
 		if item.write != nil {
-			if wrote[item.to] {
+			if hasWrite[item.to] {
 				continue
 			}
-			wrote[item.to] = true
+			hasWrite[item.to] = true
 		}
 		if item == first {
 			continue
@@ -400,7 +400,7 @@
 		})
 	}
 	if w.remaining.repeats > 0 {
-		w.addMove(1, func() string { return "twice: " + first.label(w) }, func() {
+		w.addMove(1, func() string { return "duplicated: " + first.label(w) }, func() {
 			w.remaining.repeats--
 			again := *first
 			again.delayed, again.ticks = true, delayTicks
@@ -425,17 +425,17 @@
 			w.remaining.wipes--
 			each.wipe()
 		})
-		if w.remaining.powers > 0 {
+		if w.remaining.powerLosses > 0 {
 			w.addMove(1, func() string { return each.self.Name + " loses its disk, and all others lose power" }, func() {
 				w.remaining.wipes--
-				w.remaining.powers--
+				w.remaining.powerLosses--
 				w.losePower()
 				each.wipe()
 			})
 		}
 	}
 	if w.remaining.kills > 0 && mayLose {
-		w.addMove(1, func() string { return each.self.Name + " is lost for good" }, func() {
+		w.addMove(1, func() string { return each.self.Name + " is permanently lost" }, func() {
 			w.remaining.kills--
 			w.lost++
 			each.end()
@@ -500,7 +500,7 @@
 		holders = append(holders, each.self.Name)
 		applied := each.state.numbers
 		if len(applied) < len(w.committed) || !slices.Equal(applied[:len(w.committed)], w.committed) {
-			w.broken = fmt.Errorf("%s holds the lease with %v, committed were %v", each.self.Name, applied, w.committed)
+			w.broken = fmt.Errorf("%s holds the lease with state %v, but %v is committed", each.self.Name, applied, w.committed)
 		}
 	}
 	if len(holders) > 1 {
@@ -550,10 +550,10 @@
 	for _, each := range w.processes {
 		each.partitioned = false
 	}
-	calm := w.now
-	for steps := 0; w.now.Sub(calm) < 12*time.Second; steps++ {
+	lastFault := w.now
+	for steps := 0; w.now.Sub(lastFault) < 12*time.Second; steps++ {
 		if steps > maxSteps {
-			return fmt.Errorf("something goes on without end: %s", w.Choices()[0].Label())
+			return fmt.Errorf("the cluster does not become idle, the next event is: %s", w.Choices()[0].Label())
 		}
 		w.defaultStep()
 		w.checkInvariants()
@@ -564,5 +564,5 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("nobody serves 12s after the last fault")
+	return fmt.Errorf("no process serves 12s after the last fault")
 }
--- a/internal/membership/failure_detector.go
+++ b/internal/membership/failure_detector.go
@@ -61,7 +61,7 @@
 	// watchesStore is set if any watched member is a store.
 	watchesStore bool
 	// lastContact is when the last message from any other daemon arrived.
-	heardAnyAt      time.Time
+	lastContact     time.Time
 	lastStep        time.Time
 	heartbeatSentAt time.Time
 	resting         bool
@@ -81,7 +81,7 @@
 
 // Start starts the timers. The first heartbeat is sent at the next Tick.
 func (d *FailureDetector) Start(now time.Time) {
-	d.lastStep, d.heardAnyAt = now, now
+	d.lastStep, d.lastContact = now, now
 	d.timers.Arm(timerStep, now)
 }
 
@@ -115,14 +115,14 @@
 			if watcher.Name != d.self.Name {
 				continue
 			}
-			heard, found := d.watched[name]
+			lastHeartbeat, found := d.watched[name]
 			if !found || d.view[name].Incarnation != member.Incarnation {
 				// The timeout of a restarted process does not include the silence of its previous
 				// incarnation.
-				heard = now
+				lastHeartbeat = now
 				delete(d.suspected, name)
 			}
-			watched[name] = heard
+			watched[name] = lastHeartbeat
 		}
 	}
 	d.view, d.index = view, index
@@ -134,12 +134,12 @@
 }
 
 // ReceiveFromPeer has to be called for every message from another daemon, of any type.
-func (d *FailureDetector) ReceiveFromPeer(now time.Time) { d.heardAnyAt = now }
+func (d *FailureDetector) ReceiveFromPeer(now time.Time) { d.lastContact = now }
 
 // Isolated reports whether this daemon has received no message from another daemon for
 // IsolationTimeout.
 func (d *FailureDetector) Isolated(now time.Time) bool {
-	return now.Sub(d.heardAnyAt) > IsolationTimeout
+	return now.Sub(d.lastContact) > IsolationTimeout
 }
 
 // ReceiveHeartbeat restarts the timeout of a watched member. The heartbeat may be of any
@@ -199,7 +199,7 @@
 	for name := range d.watched {
 		d.watched[name] = now
 	}
-	d.heardAnyAt = now
+	d.lastContact = now
 }
 
 func (d *FailureDetector) sendHeartbeats(now time.Time, effects *statemachine.Effects) {
@@ -220,9 +220,9 @@
 // once per period of silence.
 func (d *FailureDetector) silentMembers(now time.Time, effects *statemachine.Effects) []Suspect {
 	var silent []Suspect
-	for name, heardAt := range statemachine.Sorted(d.watched) {
+	for name, lastHeartbeat := range statemachine.Sorted(d.watched) {
 		member := d.view[name]
-		silentFor := now.Sub(heardAt)
+		silentFor := now.Sub(lastHeartbeat)
 		if silentFor <= suspectTimeout(member) {
 			continue
 		}
--- a/internal/membership/failure_detector_test.go
+++ b/internal/membership/failure_detector_test.go
@@ -81,8 +81,8 @@
 		effects = statemachine.Effects{}
 		detector.Tick(now, &effects)
 		for _, send := range effects.Sends {
-			_, blames := send.Message.(Suspicion)
-			assert.Assert(t, !blames, "after a pause of %s", pause)
+			_, isSuspicion := send.Message.(Suspicion)
+			assert.Assert(t, !isSuspicion, "after a pause of %s", pause)
 		}
 	}
 }
