--- a/internal/gateway/ephemeral.go
+++ b/internal/gateway/ephemeral.go
@@ -40,7 +40,7 @@
 			g.finishPublication(
 				now,
 				item,
-				rejectedReply(503, "no-neighbours", "the overlay is being repaired", retryShortDelay),
+				rejectedReply(503, "no-neighbours", "the overlay is being mended", retryShortDelay),
 				effects,
 			)
 			return
--- a/internal/gateway/fetch.go
+++ b/internal/gateway/fetch.go
@@ -164,7 +164,7 @@
 	g.answerSubscribe(
 		now,
 		operation.request,
-		rejectedReply(503, code, "the missed messages could not be found in time; nothing is subscribed", retryShortDelay),
+		rejectedReply(503, code, "the place could not be found in time; nothing is subscribed", retryShortDelay),
 		effects,
 	)
 }
@@ -256,7 +256,7 @@
 	g.answerSubscribe(
 		now,
 		operation.request,
-		rejectedReply(410, "place-lost", "the missed messages are no longer retained; subscribe without the cursor", 0),
+		rejectedReply(410, "place-lost", "what was missed is older than the space holds; subscribe without the cursor", 0),
 		effects,
 	)
 }
--- a/internal/gateway/topic_delivery.go
+++ b/internal/gateway/topic_delivery.go
@@ -215,7 +215,7 @@
 			response := rejectedReply(
 				503,
 				"no-answer",
-				"the missed messages could not be found in time; nothing is subscribed",
+				"the place could not be found in time; nothing is subscribed",
 				retryShortDelay,
 			)
 			g.rejectTopicSubscription(now, subscription, response, effects)
--- a/internal/gateway/topic_subscription.go
+++ b/internal/gateway/topic_subscription.go
@@ -44,7 +44,7 @@
 	}
 	if existing, subscribed := session.routed[name]; subscribed {
 		if existing.catchingUp {
-			answer(rejectedReply(409, "underway", "this subscription is still being started", retryShortDelay))
+			answer(rejectedReply(409, "underway", "this subscription is being taken up", retryShortDelay))
 			return
 		}
 		g.replyTopicSubscription(now, request, existing.deliveredUpTo, effects)
@@ -303,7 +303,7 @@
 			g.answerSubscribe(
 				now,
 				subscription.request,
-				rejectedReply(409, "unsubscribed", "the client unsubscribed before the confirmation", retryShortDelay),
+				rejectedReply(409, "unsubscribed", "the subscription was ended before it was taken up", retryShortDelay),
 				effects,
 			)
 		}
@@ -344,7 +344,7 @@
 			g.rejectTopicSubscription(
 				now,
 				subscription,
-				rejectedReply(410, "place-lost", "the missed messages are no longer retained; subscribe without the cursor", 0),
+				rejectedReply(410, "place-lost", "what was missed is older than the space holds; subscribe without the cursor", 0),
 				effects,
 			)
 		}
