--- a/internal/controller/acknowledgement.go
+++ b/internal/controller/acknowledgement.go
@@ -7,19 +7,20 @@
 	"dahlialock/internal/statemachine"
 )
 
-// unacknowledgedAnswer is the first answer to a store that the store is not yet known to
-// have received.
+// unacknowledgedAnswer identifies the first response to a store whose receipt the store has
+// not acknowledged yet.
 //
-// A store whose incoming link has failed looks alive, since its polls and heartbeats still
-// arrive. The partitions that it leads make no progress all the same. So one that does not
-// acknowledge its answers for long counts as failed.
+// A store whose incoming link has failed seems to be alive, since its polls and heartbeats still
+// arrive, but the partitions that it leads make no progress. So a store that does not
+// acknowledge a response in time is considered failed.
 type unacknowledgedAnswer struct {
 	nonce       uint64
 	incarnation uint64
 	at          time.Time
 }
 
-// recordAnswer records that a store is sent an answer.
+// recordAnswer records that a response is being sent to a store, unless an earlier response to
+// the same incarnation is still unacknowledged.
 func (c *Controller) recordAnswer(now time.Time, request membership.ViewRequest) {
 	self := request.Self
 	if self.Kind != membership.KindStore {
@@ -35,7 +36,8 @@
 	}
 }
 
-// recordAcknowledgement takes over which answers a member has received, by its own poll.
+// recordAcknowledgement processes the acknowledgement in a member's poll, which is the nonce of
+// the newest poll whose response the member has received.
 func (c *Controller) recordAcknowledgement(request membership.ViewRequest) {
 	self := request.Self
 	earlier, found := c.unacknowledged[self.Name]
@@ -44,7 +46,8 @@
 	}
 }
 
-// missesAnswers reports whether a member has received no answer for too long.
+// missesAnswers reports whether a member has not acknowledged a response within the suspicion
+// timeout.
 func (c *Controller) missesAnswers(now time.Time, name string) bool {
 	earlier, found := c.unacknowledged[name]
 	return found && now.Sub(earlier.at) >= c.timeouts.suspicion && !statemachine.Mutated("deaf-store")
--- a/internal/controller/apply.go
+++ b/internal/controller/apply.go
@@ -11,12 +11,12 @@
 	"dahlialock/internal/transport"
 )
 
-// Apply changes the state by one committed command. The consensus node calls it in the
-// order of the log. What became of an operator's order in the command is the state's
-// result until the next command.
+// Apply applies one committed command to the state. The consensus node calls it in log order.
+// If the command contains an operator's order, its outcome is in the state's result field
+// until the next command is applied.
 //
-// Apply panics on a command that can't be read, and on one with a faulty configuration: the log
-// is damaged, or of another program.
+// Apply panics on a command that can't be decoded, and on one with an invalid configuration:
+// the log is corrupt, or was written by another program.
 func (s *State) Apply(_ time.Time, encoded []byte) {
 	var command Command
 	if err := transport.Unmarshal(encoded, &command); err != nil {
@@ -71,8 +71,8 @@
 	s.PlacementModifiedAt[placement.Partition] = s.Index
 }
 
-// applyConfiguration decides on an operator's configuration and brings it into force if it
-// is accepted.
+// applyConfiguration decides whether an operator's configuration is accepted, and installs it
+// if so.
 func (s *State) applyConfiguration(change ConfigurationChange) orderResult {
 	if outcome, found := s.recordedOutcome(change); found {
 		return orderResult{outcome: outcome}
@@ -95,8 +95,8 @@
 	return orderResult{outcome: Accepted}
 }
 
-// drainFaults checks what only the control state can tell: that the gateways to be drained
-// exist, and that a live one would be left.
+// drainFaults checks the drains of a configuration against the members in the control state:
+// the gateways to be drained must exist, and at least one live gateway must remain.
 func (s *State) drainFaults(configuration config.Configuration) []config.Fault {
 	if len(configuration.Draining) == 0 {
 		return nil
@@ -124,7 +124,8 @@
 	})
 }
 
-// applyRetirement decides on an order to retire a store, or to use it again.
+// applyRetirement decides on an order to retire a store or to return it to use, and applies
+// it if it is accepted.
 func (s *State) applyRetirement(order Retirement) Outcome {
 	member, found := s.memberOrTombstone(order.Store)
 	switch {
@@ -141,7 +142,7 @@
 	return Accepted
 }
 
-// mayRetire reports whether enough other stores would be left without one.
+// mayRetire reports whether enough other stores would remain if a store were retired.
 func (s *State) mayRetire(store string) bool {
 	others := 0
 	for _, other := range s.Members {
@@ -152,10 +153,10 @@
 	return others > s.Tolerance
 }
 
-// joinedMember is a member's record after an incarnation of it has joined. An order to
-// retire a store holds for whatever process and disk it comes back with, until it is
-// carried out. After that the machine is taken away, and a store of the name with another
-// disk is a new one.
+// joinedMember returns a member's record after an incarnation of the member has joined. An
+// order to retire a store stays in force across restarts and disk replacements until the
+// store is retired. A retired store's machine may be removed, so a store that joins later
+// under the same name with another disk is a new store.
 func (s *State) joinedMember(self membership.Member) membership.Member {
 	known, found := s.memberOrTombstone(self.Name)
 	sameIncarnation := found && known.Incarnation == self.Incarnation
@@ -203,8 +204,8 @@
 	s.setMember(member)
 }
 
-// applyDegradations takes a store for degraded only if enough others are healthy, or if
-// another one recovers in its place.
+// applyDegradations marks a store as degraded only if enough other stores are healthy, or if
+// another store is marked as recovered earlier in the same command.
 func (s *State) applyDegradations(changes []Degradation) {
 	recovered := 0
 	for _, change := range changes {
@@ -225,7 +226,7 @@
 	}
 }
 
-// healthyStores counts the stores that may be given replicas and are not degraded.
+// healthyStores counts the stores that may receive replicas and are not degraded.
 func (s *State) healthyStores() int {
 	count := 0
 	for _, member := range s.Members {
@@ -245,9 +246,10 @@
 	s.setMember(member)
 }
 
-// applyPlacement accepts a placement that was decided on the index below its epoch, unless
-// its partition has changed since or is no longer wanted, or a store that it gives a
-// replica to has failed or is retiring.
+// applyPlacement applies a placement, whose epoch is one above the index at which it was
+// planned. It ignores the placement if the partition's placement has changed since, if the
+// partition is no longer configured, or if a follower, or the leader of a partition that was
+// not placed before, has failed or is retiring.
 func (s *State) applyPlacement(placement membership.Placement) {
 	if !s.expects(placement.Partition) {
 		return
@@ -268,7 +270,7 @@
 	s.setPlacement(placement)
 }
 
-// applyReplicated completes a placement once all its replicas have the records.
+// applyReplicated marks a placement as complete once all its replicas have the records.
 func (s *State) applyReplicated(replicated membership.PartitionReplicated) {
 	placement, found := s.Placements[replicated.Partition]
 	if !found || placement.Epoch != replicated.Epoch || placement.Complete {
@@ -276,15 +278,15 @@
 	}
 	replicas := s.replicaIDs(placement)
 	if !slices.Equal(replicas, replicated.Replicas) {
-		// A replica's disk was lost meanwhile.
+		// A replica's disk was replaced after the report was sent.
 		return
 	}
 	placement.Complete, placement.InSync = true, replicas
 	s.setPlacement(placement)
 }
 
-// replicaIDs lists the replicas of a placement, each a store on its present disk, the
-// leader first.
+// replicaIDs returns the replica IDs of a placement, the leader's first. A replica ID
+// identifies a store together with its current disk.
 func (s *State) replicaIDs(placement membership.Placement) []string {
 	replicas := []string{s.Members[placement.Leader].ReplicaID()}
 	for _, name := range placement.Followers {
--- a/internal/controller/apply_test.go
+++ b/internal/controller/apply_test.go
@@ -1,5 +1,6 @@
-// Commands that were decided on a state that has changed since: each changes only the fields
-// that it is about, and orders that exclude each other are never both accepted.
+// These tests apply commands to a state that has changed since the commands were decided. Each
+// command must change only the fields that it is meant to change, and of conflicting orders at
+// most one may be accepted.
 package controller
 
 import (
@@ -19,11 +20,12 @@
 // pendingCommand is a command that was decided on an earlier state.
 type pendingCommand struct {
 	command Command
-	// allowed is a member's record before the command with the fields that the command may
-	// change, as they are after it.
+	// allowed returns a member's record before the command, in which the fields that the command
+	// may change have the values from after the command.
 	allowed func(before, after membership.Member) membership.Member
 }
 
+// clone returns a copy of the state, restored from a snapshot.
 func (s *State) clone(t *testing.T) *State {
 	t.Helper()
 	cloned := newState()
@@ -31,7 +33,7 @@
 	return cloned
 }
 
-// replicatedReport is the report that all replicas of a placement have its records.
+// replicatedReport returns the report that all replicas of a placement have its records.
 func replicatedReport(state *State, placement membership.Placement) membership.PartitionReplicated {
 	report := membership.PartitionReplicated{
 		Partition: placement.Partition,
@@ -44,7 +46,7 @@
 	return report
 }
 
-// drawCommand decides on a command as one of the primary's parts does.
+// drawCommand returns a random command as the primary would submit it for the given state.
 func drawCommand(random *rand.Rand, state *State, step uint64) pendingCommand {
 	names := make([]string, 0, len(state.Members))
 	for name := range statemachine.Sorted(state.Members) {
@@ -128,10 +130,11 @@
 	}
 }
 
-// outcomes counts what became of retirements.
+// outcomes counts the outcomes of retirements.
 type outcomes struct{ accepted, refused int }
 
-// applyChecked applies a command and checks what it changed.
+// applyChecked applies a command, and checks which fields it changed and the outcome of a
+// retirement.
 func (o *outcomes) applyChecked(t *testing.T, state *State, next pendingCommand, when string) {
 	t.Helper()
 	before := maps.Clone(state.Members)
@@ -157,8 +160,8 @@
 	}
 }
 
-// assertReplicasFit checks that what the last command placed lies with stores that may have
-// it.
+// assertReplicasFit checks that the last command placed followers only on live stores that are
+// not retiring.
 func assertReplicasFit(t *testing.T, state *State, when string) {
 	t.Helper()
 	for name, placement := range state.Placements {
--- a/internal/controller/command.go
+++ b/internal/controller/command.go
@@ -12,76 +12,78 @@
 // Command is one change of the control state, as an entry of the replicated log. Its parts
 // are applied in the order of the fields.
 //
-// A command never carries a record that was read when it was made. Each part changes single
-// fields, names what it was decided on, and is checked again where it is applied. So what
-// another command changed meanwhile stays, and the order of the log decides between orders
-// that exclude each other.
+// A command does not contain copies of records of the state on which it was decided. Each part
+// changes single fields, identifies what it was decided on (such as an incarnation or an epoch),
+// and is checked again when it is applied. So a command does not overwrite the changes of a command
+// that was committed before it, and log order decides between conflicting orders.
 //
-// Commands are stored: the keys of this type and of its parts never change.
+// Commands are stored, so the keys of this type and of its parts must not change.
 type Command struct {
 	Configuration *ConfigurationChange `cbor:"Configuration"`
 	Retirement    *Retirement          `cbor:"Retirement"`
-	// Tolerance, if given, is how many stores may be lost at once from now on.
+	// Tolerance is the new number of stores that may be lost at once; nil if it does not
+	// change.
 	Tolerance *int `cbor:"Tolerance"`
-	// Leaves end incarnations of members that have failed or left.
+	// Leaves lists the incarnations of members that have failed or left.
 	Leaves []MemberIncarnation `cbor:"Departures"`
 	Joins  []Join              `cbor:"Joins"`
-	// RetiredStores are the retiring stores that no partition needs any more.
+	// RetiredStores lists the retiring stores that no partition needs any more.
 	RetiredStores []string      `cbor:"Emptied"`
 	Degradations  []Degradation `cbor:"Degradations"`
 	RestChanges   []RestChange  `cbor:"Rests"`
-	// Placements are the next epochs of partitions.
+	// Placements lists the new placements of partitions, each with its next epoch.
 	Placements []membership.Placement `cbor:"Places"`
-	// Replicated are the partitions whose replicas all have the records.
+	// Replicated lists the partitions whose replicas all have the records.
 	Replicated []membership.PartitionReplicated `cbor:"Settled"`
-	// Removals are the dead members of which only a tombstone is to stay.
+	// Removals lists the dead members to be replaced by tombstones.
 	Removals []MemberIncarnation `cbor:"Forgotten"`
 }
 
-// ConfigurationChange is an operator's configuration under its version.
+// ConfigurationChange is an operator's order to put a configuration into force.
 type ConfigurationChange struct {
 	Version uint64 `cbor:"Version"`
-	// Document is empty if the version was superseded before it was submitted.
+	// Document is empty if the version was already superseded when the order was submitted.
 	Document []byte        `cbor:"Document"`
 	Digest   config.Digest `cbor:"Digest"`
-	// HighestWins acknowledges a version below the one in force without bringing it into
-	// force; otherwise it is refused.
+	// HighestWins determines the response if the version is below the one in force: the order
+	// is acknowledged without effect if set, and rejected otherwise.
 	HighestWins bool `cbor:"Highest"`
-	// ReceivedAt is when the primary received it, by the primary's clock, and ForwardedBy
-	// the address of the daemon that forwarded it.
+	// ReceivedAt is when the primary received the order, by the primary's clock, and
+	// ForwardedBy is the address of the daemon that forwarded it.
 	ReceivedAt  time.Time `cbor:"At"`
 	ForwardedBy string    `cbor:"Through"`
 }
 
-// Retirement is an operator's order to retire a store, or to use it again.
+// Retirement is an operator's order to retire a store or to return it to use.
 type Retirement struct {
-	// Order identifies the order, so that it is recognized when it is sent again.
+	// Order identifies the order, so that a retry of the same order is recognized.
 	Order    statemachine.RequestID `cbor:"Order"`
 	Store    string                 `cbor:"Store"`
 	Retiring bool                   `cbor:"Retiring"`
 }
 
-// Join is a member as it describes itself. It replaces an earlier incarnation only if that
-// is not newer, or if it is the silent one that Replaces names.
+// Join adds a member, or another incarnation of a member, as the member describes itself. A
+// lower incarnation than the known one is accepted only if Replaces is the known incarnation,
+// which had stopped polling when the join was decided.
 type Join struct {
 	Self     membership.Member `cbor:"Self"`
 	Replaces uint64            `cbor:"Over"`
 }
 
-// MemberIncarnation names one incarnation of a member.
+// MemberIncarnation identifies one incarnation of a member.
 type MemberIncarnation struct {
 	Name        string `cbor:"Name"`
 	Incarnation uint64 `cbor:"Incarnation"`
 }
 
-// Degradation says that the disk of one incarnation of a store is slow, or no longer is.
+// Degradation marks one incarnation of a store as degraded by a slow disk, or as recovered.
 type Degradation struct {
 	Name        string `cbor:"Name"`
 	Incarnation uint64 `cbor:"Incarnation"`
 	Degraded    bool   `cbor:"Degraded"`
 }
 
-// RestChange says that one incarnation of a gateway rests, or no longer does.
+// RestChange marks one incarnation of a gateway as resting, or as active again.
 type RestChange struct {
 	Name        string `cbor:"Name"`
 	Incarnation uint64 `cbor:"Incarnation"`
--- a/internal/controller/configuration_requests.go
+++ b/internal/controller/configuration_requests.go
@@ -11,10 +11,10 @@
 	"dahlialock/internal/statemachine"
 )
 
-// configurationAccepted is the response to a configuration that was accepted.
+// configurationAccepted is the response to a configuration that is acknowledged.
 type configurationAccepted struct {
 	Accepted bool `json:"taken"`
-	// Version is the version in force, which may be a higher one.
+	// Version is the version in force, which may be higher than the acknowledged one.
 	Version uint64 `json:"version"`
 }
 
@@ -27,9 +27,9 @@
 	Text          string `json:"text"`
 }
 
-// putConfiguration takes in an operator's configuration. Whether it comes into force is
-// decided where its command is applied, in the order of the log. What was decided before
-// is answered again.
+// putConfiguration handles an operator's configuration. Whether it is put into force is decided
+// when its command is applied, in log order. If the outcome has been decided before, the
+// response repeats it and no command is submitted.
 func (c *Controller) putConfiguration(
 	now time.Time, from string, document []byte, responder responder, effects *statemachine.Effects,
 ) {
@@ -63,7 +63,8 @@
 	c.submitConfiguration(now, change, responder, effects)
 }
 
-// decidedBefore finds the outcome of a configuration that needs no command.
+// decidedBefore returns the outcome of a configuration if it is already determined by the control
+// state, so that no command is necessary.
 func (c *Controller) decidedBefore(change ConfigurationChange) (Outcome, bool) {
 	if outcome, found := c.state.recordedOutcome(change); found {
 		return outcome, true
@@ -108,7 +109,7 @@
 	responder.respond(c.configurationResponse(result), effects)
 }
 
-// configurationResponse is the response to a configuration that was decided.
+// configurationResponse returns the response to a configuration whose outcome was decided.
 func (c *Controller) configurationResponse(result orderResult) response {
 	switch {
 	case result.outcome == InvalidConfiguration:
@@ -122,7 +123,7 @@
 	case result.outcome == Superseded && !c.settings.HighestWins:
 		return c.conflictResponse(codeOlderVersion, "a newer version was taken")
 	}
-	// Where the highest version wins, a lower one is acknowledged and changes nothing.
+	// With HighestWins, a version below the one in force is acknowledged without effect.
 	return okResponse(configurationAccepted{Accepted: true, Version: c.state.Version})
 }
 
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -17,19 +17,20 @@
 type timer int
 
 const (
-	// timerStop wakes the controller at stopDeadline, see finishStop.
+	// timerStop expires at stopDeadline, see finishStop.
 	timerStop timer = iota
 	// timerReconcile starts the next reconciliation.
 	timerReconcile
 )
 
-// economyRole is the singleton role of the controller that rests gateways and balances
-// sessions.
+// economyRole is the name of the singleton role whose holder puts idle gateways to rest and
+// balances sessions.
 const economyRole = "economy"
 
-// Request is an operator's request at this daemon's own control interface.
+// Request is an operator's request that was received at this daemon's control interface.
 type Request struct {
-	// Local is the host's number of the request, by which it gets the response.
+	// Local is the number that the host assigned to the request. The response has the same
+	// number.
 	Local  uint64
 	Method string
 	Path   string
@@ -49,48 +50,51 @@
 	timeouts timeouts
 	timers   *statemachine.Timers[timer]
 
-	// state is the replicated control state. Only node changes it, by applying commands.
+	// state is the replicated control state. It changes only when node applies a command.
 	state *State
 	node  *consensus.Node
 
-	// failureDetector and viewClient make this controller a member as any other daemon;
-	// controlClient forwards the requests of operators that connected here.
+	// failureDetector and viewClient are the parts that every member of the cluster has.
+	// controlClient forwards the requests of operators that are connected to this daemon.
 	failureDetector *membership.FailureDetector
 	viewClient      *membership.ViewClient
 	controlClient   *controlclient.ControlClient
 
-	// parsedConfiguration is the configuration in force, read from the control state when
-	// parsedVersion was its version.
+	// parsedConfiguration is the configuration of version parsedVersion, parsed from the
+	// document in the control state.
 	parsedConfiguration config.Configuration
 	parsedVersion       uint64
 
-	// stopDeadline is when the daemon ends in any case; zero unless it was asked to stop.
+	// stopDeadline is when the daemon stops at the latest; zero unless a stop was requested.
 	stopDeadline time.Time
 
-	// active is set while this controller acts as primary, and termStart is when it began
-	// to. The fields below are of use to the primary only; beginTerm resets what an earlier term
-	// observed, except planner and balancer, and endTerm ends the polls and forgets sentViews.
+	// active is set while this controller acts as primary, and termStart is when that began.
+	// Only the primary uses the fields below. beginTerm resets the observations of an earlier
+	// term, except planner and balancer; endTerm redirects the pending polls and clears
+	// sentViews.
 	active    bool
 	termStart time.Time
 
-	// commandPending is set while a command of the reconciliation is being committed.
-	// There is one at a time, so that each is decided on the result of the one before.
+	// commandPending is set while a command of the reconciliation is being committed. Only
+	// one is in flight at a time, so that each is based on the result of the one before.
 	commandPending bool
 
-	// pendingPolls holds the polls that wait for a change, by the member's name.
+	// pendingPolls holds the polls that wait for a change, keyed by the member's name.
 	pendingPolls map[string]pendingPoll
-	// sentViews holds the view last sent to each member, until the member has it.
+	// sentViews describes the view last sent to each member, until the member's polls show
+	// that it was received. The keys are the members' names.
 	sentViews map[string]sentView
 
 	// lastHeard is when each daemon last polled, and loads what it reported.
 	lastHeard map[string]time.Time
 	loads     map[string]membership.Load
-	// suspicions holds the newest suspicion of each reporter, by the suspect's name.
+	// suspicions holds the newest suspicion of each reporter, keyed by the suspect's name and
+	// then by the reporter's.
 	suspicions map[string]map[string]incarnationAt
-	// unacknowledged holds the first answer to each store that the store has not
+	// unacknowledged holds, for each store, the first response that the store has not
 	// acknowledged in a later poll.
 	unacknowledged map[string]unacknowledgedAnswer
-	// deadSince is when this primary first saw a member dead.
+	// deadSince is when this primary first found a member dead.
 	deadSince map[string]incarnationAt
 
 	// pendingJoins, pendingLeaves and pendingReplicated wait for the next command; the
@@ -99,21 +103,21 @@
 	pendingLeaves     map[string]MemberIncarnation
 	pendingReplicated map[string]membership.PartitionReplicated
 
-	// slowDisks holds the newest confirmed report of each slow disk, unconfirmedReports
-	// those that still wait for evidence; both by the store's name.
+	// slowDisks holds the newest confirmed report of each slow disk, unconfirmedReports the
+	// reports that are not confirmed yet; both are keyed by the store's name.
 	slowDisks          map[string]slowDisk
 	unconfirmedReports map[string]*unconfirmedReport
 
-	// The economy role: economyLease is the lease under which it acts, directives what
-	// each gateway was asked last.
+	// The following fields belong to the economy role: economyLease is the lease under which
+	// it acts, directives holds the directives last issued to each gateway.
 	planner      *consolidation.Planner
 	balancer     *balancing.Balancer
 	economyLease *consensus.RoleLease
 	directives   map[string]membership.Directives
 }
 
-// New makes a controller from what its disk holds: the last snapshot and the entries
-// logged since, both empty for a new disk.
+// New creates a controller from the contents of its disk: the last snapshot and the log
+// entries since that snapshot, both empty for a new disk.
 func New(settings Settings, snapshot []byte, entries [][]byte) (*Controller, error) {
 	controller := &Controller{
 		settings:           settings,
@@ -146,7 +150,8 @@
 	return controller, nil
 }
 
-// connect makes the parts by which the controller takes part in the cluster as a member.
+// connect creates the failure detector and the clients that the controller needs as a
+// member of the cluster.
 func (c *Controller) connect() {
 	self := c.settings.Self
 	c.failureDetector = membership.NewFailureDetector(self)
@@ -162,7 +167,8 @@
 	})
 }
 
-// upstream is the address of the primary as far as it is known.
+// upstream returns the address of the primary, or the view client's upstream controller if
+// no primary is known.
 func (c *Controller) upstream() string {
 	if primary, found := c.node.Primary(); found {
 		return primary.Address
@@ -170,11 +176,11 @@
 	return c.viewClient.Upstream()
 }
 
-// ConfigurationVersion is the newest configuration version that this controller has
+// ConfigurationVersion returns the newest configuration version that this controller has
 // confirmed as a member.
 func (c *Controller) ConfigurationVersion() uint64 { return c.viewClient.Version }
 
-// ViewClient returns the client by which this controller follows the view as a member.
+// ViewClient returns the client with which this controller, as a member, polls for the view.
 func (c *Controller) ViewClient() *membership.ViewClient { return c.viewClient }
 
 // Node returns the controller's consensus node. Callers only read from it.
@@ -183,18 +189,18 @@
 // State returns the replicated control state. Callers only read from it.
 func (c *Controller) State() *State { return c.state }
 
-// Ready reports whether this controller takes part in the consensus.
+// Ready reports whether this controller participates in the consensus.
 func (c *Controller) Ready() bool { return !c.node.Blank() }
 
-// SetTolerance changes the tolerance, after the settings were changed. The primary
-// replicates its own setting with its next reconciliation; that of another controller has no
-// effect until that one is primary.
+// SetTolerance changes the tolerance after a change of the settings. The primary replicates
+// its own setting with its next reconciliation; the setting of another controller has no
+// effect until that controller becomes primary.
 func (c *Controller) SetTolerance(tolerance int) {
 	c.settings.Tolerance = &tolerance
 	c.node.SetTolerance(tolerance)
 }
 
-// Start begins the controller's work. It is called once, before any other step.
+// Start starts the controller. It is called once, before any other step.
 func (c *Controller) Start(now time.Time, effects *statemachine.Effects) {
 	c.node.Start(now, effects)
 	c.failureDetector.Start(now)
@@ -202,7 +208,7 @@
 	c.timers.Arm(timerReconcile, now.Add(reconcileInterval))
 }
 
-// NextTick is when the controller wants its next tick.
+// NextTick returns when Tick is to be called next.
 func (c *Controller) NextTick() time.Time {
 	return statemachine.Earliest(
 		c.node.NextTick(),
@@ -213,7 +219,7 @@
 	)
 }
 
-// Tick runs whatever is due.
+// Tick processes the timers that have expired.
 func (c *Controller) Tick(now time.Time, effects *statemachine.Effects) {
 	c.node.Tick(now, effects)
 	c.failureDetector.Tick(now, effects)
@@ -227,7 +233,7 @@
 	c.finishStop(now, effects)
 }
 
-// HandleCommand handles a command of the host: a [statemachine.Synced] write, an
+// HandleCommand handles a command from the host: a [statemachine.Synced] write, an
 // operator's [Request], or [Stop].
 func (c *Controller) HandleCommand(now time.Time, command any, effects *statemachine.Effects) {
 	switch body := command.(type) {
@@ -242,7 +248,7 @@
 	c.finishStop(now, effects)
 }
 
-// HandleMessage handles a message of another daemon, or of this one to itself.
+// HandleMessage handles a message from another daemon, or from this daemon to itself.
 func (c *Controller) HandleMessage(now time.Time, meta statemachine.Meta, message any, effects *statemachine.Effects) {
 	if meta.From != c.settings.Self.Address {
 		c.failureDetector.ReceiveFromPeer(now)
@@ -272,8 +278,7 @@
 	}
 }
 
-// handleMemberMessage handles the messages that this controller gets as a member, as
-// every daemon does.
+// handleMemberMessage handles the messages that every member of the cluster receives.
 func (c *Controller) handleMemberMessage(now time.Time, from string, message any, effects *statemachine.Effects) {
 	switch body := message.(type) {
 	case membership.ViewUpdate:
@@ -289,7 +294,7 @@
 	}
 }
 
-// configuration is the configuration in force.
+// configuration returns the configuration in force.
 func (c *Controller) configuration() config.Configuration {
 	if c.parsedVersion != c.state.Version {
 		c.parsedConfiguration, _ = config.Read(c.state.Document)
--- a/internal/controller/controller_cluster_test.go
+++ b/internal/controller/controller_cluster_test.go
@@ -20,21 +20,21 @@
 	diskDelay = 2 * time.Millisecond
 )
 
-// reporter is what a run reports to: a test, a benchmark, or a proof that a run fails.
+// reporter is the common interface of tests, benchmarks and the trials of mutation tests.
 type reporter interface {
 	assert.TestingT
 	Helper()
 	Fatalf(format string, values ...any)
 }
 
-// scheduledEvent is something that happens at a moment of the model.
+// scheduledEvent is an event at a point of simulated time.
 type scheduledEvent struct {
 	at    time.Time
 	order int
 	run   func()
 }
 
-// schedule is a heap of events in the order of time, and of when they were added.
+// schedule is a heap of events, ordered by time and then by the order in which they were added.
 type schedule []scheduledEvent
 
 func (s schedule) Len() int             { return len(s) }
@@ -53,8 +53,8 @@
 	return last
 }
 
-// controllerCluster is a few controllers with real logs on disks in memory, on links and in
-// a time of the test's own.
+// controllerCluster is a cluster of controllers with real write-ahead logs on in-memory disks,
+// simulated links and simulated time.
 type controllerCluster struct {
 	t         reporter
 	now       time.Time
@@ -65,7 +65,8 @@
 	responses map[uint64]membership.ControlResponse
 	// sent counts the bytes of messages by receiver and type.
 	sent map[string]int
-	// random, if set, draws what a power loss leaves, and check is called after each event.
+	// random, if set, decides which unsynced writes survive a power loss. check, if set, is called
+	// after each event.
 	random *rand.Rand
 	check  func()
 }
@@ -108,7 +109,7 @@
 	c.now = until
 }
 
-// until runs until a condition holds, and fails after a time limit.
+// until runs the cluster until a condition holds, and fails after a time limit.
 func (c *controllerCluster) until(limit time.Duration, what string, holds func() bool) {
 	c.t.Helper()
 	for began := c.now; !holds(); c.run(time.Millisecond) {
@@ -118,6 +119,7 @@
 	}
 }
 
+// primary returns the controller that can commit commands, or nil.
 func (c *controllerCluster) primary() *controllerNode {
 	for _, node := range statemachine.Sorted(c.nodes) {
 		if node.up && node.machine.node.Serving(c.now) {
@@ -145,7 +147,7 @@
 	})
 }
 
-// putConfiguration puts a configuration until it is acknowledged.
+// putConfiguration puts a configuration, with retries until it is acknowledged.
 func (c *controllerCluster) putConfiguration(document []byte) {
 	c.t.Helper()
 	for range 50 {
@@ -173,7 +175,8 @@
 	return response.Status == http.StatusOK
 }
 
-// putConfigurations puts so many configurations, one after the other.
+// putConfigurations puts count configurations one after the other, with versions starting at
+// from.
 func (c *controllerCluster) putConfigurations(from, count, routes int) {
 	c.t.Helper()
 	for number := range count {
@@ -190,15 +193,15 @@
 	machine     *Controller
 	incarnation int
 	up          bool
-	// queue holds the writes that wait for the disk, writing those that the disk carries out
-	// while writePending is set.
+	// queue holds the writes that wait for the disk. writing holds the writes that the disk is
+	// performing while writePending is set.
 	queue        []statemachine.Write
 	writing      []statemachine.Write
 	writePending bool
 	// snapshots counts the snapshots that were written.
 	snapshots int
 	timer     int
-	// replayed is what the last start read from the disk.
+	// replayed is the result of reading the disk at the last start.
 	replayed wal.Recovered
 }
 
@@ -232,15 +235,15 @@
 	n.step(func(now time.Time, effects *statemachine.Effects) { n.machine.Start(now, effects) })
 }
 
-// recoverDisk reads the disk as the next start will.
+// recoverDisk reads the disk as the next start would.
 func (n *controllerNode) recoverDisk() wal.Recovered {
 	_, recovered, err := wal.Open(n.disk)
 	assert.NilError(n.cluster.t, err)
 	return recovered
 }
 
-// kill ends the power: the disk stops in the midst of what waits for it, between any two of
-// its operations. What was not synced is lost, or by a draw partly written.
+// kill simulates a power loss. The disk stops between any two operations of the pending writes.
+// Unsynced data is lost or, if the cluster has a random source, may be partly written.
 func (n *controllerNode) kill() {
 	if !n.up {
 		return
@@ -260,7 +263,7 @@
 	n.incarnation++
 }
 
-// perform carries out a write.
+// perform writes a snapshot and entries to the disk.
 func (n *controllerNode) perform(write statemachine.Write) error {
 	if snapshot, complete := write.SnapshotBytes(); complete {
 		n.snapshots++
@@ -274,13 +277,14 @@
 	return n.log.Append(write.Entries)
 }
 
+// stepIncarnation runs a step if the incarnation is still running.
 func (n *controllerNode) stepIncarnation(incarnation int, run func(now time.Time, effects *statemachine.Effects)) {
 	if n.up && n.incarnation == incarnation {
 		n.step(run)
 	}
 }
 
-// step runs a step and carries its effects out.
+// step runs a step, performs its effects and schedules the next tick.
 func (n *controllerNode) step(run func(now time.Time, effects *statemachine.Effects)) {
 	var effects statemachine.Effects
 	run(n.cluster.now, &effects)
@@ -305,7 +309,7 @@
 	}
 }
 
-// write carries out all waiting writes at once, as the real host does.
+// write performs all queued writes as one batch, as the real host does.
 func (n *controllerNode) write() {
 	if n.writePending || len(n.queue) == 0 {
 		return
--- a/internal/controller/economy.go
+++ b/internal/controller/economy.go
@@ -12,16 +12,17 @@
 	"dahlialock/internal/statemachine"
 )
 
-// loadTimeout is the age beyond which a gateway's load is too old to move sessions by.
+// loadTimeout is the age above which a gateway's load report is ignored in balancing sessions.
 const loadTimeout = 2 * time.Second
 
-// runEconomy rests idle gateways and balances sessions, under the lease of the economy
+// runEconomy puts idle gateways to rest and balances sessions, under the lease of the economy
 // role.
 func (c *Controller) runEconomy(now time.Time, effects *statemachine.Effects) {
 	configuration := c.configuration()
 	c.node.RequestRoleLease(now, c.economyLease, effects)
-	// While the term warms up, few gateways have reported their sessions, and after a loss of all
-	// gateways their clients are only connecting again: fair shares would be far too small.
+	// In the warm-up period only some gateways have reported their sessions, and after a failure
+	// of all gateways the clients are still reconnecting. The number of sessions, and so each
+	// gateway's fair share, would be estimated far too low.
 	if !c.economyLease.Valid(now) || c.warmingUp(now, warmupPeriod) {
 		return
 	}
@@ -35,8 +36,8 @@
 	c.issueDirectives(now, directives, effects)
 }
 
-// addBalancing adds directives that spread sessions over the gateways that are not to rest
-// and whose loads are recent.
+// addBalancing adds directives that balance sessions between the gateways with a recent load
+// report. Gateways that are resting, about to rest or draining receive no sessions.
 func (c *Controller) addBalancing(
 	now time.Time, configuration config.Configuration, directives map[string]membership.Directives,
 ) {
@@ -67,9 +68,9 @@
 	}
 }
 
-// issueDirectives sends each gateway its directives where these changed, and records in
-// the control state which gateways rest. A gateway that was asked something before, and for
-// which nothing is planned now, gets empty directives, which cancel the earlier ones.
+// issueDirectives sends each gateway its directives if they have changed, and records in the
+// control state which gateways are resting. A gateway that has directives and for which none are
+// planned any more gets empty directives, which cancel the earlier ones.
 func (c *Controller) issueDirectives(
 	now time.Time, planned map[string]membership.Directives, effects *statemachine.Effects,
 ) {
@@ -95,8 +96,9 @@
 	}
 }
 
-// restChange is the change of a gateway that began or ceased to rest. A gateway rests once
-// it was asked to and reports that it does.
+// restChange returns the change to record if a gateway has started or stopped resting. A gateway
+// counts as resting once its directives tell it to rest and its load report confirms that it
+// does.
 func (c *Controller) restChange(name string, directives membership.Directives) (RestChange, bool) {
 	member := c.state.Members[name]
 	resting := directives.Rest && c.loads[name].Resting
--- a/internal/controller/epochs.go
+++ b/internal/controller/epochs.go
@@ -5,11 +5,12 @@
 	"dahlialock/internal/statemachine"
 )
 
-// advanceEpochs begins the next epoch of each partition that a store leads, when a new
-// incarnation of the store joins. The earlier incarnation may have assigned offsets to records
-// that never reached its disk, and the new one assigns these offsets again. Only by another
-// epoch are messages about the old records told from messages about the new ones. A partition
-// without followers needs none: nothing of it was sent to anybody before the disk had it.
+// advanceEpochs advances the epoch of each partition that a store leads when a new incarnation of
+// the store joins. The earlier incarnation may have assigned offsets to records that were never
+// written to its disk, and the new incarnation reuses these offsets. Only the epoch distinguishes
+// messages about the old records from messages about the new ones. A partition without followers
+// needs no new epoch, since its records are sent to no other daemon before they are on the
+// leader's disk.
 func (s *State) advanceEpochs(store string) {
 	if statemachine.Mutated("one-epoch-for-all-lives") {
 		return
@@ -23,7 +24,7 @@
 	}
 }
 
-// storeRestarted reports whether a store joins with another incarnation than the known one.
+// storeRestarted reports whether a store joins with a different incarnation than the known one.
 func storeRestarted(known, joined membership.Member) bool {
 	return joined.Kind == membership.KindStore && known.Incarnation != joined.Incarnation
 }
--- a/internal/controller/explore_moves_test.go
+++ b/internal/controller/explore_moves_test.go
@@ -8,7 +8,7 @@
 	"dahlialock/internal/transport"
 )
 
-// Choices lists what may happen next.
+// Choices returns the possible next events of the world.
 func (w *storeWorld) Choices() []explore.Choice {
 	w.moves = w.moves[:0]
 	if next := w.next(); next == nil {
@@ -25,7 +25,7 @@
 	return choices
 }
 
-// Take lets one of the choices happen.
+// Take executes one of the choices.
 func (w *storeWorld) Take(choice int) {
 	w.Choices()
 	w.moves[choice].do()
@@ -36,7 +36,7 @@
 	w.moves = append(w.moves, storeMove{Choice: choice, do: do})
 }
 
-// addArrival adds the arrival of an item. Its label is made only if it is needed.
+// addArrival adds the arrival of an item as a choice. The label is computed only on demand.
 func (w *storeWorld) addArrival(cost int, item *inFlight) {
 	choice := explore.Choice{Label: item.label, Cost: cost}
 	w.moves = append(w.moves, storeMove{Choice: choice, do: func() { w.arrive(item) }})
@@ -50,8 +50,8 @@
 	return fmt.Sprintf("%s receives %T%+v from %s", i.to, message, message, i.from)
 }
 
-// addDeliveryMoves adds what may happen to the items in flight in place of the arrival of
-// the next.
+// addDeliveryMoves adds the alternatives to the arrival of the next item: a reordering, a delay,
+// a loss or a duplicate.
 func (w *storeWorld) addDeliveryMoves(next *inFlight) {
 	w.addReorderings(next)
 	w.addMove(1, "the next is delayed", func() {
@@ -79,8 +79,8 @@
 	}
 }
 
-// addReorderings adds the arrival of each other item. The writes of a store end in their
-// order.
+// addReorderings adds the arrival of each item other than the next. The writes of a store
+// complete in order.
 func (w *storeWorld) addReorderings(next *inFlight) {
 	wrote := map[string]bool{}
 	for _, item := range w.items {
@@ -94,7 +94,7 @@
 	}
 }
 
-// addFaultMoves adds the faults that the budget allows.
+// addFaultMoves adds the publications and faults that the budget allows.
 func (w *storeWorld) addFaultMoves() {
 	if w.budget.appends > 0 {
 		w.addMove(1, "a message is published", func() {
--- a/internal/controller/explore_mutation_test.go
+++ b/internal/controller/explore_mutation_test.go
@@ -11,8 +11,8 @@
 	"dahlialock/internal/statemachine"
 )
 
-// Each mechanism of retirement and replication is taken away once. An exploration that
-// finds nothing with it must then find a broken promise.
+// Disables each mechanism of retirement and replication in turn. An exploration that finds no
+// violation with the mechanism must find one without it.
 func TestReplicationMechanismsAreNeeded(t *testing.T) {
 	for _, each := range []struct {
 		mutation    string
@@ -21,7 +21,7 @@
 	}{
 		{"store-ends-at-once", storeExplorations[0], storeExplorations[0].short},
 		{"done-before-copied", storeExplorations[1], storeExplorations[1].short},
-		// The copy must be late, and the disk lost: two faults.
+		// The violation needs two faults: a delayed copy and a lost disk.
 		{
 			"accept-on-one-disk", storeExplorations[4],
 			explore.Bounds{Depth: 6, Budget: 2, Finish: explore.FinishLast},
--- a/internal/controller/explore_test.go
+++ b/internal/controller/explore_test.go
@@ -17,7 +17,8 @@
 	longerBounds = explore.Bounds{Depth: 40, Budget: 2, Finish: explore.FinishLast}
 )
 
-// storeExploration is one exploration of stores.
+// storeExploration is one exploration of a cluster of stores, with the bounds of its short and
+// its longer variant.
 type storeExploration struct {
 	name   string
 	begin  func() explore.World
@@ -25,7 +26,7 @@
 	longer explore.Bounds
 }
 
-// worldWith begins with a fault that is still to be recovered from.
+// worldWith returns a function that creates a world in which a fault has just happened.
 func worldWith(stores, tolerance int, budget faultBudget, fault func(w *storeWorld)) func() explore.World {
 	return func() explore.World {
 		w := newStoreWorld(stores, tolerance, budget)
--- a/internal/controller/explore_world_test.go
+++ b/internal/controller/explore_world_test.go
@@ -14,27 +14,27 @@
 	"dahlialock/internal/transport"
 )
 
-// Times of the modelled primary.
+// Timeouts and limits of the modelled primary and of the exploration.
 const (
 	exploreReconcileInterval = 150 * time.Millisecond
 	explorePollTimeout       = 600 * time.Millisecond
 	exploreFailureTimeout    = 600 * time.Millisecond
 	exploreRecoveryTime      = 8 * time.Second
 	exploreDelayTicks        = 4
-	// exploreMaxSteps is far above what the recovery takes.
+	// exploreMaxSteps is far above the number of steps that a recovery takes.
 	exploreMaxSteps = 5000
 )
 
 var exploreStart = time.Unix(1_700_000_000, 0)
 
-// inFlight is a message that has not arrived, or a write that has not ended.
+// inFlight is a message that has not arrived, or a write that has not completed.
 type inFlight struct {
 	to     string
 	from   string
 	packed []byte
 	write  *statemachine.Write
 	cause  []byte
-	// delayed is set until ticks more ticks have passed.
+	// delayed is set while the item is delayed; ticks is the number of remaining ticks.
 	delayed bool
 	ticks   int
 }
@@ -45,14 +45,14 @@
 	deadline time.Time
 }
 
-// faultBudget is how many faults of each kind may still happen.
+// faultBudget is the remaining number of publications and of faults of each kind.
 type faultBudget struct {
 	appends, losses, repeats, crashes, wipes, kills, retires int
 }
 
-// storeWorld is a small world of real stores under the real placement rules, for
-// exhaustive exploration: one partition, a few messages, and at each step a store that
-// ends, loses its disk or is retired. The primary is modelled as one that is always there.
+// storeWorld is a small world for exhaustive exploration, with real stores under the real
+// placement rules: one partition, a few messages, and at each step the choice to restart, wipe,
+// remove or retire a store. The modelled primary is always available.
 type storeWorld struct {
 	now         time.Time
 	reconcileAt time.Time
@@ -61,20 +61,20 @@
 	stores      []*exploreStore
 	items       []*inFlight
 	budget      faultBudget
-	// lost counts the disks that were lost for good.
+	// lost counts the disks that were lost permanently.
 	lost        int
 	polls       map[string]explorePoll
 	slowDisks   map[string]slowDisk
 	lastRequest uint64
 	accepted    map[string]uint64
-	// fetched holds the message at each offset; offset 0 is set once a fetch was answered.
+	// fetched holds the message at each offset. Offset 0 is set once a fetch has succeeded.
 	fetched map[uint64]string
 	broken  error
 	cause   []byte
 	moves   []storeMove
 }
 
-// storeMove is a choice of the world with its effect.
+// storeMove is a choice of the world, with the function that executes it.
 type storeMove struct {
 	explore.Choice
 	do func()
@@ -108,7 +108,8 @@
 	panic("the partition is not placed")
 }
 
-// accepts reports whether the leader accepts messages: it has its placement.
+// accepts reports whether the leader has accepted a message, which requires that it has received
+// its placement. It publishes another message if none was accepted yet.
 func (w *storeWorld) accepts() bool {
 	if len(w.accepted) == 0 && w.lastRequest < 200 {
 		w.append("begin", 1)
@@ -161,7 +162,7 @@
 	})
 }
 
-// arrive lets an item that is in flight arrive.
+// arrive delivers a message or completes a write.
 func (w *storeWorld) arrive(item *inFlight) {
 	w.items = slices.DeleteFunc(w.items, func(other *inFlight) bool { return other == item })
 	store := w.store(item.to)
@@ -187,7 +188,7 @@
 	}
 }
 
-// handleAsController answers as the primary would.
+// handleAsController handles a message to the modelled primary.
 func (w *storeWorld) handleAsController(from string, message any) {
 	switch body := message.(type) {
 	case membership.ViewRequest:
@@ -207,7 +208,8 @@
 	}
 }
 
-// answerPolls answers the polls of stores that lack something or have waited long enough.
+// answerPolls answers the polls of stores whose view is out of date, and those that have reached
+// their deadline.
 func (w *storeWorld) answerPolls() {
 	for from, poll := range statemachine.Sorted(w.polls) {
 		if poll.request.Index == w.state.Index && w.now.Before(poll.deadline) {
@@ -218,8 +220,8 @@
 	}
 }
 
-// reconcile fails stores that do not run, completes retirements, and plans degradations and
-// placements.
+// reconcile marks stores that are down as failed, completes retirements, and plans degradations
+// and placements.
 func (w *storeWorld) reconcile() {
 	for _, store := range w.stores {
 		member, found := w.state.Members[store.name]
@@ -230,7 +232,7 @@
 			w.apply(Command{RetiredStores: []string{store.name}})
 		}
 		if w.state.Members[store.name].Retired && !store.removed {
-			// It is taken away at once, disk and all.
+			// The machine is removed at once, together with its disk.
 			store.remove()
 		}
 	}
@@ -265,7 +267,7 @@
 	}
 }
 
-// step lets what is due first happen.
+// step executes the next event without a fault.
 func (w *storeWorld) step() {
 	if item := w.next(); item != nil {
 		w.arrive(item)
@@ -274,7 +276,7 @@
 	}
 }
 
-// next is the oldest item in flight that is not delayed, or nil.
+// next returns the oldest item in flight that is not delayed, or nil.
 func (w *storeWorld) next() *inFlight {
 	for _, item := range w.items {
 		if !item.delayed {
@@ -284,7 +286,7 @@
 	return nil
 }
 
-// tick lets time pass until the next tick of a store or the next reconciliation.
+// tick advances the time to the next tick of a store or the next reconciliation, and runs it.
 func (w *storeWorld) tick() {
 	for _, item := range w.items {
 		if item.delayed {
@@ -315,10 +317,10 @@
 	}
 }
 
-// Broken returns which promise the present state breaks.
+// Broken returns the violation that was found, if any.
 func (w *storeWorld) Broken() error { return w.broken }
 
-// excludedTypes are types whose values do not belong to the state of a world.
+// excludedTypes are the types whose values are not part of a world's state.
 var excludedTypes = []reflect.Type{
 	reflect.TypeFor[*storeWorld](),
 	reflect.TypeFor[partition.Settings](),
@@ -326,7 +328,7 @@
 	reflect.TypeFor[config.Configuration](),
 }
 
-// Key names the state.
+// Key identifies the state of the world.
 func (w *storeWorld) Key() explore.Key {
 	parts := []any{
 		w.budget, w.lost, w.reconcileAt, w.state.Placements, w.state.Members, w.state.Index,
@@ -347,7 +349,8 @@
 	return explore.KeyOf(w.now, excludedTypes, parts...)
 }
 
-// Finish waits until the partition is replicated again, and reads all of it.
+// Finish runs the world without further faults until the partition is replicated again, and
+// checks all its records.
 func (w *storeWorld) Finish() error {
 	for _, item := range w.items {
 		item.delayed = false
@@ -383,7 +386,7 @@
 		exploreRecoveryTime, w.state.Placements[testPartition])
 }
 
-// checkFetched compares what the leader holds with what was accepted.
+// checkFetched checks that the leader has all accepted messages at their offsets.
 func (w *storeWorld) checkFetched(leader string) error {
 	for name, offset := range w.accepted {
 		if w.fetched[offset] != name {
@@ -405,7 +408,7 @@
 	endedAt     time.Time
 	snapshot    []byte
 	entries     [][]byte
-	// disk names what was written to the disk.
+	// disk is a key of the disk's contents.
 	disk explore.Key
 }
 
@@ -440,13 +443,13 @@
 	s.world.items = slices.DeleteFunc(s.world.items, func(item *inFlight) bool { return item.to == s.name })
 }
 
-// restart ends the process and starts it anew at once.
+// restart ends the process and starts it again at once.
 func (s *exploreStore) restart() {
 	s.end()
 	s.start()
 }
 
-// remove takes the store's machine away, disk and all.
+// remove removes the store's machine together with its disk.
 func (s *exploreStore) remove() {
 	if s.up {
 		s.end()
@@ -455,7 +458,7 @@
 	s.snapshot, s.entries = nil, nil
 }
 
-// stop asks the store to stop in good order.
+// stop requests a graceful shutdown of the store.
 func (s *exploreStore) stop() {
 	s.world.cause = []byte("stop")
 	s.step(func(now time.Time, effects *statemachine.Effects) {
@@ -479,7 +482,7 @@
 	}
 }
 
-// finishWrite lets a write end.
+// finishWrite completes a write.
 func (s *exploreStore) finishWrite(write *statemachine.Write) {
 	if snapshot, complete := write.SnapshotBytes(); complete {
 		s.snapshot, s.entries = snapshot, nil
--- a/internal/controller/failures.go
+++ b/internal/controller/failures.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// suspicionTimeout is the age beyond which a suspicion no longer counts.
+	// suspicionTimeout is the age above which a suspicion is ignored.
 	suspicionTimeout = 1200 * time.Millisecond
 
-	// storePollTimeout is how long a store must not have polled for minReporters suspicions
-	// to be enough.
+	// storePollTimeout is the time since a store's last poll above which minReporters
+	// suspicions suffice to consider the store failed.
 	storePollTimeout = 700 * time.Millisecond
 
-	// minReporters is how many suspicions are enough against a member that does not poll the
-	// primary either.
+	// minReporters is how many suspicions suffice to consider a member failed that has also
+	// stopped polling the primary.
 	minReporters = 2
 )
 
-// handleSuspicion records which members a watcher no longer hears.
+// handleSuspicion records the members from which a watcher no longer receives heartbeats.
 func (c *Controller) handleSuspicion(now time.Time, suspicion membership.Suspicion) {
 	if !c.node.HoldsLease(now) {
 		return
@@ -37,16 +37,16 @@
 	}
 }
 
-// failedMembers lists the members that have failed: those that enough watchers suspect,
-// and those that no longer follow the primary.
+// failedMembers returns the members that are considered failed: those that enough watchers
+// suspect, and those that no longer poll the primary or no longer receive its responses.
 func (c *Controller) failedMembers(now time.Time, effects *statemachine.Effects) []MemberIncarnation {
 	failed := c.suspectedMembers(now, effects)
 	for name, member := range statemachine.Sorted(c.state.Members) {
 		if !member.Alive || containsMember(failed, name) {
 			continue
 		}
-		// A member that its watchers hear, but that does not follow the primary, acts on an
-		// outdated view: to the others it is as good as failed.
+		// A member whose heartbeats still arrive at its watchers, but that does not get views
+		// from the primary, acts on a stale view. It is treated as failed.
 		timeout := c.timeouts.poll
 		if member.Resting {
 			timeout += membership.LowPriorityLongPollTimeout
@@ -69,7 +69,7 @@
 	return slices.ContainsFunc(members, func(member MemberIncarnation) bool { return member.Name == name })
 }
 
-// suspectedMembers lists the members that enough watchers suspect.
+// suspectedMembers returns the members that enough watchers suspect.
 func (c *Controller) suspectedMembers(now time.Time, effects *statemachine.Effects) []MemberIncarnation {
 	var failed []MemberIncarnation
 	for name, reporters := range statemachine.Sorted(c.suspicions) {
@@ -95,7 +95,8 @@
 	return failed
 }
 
-// dropOutdated drops the suspicions that are too old, or of another incarnation.
+// dropOutdated removes the suspicions of a member that are too old or refer to another
+// incarnation.
 func dropOutdated(now time.Time, reporters map[string]incarnationAt, member membership.Member) {
 	for reporter, report := range reporters {
 		if now.Sub(report.at) > suspicionTimeout || report.incarnation != member.Incarnation {
@@ -104,10 +105,10 @@
 	}
 }
 
-// suspicionSuffices reports whether a member counts as failed by the suspicions of some
-// watchers and the time since its last poll of the primary. A watcher can be misled by its own
-// link to the member. So a member that still polls the primary counts as failed only if all of
-// its watchers suspect it.
+// suspicionSuffices reports whether a member is considered failed, given the number of watchers
+// that suspect it and the time since its last poll of the primary. A watcher may suspect a
+// healthy member because of a fault of the link between them. So a member that still polls the
+// primary is considered failed only if all of its watchers suspect it.
 func (c *Controller) suspicionSuffices(member membership.Member, reporters int, sinceLastPoll time.Duration) bool {
 	timeout, shortTimeout := c.timeouts.suspicion, c.timeouts.suspicion/2
 	if member.Resting {
--- a/internal/controller/history.go
+++ b/internal/controller/history.go
@@ -10,31 +10,31 @@
 )
 
 const (
-	// maxHistory is how many decisions on configurations are remembered. Those on the lowest
-	// versions are dropped first.
+	// maxHistory is how many decisions on configurations are kept. Those with the lowest versions
+	// are dropped first.
 	maxHistory = 512
 
-	// maxRecentOrders is how many retirements are remembered. A daemon sends an order again
-	// for a few seconds at most.
+	// maxRecentOrders is how many accepted retirement orders are remembered. A daemon retries an
+	// order for a few seconds at most.
 	maxRecentOrders = 64
 )
 
-// ConfigurationDecision records which content was confirmed under one version. By it an
-// order that was accepted is recognized whenever and through whichever daemon it comes
-// again, and no version is confirmed with a second content.
+// ConfigurationDecision records the content that was acknowledged under one version. It serves to
+// recognize a retry of an accepted order, at any time and through any daemon, and to reject the
+// same version with different content.
 //
-// Decisions are stored: their fields and the order of the fields never change.
+// Decisions are stored, so their fields and the order of the fields must not change.
 type ConfigurationDecision struct {
 	_           struct{} `cbor:",toarray"`
 	Version     uint64
 	Digest      config.Digest
 	ReceivedAt  time.Time
 	ForwardedBy string
-	// Superseded is set if the configuration never came into force.
+	// Superseded is set if the configuration was acknowledged without being put into force.
 	Superseded bool
 }
 
-// historyIndex is the position of a version in the history, or the position at which it
+// historyIndex returns the position of a version in the history, or the position at which it
 // would be inserted.
 func (s *State) historyIndex(version uint64) (position int, found bool) {
 	compare := func(decision ConfigurationDecision, version uint64) int {
@@ -43,8 +43,7 @@
 	return slices.BinarySearchFunc(s.History, version, compare)
 }
 
-// recordedOutcome finds what was decided under a change's version, as long as that is
-// remembered.
+// recordedOutcome returns the outcome of a change if the history has a decision on its version.
 func (s *State) recordedOutcome(change ConfigurationChange) (Outcome, bool) {
 	position, found := s.historyIndex(change.Version)
 	if !found {
@@ -60,8 +59,9 @@
 	return Duplicate, true
 }
 
-// recordDecision records a decision, and drops the one on the lowest version if there are
-// too many. It panics if the version was decided before, which callers rule out.
+// recordDecision records a decision, and drops the one with the lowest version if there are more
+// than maxHistory. It panics if the history already has a decision on the version, which callers
+// must rule out.
 func (s *State) recordDecision(change ConfigurationChange, superseded bool) {
 	position, found := s.historyIndex(change.Version)
 	if found {
@@ -79,14 +79,14 @@
 	}
 }
 
-// acceptedBefore reports whether this very order was accepted before: a daemon that had no
-// response sends it again, and another order may have been accepted since.
+// acceptedBefore reports whether the same order was accepted before. A daemon that received no
+// response retries an order, and another order may have been accepted in between.
 func (s *State) acceptedBefore(order statemachine.RequestID) bool {
 	return order.IsSet() && slices.Contains(s.RecentOrders, order) && !statemachine.Mutated("orders-unnamed")
 }
 
-// recordOrder records an order that was accepted, and drops the oldest if there are too
-// many.
+// recordOrder records an order that was accepted, and drops the oldest if there are more than
+// maxRecentOrders.
 func (s *State) recordOrder(order statemachine.RequestID) {
 	if !order.IsSet() {
 		return
--- a/internal/controller/leader_restart_mutation_test.go
+++ b/internal/controller/leader_restart_mutation_test.go
@@ -1,7 +1,7 @@
 //go:build mutation
 
-// Without an epoch for each incarnation of a leader, or with any snapshot accepted, each
-// trial finds a violation.
+// Each trial must find a violation if a new incarnation of a leader gets no new epoch, or if
+// followers accept any snapshot.
 package controller
 
 import (
--- a/internal/controller/leader_restart_test.go
+++ b/internal/controller/leader_restart_test.go
@@ -1,7 +1,7 @@
-// A store whose process ends and starts anew at once still leads its partitions, and
-// assigns offsets again that its earlier incarnation assigned to messages which its disk
-// never had. What the earlier incarnation sent, and what was answered to it, may arrive
-// seconds later and must not count for the new incarnation's messages.
+// A store whose process is restarted at once still leads its partitions, and reuses offsets that
+// its earlier incarnation assigned to messages that were never written to its disk. Messages from
+// the earlier incarnation, and responses to it, may arrive seconds later. They must not be
+// applied to the new incarnation's messages.
 package controller
 
 import (
@@ -62,7 +62,7 @@
 	return pair
 }
 
-// publish sends a message to the leader, with a sender of its own.
+// publish sends a message to the leader, from a different sender for each request.
 func (p *replicaPair) publish(request uint64) {
 	p.send(gatewayAddress, statemachine.Send{To: p.leader.name, Message: partition.Append{
 		Partition: testPartition,
@@ -74,7 +74,7 @@
 	}})
 }
 
-// restartUnsynced publishes while the leader's disk writes nothing, then restarts the
+// restartUnsynced publishes a message while the leader's disk hangs, and then restarts the
 // leader's process.
 func (p *replicaPair) restartUnsynced() {
 	p.leader.diskHungUntil = p.now + time.Hour
@@ -91,7 +91,8 @@
 	return p.responses[request].Outcome == partition.OutcomeAccepted
 }
 
-// loseLeader loses the leader with its disk, and then looks for what was accepted.
+// loseLeader kills the leader and wipes its disk, and then checks that the new leader has all
+// accepted messages of a range.
 func (p *replicaPair) loseLeader(from, to uint64) (violation string) {
 	p.leader.kill()
 	p.leader.wipe()
@@ -118,9 +119,9 @@
 	return ""
 }
 
-// sameOffset lets the leader's new incarnation accept a message before it knows what its
-// follower has: the earlier incarnation's message at the same offset. No message is late.
-// Then the leader is lost with its disk.
+// sameOffset lets the leader's new incarnation accept messages while its follower still has the
+// earlier incarnation's message at the same offset, which the leader does not know yet. No message
+// is delayed. Then the leader is lost together with its disk.
 func sameOffset(t *testing.T, seed uint64) (violation string) {
 	t.Helper()
 	pair := newReplicaPair(t, seed)
@@ -132,9 +133,9 @@
 	return pair.loseLeader(1, 250)
 }
 
-// lateAcknowledgement lets the follower's acknowledgement of a message of the leader's
-// earlier incarnation arrive at the next one, which can copy nothing to the follower:
-// nothing may be accepted.
+// lateAcknowledgement delivers the follower's acknowledgement of a message of the leader's earlier
+// incarnation to the next incarnation, whose own copies to the follower are lost. The new
+// incarnation must not accept its message.
 func lateAcknowledgement(t *testing.T, seed uint64) (violation string) {
 	t.Helper()
 	pair := newReplicaPair(t, seed)
@@ -161,8 +162,9 @@
 	return ""
 }
 
-// lateCopy lets a copy of the leader's earlier incarnation arrive at the follower after the
-// next incarnation has brought it up to date, and then loses the leader with its disk.
+// lateCopy delivers a copy from the leader's earlier incarnation to the follower after the next
+// incarnation has brought the follower up to date. Then the leader is lost together with its
+// disk.
 func lateCopy(t *testing.T, seed uint64) (violation string) {
 	t.Helper()
 	pair := newReplicaPair(t, seed)
@@ -180,8 +182,8 @@
 	return pair.loseLeader(1, 3)
 }
 
-// duplicateSnapshot lets the leader's snapshot of the partition arrive at the follower a
-// second time, after more was accepted, and then loses the leader with its disk.
+// duplicateSnapshot delivers the leader's snapshot of the partition to the follower a second time,
+// after more messages were accepted. Then the leader is lost together with its disk.
 func duplicateSnapshot(t *testing.T, seed uint64) (violation string) {
 	t.Helper()
 	pair := newReplicaPair(t, seed)
@@ -207,9 +209,9 @@
 	return pair.loseLeader(1, 10)
 }
 
-// retiresAfterRepeatedOrder reports whether a store is being retired after an order to
-// retire it was accepted, another to use it again was accepted, and the first is sent once
-// more by a daemon that had no response to it.
+// retiresAfterRepeatedOrder reports whether a store is being retired after three orders: an order
+// to retire it, an order to return it to use, and a retry of the first order by a daemon that
+// received no response. The first two are accepted.
 func retiresAfterRepeatedOrder() bool {
 	state := newState()
 	apply := func(command Command) { state.Apply(time.Time{}, encodeCommand(command)) }
--- a/internal/controller/members.go
+++ b/internal/controller/members.go
@@ -8,23 +8,25 @@
 )
 
 const (
-	// incarnationTimeout is how long a member must be silent before a lower incarnation
-	// of it counts as the newer one.
+	// incarnationTimeout is how long a member must not have polled before a lower incarnation
+	// of the member is accepted as the newer one.
 	incarnationTimeout = 1200 * time.Millisecond
 
-	// joinBatchDelay collects joins into one command, as each change goes to everybody.
-	// While a cluster starts, many join at once, and warmupJoinBatchDelay applies.
+	// joinBatchDelay is how long joins are collected into one command, since each command that
+	// changes the view is sent to all members. In the warm-up period, in which many members may
+	// join at once, warmupJoinBatchDelay applies.
 	joinBatchDelay       = 20 * time.Millisecond
 	warmupJoinBatchDelay = 100 * time.Millisecond
 )
 
-// recordMember takes over what a member says of itself in a poll, and prepares its join if
-// that differs from the control state.
+// recordMember records the description and the load of a member from its poll, and prepares a
+// join if the description differs from the control state.
 //
-// Incarnations come from wall clocks, which may be set back between two runs of a process:
-// a lower incarnation is accepted once the higher one has been silent for a while.
+// Incarnations are derived from wall clocks, which may be set back between two runs of a
+// process. So a lower incarnation is accepted once the higher one has not polled for
+// incarnationTimeout.
 //
-// A store that misses its answers does not count as heard, whatever it sends.
+// The polls of a store that does not acknowledge its responses are not counted as contact.
 func (c *Controller) recordMember(now time.Time, request membership.ViewRequest) {
 	self := request.Self
 	c.recordAcknowledgement(request)
@@ -53,8 +55,8 @@
 	c.timers.ArmSooner(timerReconcile, now.Add(delay))
 }
 
-// handleGracefulLeave removes a member that ends in good order without waiting for
-// failure detection.
+// handleGracefulLeave handles the leave of a member that shuts down gracefully, so that its
+// failure need not be detected.
 func (c *Controller) handleGracefulLeave(now time.Time, leave membership.GracefulLeave) {
 	member, found := c.state.Members[leave.Name]
 	if !c.node.HoldsLease(now) || !found || !member.Alive || member.Incarnation != leave.Incarnation {
@@ -63,8 +65,9 @@
 	c.recordLeave(now, member)
 }
 
-// ConnectionRefused reports that a daemon's address refuses connections: its process has
-// ended, and failure detection need not wait for it. The host calls it when a dial is refused.
+// ConnectionRefused handles a refused connection to the address of a daemon. The host calls it
+// when a dial is refused. The daemon's process has ended, so its leave is recorded without
+// waiting for failure detection.
 func (c *Controller) ConnectionRefused(now time.Time, address string, _ *statemachine.Effects) {
 	if !c.node.HoldsLease(now) {
 		return
--- a/internal/controller/orders_mutation_test.go
+++ b/internal/controller/orders_mutation_test.go
@@ -1,6 +1,6 @@
 //go:build mutation
 
-// Each trial of orders that wait at the same time fails once its mechanism is taken away.
+// Each trial of concurrent orders must fail if the mechanism that it tests is disabled.
 package controller
 
 import (
--- a/internal/controller/orders_test.go
+++ b/internal/controller/orders_test.go
@@ -1,6 +1,6 @@
-// Orders that wait at the same time: what counts is the order of the log, and not the moment
-// at which each came. A single controller delays commands as long as its disk does, so that
-// several wait at once.
+// Concurrent orders must be decided in log order, not by the time at which each was received. The
+// tests use a single controller whose disk can be paused, so that several commands are pending at
+// once.
 package controller
 
 import (
@@ -17,8 +17,8 @@
 	"dahlialock/internal/transport"
 )
 
-// Of two orders that would each leave enough stores, and both together too few, one is
-// refused, whichever came first into the log.
+// Of two retirements that would each leave enough stores, but together too few, the later one in
+// the log must be rejected.
 func TestRetirementLeavesEnoughStores(t *testing.T) { twoRetirements(t) }
 
 func twoRetirements(t assert.TestingT) {
@@ -37,8 +37,8 @@
 	assert.Equal(t, single.finalStatus(single.retire("store-2")), http.StatusConflict)
 }
 
-// A configuration whose drains would leave no gateway is refused, even if the last other one
-// was lost while the configuration waited.
+// A configuration whose drains would leave no live gateway must be rejected, even if the last
+// other gateway leaves while the configuration is pending.
 func TestDrainsAreCheckedWhereApplied(t *testing.T) { drainsAndLoss(t) }
 
 func drainsAndLoss(t assert.TestingT) {
@@ -54,14 +54,14 @@
 	assert.Equal(t, single.controller.state.Version, uint64(0))
 }
 
-// A retirement that waits while another incarnation of the store joins changes nothing of
-// that.
+// A retirement that is pending while another incarnation of the store joins must not revert the
+// join.
 func TestRetirementKeepsNewIncarnation(t *testing.T) {
 	single := newSingleController(t, true)
 	single.join(membership.KindStore, "store-1", "store-2", "store-3")
 	var retirement uint64
 	single.withSyncPaused(func() {
-		// The join of the next incarnation is being logged when the order comes.
+		// The join of the next incarnation is pending when the order is received.
 		single.poll(memberNamed(membership.KindStore, "store-1", 2, "disk-store-1"))
 		single.advance(150 * time.Millisecond)
 		retirement = single.retire("store-1")
@@ -72,13 +72,13 @@
 	assert.Assert(t, member.Retiring && member.Alive)
 }
 
-// A store's leave that waits behind an order leaves the order in force.
+// A store's leave that is applied after a retirement must not revert the retirement.
 func TestLeaveKeepsRetirement(t *testing.T) {
 	single := newSingleController(t, true)
 	single.join(membership.KindStore, "store-1", "store-2", "store-3")
 	var retirement uint64
 	single.withSyncPaused(func() {
-		// Another command occupies the disk, so that both wait behind it.
+		// Another command is being written, so that both are queued behind it.
 		single.putConfiguration(`{"version": 1, "spaces": []}`)
 		retirement = single.retire("store-1")
 		single.deliver("store-1", membership.GracefulLeave{Name: "store-1", Incarnation: 1})
@@ -90,8 +90,8 @@
 	assert.Assert(t, !member.Alive)
 }
 
-// An order to retire a store holds for whatever disk it comes back with, until it is carried
-// out.
+// An order to retire a store stays in force if the store joins with another disk before the order
+// has been completed.
 func TestRetirementOutlastsDisk(t *testing.T) {
 	single := newSingleController(t, true)
 	single.join(membership.KindStore, "store-1", "store-2", "store-3")
@@ -112,8 +112,8 @@
 	return fmt.Sprintf(`{"version": %d, "spaces": [`+space+`]}`, version, answerWithin)
 }
 
-// Under one version one content is confirmed, at whatever moment and in either mode, and
-// what was accepted is acknowledged again for ever.
+// At most one content may be acknowledged under a version, with and without HighestWins, and
+// retries of an accepted configuration must always be acknowledged.
 func TestVersionIsConfirmedWithOneContent(t *testing.T) { oneContent(t) }
 
 func oneContent(t assert.TestingT) {
@@ -148,7 +148,7 @@
 	}
 }
 
-// The history is bounded, and the version in force is never dropped from it.
+// The history must be bounded, and must always include the version in force.
 func TestHistoryIsBounded(t *testing.T) {
 	state := newState()
 	at := time.Unix(1_700_000_000, 0)
@@ -178,8 +178,9 @@
 	assert.Assert(t, len(state.Snapshot()) < maxHistory*64, "%d bytes", len(state.Snapshot()))
 }
 
-// A version that was superseded while it waited is not confirmed where it is refused, and
-// nothing is refused later as if it had been.
+// Without HighestWins, a version that is superseded while it is pending must be rejected and leave
+// no decision in the history: other content under this version is later rejected as older, not
+// as a conflict.
 func TestRefusedVersionDecidesNothing(t *testing.T) {
 	single := newSingleController(t, false)
 	var higher, lower uint64
@@ -196,8 +197,8 @@
 	}
 }
 
-// What is decided on one incarnation of a member, or on one placement, changes nothing of
-// another.
+// A command that was decided for one incarnation of a member, or for one placement, must not
+// change another incarnation or a newer placement.
 func TestCommandsHoldForWhatTheyWereDecidedOn(t *testing.T) {
 	state := stateOf(5, 1)
 	apply := func(command Command) { state.Apply(time.Time{}, encodeCommand(command)) }
@@ -217,10 +218,10 @@
 	assert.Assert(t, member.Alive && !member.Degraded && !member.Resting)
 	assert.Equal(t, member.Incarnation, uint64(2))
 	apply(Command{Joins: []Join{{Self: earlier, Replaces: 2}}})
-	// The clock was set back, and the higher incarnation is silent.
+	// This is the join after a clock was set back and the higher incarnation stopped polling.
 	assert.Equal(t, state.Members["store-0"].Incarnation, uint64(1))
 
-	// A plan waits. Meanwhile a store that it gives replicas to is to be retired.
+	// A store is ordered to retire while a plan that assigns replicas to it is pending.
 	apply(Command{Leaves: []MemberIncarnation{{Name: "store-0", Incarnation: 1}}})
 	planned := state.planPlacements(configuration)
 	assert.Assert(t, len(planned) > 0)
@@ -232,7 +233,7 @@
 	assert.Assert(t, !slices.Contains(placement.Followers, chosen) || placement.Epoch < planned[0].Epoch)
 	assert.Assert(t, !state.Members[chosen].Retired, "partitions still have replicas there")
 
-	// Another plan waits while the configuration removes its space.
+	// A configuration removes a space while a plan for the space's partitions is pending.
 	apply(Command{Configuration: configured(2, `{"version": 2, "spaces": [{"name": "s", "promise": "kept"}]}`)})
 	configuration, _ = config.Read(state.Document)
 	shared := func(placement membership.Placement) bool { return config.IsShared(placement.Partition) }
--- a/internal/controller/outcome.go
+++ b/internal/controller/outcome.go
@@ -6,30 +6,31 @@
 	"dahlialock/internal/config"
 )
 
-// Outcome says what became of an operator's order where it was applied.
+// Outcome is the outcome of an operator's order, decided when its command is applied.
 type Outcome int
 
 // The outcomes of orders.
 const (
-	// Accepted orders are in force from here on.
+	// Accepted orders are in force.
 	Accepted Outcome = iota
-	// Duplicate orders were accepted before.
+	// Duplicate orders have been accepted before, or request the state that is already in force.
 	Duplicate
-	// Superseded configurations have a version that is not above the one in force, and of which
-	// no other decision is remembered.
+	// Superseded configurations have a version that is not above the one in force and that was
+	// never in force according to the history.
 	Superseded
-	// ContentConflict is a configuration under a version that was confirmed with other
-	// content.
+	// ContentConflict is the outcome of a configuration whose version was acknowledged before
+	// with other content.
 	ContentConflict
-	// InvalidConfiguration is a configuration that does not fit the cluster as it is.
+	// InvalidConfiguration is the outcome of a configuration with faults, for example drains
+	// that would leave no live gateway.
 	InvalidConfiguration
-	// UnknownStore is an order for a store that is not known.
+	// UnknownStore is the outcome of an order for a store that is not known.
 	UnknownStore
-	// TooFewStores would be left by a retirement.
+	// TooFewStores is the outcome of a retirement that would leave too few stores.
 	TooFewStores
 )
 
-// String names the outcome in the results of tests.
+// String returns a readable name, for test output.
 func (o Outcome) String() string {
 	switch o {
 	case Accepted:
@@ -50,7 +51,7 @@
 	return fmt.Sprintf("outcome %d", int(o))
 }
 
-// orderResult is what became of the order in the command that was applied last.
+// orderResult is the result of the order in the command that was applied last.
 type orderResult struct {
 	outcome Outcome
 	// faults are the faults of an invalid configuration.
--- a/internal/controller/partition_test.go
+++ b/internal/controller/partition_test.go
@@ -1,8 +1,8 @@
-// Placement and partitions against a model: stores under the real placement rules, with
-// links that lose, repeat and reorder, kills that lose what was not synced, suspended
-// processes, retirements and one lost disk at a time. What was acknowledged as accepted has
-// one offset for ever, and in the end the leader holds all of it, each sender's messages in
-// order, and nothing that was refused on every attempt.
+// These tests check placement and replication against a model: stores under the real placement
+// rules, with links that lose, duplicate and reorder messages, kills that lose unsynced writes,
+// suspended processes, retirements and one lost disk at a time. The offset of an accepted message
+// must never change. In the end the leader must have all accepted messages, each sender's in
+// order, and no message that was rejected on every attempt.
 package controller
 
 import (
@@ -19,23 +19,27 @@
 
 const testSenders = 5
 
-// The codes of refusals that are final.
+// Codes of permanent rejections.
 const (
 	codeOldSeq    = "old-seq"
 	codeSeqReused = "seq-reused"
 )
 
-// sequentialSender publishes one message after the other, each until its outcome is known.
+// sequentialSender publishes one message after the other, and retries each until its outcome is
+// known.
 type sequentialSender struct {
-	seq      uint64
+	seq uint64
+	// request is the latest request for the current message, or 0 if the message is finished.
+	// answered is the latest request to which a response was received.
 	request  uint64
 	answered uint64
 	attempts int
 	refused  int
-	waiting  bool
+	// waiting is set while an attempt waits for its response.
+	waiting bool
 }
 
-// sendNext lets a sender publish its next message, or the present one again.
+// sendNext makes a sender publish its next message, or retry the current one.
 func (c *storeCluster) sendNext(number int) {
 	c.after(time.Duration(10+c.random.IntN(40))*time.Millisecond, func() { c.sendNext(number) })
 	sender := c.senders[number]
@@ -67,7 +71,7 @@
 	})
 }
 
-// handleAsGateway checks what the stores answer to the senders.
+// handleAsGateway handles the stores' responses to the gateway.
 func (c *storeCluster) handleAsGateway(message any) {
 	switch body := message.(type) {
 	case partition.AppendResponse:
@@ -104,12 +108,12 @@
 			c.t.Fatalf("%s, without an answer so far, was refused with %s", message, response.Code)
 		}
 		if sender.refused == sender.attempts && sender.attempts > 8 {
-			// The sender gives up. No attempt was accepted, so the message may never be seen.
+			// The sender gives up. All attempts were rejected, so the message must not be stored.
 			c.rejected[message] = true
 			sender.request = 0
 		}
 	case partition.OutcomeUnresolved:
-		// The sender attempts it again.
+		// The sender retries.
 	}
 	sender.waiting = false
 }
@@ -138,7 +142,7 @@
 	}
 }
 
-// assertHolds checks the records of the partition against what was acknowledged.
+// assertHolds checks the records of the partition against the responses to the senders.
 func (c *storeCluster) assertHolds(records []partition.Record) {
 	c.t.Helper()
 	stored, lastSeq := map[string]uint64{}, map[string]uint64{}
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -10,26 +10,27 @@
 	"dahlialock/internal/statemachine"
 )
 
-// Placement decides which store leads a partition and which stores follow, as many as may
-// be lost at once. Stores are ranked for each partition by rendezvous hashing, replicas
-// lie in different zones where there are enough zones, and nothing moves that need not. A
-// degraded store is emptied as long as there are enough others. A replica is in sync only
-// together with the disk on which the accepted records lie: a partition whose in-sync
-// replicas are all away waits for one of them rather than begin empty.
+// Placement chooses the leader of each partition and its followers, whose number is the number
+// of stores that may be lost at once. Stores are ranked for each partition by rendezvous
+// hashing, replicas are spread over zones where there are enough zones, and replicas are moved
+// only when necessary. Replicas are moved away from a degraded store while enough other stores
+// are available. Being in sync is a property of a store together with the disk that has the
+// accepted records: if all in-sync replicas of a partition are unavailable, the partition
+// waits for one of them instead of starting empty.
 
-// The score of a store as a follower. A store has at most one of the latter two, and each exceeds
-// the sum of those that may be set against it: a replica is moved to another zone only if it must
-// be moved anyway.
+// Scores of a store as a follower. A store gets at most one of scoreReceiving and scoreInSync.
+// Each score exceeds the sum of the lower ones, so that an existing replica outweighs a better
+// zone: a replica is placed in another zone only if it has to be moved for another reason.
 const (
-	// scoreZone is for a store in a zone without a replica.
+	// scoreZone is added for a store in a zone that has no replica yet.
 	scoreZone = 2
-	// scoreReceiving is for a store to which the records are being copied.
+	// scoreReceiving is the score of a store to which the records are being copied.
 	scoreReceiving = 4
-	// scoreInSync is for a store that has all records.
+	// scoreInSync is the score of a store that has all records.
 	scoreInSync = 8
 )
 
-// rank is the rendezvous hash of a store for a partition.
+// rank returns the rendezvous hash of a store for a partition.
 func rank(partition, store string) uint64 {
 	sum := fnv.New64a()
 	_, _ = sum.Write([]byte(partition))
@@ -57,8 +58,8 @@
 	return stores
 }
 
-// eligibleStores lists the stores that may be given replicas, degraded ones only if there
-// are not enough others.
+// eligibleStores returns the stores that may receive replicas. It includes degraded stores
+// only if there are not enough healthy ones.
 func (s *State) eligibleStores() []membership.Member {
 	var healthy, degraded []membership.Member
 	for _, member := range statemachine.Sorted(s.Members) {
@@ -76,8 +77,8 @@
 	return healthy
 }
 
-// chooseFollowers chooses the followers of a leader by their score, and among equal scores
-// by rank. It reports false if there are too few stores.
+// chooseFollowers chooses the followers of a leader by score, and among equal scores by rank.
+// It returns false if there are too few stores.
 func chooseFollowers(
 	leader membership.Member, ranked []membership.Member, count int, score func(name string) int,
 ) ([]string, bool) {
@@ -107,7 +108,7 @@
 	return chosen, true
 }
 
-// planPlacements lists the placements that are to change.
+// planPlacements returns the placements that have to be added or changed.
 func (s *State) planPlacements(configuration config.Configuration) []membership.Placement {
 	var changes []membership.Placement
 	stores := s.eligibleStores()
@@ -126,8 +127,8 @@
 	return changes
 }
 
-// newPlacement places a partition that has no records yet, so that all its replicas are in
-// sync.
+// newPlacement places a partition for the first time. It has no records yet, so all its
+// replicas are in sync.
 func (s *State) newPlacement(partition string, ranked []membership.Member) membership.Placement {
 	noScore := func(string) int { return 0 }
 	followers, _ := chooseFollowers(ranked[0], ranked, s.Tolerance, noScore)
@@ -142,15 +143,15 @@
 	return placement
 }
 
-// replanning is the plan for the next epoch of a partition that is placed.
+// replanning plans the next epoch of a partition that already has a placement.
 type replanning struct {
 	state     *State
 	placement membership.Placement
-	// ranked are the stores that may be given replicas.
+	// ranked are the stores that may receive replicas, the highest rank first.
 	ranked []membership.Member
 }
 
-// replanPlacement plans a partition's next epoch, if it needs one.
+// replanPlacement plans the next epoch of a partition, if its placement has to change.
 func (s *State) replanPlacement(
 	placement membership.Placement, ranked []membership.Member,
 ) (next membership.Placement, changed bool) {
@@ -164,8 +165,8 @@
 	}
 	followerCount := s.Tolerance
 	if !plan.mayStay(leader) {
-		// No in-sync replica may stay. The records must be copied to a store that may, before the
-		// leader can be replaced.
+		// No eligible store is in sync. The records must be copied to an eligible store before
+		// the leader can be replaced.
 		followerCount = max(followerCount, 1)
 	}
 	followers, enough := chooseFollowers(s.Members[leader], ranked, followerCount, plan.score)
@@ -190,23 +191,23 @@
 	return next, true
 }
 
-// inSync reports whether a store is alive and has all records on its present disk.
+// inSync reports whether a store is alive and has all records on its current disk.
 func (r replanning) inSync(name string) bool {
 	member, found := r.state.Members[name]
 	return found && member.Alive && slices.Contains(r.placement.InSync, member.ReplicaID())
 }
 
-// eligible reports whether a store may be given a replica.
+// eligible reports whether a store may receive a replica.
 func (r replanning) eligible(name string) bool {
 	return slices.ContainsFunc(r.ranked, func(member membership.Member) bool { return member.Name == name })
 }
 
-// mayStay reports whether a store has all records and may keep its replica.
+// mayStay reports whether a store is in sync and may keep its replica.
 func (r replanning) mayStay(name string) bool { return r.inSync(name) && r.eligible(name) }
 
-// fit reports whether a store may remain a follower. While records are being copied a
-// follower is not in sync yet; once the placement is complete it must be, or its disk was
-// lost.
+// fit reports whether a store may remain a follower. A follower of an incomplete placement need
+// not be in sync, as records are still being copied to it. In a complete placement a follower
+// that is not in sync has lost its disk.
 func (r replanning) fit(name string) bool {
 	return r.eligible(name) && (!r.placement.Complete || r.inSync(name))
 }
@@ -220,9 +221,9 @@
 	return r.placement.Complete && len(r.placement.Followers) != r.state.Tolerance
 }
 
-// chooseLeader finds an in-sync replica to lead: one that may stay, or else any. The
-// present leader comes first, then the followers, then other stores with an in-sync
-// replica. It reports false if none is alive.
+// chooseLeader chooses an in-sync replica as the leader: one that may stay if possible, and
+// otherwise any. In both cases it prefers the current leader, then the followers, then other
+// stores with an in-sync replica. It returns false if no in-sync replica is alive.
 func (r replanning) chooseLeader() (leader string, found bool) {
 	candidates := append([]string{r.placement.Leader}, r.placement.Followers...)
 	for _, replica := range r.placement.InSync {
@@ -240,7 +241,7 @@
 	return "", false
 }
 
-// score is the score of a store as a follower, apart from its zone.
+// score returns the score of a store as a follower, without scoreZone.
 func (r replanning) score(name string) int {
 	switch {
 	case r.mayStay(name):
@@ -257,8 +258,7 @@
 	return names
 }
 
-// diskReplaced reports whether a replica's store is not known, or known to have another
-// disk now.
+// diskReplaced reports whether the store of a replica is unknown or has another disk now.
 func (s *State) diskReplaced(replica string) bool {
 	for _, member := range s.Members {
 		if strings.HasPrefix(replica, member.Name+"@") {
@@ -268,7 +268,8 @@
 	return true
 }
 
-// storeInUse reports whether any partition still needs a store.
+// storeInUse reports whether a store has a replica of any partition, or has records that are
+// still being copied to other stores.
 func (s *State) storeInUse(store string) bool {
 	for _, placement := range s.Placements {
 		if placement.HasReplica(store) {
--- a/internal/controller/placement_test.go
+++ b/internal/controller/placement_test.go
@@ -1,4 +1,4 @@
-// Which stores are taken for degraded, and where replicas go.
+// These tests check which stores are marked as degraded, and where replicas are placed.
 package controller
 
 import (
@@ -20,7 +20,7 @@
 	}
 }
 
-// stateOf is a state with stores in three zones and shared partitions that are not placed.
+// stateOf returns a state with stores in three zones and shared partitions without placements.
 func stateOf(stores, tolerance int) *State {
 	state := newState()
 	command := Command{Configuration: configured(1, sharedConfig), Tolerance: &tolerance}
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -13,7 +13,7 @@
 
 const (
 	// reconcileInterval is the time between two reconciliations of the primary, and
-	// standbyInterval is after how long another controller checks again whether it has become
+	// standbyInterval the time between two checks of another controller whether it has become
 	// primary.
 	reconcileInterval = 200 * time.Millisecond
 	standbyInterval   = 500 * time.Millisecond
@@ -21,13 +21,14 @@
 	// committedDelay is the time from the commit of a command to the next reconciliation.
 	committedDelay = 10 * time.Millisecond
 
-	// storeReturnPeriod is the beginning of a term in which no new partition is placed, so that
-	// the stores that come back are heard first.
+	// storeReturnPeriod is the time at the start of a term in which no new partition is placed,
+	// so that stores that are restarting can join first.
 	storeReturnPeriod = warmupPeriod / 3
 )
 
-// reconcile compares the control state with what was observed, and submits one command
-// with the changes that are due. It runs at each interval, and sooner if there is cause.
+// reconcile compares the control state with the primary's observations and submits one command
+// with the necessary changes. It runs at every reconcileInterval, and earlier when another
+// method arms timerReconcile.
 func (c *Controller) reconcile(now time.Time, effects *statemachine.Effects) {
 	if !c.node.HoldsLease(now) {
 		if c.active {
@@ -49,9 +50,9 @@
 	c.runEconomy(now, effects)
 }
 
-// nextCommand collects the changes that are due. Degradations, removals and placements are each
-// decided only if the steps before them left nothing to change, and so on a state that has the
-// results of those steps.
+// nextCommand collects the changes that are necessary. Degradations, removals and placements are
+// each decided only if the earlier steps result in no change, so that they are based on a state
+// to which the results of the earlier steps have been applied.
 func (c *Controller) nextCommand(now time.Time, effects *statemachine.Effects) Command {
 	command := Command{}
 	command.Leaves, command.Joins = c.takeMembershipChanges(effects)
@@ -73,7 +74,8 @@
 	return command
 }
 
-// submit replicates a command. The next one is decided once its outcome is known.
+// submit replicates a command. The next command is decided once the outcome of this one is
+// known.
 func (c *Controller) submit(now time.Time, command Command, effects *statemachine.Effects) {
 	c.commandPending = true
 	done := func(now time.Time, effects *statemachine.Effects, outcome consensus.Outcome) {
@@ -86,7 +88,7 @@
 	c.node.Submit(now, encodeCommand(command), c.timeouts.command, done, effects)
 }
 
-// takeMembershipChanges takes out the leaves and joins that wait for a command.
+// takeMembershipChanges returns the pending leaves and joins, and clears them.
 func (c *Controller) takeMembershipChanges(effects *statemachine.Effects) (leaves []MemberIncarnation, joins []Join) {
 	for _, leave := range statemachine.Sorted(c.pendingLeaves) {
 		leaves = append(leaves, leave)
@@ -101,7 +103,7 @@
 	return leaves, joins
 }
 
-// drainedStores lists the retiring stores that no partition needs any more.
+// drainedStores returns the retiring stores that no partition needs any more.
 func (c *Controller) drainedStores(effects *statemachine.Effects) []string {
 	var drained []string
 	for name, member := range statemachine.Sorted(c.state.Members) {
@@ -114,7 +116,7 @@
 	return drained
 }
 
-// handlePartitionReplicated records that all replicas of a partition have its records.
+// handlePartitionReplicated records a report that all replicas of a partition have its records.
 func (c *Controller) handlePartitionReplicated(now time.Time, replicated membership.PartitionReplicated) {
 	if !c.node.HoldsLease(now) {
 		return
@@ -123,7 +125,7 @@
 	c.timers.ArmSooner(timerReconcile, now)
 }
 
-// takeReplicated takes out the reports of replicated partitions, and returns those that
+// takeReplicated clears the pending reports of replicated partitions, and returns those that
 // complete a placement.
 func (c *Controller) takeReplicated(effects *statemachine.Effects) []membership.PartitionReplicated {
 	var completed []membership.PartitionReplicated
@@ -138,7 +140,7 @@
 	return completed
 }
 
-// removals lists the dead members that are to be removed from the control state.
+// removals returns the dead members that are to be removed from the control state.
 func (c *Controller) removals(now time.Time, effects *statemachine.Effects) []MemberIncarnation {
 	c.dropUnknownMembers(now)
 	removals := c.removableMembers(now)
@@ -148,12 +150,12 @@
 	return removals
 }
 
-// placementChanges plans the placements that are to change.
+// placementChanges plans the placements that have to be added or changed.
 func (c *Controller) placementChanges(now time.Time, effects *statemachine.Effects) []membership.Placement {
 	changes := c.state.planPlacements(c.configuration())
 	if now.Sub(c.termStart) <= storeReturnPeriod {
-		// A partition whose replica came back with another disk is no new one, and need
-		// not wait.
+		// Only new partitions wait. The placement of an existing partition may change, for
+		// example if a store has joined with a new disk.
 		changes = slices.DeleteFunc(changes, func(next membership.Placement) bool {
 			_, placed := c.state.Placements[next.Partition]
 			return !placed
--- a/internal/controller/removal.go
+++ b/internal/controller/removal.go
@@ -9,22 +9,23 @@
 	"dahlialock/internal/statemachine"
 )
 
-// Dead members are removed after a while, so that the control state does not grow with the
-// number of machines that were ever replaced. A tombstone of each stays for a while: by it
-// an order that was carried out is recognized, and an incarnation older than a known one
-// does not take over the name. A store that any partition may still need is not removed.
+// Dead members are removed after removalDelay, so that the control state does not grow with the
+// number of machines that were ever replaced. Each leaves a tombstone until it is evicted. The
+// tombstone serves to recognize retries of a completed retirement order, and to reject the join
+// of an older incarnation. A store that any partition may still need is not removed.
 
 const (
-	// removalDelay is how long a primary sees a member dead before it removes the member.
+	// removalDelay is how long a member must be dead, as observed by the current primary, before
+	// the primary removes it.
 	removalDelay = time.Minute
 
-	// minTombstones is how many tombstones are kept before the oldest is evicted. There may
-	// be as many as there are members.
+	// minTombstones is how many tombstones are kept at least before the oldest is evicted. If
+	// there are more members than that, one tombstone per member is kept.
 	minTombstones = 128
 )
 
-// Tombstone is what is left of a removed member. Tombstones are stored: their fields and
-// the order of the fields never change.
+// Tombstone records a removed member. Tombstones are stored, so their fields and the order of
+// the fields must not change.
 type Tombstone struct {
 	_           struct{} `cbor:",toarray"`
 	Name        string
@@ -37,7 +38,7 @@
 	RemovedAt uint64
 }
 
-// member is the removed member as far as its tombstone tells.
+// member returns the removed member with the fields that the tombstone preserves.
 func (t Tombstone) member() membership.Member {
 	return membership.Member{
 		Name:        t.Name,
@@ -50,7 +51,7 @@
 	}
 }
 
-// memberOrTombstone finds a member, or what its tombstone tells.
+// memberOrTombstone returns a member, or a removed member as restored from its tombstone.
 func (s *State) memberOrTombstone(name string) (membership.Member, bool) {
 	if member, found := s.Members[name]; found {
 		return member, true
@@ -61,14 +62,14 @@
 	return membership.Member{}, false
 }
 
-// tombstoneIndex is the position of a member's tombstone, or -1.
+// tombstoneIndex returns the position of a member's tombstone, or -1.
 func (s *State) tombstoneIndex(name string) int {
 	return slices.IndexFunc(s.Tombstones, func(tombstone Tombstone) bool { return tombstone.Name == name })
 }
 
-// mayRemove reports whether nothing refers to a member any more: it is dead, it is not
-// being retired, no placement names it or any disk that it had, and the configuration in
-// force does not drain it.
+// mayRemove reports whether a member may be removed: it is dead, it is not being retired, no
+// placement refers to it or to a disk that it had, and the configuration in force does not
+// drain it.
 func (s *State) mayRemove(removal MemberIncarnation) bool {
 	member, found := s.Members[removal.Name]
 	if !found || member.Alive || member.Incarnation != removal.Incarnation {
@@ -86,7 +87,7 @@
 	return member.Kind != membership.KindStore || !s.storeReferenced(member.Name)
 }
 
-// storeReferenced reports whether any placement names a store, or any disk that it had.
+// storeReferenced reports whether any placement refers to a store or to a disk that it had.
 func (s *State) storeReferenced(store string) bool {
 	ofStore := func(replica string) bool { return strings.HasPrefix(replica, store+"@") }
 	for _, placement := range s.Placements {
@@ -119,8 +120,8 @@
 	}
 }
 
-// evictTombstone evicts the oldest tombstone, those of retired stores last. Views from
-// before the removal can't be brought up to date any more.
+// evictTombstone evicts the oldest tombstone; those of retired stores are evicted last. A view
+// from before the member's removal can't be updated incrementally any more, see CompactedAt.
 func (s *State) evictTombstone() {
 	notRetired := func(tombstone Tombstone) bool { return !tombstone.Retired }
 	oldest := max(0, slices.IndexFunc(s.Tombstones, notRetired))
@@ -128,14 +129,14 @@
 	s.Tombstones = slices.Delete(s.Tombstones, oldest, oldest+1)
 }
 
-// dropTombstone drops the tombstone of a member that has joined again.
+// dropTombstone removes the tombstone of a member that has joined again.
 func (s *State) dropTombstone(name string) {
 	if position := s.tombstoneIndex(name); position >= 0 {
 		s.Tombstones = slices.Delete(s.Tombstones, position, position+1)
 	}
 }
 
-// removableMembers lists the members that this primary has seen dead for long enough.
+// removableMembers returns the members that have been dead for removalDelay and may be removed.
 func (c *Controller) removableMembers(now time.Time) []MemberIncarnation {
 	var removable []MemberIncarnation
 	for name, member := range statemachine.Sorted(c.state.Members) {
@@ -156,8 +157,8 @@
 	return removable
 }
 
-// dropUnknownMembers drops what this primary has observed of daemons that are not members
-// and have been silent for long.
+// dropUnknownMembers drops the observations of daemons that are not members and have not polled
+// for removalDelay.
 func (c *Controller) dropUnknownMembers(now time.Time) {
 	for name, heard := range c.lastHeard {
 		if _, found := c.state.Members[name]; found || now.Sub(heard) < removalDelay {
--- a/internal/controller/removal_mutation_test.go
+++ b/internal/controller/removal_mutation_test.go
@@ -11,9 +11,9 @@
 	"dahlialock/internal/statemachine"
 )
 
-// Without the bound on tombstones the state grows, and without the check whether anything
-// refers to a member what is needed is removed. A log without a bound grows with the
-// changes.
+// Without the limit on tombstones the state must grow, and without the check for references a
+// member that is still needed must be removed. Without the limit on the log the log must grow with
+// the number of changes.
 func TestBoundsOfStateAreNeeded(t *testing.T) {
 	for mutation, run := range statemachine.Sorted(map[string]func(t assert.TestingT){
 		"tombstones-for-ever": func(t assert.TestingT) {
--- a/internal/controller/removal_test.go
+++ b/internal/controller/removal_test.go
@@ -1,5 +1,6 @@
-// The control state while machines are replaced for ever: it does not grow, nothing that is
-// needed is removed, and who comes back late is a new member.
+// These tests check the control state while machines are continually replaced: it must not grow,
+// no member that is still needed may be removed, and a member that joins again after its
+// tombstone was evicted is a new member.
 package controller
 
 import (
@@ -17,7 +18,7 @@
 	"dahlialock/internal/statemachine"
 )
 
-// replacementRun is a control state whose machines are replaced one by one.
+// replacementRun applies the replacement of machines, one by one, to a control state.
 type replacementRun struct {
 	t           assert.TestingT
 	random      *rand.Rand
@@ -60,8 +61,8 @@
 	r.apply(Command{Retirement: &Retirement{Store: store, Retiring: true}})
 }
 
-// stabilize plans and completes placements until nothing changes any more, and removes all
-// members that may be removed.
+// stabilize plans and completes placements and completes retirements until there are no more
+// changes, and removes all members that may be removed.
 func (r *replacementRun) stabilize() {
 	configuration, _ := config.Read(r.state.Document)
 	for range 20 {
@@ -88,7 +89,8 @@
 	}
 }
 
-// assertNeededPresent checks what must never be removed.
+// assertNeededPresent checks that no member to which a placement refers was removed, and that the
+// number of tombstones is limited.
 func (r *replacementRun) assertNeededPresent() {
 	for _, placement := range r.state.Placements {
 		for _, name := range append([]string{placement.Leader}, placement.Followers...) {
@@ -106,8 +108,8 @@
 	assert.Assert(r.t, tombstones <= limit, "%d tombstones", tombstones)
 }
 
-// replaceRandomMachine replaces one machine by one of another name, stores by retirement or
-// after a loss.
+// replaceRandomMachine replaces one machine by another with a different name. A store is either
+// retired first or lost.
 func (r *replacementRun) replaceRandomMachine(number int) {
 	kinds := []string{membership.KindGateway, membership.KindAgent, membership.KindController}
 	kind := kinds[r.random.IntN(3)]
@@ -135,7 +137,7 @@
 	r.assertNeededPresent()
 }
 
-// addAndRemoveGateways lets a number of gateways join, leave and be removed.
+// addAndRemoveGateways makes count gateways join, leave and be removed, one after the other.
 func (r *replacementRun) addAndRemoveGateways(count int) {
 	for number := range count {
 		name := fmt.Sprint("passing-", number)
@@ -145,8 +147,8 @@
 	}
 }
 
-// replaceMachines replaces so many machines, and returns the size of the state at each
-// quarter.
+// replaceMachines replaces machines, and returns the size of the state after each quarter of the
+// replacements.
 func replaceMachines(t assert.TestingT, seed uint64, replacements int) []int {
 	run := newReplacementRun(t, seed)
 	var sizes []int
@@ -166,8 +168,8 @@
 	assert.Assert(t, slices.Max(sizes) < slices.Min(sizes)*11/10, "%v", sizes)
 }
 
-// An order that was carried out is recognized for as long as its tombstone stays, and the
-// tombstones of retired stores go last.
+// A completed retirement order must be recognized as long as the store's tombstone exists, and the
+// tombstones of retired stores must be evicted last.
 func TestRetirementIsRecognizedAfterRemoval(t *testing.T) {
 	run := newReplacementRun(t, 2)
 	run.retire("store-0")
@@ -181,7 +183,7 @@
 	assert.Equal(t, run.state.result.outcome, Duplicate)
 	removed, found := run.state.memberOrTombstone("store-0")
 	assert.Assert(t, found && removed.Retired && removed.Retiring && !removed.Alive)
-	// With the same disk it stays retired; with another it is a new store.
+	// A store that joins with the same disk remains retired. With another disk it is a new store.
 	rejoin := func(incarnation uint64, disk string) {
 		run.apply(Command{Joins: []Join{{Self: membership.Member{
 			Name:        "store-0",
@@ -198,8 +200,9 @@
 	assert.Assert(t, !run.state.Members["store-0"].Retired && run.state.tombstoneIndex("store-0") < 0)
 }
 
-// An old incarnation that comes back after its tombstone was evicted is a new member: it
-// gets the complete view, holds nothing that counts, and its epochs are over.
+// An old incarnation that joins after its tombstone was evicted must be treated as a new member:
+// it gets the complete view, it has no replica when it joins, and each later placement that refers
+// to it has a new epoch.
 func TestOldIncarnationComesBackAsNewMember(t *testing.T) {
 	run := newReplacementRun(t, 3)
 	old, index := run.state.Members["store-1"], run.state.Index
@@ -226,8 +229,8 @@
 	run.assertNeededPresent()
 }
 
-// The primary removes members that were dead for a minute, and drops what it observed of
-// them.
+// The primary must remove members that have been dead for removalDelay, and drop its observations
+// of them.
 func TestPrimaryRemovesDeadMembers(t *testing.T) {
 	cluster := newControllerCluster(t, 3)
 	cluster.putConfiguration([]byte(`{"version": 1, "spaces": []}`))
@@ -250,7 +253,7 @@
 	}
 	cluster.run(time.Second)
 	assert.Equal(t, len(cluster.primary().machine.state.Members), 23)
-	// No gateway polls any more: all fail, and are removed later.
+	// The gateways do not poll any more, so all are detected as failed and later removed.
 	cluster.run(70 * time.Second)
 	machine := cluster.primary().machine
 	assert.Equal(t, len(machine.state.Members), 3)
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -12,7 +12,7 @@
 	"dahlialock/internal/statemachine"
 )
 
-// The paths of the operators' requests.
+// Paths of operators' requests.
 const (
 	pathConfiguration = "/v1/configuration"
 	pathCluster       = "/v1/cluster"
@@ -21,51 +21,52 @@
 	prefixStores      = "/v1/stores/"
 )
 
-// errorCode is the code of a response that is not a success. Programs of the operators
-// read it.
+// errorCode is the code of an error response. Operators' programs evaluate it.
 type errorCode string
 
 const (
-	// codeNoPrimary: no primary can answer at this moment.
+	// codeNoPrimary: no primary is available at the moment.
 	codeNoPrimary errorCode = "no-primary"
-	// codeNoSuchPath: the path or the method is not known.
+	// codeNoSuchPath: the path or the method is unknown.
 	codeNoSuchPath errorCode = "no-such-path"
 	// codeNoSuchStore: no store has this name.
 	codeNoSuchStore errorCode = "no-such-store"
-	// codeNoConfiguration: no configuration was accepted yet.
+	// codeNoConfiguration: no configuration has been accepted yet.
 	codeNoConfiguration errorCode = "no-configuration"
-	// codeInvalidConfiguration: the configuration has faults, which the response lists.
+	// codeInvalidConfiguration: the configuration is invalid; the response lists its faults.
 	codeInvalidConfiguration errorCode = "faulty-configuration"
-	// codeSameVersion: the version was accepted with other content.
+	// codeSameVersion: the version was accepted before with other content.
 	codeSameVersion errorCode = "same-version"
-	// codeOlderVersion: a newer version was accepted.
+	// codeOlderVersion: a newer version was accepted before.
 	codeOlderVersion errorCode = "older-version"
-	// codeTooFewStores: too few other stores would be left.
+	// codeTooFewStores: too few other stores would remain.
 	codeTooFewStores errorCode = "too-few-stores"
-	// codeRefused: the order surely has no effect; it may be sent again.
+	// codeRefused: the order has no effect. It may be retried.
 	codeRefused errorCode = "refused"
-	// codeUnsettled: the order may have an effect; the same may be sent again.
+	// codeUnsettled: the outcome is unknown; the order may or may not take effect. The same
+	// order may be retried.
 	codeUnsettled errorCode = "unsettled"
-	// codeUnconfirmed: no majority confirmed that this controller is still primary.
+	// codeUnconfirmed: no majority of the voters confirmed that this controller is still the
+	// primary.
 	codeUnconfirmed errorCode = "unconfirmed"
 )
 
-// retryAfter is when an operator's program is asked to try again.
+// retryAfter is the retry delay in responses of status 503.
 const retryAfter = time.Second
 
-// response is the answer to an operator's request.
+// response is the response to an operator's request.
 type response struct {
 	status int
 	body   []byte
 }
 
-// okResponse answers with a JSON value.
+// okResponse returns a response of status 200 with a JSON value.
 func okResponse(value any) response { return jsonResponse(http.StatusOK, value) }
 
 func jsonResponse(status int, value any) response {
 	body, err := json.Marshal(value)
 	if err != nil {
-		// All values are structs of this package.
+		// All values are structs of this package, which can be encoded.
 		panic(err)
 	}
 	return response{status: status, body: body}
@@ -79,15 +80,15 @@
 	return errorResponse(http.StatusServiceUnavailable, code, text)
 }
 
-// responder answers one request.
+// responder sends the response to one request.
 type responder struct {
 	node    *consensus.Node
 	to      string
 	request statemachine.RequestID
 }
 
-// respond sends the response. It must leave before the lease ends, except one of status 503,
-// which states nothing about the control state.
+// respond sends the response. It must be sent before the lease ends, except a response of
+// status 503, which says nothing about the control state.
 func (r responder) respond(response response, effects *statemachine.Effects) {
 	message := membership.ControlResponse{Request: r.request, Status: response.status, Body: response.body}
 	if response.status == http.StatusServiceUnavailable {
@@ -99,7 +100,7 @@
 }
 
 // respondConfirmed reads a response from the control state and sends it, after a majority
-// of the voters has confirmed that this controller is still primary (a read barrier).
+// of the voters has confirmed that this controller is still the primary (a read barrier).
 func (c *Controller) respondConfirmed(
 	now time.Time, responder responder, read func() response, effects *statemachine.Effects,
 ) {
@@ -113,9 +114,8 @@
 	c.node.Confirm(now, done, effects)
 }
 
-// handleControlRequest carries out an operator's request. A controller that may not act
-// redirects or refuses the request at once: it never answers from a state that may be
-// outdated.
+// handleControlRequest executes an operator's request. A controller without a lease redirects
+// or rejects the request at once: it never responds from a state that may be stale.
 func (c *Controller) handleControlRequest(
 	now time.Time, from string, request membership.ControlRequest, effects *statemachine.Effects,
 ) {
@@ -142,7 +142,8 @@
 	responder.respond(unknown, effects)
 }
 
-// refuseWithoutLease names the primary, or asks to try again if there is none.
+// refuseWithoutLease redirects a request to the primary, or requests a retry if no other
+// controller is known to be primary.
 func (c *Controller) refuseWithoutLease(responder responder, effects *statemachine.Effects) {
 	primary, found := c.node.Primary()
 	if !found || primary.Name == c.settings.Self.Name {
@@ -158,8 +159,8 @@
 	})
 }
 
-// reader returns the function that reads a path's response from the control state, or nil
-// if the path is not known.
+// reader returns the function that reads the response for a path from the control state, or
+// nil if the path is unknown.
 func (c *Controller) reader(now time.Time, path string) func() response {
 	switch path {
 	case pathConfiguration:
@@ -174,7 +175,7 @@
 	return nil
 }
 
-// configurationInForce is the response to a request for the configuration.
+// configurationInForce is the response to a request for the configuration in force.
 type configurationInForce struct {
 	Configuration json.RawMessage `json:"configuration"`
 	Version       uint64          `json:"version"`
@@ -226,7 +227,7 @@
 	})
 }
 
-// epochView is the response to a request for the epoch of the controllers.
+// epochView is the response to a request for the controllers' current epoch.
 type epochView struct {
 	Backups  []string `json:"backups"`
 	Epoch    uint64   `json:"epoch"`
@@ -248,7 +249,8 @@
 	})
 }
 
-// controllerNames lists the names of controllers; it is never nil, so that JSON has [].
+// controllerNames returns the names of controllers. The result is never nil, so that it is
+// encoded as [] in JSON.
 func controllerNames(controllers []consensus.Controller) []string {
 	names := []string{}
 	for _, controller := range controllers {
@@ -257,8 +259,9 @@
 	return names
 }
 
-// handleControlResponse hands a response to the operator that asked here. A response of
-// this controller itself is bound by its lease, as one that it sends to another daemon.
+// handleControlResponse passes a response on to the operator that sent the request to this
+// daemon. If this controller is the primary that responded, its lease limits the response as it
+// limits a response to another daemon.
 func (c *Controller) handleControlResponse(
 	now time.Time, from string, message membership.ControlResponse, effects *statemachine.Effects,
 ) {
--- a/internal/controller/restart_test.go
+++ b/internal/controller/restart_test.go
@@ -1,5 +1,6 @@
-// Restarts after many changes: what a controller reads from its disk and what a newcomer is
-// sent follow the size of the control state, not the number of changes that led to it.
+// These tests check restarts and catch-up after many changes: the amount of data that a controller
+// reads from its disk, and that a new replica or member is sent, must depend on the size of the
+// control state, not on the number of changes.
 package controller
 
 import (
@@ -19,8 +20,8 @@
 	"dahlialock/internal/wal"
 )
 
-// sizedDocument is a configuration of so many routes, with a text as long as theirs beside
-// them.
+// sizedDocument returns a configuration with a number of routes, and an annex text whose length is
+// proportional to that number.
 func sizedDocument(version uint64, routes int) []byte {
 	const space = `{"name": "space-%d", "promise": "kept", "order": "topic", ` +
 		`"holding": "35s", "answer_within": "%dms"}`
@@ -34,7 +35,7 @@
 		version, strings.Join(spaces, ", "), strings.Join(prefixes, ", "), annex)
 }
 
-// replayBytes is how many bytes of entries a start reads, besides the snapshot.
+// replayBytes returns the size of the log entries that a start reads in addition to the snapshot.
 func replayBytes(recovered wal.Recovered) int {
 	sum := 0
 	for _, entry := range recovered.Entries {
@@ -43,8 +44,8 @@
 	return sum
 }
 
-// maxReplayBytes is what a log may hold of a state whose snapshot is so large, with the
-// command that made it too long and one more in flight.
+// maxReplayBytes returns the maximum size of the log for the size of a snapshot. The log may exceed
+// its limit by the command that triggers a new snapshot and by commands in flight.
 func maxReplayBytes(snapshot, document int) int {
 	return max(64<<10, 2*snapshot) + 3*document
 }
@@ -68,8 +69,8 @@
 	}
 }
 
-// A new controller, a backup that comes back and one whose disk was lost get the state, not
-// what led to it. The state itself remembers no more than maxHistory versions.
+// A new controller, a returning backup and a controller whose disk was lost must be sent the state,
+// not the changes that led to it. The state itself has decisions on at most maxHistory versions.
 func TestCatchUpSendsStateAndNotChanges(t *testing.T) {
 	const routes = 12
 	document := len(sizedDocument(1, routes))
@@ -81,7 +82,7 @@
 		backup.kill()
 		backup.disk.Wipe()
 		clear(cluster.sent)
-		// Another takes its place, and then it is needed again itself.
+		// Another controller replaces the backup. Then the backup returns and is needed again.
 		cluster.run(3 * time.Second)
 		backup.start(false)
 		cluster.run(3 * time.Second)
@@ -104,18 +105,18 @@
 	}
 }
 
-// powerLossRun puts many configurations while controllers lose power at any moment, one at a
-// time or all together, and now and then one its disk too.
+// powerLossRun puts many configurations while controllers lose power at random times, either one
+// or all at once. Sometimes one of them also loses its disk.
 type powerLossRun struct {
 	*controllerCluster
 	seed         uint64
 	acknowledged uint64
-	// lastWipe is when a disk was lost last.
+	// lastWipe is when a disk was last lost.
 	lastWipe  time.Time
 	documents map[uint64][]byte
 }
 
-// checkServing checks that whoever serves has what was acknowledged.
+// checkServing checks that each controller that serves has all acknowledged configurations.
 func (r *powerLossRun) checkServing() {
 	for name, node := range statemachine.Sorted(r.nodes) {
 		if !node.up || !node.machine.node.Serving(r.now) {
@@ -130,8 +131,8 @@
 	}
 }
 
-// losePower lets one controller lose power, or all, and start again later. It does nothing
-// while any is down.
+// losePower cuts the power of one controller, or of all, and restarts them later. It does nothing
+// while a controller is down.
 func (r *powerLossRun) losePower() {
 	names := slices.Sorted(maps.Keys(r.nodes))
 	if slices.ContainsFunc(names, func(name string) bool { return !r.nodes[name].up }) {
@@ -154,7 +155,7 @@
 	}
 }
 
-// powerLossAtAnyPoint makes a run, and returns how many snapshots were written in it.
+// powerLossAtAnyPoint executes a powerLossRun, and returns how many snapshots were written.
 func powerLossAtAnyPoint(t reporter, seed uint64) (snapshots int) {
 	t.Helper()
 	const changes, routes = 60, 12
@@ -184,8 +185,8 @@
 	assert.Assert(t, snapshots > 100, "only %d snapshots were written", snapshots)
 }
 
-// A gateway, agent or store that missed many changes is sent one document, and what changed
-// of the view.
+// A gateway, agent or store that missed many configurations must be sent only the newest document
+// and the changes of the view.
 func TestViewUpdateSendsOneDocument(t *testing.T) {
 	var blank, behind []int
 	for _, changes := range []int{10, 100, 1000} {
@@ -214,8 +215,8 @@
 	assert.Assert(t, slices.Max(behind) < slices.Min(behind)+64)
 }
 
-// BenchmarkRestart measures a restart of the primary after so many changes of a
-// configuration with so many routes.
+// BenchmarkRestart measures a restart of the primary for different numbers of configuration
+// changes and of routes in each configuration.
 func BenchmarkRestart(b *testing.B) {
 	for _, routes := range []int{12, 300} {
 		for _, changes := range []int{10, 100, 1000} {
--- a/internal/controller/settings.go
+++ b/internal/controller/settings.go
@@ -12,33 +12,35 @@
 type Settings struct {
 	// Self is this controller as a member of the cluster.
 	Self membership.Member
-	// ControllerCount is how many controllers the cluster is meant to have.
+	// ControllerCount is the intended number of controllers in the cluster.
 	ControllerCount int
 	// Seeds are the addresses of controllers to contact first.
 	Seeds []string
-	// Bootstrap lets this controller found a cluster that has no epoch yet.
+	// Bootstrap allows this controller to bootstrap a cluster that has no epoch yet.
 	Bootstrap bool
-	// NewDisk names the disk if nothing is stored on it yet.
+	// NewDisk is the identifier to assign to the disk if it is empty.
 	NewDisk string
-	// Incarnation names this run of the process.
+	// Incarnation identifies this run of the process.
 	Incarnation statemachine.Incarnation
-	// HighestWins acknowledges a configuration whose version is below the one in force
-	// without bringing it into force; otherwise it is a conflict, unless the same content
-	// was accepted under that version.
+	// HighestWins acknowledges a configuration whose version is below the one in force,
+	// without putting it into force. Without HighestWins it is rejected as a conflict, unless
+	// the same content was accepted under that version.
 	HighestWins bool
-	// AcknowledgeTimeout is the time within which a valid order is to be acknowledged.
+	// AcknowledgeTimeout is the time within which a valid order must be acknowledged.
 	AcknowledgeTimeout time.Duration
-	// ContactTimeout is the time within which a daemon that lost contact with the cluster is to
-	// have it again (contact in the settings); failure timeouts derive from it, see timeoutsFor.
+	// ContactTimeout is the time within which a daemon that has lost contact with the cluster
+	// must regain it (contact in the settings). The failure timeouts are derived from it, see
+	// timeoutsFor.
 	ContactTimeout time.Duration
 	// Tolerance is how many machines with a disk may be lost at once; nil leaves the
-	// tolerance of the control state as it is.
+	// tolerance in the control state unchanged.
 	Tolerance *int
-	// StopGracePeriod is how long a daemon that was asked to stop may go on running.
+	// StopGracePeriod is how long the daemon may continue to run after a stop was requested;
+	// zero selects defaultStopGracePeriod.
 	StopGracePeriod time.Duration
 }
 
-// tolerance is the configured tolerance, or the default.
+// tolerance returns the configured tolerance, or the default.
 func (s Settings) tolerance() int {
 	if s.Tolerance != nil {
 		return *s.Tolerance
@@ -46,7 +48,7 @@
 	return DefaultTolerance
 }
 
-// consensusSettings are the settings of the controller's consensus node.
+// consensusSettings returns the settings of the controller's consensus node.
 func (s Settings) consensusSettings() consensus.Settings {
 	return consensus.Settings{
 		Self: consensus.Controller{
--- a/internal/controller/shared_test.go
+++ b/internal/controller/shared_test.go
@@ -1,9 +1,9 @@
-// Shared partitions against a model: senders that publish on several topics at once, with a
-// few messages in flight on each, durable and ephemeral ones, under the same faults as a
-// single partition. What was accepted for a topic, sender and seq has one offset for ever,
-// is never appended twice and is acknowledged again to whoever resends it. What was
-// rejected, or superseded by a later message of the same sender and topic, is never seen.
-// Whoever follows the high watermarks knows each topic's newest message.
+// These tests check shared partitions against a model: senders publish durable and ephemeral
+// messages on several topics at once, with a few messages in flight on each, under the same faults
+// as in the tests of a single partition. The offset of an accepted topic, sender and seq must never
+// change; the message must not be appended twice, and a resend must be acknowledged. A message that
+// was rejected, or superseded by a later message of the same sender and topic, must not be stored.
+// A subscriber of the high watermarks must get the offset of each topic's newest message.
 package controller
 
 import (
@@ -42,10 +42,10 @@
 	waiting  bool
 }
 
-// publisher is what one sender publishes on one topic.
+// publisher is one sender's stream of messages on one topic.
 type publisher struct {
 	topic, sender string
-	// ephemeral messages have no data that is stored.
+	// ephemeral is set if the messages have no stored data, only an offset.
 	ephemeral bool
 	seq       uint64
 	pending   []*publication
@@ -55,7 +55,7 @@
 	return fmt.Sprintf("%s %s/%d", p.topic, p.sender, seq)
 }
 
-// finish drops a publication whose outcome is known.
+// finish removes a publication whose outcome is known.
 func (p *publisher) finish(finished *publication) {
 	if position := slices.Index(p.pending, finished); position >= 0 {
 		p.pending = append(p.pending[:position:position], p.pending[position+1:]...)
@@ -66,18 +66,18 @@
 type sharedCluster struct {
 	*storeCluster
 	publishers []*publisher
-	// awaiting holds what to do on the response to each append.
+	// awaiting holds the callback for the response to each append.
 	awaiting map[uint64]func(partition.AppendResponse)
 	// acceptedAt holds the offset of each accepted message, messageAt the message at each
-	// offset of each partition, and never the messages that may not be stored.
+	// offset of each partition, and never the messages that must not be stored.
 	acceptedAt map[string]uint64
 	messageAt  map[string]string
 	never      map[string]bool
 	// highestSeq is the highest accepted seq of each topic and sender.
 	highestSeq map[string]uint64
 	fetches    map[uint64]partition.FetchResponse
-	// highWatermarks and topicOffsets are what a follower of the stores knows of each
-	// partition and of each topic.
+	// highWatermarks holds the high watermark of each partition and topicOffsets the newest
+	// offset of each topic, as a subscriber of the stores has received them.
 	highWatermarks map[string]uint64
 	topicOffsets   map[uint64]uint64
 }
@@ -153,7 +153,7 @@
 			publisher.finish(item)
 		}
 	case partition.OutcomeUnresolved:
-		// The sender attempts it again.
+		// The sender retries.
 	}
 }
 
@@ -195,7 +195,7 @@
 	}
 }
 
-// follow asks the leaders for the high watermarks of their partitions.
+// follow subscribes to the high watermarks of all partitions at their leaders.
 func (c *sharedCluster) follow() {
 	c.after(2*time.Second, c.follow)
 	follows := map[string]partition.SubscribeHighWatermarks{}
@@ -260,7 +260,7 @@
 	return cluster
 }
 
-// addPublisher adds a publisher. Each third topic is ephemeral.
+// addPublisher adds a publisher. Every third topic is ephemeral.
 func (c *sharedCluster) addPublisher(topic, sender int) {
 	added := &publisher{topic: fmt.Sprintf("reading.%d", topic), sender: fmt.Sprintf("sender-%d", sender)}
 	if topic%3 == 2 {
@@ -270,7 +270,7 @@
 	c.after(2*time.Second, func() { c.publish(added) })
 }
 
-// recoverAll ends all faults, and lets all stores lose power at once.
+// recoverAll ends all faults, restarts all stores at once and waits for the recovery.
 func (c *sharedCluster) recoverAll() {
 	c.t.Helper()
 	c.quiet, c.lossRate = true, 0
@@ -285,7 +285,8 @@
 	assert.Assert(c.t, c.allReplicated(), "not replicated after nine quiet seconds: %+v", c.state.Placements)
 }
 
-// assertConsistent checks what the stores hold at the end against what they acknowledged.
+// assertConsistent checks the final records of the stores, and the responses to resends, against
+// the earlier responses.
 func (c *sharedCluster) assertConsistent() {
 	c.t.Helper()
 	stored := c.storedOffsets()
@@ -306,8 +307,8 @@
 	assert.Assert(c.t, len(c.acceptedAt) > 1000, "only %d were accepted", len(c.acceptedAt))
 }
 
-// storedOffsets reads the records of all durable topics, checks them, and returns the
-// offset of each message.
+// storedOffsets reads and checks the records of all durable topics, and returns the offset of each
+// message.
 func (c *sharedCluster) storedOffsets() map[string]uint64 {
 	c.t.Helper()
 	stored := map[string]uint64{}
@@ -335,7 +336,7 @@
 	return stored
 }
 
-// resend publishes a message again whose sender has published later ones since.
+// resend publishes a message again after its sender has published later ones.
 func (c *sharedCluster) resend(publisher *publisher, seq uint64) {
 	name := publisher.name(seq)
 	offset, accepted := c.acceptedAt[name]
@@ -346,7 +347,7 @@
 			assert.Assert(c.t, again, "%s was accepted at %d and is now answered %+v", name, offset, response)
 			c.recordAccepted(publisher, seq, response)
 		case response.Outcome == partition.OutcomeAccepted:
-			// It was in flight when the faults began, and its sender had no response.
+			// The message was in flight during the faults, and its sender received no response.
 			assert.Assert(c.t, response.Duplicate && !c.never[name], "%s is appended below a later one", name)
 		default:
 			old := response.Outcome == partition.OutcomeRejected && response.Code == codeOldSeq
@@ -355,7 +356,7 @@
 	})
 }
 
-// injectDiskFault lets one disk be slow, hang or refuse writes for a while.
+// injectDiskFault makes one disk slow, hang or reject writes for a while.
 func (c *sharedCluster) injectDiskFault() {
 	c.after(time.Duration(3000+c.random.IntN(5000))*time.Millisecond, c.injectDiskFault)
 	if c.quiet {
@@ -392,8 +393,8 @@
 	}
 }
 
-// A retired store is taken away with its disk at the moment it is retired. That is no loss:
-// other stores' disks may be lost right after.
+// The machine and disk of a store may be removed as soon as the store is retired. This must not
+// count as a loss: as many other disks as tolerated may be lost right afterwards.
 func TestRetiredStoreIsNotNeeded(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/internal/controller/single_controller_test.go
+++ b/internal/controller/single_controller_test.go
@@ -13,16 +13,16 @@
 
 const operatorAddress = "operator"
 
-// singleController is a controller without backups, whose disk syncs when the test says
-// so. What it sends to itself arrives at once.
+// singleController is a controller without backups, whose disk can be paused by the test.
+// Messages to itself are delivered at once.
 type singleController struct {
 	t          assert.TestingT
 	controller *Controller
 	now        time.Time
-	// syncPaused keeps the writes in unsynced.
+	// syncPaused is set while writes are kept in unsynced instead of being completed.
 	syncPaused bool
 	unsynced   []statemachine.Write
-	// answers holds the responses to the operator by the number of the request.
+	// answers holds the responses to the operator, keyed by the number of the request.
 	answers  map[uint64]membership.ControlResponse
 	requests uint64
 }
@@ -58,7 +58,7 @@
 	return single
 }
 
-// step runs a step of the controller and carries its effects out.
+// step runs a step of the controller and performs its effects.
 func (c *singleController) step(run func(effects *statemachine.Effects)) {
 	var effects statemachine.Effects
 	run(&effects)
@@ -82,7 +82,7 @@
 	})
 }
 
-// sync ends all writes, also those that come with it.
+// sync completes all writes, including those that result from it.
 func (c *singleController) sync() {
 	for len(c.unsynced) > 0 {
 		write := c.unsynced[0]
@@ -105,8 +105,7 @@
 	c.now = until
 }
 
-// withSyncPaused lets the disk keep all writes back while something is done, and syncs them
-// then.
+// withSyncPaused calls a function while no write completes, and completes all writes afterwards.
 func (c *singleController) withSyncPaused(do func()) {
 	c.syncPaused = true
 	do()
@@ -138,16 +137,16 @@
 	return c.order(http.MethodPost, "/v1/stores/"+store+"/retire", "")
 }
 
-// status is the status of the response to an order.
+// status returns the status of the response to an order, or 0 if there is none.
 func (c *singleController) status(request uint64) int { return c.answers[request].Status }
 
-// finalStatus waits, and is the status that an order has then.
+// finalStatus waits for the response to an order and returns its status.
 func (c *singleController) finalStatus(request uint64) int {
 	c.advance(300 * time.Millisecond)
 	return c.status(request)
 }
 
-// code is the error code of the response to an order.
+// code returns the error code of the response to an order.
 func (c *singleController) code(request uint64) errorCode {
 	var refused struct {
 		Code errorCode `json:"code"`
@@ -168,7 +167,7 @@
 	}
 }
 
-// poll lets a member poll that receives its answers.
+// poll sends a poll of a member that acknowledges its responses.
 func (c *singleController) poll(self membership.Member) {
 	c.deliver(self.Address, membership.ViewRequest{Self: self, Nonce: 1, LastAnswered: 1})
 }
--- a/internal/controller/slowdisk.go
+++ b/internal/controller/slowdisk.go
@@ -10,18 +10,19 @@
 )
 
 const (
-	// slowDiskTimeout is the age beyond which a report of a slow disk is no longer a reason
-	// to take the store for degraded.
+	// slowDiskTimeout is the age at which a report of a slow disk expires: it no longer causes
+	// the store to be marked as degraded.
 	slowDiskTimeout = 1200 * time.Millisecond
 
-	// degradedPeriod is how long a store stays degraded after the last report.
+	// degradedPeriod is how long a store remains degraded after the last confirmed report.
 	degradedPeriod = 8 * time.Second
 
-	// unconfirmedTimeout is how long a store has to poll the primary after an unconfirmed
-	// report before the report is confirmed.
+	// unconfirmedTimeout is the time after an unconfirmed report within which the store must poll
+	// the primary; otherwise the report is confirmed.
 	unconfirmedTimeout = 300 * time.Millisecond
 
-	// longDiskDelay is the delay beyond which reports alone confirm a slow disk.
+	// longDiskDelay is the delay above which a report can be confirmed although the store still
+	// polls the primary, see handleSlowDiskReport.
 	longDiskDelay = time.Second
 )
 
@@ -33,20 +34,21 @@
 	delay       time.Duration
 }
 
-// unconfirmedReport is a report of a slow disk whose reporter can't tell a slow disk from
-// a slow link.
+// unconfirmedReport combines the unconfirmed reports about one store. Their reporters can't
+// distinguish a slow disk from a slow link.
 type unconfirmedReport struct {
-	// since is when the first of the reports came, report the newest of them.
+	// since is when the first of the reports was received, report is the newest of them.
 	since  time.Time
 	report membership.SlowDiskReport
-	// reporters holds when each store reported last.
+	// reporters holds the time of the last report of each reporting store.
 	reporters map[string]time.Time
 }
 
-// handleSlowDiskReport takes in a store's report on another's disk, or on its own. A
-// report that may be due to a slow link waits for evidence: it is confirmed if the store
-// does not answer the primary either, or if the delay is long and there are fewer reports
-// about the reporter itself.
+// handleSlowDiskReport handles a store's report that another store's disk, or its own, is slow. A
+// report from a store's own measurement is confirmed at once. Any other report may be caused by
+// a slow link, and stays unconfirmed until there is more evidence: it is confirmed if the store
+// does not poll the primary either, or if the delay is long and more stores report the store
+// than report the reporter.
 func (c *Controller) handleSlowDiskReport(
 	now time.Time, report membership.SlowDiskReport, effects *statemachine.Effects,
 ) {
@@ -64,7 +66,7 @@
 	if !found || pending.report.Incarnation != report.Incarnation || now.Sub(pending.since) > slowDiskTimeout {
 		pending = &unconfirmedReport{since: now, reporters: map[string]time.Time{}}
 		c.unconfirmedReports[report.Name] = pending
-		// An answer lets the store poll again at once, if it can.
+		// A response to the pending poll makes the store poll again at once if it is able to.
 		c.answerPollOf(now, report.Name, effects)
 	}
 	pending.report, pending.reporters[report.Reporter] = report, now
@@ -79,10 +81,10 @@
 	c.timers.ArmSooner(timerReconcile, now.Add(unconfirmedTimeout))
 }
 
-// mayReportDiskOf reports whether a store may report on another's disk: it is alive and
-// leads a partition that the other follows. One that was partitioned off acts on an
-// outdated view, and what it waits for is no fault of the other. Each store may report on
-// its own disk.
+// mayReportDiskOf reports whether a store may report on another store's disk: it must be alive
+// and lead a partition that the other store follows. A store that is isolated by a network
+// partition acts on a stale view, and the delays that it observes are not caused by the other
+// store's disk. Each store may report on its own disk.
 func (c *Controller) mayReportDiskOf(reporter, name string) bool {
 	if reporter == name {
 		return true
@@ -98,7 +100,7 @@
 	return false
 }
 
-// confirmSlowDisk takes a report for true.
+// confirmSlowDisk records a report as confirmed.
 func (c *Controller) confirmSlowDisk(now time.Time, report membership.SlowDiskReport) {
 	delete(c.unconfirmedReports, report.Name)
 	c.slowDisks[report.Name] = slowDisk{at: now, incarnation: report.Incarnation, delay: report.Delay}
@@ -107,8 +109,8 @@
 	}
 }
 
-// resolveUnconfirmed drops outdated reports, and confirms those on stores that have not
-// polled the primary since.
+// resolveUnconfirmed drops expired reports, and confirms the reports about stores that have not
+// polled the primary within unconfirmedTimeout.
 func (c *Controller) resolveUnconfirmed(now time.Time) {
 	for name, pending := range statemachine.Sorted(c.unconfirmedReports) {
 		switch {
@@ -120,7 +122,7 @@
 	}
 }
 
-// degradationChanges lists the stores that become degraded or recover.
+// degradationChanges returns the stores that become degraded or recover.
 func (c *Controller) degradationChanges(now time.Time, effects *statemachine.Effects) []Degradation {
 	c.resolveUnconfirmed(now)
 	changes := c.state.planDegradations(now, c.slowDisks)
@@ -135,8 +137,8 @@
 	return changes
 }
 
-// planDegradations lists the stores that become degraded or recover, by the confirmed
-// reports. As many healthy stores are left as a partition has replicas.
+// planDegradations returns the stores that become degraded or recover, according to the confirmed
+// reports. At least as many stores as a partition has replicas remain healthy.
 func (s *State) planDegradations(now time.Time, slowDisks map[string]slowDisk) []Degradation {
 	var changes []Degradation
 	healthy := s.healthyStores()
@@ -158,7 +160,8 @@
 		if healthy > s.Tolerance+1 {
 			return append(changes, degradationOf(member, true))
 		}
-		// A degraded store on which there are no reports any more takes its place.
+		// There are too few healthy stores to mark another one as degraded. A degraded store
+		// without recent reports, if there is one, is marked as recovered in exchange.
 		if recovered, found := s.quietestDegraded(now, slowDisks); found {
 			return append(changes, degradationOf(recovered, false), degradationOf(member, true))
 		}
@@ -170,7 +173,8 @@
 	return Degradation{Name: member.Name, Incarnation: member.Incarnation, Degraded: degraded}
 }
 
-// quietestDegraded is the degraded store that has gone longest without a report.
+// quietestDegraded returns the degraded store whose last report is the oldest. It ignores stores
+// with a report that has not expired.
 func (s *State) quietestDegraded(now time.Time, slowDisks map[string]slowDisk) (membership.Member, bool) {
 	var quietest membership.Member
 	for _, member := range statemachine.Sorted(s.Members) {
--- a/internal/controller/state.go
+++ b/internal/controller/state.go
@@ -10,54 +10,57 @@
 	"dahlialock/internal/transport"
 )
 
-// DefaultTolerance is how many stores may be lost at once if no setting says otherwise.
+// DefaultTolerance is the default number of stores that may be lost at once.
 const DefaultTolerance = 1
 
 // State is the control state: the configuration in force, the members of the cluster and
 // the placements of partitions. It changes only by commands ([State.Apply]), which every
 // replica applies in the same order with the same result.
 //
-// The state is stored and sent as a snapshot: its keys and their order never change.
+// The state is stored and sent as a snapshot, so its keys and their order must not change.
 type State struct {
-	// Index counts the commands that were applied.
+	// Index is the number of commands that were applied.
 	Index uint64 `cbor:"Index"`
-	// Version and Document are those of the configuration in force.
+	// Version and Document are the version and the text of the configuration in force.
 	Version  uint64 `cbor:"Version"`
 	Document []byte `cbor:"Document"`
-	// SpaceCreatedAt is the version in which each space was configured first. A space that
-	// is removed, or changes its kind, begins anew with another version.
+	// SpaceCreatedAt is the configuration version that created each space. A space that is
+	// removed and configured again, or changes its kind, is a new, empty space with another
+	// version.
 	SpaceCreatedAt map[string]uint64 `cbor:"Births"`
-	// SpaceKinds is the kind of each space, see spaceKind. It has the keys of
+	// SpaceKinds is the kind of each space, see spaceKind. It has the same keys as
 	// SpaceCreatedAt.
 	SpaceKinds map[string]string               `cbor:"Natures"`
 	Members    map[string]membership.Member    `cbor:"Members"`
 	Placements map[string]membership.Placement `cbor:"Places"`
-	// MemberModifiedAt and PlacementModifiedAt are the indexes at which each member and each
-	// placement changed last.
+	// MemberModifiedAt and PlacementModifiedAt are the indexes of the last change of each
+	// member and of each placement.
 	MemberModifiedAt    map[string]uint64 `cbor:"MemberAt"`
 	PlacementModifiedAt map[string]uint64 `cbor:"PlaceAt"`
-	// SpacesModifiedAt is the index at which SpaceCreatedAt changed last.
+	// SpacesModifiedAt is the index of the last configuration that was installed, which may
+	// have changed SpaceCreatedAt.
 	SpacesModifiedAt uint64 `cbor:"BirthsAt"`
-	// CompactedAt is the index of the newest removal of which nothing is left in the state:
-	// of a placement, or of a member whose tombstone is gone. A daemon with an older index
-	// gets the complete view.
+	// CompactedAt is the index of the newest removal that can't be derived from the state any
+	// more: of a placement, or of a member whose tombstone was evicted. A daemon with an older
+	// index gets the complete view.
 	CompactedAt uint64 `cbor:"WholeAt"`
 	// HasSharedPartitions is set once a space ordered by topic was configured. From then on
-	// the shared partitions are placed, whatever becomes of the spaces.
+	// the shared partitions are placed, even if all such spaces are removed.
 	HasSharedPartitions bool `cbor:"Shared"`
-	// Tolerance is how many stores may be lost at once. A partition has one replica more.
+	// Tolerance is how many stores may be lost at once. Each partition has Tolerance+1
+	// replicas.
 	Tolerance int `cbor:"Tolerance"`
-	// History holds the newest decisions on configurations in the order of their versions.
+	// History holds the decisions on configurations, sorted by version; see maxHistory.
 	History []ConfigurationDecision `cbor:"History"`
-	// RecentOrders are the newest retirements that were accepted, the oldest first.
+	// RecentOrders identifies the most recently accepted retirement orders, the oldest first.
 	RecentOrders []statemachine.RequestID `cbor:"Orders"`
-	// Tombstones are what is left of removed members, the oldest first.
+	// Tombstones are the tombstones of removed members, the oldest first.
 	Tombstones []Tombstone `cbor:"Tombstones"`
-	// DrainedGateways are the gateways that the configuration in force drains.
+	// DrainedGateways are the names of the gateways that the configuration in force drains.
 	DrainedGateways []string `cbor:"Drained"`
 
-	// result is what became of the order in the command that was applied last. It is not
-	// stored: only the primary that submitted the order reads it, as it is applied.
+	// result is the outcome of the order in the command that was applied last. It is not
+	// stored: only the primary that submitted the order reads it, right after applying it.
 	result orderResult
 }
 
@@ -73,19 +76,20 @@
 	}
 }
 
-// PartitionName names one partition of a space by the version in which the space was
-// created, so that a space that is removed and configured again begins anew.
+// PartitionName returns the name of one partition of a space. The name contains the
+// configuration version that created the space, so that a space that is removed and configured
+// again gets new, empty partitions.
 func PartitionName(space string, createdAt uint64, number int) string {
 	return partitionPrefix(space, createdAt) + fmt.Sprint(number)
 }
 
-// partitionPrefix is what the names of all partitions of a space begin with.
+// partitionPrefix returns the common prefix of the names of a space's partitions.
 func partitionPrefix(space string, createdAt uint64) string {
 	return fmt.Sprintf("%s~%d/", space, createdAt)
 }
 
-// fillView puts into an update what changed after an index, or the complete view if the
-// index is not known or what changed since is not known any more.
+// fillView adds to an update the changes of the view after an index, or the complete view if
+// the index is above the state's or the changes since then can't be derived any more.
 func (s *State) fillView(update *membership.ViewUpdate, since uint64) {
 	if since < s.CompactedAt || since > s.Index {
 		since = 0
@@ -111,7 +115,7 @@
 	}
 }
 
-// installConfiguration brings a configuration into force.
+// installConfiguration puts a configuration into force.
 func (s *State) installConfiguration(change ConfigurationChange, configuration config.Configuration) {
 	s.Version, s.Document = change.Version, change.Document
 	s.DrainedGateways = configuration.Draining
@@ -119,7 +123,8 @@
 	s.dropUnwantedPlacements(configuration)
 }
 
-// installSpaces records which spaces are created, removed or changed in kind.
+// installSpaces updates SpaceCreatedAt and SpaceKinds for the spaces that a configuration
+// creates, removes or changes in kind.
 func (s *State) installSpaces(version uint64, configuration config.Configuration) {
 	s.SpacesModifiedAt = s.Index
 	for name := range statemachine.Sorted(s.SpaceCreatedAt) {
@@ -131,7 +136,7 @@
 	}
 	for name, space := range statemachine.Sorted(configuration.Spaces) {
 		if space.Order == config.OrderTopic {
-			// It has no partitions of its own, and so nothing that begins anew with it.
+			// Such a space uses the shared partitions, so its creation need not be recorded.
 			s.HasSharedPartitions = true
 			continue
 		}
@@ -142,7 +147,7 @@
 	}
 }
 
-// dropUnwantedPlacements removes the placements of partitions that are no longer wanted.
+// dropUnwantedPlacements removes the placements of partitions that are no longer configured.
 func (s *State) dropUnwantedPlacements(configuration config.Configuration) {
 	wanted := map[string]bool{}
 	for _, partition := range s.partitionNames(configuration) {
@@ -167,10 +172,11 @@
 	return named && found && strings.HasPrefix(partition, partitionPrefix(space, createdAt))
 }
 
-// spaceKind is what a space can't change without beginning anew.
+// spaceKind returns the properties of a space that can't be changed without replacing it by a
+// new, empty space.
 func spaceKind(space config.Space) string { return string(space.Retention) + "/" + string(space.Order) }
 
-// partitionNames lists the partitions of the configuration in force.
+// partitionNames returns the names of all partitions of the configuration in force.
 func (s *State) partitionNames(configuration config.Configuration) []string {
 	var names []string
 	for name, space := range statemachine.Sorted(configuration.Spaces) {
@@ -189,7 +195,7 @@
 // Snapshot encodes the complete state.
 func (s *State) Snapshot() []byte { return transport.MustMarshal(s) }
 
-// Restore replaces the state by an encoded one.
+// Restore replaces the state by one that Snapshot encoded.
 func (s *State) Restore(encoded []byte) error {
 	restored := newState()
 	if err := transport.Unmarshal(encoded, restored); err != nil {
--- a/internal/controller/state_test.go
+++ b/internal/controller/state_test.go
@@ -1,5 +1,4 @@
-// Whoever follows the state by what changed sees the same as whoever gets the complete view,
-// wherever it begins.
+// Incremental view updates must result in the same view as a complete update, from any index.
 package controller
 
 import (
@@ -15,7 +14,7 @@
 	"dahlialock/internal/statemachine"
 )
 
-// viewRun changes a state at random while a few clients follow it.
+// viewRun applies random changes to a state while several view clients follow it.
 type viewRun struct {
 	t       *testing.T
 	random  *rand.Rand
@@ -23,8 +22,8 @@
 	state   *State
 	clients []*membership.ViewClient
 	version uint64
-	// partial counts the updates with changes only, removed the members in them that were
-	// removed.
+	// partial counts the incremental updates, removed the removed members that were listed in
+	// updates.
 	partial, removed int
 }
 
@@ -48,7 +47,7 @@
 	return run
 }
 
-// drawCommand draws the command of a step.
+// drawCommand returns a random command for a step.
 func (r *viewRun) drawCommand(step int) Command {
 	var command Command
 	switch r.random.IntN(6) {
@@ -102,7 +101,7 @@
 	return configured(r.version, document)
 }
 
-// step changes the state, and brings one client up to date.
+// step applies a random command to the state, and updates one client.
 func (r *viewRun) step(step int) {
 	r.t.Helper()
 	r.state.Apply(r.now, encodeCommand(r.drawCommand(step)))
--- a/internal/controller/stop.go
+++ b/internal/controller/stop.go
@@ -7,17 +7,16 @@
 	"dahlialock/internal/statemachine"
 )
 
-// Stop asks a controller to stop in good order, as a command of the host. The controller
-// first leaves the voters and the replicas of the control state by agreement, as its
-// machine may be taken away with it. It stops once nothing that it stores is needed, and
-// in any case before the platform ends the process.
+// Stop is the host's command to shut a controller down gracefully. The controller first has
+// itself replaced as a voter and as a replica of the control state, since its machine may be
+// removed together with its disk. It stops once its stored data is no longer needed, and in any
+// case before the platform kills the process.
 type Stop struct{}
 
-// defaultStopGracePeriod is how long a daemon that was asked to stop may go on running if
-// no setting says otherwise.
+// defaultStopGracePeriod is the default of [Settings.StopGracePeriod].
 const defaultStopGracePeriod = 6 * time.Second
 
-// beginStop asks the other controllers to let this one leave.
+// beginStop starts the shutdown: this controller begins to leave the voters and the backups.
 func (c *Controller) beginStop(now time.Time, effects *statemachine.Effects) {
 	if c.stopDeadline.IsZero() {
 		c.stopDeadline = now.Add(c.stopTimeout())
@@ -26,7 +25,8 @@
 	c.node.Leave(now, effects)
 }
 
-// stopTimeout leaves a quarter of the grace period for the end of the process itself.
+// stopTimeout returns the time within which the controller must stop. A quarter of the grace
+// period is reserved for the exit of the process.
 func (c *Controller) stopTimeout() time.Duration {
 	gracePeriod := c.settings.StopGracePeriod
 	if gracePeriod == 0 {
@@ -35,8 +35,8 @@
 	return gracePeriod * 3 / 4
 }
 
-// finishStop stops the daemon once it has left, or its time is over, and sends the other
-// controllers a GracefulLeave, so that they needn't detect its absence.
+// finishStop stops the daemon once it has left or stopDeadline is reached. It sends the other
+// controllers a GracefulLeave, so that they need not detect a failure.
 func (c *Controller) finishStop(now time.Time, effects *statemachine.Effects) {
 	if c.stopDeadline.IsZero() || !c.node.LeaveCompleted() && now.Before(c.stopDeadline) {
 		return
--- a/internal/controller/store_cluster_test.go
+++ b/internal/controller/store_cluster_test.go
@@ -16,7 +16,7 @@
 	"dahlialock/internal/transport"
 )
 
-// The addresses of the modelled daemons that are no stores.
+// Addresses of the modelled daemons other than stores.
 const (
 	controllerAddress = "controller"
 	gatewayAddress    = "gateway"
@@ -27,14 +27,14 @@
 	testPartition = "boards~1/0"
 )
 
-// event is something that happens at a time of the model.
+// event is an event at a point of simulated time.
 type event struct {
 	at    time.Duration
 	order int
 	run   func()
 }
 
-// eventQueue is a heap of events in the order of time, and of when they were added.
+// eventQueue is a heap of events, ordered by time and then by the order in which they were added.
 type eventQueue []event
 
 func (e eventQueue) Len() int             { return len(e) }
@@ -55,7 +55,7 @@
 }
 
 // storeCluster is a model of a cluster: real stores under the real control state and
-// placement rules, with links that lose, repeat and reorder messages, and faults of stores
+// placement rules, with links that lose, duplicate and reorder messages, and faults of stores
 // and their disks. The primary controller and a gateway are modelled.
 type storeCluster struct {
 	t        *testing.T
@@ -68,7 +68,7 @@
 	senders  [testSenders]*sequentialSender
 	requests uint64
 	// accepted holds the offset of each accepted message, offsets the message at each
-	// offset, and rejected the messages that were surely not accepted.
+	// offset, and rejected the messages that were rejected on every attempt.
 	accepted  map[string]uint64
 	offsets   map[uint64]string
 	rejected  map[string]bool
@@ -76,18 +76,18 @@
 	slowDisks map[string]slowDisk
 	lossRate  float64
 	lastWipe  time.Duration
-	// quiet ends all faults and all publishing.
+	// quiet is set once no more faults are injected and no more messages are published.
 	quiet bool
-	// singleReplica is set if there is one replica only, which must not be wiped.
+	// singleReplica is set if partitions have only one replica, so that no disk may be wiped.
 	singleReplica bool
 	// gatewayHandler, if set, handles the messages to the gateway in place of
 	// handleAsGateway.
 	gatewayHandler func(from string, message any)
-	// lastArrival, if set, is when the gateway's last message to each store arrives, on
-	// links that do not reorder.
+	// lastArrival, if set, holds when the gateway's last message to each store arrives. The
+	// gateway's links then deliver messages in order and only once.
 	lastArrival map[string]time.Duration
-	// linkFault, if set, decides by how long a message is delayed, to arrive at whatever
-	// incarnation runs then, and whether it is lost instead.
+	// linkFault, if set, decides whether a message is lost and by how long it is delayed. A
+	// delayed message is delivered to the incarnation that runs when it arrives.
 	linkFault func(from, to string, message any) (delay time.Duration, lost bool)
 }
 
@@ -127,7 +127,7 @@
 	c.now = until
 }
 
-// send carries a message over a link that may lose, repeat and reorder.
+// send sends a message over a link that may lose, duplicate and reorder messages.
 func (c *storeCluster) send(from string, send statemachine.Send) {
 	if c.random.Float64() < c.lossRate {
 		return
@@ -159,7 +159,7 @@
 	}
 }
 
-// deliver brings a message to whatever incarnation runs now.
+// deliver delivers a message to the current incarnation of its receiver.
 func (c *storeCluster) deliver(from, to string, packed []byte) {
 	meta, message, err := transport.Decode(packed[4:])
 	assert.NilError(c.t, err)
@@ -180,7 +180,7 @@
 	}
 }
 
-// handleAsController answers as the primary would.
+// handleAsController handles a message to the modelled primary.
 func (c *storeCluster) handleAsController(from string, message any) {
 	switch body := message.(type) {
 	case membership.ViewRequest:
@@ -204,7 +204,7 @@
 	}
 }
 
-// updateFor is the primary's answer to a poll.
+// updateFor returns the primary's response to a poll.
 func updateFor(state *State, recipient string, request membership.ViewRequest) membership.ViewUpdate {
 	update := membership.ViewUpdate{
 		Recipient: recipient,
@@ -223,7 +223,8 @@
 
 func (c *storeCluster) apply(command Command) { c.state.Apply(time.Time{}, encodeCommand(command)) }
 
-// reconcile fails stores that do not run, and plans degradations and placements.
+// reconcile marks stores that are down or suspended as failed, completes retirements, and plans
+// degradations and placements.
 func (c *storeCluster) reconcile() {
 	c.after(150*time.Millisecond, c.reconcile)
 	for _, store := range c.stores {
@@ -247,7 +248,7 @@
 	return configuration
 }
 
-// allReplicated reports whether all stores run and all placements are complete.
+// allReplicated reports whether all stores are running and all placements are complete.
 func (c *storeCluster) allReplicated() bool {
 	for _, store := range c.stores {
 		if !store.up || store.suspended {
@@ -262,7 +263,7 @@
 	return len(c.state.Placements) > 0
 }
 
-// injectFault lets one store fail for a while, and the next fault follow.
+// injectFault injects a random fault for a while, and schedules the next one.
 func (c *storeCluster) injectFault() {
 	c.after(time.Duration(800+c.random.IntN(2500))*time.Millisecond, c.injectFault)
 	if c.quiet {
@@ -314,16 +315,16 @@
 	up          bool
 	suspended   bool
 	incarnation int
-	// lastWriteEnd is when the last write ends; writes end in their order.
+	// lastWriteEnd is when the last write completes; writes complete in order.
 	lastWriteEnd int
 	snapshot     []byte
 	entries      [][]byte
-	// deferred holds the steps that wait until a suspended store is resumed.
+	// deferred holds the steps that are deferred until a suspended store is resumed.
 	deferred    []func()
 	timer       int
 	clockOffset time.Duration
-	// writeDelay is what each write takes in addition. No write ends before diskHungUntil,
-	// and a full disk refuses all.
+	// writeDelay is the additional duration of each write. No write completes before
+	// diskHungUntil. diskFull is set while the disk rejects all writes.
 	writeDelay    time.Duration
 	diskHungUntil time.Duration
 	diskFull      bool
@@ -367,7 +368,7 @@
 	s.incarnation++
 }
 
-// wipe loses the disk of a store that does not run.
+// wipe erases the disk of a store that is not running.
 func (s *storeNode) wipe() { s.snapshot, s.entries = nil, nil }
 
 func (s *storeNode) resume() {
@@ -381,7 +382,8 @@
 	}
 }
 
-// reportFullDisk tells the store that its disk takes no write, as long as that is so.
+// reportFullDisk notifies the store periodically that its disk is unavailable, as long as the disk
+// is full.
 func (s *storeNode) reportFullDisk() {
 	if s.diskFull && s.up {
 		s.stepIncarnation(s.incarnation, func(now time.Time, effects *statemachine.Effects) {
@@ -393,7 +395,8 @@
 	}
 }
 
-// stepIncarnation runs a step if this incarnation still runs, once it is not suspended.
+// stepIncarnation runs a step if the incarnation is still running. If the store is suspended, the
+// step is deferred until it is resumed.
 func (s *storeNode) stepIncarnation(incarnation int, run func(now time.Time, effects *statemachine.Effects)) {
 	switch {
 	case !s.up || s.incarnation != incarnation:
@@ -404,7 +407,7 @@
 	}
 }
 
-// step runs a step and carries its effects out.
+// step runs a step, performs its effects and schedules the next tick.
 func (s *storeNode) step(run func(now time.Time, effects *statemachine.Effects)) {
 	incarnation := s.incarnation
 	var effects statemachine.Effects
@@ -428,7 +431,7 @@
 	}
 }
 
-// write puts a write on the disk, after all earlier ones.
+// write schedules the completion of a write, after all earlier writes.
 func (s *storeNode) write(write statemachine.Write) {
 	cluster, incarnation := s.cluster, s.incarnation
 	duration := time.Duration(1+cluster.random.IntN(4))*time.Millisecond + s.writeDelay
--- a/internal/controller/store_requests.go
+++ b/internal/controller/store_requests.go
@@ -11,7 +11,7 @@
 	"dahlialock/internal/statemachine"
 )
 
-// The operators' orders to a store.
+// The operators' orders for a store, as the last part of the path.
 const (
 	verbRetire = "retire"
 	verbReturn = "return"
@@ -21,13 +21,14 @@
 type storeView struct {
 	Alive bool   `json:"alive"`
 	Name  string `json:"name"`
-	// Partitions are the partitions of which the store has a replica.
+	// Partitions lists the partitions of which the store has a replica.
 	Partitions []string `json:"partitions"`
 	Retired    bool     `json:"retired"`
 	Retiring   bool     `json:"retiring"`
 }
 
-// handleStoreRequest carries out a request under prefixStores; path is what follows it.
+// handleStoreRequest executes a request under prefixStores; path is the rest of the request's
+// path.
 func (c *Controller) handleStoreRequest(
 	now time.Time, request membership.ControlRequest, path string, responder responder, effects *statemachine.Effects,
 ) {
@@ -46,7 +47,7 @@
 	}
 }
 
-// storeResponse describes a store, or says that there is none of the name.
+// storeResponse returns the description of a store, or an error if no store has the name.
 func (c *Controller) storeResponse(status int, name string) response {
 	member, found := c.state.memberOrTombstone(name)
 	if !found || member.Kind != membership.KindStore {
@@ -67,8 +68,8 @@
 	})
 }
 
-// orderRetirement takes in an order to retire a store, or to use it again. Whether enough
-// others are left is decided where the order is applied.
+// orderRetirement handles an order to retire a store or to return it to use. Whether enough
+// other stores would remain is decided when the order is applied.
 func (c *Controller) orderRetirement(
 	now time.Time, order Retirement, responder responder, effects *statemachine.Effects,
 ) {
@@ -103,8 +104,8 @@
 	c.node.Submit(now, encodeCommand(Command{Retirement: &order}), c.timeouts.command, done, effects)
 }
 
-// unknownStoreResponse answers an order for a store that was not known. If it has joined
-// since, the order may be sent again.
+// unknownStoreResponse returns the response to an order for a store that was not known when the
+// order was received. If the store has joined in the meantime, the order may be retried.
 func (c *Controller) unknownStoreResponse(name string) response {
 	if described := c.storeResponse(http.StatusOK, name); described.status == http.StatusNotFound {
 		return described
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -7,12 +7,13 @@
 	"dahlialock/internal/statemachine"
 )
 
-// warmupPeriod is the beginning of a term, in which the primary knows few reports yet.
+// warmupPeriod is the time at the start of a term in which the primary has received reports
+// from only some of the members.
 const warmupPeriod = 3 * time.Second
 
-// beginTerm resets what a primary has observed, when the controller begins to act as one.
-// What was reported in an earlier term is outdated. All members count as heard now, so that none
-// is taken for failed before it could poll the new primary.
+// beginTerm starts a term when the controller becomes primary. It resets the observations of an
+// earlier term, which are outdated. It treats all members as if they had just polled, so that
+// none is considered failed before it had time to poll the new primary.
 func (c *Controller) beginTerm(now time.Time) {
 	if c.active {
 		return
@@ -36,14 +37,14 @@
 	}
 }
 
-// endTerm ends the work of a primary that has lost its lease.
+// endTerm ends the term of a primary that has lost its lease.
 func (c *Controller) endTerm(effects *statemachine.Effects) {
 	c.active, c.commandPending = false, false
 	clear(c.sentViews)
 	c.redirectPolls(effects)
 }
 
-// warmingUp reports whether the term has lasted for less than a period.
+// warmingUp reports whether the term is younger than a period.
 func (c *Controller) warmingUp(now time.Time, period time.Duration) bool {
 	return now.Sub(c.termStart) < period
 }
--- a/internal/controller/timeouts.go
+++ b/internal/controller/timeouts.go
@@ -7,24 +7,25 @@
 	"dahlialock/internal/membership"
 )
 
-// defaultContactTimeout is the time within which a daemon has contact again if no setting
-// says otherwise.
+// defaultContactTimeout is the default of [Settings.ContactTimeout].
 const defaultContactTimeout = 4 * time.Second
 
-// timeouts are the times for which the primary waits, derived from the settings.
+// timeouts are the timeouts of the primary, derived from the settings.
 type timeouts struct {
-	// command is how long a command may wait for its replicas.
+	// command is how long a command may wait for its replication.
 	command time.Duration
-	// suspicion is how long a member must not have polled, or have missed its answers, for
-	// one watcher's suspicion to be enough.
+	// suspicion is the time since a member's last poll above which one watcher's suspicion
+	// suffices to consider the member failed. A store is also considered failed if it has not
+	// acknowledged a response for this long.
 	suspicion time.Duration
-	// poll is how long a member must not have polled to count as failed without suspicions.
+	// poll is the time since a member's last poll above which the member is considered failed
+	// without any suspicion.
 	poll time.Duration
 }
 
-// timeoutsFor derives the timeouts from settings. A command ends well within the time to
-// acknowledge an order, and a failure is detected, and made good, within the time to regain
-// contact. None is shorter than a long poll takes.
+// timeoutsFor derives the timeouts from settings. A command completes or times out well within
+// AcknowledgeTimeout, and a failure is detected and repaired within ContactTimeout. The
+// suspicion and poll timeouts are longer than a long poll takes.
 func timeoutsFor(settings Settings) timeouts {
 	acknowledge, contact := settings.AcknowledgeTimeout, settings.ContactTimeout
 	if acknowledge <= 0 {
--- a/internal/controller/views.go
+++ b/internal/controller/views.go
@@ -7,23 +7,25 @@
 	"dahlialock/internal/statemachine"
 )
 
-// viewResendInterval is how long a view may be under way before it counts as lost.
+// viewResendInterval is how long a view may be in flight before it is considered lost.
 const viewResendInterval = membership.LongPollTimeout
 
 // pendingPoll is a member's poll that waits for a change of the state.
 type pendingPoll struct {
 	from    string
 	request membership.ViewRequest
-	// deadline is when the poll is answered although nothing changed.
+	// deadline is when the poll is answered even if nothing has changed.
 	deadline time.Time
-	// notBefore is when the poll may be answered at the earliest; zero if at once.
+	// notBefore is the earliest time at which the poll may be answered; zero if there is no
+	// limit.
 	notBefore time.Time
 }
 
-// sentView is the view that a member was sent last. A member is sent one at a time: its
-// further polls wait until it has the view, or until the view counts as lost. So a slow
-// link carries a view once, and not again for each poll that was sent meanwhile. Only
-// answerPollOf doesn't wait.
+// sentView describes the view that was last sent to a member. Only one view per member is in
+// flight at a time: the member's next polls wait until one shows that the view was received, or
+// until the view is considered lost. Otherwise a view that is delayed on a slow link would be
+// sent again for each poll that arrives before it is received. Only answerPollOf does not
+// wait.
 type sentView struct {
 	address     string
 	incarnation uint64
@@ -31,15 +33,16 @@
 	at          time.Time
 }
 
-// handleViewRequest answers a poll at once if the member lacks anything, and otherwise
-// keeps it pending until the state changes or the long poll's time is over.
+// handleViewRequest answers a poll at once if the member's view or configuration is out of
+// date or the request is urgent, and otherwise keeps it pending until the state changes or the
+// long poll times out.
 func (c *Controller) handleViewRequest(
 	now time.Time, from string, request membership.ViewRequest, effects *statemachine.Effects,
 ) {
 	if !c.node.CanServeReads(now) {
 		if c.node.IsPrimary() && c.node.HoldsLease(now) {
-			// The primary answers no poll before its backups have the state; the member
-			// polls again.
+			// The primary does not answer polls until its backups have the state. The member
+			// retries.
 			return
 		}
 		effects.Send(from, c.redirectFor(request))
@@ -70,8 +73,8 @@
 	c.timers.ArmSooner(timerReconcile, poll.deadline)
 }
 
-// redirectFor names the primary and the known controllers to a member that polled a
-// controller which may not answer.
+// redirectFor returns the response to a poll that this controller may not answer. It contains
+// the addresses of the primary and of the known controllers.
 func (c *Controller) redirectFor(request membership.ViewRequest) membership.Redirect {
 	redirect := membership.Redirect{
 		Recipient: request.Self.Name,
@@ -87,7 +90,8 @@
 	return redirect
 }
 
-// answerPoll answers a poll with what the member lacks of the view and the configuration.
+// answerPoll answers a poll with the changes of the view and the configuration that the member
+// does not have yet.
 func (c *Controller) answerPoll(now time.Time, poll pendingPoll, effects *statemachine.Effects) {
 	request := poll.request
 	c.recordAnswer(now, request)
@@ -105,7 +109,8 @@
 		update.Document = c.state.Document
 	}
 	if request.Index != c.state.Index {
-		// An index of another epoch may be of a log that was lost with its primary.
+		// An index from another epoch may refer to a log that was lost together with its
+		// primary, so the member gets the complete view.
 		since := request.Index
 		if request.Epoch != update.Epoch {
 			since = 0
@@ -116,8 +121,8 @@
 	effects.SendBefore(poll.from, update, c.node.LeaseEnd())
 }
 
-// answerPolls answers the pending polls of members that lack something, and those whose
-// time is over.
+// answerPolls answers the pending polls of members whose view is out of date, and those that
+// have reached their deadline.
 func (c *Controller) answerPolls(now time.Time, effects *statemachine.Effects) {
 	if len(c.pendingPolls) == 0 || !c.node.CanServeReads(now) {
 		return
@@ -132,15 +137,15 @@
 	}
 }
 
-// answerPollOf answers a member's poll at once, if one is pending, even before its notBefore:
-// its callers have new directives for the member, or want to see whether it polls again.
+// answerPollOf answers a member's pending poll, if there is one, even before its notBefore. It
+// is used to send new directives to the member, and to check whether the member polls again.
 func (c *Controller) answerPollOf(now time.Time, name string, effects *statemachine.Effects) {
 	if poll, pending := c.pendingPolls[name]; pending {
 		c.answerPoll(now, poll, effects)
 	}
 }
 
-// redirectPolls redirects all pending polls, as the controller is no longer primary.
+// redirectPolls redirects all pending polls when the controller is no longer primary.
 func (c *Controller) redirectPolls(effects *statemachine.Effects) {
 	for name, poll := range statemachine.Sorted(c.pendingPolls) {
 		delete(c.pendingPolls, name)
@@ -148,8 +153,8 @@
 	}
 }
 
-// viewNotBefore is the time from which a member may be sent a view: not before the one
-// that it was sent had time to arrive.
+// viewNotBefore returns the earliest time at which the next view may be sent to a member: when
+// the view in flight is considered lost, or the zero time if no view is in flight.
 func (c *Controller) viewNotBefore(request membership.ViewRequest) time.Time {
 	sent, found := c.sentViews[request.Self.Name]
 	if !found || statemachine.Mutated("views-again") {
@@ -163,7 +168,7 @@
 	return sent.at.Add(viewResendInterval)
 }
 
-// recordView records that a member is sent a view.
+// recordView records that a view is being sent to a member.
 func (c *Controller) recordView(now time.Time, request membership.ViewRequest) {
 	c.sentViews[request.Self.Name] = sentView{
 		address:     request.Self.Address,
--- a/internal/controller/views_test.go
+++ b/internal/controller/views_test.go
@@ -10,20 +10,20 @@
 	"dahlialock/internal/statemachine"
 )
 
-// pollingGateway polls a single controller over a link on which answers take a while.
+// pollingGateway polls a single controller over a link that delays the responses.
 type pollingGateway struct {
 	*singleController
 	viewClient  *membership.ViewClient
 	self        membership.Member
 	answerDelay time.Duration
 	arrivals    []arrival
-	// views counts the views that the controller sent.
+	// views counts the views that the controller has sent.
 	views int
-	// firstViewAfter is when the first view was accepted, since the start of the run.
+	// firstViewAfter is the time from the start of the run until the first view was accepted.
 	firstViewAfter time.Duration
 }
 
-// arrival is an answer in flight.
+// arrival is a response in flight.
 type arrival struct {
 	at     time.Time
 	update membership.ViewUpdate
@@ -47,7 +47,7 @@
 	return gateway
 }
 
-// start begins to follow the view with nothing.
+// start creates a view client that has no view yet.
 func (g *pollingGateway) start() {
 	noLoad := func() membership.Load { return membership.Load{} }
 	g.viewClient = membership.NewViewClient(g.self, 0, []string{controllerAddress}, noLoad)
@@ -75,7 +75,7 @@
 	g.sync()
 }
 
-// runFor lets both go on for a while, in steps of a millisecond.
+// runFor runs the controller and the gateway for a while, in steps of one millisecond.
 func (g *pollingGateway) runFor(length time.Duration) {
 	began := g.now
 	for g.now.Sub(began) < length {
@@ -96,7 +96,7 @@
 	}
 }
 
-// tickClient ticks the view client, whose polls arrive at once.
+// tickClient ticks the view client, and delivers its polls at once.
 func (g *pollingGateway) tickClient() {
 	var polls statemachine.Effects
 	g.viewClient.Tick(g.now, &polls)
@@ -107,8 +107,8 @@
 	}
 }
 
-// viewsOnSlowLink lets an answer take longer than the gateway waits for it. It returns how
-// many views were sent before the first one came, and when that one was accepted.
+// viewsOnSlowLink delays responses for longer than the gateway waits before it polls again. It
+// returns how many views were sent before the first one arrived, and when that one was accepted.
 func viewsOnSlowLink(t *testing.T) (views int, firstViewAfter time.Duration) {
 	t.Helper()
 	const delay = 580 * time.Millisecond
@@ -119,8 +119,8 @@
 	return views, gateway.firstViewAfter
 }
 
-// An answer that takes longer than the gateway waits for it is of use all the same, and is
-// not sent again for each poll meanwhile.
+// A view that arrives after the gateway has polled again must still be accepted, and must not be
+// sent again for each poll that the gateway sends in the meantime.
 func TestViewInFlightIsNotSentAgain(t *testing.T) {
 	views, firstViewAfter := viewsOnSlowLink(t)
 	assert.Assert(t, firstViewAfter > 0, "no view was accepted")
