--- a/internal/controller/acknowledgement.go
+++ b/internal/controller/acknowledgement.go
@@ -7,21 +7,21 @@
 	"dahlialock/internal/statemachine"
 )
 
-// unacknowledgedAnswer identifies the first response to a store whose receipt the store has
+// unacknowledgedResponse identifies the first response to a store whose receipt the store has
 // not acknowledged yet.
 //
 // A store whose incoming link has failed seems to be alive, since its polls and heartbeats still
 // arrive, but the partitions that it leads make no progress. So a store that does not
 // acknowledge a response in time is considered failed.
-type unacknowledgedAnswer struct {
+type unacknowledgedResponse struct {
 	nonce       uint64
 	incarnation uint64
 	at          time.Time
 }
 
-// recordAnswer records that a response is being sent to a store, unless an earlier response to
+// recordResponse records that a response is being sent to a store, unless an earlier response to
 // the same incarnation is still unacknowledged.
-func (c *Controller) recordAnswer(now time.Time, request membership.ViewRequest) {
+func (c *Controller) recordResponse(now time.Time, request membership.ViewRequest) {
 	self := request.Self
 	if self.Kind != membership.KindStore {
 		return
@@ -29,7 +29,7 @@
 	if earlier, found := c.unacknowledged[self.Name]; found && earlier.incarnation == self.Incarnation {
 		return
 	}
-	c.unacknowledged[self.Name] = unacknowledgedAnswer{
+	c.unacknowledged[self.Name] = unacknowledgedResponse{
 		nonce:       request.Nonce,
 		incarnation: self.Incarnation,
 		at:          now,
@@ -46,9 +46,9 @@
 	}
 }
 
-// missesAnswers reports whether a member has not acknowledged a response within the suspicion
+// acknowledgementOverdue reports whether a member has not acknowledged a response within the suspicion
 // timeout.
-func (c *Controller) missesAnswers(now time.Time, name string) bool {
+func (c *Controller) acknowledgementOverdue(now time.Time, name string) bool {
 	earlier, found := c.unacknowledged[name]
 	return found && now.Sub(earlier.at) >= c.timeouts.suspicion && !statemachine.Mutated("deaf-store")
 }
--- a/internal/controller/apply.go
+++ b/internal/controller/apply.go
@@ -85,7 +85,7 @@
 	}
 	configuration, faults := config.Read(change.Document)
 	if len(faults) > 0 {
-		panic("a command with an invalid configuration")
+		panic("committed command has an invalid configuration")
 	}
 	if faults := s.drainFaults(configuration); len(faults) > 0 && !statemachine.Mutated("check-then-act") {
 		return orderResult{outcome: InvalidConfiguration, faults: faults}
@@ -120,7 +120,7 @@
 	return append(faults, config.Fault{
 		Path: "$.drains",
 		Code: "clash",
-		Text: "no living gateway would be left",
+		Text: "no live gateway would remain",
 	})
 }
 
@@ -251,18 +251,18 @@
 // partition is no longer configured, or if a follower, or the leader of a partition that was
 // not placed before, has failed or is retiring.
 func (s *State) applyPlacement(placement membership.Placement) {
-	if !s.expects(placement.Partition) {
+	if !s.isConfigured(placement.Partition) {
 		return
 	}
 	earlier, found := s.Placements[placement.Partition]
 	if found && (earlier.Epoch >= placement.Epoch || s.PlacementModifiedAt[placement.Partition] >= placement.Epoch) {
 		return
 	}
-	given := placement.Followers
+	assigned := placement.Followers
 	if !found {
-		given = append([]string{placement.Leader}, given...)
+		assigned = append([]string{placement.Leader}, assigned...)
 	}
-	for _, name := range given {
+	for _, name := range assigned {
 		if member := s.Members[name]; !member.Alive || member.Retiring {
 			return
 		}
--- a/internal/controller/apply_test.go
+++ b/internal/controller/apply_test.go
@@ -46,8 +46,8 @@
 	return report
 }
 
-// drawCommand returns a random command as the primary would submit it for the given state.
-func drawCommand(random *rand.Rand, state *State, step uint64) pendingCommand {
+// randomCommand returns a random command as the primary would submit it for the given state.
+func randomCommand(random *rand.Rand, state *State, step uint64) pendingCommand {
 	names := make([]string, 0, len(state.Members))
 	for name := range statemachine.Sorted(state.Members) {
 		names = append(names, name)
@@ -56,11 +56,11 @@
 	noMember := func(before, _ membership.Member) membership.Member { return before }
 	switch random.IntN(7) {
 	case 0:
-		return drawRetirement(random, member)
+		return randomRetirement(random, member)
 	case 1:
-		return leaveOf(member)
+		return leaveCommand(member)
 	case 2:
-		return drawJoin(random, member, step)
+		return randomJoin(random, member, step)
 	case 3:
 		return degradationCommand(member)
 	case 4:
@@ -82,7 +82,7 @@
 	return pendingCommand{command: Command{Replicated: replicated}, allowed: noMember}
 }
 
-func drawRetirement(random *rand.Rand, member membership.Member) pendingCommand {
+func randomRetirement(random *rand.Rand, member membership.Member) pendingCommand {
 	return pendingCommand{
 		command: Command{Retirement: &Retirement{Store: member.Name, Retiring: random.IntN(3) > 0}},
 		allowed: func(before, after membership.Member) membership.Member {
@@ -92,7 +92,7 @@
 	}
 }
 
-func leaveOf(member membership.Member) pendingCommand {
+func leaveCommand(member membership.Member) pendingCommand {
 	leave := MemberIncarnation{Name: member.Name, Incarnation: member.Incarnation}
 	return pendingCommand{
 		command: Command{Leaves: []MemberIncarnation{leave}},
@@ -103,7 +103,7 @@
 	}
 }
 
-func drawJoin(random *rand.Rand, member membership.Member, incarnation uint64) pendingCommand {
+func randomJoin(random *rand.Rand, member membership.Member, incarnation uint64) pendingCommand {
 	next := member
 	next.Incarnation = incarnation
 	if random.IntN(4) == 0 {
@@ -131,7 +131,7 @@
 }
 
 // outcomes counts the outcomes of retirements.
-type outcomes struct{ accepted, refused int }
+type outcomes struct{ accepted, rejected int }
 
 // applyChecked applies a command, and checks which fields it changed and the outcome of a
 // retirement.
@@ -148,21 +148,21 @@
 		switch state.result.outcome {
 		case Accepted:
 			o.accepted++
-			assert.Assert(t, mayRetire, "%s: too few are left", when)
+			assert.Assert(t, mayRetire, "%s: too few stores would remain", when)
 		case TooFewStores:
-			o.refused++
+			o.rejected++
 			assert.Equal(t, state.Members[order.Store], before[order.Store])
 		default:
 		}
 	}
 	if len(next.command.Placements) > 0 {
-		assertReplicasFit(t, state, when)
+		assertFollowersEligible(t, state, when)
 	}
 }
 
-// assertReplicasFit checks that the last command placed followers only on live stores that are
+// assertFollowersEligible checks that the last command placed followers only on live stores that are
 // not retiring.
-func assertReplicasFit(t *testing.T, state *State, when string) {
+func assertFollowersEligible(t *testing.T, state *State, when string) {
 	t.Helper()
 	for name, placement := range state.Placements {
 		if state.PlacementModifiedAt[name] < state.Index {
@@ -170,7 +170,7 @@
 		}
 		for _, follower := range placement.Followers {
 			member := state.Members[follower]
-			assert.Assert(t, member.Alive && !member.Retiring, "%s: %s is given to %+v", when, name, member)
+			assert.Assert(t, member.Alive && !member.Retiring, "%s: a replica of %s was placed on %+v", when, name, member)
 		}
 	}
 }
@@ -181,19 +181,19 @@
 		random := rand.New(rand.NewPCG(seed, 0x57a1e))
 		tolerance := int(seed % 3)
 		state := stateOf(tolerance+3, tolerance)
-		var waiting []pendingCommand
+		var pending []pendingCommand
 		for step := range uint64(400) {
-			waiting = append(waiting, drawCommand(random, state, step+2))
-			if len(waiting) < 1+random.IntN(12) {
+			pending = append(pending, randomCommand(random, state, step+2))
+			if len(pending) < 1+random.IntN(12) {
 				continue
 			}
-			chosen := random.IntN(len(waiting))
-			next := waiting[chosen]
-			waiting = append(waiting[:chosen], waiting[chosen+1:]...)
+			chosen := random.IntN(len(pending))
+			next := pending[chosen]
+			pending = append(pending[:chosen], pending[chosen+1:]...)
 			outcomes.applyChecked(t, state, next, fmt.Sprintf("seed %d, step %d", seed, step))
 		}
 		assert.DeepEqual(t, state.clone(t).Members, state.Members)
 	}
-	t.Logf("%d retirements accepted, %d refused", outcomes.accepted, outcomes.refused)
-	assert.Assert(t, outcomes.accepted > 100 && outcomes.refused > 100)
+	t.Logf("%d retirements accepted, %d rejected", outcomes.accepted, outcomes.rejected)
+	assert.Assert(t, outcomes.accepted > 100 && outcomes.rejected > 100)
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -85,15 +85,15 @@
 	// that it was received. The keys are the members' names.
 	sentViews map[string]sentView
 
-	// lastHeard is when each daemon last polled, and loads what it reported.
-	lastHeard map[string]time.Time
-	loads     map[string]membership.Load
+	// lastPolled is when each daemon last polled, and loads what it reported.
+	lastPolled map[string]time.Time
+	loads      map[string]membership.Load
 	// suspicions holds the newest suspicion of each reporter, keyed by the suspect's name and
 	// then by the reporter's.
 	suspicions map[string]map[string]incarnationAt
 	// unacknowledged holds, for each store, the first response that the store has not
 	// acknowledged in a later poll.
-	unacknowledged map[string]unacknowledgedAnswer
+	unacknowledged map[string]unacknowledgedResponse
 	// deadSince is when this primary first found a member dead.
 	deadSince map[string]incarnationAt
 
@@ -126,10 +126,10 @@
 		state:              newState(),
 		pendingPolls:       map[string]pendingPoll{},
 		sentViews:          map[string]sentView{},
-		lastHeard:          map[string]time.Time{},
+		lastPolled:         map[string]time.Time{},
 		loads:              map[string]membership.Load{},
 		suspicions:         map[string]map[string]incarnationAt{},
-		unacknowledged:     map[string]unacknowledgedAnswer{},
+		unacknowledged:     map[string]unacknowledgedResponse{},
 		deadSince:          map[string]incarnationAt{},
 		pendingJoins:       map[string]Join{},
 		pendingLeaves:      map[string]MemberIncarnation{},
@@ -146,13 +146,13 @@
 	}
 	controller.node = node
 	controller.economyLease = node.NewRoleLease(economyRole)
-	controller.connect()
+	controller.initMembership()
 	return controller, nil
 }
 
-// connect creates the failure detector and the clients that the controller needs as a
+// initMembership creates the failure detector and the clients that the controller needs as a
 // member of the cluster.
-func (c *Controller) connect() {
+func (c *Controller) initMembership() {
 	self := c.settings.Self
 	c.failureDetector = membership.NewFailureDetector(self)
 	controllers := append([]string{self.Address}, c.settings.Seeds...)
--- a/internal/controller/controller_cluster_test.go
+++ b/internal/controller/controller_cluster_test.go
@@ -20,8 +20,8 @@
 	diskDelay = 2 * time.Millisecond
 )
 
-// reporter is the common interface of tests, benchmarks and the trials of mutation tests.
-type reporter interface {
+// testingT is the common interface of tests, benchmarks and the trials of mutation tests.
+type testingT interface {
 	assert.TestingT
 	Helper()
 	Fatalf(format string, values ...any)
@@ -56,7 +56,7 @@
 // controllerCluster is a cluster of controllers with real write-ahead logs on in-memory disks,
 // simulated links and simulated time.
 type controllerCluster struct {
-	t         reporter
+	t         testingT
 	now       time.Time
 	order     int
 	queue     schedule
@@ -71,7 +71,7 @@
 	check  func()
 }
 
-func newControllerCluster(t reporter, controllers int) *controllerCluster {
+func newControllerCluster(t testingT, controllers int) *controllerCluster {
 	t.Helper()
 	cluster := &controllerCluster{
 		t:         t,
@@ -87,7 +87,7 @@
 	for _, node := range statemachine.Sorted(cluster.nodes) {
 		node.start(true)
 	}
-	cluster.until(10*time.Second, "a primary serves", func() bool { return cluster.primary() != nil })
+	cluster.waitUntil(10*time.Second, "a primary serves", func() bool { return cluster.primary() != nil })
 	return cluster
 }
 
@@ -109,12 +109,12 @@
 	c.now = until
 }
 
-// until runs the cluster until a condition holds, and fails after a time limit.
-func (c *controllerCluster) until(limit time.Duration, what string, holds func() bool) {
+// waitUntil runs the cluster until a condition holds, and fails after a time limit.
+func (c *controllerCluster) waitUntil(limit time.Duration, what string, condition func() bool) {
 	c.t.Helper()
-	for began := c.now; !holds(); c.run(time.Millisecond) {
+	for began := c.now; !condition(); c.run(time.Millisecond) {
 		if c.now.Sub(began) > limit {
-			c.t.Fatalf("not within %s: %s", limit, what)
+			c.t.Fatalf("not reached within %s: %s", limit, what)
 		}
 	}
 }
--- a/internal/controller/economy.go
+++ b/internal/controller/economy.go
@@ -30,7 +30,7 @@
 		Configuration: configuration,
 		Members:       c.state.Members,
 		Loads:         c.loads,
-		LastHeard:     c.lastHeard,
+		LastHeard:     c.lastPolled,
 	})
 	c.addBalancing(now, configuration, directives)
 	c.issueDirectives(now, directives, effects)
@@ -47,7 +47,7 @@
 		if !known || member.Kind != membership.KindGateway || !member.Alive {
 			continue
 		}
-		if now.Sub(c.lastHeard[name]) > loadTimeout {
+		if now.Sub(c.lastPolled[name]) > loadTimeout {
 			continue
 		}
 		idle := member.Resting || directives[name].Rest || slices.Contains(configuration.Draining, name)
--- a/internal/controller/explore_moves_test.go
+++ b/internal/controller/explore_moves_test.go
@@ -44,7 +44,7 @@
 
 func (i *inFlight) label() string {
 	if i.write != nil {
-		return "a write of " + i.to + " ends"
+		return "a write of " + i.to + " completes"
 	}
 	_, message, _ := transport.Decode(i.packed[4:])
 	return fmt.Sprintf("%s receives %T%+v from %s", i.to, message, message, i.from)
@@ -68,9 +68,9 @@
 			w.items = slices.DeleteFunc(w.items, func(item *inFlight) bool { return item == next })
 		})
 	}
-	if next.write == nil && w.budget.repeats > 0 {
+	if next.write == nil && w.budget.duplicates > 0 {
 		w.addMove(1, "the next arrives twice", func() {
-			w.budget.repeats--
+			w.budget.duplicates--
 			again := *next
 			again.delayed, again.ticks = true, exploreDelayTicks
 			w.items = append(w.items, &again)
@@ -111,9 +111,9 @@
 
 func (w *storeWorld) addFaultMovesOf(store *exploreStore) {
 	mayLose := w.lost < w.state.Tolerance
-	if w.budget.crashes > 0 {
+	if w.budget.restarts > 0 {
 		w.addMove(1, store.name+" is restarted", func() {
-			w.budget.crashes--
+			w.budget.restarts--
 			store.restart()
 		})
 	}
@@ -126,16 +126,16 @@
 			store.start()
 		})
 	}
-	if w.budget.kills > 0 && mayLose {
+	if w.budget.removals > 0 && mayLose {
 		w.addMove(1, store.name+" is removed", func() {
-			w.budget.kills--
+			w.budget.removals--
 			w.lost++
 			store.remove()
 		})
 	}
-	if w.budget.retires > 0 {
+	if w.budget.retirements > 0 {
 		w.addMove(1, store.name+" is retired", func() {
-			w.budget.retires--
+			w.budget.retirements--
 			w.retire(store)
 		})
 	}
--- a/internal/controller/explore_test.go
+++ b/internal/controller/explore_test.go
@@ -9,7 +9,7 @@
 	"dahlialock/internal/explore"
 )
 
-var deep = flag.Bool("deep", false, "walk the longer explorations too")
+var deep = flag.Bool("deep", false, "run the longer explorations too")
 
 // The bounds of the explorations.
 var (
@@ -38,7 +38,7 @@
 var storeExplorations = []storeExploration{
 	{
 		name: "the leader is stopped and taken away, another loses its disk",
-		begin: worldWith(3, 1, faultBudget{appends: 1, losses: 1, repeats: 1, wipes: 1}, func(w *storeWorld) {
+		begin: worldWith(3, 1, faultBudget{appends: 1, losses: 1, duplicates: 1, wipes: 1}, func(w *storeWorld) {
 			w.leader().stop()
 		}),
 		short:  shortBounds,
@@ -46,7 +46,7 @@
 	},
 	{
 		name: "the leader is retired, another loses its disk",
-		begin: worldWith(3, 1, faultBudget{appends: 1, losses: 1, repeats: 1, wipes: 1}, func(w *storeWorld) {
+		begin: worldWith(3, 1, faultBudget{appends: 1, losses: 1, duplicates: 1, wipes: 1}, func(w *storeWorld) {
 			w.retire(w.leader())
 		}),
 		short:  shortBounds,
@@ -54,7 +54,7 @@
 	},
 	{
 		name: "the follower is retired, another loses its disk",
-		begin: worldWith(3, 1, faultBudget{appends: 1, losses: 1, repeats: 1, wipes: 1}, func(w *storeWorld) {
+		begin: worldWith(3, 1, faultBudget{appends: 1, losses: 1, duplicates: 1, wipes: 1}, func(w *storeWorld) {
 			w.retire(w.follower())
 		}),
 		short:  shortBounds,
@@ -72,7 +72,7 @@
 	},
 	{
 		name: "a message is in flight, a store loses its disk or is removed",
-		begin: worldWith(3, 1, faultBudget{losses: 1, repeats: 1, wipes: 1, kills: 1}, func(w *storeWorld) {
+		begin: worldWith(3, 1, faultBudget{losses: 1, duplicates: 1, wipes: 1, removals: 1}, func(w *storeWorld) {
 			w.append("early", 1)
 		}),
 		short:  explore.Bounds{Depth: 30, Budget: 1, Finish: explore.FinishLast},
@@ -80,7 +80,7 @@
 	},
 	{
 		name: "a replica is replaced while a message is in flight, a store is restarted",
-		begin: worldWith(3, 1, faultBudget{appends: 1, losses: 1, repeats: 1, crashes: 1}, func(w *storeWorld) {
+		begin: worldWith(3, 1, faultBudget{appends: 1, losses: 1, duplicates: 1, restarts: 1}, func(w *storeWorld) {
 			w.append("early", 1)
 			w.follower().remove()
 			w.lost = 1
--- a/internal/controller/explore_world_test.go
+++ b/internal/controller/explore_world_test.go
@@ -47,7 +47,7 @@
 
 // faultBudget is the remaining number of publications and of faults of each kind.
 type faultBudget struct {
-	appends, losses, repeats, crashes, wipes, kills, retires int
+	appends, losses, duplicates, restarts, wipes, removals, retirements int
 }
 
 // storeWorld is a small world for exhaustive exploration, with real stores under the real
@@ -68,10 +68,10 @@
 	lastRequest uint64
 	accepted    map[string]uint64
 	// fetched holds the message at each offset. Offset 0 is set once a fetch has succeeded.
-	fetched map[uint64]string
-	broken  error
-	cause   []byte
-	moves   []storeMove
+	fetched   map[uint64]string
+	violation error
+	cause     []byte
+	moves     []storeMove
 }
 
 // storeMove is a choice of the world, with the function that executes it.
@@ -253,7 +253,7 @@
 		}
 		name := fmt.Sprintf("%s/%d", body.Record.Sender, body.Record.Seq)
 		if earlier, found := w.accepted[name]; found && earlier != body.Record.Offset {
-			w.broken = fmt.Errorf("%s was accepted at %d and at %d", name, earlier, body.Record.Offset)
+			w.violation = fmt.Errorf("%s was accepted at %d and at %d", name, earlier, body.Record.Offset)
 		}
 		w.accepted[name] = body.Record.Offset
 	case partition.FetchResponse:
@@ -318,7 +318,7 @@
 }
 
 // Broken returns the violation that was found, if any.
-func (w *storeWorld) Broken() error { return w.broken }
+func (w *storeWorld) Broken() error { return w.violation }
 
 // excludedTypes are the types whose values are not part of a world's state.
 var excludedTypes = []reflect.Type{
@@ -355,14 +355,14 @@
 	for _, item := range w.items {
 		item.delayed = false
 	}
-	began, askedAt := w.now, time.Time{}
+	began, requestedAt := w.now, time.Time{}
 	for steps := 0; w.now.Sub(began) < exploreRecoveryTime; steps++ {
 		if steps > exploreMaxSteps {
-			return fmt.Errorf("something goes on without end: %s", w.Choices()[0].Label())
+			return fmt.Errorf("the world does not become idle; the next event is: %s", w.Choices()[0].Label())
 		}
 		w.step()
-		if w.broken != nil {
-			return w.broken
+		if w.violation != nil {
+			return w.violation
 		}
 		placement := w.state.Placements[testPartition]
 		ready := len(w.items) == 0 && placement.Complete && w.leader().up
@@ -372,9 +372,9 @@
 		if w.fetched[0] != "" {
 			return w.checkFetched(placement.Leader)
 		}
-		if w.now.Sub(askedAt) >= exploreReconcileInterval {
+		if w.now.Sub(requestedAt) >= exploreReconcileInterval {
 			w.lastRequest++
-			askedAt = w.now
+			requestedAt = w.now
 			w.send(gatewayAddress, placement.Leader, partition.Fetch{
 				Partition: testPartition,
 				RequestID: w.lastRequest,
@@ -390,7 +390,7 @@
 func (w *storeWorld) checkFetched(leader string) error {
 	for name, offset := range w.accepted {
 		if w.fetched[offset] != name {
-			return fmt.Errorf("%s was accepted at %d, where %s holds %q", name, offset, leader, w.fetched[offset])
+			return fmt.Errorf("%s was accepted at %d, where %s has %q", name, offset, leader, w.fetched[offset])
 		}
 	}
 	return nil
--- a/internal/controller/failures.go
+++ b/internal/controller/failures.go
@@ -51,14 +51,14 @@
 		if member.Resting {
 			timeout += membership.LowPriorityLongPollTimeout
 		}
-		sinceLastPoll, missesAnswers := now.Sub(c.lastHeard[name]), c.missesAnswers(now, name)
-		if sinceLastPoll <= timeout && !missesAnswers {
+		sinceLastPoll, acknowledgementOverdue := now.Sub(c.lastPolled[name]), c.acknowledgementOverdue(now, name)
+		if sinceLastPoll <= timeout && !acknowledgementOverdue {
 			continue
 		}
 		failed = append(failed, MemberIncarnation{Name: name, Incarnation: member.Incarnation})
 		reason := "does not poll the primary"
-		if missesAnswers {
-			reason = "receives no answers"
+		if acknowledgementOverdue {
+			reason = "does not acknowledge responses"
 		}
 		effects.Emit(logevent.MemberLost, "member", name, "reason", reason, "since_last_poll", sinceLastPoll.String())
 	}
@@ -79,7 +79,7 @@
 			continue
 		}
 		dropOutdated(now, reporters, member)
-		sinceLastPoll := now.Sub(c.lastHeard[name])
+		sinceLastPoll := now.Sub(c.lastPolled[name])
 		if !c.suspicionSuffices(member, len(reporters), sinceLastPoll) {
 			continue
 		}
--- a/internal/controller/leader_restart_mutation_test.go
+++ b/internal/controller/leader_restart_mutation_test.go
@@ -17,7 +17,7 @@
 	assert.Assert(t, retiresAfterRepeatedOrder())
 }
 
-var mutationOfRestart = map[string]string{
+var mutationByRestart = map[string]string{
 	"late acknowledgement": "one-epoch-for-all-lives",
 	"late copy":            "one-epoch-for-all-lives",
 	"same offset":          "one-epoch-for-all-lives",
@@ -26,13 +26,13 @@
 
 func TestEpochsOfIncarnationsAreNeeded(t *testing.T) {
 	for _, each := range leaderRestarts {
-		restore := statemachine.Mutate(mutationOfRestart[each.name])
+		restore := statemachine.Mutate(mutationByRestart[each.name])
 		violation := ""
 		for seed := uint64(0); seed < 5 && violation == ""; seed++ {
 			violation = each.run(t, seed)
 		}
 		restore()
-		assert.Check(t, violation != "", "nothing is seen by %s", each.name)
+		assert.Check(t, violation != "", "%s found no violation", each.name)
 		t.Log(each.name, violation)
 	}
 }
--- a/internal/controller/members.go
+++ b/internal/controller/members.go
@@ -30,18 +30,18 @@
 func (c *Controller) recordMember(now time.Time, request membership.ViewRequest) {
 	self := request.Self
 	c.recordAcknowledgement(request)
-	if c.missesAnswers(now, self.Name) {
+	if c.acknowledgementOverdue(now, self.Name) {
 		return
 	}
-	silent := now.Sub(c.lastHeard[self.Name]) > incarnationTimeout
+	silent := now.Sub(c.lastPolled[self.Name]) > incarnationTimeout
 	known, found := c.state.memberOrTombstone(self.Name)
 	if found && self.Incarnation < known.Incarnation && !silent {
 		return
 	}
-	if pending, joins := c.pendingJoins[self.Name]; joins && self.Incarnation < pending.Self.Incarnation && !silent {
+	if pending, joining := c.pendingJoins[self.Name]; joining && self.Incarnation < pending.Self.Incarnation && !silent {
 		return
 	}
-	c.lastHeard[self.Name] = now
+	c.lastPolled[self.Name] = now
 	c.loads[self.Name] = request.Load
 	if found && c.state.joinedMember(self) == known {
 		return
@@ -73,8 +73,8 @@
 		return
 	}
 	for _, member := range statemachine.Sorted(c.state.Members) {
-		_, joins := c.pendingJoins[member.Name]
-		if member.Address == address && member.Alive && !joins && member.Name != c.settings.Self.Name {
+		_, joining := c.pendingJoins[member.Name]
+		if member.Address == address && member.Alive && !joining && member.Name != c.settings.Self.Name {
 			c.recordLeave(now, member)
 		}
 	}
--- a/internal/controller/orders_mutation_test.go
+++ b/internal/controller/orders_mutation_test.go
@@ -12,25 +12,25 @@
 	"dahlialock/internal/statemachine"
 )
 
-func trialOf(run func(t assert.TestingT)) *mutationtest.Trial {
+func runTrial(run func(t assert.TestingT)) *mutationtest.Trial {
 	return mutationtest.Run(func(t *mutationtest.Trial) { run(t) })
 }
 
 func TestOrderMechanismsAreNeeded(t *testing.T) {
-	for _, proof := range []struct {
+	for _, trial := range []struct {
 		mutation string
 		run      func(t assert.TestingT)
 	}{
-		{"check-then-act", twoRetirements},
-		{"check-then-act", drainsAndLoss},
-		{"two-contents", oneContent},
+		{"check-then-act", checkConcurrentRetirements},
+		{"check-then-act", checkDrainsWithConcurrentLeave},
+		{"two-contents", checkOneContentPerVersion},
 	} {
-		restore := statemachine.Mutate(proof.mutation)
-		mutated := trialOf(proof.run)
+		restore := statemachine.Mutate(trial.mutation)
+		mutated := runTrial(trial.run)
 		restore()
-		assert.Check(t, mutated.Failed, "nothing is seen of %s", proof.mutation)
-		t.Log(proof.mutation, mutated.Lines)
-		unmutated := trialOf(proof.run)
+		assert.Check(t, mutated.Failed, "no violation was found under mutation %s", trial.mutation)
+		t.Log(trial.mutation, mutated.Lines)
+		unmutated := runTrial(trial.run)
 		assert.Check(t, !unmutated.Failed, "%v", unmutated.Lines)
 	}
 }
--- a/internal/controller/orders_test.go
+++ b/internal/controller/orders_test.go
@@ -19,9 +19,9 @@
 
 // Of two retirements that would each leave enough stores, but together too few, the later one in
 // the log must be rejected.
-func TestRetirementLeavesEnoughStores(t *testing.T) { twoRetirements(t) }
+func TestRetirementLeavesEnoughStores(t *testing.T) { checkConcurrentRetirements(t) }
 
-func twoRetirements(t assert.TestingT) {
+func checkConcurrentRetirements(t assert.TestingT) {
 	single := newSingleController(t, true)
 	single.join(membership.KindStore, "store-1", "store-2")
 	var first, second uint64
@@ -33,15 +33,15 @@
 	assert.Equal(t, single.status(second), http.StatusConflict)
 	assert.Assert(t, single.member("store-1").Retiring && !single.member("store-2").Retiring)
 	again := single.finalStatus(single.retire("store-1"))
-	assert.Equal(t, again, http.StatusAccepted, "what was accepted is acknowledged again")
+	assert.Equal(t, again, http.StatusAccepted, "a retry of an accepted order was not acknowledged")
 	assert.Equal(t, single.finalStatus(single.retire("store-2")), http.StatusConflict)
 }
 
 // A configuration whose drains would leave no live gateway must be rejected, even if the last
 // other gateway leaves while the configuration is pending.
-func TestDrainsAreCheckedWhereApplied(t *testing.T) { drainsAndLoss(t) }
+func TestDrainsAreCheckedWhereApplied(t *testing.T) { checkDrainsWithConcurrentLeave(t) }
 
-func drainsAndLoss(t assert.TestingT) {
+func checkDrainsWithConcurrentLeave(t assert.TestingT) {
 	single := newSingleController(t, true)
 	single.join(membership.KindGateway, "gateway-1", "gateway-2")
 	var put uint64
@@ -50,7 +50,7 @@
 		single.advance(50 * time.Millisecond)
 		put = single.putConfiguration(`{"version": 1, "spaces": [], "drains": ["gateway-1"]}`)
 	})
-	assert.Equal(t, single.status(put), http.StatusBadRequest, "%s", single.answers[put].Body)
+	assert.Equal(t, single.status(put), http.StatusBadRequest, "%s", single.responses[put].Body)
 	assert.Equal(t, single.controller.state.Version, uint64(0))
 }
 
@@ -68,7 +68,7 @@
 	})
 	assert.Equal(t, single.status(retirement), http.StatusAccepted)
 	member := single.member("store-1")
-	assert.Equal(t, member.Incarnation, uint64(2), "the order brought an earlier incarnation back")
+	assert.Equal(t, member.Incarnation, uint64(2), "the order restored an earlier incarnation")
 	assert.Assert(t, member.Retiring && member.Alive)
 }
 
@@ -100,11 +100,11 @@
 	single.join(membership.KindStore, "store-1", "store-2", "store-3")
 	retiring := single.controller.state.Placements[PartitionName("a", 1, 0)].Leader
 	assert.Equal(t, single.finalStatus(single.retire(retiring)), http.StatusAccepted)
-	assert.Assert(t, !single.member(retiring).Retired, "its partitions have no other replicas")
+	assert.Assert(t, !single.member(retiring).Retired, "its partitions have no other replica, so it must not be retired")
 	single.poll(memberNamed(membership.KindStore, retiring, 2, "another disk"))
 	single.advance(200 * time.Millisecond)
 	assert.Equal(t, single.member(retiring).Incarnation, uint64(2))
-	assert.Assert(t, single.member(retiring).Retiring, "an order that was acknowledged is forgotten")
+	assert.Assert(t, single.member(retiring).Retiring, "an acknowledged order was lost")
 }
 
 func configurationOf(version int, answerWithin string) string {
@@ -114,9 +114,9 @@
 
 // At most one content may be acknowledged under a version, with and without HighestWins, and
 // retries of an accepted configuration must always be acknowledged.
-func TestVersionIsConfirmedWithOneContent(t *testing.T) { oneContent(t) }
+func TestVersionIsConfirmedWithOneContent(t *testing.T) { checkOneContentPerVersion(t) }
 
-func oneContent(t assert.TestingT) {
+func checkOneContentPerVersion(t assert.TestingT) {
 	for _, highestWins := range []bool{true, false} {
 		single := newSingleController(t, highestWins)
 		var left, right uint64
@@ -133,7 +133,7 @@
 		assert.Equal(t, put(5, "1s"), http.StatusOK)
 		assert.Equal(t, put(5, "2s"), http.StatusConflict)
 		assert.Equal(t, put(8, "3s"), http.StatusOK)
-		assert.Equal(t, put(5, "1s"), http.StatusOK, "what was accepted is never refused")
+		assert.Equal(t, put(5, "1s"), http.StatusOK, "an accepted configuration was rejected")
 		assert.Equal(t, put(5, "2s"), http.StatusConflict)
 		superseded := put(7, "1s")
 		if !highestWins {
@@ -141,8 +141,8 @@
 			assert.Equal(t, put(7, "1s"), http.StatusConflict)
 			continue
 		}
-		assert.Equal(t, superseded, http.StatusOK, "a version below the one in force is acknowledged")
-		assert.Equal(t, put(7, "2s"), http.StatusConflict, "but not with two contents")
+		assert.Equal(t, superseded, http.StatusOK, "a version below the one in force was not acknowledged")
+		assert.Equal(t, put(7, "2s"), http.StatusConflict, "a superseded version was acknowledged with two contents")
 		assert.Equal(t, put(7, "1s"), http.StatusOK)
 		assert.Equal(t, single.controller.state.Version, uint64(8))
 	}
@@ -166,7 +166,7 @@
 	assert.Equal(t, newest.Version, uint64(3*maxHistory))
 	assert.Equal(t, newest.ForwardedBy, operatorAddress)
 	assert.Assert(t, newest.ReceivedAt.Equal(at))
-	assert.Equal(t, put(1, "1s"), Superseded, "what was dropped is acknowledged where the highest version wins")
+	assert.Equal(t, put(1, "1s"), Superseded, "a version that was dropped from the history")
 	assert.Equal(t, put(2*maxHistory+1, "1s"), Duplicate)
 	assert.Equal(t, put(2*maxHistory+1, "2s"), ContentConflict)
 	assert.Equal(t, put(3*maxHistory, "2s"), ContentConflict)
@@ -231,7 +231,7 @@
 	apply(Command{Placements: planned, RetiredStores: []string{chosen}})
 	placement := state.Placements[planned[0].Partition]
 	assert.Assert(t, !slices.Contains(placement.Followers, chosen) || placement.Epoch < planned[0].Epoch)
-	assert.Assert(t, !state.Members[chosen].Retired, "partitions still have replicas there")
+	assert.Assert(t, !state.Members[chosen].Retired, "partitions still have replicas on the store")
 
 	// A configuration removes a space while a plan for the space's partitions is pending.
 	apply(Command{Configuration: configured(2, `{"version": 2, "spaces": [{"name": "s", "promise": "kept"}]}`)})
@@ -243,6 +243,6 @@
 	apply(Command{Placements: planned})
 	for _, placement := range planned {
 		_, placed := state.Placements[placement.Partition]
-		assert.Assert(t, !placed, "%s came back", placement.Partition)
+		assert.Assert(t, !placed, "%s was placed after its space was removed", placement.Partition)
 	}
 }
--- a/internal/controller/partition_test.go
+++ b/internal/controller/partition_test.go
@@ -31,10 +31,10 @@
 	seq uint64
 	// request is the latest request for the current message, or 0 if the message is finished.
 	// answered is the latest request to which a response was received.
-	request  uint64
-	answered uint64
-	attempts int
-	refused  int
+	request    uint64
+	answered   uint64
+	attempts   int
+	rejections int
 	// waiting is set while an attempt waits for its response.
 	waiting bool
 }
@@ -49,7 +49,7 @@
 	}
 	if sender.request == 0 {
 		sender.seq++
-		sender.attempts, sender.refused = 0, 0
+		sender.attempts, sender.rejections = 0, 0
 	}
 	sender.attempts++
 	c.requests++
@@ -98,16 +98,16 @@
 			c.t.Fatalf("%s was accepted at %d and again at %d", message, earlier, offset)
 		}
 		if other, found := c.offsets[offset]; found && other != message {
-			c.t.Fatalf("offset %d was given to %s and to %s", offset, other, message)
+			c.t.Fatalf("offset %d was assigned to %s and to %s", offset, other, message)
 		}
 		c.accepted[message], c.offsets[offset] = offset, message
 		sender.request = 0
 	case partition.OutcomeRejected:
-		sender.refused++
+		sender.rejections++
 		if response.Code == codeOldSeq || response.Code == codeSeqReused {
-			c.t.Fatalf("%s, without an answer so far, was refused with %s", message, response.Code)
+			c.t.Fatalf("%s was rejected with %s before any response was received", message, response.Code)
 		}
-		if sender.refused == sender.attempts && sender.attempts > 8 {
+		if sender.rejections == sender.attempts && sender.attempts > 8 {
 			// The sender gives up. All attempts were rejected, so the message must not be stored.
 			c.rejected[message] = true
 			sender.request = 0
@@ -134,7 +134,7 @@
 			},
 		})
 		c.run(200 * time.Millisecond)
-		assert.Assert(c.t, c.fetched != nil, "the leader does not answer")
+		assert.Assert(c.t, c.fetched != nil, "the leader does not respond")
 		records = append(records, c.fetched.Records...)
 		if after = c.fetched.Until; after >= c.fetched.HighWatermark {
 			return records
@@ -142,17 +142,17 @@
 	}
 }
 
-// assertHolds checks the records of the partition against the responses to the senders.
-func (c *storeCluster) assertHolds(records []partition.Record) {
+// assertRecordsMatch checks the records of the partition against the responses to the senders.
+func (c *storeCluster) assertRecordsMatch(records []partition.Record) {
 	c.t.Helper()
 	stored, lastSeq := map[string]uint64{}, map[string]uint64{}
 	for position, record := range records {
 		name := fmt.Sprintf("%s/%d", record.Sender, record.Seq)
 		assert.Assert(c.t, stored[name] == 0, "%s is stored twice", name)
-		assert.Assert(c.t, !c.rejected[name], "%s was refused on every attempt and is stored", name)
+		assert.Assert(c.t, !c.rejected[name], "%s was rejected on every attempt and is stored", name)
 		assert.Assert(c.t, record.Seq > lastSeq[record.Sender], "%s after seq %d", name, lastSeq[record.Sender])
 		contiguous := position == 0 || record.Offset == records[position-1].Offset+1
-		assert.Assert(c.t, contiguous, "a gap before %d", record.Offset)
+		assert.Assert(c.t, contiguous, "there is a gap before offset %d", record.Offset)
 		stored[name], lastSeq[record.Sender] = record.Offset, record.Seq
 	}
 	for name, offset := range c.accepted {
@@ -186,7 +186,7 @@
 			placement := cluster.state.Placements[testPartition]
 			assert.Assert(t, cluster.allReplicated(), "not replicated after eight quiet seconds: %+v", placement)
 			assert.Assert(t, len(cluster.accepted) > 300, "only %d were accepted", len(cluster.accepted))
-			cluster.assertHolds(cluster.fetchAll(testPartition))
+			cluster.assertRecordsMatch(cluster.fetchAll(testPartition))
 		})
 	}
 }
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -164,7 +164,7 @@
 		return placement, false
 	}
 	followerCount := s.Tolerance
-	if !plan.mayStay(leader) {
+	if !plan.inSyncAndEligible(leader) {
 		// No eligible store is in sync. The records must be copied to an eligible store before
 		// the leader can be replaced.
 		followerCount = max(followerCount, 1)
@@ -202,20 +202,20 @@
 	return slices.ContainsFunc(r.ranked, func(member membership.Member) bool { return member.Name == name })
 }
 
-// mayStay reports whether a store is in sync and may keep its replica.
-func (r replanning) mayStay(name string) bool { return r.inSync(name) && r.eligible(name) }
+// inSyncAndEligible reports whether a store is in sync and may keep its replica.
+func (r replanning) inSyncAndEligible(name string) bool { return r.inSync(name) && r.eligible(name) }
 
-// fit reports whether a store may remain a follower. A follower of an incomplete placement need
+// mayRemainFollower reports whether a store may remain a follower. A follower of an incomplete placement need
 // not be in sync, as records are still being copied to it. In a complete placement a follower
 // that is not in sync has lost its disk.
-func (r replanning) fit(name string) bool {
+func (r replanning) mayRemainFollower(name string) bool {
 	return r.eligible(name) && (!r.placement.Complete || r.inSync(name))
 }
 
 // needed reports whether the placement has to change.
 func (r replanning) needed() bool {
-	unfit := func(name string) bool { return !r.fit(name) }
-	if !r.mayStay(r.placement.Leader) || slices.ContainsFunc(r.placement.Followers, unfit) {
+	mustBeReplaced := func(name string) bool { return !r.mayRemainFollower(name) }
+	if !r.inSyncAndEligible(r.placement.Leader) || slices.ContainsFunc(r.placement.Followers, mustBeReplaced) {
 		return true
 	}
 	return r.placement.Complete && len(r.placement.Followers) != r.state.Tolerance
@@ -233,8 +233,8 @@
 			}
 		}
 	}
-	for _, suits := range []func(string) bool{r.mayStay, r.inSync} {
-		if position := slices.IndexFunc(candidates, suits); position >= 0 {
+	for _, condition := range []func(string) bool{r.inSyncAndEligible, r.inSync} {
+		if position := slices.IndexFunc(candidates, condition); position >= 0 {
 			return candidates[position], true
 		}
 	}
@@ -244,9 +244,9 @@
 // score returns the score of a store as a follower, without scoreZone.
 func (r replanning) score(name string) int {
 	switch {
-	case r.mayStay(name):
+	case r.inSyncAndEligible(name):
 		return scoreInSync
-	case slices.Contains(r.placement.Followers, name) && r.fit(name):
+	case slices.Contains(r.placement.Followers, name) && r.mayRemainFollower(name):
 		return scoreReceiving
 	}
 	return 0
--- a/internal/controller/placement_test.go
+++ b/internal/controller/placement_test.go
@@ -56,11 +56,11 @@
 	}
 	assert.DeepEqual(t, step(0), []string{"store-0 true"})
 	slowDisks["store-1"] = slowDisk{at: now, incarnation: 1}
-	assert.Equal(t, len(step(0)), 0, "two must be left, and the report on the first is recent")
+	assert.Equal(t, len(step(0)), 0, "two healthy stores must remain, and the report about store-0 is recent")
 	slowDisks["store-1"] = slowDisk{at: now.Add(slowDiskTimeout), incarnation: 1}
 	assert.DeepEqual(t, step(slowDiskTimeout), []string{"store-0 false", "store-1 true"})
 	slowDisks["store-2"] = slowDisk{at: now, incarnation: 2}
-	assert.Equal(t, len(step(0)), 0, "another incarnation is meant")
+	assert.Equal(t, len(step(0)), 0, "the report is about another incarnation")
 	assert.DeepEqual(t, step(degradedPeriod+time.Second), []string{"store-1 false"})
 }
 
@@ -87,7 +87,7 @@
 			for _, name := range next.Followers {
 				assert.Assert(t, name != "store-4")
 			}
-			assert.Equal(t, next.Leader == "store-4", tolerance == 0, "a holder leads until another is one")
+			assert.Equal(t, next.Leader == "store-4", tolerance == 0, "a store must be in sync to become the leader")
 		}
 	}
 }
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -21,9 +21,9 @@
 	// committedDelay is the time from the commit of a command to the next reconciliation.
 	committedDelay = 10 * time.Millisecond
 
-	// storeReturnPeriod is the time at the start of a term in which no new partition is placed,
+	// storeRejoinPeriod is the time at the start of a term in which no new partition is placed,
 	// so that stores that are restarting can join first.
-	storeReturnPeriod = warmupPeriod / 3
+	storeRejoinPeriod = warmupPeriod / 3
 )
 
 // reconcile compares the control state with the primary's observations and submits one command
@@ -62,8 +62,8 @@
 		command.Degradations = c.degradationChanges(now, effects)
 	}
 	command.Replicated = c.takeReplicated(effects)
-	if wanted := c.settings.Tolerance; wanted != nil && *wanted != c.state.Tolerance {
-		command.Tolerance = wanted
+	if tolerance := c.settings.Tolerance; tolerance != nil && *tolerance != c.state.Tolerance {
+		command.Tolerance = tolerance
 	}
 	if command.empty() {
 		command.Removals = c.removals(now, effects)
@@ -153,7 +153,7 @@
 // placementChanges plans the placements that have to be added or changed.
 func (c *Controller) placementChanges(now time.Time, effects *statemachine.Effects) []membership.Placement {
 	changes := c.state.planPlacements(c.configuration())
-	if now.Sub(c.termStart) <= storeReturnPeriod {
+	if now.Sub(c.termStart) <= storeRejoinPeriod {
 		// Only new partitions wait. The placement of an existing partition may change, for
 		// example if a store has joined with a new disk.
 		changes = slices.DeleteFunc(changes, func(next membership.Placement) bool {
--- a/internal/controller/removal.go
+++ b/internal/controller/removal.go
@@ -144,8 +144,8 @@
 			delete(c.deadSince, name)
 			continue
 		}
-		since, seen := c.deadSince[name]
-		if !seen || since.incarnation != member.Incarnation {
+		since, found := c.deadSince[name]
+		if !found || since.incarnation != member.Incarnation {
 			c.deadSince[name] = incarnationAt{at: now, incarnation: member.Incarnation}
 			continue
 		}
@@ -160,11 +160,11 @@
 // dropUnknownMembers drops the observations of daemons that are not members and have not polled
 // for removalDelay.
 func (c *Controller) dropUnknownMembers(now time.Time) {
-	for name, heard := range c.lastHeard {
-		if _, found := c.state.Members[name]; found || now.Sub(heard) < removalDelay {
+	for name, polled := range c.lastPolled {
+		if _, found := c.state.Members[name]; found || now.Sub(polled) < removalDelay {
 			continue
 		}
-		delete(c.lastHeard, name)
+		delete(c.lastPolled, name)
 		delete(c.loads, name)
 		delete(c.directives, name)
 		delete(c.slowDisks, name)
--- a/internal/controller/removal_mutation_test.go
+++ b/internal/controller/removal_mutation_test.go
@@ -31,7 +31,7 @@
 	for _, mutation := range []string{"snapshot-without-pending", "unsynced-names"} {
 		assertNeeded(t, mutation, func(t assert.TestingT) {
 			for seed := range uint64(200) {
-				powerLossAtAnyPoint(t.(reporter), seed)
+				powerLossAtAnyPoint(t.(testingT), seed)
 			}
 		})
 	}
@@ -47,8 +47,8 @@
 func assertNeeded(t *testing.T, mutation string, run func(t assert.TestingT)) {
 	t.Helper()
 	restore := statemachine.Mutate(mutation)
-	mutated := trialOf(run)
+	mutated := runTrial(run)
 	restore()
-	assert.Check(t, mutated.Failed, "nothing is seen of %s", mutation)
+	assert.Check(t, mutated.Failed, "no violation was found under mutation %s", mutation)
 	t.Log(mutation, mutated.Lines)
 }
--- a/internal/controller/removal_test.go
+++ b/internal/controller/removal_test.go
@@ -97,11 +97,11 @@
 			_, found := r.state.Members[name]
 			assert.Assert(r.t, found, "%s has a replica of %s and was removed", name, placement.Partition)
 		}
-		assert.Assert(r.t, len(placement.InSync) > 0, "%s has no holders", placement.Partition)
+		assert.Assert(r.t, len(placement.InSync) > 0, "%s has no in-sync replica", placement.Partition)
 		for _, replica := range placement.InSync {
 			name, _, _ := strings.Cut(replica, "@")
 			_, found := r.state.Members[name]
-			assert.Assert(r.t, found, "%s holds %s and was removed", replica, placement.Partition)
+			assert.Assert(r.t, found, "%s is an in-sync replica of %s and was removed", replica, placement.Partition)
 		}
 	}
 	tombstones, limit := len(r.state.Tombstones), max(minTombstones, len(r.state.Members)+1)
@@ -218,13 +218,13 @@
 	run.apply(Command{Joins: []Join{{Self: old}}})
 	assert.Equal(t, run.state.Members["store-1"].Joined, before+1)
 	for _, placement := range run.state.Placements {
-		holds := placement.HasReplica("store-1") || slices.Contains(placement.InSync, old.ReplicaID())
-		assert.Assert(t, !holds)
+		hasReplica := placement.HasReplica("store-1") || slices.Contains(placement.InSync, old.ReplicaID())
+		assert.Assert(t, !hasReplica)
 	}
 	run.stabilize()
 	for _, placement := range run.state.Placements {
-		named := placement.HasReplica("store-1")
-		assert.Assert(t, !named || placement.Epoch > before, "an epoch of its earlier time names it")
+		hasReplica := placement.HasReplica("store-1")
+		assert.Assert(t, !hasReplica || placement.Epoch > before, "a placement from before the join refers to it")
 	}
 	run.assertNeededPresent()
 }
@@ -259,7 +259,7 @@
 	assert.Equal(t, len(machine.state.Members), 3)
 	assert.Equal(t, len(machine.state.Tombstones), 20)
 	cluster.run(removalDelay)
-	assert.Equal(t, len(machine.lastHeard)+len(machine.loads), 2*3)
+	assert.Equal(t, len(machine.lastPolled)+len(machine.loads), 2*3)
 	poll("gateway-7", 100)
 	cluster.run(time.Second)
 	assert.Assert(t, machine.state.Members["gateway-7"].Alive)
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -43,9 +43,9 @@
 	codeTooFewStores errorCode = "too-few-stores"
 	// codeRefused: the order has no effect. It may be retried.
 	codeRefused errorCode = "refused"
-	// codeUnsettled: the outcome is unknown; the order may or may not take effect. The same
+	// codeIndeterminate: the outcome is unknown; the order may or may not take effect. The same
 	// order may be retried.
-	codeUnsettled errorCode = "unsettled"
+	codeIndeterminate errorCode = "unsettled"
 	// codeUnconfirmed: no majority of the voters confirmed that this controller is still the
 	// primary.
 	codeUnconfirmed errorCode = "unconfirmed"
@@ -106,7 +106,8 @@
 ) {
 	done := func(_ time.Time, effects *statemachine.Effects, outcome consensus.Outcome) {
 		if outcome != consensus.Committed {
-			responder.respond(unavailableResponse(codeUnconfirmed, "no majority confirmed this answer"), effects)
+			responder.respond(unavailableResponse(
+				codeUnconfirmed, "no majority confirmed that this controller is still the primary"), effects)
 			return
 		}
 		responder.respond(read(), effects)
@@ -121,7 +122,7 @@
 ) {
 	responder := responder{node: c.node, to: from, request: request.Request}
 	if !c.node.HoldsLease(now) {
-		c.refuseWithoutLease(responder, effects)
+		c.rejectWithoutLease(responder, effects)
 		return
 	}
 	c.beginTerm(now)
@@ -142,9 +143,9 @@
 	responder.respond(unknown, effects)
 }
 
-// refuseWithoutLease redirects a request to the primary, or requests a retry if no other
+// rejectWithoutLease redirects a request to the primary, or requests a retry if no other
 // controller is known to be primary.
-func (c *Controller) refuseWithoutLease(responder responder, effects *statemachine.Effects) {
+func (c *Controller) rejectWithoutLease(responder responder, effects *statemachine.Effects) {
 	primary, found := c.node.Primary()
 	if !found || primary.Name == c.settings.Self.Name {
 		responder.respond(unavailableResponse(codeNoPrimary, "no controller can serve at this moment"), effects)
@@ -183,7 +184,7 @@
 
 func (c *Controller) readConfiguration() response {
 	if c.state.Version == 0 {
-		return errorResponse(http.StatusNotFound, codeNoConfiguration, "no configuration was taken yet")
+		return errorResponse(http.StatusNotFound, codeNoConfiguration, "no configuration has been accepted yet")
 	}
 	return okResponse(configurationInForce{
 		Configuration: c.state.Document,
@@ -276,7 +277,7 @@
 			Status:     http.StatusServiceUnavailable,
 			RetryAfter: retryAfter,
 			Body: controlclient.ErrorBody(
-				string(codeUnsettled), "this controller may not answer any more; send the same again", nil),
+				string(codeIndeterminate), "this controller's lease has expired; send the same request again", nil),
 		}
 	}
 }
--- a/internal/controller/restart_test.go
+++ b/internal/controller/restart_test.go
@@ -96,9 +96,9 @@
 				sent += bytes
 			}
 		}
-		t.Logf("%d changes: a state of %d bytes, %d bytes of state and commands were sent, %s",
+		t.Logf("%d changes: the state takes %d bytes, %d bytes of state and commands were sent in %s",
 			changes, state, sent, took)
-		assert.Check(t, sent <= 5*state+5*document, "%d bytes were sent of a state of %d", sent, state)
+		assert.Check(t, sent <= 5*state+5*document, "%d bytes were sent for a state of %d bytes", sent, state)
 		assert.Check(t, took < time.Second, "%s", took)
 		limit := 3*document + 64*maxHistory
 		assert.Check(t, state < limit, "the state takes %d bytes after %d changes", state, changes)
@@ -125,7 +125,7 @@
 		state := node.machine.state
 		otherContent := state.Version > 0 && !slices.Equal(state.Document, r.documents[state.Version])
 		if state.Version < r.acknowledged || otherContent {
-			r.t.Fatalf("seed %d: %s serves with version %d, acknowledged was %d",
+			r.t.Fatalf("seed %d: %s serves version %d, but version %d was acknowledged",
 				r.seed, name, state.Version, r.acknowledged)
 		}
 	}
@@ -156,7 +156,7 @@
 }
 
 // powerLossAtAnyPoint executes a powerLossRun, and returns how many snapshots were written.
-func powerLossAtAnyPoint(t reporter, seed uint64) (snapshots int) {
+func powerLossAtAnyPoint(t testingT, seed uint64) (snapshots int) {
 	t.Helper()
 	const changes, routes = 60, 12
 	run := &powerLossRun{controllerCluster: newControllerCluster(t, 4), seed: seed, documents: map[uint64][]byte{}}
@@ -188,7 +188,7 @@
 // A gateway, agent or store that missed many configurations must be sent only the newest document
 // and the changes of the view.
 func TestViewUpdateSendsOneDocument(t *testing.T) {
-	var blank, behind []int
+	var complete, incremental []int
 	for _, changes := range []int{10, 100, 1000} {
 		run := newReplacementRun(t, 1)
 		index := run.state.Index
@@ -204,15 +204,15 @@
 			}
 			run.state.fillView(&update, since)
 			if bytes := len(transport.MustMarshal(update)); since == 0 {
-				blank = append(blank, bytes)
+				complete = append(complete, bytes)
 			} else {
-				behind = append(behind, bytes)
+				incremental = append(incremental, bytes)
 			}
 		}
 	}
-	t.Logf("after 10, 100 and 1,000 changes: %v bytes to a newcomer, %v to one who missed them", blank, behind)
-	assert.Assert(t, slices.Max(blank) < slices.Min(blank)+64)
-	assert.Assert(t, slices.Max(behind) < slices.Min(behind)+64)
+	t.Logf("bytes after 10, 100 and 1,000 changes: complete updates %v, incremental updates %v", complete, incremental)
+	assert.Assert(t, slices.Max(complete) < slices.Min(complete)+64)
+	assert.Assert(t, slices.Max(incremental) < slices.Min(incremental)+64)
 }
 
 // BenchmarkRestart measures a restart of the primary for different numbers of configuration
--- a/internal/controller/shared_test.go
+++ b/internal/controller/shared_test.go
@@ -36,10 +36,10 @@
 
 // publication is a message in flight.
 type publication struct {
-	seq      uint64
-	attempts int
-	refused  int
-	waiting  bool
+	seq        uint64
+	attempts   int
+	rejections int
+	waiting    bool
 }
 
 // publisher is one sender's stream of messages on one topic.
@@ -69,10 +69,11 @@
 	// awaiting holds the callback for the response to each append.
 	awaiting map[uint64]func(partition.AppendResponse)
 	// acceptedAt holds the offset of each accepted message, messageAt the message at each
-	// offset of each partition, and never the messages that must not be stored.
-	acceptedAt map[string]uint64
-	messageAt  map[string]string
-	never      map[string]bool
+	// offset of each partition, and mustNotBeStored the messages that were rejected on every
+	// attempt or superseded.
+	acceptedAt      map[string]uint64
+	messageAt       map[string]string
+	mustNotBeStored map[string]bool
 	// highestSeq is the highest accepted seq of each topic and sender.
 	highestSeq map[string]uint64
 	fetches    map[uint64]partition.FetchResponse
@@ -140,16 +141,16 @@
 	case partition.OutcomeRejected:
 		if response.Code == codeOldSeq {
 			_, accepted := c.acceptedAt[name]
-			assert.Assert(c.t, !accepted, "%s was accepted and then refused with old-seq", name)
-			c.never[name] = true
+			assert.Assert(c.t, !accepted, "%s was accepted and then rejected with old-seq", name)
+			c.mustNotBeStored[name] = true
 			publisher.finish(item)
 			return
 		}
 		mayRetry := response.RetryAfter > 0 && response.Code != codeSeqReused
-		assert.Assert(c.t, mayRetry, "%s was refused with %s", name, response.Code)
-		item.refused++
-		if item.refused == item.attempts {
-			c.never[name] = true
+		assert.Assert(c.t, mayRetry, "%s was rejected with %s", name, response.Code)
+		item.rejections++
+		if item.rejections == item.attempts {
+			c.mustNotBeStored[name] = true
 			publisher.finish(item)
 		}
 	case partition.OutcomeUnresolved:
@@ -159,13 +160,13 @@
 
 func (c *sharedCluster) recordAccepted(publisher *publisher, seq uint64, response partition.AppendResponse) {
 	name, offset := publisher.name(seq), response.Record.Offset
-	assert.Assert(c.t, !c.never[name], "%s was rejected and is accepted", name)
+	assert.Assert(c.t, !c.mustNotBeStored[name], "%s was rejected and is accepted", name)
 	if earlier, found := c.acceptedAt[name]; found {
 		assert.Assert(c.t, earlier == offset, "%s was accepted at %d and again at %d", name, earlier, offset)
 	}
 	position := fmt.Sprintf("%s %d", config.SharedPartition(publisher.topic), offset)
 	other, found := c.messageAt[position]
-	assert.Assert(c.t, !found || other == name, "offset %s was given to %s and to %s", position, other, name)
+	assert.Assert(c.t, !found || other == name, "offset %s was assigned to %s and to %s", position, other, name)
 	c.acceptedAt[name], c.messageAt[position] = offset, name
 	key := publisher.topic + publisher.sender
 	c.highestSeq[key] = max(c.highestSeq[key], seq)
@@ -183,30 +184,30 @@
 			c.fetches[body.RequestID] = body
 		}
 	case partition.HighWatermarks:
-		for _, head := range body.HighWatermarks {
-			if head.From > c.highWatermarks[head.Partition] {
+		for _, update := range body.HighWatermarks {
+			if update.From > c.highWatermarks[update.Partition] {
 				continue
 			}
-			c.highWatermarks[head.Partition] = max(c.highWatermarks[head.Partition], head.Offset)
-			for _, topic := range head.Topics {
+			c.highWatermarks[update.Partition] = max(c.highWatermarks[update.Partition], update.Offset)
+			for _, topic := range update.Topics {
 				c.topicOffsets[topic.TopicHash] = max(c.topicOffsets[topic.TopicHash], topic.Offset)
 			}
 		}
 	}
 }
 
-// follow subscribes to the high watermarks of all partitions at their leaders.
-func (c *sharedCluster) follow() {
-	c.after(2*time.Second, c.follow)
-	follows := map[string]partition.SubscribeHighWatermarks{}
+// subscribeHighWatermarks subscribes to the high watermarks of all partitions at their leaders.
+func (c *sharedCluster) subscribeHighWatermarks() {
+	c.after(2*time.Second, c.subscribeHighWatermarks)
+	subscriptions := map[string]partition.SubscribeHighWatermarks{}
 	for name, placement := range statemachine.Sorted(c.state.Placements) {
-		follow := follows[placement.Leader]
-		follow.Partitions = append(follow.Partitions, name)
-		follow.KnownOffsets = append(follow.KnownOffsets, c.highWatermarks[name])
-		follows[placement.Leader] = follow
+		subscription := subscriptions[placement.Leader]
+		subscription.Partitions = append(subscription.Partitions, name)
+		subscription.KnownOffsets = append(subscription.KnownOffsets, c.highWatermarks[name])
+		subscriptions[placement.Leader] = subscription
 	}
-	for leader, follow := range statemachine.Sorted(follows) {
-		c.send(gatewayAddress, statemachine.Send{To: leader, Message: follow})
+	for leader, subscription := range statemachine.Sorted(subscriptions) {
+		c.send(gatewayAddress, statemachine.Send{To: leader, Message: subscription})
 	}
 }
 
@@ -221,7 +222,7 @@
 		c.send(gatewayAddress, statemachine.Send{To: c.state.Placements[name].Leader, Message: request})
 		c.run(200 * time.Millisecond)
 		response, found := c.fetches[c.requests]
-		assert.Assert(c.t, found, "the leader of %s does not answer", name)
+		assert.Assert(c.t, found, "the leader of %s does not respond", name)
 		assert.Assert(c.t, !response.Expired, "no record may be removed yet")
 		records = append(records, response.Records...)
 		if after = response.Until; after >= response.HighWatermark {
@@ -233,15 +234,15 @@
 func newSharedCluster(t *testing.T, seed uint64, stores, tolerance int) *sharedCluster {
 	t.Helper()
 	cluster := &sharedCluster{
-		storeCluster:   newStoreCluster(t, rand.New(rand.NewPCG(seed, 0x5ea))),
-		awaiting:       map[uint64]func(partition.AppendResponse){},
-		acceptedAt:     map[string]uint64{},
-		messageAt:      map[string]string{},
-		never:          map[string]bool{},
-		highestSeq:     map[string]uint64{},
-		fetches:        map[uint64]partition.FetchResponse{},
-		highWatermarks: map[string]uint64{},
-		topicOffsets:   map[uint64]uint64{},
+		storeCluster:    newStoreCluster(t, rand.New(rand.NewPCG(seed, 0x5ea))),
+		awaiting:        map[uint64]func(partition.AppendResponse){},
+		acceptedAt:      map[string]uint64{},
+		messageAt:       map[string]string{},
+		mustNotBeStored: map[string]bool{},
+		highestSeq:      map[string]uint64{},
+		fetches:         map[uint64]partition.FetchResponse{},
+		highWatermarks:  map[string]uint64{},
+		topicOffsets:    map[uint64]uint64{},
 	}
 	cluster.lastArrival = map[string]time.Duration{}
 	cluster.gatewayHandler, cluster.singleReplica = cluster.handleAsGateway, tolerance == 0
@@ -256,7 +257,7 @@
 			cluster.addPublisher(topic, sender)
 		}
 	}
-	cluster.after(2*time.Second, cluster.follow)
+	cluster.after(2*time.Second, cluster.subscribeHighWatermarks)
 	return cluster
 }
 
@@ -303,7 +304,7 @@
 		}
 	}
 	c.run(time.Second)
-	assert.Assert(c.t, len(c.awaiting) == 0, "%d resends were not answered", len(c.awaiting))
+	assert.Assert(c.t, len(c.awaiting) == 0, "%d resends got no response", len(c.awaiting))
 	assert.Assert(c.t, len(c.acceptedAt) > 1000, "only %d were accepted", len(c.acceptedAt))
 }
 
@@ -322,16 +323,16 @@
 		prior := uint64(0)
 		for _, record := range c.fetch(publisher.topic) {
 			name := fmt.Sprintf("%s %s/%d", record.Topic, record.Sender, record.Seq)
-			assert.Assert(c.t, string(record.Data) == name, "%s holds %q", name, record.Data)
+			assert.Assert(c.t, string(record.Data) == name, "%s has data %q", name, record.Data)
 			assert.Assert(c.t, stored[name] == 0, "%s is stored twice", name)
-			assert.Assert(c.t, !c.never[name], "%s was rejected and is stored", name)
+			assert.Assert(c.t, !c.mustNotBeStored[name], "%s was rejected and is stored", name)
 			assert.Assert(c.t, record.Seq > lastSeq[record.Sender], "%s after seq %d", name, lastSeq[record.Sender])
 			assert.Assert(c.t, record.PreviousInTopic == prior,
-				"%s names %d before it, not %d", name, record.PreviousInTopic, prior)
+				"%s has %d as the previous offset in its topic, not %d", name, record.PreviousInTopic, prior)
 			stored[name], lastSeq[record.Sender], prior = record.Offset, record.Seq, record.Offset
 		}
 		known := c.topicOffsets[config.TopicHash(publisher.topic)]
-		assert.Assert(c.t, known == prior, "followers know %d of %s, which is at %d", known, publisher.topic, prior)
+		assert.Assert(c.t, known == prior, "subscribers got %d of %s, whose newest is %d", known, publisher.topic, prior)
 	}
 	return stored
 }
@@ -344,14 +345,14 @@
 		switch {
 		case accepted:
 			again := response.Outcome == partition.OutcomeAccepted && response.Duplicate
-			assert.Assert(c.t, again, "%s was accepted at %d and is now answered %+v", name, offset, response)
+			assert.Assert(c.t, again, "%s was accepted at %d, but the response to its resend is %+v", name, offset, response)
 			c.recordAccepted(publisher, seq, response)
 		case response.Outcome == partition.OutcomeAccepted:
 			// The message was in flight during the faults, and its sender received no response.
-			assert.Assert(c.t, response.Duplicate && !c.never[name], "%s is appended below a later one", name)
+			assert.Assert(c.t, response.Duplicate && !c.mustNotBeStored[name], "%s was appended after a later message", name)
 		default:
 			old := response.Outcome == partition.OutcomeRejected && response.Code == codeOldSeq
-			assert.Assert(c.t, old, "%s is answered %+v", name, response)
+			assert.Assert(c.t, old, "the response to the resend of %s is %+v", name, response)
 		}
 	})
 }
--- a/internal/controller/single_controller_test.go
+++ b/internal/controller/single_controller_test.go
@@ -22,19 +22,19 @@
 	// syncPaused is set while writes are kept in unsynced instead of being completed.
 	syncPaused bool
 	unsynced   []statemachine.Write
-	// answers holds the responses to the operator, keyed by the number of the request.
-	answers  map[uint64]membership.ControlResponse
-	requests uint64
+	// responses holds the responses to the operator, keyed by the number of the request.
+	responses map[uint64]membership.ControlResponse
+	requests  uint64
 }
 
 func newSingleController(t assert.TestingT, highestWins bool) *singleController {
 	tolerance := 0
 	single := &singleController{
-		t:       t,
-		now:     time.Unix(1_700_000_000, 0),
-		answers: map[uint64]membership.ControlResponse{},
+		t:         t,
+		now:       time.Unix(1_700_000_000, 0),
+		responses: map[uint64]membership.ControlResponse{},
 	}
-	made, err := New(Settings{
+	controller, err := New(Settings{
 		Self: membership.Member{
 			Name:        controllerAddress,
 			Kind:        membership.KindController,
@@ -49,12 +49,12 @@
 		Tolerance:   &tolerance,
 	}, nil, nil)
 	assert.NilError(t, err)
-	single.controller = made
-	single.step(func(effects *statemachine.Effects) { made.Start(single.now, effects) })
+	single.controller = controller
+	single.step(func(effects *statemachine.Effects) { controller.Start(single.now, effects) })
 	for range 500 {
 		single.advance(10 * time.Millisecond)
 	}
-	assert.Assert(t, made.node.Serving(single.now), "a single controller serves within five seconds")
+	assert.Assert(t, controller.node.Serving(single.now), "the controller does not serve after five seconds")
 	return single
 }
 
@@ -64,8 +64,8 @@
 	run(&effects)
 	c.unsynced = append(c.unsynced, effects.Writes...)
 	for _, send := range effects.Sends {
-		if response, answers := send.Message.(membership.ControlResponse); answers && send.To == operatorAddress {
-			c.answers[response.Request.Number] = response
+		if response, found := send.Message.(membership.ControlResponse); found && send.To == operatorAddress {
+			c.responses[response.Request.Number] = response
 		}
 		if send.To == controllerAddress {
 			c.deliver(controllerAddress, send.Message)
@@ -138,7 +138,7 @@
 }
 
 // status returns the status of the response to an order, or 0 if there is none.
-func (c *singleController) status(request uint64) int { return c.answers[request].Status }
+func (c *singleController) status(request uint64) int { return c.responses[request].Status }
 
 // finalStatus waits for the response to an order and returns its status.
 func (c *singleController) finalStatus(request uint64) int {
@@ -151,7 +151,7 @@
 	var refused struct {
 		Code errorCode `json:"code"`
 	}
-	assert.NilError(c.t, json.Unmarshal(c.answers[request].Body, &refused))
+	assert.NilError(c.t, json.Unmarshal(c.responses[request].Body, &refused))
 	return refused.Code
 }
 
@@ -178,7 +178,7 @@
 	}
 	c.advance(500 * time.Millisecond)
 	for _, name := range names {
-		assert.Assert(c.t, c.member(name).Alive, "%s has joined", name)
+		assert.Assert(c.t, c.member(name).Alive, "%s has not joined", name)
 	}
 }
 
--- a/internal/controller/slowdisk.go
+++ b/internal/controller/slowdisk.go
@@ -70,11 +70,11 @@
 		c.answerPollOf(now, report.Name, effects)
 	}
 	pending.report, pending.reporters[report.Reporter] = report, now
-	reportsOnReporter := 0
-	if onReporter, found := c.unconfirmedReports[report.Reporter]; found {
-		reportsOnReporter = len(onReporter.reporters)
+	reportsAboutReporter := 0
+	if aboutReporter, found := c.unconfirmedReports[report.Reporter]; found {
+		reportsAboutReporter = len(aboutReporter.reporters)
 	}
-	if report.Delay > longDiskDelay && len(pending.reporters) > reportsOnReporter {
+	if report.Delay > longDiskDelay && len(pending.reporters) > reportsAboutReporter {
 		c.confirmSlowDisk(now, report)
 		return
 	}
@@ -116,7 +116,7 @@
 		switch {
 		case now.Sub(pending.since) > slowDiskTimeout:
 			delete(c.unconfirmedReports, name)
-		case now.Sub(pending.since) >= unconfirmedTimeout && c.lastHeard[name].Before(pending.since):
+		case now.Sub(pending.since) >= unconfirmedTimeout && c.lastPolled[name].Before(pending.since):
 			c.confirmSlowDisk(now, pending.report)
 		}
 	}
@@ -162,7 +162,7 @@
 		}
 		// There are too few healthy stores to mark another one as degraded. A degraded store
 		// without recent reports, if there is one, is marked as recovered in exchange.
-		if recovered, found := s.quietestDegraded(now, slowDisks); found {
+		if recovered, found := s.degradedWithOldestReport(now, slowDisks); found {
 			return append(changes, degradationOf(recovered, false), degradationOf(member, true))
 		}
 	}
@@ -173,18 +173,18 @@
 	return Degradation{Name: member.Name, Incarnation: member.Incarnation, Degraded: degraded}
 }
 
-// quietestDegraded returns the degraded store whose last report is the oldest. It ignores stores
+// degradedWithOldestReport returns the degraded store whose last report is the oldest. It ignores stores
 // with a report that has not expired.
-func (s *State) quietestDegraded(now time.Time, slowDisks map[string]slowDisk) (membership.Member, bool) {
-	var quietest membership.Member
+func (s *State) degradedWithOldestReport(now time.Time, slowDisks map[string]slowDisk) (membership.Member, bool) {
+	var oldest membership.Member
 	for _, member := range statemachine.Sorted(s.Members) {
 		reportedAt := slowDisks[member.Name].at
 		if !member.Degraded || !member.Alive || member.Retiring || now.Sub(reportedAt) < slowDiskTimeout {
 			continue
 		}
-		if quietest.Name == "" || reportedAt.Before(slowDisks[quietest.Name].at) {
-			quietest = member
+		if oldest.Name == "" || reportedAt.Before(slowDisks[oldest.Name].at) {
+			oldest = member
 		}
 	}
-	return quietest, quietest.Name != ""
+	return oldest, oldest.Name != ""
 }
--- a/internal/controller/state.go
+++ b/internal/controller/state.go
@@ -120,7 +120,7 @@
 	s.Version, s.Document = change.Version, change.Document
 	s.DrainedGateways = configuration.Draining
 	s.installSpaces(change.Version, configuration)
-	s.dropUnwantedPlacements(configuration)
+	s.dropObsoletePlacements(configuration)
 }
 
 // installSpaces updates SpaceCreatedAt and SpaceKinds for the spaces that a configuration
@@ -147,14 +147,14 @@
 	}
 }
 
-// dropUnwantedPlacements removes the placements of partitions that are no longer configured.
-func (s *State) dropUnwantedPlacements(configuration config.Configuration) {
-	wanted := map[string]bool{}
+// dropObsoletePlacements removes the placements of partitions that are no longer configured.
+func (s *State) dropObsoletePlacements(configuration config.Configuration) {
+	configured := map[string]bool{}
 	for _, partition := range s.partitionNames(configuration) {
-		wanted[partition] = true
+		configured[partition] = true
 	}
 	for partition := range statemachine.Sorted(s.Placements) {
-		if !wanted[partition] {
+		if !configured[partition] {
 			delete(s.Placements, partition)
 			delete(s.PlacementModifiedAt, partition)
 			s.CompactedAt = s.Index
@@ -162,8 +162,8 @@
 	}
 }
 
-// expects reports whether a partition belongs to the configuration in force.
-func (s *State) expects(partition string) bool {
+// isConfigured reports whether a partition belongs to the configuration in force.
+func (s *State) isConfigured(partition string) bool {
 	if config.IsShared(partition) {
 		return s.HasSharedPartitions
 	}
--- a/internal/controller/state_test.go
+++ b/internal/controller/state_test.go
@@ -47,12 +47,12 @@
 	return run
 }
 
-// drawCommand returns a random command for a step.
-func (r *viewRun) drawCommand(step int) Command {
+// randomCommand returns a random command for a step.
+func (r *viewRun) randomCommand(step int) Command {
 	var command Command
 	switch r.random.IntN(6) {
 	case 0, 1:
-		r.drawMembershipChange(step, &command)
+		r.addRandomMembershipChange(step, &command)
 	case 2:
 		for _, placement := range statemachine.Sorted(r.state.Placements) {
 			if r.random.IntN(2) == 0 {
@@ -61,7 +61,7 @@
 		}
 	case 3:
 		if step%7 == 0 {
-			command.Configuration = r.drawConfiguration()
+			command.Configuration = r.randomConfiguration()
 		}
 	case 4:
 		if r.version > 0 {
@@ -77,7 +77,7 @@
 	return command
 }
 
-func (r *viewRun) drawMembershipChange(step int, command *Command) {
+func (r *viewRun) addRandomMembershipChange(step int, command *Command) {
 	name := fmt.Sprint("store-", r.random.IntN(6))
 	if r.random.IntN(4) > 0 {
 		self := membership.Member{
@@ -93,7 +93,7 @@
 	command.Leaves = append(command.Leaves, leave)
 }
 
-func (r *viewRun) drawConfiguration() *ConfigurationChange {
+func (r *viewRun) randomConfiguration() *ConfigurationChange {
 	r.version++
 	const spaces = `{"name": "a", "promise": "kept", "order": "topic"}, ` +
 		`{"name": "s%d", "promise": "kept", "order": "channel"}`
@@ -104,7 +104,7 @@
 // step applies a random command to the state, and updates one client.
 func (r *viewRun) step(step int) {
 	r.t.Helper()
-	r.state.Apply(r.now, encodeCommand(r.drawCommand(step)))
+	r.state.Apply(r.now, encodeCommand(r.randomCommand(step)))
 	client := r.clients[r.random.IntN(len(r.clients))]
 	update := membership.ViewUpdate{
 		Nonce:    1,
@@ -133,8 +133,8 @@
 		for step := range 300 {
 			run.step(step)
 		}
-		assert.Assert(t, run.partial > 200, "only %d of 300 updates had changes only", run.partial)
+		assert.Assert(t, run.partial > 200, "only %d of 300 updates were incremental", run.partial)
 		removed += run.removed
 	}
-	assert.Assert(t, removed > 100, "only %d members were removed in updates", removed)
+	assert.Assert(t, removed > 100, "updates listed only %d removed members", removed)
 }
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -28,9 +28,9 @@
 	c.deadSince = map[string]incarnationAt{}
 	c.slowDisks = map[string]slowDisk{}
 	c.unconfirmedReports = map[string]*unconfirmedReport{}
-	c.unacknowledged = map[string]unacknowledgedAnswer{}
+	c.unacknowledged = map[string]unacknowledgedResponse{}
 	for name, member := range c.state.Members {
-		c.lastHeard[name] = now
+		c.lastPolled[name] = now
 		if member.Degraded {
 			c.slowDisks[name] = slowDisk{at: now, incarnation: member.Incarnation}
 		}
--- a/internal/controller/views.go
+++ b/internal/controller/views.go
@@ -94,7 +94,7 @@
 // does not have yet.
 func (c *Controller) answerPoll(now time.Time, poll pendingPoll, effects *statemachine.Effects) {
 	request := poll.request
-	c.recordAnswer(now, request)
+	c.recordResponse(now, request)
 	delete(c.pendingPolls, request.Self.Name)
 	update := membership.ViewUpdate{
 		Recipient:  request.Self.Name,
