--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -24,8 +24,8 @@
 	// bytesPerMillisecond extends the deadline of a large request, which must first be read,
 	// synced and replicated: by one millisecond for each so many bytes of its body.
 	bytesPerMillisecond = 100
-	// retryAfter is the minimum delay that an operator is asked to wait before a retry.
-	retryAfter = time.Second
+	// minRetryAfter is the minimum delay that an operator is asked to wait before a retry.
+	minRetryAfter = time.Second
 	// maxRedirects limits the redirects that are followed for one request.
 	maxRedirects = 6
 )
@@ -256,7 +256,7 @@
 	effects *statemachine.Effects,
 ) {
 	method := pending.request.Method
-	response.RetryAfter = max(response.RetryAfter, retryAfter)
+	response.RetryAfter = max(response.RetryAfter, minRetryAfter)
 	if pending.mayHaveEffect || pending.unanswered > 0 && method != http.MethodGet {
 		text := fmt.Sprintf("nobody can tell yet whether this was taken; send the same %s again", method)
 		response.Body = ErrorBody(codeUnsettled, text, nil)
--- a/internal/controlclient/client_test.go
+++ b/internal/controlclient/client_test.go
@@ -73,8 +73,8 @@
 	client := newClient(1)
 	first := forward(t, client, now, 7, "GET")
 	second := forward(t, client, now, 8, "GET")
-	stranger := membership.ControlResponse{Request: second.Request, Status: 200}
-	assert.Equal(t, len(respond(client, now, other, stranger)), 0)
+	unsolicited := membership.ControlResponse{Request: second.Request, Status: 200}
+	assert.Equal(t, len(respond(client, now, other, unsolicited)), 0)
 	responses := respond(client, now, primary, membership.ControlResponse{
 		Request: second.Request, Status: 200, Body: []byte("second"),
 	})
--- a/internal/partition/append.go
+++ b/internal/partition/append.go
@@ -70,7 +70,7 @@
 		return
 	}
 	if entry.Offset > partition.highWatermark || !partition.placement.Complete {
-		partition.await(entry.Offset, pendingAppend{from: from, requestID: request.RequestID, receivedAt: now})
+		partition.addPending(entry.Offset, pendingAppend{from: from, requestID: request.RequestID, receivedAt: now})
 		s.timers.ArmSooner(timerReplicate, now.Add(replicateInterval))
 		return
 	}
@@ -101,7 +101,7 @@
 ) (reason rejection, rejected bool) {
 	stale := request.Seq <= sender.LastSeq || request.DuplicateOnly
 	if stale && !statemachine.Mutated("no-resend-memory") {
-		if config.IsShared(request.Partition) && !partition.acceptedAll(sender) {
+		if config.IsShared(request.Partition) && !partition.newestAccepted(sender) {
 			// The later message may still be lost, and then another leader may accept an earlier
 			// attempt of this one.
 			return rejection{code: CodeSequencePassed, retryAfter: notLeaderRetryAfter}, true
@@ -140,11 +140,11 @@
 		OffsetOnly:      request.OffsetOnly,
 	}
 	partition.log.append(record)
-	partition.await(record.Offset, pendingAppend{from: from, requestID: request.RequestID, receivedAt: now})
+	partition.addPending(record.Offset, pendingAppend{from: from, requestID: request.RequestID, receivedAt: now})
 	s.toReplicate[request.Partition] = true
 	s.logEntry(diskEntry{Partition: request.Partition, Record: &record})
 	s.afterSync(func(now time.Time, effects *statemachine.Effects) {
-		if partition.log.stillHolds(record) {
+		if partition.log.notReplaced(record) {
 			partition.syncedOffset = max(partition.syncedOffset, record.Offset)
 			s.advanceHighWatermark(now, partition, effects)
 		}
@@ -185,13 +185,13 @@
 	return record
 }
 
-// await registers an append that is to be answered once the record at an offset is accepted.
-func (r *replica) await(offset uint64, waiting pendingAppend) {
+// addPending registers an append that is to be answered once the record at an offset is accepted.
+func (r *replica) addPending(offset uint64, waiting pendingAppend) {
 	r.pending[offset] = append(r.pending[offset], waiting)
 }
 
-// unresolved returns the response to an append whose record may be accepted or lost.
-func (r *replica) unresolved(waiting pendingAppend, code string) AppendResponse {
+// unresolvedResponse returns the response to an append whose record may be accepted or lost.
+func (r *replica) unresolvedResponse(waiting pendingAppend, code string) AppendResponse {
 	return AppendResponse{
 		Partition: r.log.Name,
 		RequestID: waiting.requestID,
@@ -207,7 +207,7 @@
 	for offset, waiting := range statemachine.Sorted(partition.pending) {
 		delete(partition.pending, offset)
 		for _, each := range waiting {
-			effects.Send(each.from, partition.unresolved(each, code))
+			effects.Send(each.from, partition.unresolvedResponse(each, code))
 		}
 	}
 }
@@ -222,7 +222,7 @@
 				remaining = append(remaining, each)
 				continue
 			}
-			effects.Send(each.from, partition.unresolved(each, CodeFollowerSilent))
+			effects.Send(each.from, partition.unresolvedResponse(each, CodeFollowerSilent))
 		}
 		partition.pending[offset] = remaining
 		if len(remaining) == 0 {
--- a/internal/partition/cluster_test.go
+++ b/internal/partition/cluster_test.go
@@ -14,11 +14,11 @@
 	"dahlialock/internal/transport"
 )
 
-// began is the time at which tests start.
-var began = time.Unix(1_700_000_000, 0)
+// testStart is the time at which tests start.
+var testStart = time.Unix(1_700_000_000, 0)
 
-// at returns the time a number of seconds after the start.
-func at(seconds int) time.Time { return began.Add(time.Duration(seconds) * time.Second) }
+// at returns the time a number of seconds after testStart.
+func at(seconds int) time.Time { return testStart.Add(time.Duration(seconds) * time.Second) }
 
 // document returns a configuration with the given spaces.
 func document(version int, spaces string) []byte {
@@ -33,15 +33,15 @@
 	// queue holds the deliveries in flight, in order.
 	queue []delivery
 	// accepted counts the acknowledged appends, linkBytes the bytes of messages and diskBytes
-	// those of writes. spent is the time for which each store ran.
+	// those of writes. busyTime is the time for which each store ran.
 	accepted  int
 	linkBytes int
 	diskBytes int
-	spent     map[string]time.Duration
-	// slowLinks delay the messages to some stores. passed is set if the next delivery has already
-	// passed its link.
-	slowLinks map[string]*slowLink
-	passed    bool
+	busyTime  map[string]time.Duration
+	// slowLinks delay the messages to some stores. passedLink is set if the next delivery has
+	// already passed its link.
+	slowLinks  map[string]*slowLink
+	passedLink bool
 }
 
 // delivery is an encoded message to a store or, if frame is nil, the token of a synced write.
@@ -53,7 +53,7 @@
 
 func newCluster(tb testing.TB, size int) *cluster {
 	tb.Helper()
-	run := &cluster{now: began, stores: map[string]*Store{}, spent: map[string]time.Duration{}}
+	cluster := &cluster{now: testStart, stores: map[string]*Store{}, busyTime: map[string]time.Duration{}}
 	update := viewUpdate(1, document(1, `{"name": "a", "promise": "kept", "order": "topic"}`))
 	for number := range size {
 		update.Members = append(update.Members, storeMember(fmt.Sprint("store-", number)))
@@ -74,11 +74,11 @@
 		update.Placements = append(update.Placements, placement)
 	}
 	for _, member := range update.Members {
-		run.startStore(tb, member)
-		run.sendView(member.Name, update)
+		cluster.startStore(tb, member)
+		cluster.sendView(member.Name, update)
 	}
-	run.deliverAll()
-	return run
+	cluster.deliverAll()
+	return cluster
 }
 
 func viewUpdate(index uint64, document []byte) membership.ViewUpdate {
@@ -128,7 +128,7 @@
 		c.diskBytes += len(write.Snapshot)
 		c.queue = append(c.queue, delivery{to: name, token: write.Token})
 	}
-	c.spent[name] += time.Since(started)
+	c.busyTime[name] += time.Since(started)
 }
 
 // send queues a message to a store. Of messages to any other address, only acknowledgements of
@@ -161,11 +161,11 @@
 	for len(c.queue) > 0 {
 		next := c.queue[0]
 		c.queue = c.queue[1:]
-		if link, slow := c.slowLinks[next.to]; slow && next.frame != nil && !c.passed {
+		if link, slow := c.slowLinks[next.to]; slow && next.frame != nil && !c.passedLink {
 			link.enqueue(next)
 			continue
 		}
-		c.passed = false
+		c.passedLink = false
 		c.step(next.to, func(effects *statemachine.Effects) { c.deliver(next, effects) })
 	}
 }
@@ -185,9 +185,9 @@
 
 // publish appends a number of messages that arrive at the same time, and advances the clock by 3
 // ms.
-func (c *cluster) publish(seq uint64, together int) {
-	for number := range together {
-		topic := fmt.Sprintf("reading.%d", (seq*uint64(together)+uint64(number))%1000)
+func (c *cluster) publish(seq uint64, batchSize int) {
+	for number := range batchSize {
+		topic := fmt.Sprintf("reading.%d", (seq*uint64(batchSize)+uint64(number))%1000)
 		data := make([]byte, 200)
 		binary.BigEndian.PutUint64(data, seq)
 		frame := mustEncode("gateway", Append{
--- a/internal/partition/disk.go
+++ b/internal/partition/disk.go
@@ -34,7 +34,7 @@
 // pendingWrite is a write that isn't synced yet, with the callbacks that wait for it.
 type pendingWrite struct {
 	// startedAt is when the write was started; for a write behind a checkpoint, when the
-	// checkpoint was synced (see excuseCheckpoint).
+	// checkpoint was synced (see excludeCheckpointTime).
 	startedAt time.Time
 	// checkpoint is set for the write of a snapshot, which is as large as all logs of the store.
 	checkpoint bool
@@ -197,7 +197,7 @@
 	delete(s.writes.pending, token)
 	s.writes.unavailable = false
 	if written.checkpoint && !statemachine.Mutated("checkpoints-lag") {
-		s.excuseCheckpoint(now, written)
+		s.excludeCheckpointTime(now, written)
 	} else {
 		s.diskTimes.own = smooth(s.diskTimes.own, now.Sub(written.startedAt))
 		s.writes.syncedStartedAt = written.startedAt
@@ -207,10 +207,10 @@
 	}
 }
 
-// excuseCheckpoint measures the time of the writes behind a checkpoint from the end of the
+// excludeCheckpointTime measures the time of the writes behind a checkpoint from the end of the
 // checkpoint. How long a checkpoint takes depends on the size of the logs and doesn't indicate a
 // slow disk, unless it takes longer than maxCheckpointTime.
-func (s *Store) excuseCheckpoint(now time.Time, checkpoint *pendingWrite) {
+func (s *Store) excludeCheckpointTime(now time.Time, checkpoint *pendingWrite) {
 	if now.Sub(checkpoint.startedAt) > maxCheckpointTime {
 		return
 	}
--- a/internal/partition/fetch.go
+++ b/internal/partition/fetch.go
@@ -52,7 +52,7 @@
 		if record.Offset > r.highWatermark {
 			return
 		}
-		if !request.wants(record) {
+		if !request.matches(record) {
 			continue
 		}
 		if len(response.Records) == maxFetchRecords || bytes > maxFetchBytes {
@@ -74,8 +74,8 @@
 	return r.log.recordsAfter(request.After)
 }
 
-// wants reports whether a record matches a request.
-func (f Fetch) wants(record Record) bool {
+// matches reports whether a record matches a request.
+func (f Fetch) matches(record Record) bool {
 	return !record.OffsetOnly &&
 		Matches(record.Topic, f.Topics, f.Prefixes) &&
 		!slices.Contains(f.SkipOffsets, record.Offset)
@@ -120,7 +120,7 @@
 // fetchTopic returns the accepted records of a topic that fit into the remaining bytes, and
 // subtracts their size from these. The first record of the request's first topic is returned
 // whatever its size.
-func (r *replica) fetchTopic(cursor TopicCursor, remaining *int, first bool) TopicRecords {
+func (r *replica) fetchTopic(cursor TopicCursor, remaining *int, firstTopic bool) TopicRecords {
 	found := TopicRecords{
 		Until:   r.highWatermark,
 		Expired: r.log.hasExpired(cursor.After, []string{cursor.Topic}, nil),
@@ -130,8 +130,8 @@
 	}
 	for _, record := range r.log.recordsOf([]string{cursor.Topic}, cursor.After, r.highWatermark) {
 		fits := len(record.Data) <= *remaining && len(found.Records) < maxFetchRecords
-		always := first && len(found.Records) == 0
-		if found.RemainingBytes == 0 && (fits || always) {
+		guaranteed := firstTopic && len(found.Records) == 0
+		if found.RemainingBytes == 0 && (fits || guaranteed) {
 			*remaining -= len(record.Data)
 			found.Records = append(found.Records, record)
 			continue
--- a/internal/partition/followers.go
+++ b/internal/partition/followers.go
@@ -12,9 +12,9 @@
 	// replicaID identifies the follower and its disk, as in the view.
 	replicaID   string
 	incarnation uint64
-	// known is set once the follower has reported up to which offset its log matches the
+	// positionKnown is set once the follower has reported up to which offset its log matches the
 	// leader's.
-	known bool
+	positionKnown bool
 	// acknowledged is the offset up to which the follower has synced the leader's log. sent is
 	// the offset up to which records were sent; it decreases when records are sent again.
 	acknowledged uint64
@@ -40,7 +40,7 @@
 	var followers []*followerProgress
 	for _, name := range partition.placement.Followers {
 		follower := s.followerProgress(partition, name)
-		if !follower.known {
+		if !follower.positionKnown {
 			s.toReplicate[partition.log.Name] = true
 		}
 		followers = append(followers, follower)
--- a/internal/partition/high_watermarks.go
+++ b/internal/partition/high_watermarks.go
@@ -55,7 +55,7 @@
 
 // sendHighWatermarks sends a subscriber the high watermarks that have advanced since the last
 // message, or those of all its partitions. It removes a subscription that has expired.
-func (s *Store) sendHighWatermarks(now time.Time, address string, every bool, effects *statemachine.Effects) {
+func (s *Store) sendHighWatermarks(now time.Time, address string, all bool, effects *statemachine.Effects) {
 	current, found := s.subscribers[address]
 	if !found || now.After(current.expiresAt) || len(current.partitions) == 0 {
 		delete(s.subscribers, address)
@@ -67,18 +67,18 @@
 		if !found || !s.isLeader(partition) || !partition.established() {
 			continue
 		}
-		sent, reached := current.sent[name], partition.reached()
-		if sent == reached && !every {
+		sent, position := current.sent[name], partition.watermarkPosition()
+		if sent == position && !all {
 			continue
 		}
 		watermark := partition.watermarkSince(sent)
 		// If no topic changed, only records without data were appended, and there is nothing to
 		// fetch.
-		nothingNew := config.IsShared(name) && len(watermark.Topics) == 0 && sent.epoch == reached.epoch
-		if nothingNew && !every {
+		nothingNew := config.IsShared(name) && len(watermark.Topics) == 0 && sent.epoch == position.epoch
+		if nothingNew && !all {
 			continue
 		}
-		current.sent[name] = reached
+		current.sent[name] = position
 		message.HighWatermarks = append(message.HighWatermarks, watermark)
 	}
 	if len(message.HighWatermarks) > 0 {
@@ -87,8 +87,8 @@
 	}
 }
 
-// reached returns the position of the high watermark.
-func (r *replica) reached() sentPosition {
+// watermarkPosition returns the position of the high watermark.
+func (r *replica) watermarkPosition() sentPosition {
 	return sentPosition{epoch: r.placement.Epoch, offset: r.highWatermark}
 }
 
--- a/internal/partition/log.go
+++ b/internal/partition/log.go
@@ -59,9 +59,9 @@
 	return l.Records[offset-l.BaseOffset-1].Epoch, true
 }
 
-// stillHolds reports whether an appended record was not replaced by a record of another epoch,
+// notReplaced reports whether an appended record was not replaced by a record of another epoch,
 // which happens when a snapshot is installed. An offset outside the log counts as not replaced.
-func (l *log) stillHolds(record Record) bool {
+func (l *log) notReplaced(record Record) bool {
 	epoch, found := l.epochAt(record.Offset)
 	return !found || epoch == record.Epoch
 }
--- a/internal/partition/log_retention.go
+++ b/internal/partition/log_retention.go
@@ -49,7 +49,7 @@
 				l.ExpiredTopics[record.Topic] = expiredTopic{LastOffset: record.Offset, AppendedAt: record.AppendedAt}
 			}
 		}
-		l.forgetExpiredTopics(now)
+		l.pruneExpiredTopics(now)
 	}
 	last := l.Records[count-1]
 	l.BaseOffset, l.BaseEpoch = last.Offset, last.Epoch
@@ -63,8 +63,8 @@
 	}
 }
 
-// forgetExpiredTopics removes old entries from the table of expired topics if it is too large.
-func (l *log) forgetExpiredTopics(now time.Time) {
+// pruneExpiredTopics removes old entries from the table of expired topics if it is too large.
+func (l *log) pruneExpiredTopics(now time.Time) {
 	if len(l.ExpiredTopics) <= maxExpiredTopics {
 		return
 	}
--- a/internal/partition/log_test.go
+++ b/internal/partition/log_test.go
@@ -22,7 +22,7 @@
 	return log
 }
 
-func TestLogKnowsWhichTopicsHaveExpiredRecords(t *testing.T) {
+func TestLogReportsTopicsWithExpiredRecords(t *testing.T) {
 	log := filledLog(config.SharedPartitionName(3),
 		Record{Topic: "quiet", Sender: "s", Seq: 1, AppendedAt: at(0)},
 		Record{Topic: "busy", Sender: "s", Seq: 2, AppendedAt: at(1)},
@@ -50,7 +50,7 @@
 	assert.Equal(t, log.lastOffsetOf("quiet"), uint64(1))
 	assert.Equal(t, len(log.recordsOf([]string{"busy", "quiet"}, 0, 4)), 1)
 	sender := log.Senders[log.senderKey("quiet", "s")]
-	assert.Equal(t, sender.LastSeq, uint64(1), "each topic of a sender has a state of its own")
+	assert.Equal(t, sender.LastSeq, uint64(1), "each topic of a sender has a separate state")
 }
 
 func TestLogBoundsExpiredTopics(t *testing.T) {
@@ -66,7 +66,7 @@
 		})
 	}
 	log.expire(at(120), 35*time.Second, dedupWindow)
-	assert.Equal(t, len(log.ExpiredTopics), maxExpiredTopics+2, "nothing was silent for long")
+	assert.Equal(t, len(log.ExpiredTopics), maxExpiredTopics+2, "no topic is older than expiredTopicRetention")
 	log.append(Record{
 		Offset:     maxExpiredTopics + 3,
 		Epoch:      1,
@@ -76,9 +76,9 @@
 		AppendedAt: at(120),
 	})
 	log.expire(at(720), 35*time.Second, dedupWindow)
-	assert.Assert(t, len(log.ExpiredTopics) < 10, "%d topics are known", len(log.ExpiredTopics))
+	assert.Assert(t, len(log.ExpiredTopics) < 10, "%d expired topics are kept", len(log.ExpiredTopics))
 	assert.Equal(t, log.ForgottenOffset, uint64(maxExpiredTopics+2))
-	assert.Assert(t, log.hasExpired(5, []string{"t9"}, nil), "the log can't tell any more")
+	assert.Assert(t, log.hasExpired(5, []string{"t9"}, nil), "an offset below ForgottenOffset counts as expired")
 	assert.Assert(t, !log.hasExpired(maxExpiredTopics+2, []string{"t9"}, nil))
 	assert.Assert(t, log.hasExpired(5, []string{"t1"}, nil))
 	assert.Assert(t, !log.hasExpired(maxExpiredTopics+3, []string{"t1"}, nil))
@@ -96,11 +96,11 @@
 	log.expire(at(70), time.Second, dedupWindow)
 	_, known = sender.find(7)
 	assert.Assert(t, !known)
-	assert.Equal(t, sender.LastSeq, uint64(9), "a lower one is still rejected")
+	assert.Equal(t, sender.LastSeq, uint64(9), "lower sequence numbers are still rejected")
 }
 
 func TestLogKeepsSequenceNumbersForDedupWindow(t *testing.T) {
-	for window, kept := range map[time.Duration]bool{60 * time.Second: false, 300 * time.Second: true} {
+	for window, retained := range map[time.Duration]bool{60 * time.Second: false, 300 * time.Second: true} {
 		log := newLog("+~0/1")
 		log.append(Record{Offset: 1, Topic: "a", Sender: "u", Seq: 1, AppendedAt: at(0)})
 		log.append(Record{Offset: 2, Topic: "a", Sender: "v", Seq: 1, AppendedAt: at(200)})
@@ -111,6 +111,6 @@
 				found = found || entry.Offset == 1
 			}
 		}
-		assert.Equal(t, found, kept, "a window of %s", window)
+		assert.Equal(t, found, retained, "a window of %s", window)
 	}
 }
--- a/internal/partition/message_size_test.go
+++ b/internal/partition/message_size_test.go
@@ -20,11 +20,11 @@
 		Sender:          "u1fx3a9c",
 		Seq:             77,
 		Data:            make([]byte, 200),
-		AppendedAt:      began,
+		AppendedAt:      testStart,
 		PreviousInTopic: 1200,
 	}
 	acknowledged := responseRecord("+~0/17", record)
-	ages := takeTimes(began, []Record{record})
+	ages := extractAges(testStart, []Record{record})
 	record.AppendedAt = time.Time{}
 	for _, each := range []struct {
 		message  any
--- a/internal/partition/replica.go
+++ b/internal/partition/replica.go
@@ -61,7 +61,7 @@
 func (r *replica) replicatedOffset() (offset uint64, known bool) {
 	offset = r.syncedOffset
 	for _, follower := range r.followers {
-		if !follower.known {
+		if !follower.positionKnown {
 			return 0, false
 		}
 		if !statemachine.Mutated("accept-on-one-disk") {
@@ -83,9 +83,9 @@
 	return now.Sub(records[0].AppendedAt)
 }
 
-// acceptedAll reports whether the newest message of a sender was accepted, so that none of its
+// newestAccepted reports whether the newest message of a sender was accepted, so that none of its
 // messages with a lower sequence number can be accepted any more.
-func (r *replica) acceptedAll(sender *senderState) bool {
+func (r *replica) newestAccepted(sender *senderState) bool {
 	if len(sender.Window) == 0 {
 		return true
 	}
--- a/internal/partition/replicate.go
+++ b/internal/partition/replicate.go
@@ -28,7 +28,7 @@
 		s.checkProgress(now, partition, effects)
 	}
 	for _, follower := range partition.followers {
-		if follower.known && follower.acknowledged >= lastOffset {
+		if follower.positionKnown && follower.acknowledged >= lastOffset {
 			continue
 		}
 		// Armed even if the follower isn't alive: it may return without a new epoch.
@@ -44,7 +44,7 @@
 ) {
 	member := s.view.Members[follower.name]
 	lastOffset, _ := partition.log.end()
-	if !member.Alive || follower.known && follower.sent >= lastOffset {
+	if !member.Alive || follower.positionKnown && follower.sent >= lastOffset {
 		return
 	}
 	if follower.snapshot.bytes > 0 && follower.snapshot.timedOut(now) {
@@ -60,7 +60,7 @@
 	s.Counts.ReplicateRequests++
 	s.Counts.ReplicatedRecords += uint64(len(request.Records))
 	effects.Send(member.Address, request)
-	if follower.known {
+	if follower.positionKnown {
 		follower.sent = request.PreviousOffset + uint64(len(request.Records))
 		if partition.placement.Complete && partition.established() {
 			batch := inFlightBatch{lastOffset: follower.sent, sentAt: now}
@@ -75,7 +75,7 @@
 func replicateRequest(now time.Time, partition *replica, follower *followerProgress) Replicate {
 	lastOffset, lastEpoch := partition.log.end()
 	previousOffset := max(follower.sent, follower.acknowledged)
-	if !follower.known {
+	if !follower.positionKnown {
 		previousOffset = lastOffset
 	}
 	previousEpoch, found := partition.log.epochAt(previousOffset)
@@ -90,13 +90,13 @@
 		PreviousOffset: previousOffset,
 		PreviousEpoch:  previousEpoch,
 		Records:        records,
-		Ages:           takeTimes(now, records),
+		Ages:           extractAges(now, records),
 	}
 }
 
-// takeTimes clears the times of records and returns their ages in milliseconds, without trailing
-// zeros.
-func takeTimes(now time.Time, records []Record) []uint32 {
+// extractAges clears the times of records and returns their ages in milliseconds, without
+// trailing zeros.
+func extractAges(now time.Time, records []Record) []uint32 {
 	var ages []uint32
 	for position := range records {
 		age := uint32(max(0, now.Sub(records[position].AppendedAt).Milliseconds()))
@@ -119,7 +119,7 @@
 		}
 		lastOffset, _ := partition.log.end()
 		for _, follower := range partition.followers {
-			if follower.known && follower.acknowledged >= lastOffset {
+			if follower.positionKnown && follower.acknowledged >= lastOffset {
 				continue
 			}
 			waiting = true
@@ -166,8 +166,8 @@
 		s.handleMismatch(now, partition, follower, response, effects)
 		return
 	}
-	s.snapshotInstalled(now, follower, effects)
-	follower.known = true
+	s.handleSnapshotInstalled(now, follower, effects)
+	follower.positionKnown = true
 	follower.acknowledged = max(follower.acknowledged, response.LastOffset)
 	follower.sent = max(follower.sent, follower.acknowledged)
 	s.recordDiskTime(follower, time.Duration(response.DiskMilliseconds)*time.Millisecond)
@@ -192,7 +192,7 @@
 	// acknowledged; the next request continues after it. If there is nothing left to send, an
 	// empty request asks for the acknowledgement.
 	lastOffset, _ := partition.log.end()
-	follower.known = response.LastOffset != lastOffset
+	follower.positionKnown = response.LastOffset != lastOffset
 	follower.snapshot = snapshotTransfer{}
 	follower.sent = response.LastOffset
 	s.toReplicate[response.Partition] = true
--- a/internal/partition/retention.go
+++ b/internal/partition/retention.go
@@ -12,10 +12,10 @@
 const (
 	// retentionInterval is how often expired records are dropped.
 	retentionInterval = 5 * time.Second
-	// minRetentionMemory is the minimum time for which a longer retention stays in effect after
-	// the configuration reduced it, so that a space that is removed and added again finds its
-	// records.
-	minRetentionMemory = 5 * time.Minute
+	// minSupersededRetention is the minimum time for which a longer retention stays in effect
+	// after the configuration reduced it, so that a space that is removed and added again finds
+	// its records.
+	minSupersededRetention = 5 * time.Minute
 )
 
 // supersededRetention is a longer retention of an earlier configuration, and the time until which
@@ -39,7 +39,7 @@
 	if longest < s.retention {
 		s.supersededRetentions = append(s.supersededRetentions, supersededRetention{
 			retention: s.retention,
-			expiresAt: now.Add(max(s.retention, minRetentionMemory)),
+			expiresAt: now.Add(max(s.retention, minSupersededRetention)),
 		})
 	}
 	s.retention = longest
--- a/internal/partition/retention_test.go
+++ b/internal/partition/retention_test.go
@@ -23,8 +23,8 @@
 		`{"name": "b", "promise": "kept", "order": "channel", "holding": "5m"}`))
 	assert.Equal(t, store.sharedRetention(at(0)), 90*time.Second)
 	apply(at(10), document(2, `{"name": "a", "promise": "kept", "order": "topic", "holding": "20s"}`))
-	assert.Equal(t, store.sharedRetention(at(11)), 90*time.Second, "shortened")
+	assert.Equal(t, store.sharedRetention(at(11)), 90*time.Second, "after the retention was shortened")
 	apply(at(20), document(3, ``))
-	assert.Equal(t, store.sharedRetention(at(309)), 90*time.Second, "removed")
+	assert.Equal(t, store.sharedRetention(at(309)), 90*time.Second, "after the space was removed")
 	assert.Equal(t, store.sharedRetention(at(311)), config.DefaultRetentionTime)
 }
--- a/internal/partition/slow_disk.go
+++ b/internal/partition/slow_disk.go
@@ -14,9 +14,9 @@
 	// diskStallTimeout is how long a write to the store's own disk may be unsynced before it is
 	// reported.
 	diskStallTimeout = 400 * time.Millisecond
-	// followerDoubtTimeout is how long a replicate request may be unacknowledged before it is
+	// followerAckTimeout is how long a replicate request may be unacknowledged before it is
 	// reported, so that the controller checks whether the follower is reachable.
-	followerDoubtTimeout = 250 * time.Millisecond
+	followerAckTimeout = 250 * time.Millisecond
 	// A disk is slow if its smoothed delay exceeds slowDiskMinDelay and is more than
 	// slowDiskRatio times that of the fastest disk.
 	slowDiskMinDelay = 60 * time.Millisecond
@@ -92,7 +92,7 @@
 	oldest := s.oldestInFlight(now)
 	fastest := s.diskTimes.fastest()
 	for name, delay := range statemachine.Sorted(s.diskTimes.followers) {
-		observed := diskObservation{delay: delay, oldest: oldest[name], timeout: followerDoubtTimeout}
+		observed := diskObservation{delay: delay, oldest: oldest[name], timeout: followerAckTimeout}
 		s.reportIfSlow(now, name, observed, fastest, effects)
 	}
 	own := diskObservation{delay: s.diskTimes.own, oldest: s.oldestWriteAge(now), timeout: diskStallTimeout}
--- a/internal/partition/slow_disk_mutation_test.go
+++ b/internal/partition/slow_disk_mutation_test.go
@@ -12,5 +12,5 @@
 
 func TestCheckpointAllowanceIsNeeded(t *testing.T) {
 	defer statemachine.Mutate("checkpoints-lag")()
-	assert.Assert(t, largeCheckpoint(t))
+	assert.Assert(t, reportsLargeCheckpoint(t))
 }
--- a/internal/partition/slow_disk_test.go
+++ b/internal/partition/slow_disk_test.go
@@ -28,7 +28,7 @@
 	store, err := New(Settings{Self: self, NewDisk: "disk-1", Seeds: []string{"c:1"}}, nil, nil)
 	assert.NilError(t, err)
 	store.view.Members[self.Name] = self
-	return &diskFixture{store: store, now: began}
+	return &diskFixture{store: store, now: testStart}
 }
 
 // write starts a small write and returns its token.
@@ -45,8 +45,8 @@
 	return f.store.writes.token
 }
 
-// reports reports whether the store reports its own disk after a delay.
-func (f *diskFixture) reports(wait time.Duration) bool {
+// reportsAfter reports whether the store reports its own disk after a delay.
+func (f *diskFixture) reportsAfter(wait time.Duration) bool {
 	f.now = f.now.Add(wait)
 	var effects statemachine.Effects
 	f.store.reportSlowDisks(f.now, &effects)
@@ -61,40 +61,40 @@
 func TestStoreReportsStalledWrite(t *testing.T) {
 	disk := newDiskFixture(t)
 	disk.write()
-	assert.Assert(t, !disk.reports(diskStallTimeout))
-	assert.Assert(t, disk.reports(time.Millisecond))
+	assert.Assert(t, !disk.reportsAfter(diskStallTimeout))
+	assert.Assert(t, disk.reportsAfter(time.Millisecond))
 }
 
-// largeCheckpoint reports whether a store that writes a large checkpoint, and a small write
-// behind it, reports its disk during the checkpoint or afterwards.
-func largeCheckpoint(t *testing.T) bool {
+// reportsLargeCheckpoint reports whether a store that writes a large checkpoint, and a small
+// write behind it, reports its disk during the checkpoint or afterwards.
+func reportsLargeCheckpoint(t *testing.T) bool {
 	t.Helper()
 	disk := newDiskFixture(t)
 	checkpoint := disk.checkpoint()
 	disk.now = disk.now.Add(10 * time.Millisecond)
 	behind := disk.write()
-	reported := disk.reports(900 * time.Millisecond)
+	reported := disk.reportsAfter(900 * time.Millisecond)
 	disk.synced(checkpoint)
-	reported = reported || disk.reports(100*time.Millisecond)
+	reported = reported || disk.reportsAfter(100*time.Millisecond)
 	disk.synced(behind)
-	return reported || disk.reports(slowDiskReportInterval)
+	return reported || disk.reportsAfter(slowDiskReportInterval)
 }
 
 func TestStoreDoesNotReportLargeCheckpoint(t *testing.T) {
-	assert.Assert(t, !largeCheckpoint(t))
+	assert.Assert(t, !reportsLargeCheckpoint(t))
 }
 
 func TestStoreReportsStalledCheckpoint(t *testing.T) {
 	disk := newDiskFixture(t)
 	disk.checkpoint()
 	disk.write()
-	assert.Assert(t, !disk.reports(maxCheckpointTime+diskStallTimeout))
-	assert.Assert(t, disk.reports(time.Millisecond))
+	assert.Assert(t, !disk.reportsAfter(maxCheckpointTime+diskStallTimeout))
+	assert.Assert(t, disk.reportsAfter(time.Millisecond))
 }
 
 func TestStoreReportsStalledWriteBeforeCheckpoint(t *testing.T) {
 	disk := newDiskFixture(t)
 	disk.write()
 	disk.checkpoint()
-	assert.Assert(t, disk.reports(diskStallTimeout+time.Millisecond))
+	assert.Assert(t, disk.reportsAfter(diskStallTimeout+time.Millisecond))
 }
--- a/internal/partition/snapshot.go
+++ b/internal/partition/snapshot.go
@@ -33,7 +33,7 @@
 }
 
 // timedOut reports whether the snapshot in flight counts as lost. A response to one snapshot
-// restarts the timeouts of the others in flight to the follower (see snapshotInstalled).
+// restarts the timeouts of the others in flight to the follower (see handleSnapshotInstalled).
 func (t *snapshotTransfer) timedOut(now time.Time) bool { return now.Sub(t.sentAt) >= t.timeout }
 
 // requireSnapshot marks a follower as needing a snapshot, and sends it unless too many bytes are
@@ -90,10 +90,10 @@
 	return total
 }
 
-// snapshotInstalled handles a follower's acknowledgement of a snapshot. It shows that the
+// handleSnapshotInstalled handles a follower's acknowledgement of a snapshot. It shows that the
 // follower's link makes progress, so the timeouts of its other snapshots are restarted, and the
 // snapshots that waited are sent.
-func (s *Store) snapshotInstalled(now time.Time, installed *followerProgress, effects *statemachine.Effects) {
+func (s *Store) handleSnapshotInstalled(now time.Time, installed *followerProgress, effects *statemachine.Effects) {
 	if !installed.snapshot.needed {
 		return
 	}
--- a/internal/partition/snapshot_test.go
+++ b/internal/partition/snapshot_test.go
@@ -96,26 +96,26 @@
 		c.publish(seq, 1)
 		for _, message := range link.step() {
 			c.queue = append(c.queue, message)
-			c.passed = true
+			c.passedLink = true
 			c.deliverAll()
 		}
 		assert.Assert(t, c.now.Sub(started) < timeout,
-			"%d of %d caught up after %s", c.caughtUp(), config.SharedPartitions, timeout)
+			"%d of %d partitions caught up after %s", c.caughtUp(), config.SharedPartitions, timeout)
 	}
 	return c.now.Sub(started)
 }
 
 func TestSnapshotIsSentOncePerPartition(t *testing.T) {
-	run, link := newCluster(t, 2), &slowLink{bytesPerStep: 1 << 10}
-	took := run.catchUp(t, link, 5*time.Second)
-	sent := run.stores["store-0"].Counts.SnapshotsSent
+	cluster, link := newCluster(t, 2), &slowLink{bytesPerStep: 1 << 10}
+	took := cluster.catchUp(t, link, 5*time.Second)
+	sent := cluster.stores["store-0"].Counts.SnapshotsSent
 	assert.Equal(t, sent, uint64(config.SharedPartitions), fmt.Sprint("after ", took))
-	assert.Assert(t, link.maxQueued <= maxSnapshotBytesInFlight+64<<10, "%d bytes waited for the link", link.maxQueued)
+	assert.Assert(t, link.maxQueued <= maxSnapshotBytesInFlight+64<<10, "%d bytes were queued", link.maxQueued)
 }
 
 func TestSnapshotThatWasLostIsSentAgain(t *testing.T) {
-	run, link := newCluster(t, 2), &slowLink{bytesPerStep: 64 << 10, lost: 3 * config.SharedPartitions / 2}
-	run.catchUp(t, link, 5*time.Second)
-	sent := run.stores["store-0"].Counts.SnapshotsSent
-	assert.Assert(t, sent >= config.SharedPartitions && sent <= 3*config.SharedPartitions, "%d", sent)
+	cluster, link := newCluster(t, 2), &slowLink{bytesPerStep: 64 << 10, lost: 3 * config.SharedPartitions / 2}
+	cluster.catchUp(t, link, 5*time.Second)
+	sent := cluster.stores["store-0"].Counts.SnapshotsSent
+	assert.Assert(t, sent >= config.SharedPartitions && sent <= 3*config.SharedPartitions, "%d snapshots were sent", sent)
 }
--- a/internal/partition/topic.go
+++ b/internal/partition/topic.go
@@ -46,7 +46,7 @@
 	_, text, _ := strings.Cut(name, "/")
 	number, err := strconv.ParseUint(text, 10, 8)
 	if err != nil {
-		panic("a partition's name without a number: " + name)
+		panic("partition name without a number: " + name)
 	}
 	return uint8(number)
 }
--- a/internal/partition/unassigned.go
+++ b/internal/partition/unassigned.go
@@ -31,7 +31,7 @@
 			partition.unassignedSince = now
 		}
 		if !placed || statemachine.Mutated("no-spare-logs") && !partition.unassignedSince.IsZero() {
-			s.drop(name, partition, effects)
+			s.dropReplica(name, partition, effects)
 		}
 	}
 }
@@ -40,12 +40,14 @@
 func (s *Store) dropUnassigned(now time.Time, effects *statemachine.Effects) {
 	for name, partition := range statemachine.Sorted(s.replicas) {
 		if !partition.unassignedSince.IsZero() && now.Sub(partition.unassignedSince) > unassignedRetention {
-			s.drop(name, partition, effects)
+			s.dropReplica(name, partition, effects)
 		}
 	}
 }
 
-func (s *Store) drop(name string, partition *replica, effects *statemachine.Effects) {
+// dropReplica answers the pending appends of a replica and removes the replica from memory and
+// disk.
+func (s *Store) dropReplica(name string, partition *replica, effects *statemachine.Effects) {
 	s.failPending(partition, CodeReplicaRemoved, effects)
 	delete(s.replicas, name)
 	s.logEntry(diskEntry{Partition: name, Drop: true})
--- a/internal/partition/unassigned_mutation_test.go
+++ b/internal/partition/unassigned_mutation_test.go
@@ -15,11 +15,11 @@
 // every one.
 func TestUnassignedReplicaIsNeeded(t *testing.T) {
 	defer statemachine.Mutate("no-spare-logs")()
-	run := newCluster(t, 3)
-	run.publishAndDropOldest(0, 600)
-	run.changePlacements(2, "store-2", "store-0", "store-2")
-	run.publishAndDropOldest(600, 700)
-	before := run.stores["store-0"].Counts.SnapshotsSent
-	run.changePlacements(3, "store-1", "store-0", "store-2")
-	assert.Equal(t, run.stores["store-0"].Counts.SnapshotsSent-before, uint64(config.SharedPartitions))
+	cluster := newCluster(t, 3)
+	cluster.publishAndDropOldest(0, 600)
+	cluster.changePlacements(2, "store-2", "store-0", "store-2")
+	cluster.publishAndDropOldest(600, 700)
+	before := cluster.stores["store-0"].Counts.SnapshotsSent
+	cluster.changePlacements(3, "store-1", "store-0", "store-2")
+	assert.Equal(t, cluster.stores["store-0"].Counts.SnapshotsSent-before, uint64(config.SharedPartitions))
 }
--- a/internal/wal/memoryfolder.go
+++ b/internal/wal/memoryfolder.go
@@ -8,7 +8,7 @@
 
 // ErrPowerLost is returned by a MemoryFolder once the operations that FailAfter allows are used
 // up.
-var ErrPowerLost = errors.New("the power is lost")
+var ErrPowerLost = errors.New("power lost")
 
 // Draw returns a random number from 0 up to, but not including, a bound above 0. It decides which
 // unsynced changes survive a power loss; without one, all are lost.
@@ -60,8 +60,8 @@
 // Restart lifts the limit of FailAfter without a loss of data, as if only the process had ended.
 func (mf *MemoryFolder) Restart() { mf.limited = false }
 
-// count counts a modifying operation against the limit of FailAfter.
-func (mf *MemoryFolder) count() error {
+// countOperation counts a modifying operation against the limit of FailAfter.
+func (mf *MemoryFolder) countOperation() error {
 	if !mf.limited {
 		return nil
 	}
@@ -96,7 +96,7 @@
 
 // Create writes a file from its beginning and discards its earlier contents.
 func (mf *MemoryFolder) Create(name string, body []byte) error {
-	if err := mf.count(); err != nil {
+	if err := mf.countOperation(); err != nil {
 		return err
 	}
 	file := mf.fileOf(name)
@@ -107,7 +107,7 @@
 
 // Append writes at the end of a file, which it creates if necessary.
 func (mf *MemoryFolder) Append(name string, body []byte) error {
-	if err := mf.count(); err != nil {
+	if err := mf.countOperation(); err != nil {
 		return err
 	}
 	mf.fileOf(name).append(body)
@@ -116,7 +116,7 @@
 
 // Truncate shortens a file to a size in bytes.
 func (mf *MemoryFolder) Truncate(name string, size int64) error {
-	if err := mf.count(); err != nil {
+	if err := mf.countOperation(); err != nil {
 		return err
 	}
 	mf.fileOf(name).truncate(int(size))
@@ -125,7 +125,7 @@
 
 // Sync makes the contents of a file durable.
 func (mf *MemoryFolder) Sync(name string) error {
-	if err := mf.count(); err != nil {
+	if err := mf.countOperation(); err != nil {
 		return err
 	}
 	mf.Syncs++
@@ -136,7 +136,7 @@
 // Rename renames a file, and replaces any file with the new name. It isn't an error if the file
 // doesn't exist.
 func (mf *MemoryFolder) Rename(from, to string) error {
-	if err := mf.count(); err != nil {
+	if err := mf.countOperation(); err != nil {
 		return err
 	}
 	if file, found := mf.files[from]; found {
@@ -148,7 +148,7 @@
 
 // Remove removes a file. It isn't an error if the file doesn't exist.
 func (mf *MemoryFolder) Remove(name string) error {
-	if err := mf.count(); err != nil {
+	if err := mf.countOperation(); err != nil {
 		return err
 	}
 	delete(mf.files, name)
@@ -157,7 +157,7 @@
 
 // SyncFolder makes the names of all files durable.
 func (mf *MemoryFolder) SyncFolder() error {
-	if err := mf.count(); err != nil {
+	if err := mf.countOperation(); err != nil {
 		return err
 	}
 	mf.Syncs++
--- a/internal/wal/model_test.go
+++ b/internal/wal/model_test.go
@@ -15,16 +15,16 @@
 	"gotest.tools/v3/assert"
 )
 
-// trial is the part of testing.TB that a run needs. The mutation tests substitute one that is
+// testingT is the part of testing.TB that a run needs. The mutation tests substitute one that is
 // expected to fail.
-type trial interface {
+type testingT interface {
 	assert.TestingT
 	Helper()
 }
 
 // writer is the owner of a log. Its state is the list of all entries that it has written.
 type writer struct {
-	t      trial
+	t      testingT
 	random *rand.Rand
 	disk   *MemoryFolder
 	log    *Log
@@ -54,19 +54,19 @@
 		}
 		w.disk.Restart()
 		assert.NilError(w.t, err, "seed %d", seed)
-		found := texts(recovered)
+		found := recoveredEntries(recovered)
 		unacked := len(found) - len(w.acked)
 		valid := unacked >= 0 && unacked <= len(w.batch) &&
 			slices.Equal(found[:len(w.acked)], w.acked) &&
 			slices.Equal(found[len(w.acked):], w.batch[:unacked])
-		assert.Assert(w.t, valid, "seed %d: %q is there, %q was synced, and then came %q", seed, found, w.acked, w.batch)
+		assert.Assert(w.t, valid, "seed %d: recovered %q; acknowledged %q, pending %q", seed, found, w.acked, w.batch)
 		// Everything that Open returned is durable from now on.
 		w.log, w.acked, w.batch = log, found, nil
 		return
 	}
 }
 
-func texts(recovered Recovered) []string {
+func recoveredEntries(recovered Recovered) []string {
 	found := []string{}
 	if len(recovered.Snapshot) > 0 {
 		found = strings.Split(string(recovered.Snapshot), ",")
@@ -96,7 +96,7 @@
 	return true
 }
 
-func stopAtAnyMoment(t trial, seed uint64) {
+func stopAtAnyMoment(t testingT, seed uint64) {
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 0x3a1))
 	owner := &writer{t: t, random: random, disk: NewMemoryFolder(), acked: []string{}}
@@ -117,7 +117,7 @@
 
 // quarantineAtAnyMoment interrupts a quarantine at any operation. Either all entries or none must
 // be recovered, and entries written later must be recovered again.
-func quarantineAtAnyMoment(t trial, seed uint64) {
+func quarantineAtAnyMoment(t testingT, seed uint64) {
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 0xa51de))
 	owner := &writer{t: t, random: random, disk: NewMemoryFolder(), acked: []string{}}
@@ -140,8 +140,8 @@
 		owner.stop()
 	}
 	owner.disk.Restart()
-	found := texts(recovered)
-	assert.Assert(t, len(found) == 0 || slices.Equal(found, before), "seed %d: %q of %q was left", seed, found, before)
+	found := recoveredEntries(recovered)
+	assert.Assert(t, len(found) == 0 || slices.Equal(found, before), "seed %d: recovered %q of %q", seed, found, before)
 	owner.acked, owner.batch = found, nil
 	for range 5 {
 		owner.disk.FailAfter(random.IntN(30))
@@ -173,13 +173,13 @@
 }
 
 func TestOpenReportsDamagedLogHeader(t *testing.T) {
-	for at := range fileHeaderSize {
+	for offset := range fileHeaderSize {
 		disk := NewMemoryFolder()
 		log, _, err := Open(disk)
 		assert.NilError(t, err)
 		assert.NilError(t, log.Append([][]byte{[]byte("an entry")}))
-		disk.Corrupt(logName(log.generation), at)
+		disk.Corrupt(logName(log.generation), offset)
 		_, _, err = Open(disk)
-		assert.Assert(t, errorx.IsOfType(err, ErrDamaged), "byte %d: %v", at, err)
+		assert.Assert(t, errorx.IsOfType(err, ErrDamaged), "byte %d: %v", offset, err)
 	}
 }
--- a/internal/wal/mutation_test.go
+++ b/internal/wal/mutation_test.go
@@ -12,14 +12,14 @@
 	"dahlialock/internal/statemachine"
 )
 
-func tried(seed uint64, run func(t trial, seed uint64)) *mutationtest.Trial {
+func runTrial(seed uint64, run func(t testingT, seed uint64)) *mutationtest.Trial {
 	return mutationtest.Run(func(t *mutationtest.Trial) { run(t, seed) })
 }
 
 // TestEachMechanismIsNeeded disables each mechanism in turn and expects that one of the runs,
 // which pass with the mechanism, fails.
 func TestEachMechanismIsNeeded(t *testing.T) {
-	for mutation, run := range statemachine.Sorted(map[string]func(t trial, seed uint64){
+	for mutation, run := range statemachine.Sorted(map[string]func(t testingT, seed uint64){
 		"unsynced-opening": stopAtAnyMoment,
 		"unsynced-names":   stopAtAnyMoment,
 		"one-checksum":     stopAtAnyMoment,
@@ -28,12 +28,12 @@
 		restore := statemachine.Mutate(mutation)
 		found := false
 		for seed := uint64(0); seed < 2000 && !found; seed++ {
-			got := tried(seed, run)
+			got := runTrial(seed, run)
 			if found = got.Failed; found {
-				t.Logf("without %s, seed %d: %.300s", mutation, seed, strings.Join(got.Lines, "; "))
+				t.Logf("mutation %s, seed %d: %.300s", mutation, seed, strings.Join(got.Lines, "; "))
 			}
 		}
 		restore()
-		assert.Check(t, found, "%s was not seen to matter", mutation)
+		assert.Check(t, found, "no run fails with mutation %s", mutation)
 	}
 }
--- a/internal/wal/recovery.go
+++ b/internal/wal/recovery.go
@@ -56,7 +56,7 @@
 // invalid slots, mean that a slot was lost or damaged.
 func (l *Log) initialize(bothInvalid bool) error {
 	if bothInvalid {
-		return ErrDamaged.New("neither slot is valid")
+		return ErrDamaged.New("neither snapshot slot is valid")
 	}
 	for number := range uint64(logFiles) {
 		body, _, err := l.folder.Read(logName(number))
@@ -64,7 +64,7 @@
 			return ErrDisk.Wrap(err, "reading a log")
 		}
 		if _, _, valid := readFileHeader(body, logMagic); valid {
-			return ErrDamaged.New("there is a log without any slot")
+			return ErrDamaged.New("found a log file but no valid snapshot slot")
 		}
 	}
 	return l.Checkpoint(nil)
@@ -103,7 +103,7 @@
 			return nil
 		}
 		if !otherInvalid {
-			return ErrDamaged.New("log %d follows without its slot", generation)
+			return ErrDamaged.New("the log of generation %d has no snapshot slot", generation)
 		}
 		l.generation++
 	}
@@ -122,10 +122,10 @@
 	generation, records, valid := readFileHeader(body, logMagic)
 	if !valid || generation != l.generation {
 		if hasLaterBatch(body, l.generation) {
-			return true, ErrDamaged.New("%s is damaged at its beginning", name)
+			return true, ErrDamaged.New("the header of %s is damaged", name)
 		}
 		// The slot was synced, but its log file was not started yet.
-		return true, l.beginLogFile()
+		return true, l.startLogFile()
 	}
 	entries, torn := readRecords(records, generation)
 	recovered.Entries = append(recovered.Entries, entries...)
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -63,7 +63,7 @@
 		return err
 	}
 	l.generation, l.partial = generation, false
-	if err := l.beginLogFile(); err != nil {
+	if err := l.startLogFile(); err != nil {
 		return err
 	}
 	// The log file that the next generation reuses holds entries after a snapshot that has been
@@ -73,17 +73,17 @@
 		return nil
 	}
 	if err := l.folder.Truncate(next, 0); err != nil {
-		return ErrDisk.Wrap(err, "emptying %s", next)
+		return ErrDisk.Wrap(err, "truncating %s", next)
 	}
 	return nil
 }
 
-// beginLogFile writes the header of the log file of the current generation.
-func (l *Log) beginLogFile() error {
+// startLogFile writes the header of the log file of the current generation.
+func (l *Log) startLogFile() error {
 	header := fileHeader(logMagic, l.generation)
 	name := logName(l.generation)
 	if err := l.folder.Create(name, header); err != nil {
-		return ErrDisk.Wrap(err, "beginning %s", name)
+		return ErrDisk.Wrap(err, "starting %s", name)
 	}
 	l.size = int64(len(header))
 	if err := l.sync(name); err != nil {
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -59,16 +59,16 @@
 }
 
 func TestOpenReportsDamagedEntries(t *testing.T) {
-	for at := fileHeaderSize; at < 80; at++ {
+	for offset := fileHeaderSize; offset < 80; offset++ {
 		disk := NewMemoryFolder()
 		log, _, err := Open(disk)
 		assert.NilError(t, err)
 		for number := range 6 {
 			assert.NilError(t, log.Append([][]byte{[]byte(fmt.Sprintf("entry number %d", number))}))
 		}
-		assert.Assert(t, disk.Corrupt(logName(log.generation), at))
+		assert.Assert(t, disk.Corrupt(logName(log.generation), offset))
 		_, _, err = Open(disk)
-		assert.Assert(t, errorx.IsOfType(err, ErrDamaged), "byte %d: %v", at, err)
+		assert.Assert(t, errorx.IsOfType(err, ErrDamaged), "byte %d: %v", offset, err)
 	}
 }
 
