--- a/internal/partition/fetch.go
+++ b/internal/partition/fetch.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// candidates returns all records that may match a request, and others. A shared partition holds
+// candidates returns a superset of the records that match a request. A shared partition holds
 // many topics, so only the records of the named topics are visited if the request has no
 // prefixes.
 func (r *replica) candidates(request Fetch) []Record {
--- a/internal/partition/replica.go
+++ b/internal/partition/replica.go
@@ -15,7 +15,7 @@
 	sharedRetryAfter = 200 * time.Millisecond
 )
 
-// replica is this store's replica of a partition, as its leader or as a follower.
+// replica is the copy of a partition on this store, as its leader or as a follower.
 type replica struct {
 	log *log
 	// placement is that of the newest view that includes the partition. placedAt is when this
