--- a/internal/gateway/append.go
+++ b/internal/gateway/append.go
@@ -155,7 +155,7 @@
 		answer := rejectedReply(
 			503,
 			response.Code,
-			"the partition can't store the message on two replicas at the moment",
+			"the partition can't keep two copies at this moment",
 			response.RetryAfter,
 		)
 		if len(item.unanswered) > 0 {
--- a/internal/gateway/delivery.go
+++ b/internal/gateway/delivery.go
@@ -11,7 +11,7 @@
 // deliverBuffered delivers the messages that were buffered while a subscription of the session was
 // catching up. It does nothing while one still is.
 func (g *Gateway) deliverBuffered(now time.Time, id uint64, session *session, effects *statemachine.Effects) {
-	if session.isFilling() {
+	if session.isCatchingUp() {
 		return
 	}
 	// The records that are still in the buffer keep the floor of the cursor below them.
@@ -49,7 +49,7 @@
 		matches = matches || recordCopy.Record.Offset > subscription.since[recordCopy.Partition]
 	}
 	matches = matches || statemachine.Mutated("no-exact-match")
-	if session.isFilling() && (matches || waiting) {
+	if session.isCatchingUp() && (matches || waiting) {
 		// While any subscription is catching up the records of all subscriptions of the
 		// session are buffered, since the messages of a sender must be delivered in order
 		// across them.
@@ -125,7 +125,7 @@
 	matches := false
 	for interest, subscription := range session.subscriptions {
 		if interest.Space == space && interest.matches(message.Topic) {
-			if subscription.catchingUp || session.isFilling() {
+			if subscription.catchingUp || session.isCatchingUp() {
 				session.ephemeralBuffer = append(session.ephemeralBuffer, message)
 				return
 			}
--- a/internal/gateway/draining.go
+++ b/internal/gateway/draining.go
@@ -81,7 +81,7 @@
 		return
 	}
 	for id, session := range statemachine.Sorted(g.sessions) {
-		if session.movedAt.IsZero() && !session.isFilling() && (g.draining() || !session.isFillingRouted()) {
+		if session.movedAt.IsZero() && !session.isCatchingUp() && (g.draining() || !session.isCatchingUpRouted()) {
 			g.rotation++
 			g.move(now, id, session, targets[g.rotation%min(len(targets), 3)], effects)
 			if count--; count == 0 {
--- a/internal/gateway/policy.go
+++ b/internal/gateway/policy.go
@@ -232,7 +232,7 @@
 				Reply: rejectedReply(
 					403,
 					"not-allowed",
-					fmt.Sprintf("the space %q does not permit this client to %s", name, request.Kind),
+					fmt.Sprintf("the space %q does not let this origin %s", name, request.Kind),
 					0,
 				),
 			}
@@ -287,7 +287,7 @@
 	}
 	if rp.count[request.Space] >= maxRate {
 		retryAfter := now.Truncate(time.Second).Add(time.Second).Sub(now)
-		return Verdict{Reply: rejectedReply(429, "too-many", "the rate limit of the space is exceeded", retryAfter)}
+		return Verdict{Reply: rejectedReply(429, "too-many", "the space's rate is used up", retryAfter)}
 	}
 	rp.count[request.Space]++
 	return allowed
--- a/internal/gateway/publish.go
+++ b/internal/gateway/publish.go
@@ -95,7 +95,7 @@
 			answer(rejectedReply(
 				503,
 				"earlier-refused",
-				"an earlier seq of this sender was not accepted; send that one first",
+				"an earlier seq of this sender has no accepted answer; send that one first",
 				retryLongDelay,
 			))
 			return
@@ -103,7 +103,7 @@
 		senderState.blocked = 0
 	}
 	if len(senderState.queue) >= maxSenderQueue {
-		answer(rejectedReply(429, "queue-full", "too many publications of this sender are queued", retryLongDelay))
+		answer(rejectedReply(429, "queue-full", "too many publications of this sender wait", retryLongDelay))
 		return
 	}
 	g.ring.Record(now, request.RequestName, g.messageNameOf(policyRequest), request.Client, "judged",
@@ -270,6 +270,6 @@
 	case len(item.unanswered) > 0:
 		return unsettledReply("no-answer", "the store did not answer; send the same seq again", retryLongDelay)
 	default:
-		return rejectedReply(503, "no-answer", "the message was not stored", retryLongDelay)
+		return rejectedReply(503, "no-answer", "the message was not kept", retryLongDelay)
 	}
 }
--- a/internal/gateway/routed_publish.go
+++ b/internal/gateway/routed_publish.go
@@ -199,7 +199,7 @@
 				rejectedReply(
 					503,
 					response.Code,
-					"the partition can't store the message on enough replicas at the moment",
+					"the partition can't keep all its copies at this moment",
 					max(response.RetryAfter, retryShortDelay),
 				),
 				effects,
@@ -275,7 +275,7 @@
 				g.answerRoutedPublication(
 					now,
 					item,
-					rejectedReply(503, "no-answer", "the message was not stored", retryShortDelay),
+					rejectedReply(503, "no-answer", "the message was not kept", retryShortDelay),
 					effects,
 				)
 			}
--- a/internal/gateway/session.go
+++ b/internal/gateway/session.go
@@ -74,8 +74,8 @@
 	return interests
 }
 
-// isFilling reports whether a subscription to a space without routed topics is being filled.
-func (c *session) isFilling() bool {
+// isCatchingUp reports whether a subscription to a space without routed topics is being filled.
+func (c *session) isCatchingUp() bool {
 	for _, subscription := range c.subscriptions {
 		if subscription.catchingUp {
 			return true
@@ -84,8 +84,8 @@
 	return false
 }
 
-// isFillingRouted reports whether a subscription to a routed topic is being filled.
-func (c *session) isFillingRouted() bool {
+// isCatchingUpRouted reports whether a subscription to a routed topic is being filled.
+func (c *session) isCatchingUpRouted() bool {
 	for _, subscription := range c.routed {
 		if subscription.catchingUp {
 			return true
@@ -146,13 +146,13 @@
 	case request.AdapterPings && !g.tryAdmit(now):
 		effects.Respond(
 			request.Request,
-			rejectedReply(503, "busy", "this daemon's link can't serve more clients at the moment", retryShortDelay),
+			rejectedReply(503, "busy", "this daemon's link can't serve more callers at once", retryShortDelay),
 		)
 		return
 	case len(g.sessions) >= g.settings.MaxClients:
 		effects.Respond(
 			request.Request,
-			rejectedReply(503, "full", "this daemon has reached its limit of channels", retryShortDelay),
+			rejectedReply(503, "full", "this daemon holds all the channels it may", retryShortDelay),
 		)
 		return
 	}
