--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	// gatewayTimeout is how long after its last view request a gateway counts as running.
+	// gatewayTimeout is how long a gateway counts as running after its last view request.
 	gatewayTimeout = 2 * time.Second
-	// stopTimeout is how long a stopping agent waits for its gateway to leave.
+	// stopTimeout is how long a stopping agent waits for its gateway's graceful leave.
 	stopTimeout = 3800 * time.Millisecond
 	// relayedBase separates the numbers of relayed requests, which are multiples of it,
-	// from those of requests at the agent's own ctl, which are below it.
+	// from those of requests received at the agent's own ctl, which are below it.
 	relayedBase = 1 << 32
 )
 
@@ -25,14 +25,14 @@
 	Seeds []string
 	// Gateway is the address of the gateway that the agent serves.
 	Gateway string
-	// Acknowledge is within what time operators expect a valid request to be answered; 0
-	// stands for controlclient.DefaultAcknowledgeTimeout.
+	// Acknowledge is the time within which operators expect the response to a valid
+	// request; 0 stands for controlclient.DefaultAcknowledgeTimeout.
 	Acknowledge time.Duration
 	Incarnation statemachine.Incarnation
 }
 
-// Request is the command for an operator's request at this daemon's own ctl. The response
-// is a membership.ControlResponse for the number Local.
+// Request is the command for an operator's request received at this daemon's own ctl. The
+// response is a membership.ControlResponse for the number Local.
 type Request struct {
 	Local  uint64
 	Method string
@@ -40,10 +40,10 @@
 	Body   []byte
 }
 
-// Stop is the command to end once the gateway has left, or after a timeout.
+// Stop is the command to end the process once the gateway has left, or after a timeout.
 type Stop struct{}
 
-// agentTimer names the timers of an Agent.
+// agentTimer identifies a timer of an Agent.
 type agentTimer int
 
 const timerStop agentTimer = iota
@@ -51,32 +51,32 @@
 // relayedPoll is the gateway's newest view request.
 type relayedPoll struct {
 	request membership.ViewRequest
-	// open is set until its response was passed on.
+	// open is set until the response has been forwarded to the gateway.
 	open bool
 }
 
-// relayedRequest is an operator's request that another daemon asked to be forwarded.
+// relayedRequest is an operator's request that another daemon sent to be forwarded.
 type relayedRequest struct {
 	request statemachine.RequestID
 	from    string
 }
 
-// Agent is the state machine.
+// Agent is the state machine of the agent daemon.
 type Agent struct {
 	settings      Settings
 	viewClient    *membership.ViewClient
 	detector      *membership.FailureDetector
 	controlClient *controlclient.ControlClient
 	poll          relayedPoll
-	// lastRelayed numbers the relayed requests; relayed holds those without a response.
+	// lastRelayed is the number of the last relayed request; relayed holds the pending ones.
 	lastRelayed uint64
 	relayed     map[uint64]relayedRequest
-	// polledAt is when the gateway's last view request came; zero once it has left.
+	// polledAt is when the gateway's last view request was received; zero once it has left.
 	polledAt time.Time
 	timers   *statemachine.Timers[agentTimer]
 }
 
-// New returns an agent that knows only its seeds.
+// New returns an agent without a view. It starts to poll at the seeds.
 func New(settings Settings) *Agent {
 	load := func() membership.Load { return membership.Load{Ready: true} }
 	viewClient := membership.NewViewClient(settings.Self, settings.Incarnation, settings.Seeds, load)
@@ -96,10 +96,10 @@
 	}
 }
 
-// ConfigurationVersion is the newest configuration version known here.
+// ConfigurationVersion returns the newest configuration version that the agent has received.
 func (a *Agent) ConfigurationVersion() uint64 { return a.viewClient.Version }
 
-// ViewClient gives ctl access to the agent's view.
+// ViewClient returns the client that holds the agent's view, which is served at ctl.
 func (a *Agent) ViewClient() *membership.ViewClient { return a.viewClient }
 
 // Ready reports whether the agent has a view.
@@ -111,7 +111,7 @@
 	a.detector.Start(now)
 }
 
-// NextTick is when Tick is to be called next.
+// NextTick returns when Tick is to be called next.
 func (a *Agent) NextTick() time.Time {
 	return statemachine.Earliest(
 		a.viewClient.NextTick(),
@@ -121,7 +121,7 @@
 	)
 }
 
-// Tick runs whatever is due.
+// Tick handles the timers that are due at now.
 func (a *Agent) Tick(now time.Time, effects *statemachine.Effects) {
 	a.viewClient.Tick(now, effects)
 	a.detector.Tick(now, effects)
@@ -132,7 +132,7 @@
 	a.sendRelayedResponses(effects)
 }
 
-// HandleCommand takes a Request or Stop.
+// HandleCommand handles a Request or Stop.
 func (a *Agent) HandleCommand(now time.Time, command any, effects *statemachine.Effects) {
 	switch command := command.(type) {
 	case Request:
@@ -165,7 +165,7 @@
 	effects.Stop = true
 }
 
-// HandleMessage takes a message of another daemon or of the gateway.
+// HandleMessage handles a message of another daemon or of the gateway.
 func (a *Agent) HandleMessage(now time.Time, meta statemachine.Meta, message any, effects *statemachine.Effects) {
 	fromGateway := meta.From == a.settings.Gateway
 	if !fromGateway {
@@ -198,7 +198,7 @@
 	a.sendRelayedResponses(effects)
 }
 
-// gatewayLeft ends a stopping agent: nothing is left to serve.
+// gatewayLeft ends the process if the agent is stopping and waits only for its gateway.
 func (a *Agent) gatewayLeft(effects *statemachine.Effects) {
 	a.polledAt = time.Time{}
 	if a.timers.Armed(timerStop) {
@@ -206,8 +206,8 @@
 	}
 }
 
-// sendRelayedResponses turns the responses to relayed requests into messages to the daemons
-// that asked. Those to requests at the agent's own ctl stay in effects.
+// sendRelayedResponses replaces the responses to relayed requests by messages to the daemons
+// that sent them. Responses to requests at the agent's own ctl stay in effects.
 func (a *Agent) sendRelayedResponses(effects *statemachine.Effects) {
 	own := effects.Responses[:0]
 	for _, response := range effects.Responses {
@@ -225,8 +225,8 @@
 	effects.Responses = own
 }
 
-// relayPoll forwards the gateway's view request to where this agent's own would go: to the
-// primary or, while the agent searches for it, to all known controllers and the seeds.
+// relayPoll forwards the gateway's view request to the addresses to which this agent sends its
+// own: the primary or, while the agent searches for it, all known controllers and the seeds.
 func (a *Agent) relayPoll(now time.Time, request membership.ViewRequest, effects *statemachine.Effects) {
 	a.polledAt = now
 	a.poll = relayedPoll{request: request, open: true}
@@ -235,7 +235,7 @@
 	}
 }
 
-// handleUpdate applies an update for this agent, and forwards one for the gateway.
+// handleUpdate applies an update for this agent and forwards an update for the gateway.
 func (a *Agent) handleUpdate(now time.Time, update membership.ViewUpdate, effects *statemachine.Effects) {
 	if update.Recipient != a.settings.Self.Name {
 		a.poll.open = a.poll.open && update.Nonce != a.poll.request.Nonce
@@ -247,9 +247,9 @@
 	}
 }
 
-// handleRedirect takes the response of a controller that is not the primary. The gateway's
-// open request is sent again to the primary that it names, and this agent polls at once, so
-// that it knows the primary for the gateway's next request.
+// handleRedirect handles the redirect of a controller that is not the primary. If the redirect
+// is for the gateway's open request, the agent resends the request to the primary named in the
+// redirect and polls at once itself, so that it has the primary for the gateway's next request.
 func (a *Agent) handleRedirect(now time.Time, redirect membership.Redirect, effects *statemachine.Effects) {
 	if redirect.Recipient == a.settings.Self.Name {
 		a.viewClient.HandleRedirect(now, redirect, effects)
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -24,7 +24,7 @@
 	return made
 }
 
-// stop commands an agent to stop and reports whether it does so at once.
+// stop sends the command Stop to an agent and reports whether the agent stops at once.
 func stop(made *agent.Agent, at time.Time) bool {
 	var effects statemachine.Effects
 	made.HandleCommand(at, agent.Stop{}, &effects)
@@ -43,7 +43,7 @@
 	made.HandleMessage(now, statemachine.Meta{From: gateway}, membership.ViewRequest{Nonce: 1}, &effects)
 	now = now.Add(time.Second)
 	assert.Assert(t, !stop(made, now))
-	// That another daemon leaves has no effect.
+	// The graceful leave of a daemon other than the gateway has no effect.
 	effects = statemachine.Effects{}
 	made.HandleMessage(now, statemachine.Meta{From: "10.0.0.5:1"}, membership.GracefulLeave{Name: "other"}, &effects)
 	assert.Assert(t, !effects.Stop)
--- a/internal/balancing/balancing.go
+++ b/internal/balancing/balancing.go
@@ -7,68 +7,67 @@
 )
 
 const (
-	// startRatio and minExcess bound when a gateway starts to move sessions away: above
-	// startRatio times its fair share, and at least minExcess sessions above it. It stops
-	// at stopRatio times its fair share.
+	// A gateway starts to move sessions away when it has more than startRatio times its
+	// fair share and exceeds the share by more than minExcess sessions. It stops at
+	// stopRatio times its fair share.
 	startRatio = 1.2
 	stopRatio  = 1.05
 	minExcess  = 6
 
-	// fullZoneRatio is the part of a zone's capacity in use beyond which sessions are
-	// spread over all zones.
+	// fullZoneRatio is the utilization of a zone's capacity above which sessions are
+	// balanced over all zones instead of within each zone.
 	fullZoneRatio = 0.9
 
-	// A gateway moves its excess within moveSeconds, at a rate between
-	// minMovesPerSecond and maxMovesPerSecond.
+	// A gateway is directed to move its excess within moveSeconds, at a rate that is
+	// bounded by minMovesPerSecond and maxMovesPerSecond.
 	moveSeconds       = 2
 	minMovesPerSecond = 5
 	maxMovesPerSecond = 30
 
-	// maxTargets bounds the targets of one directive. With few targets each of them
-	// receives enough sessions to report a changed load soon.
+	// maxTargets bounds the number of targets of one directive. With few targets each of
+	// them receives enough sessions to report a changed load soon.
 	maxTargets = 3
 )
 
-// Gateway is the load of one gateway as it was reported last.
+// Gateway is the last reported load of one gateway.
 type Gateway struct {
 	Name string
 	Zone string
-	// Sessions is the number of sessions of clients that the gateway serves.
+	// Sessions is the number of client sessions that the gateway serves.
 	Sessions int
 	// FreeCapacity is how many more sessions the gateway can serve. It may be negative.
 	FreeCapacity int
-	// Accepting is set if the gateway may be given sessions now.
+	// Accepting is set if the gateway currently accepts sessions from other gateways.
 	Accepting bool
 }
 
-// capacity is how many sessions the gateway can serve in all.
+// capacity is the total number of sessions that the gateway can serve.
 func (g Gateway) capacity() int { return g.Sessions + max(0, g.FreeCapacity) }
 
 // Directive asks a gateway to move sessions to other gateways.
 type Directive struct {
-	// KeepSessions is the number of sessions at which the gateway stops moving any.
+	// KeepSessions is the number of sessions at which the gateway stops moving them.
 	KeepSessions int
 	// MovesPerSecond bounds the rate at which sessions are moved.
 	MovesPerSecond int
-	// Targets are the names of the gateways that take the sessions in turn.
+	// Targets are the names of the gateways to which the sessions are moved in turn.
 	Targets []string
 }
 
-// Balancer decides which gateways move sessions away, and to which targets. It may not
-// be called from several goroutines at once.
+// Balancer decides which gateways move sessions away, and to which targets. It is not
+// safe for concurrent use.
 type Balancer struct {
 	// overloaded holds the gateways that have exceeded the start threshold and have not
-	// come down to the stop threshold since.
+	// yet dropped to the stop threshold since.
 	overloaded map[string]bool
 }
 
-// New makes a balancer that takes no gateway for overloaded yet.
+// New returns a balancer that considers no gateway overloaded yet.
 func New() *Balancer { return &Balancer{overloaded: map[string]bool{}} }
 
-// Plan returns a directive for each gateway that has to move sessions away, by the
-// gateway's name. The caller leaves out gateways whose last report is not recent: a
-// gateway that is not among the given ones is neither asked to move sessions nor a
-// target, and its hysteresis state is dropped.
+// Plan returns a directive for each gateway that has to move sessions away, keyed by the
+// gateway's name. The caller passes only gateways whose last report is recent. A gateway
+// that is not passed gets no directive, is no target, and loses its hysteresis state.
 func (b *Balancer) Plan(gateways []Gateway) map[string]Directive {
 	directives := map[string]Directive{}
 	for _, group := range groupsOf(gateways) {
@@ -78,7 +77,7 @@
 	return directives
 }
 
-// dropAbsent drops the state of gateways that are not reported any more.
+// dropAbsent drops the hysteresis state of all gateways except the given ones.
 func (b *Balancer) dropAbsent(gateways []Gateway) {
 	present := map[string]bool{}
 	for _, gateway := range gateways {
@@ -92,8 +91,9 @@
 }
 
 // planGroup moves sessions from the overloaded gateways of a group to the underloaded
-// ones, the most overloaded gateway first. What a target is granted by one gateway is
-// not granted by the next, so that no target is flooded from several sides.
+// ones, the most overloaded gateway first. Sessions that one gateway moves to a target
+// reduce the target's deficit for the next gateway, so that several gateways together do
+// not overload a target.
 func (b *Balancer) planGroup(group []member, directives map[string]Directive) {
 	slices.SortFunc(group, func(left, right member) int {
 		return cmp.Or(cmp.Compare(right.excess(), left.excess()), cmp.Compare(left.Name, right.Name))
@@ -120,9 +120,9 @@
 	return b.overloaded[source.Name]
 }
 
-// assignTargets grants the excess of a gateway to the members of its group with the
-// largest deficits and reduces those deficits. It reports false if there is nothing to
-// move, or no gateway to move it to.
+// assignTargets assigns the excess of a gateway to the members of its group with the
+// largest deficits and reduces those deficits. It reports false if the gateway has no
+// excess, or if no member has a deficit.
 func assignTargets(source member, group []member) (Directive, bool) {
 	remaining := source.Sessions - int(math.Ceil(source.fairShare))
 	granted := 0
--- a/internal/balancing/balancing_test.go
+++ b/internal/balancing/balancing_test.go
@@ -1,5 +1,6 @@
-// Sessions are evened out whatever the order of arrival, at a bounded rate and without
-// oscillation, on reports that are a second old.
+// The tests run the balancer on a simulated fleet and check that sessions are evened out
+// for any order of arrival, at a bounded rate and without oscillation, although the
+// reports are a second old.
 package balancing
 
 import (
@@ -10,8 +11,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// fleet is a model whose gateways report a second late and carry directives out a
-// second late.
+// fleet simulates gateways whose reports and whose execution of directives are both
+// delayed by a second.
 type fleet struct {
 	random   *rand.Rand
 	balancer *Balancer
@@ -35,8 +36,8 @@
 	f.gateways = append(f.gateways, Gateway{Name: name, Zone: zone, FreeCapacity: 2000, Accepting: true})
 }
 
-// connect opens sessions at the given number of gateways, as a platform does that does
-// not know the others yet.
+// connect opens sessions at random among the first gateways, whose number is given, as a
+// platform does that has not discovered the other gateways yet.
 func (f *fleet) connect(sessions, among int) {
 	for range sessions {
 		f.addSessions(f.random.IntN(among), 1)
@@ -48,7 +49,7 @@
 	f.gateways[position].FreeCapacity -= count
 }
 
-// run lets a number of seconds pass.
+// run simulates a number of seconds.
 func (f *fleet) run(seconds int) {
 	for range seconds {
 		f.second()
@@ -66,7 +67,7 @@
 	}
 }
 
-// move carries out one second of a directive.
+// move executes a directive for one second.
 func (f *fleet) move(source int, directive Directive) {
 	for range min(directive.MovesPerSecond, f.gateways[source].Sessions-directive.KeepSessions) {
 		f.moves++
@@ -155,7 +156,7 @@
 	assert.Assert(t, model.gateways[1].Sessions > 20 && model.gateways[3].Sessions > 20, "%v", model.gateways)
 }
 
-// A crowd in one zone is evened out within the zone; the other zones are left alone.
+// Excess sessions in one zone are evened out within that zone; no other zone changes.
 func TestBalancerKeepsSessionsInZone(t *testing.T) {
 	model := newFleet(8, 6, 3, 0)
 	for position := range model.gateways {
--- a/internal/balancing/group.go
+++ b/internal/balancing/group.go
@@ -2,21 +2,21 @@
 
 import "slices"
 
-// member is a gateway of a group with its part of the group's sessions.
+// member is a gateway of a group with its share of the group's sessions.
 type member struct {
 	Gateway
-	// fairShare is the gateway's part of the group's sessions, in proportion to its
-	// capacity. It is zero for a gateway that accepts none.
+	// fairShare is the number of the group's sessions that the gateway should have, in
+	// proportion to its capacity. It is zero for a gateway that accepts no sessions.
 	fairShare float64
-	// deficit is how many sessions the gateway may still be granted in this plan.
+	// deficit is how many more sessions the gateway may be assigned in this plan.
 	deficit int
 }
 
-// excess is how many sessions a gateway serves beyond its fair share.
+// excess is how many sessions a gateway has above its fair share.
 func (m member) excess() float64 { return float64(m.Sessions) - m.fairShare }
 
-// groupsOf splits gateways into the groups that are balanced separately: one group a
-// zone in the order of the zones' names, or a single group if any zone is full.
+// groupsOf splits gateways into the groups that are balanced separately: one group per
+// zone in the order of zone names, or a single group if any zone is full.
 func groupsOf(gateways []Gateway) [][]member {
 	zones := map[string][]Gateway{}
 	for _, gateway := range gateways {
@@ -37,7 +37,7 @@
 	return groups
 }
 
-// totals adds up the sessions of all gateways and the capacity of those that accept any.
+// totals adds up the sessions of all gateways and the capacity of the accepting ones.
 func totals(gateways []Gateway) (sessions, capacity int) {
 	for _, gateway := range gateways {
 		sessions += gateway.Sessions
@@ -63,8 +63,8 @@
 	return group
 }
 
-// largestDeficit finds the member that may be granted most sessions, the first of them
-// if several are equal, or nil if no member may be granted any.
+// largestDeficit returns the member with the largest deficit, the first one if several
+// are equal, or nil if no member has a deficit.
 func largestDeficit(group []member) *member {
 	var largest *member
 	for position := range group {
--- a/internal/config/digest.go
+++ b/internal/config/digest.go
@@ -9,16 +9,17 @@
 	"github.com/valyala/fastjson"
 )
 
-// digestBytes is how much of the SHA-256 sum a Digest keeps.
+// digestBytes is how many bytes of the SHA-256 sum a Digest has.
 const digestBytes = 16
 
-// Digest identifies what a document says, whatever its white space and the
-// order of its keys. An annotation that is itself JSON counts for what it says.
+// Digest identifies the content of a document, independently of white space and of
+// the order of keys. For an annotation that is itself JSON, the same applies to the
+// JSON in the annotation.
 type Digest [digestBytes]byte
 
-// DigestOf returns the digest of a document; one that isn't JSON counts by its
-// bytes. Digests are stored in the control state, so that the canonical form must
-// never change.
+// DigestOf returns the digest of a document. For a document that isn't JSON, the raw
+// bytes are hashed. Digests are stored in the control state, so the canonical form
+// must never change.
 func DigestOf(document []byte) Digest {
 	value, err := fastjson.ParseBytes(document)
 	canonical := append([]byte("text "), document...)
@@ -30,8 +31,8 @@
 }
 
 // appendCanonical appends the canonical form of a value, which is hashed: keys
-// sorted, no white space, numbers as written, strings after their length. Only
-// the root's annotation gets the form of an annotation.
+// sorted, no white space, numbers as written, strings preceded by their length. Only
+// the annotation in the root object is appended by appendAnnotation.
 func appendCanonical(buffer []byte, value *fastjson.Value, root bool) []byte {
 	switch value.Type() {
 	case fastjson.TypeObject:
@@ -49,8 +50,8 @@
 	return value.MarshalTo(buffer)
 }
 
-// appendString appends a string after its length, so that no string can pass
-// for the syntax around it.
+// appendString appends a string preceded by its length, so that the content of a
+// string can't be mistaken for the syntax around it.
 func appendString(buffer, text []byte) []byte {
 	buffer = append(strconv.AppendInt(append(buffer, '"'), int64(len(text)), 10), ':')
 	return append(buffer, text...)
@@ -80,8 +81,9 @@
 	return append(buffer, '}')
 }
 
-// appendAnnotation appends an annotation that is itself JSON by what it says,
-// marked so that it differs from the same value outside a string.
+// appendAnnotation appends an annotation. One that is itself JSON is appended in
+// canonical form, with a marker that distinguishes it from the same value outside a
+// string.
 func appendAnnotation(buffer []byte, value *fastjson.Value) []byte {
 	if value.Type() == fastjson.TypeString {
 		if inner, err := fastjson.ParseBytes(value.GetStringBytes()); err == nil {
--- a/internal/config/fault.go
+++ b/internal/config/fault.go
@@ -3,7 +3,7 @@
 // FaultCode is the kind of a Fault.
 type FaultCode string
 
-// Codes of faults, as operators and their programs see them.
+// Codes of faults, as they are returned to operators and their programs.
 const (
 	FaultMalformed       FaultCode = "malformed"
 	FaultTooLarge        FaultCode = "too-large"
@@ -18,11 +18,11 @@
 	FaultBadPrefix       FaultCode = "bad-prefix"
 	FaultDuplicatePrefix FaultCode = "duplicate-prefix"
 	FaultBadAddress      FaultCode = "bad-address"
-	// FaultClash is a value that another one of the document rules out.
+	// FaultClash is a value that conflicts with another value of the document.
 	FaultClash FaultCode = "clash"
 )
 
-// Fault is one thing wrong with a document.
+// Fault is one error in a document.
 type Fault struct {
 	// Path leads to the value from the document's root, as in "$.spaces[0].name".
 	Path string    `json:"path"`
--- a/internal/config/forms_test.go
+++ b/internal/config/forms_test.go
@@ -10,7 +10,7 @@
 	"dahlialock/internal/storedforms"
 )
 
-// byKey lists what each key of a configuration resulted in.
+// byKey returns the parsed value of each key of a configuration, one line per key.
 func byKey(read config.Configuration) []string {
 	lines := []string{
 		fmt.Sprint("version ", read.Version), fmt.Sprint("drains ", read.Draining), fmt.Sprint("zones ", read.Zones),
@@ -46,8 +46,8 @@
 	}
 }
 
-// documents are a minimal one, one with every key, one with the other choices, and
-// faulty ones.
+// documents are a minimal document, one with every key, one with the other values of
+// order, and faulty ones.
 var documents = []string{
 	`{"version": 1, "spaces": [{"name": "orders", "promise": "kept"}, {"name": "pulse", "promise": "passing"}]}`,
 	`{"version": 9, "spaces": [{"name": "readings", "promise": "kept", "order": "topic", "holding": "40s", "tolerance": 1,
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -9,12 +9,12 @@
 	"github.com/valyala/fastjson"
 )
 
-// annotationKey is the document's member that holds the annotation.
+// annotationKey is the key of the annotation in the document.
 const annotationKey = "annex"
 
 // Read parses a document. The faults are sorted by path. If there are any, the
-// document must not come into force, and the configuration has fallbacks or
-// nothing in place of what is faulty.
+// document must not take effect, and the configuration has defaults or zero values
+// in place of the faulty values.
 func Read(document []byte) (Configuration, []Fault) {
 	var reader Reader
 	if len(document) > MaxDocumentBytes {
@@ -30,7 +30,7 @@
 	return configuration, reader.Faults
 }
 
-// ValidName reports whether a space, client, zone or daemon may have a name: 1 to
+// ValidName reports whether a name is valid for a space, client, zone or daemon: 1 to
 // MaxNameBytes of the letters a to z and A to Z, digits, '-', '_' and '.'.
 func ValidName(name string) bool {
 	if name == "" || len(name) > MaxNameBytes {
@@ -52,8 +52,8 @@
 	return char == '-' || char == '_' || char == '.'
 }
 
-// validPattern reports whether a text is a name, a prefix of names, or the
-// wildcard alone.
+// validPattern reports whether a text is a name, a prefix of names followed by the
+// wildcard, or the wildcard alone.
 func validPattern(pattern string) bool {
 	prefix, wild := strings.CutSuffix(pattern, wildcard)
 	return wild && prefix == "" || ValidName(prefix)
@@ -146,7 +146,7 @@
 	return Retention(r.Choice(path, value, string(Ephemeral), string(Durable), string(Ephemeral)))
 }
 
-// limits reads the bounds of a space's publications.
+// limits reads the limits on a space's publications.
 func (r *Reader) limits(path string, value *fastjson.Value) (dataBytes, publicationsPerSecond int) {
 	members := map[string]*fastjson.Value{}
 	if value != nil {
--- a/internal/config/reader.go
+++ b/internal/config/reader.go
@@ -14,9 +14,10 @@
 
 // Reader reads the values of one JSON document strictly and collects every
 // fault with its path. Its methods return a fallback for a value that is absent
-// (nil) or faulty, and only report the latter. The zero value is ready for use.
+// (nil) or faulty, and report a fault only for a faulty one. The zero value is ready
+// for use.
 type Reader struct {
-	// Faults are in the order in which they were found.
+	// Faults are all reported faults in the order in which they were found.
 	Faults []Fault
 }
 
@@ -25,7 +26,8 @@
 	r.Faults = append(r.Faults, Fault{Path: path, Code: code, Text: fmt.Sprintf(text, values...)})
 }
 
-// Parse returns the root value of a document, or false after a fault.
+// Parse returns the root value of a document. It reports a fault and returns false if the
+// document isn't valid JSON.
 func (r *Reader) Parse(document []byte) (*fastjson.Value, bool) {
 	// fastjson accepts some bytes that no JSON text may contain.
 	if !json.Valid(document) {
@@ -130,7 +132,7 @@
 	return number
 }
 
-// Duration reads a text such as "35s" from minimum to maximum.
+// Duration reads a duration such as "35s" from minimum to maximum.
 func (r *Reader) Duration(path string, value *fastjson.Value, fallback, minimum, maximum time.Duration) time.Duration {
 	if value == nil {
 		return fallback
@@ -192,8 +194,8 @@
 	return items
 }
 
-// Names reads an array of texts that are valid and all different. Faulty ones are
-// in the result, too.
+// Names reads an array of valid and distinct strings. Invalid and duplicate ones are
+// reported, but are in the result, too.
 func (r *Reader) Names(path string, value *fastjson.Value, fallback []string, valid func(string) bool) []string {
 	if value == nil {
 		return fallback
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -12,30 +12,30 @@
 	"dahlialock/internal/statemachine"
 )
 
-// SharedPartitions is how many partitions all topics of spaces of OrderTopic
-// share. It doesn't depend on the spaces, which come and go.
+// SharedPartitions is the number of partitions that all topics of spaces of OrderTopic
+// share. It is independent of the spaces, which operators may add and remove.
 const SharedPartitions = 32
 
-// SharedSpace takes the place of the space in the names of shared partitions.
-// It isn't a valid name, so that it can't be taken for an operator's space.
+// SharedSpace replaces the space's name in the names of shared partitions. It isn't a
+// valid name, so it can't be confused with a configured space.
 const SharedSpace = "+"
 
-// Names of partitions are SPACE~VERSION/NUMBER, where VERSION is that of the
+// Names of partitions are SPACE~VERSION/NUMBER, where VERSION is the version of the
 // configuration that created the space. Shared partitions have the version 0.
 const (
 	partitionSeparator = "~"
 	sharedPrefix       = SharedSpace + partitionSeparator
 )
 
-// Route maps all topics whose names begin with a prefix to a space of
-// OrderTopic. Of several routes the one with the longest prefix applies.
+// Route maps all topics whose names begin with a prefix to a space of OrderTopic. If
+// several routes match, the one with the longest prefix applies.
 type Route struct {
 	Prefix string
 	Space  string
 }
 
-// SpaceForTopic returns the name of the space that the longest matching route
-// gives a topic. It relies on the order of Routes.
+// SpaceForTopic returns the name of the space to which the longest matching route maps
+// a topic. It relies on the order of Routes.
 func (c Configuration) SpaceForTopic(topic string) (space string, found bool) {
 	for _, route := range c.Routes {
 		if strings.HasPrefix(topic, route.Prefix) {
@@ -49,9 +49,9 @@
 func (c Configuration) HasRoutes() bool { return len(c.Routes) > 0 }
 
 // TopicHash returns a 64-bit hash of a topic's name: FNV-1a with the finalizer
-// of MurmurHash3, since FNV spreads short names badly. All daemons must agree
-// on it, and by it a topic's records are found in their shared partition, so it
-// must never change. (partition.ForTopic is another hash.)
+// of MurmurHash3, since FNV alone distributes short names unevenly. The hash selects the
+// shared partition that stores a topic's records, and all daemons must compute the same
+// one, so it must never change. (partition.ForTopic is a different hash.)
 func TopicHash(topic string) uint64 {
 	sum := fnv.New64a()
 	_, _ = sum.Write([]byte(topic))
@@ -64,10 +64,10 @@
 	return mixed
 }
 
-// SharedPartitionName returns the name of a shared partition, counted from 0.
+// SharedPartitionName returns the name of the shared partition with a number from 0.
 func SharedPartitionName(number int) string { return fmt.Sprintf("%s0/%d", sharedPrefix, number) }
 
-// SharedPartition returns the name of the partition of a routed topic.
+// SharedPartition returns the name of the shared partition of a routed topic.
 func SharedPartition(topic string) string {
 	return SharedPartitionName(int(TopicHash(topic) % SharedPartitions))
 }
@@ -94,7 +94,7 @@
 	return routes
 }
 
-// route reads one route; seen are the prefixes of those before it.
+// route reads one route. seen holds the prefixes of the routes before it.
 func (r *Reader) route(path string, value *fastjson.Value, spaces map[string]Space, seen map[string]bool) Route {
 	prefixPath, spacePath := path+".prefix", path+".space"
 	members := r.Object(path, value, "prefix", "space")
@@ -119,7 +119,8 @@
 	return route
 }
 
-// validPrefix reports whether a prefix has printable characters only.
+// validPrefix reports whether a prefix is short enough and has only printable characters
+// other than the space.
 func validPrefix(prefix string) bool {
 	const del, replacement = 0x7f, 0xfffd
 	if len(prefix) > MaxPrefixBytes {
--- a/internal/consolidation/cost.go
+++ b/internal/consolidation/cost.go
@@ -5,21 +5,22 @@
 	"time"
 )
 
-// Costs that are assumed rather than measured.
+// Estimates of costs that the daemons do not measure at run time.
 const (
-	// idleProcessor is the processor time that an awake gateway without traffic uses in a
-	// second, and copyProcessor that of one received record copy.
+	// idleProcessor is the processor time per second that an awake gateway uses without
+	// traffic, and copyProcessor the processor time per received record copy.
 	idleProcessor = 15 * time.Millisecond
 	copyProcessor = 120 * time.Microsecond
 	// messageBytes is the size of one message on the wire.
 	messageBytes = 280
-	// sessionMessageSeconds is the time between two messages of a session besides the
-	// deliveries to it.
+	// sessionMessageSeconds is the time between two messages of a session, not counting
+	// the deliveries to it.
 	sessionMessageSeconds = 5
 )
 
-// cheapestRest finds the awake gateway whose rest saves most, among those whose loss
-// leaves enough for a number of sessions. It reports false if no rest saves anything.
+// cheapestRest returns the awake gateway that saves the most by resting. It considers
+// only gateways without which the remaining ones can still serve the given number of
+// sessions after the loss of a zone. It reports false if no such gateway saves anything.
 func (f *fleet) cheapestRest(awake []gatewayState, sessions int) (name string, found bool) {
 	lowest := 0.0
 	for _, candidate := range awake {
@@ -35,17 +36,17 @@
 }
 
 // costOfRest is the change of the weighted sum of all costs if a gateway rested and its
-// sessions moved to the nearest of the remaining ones; it is negative if that saves.
-// Processor time counts in milliseconds a second and traffic in kilobytes a second.
+// sessions moved to the nearest of the remaining gateways; it is negative if costs fall.
+// Processor time is weighted in milliseconds per second, traffic in kilobytes per second.
 func (f *fleet) costOfRest(resting gatewayState, remaining []gatewayState) float64 {
 	processor := idleProcessor.Seconds() + resting.rate.copies*copyProcessor.Seconds()
-	// Record copies come from all zones alike. Those from other zones need not be sent
-	// any more.
+	// Record copies come from all zones in equal parts. Copies from other zones are no
+	// longer sent to a resting gateway.
 	zones := len(countByZone(remaining))
 	savedBytes := resting.rate.copies * messageBytes * float64(zones-1) / float64(max(zones, 1))
 	bytes := -savedBytes
 	if f.nearestDistance(resting, remaining) >= 1 {
-		// Each delivery to a session that moves crosses zones from then on.
+		// All messages of the moved sessions, deliveries included, then cross zones.
 		deliveredBytes := resting.rate.delivered * messageBytes
 		sessionBytes := float64(resting.load.Sessions) * messageBytes / sessionMessageSeconds
 		bytes = deliveredBytes + sessionBytes - savedBytes
@@ -53,7 +54,7 @@
 	return -f.settings.ProcessorWeight*processor*1000 + f.settings.TrafficWeight*bytes/1000
 }
 
-// nearestDistance is the distance to the nearest of some gateways in multiples of
+// nearestDistance is the delay to the nearest of the other gateways in multiples of
 // distantDelay, and 0 if one of them is in the same zone.
 func (f *fleet) nearestDistance(from gatewayState, others []gatewayState) float64 {
 	nearest := math.Inf(1)
--- a/internal/consolidation/fleet.go
+++ b/internal/consolidation/fleet.go
@@ -11,13 +11,14 @@
 )
 
 const (
-	// maxProcessor is the processor time, in seconds a second, beyond which a gateway is
-	// busy: the goroutine that owns its state is a single thread.
+	// maxProcessor is the processor time, in seconds per second, above which a gateway
+	// counts as fully used. One goroutine owns the gateway's state, so a gateway can't use
+	// several processors for it.
 	maxProcessor = 0.6
 
-	// distantDelay is the delay, as fleet.delay gives it, from which a gateway counts as distant,
-	// and defaultZoneDelay what is assumed between two zones if it is neither measured nor
-	// configured.
+	// distantDelay is the delay, as fleet.delay returns it, from which a gateway counts as
+	// distant, and defaultZoneDelay the delay between two zones for which none was measured
+	// or configured.
 	distantDelay     = 300 * time.Microsecond
 	defaultZoneDelay = 2 * distantDelay
 )
@@ -25,25 +26,25 @@
 // zonePair is an ordered pair of zones.
 type zonePair struct{ from, to string }
 
-// gatewayState is a live gateway with its last load and its rates.
+// gatewayState is an alive gateway with its last reported load and its rates.
 type gatewayState struct {
 	member membership.Member
 	load   membership.Load
 	rate   loadRate
 }
 
-// fleet is the set of live gateways that one plan is made for.
+// fleet is the set of alive gateways for which a plan is made.
 type fleet struct {
 	settings config.Consolidation
 	// links holds the configured delays between zones, in both directions.
 	links map[zonePair]time.Duration
 	// gateways are in the order of their names.
 	gateways []gatewayState
-	// sessions and processor are sums over all gateways; processor is in seconds a second.
+	// sessions and processor are sums over all gateways; processor is in seconds per second.
 	sessions  int
 	processor float64
 	// idle reports whether a gateway is to rest or is drained. It reads the planner's
-	// state, and so changes while the plan is made.
+	// state, so its result changes while the plan is made.
 	idle func(name string) bool
 }
 
@@ -53,8 +54,8 @@
 	f.processor += added.rate.processor
 }
 
-// directivesFor asks a gateway to rest if the planner has chosen it or the operators drain it,
-// and to move its sessions away as long as it has any.
+// directivesFor directs a gateway to rest if the planner has chosen it or the operators drain
+// it, and to move its sessions away as long as it has any.
 func (f *fleet) directivesFor(gateway gatewayState) membership.Directives {
 	directives := membership.Directives{Rest: f.idle(gateway.member.Name)}
 	if directives.Rest && gateway.load.Sessions > 0 {
@@ -65,8 +66,8 @@
 	return directives
 }
 
-// targetsFor lists the gateways to which a gateway's sessions may move: near gateways
-// before distant ones, and among equally near ones those with most free capacity first.
+// targetsFor lists the gateways to which a gateway's sessions may move, sorted by
+// distance and then by free capacity, the largest first.
 func (f *fleet) targetsFor(source gatewayState) []string {
 	var targets []gatewayState
 	for _, target := range f.awake(source.member.Name) {
@@ -96,8 +97,8 @@
 }
 
 // delay is the delay between two gateways: the round trip that either of them measured, else
-// the one-way delay that the operators configured between their zones, else a default. The two
-// are compared as they are.
+// the one-way delay that the operators configured between their zones, else a default. Round
+// trips and one-way delays are compared without conversion.
 func (f *fleet) delay(from, to gatewayState) time.Duration {
 	if measured, found := from.load.RoundTripTimes[to.member.Name]; found {
 		return measured
@@ -114,7 +115,7 @@
 	return defaultZoneDelay
 }
 
-// awake lists the gateways that serve sessions, except the named one.
+// awake lists the gateways that are not idle, without the one named except.
 func (f *fleet) awake(except string) []gatewayState {
 	var found []gatewayState
 	for _, gateway := range f.gateways {
@@ -125,17 +126,17 @@
 	return found
 }
 
-// required is how many gateways must be awake for a number of sessions and a processor
-// time: enough to stay below wakeUtilization and maxProcessor, and the configured spare
-// gateways.
+// required is how many gateways must be awake for the given sessions and processor time:
+// as many as keep the utilization below wakeUtilization and maxProcessor, plus the
+// configured spare gateways.
 func (f *fleet) required(sessions int, processor float64) int {
 	bySessions := int(math.Ceil(float64(sessions) / (float64(f.settings.SessionsPerGateway) * wakeUtilization)))
 	byProcessor := int(math.Ceil(processor / maxProcessor))
 	return max(bySessions, byProcessor, 1) + f.settings.SpareGateways
 }
 
-// survivesZoneLoss reports whether some awake gateways could lose any one zone and still
-// serve a number of sessions. Gateways that are all in one zone could not.
+// survivesZoneLoss reports whether the given gateways can serve a number of sessions after
+// the loss of any one zone. It is false for gateways that are all in one zone.
 func (f *fleet) survivesZoneLoss(awake []gatewayState, sessions int) bool {
 	awakeByZone := countByZone(awake)
 	if len(awakeByZone) < 2 {
@@ -149,7 +150,7 @@
 	return true
 }
 
-// countByZone counts gateways by their zones.
+// countByZone returns the number of gateways in each zone.
 func countByZone(gateways []gatewayState) map[string]int {
 	counts := map[string]int{}
 	for _, gateway := range gateways {
@@ -158,7 +159,7 @@
 	return counts
 }
 
-// linkDelays is the table of the configured delays between zones.
+// linkDelays returns the configured delays between zones, in both directions.
 func linkDelays(configuration config.Configuration) map[zonePair]time.Duration {
 	delays := map[zonePair]time.Duration{}
 	for _, link := range configuration.Links {
--- a/internal/consolidation/planner.go
+++ b/internal/consolidation/planner.go
@@ -10,51 +10,50 @@
 )
 
 const (
-	// reportTimeout is the age beyond which a gateway's report is outdated. A resting
-	// gateway polls less often and gets the longer poll's time in addition.
+	// reportTimeout is the age above which a gateway's report is outdated. For a resting
+	// gateway, which polls less often, membership.LowPriorityLongPollTimeout is added.
 	reportTimeout = 3 * time.Second
 
-	// movesPerSecond is the rate at which a gateway that is to rest moves its sessions.
+	// movesPerSecond is the rate at which a gateway that is to rest moves its sessions away.
 	movesPerSecond = 40
 
-	// minAwake is how many gateways stay awake in any case: one may be lost.
+	// minAwake is how many gateways always stay awake, so that one of them may be lost.
 	minAwake = 2
 
-	// wakeUtilization is the utilization of the awake gateways' sessions above which more
-	// are woken, and restUtilization the lower one that must hold before any is rested.
+	// wakeUtilization is the session utilization of the awake gateways above which more
+	// are woken, and restUtilization the utilization below which a gateway is rested.
 	wakeUtilization = 0.75
 	restUtilization = 0.55
 )
 
-// Observation is what a plan is based on.
+// Observation is the state of the fleet on which a plan is based.
 type Observation struct {
 	Configuration config.Configuration
 	// Members, Loads and LastHeard are keyed by the member's name. LastHeard is when the
-	// member reported its load.
+	// member last reported its load.
 	Members   map[string]membership.Member
 	Loads     map[string]membership.Load
 	LastHeard map[string]time.Time
 }
 
-// Planner decides which gateways rest. It may not be called from several goroutines at
-// once.
+// Planner decides which gateways rest. It is not safe for concurrent use.
 type Planner struct {
-	// quietSince is when the fleet began to need fewer gateways than are awake, or when
-	// one was last chosen to rest; zero while the fleet is not quiet.
+	// quietSince is the time since which fewer gateways are required than are awake, or
+	// when one was last chosen to rest; zero while the load is not low.
 	quietSince time.Time
 	// resting holds the gateways that are to rest, including those that still move their
 	// sessions away.
 	resting map[string]bool
-	// rates holds the observed rates of each live gateway.
+	// rates holds the observed rates of each alive gateway.
 	rates map[string]*loadRate
 }
 
-// New makes a planner that rests no gateway yet.
+// New returns a planner that has chosen no gateway to rest yet.
 func New() *Planner {
 	return &Planner{resting: map[string]bool{}, rates: map[string]*loadRate{}}
 }
 
-// Plan returns the directives of each live gateway, by its name.
+// Plan returns the directives for each alive gateway, keyed by the gateway's name.
 func (p *Planner) Plan(now time.Time, observation Observation) map[string]membership.Directives {
 	observed, current := p.observeFleet(now, observation)
 	switch {
@@ -71,8 +70,8 @@
 	return directives
 }
 
-// observeFleet collects the live gateways with their rates, and reports whether all
-// their reports are recent enough to act on.
+// observeFleet collects the alive gateways with their rates, and reports whether all
+// their reports are recent enough to decide on.
 func (p *Planner) observeFleet(now time.Time, observation Observation) (observed *fleet, current bool) {
 	drained := observation.Configuration.Draining
 	observed = &fleet{
@@ -102,7 +101,7 @@
 	return observed, current
 }
 
-// observeRate updates the rates of a gateway by its newest load.
+// observeRate updates the rates of a gateway from its newest load and returns them.
 func (p *Planner) observeRate(name string, reportedAt time.Time, load membership.Load) loadRate {
 	rate, found := p.rates[name]
 	if !found || rate.restarted(load) {
@@ -115,7 +114,7 @@
 }
 
 // updateResting wakes gateways if too few are awake, or chooses one to rest once fewer
-// would do for long enough.
+// gateways have been sufficient for the stabilization window.
 func (p *Planner) updateResting(now time.Time, observed *fleet) {
 	awake := observed.awake("")
 	required := max(observed.required(observed.sessions, observed.processor), minAwake)
@@ -124,8 +123,8 @@
 		p.wake(observed, max(required-len(awake), 1))
 		return
 	}
-	// A gateway is rested only if the others would suffice for a larger crowd, so that it
-	// need not be woken for a few sessions more.
+	// A gateway is rested only if the others suffice for a higher load, so that a few more
+	// sessions don't wake it again.
 	grownSessions := int(float64(observed.sessions) * wakeUtilization / restUtilization)
 	grownProcessor := observed.processor * wakeUtilization / restUtilization
 	if len(awake) <= max(observed.required(grownSessions, grownProcessor), minAwake) {
@@ -144,7 +143,7 @@
 	}
 }
 
-// wake wakes at most count resting gateways, each in the zone with the fewest awake ones.
+// wake wakes up to count resting gateways, each in the zone with the fewest awake ones.
 func (p *Planner) wake(observed *fleet, count int) {
 	awakeByZone := countByZone(observed.awake(""))
 	for range count {
--- a/internal/consolidation/planner_test.go
+++ b/internal/consolidation/planner_test.go
@@ -1,7 +1,7 @@
-// The planner against a small model of a fleet whose gateways carry directives out:
-// whatever the crowds, losses and noise, the fleet survives the loss of one zone as long
-// as any gateway rests, nothing oscillates, no choice is made on outdated reports, and
-// the weights decide which gateway rests.
+// The tests run the planner on a simulated fleet whose gateways execute its directives.
+// They check that, under changing and noisy load, the fleet survives the loss of one zone
+// while any gateway rests, that the set of resting gateways does not oscillate, that
+// nothing is decided on outdated reports, and that the weights decide which gateway rests.
 package consolidation
 
 import (
@@ -17,20 +17,20 @@
 	"dahlialock/internal/membership"
 )
 
-// modelFleet is a fleet that works for a second at a time.
+// modelFleet simulates a fleet in steps of one second.
 type modelFleet struct {
 	random      *rand.Rand
 	now         time.Time
 	observation Observation
 	planner     *Planner
 	balancer    *balancing.Balancer
-	// names holds the gateways in the order in which they work.
+	// names holds the names of the gateways in the order in which they are simulated.
 	names []string
-	// changes counts the gateways that began or ceased to rest.
+	// changes counts how often a gateway started or stopped resting.
 	changes int
 }
 
-// economySettings are settings of a fleet whose gateways serve a hundred sessions each.
+// economySettings returns settings for gateways that serve a hundred sessions each.
 func economySettings(quietFor time.Duration) config.Consolidation {
 	return config.Consolidation{
 		Enabled:             true,
@@ -76,7 +76,7 @@
 	m.observation.Loads[name] = load
 }
 
-// second lets the fleet work and carry out directives for a second.
+// second simulates the traffic of one second and the execution of the new directives.
 func (m *modelFleet) second(noise float64) map[string]membership.Directives {
 	m.now = m.now.Add(time.Second)
 	for _, name := range m.names {
@@ -91,7 +91,7 @@
 	return directives
 }
 
-// work advances the counters of a gateway and reports them.
+// work advances the counters of a gateway by a second of traffic and reports them.
 func (m *modelFleet) work(name string, noise float64) {
 	load := m.observation.Loads[name]
 	factor := 1 + noise*(m.random.Float64()-0.5)
@@ -102,7 +102,7 @@
 	m.observation.LastHeard[name] = m.now
 }
 
-// move moves the sessions of one second to a gateway's targets.
+// move moves the sessions that a gateway moves in one second to its targets.
 func (m *modelFleet) move(name string, directives membership.Directives) {
 	load := m.observation.Loads[name]
 	count := 0
@@ -120,7 +120,7 @@
 	}
 }
 
-// rest lets a gateway rest once it is empty, or wake.
+// rest makes a gateway rest once it has no sessions, or wakes it.
 func (m *modelFleet) rest(name string, directives membership.Directives) {
 	load, member := m.observation.Loads[name], m.observation.Members[name]
 	if resting := directives.Rest && load.Sessions == 0; resting != member.Resting {
@@ -130,7 +130,7 @@
 	}
 }
 
-// balance adds the directives that spread sessions evenly, as controllers do.
+// balance adds the balancer's directives to the planner's, as controllers do.
 func (m *modelFleet) balance(directives map[string]membership.Directives) {
 	var gateways []balancing.Gateway
 	for _, name := range m.names {
@@ -168,8 +168,8 @@
 	return count
 }
 
-// assertSurvivesZoneLoss checks that the awake gateways could lose any zone and still
-// serve all sessions, at a number of sessions each, while any gateway rests.
+// assertSurvivesZoneLoss checks that, while any gateway rests, the awake gateways can
+// serve all sessions after the loss of any zone, where each serves the given number.
 func (m *modelFleet) assertSurvivesZoneLoss(t *testing.T, directives map[string]membership.Directives, each int) {
 	t.Helper()
 	awakeByZone, awake, resting := map[string]int{}, 0, 0
@@ -192,7 +192,7 @@
 	}
 }
 
-// churn lets clients come and go, wherever the platform sends them.
+// churn opens and closes sessions at random gateways.
 func (m *modelFleet) churn() {
 	for range m.random.IntN(80) {
 		name := m.names[m.random.IntN(len(m.names))]
@@ -214,7 +214,7 @@
 			model.churn()
 			model.assertSurvivesZoneLoss(t, model.second(0.2), 100)
 		}
-		// Left alone with noise only, the fleet becomes stable and stays so.
+		// With noise but no change of load, the fleet becomes stable and stays stable.
 		for range 120 {
 			model.second(0.3)
 		}
@@ -241,8 +241,8 @@
 	assert.Equal(t, len(model.planner.resting), size)
 }
 
-// Seven gateways lie in three zones. Where processor time costs most, the last gateway of
-// a zone rests too; where traffic does, it stays awake for its zone.
+// Seven gateways are in three zones. If processor time has the higher weight, the last
+// gateway of a zone rests too; if traffic has, each zone keeps an awake gateway.
 func TestPlannerFollowsWeights(t *testing.T) {
 	for _, weights := range []struct {
 		processor, traffic float64
--- a/internal/consolidation/rate.go
+++ b/internal/consolidation/rate.go
@@ -7,32 +7,32 @@
 )
 
 const (
-	// rateInterval is the least time between two loads from which a rate is computed.
+	// rateInterval is the minimum time between two loads from which a rate is computed.
 	rateInterval = time.Second
 	// rateSmoothing is the weight of the newest rate in the moving average.
 	rateSmoothing = 0.3
 )
 
-// loadRate turns the running counters of one gateway's loads into smoothed rates.
+// loadRate computes smoothed rates from the cumulative counters in one gateway's loads.
 type loadRate struct {
 	// at and load are the time and the counters of the last update.
 	at   time.Time
 	load membership.Load
-	// known is set once a first rate was computed.
+	// known is set once a rate has been computed.
 	known bool
-	// delivered and copies are deliveries and received record copies a second.
+	// delivered and copies are deliveries and received record copies per second.
 	delivered float64
 	copies    float64
-	// processor is the processor time used, in seconds a second.
+	// processor is the processor time used, in seconds per second.
 	processor float64
 }
 
-// restarted reports whether counters went down, as those of a restarted gateway do.
+// restarted reports whether counters have decreased, which happens when a gateway restarts.
 func (r *loadRate) restarted(load membership.Load) bool {
 	return load.Delivered < r.load.Delivered || load.ProcessorTime < r.load.ProcessorTime
 }
 
-// update takes the newest counters into the rates, unless the last update is too recent.
+// update updates the rates from the newest counters, unless the last update is too recent.
 func (r *loadRate) update(reportedAt time.Time, load membership.Load) {
 	elapsed := reportedAt.Sub(r.at)
 	if elapsed < rateInterval {
@@ -55,7 +55,7 @@
 	*r = updated
 }
 
-// smoothed is the exponential moving average after one more value.
+// smoothed returns the exponential moving average after one more value.
 func smoothed(average, newest float64) float64 {
 	return average + rateSmoothing*(newest-average)
 }
--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -1,12 +1,12 @@
-// Package decisionlog keeps the most recent decisions of a daemon in a bounded
-// ring: why a request or a message was routed, accepted, rejected or delivered.
+// Package decisionlog keeps the most recent decisions of a daemon in a ring buffer:
+// why a request or a message was routed, accepted, rejected or delivered.
 //
 // The owner of a daemon's state machine records decisions and serves them at
 // ctl under /v1/decisions; `dahlialock explain` queries all daemons and merges
-// the entries. Entries about one message carry the same message name (see
-// MessageName), which is how those of several daemons are put together.
+// the entries. Entries about one message have the same message name (see
+// MessageName), by which the entries of several daemons are matched.
 //
-// A Ring isn't safe for use from several goroutines.
+// A Ring isn't safe for concurrent use.
 package decisionlog
 
 import (
@@ -18,30 +18,30 @@
 // Capacity is how many entries a Ring keeps before it overwrites the oldest.
 const Capacity = 16384
 
-// partitionSeparator ends the space's name in the name of a partition.
+// partitionSeparator separates the space's name from the rest of a partition's name.
 const partitionSeparator = "~"
 
 // Entry is one decision. Its JSON form is served at ctl.
 type Entry struct {
 	At     time.Time `json:"at"`
 	Daemon string    `json:"daemon"`
-	// Request identifies the client's request, Message the message (see
-	// MessageName) and Client the client by name; each is empty where the
-	// decision isn't about one.
+	// Request identifies the client's request, Message is the name of the message (see
+	// MessageName) and Client the name of the client. Each is empty if the decision
+	// does not concern one.
 	Request string `json:"visit,omitempty"`
 	Message string `json:"message,omitempty"`
 	Client  string `json:"origin,omitempty"`
 	Step    Step   `json:"step"`
-	// Detail holds what the decision was based on, by name.
+	// Detail holds the values on which the decision was based, by name.
 	Detail map[string]any `json:"detail,omitempty"`
 }
 
 // Ring is a bounded log of decisions that overwrites its oldest entries.
 type Ring struct {
 	daemon string
-	// entries grows up to Capacity and is then overwritten in a circle.
+	// entries grows up to Capacity; after that the oldest entry is overwritten.
 	entries []Entry
-	// next is the index of the oldest entry once the ring is full, before that 0.
+	// next is the index of the oldest entry once the ring is full, and 0 before.
 	next int
 }
 
@@ -55,9 +55,9 @@
 	return fmt.Sprintf("%s/%s/%d", space, sender, seq)
 }
 
-// Record appends a decision, in place of the oldest if the ring is full. The
-// details are pairs of a name and a value. It panics if a name isn't a string, and
-// ignores a name without a value. Values must be such that JSON can encode them.
+// Record appends a decision and overwrites the oldest one if the ring is full. The
+// details alternate between names and values. Record panics if a name isn't a string,
+// and ignores a name without a value. JSON must be able to encode the values.
 func (r *Ring) Record(now time.Time, request, message, client string, step Step, details ...any) {
 	entry := Entry{
 		At:      now,
@@ -76,7 +76,7 @@
 	r.next = (r.next + 1) % Capacity
 }
 
-// detailOf returns the pairs as a map, nil if there are none.
+// detailOf returns the pairs of names and values as a map, or nil if there are none.
 func detailOf(pairs []any) map[string]any {
 	if len(pairs) == 0 {
 		return nil
--- a/internal/logevent/catalogue.go
+++ b/internal/logevent/catalogue.go
@@ -12,8 +12,9 @@
 	Text  string
 }
 
-// Event numbers. They are stable: operators filter and alert by them. 1xxx concern any
-// daemon, 2xxx controllers, 3xxx gateways, 4xxx stores, 5xxx the resting of gateways.
+// Event numbers. They are stable: operators filter and alert by them. 1xxx are events of
+// all daemons, 2xxx of controllers, 3xxx of gateways, 4xxx of stores, and 5xxx of the
+// consolidation of gateways.
 const (
 	DaemonStarted              statemachine.EventNumber = 1001
 	DaemonStopping             statemachine.EventNumber = 1002
@@ -68,7 +69,7 @@
 	GatewayWoken               statemachine.EventNumber = 5002
 )
 
-// Catalogue describes every event number; docs/events.md lists the same.
+// Catalogue describes every event number; docs/events.md has the same list.
 var Catalogue = map[statemachine.EventNumber]Description{
 	DaemonStarted:              {logrus.InfoLevel, "daemon started"},
 	DaemonStopping:             {logrus.InfoLevel, "daemon asked to stop"},
--- a/internal/logevent/logger.go
+++ b/internal/logevent/logger.go
@@ -20,7 +20,7 @@
 }
 
 // New returns a logger that writes the events of the daemon called name to writer,
-// one JSON object a line, from the given level on.
+// one JSON object per line, at the given level and above.
 func New(writer io.Writer, name string, level logrus.Level) *Logger {
 	logger := logrus.New()
 	logger.SetOutput(writer)
@@ -29,9 +29,9 @@
 	return &Logger{logger: logger, name: name}
 }
 
-// Write writes one event. One of fatal level is written at error level, since logrus
-// would end the process; the caller does that itself. A number that isn't in the
-// Catalogue is written at error level too. It may be called by any goroutine.
+// Write writes one event. An event of fatal level is written at error level, since logrus
+// would end the process, which is left to the calling code. An event whose number isn't in
+// the Catalogue is written at error level too. Write is safe for concurrent use.
 func (l *Logger) Write(event statemachine.LogEvent) {
 	description, found := Catalogue[event.Number]
 	if !found {
@@ -48,13 +48,13 @@
 	l.logger.WithFields(fields).Log(level, description.Text)
 }
 
-// Report writes one event; its fields alternate between names, which are strings,
-// and values. It may be called by any goroutine.
+// Report writes one event. Its fields alternate between names, which are strings,
+// and values. Report is safe for concurrent use.
 func (l *Logger) Report(number statemachine.EventNumber, fields ...any) {
 	var effects statemachine.Effects
 	effects.Emit(number, fields...)
 	l.Write(effects.LogEvents[0])
 }
 
-// SetLevel changes from which level on events are written.
+// SetLevel sets the lowest level at which events are written.
 func (l *Logger) SetLevel(level logrus.Level) { l.logger.SetLevel(level) }
--- a/internal/settings/forms_test.go
+++ b/internal/settings/forms_test.go
@@ -11,7 +11,7 @@
 	"dahlialock/internal/storedforms"
 )
 
-// byKey lists what each key of a daemon's settings resulted in.
+// byKey returns the loaded value of each key of a daemon's settings, one line per key.
 func byKey(read Settings) []string {
 	bounds := read.Timeouts
 	return []string{
@@ -41,7 +41,8 @@
 const minimal = `{"name":"d-1","zone":"east","address":"10.1.0.2:1","ctl":"10.1.0.2:2","caller":"10.1.0.2:3",
 	"seeds":["10.1.0.9:1"],"data":"/data","agent":"10.1.0.2:4","gateway":"10.1.0.2:5","key":"a-key-of-16-bytes-or-more"}`
 
-// all has every key but two that others override: see the last two documents.
+// all has every key except two whose values others replace: descriptors and tolerance_zones
+// have a document of their own in TestLoadKeepsKeysAndDefaults.
 const all = `{"name":"d-1","zone":"east","address":"10.1.0.2:1","ctl":"10.1.0.2:2","caller":"10.1.0.2:3",
 	"seeds":["10.1.0.9:1","10.1.0.8:1"],"seeds_port":7,"data":"/data","agent":"10.1.0.2:4","gateway":"10.1.0.2:5",
 	"key":"a-key-of-16-bytes-or-more","controllers":7,"bootstrap":true,"tolerance":2,"callers":"lines",
@@ -66,8 +67,8 @@
 	storedforms.Compare(t, "forms.txt", lines)
 }
 
-// readLines loads a document as a daemon of a kind does; of faults only the paths are
-// compared.
+// readLines loads a document for a kind of daemon and returns a line per key. For faulty
+// settings it returns only the paths of the faults, since their texts may be reworded.
 func readLines(t *testing.T, kind, text string) []string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "settings.json")
--- a/internal/settings/loader.go
+++ b/internal/settings/loader.go
@@ -11,31 +11,31 @@
 	"dahlialock/internal/config"
 )
 
-// keys are those of a settings file, and with dashes the flags.
+// keys are the keys of a settings file. With dashes in place of "_" they are the flags.
 var keys = []string{
 	"name", "address", "ctl", "caller", "zone", "seeds", "data", "agent", "gateway", "controllers", "key",
 	"origins_most", "log_level", "seeds_port", "bootstrap", "tolerance", "bounds", "callers", "admission", "versions",
 	"memory", "operators", "compression", "descriptors", "tolerance_zones", "link", "traffic",
 }
 
-// impairmentKey is a further key, which only the flag -trial allows.
+// impairmentKey is a further key, which is known only if the flag -trial is given.
 const impairmentKey = "trial"
 
-// Loader loads the settings of a daemon from where its command line says. Its
-// methods may not be called from several goroutines at once.
+// Loader loads the settings of a daemon from the file and the flags of its command line.
+// It is not safe for concurrent use.
 type Loader struct {
 	kind string
-	// path is that of the settings file, empty if there is none.
+	// path is the path of the settings file, empty if there is none.
 	path string
-	// flags are the texts of the flags that were given, by key.
+	// flags holds the values of the given flags, by key.
 	flags           map[string]string
 	allowImpairment bool
-	// loaded is the file as last loaded. Poll starts from it.
+	// loaded is the state of the file when it was last loaded. Poll compares with it first.
 	loaded fileState
 }
 
 // ParseFlags parses the command line of a daemon. The error is flag.ErrHelp if
-// only the usage was asked for.
+// the command line requests the usage.
 func ParseFlags(kind string, arguments []string) (*Loader, error) {
 	loader := &Loader{kind: kind, flags: map[string]string{}}
 	flags := flag.NewFlagSet(kind, flag.ContinueOnError)
@@ -58,8 +58,8 @@
 	return loader, nil
 }
 
-// Load reads and checks the settings as they are now. The error is of type
-// ErrorSettings and lists every fault.
+// Load reads the current settings and checks them. The error is of type ErrorSettings and
+// lists every fault.
 func (l *Loader) Load() (Settings, error) {
 	document := []byte("{}")
 	if l.path != "" {
@@ -103,8 +103,8 @@
 	return texts
 }
 
-// applyFlags replaces members of the settings file by what flags say, as values
-// of the same types.
+// applyFlags replaces members of the settings file by the values of flags, converted to
+// the types that the file has.
 func (l *Loader) applyFlags(members map[string]*fastjson.Value) {
 	var arena fastjson.Arena
 	for key, text := range l.flags {
@@ -130,8 +130,8 @@
 	return arena.NewString(text)
 }
 
-// flagBool returns the value of a flag; a text that is neither true nor false
-// stays a string, and is a fault later.
+// flagBool returns the value of a flag as a boolean. A text that is neither true nor false
+// stays a string, which the parser reports as a fault.
 func flagBool(arena *fastjson.Arena, text string) *fastjson.Value {
 	switch text {
 	case "true":
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -30,7 +30,8 @@
 	defaultSessions = 2000
 	maxSessions     = 1 << 20
 	maxDescriptors  = 1 << 24
-	// reservedDescriptors are for a daemon's own files and links.
+	// reservedDescriptors is the number of file descriptors reserved for a daemon's own
+	// files and links.
 	reservedDescriptors = 400
 
 	minTimeout         = time.Millisecond
@@ -71,8 +72,8 @@
 	return settings
 }
 
-// cluster reads how the daemon finds or founds the cluster, and which losses the
-// cluster is to survive.
+// cluster reads how the daemon finds or founds the cluster, and how many losses the
+// cluster must survive.
 func (p *parser) cluster(settings *Settings) {
 	settings.SeedsPort = p.integer("seeds_port", 0, 0, maxPort)
 	settings.Seeds = p.seeds(settings.SeedsPort)
@@ -82,8 +83,8 @@
 			"an odd number from 3 is wanted, or 0 if the seeds found the fleet")
 	}
 	settings.Bootstrap = p.Bool("$.bootstrap", p.members["bootstrap"], false)
-	// Replicas are in different zones, so that to lose zones takes as many of
-	// them as to lose machines.
+	// Replicas are in different zones, so surviving the loss of a number of zones requires
+	// as many replicas as surviving the loss of the same number of machines.
 	settings.Tolerance = max(
 		p.integer("tolerance", defaultTolerance, 0, maxTolerance),
 		p.integer("tolerance_zones", 0, 0, maxTolerance),
@@ -101,8 +102,8 @@
 func (p *parser) resources(settings *Settings) {
 	settings.MemoryBytes = p.memory("$.memory", p.members["memory"])
 	settings.LinkBytesPerSecond = p.bandwidth("$.link", p.members["link"])
-	// Four fifths of the descriptors that aren't reserved may be sessions, if no
-	// number of sessions is given.
+	// If no number of sessions is given, four fifths of the descriptors that aren't
+	// reserved may be used for sessions.
 	sessions := defaultSessions
 	if descriptors := p.integer("descriptors", 0, 0, maxDescriptors); descriptors > 0 {
 		sessions = max(1, (descriptors-reservedDescriptors)*4/5)
@@ -110,7 +111,7 @@
 	settings.MaxSessions = p.integer("origins_most", sessions, 1, maxSessions)
 }
 
-// choice reads one of several texts, of which the first is the default.
+// choice reads one of several strings, of which the first is the default.
 func choice[Text ~string](p *parser, key string, choices ...Text) Text {
 	texts := make([]string, 0, len(choices))
 	for _, each := range choices {
@@ -123,7 +124,7 @@
 	return int(p.Integer("$."+key, p.members[key], int64(fallback), int64(minimum), int64(maximum)))
 }
 
-// required reads a text that must be there.
+// required reads a string and reports a fault if it is absent.
 func (p *parser) required(key string) string {
 	if p.members[key] == nil {
 		p.Report("$."+key, config.FaultMissing, "%s is wanted", key)
@@ -173,7 +174,7 @@
 	return seeds
 }
 
-// withPort returns an address with another port, or as it is if the port is 0.
+// withPort returns an address with its port replaced, or unchanged if the port is 0.
 func withPort(address string, port int) string {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil || port == 0 {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -11,107 +11,110 @@
 
 var (
 	namespace = errorx.NewNamespace("settings")
-	// ErrorSettings is the type of errors that list what is wrong with settings.
+	// ErrorSettings is the type of the errors that list the faults of settings.
 	ErrorSettings = namespace.NewType("faulty")
 )
 
-// Settings are a daemon's settings. Each field has the key of the settings file
-// in its comment where that isn't the field's name in lower case, with words
+// Settings are a daemon's settings. The comment of a field gives its key in the
+// settings file, unless the key is the field's name in lower case with the words
 // separated by "_".
 type Settings struct {
 	Name string
-	// Kind is that of the daemon, as in membership.Member.
+	// Kind is the kind of the daemon, as in membership.Member.
 	Kind string
 	Zone string
 
-	// Address is for other daemons, ControlAddress ("ctl") for operators and
-	// ClientAddress ("caller") for clients of a gateway.
+	// Address is the address for other daemons, ControlAddress ("ctl") the one for
+	// operators and ClientAddress ("caller") the one for clients of a gateway.
 	Address        string
 	ControlAddress string
 	ClientAddress  string
-	// AgentAddress ("agent") is of a gateway's agent, GatewayAddress ("gateway")
-	// of an agent's gateway.
+	// AgentAddress ("agent") is the address of a gateway's agent, GatewayAddress
+	// ("gateway") the address of an agent's gateway.
 	AgentAddress   string
 	GatewayAddress string
 
-	// Seeds are addresses of controllers, with SeedsPort in place of their own
-	// ports if that is above 0.
+	// Seeds are addresses of controllers. If SeedsPort is above 0, it replaces their
+	// ports.
 	Seeds     []string
 	SeedsPort int
-	// Controllers is how many controllers are to found the cluster together, 0 if the seeds are.
+	// Controllers is the number of controllers that found the cluster together, or 0 if the
+	// seeds found it.
 	Controllers int
 	// Bootstrap allows the seeds to found the cluster if Controllers is 0.
 	Bootstrap bool
-	// Tolerance is how many machines with a disk may be lost at one time.
+	// Tolerance is how many machines with a disk may be lost at the same time.
 	Tolerance int
 
-	// DataDir ("data") is the directory that one process locks and writes to.
+	// DataDir ("data") is the directory that the process locks and writes to.
 	DataDir string
-	// Key is the secret that all gateways share: clients' tokens are made with it.
+	// Key is the secret that all gateways share and with which clients' tokens are signed.
 	Key string
 
-	// ClientProtocol ("callers") and AdmissionMode ("admission") are of gateways.
+	// ClientProtocol ("callers") and AdmissionMode ("admission") are used by gateways.
 	ClientProtocol ClientProtocol
 	AdmissionMode  AdmissionMode
-	// VersionPolicy ("versions") takes effect at the primary controller, OperatorProtocol
-	// ("operators") at every daemon's ctl.
+	// VersionPolicy ("versions") is used by the primary controller, OperatorProtocol
+	// ("operators") by every daemon's ctl.
 	VersionPolicy    VersionPolicy
 	OperatorProtocol OperatorProtocol
-	// Compression is which batches of messages between daemons are compressed.
+	// Compression selects the batches of messages between daemons that are compressed.
 	Compression Compression
 
 	// MaxSessions ("origins_most") is how many sessions a gateway accepts.
 	MaxSessions int
-	// MemoryBytes ("memory") is how much the process may use, 0 for no bound.
+	// MemoryBytes ("memory") is how much memory the process may use, 0 for no bound.
 	MemoryBytes int64
-	// LinkBytesPerSecond ("link") is the bandwidth of the machine's link, 0 if
-	// it isn't known.
+	// LinkBytesPerSecond ("link") is the bandwidth of the machine's network link, 0 if
+	// it is unknown.
 	LinkBytesPerSecond int
 
 	Timeouts Timeouts
 	LogLevel logrus.Level
-	// TrafficInterval ("traffic") is how often the traffic of links is logged by
-	// kind, 0 for never.
+	// TrafficInterval ("traffic") is the interval at which the traffic of links is logged
+	// by message kind, 0 for never.
 	TrafficInterval time.Duration
-	// Impairment ("trial") is empty unless the flag -trial allows it.
+	// Impairment ("trial") is empty unless the flag -trial is given.
 	Impairment Impairment
 }
 
-// Timeouts are the bounds in time that daemons keep, and by which they judge
-// each other ("bounds").
+// Timeouts are the time limits that daemons observe themselves and expect other
+// daemons to observe ("bounds"). The daemons use Contact, Acknowledge, Grace, Apply, Ping
+// and Redeliver; the others are only validated.
 type Timeouts struct {
-	// Contact is for how long a daemon must have reached more than half of the
-	// controllers to count as in touch. Controllers derive from it after which
-	// silence a member counts as failed.
+	// Contact is how long a daemon must have been able to reach more than half of the
+	// controllers to count as connected. Controllers derive from it the time without
+	// heartbeats after which a member counts as failed.
 	Contact time.Duration
 	// Acknowledge bounds the time to acknowledge a configuration while the
 	// controllers have a primary.
 	Acknowledge time.Duration
-	// CatchUp is how long a machine that returned still counts as lost.
+	// CatchUp is how long a machine still counts as lost after it has returned.
 	CatchUp time.Duration
-	// Drain bounds the time from a request to stop to the end of the process,
-	// and Grace is after how long a process that hasn't ended is killed.
+	// Drain bounds the time from the request to stop until the process ends, and Grace is
+	// the time after which a process that hasn't ended is killed.
 	Drain time.Duration
 	Grace time.Duration
-	// Apply bounds the time from a configuration's acknowledgement until it is
-	// in force on all daemons.
+	// Apply bounds the time from the acknowledgement of a configuration until it has
+	// taken effect on all daemons.
 	Apply time.Duration
-	// RevertSlack is how long an older configuration may still show after the
-	// effect of a newer one was seen.
+	// RevertSlack is how long effects of an older configuration may still be observed
+	// after an effect of a newer one has been observed.
 	RevertSlack time.Duration
-	// Recovery is within what time the service works again once lost machines are back.
+	// Recovery bounds the time from the return of lost machines until the service works.
 	Recovery time.Duration
-	// Ping is after how long without traffic a client is pinged.
+	// Ping is the time without traffic after which a client is pinged.
 	Ping time.Duration
-	// Resume is within how long a client that was cut off comes back.
+	// Resume is the time within which a disconnected client reconnects.
 	Resume time.Duration
-	// Redeliver is for how long a resent publication is recognized as one.
+	// Redeliver is how long a resent publication is recognized as a duplicate.
 	Redeliver time.Duration
-	// Presence is how long a client is present or away before counts show it.
+	// Presence is how long a client must be present or absent before subscriber counts
+	// reflect it.
 	Presence time.Duration
 }
 
-// DefaultTimeouts returns the timeouts of settings that name none.
+// DefaultTimeouts returns the timeouts that apply if the settings contain none.
 func DefaultTimeouts() Timeouts {
 	return Timeouts{
 		Contact:     4 * time.Second,
@@ -129,24 +132,25 @@
 	}
 }
 
-// Impairment is what a trial imposes on a daemon's links and disk. Links are
-// chosen by prefixes of the other daemon's address.
+// Impairment describes the faults that a test injects into a daemon's links and disk.
+// Links are selected by prefixes of the other daemon's address.
 type Impairment struct {
-	// Delays are added to what is sent, by prefix.
+	// Delays are the delays added to outgoing frames, by prefix.
 	Delays map[string]time.Duration
-	// Loss is the probability, 0 to 1, that a frame is delayed as by a
-	// retransmission, by prefix.
+	// Loss is the probability, 0 to 1, that a frame is delayed like a lost and
+	// retransmitted one, by prefix.
 	Loss map[string]float64
-	// Partitioned links ("cuts") drop frames in both directions, those of
-	// OutboundBlocked ("mutes") and InboundBlocked ("deaf") in one.
+	// Partitioned ("cuts"), OutboundBlocked ("mutes") and InboundBlocked ("deaf") are the
+	// prefixes of links that drop frames in both directions, outgoing frames only, and
+	// incoming frames only.
 	Partitioned     []string
 	OutboundBlocked []string
 	InboundBlocked  []string
-	// DiskDelay ("disk") is added to each write to the disk.
+	// DiskDelay ("disk") is the delay added to each write to the disk.
 	DiskDelay time.Duration
 }
 
-// ClientProtocol is the protocol that a gateway speaks with clients.
+// ClientProtocol is the protocol between a gateway and its clients.
 type ClientProtocol string
 
 // Protocols for clients.
@@ -164,8 +168,8 @@
 	AdmissionOpen  AdmissionMode = "open"
 )
 
-// VersionPolicy is how a configuration is answered whose version is below the
-// one in force and was never seen.
+// VersionPolicy determines the response to a configuration whose version is lower than
+// the current one and has not been received before.
 type VersionPolicy string
 
 // Policies for older versions: they are rejected, or acknowledged without effect.
@@ -174,26 +178,26 @@
 	VersionPolicyHighest VersionPolicy = "highest"
 )
 
-// Compression is which batches of messages between daemons are compressed.
+// Compression selects the batches of messages between daemons that are compressed.
 type Compression string
 
-// Choices of compression: none, or what goes to daemons of other zones.
+// Choices of compression: no batches, or those to daemons in other zones.
 const (
 	CompressionNone Compression = "none"
 	CompressionFar  Compression = "far"
 )
 
-// OperatorProtocol is the form in which operators speak to a daemon's ctl.
+// OperatorProtocol is the protocol between operators and a daemon's ctl.
 type OperatorProtocol string
 
-// OperatorProtocolJSON is the protocol of the daemons themselves.
+// OperatorProtocolJSON is the built-in protocol.
 const OperatorProtocolJSON OperatorProtocol = "json"
 
-// operatorProtocols are the registered protocols for operators.
+// operatorProtocols are the built-in and the registered protocols for operators.
 var operatorProtocols = []OperatorProtocol{OperatorProtocolJSON}
 
-// MustRegisterOperatorProtocol adds a protocol that settings may choose; the
-// package of its adapter calls it from init. It panics if the name is taken.
+// MustRegisterOperatorProtocol adds a protocol that settings may select. The package of
+// the protocol's adapter calls it from init. It panics if the name is already registered.
 func MustRegisterOperatorProtocol(protocol OperatorProtocol) {
 	if slices.Contains(operatorProtocols, protocol) {
 		panic("settings: operator protocol registered twice: " + string(protocol))
@@ -201,9 +205,9 @@
 	operatorProtocols = append(operatorProtocols, protocol)
 }
 
-// MemoryLimit returns the limit in bytes for Go's collector: four fifths of
-// what the process may use, as the collector doesn't count all of it, or no
-// limit.
+// MemoryLimit returns the limit in bytes for Go's garbage collector: four fifths of the
+// memory that the process may use, since the collector doesn't account for all memory of
+// the process. It returns math.MaxInt64 if the memory is not bounded.
 func (s Settings) MemoryLimit() int64 {
 	if s.MemoryBytes == 0 {
 		return math.MaxInt64
@@ -211,9 +215,9 @@
 	return s.MemoryBytes / 5 * 4
 }
 
-// ImmutableChanges returns the sorted keys of settings that differ but can't
-// change while a daemon runs. What is only read at the start, such as the
-// seeds, may change at any time.
+// ImmutableChanges returns the sorted keys of settings that differ but can't change while
+// a daemon runs. Settings that are only read at startup, such as the seeds, may change at
+// any time.
 func ImmutableChanges(before, after Settings) []string {
 	var changed []string
 	for key, same := range map[string]bool{
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -20,8 +20,7 @@
 	assert.NilError(t, os.WriteFile(path, []byte(text), 0o600))
 }
 
-// newLoader returns the loader of a daemon whose settings file, at the path
-// returned, contains a text.
+// newLoader writes a text to a settings file and returns a loader for it and its path.
 func newLoader(t *testing.T, kind, text string, flags ...string) (*settings.Loader, string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "settings.json")
@@ -154,8 +153,8 @@
 	assert.DeepEqual(t, settings.ImmutableChanges(before, after), []string{"callers", "name"})
 }
 
-// The ticks are handed over one by one: once a second one is taken, the first
-// has had its whole effect.
+// The channel of ticks is unbuffered and received by one goroutine: once it has received a
+// second tick, the first one is completely processed.
 func TestPollNotifiesOncePerChange(t *testing.T) {
 	complete := `{` + storeBase + `,"seeds":["10.1.0.9:1"]}`
 	loader, path := newLoader(t, "store", complete)
--- a/internal/settings/units.go
+++ b/internal/settings/units.go
@@ -19,8 +19,7 @@
 	bitsPerByte = 8
 )
 
-// memoryUnits are tried in order, so that "B" comes after the units that end
-// with it.
+// memoryUnits are tried in order. "B" must be last, since the other units end with it.
 var memoryUnits = []struct {
 	suffix string
 	bytes  int64
@@ -68,8 +67,8 @@
 	{"Gbit/s", 1e9},
 }
 
-// bandwidth reads a text such as "2.6Mbit/s" and returns bytes a second, 0 for
-// none or an empty text.
+// bandwidth reads a text such as "2.6Mbit/s" and returns bytes per second, or 0 if the
+// text is absent or empty.
 func (p *parser) bandwidth(path string, value *fastjson.Value) int {
 	text := p.Text(path, value, "")
 	if text == "" {
@@ -82,13 +81,13 @@
 	case bytesPerSecond >= minLinkBytesPerSecond && bytesPerSecond <= maxLinkBytesPerSecond:
 		return int(bytesPerSecond)
 	default:
-		// Also what is not a number.
+		// This case includes NaN.
 		p.Report(path, config.FaultOutOfRange, "%s is not between 80kbit/s and 8796Gbit/s", text)
 	}
 	return 0
 }
 
-// parseBandwidth returns the bytes a second that a text says.
+// parseBandwidth converts a text such as "2.6Mbit/s" to bytes per second.
 func parseBandwidth(text string) (bytesPerSecond float64, valid bool) {
 	for _, unit := range bandwidthUnits {
 		number, found := strings.CutSuffix(text, unit.suffix)
--- a/internal/settings/watch.go
+++ b/internal/settings/watch.go
@@ -8,13 +8,13 @@
 	"github.com/fsnotify/fsnotify"
 )
 
-// pollInterval is how often the file is read where the system can't notify of
+// pollInterval is the interval at which the file is read if the system can't notify of
 // changes.
 const pollInterval = time.Second
 
-// fileState is what a settings file contained when it was read. States are
-// compared to see whether a file has changed, so that one that stays missing or
-// faulty is reported once; whether a content is valid is up to Load.
+// fileState is the content of a settings file at the time of a read. States are compared
+// to detect changes, so a file that stays missing or faulty is reported once. Load checks
+// whether the content is valid.
 type fileState struct {
 	body    string
 	missing bool
@@ -28,9 +28,9 @@
 	return fileState{body: string(body)}
 }
 
-// Watch returns a channel that receives whenever the settings file may have
-// changed since it was loaded, for as long as the process runs. It uses the
-// system's notifications, or polls where there are none.
+// Watch returns a channel that receives a value whenever the settings file may have
+// changed since it was loaded, for as long as the process runs. It uses the system's
+// file notifications, or polls if they are not available.
 func (l *Loader) Watch() <-chan struct{} {
 	if l.path == "" {
 		return make(chan struct{})
@@ -39,7 +39,7 @@
 	if err != nil {
 		return l.Poll(time.NewTicker(pollInterval).C)
 	}
-	// The directory is watched, since editors replace the file.
+	// The directory is watched, since editors replace the file instead of writing to it.
 	if err := watcher.Add(filepath.Dir(l.path)); err != nil {
 		_ = watcher.Close()
 		return l.Poll(time.NewTicker(pollInterval).C)
@@ -55,8 +55,9 @@
 	return changed
 }
 
-// Poll is Watch by reading the file at each tick, until the channel of ticks is
-// closed. A change is one from the last load before the call, or from the tick before.
+// Poll does the same as Watch by reading the file at each tick, until the channel of ticks
+// is closed. At the first tick it compares the file with the state of the last load before
+// the call, then with the state at the previous tick.
 func (l *Loader) Poll(ticks <-chan time.Time) <-chan struct{} {
 	changed := make(chan struct{}, 1)
 	path, last := l.path, l.loaded
@@ -71,7 +72,7 @@
 	return changed
 }
 
-// notify sends unless a notification is already pending.
+// notify sends a notification unless one is already pending.
 func notify(changed chan<- struct{}) {
 	select {
 	case changed <- struct{}{}:
--- a/internal/statemachine/effects.go
+++ b/internal/statemachine/effects.go
@@ -2,43 +2,44 @@
 
 import "time"
 
-// Effects collects what a machine wants done after one input. The driver carries
-// out each kind in the order in which it was appended. Between kinds there is no order:
-// a Send may leave before a Write of the same input is durable, so a machine appends
-// what relies on a write only once it gets Synced.
+// Effects collects the effects of one input. The driver executes the effects of each
+// kind in the order in which they were appended. There is no order between kinds: a Send
+// may be sent before a Write of the same input is durable, so a machine appends effects
+// that depend on a write only after it has received Synced.
 type Effects struct {
 	Sends      []Send
 	Writes     []Write
 	Responses  []Response
 	Deliveries []Delivery
 	LogEvents  []LogEvent
-	// Stop ends the process once everything above is carried out.
+	// Stop ends the process once all other effects are executed.
 	Stop bool
 }
 
-// Send is a message for the daemon at an address.
+// Send is a message to the daemon at an address.
 type Send struct {
 	To      string
 	Message any
-	// NotAfter, if set, is a deadline by the sender's own clock. The driver checks
-	// it when the message leaves and drops an expired one, as a link might.
+	// NotAfter, if set, is a deadline by the sender's own clock. The driver checks it
+	// when it sends the message, and drops the message if the deadline has passed. To the
+	// machine this looks like a message lost by the network.
 	NotAfter time.Time
 }
 
-// Write asks for entries, or a snapshot that replaces all earlier entries, to be
-// written and synced; of a write with both, the snapshot goes first. The driver reports
-// completion with Synced and the token, which the machine chooses.
+// Write requests that entries, or a snapshot that replaces all earlier entries, are
+// written and synced. If a write has both, the snapshot is written first. The driver
+// reports completion by Synced with the token, which the machine chooses.
 type Write struct {
 	Token    uint64
 	Entries  [][]byte
 	Snapshot []byte
-	// BuildSnapshot, if set, is used in place of Snapshot. It encodes a large snapshot
-	// in the goroutine that writes it, so that the owner need not wait. It must read only
+	// BuildSnapshot, if set, is used instead of Snapshot. It encodes a large snapshot
+	// in the goroutine that writes it, so that the owner is not blocked. It must read only
 	// data that no longer changes.
 	BuildSnapshot func() []byte
 }
 
-// SnapshotBytes returns the snapshot of a write; false if it has none.
+// SnapshotBytes returns the snapshot of a write, or false if it has none.
 func (w Write) SnapshotBytes() ([]byte, bool) {
 	if w.BuildSnapshot != nil {
 		return w.BuildSnapshot(), true
@@ -46,18 +47,18 @@
 	return w.Snapshot, w.Snapshot != nil
 }
 
-// Response is the final response to a request that an adapter brought in, by the number
-// that the adapter gave it.
+// Response is the final response to a request of an adapter. Request is the number that
+// the adapter assigned to the request.
 type Response struct {
 	Request uint64
 	Value   any
-	// NotAfter, if set, is the deadline until which Value may be given; LateValue is
-	// given after it.
+	// NotAfter, if set, is the deadline until which Value may be returned to the client.
+	// LateValue is returned after it.
 	NotAfter  time.Time
 	LateValue any
 }
 
-// ValueAt returns what the requester is given at a moment.
+// ValueAt returns the value to respond with at the time now.
 func (r Response) ValueAt(now time.Time) any {
 	if BeforeDeadline(r.NotAfter, now) {
 		return r.Value
@@ -65,13 +66,12 @@
 	return r.LateValue
 }
 
-// BeforeDeadline reports whether a deadline has not passed; a zero deadline never
-// passes.
+// BeforeDeadline reports whether now is before a deadline. A zero deadline never passes.
 func BeforeDeadline(deadline, now time.Time) bool {
 	return deadline.IsZero() || now.Before(deadline) || Mutated("leave-late")
 }
 
-// Delivery is an event for one client session; with Close the session ends after it.
+// Delivery is an event for one client session. With Close the session ends after the event.
 type Delivery struct {
 	Session uint64
 	Event   any
@@ -87,12 +87,13 @@
 	Fields map[string]any
 }
 
-// Send appends a message. An empty address, that of a daemon not known yet, drops it.
+// Send appends a message. It drops a message to the empty address, which stands for a
+// daemon whose address is not known yet.
 func (e *Effects) Send(to string, message any) {
 	e.SendBefore(to, message, time.Time{})
 }
 
-// SendBefore appends a message that may leave only before a deadline by the
+// SendBefore appends a message that may be sent only before a deadline by the
 // sender's own clock.
 func (e *Effects) SendBefore(to string, message any, deadline time.Time) {
 	if to == "" {
@@ -106,7 +107,7 @@
 	e.Responses = append(e.Responses, Response{Request: request, Value: value})
 }
 
-// Emit appends a log event; its fields alternate between names, which are strings, and
+// Emit appends a log event. Its fields alternate between names, which are strings, and
 // values.
 func (e *Effects) Emit(number EventNumber, fields ...any) {
 	event := LogEvent{Number: number, Fields: make(map[string]any, len(fields)/2)}
--- a/internal/statemachine/machine.go
+++ b/internal/statemachine/machine.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// Machine is a protocol part, or a daemon composed of several. All methods are
+// Machine is a protocol state machine, or a daemon composed of several. All methods are
 // called by one goroutine, its owner.
 type Machine interface {
 	// Start is called once, before any other input.
 	Start(now time.Time, effects *Effects)
-	// HandleMessage is given a message that another daemon sent.
+	// HandleMessage handles a message of another daemon.
 	HandleMessage(now time.Time, meta Meta, message any, effects *Effects)
-	// HandleCommand is given a request of an adapter (an operator, a client), or
-	// the completion of an effect such as Synced.
+	// HandleCommand handles a request of an adapter (for an operator or a client), or
+	// the completion of an effect, such as Synced.
 	HandleCommand(now time.Time, command any, effects *Effects)
-	// Tick runs whatever is due at now.
+	// Tick handles the timers that are due at now.
 	Tick(now time.Time, effects *Effects)
-	// NextTick is when Tick is to be called next; zero if no timer is armed.
+	// NextTick returns when Tick is to be called next; zero if no timer is armed.
 	NextTick() time.Time
-	// ConfigurationVersion is the newest version of the configuration known here.
-	// Every message to another daemon carries it.
+	// ConfigurationVersion returns the newest version of the configuration that this
+	// machine has received. It is part of every message to another daemon.
 	ConfigurationVersion() uint64
 }
 
-// LinkObserver is implemented by a machine that wants to know of addresses that
-// refuse connections: the host is up but no process listens there. A connection
+// LinkObserver is implemented by a machine that reacts to addresses that refuse
+// connections: the host is up, but no process listens at the address. A connection
 // that was merely reset is dialled again and not reported.
 type LinkObserver interface {
 	ConnectionRefused(now time.Time, address string, effects *Effects)
@@ -41,6 +41,6 @@
 	Token uint64
 }
 
-// DiskUnavailable is the command that reports that the disk rejects writes. The
-// driver keeps retrying; Synced follows once the write succeeds.
+// DiskUnavailable is the command that reports that a write to the disk failed. The
+// driver keeps retrying and reports Synced once the write succeeds.
 type DiskUnavailable struct{}
--- a/internal/statemachine/mutation.go
+++ b/internal/statemachine/mutation.go
@@ -2,17 +2,17 @@
 
 package statemachine
 
-// mutation is the mechanism that the running test has switched off. Such tests are
-// built with the tag mutation only; they show that a promise breaks without the
-// mechanism that keeps it and that the checks notice. A released daemon has no way
-// to switch anything off.
+// mutation is the name of the mechanism that the running test has disabled. Such tests
+// are built with the tag mutation only. They verify that a guarantee is violated without
+// the mechanism that ensures it, and that the checks detect the violation. A release
+// build can't disable any mechanism.
 var mutation string
 
-// Mutated reports whether a mechanism is switched off.
+// Mutated reports whether a mechanism is disabled.
 func Mutated(name string) bool { return mutation == name }
 
-// Mutate switches a mechanism off until restore is called. Tests that use it must
-// not run in parallel.
+// Mutate disables a mechanism until restore is called. Tests that use it must not run in
+// parallel.
 func Mutate(name string) (restore func()) {
 	mutation = name
 	return func() { mutation = "" }
--- a/internal/statemachine/timers.go
+++ b/internal/statemachine/timers.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Timers is a small table of timers, at most one for each key. The owner of the
-// timers gives Key a type of its own. Timers expire in order of their moments, and
-// those of the same moment in order of their keys, so that a run never depends on
-// the order of a map.
+// Timers is a small table of timers, at most one per key. Each machine that uses it
+// defines its own type for Key. Timers expire in the order of their expiry times, and
+// timers with the same expiry time in the order of their keys, so that a run never
+// depends on the iteration order of a map.
 type Timers[Key cmp.Ordered] struct {
 	moments map[Key]time.Time
 }
@@ -19,12 +19,12 @@
 	return &Timers[Key]{moments: map[Key]time.Time{}}
 }
 
-// Arm sets the moment at which a key expires, replacing an earlier setting.
+// Arm sets the expiry time of a key's timer and replaces an earlier setting.
 func (t *Timers[Key]) Arm(key Key, at time.Time) {
 	t.moments[key] = at
 }
 
-// ArmSooner sets the moment at which a key expires unless it expires sooner already.
+// ArmSooner sets the expiry time of a key's timer unless the timer already expires sooner.
 func (t *Timers[Key]) ArmSooner(key Key, at time.Time) {
 	if present, found := t.moments[key]; found && !at.Before(present) {
 		return
@@ -43,7 +43,7 @@
 	return found
 }
 
-// Next returns the earliest moment, or the zero time if no timer is armed.
+// Next returns the earliest expiry time, or the zero time if no timer is armed.
 func (t *Timers[Key]) Next() time.Time {
 	var next time.Time
 	for _, at := range t.moments {
@@ -54,7 +54,7 @@
 	return next
 }
 
-// Expired removes the timers that are due at now and returns their keys.
+// Expired removes the timers that are due at now and returns their keys in order of expiry.
 func (t *Timers[Key]) Expired(now time.Time) []Key {
 	var keys []Key
 	for key, at := range t.moments {
@@ -74,7 +74,7 @@
 	return keys
 }
 
-// Earliest returns the earliest of several moments; zero times are left out.
+// Earliest returns the earliest of several times and ignores zero times.
 func Earliest(moments ...time.Time) time.Time {
 	var earliest time.Time
 	for _, at := range moments {
--- a/internal/storedforms/ctl_test.go
+++ b/internal/storedforms/ctl_test.go
@@ -22,12 +22,13 @@
 	`{"name": "pulse", "promise": "passing", "limits": {"data_bytes": 8}}],` +
 	` "routes": [{"prefix": "reading.", "space": "readings"}]%s}`
 
-// texts are for people and may be put better; what programs read stays.
+// texts matches the fields that only people read. They may be reworded, so they are not
+// compared; all that programs read must stay.
 var texts = regexp.MustCompile(`"text":"([^"\\]|\\.)*"`)
 
 func masked(body []byte) string { return texts.ReplaceAllString(string(body), `"text":"..."`) }
 
-// spoken drives a simulated fleet and writes down what it answers.
+// spoken runs a simulated fleet and collects its responses as lines.
 type spoken struct {
 	*testing.T
 	fleet *simulator.Simulation
@@ -52,7 +53,7 @@
 	}
 }
 
-// control asks the ctl of a gateway and writes the answer down.
+// control sends a request to the ctl of a gateway and collects the response.
 func (s *spoken) control(method, path, body string) {
 	s.Helper()
 	answered := false
@@ -65,7 +66,7 @@
 	s.until(func() bool { return answered })
 }
 
-// call brings a caller's command into a gateway and writes the answer down.
+// call sends a client's command to a gateway and collects the response.
 func (s *spoken) call(what string, command func(request uint64) any) {
 	s.Helper()
 	answered := false
@@ -125,7 +126,7 @@
 	storedforms.Compare(t, "ctl.txt", s.lines)
 }
 
-// publication is a message of origin-1, under a number.
+// publication returns the command for a publication of origin-1 with a sequence number.
 func publication(space, topic string, seq uint64, data string) func(request uint64) any {
 	return func(request uint64) any {
 		return gateway.Publish{
@@ -141,7 +142,7 @@
 	}
 }
 
-// subscription is one of origin-1 on channel 7.
+// subscription returns the command for a subscription of origin-1 in session 7.
 func subscription(space, path, cursor string) func(request uint64) any {
 	return func(request uint64) any {
 		command := gateway.Subscribe{
@@ -206,7 +207,7 @@
 	storedforms.Compare(t, "callers.txt", s.lines)
 }
 
-// decisions writes down what a gateway and the stores remember of origin-1.
+// decisions collects the decisions about origin-1 that a gateway and the stores have logged.
 func (s *spoken) decisions() {
 	s.Helper()
 	s.call("decisions of a gateway", func(request uint64) any {
--- a/internal/storedforms/fields.go
+++ b/internal/storedforms/fields.go
@@ -14,13 +14,13 @@
 
 // Field is one encoded field of a struct.
 type Field struct {
-	// Index is the place of the field in its struct.
+	// Index is the index of the field in its struct.
 	Index int
-	// Name is the name of the field in the code.
+	// Name is the Go name of the field.
 	Name string
-	// Key is the key of the field in the encoding, or its position in an array.
+	// Key is the key of the field in the encoding, or "#" and its position in an array.
 	Key string
-	// Explicit is set if the key doesn't follow from the field's name.
+	// Explicit is set if the key is independent of the field's Go name.
 	Explicit bool
 }
 
@@ -30,7 +30,7 @@
 	binaryMarshaler = reflect.TypeFor[encoding.BinaryMarshaler]()
 )
 
-// leaf tells whether a type is encoded without a look at its fields.
+// leaf reports whether a type is encoded as a whole and not field by field.
 func leaf(kind reflect.Type) bool {
 	for _, marshaler := range []reflect.Type{cborMarshaler, binaryMarshaler} {
 		if kind.Implements(marshaler) || reflect.PointerTo(kind).Implements(marshaler) {
@@ -40,7 +40,7 @@
 	return kind == timeType
 }
 
-// arrayStruct tells whether a struct is encoded as an array.
+// arrayStruct reports whether a struct is encoded as an array.
 func arrayStruct(kind reflect.Type) bool {
 	marker, found := kind.FieldByName("_")
 	if !found {
@@ -49,9 +49,9 @@
 	return slices.Contains(strings.Split(marker.Tag.Get("cbor"), ","), "toarray")
 }
 
-// FieldsOf gives the encoded fields of a struct, as cbor finds them: those of an array
-// in their order, others by their keys. Embedded structs are refused, since none of
-// our forms has one.
+// FieldsOf returns the fields of a struct that cbor encodes: in the order of the code for
+// a struct that is encoded as an array, sorted by key for others. It returns an error for
+// embedded structs, which no recorded form has, and for keys that are numbers.
 func FieldsOf(kind reflect.Type) ([]Field, error) {
 	array := arrayStruct(kind)
 	var fields []Field
@@ -89,8 +89,8 @@
 	return fields, nil
 }
 
-// ImplicitKeys names the fields, of a type and of all that it holds, whose keys follow
-// from their names in the code, or whose values are of any type.
+// ImplicitKeys returns the names of those fields of a type and of all types that it
+// contains whose keys are derived from their Go names, or whose values are interfaces.
 func ImplicitKeys(kind reflect.Type) ([]string, error) {
 	var implicit []string
 	seen := map[reflect.Type]bool{}
@@ -102,8 +102,8 @@
 	return implicit, err
 }
 
-// Layout lists the encoded fields of a type and of all that it holds: each one's path
-// of keys, name in the code and kind.
+// Layout describes the encoded fields of a type and of all types that it contains, one
+// line per field: the path of keys, the Go name and the kind.
 func Layout(kind reflect.Type, root string) ([]string, error) {
 	var lines []string
 	err := walk(kind, root, nil, func(owner reflect.Type, path string, field Field) {
@@ -112,7 +112,7 @@
 	return lines, err
 }
 
-// shape names the kind of a field's value without the names of its types.
+// shape describes the kind of a field's value without the Go names of its types.
 func shape(kind reflect.Type) string {
 	if kind == timeType {
 		return "time"
@@ -129,8 +129,8 @@
 	}
 }
 
-// walk visits the fields of all structs that a type holds; each struct once if seen is
-// given, else wherever it occurs.
+// walk visits the fields of all structs that a type contains. It visits each struct type
+// once if seen is not nil, and otherwise every time that it occurs.
 func walk(
 	kind reflect.Type, path string, seen map[reflect.Type]bool, visit func(owner reflect.Type, path string, field Field),
 ) error {
--- a/internal/storedforms/fill.go
+++ b/internal/storedforms/fill.go
@@ -12,15 +12,15 @@
 
 var rawType = reflect.TypeFor[json.RawMessage]()
 
-// sampleStart is the time from which the times of samples are counted.
+// sampleStart is the base to which an offset is added for each time in a sample.
 var sampleStart = time.Date(2026, 1, 2, 3, 4, 5, 6000, time.UTC)
 
-// filler counts the values that it gave out, so that any two of a sample differ.
+// filler counts the generated values, so that the values of a sample differ.
 type filler struct{ count uint64 }
 
-// Sample makes a value of a type in which every encoded field is set, each to another
-// value. Values follow from the kinds and the order of fields (that of keys, where a
-// struct has keys), and not from the names of the code.
+// Sample returns a value of a type in which every encoded field is set to a different
+// value. The values depend on the kinds and the order of the fields (the order of keys in
+// a struct that has keys), but not on Go names.
 func Sample(kind reflect.Type) (any, error) {
 	made := reflect.New(kind).Elem()
 	if err := new(filler).fill(made); err != nil {
--- a/internal/storedforms/folders.go
+++ b/internal/storedforms/folders.go
@@ -13,14 +13,15 @@
 	"dahlialock/internal/wal"
 )
 
-// Folder is a recorded data folder and what a log read there.
+// Folder is a recorded data folder with the state that the log recovered from it.
 type Folder struct {
 	Name string
 	wal.Recovered
 }
 
-// Folders opens copies of the recorded data folders of a kind of daemon. They lie in
-// the testdata of this package; root is the way there from the test's own folder.
+// Folders opens copies of the recorded data folders of a kind of daemon, which are in the
+// testdata directory of this package. root is the relative path from the test's directory
+// to this package.
 func Folders(t *testing.T, root, kind string) []Folder {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(root, "testdata", "folders", kind+"-*"))
@@ -47,8 +48,8 @@
 	return folders
 }
 
-// Describe gives what a value encodes to as lines of text, with the keys as they lie
-// on disk.
+// Describe returns the encoded form of a value in cbor's diagnostic notation, split into
+// lines, with the keys as they are stored on disk.
 func Describe(t *testing.T, name string, value any) []string {
 	t.Helper()
 	packed, err := transport.Marshal(value)
@@ -62,7 +63,8 @@
 	return strings.Split(name+": "+strings.ReplaceAll(text, "}, ", "},\n\t"), "\n")
 }
 
-// CheckRewrite reads recorded bytes into a value and compares what it writes anew.
+// CheckRewrite decodes recorded bytes into a value, checks that encoding the value again
+// gives the same bytes, and returns the value.
 func CheckRewrite[T any](t *testing.T, name string, packed []byte) T {
 	t.Helper()
 	var value T
--- a/internal/storedforms/folders_test.go
+++ b/internal/storedforms/folders_test.go
@@ -10,7 +10,7 @@
 	"dahlialock/internal/transport"
 )
 
-// controlled is what an entry or a snapshot of a controller holds of the control state.
+// controlled has those fields of a controller's entry or snapshot that contain control state.
 type controlled struct {
 	Command []byte `cbor:"Command"`
 	State   []byte `cbor:"State"`
--- a/internal/storedforms/json_test.go
+++ b/internal/storedforms/json_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// jsonForms are the structs that operators get at ctl and callers on their channels.
+// jsonForms returns the structs that operators receive at ctl and clients in their sessions.
 func jsonForms() []storedforms.Form {
 	return []storedforms.Form{
 		jsonForm[membership.Member]("ctl-cluster-member"),
@@ -57,7 +57,7 @@
 
 func TestJSONFormsHaveExplicitKeys(t *testing.T) { storedforms.CheckJSONKeys(t, jsonForms()) }
 
-// TestKindsKeepTheirNames holds the names under which ctl counts messages by kind.
+// TestKindsKeepTheirNames checks the names under which ctl counts messages by kind.
 func TestKindsKeepTheirNames(t *testing.T) {
 	var lines []string
 	for _, number := range slices.Sorted(maps.Keys(transport.Numbers())) {
--- a/internal/storedforms/recorded.go
+++ b/internal/storedforms/recorded.go
@@ -11,10 +11,10 @@
 	"dahlialock/internal/transport"
 )
 
-// recordVariable asks for files that are not there yet.
+// recordVariable is the environment variable that allows missing files to be recorded.
 const recordVariable = "RECORD_FORMS"
 
-// Compare checks lines against those of a recorded file, and names each that differs.
+// Compare compares lines with those of a recorded file and reports each difference.
 func Compare(t *testing.T, file string, lines []string) {
 	t.Helper()
 	recorded, found := Recorded(t, file, lines)
@@ -36,8 +36,9 @@
 	return lines[position]
 }
 
-// Recorded reads the lines of a recorded file. If there is none it fails, or, where the
-// environment asks for it, writes the given lines.
+// Recorded returns the lines of a recorded file. If the file does not exist, the test
+// fails, unless the environment has RECORD_FORMS=1: then Recorded writes the given lines to
+// the file and returns false.
 func Recorded(t *testing.T, file string, lines []string) ([]string, bool) {
 	t.Helper()
 	path := filepath.Join("testdata", file)
@@ -59,14 +60,15 @@
 	return strings.Split(strings.TrimSuffix(string(text), "\n"), "\n"), true
 }
 
-// Form is one encoded type, by a name that is none of the code's.
+// Form is an encoded type with a name that is independent of the Go names.
 type Form struct {
 	Name string
 	Type reflect.Type
-	// Encode and Decode are the ways in and out; those of the disk if not given.
+	// Encode and Decode convert values to and from bytes. The default is the encoding that
+	// is used on disk.
 	Encode func(value any) ([]byte, error)
 	Decode func(packed []byte) (any, error)
-	// Text forms are recorded as they are, others in hexadecimal digits.
+	// Text is set for forms that are recorded as text. Others are recorded in hexadecimal.
 	Text bool
 }
 
@@ -102,8 +104,9 @@
 	return value.Elem().Interface(), nil
 }
 
-// CheckBytes compares the bytes of samples, in which all is set, and of zero values with
-// those recorded; it also reads the recorded bytes and writes them anew.
+// CheckBytes compares the encoded samples, in which every field is set, and the encoded
+// zero values of forms with the recorded bytes. It also checks that the recorded bytes
+// stay the same when they are decoded and encoded again.
 func CheckBytes(t *testing.T, file string, forms []Form) {
 	t.Helper()
 	var lines []string
@@ -155,7 +158,7 @@
 	}
 }
 
-// CheckKeys checks that no key of a type follows from a name in the code.
+// CheckKeys checks that no key of the forms is derived from a Go name.
 func CheckKeys(t *testing.T, forms []Form) {
 	t.Helper()
 	for _, form := range forms {
@@ -170,9 +173,9 @@
 	}
 }
 
-// CheckLayout compares the keys, positions and kinds of all fields with those recorded.
-// Names in the code are free, but one that a struct had may not stand for another of
-// its fields: two fields of one kind that changed places would else go unseen.
+// CheckLayout compares the keys, positions and kinds of all fields with the recorded ones.
+// Fields may be renamed, but a recorded Go name must not be used for another field of the
+// same struct: otherwise two fields of one kind that are swapped would not be detected.
 func CheckLayout(t *testing.T, file string, forms []Form) {
 	t.Helper()
 	var lines []string
@@ -221,7 +224,7 @@
 
 func parent(path string) string { return path[:strings.LastIndex(path, "/")] }
 
-// CheckJSONKeys checks that no JSON key of a type follows from a name in the code.
+// CheckJSONKeys checks that no JSON key of the forms is derived from a Go name.
 func CheckJSONKeys(t *testing.T, forms []Form) {
 	t.Helper()
 	for _, form := range forms {
--- a/internal/storedforms/storedforms_test.go
+++ b/internal/storedforms/storedforms_test.go
@@ -19,12 +19,12 @@
 	"dahlialock/internal/transport"
 )
 
-// sampleMeta is what stands before the body in each recorded frame.
+// sampleMeta is the metadata before the body in each recorded frame.
 var sampleMeta = statemachine.Meta{From: "192.0.2.1:7000", Version: 300}
 
 func encodeFrame(message any) ([]byte, error) { return transport.Encode(sampleMeta, message) }
 
-// frameHeader is the size of the length before a frame.
+// frameHeader is the size in bytes of the length that precedes a frame.
 const frameHeader = 4
 
 func decodeFrame(packed []byte) (any, error) {
@@ -42,7 +42,7 @@
 	return message, err
 }
 
-// wireForms are all messages that have a number.
+// wireForms returns the forms of all messages that have a number.
 func wireForms(t *testing.T) []storedforms.Form {
 	t.Helper()
 	var forms []storedforms.Form
@@ -61,8 +61,8 @@
 	return forms
 }
 
-// diskForms are what is exported of what lies on disks; the packages that keep the
-// others to themselves have such a test of their own.
+// diskForms returns the exported types that are stored on disk. The packages that store
+// unexported types have tests of their own for them.
 func diskForms() []storedforms.Form {
 	return []storedforms.Form{
 		{Name: "consensus-durable", Type: reflect.TypeFor[consensus.HardState]()},
--- a/internal/storedforms/words_test.go
+++ b/internal/storedforms/words_test.go
@@ -36,13 +36,13 @@
 	}
 }
 
-// word is what a code, a step of a decision, a reason or a key looks like.
+// word matches the syntax of codes, decision steps, reasons and keys.
 var word = regexp.MustCompile(`^[A-Za-z][A-Za-z0-9]*([-_][a-z0-9]+)*$`)
 
-// tagKey is a key in the tag of a struct's field.
+// tagKey matches the JSON key in a struct tag.
 var tagKey = regexp.MustCompile(`json:"([^",]+)`)
 
-// addWords adds a literal that is a word, or the key in one that is a tag.
+// addWords adds a string literal if it is a word, or its JSON key if it is a struct tag.
 func addWords(found map[string]bool, literal string) {
 	text, err := strconv.Unquote(literal)
 	if err != nil {
@@ -56,8 +56,8 @@
 	}
 }
 
-// words are the string literals and tags of the programs that look like one, tests left
-// out.
+// words returns all words among the string literals and struct tags of the programs,
+// without those in tests.
 func words(t *testing.T) map[string]bool {
 	t.Helper()
 	found := map[string]bool{}
@@ -85,8 +85,8 @@
 	return found
 }
 
-// TestWordsOfOperatorsAndCallersStay holds what programs of others compare with and the
-// other tests of forms don't bring about: each must still be written somewhere.
+// TestWordsOfOperatorsAndCallersStay checks the words that other programs compare with and
+// that no other test in this package produces: each must still occur in the code.
 func TestWordsOfOperatorsAndCallersStay(t *testing.T) {
 	found := words(t)
 	recorded, _ := storedforms.Recorded(t, "words.txt", nil)
