--- a/internal/config/fault.go
+++ b/internal/config/fault.go
@@ -18,8 +18,8 @@
 	FaultBadPrefix       FaultCode = "bad-prefix"
 	FaultDuplicatePrefix FaultCode = "duplicate-prefix"
 	FaultBadAddress      FaultCode = "bad-address"
-	// FaultClash is a value that conflicts with another value of the document.
-	FaultClash FaultCode = "clash"
+	// FaultConflict is a value that conflicts with another value of the document.
+	FaultConflict FaultCode = "clash"
 )
 
 // Fault is one error in a document.
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -107,16 +107,16 @@
 	space.Order = Order(r.Choice(path+".order", members["order"],
 		string(OrderSender), string(OrderSender), string(OrderSpace), string(OrderTopic)))
 	if space.Order == OrderSpace && space.Retention != Durable {
-		r.Report(path+".order", FaultClash, "one shared order needs the promise kept")
+		r.Report(path+".order", FaultConflict, "one shared order needs the promise kept")
 	}
 	space.RetentionTime = r.Duration(path+".holding", members["holding"],
 		DefaultRetentionTime, MinRetentionTime, MaxRetentionTime)
 	if members["holding"] != nil && space.Retention != Durable {
-		r.Report(path+".holding", FaultClash, "only kept spaces have a holding time")
+		r.Report(path+".holding", FaultConflict, "only kept spaces have a holding time")
 	}
 	space.Tolerance = int(r.Integer(path+".tolerance", members["tolerance"], defaultTolerance, 1, maxTolerance))
 	if members["tolerance"] != nil && space.Retention != Durable {
-		r.Report(path+".tolerance", FaultClash, "only kept spaces have a tolerance")
+		r.Report(path+".tolerance", FaultConflict, "only kept spaces have a tolerance")
 	}
 	space.DataBytes, space.PublicationsPerSecond = r.limits(path+".limits", members["limits"])
 	everyone := []string{wildcard}
--- a/internal/config/parse_test.go
+++ b/internal/config/parse_test.go
@@ -49,8 +49,8 @@
 		{space + `"kept"},{"name":"a","promise":"kept"}]}`, "$.spaces[1].name", FaultDuplicateName},
 		{`{"version":1,"spaces":[{"name":"a b","promise":"kept"}]}`, "$.spaces[0].name", FaultBadName},
 		{`{"version":1,"spaces":[{"name":"a","promise":"maybe"}]}`, "$.spaces[0].promise", FaultOutOfRange},
-		{space + `"passing","order":"channel"}]}`, "$.spaces[0].order", FaultClash},
-		{space + `"passing","holding":"3s"}]}`, "$.spaces[0].holding", FaultClash},
+		{space + `"passing","order":"channel"}]}`, "$.spaces[0].order", FaultConflict},
+		{space + `"passing","holding":"3s"}]}`, "$.spaces[0].holding", FaultConflict},
 		{space + `"kept","holding":"forever"}]}`, "$.spaces[0].holding", FaultWrongType},
 		{
 			`{"version":1,"spaces":[{"name":"a","promise":"kept","tolerance":2}]}`,
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -114,7 +114,7 @@
 	case members["space"] != nil && !found:
 		r.Report(spacePath, FaultDanglingName, "no space is named %q", route.Space)
 	case found && space.Order != OrderTopic:
-		r.Report(spacePath, FaultClash, "routes lead to spaces of order topic only")
+		r.Report(spacePath, FaultConflict, "routes lead to spaces of order topic only")
 	}
 	return route
 }
--- a/internal/config/routes_test.go
+++ b/internal/config/routes_test.go
@@ -79,7 +79,7 @@
 		`"prefix":"z"|"prefix":"x."`:      FaultDuplicatePrefix,
 		`"prefix":"z"|"prefix":"z z"`:     FaultBadPrefix,
 		`"z","space":"a"|"z","space":"q"`: FaultDanglingName,
-		`"z","space":"a"|"z","space":"c"`: FaultClash,
+		`"z","space":"a"|"z","space":"c"`: FaultConflict,
 		`"z","space":"a"|"z"`:             FaultMissing,
 		`"urgency":2|"urgency":-2`:        FaultOutOfRange,
 	} {
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -314,7 +314,7 @@
 
 // checkLogEvent checks that only one cluster is bootstrapped.
 func (tc *testCluster) checkLogEvent(controller *testController, event statemachine.LogEvent) {
-	if event.Number != logevent.Founded {
+	if event.Number != logevent.FirstEpochDecided {
 		return
 	}
 	tc.bootstrapped[fmt.Sprint(controller.node.Record())] = true
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -320,7 +320,7 @@
 	}
 	n.timers.Disarm(ballotTimer)
 	if record.Epoch == 1 {
-		effects.Emit(logevent.Founded, "primary", record.Primary, "backups", record.Backups)
+		effects.Emit(logevent.FirstEpochDecided, "primary", record.Primary, "backups", record.Backups)
 	}
 	effects.Emit(
 		logevent.EpochDecided,
--- a/internal/consensus/forms_test.go
+++ b/internal/consensus/forms_test.go
@@ -44,10 +44,10 @@
 	var lines []string
 	for _, folder := range storedforms.Folders(t, "../storedforms", "controller") {
 		if len(folder.Snapshot) > 0 {
-			storedforms.CheckRewrite[diskSnapshot](t, folder.Name, folder.Snapshot)
+			storedforms.CheckRoundTrip[diskSnapshot](t, folder.Name, folder.Snapshot)
 		}
 		for position, packed := range folder.Entries {
-			storedforms.CheckRewrite[diskEntry](t, fmt.Sprintf("%s, entry %d", folder.Name, position), packed)
+			storedforms.CheckRoundTrip[diskEntry](t, fmt.Sprintf("%s, entry %d", folder.Name, position), packed)
 		}
 		state := &countingState{}
 		settings := Settings{Self: Controller{Name: "controller-1"}, ClusterSize: 3, Incarnation: 1}
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -114,7 +114,7 @@
 	}
 	p.applyImpairment(current.Impairment)
 	p.loop.Transport().SetRate(current.LinkBytesPerSecond)
-	if current.Compression == settings.CompressionFar {
+	if current.Compression == settings.CompressionCrossZone {
 		p.loop.Transport().EnableCompression()
 	}
 	if err := p.listen(); err != nil {
--- a/internal/daemon/storage.go
+++ b/internal/daemon/storage.go
@@ -54,7 +54,7 @@
 		return nil, stored, err
 	}
 	if recovered.TornBytes > 0 {
-		p.logger.Report(logevent.DiskTorn, "bytes", recovered.TornBytes)
+		p.logger.Report(logevent.TornTailTruncated, "bytes", recovered.TornBytes)
 	}
 	stored.Snapshot, stored.Entries = recovered.Snapshot, recovered.Entries
 	return log, stored, nil
--- a/internal/logevent/catalogue.go
+++ b/internal/logevent/catalogue.go
@@ -24,10 +24,10 @@
 	MalformedFrame             statemachine.EventNumber = 1020
 	TrafficReported            statemachine.EventNumber = 1021
 	InvariantBroken            statemachine.EventNumber = 1030
-	DiskTorn                   statemachine.EventNumber = 1040
+	TornTailTruncated                   statemachine.EventNumber = 1040
 	DiskDamaged                statemachine.EventNumber = 1041
 	DiskWriteFailed            statemachine.EventNumber = 1042
-	Founded                    statemachine.EventNumber = 2001
+	FirstEpochDecided                    statemachine.EventNumber = 2001
 	EpochDecided               statemachine.EventNumber = 2002
 	LeaseGained                statemachine.EventNumber = 2003
 	LeaseLost                  statemachine.EventNumber = 2004
@@ -79,10 +79,10 @@
 	MalformedFrame:             {logrus.WarnLevel, "malformed frame, connection closed"},
 	TrafficReported:            {logrus.InfoLevel, "traffic by message kind"},
 	InvariantBroken:            {logrus.FatalLevel, "invariant broken, stopping"},
-	DiskTorn:                   {logrus.WarnLevel, "torn tail cut from the log"},
+	TornTailTruncated:                   {logrus.WarnLevel, "torn tail cut from the log"},
 	DiskDamaged:                {logrus.ErrorLevel, "disk damaged, replica will be rebuilt"},
 	DiskWriteFailed:            {logrus.ErrorLevel, "disk rejects a write, retrying"},
-	Founded:                    {logrus.InfoLevel, "first epoch decided"},
+	FirstEpochDecided:                    {logrus.InfoLevel, "first epoch decided"},
 	EpochDecided:               {logrus.InfoLevel, "epoch decided"},
 	LeaseGained:                {logrus.InfoLevel, "lease gained"},
 	LeaseLost:                  {logrus.WarnLevel, "lease lost"},
--- a/internal/partition/forms_test.go
+++ b/internal/partition/forms_test.go
@@ -34,10 +34,10 @@
 	var lines []string
 	for _, folder := range storedforms.Folders(t, "../storedforms", "store") {
 		if len(folder.Snapshot) > 0 {
-			storedforms.CheckRewrite[diskSnapshot](t, folder.Name, folder.Snapshot)
+			storedforms.CheckRoundTrip[diskSnapshot](t, folder.Name, folder.Snapshot)
 		}
 		for position, packed := range folder.Entries {
-			storedforms.CheckRewrite[diskEntry](t, fmt.Sprintf("%s, entry %d", folder.Name, position), packed)
+			storedforms.CheckRoundTrip[diskEntry](t, fmt.Sprintf("%s, entry %d", folder.Name, position), packed)
 		}
 		settings := Settings{Self: membership.Member{Name: "store-1", Address: "store-1:1"}, Incarnation: 1}
 		store, err := New(settings, folder.Snapshot, folder.Entries)
--- a/internal/settings/forms_test.go
+++ b/internal/settings/forms_test.go
@@ -100,7 +100,7 @@
 		fmt.Sprint("admission ", AdmissionToken, " ", AdmissionOpen),
 		fmt.Sprint("versions ", VersionPolicyStrict, " ", VersionPolicyHighest),
 		fmt.Sprint("operators ", OperatorProtocolJSON),
-		fmt.Sprint("compression ", CompressionNone, " ", CompressionFar),
+		fmt.Sprint("compression ", CompressionNone, " ", CompressionCrossZone),
 	}
 	storedforms.Compare(t, "forms-words.txt", lines)
 }
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -96,7 +96,7 @@
 	settings.AdmissionMode = choice(p, "admission", AdmissionToken, AdmissionOpen)
 	settings.VersionPolicy = choice(p, "versions", VersionPolicyStrict, VersionPolicyHighest)
 	settings.OperatorProtocol = choice(p, "operators", operatorProtocols...)
-	settings.Compression = choice(p, "compression", CompressionNone, CompressionFar)
+	settings.Compression = choice(p, "compression", CompressionNone, CompressionCrossZone)
 }
 
 func (p *parser) resources(settings *Settings) {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -184,7 +184,7 @@
 // Choices of compression: no batches, or those to daemons in other zones.
 const (
 	CompressionNone Compression = "none"
-	CompressionFar  Compression = "far"
+	CompressionCrossZone  Compression = "far"
 )
 
 // OperatorProtocol is the protocol between operators and a daemon's ctl.
--- a/internal/storedforms/folders.go
+++ b/internal/storedforms/folders.go
@@ -63,9 +63,9 @@
 	return strings.Split(name+": "+strings.ReplaceAll(text, "}, ", "},\n\t"), "\n")
 }
 
-// CheckRewrite decodes recorded bytes into a value, checks that encoding the value again
+// CheckRoundTrip decodes recorded bytes into a value, checks that encoding the value again
 // gives the same bytes, and returns the value.
-func CheckRewrite[T any](t *testing.T, name string, packed []byte) T {
+func CheckRoundTrip[T any](t *testing.T, name string, packed []byte) T {
 	t.Helper()
 	var value T
 	if err := transport.Unmarshal(packed, &value); err != nil {
--- a/internal/storedforms/folders_test.go
+++ b/internal/storedforms/folders_test.go
@@ -50,11 +50,11 @@
 			}
 			if len(held.Command) > 0 {
 				commands++
-				storedforms.CheckRewrite[controller.Command](t, name, held.Command)
+				storedforms.CheckRoundTrip[controller.Command](t, name, held.Command)
 			}
 			if len(held.State) > 0 {
 				states++
-				storedforms.CheckRewrite[controller.State](t, name, held.State)
+				storedforms.CheckRoundTrip[controller.State](t, name, held.State)
 			}
 		}
 	}
