--- a/internal/simulator/bandwidth.go
+++ b/internal/simulator/bandwidth.go
@@ -1,10 +1,9 @@
-// Links with a bandwidth: each machine has one, and its daemons and their callers
-// share it. Bytes wait for it in the order in which they come, in segments; a
-// connection has no more than a window of them under way, so that a sender is
-// held up by a link that is full and by a peer that does not read. What a daemon
-// holds beyond that waits in internal/transport's own Order, held back by its Pace
-// and Window. Links have no bandwidth, and none of this acts, unless the Size names
-// one.
+// Links with a limited bandwidth. Each machine has one link, which its daemons and their
+// clients share. Segments of messages wait for the link in the order of their arrival. At
+// most a window of bytes is in flight on a connection, so that a sender is blocked by a
+// full link and by a peer that does not read. Further messages of a daemon wait in the
+// PriorityQueue of internal/transport, throttled by its Pacer and FlowWindow. Unless
+// Shape.Links is set, links have unlimited bandwidth and this file has no effect.
 
 package simulator
 
@@ -21,30 +20,33 @@
 )
 
 const (
-	// segmentSize is how many bytes go over a link at once.
+	// segmentSize is the number of bytes in a segment.
 	segmentSize = 1448
-	// windowSize is how many bytes are under way on one connection, unless the
-	// Size says otherwise.
+	// windowSize is the maximum number of bytes in flight on a connection, unless
+	// Shape.Window is set.
 	windowSize = 64 << 10
-	// confirmationSize is what a receiver's confirmation takes.
+	// confirmationSize is the size of a receiver's acknowledgement in bytes.
 	confirmationSize = 48
-	// lineHead stands for what a command or an answer has beside its texts.
+	// lineHead is the assumed size in bytes of a command or an answer without its texts.
 	lineHead = 24
 )
 
-// Bandwidth is what the link of a machine takes each way, in bytes a second; zero is
-// without a limit.
+// Bandwidth is the bandwidth of a machine's link in each direction, in bytes per second;
+// zero means unlimited.
 type Bandwidth struct {
 	Up, Down int
 }
 
 // lane is one direction of a machine's link.
 type lane struct {
+	// rate is in bytes per second; zero means unlimited.
 	rate int
+	// free is when all bytes accepted so far are transmitted.
 	free time.Time
 }
 
-// transmitAt gives the moment at which bytes that come now are through.
+// transmitAt queues size bytes on the lane and returns the time at which they are
+// transmitted.
 func (l *lane) transmitAt(now time.Time, size int) time.Time {
 	if l == nil || l.rate == 0 {
 		return now
@@ -61,21 +63,22 @@
 	up, down lane
 }
 
-// Traffic is what a daemon sent and received of one type of message.
+// Traffic counts the messages of one kind that a daemon sent, received and dropped.
 type Traffic struct {
 	MessagesOut, BytesOut, MessagesIn, BytesIn, Dropped int64
-	// Took is how long those that came in were on their way from the step that sent
-	// them, in all; Slowest is the longest of these.
+	// Took is the sum of the times from the step that sent a message to its arrival, over
+	// all received messages; Slowest is the longest of these times.
 	Took, Slowest time.Duration
 }
 
-// KindTraffic is the traffic of one type.
+// KindTraffic is the traffic of one kind of message.
 type KindTraffic struct {
 	Kind string
 	Traffic
 }
 
-// linkOf gives a daemon its machine's link; an agent stands beside its gateway.
+// linkOf returns the link of a daemon's machine. An agent shares the machine of its
+// gateway.
 func (s *Simulation) linkOf(kind string, number int) *nic {
 	kind = linkKind(kind)
 	name := fmt.Sprintf("%s-%d", kind, number+1)
@@ -88,7 +91,7 @@
 	return made
 }
 
-// linkKind is the kind of daemon by which a Size names the link of a machine.
+// linkKind returns the key of a daemon's link in Shape.Links.
 func linkKind(kind string) string {
 	if kind == membership.KindAgent {
 		return membership.KindGateway
@@ -96,7 +99,7 @@
 	return kind
 }
 
-// limited tells whether links have a bandwidth in this run.
+// limited reports whether links have a limited bandwidth in this run.
 func (s *Simulation) limited() bool { return len(s.Shape.Links) > 0 }
 
 func (s *Simulation) window() int {
@@ -111,7 +114,7 @@
 	simulation *Simulation
 	up, down   *lane
 	delay      func() time.Duration
-	// enter runs something at the end that reads, once it does.
+	// enter runs a function in the receiver's process, when it reads.
 	enter    func(run func())
 	queue    []*parcel
 	inFlight int
@@ -119,11 +122,13 @@
 	over     bool
 }
 
-// parcel is a message on its way.
+// parcel is a message in a pipe.
 type parcel struct {
+	// left is the number of bytes that are not yet sent.
 	size, left int
-	sent       func()
-	arrived    func()
+	// sent is called when all bytes are sent, arrived when all have arrived.
+	sent    func()
+	arrived func()
 }
 
 // put queues a message.
@@ -133,7 +138,7 @@
 	p.transmit()
 }
 
-// transmit sends what the window has room for.
+// transmit sends queued messages, segment by segment, until the window is full.
 func (p *pipe) transmit() {
 	for len(p.queue) > 0 && p.inFlight < p.simulation.window() && !p.over {
 		first := p.queue[0]
@@ -147,7 +152,7 @@
 	}
 }
 
-// segment takes a few bytes over both machines' links.
+// segment sends one segment of a message over the links of both machines.
 func (p *pipe) segment(of *parcel, size int, last bool) {
 	simulation := p.simulation
 	p.inFlight += size
@@ -174,22 +179,26 @@
 	})
 }
 
-// close loses what is under way.
+// close closes the pipe and drops the messages that are queued or in flight.
 func (p *pipe) close() {
 	p.over = true
 	p.queue = nil
 }
 
-// connection is a pipe between two lives of daemons, with what its ends count.
+// connection is a pipe between two daemons' processes, with its flow control.
 type connection struct {
 	*pipe
-	from, to       uint64
-	window         transport.FlowWindow
+	// from and to are the incarnations of both processes.
+	from, to uint64
+	window   transport.FlowWindow
+	// took is the number of bytes that the receiver has taken, told the number that it
+	// last acknowledged.
 	took, told     int64
 	confirmationAt time.Time
 }
 
-// connect gives the connection from one daemon to another.
+// connect returns the connection from one daemon to another. It opens a new one if there
+// is none between their current processes.
 func (s *Simulation) connect(from, to *Node) *connection {
 	key := link(from, to)
 	present, found := s.connections[key]
@@ -218,7 +227,7 @@
 	return opened
 }
 
-// outgoingFrame is a message that waits at its sender.
+// outgoingFrame is a message in its sender's queue.
 type outgoingFrame struct {
 	to          *Node
 	incarnation uint64
@@ -228,7 +237,7 @@
 	at          time.Time
 }
 
-// dispatch sends a frame over links with a bandwidth.
+// dispatch queues a frame at its sender, for links with a limited bandwidth.
 func (s *Simulation) dispatch(from, to *Node, message any, frame []byte) {
 	if !to.Up {
 		if to.refuses {
@@ -243,7 +252,8 @@
 	from.sendQueued()
 }
 
-// sendQueued gives the link what it takes, in the order of the transport.
+// sendQueued sends queued frames, by priority, as far as the pacer and the flow windows
+// permit.
 func (n *Node) sendQueued() {
 	simulation := n.simulation
 	for {
@@ -266,9 +276,10 @@
 	}
 }
 
-// undeliverable tells whether the life that a frame was for has ended.
+// undeliverable reports whether the process for which a frame was sent has ended.
 func (of outgoingFrame) undeliverable() bool { return !of.to.Up || of.to.incarnation != of.incarnation }
 
+// scheduleSend calls sendQueued after wait, unless a call is already scheduled.
 func (n *Node) scheduleSend(wait time.Duration) {
 	if n.sending {
 		return
@@ -283,7 +294,7 @@
 	})
 }
 
-// transmit puts a frame on its connection.
+// transmit sends a frame over its connection.
 func (n *Node) transmit(next outgoingFrame) {
 	simulation, to, kind, size := n.simulation, next.to, next.kind, len(next.frame)
 	connection := simulation.connect(n, to)
@@ -303,7 +314,8 @@
 	})
 }
 
-// confirm tells a sender how many bytes were taken.
+// confirm sends the sender an acknowledgement of the bytes that the receiver has taken, if
+// one is due.
 func (s *Simulation) confirm(from, to *Node, taken *connection) {
 	count := taken.took
 	if !to.pace.RequiresAcknowledgements() {
@@ -329,7 +341,7 @@
 	})
 }
 
-// receive reads a frame that came in.
+// receive decodes a frame and passes the message to the daemon's state machine.
 func (n *Node) receive(frame []byte) {
 	meta, message, err := transport.Decode(frame[4:])
 	must(err)
@@ -338,6 +350,7 @@
 	})
 }
 
+// traffic returns the counters of a kind of message.
 func (n *Node) traffic(kind string) *Traffic {
 	present, found := n.trafficOf[kind]
 	if !found {
@@ -347,6 +360,7 @@
 	return present
 }
 
+// counts counts a message that was sent or received, by its size in bytes.
 func (n *Node) counts(kind string, sent, received int) {
 	traffic := n.traffic(kind)
 	if sent > 0 {
@@ -359,9 +373,9 @@
 	}
 }
 
-// Traffic sums what the daemons of a kind, or all, sent and received over links with
-// a bandwidth since the last ForgetTraffic, by type of message, with the most
-// bytes first.
+// Traffic returns the sums of the traffic of all daemons of a kind (all daemons if kind is
+// empty) over links with a limited bandwidth since the last ForgetTraffic, by kind of
+// message. The kinds with the most bytes come first.
 func (s *Simulation) Traffic(kind string) []KindTraffic {
 	sums := map[string]*Traffic{}
 	for _, node := range s.Nodes(kind) {
@@ -397,16 +411,17 @@
 	t.Slowest = max(t.Slowest, took)
 }
 
-// ForgetTraffic begins to count anew.
+// ForgetTraffic resets the traffic counters of all daemons.
 func (s *Simulation) ForgetTraffic() {
 	for _, node := range s.Nodes("") {
 		clear(node.trafficOf)
 	}
 }
 
-// Lines of callers. A caller's own link has no limit, its gateway's has.
+// Connections of clients. A client's own link has unlimited bandwidth, that of its
+// gateway is limited.
 
-// line is the connection of a caller.
+// line is the connection of a client to its gateway.
 type line struct {
 	up, down *pipe
 }
@@ -431,14 +446,15 @@
 	}
 }
 
-// Kinds of traffic with callers.
+// Kinds of traffic with clients.
 const (
 	lineCommand = "line command"
 	lineAnswer  = "line answer"
 	lineEvent   = "line event"
 )
 
-// toNode brings a command from a caller to its gateway.
+// toNode sends a command of size bytes from the client to its gateway, and calls run when
+// it arrives.
 func (tc *TopicClient) toNode(size int, run func()) {
 	if tc.line == nil {
 		tc.simulation.After(lineDelay, run)
@@ -455,7 +471,8 @@
 	}})
 }
 
-// toCaller brings an answer or an event from the gateway to its caller.
+// toCaller sends an answer or an event of size bytes from the gateway to the client, and
+// calls run when it arrives.
 func (l *line) toCaller(simulation *Simulation, node *Node, kind string, size int, run func()) {
 	if l == nil {
 		simulation.After(lineDelay, run)
--- a/internal/simulator/bandwidth_test.go
+++ b/internal/simulator/bandwidth_test.go
@@ -1,5 +1,5 @@
-// Links with a bandwidth: what they take, whom they hold up, and that a run over
-// them is the same each time.
+// Tests of links with a limited bandwidth: their throughput, the blocking of senders, and
+// that runs over them are reproducible.
 
 package simulator
 
@@ -10,7 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// testPipe is a pipe over two lanes without delay, to a reader that may stop.
+// testPipe returns a pipe over two lanes without delay. Its receiver reads only while *reads
+// is true.
 func testPipe(simulation *Simulation, rate int, reads *bool) *pipe {
 	var held []func()
 	return &pipe{
@@ -36,7 +37,7 @@
 		pipe.put(&parcel{size: 20_000, sent: func() {}, arrived: func() { landed = simulation.Now.Sub(began) }})
 	}
 	simulation.Run(10 * time.Second)
-	// Two links in a row, of which the second is a segment behind the first.
+	// The bytes pass two links in series; the second one finishes a segment after the first.
 	assert.Assert(t, landed >= 2*time.Second && landed < 2050*time.Millisecond, "%v", landed)
 }
 
--- a/internal/simulator/canonical.go
+++ b/internal/simulator/canonical.go
@@ -1,11 +1,13 @@
-// The canonical form of Go values that are given to callers. Names of Go types and of
-// fields without a json tag have no part in it, contents have:
+// The canonical encoding of Go values that daemons give to clients. It depends on the
+// contents, but not on the names of Go types and of fields without a json tag:
 //
-//   - a map with string keys, and a struct with json tags, are their pairs of key and
-//     value, in the order of keys; fields that JSON leaves out follow in their order;
-//   - another struct is its fields in their order, those of embedded structs in place;
-//   - a number is its decimal text, whatever its type;
-//   - a moment is its nanoseconds, an error its text, a function whether there is one.
+//   - a map with string keys, and a struct with json tags, is encoded as its pairs of key
+//     and value, sorted by key; fields that JSON leaves out follow in declaration order;
+//   - any other struct is encoded as its fields in declaration order, with the fields of an
+//     embedded struct in its place;
+//   - a number is encoded as its decimal text, regardless of its type;
+//   - a time is encoded as its nanoseconds since the epoch, an error as its text, and a
+//     function as a flag that is set unless it is nil.
 
 package simulator
 
@@ -21,7 +23,7 @@
 	"time"
 )
 
-// Tags of the kinds of values in the canonical form.
+// Tags of the kinds of values in the canonical encoding.
 const (
 	tagNil      = 'z'
 	tagFlag     = 'b'
@@ -49,13 +51,14 @@
 	return append(body, 0)
 }
 
+// appendSized appends a tag, the length of a value, and the value.
 func appendSized[T string | []byte](body []byte, tag byte, value T) []byte {
 	body = append(body, tag)
 	body = binary.AppendUvarint(body, uint64(len(value)))
 	return append(body, value...)
 }
 
-// appendValue adds the canonical form of a value.
+// appendValue appends the canonical encoding of a value.
 func appendValue(body []byte, value any) []byte {
 	return appendReflected(body, reflect.ValueOf(value))
 }
@@ -95,15 +98,15 @@
 	case reflect.Struct:
 		return appendStruct(body, value)
 	}
-	panic(fmt.Sprintf("a %s has no canonical form", value.Type()))
+	panic(fmt.Sprintf("type %s has no canonical encoding", value.Type()))
 }
 
 func isNil(value reflect.Value) bool {
 	return (value.Kind() == reflect.Pointer || value.Kind() == reflect.Interface) && value.IsNil()
 }
 
-// appendPointer adds what a pointer points to. One to an object that is not there is
-// an object without pairs, as a nil map is.
+// appendPointer appends the value that a pointer points to. A nil pointer to a struct with
+// json tags is encoded as an object without pairs, as a nil map is.
 func appendPointer(body []byte, value reflect.Value) []byte {
 	if !value.IsNil() {
 		return appendReflected(body, value.Elem())
@@ -128,8 +131,8 @@
 	return body
 }
 
-// pair is a key and a value of an object; the key of a map that isn't a text is
-// its canonical form.
+// pair is a key and a value of an object. A map key that is not a string is represented by
+// its canonical encoding.
 type pair struct {
 	key   string
 	value reflect.Value
@@ -179,7 +182,7 @@
 	return append(body, tagEnd)
 }
 
-// isEmpty is what encoding/json leaves out under omitempty.
+// isEmpty reports whether encoding/json would omit the value under omitempty.
 func isEmpty(value reflect.Value) bool {
 	switch value.Kind() {
 	case reflect.Array, reflect.Map, reflect.Slice, reflect.String:
@@ -190,21 +193,23 @@
 	return value.IsZero()
 }
 
-// keyedField is a field that has a key in JSON.
+// keyedField is a struct field that has a key in JSON.
 type keyedField struct {
 	key       string
 	index     []int
 	omitEmpty bool
 }
 
-// structForm says how the fields of a struct are taken: keyed are those with a key, by
-// key, and rest the others in their order. Without a json tag all are in rest.
+// structForm describes how the fields of a struct are encoded: keyed holds those with a
+// JSON key, sorted by key, and rest the others in declaration order. If no field has a json
+// tag, all fields are in rest.
 type structForm struct {
 	tagged bool
 	keyed  []keyedField
 	rest   [][]int
 }
 
+// structForms caches a structForm by reflect.Type.
 var structForms sync.Map
 
 func formOf(kind reflect.Type) structForm {
@@ -231,7 +236,8 @@
 	return form
 }
 
-// flatFields lists the fields of a struct, those of an embedded one in its place.
+// flatFields lists the fields of a struct, with the fields of an embedded struct in its
+// place.
 func flatFields(kind reflect.Type, path []int) []reflect.StructField {
 	var fields []reflect.StructField
 	for number := range kind.NumField() {
--- a/internal/simulator/canonical_test.go
+++ b/internal/simulator/canonical_test.go
@@ -67,7 +67,7 @@
 	for number, value := range values {
 		form := canonical(value)
 		earlier, found := seen[form]
-		assert.Check(t, !found, "%#v and %#v look alike", values[max(0, earlier)], value)
+		assert.Check(t, !found, "%#v and %#v have the same encoding", values[max(0, earlier)], value)
 		seen[form] = number
 	}
 }
--- a/internal/simulator/daemons_test.go
+++ b/internal/simulator/daemons_test.go
@@ -13,8 +13,8 @@
 	"dahlialock/internal/partition"
 )
 
-// TestNodesRunTheDaemonsOwnMachines holds the simulator to the machines that the
-// programs run: a stand-in would prove nothing about them.
+// The simulator must run the same state machines as the real daemons: runs with substitutes
+// would prove nothing about the daemons.
 func TestNodesRunTheDaemonsOwnMachines(t *testing.T) {
 	fleet, _ := Prepare(5, Shape{Gateways: 3, Stores: 4, Controllers: 5, Zones: 3, Delay: time.Millisecond}, nil)
 	assert.Equal(t, len(fleet.Nodes("")), 15)
--- a/internal/simulator/digest.go
+++ b/internal/simulator/digest.go
@@ -1,6 +1,6 @@
-// Digests of runs. A digest stands for all that the daemons of a run put into the
-// world: frames, writes to disks, answers and events. A change of the code that is
-// meant to leave the behaviour alone has to leave the digest of every run alone.
+// Digests of runs. A digest is a hash over all outputs of the daemons of a run: frames,
+// writes to disks, responses and events. A code change that is not meant to change the
+// behaviour must not change the digest of any run.
 
 package simulator
 
@@ -13,13 +13,13 @@
 	"dahlialock/internal/statemachine"
 )
 
-// digestSize is how many bytes of the hash a digest shows.
+// digestSize is the number of bytes of the hash that a digest consists of.
 const digestSize = 16
 
-// flushAt is how much a recorder gathers before it hashes it.
+// flushAt is the number of buffered bytes at which a recorder hashes its buffer.
 const flushAt = 64 << 10
 
-// Kinds of what is recorded.
+// Kinds of records.
 const (
 	recordFrame    = 'F'
 	recordWrite    = 'W'
@@ -28,25 +28,25 @@
 	recordLogEvent = 'N'
 )
 
-// Recorder hashes what the daemons of one run put into the world, in order, each with
-// its virtual moment. It draws nothing and changes nothing. A nil Recorder records
+// Recorder hashes the outputs of the daemons of one run, in order, each with its virtual
+// time. It draws no random numbers and does not influence the run. A nil Recorder records
 // nothing.
 type Recorder struct {
 	hash    hash.Hash
 	pending []byte
 }
 
-// NewRecorder makes a recorder for one run, to be given as Size.Recorder.
+// NewRecorder returns a recorder for one run, to be set as Shape.Recorder.
 func NewRecorder() *Recorder { return &Recorder{hash: sha256.New()} }
 
-// Digest gives the digest of all that was recorded so far, in hexadecimal digits.
+// Digest returns the digest of everything recorded so far, in hexadecimal.
 func (r *Recorder) Digest() string {
 	r.flush()
 	return hex.EncodeToString(r.hash.Sum(nil)[:digestSize])
 }
 
-// frame records a frame as it leaves a daemon. It holds the number of the message's
-// kind, its sender's address and version, and the body; no name of a Go type.
+// frame records a frame as it leaves a daemon. A frame contains the number of the message's
+// kind, its sender's address and version, and the body, but no names of Go types.
 func (r *Recorder) frame(from, to *Node, frame []byte) {
 	if r == nil {
 		return
@@ -57,7 +57,8 @@
 	r.end()
 }
 
-// write records what is about to be written to a disk.
+// write records a write before it is applied to a disk. whole says whether the write
+// has a checkpoint.
 func (r *Recorder) write(node *Node, checkpoint []byte, whole bool, entries [][]byte) {
 	if r == nil {
 		return
@@ -72,8 +73,9 @@
 	r.end()
 }
 
-// answers records what a step gives to callers and operators, and the numbers of what
-// it logs; the texts and fields of log events are free.
+// answers records the responses and deliveries of a step to clients and operators, and the
+// numbers of the events that it logs. The texts and fields of log events are not recorded,
+// so that they may change.
 func (r *Recorder) answers(node *Node, effects *statemachine.Effects) {
 	if r == nil {
 		return
--- a/internal/simulator/docs_test.go
+++ b/internal/simulator/docs_test.go
@@ -1,5 +1,5 @@
-// The pages that name proofs name only what is there: every test, scenario and
-// mutation in the proof columns of docs/brief.md and docs/promises.md exists.
+// Checks that every test, scenario and mutation named in the proof columns of
+// docs/brief.md and docs/promises.md exists.
 package simulator
 
 import (
--- a/internal/simulator/grown.go
+++ b/internal/simulator/grown.go
@@ -1,6 +1,6 @@
-// The grown shape: many gateways on thin links, with callers whose messages take
-// the share of a link that they take on the users' grown deployment. What its
-// machines need after all of them lost power is seen here, by kind of message.
+// The grown shape: many gateways on links with little bandwidth, with clients whose
+// messages take the same share of a link as on the users' grown deployment. It measures the
+// traffic of the gateways' links, by kind of message, after all machines lost power.
 
 package simulator
 
@@ -13,8 +13,8 @@
 	"dahlialock/internal/membership"
 )
 
-// Grown is a part of the users' grown deployment: the callers of a gateway and the
-// bandwidth of its link are scaled alike.
+// Grown is a scaled-down model of the users' grown deployment: the number of clients per
+// gateway and the bandwidth of its link are reduced by the same factor.
 var Grown = Shape{
 	Gateways: 12, Stores: 5, Controllers: 5, Zones: 3, Clients: 480, Delay: 500 * time.Microsecond, Tolerance: 2, Seeded: true,
 	Links: map[string]Bandwidth{
@@ -25,50 +25,56 @@
 }
 
 const (
-	// callersOfLink is how many callers a link of 2.6 Mbit/s has on the grown
-	// deployment, and grownLink the bytes a second of ours, for forty.
+	// callersOfLink is the number of clients on a link of 2.6 Mbit/s on the grown
+	// deployment. grownLink is the bandwidth of a simulated gateway's link in bytes per
+	// second, for forty clients.
 	callersOfLink = 107
 	grownLink     = 2_600_000 / 8 * 40 / callersOfLink
-	grownBody     = 700
-	// grownEach is how often a caller sends, and grownChurn how often it takes up
-	// another topic.
+	// grownBody is the size in bytes of a publication's body.
+	grownBody = 700
+	// grownEach is the mean interval at which a client publishes, grownChurn the mean
+	// interval at which it replaces one of its topics.
 	grownEach  = 7300 * time.Millisecond
 	grownChurn = 20 * time.Second
-	// Spans of a run: before the loss, without power, and after it.
+	// Durations of the parts of a run: before the power loss, without power, and after it.
 	grownBefore = 8 * time.Second
 	grownDown   = 940 * time.Millisecond
 	grownAfter  = 12 * time.Second
-	// grownListens is the span in which gateways begin to listen again, grownTakers
-	// when, after the return of power, new callers take up others' saved places.
+	// grownListens is the time within which gateways start again. grownTakers is the time
+	// after the return of power at which new clients subscribe with the saved cursors
+	// of others.
 	grownListens = 800 * time.Millisecond
 	grownTakers  = 600 * time.Millisecond
-	// grownCrowd is for how long after the return most callers come back.
+	// grownCrowd is the time after the return of power within which most clients reconnect.
 	grownCrowd = 3 * time.Second
 )
 
-// Service is what callers wanted and got in one second of a run.
+// Service counts the requests that clients made in one second of a run, and how many of
+// them were served in time.
 type Service struct {
 	Wanted, Served int
 }
 
-// GrownResult is what came of a run of the grown shape.
+// GrownResult is the result of a run of the grown shape.
 type GrownResult struct {
 	Simulation *Simulation
-	// Before and After count by second, from the beginning of the traffic and from
-	// the return of power.
+	// Before and After have an element for each second from the start of the traffic, and
+	// from the return of power.
 	Before, After []Service
-	// Calm and Recovery are the bytes by kind over gateways' links in the last
-	// seconds before the loss and in the first after it.
+	// Calm is the traffic of the gateways in the last CalmSpan before the power loss,
+	// Recovery that in the first RecoverySpan after the return of power.
 	Calm, Recovery         []KindTraffic
 	CalmSpan, RecoverySpan time.Duration
-	// Fullest is, for each second after the return of power, the callers of the
-	// fullest gateway over the mean; Refused counts what was refused, and RefusedLater
-	// what was from the fourth second on.
-	Fullest                []float64
+	// Fullest is, for each second after the return of power, the ratio of the largest
+	// number of clients on a gateway to the mean.
+	Fullest []float64
+	// Refused counts the requests that were rejected after the return of power,
+	// RejectedLater those of them from the fourth second on.
 	Refused, RejectedLater int
 }
 
-// RunGrown runs the grown shape: all power is lost in its midst, and comes back.
+// RunGrown runs the grown shape. In the middle of the run all machines lose power, and then
+// start again.
 func RunGrown(seed uint64, size Shape, trace func(line string)) *GrownResult {
 	simulation, _ := prepareTopics(seed, size, 0, trace)
 	simulation.world.body, simulation.world.steady = grownBody, true
@@ -116,8 +122,8 @@
 	return result
 }
 
-// startSpread is the span in which the machines of a kind begin again. Gateways begin
-// to listen one after another, and whoever listens is given the callers of all.
+// startSpread is the time within which the machines of a kind start again. Gateways start
+// one after another, and the first ones that listen receive the clients of all.
 func startSpread(node *Node) time.Duration {
 	if node.Kind == membership.KindGateway {
 		return grownListens
@@ -125,7 +131,7 @@
 	return 300 * time.Millisecond
 }
 
-// fullest is how many callers the fullest gateway has over the mean.
+// fullest returns the ratio of the largest number of clients on a gateway to the mean.
 func (s *Simulation) fullest() float64 {
 	maximum, sum := 0, 0
 	gateways := s.Nodes(membership.KindGateway)
@@ -138,7 +144,7 @@
 	return float64(maximum) * float64(len(gateways)) / float64(max(1, sum))
 }
 
-// refusals counts the requests that gateways refused so far, in their present lives.
+// refusals counts the requests that the gateways have rejected since their last start.
 func (s *Simulation) refusals() int {
 	count := 0
 	for _, node := range s.Nodes(membership.KindGateway) {
@@ -149,7 +155,7 @@
 	return count
 }
 
-// losePower ends every process at once.
+// losePower kills all daemons at the same time.
 func (s *Simulation) losePower() {
 	s.trace("all power is lost")
 	s.open++
@@ -161,7 +167,7 @@
 	}
 }
 
-// holdsTopics has a caller hold a few topics.
+// holdsTopics lets a client subscribe to up to count random topics.
 func (tc *TopicClient) holdsTopics(count int) {
 	topics := tc.simulation.world.topics
 	for range count {
@@ -170,14 +176,15 @@
 	}
 }
 
-// demands lets a caller send, and take up other topics, at moments that do not
-// depend on how it is served.
+// demands lets a client publish, and replace topics, at times that do not depend on how it
+// is served.
 func (tc *TopicClient) demands() {
 	simulation := tc.simulation
 	simulation.After(simulation.between(0, grownEach), tc.demandsSending)
 	simulation.After(simulation.between(0, grownChurn), tc.demandsTopics)
 }
 
+// demandsSending publishes on a random topic, and repeats itself.
 func (tc *TopicClient) demandsSending() {
 	simulation, world := tc.simulation, tc.simulation.world
 	if tc.stopped {
@@ -188,7 +195,8 @@
 	world.demands = append(world.demands, demand{at: simulation.Now, served: tc.wants(topic)})
 }
 
-// wants sends on a topic, and gives what tells whether it was taken in time.
+// wants publishes on a topic, and returns a function that reports whether the publication
+// was accepted in time.
 func (tc *TopicClient) wants(topic string) func() bool {
 	tc.pipeline = 8
 	if len(tc.outbox[topic]) >= tc.pipeline {
@@ -201,6 +209,7 @@
 	return func() bool { return !acceptedAt.IsZero() && acceptedAt.Sub(wanted) <= topicDeadline }
 }
 
+// demandsTopics replaces one of the client's topics by a random one, and repeats itself.
 func (tc *TopicClient) demandsTopics() {
 	simulation, world := tc.simulation, tc.simulation.world
 	if tc.stopped {
@@ -216,7 +225,7 @@
 	}})
 }
 
-// firstTopic is the first of a caller's topics by name.
+// firstTopic returns the first of a client's topics in alphabetical order.
 func firstTopic(topics map[string]*heldSubscription) string {
 	first := ""
 	for name := range topics {
@@ -227,13 +236,14 @@
 	return first
 }
 
-// demand is something that a caller wanted.
+// demand is a publication or subscription that a client requested.
 type demand struct {
 	at     time.Time
 	served func() bool
 }
 
-// service counts by second what was wanted from a moment on, and got.
+// service counts, for each second of span after from, the demands and those that were
+// served.
 func (tw *topicWorld) service(from time.Time, span time.Duration) []Service {
 	found := make([]Service, span/time.Second)
 	for _, each := range tw.demands {
@@ -249,7 +259,7 @@
 	return found
 }
 
-// Shares tells the part that was served of each second.
+// Shares formats the share of the demands that was served in each second.
 func Shares(seconds []Service) string {
 	var texts []string
 	for _, each := range seconds {
@@ -258,7 +268,7 @@
 	return strings.Join(texts, " ")
 }
 
-// Lost lists what was acknowledged and is missing.
+// Lost lists the checker's findings of publications that were acknowledged and then lost.
 func (r *GrownResult) Lost() []string {
 	var lost []string
 	for _, line := range r.Simulation.Checker.Violations() {
@@ -269,7 +279,7 @@
 	return lost
 }
 
-// TrafficTable tells bytes by kind, for each gateway and second.
+// TrafficTable formats traffic by kind of message as a table, per gateway and second.
 func TrafficTable(kinds []KindTraffic, gateways int, span time.Duration) string {
 	var text strings.Builder
 	each := float64(gateways) * span.Seconds()
--- a/internal/simulator/grown_mutation_test.go
+++ b/internal/simulator/grown_mutation_test.go
@@ -10,8 +10,7 @@
 	"dahlialock/internal/statemachine"
 )
 
-// One class for all, and nothing held back from a link: the fleet's own load holds
-// the recovery down.
+// Without priority classes and pacing, the internal traffic of the fleet delays the recovery.
 func TestTheOrderOfLinksIsNeeded(t *testing.T) {
 	defer statemachine.Mutate("single-class")()
 	result := RunGrown(1, thin(), nil)
@@ -19,10 +18,10 @@
 	assert.Assert(t, worst(result.After[thinAfter:]) < thinShareWanted, "after: %s", Shares(result.After))
 }
 
-// Everybody is let in by whoever listens first.
+// Without admission control, the gateways that listen first keep the clients of all.
 func TestAdmissionOnThinLinksIsNeeded(t *testing.T) {
 	defer statemachine.Mutate("all-admitted")()
 	result := RunGrown(1, thin(), nil)
-	t.Logf("after %s; fullest %.2f; refused later %d", Shares(result.After), result.Fullest, result.RejectedLater)
+	t.Logf("after %s; fullest %.2f; rejected later %d", Shares(result.After), result.Fullest, result.RejectedLater)
 	assert.Assert(t, result.Fullest[soonAfter-1] > fullestSoon, "%.2f", result.Fullest)
 }
--- a/internal/simulator/heldlinks.go
+++ b/internal/simulator/heldlinks.go
@@ -1,7 +1,7 @@
-// Links that hold what they were given while daemons at their ends begin anew. A
-// link that lost its connection keeps its queue, in order, for up to two seconds and
-// hands it to whatever life of the peer is there once it stands again; what an ended
-// process had written may arrive as late.
+// Links that hold messages across restarts of their daemons. A link that lost its
+// connection keeps its queue, in order, for up to two seconds. After the reconnect it
+// delivers the queue to the peer's process, even if that has been restarted since.
+// Messages that a process sent before it ended may arrive equally late.
 
 package simulator
 
@@ -12,19 +12,21 @@
 	"dahlialock/internal/membership"
 )
 
-// maxHeld is how long a link holds a message at most.
+// maxHeld is the maximum time for which a link holds a message.
 const maxHeld = 2 * time.Second
 
-// heldLinks is what is known of links that hold messages.
+// heldLinks is the state of links that hold messages.
 type heldLinks struct {
-	// until is when a daemon's links cease to begin to hold, and release when a link
-	// of one life of its sender hands on what it holds.
+	// until is the time, by daemon, up to which its links may start to hold messages.
+	// release is the time, by link and incarnation of its sender, at which the link
+	// delivers the messages that it holds.
 	until   map[*Node]time.Time
 	release map[string]time.Time
 }
 
-// holdLinks has half the links from and to a daemon hold what they are given from some
-// moment of a span on.
+// holdLinks makes the links from and to a daemon hold messages: within length, each
+// message on a link that does not hold messages yet has a chance of one half to make it
+// start.
 func (s *Simulation) holdLinks(node *Node, length time.Duration) {
 	if s.heldLinks.until == nil {
 		s.heldLinks = heldLinks{until: map[*Node]time.Time{}, release: map[string]time.Time{}}
@@ -32,7 +34,8 @@
 	s.heldLinks.until[node] = s.Now.Add(length)
 }
 
-// heldUntil tells when a message that is sent now arrives, if its link holds it.
+// heldUntil returns the arrival time of a message that is sent now, if its link holds
+// messages; otherwise false.
 func (s *Simulation) heldUntil(from, to *Node) (time.Time, bool) {
 	if s.heldLinks.until == nil || from == to {
 		return time.Time{}, false
@@ -49,7 +52,8 @@
 	return release, true
 }
 
-// land hands a held message to whatever life is there.
+// land delivers a held message to the process of the receiver that runs at that time,
+// whatever its incarnation.
 func (s *Simulation) land(from, to *Node, frame []byte, at time.Time) {
 	s.At(at, func() {
 		if to.Up && s.cuts[link(from, to)] == 0 {
@@ -58,8 +62,9 @@
 	})
 }
 
-// restartWithHeldLinks ends a daemon whose links hold messages, and begins it anew
-// while they do; some of its lives are short.
+// restartWithHeldLinks crashes or kills a daemon whose links hold messages, and starts it
+// again while they still do. It repeats this for a number of incarnations, which follow
+// each other within a short time.
 func (s *Simulation) restartWithHeldLinks(node *Node, incarnations int) {
 	if node == nil {
 		return
@@ -78,7 +83,8 @@
 	}
 }
 
-// restartsWithHeldLinks strikes one daemon after another, sometimes two at once.
+// restartsWithHeldLinks applies restartWithHeldLinks to one daemon after another, sometimes
+// to two at once.
 func restartsWithHeldLinks(simulation *Simulation, length time.Duration) {
 	kinds := []string{membership.KindController, membership.KindStore, membership.KindStore, membership.KindGateway, membership.KindAgent}
 	simulation.every(length, 1500*time.Millisecond, 3500*time.Millisecond, func() {
--- a/internal/simulator/injection.go
+++ b/internal/simulator/injection.go
@@ -1,7 +1,8 @@
-// Storms in the simulator: every fault of the list in squall brought about for
-// its length, and a run that is made of one: faults alone or together, a calm
-// in which everything must be as if nothing had been, and one last fault that
-// stays. Each fault undoes only what it did, so that any of them may overlap.
+// Fault schedules in the simulator. Each fault that package faults names has an
+// injector, which injects it for its length. A run of a schedule consists of the faults,
+// alone or overlapping, a time without faults after which the fleet must have recovered
+// completely, and one last fault that remains. Each injector reverts only its own
+// changes, so that any faults may overlap.
 
 package simulator
 
@@ -19,17 +20,20 @@
 	"dahlialock/internal/statemachine"
 )
 
-// FaultSchedule is what befalls a run: a storm, and the fault that ends it.
+// FaultSchedule lists the faults of a run, and the last fault, with which the run ends.
 type FaultSchedule struct {
-	Faults    []faults.Fault
-	Last      string
+	Faults []faults.Fault
+	Last   string
+	// ClockSkew is the maximum deviation of the machines' wall clocks.
 	ClockSkew time.Duration
 }
 
+// faultPeriod is the time within which the faults of a schedule start.
 const faultPeriod = 24 * time.Second
 
-// drawSchedule draws the plot of a seed; its own random numbers keep a shortened
-// list the same run in all else.
+// drawSchedule draws the schedule of a seed. It has a random generator that is separate
+// from the simulation's, so that a run with a shortened schedule stays the same in all
+// other respects.
 func drawSchedule(seed uint64, names []string, count int) FaultSchedule {
 	random := rand.New(rand.NewPCG(seed, 0x5707))
 	schedule := FaultSchedule{Faults: faults.Draw(random, names, faultPeriod, count), Last: faults.Last[random.IntN(len(faults.Last))]}
@@ -39,13 +43,14 @@
 	return schedule
 }
 
-// drawPairSchedule draws two faults that come again and again over each other.
+// drawPairSchedule draws a schedule of two kinds of faults, which are repeated and may
+// overlap.
 func drawPairSchedule(seed uint64) FaultSchedule {
 	pair := drawPair(rand.New(rand.NewPCG(seed, 0x9a13)))
 	return drawSchedule(seed, pair[:], 4)
 }
 
-// drawPair draws two faults that may come at once.
+// drawPair draws two kinds of faults that may occur at the same time.
 func drawPair(random *rand.Rand) [2]string {
 	left := faults.Names[random.IntN(len(faults.Names))]
 	right := faults.Names[random.IntN(len(faults.Names))]
@@ -55,7 +60,7 @@
 	return [2]string{left, right}
 }
 
-// RunSchedule runs a plot under a seed.
+// RunSchedule runs a fault schedule with a seed.
 func RunSchedule(seed uint64, size Shape, schedule FaultSchedule, trace func(line string)) *Simulation {
 	simulation, operator := prepare(seed, size, schedule.ClockSkew, trace)
 	simulation.Crowd(size.Clients)
@@ -68,7 +73,7 @@
 	}
 	simulation.Run(faultPeriod)
 	if !simulation.RunUntil(120*time.Second, func() bool { return simulation.open == 0 }) {
-		simulation.Checker.Violate(checker.NotBack, "a fault has not come to its end after two minutes")
+		simulation.Checker.Violate(checker.NotBack, "a fault has not ended after two minutes")
 	}
 	simulation.Run(checker.FaultSettleTime + 3*time.Second)
 	if schedule.Last != "" {
@@ -84,7 +89,7 @@
 	return simulation
 }
 
-// calmSince is the moment from which nothing goes wrong.
+// calmSince returns the time since which no fault is active.
 func (s *Simulation) calmSince() time.Time {
 	if s.open > 0 {
 		return s.Now
@@ -92,15 +97,15 @@
 	return s.lastFaultAt
 }
 
-// faultEnds closes a fault.
+// faultEnds records the end of a fault.
 func (s *Simulation) faultEnds(name string) {
 	s.open--
 	s.lastFaultAt = s.Now
 	s.trace("fault ends: %s", name)
 }
 
-// choose picks a daemon of a kind that is up; the same pick names the same
-// daemon while the fleet is whole.
+// choose returns a daemon of a kind that is up. While all daemons are up, the same pick
+// always yields the same daemon.
 func (s *Simulation) choose(kind string, pick uint64) *Node {
 	var up []*Node
 	for _, node := range s.Nodes(kind) {
@@ -114,7 +119,7 @@
 	return up[pick%uint64(len(up))]
 }
 
-// inject brings one fault about.
+// inject injects one fault.
 func (s *Simulation) inject(fault faults.Fault) {
 	s.open++
 	s.trace("fault: %s", fault)
@@ -126,9 +131,11 @@
 	inject(s, fault, end)
 }
 
+// injector injects a fault, and calls end when the fault has ended.
 type injector func(simulation *Simulation, fault faults.Fault, end func())
 
-// on makes a fault of what is done to one daemon of a kind.
+// on returns an injector that applies inject to one daemon of a kind, or to the
+// controller in the role "primary" or "backup".
 func on(kind string, inject func(simulation *Simulation, node *Node, fault faults.Fault, end func())) injector {
 	return func(simulation *Simulation, fault faults.Fault, end func()) {
 		var node *Node
@@ -165,7 +172,8 @@
 	})
 }
 
-// restart restarts a daemon as the platform does, and tells when it has.
+// restart restarts a daemon as the platform does: it waits for the graceful shutdown,
+// then for wait, and calls then after the start.
 func (s *Simulation) restart(node *Node, wait time.Duration, then func()) {
 	if !node.Up {
 		node.Start()
@@ -188,7 +196,8 @@
 	simulation.restart(node, fault.Length/3, end)
 }
 
-// restartInTurn restarts daemons one after another, each once the one before is ready.
+// restartInTurn restarts daemons one after another, each when the previous one is ready
+// or was not ready for eight seconds.
 func (s *Simulation) restartInTurn(nodes []*Node, end func()) {
 	if len(nodes) == 0 {
 		end()
@@ -209,7 +218,7 @@
 	})
 }
 
-// partitionFor cuts the ways that a test names for a while, and only those.
+// partitionFor cuts the links that the predicate cut selects, for length.
 func (s *Simulation) partitionFor(length time.Duration, cut func(from, to *Node) bool, end func()) {
 	type way struct{ from, to *Node }
 	var ways []way
@@ -229,7 +238,7 @@
 	})
 }
 
-// addNewDaemon adds a machine that nobody has heard of.
+// addNewDaemon adds and starts a daemon that is unknown to the fleet, on a new machine.
 func (s *Simulation) addNewDaemon(kind string) {
 	number := len(s.Nodes(kind))
 	switch kind {
@@ -251,11 +260,12 @@
 	}
 }
 
+// over calls undo and end when the length of a fault has passed.
 func over(fault faults.Fault, simulation *Simulation, end func(), undo func()) {
 	simulation.After(fault.Length, func() { undo(); end() })
 }
 
-// resetNearlyAll cuts the channels of nearly all callers, or of one.
+// resetNearlyAll closes the connections of nine in ten clients, chosen at random.
 func (s *Simulation) resetNearlyAll(fault faults.Fault, end func()) {
 	for _, client := range s.clients {
 		if s.Random.IntN(10) > 0 {
@@ -269,7 +279,7 @@
 	return s.clients[pick%uint64(len(s.clients))]
 }
 
-// injectSlowProcess stops and continues a daemon in short turns.
+// injectSlowProcess pauses and resumes a daemon's process in short intervals.
 func injectSlowProcess(simulation *Simulation, node *Node, fault faults.Fault, end func()) {
 	until, incarnation := simulation.Now.Add(fault.Length), node.incarnation
 	var turn func()
@@ -311,7 +321,8 @@
 	"join-store":         join(membership.KindStore),
 	"join-controller":    join(membership.KindController),
 	"restart-beside": on(membership.KindGateway, func(simulation *Simulation, node *Node, fault faults.Fault, end func()) {
-		// A gateway and its agent at once, and now and then the agent first.
+		// A gateway and its agent restart at the same time. In one of three cases the
+		// agent is killed first.
 		agent := simulation.besideOf(node)
 		if fault.Pick%3 == 0 {
 			agent.Kill()
@@ -340,7 +351,7 @@
 		over(fault, simulation, end, func() { node.slowDisk = 0 })
 	},
 	"power-loss": func(simulation *Simulation, fault faults.Fault, end func()) {
-		// All stores lose power at the same moment and keep what was synced.
+		// All stores lose power at the same time and keep their synced writes.
 		for _, node := range simulation.Nodes(membership.KindStore) {
 			if node.Up {
 				node.Kill()
@@ -426,8 +437,8 @@
 		})
 	},
 	"operators": func(simulation *Simulation, fault faults.Fault, end func()) {
-		// Two operators race with the same version and other content, and a
-		// third puts the next one at the same time.
+		// Two operators put the same version with different contents concurrently,
+		// and a third one puts the next version at the same time.
 		for range 3 {
 			simulation.operator.race()
 			simulation.operator.next(nil)
@@ -470,7 +481,7 @@
 	},
 }
 
-// spaceFor adds a space that callers use at once, and removes it.
+// spaceFor adds a space with clients that use it immediately, and removes it again.
 func (s *Simulation) spaceFor(fault faults.Fault, end func()) {
 	operator := s.operator
 	s.number++
@@ -498,8 +509,8 @@
 	})
 }
 
-// injectLast brings about the fault that ends a run; nothing takes it away but
-// a restart, where the fault is one.
+// injectLast injects the last fault of a run. Its daemons stay down, except that
+// restart-all starts them again.
 func (s *Simulation) injectLast(name string) {
 	kill := func(node *Node) {
 		if node != nil && node.Up {
@@ -537,23 +548,25 @@
 			}
 		}
 	default:
-		panic("no last fault is named " + name)
+		panic("unknown last fault " + name)
 	}
 }
 
+// besideOf returns the agent on the machine of a gateway.
 func (s *Simulation) besideOf(gateway *Node) *Node {
 	return s.nodes[membership.KindAgent+gateway.Name[len(membership.KindGateway):]]
 }
 
-// Recovery is when each part of a recovery was first seen, counted from the
-// failure: a watcher or the backup noticed, the controllers decided, a primary could
-// act again, every partition had its two copies, and the last caller was back.
+// Recovery holds the times from a failure to each part of the recovery: a failure
+// detector or the backup noticed it, the controllers decided, a primary could act again,
+// every partition had both of its replicas, and the last client was back.
 type Recovery struct {
+	// What names the failure.
 	What                                                  string
 	Noticed, Decided, TakeoverDone, Refilled, ClientsBack time.Duration
 }
 
-// record takes what daemons log as signs of a recovery's first two parts.
+// record derives the first two parts of a recovery from the events that daemons log.
 func (c *Recovery) record(number statemachine.EventNumber, after time.Duration) {
 	switch number {
 	case logevent.MemberSuspected, logevent.TakeoverStarted, logevent.BackupLost, logevent.EpochRecovered:
@@ -565,7 +578,8 @@
 	}
 }
 
-// serving names the parts of service that are there.
+// serving reports which parts of the service are available: a primary, all partitions
+// with both replicas and a running leader, and all clients.
 func (s *Simulation) serving() (primary, partitions, callers bool) {
 	acting := s.Primary()
 	if acting == nil {
@@ -579,6 +593,8 @@
 	return true, partitions, s.callersServed()
 }
 
+// callersServed reports whether all clients, except those that are away on purpose, are
+// served.
 func (s *Simulation) callersServed() bool {
 	for _, client := range s.topicClients {
 		if !client.Closed && client.fixed == nil && !client.holds() && !s.Now.Before(client.absentUntil) {
--- a/internal/simulator/mutation_test.go
+++ b/internal/simulator/mutation_test.go
@@ -1,9 +1,9 @@
 //go:build mutation
 
-// Each promise is seen broken once its mechanism is taken away: the scenario
-// that provokes the failure is run with the mutation, and the checker must name
-// the violation. Without the mutation the same seeds are green. The first seed
-// that shows it is named, so that the test need not look for it.
+// Tests that each promise is violated when its mechanism is disabled: the scenario that
+// provokes the failure runs with the mutation, and the checker must report the violation.
+// Without the mutation the same seeds must pass. The table gives the first seed that shows
+// the violation, so that the test need not search for it.
 package simulator
 
 import (
@@ -49,14 +49,15 @@
 	{"first-route-wins", "topics-resets", 0, []string{checker.Lost, checker.Skipped}},
 }
 
-// seen runs a scenario over a few seeds until one of the kinds is named.
+// seen runs a scenario with several seeds until the checker reports a violation of one of the
+// kinds. It returns the seed and the violation.
 func seen(t *testing.T, scenario Scenario, kinds []string, from, seeds uint64) (uint64, string) {
 	t.Helper()
 	for seed := from; seed < from+seeds; seed++ {
 		run := New(seed, Small)
 		func() {
-			// A mutated machine may break an invariant, which is not what is
-			// looked for here.
+			// A mutated state machine may panic on a broken invariant. This test
+			// only looks for the checker's violations.
 			defer func() { _ = recover() }()
 			run = Run(scenario, seed, Small, nil)
 		}()
@@ -79,7 +80,7 @@
 		restore := statemachine.Mutate(each.mutation)
 		seed, line := seen(t, scenario, each.kinds, each.from, 20)
 		restore()
-		assert.Check(t, line != "", "%s was not seen to break %v in %s", each.mutation, each.kinds, each.scenario)
+		assert.Check(t, line != "", "%s did not cause a violation of %v in %s", each.mutation, each.kinds, each.scenario)
 		if line != "" {
 			t.Logf("%s in %s, seed %d: %s", each.mutation, each.scenario, seed, line)
 			green = append(green, func() { judge(t, scenario, seed) })
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -1,5 +1,5 @@
-// The simulated network: messages that are delayed, lost or cut, in order on each
-// link unless a link is dialled anew, and daemons that refuse to be dialled.
+// The simulated network. Messages are delayed, or lost where a link is cut. The messages
+// of a link arrive in order, except after a reconnect. A daemon may refuse connections.
 
 package simulator
 
@@ -12,12 +12,14 @@
 	"dahlialock/internal/transport"
 )
 
+// link returns the key of the link from one daemon to another.
 func link(from, to *Node) string { return from.Name + ">" + to.Name }
 
-// CutLink cuts the way from one daemon to another.
+// CutLink cuts the link from one daemon to another, in this direction only. Cuts of the
+// same link are counted.
 func (s *Simulation) CutLink(from, to *Node) { s.cuts[link(from, to)]++ }
 
-// HealLink takes one cut away again.
+// HealLink reverts one CutLink.
 func (s *Simulation) HealLink(from, to *Node) {
 	name := link(from, to)
 	if s.cuts[name]--; s.cuts[name] <= 0 {
@@ -26,7 +28,7 @@
 	}
 }
 
-// Isolate cuts daemons off from all others, both ways.
+// Isolate cuts the links between the daemons inside and all others, in both directions.
 func (s *Simulation) Isolate(inside func(node *Node) bool) {
 	for _, node := range s.Nodes("") {
 		for _, other := range s.Nodes("") {
@@ -37,7 +39,7 @@
 	}
 }
 
-// Heal takes all cuts and losses away.
+// Heal reverts all cuts, message loss, extra delays and reconnects.
 func (s *Simulation) Heal() {
 	if len(s.cuts) > 0 || s.loss > 0 {
 		s.trace("the network heals")
@@ -49,13 +51,14 @@
 	s.cuts, s.loss, s.lag, s.relinks = map[string]int{}, 0, 0, 0
 }
 
+// delay draws the one-way delay of a message between two zones.
 func (s *Simulation) delay(from, to int) time.Duration {
 	length := 100*time.Microsecond + time.Duration(s.Random.IntN(100))*time.Microsecond
 	if from != to {
 		length += s.Shape.Delay + time.Duration(s.Random.Int64N(int64(s.Shape.Delay/4)+1))
 	}
 	if s.loss > 0 && s.Random.Float64() < s.loss {
-		// A lost packet is sent again by the transport below.
+		// TCP retransmits a lost packet, so the loss only delays the message.
 		length += 200 * time.Millisecond
 	}
 	if s.lag > 0 {
@@ -64,6 +67,7 @@
 	return length
 }
 
+// send sends a message over the link to its receiver.
 func (s *Simulation) send(from *Node, send statemachine.Send, version uint64) {
 	to, found := s.byPort[send.To]
 	if !found {
@@ -94,8 +98,8 @@
 	key := link(from, to)
 	times := 1
 	if s.relinks > 0 && from != to && s.Random.IntN(20) == 0 {
-		// A link that was dialled anew: what the old one still held comes
-		// late, twice or never.
+		// The link has reconnected. A message that the old connection still held
+		// arrives late, twice or not at all.
 		times = s.Random.IntN(3)
 		at = at.Add(time.Duration(s.Random.IntN(30)) * time.Millisecond)
 	} else {
@@ -109,6 +113,8 @@
 	}
 }
 
+// arrive schedules the arrival of a frame at the receiver's process. The frame is lost if
+// by then the link is cut, or the process is down or was restarted.
 func (s *Simulation) arrive(from, to *Node, frame []byte, at time.Time) {
 	key, incarnation := link(from, to), to.incarnation
 	s.At(at, func() {
--- a/internal/simulator/recorded.go
+++ b/internal/simulator/recorded.go
@@ -1,5 +1,5 @@
-// Recorded runs: the table of digests of runs as they were. Only a commit that knowingly
-// changes the behaviour records them anew, with the commands that the table begins with.
+// Recorded runs: a table of the digests of runs. Only a commit that intentionally changes
+// the behaviour updates the table, with the commands in the comment at its top.
 
 package simulator
 
@@ -10,16 +10,16 @@
 	"strings"
 )
 
-// GrownName names the run of the grown shape, and that shape, among recorded runs.
+// GrownName is both the scenario name and the shape name of the recorded runs of RunGrown.
 const GrownName = "grown"
 
-// RecordedRun names one run of a scenario on a shape.
+// RecordedRun identifies one run of a scenario on a shape.
 type RecordedRun struct {
 	Scenario, Shape string
 	Seed            uint64
 }
 
-// String is the run as the table begins its line.
+// String returns the run in the form in which a line of the table begins.
 func (rr RecordedRun) String() string { return fmt.Sprintf("%s %s %d", rr.Scenario, rr.Shape, rr.Seed) }
 
 // Recording is a run with its digest.
@@ -28,11 +28,11 @@
 	Digest string
 }
 
-// String is a line of the table.
+// String returns the line of the table.
 func (r Recording) String() string { return r.RecordedRun.String() + " " + r.Digest }
 
-// Record runs a scenario on a shape from its beginning, and gives the digest of all that its
-// daemons put into the world. It may be called from several goroutines.
+// Record executes the run and returns the digest of all outputs of its daemons. It may be
+// called concurrently.
 func (rr RecordedRun) Record() (Recording, error) {
 	recorder := NewRecorder()
 	if rr.Scenario == GrownName && rr.Shape == GrownName {
@@ -44,15 +44,15 @@
 	scenario, known := Find(rr.Scenario)
 	size, shaped := Shapes[rr.Shape]
 	if !known || !shaped {
-		return Recording{}, fmt.Errorf("there is no scenario %q on a shape %q", rr.Scenario, rr.Shape)
+		return Recording{}, fmt.Errorf("unknown scenario %q or shape %q", rr.Scenario, rr.Shape)
 	}
 	size.Recorder = recorder
 	Run(scenario, rr.Seed, size, nil)
 	return Recording{rr, recorder.Digest()}, nil
 }
 
-// ReadRecordings reads a table: a line for each run, with its scenario, shape, seed and
-// digest. Empty lines and those that begin with # are comments.
+// ReadRecordings reads a table, which has one line for each run, with its scenario, shape,
+// seed and digest. Empty lines and lines that begin with # are ignored.
 func ReadRecordings(table io.Reader) ([]Recording, error) {
 	var found []Recording
 	lines := bufio.NewScanner(table)
@@ -63,7 +63,7 @@
 		}
 		var each Recording
 		if _, err := fmt.Sscan(line, &each.Scenario, &each.Shape, &each.Seed, &each.Digest); err != nil {
-			return nil, fmt.Errorf("%q is no line of a table of recorded runs: %w", line, err)
+			return nil, fmt.Errorf("invalid line %q in a table of recorded runs: %w", line, err)
 		}
 		found = append(found, each)
 	}
--- a/internal/simulator/recorded_test.go
+++ b/internal/simulator/recorded_test.go
@@ -1,5 +1,6 @@
-// Runs are as they were recorded: what the daemons say, write and answer stays the same
-// to the byte and to the virtual moment, unless a commit knowingly changes it.
+// Tests that runs still have their recorded digests: the messages, writes and responses of
+// the daemons stay the same, byte for byte and at the same virtual times, unless a commit
+// intentionally changes the behaviour.
 
 package simulator
 
@@ -16,8 +17,8 @@
 
 const recordedTable = "testdata/recorded.txt"
 
-// selectedScenarios are those that the shapes other than the small one are tried on here;
-// the small one is tried on all. The whole table is for the command that it begins with.
+// selectedScenarios lists the scenarios that these tests run on each shape other than small;
+// on small they run all scenarios. The command at the top of the table compares all lines.
 var selectedScenarios = map[string][]string{
 	"highest":  {"storm", "topics-storm"},
 	"four":     {"storm", "topics-storm"},
@@ -26,10 +27,11 @@
 	GrownName:  {GrownName},
 }
 
-// selectedSeed is the seed of each. Under -short only one of so many of them is run.
 const (
+	// selectedSeed is the seed of the selected runs.
 	selectedSeed = 0
-	shortStep    = 8
+	// shortStep is how many selected runs there are for each one that runs under -short.
+	shortStep = 8
 )
 
 func recordings(t *testing.T) []Recording {
@@ -67,11 +69,11 @@
 	}
 }
 
-// The table leaves out no scenario and no shape, and names no run twice.
+// The table contains every scenario and every shape, and no run twice.
 func TestRecordedRunsCoverAllScenariosAndShapes(t *testing.T) {
 	tried := map[RecordedRun]bool{}
 	for _, line := range recordings(t) {
-		assert.Check(t, !tried[line.RecordedRun], "%s stands twice", line.RecordedRun)
+		assert.Check(t, !tried[line.RecordedRun], "%s is listed twice", line.RecordedRun)
 		tried[line.RecordedRun] = true
 	}
 	for _, scenario := range Scenarios() {
@@ -79,7 +81,7 @@
 		assert.Check(t, tried[run], "%s is not recorded", run)
 	}
 	for shape := range Shapes {
-		assert.Check(t, shape == "small" || len(selectedScenarios[shape]) > 0, "%s is not tried", shape)
+		assert.Check(t, shape == "small" || len(selectedScenarios[shape]) > 0, "no scenario is selected for shape %s", shape)
 	}
 	for shape, scenarios := range selectedScenarios {
 		for _, scenario := range scenarios {
@@ -89,8 +91,9 @@
 	}
 }
 
-// shortRun is the digest of a start with an operator's first configuration; alter is
-// called with what leaves daemons.
+// shortRun returns the digest of a run that starts a fleet with its first configuration and
+// lasts for three more seconds with clients. alter is called for each message that leaves a
+// daemon in these seconds.
 func shortRun(seed uint64, alter func(message any)) string {
 	size := Small
 	size.Recorder = NewRecorder()
--- a/internal/simulator/scenario.go
+++ b/internal/simulator/scenario.go
@@ -1,7 +1,7 @@
-// Scenarios: what befalls a simulated fleet. Each is a name with a function that
-// schedules its faults from the seed; all share the same callers, operators and
-// checks. At the end every fault is taken away, callers are given time to come
-// back, and the checker closes its book.
+// Scenarios: the faults that are injected into a simulated fleet. Each is a name with a
+// function that schedules its faults from the seed; all share the same clients, operators
+// and checks. At the end every fault is healed, clients get time to reconnect, and the
+// checker runs its final checks.
 
 package simulator
 
@@ -21,19 +21,21 @@
 	"dahlialock/internal/statemachine"
 )
 
-// Scenario is one kind of run.
+// Scenario is one kind of run. At most one of Faults, Schedule and Topics is set.
 type Scenario struct {
-	Name     string
+	Name string
+	// Length is for how long Faults injects faults.
 	Length   time.Duration
 	Faults   func(simulation *Simulation, length time.Duration)
 	Schedule func(seed uint64) FaultSchedule
-	// Topics is set for runs with callers of routed topics.
+	// Topics is set for runs with clients of routed topics.
 	Topics func(seed uint64) TopicPlot
 }
 
 const sampleEvery = 100 * time.Millisecond
 
-// sample looks at what is in force on every daemon.
+// sample passes the configuration version in force and the readiness of every healthy
+// gateway to the checker, and repeats itself every sampleEvery.
 func (s *Simulation) sample() {
 	s.After(sampleEvery, s.sample)
 	for _, client := range s.clients {
@@ -73,6 +75,8 @@
 	}
 }
 
+// isolatedFromMajority reports whether a daemon is cut off from at least half of the
+// controllers.
 func (s *Simulation) isolatedFromMajority(node *Node) bool {
 	cut, all := 0, 0
 	for _, other := range s.Nodes(membership.KindController) {
@@ -84,8 +88,8 @@
 	return cut*2 >= all
 }
 
-// Prepare starts a fleet with a configuration and callers, and waits until it
-// serves.
+// Prepare starts a fleet, puts its first configuration, and waits until all gateways are
+// ready.
 func Prepare(seed uint64, size Shape, trace func(line string)) (*Simulation, *Operator) {
 	return prepare(seed, size, 0, trace)
 }
@@ -95,7 +99,8 @@
 	return simulation, simulation.begin(apart, trace)
 }
 
-// begin starts the daemons and puts the first configuration.
+// begin starts the daemons, puts the first configuration, and waits until all gateways
+// are ready.
 func (s *Simulation) begin(apart time.Duration, trace func(line string)) *Operator {
 	s.Trace = trace
 	s.clockSkew = apart
@@ -108,7 +113,7 @@
 	taken := false
 	s.After(time.Second, func() { operator.next(func() { taken = true }) })
 	if !s.RunUntil(20*time.Second, func() bool { return taken }) {
-		s.Checker.Violate(checker.NotBack, "no configuration was taken in 20 s")
+		s.Checker.Violate(checker.NotBack, "no configuration was accepted within 20 s")
 	}
 	s.RunUntil(10*time.Second, func() bool {
 		for _, node := range s.Nodes(membership.KindGateway) {
@@ -123,7 +128,7 @@
 	return operator
 }
 
-// Crowd adds the usual callers.
+// Crowd adds the clients that most scenarios have.
 func (s *Simulation) Crowd(count int) {
 	topics := []string{}
 	for project := range 3 {
@@ -155,7 +160,7 @@
 	}
 }
 
-// Run runs a scenario under one seed.
+// Run runs a scenario with a seed.
 func Run(scenario Scenario, seed uint64, size Shape, trace func(line string)) *Simulation {
 	if scenario.Topics != nil {
 		return RunTopics(seed, size, scenario.Topics(seed), trace)
@@ -180,8 +185,8 @@
 	return simulation
 }
 
-// WaitUntilStable takes all faults away, lets callers come back and go on for a while,
-// and closes the book.
+// WaitUntilStable heals all faults, gives clients time to reconnect and to continue, and
+// ends the run with the checker's final checks.
 func (s *Simulation) WaitUntilStable(wait time.Duration) {
 	s.Heal()
 	for _, node := range s.Nodes("") {
@@ -198,7 +203,8 @@
 	s.close(wait * 3 / 10)
 }
 
-// close ends new publications, and the run.
+// close stops new publications, waits for those in flight, and ends the run with the
+// checker's final checks.
 func (s *Simulation) close(wait time.Duration) {
 	for _, client := range s.clients {
 		client.Quiet()
@@ -213,7 +219,7 @@
 	s.Checker.Close(s.Now)
 }
 
-// describe traces what is still under way at the end.
+// describe writes the state of gateways, stores and clients at the end to the trace.
 func (s *Simulation) describe() {
 	if s.Trace == nil {
 		return
@@ -238,8 +244,8 @@
 	}
 }
 
-// ServiceBack measures how long after a moment every caller can publish and is
-// subscribed again, and when each part of the recovery was seen.
+// ServiceBack measures how long from now it takes until every client is subscribed again
+// and can publish, and when each part of the recovery was observed.
 func (s *Simulation) ServiceBack(what string) {
 	from := s.Now
 	comeback := &Recovery{What: what}
@@ -258,8 +264,8 @@
 				*part.since = after
 			}
 		}
-		// Word of the loss may come after a moment in which all still seems
-		// well, so service counts as back once it has held for four seconds.
+		// The failure may be detected only after a time in which everything still
+		// appears healthy, so service counts as back once it lasted for four seconds.
 		if back := max(comeback.TakeoverDone, comeback.Refilled, comeback.ClientsBack); primary && partitions && callers && after-back > 4*time.Second || after > 2*checker.BackWithin {
 			if !primary || !partitions || !callers {
 				back = after
@@ -277,6 +283,7 @@
 
 // Faults.
 
+// pickUp picks a random daemon of a kind that is up and not frozen, or nil.
 func (s *Simulation) pickUp(kind string) *Node {
 	var up []*Node
 	for _, node := range s.Nodes(kind) {
@@ -290,11 +297,12 @@
 	return up[s.Random.IntN(len(up))]
 }
 
+// between draws a random duration.
 func (s *Simulation) between(minimum, maximum time.Duration) time.Duration {
 	return minimum + time.Duration(s.Random.Int64N(int64(maximum-minimum)+1))
 }
 
-// killFor kills a daemon and starts it again after a while.
+// killFor kills a daemon, wipes its disk if requested, and restarts it after length.
 func (s *Simulation) killFor(node *Node, length time.Duration, wipe bool) {
 	if node == nil || !node.Up {
 		return
@@ -322,7 +330,8 @@
 	s.After(6*time.Second+length, node.Start)
 }
 
-// every repeats a fault over a run.
+// every injects a fault again and again, at random intervals, until shortly before length
+// has passed.
 func (s *Simulation) every(length, minimum, maximum time.Duration, fault func()) {
 	until := s.Now.Add(length - 2*time.Second)
 	var again func()
@@ -336,6 +345,7 @@
 	s.After(s.between(0, minimum), again)
 }
 
+// controllerIn returns the controller in a role, "primary" or "backup", or nil.
 func (s *Simulation) controllerIn(role string) *Node {
 	primary := s.Primary()
 	if primary == nil {
@@ -373,7 +383,7 @@
 	})
 }
 
-// single lists faults that may be combined in pairs.
+// single lists the scenarios whose faults are injected by a function, by name.
 var single = map[string]func(simulation *Simulation, length time.Duration){
 	"calm":              func(*Simulation, time.Duration) {},
 	"kill-gateway":      kill(membership.KindGateway),
@@ -466,7 +476,7 @@
 	"cut-place": func(simulation *Simulation, length time.Duration) {
 		simulation.every(length, 14*time.Second, 18*time.Second, func() {
 			zone := simulation.Random.IntN(simulation.Shape.Zones)
-			simulation.trace("place %d is cut off", zone)
+			simulation.trace("zone %d is cut off", zone)
 			simulation.Isolate(func(node *Node) bool { return node.Zone == zone })
 			simulation.After(simulation.between(500*time.Millisecond, 8*time.Second), simulation.Heal)
 		})
@@ -518,8 +528,9 @@
 		})
 	},
 	"lose-disk-in-turn": func(simulation *Simulation, length time.Duration) {
-		// One store is away for a moment, and the disk of another is lost just
-		// as the first comes back: what was accepted meanwhile must be elsewhere.
+		// One store is down for a short time, and another loses its disk just as the
+		// first one returns. Publications that were accepted in between must have
+		// been replicated elsewhere.
 		simulation.every(length, 16*time.Second, 18*time.Second, func() {
 			stores := simulation.Nodes(membership.KindStore)
 			absent := simulation.Random.IntN(len(stores))
@@ -530,11 +541,11 @@
 		})
 	},
 	"rest-and-crowd": func(simulation *Simulation, length time.Duration) {
-		// A quiet fleet empties gateways and lets them rest; then a crowd comes
-		// within a second, half of it in one place.
+		// A fleet with little load drains gateways and lets them rest. Then many clients
+		// connect within a second, half of them in one zone.
 		simulation.thrift()
 		simulation.After(length*6/10, func() {
-			simulation.trace("a crowd comes; %d gateways rest", simulation.resting())
+			simulation.trace("a crowd connects; %d gateways are resting", simulation.resting())
 			for number := range 24 {
 				zone := number % simulation.Shape.Zones
 				if number%2 == 0 {
@@ -546,7 +557,8 @@
 		})
 	},
 	"rest-and-fail": func(simulation *Simulation, length time.Duration) {
-		// The same quiet fleet, while the duty's holder and others are lost.
+		// The same fleet with little load, while the primary controller, which lets
+		// gateways rest, and other daemons are lost.
 		simulation.thrift()
 		simulation.every(length, 7*time.Second, 10*time.Second, func() {
 			kinds := []string{membership.KindGateway, membership.KindController, membership.KindStore, membership.KindAgent}
@@ -558,30 +570,28 @@
 		})
 	},
 	"busy-operators": func(simulation *Simulation, length time.Duration) {
-		// Configurations are put and read back all the time while primaries
-		// are lost.
+		// Configurations are put and read back continuously while primaries are lost.
 		simulation.every(length, 250*time.Millisecond, 400*time.Millisecond, func() { simulation.operator.next(nil) })
 		simulation.every(length, 80*time.Millisecond, 150*time.Millisecond, simulation.operator.read)
 		killPrimary(simulation, length)
 	},
 	"drain": func(simulation *Simulation, _ time.Duration) {
-		// An operator empties a gateway; ten seconds later nobody is on it.
+		// An operator drains a gateway; ten seconds later it must have no clients.
 		simulation.After(2*time.Second, func() {
 			node := simulation.pickUp(membership.KindGateway)
 			simulation.operator.drains = []string{node.Name}
 			simulation.operator.next(func() {
 				simulation.After(10*time.Second, func() {
 					if node.Up && node.Gateway().Load().Sessions > 0 && len(simulation.operator.drains) > 0 {
-						simulation.Checker.Violate("drain", "%s still holds %d origins", node.Name, node.Gateway().Load().Sessions)
+						simulation.Checker.Violate("drain", "%s still has %d clients", node.Name, node.Gateway().Load().Sessions)
 					}
 				})
 			})
 		})
 	},
 	"moves": func(simulation *Simulation, length time.Duration) {
-		// Gateways are drained in turn and origins move and reconnect all the
-		// time, but no daemon and no link is lost: then not even a passing
-		// message may be missed.
+		// Gateways are drained in turn, and clients move and reconnect continuously, but
+		// no daemon and no link fails. Then not even an ephemeral message may be lost.
 		simulation.Checker.EphemeralOwed = true
 		gateways := simulation.Nodes(membership.KindGateway)
 		turn := 0
@@ -613,13 +623,14 @@
 	},
 }
 
-// thrift turns the economy on, with short spells.
+// thrift enables the economy setting, which lets gateways rest while there is little
+// load, with a short quiet_for.
 func (s *Simulation) thrift() {
 	s.operator.economy = map[string]any{"enabled": true, "origins_each": 8, "spare_gateways": 1, "quiet_for": "2s"}
 	s.operator.next(nil)
 }
 
-// resting counts the gateways that rest.
+// resting counts the gateways that are resting.
 func (s *Simulation) resting() int {
 	count := 0
 	for _, node := range s.Nodes(membership.KindGateway) {
@@ -630,13 +641,15 @@
 	return count
 }
 
+// beside reports whether two daemons are a gateway and the agent of the same machine.
 func beside(left, right *Node) bool {
 	pair := []string{left.Kind, right.Kind}
 	slices.Sort(pair)
 	return pair[0] == membership.KindGateway && pair[1] == membership.KindAgent && left.Name[len(left.Kind):] == right.Name[len(right.Kind):]
 }
 
-// retire retires a store; never is called if it is refused for want of others.
+// retire retires a store and calls done when it is retired, or never if the request is
+// rejected with a conflict because too few stores would be left.
 func (s *Simulation) retire(node *Node, done, never func()) {
 	var poll func()
 	ask := func(method, path string) {
@@ -668,8 +681,8 @@
 	ask(http.MethodPost, "/v1/stores/"+node.Name+"/retire")
 }
 
-// briefSpace adds a space, lets it be used, and removes it, while a gateway is
-// cut off in one of several ways.
+// briefSpace adds a space with clients that use it and removes it again. While it is
+// removed, a gateway may be cut off, in one of several ways.
 func (s *Simulation) briefSpace(_ time.Duration) {
 	operator := newOperator(s)
 	operator.version, operator.extra = 1000, true
@@ -697,7 +710,7 @@
 					}
 				}
 			case 2:
-				s.trace("place %d is cut off", chosen.Zone)
+				s.trace("zone %d is cut off", chosen.Zone)
 				s.Isolate(func(node *Node) bool { return node.Zone == chosen.Zone })
 			}
 			operator.extra = false
@@ -715,7 +728,9 @@
 	})
 }
 
-// Scenarios lists all, single and in pairs with one last fault.
+// Scenarios lists all scenarios: one for each function in single, one for each fault
+// alone in a storm or as the last fault, faults in pairs, storms of all faults, and those
+// with routed topics.
 func Scenarios() []Scenario {
 	var found []Scenario
 	var names []string
@@ -738,7 +753,7 @@
 	return append(found, topicScenarios()...)
 }
 
-// Find finds a scenario by its name.
+// Find returns the scenario with a name; false if there is none.
 func Find(name string) (Scenario, bool) {
 	for _, scenario := range Scenarios() {
 		if scenario.Name == name {
--- a/internal/simulator/simulator.go
+++ b/internal/simulator/simulator.go
@@ -1,8 +1,9 @@
-// Package simulator is the seeded simulator. It runs the daemons' own state
-// machines, with a virtual clock, a network that delays, drops and cuts, disks
-// that lose what was not synced, and clocks that run at different rates. One
-// seed gives one run, always the same. Stand-in callers, operators and the
-// platform are here too, and the checker judges what they saw.
+// Package simulator is a deterministic simulator of a fleet. It runs the state
+// machines of the real daemons on a virtual clock, with a network that delays and
+// loses messages and can be partitioned, disks that lose unsynced writes, and local
+// clocks that run at different rates. A run is determined by its seed: the same seed
+// always gives the same run. Clients, operators and the deployment platform are
+// simulated too, and the checker verifies what they observed.
 package simulator
 
 import (
@@ -22,36 +23,40 @@
 	"dahlialock/internal/wal"
 )
 
-// Shape is the shape of a simulated fleet.
-// With Seeded, the first controllers found as the seeds, told so at their first start
-// only, and nobody is told how many controllers there are. With Links, by kind of
-// daemon, the links of machines have a bandwidth, and connections have at most
-// Window bytes under way.
+// Shape is the size of a simulated fleet, with its settings.
 type Shape struct {
 	Gateways, Stores, Controllers, Zones, Clients int
-	Delay                                         time.Duration
-	Seeded                                        bool
-	// HighestVersion has the controllers acknowledge a configuration below the one in force.
+	// Delay is the minimum one-way network delay between zones.
+	Delay time.Duration
+	// Seeded starts the controllers from the addresses of the seeds, with the bootstrap
+	// setting at their first start only and without a configured number of controllers.
+	Seeded bool
+	// HighestVersion makes the controllers acknowledge a configuration that is older than
+	// the one in force.
 	HighestVersion bool
-	Tolerance      int
-	Links          map[string]Bandwidth
-	Window         int
-	// Recorder, if there is one, records all that the daemons put into the world.
+	// Tolerance is the controllers' tolerance setting; it is only used with Seeded.
+	Tolerance int
+	// Links gives the bandwidth of a machine's link by kind of daemon.
+	Links map[string]Bandwidth
+	// Window is the maximum number of bytes in flight on a connection that has a bandwidth;
+	// 0 stands for windowSize.
+	Window int
+	// Recorder, if not nil, records all outputs of the daemons.
 	Recorder *Recorder
 }
 
-// stepProcessor stands for the processor time of one step of a machine.
+// stepProcessor is the processor time that one step of a state machine is assumed to take.
 const stepProcessor = 50 * time.Microsecond
 
-// maxOperationsAtPowerCut is how many more operations a disk does at most when the power is
-// lost: a snapshot with a new log takes five to nine.
+// maxOperationsAtPowerCut bounds how many more operations a disk completes when the power
+// is lost. A snapshot with a new log takes five to nine operations.
 const maxOperationsAtPowerCut = 12
 
-// Small is a fleet that is quick to run and has every kind of daemon.
+// Small is a fleet with every kind of daemon that is quick to simulate.
 var Small = Shape{Gateways: 5, Stores: 3, Controllers: 5, Zones: 3, Delay: time.Millisecond, Clients: 12}
 
-// Shapes are the small fleet, also with the highest number counting, the shapes of the
-// two deployments, and one with four zones.
+// Shapes lists the shapes by name: the small fleet, without and with HighestVersion, the
+// shapes of the two deployments, and one with four zones.
 var Shapes = map[string]Shape{
 	"small":    Small,
 	"fjordlys": {Gateways: 7, Stores: 3, Controllers: 5, Zones: 3, Delay: 500 * time.Microsecond, Clients: 40},
@@ -83,7 +88,7 @@
 	return last
 }
 
-// Simulation is one run.
+// Simulation is one simulated run.
 type Simulation struct {
 	Seed    uint64
 	Random  *rand.Rand
@@ -91,8 +96,9 @@
 	Checker *checker.Checker
 	Shape   Shape
 	Trace   func(line string)
-	// OnDepart, if there is one, is told what leaves a daemon as it leaves, and for
-	// whom: an address, or nothing where it is the answer to whoever asked there.
+	// OnDepart, if not nil, is called for each message or response as it leaves a daemon.
+	// to is the address of the receiver; it is empty for a response to a request that
+	// was made from outside the fleet.
 	OnDepart       func(from *Node, to string, message any)
 	started        time.Time
 	queue          events
@@ -127,7 +133,7 @@
 	InterzoneBytes int64
 }
 
-// Node is one daemon of the run.
+// Node is one daemon of the run, on its machine.
 type Node struct {
 	simulation       *Simulation
 	Name             string
@@ -169,23 +175,26 @@
 	sending          bool
 }
 
-// shownVersion is what a gateway last had in force while it served.
+// shownVersion is the configuration version that a gateway last had in force while it
+// was serving, with the incarnation of its process.
 type shownVersion struct {
 	version     uint64
 	incarnation uint64
 }
 
+// storedState is what a daemon recovers from its disk when it starts.
 type storedState struct {
 	snapshot []byte
 	entries  [][]byte
 }
 
+// hostedMachine is the state machine of a daemon.
 type hostedMachine interface {
 	statemachine.Machine
 	ViewClient() *membership.ViewClient
 }
 
-// New lays out a fleet; nothing runs before Start.
+// New returns a simulation of a fleet whose daemons are not yet started.
 func New(seed uint64, size Shape) *Simulation {
 	simulation := &Simulation{
 		Seed: seed, Random: rand.New(rand.NewPCG(seed, 0x5eed)), Now: time.Unix(1_700_000_000, 0), Checker: checker.New(), Shape: size,
@@ -233,7 +242,7 @@
 	})
 }
 
-// addGateway adds a gateway and the agent beside it.
+// addGateway adds a gateway and the agent on its machine.
 func (s *Simulation) addGateway(number int) (*Node, *Node) {
 	gateway := s.add(membership.KindGateway, number, func(node *Node, _ storedState) hostedMachine {
 		return gateway.New(gateway.Settings{Self: node.member(), Agent: address(membership.KindAgent, number), LinkBytesPerSecond: s.Shape.Links[membership.KindGateway].Down, Key: []byte("simulated-key-0123"), Incarnation: node.randomIncarnation(), ProcessorTime: func() time.Duration {
@@ -266,10 +275,10 @@
 	return node
 }
 
-// Node finds a daemon.
+// Node returns the daemon with a name, or nil.
 func (s *Simulation) Node(name string) *Node { return s.nodes[name] }
 
-// Nodes lists the daemons of a kind, or all.
+// Nodes lists the daemons of a kind in the order of their names; all if kind is empty.
 func (s *Simulation) Nodes(kind string) []*Node {
 	var found []*Node
 	for _, node := range statemachine.Sorted(s.nodes) {
@@ -286,18 +295,19 @@
 	}
 }
 
-// At runs something at a virtual moment.
+// At schedules run for a point in virtual time. Events for the same time run in the order
+// in which they were scheduled.
 func (s *Simulation) At(at time.Time, run func()) {
 	s.order++
 	heap.Push(&s.queue, event{at: at, order: s.order, run: run})
 }
 
-// After runs something after a virtual while.
+// After schedules run after a delay in virtual time.
 func (s *Simulation) After(wait time.Duration, run func()) {
 	s.At(s.Now.Add(wait), run)
 }
 
-// Run lets virtual time pass.
+// Run advances virtual time by length and runs all events that are due by then.
 func (s *Simulation) Run(length time.Duration) {
 	until := s.Now.Add(length)
 	for len(s.queue) > 0 && !s.queue[0].at.After(until) {
@@ -309,8 +319,8 @@
 	s.Now = until
 }
 
-// RunUntil lets virtual time pass until a condition holds; false if it does not
-// come to hold within the limit.
+// RunUntil advances virtual time until a condition holds. It returns false if the
+// condition does not hold within the limit.
 func (s *Simulation) RunUntil(limit time.Duration, holds func() bool) bool {
 	until := s.Now.Add(limit)
 	for s.Now.Before(until) {
@@ -322,7 +332,7 @@
 	return holds()
 }
 
-// Daemons.
+// Methods of daemons.
 
 func (n *Node) member() membership.Member {
 	incarnation := n.incarnation
@@ -335,11 +345,13 @@
 	}
 }
 
-// randomIncarnation is the name of this life of the daemon, as a real one would draw it.
+// randomIncarnation returns the incarnation of the daemon's process, a random number as
+// in a real daemon.
 func (n *Node) randomIncarnation() statemachine.Incarnation {
 	return statemachine.Incarnation(rand.New(rand.NewPCG(n.simulation.Seed, n.incarnation)).Uint64())
 }
 
+// local returns the current time on the daemon's local clock.
 func (n *Node) local() time.Time {
 	return n.localStart.Add(time.Duration(float64(n.simulation.Now.Sub(n.simStart)) * n.rate))
 }
@@ -356,7 +368,8 @@
 	n.simStart = simulation.Now
 	n.localStart = simulation.Now.Add(time.Duration(simulation.Random.IntN(200)-100) * time.Millisecond)
 	if simulation.clockSkew > 0 {
-		// Wall clocks of machines that nobody set, or that were set anew.
+		// The wall clocks of the machines are not synchronized, or are changed between
+		// restarts.
 		n.localStart = n.localStart.Add(time.Duration(simulation.Random.Int64N(int64(2*simulation.clockSkew))) - simulation.clockSkew)
 	}
 	n.responses, n.sinks = map[uint64]func(any, bool){}, map[uint64]func(statemachine.Delivery){}
@@ -377,8 +390,8 @@
 	n.step(func(now time.Time, effects *statemachine.Effects) { n.Machine.Start(now, effects) })
 }
 
-// Kill ends a daemon's process as a power cut does: what was written and not
-// synced may last in part.
+// Kill ends a daemon's process as a power failure does: of the writes that were not
+// synced, any part may survive.
 func (n *Node) Kill() {
 	if !n.Up {
 		return
@@ -391,8 +404,9 @@
 	n.end()
 }
 
-// losePower stops the disk in the midst of what waits for it, between any two of its
-// operations; of what was not synced each write and each name lasts or not by itself.
+// losePower stops the disk while it works on the pending writes, between any two of its
+// operations. Each unsynced write and each unsynced file name survives or is lost
+// independently of the others.
 func (n *Node) losePower() {
 	n.disk.FailAfter(n.simulation.Random.IntN(maxOperationsAtPowerCut))
 	for _, write := range n.writes {
@@ -403,8 +417,8 @@
 	n.disk.LosePower(n.simulation.Random.IntN)
 }
 
-// Crash ends a daemon's process as a bug does, while its machine stays up: what
-// was written lasts, its links are reset, and whoever dials it is refused.
+// Crash ends a daemon's process as a bug does, while its machine stays up: all writes
+// survive, its connections are reset, and new connections to it are refused.
 func (n *Node) Crash() {
 	if !n.Up {
 		return
@@ -424,7 +438,8 @@
 	}
 }
 
-// refuse tells a daemon that another one can't be dialled, if that is so by then.
+// refuse reports to a daemon, after a round trip, that another one refuses connections,
+// if it still does by then.
 func (s *Simulation) refuse(from, to *Node) {
 	incarnation := from.incarnation
 	s.After(2*s.delay(from.Zone, to.Zone), func() {
@@ -456,18 +471,19 @@
 	}
 }
 
-// Wipe empties a stopped daemon's disk.
+// Wipe erases the disk of a stopped daemon.
 func (n *Node) Wipe() {
 	n.simulation.trace("%s is wiped", n.Name)
 	n.disk.Wipe()
 }
 
-// Terminate asks a daemon to end; after six seconds it is killed.
+// Terminate requests a daemon to shut down, and kills it if it is still up after six
+// seconds.
 func (n *Node) Terminate() {
 	if !n.Up {
 		return
 	}
-	n.simulation.trace("%s is asked to stop", n.Name)
+	n.simulation.trace("%s is requested to stop", n.Name)
 	incarnation := n.incarnation
 	n.Stopping = true
 	var stop any
@@ -491,7 +507,7 @@
 	})
 }
 
-// Freeze stops a daemon's process for a while; all that comes waits.
+// Freeze pauses a daemon's process until Thaw. Messages, timers and requests wait.
 func (n *Node) Freeze() {
 	if n.Up && !n.Frozen {
 		n.simulation.trace("%s is frozen", n.Name)
@@ -499,13 +515,14 @@
 	}
 }
 
-// FreezeMidway stops the process for a while after a step whose effects match,
-// and before any of them leaves.
+// FreezeMidway pauses the process for length after the next step whose effects match,
+// before any of these effects is applied.
 func (n *Node) FreezeMidway(length time.Duration, matches func(effects *statemachine.Effects) bool) {
 	n.suspendAfter, n.suspendFor = matches, length
 }
 
-// suspends tells whether the process is stopped before these effects leave.
+// suspends reports whether FreezeMidway pauses the process before it applies these
+// effects; if so, it freezes the process.
 func (n *Node) suspends(effects *statemachine.Effects) bool {
 	if n.suspendAfter == nil || !n.suspendAfter(effects) {
 		return false
@@ -521,25 +538,25 @@
 	return true
 }
 
-// Thaw lets it go on.
+// Thaw resumes a process that was paused by Freeze.
 func (n *Node) Thaw() {
 	if !n.Up || !n.Frozen {
 		return
 	}
-	n.simulation.trace("%s goes on", n.Name)
+	n.simulation.trace("%s is resumed", n.Name)
 	n.Frozen = false
 	n.HealthySince = n.simulation.Now
 	backlog := n.backlog
 	n.backlog = nil
 	if held := n.suspendedEffects; held != nil {
-		// It goes on where it stood: between a step and what leaves.
+		// The process was paused between a step and the application of its effects.
 		n.suspendedEffects = nil
 		n.applyEffects(held)
 		if !n.Up {
 			return
 		}
 	}
-	// What waited in the process's own clock goes first, as timers do.
+	// Timers that expired during the pause run before the messages that waited.
 	n.step(func(now time.Time, effects *statemachine.Effects) { n.Machine.Tick(now, effects) })
 	for _, run := range backlog {
 		if n.Up && !n.Frozen {
@@ -548,7 +565,8 @@
 	}
 }
 
-// enter runs something in the daemon now, or once it goes on.
+// enter runs a function in the daemon's process: now, or after Thaw if it is frozen. It
+// drops the function if the daemon is down.
 func (n *Node) enter(run func()) {
 	if !n.Up {
 		return
@@ -560,6 +578,7 @@
 	run()
 }
 
+// step runs one step of the daemon's state machine and applies its effects.
 func (n *Node) step(run func(now time.Time, effects *statemachine.Effects)) {
 	n.Steps++
 	var effects statemachine.Effects
@@ -574,9 +593,8 @@
 	}
 }
 
-// checkVersionInForce looks at a gateway after each of its steps: what it has in force
-// while it serves must never be older than what it had, whatever was restarted
-// in between.
+// checkVersionInForce checks a gateway after each of its steps: the configuration version
+// that it has in force while it serves must never decrease, even across restarts.
 func (n *Node) checkVersionInForce() {
 	if n.Kind != membership.KindGateway {
 		return
@@ -590,6 +608,7 @@
 	n.simulation.Checker.Showed(n.Name, version, n.simulation.Now, n.simulation.Now)
 }
 
+// arm schedules the next tick of the daemon's state machine.
 func (n *Node) arm() {
 	n.timer++
 	due := n.Machine.NextTick()
@@ -650,7 +669,7 @@
 		}
 	}
 	if effects.Stop {
-		simulation.trace("%s ends in good order", n.Name)
+		simulation.trace("%s shuts down gracefully", n.Name)
 		if n.disk != nil {
 			for _, write := range n.writes {
 				n.perform(write)
@@ -683,7 +702,8 @@
 	return nil
 }
 
-// writeDisk does one batch at a time, and takes a while for it.
+// writeDisk starts to write the pending writes, one batch at a time. A batch takes some
+// milliseconds, longer on a slow disk.
 func (n *Node) writeDisk() {
 	if n.writing || len(n.writes) == 0 {
 		return
@@ -715,10 +735,11 @@
 	})
 }
 
-// Calling daemons.
+// Requests to daemons.
 
-// Call brings a command into a daemon from outside and tells the answer; alive
-// is false if the daemon ended first. A frozen daemon answers late.
+// Call sends a command to a daemon from outside the fleet and passes the response to done;
+// alive is false if the daemon ended before it responded. A frozen daemon responds after
+// it is resumed.
 func (s *Simulation) Call(node *Node, command func(request uint64) any, done func(value any, alive bool)) {
 	wait := 200*time.Microsecond + time.Duration(s.Random.IntN(200))*time.Microsecond
 	s.After(wait, func() {
@@ -737,7 +758,7 @@
 	})
 }
 
-// Control asks any daemon's ctl.
+// Control sends a request to the control interface of any daemon.
 func (s *Simulation) Control(node *Node, method, path string, body []byte, done func(response membership.ControlResponse, alive bool)) {
 	s.Call(node, func(request uint64) any {
 		switch node.Kind {
@@ -755,14 +776,14 @@
 	})
 }
 
-// StartAll starts every daemon within a short while.
+// StartAll starts every daemon at a random time within 300 ms.
 func (s *Simulation) StartAll() {
 	for _, node := range s.Nodes("") {
 		s.After(time.Duration(s.Random.IntN(300))*time.Millisecond, node.Start)
 	}
 }
 
-// Primary is the controller that may act at this moment, if there is one.
+// Primary returns the controller that may act as the primary now, or nil.
 func (s *Simulation) Primary() *Node {
 	for _, node := range s.Nodes(membership.KindController) {
 		if node.Up && !node.Frozen && node.Machine.(*controller.Controller).Node().Serving(node.local()) {
@@ -772,10 +793,10 @@
 	return nil
 }
 
-// Gateway gives a node's machine as what it is.
+// Gateway returns the state machine of a gateway; the node must be one.
 func (n *Node) Gateway() *gateway.Gateway { return n.Machine.(*gateway.Gateway) }
 
-// Ready is what the platform would see.
+// Ready reports whether the platform would see the daemon as ready.
 func (n *Node) Ready() bool {
 	if !n.Up || n.Frozen {
 		return false
--- a/internal/simulator/simulator_test.go
+++ b/internal/simulator/simulator_test.go
@@ -1,5 +1,5 @@
-// A fixed handful of seeds of every scenario, judged by the checker, and the
-// proof that a seed is one run: the same seed gives the same trace.
+// Tests that run every scenario with a few fixed seeds and let the checker verify the
+// results, and a test that runs are reproducible: the same seed gives the same trace.
 package simulator
 
 import (
@@ -26,46 +26,46 @@
 	}
 	for position := range lines[0] {
 		if position >= len(lines[1]) || lines[0][position] != lines[1][position] {
-			t.Fatalf("the runs part at line %d: %q and %q", position, lines[0][position], lines[1][position])
+			t.Fatalf("the traces differ at line %d: %q and %q", position, lines[0][position], lines[1][position])
 		}
 	}
 	assert.Equal(t, sums[0], sums[1])
 }
 
-// Seeds that once failed stay here with the scenario and what they showed.
+// remembered lists runs that failed in the past, with the fault that they showed.
 var remembered = []struct {
 	scenario string
 	seed     uint64
 	showed   string
 }{
-	{"wipe-store", 3, "a wiped store acted as first on a blank log"},
-	{"kill-gateway", 1, "a ping carried a place without interests"},
-	{"kill-gateway", 2, "a join was given up while its way led through a lost daemon"},
-	{"lose-place", 24, "followers went round the controllers one by one"},
-	{"calm", 15, "a fill ended below what its partition was verified to"},
-	{"resets", 70, "a sender came back to a gateway with an old trail"},
-	{"freeze-gateway", 0, "held messages kept a partition from being fresh"},
-	{"vanish", 0, "the chain of a sender's messages broke at one of no interest"},
-	{"resets", 5, "a resend after a move was refused in a passing space"},
-	{"pairs", 1, "stores trimmed by another machine's clock what they had just taken over"},
-	{"pairs", 2, "a gateway without its agent kept its origins and refused them"},
-	{"storm", 0, "joins were led to a lost gateway by one that follows nothing"},
+	{"wipe-store", 3, "a wiped store acted as the leader with an empty log"},
+	{"kill-gateway", 1, "a ping contained a cursor without interests"},
+	{"kill-gateway", 2, "a join was abandoned while its route led through a lost daemon"},
+	{"lose-place", 24, "followers tried the controllers one after another"},
+	{"calm", 15, "a fill ended below the verified offset of its partition"},
+	{"resets", 70, "a sender returned to a gateway that had outdated records of its publications"},
+	{"freeze-gateway", 0, "held messages prevented a partition from being up to date"},
+	{"vanish", 0, "the sequence of a sender's messages was broken at a message without interest"},
+	{"resets", 5, "a retry after a move was rejected in an ephemeral space"},
+	{"pairs", 1, "stores trimmed records that they had just taken over, by the clock of another machine"},
+	{"pairs", 2, "a gateway without its agent kept its clients and rejected their requests"},
+	{"storm", 0, "joins were routed to a lost gateway by a gateway that follows nothing"},
 	{"storm-retire", 5, "the same, with a store retired before"},
-	{"last-restart-all", 3123, "a first told of a head below what it had accepted before a restart"},
+	{"last-restart-all", 3123, "a leader reported a head below what it had accepted before a restart"},
 	{"last-restart-all", 3187, "the same"},
-	{"storm-wipe-controller", 1, "a backup that lost its disk under a command never became level"},
-	{"storm-cut-place", 1000, "primary and backup stayed in one zone after a cut, and were lost with it"},
-	{"storm-wipe-controller", 3, "the same, until no lost store was replaced"},
-	{"topics-hot", 5, "the end of one page of missed messages was taken for the topic's end"},
-	{"held-links", 143, "a late join of an earlier life of a gateway, and a topic that could not be published to for 15 s"},
-	{"topics-steady", 4006, "an answer that came twice settled another send, and a kept message was refused"},
+	{"storm-wipe-controller", 1, "a backup that lost its disk during a command never caught up"},
+	{"storm-cut-place", 1000, "primary and backup stayed in the same zone after a cut, and were lost together with it"},
+	{"storm-wipe-controller", 3, "the same; after that no lost store was replaced"},
+	{"topics-hot", 5, "the end of one page of missed messages was taken for the end of the topic"},
+	{"held-links", 143, "a late join of an earlier incarnation of a gateway; a topic accepted no publications for 15 s"},
+	{"topics-steady", 4006, "a duplicate answer completed another publication, and a durable message was rejected"},
 }
 
 func judge(t *testing.T, scenario Scenario, seed uint64) {
 	t.Helper()
 	run := Run(scenario, seed, Small, nil)
 	for _, line := range run.Checker.Violations() {
-		t.Errorf("fleetlab swell -scenario %s -from %d -seeds 1 -trace: %s", scenario.Name, seed, line)
+		t.Errorf("fleetlab simulate -scenario %s -from %d -seeds 1 -trace: %s", scenario.Name, seed, line)
 	}
 	assert.Check(t, run.Checker.Accepted > 200 && run.Checker.Delivered > 1000, "seed %d did little: %s", seed, run.Checker.Summary())
 }
@@ -84,8 +84,8 @@
 	}
 }
 
-// Runs with routed topics: each fault alone where it strikes these topics most,
-// others in pairs and storms, and each closing fault of their users.
+// topicRuns lists runs with routed topics: alone, the faults that affect these topics most;
+// the others in pairs and storms; and several last faults.
 var topicRuns = []struct {
 	scenario string
 	seeds    uint64
@@ -121,8 +121,8 @@
 	}
 }
 
-// A client that stays away for longer than all margins is told that its place
-// is lost; one that comes back within the holding time is not.
+// A client that is away for longer than the retention time plus all margins gets its cursor
+// rejected; one that returns within the retention time does not.
 func TestAPlaceLastsForTheHoldingTimeAndIsThenRefused(t *testing.T) {
 	for _, each := range []struct {
 		away time.Duration
@@ -141,7 +141,7 @@
 	}
 }
 
-// Both deployments' shapes, each in a storm with one last fault.
+// The shapes of both deployments, each in a storm with one last fault.
 func TestBothDeploymentsInAStorm(t *testing.T) {
 	scenario, found := Find("storm")
 	assert.Assert(t, found)
@@ -151,7 +151,7 @@
 				t.Parallel()
 				run := Run(scenario, 2000+seed, Shapes[name], nil)
 				for _, line := range run.Checker.Violations() {
-					t.Errorf("fleetlab swell -scenario storm -size %s -from %d -seeds 1 -trace: %s", name, 2000+seed, line)
+					t.Errorf("fleetlab simulate -scenario storm -size %s -from %d -seeds 1 -trace: %s", name, 2000+seed, line)
 				}
 				assert.Check(t, run.Checker.Delivered > 10000, "%s", run.Checker.Summary())
 			})
@@ -159,7 +159,7 @@
 	}
 }
 
-// Routed topics in both deployments' shapes and in one with four zones.
+// Routed topics on the shapes of both deployments and on one with four zones.
 func TestRoutedTopicsInLargerFleets(t *testing.T) {
 	for name, scenarioName := range map[string]string{"fjordlys": "topics-pairs", "qureshi": "topics-calm", "four": "topics-lose-place"} {
 		t.Run(name, func(t *testing.T) {
@@ -168,7 +168,7 @@
 			assert.Assert(t, found)
 			run := Run(scenario, 2000, Shapes[name], nil)
 			for _, line := range run.Checker.Violations() {
-				t.Errorf("fleetlab swell -scenario %s -size %s -from 2000 -seeds 1 -trace: %s", scenarioName, name, line)
+				t.Errorf("fleetlab simulate -scenario %s -size %s -from 2000 -seeds 1 -trace: %s", scenarioName, name, line)
 			}
 			assert.Check(t, run.Checker.Delivered > 10000, "%s", run.Checker.Summary())
 		})
