--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -14,20 +14,20 @@
 const gateway = "10.0.0.1:1"
 
 func startAgent(at time.Time) *agent.Agent {
-	made := agent.New(agent.Settings{
+	machine := agent.New(agent.Settings{
 		Self:    membership.Member{Name: "agent-1", Kind: membership.KindAgent},
 		Seeds:   []string{"10.0.0.9:1"},
 		Gateway: gateway,
 	})
 	var effects statemachine.Effects
-	made.Start(at, &effects)
-	return made
+	machine.Start(at, &effects)
+	return machine
 }
 
 // stop sends the command Stop to an agent and reports whether the agent stops at once.
-func stop(made *agent.Agent, at time.Time) bool {
+func stop(machine *agent.Agent, at time.Time) bool {
 	var effects statemachine.Effects
-	made.HandleCommand(at, agent.Stop{}, &effects)
+	machine.HandleCommand(at, agent.Stop{}, &effects)
 	return effects.Stop
 }
 
@@ -38,27 +38,27 @@
 
 func TestAgentStopsAfterItsGateway(t *testing.T) {
 	now := time.Unix(1000, 0)
-	made := startAgent(now)
+	machine := startAgent(now)
 	var effects statemachine.Effects
-	made.HandleMessage(now, statemachine.Meta{From: gateway}, membership.ViewRequest{Nonce: 1}, &effects)
+	machine.HandleMessage(now, statemachine.Meta{From: gateway}, membership.ViewRequest{Nonce: 1}, &effects)
 	now = now.Add(time.Second)
-	assert.Assert(t, !stop(made, now))
+	assert.Assert(t, !stop(machine, now))
 	// The graceful leave of a daemon other than the gateway has no effect.
 	effects = statemachine.Effects{}
-	made.HandleMessage(now, statemachine.Meta{From: "10.0.0.5:1"}, membership.GracefulLeave{Name: "other"}, &effects)
+	machine.HandleMessage(now, statemachine.Meta{From: "10.0.0.5:1"}, membership.GracefulLeave{Name: "other"}, &effects)
 	assert.Assert(t, !effects.Stop)
-	made.HandleMessage(now, statemachine.Meta{From: gateway}, membership.GracefulLeave{Name: "gateway-1"}, &effects)
+	machine.HandleMessage(now, statemachine.Meta{From: gateway}, membership.GracefulLeave{Name: "gateway-1"}, &effects)
 	assert.Assert(t, effects.Stop)
 }
 
 func TestAgentStopsAfterTimeout(t *testing.T) {
 	now := time.Unix(1000, 0)
-	made := startAgent(now)
+	machine := startAgent(now)
 	var effects statemachine.Effects
-	made.HandleMessage(now, statemachine.Meta{From: gateway}, membership.ViewRequest{Nonce: 1}, &effects)
-	assert.Assert(t, !stop(made, now))
+	machine.HandleMessage(now, statemachine.Meta{From: gateway}, membership.ViewRequest{Nonce: 1}, &effects)
+	assert.Assert(t, !stop(machine, now))
 	for until := now.Add(4 * time.Second); !effects.Stop && !now.After(until); now = now.Add(100 * time.Millisecond) {
-		made.Tick(now, &effects)
+		machine.Tick(now, &effects)
 	}
 	assert.Assert(t, effects.Stop)
 }
--- a/internal/balancing/balancing_test.go
+++ b/internal/balancing/balancing_test.go
@@ -52,11 +52,12 @@
 // run simulates a number of seconds.
 func (f *fleet) run(seconds int) {
 	for range seconds {
-		f.second()
+		f.step()
 	}
 }
 
-func (f *fleet) second() {
+// step simulates one second.
+func (f *fleet) step() {
 	directives := f.directives
 	f.directives = f.balancer.Plan(f.reported)
 	f.reported = append([]Gateway{}, f.gateways...)
@@ -105,7 +106,7 @@
 			model.run(10)
 			movesBefore := model.moves
 			model.run(20)
-			assert.Equal(t, model.moves, movesBefore, "seed %d: sessions are moved for ever", seed)
+			assert.Equal(t, model.moves, movesBefore, "seed %d: sessions are still moved after 30 s", seed)
 		}
 	}
 }
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -64,11 +64,11 @@
 		annotationKey, "subscriptions_each")
 	var configuration Configuration
 	if members["version"] == nil {
-		r.Report("$.version", FaultMissing, "a version is wanted")
+		r.Report("$.version", FaultMissing, "a version is required")
 	}
 	configuration.Version = uint64(r.Integer("$.version", members["version"], 1, 1, math.MaxInt64))
 	if members["spaces"] == nil {
-		r.Report("$.spaces", FaultMissing, "spaces are wanted, if only an empty array")
+		r.Report("$.spaces", FaultMissing, "spaces are required; the array may be empty")
 	}
 	configuration.Spaces = r.spaces("$.spaces", members["spaces"])
 	configuration.Consolidation = r.consolidation("$.economy", members["economy"])
@@ -91,7 +91,7 @@
 		itemPath := indexed(path, index)
 		space := r.space(itemPath, item)
 		if _, duplicate := spaces[space.Name]; duplicate {
-			r.Report(itemPath+".name", FaultDuplicateName, "the space %q stands twice", space.Name)
+			r.Report(itemPath+".name", FaultDuplicateName, "the space %q appears twice", space.Name)
 		}
 		spaces[space.Name] = space
 	}
@@ -107,16 +107,16 @@
 	space.Order = Order(r.Choice(path+".order", members["order"],
 		string(OrderSender), string(OrderSender), string(OrderSpace), string(OrderTopic)))
 	if space.Order == OrderSpace && space.Retention != Durable {
-		r.Report(path+".order", FaultConflict, "one shared order needs the promise kept")
+		r.Report(path+".order", FaultConflict, "the order channel requires the promise kept")
 	}
 	space.RetentionTime = r.Duration(path+".holding", members["holding"],
 		DefaultRetentionTime, MinRetentionTime, MaxRetentionTime)
 	if members["holding"] != nil && space.Retention != Durable {
-		r.Report(path+".holding", FaultConflict, "only kept spaces have a holding time")
+		r.Report(path+".holding", FaultConflict, "only a space with the promise kept may have a holding time")
 	}
 	space.Tolerance = int(r.Integer(path+".tolerance", members["tolerance"], defaultTolerance, 1, maxTolerance))
 	if members["tolerance"] != nil && space.Retention != Durable {
-		r.Report(path+".tolerance", FaultConflict, "only kept spaces have a tolerance")
+		r.Report(path+".tolerance", FaultConflict, "only a space with the promise kept may have a tolerance")
 	}
 	space.DataBytes, space.PublicationsPerSecond = r.limits(path+".limits", members["limits"])
 	everyone := []string{wildcard}
@@ -132,9 +132,9 @@
 	name := r.Text(path, value, "")
 	switch {
 	case value == nil:
-		r.Report(path, FaultMissing, "a name is wanted")
+		r.Report(path, FaultMissing, "a name is required")
 	case value.Type() == fastjson.TypeString && !ValidName(name):
-		r.Report(path, FaultBadName, "%q is not a fit name", name)
+		r.Report(path, FaultBadName, "%q is not a valid name", name)
 	}
 	return name
 }
--- a/internal/config/parse_test.go
+++ b/internal/config/parse_test.go
@@ -96,6 +96,6 @@
 		assert.Assert(t, json.Valid(document) && configuration.Version > 0)
 		var spaced bytes.Buffer
 		assert.NilError(t, json.Indent(&spaced, document, " ", "\t"))
-		assert.Equal(t, DigestOf(document), DigestOf(spaced.Bytes()), "a digest is of what the document says")
+		assert.Equal(t, DigestOf(document), DigestOf(spaced.Bytes()), "the digest depends on white space")
 	})
 }
--- a/internal/config/reader.go
+++ b/internal/config/reader.go
@@ -58,7 +58,7 @@
 	members := map[string]*fastjson.Value{}
 	object, err := value.Object()
 	if err != nil {
-		r.Report(path, FaultWrongType, "an object is wanted, not %s", value.Type())
+		r.Report(path, FaultWrongType, "an object is required, not %s", value.Type())
 		return members
 	}
 	object.Visit(func(key []byte, member *fastjson.Value) {
@@ -79,7 +79,7 @@
 func (r *Reader) require(path string, members map[string]*fastjson.Value, keys ...string) {
 	for _, key := range keys {
 		if members[key] == nil {
-			r.Report(path+"."+key, FaultMissing, "%s is wanted", key)
+			r.Report(path+"."+key, FaultMissing, "%s is required", key)
 		}
 	}
 }
@@ -91,7 +91,7 @@
 	}
 	text, err := value.StringBytes()
 	if err != nil {
-		r.Report(path, FaultWrongType, "a string is wanted, not %s", value.Type())
+		r.Report(path, FaultWrongType, "a string is required, not %s", value.Type())
 		return fallback
 	}
 	return string(text)
@@ -105,7 +105,7 @@
 	}
 	number, err := value.Int64()
 	if value.Type() != fastjson.TypeNumber || err != nil || strings.ContainsAny(value.String(), ".eE") {
-		r.Report(path, FaultWrongType, "a whole number is wanted, not %s", value.String())
+		r.Report(path, FaultWrongType, "an integer is required, not %s", value.String())
 		return fallback
 	}
 	if number < minimum || number > maximum {
@@ -122,7 +122,7 @@
 	}
 	number, err := value.Float64()
 	if value.Type() != fastjson.TypeNumber || err != nil || math.IsNaN(number) || math.IsInf(number, 0) {
-		r.Report(path, FaultWrongType, "a number is wanted, not %s", value.String())
+		r.Report(path, FaultWrongType, "a number is required, not %s", value.String())
 		return fallback
 	}
 	if number < minimum || number > maximum {
@@ -139,7 +139,7 @@
 	}
 	text, err := value.StringBytes()
 	if err != nil {
-		r.Report(path, FaultWrongType, "a duration such as \"35s\" is wanted, not %s", value.Type())
+		r.Report(path, FaultWrongType, "a duration such as \"35s\" is required, not %s", value.Type())
 		return fallback
 	}
 	duration, err := time.ParseDuration(string(text))
@@ -161,7 +161,7 @@
 	}
 	truth, err := value.Bool()
 	if err != nil {
-		r.Report(path, FaultWrongType, "true or false is wanted, not %s", value.Type())
+		r.Report(path, FaultWrongType, "true or false is required, not %s", value.Type())
 		return fallback
 	}
 	return truth
@@ -184,7 +184,7 @@
 	}
 	items, err := value.Array()
 	if err != nil {
-		r.Report(path, FaultWrongType, "an array is wanted, not %s", value.Type())
+		r.Report(path, FaultWrongType, "an array is required, not %s", value.Type())
 		return nil
 	}
 	if len(items) > maximum {
@@ -205,10 +205,10 @@
 		itemPath := indexed(path, index)
 		name := r.Text(itemPath, item, "")
 		if item.Type() == fastjson.TypeString && !valid(name) {
-			r.Report(itemPath, FaultBadName, "%q is not a fit name", name)
+			r.Report(itemPath, FaultBadName, "%q is not a valid name", name)
 		}
 		if slices.Contains(names, name) {
-			r.Report(itemPath, FaultDuplicateName, "%q stands twice", name)
+			r.Report(itemPath, FaultDuplicateName, "%q appears twice", name)
 		}
 		names = append(names, name)
 	}
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -104,17 +104,18 @@
 		Space:  r.Text(spacePath, members["space"], ""),
 	}
 	if !validPrefix(route.Prefix) {
-		r.Report(prefixPath, FaultBadPrefix, "a prefix has at most %d printable letters and no blank", MaxPrefixBytes)
+		r.Report(prefixPath, FaultBadPrefix,
+			"a prefix must be at most %d bytes of printable characters without spaces", MaxPrefixBytes)
 	}
 	if seen[route.Prefix] {
-		r.Report(prefixPath, FaultDuplicatePrefix, "the prefix %q stands twice", route.Prefix)
+		r.Report(prefixPath, FaultDuplicatePrefix, "the prefix %q appears twice", route.Prefix)
 	}
 	space, found := spaces[route.Space]
 	switch {
 	case members["space"] != nil && !found:
 		r.Report(spacePath, FaultDanglingName, "no space is named %q", route.Space)
 	case found && space.Order != OrderTopic:
-		r.Report(spacePath, FaultConflict, "routes lead to spaces of order topic only")
+		r.Report(spacePath, FaultConflict, "routes may lead only to spaces of order topic")
 	}
 	return route
 }
--- a/internal/consolidation/cost.go
+++ b/internal/consolidation/cost.go
@@ -18,27 +18,27 @@
 	sessionMessageSeconds = 5
 )
 
-// cheapestRest returns the awake gateway that saves the most by resting. It considers
+// bestRestCandidate returns the awake gateway that saves the most by resting. It considers
 // only gateways without which the remaining ones can still serve the given number of
 // sessions after the loss of a zone. It reports false if no such gateway saves anything.
-func (f *fleet) cheapestRest(awake []gatewayState, sessions int) (name string, found bool) {
+func (f *fleet) bestRestCandidate(awake []gatewayState, sessions int) (name string, found bool) {
 	lowest := 0.0
 	for _, candidate := range awake {
 		remaining := f.awake(candidate.member.Name)
 		if !f.survivesZoneLoss(remaining, sessions) {
 			continue
 		}
-		if cost := f.costOfRest(candidate, remaining); cost < lowest {
+		if cost := f.costOfResting(candidate, remaining); cost < lowest {
 			name, lowest, found = candidate.member.Name, cost, true
 		}
 	}
 	return name, found
 }
 
-// costOfRest is the change of the weighted sum of all costs if a gateway rested and its
+// costOfResting is the change of the weighted sum of all costs if a gateway rested and its
 // sessions moved to the nearest of the remaining gateways; it is negative if costs fall.
 // Processor time is weighted in milliseconds per second, traffic in kilobytes per second.
-func (f *fleet) costOfRest(resting gatewayState, remaining []gatewayState) float64 {
+func (f *fleet) costOfResting(resting gatewayState, remaining []gatewayState) float64 {
 	processor := idleProcessor.Seconds() + resting.rate.copies*copyProcessor.Seconds()
 	// Record copies come from all zones in equal parts. Copies from other zones are no
 	// longer sent to a resting gateway.
--- a/internal/consolidation/planner.go
+++ b/internal/consolidation/planner.go
@@ -138,7 +138,7 @@
 		return
 	}
 	p.quietSince = now
-	if name, found := observed.cheapestRest(awake, grownSessions); found {
+	if name, found := observed.bestRestCandidate(awake, grownSessions); found {
 		p.resting[name] = true
 	}
 }
--- a/internal/consolidation/planner_test.go
+++ b/internal/consolidation/planner_test.go
@@ -30,15 +30,15 @@
 	changes int
 }
 
-// economySettings returns settings for gateways that serve a hundred sessions each.
-func economySettings(quietFor time.Duration) config.Consolidation {
+// consolidationSettings returns settings for gateways that serve a hundred sessions each.
+func consolidationSettings(stabilizationWindow time.Duration) config.Consolidation {
 	return config.Consolidation{
 		Enabled:             true,
 		ProcessorWeight:     1,
 		TrafficWeight:       1,
 		SessionsPerGateway:  100,
 		SpareGateways:       1,
-		StabilizationWindow: quietFor,
+		StabilizationWindow: stabilizationWindow,
 	}
 }
 
@@ -76,8 +76,8 @@
 	m.observation.Loads[name] = load
 }
 
-// second simulates the traffic of one second and the execution of the new directives.
-func (m *modelFleet) second(noise float64) map[string]membership.Directives {
+// step simulates the traffic of one second and the execution of the new directives.
+func (m *modelFleet) step(noise float64) map[string]membership.Directives {
 	m.now = m.now.Add(time.Second)
 	for _, name := range m.names {
 		m.work(name, noise)
@@ -169,8 +169,8 @@
 }
 
 // assertSurvivesZoneLoss checks that, while any gateway rests, the awake gateways can
-// serve all sessions after the loss of any zone, where each serves the given number.
-func (m *modelFleet) assertSurvivesZoneLoss(t *testing.T, directives map[string]membership.Directives, each int) {
+// serve all sessions after the loss of any zone, where each has the given capacity.
+func (m *modelFleet) assertSurvivesZoneLoss(t *testing.T, directives map[string]membership.Directives, capacity int) {
 	t.Helper()
 	awakeByZone, awake, resting := map[string]int{}, 0, 0
 	for name, directive := range directives {
@@ -187,8 +187,8 @@
 	assert.Assert(t, awake >= 2 && len(awakeByZone) >= 2, "%d awake in %v", awake, awakeByZone)
 	for zone, count := range awakeByZone {
 		remaining := awake - count
-		assert.Assert(t, remaining*each >= m.sessions(),
-			"without %s %d gateways are left for %d sessions", zone, remaining, m.sessions())
+		assert.Assert(t, remaining*capacity >= m.sessions(),
+			"without zone %s, %d gateways remain for %d sessions", zone, remaining, m.sessions())
 	}
 }
 
@@ -209,18 +209,18 @@
 
 func TestPlannerSurvivesZoneLossAndDoesNotOscillate(t *testing.T) {
 	for seed := range uint64(60) {
-		model := newModelFleet(seed, 5+int(seed%5), economySettings(5*time.Second))
+		model := newModelFleet(seed, 5+int(seed%5), consolidationSettings(5*time.Second))
 		for range 120 {
 			model.churn()
-			model.assertSurvivesZoneLoss(t, model.second(0.2), 100)
+			model.assertSurvivesZoneLoss(t, model.step(0.2), 100)
 		}
 		// With noise but no change of load, the fleet becomes stable and stays stable.
 		for range 120 {
-			model.second(0.3)
+			model.step(0.3)
 		}
 		changesBefore := model.changes
 		for range 200 {
-			model.assertSurvivesZoneLoss(t, model.second(0.3), 100)
+			model.assertSurvivesZoneLoss(t, model.step(0.3), 100)
 		}
 		assert.Assert(t, model.changes == changesBefore,
 			"seed %d: %d changes without a change of load", seed, model.changes-changesBefore)
@@ -228,9 +228,9 @@
 }
 
 func TestPlannerIgnoresOutdatedReports(t *testing.T) {
-	model := newModelFleet(1, 6, economySettings(time.Second))
+	model := newModelFleet(1, 6, consolidationSettings(time.Second))
 	for range 3 {
-		model.second(0)
+		model.step(0)
 	}
 	size := len(model.planner.resting)
 	model.now = model.now.Add(reportTimeout)
@@ -251,14 +251,14 @@
 		{processor: 100, traffic: 0.01, allZonesAwake: false},
 		{processor: 0.01, traffic: 100, allZonesAwake: true},
 	} {
-		settings := economySettings(time.Second)
+		settings := consolidationSettings(time.Second)
 		settings.ProcessorWeight, settings.TrafficWeight = weights.processor, weights.traffic
 		model := newModelFleet(3, 7, settings)
 		for _, name := range model.names {
 			model.addSessions(name, 12)
 		}
 		for range 60 {
-			model.second(0)
+			model.step(0)
 		}
 		awakeByZone := map[string]int{}
 		for name, member := range model.observation.Members {
--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -117,7 +117,7 @@
 
 // each calls visit with all entries, oldest first.
 func (r *Ring) each(visit func(Entry)) {
-	for step := range r.entries {
-		visit(r.entries[(r.next+step)%len(r.entries)])
+	for position := range r.entries {
+		visit(r.entries[(r.next+position)%len(r.entries)])
 	}
 }
--- a/internal/logevent/catalogue.go
+++ b/internal/logevent/catalogue.go
@@ -24,10 +24,10 @@
 	MalformedFrame             statemachine.EventNumber = 1020
 	TrafficReported            statemachine.EventNumber = 1021
 	InvariantBroken            statemachine.EventNumber = 1030
-	TornTailTruncated                   statemachine.EventNumber = 1040
+	TornTailTruncated          statemachine.EventNumber = 1040
 	DiskDamaged                statemachine.EventNumber = 1041
 	DiskWriteFailed            statemachine.EventNumber = 1042
-	FirstEpochDecided                    statemachine.EventNumber = 2001
+	FirstEpochDecided          statemachine.EventNumber = 2001
 	EpochDecided               statemachine.EventNumber = 2002
 	LeaseGained                statemachine.EventNumber = 2003
 	LeaseLost                  statemachine.EventNumber = 2004
@@ -79,10 +79,10 @@
 	MalformedFrame:             {logrus.WarnLevel, "malformed frame, connection closed"},
 	TrafficReported:            {logrus.InfoLevel, "traffic by message kind"},
 	InvariantBroken:            {logrus.FatalLevel, "invariant broken, stopping"},
-	TornTailTruncated:                   {logrus.WarnLevel, "torn tail cut from the log"},
+	TornTailTruncated:          {logrus.WarnLevel, "torn tail truncated from the log"},
 	DiskDamaged:                {logrus.ErrorLevel, "disk damaged, replica will be rebuilt"},
 	DiskWriteFailed:            {logrus.ErrorLevel, "disk rejects a write, retrying"},
-	FirstEpochDecided:                    {logrus.InfoLevel, "first epoch decided"},
+	FirstEpochDecided:          {logrus.InfoLevel, "first epoch decided"},
 	EpochDecided:               {logrus.InfoLevel, "epoch decided"},
 	LeaseGained:                {logrus.InfoLevel, "lease gained"},
 	LeaseLost:                  {logrus.WarnLevel, "lease lost"},
@@ -107,7 +107,7 @@
 	StoreDegraded:              {logrus.WarnLevel, "store degraded by a slow or failing disk, its partitions move"},
 	StoreRecovered:             {logrus.InfoLevel, "store healthy again, may receive partitions"},
 	ConfigurationApplied:       {logrus.InfoLevel, "configuration in force"},
-	Isolated:                   {logrus.WarnLevel, "no other daemon heard, rejecting requests"},
+	Isolated:                   {logrus.WarnLevel, "no messages from other daemons, rejecting requests"},
 	Ready:                      {logrus.InfoLevel, "daemon ready"},
 	NotReady:                   {logrus.InfoLevel, "daemon not ready"},
 	SessionOpened:              {logrus.DebugLevel, "session opened"},
--- a/internal/logevent/logevent_test.go
+++ b/internal/logevent/logevent_test.go
@@ -25,7 +25,7 @@
 	for number, description := range Catalogue {
 		level := strings.Replace(description.Level.String(), "warning", "warn", 1)
 		row := fmt.Sprintf("| %d | %s | %s |", number, level, description.Text)
-		assert.Assert(t, rows[row], "the docs lack %s", row)
+		assert.Assert(t, rows[row], "docs/events.md has no row %s", row)
 	}
 }
 
--- a/internal/settings/forms_test.go
+++ b/internal/settings/forms_test.go
@@ -41,9 +41,9 @@
 const minimal = `{"name":"d-1","zone":"east","address":"10.1.0.2:1","ctl":"10.1.0.2:2","caller":"10.1.0.2:3",
 	"seeds":["10.1.0.9:1"],"data":"/data","agent":"10.1.0.2:4","gateway":"10.1.0.2:5","key":"a-key-of-16-bytes-or-more"}`
 
-// all has every key except two whose values others replace: descriptors and tolerance_zones
+// complete has every key except two whose values others replace: descriptors and tolerance_zones
 // have a document of their own in TestLoadKeepsKeysAndDefaults.
-const all = `{"name":"d-1","zone":"east","address":"10.1.0.2:1","ctl":"10.1.0.2:2","caller":"10.1.0.2:3",
+const complete = `{"name":"d-1","zone":"east","address":"10.1.0.2:1","ctl":"10.1.0.2:2","caller":"10.1.0.2:3",
 	"seeds":["10.1.0.9:1","10.1.0.8:1"],"seeds_port":7,"data":"/data","agent":"10.1.0.2:4","gateway":"10.1.0.2:5",
 	"key":"a-key-of-16-bytes-or-more","controllers":7,"bootstrap":true,"tolerance":2,"callers":"lines",
 	"admission":"open","versions":"highest","operators":"json","compression":"far","traffic":"3s","memory":"64MiB",
@@ -56,7 +56,7 @@
 	var lines []string
 	for _, kind := range []string{"agent", "controller", "gateway", "store"} {
 		for name, text := range []string{
-			minimal, all,
+			minimal, complete,
 			strings.Replace(minimal, `{`, `{"descriptors":1000,"tolerance_zones":3,`, 1),
 			`{}`, `{"no":1,"bounds":{"no":"1s"},"trial":{"no":1},"callers":"x","log_level":"loud","memory":"1X"}`,
 		} {
--- a/internal/settings/loader.go
+++ b/internal/settings/loader.go
@@ -41,7 +41,7 @@
 	flags := flag.NewFlagSet(kind, flag.ContinueOnError)
 	flags.StringVar(&loader.path, "settings", "", "settings `file` in JSON; flags take precedence")
 	flags.BoolVar(&loader.allowImpairment, "trial", false,
-		"allow the setting trial, which delays and cuts links; for trials only")
+		"allow the setting trial, which injects faults into links and the disk; for tests only")
 	for _, key := range keys {
 		usage := "the setting " + key + "; lists are separated by commas"
 		flags.Func(strings.ReplaceAll(key, "_", "-"), usage, func(text string) error {
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -80,7 +80,7 @@
 	settings.Controllers = p.integer("controllers", defaultControllers, 0, maxControllers)
 	if count := settings.Controllers; count != 0 && (count%2 == 0 || count < minControllers) {
 		p.Report("$.controllers", config.FaultOutOfRange,
-			"an odd number from 3 is wanted, or 0 if the seeds found the fleet")
+			"an odd number of at least 3 is required, or 0 if the seeds found the cluster")
 	}
 	settings.Bootstrap = p.Bool("$.bootstrap", p.members["bootstrap"], false)
 	// Replicas are in different zones, so surviving the loss of a number of zones requires
@@ -127,7 +127,7 @@
 // required reads a string and reports a fault if it is absent.
 func (p *parser) required(key string) string {
 	if p.members[key] == nil {
-		p.Report("$."+key, config.FaultMissing, "%s is wanted", key)
+		p.Report("$."+key, config.FaultMissing, "%s is required", key)
 		return ""
 	}
 	return p.Text("$."+key, p.members[key], "")
@@ -136,7 +136,7 @@
 func (p *parser) name(key string) string {
 	name := p.required(key)
 	if p.members[key] != nil && !config.ValidName(name) {
-		p.Report("$."+key, config.FaultBadName, "%q is not a fit name", name)
+		p.Report("$."+key, config.FaultBadName, "%q is not a valid name", name)
 	}
 	return name
 }
@@ -155,14 +155,14 @@
 func (p *parser) checkAddress(path, address string) {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil || net.ParseIP(host) == nil || port == "" || port == "0" {
-		p.Report(path, config.FaultBadAddress, "%q is not an IP number with a port", address)
+		p.Report(path, config.FaultBadAddress, "%q is not an IP address with a port", address)
 	}
 }
 
 func (p *parser) seeds(port int) []string {
 	items := p.List("$.seeds", p.members["seeds"], maxSeeds)
 	if p.kind != membership.KindGateway && len(items) == 0 {
-		p.Report("$.seeds", config.FaultMissing, "seeds are wanted: addresses of up to three other daemons")
+		p.Report("$.seeds", config.FaultMissing, "seeds are required: addresses of up to three other daemons")
 	}
 	var seeds []string
 	for index, item := range items {
@@ -187,7 +187,7 @@
 	path := p.Text("$.data", p.members["data"], "")
 	required := p.kind == membership.KindStore || p.kind == membership.KindController
 	if required && path == "" {
-		p.Report("$.data", config.FaultMissing, "a data folder is wanted")
+		p.Report("$.data", config.FaultMissing, "a data directory is required")
 	}
 	return path
 }
@@ -195,7 +195,7 @@
 func (p *parser) key(mode AdmissionMode) string {
 	key := p.Text("$.key", p.members["key"], "")
 	if p.kind == membership.KindGateway && mode == AdmissionToken && len(key) < minKeyBytes {
-		p.Report("$.key", config.FaultMissing, "a key of 16 characters or more is wanted, the same on all gateways")
+		p.Report("$.key", config.FaultMissing, "a key of at least 16 characters is required, the same on all gateways")
 	}
 	return key
 }
@@ -261,7 +261,7 @@
 	}
 	object, err := value.Object()
 	if err != nil {
-		p.Report(path, config.FaultWrongType, "an object is wanted")
+		p.Report(path, config.FaultWrongType, "an object is required")
 		return
 	}
 	object.Visit(func(key []byte, item *fastjson.Value) {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -183,8 +183,8 @@
 
 // Choices of compression: no batches, or those to daemons in other zones.
 const (
-	CompressionNone Compression = "none"
-	CompressionCrossZone  Compression = "far"
+	CompressionNone      Compression = "none"
+	CompressionCrossZone Compression = "far"
 )
 
 // OperatorProtocol is the protocol between operators and a daemon's ctl.
--- a/internal/storedforms/ctl_test.go
+++ b/internal/storedforms/ctl_test.go
@@ -22,39 +22,39 @@
 	`{"name": "pulse", "promise": "passing", "limits": {"data_bytes": 8}}],` +
 	` "routes": [{"prefix": "reading.", "space": "readings"}]%s}`
 
-// texts matches the fields that only people read. They may be reworded, so they are not
+// textFields matches the fields that only people read. They may be reworded, so they are not
 // compared; all that programs read must stay.
-var texts = regexp.MustCompile(`"text":"([^"\\]|\\.)*"`)
+var textFields = regexp.MustCompile(`"text":"([^"\\]|\\.)*"`)
 
-func masked(body []byte) string { return texts.ReplaceAllString(string(body), `"text":"..."`) }
+func masked(body []byte) string { return textFields.ReplaceAllString(string(body), `"text":"..."`) }
 
-// spoken runs a simulated fleet and collects its responses as lines.
-type spoken struct {
+// responseRecorder runs a simulated fleet and collects its responses as lines.
+type responseRecorder struct {
 	*testing.T
 	fleet *simulator.Simulation
 	lines []string
 }
 
-func speak(t *testing.T) *spoken {
+func newResponseRecorder(t *testing.T) *responseRecorder {
 	t.Helper()
-	made := &spoken{T: t, fleet: simulator.New(11, simulator.Shape{
+	recorder := &responseRecorder{T: t, fleet: simulator.New(11, simulator.Shape{
 		Gateways: 2, Stores: 3, Controllers: 3, Zones: 2, Delay: time.Millisecond,
 	})}
-	made.fleet.StartAll()
-	made.until(func() bool { return made.fleet.Primary() != nil && made.fleet.Primary().Ready() })
-	made.fleet.Run(3 * time.Second)
-	return made
+	recorder.fleet.StartAll()
+	recorder.waitUntil(func() bool { return recorder.fleet.Primary() != nil && recorder.fleet.Primary().Ready() })
+	recorder.fleet.Run(3 * time.Second)
+	return recorder
 }
 
-func (s *spoken) until(holds func() bool) {
+func (s *responseRecorder) waitUntil(condition func() bool) {
 	s.Helper()
-	if !s.fleet.RunUntil(20*time.Second, holds) {
-		s.Fatalf("it did not come about, after\n%s", strings.Join(s.lines, "\n"))
+	if !s.fleet.RunUntil(20*time.Second, condition) {
+		s.Fatalf("the condition was not met within 20 s, after\n%s", strings.Join(s.lines, "\n"))
 	}
 }
 
 // control sends a request to the ctl of a gateway and collects the response.
-func (s *spoken) control(method, path, body string) {
+func (s *responseRecorder) control(method, path, body string) {
 	s.Helper()
 	answered := false
 	node := s.fleet.Nodes(membership.KindGateway)[0]
@@ -63,37 +63,37 @@
 		s.lines = append(s.lines, fmt.Sprintf("%s %s: alive %t, %d, come back in %s, %s",
 			method, path, alive, returned.Status, returned.RetryAfter, masked(returned.Body)))
 	})
-	s.until(func() bool { return answered })
+	s.waitUntil(func() bool { return answered })
 }
 
 // call sends a client's command to a gateway and collects the response.
-func (s *spoken) call(what string, command func(request uint64) any) {
+func (s *responseRecorder) call(name string, command func(request uint64) any) {
 	s.Helper()
 	answered := false
 	node := s.fleet.Nodes(membership.KindGateway)[0]
 	s.fleet.Call(node, command, func(value any, alive bool) {
 		answered = true
-		answer, matches := value.(gateway.Reply)
+		reply, matches := value.(gateway.Reply)
 		if !matches {
 			packed, err := json.Marshal(value)
 			if err != nil {
 				s.Fatal(err)
 			}
-			s.lines = append(s.lines, what+": "+masked(packed))
+			s.lines = append(s.lines, name+": "+masked(packed))
 			return
 		}
-		fields, err := json.Marshal(answer.Fields)
+		fields, err := json.Marshal(reply.Fields)
 		if err != nil {
 			s.Fatal(err)
 		}
-		s.lines = append(s.lines, fmt.Sprintf("%s: alive %t, %d %s, code %q, come back in %s, cursor %q, number %d, %s", what,
-			alive, answer.Status, answer.Outcome, answer.Code, answer.RetryAfter, answer.Cursor, answer.SubscriberCount, fields))
+		s.lines = append(s.lines, fmt.Sprintf("%s: alive %t, %d %s, code %q, come back in %s, cursor %q, number %d, %s", name,
+			alive, reply.Status, reply.Outcome, reply.Code, reply.RetryAfter, reply.Cursor, reply.SubscriberCount, fields))
 	})
-	s.until(func() bool { return answered })
+	s.waitUntil(func() bool { return answered })
 }
 
-func TestAnswersAtCtlStay(t *testing.T) {
-	s := speak(t)
+func TestResponsesAtCtlStay(t *testing.T) {
+	s := newResponseRecorder(t)
 	s.control(http.MethodGet, "/v1/configuration", "")
 	s.control(http.MethodPut, "/v1/configuration", `{"version": 1, "spaces": [], "spaces": 3, "no": 1}`)
 	s.control(http.MethodPut, "/v1/configuration", `not a document`)
@@ -159,8 +159,8 @@
 	}
 }
 
-func TestAnswersToCallersAndDecisionsStay(t *testing.T) {
-	s := speak(t)
+func TestResponsesToClientsAndDecisionsStay(t *testing.T) {
+	s := newResponseRecorder(t)
 	open := func(request uint64) any {
 		return gateway.OpenSession{Request: request, Session: 7, Name: "7", Client: "origin-1"}
 	}
@@ -208,7 +208,7 @@
 }
 
 // decisions collects the decisions about origin-1 that a gateway and the stores have logged.
-func (s *spoken) decisions() {
+func (s *responseRecorder) decisions() {
 	s.Helper()
 	s.call("decisions of a gateway", func(request uint64) any {
 		return gateway.FindDecisions{Local: request, Client: "origin-1"}
@@ -228,6 +228,6 @@
 			}
 			s.lines = append(s.lines, "decisions of "+node.Name+": "+string(packed))
 		})
-		s.until(func() bool { return answered })
+		s.waitUntil(func() bool { return answered })
 	}
 }
--- a/internal/storedforms/fields.go
+++ b/internal/storedforms/fields.go
@@ -30,8 +30,8 @@
 	binaryMarshaler = reflect.TypeFor[encoding.BinaryMarshaler]()
 )
 
-// leaf reports whether a type is encoded as a whole and not field by field.
-func leaf(kind reflect.Type) bool {
+// encodesItself reports whether a type is encoded as a whole and not field by field.
+func encodesItself(kind reflect.Type) bool {
 	for _, marshaler := range []reflect.Type{cborMarshaler, binaryMarshaler} {
 		if kind.Implements(marshaler) || reflect.PointerTo(kind).Implements(marshaler) {
 			return true
@@ -40,8 +40,8 @@
 	return kind == timeType
 }
 
-// arrayStruct reports whether a struct is encoded as an array.
-func arrayStruct(kind reflect.Type) bool {
+// isArrayStruct reports whether a struct is encoded as an array.
+func isArrayStruct(kind reflect.Type) bool {
 	marker, found := kind.FieldByName("_")
 	if !found {
 		return false
@@ -53,12 +53,12 @@
 // a struct that is encoded as an array, sorted by key for others. It returns an error for
 // embedded structs, which no recorded form has, and for keys that are numbers.
 func FieldsOf(kind reflect.Type) ([]Field, error) {
-	array := arrayStruct(kind)
+	array := isArrayStruct(kind)
 	var fields []Field
 	for index := range kind.NumField() {
 		field := kind.Field(index)
 		if field.Anonymous {
-			return nil, fmt.Errorf("%s embeds %s", kind, field.Name)
+			return nil, fmt.Errorf("%s embeds %s, but embedded structs are not supported", kind, field.Name)
 		}
 		if !field.IsExported() {
 			continue
@@ -72,16 +72,16 @@
 		}
 		key, options, _ := strings.Cut(tag, ",")
 		if strings.Contains(options, "keyasint") {
-			return nil, fmt.Errorf("%s.%s has a number as its key", kind, field.Name)
+			return nil, fmt.Errorf("%s.%s has a number as its key, which is not supported", kind, field.Name)
 		}
-		made := Field{Index: index, Name: field.Name, Key: key, Explicit: key != ""}
+		encoded := Field{Index: index, Name: field.Name, Key: key, Explicit: key != ""}
 		if key == "" {
-			made.Key = field.Name
+			encoded.Key = field.Name
 		}
 		if array {
-			made.Key, made.Explicit = fmt.Sprintf("#%d", len(fields)), true
+			encoded.Key, encoded.Explicit = fmt.Sprintf("#%d", len(fields)), true
 		}
-		fields = append(fields, made)
+		fields = append(fields, encoded)
 	}
 	if !array {
 		slices.SortFunc(fields, func(left, right Field) int { return cmp.Compare(left.Key, right.Key) })
@@ -107,23 +107,23 @@
 func Layout(kind reflect.Type, root string) ([]string, error) {
 	var lines []string
 	err := walk(kind, root, nil, func(owner reflect.Type, path string, field Field) {
-		lines = append(lines, fmt.Sprintf("%s\t%s\t%s", path, field.Name, shape(owner.Field(field.Index).Type)))
+		lines = append(lines, fmt.Sprintf("%s\t%s\t%s", path, field.Name, kindName(owner.Field(field.Index).Type)))
 	})
 	return lines, err
 }
 
-// shape describes the kind of a field's value without the Go names of its types.
-func shape(kind reflect.Type) string {
+// kindName describes the kind of a field's value without the Go names of its types.
+func kindName(kind reflect.Type) string {
 	if kind == timeType {
 		return "time"
 	}
 	switch kind.Kind() {
 	case reflect.Pointer, reflect.Slice:
-		return kind.Kind().String() + " of " + shape(kind.Elem())
+		return kind.Kind().String() + " of " + kindName(kind.Elem())
 	case reflect.Array:
-		return fmt.Sprintf("%d of %s", kind.Len(), shape(kind.Elem()))
+		return fmt.Sprintf("%d of %s", kind.Len(), kindName(kind.Elem()))
 	case reflect.Map:
-		return "map of " + shape(kind.Key()) + " to " + shape(kind.Elem())
+		return "map of " + kindName(kind.Key()) + " to " + kindName(kind.Elem())
 	default:
 		return kind.Kind().String()
 	}
@@ -143,12 +143,12 @@
 		}
 		return walk(kind.Elem(), path+"/value", seen, visit)
 	case reflect.Func, reflect.Chan:
-		return fmt.Errorf("%s: a %s can't be frozen", path, kind)
+		return fmt.Errorf("%s: a %s can't be encoded", path, kind)
 	case reflect.Struct:
 	default:
 		return nil
 	}
-	if leaf(kind) || seen[kind] {
+	if encodesItself(kind) || seen[kind] {
 		return nil
 	}
 	if seen != nil {
--- a/internal/storedforms/fill.go
+++ b/internal/storedforms/fill.go
@@ -106,8 +106,8 @@
 }
 
 func (f *filler) fillStruct(value reflect.Value) error {
-	if leaf(value.Type()) {
-		return fmt.Errorf("no sample for %s, which encodes itself", value.Type())
+	if encodesItself(value.Type()) {
+		return fmt.Errorf("no sample for %s, which has an encoding of its own", value.Type())
 	}
 	fields, err := FieldsOf(value.Type())
 	if err != nil {
--- a/internal/storedforms/folders.go
+++ b/internal/storedforms/folders.go
@@ -26,7 +26,7 @@
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(root, "testdata", "folders", kind+"-*"))
 	if err != nil || len(paths) == 0 {
-		t.Fatalf("no folders of a %s (%v)", kind, err)
+		t.Fatalf("no recorded data folders of a %s (%v)", kind, err)
 	}
 	slices.Sort(paths)
 	var folders []Folder
@@ -72,9 +72,9 @@
 		t.Errorf("%s: %v", name, err)
 		return value
 	}
-	again, err := transport.Marshal(value)
-	if err != nil || string(again) != string(packed) {
-		t.Errorf("%s: read and written anew it is\n\t%x\nnot\n\t%x (%v)", name, again, packed, err)
+	encoded, err := transport.Marshal(value)
+	if err != nil || string(encoded) != string(packed) {
+		t.Errorf("%s: decoded and encoded again\n\t%x\nrecorded\n\t%x (%v)", name, encoded, packed, err)
 	}
 	return value
 }
--- a/internal/storedforms/folders_test.go
+++ b/internal/storedforms/folders_test.go
@@ -10,8 +10,8 @@
 	"dahlialock/internal/transport"
 )
 
-// controlled has those fields of a controller's entry or snapshot that contain control state.
-type controlled struct {
+// controlFields has those fields of a controller's entry or snapshot that contain control state.
+type controlFields struct {
 	Command []byte `cbor:"Command"`
 	State   []byte `cbor:"State"`
 }
@@ -43,22 +43,22 @@
 				continue
 			}
 			name := fmt.Sprintf("%s, entry %d", folder.Name, position)
-			var held controlled
-			if err := transport.Unmarshal(packed, &held); err != nil {
+			var fields controlFields
+			if err := transport.Unmarshal(packed, &fields); err != nil {
 				t.Errorf("%s: %v", name, err)
 				continue
 			}
-			if len(held.Command) > 0 {
+			if len(fields.Command) > 0 {
 				commands++
-				storedforms.CheckRoundTrip[controller.Command](t, name, held.Command)
+				storedforms.CheckRoundTrip[controller.Command](t, name, fields.Command)
 			}
-			if len(held.State) > 0 {
+			if len(fields.State) > 0 {
 				states++
-				storedforms.CheckRoundTrip[controller.State](t, name, held.State)
+				storedforms.CheckRoundTrip[controller.State](t, name, fields.State)
 			}
 		}
 	}
 	if commands < 20 || states < 5 {
-		t.Errorf("only %d commands and %d states were there to read", commands, states)
+		t.Errorf("only %d commands and %d states were found", commands, states)
 	}
 }
--- a/internal/storedforms/recorded.go
+++ b/internal/storedforms/recorded.go
@@ -72,18 +72,18 @@
 	Text bool
 }
 
-func (f Form) written(packed []byte) string {
+func (f Form) format(packed []byte) string {
 	if f.Text {
 		return string(packed)
 	}
 	return hex.EncodeToString(packed)
 }
 
-func (f Form) read(written string) ([]byte, error) {
+func (f Form) parse(text string) ([]byte, error) {
 	if f.Text {
-		return []byte(written), nil
+		return []byte(text), nil
 	}
-	return hex.DecodeString(written)
+	return hex.DecodeString(text)
 }
 
 func (f Form) encode(value any) ([]byte, error) {
@@ -120,14 +120,14 @@
 			if err != nil {
 				t.Fatalf("%s: %v", form.Name, err)
 			}
-			lines = append(lines, strings.Join([]string{form.Name, [2]string{"set", "zero"}[kind], form.written(packed)}, " "))
+			lines = append(lines, strings.Join([]string{form.Name, [2]string{"set", "zero"}[kind], form.format(packed)}, " "))
 		}
 	}
 	Compare(t, file, lines)
-	rewriteRecorded(t, file, lines, forms)
+	checkRecordedRoundTrip(t, file, lines, forms)
 }
 
-func rewriteRecorded(t *testing.T, file string, lines []string, forms []Form) {
+func checkRecordedRoundTrip(t *testing.T, file string, lines []string, forms []Form) {
 	t.Helper()
 	recorded, _ := Recorded(t, file, lines)
 	byName := map[string]Form{}
@@ -138,10 +138,10 @@
 		parts := strings.SplitN(text, " ", 3)
 		form, found := byName[parts[0]]
 		if !found {
-			t.Errorf("%s: nothing of today's is %s", file, parts[0])
+			t.Errorf("%s: no form is named %s any more", file, parts[0])
 			continue
 		}
-		packed, err := form.read(parts[2])
+		packed, err := form.parse(parts[2])
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -150,10 +150,10 @@
 			t.Errorf("%s %s: %v", parts[0], parts[1], err)
 			continue
 		}
-		again, err := form.encode(value)
-		if err != nil || form.written(again) != parts[2] {
-			t.Errorf("%s %s: read and written anew it is\n\t%s\nnot\n\t%s (%v)",
-				parts[0], parts[1], form.written(again), parts[2], err)
+		encoded, err := form.encode(value)
+		if err != nil || form.format(encoded) != parts[2] {
+			t.Errorf("%s %s: decoded and encoded again\n\t%s\nrecorded\n\t%s (%v)",
+				parts[0], parts[1], form.format(encoded), parts[2], err)
 		}
 	}
 }
@@ -167,7 +167,7 @@
 			t.Errorf("%s: %v", form.Name, err)
 		}
 		for _, name := range implicit {
-			t.Errorf("%s: %s has neither toarray nor a tag, and its key would move with its name; or it holds any type",
+			t.Errorf("%s: %s has neither toarray nor a tag, so its key changes with its Go name, or it is an interface",
 				form.Name, name)
 		}
 	}
@@ -190,34 +190,34 @@
 	if !found {
 		return
 	}
-	today, before := byPath(lines), byPath(recorded)
-	for path, place := range before {
-		now, found := today[path]
-		if !found || now.kind != place.kind {
-			t.Errorf("%s: %s was a %s and is a %s", file, path, place.kind, now.kind)
+	current, before := byPath(lines), byPath(recorded)
+	for path, field := range before {
+		now, found := current[path]
+		if !found || now.kind != field.kind {
+			t.Errorf("%s: %s was a %s and is a %s", file, path, field.kind, now.kind)
 		}
 	}
 	names := map[string]string{}
-	for path, place := range before {
-		names[parent(path)+"\t"+place.name] = path
+	for path, field := range before {
+		names[parent(path)+"\t"+field.name] = path
 	}
-	for path, place := range today {
+	for path, field := range current {
 		if _, found := before[path]; !found {
 			t.Errorf("%s: %s is new", file, path)
 		}
-		if earlier, found := names[parent(path)+"\t"+place.name]; found && earlier != path {
-			t.Errorf("%s: %s was named %s, which now names %s", file, earlier, place.name, path)
+		if earlier, found := names[parent(path)+"\t"+field.name]; found && earlier != path {
+			t.Errorf("%s: %s was named %s, which is now the name of %s", file, earlier, field.name, path)
 		}
 	}
 }
 
-type placed struct{ name, kind string }
+type layoutField struct{ name, kind string }
 
-func byPath(lines []string) map[string]placed {
-	paths := map[string]placed{}
+func byPath(lines []string) map[string]layoutField {
+	paths := map[string]layoutField{}
 	for _, text := range lines {
 		parts := strings.Split(text, "\t")
-		paths[parts[0]] = placed{name: parts[1], kind: parts[2]}
+		paths[parts[0]] = layoutField{name: parts[1], kind: parts[2]}
 	}
 	return paths
 }
@@ -231,7 +231,7 @@
 		err := walk(form.Type, form.Name, map[reflect.Type]bool{}, func(owner reflect.Type, _ string, field Field) {
 			key, _, _ := strings.Cut(owner.Field(field.Index).Tag.Get("json"), ",")
 			if key == "" {
-				t.Errorf("%s: %s.%s has no json tag, its key would move with its name", form.Name, owner, field.Name)
+				t.Errorf("%s: %s.%s has no json tag, so its key changes with its Go name", form.Name, owner, field.Name)
 			}
 		})
 		if err != nil {
--- a/internal/storedforms/storedforms_test.go
+++ b/internal/storedforms/storedforms_test.go
@@ -24,20 +24,20 @@
 
 func encodeFrame(message any) ([]byte, error) { return transport.Encode(sampleMeta, message) }
 
-// frameHeader is the size in bytes of the length that precedes a frame.
-const frameHeader = 4
+// frameHeaderBytes is the size in bytes of the length that precedes a frame.
+const frameHeaderBytes = 4
 
 func decodeFrame(packed []byte) (any, error) {
 	length, enough, err := transport.FrameLength(packed)
 	if err != nil {
 		return nil, err
 	}
-	if !enough || length != len(packed)-frameHeader {
-		return nil, fmt.Errorf("a length of %d before %d bytes", length, len(packed)-frameHeader)
+	if !enough || length != len(packed)-frameHeaderBytes {
+		return nil, fmt.Errorf("the frame length is %d, but %d bytes follow", length, len(packed)-frameHeaderBytes)
 	}
-	meta, message, err := transport.Decode(packed[frameHeader:])
+	meta, message, err := transport.Decode(packed[frameHeaderBytes:])
 	if err == nil && meta != sampleMeta {
-		return nil, fmt.Errorf("the frame is of %v", meta)
+		return nil, fmt.Errorf("the frame has the metadata %v", meta)
 	}
 	return message, err
 }
@@ -49,7 +49,7 @@
 	for _, number := range slices.Sorted(maps.Keys(transport.Numbers())) {
 		message, found := transport.Prototype(number)
 		if !found {
-			t.Fatalf("number %d has no type", number)
+			t.Fatalf("the message number %d has no type", number)
 		}
 		forms = append(forms, storedforms.Form{
 			Name:   fmt.Sprint(number),
--- a/internal/storedforms/words_test.go
+++ b/internal/storedforms/words_test.go
@@ -85,15 +85,15 @@
 	return found
 }
 
-// TestWordsOfOperatorsAndCallersStay checks the words that other programs compare with and
+// TestWordsOfOperatorsAndClientsStay checks the words that other programs compare with and
 // that no other test in this package produces: each must still occur in the code.
-func TestWordsOfOperatorsAndCallersStay(t *testing.T) {
+func TestWordsOfOperatorsAndClientsStay(t *testing.T) {
 	found := words(t)
 	recorded, _ := storedforms.Recorded(t, "words.txt", nil)
 	for _, text := range recorded {
 		for _, each := range strings.Fields(text)[1:] {
 			if !found[each] {
-				t.Errorf("%s %s is written nowhere any more", strings.Fields(text)[0], each)
+				t.Errorf("%s %s no longer occurs in the code", strings.Fields(text)[0], each)
 			}
 		}
 	}
