--- a/internal/checker/checker.go
+++ b/internal/checker/checker.go
@@ -1,7 +1,7 @@
-// Package checker judges a run by what callers and operators saw, and by nothing
-// else: it knows the promises and no protocol. The simulator and the trials
-// with real processes feed the same checker, and its own test plants each kind
-// of violation to show that it is caught.
+// Package checker judges a run only by what clients and operators observed. It implements
+// the promises of the service and depends on none of its protocols. The simulator and the
+// trials with real processes use the same checker. Its tests plant each kind of violation
+// and require that the checker reports it.
 package checker
 
 import (
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Spans that the promises name.
+// Time limits of the promises.
 const (
 	ForceWithin   = 3 * time.Second
 	RemovalWithin = 3 * time.Second
@@ -19,7 +19,7 @@
 	BackWithin    = 12 * time.Second
 )
 
-// Message names one message.
+// Message identifies a message.
 type Message struct {
 	Space  string
 	Sender string
@@ -92,7 +92,7 @@
 	at      time.Time
 }
 
-// Checker is the book of a run.
+// Checker records the observations of a run and the violations found in them.
 type Checker struct {
 	spaces      map[string]*space
 	messages    map[Message]*published
@@ -108,17 +108,18 @@
 	Unsettled   int
 	Answers     []time.Duration
 	Late        int
-	// EphemeralOwed holds passing messages to what kept ones are: each accepted
-	// one is owed to whoever subscribes and is never away for long.
+	// EphemeralOwed applies the promise of durable messages to ephemeral ones, too: each
+	// accepted message must reach every subscriber. It is for runs in which no subscriber is
+	// disconnected for long.
 	EphemeralOwed bool
 	Codes         map[string]int
 	showed        map[string][]shown
 	Topics        *Topics
-	// Register is what operators saw of the configuration.
+	// Register is the history of the operators' reads and writes of the configuration.
 	Register Register
 }
 
-// New makes an empty book.
+// New returns a checker without observations.
 func New() *Checker {
 	return &Checker{
 		spaces: map[string]*space{}, messages: map[Message]*published{}, subscribers: map[string]*subscriber{},
@@ -127,7 +128,7 @@
 	}
 }
 
-// Kinds of violations, each a promise of the brief.
+// Kinds of violations, one for each promise.
 const (
 	NotInForce     = "not-in-force"
 	WentBack       = "went-back"
@@ -150,7 +151,7 @@
 )
 
 // FaultSettleTime is how long after the end of a fault daemons may still be unready
-// and requests refused.
+// and requests may be rejected.
 const FaultSettleTime = 12 * time.Second
 
 // Violate records a violation.
@@ -161,20 +162,20 @@
 	}
 }
 
-// Violations lists what was found so far.
+// Violations returns the violations found so far, at most 20 of each kind.
 func (c *Checker) Violations() []string { return c.violations }
 
-// Space tells what operators promised.
+// Space records the durability and the order that operators configured for a space.
 func (c *Checker) Space(name string, durable, channel bool) {
 	c.spaces[name] = &space{durable: durable, channel: channel}
 }
 
-// AnswerWithin tells how soon a space's publications are promised an answer.
+// AnswerWithin records the time within which a space promises to respond to publications.
 func (c *Checker) AnswerWithin(name string, limit time.Duration) {
 	c.spaces[name].within = limit
 }
 
-// Removed tells that the removal of a space was taken.
+// Removed records that the removal of a space was accepted.
 func (c *Checker) Removed(name string, at time.Time) {
 	if here, found := c.spaces[name]; found {
 		here.removed = at
@@ -183,7 +184,7 @@
 
 // Publishers.
 
-// Attempt tells that a publication is being tried.
+// Attempt records that a client sends a publication, for the first time or again.
 func (c *Checker) Attempt(message Message, topic, data string, at time.Time) {
 	each, found := c.messages[message]
 	if !found {
@@ -193,7 +194,7 @@
 	each.tries++
 }
 
-// Answered tells how a try ended; unsettled too where no answer came.
+// Answered records the outcome of an attempt. An attempt without a response is unsettled.
 func (c *Checker) Answered(message Message, outcome string, began, at time.Time) {
 	each := c.messages[message]
 	each.doneAt = at
@@ -226,19 +227,19 @@
 	return each
 }
 
-// Subscribed tells that a new subscription was accepted.
+// Subscribed records that a new subscription was accepted.
 func (c *Checker) Subscribed(name string, interest Interest, at time.Time) {
 	each := c.subscriber(name)
 	each.interests = append(each.interests, held{interest: interest, from: at})
 }
 
-// Asked tells that a subscription was asked for; messages may come from then.
+// Asked records that a subscription was requested. Its messages may arrive from then on.
 func (c *Checker) Asked(name string, interest Interest, at time.Time) {
 	each := c.subscriber(name)
 	each.interests = append(each.interests, held{interest: interest, from: time.Time{}, until: at})
 }
 
-// Unsubscribed tells that a subscription ended.
+// Unsubscribed records that a subscription ended.
 func (c *Checker) Unsubscribed(name string, interest Interest, at time.Time) {
 	each := c.subscriber(name)
 	for position := range each.interests {
@@ -248,20 +249,20 @@
 	}
 }
 
-// Dropped tells that a subscriber lost its place with good reason, or its
-// client ended; nothing more is owed to it.
+// Dropped records that a subscriber's cursor was rejected legitimately, or that its client
+// ended. The checker expects no further deliveries to it.
 func (c *Checker) Dropped(name string) { c.subscriber(name).dropped = true }
 
-// CursorLost tells that a returning client was refused its place; the oldest
-// message that it missed was sent at the given time.
+// CursorLost records that a client was disconnected at cutAt, returned, and its cursor was
+// rejected as expired.
 func (c *Checker) CursorLost(name string, cutAt, at time.Time) {
 	if at.Sub(cutAt) < Holding {
-		c.Violate(CursorRejected, "%s came back after %s", name, at.Sub(cutAt))
+		c.Violate(CursorRejected, "%s returned after %s", name, at.Sub(cutAt))
 	}
 	c.Dropped(name)
 }
 
-// Got tells that a message reached a subscriber.
+// Got records that a subscriber received a message.
 func (c *Checker) Got(name string, message Message, topic, data string, at time.Time) {
 	c.Delivered++
 	each := c.subscriber(name)
@@ -278,7 +279,7 @@
 	each.lastSeq[key] = max(each.lastSeq[key], message.Seq)
 	sent, known := c.messages[message]
 	if !known || sent.topic != topic || sent.data != data {
-		c.Violate(NeverAsked, "%s got %s on %s, which nobody sent so", name, message, topic)
+		c.Violate(NeverAsked, "%s got %s on %s, which was not sent with this topic and body", name, message, topic)
 		return
 	}
 	asked := false
@@ -295,54 +296,54 @@
 
 // Operators.
 
-// ConfigurationAccepted tells that a configuration was said to be taken.
+// ConfigurationAccepted records that a configuration was acknowledged.
 func (c *Checker) ConfigurationAccepted(version uint64, document string, began, at time.Time) {
 	if earlier, found := c.asked[version]; found && earlier != document {
-		c.Violate(StaleRead, "version %d was taken twice with different content", version)
+		c.Violate(StaleRead, "version %d was accepted twice with different content", version)
 	}
 	c.asked[version] = document
 	c.puts = append(c.puts, put{version: version, document: document, began: began, taken: at})
 }
 
-// BrokenAccepted tells that a broken configuration was accepted.
+// BrokenAccepted records that an invalid configuration was accepted.
 func (c *Checker) BrokenAccepted(text string) {
 	c.Violate(BrokenAccepted, "%s", text)
 }
 
-// ReadBack tells what reading the configuration back gave.
+// ReadBack records the result of reading the configuration.
 func (c *Checker) ReadBack(version uint64, document string, began, at time.Time) {
 	for _, each := range c.puts {
 		if each.taken.Before(began) && each.version > version {
-			c.Violate(StaleRead, "read %d, though %d had been taken %s before", version, each.version, began.Sub(each.taken))
+			c.Violate(StaleRead, "read %d, though %d had been accepted %s before", version, each.version, began.Sub(each.taken))
 		}
 	}
 	if known, found := c.asked[version]; found && known != document {
-		c.Violate(StaleRead, "version %d was read back different from what was taken", version)
+		c.Violate(StaleRead, "version %d was read with other content than was accepted", version)
 	}
-	// A read is itself told: a later read may not be older.
+	// A read counts as an acknowledgment: a later read must not return an older version.
 	c.asked[version] = document
 	c.puts = append(c.puts, put{version: version, document: document, began: began, taken: at})
 }
 
-// InForce tells which version a daemon has at a moment, since when it and what
-// it needs have been healthy, and whether it serves; one that does not serve
-// has nothing in force from which it could fall back.
+// InForce records which configuration version a daemon has in force, whether it serves, and
+// since when it and its dependencies have been healthy. A daemon that does not serve has no
+// version in force, so its version may go back.
 func (c *Checker) InForce(daemon string, version uint64, serves bool, healthySince, at time.Time) {
 	if before := c.forced[daemon]; serves && version < before {
-		c.Violate(WentBack, "%s fell from version %d to %d", daemon, before, version)
+		c.Violate(WentBack, "%s went back from version %d to %d", daemon, before, version)
 	}
 	c.forced[daemon] = max(c.forced[daemon], version)
 	for _, each := range c.puts {
 		if each.version > version && at.Sub(each.taken) > ForceWithin && at.Sub(healthySince) > ForceWithin {
-			c.Violate(NotInForce, "%s has version %d in force, %s after %d was taken", daemon, version, at.Sub(each.taken), each.version)
+			c.Violate(NotInForce, "%s has version %d in force, %s after %d was accepted", daemon, version, at.Sub(each.taken), each.version)
 			return
 		}
 	}
 }
 
-// Showed tells which version a daemon had in force at a moment between two, in
-// which it served; it is told at each change and not by sampling, and no fault
-// excuses an older one.
+// Showed records which version a daemon had in force at some time between began and at, while
+// it served. It is called at each change and not by sampling, and no fault excuses an older
+// version.
 func (c *Checker) Showed(daemon string, version uint64, began, at time.Time) {
 	before := uint64(0)
 	for _, each := range c.showed[daemon] {
@@ -351,22 +352,22 @@
 		}
 	}
 	if version < before {
-		c.Violate(WentBack, "%s served by version %d after %d, at %s", daemon, version, before, at.Format("05.000"))
+		c.Violate(WentBack, "%s served with version %d after %d, at %s", daemon, version, before, at.Format("05.000"))
 	}
 	if version > before {
 		c.showed[daemon] = append(c.showed[daemon], shown{version: version, at: at})
 	}
 	for _, each := range c.puts {
 		if each.version > version && began.Sub(each.taken) > ForceWithin {
-			c.Violate(NotInForce, "%s served by version %d, %s after %d was taken", daemon, version, began.Sub(each.taken), each.version)
+			c.Violate(NotInForce, "%s served with version %d, %s after %d was accepted", daemon, version, began.Sub(each.taken), each.version)
 			return
 		}
 	}
 }
 
-// RefusedAs tells the code of a request that was not accepted, and since when
-// nothing has gone wrong; a code for which a daemon is to blame is a violation
-// once all faults have been over for long enough.
+// RefusedAs records the code of a request that was not accepted. Callers report only codes
+// for which a daemon is responsible. calmSince is the end of the last fault: a rejection
+// more than FaultSettleTime after it is a violation.
 func (c *Checker) RefusedAs(code, what string, calmSince, at time.Time) {
 	c.Codes[code]++
 	if at.Sub(calmSince) > FaultSettleTime {
@@ -374,22 +375,22 @@
 	}
 }
 
-// NotReady tells of a daemon that ought to serve and does not.
+// NotReady records that a daemon that should serve is not ready.
 func (c *Checker) NotReady(daemon string, calmSince, at time.Time) {
 	if at.Sub(calmSince) > FaultSettleTime {
 		c.Violate(Unready, "%s is not ready, %s after the last fault", daemon, at.Sub(calmSince))
 	}
 }
 
-// Served tells that service was back so long after a major failure.
+// Served records how long after a major failure the service had recovered.
 func (c *Checker) Served(what string, after time.Duration) {
 	if after > BackWithin {
 		c.Violate(NotBack, "%s: service was back after %s", what, after)
 	}
 }
 
-// Close judges what can only be judged at the end, when all callers have been
-// connected for a while and nothing is under way.
+// Close runs the checks that are only possible at the end of a run, when all clients have
+// been connected for a while and nothing is in flight.
 func (c *Checker) Close(at time.Time) {
 	names := make([]string, 0, len(c.subscribers))
 	for name := range c.subscribers {
@@ -414,7 +415,7 @@
 	for message, when := range each.got {
 		sent := c.messages[message]
 		if sent != nil && sent.tries > 0 && sent.refused == sent.tries {
-			c.Violate(AllRefused, "%s got %s at %s, though every try was refused", each.name, message, when.Format("05.000"))
+			c.Violate(AllRefused, "%s got %s at %s, though every attempt was rejected", each.name, message, when.Format("05.000"))
 		}
 	}
 	if each.dropped {
@@ -437,8 +438,8 @@
 	}
 }
 
-// compare checks that two subscribers of a space with one shared order saw the
-// same order in what they both saw.
+// compare checks, for spaces with one order for all subscribers, that two subscribers
+// received the messages that both received in the same order.
 func (c *Checker) compare(left, right *subscriber) {
 	for name, here := range c.spaces {
 		if !here.channel {
@@ -455,7 +456,7 @@
 				continue
 			}
 			if position < last {
-				c.Violate(Disagree, "%s and %s saw %s in different orders", left.name, right.name, message)
+				c.Violate(Disagree, "%s and %s received %s in different orders", left.name, right.name, message)
 				break
 			}
 			last = position
@@ -463,7 +464,7 @@
 	}
 }
 
-// Summary is a line of counts.
+// Summary returns the counts and response times of the run in one line.
 func (c *Checker) Summary() string {
 	slices.Sort(c.Answers)
 	part := func(fraction float64) time.Duration {
--- a/internal/checker/checker_test.go
+++ b/internal/checker/checker_test.go
@@ -1,5 +1,5 @@
-// Each kind of violation is planted once, and the checker must name that kind
-// and no other; an honest run must pass.
+// For each kind of violation, one is planted in a correct run, and the checker must report
+// that kind and no other. The correct run itself must pass.
 package checker
 
 import (
@@ -110,7 +110,7 @@
 		}
 		assert.Assert(t, len(checker.Violations()) > 0, "%s was not caught", kind)
 		for _, line := range checker.Violations() {
-			assert.Assert(t, strings.HasPrefix(line, kind+": "), "%s was planted, %s was named", kind, line)
+			assert.Assert(t, strings.HasPrefix(line, kind+": "), "planted %s, but the checker reported %s", kind, line)
 		}
 	}
 }
--- a/internal/checker/register.go
+++ b/internal/checker/register.go
@@ -1,20 +1,21 @@
-// The linearizability of the configuration, judged by what operators saw alone.
+// The linearizability of the configuration, judged only by the operators' requests and
+// responses.
 //
-// The configuration is a register with numbers. Each number is decided once, with
-// one content; a read gives the highest number that was decided, and its content.
-// An order to put a content under a number decides it if nothing was decided there,
-// is acknowledged if the same was, and refused if something else was. Where lower
-// numbers are refused, a number below the highest can no longer be decided, and an
-// order for it is refused as older.
+// The configuration is a register with version numbers. Each number is decided once, with
+// one content. A read returns the highest decided number and its content. An order puts a
+// content under a number: it decides the number if it is undecided, is acknowledged if the
+// number was decided with the same content, and is rejected if it was decided with another
+// one. In the mode in which lower numbers are rejected, a number below the highest decided
+// one can no longer be decided, and an order for it is rejected as older.
 //
-// A history is linearizable if each operation has a moment between its begin and
-// its end (for one without a clear answer: at any time after its begin, or never)
-// at which it takes effect as a whole, so that one after the other they do as said
-// above. The moments of deciding and of reading only have to keep an order, which
-// rises with the numbers: a read comes after the decision of what it gave, and
-// before that of each higher number. Such an order has moments in given intervals
-// just if the least moments that it allows, taken from the lowest number upwards,
-// all lie in their intervals. So a run's history is judged in one pass.
+// A history is linearizable if each operation can be given a time between its begin and its
+// end at which it takes effect atomically, such that the operations in the order of these
+// times follow the rules above. An operation without a clear response may take effect at any
+// time after its begin, or never. The decisions and reads only have to be ordered by their
+// numbers: a read comes after the decision of the number that it returned, and before the
+// decision of each higher number. Such an order fits into the given intervals if and only if
+// the earliest times that it allows, computed from the lowest number upwards, all lie in
+// their intervals. A history is therefore judged in one pass.
 
 package checker
 
@@ -26,23 +27,23 @@
 	"time"
 )
 
-// OrderAnswer is how an operator's order ended.
+// OrderAnswer is the outcome of an operator's order.
 type OrderAnswer int
 
-// The answers to orders.
+// The outcomes of orders.
 const (
-	// Unclear orders got no answer, or none from which their fate is known.
+	// Unclear orders got no response, or one that does not say whether they took effect.
 	Unclear OrderAnswer = iota
-	// Acknowledged orders are said to be taken.
+	// Acknowledged orders were accepted.
 	Acknowledged
-	// RefusedOther is told of a number that was decided with another content.
+	// RefusedOther orders were rejected because the number was decided with another content.
 	RefusedOther
-	// RefusedOlder is told of a number below the highest one.
+	// RefusedOlder orders were rejected because the number is below the highest decided one.
 	RefusedOlder
 )
 
-// AnswerOf tells how an order ended by the status and the body of its answer; status 0
-// stands for none.
+// AnswerOf returns the outcome of an order from the status and the body of its response.
+// Status 0 means that there was no response.
 func AnswerOf(status int, body []byte) OrderAnswer {
 	var told struct {
 		Code string `json:"code"`
@@ -70,10 +71,10 @@
 	answer  OrderAnswer
 }
 
-// End tells how the order ended; one that never does is unclear.
+// End records the outcome of the order. An order that never ends is unclear.
 func (p *Put) End(answer OrderAnswer, at time.Time) { p.answer, p.ended = answer, at }
 
-// read is what reading the configuration gave; version 0 stands for none.
+// read is the result of reading the configuration. Version 0 means that there was none.
 type read struct {
 	version uint64
 	content string
@@ -81,47 +82,48 @@
 	ended   time.Time
 }
 
-// Register is the history of the configuration as a register with numbers.
+// Register is the history of the configuration as a register with version numbers.
 type Register struct {
-	// Lax says that a number below the highest one is acknowledged, too, and decided
-	// without coming into force; otherwise it is refused if it was not decided.
+	// Lax says that an order with an undecided number below the highest one is acknowledged
+	// and decided without coming into force. Otherwise such an order is rejected.
 	Lax   bool
 	puts  []*Put
 	reads []read
 }
 
-// Put begins an order.
+// Put records the begin of an order.
 func (r *Register) Put(version uint64, content string, began time.Time) *Put {
 	put := &Put{version: version, content: content, began: began}
 	r.puts = append(r.puts, put)
 	return put
 }
 
-// Read tells what a read gave; version 0 if nothing was taken yet.
+// Read records the result of a read. Version 0 means that there was no configuration yet.
 func (r *Register) Read(version uint64, content string, began, ended time.Time) {
 	r.reads = append(r.reads, read{version: version, content: content, began: began, ended: ended})
 }
 
-// Operations counts what the history holds.
+// Operations returns the number of operations in the history.
 func (r *Register) Operations() int { return len(r.puts) + len(r.reads) }
 
-// number is all that is known of one number.
+// number collects the operations with one version number and what follows from them.
 type number struct {
 	version uint64
 	puts    []*Put
 	reads   []read
-	// sure says that the number was decided for sure, and until when it was.
+	// sure says that the number was certainly decided, and until is the latest possible time
+	// of the decision. content is the decided content if known is set.
 	sure    bool
 	until   time.Time
 	content string
 	known   bool
-	// least is the first moment at which it can have been decided, and possible
-	// says that it can.
+	// least is the earliest time at which the number can have been decided. possible says
+	// whether it can have been decided at all.
 	least    time.Time
 	possible bool
 }
 
-// Faults says why the history is not linearizable; nothing if it is.
+// Faults returns the reasons why the history is not linearizable, or nothing if it is.
 func (r *Register) Faults() []string {
 	numbers := r.byNumber()
 	var faults []string
@@ -133,13 +135,13 @@
 	latestRead := "the begin"
 	for _, read := range r.reads {
 		if read.version == 0 && read.began.After(latest) {
-			latest, latestRead = read.began, "a read that found none"
+			latest, latestRead = read.began, "a read that returned no configuration"
 		}
 	}
 	for _, each := range numbers {
 		each.place(latest, complain)
 		if each.sure && each.possible && each.least.After(each.until) {
-			complain("%d was decided by %s, but %s comes before it at %s or later", each.version, stamp(each.until), latestRead, stamp(each.least))
+			complain("%d was decided by %s, but %s precedes it at %s or later", each.version, stamp(each.until), latestRead, stamp(each.least))
 		}
 		for _, read := range each.reads {
 			minimum := later(read.began, each.least)
@@ -167,7 +169,7 @@
 	return left
 }
 
-// byNumber sorts the history, the lowest number first.
+// byNumber groups the history by number and sorts the groups, the lowest number first.
 func (r *Register) byNumber() []*number {
 	found := map[uint64]*number{}
 	at := func(version uint64) *number {
@@ -199,8 +201,8 @@
 	return numbers
 }
 
-// gather finds the one content that was told of a number, and until when it was
-// decided for sure.
+// gather finds the decided content of a number and the latest possible time of its decision,
+// from the responses. It reports responses that contradict each other.
 func (n *number) gather(complain func(text string, values ...any)) {
 	decided := func(at time.Time) {
 		if !n.sure || at.Before(n.until) {
@@ -209,7 +211,7 @@
 	}
 	told := func(content, how string) {
 		if n.known && n.content != content {
-			complain("%d was told with two contents, one of them %s", n.version, how)
+			complain("two contents of %d were reported, one of them %s", n.version, how)
 		}
 		if !n.known {
 			n.known, n.content = true, content
@@ -230,9 +232,10 @@
 	}
 }
 
-// place finds the least moment at which the number can have been decided, which is
-// after all that comes before it: by an order with the content that was told of it
-// or, if none was, with any that was not refused.
+// place finds the earliest time at which the number can have been decided. This is not before
+// after, the earliest time for everything that precedes the decision, and not before the
+// begin of an order that can have decided it: one with the known content or, if the content
+// is not known, with any content that was not rejected.
 func (n *number) place(after time.Time, complain func(text string, values ...any)) {
 	for _, put := range n.puts {
 		if put.answer == RefusedOlder || !n.mayBe(put.content) {
@@ -243,24 +246,24 @@
 		}
 	}
 	if n.sure && !n.possible {
-		complain("%d is said to be decided, but nobody can have put what it is", n.version)
+		complain("%d was reported as decided, but no order can have decided it", n.version)
 	}
 	n.least = later(n.least, after)
 	for _, put := range n.puts {
 		if put.answer == RefusedOther && n.known && put.content == n.content {
-			complain("%d was refused by %s for another content, but it is the same", n.version, stamp(put.ended))
+			complain("%d was rejected by %s because of another content, but the decided content is the same", n.version, stamp(put.ended))
 		}
 		if put.answer == RefusedOlder {
-			// It was not decided then, and can't be any more.
+			// It was undecided at that time and can't be decided any more.
 			n.possible = false
 			if n.sure {
-				complain("%d was refused by %s as older and not decided, but it was decided", n.version, stamp(put.ended))
+				complain("%d was rejected by %s as older and undecided, but it was decided", n.version, stamp(put.ended))
 			}
 		}
 	}
 }
 
-// mayBe tells whether a content may be the one that was decided.
+// mayBe reports whether the number may have been decided with a content.
 func (n *number) mayBe(content string) bool {
 	if n.known {
 		return content == n.content
@@ -268,20 +271,21 @@
 	return !slices.ContainsFunc(n.puts, func(put *Put) bool { return put.answer == RefusedOther && put.content == content })
 }
 
-// judgeOlder looks that a higher number was there wherever one was refused as older.
+// judgeOlder checks that, whenever an order was rejected as older, a higher number can have
+// been decided before.
 func (r *Register) judgeOlder(numbers []*number, complain func(text string, values ...any)) {
 	for _, put := range r.puts {
 		if put.answer != RefusedOlder {
 			continue
 		}
 		if r.Lax {
-			complain("%d was refused as older where that is acknowledged", put.version)
+			complain("%d was rejected as older in the mode in which older numbers are acknowledged", put.version)
 			continue
 		}
 		if !slices.ContainsFunc(numbers, func(each *number) bool {
 			return each.version > put.version && each.possible && !each.least.After(put.ended)
 		}) {
-			complain("%d was refused as older by %s, and nothing higher was there", put.version, stamp(put.ended))
+			complain("%d was rejected as older by %s, but no higher number was decided", put.version, stamp(put.ended))
 		}
 	}
 }
--- a/internal/checker/register_test.go
+++ b/internal/checker/register_test.go
@@ -1,5 +1,5 @@
-// Histories that are linearizable and others that are not, and the quick judgement
-// compared with a search through all orders of small histories.
+// Tests of the register's check on histories that are linearizable and on others that are
+// not, and a comparison of its result with a search through all orders of small histories.
 package checker
 
 import (
@@ -11,7 +11,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// operation is one line of a history in seconds; without an end it is unclear.
+// operation is one operation of a history, with times in seconds. An order whose answer is
+// Unclear has no end.
 type operation struct {
 	read    bool
 	version uint64
@@ -55,47 +56,47 @@
 	holds      bool
 	operations []operation
 }{
-	{"one after the other", true, true, []operation{ordered(1, "a", 0, 1, Acknowledged), reads(1, "a", 2, 3), ordered(2, "b", 4, 5, Acknowledged), reads(2, "b", 6, 7)}},
-	{"nothing yet", false, true, []operation{reads(0, "", 0, 5), ordered(1, "a", 1, 9, Acknowledged)}},
+	{"sequential operations", true, true, []operation{ordered(1, "a", 0, 1, Acknowledged), reads(1, "a", 2, 3), ordered(2, "b", 4, 5, Acknowledged), reads(2, "b", 6, 7)}},
+	{"a read before the first order", false, true, []operation{reads(0, "", 0, 5), ordered(1, "a", 1, 9, Acknowledged)}},
 	{"two contents under one number", false, false, []operation{ordered(1, "a", 0, 9, Acknowledged), ordered(1, "b", 0, 9, Acknowledged)}},
-	{"two contents under a number that was overtaken", false, false, []operation{
+	{"two contents under a number below the highest", false, false, []operation{
 		ordered(5, "x", 0, 1, Acknowledged), ordered(4, "a", 2, 3, Acknowledged), ordered(4, "b", 4, 5, Acknowledged),
 	}},
-	{"one of a pair is refused", false, true, []operation{ordered(1, "a", 0, 9, Acknowledged), ordered(1, "b", 0, 9, RefusedOther)}},
-	{"what was taken is refused", false, false, []operation{ordered(1, "a", 0, 1, Acknowledged), ordered(1, "a", 2, 3, RefusedOther)}},
-	{"what was taken is refused as older", true, false, []operation{
+	{"one of two concurrent orders is rejected", false, true, []operation{ordered(1, "a", 0, 9, Acknowledged), ordered(1, "b", 0, 9, RefusedOther)}},
+	{"an accepted order is rejected", false, false, []operation{ordered(1, "a", 0, 1, Acknowledged), ordered(1, "a", 2, 3, RefusedOther)}},
+	{"an accepted order is rejected as older", true, false, []operation{
 		ordered(1, "a", 0, 1, Acknowledged), ordered(2, "b", 2, 3, Acknowledged), ordered(1, "a", 4, 5, RefusedOlder),
 	}},
-	{"what was taken is acknowledged again later", true, true, []operation{
+	{"an accepted order is acknowledged again later", true, true, []operation{
 		ordered(1, "a", 0, 1, Acknowledged), ordered(2, "b", 2, 3, Acknowledged), ordered(1, "a", 4, 5, Acknowledged),
 	}},
-	{"a read of what was overtaken before", false, false, []operation{
+	{"a read of an overwritten version", false, false, []operation{
 		ordered(1, "a", 0, 1, Acknowledged), ordered(2, "b", 2, 3, Acknowledged), reads(1, "a", 4, 5),
 	}},
-	{"a read while the next is put", false, true, []operation{
+	{"a read concurrent with the next order", false, true, []operation{
 		ordered(1, "a", 0, 1, Acknowledged), ordered(2, "b", 2, 5, Acknowledged), reads(1, "a", 3, 4),
 	}},
 	{"a read that goes back", false, false, []operation{
 		ordered(1, "a", 0, 1, Acknowledged), lost(2, "b", 2), reads(2, "b", 3, 4), reads(1, "a", 5, 6),
 	}},
-	{"an order without an answer takes effect later", false, true, []operation{
+	{"an order without a response takes effect later", false, true, []operation{
 		ordered(1, "a", 0, 1, Acknowledged), lost(2, "b", 2), reads(1, "a", 3, 4), reads(2, "b", 5, 6),
 	}},
-	{"a read of what nobody had put yet", false, false, []operation{reads(1, "a", 0, 1), ordered(1, "a", 2, 3, Acknowledged)}},
-	{"a read of what nobody put", false, false, []operation{ordered(1, "a", 0, 1, Acknowledged), reads(2, "b", 2, 3)}},
-	{"read back different from what was taken", false, false, []operation{ordered(1, "a", 0, 1, Acknowledged), lost(1, "b", 0), reads(1, "b", 2, 3)}},
-	{"none is read after one was taken", false, false, []operation{ordered(1, "a", 0, 1, Acknowledged), reads(0, "", 2, 3)}},
-	{"refused for another content that nobody put", false, false, []operation{ordered(1, "a", 0, 1, RefusedOther)}},
-	{"refused before the other was put", false, false, []operation{ordered(1, "a", 0, 1, RefusedOther), ordered(1, "b", 2, 3, Acknowledged)}},
-	{"refused for one whose answer was lost", false, true, []operation{lost(1, "b", 0), ordered(1, "a", 1, 2, RefusedOther)}},
-	{"each refused for the other", false, false, []operation{ordered(1, "a", 0, 5, RefusedOther), ordered(1, "b", 0, 5, RefusedOther)}},
-	{"refused for a third whose answer was lost", false, true, []operation{
+	{"a read of a version before its order began", false, false, []operation{reads(1, "a", 0, 1), ordered(1, "a", 2, 3, Acknowledged)}},
+	{"a read of a version without an order", false, false, []operation{ordered(1, "a", 0, 1, Acknowledged), reads(2, "b", 2, 3)}},
+	{"a read of other content than was accepted", false, false, []operation{ordered(1, "a", 0, 1, Acknowledged), lost(1, "b", 0), reads(1, "b", 2, 3)}},
+	{"an empty read after an order was accepted", false, false, []operation{ordered(1, "a", 0, 1, Acknowledged), reads(0, "", 2, 3)}},
+	{"rejected because of another content that was never put", false, false, []operation{ordered(1, "a", 0, 1, RefusedOther)}},
+	{"rejected before the other order began", false, false, []operation{ordered(1, "a", 0, 1, RefusedOther), ordered(1, "b", 2, 3, Acknowledged)}},
+	{"rejected because of an order whose response was lost", false, true, []operation{lost(1, "b", 0), ordered(1, "a", 1, 2, RefusedOther)}},
+	{"two orders are rejected because of each other", false, false, []operation{ordered(1, "a", 0, 5, RefusedOther), ordered(1, "b", 0, 5, RefusedOther)}},
+	{"two orders are rejected because of a third whose response was lost", false, true, []operation{
 		ordered(1, "a", 0, 5, RefusedOther), ordered(1, "b", 0, 5, RefusedOther), lost(1, "c", 4),
 	}},
 	{"a lower number is decided after a higher one", true, false, []operation{ordered(2, "b", 0, 1, Acknowledged), ordered(1, "a", 2, 3, Acknowledged)}},
 	{"a lower number is acknowledged after a higher one", false, true, []operation{ordered(2, "b", 0, 1, Acknowledged), ordered(1, "a", 2, 3, Acknowledged)}},
-	{"older than nothing", true, false, []operation{ordered(1, "a", 0, 1, RefusedOlder), ordered(2, "b", 2, 3, Acknowledged)}},
-	{"older than one under way", true, true, []operation{ordered(1, "a", 0, 3, RefusedOlder), ordered(2, "b", 2, 5, Acknowledged)}},
+	{"rejected as older without a higher number", true, false, []operation{ordered(1, "a", 0, 1, RefusedOlder), ordered(2, "b", 2, 3, Acknowledged)}},
+	{"rejected as older than a concurrent order", true, true, []operation{ordered(1, "a", 0, 3, RefusedOlder), ordered(2, "b", 2, 5, Acknowledged)}},
 }
 
 func TestHistoriesAreJudged(t *testing.T) {
@@ -108,7 +109,8 @@
 	}
 }
 
-// search looks through all orders of a history for one that holds.
+// search tries all orders of a history's operations and reports whether one is valid. It is
+// the reference for the check in one pass.
 func search(rising bool, operations []operation) bool {
 	type state struct {
 		done    uint
@@ -146,7 +148,7 @@
 
 func (o operation) unclear() bool { return !o.read && o.answer == Unclear }
 
-// mayBeNext tells whether nothing else that is left ended before an operation began.
+// mayBeNext reports whether no other remaining operation ended before an operation began.
 func mayBeNext(operations []operation, done uint, next operation) bool {
 	for position, each := range operations {
 		if done&(1<<position) == 0 && !each.unclear() && each.ended < next.began {
@@ -156,7 +158,7 @@
 	return true
 }
 
-// apply gives what is decided after an operation, and whether its answer is right.
+// apply returns the decided contents after an operation, and whether its response is correct.
 func (o operation) apply(rising bool, decided map[uint64]string) (map[uint64]string, bool) {
 	highest := uint64(0)
 	for version := range decided {
@@ -181,8 +183,8 @@
 	return next, o.answer == Acknowledged || o.answer == Unclear
 }
 
-// Small histories drawn by lot: what a real register answered, and then in part
-// spoiled.
+// The check in one pass must agree with the search on small random histories: responses of a
+// correct register, some of them altered afterwards.
 func TestTheQuickJudgementAgreesWithTheSearch(t *testing.T) {
 	linear, broken := 0, 0
 	for seed := range uint64(6000) {
@@ -225,7 +227,7 @@
 	return operations
 }
 
-// answerOf gives an operation the answer of a register with these numbers.
+// answerOf sets the response that a register with these decided numbers gives to an operation.
 func (o *operation) answerOf(rising bool, decided map[uint64]string) {
 	if o.read {
 		o.version = 0
--- a/internal/checker/topics.go
+++ b/internal/checker/topics.go
@@ -1,7 +1,7 @@
-// Routed topics. Here a subscription is a caller's to one topic, and lasts over
-// all of its connections until the caller ends it, is told that its place is
-// lost, or a configuration is sent that takes its route away. It is owed what was
-// first sent after it was first confirmed and was accepted before it ended.
+// Checks of routed topics. A subscription is that of one client to one topic. It spans all
+// connections of the client, until the client ends it, its cursor is rejected as expired, or
+// a configuration is sent that removes its route. Every message that was first sent after
+// the subscription was first confirmed, and accepted before it ended, must be delivered.
 
 package checker
 
@@ -13,7 +13,7 @@
 	"dahlialock/internal/statemachine"
 )
 
-// Spans and bounds that the promises of routed topics name.
+// Time limits and tolerances of the promises for routed topics.
 const (
 	PresenceFor      = 5 * time.Second
 	PresenceFraction = 0.05
@@ -21,7 +21,7 @@
 	DeliverWithin    = 150 * time.Millisecond
 )
 
-// Kinds of violations that only routed topics know.
+// Kinds of violations that only occur with routed topics.
 const (
 	Skipped    = "skipped"
 	WrongRoute = "wrong-route"
@@ -29,8 +29,8 @@
 	LateInCalm = "late-in-calm"
 )
 
-// Post names a message of a routed topic: a sender's seq rises over all of its
-// topics.
+// Post identifies a message of a routed topic. The sequence numbers of a sender increase over
+// all of its topics.
 type Post struct {
 	Sender string
 	Seq    uint64
@@ -54,7 +54,7 @@
 	holding time.Duration
 }
 
-// routing is a configuration as far as it leads topics.
+// routing is the routes of one version of the configuration.
 type routing struct {
 	version  uint64
 	prefixes []string
@@ -66,12 +66,12 @@
 	return slices.ContainsFunc(r.prefixes, func(prefix string) bool { return strings.HasPrefix(topic, prefix) })
 }
 
-// span is a connection on which a subscription was present. Who falls silent may
-// be taken to be there until lingers.
+// span is the time of a connection on which a subscription was present. A client that became
+// unreachable without closing may be counted as present until lingers.
 type span struct{ from, until, lingers time.Time }
 
-// Saved is a cursor that somebody was given: the place after a message, or the
-// place of a subscription that nothing had come to.
+// Saved is a cursor that a client received: the position after a message, or the position of
+// a subscription that had not received any message.
 type Saved struct {
 	Topic  string
 	Cursor string
@@ -79,7 +79,7 @@
 	At     time.Time
 }
 
-// Subscription is one caller's subscription to a routed topic.
+// Subscription is the subscription of one client to a routed topic.
 type Subscription struct {
 	checker   *Checker
 	name      string
@@ -97,7 +97,7 @@
 	missed    map[Post]bool
 }
 
-// Topics is the part of the book that is about routed topics.
+// Topics holds the observations on routed topics.
 type Topics struct {
 	routes        []route
 	routings      []*routing
@@ -115,13 +115,12 @@
 	return &Topics{posts: map[Post]*post{}, byTopic: map[string][]*post{}, subscriptions: map[string][]*Subscription{}}
 }
 
-// Route tells of a prefix that configurations lead to a space, in some or all
-// versions.
+// Route records a prefix that some or all versions of the configuration route to a space.
 func (c *Checker) Route(prefix string, durable bool, holding time.Duration) {
 	c.Topics.routes = append(c.Topics.routes, route{prefix: prefix, durable: durable, holding: holding})
 }
 
-// routeOf is the route of a topic: the longest prefix wins.
+// routeOf returns the route of a topic: the one with the longest matching prefix.
 func (t *Topics) routeOf(topic string) route {
 	var best route
 	for _, each := range t.routes {
@@ -132,8 +131,8 @@
 	return best
 }
 
-// RoutesSent tells that a configuration is put, with all its prefixes: whatever
-// it no longer leads anywhere ends.
+// RoutesSent records that a configuration with these prefixes is sent. Subscriptions to topics
+// that it does not route end.
 func (c *Checker) RoutesSent(version uint64, prefixes []string, at time.Time) {
 	sent := &routing{version: version, prefixes: prefixes, sent: at}
 	c.Topics.routings = append(c.Topics.routings, sent)
@@ -147,7 +146,7 @@
 	}
 }
 
-// RoutesAccepted tells that it was acknowledged.
+// RoutesAccepted records that the configuration was acknowledged.
 func (c *Checker) RoutesAccepted(version uint64, at time.Time) {
 	for _, each := range c.Topics.routings {
 		if each.version == version && each.taken.IsZero() {
@@ -156,8 +155,8 @@
 	}
 }
 
-// mayLead tells whether a request for a topic that was sent at one moment and
-// answered at another may have been handled as one with, or without, a route.
+// mayLead reports whether a request for a topic, sent at one time and answered at another,
+// may have been handled with a route (leads) or without one.
 func (t *Topics) mayLead(topic string, leads bool, sent, at time.Time) bool {
 	newest := uint64(0)
 	for _, each := range t.routings {
@@ -173,8 +172,8 @@
 	})
 }
 
-// Handled tells that a request for a topic was answered as for one that has, or
-// has not, a route.
+// Handled records that a request was handled as one for a topic with a route (leads) or
+// without one.
 func (c *Checker) Handled(what, topic string, leads bool, sent, at time.Time) {
 	if !c.Topics.mayLead(topic, leads, sent, at) {
 		c.Violate(WrongRoute, "%s on %s was handled as if it had a route: %v", what, topic, leads)
@@ -183,8 +182,8 @@
 
 // Publishing.
 
-// PostTried tells that a message is sent, once more or for the first time, and
-// since when its sender wanted it to be.
+// PostTried records an attempt to send a message, the first one or a retry. wanted is the time
+// at which its sender requested the publication.
 func (c *Checker) PostTried(name Post, topic, body string, wanted, at time.Time) {
 	topics := c.Topics
 	each, found := topics.posts[name]
@@ -196,7 +195,7 @@
 	each.tries++
 }
 
-// PostAnswered tells how a try ended.
+// PostAnswered records the outcome of an attempt.
 func (c *Checker) PostAnswered(name Post, outcome string, at time.Time) {
 	each := c.Topics.posts[name]
 	switch outcome {
@@ -216,16 +215,16 @@
 
 // Subscribing.
 
-// Subscribing tells that a caller begins to ask for a topic; a place that was
-// saved before, by whomever, may be taken up.
+// Subscribing records that a client starts to subscribe to a topic. If saved is not nil, the
+// client resumes from this cursor, which any client may have received.
 func (c *Checker) Subscribing(name, topic string, saved *Saved) *Subscription {
 	made := &Subscription{checker: c, name: name, topic: topic, saved: saved, got: map[Post]time.Time{}, place: map[Post]int{}, last: map[string]uint64{}, missed: map[Post]bool{}}
 	c.Topics.subscriptions[topic] = append(c.Topics.subscriptions[topic], made)
 	return made
 }
 
-// Confirmed tells that the subscription is confirmed, on a connection that was
-// begun at a moment.
+// Confirmed records that the subscription is confirmed, on a connection that was opened at
+// opened.
 func (s *Subscription) Confirmed(opened, at time.Time) {
 	if s.firstOK.IsZero() {
 		s.firstOK = at
@@ -238,7 +237,7 @@
 	}
 }
 
-// Cut tells that the connection ended.
+// Cut records that the connection ended.
 func (s *Subscription) Cut(at time.Time) {
 	s.connected = false
 	if count := len(s.present); count > 0 && s.present[count-1].until.IsZero() {
@@ -246,8 +245,8 @@
 	}
 }
 
-// Silenced tells that the caller fell silent instead of closing, and until when
-// its connection may be held open for it.
+// Silenced records that the client became unreachable without closing the connection, and
+// until when a gateway may keep the connection open.
 func (s *Subscription) Silenced(at, until time.Time) {
 	if count := len(s.present); count > 0 && s.present[count-1].until.IsZero() {
 		s.present[count-1].lingers = until
@@ -255,7 +254,7 @@
 	s.Cut(at)
 }
 
-// End tells that the subscription ends.
+// End records that the subscription ends.
 func (s *Subscription) End(at time.Time) {
 	if s.ended.IsZero() {
 		s.ended = at
@@ -263,10 +262,11 @@
 	s.Cut(at)
 }
 
-// Ended tells whether it has.
+// Ended reports whether the subscription has ended.
 func (s *Subscription) Ended() bool { return !s.ended.IsZero() }
 
-// owed tells whether a message is owed, as far as it is known by now.
+// owed reports whether a message must be delivered to the subscription, by the observations
+// so far.
 func (s *Subscription) owed(each *post) bool {
 	if !each.accepted || !s.ended.IsZero() && each.acceptedAt.After(s.ended) {
 		return false
@@ -277,7 +277,7 @@
 	return !s.firstOK.IsZero() && each.firstTry.After(s.firstOK)
 }
 
-// follows tells whether any subscriber got one message after another.
+// follows reports whether any subscriber received the message later after the message earlier.
 func (t *Topics) follows(topic string, earlier, later Post) bool {
 	for _, each := range t.subscriptions[topic] {
 		first, got := each.place[earlier]
@@ -289,7 +289,8 @@
 	return false
 }
 
-// Expired tells that the place was refused as lost, which ends the subscription.
+// Expired records that the cursor was rejected as expired, which ends the subscription. This
+// is a violation if the topic is durable and all missing messages are still retained.
 func (s *Subscription) Expired(at time.Time) {
 	checker := s.checker
 	checker.Topics.Expired++
@@ -304,12 +305,12 @@
 		excused = excused || at.Sub(each.firstTry) >= route.holding
 	}
 	if !excused && !s.Ended() {
-		checker.Violate(CursorRejected, "%s lost its place in %s, though all of %d messages that it lacks are held", s.name, s.topic, missing)
+		checker.Violate(CursorRejected, "the cursor of %s in %s was rejected, though all %d missing messages are within the holding time", s.name, s.topic, missing)
 	}
 	s.End(at)
 }
 
-// Got tells that a message came, and since when nothing has gone wrong.
+// Got records that the client received a message. calmSince is the end of the last fault.
 func (s *Subscription) Got(name Post, topic, body string, calmSince, at time.Time) {
 	checker := s.checker
 	topics := checker.Topics
@@ -317,7 +318,7 @@
 	who := s.name
 	sent, known := topics.posts[name]
 	if !known || sent.topic != topic || sent.body != body || topic != s.topic {
-		checker.Violate(NeverAsked, "%s got %v on %s, which nobody sent so", who, name, topic)
+		checker.Violate(NeverAsked, "%s got %v on %s, which was not sent with this topic and body", who, name, topic)
 		return
 	}
 	if earlier, twice := s.got[name]; twice {
@@ -328,7 +329,7 @@
 		checker.Violate(OutOfOrder, "%s got %v on %s after seq %d", who, name, topic, last)
 	}
 	if saved := s.saved; saved != nil && (saved.After == name || topics.follows(topic, name, saved.After)) {
-		checker.Violate(Twice, "%s got %v on %s, which lies before the place that it took up", who, name, topic)
+		checker.Violate(Twice, "%s got %v on %s, which precedes the cursor from which it resumed", who, name, topic)
 	}
 	s.got[name] = at
 	s.place[name] = len(s.order)
@@ -346,20 +347,20 @@
 	}
 }
 
-// Unasked tells that a message came on a connection that has not asked for its
-// topic, or has left it.
+// Unasked records a message on a connection that is not subscribed to its topic, or that has
+// unsubscribed from it.
 func (c *Checker) Unasked(who string, name Post, topic string) {
 	c.Violate(NeverAsked, "%s got %v on %s without a subscription", who, name, topic)
 }
 
-// Resent tells how the resend of an accepted message was answered, within the
-// time in which that must be acknowledged.
+// Resent records that the resend of an accepted message was rejected within the time in which
+// it must be acknowledged.
 func (c *Checker) Resent(name Post, code string) {
-	c.Violate(Twice, "%v was accepted, and its resend refused: %s", name, code)
+	c.Violate(Twice, "%v was accepted, and its resend was rejected: %s", name, code)
 }
 
-// Counted tells how many subscribers of a topic a caller was told of, and since
-// when nothing has gone wrong.
+// Counted records the number of subscribers of a topic that a gateway returned to a client.
+// calmSince is the end of the last fault.
 func (c *Checker) Counted(topic string, number int, calmSince, at time.Time) {
 	from := at.Add(-PresenceFor)
 	throughout, once := 0, 0
@@ -387,18 +388,18 @@
 	}
 	c.Topics.CountsWrong++
 	if at.Sub(calmSince) > FaultSettleTime {
-		c.Violate(Presence, "%d subscribers of %s were told, and %d to %d were there", number, topic, throughout, once)
+		c.Violate(Presence, "a count of %d subscribers of %s was returned, but %d to %d were present", number, topic, throughout, once)
 	}
 }
 
-// closeTopics judges what is only known at the end.
+// closeTopics runs the checks that are only possible at the end of a run.
 func (c *Checker) closeTopics(at time.Time) {
 	c.AllBrought(at)
 	for topic, subscriptions := range statemachine.Sorted(c.Topics.subscriptions) {
 		for position, each := range subscriptions {
 			for name := range each.got {
 				if sent := c.Topics.posts[name]; sent.refused == sent.tries {
-					c.Violate(AllRefused, "%s got %v on %s, though every try was refused", each.name, name, each.topic)
+					c.Violate(AllRefused, "%s got %v on %s, though every attempt was rejected", each.name, name, each.topic)
 				}
 			}
 			for _, other := range subscriptions[position+1:] {
@@ -408,8 +409,8 @@
 	}
 }
 
-// AllBrought judges, at a moment at which nothing is under way, that every
-// subscription to a kept topic has what it is owed.
+// AllBrought checks, at a time at which nothing is in flight, that every subscription to a
+// durable topic has received the messages that must be delivered to it.
 func (c *Checker) AllBrought(at time.Time) {
 	for topic, subscriptions := range statemachine.Sorted(c.Topics.subscriptions) {
 		if !c.Topics.routeOf(topic).durable {
@@ -428,7 +429,7 @@
 		}
 		switch {
 		case each.last[sent.name.Sender] > sent.name.Seq:
-			c.Violate(Skipped, "%s got seq %d of %s on %s and never the owed %d", each.name, each.last[sent.name.Sender], sent.name.Sender, each.topic, sent.name.Seq)
+			c.Violate(Skipped, "%s got seq %d of %s on %s, but never the missing %d", each.name, each.last[sent.name.Sender], sent.name.Sender, each.topic, sent.name.Seq)
 		case !each.Ended():
 			c.Violate(Lost, "%s never got %v on %s, accepted %s before", each.name, sent.name, each.topic, at.Sub(sent.acceptedAt))
 		default:
@@ -438,7 +439,8 @@
 	}
 }
 
-// compareOrders checks that two subscribers saw what both saw in one order.
+// compareOrders checks that two subscribers received the messages that both received in the
+// same order.
 func (c *Checker) compareOrders(topic string, left, right *Subscription) {
 	last := -1
 	for _, name := range left.order {
@@ -447,7 +449,7 @@
 			continue
 		}
 		if position < last {
-			c.Violate(Disagree, "%s and %s saw %v on %s in different orders", left.name, right.name, name, topic)
+			c.Violate(Disagree, "%s and %s received %v on %s in different orders", left.name, right.name, name, topic)
 			return
 		}
 		last = position
--- a/internal/checker/topics_test.go
+++ b/internal/checker/topics_test.go
@@ -1,5 +1,5 @@
-// Each kind of violation that callers of routed topics can see is planted once,
-// in a run that is honest otherwise; the checker must name that kind and no other.
+// Each kind of violation that clients of routed topics can observe is planted in an otherwise
+// correct run, and the checker must report that kind and no other.
 package checker
 
 import (
@@ -17,8 +17,8 @@
 	return topicStart.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// topicRun is a run of two subscribers, ada and bob, of a kept and of a passing
-// topic, to which cy and dan sent.
+// topicRun is a run of two subscribers, ada and bob, of durable and ephemeral topics, on which
+// cy and dan publish.
 type topicRun struct {
 	*Checker
 	held map[string]*Subscription
@@ -51,7 +51,7 @@
 	run.Handled("a count", "nowhere.a", false, moment(5), moment(5.1))
 	run.Handled("a publication", guestTopic, true, moment(5), moment(5.1))
 	run.Counted(keptTopic, 2, moment(-60), moment(5.9))
-	// A place is taken up that ada had after cy's second message.
+	// Client eve resumes from the cursor that ada received with cy's second message.
 	taker := run.Subscribing("eve", keptTopic, &Saved{Topic: keptTopic, After: Post{"cy", 4}, At: moment(2.1)})
 	taker.Confirmed(moment(6), moment(6.1))
 	run.gets(taker, "cy", 7, 6.2)
@@ -68,8 +68,8 @@
 	tr.PostAnswered(name, outcome, moment(at+0.01))
 }
 
-// gets lets a message come long before anything went wrong for the last time, so
-// that being late is nobody's fault.
+// gets records the receipt of a message, with calmSince at the receipt, so that a late
+// delivery is no violation.
 func (tr *topicRun) gets(subscription *Subscription, sender string, seq uint64, at float64) {
 	subscription.Got(Post{sender, seq}, subscription.topic, bodyOf(sender, seq), moment(at), moment(at))
 }
@@ -93,21 +93,21 @@
 		what  string
 		plant func(run *topicRun, ada, bob *Subscription)
 	}{
-		{"", "an honest run", func(*topicRun, *Subscription, *Subscription) {}},
-		{Twice, "a message again", func(run *topicRun, ada, _ *Subscription) { run.gets(ada, "cy", 10, 9) }},
-		{Twice, "a message again after a reconnection", func(run *topicRun, ada, _ *Subscription) {
+		{"", "a correct run", func(*topicRun, *Subscription, *Subscription) {}},
+		{Twice, "a duplicate message", func(run *topicRun, ada, _ *Subscription) { run.gets(ada, "cy", 10, 9) }},
+		{Twice, "a duplicate message after a reconnect", func(run *topicRun, ada, _ *Subscription) {
 			ada.Cut(moment(7))
 			ada.Confirmed(moment(8), moment(8.1))
 			run.gets(ada, "cy", 10, 9)
 		}},
-		{Twice, "the message that a saved place lies after", func(run *topicRun, _, _ *Subscription) {
+		{Twice, "the message before a saved cursor", func(run *topicRun, _, _ *Subscription) {
 			taker := run.Subscribing("fay", keptTopic, &Saved{Topic: keptTopic, After: Post{"cy", 4}, At: moment(2.1)})
 			taker.Confirmed(moment(7), moment(7.1))
 			for _, seq := range []uint64{4, 7, 10} {
 				run.gets(taker, "cy", seq, 7.2)
 			}
 		}},
-		{Twice, "an accepted number is refused", func(run *topicRun, _, _ *Subscription) { run.Resent(Post{"cy", 10}, "old-seq") }},
+		{Twice, "an accepted sequence number is rejected", func(run *topicRun, _, _ *Subscription) { run.Resent(Post{"cy", 10}, "old-seq") }},
 		{OutOfOrder, "an earlier message of a sender, on one connection", func(run *topicRun, _, _ *Subscription) {
 			run.try("dan", 20, passingTopic, "unsettled", 7)
 			run.try("dan", 21, passingTopic, "accepted", 7.1)
@@ -122,13 +122,13 @@
 			bob.Confirmed(moment(8), moment(8.1))
 			run.gets(bob, "cy", 20, 8.2)
 		}},
-		{Skipped, "a later message of a sender passes over an owed one", func(run *topicRun, ada, _ *Subscription) {
+		{Skipped, "a later message of a sender arrives without an earlier one", func(run *topicRun, ada, _ *Subscription) {
 			run.try("cy", 20, keptTopic, "accepted", 7)
 			run.gets(run.held["bob "+keptTopic], "cy", 20, 7.1)
 			run.gets(run.held["eve "+keptTopic], "cy", 20, 7.1)
 			run.send("cy", 21, keptTopic, 7.2)
 		}},
-		{Disagree, "two subscribers, two orders", func(run *topicRun, ada, bob *Subscription) {
+		{Disagree, "two subscribers receive different orders", func(run *topicRun, ada, bob *Subscription) {
 			run.try("cy", 20, keptTopic, "accepted", 7)
 			run.try("dan", 20, keptTopic, "accepted", 7)
 			for _, each := range []*Subscription{ada, run.held["eve "+keptTopic]} {
@@ -138,42 +138,42 @@
 			run.gets(bob, "dan", 20, 7.1)
 			run.gets(bob, "cy", 20, 7.2)
 		}},
-		{CursorRejected, "a place, though nothing is missing", func(_ *topicRun, ada, _ *Subscription) { ada.Expired(moment(60)) }},
-		{CursorRejected, "a place, though all that is missing is young", func(run *topicRun, ada, _ *Subscription) {
+		{CursorRejected, "a cursor is rejected, though no message is missing", func(_ *topicRun, ada, _ *Subscription) { ada.Expired(moment(60)) }},
+		{CursorRejected, "a cursor is rejected, though all missing messages are within the holding time", func(run *topicRun, ada, _ *Subscription) {
 			ada.Cut(moment(6))
 			run.try("cy", 20, keptTopic, "accepted", 26)
 			run.gets(run.held["bob "+keptTopic], "cy", 20, 26.1)
 			run.gets(run.held["eve "+keptTopic], "cy", 20, 26.1)
 			ada.Expired(moment(60))
 		}},
-		{CursorRejected, "a saved place", func(run *topicRun, _, _ *Subscription) {
+		{CursorRejected, "a saved cursor is rejected", func(run *topicRun, _, _ *Subscription) {
 			run.Subscribing("fay", keptTopic, &Saved{Topic: keptTopic, After: Post{"cy", 4}, At: moment(2.1)}).Expired(moment(20))
 		}},
-		{Lost, "a saved place does not bring a message", func(run *topicRun, _, _ *Subscription) {
+		{Lost, "a message after a saved cursor is not delivered", func(run *topicRun, _, _ *Subscription) {
 			taker := run.Subscribing("fay", keptTopic, &Saved{Topic: keptTopic, After: Post{"cy", 4}, At: moment(2.1)})
 			taker.Confirmed(moment(7), moment(7.1))
 			run.gets(taker, "cy", 7, 7.2)
 		}},
-		{Lost, "a subscriber never gets a message", func(run *topicRun, ada, _ *Subscription) {
+		{Lost, "a message is not delivered to a subscriber", func(run *topicRun, ada, _ *Subscription) {
 			run.try("cy", 20, keptTopic, "accepted", 7)
 			run.gets(run.held["bob "+keptTopic], "cy", 20, 7.1)
 			run.gets(run.held["eve "+keptTopic], "cy", 20, 7.1)
 		}},
-		{NeverAsked, "a message that nobody sent", func(run *topicRun, ada, _ *Subscription) { run.gets(ada, "cy", 99, 7) }},
-		{NeverAsked, "other bytes", func(run *topicRun, ada, _ *Subscription) {
+		{NeverAsked, "a message that was never sent", func(run *topicRun, ada, _ *Subscription) { run.gets(ada, "cy", 99, 7) }},
+		{NeverAsked, "a message with another body", func(run *topicRun, ada, _ *Subscription) {
 			run.try("dan", 20, passingTopic, "accepted", 7)
 			run.held["ada "+passingTopic].Got(Post{"dan", 20}, passingTopic, "other", moment(7), moment(7.1))
 		}},
-		{NeverAsked, "another topic", func(run *topicRun, ada, _ *Subscription) {
+		{NeverAsked, "a message on another topic", func(run *topicRun, ada, _ *Subscription) {
 			run.try("dan", 20, passingTopic, "accepted", 7)
 			ada.Got(Post{"dan", 20}, passingTopic, bodyOf("dan", 20), moment(7), moment(7.1))
 		}},
-		{NeverAsked, "a topic that was left", func(run *topicRun, _, _ *Subscription) { run.Unasked("ada", Post{"cy", 10}, keptTopic) }},
-		{AllRefused, "a message whose every try was refused", func(run *topicRun, _, _ *Subscription) {
+		{NeverAsked, "a message on a topic after unsubscribing", func(run *topicRun, _, _ *Subscription) { run.Unasked("ada", Post{"cy", 10}, keptTopic) }},
+		{AllRefused, "a message of which every attempt was rejected", func(run *topicRun, _, _ *Subscription) {
 			run.try("dan", 20, passingTopic, "refused", 7)
 			run.deliver("dan", 20, passingTopic, 7.1)
 		}},
-		{AfterRemoval, "a removed space still delivers", func(run *topicRun, _, _ *Subscription) {
+		{AfterRemoval, "a message after its route was removed", func(run *topicRun, _, _ *Subscription) {
 			run.RoutesSent(2, []string{"board.", "halt."}, moment(7))
 			run.RoutesAccepted(2, moment(7.1))
 			run.try("cy", 20, guestTopic, "unsettled", 10.2)
@@ -184,7 +184,7 @@
 			run.RoutesAccepted(2, moment(7.1))
 			run.Handled("a publication", guestTopic, true, moment(10.2), moment(10.3))
 		}},
-		{WrongRoute, "a route that is there is refused", func(run *topicRun, _, _ *Subscription) {
+		{WrongRoute, "an existing route is rejected", func(run *topicRun, _, _ *Subscription) {
 			run.Handled("a subscription", guestTopic, false, moment(7), moment(7.1))
 		}},
 		{WentBack, "a version goes back", func(run *topicRun, _, _ *Subscription) {
@@ -201,11 +201,11 @@
 			ada.Cut(moment(5))
 			run.Counted(keptTopic, 5, moment(-60), moment(11))
 		}},
-		{LateInCalm, "a message is late in a calm", func(run *topicRun, _, _ *Subscription) {
+		{LateInCalm, "a message is late without faults", func(run *topicRun, _, _ *Subscription) {
 			run.try("dan", 20, passingTopic, "accepted", 7)
 			run.held["ada "+passingTopic].Got(Post{"dan", 20}, passingTopic, bodyOf("dan", 20), moment(-60), moment(7.16))
 		}},
-		{RefusedCalm, "a visit is refused in a calm", func(run *topicRun, _, _ *Subscription) {
+		{RefusedCalm, "a request is rejected without faults", func(run *topicRun, _, _ *Subscription) {
 			run.RefusedAs("unconfirmed", "a publication", moment(-60), moment(7))
 		}},
 	}
@@ -219,31 +219,33 @@
 		}
 		assert.Check(t, len(run.Violations()) > 0, "%s: %s was not caught", each.kind, each.what)
 		for _, line := range run.Violations() {
-			assert.Check(t, strings.HasPrefix(line, each.kind+": "), "%s: %s was planted, %s was named", each.kind, each.what, line)
+			assert.Check(t, strings.HasPrefix(line, each.kind+": "), "%s: %s was planted, but the checker reported %s", each.kind, each.what, line)
 		}
 	}
 }
 
-// What is nobody's fault is not called one.
+// The checker must not report missing messages, cursors, counts and routes that the promises
+// excuse.
 func TestWhatIsNotOwedIsNotMissed(t *testing.T) {
 	run := honestTopics()
 	ada := run.held["ada "+keptTopic]
-	// The place of who missed something older than the holding time may be lost.
+	// A cursor may expire if a missed message is older than the holding time.
 	ada.Cut(moment(6))
 	run.try("cy", 20, keptTopic, "accepted", 7)
 	run.gets(run.held["bob "+keptTopic], "cy", 20, 7.1)
 	run.gets(run.held["eve "+keptTopic], "cy", 20, 7.1)
 	ada.Expired(moment(43))
-	// A later message may pass over one whose fate stayed open.
+	// A later message may arrive without an earlier one whose outcome is unknown.
 	run.try("cy", 21, keptTopic, "unsettled", 44)
 	run.sendTo("cy", 22, keptTopic, 45, "bob", "eve")
-	// Nothing is owed once a caller left, or a route was taken away.
+	// No delivery is due after a client unsubscribed or a route was removed.
 	run.held["bob "+keptTopic].End(moment(46))
 	run.sendTo("cy", 23, keptTopic, 47, "eve")
 	run.RoutesSent(2, []string{"board.", "halt."}, moment(48))
 	run.try("cy", 24, guestTopic, "accepted", 48.1)
 	run.RoutesAccepted(2, moment(49))
-	// Who fell silent may still be counted for a while, beside the new connection.
+	// The connection of an unreachable client may be counted for a while, in addition to its
+	// new connection.
 	silent := run.Subscribing("gus", passingTopic, nil)
 	silent.Confirmed(moment(48), moment(48.1))
 	for number := range 4 {
@@ -251,7 +253,7 @@
 		silent.Confirmed(moment(50.2), moment(50.3+float64(number)))
 	}
 	run.Counted(passingTopic, 9, moment(-60), moment(56))
-	// Either answer is right while a change is under way.
+	// Both outcomes are correct while a change of the configuration is in progress.
 	run.Handled("a publication", guestTopic, true, moment(48.1), moment(48.2))
 	run.Handled("a publication", guestTopic, false, moment(48.1), moment(48.2))
 	run.Handled("a publication", guestTopic, false, moment(55), moment(55.1))
@@ -259,7 +261,7 @@
 	assert.Equal(t, len(run.Violations()), 0, "%v", run.Violations())
 }
 
-// sendTo sends a message that only some get.
+// sendTo sends a message that only the named subscribers receive.
 func (tr *topicRun) sendTo(sender string, seq uint64, topic string, at float64, names ...string) {
 	tr.try(sender, seq, topic, "accepted", at)
 	for _, name := range names {
--- a/internal/faults/faults.go
+++ b/internal/faults/faults.go
@@ -1,8 +1,8 @@
-// Package faults holds faults as values. A fault has a name, a start, a length
-// and a pick, which says whom it strikes; a storm is a list of them, drawn from
-// a seed, with one last fault that nothing takes away. The simulator and the
-// trials of real processes bring the same names about, so that a list can be
-// written down, run again and shortened in either world.
+// Package faults represents the faults that are injected in a run as values. A fault has a
+// name, a start, a length and a pick, a number from which its target is chosen. A schedule
+// is a list of faults, drawn from a seed; a run may end with one more fault that is not
+// undone. The simulator and the trials with real processes inject faults by the same
+// names, so that a schedule can be recorded, repeated and shortened in both.
 package faults
 
 import (
@@ -16,10 +16,10 @@
 	"github.com/joomcode/errorx"
 )
 
-// ErrorList tells of a list of faults that can't be read.
+// ErrorList reports a list of faults that can't be parsed.
 var ErrorList = errorx.NewNamespace("squall").NewType("list")
 
-// Fault is one thing that goes wrong for a while.
+// Fault is one fault that lasts for a limited time.
 type Fault struct {
 	Name   string
 	Start  time.Duration
@@ -27,7 +27,8 @@
 	Pick   uint64
 }
 
-// Names lists every fault that may come at any time. Both worlds know them all.
+// Names lists every fault that may occur at any time of a run. The simulator and the trials
+// with real processes support all of them.
 var Names = []string{
 	"crowd", "cut-daemon", "cut-one-way", "cut-place", "cut-primary", "drain", "edit-settings", "freeze-store", "freeze-gateway",
 	"freeze-controller", "freeze-primary", "freeze-agent", "join-store", "join-gateway", "join-controller", "kill-backup", "kill-store",
@@ -36,11 +37,11 @@
 	"slow-disk", "slow-links", "space", "vanish", "wander", "wipe-store", "wipe-controller",
 }
 
-// Last lists the faults with which a run may end: they stay.
+// Last lists the faults with which a run may end. They are not undone.
 var Last = []string{"kill-gateway", "kill-primary", "kill-backup", "kill-store", "kill-agent", "lose-place", "lose-two", "restart-all"}
 
-// grave faults take away what a second grave fault at the same time would need
-// in order to be outlasted: a copy of what is kept, or a majority.
+// grave lists the faults that remove redundancy: a replica of durable data or a part of a
+// majority. A second grave fault at the same time may exceed the tolerance.
 var grave = map[string]bool{
 	"cut-daemon": true, "cut-place": true, "cut-primary": true, "freeze-store": true, "freeze-controller": true, "freeze-primary": true,
 	"join-store": true, "kill-backup": true, "kill-store": true, "kill-controller": true, "kill-primary": true, "lose-place": true,
@@ -48,21 +49,22 @@
 	"slow-daemon": true, "cut-one-way": true, "loss": true, "wipe-store": true, "wipe-controller": true,
 }
 
-// wiping faults lose a disk, which the promises allow for one machine at a
-// time: nothing grave may meet them.
+// wiping lists the faults that lose a disk. The promises allow that for one machine at a
+// time, so no grave fault may occur at the same time.
 var wiping = map[string]bool{"wipe-store": true, "wipe-controller": true, "retire": true}
 
-// Wiping tells whether a fault loses a disk.
+// Wiping reports whether a fault loses a disk.
 func Wiping(name string) bool { return wiping[name] }
 
-// Clashes tells whether two faults at once are more than the brief promises to
-// outlast: a lost disk together with the loss of what holds its only copy.
+// Clashes reports whether two faults at the same time exceed what the service promises to
+// survive: a lost disk together with the loss of the only other copy.
 func Clashes(left, right string) bool {
 	return wiping[left] && grave[right] || wiping[right] && grave[left]
 }
 
-// Draw draws a storm: a few names, each coming some times, and no two that
-// clash within the time that one needs to be mended.
+// Draw draws a schedule of up to count faults with the given names, each of which may occur
+// several times. It leaves out a fault that clashes with an earlier drawn one before the
+// redundancy lost to the other is restored.
 func Draw(random *rand.Rand, names []string, length time.Duration, count int) []Fault {
 	var schedule []Fault
 	for range count {
@@ -80,19 +82,19 @@
 	return schedule
 }
 
-// Mending is how long a partition may need to have its two copies again.
+// Mending is how long a partition may need until it has two replicas again.
 const Mending = 12 * time.Second
 
 func near(left, right Fault) bool {
 	return left.Start < right.Start+right.Length+Mending && right.Start < left.Start+left.Length+Mending
 }
 
-// String writes a fault as name@start+length#pick.
+// String formats a fault as name@start+length#pick.
 func (f Fault) String() string {
 	return fmt.Sprintf("%s@%s+%s#%d", f.Name, f.Start, f.Length, f.Pick)
 }
 
-// Format writes a list.
+// Format formats a list of faults, separated by commas.
 func Format(schedule []Fault) string {
 	var parts []string
 	for _, fault := range schedule {
@@ -101,7 +103,7 @@
 	return strings.Join(parts, ",")
 }
 
-// Parse reads what Format writes.
+// Parse parses a list of faults in the format of Format.
 func Parse(text string) ([]Fault, error) {
 	var schedule []Fault
 	for _, part := range strings.Split(text, ",") {
@@ -129,8 +131,8 @@
 	return schedule, nil
 }
 
-// Shorten leaves out faults for as long as a run without them still fails, and
-// gives the shortest list found.
+// Shorten removes faults one by one for as long as a run without them still fails, and
+// returns the shortest list found.
 func Shorten(schedule []Fault, fails func(schedule []Fault) bool) []Fault {
 	for again := true; again; {
 		again = false
--- a/internal/faults/faults_test.go
+++ b/internal/faults/faults_test.go
@@ -1,5 +1,5 @@
-// What is written of a storm reads back the same, a drawn storm holds no clash,
-// and shortening ends at the faults that matter.
+// A formatted schedule parses to the same schedule, a drawn schedule has no clashing faults,
+// and shortening ends with the faults that cause the failure.
 package faults
 
 import (
--- a/internal/simulator/client.go
+++ b/internal/simulator/client.go
@@ -1,7 +1,7 @@
-// Stand-in callers of the simulator: a client with a long channel that pings
-// back, moves when asked, reconnects after a cut to a daemon that the platform
-// held ready, and resumes with its newest cursor; and its publishing side, which
-// sends an unanswered seq again until it has an answer.
+// Simulated clients of spaces. A client holds one session: it answers pings, moves to
+// another gateway on request, reconnects after a disconnect to a gateway that is ready,
+// and resumes its subscription with its newest cursor. Its publishing side retries each
+// sequence number until it has a final response.
 
 package simulator
 
@@ -16,9 +16,10 @@
 	"dahlialock/internal/statemachine"
 )
 
+// clientTimeout is how long a client waits for a response.
 const clientTimeout = 2 * time.Second
 
-// Client is one caller.
+// Client is a simulated client that subscribes and publishes in spaces.
 type Client struct {
 	simulation     *Simulation
 	Name           string
@@ -46,14 +47,14 @@
 	Resends   bool
 }
 
-// Plan is what a client publishes.
+// Plan says in which space, on which topics and how often a client publishes.
 type Plan struct {
 	Space  string
 	Topics []string
 	Every  time.Duration
 }
 
-// AddClient adds a caller with its interests.
+// AddClient adds a client that subscribes to the interests. It connects within 400 ms.
 func (s *Simulation) AddClient(name string, zone int, interests ...gateway.Interest) *Client {
 	client := &Client{simulation: s, Name: name, Zone: zone, interests: interests, seqs: map[string]uint64{}, pipeline: 1}
 	s.clients = append(s.clients, client)
@@ -64,8 +65,9 @@
 	return client
 }
 
-// pick chooses as the platform does: a ready gateway in the client's zone, as
-// far as it knew a moment ago, or any.
+// pick chooses a gateway as the platform's load balancer does: the target of a requested
+// move if it is up, otherwise a ready gateway in the client's zone, otherwise any ready
+// gateway. It returns nil if no gateway is ready.
 func (c *Client) pick() *Node {
 	simulation := c.simulation
 	if c.moveTo != "" {
@@ -120,7 +122,7 @@
 	simulation.number++
 	c.channel = simulation.number
 	incarnation := node.incarnation
-	// The sink is attached first, as the HTTP side does.
+	// The sink is attached before the session opens, as the HTTP server does.
 	simulation.After(100*time.Microsecond, func() {
 		if node.Up && node.incarnation == incarnation {
 			node.sinks[c.channel] = func(deliver statemachine.Delivery) {
@@ -152,7 +154,7 @@
 	})
 }
 
-// disconnect ends a connection, from either side, and comes back after a while.
+// disconnect closes the connection, whichever side ended it, and reconnects after wait.
 func (c *Client) disconnect(turn int, wait time.Duration) {
 	if c.turn != turn {
 		return
@@ -177,14 +179,14 @@
 	c.schedule(wait)
 }
 
-// leave ends a client for good; nothing more is owed to it.
+// leave ends the client permanently. The checker expects no further deliveries to it.
 func (c *Client) leave() {
 	c.Closed = true
 	c.simulation.Checker.Dropped(c.Name)
 	c.disconnect(c.turn, 0)
 }
 
-// Reset cuts the client's connection from outside.
+// Reset resets the client's connection, as a network fault does. The client reconnects after wait.
 func (c *Client) Reset(wait time.Duration) {
 	c.absentUntil = c.simulation.Now.Add(wait + 2*time.Second)
 	c.disconnect(c.turn, wait)
@@ -223,7 +225,7 @@
 				}
 			}
 		case answer.Code == "place-lost":
-			simulation.trace("%s lost its place, cut %s ago", c.Name, simulation.Now.Sub(c.disconnectedAt))
+			simulation.trace("%s: cursor expired, disconnected %s ago", c.Name, simulation.Now.Sub(c.disconnectedAt))
 			simulation.Checker.CursorLost(c.Name, c.disconnectedAt, simulation.Now)
 			c.Closed = true
 		case answer.Code == "no-such-channel" || answer.Code == "moved":
@@ -285,14 +287,15 @@
 	}
 }
 
-// watch lets a client notice a daemon that has gone silent.
+// watch disconnects a client whose gateway has sent nothing for seven seconds.
 func (c *Client) watch() {
 	if c.connected && c.simulation.Now.Sub(c.heardAt) > 7*time.Second {
 		c.disconnect(c.turn, 10*time.Millisecond)
 	}
 }
 
-// Publishes lets a client publish by a plan, some of it ahead of answers.
+// Publishes makes the client publish by the plans, with at most pipeline publications
+// without a final response at a time.
 func (c *Client) Publishes(pipeline int, plans ...Plan) *Client {
 	c.pipeline = pipeline
 	c.publishes = append(c.publishes, plans...)
@@ -302,7 +305,7 @@
 	return c
 }
 
-// Quiet ends new publications.
+// Quiet stops new publications. Pending ones are still retried.
 func (c *Client) Quiet() { c.stopped = true }
 
 func (c *Client) tick(plan Plan) {
@@ -322,7 +325,7 @@
 	c.sendNext()
 }
 
-// outgoing is a publication without a final answer.
+// outgoing is a publication without a final response.
 type outgoing struct {
 	message  checker.Message
 	topic    string
@@ -332,8 +335,9 @@
 	again    bool
 }
 
-// sendNext sends what may be sent: ahead of answers, but never past one whose fate
-// is open or that was refused for a while.
+// sendNext sends the pending publications in order without waiting for responses. It stops
+// at the first one that is being retried: its outcome is unknown, or it was rejected and
+// waits for its backoff.
 func (c *Client) sendNext() {
 	if c.Closed || !c.connected || c.node == nil {
 		if len(c.outbox) > 0 && !c.Closed {
@@ -351,12 +355,12 @@
 	}
 }
 
-// expected are the codes that follow from what a caller or an operator did, not
-// from a daemon that does not serve: the move of a channel, and what waits for
-// an earlier seq that is on its way again.
+// expected lists the rejection codes that are caused by actions of clients and operators and
+// not by a daemon that does not serve: the session was moved, an earlier sequence number is
+// still being retried, or the space was removed.
 var expected = []string{"moved", "earlier-refused", "no-such-space"}
 
-// attempt sends one seq once.
+// attempt sends a publication once.
 func (c *Client) attempt(item *outgoing) {
 	simulation := c.simulation
 	item.inFlight = true
@@ -411,8 +415,8 @@
 	simulation.After(clientTimeout, func() { finish("unsettled", "silent", 20*time.Millisecond) })
 }
 
-// resend sends an accepted seq again within ten seconds: it must be
-// acknowledged again, or be of open fate, but never refused.
+// resend sends an accepted publication again within three seconds. The gateway may
+// acknowledge it again or leave the outcome unknown, but must not reject it.
 func (c *Client) resend(item *outgoing) {
 	simulation := c.simulation
 	simulation.After(time.Duration(simulation.Random.IntN(3000))*time.Millisecond, func() {
@@ -427,7 +431,7 @@
 		}, func(value any, alive bool) {
 			answer, matches := value.(gateway.Reply)
 			if alive && matches && answer.Outcome == gateway.OutcomeRejected && answer.RetryAfter == 0 && answer.Code != "no-such-space" {
-				simulation.Checker.Violate(checker.Twice, "%s was accepted, and its resend refused: %s", item.message, answer.Code)
+				simulation.Checker.Violate(checker.Twice, "%s was accepted, and its resend was rejected: %s", item.message, answer.Code)
 			}
 		})
 	})
--- a/internal/simulator/closing_test.go
+++ b/internal/simulator/closing_test.go
@@ -1,7 +1,7 @@
-// The closing fault of a day: as many stores and as many controllers as the
-// tolerance allows lose their disks, and at the same moment every other machine
-// loses power, also those that hold nothing durable (gateways and agents). Whatever
-// was acknowledged before must be there when they are back.
+// The fault that ends a run: as many stores and as many controllers as the tolerance
+// allows lose their disks, and at the same moment every other machine loses power,
+// including those without durable state (gateways and agents). Everything that was
+// acknowledged before must be available when they are back.
 //
 // More seeds: go test -run AtTheEndOfADay ./internal/simulator -closing.seeds 20 -closing.from 20000
 package simulator
@@ -26,10 +26,10 @@
 	closingFrom  = flag.Uint64("closing.from", 1, "the first of these seeds")
 )
 
-// closingFault is one way in which a day ends.
+// closingFault is one kind of fault that ends a run.
 type closingFault struct {
 	name string
-	// day is how many faults are drawn before the closing one.
+	// day is the number of faults that are drawn before the closing one.
 	day int
 	// wiped chooses the machines of a kind whose disks are lost.
 	wiped func(run *Simulation, kind string, count int) []*Node
@@ -39,14 +39,14 @@
 
 var closingFaults = []closingFault{
 	{name: "any disks", wiped: anyDisks},
-	{name: "the disks of those that lead", wiped: disksOfLeaders},
-	{name: "the disks of those that follow", wiped: disksOfFollowers},
-	{name: "the disks of those that lead, back late", wiped: disksOfLeaders, delay: 4 * time.Second},
+	{name: "disks of leaders", wiped: disksOfLeaders},
+	{name: "disks of followers", wiped: disksOfFollowers},
+	{name: "disks of leaders, restarted late", wiped: disksOfLeaders, delay: 4 * time.Second},
 	{name: "any disks after faults", wiped: anyDisks, day: 4},
-	{name: "the disks of those that lead after faults", wiped: disksOfLeaders, day: 4},
+	{name: "disks of leaders after faults", wiped: disksOfLeaders, day: 4},
 }
 
-// closingCrowd is a kind of callers, and how a run with them begins and ends.
+// closingCrowd is a kind of clients, with how a run with them begins and ends.
 type closingCrowd struct {
 	name  string
 	begin func(seed uint64, size Shape) (*Simulation, *Operator)
@@ -85,7 +85,7 @@
 	run.Run(3 * time.Second)
 	for _, client := range run.clients {
 		if !client.subscribed && !client.Closed {
-			run.Checker.Violate(checker.NotBack, "%s is still not served at the end", client.Name)
+			run.Checker.Violate(checker.NotBack, "%s is not served at the end of the run", client.Name)
 		}
 	}
 	run.closeTopics()
@@ -99,9 +99,9 @@
 	run.close(6 * time.Second)
 }
 
-// closingShapes are fleets whose controllers are founded by the seeds, with the least
-// number of machines for their tolerance and with spares, and the small fleet with a
-// fixed number of controllers.
+// closingShapes returns fleets whose controllers are bootstrapped through seed addresses,
+// with the minimum number of machines for their tolerance and with spares, and the small
+// fleet with a fixed number of controllers.
 func closingShapes() map[string]Shape {
 	shapes := map[string]Shape{}
 	add := func(name string, size Shape, stores int) {
@@ -116,7 +116,7 @@
 	return shapes
 }
 
-// tolerated is how many machines of a kind with a disk may be lost in a shape.
+// tolerated is the number of machines of each kind with a disk that a shape may lose.
 func tolerated(size Shape) int {
 	if !size.Seeded {
 		return controller.DefaultTolerance
@@ -124,25 +124,27 @@
 	return size.Tolerance
 }
 
-// anyDisks chooses among all machines of a kind, also those that are down.
+// anyDisks chooses randomly among all machines of a kind, including those that are down.
 func anyDisks(run *Simulation, kind string, count int) []*Node {
 	nodes := run.Nodes(kind)
 	run.Random.Shuffle(len(nodes), func(left, right int) { nodes[left], nodes[right] = nodes[right], nodes[left] })
 	return nodes[:count]
 }
 
-// disksOfLeaders chooses the primary and its backups, and the stores that lead most
+// disksOfLeaders chooses the primary and its backups, and the stores that lead the most
 // partitions.
 func disksOfLeaders(run *Simulation, kind string, count int) []*Node {
 	return byRank(run, kind)[:count]
 }
 
-// disksOfFollowers leaves out the primary, or the store that leads most partitions.
+// disksOfFollowers chooses as disksOfLeaders does, but without the primary and without the
+// store that leads the most partitions.
 func disksOfFollowers(run *Simulation, kind string, count int) []*Node {
 	return byRank(run, kind)[1 : count+1]
 }
 
-// byRank sorts the machines of a kind by how much depends on them.
+// byRank sorts the machines of a kind by role: the primary before the backups before all
+// other controllers, and the stores by the number of partitions that they lead.
 func byRank(run *Simulation, kind string) []*Node {
 	rank := map[string]int{}
 	if primary := run.Primary(); primary != nil {
@@ -160,7 +162,7 @@
 	return nodes
 }
 
-// losePowerAndDisks ends every process at one moment, and empties some disks.
+// losePowerAndDisks kills every process at the same moment and wipes some disks.
 func (s *Simulation) losePowerAndDisks(wiped []*Node, delay time.Duration) {
 	for _, node := range s.Nodes("") {
 		late := time.Duration(0)
@@ -190,7 +192,7 @@
 	}
 }
 
-// closeDay runs a day with both kinds of callers, ends it with a fault, and judges it.
+// closeDay runs a fleet with clients, ends the run with a fault, and checks the result.
 func closeDay(t *testing.T, seed uint64, size Shape, callers closingCrowd, fault closingFault) {
 	t.Helper()
 	run, operator := callers.begin(seed, size)
@@ -214,19 +216,19 @@
 
 	primary := run.Primary()
 	if primary == nil {
-		t.Fatalf("seed %d: no controller serves: %s", seed, records(run))
+		t.Fatalf("seed %d: no primary: %s", seed, records(run))
 	}
 	version := primary.watchedState().Version
-	assert.Check(t, version >= acknowledged, "seed %d: %d is in force, %d was acknowledged", seed, version, acknowledged)
+	assert.Check(t, version >= acknowledged, "seed %d: configuration %d is in force, but %d was acknowledged", seed, version, acknowledged)
 	callers.close(run)
 	for _, line := range run.Checker.Violations() {
 		t.Errorf("seed %d: %s", seed, line)
 	}
 	enough := run.Checker.Accepted > accepted+50
-	assert.Check(t, enough, "seed %d: little was accepted after the fault: %s", seed, run.Checker.Summary())
+	assert.Check(t, enough, "seed %d: too few messages were accepted after the fault: %s", seed, run.Checker.Summary())
 }
 
-// day brings faults about and waits until their traces are gone.
+// day injects faults and waits until they have ended and their effects have settled.
 func (s *Simulation) day(t *testing.T, schedule []faults.Fault) {
 	t.Helper()
 	for _, fault := range schedule {
@@ -239,15 +241,15 @@
 }
 
 // acknowledgeMore waits until a configuration and a message after it are acknowledged,
-// and gives the number of the configuration.
+// and returns the version of the configuration.
 func (s *Simulation) acknowledgeMore(t *testing.T, seed uint64) uint64 {
 	t.Helper()
 	taken := false
 	s.operator.next(func() { taken = true })
 	version := s.operator.version
-	assert.Check(t, s.RunUntil(10*time.Second, func() bool { return taken }), "seed %d: no configuration is taken", seed)
+	assert.Check(t, s.RunUntil(10*time.Second, func() bool { return taken }), "seed %d: the configuration was not accepted", seed)
 	accepted := s.Checker.Accepted
 	more := s.RunUntil(2*time.Second, func() bool { return s.Checker.Accepted > accepted })
-	assert.Check(t, more, "seed %d: nothing is accepted", seed)
+	assert.Check(t, more, "seed %d: no message was accepted", seed)
 	return version
 }
--- a/internal/simulator/controllers_test.go
+++ b/internal/simulator/controllers_test.go
@@ -1,6 +1,6 @@
-// Fleets whose controllers are founded by the seeds: the whole fleet with callers and
-// operators, judged by the checker, while founders lose their disks, machines are
-// replaced, and the voters grows.
+// Fleets whose controllers are bootstrapped through seed addresses. The checker judges runs
+// with clients and operators while founding controllers lose their disks, machines are
+// replaced, and the set of voters grows.
 package simulator
 
 import (
@@ -26,7 +26,7 @@
 
 func (n *Node) watchedState() *controller.State { return n.Machine.(*controller.Controller).State() }
 
-// voters gives the names in the serving primary's voters.
+// voters returns the names of the voters in the record of the current primary.
 func (s *Simulation) voters() []string {
 	primary := s.Primary()
 	if primary == nil {
@@ -76,7 +76,7 @@
 			simulation.After(time.Duration(number)*time.Second, fresh.Start)
 		}
 	}},
-	{"power is lost, and two disks of three with the state", seeded(9, 2), 5, func(_ *testing.T, simulation *Simulation) {
+	{"power loss, with two of the three disks that hold the state", seeded(9, 2), 5, func(_ *testing.T, simulation *Simulation) {
 		simulation.After(8*time.Second, func() {
 			primary := simulation.Primary()
 			if primary == nil {
--- a/internal/simulator/cutoff_mutation_test.go
+++ b/internal/simulator/cutoff_mutation_test.go
@@ -12,24 +12,25 @@
 	"dahlialock/internal/statemachine"
 )
 
-// doomed is a trial that is expected to fail.
+// doomed is a trial that is expected to fail. It records the messages of failed checks.
 type doomed struct{ lines []string }
 
 func (*doomed) Helper()  {}
 func (*doomed) Fail()    {}
-func (*doomed) FailNow() { panic("a trial could not go on") }
+func (*doomed) FailNow() { panic("a trial was aborted by FailNow") }
 func (d *doomed) Log(values ...any) {
 	d.lines = append(d.lines, fmt.Sprint(values...))
 }
 
-// What is taken away, where, and what the trial then says.
+// cutOffProofs lists the mechanism to disable, where to isolate, and a part of the message
+// with which the trial must then fail.
 var cutOffProofs = []struct {
 	mutation string
 	from     severance
 	says     string
 }{
-	{"no-relays", severance{"leader", "core", "both"}, "were passed on"},
-	{"no-relays", severance{"witness", "core", "both"}, "were passed on"},
+	{"no-relays", severance{"leader", "core", "both"}, "were forwarded"},
+	{"no-relays", severance{"witness", "core", "both"}, "were forwarded"},
 	{"lease-for-ever", severance{"minority", "core", "both"}, "stale"},
 }
 
--- a/internal/simulator/cutoff_store_test.go
+++ b/internal/simulator/cutoff_store_test.go
@@ -9,12 +9,13 @@
 	"dahlialock/internal/membership"
 )
 
-// storeServedWithin is by when the partitions of a store that is cut off are served
-// by another.
+// storeServedWithin is the time within which other stores serve the partitions of an
+// isolated store.
 const storeServedWithin = 8 * time.Second
 
-// cutStore cuts the store that is first for most partitions off, and looks whether
-// they are served while it is away.
+// cutStore isolates the store that leads the most partitions, and checks that they are
+// served by others meanwhile. It also checks that reports of the isolated store don't get
+// other stores marked as degraded.
 func cutStore(t trial, each severance, seed uint64) {
 	t.Helper()
 	simulation, _ := Prepare(8100+seed, seeded(5, 1), nil)
@@ -37,11 +38,11 @@
 	mend := each.cut(simulation, []*Node{store})
 	simulation.Run(storeServedWithin)
 	_, partitions, callers := simulation.serving()
-	assert.Check(t, partitions && callers, "%s, seed %d: partitions %v callers %v after %s", each, seed, partitions, callers, storeServedWithin)
+	assert.Check(t, partitions && callers, "%s, seed %d: partitions served: %v, clients served: %v, after %s", each, seed, partitions, callers, storeServedWithin)
 	before := simulation.Checker.Accepted
 	simulation.Run(cutLength - storeServedWithin)
 	share := float64(simulation.Checker.Accepted-before) / rate / (cutLength - storeServedWithin).Seconds()
-	assert.Check(t, share > 0.9, "%s, seed %d: of usual messages %.2f were accepted", each, seed, share)
+	assert.Check(t, share > 0.9, "%s, seed %d: only a fraction of %.2f of the usual messages were accepted", each, seed, share)
 	degraded := map[string]bool{}
 	simulation.every(contactWithin, 100*time.Millisecond, 200*time.Millisecond, func() {
 		primary := simulation.Primary()
@@ -56,9 +57,9 @@
 	})
 	mend()
 	simulation.Run(contactWithin)
-	assert.Check(t, len(degraded) == 0, "%s, seed %d: the word of one that was cut off took partitions from %v", each, seed, degraded)
+	assert.Check(t, len(degraded) == 0, "%s, seed %d: a report of the isolated store took partitions from %v", each, seed, degraded)
 	_, partitions, callers = simulation.serving()
-	assert.Check(t, partitions && callers, "%s, seed %d: partitions %v callers %v, in touch again", each, seed, partitions, callers)
+	assert.Check(t, partitions && callers, "%s, seed %d: partitions served: %v, clients served: %v, after reconnecting", each, seed, partitions, callers)
 	simulation.WaitUntilStable(20 * time.Second)
 	for _, line := range simulation.Checker.Violations() {
 		assert.Check(t, false, "%s, seed %d: %s", each, seed, line)
--- a/internal/simulator/cutoff_test.go
+++ b/internal/simulator/cutoff_test.go
@@ -1,7 +1,7 @@
-// One machine of the control side, or the smaller half of a split, is cut off for
-// twenty seconds: from the other machines of control and state only, or from
-// everybody; both ways, or one way. Operators go on asking it all along, also with
-// races and with a change on its way as it comes back.
+// Network partitions that isolate one controller, the smaller half of the controllers, or a
+// gateway with an agent, for twenty seconds: from controllers and stores only, or from all
+// other machines; in both directions, or in one. An operator keeps sending requests to an
+// isolated machine, also concurrently with another operator, and also while the links heal.
 package simulator
 
 import (
@@ -21,23 +21,24 @@
 
 const (
 	cutLength = 20 * time.Second
-	// askEvery is how often the operator asks the machine that is cut off.
+	// askEvery is the interval of the operator's requests to the isolated machine.
 	askEvery = 900 * time.Millisecond
-	// silenceBorne is how long the users' operator waits for an answer.
+	// silenceBorne is how long the users' operator waits for a response.
 	silenceBorne = time.Second
-	// contactWithin is the bound by which a machine is back in touch.
+	// contactWithin is the time within which a machine is connected again after the heal.
 	contactWithin = 4 * time.Second
-	// takenOverWithin is by when another controller serves after a cut.
+	// takenOverWithin is the time within which another controller serves after the links fail.
 	takenOverWithin = 6 * time.Second
 )
 
-// severance is one way of being cut off.
+// severance is one kind of isolation.
 type severance struct {
 	position string
-	// reach is whom the machine has lost: "core" are controllers and stores, "all"
-	// everybody.
+	// reach says from which machines it is isolated: "core" means controllers and stores,
+	// "all" means all other machines.
 	reach string
-	// direction is "both", "out" (nothing it says arrives) or "in" (it hears nothing).
+	// direction says which messages are lost: "out" those that it sends, "in" those that are
+	// sent to it, "both" all.
 	direction string
 }
 
@@ -57,7 +58,7 @@
 	return append(all, severance{position: "edge", reach: "all", direction: "both"})
 }
 
-// inside names the machines that are cut off; the first is asked by operators.
+// inside returns the isolated machines. The operator sends its requests to the first.
 func (s severance) inside(simulation *Simulation) []*Node {
 	record := simulation.Primary().watch().Record()
 	leader := simulation.Node(record.Primary)
@@ -89,7 +90,7 @@
 	return []*Node{simulation.Node("gateway-1"), simulation.Node("agent-1")}
 }
 
-// cut cuts the machines off, and gives what mends it.
+// cut isolates the machines and returns a function that heals the links.
 func (s severance) cut(simulation *Simulation, inside []*Node) (mend func()) {
 	type pair struct{ from, to *Node }
 	var pairs []pair
@@ -117,7 +118,7 @@
 	}
 }
 
-// asked is one order or question at the machine that is cut off, and its answer.
+// asked is one request of the operator to the isolated machine, with its response.
 type asked struct {
 	at, took time.Duration
 	method   string
@@ -128,10 +129,10 @@
 }
 
 func (a asked) String() string {
-	return fmt.Sprintf("%s at %s answered %d after %s: %s", a.method, a.at, a.status, a.took, a.body)
+	return fmt.Sprintf("%s at %s: status %d after %s: %s", a.method, a.at, a.status, a.took, a.body)
 }
 
-// questioner asks one machine all along, one order after another.
+// questioner sends requests to one machine, one after another.
 type questioner struct {
 	simulation *Simulation
 	operator   *Operator
@@ -142,7 +143,7 @@
 	answers    []asked
 }
 
-// heard keeps what the operator was told.
+// heard records the response to a request.
 func (q *questioner) heard(method string, began time.Time, races bool, response membership.ControlResponse) asked {
 	answer := asked{
 		at: began.Sub(q.began), took: q.simulation.Now.Sub(began), method: method, races: races,
@@ -179,7 +180,7 @@
 		case races:
 			next()
 		default:
-			// As the users' operator, it goes on to others with the same order.
+			// The users' operator, too, retries the same order at other machines.
 			q.operator.put(version, body, next)
 		}
 	})
@@ -201,7 +202,7 @@
 	})
 }
 
-// cutOff plays one severance and gives what the operator saw.
+// cutOff runs a fleet with one severance and returns the operator's requests and responses.
 func cutOff(t trial, each severance, seed uint64) []asked {
 	t.Helper()
 	simulation, operator := Prepare(8000+seed, seeded(5, 1), nil)
@@ -231,18 +232,20 @@
 	return asking.answers
 }
 
-// judgeGateways looks at readiness: a gateway out of touch is not ready and holds
-// delivery, all others are ready, and all are once they are in touch again.
+// judgeGateways checks readiness: an isolated gateway is not ready and its configuration is
+// not confirmed, so that it pauses delivery. All other gateways are ready.
 func (s severance) judgeGateways(t trial, simulation *Simulation, inside []*Node, cut bool) {
 	t.Helper()
 	for _, node := range simulation.Nodes(membership.KindGateway) {
 		lost := cut && slices.Contains(inside, node)
-		assert.Check(t, node.Ready() == !lost, "%s: %s ready %v at %s", s, node.Name, node.Ready(), simulation.Now.Sub(simulation.started))
-		assert.Check(t, !lost || !node.Gateway().Confirmed(node.local()), "%s: %s trusts its configuration", s, node.Name)
+		assert.Check(t, node.Ready() == !lost, "%s: %s: ready is %v at %s", s, node.Name, node.Ready(), simulation.Now.Sub(simulation.started))
+		assert.Check(t, !lost || !node.Gateway().Confirmed(node.local()), "%s: %s considers its configuration confirmed", s, node.Name)
 	}
 }
 
-// judgeAnswers holds what the operator was told against the rules.
+// judgeAnswers checks the responses to the operator: rejections only as unavailable, in
+// time and with a retry delay, or as a conflict of concurrent orders; success after the
+// heal; and forwarded responses while only the core is unreachable.
 func judgeAnswers(t trial, each severance, seed uint64, answers []asked) {
 	t.Helper()
 	confirmed := 0
@@ -251,13 +254,13 @@
 		assert.Check(t, !refuses || answer.races && answer.status == http.StatusConflict, "%s, seed %d: %s", each, seed, answer)
 		assert.Check(t, answer.status != http.StatusServiceUnavailable || answer.retry > 0 && answer.took <= silenceBorne, "%s, seed %d: %s", each, seed, answer)
 		inTouch := answer.at > cutLength+contactWithin
-		assert.Check(t, !inTouch || answer.status == http.StatusOK || answer.races, "%s, seed %d, in touch again: %s", each, seed, answer)
+		assert.Check(t, !inTouch || answer.status == http.StatusOK || answer.races, "%s, seed %d, after reconnecting: %s", each, seed, answer)
 		if answer.at > takenOverWithin && answer.at < cutLength-silenceBorne && answer.status == http.StatusOK {
 			confirmed++
 		}
 	}
 	if each.reach == "core" {
-		assert.Check(t, confirmed >= 4, "%s, seed %d: only %d answers were passed on: %v", each, seed, confirmed, answers)
+		assert.Check(t, confirmed >= 4, "%s, seed %d: only %d requests were forwarded: %v", each, seed, confirmed, answers)
 	}
 }
 
--- a/internal/simulator/departure_mutation_test.go
+++ b/internal/simulator/departure_mutation_test.go
@@ -10,14 +10,14 @@
 	"dahlialock/internal/statemachine"
 )
 
-// Without the look at the clock as messages leave, each standstill lets something
-// out that its sender may not say any more.
+// Without the check of the clock at the time of sending, each suspension makes the primary
+// send a message after its lease has expired.
 func TestTheLookAtTheClockIsNeeded(t *testing.T) {
 	restore := statemachine.Mutate("leave-late")
 	defer restore()
 	for number, each := range standstills {
 		old, _ := standStill(t, 0, number)
-		assert.Check(t, len(old) > 0, "%s: nothing left late", each.name)
+		assert.Check(t, len(old) > 0, "%s: nothing was sent after the lease expired", each.name)
 		if len(old) > 0 {
 			t.Logf("%s: %s", each.name, old[0])
 		}
--- a/internal/simulator/departure_test.go
+++ b/internal/simulator/departure_test.go
@@ -1,5 +1,5 @@
-// A controller that stands still between a step and the moment at which the step's
-// effects leave: what rests on its lease must not leave once the lease is over.
+// A primary that is suspended between a step of its state machine and the sending of the
+// step's effects. Effects that depend on its lease must not be sent after the lease expired.
 package simulator
 
 import (
@@ -14,8 +14,7 @@
 	"dahlialock/internal/statemachine"
 )
 
-// restsOnLease tells whether what a controller says may only be said by the one
-// that holds the lease.
+// restsOnLease reports whether only the holder of the lease may send a message.
 func restsOnLease(message any) bool {
 	switch body := message.(type) {
 	case membership.ViewUpdate:
@@ -26,8 +25,8 @@
 	return false
 }
 
-// watchDepartures notes what leaves a controller that may not say it any more. What a
-// controller passes on to an operator, of another's answer, is not its own.
+// watchDepartures records the messages that a primary sends after its lease has expired. A
+// response of another controller that it forwards to an operator does not count.
 func (s *Simulation) watchDepartures() *[]string {
 	old := &[]string{}
 	own := map[statemachine.RequestID]bool{}
@@ -42,7 +41,7 @@
 			}
 		}
 		if from.watch().IsPrimary() && !from.watch().HoldsLease(from.local()) {
-			*old = append(*old, fmt.Sprintf("%s said %T at %s, without the lease", from.Name, message, s.Now.Sub(s.started)))
+			*old = append(*old, fmt.Sprintf("%s sent %T at %s without the lease", from.Name, message, s.Now.Sub(s.started)))
 		}
 	}
 	return old
@@ -69,19 +68,20 @@
 	return matches && answer.Status == http.StatusOK
 }
 
-// standstills are the steps after which the primary is stopped.
+// standstills lists the steps after which the primary is suspended. With own, the operator
+// sends its request to the primary itself.
 var standstills = []struct {
 	name    string
 	matches func(effects *statemachine.Effects) bool
 	method  string
 	own     bool
 }{
-	{"News to daemons", sendsOf(isNews), "", false},
-	{"a read answered to another daemon", sendsOf(isAnswer), http.MethodGet, false},
-	{"an order answered to another daemon", sendsOf(isAnswer), http.MethodPut, false},
-	{"a read answered to its own operator", sendsOf(isAnswer), http.MethodGet, true},
-	{"an order answered to its own operator", sendsOf(isAnswer), http.MethodPut, true},
-	{"an answer that is given to its own operator", func(effects *statemachine.Effects) bool {
+	{"a view update to daemons", sendsOf(isNews), "", false},
+	{"a response to a read, to another daemon", sendsOf(isAnswer), http.MethodGet, false},
+	{"a response to an order, to another daemon", sendsOf(isAnswer), http.MethodPut, false},
+	{"a response to a read, to its own operator", sendsOf(isAnswer), http.MethodGet, true},
+	{"a response to an order, to its own operator", sendsOf(isAnswer), http.MethodPut, true},
+	{"a response returned to its own operator", func(effects *statemachine.Effects) bool {
 		for _, response := range effects.Responses {
 			if isAnswer(response.Value) {
 				return true
@@ -91,8 +91,9 @@
 	}, http.MethodGet, true},
 }
 
-// standStill stops the primary for 20 s after a step and before what follows from
-// it leaves; it gives what left without the lease, and what the operator was told.
+// standStill suspends the primary for 20 s after a step and before the step's effects are
+// sent. It returns what was sent without the lease, and the statuses of the responses to the
+// operator.
 func standStill(t trial, seed uint64, number int) (old []string, told []int) {
 	t.Helper()
 	each := standstills[number]
@@ -120,11 +121,11 @@
 		})
 	}
 	simulation.Run(10 * time.Second)
-	assert.Check(t, froze, "%s was not provoked", each.name)
-	assert.Check(t, simulation.Primary() != nil && simulation.Primary() != primary, "nobody took over")
+	assert.Check(t, froze, "the step of %q did not occur", each.name)
+	assert.Check(t, simulation.Primary() != nil && simulation.Primary() != primary, "no other controller took over")
 	simulation.Run(14 * time.Second)
 	if each.method != "" {
-		assert.Check(t, len(told) == 1, "the operator was told %v", told)
+		assert.Check(t, len(told) == 1, "the operator received %v", told)
 	}
 	simulation.WaitUntilStable(10 * time.Second)
 	for _, line := range simulation.Checker.Violations() {
@@ -146,7 +147,7 @@
 				old, told := standStill(t, seed, number)
 				assert.Check(t, len(old) == 0, "seed %d: %v", seed, old)
 				for _, status := range told {
-					// It may have been taken, and another daemon then says so.
+					// The order may have been accepted, and another daemon then responds.
 					assert.Check(t, status == http.StatusOK || status == http.StatusServiceUnavailable, "seed %d: %d", seed, status)
 				}
 			}
--- a/internal/simulator/operator.go
+++ b/internal/simulator/operator.go
@@ -1,5 +1,5 @@
-// Operators: they put configurations through whichever daemon, race, repeat, read
-// back, and tell the checker what they saw.
+// The simulated operator. It puts configurations at random daemons, also several at once
+// and repeatedly, reads them back, and reports the responses to the checker.
 
 package simulator
 
@@ -81,7 +81,7 @@
 	return up[o.simulation.Random.IntN(len(up))]
 }
 
-// put puts a configuration until it is taken or found out of date.
+// put retries a configuration until it is accepted, or rejected as outdated or invalid.
 func (o *Operator) put(version uint64, body []byte, done func()) {
 	simulation := o.simulation
 	node := o.anyNode()
@@ -93,7 +93,7 @@
 	o.order(node, version, body, func(_ checker.OrderAnswer, response membership.ControlResponse, alive bool) {
 		switch {
 		case alive && response.Status == http.StatusOK:
-			simulation.trace("configuration %d taken through %s", version, node.Name)
+			simulation.trace("configuration %d accepted at %s", version, node.Name)
 			simulation.Checker.ConfigurationAccepted(version, string(body), began, simulation.Now)
 			simulation.Checker.RoutesAccepted(version, simulation.Now)
 			if done != nil {
@@ -101,14 +101,14 @@
 			}
 		case alive && response.Status == http.StatusConflict:
 		case alive && response.Status == http.StatusBadRequest:
-			simulation.Checker.Violate(checker.BrokenAccepted, "a valid configuration was refused: %s", response.Body)
+			simulation.Checker.Violate(checker.BrokenAccepted, "a valid configuration was rejected: %s", response.Body)
 		default:
 			simulation.After(500*time.Millisecond, func() { o.put(version, body, done) })
 		}
 	})
 }
 
-// order sends one order through one daemon, and tells the checker how it ended.
+// order puts a configuration once at one daemon and reports the response to the checker.
 func (o *Operator) order(node *Node, version uint64, body []byte, done func(answer checker.OrderAnswer, response membership.ControlResponse, alive bool)) {
 	simulation := o.simulation
 	put := simulation.Checker.Register.Put(version, string(body), simulation.Now)
@@ -145,7 +145,7 @@
 	})
 }
 
-// broken puts a configuration that must be refused.
+// broken puts an invalid configuration, which must be rejected.
 func (o *Operator) broken() {
 	simulation := o.simulation
 	node := o.anyNode()
@@ -171,7 +171,7 @@
 	o.put(o.version, body, done)
 }
 
-// race puts two configurations of one version and different content at once.
+// race puts two configurations with the same version and different content at once.
 func (o *Operator) race() {
 	o.version++
 	body := o.document()
@@ -181,7 +181,8 @@
 	o.put(o.version, other, nil)
 }
 
-// work puts, races, repeats and reads configurations all along.
+// work puts, repeats and reads configurations, and puts invalid ones, at random intervals
+// until a point in time.
 func (o *Operator) work(until time.Time) {
 	simulation := o.simulation
 	if simulation.Now.After(until) {
--- a/internal/simulator/orders.go
+++ b/internal/simulator/orders.go
@@ -1,6 +1,7 @@
-// Orders that meet: two or eight operators at once under the same numbers, each
-// order sent again through other daemons after lost answers and long after it was
-// taken, stores ordered away two at a time, and all of it across take-overs.
+// Concurrent orders: two or eight operators put configurations with the same version
+// numbers at once, retry at other daemons after lost responses, repeat orders long after
+// they were accepted, and retire two stores at a time, all while the primary fails over
+// again and again.
 
 package simulator
 
@@ -15,23 +16,23 @@
 	"dahlialock/internal/membership"
 )
 
-// Habits of operators who send the same order again.
+// Timeouts and limits of operators that retry orders.
 const (
 	orderTimeout     = time.Second
 	orderPause       = 100 * time.Millisecond
 	maxOrderAttempts = 40
-	answersLostOne   = 3 // of so many answers one is lost
+	answersLostOne   = 3 // one response out of this many is lost
 	resentWithin     = 12 * time.Second
 )
 
-// desk is where several operators work at once.
+// desk runs several operators at once and counts the outcomes of their orders.
 type desk struct {
 	simulation *Simulation
 	operator   *Operator
 	highest    uint64
 	accepted   int
 	refused    int
-	// onAccepted, if given, is done right after the next order was confirmed.
+	// onAccepted, if not nil, is run once, right after the next order was acknowledged.
 	onAccepted func()
 }
 
@@ -39,7 +40,7 @@
 	return &desk{simulation: simulation, operator: simulation.operator, highest: simulation.operator.version}
 }
 
-// content is what one operator puts under a number.
+// content is the configuration that one operator puts as a version.
 func (d *desk) content(version uint64, who int) []byte {
 	body, err := json.Marshal(map[string]any{
 		"version": version,
@@ -52,7 +53,7 @@
 	return body
 }
 
-// attemptElsewhere does something at any daemon but the one that was tried before.
+// attemptElsewhere runs attempt at a random daemon, and mostly avoids the one tried before.
 func (d *desk) attemptElsewhere(before string, attempt func(node *Node)) {
 	node := d.operator.anyNode()
 	if node == nil || node.Name == before && d.simulation.Random.IntN(4) > 0 {
@@ -62,8 +63,8 @@
 	attempt(node)
 }
 
-// put sends an order until its fate is clear: after a lost answer, a long silence or
-// a refusal for now it goes to another daemon.
+// put retries an order until its outcome is known. After a lost response, a timeout or a
+// temporary rejection it retries at another daemon.
 func (d *desk) put(version uint64, body []byte, attempts int, before string) {
 	simulation := d.simulation
 	if attempts == 0 {
@@ -102,7 +103,7 @@
 	})
 }
 
-// order sends an order whose answer may be lost.
+// order sends an order whose response may be lost.
 func (d *desk) order(node *Node, version uint64, body []byte, done func(answer checker.OrderAnswer)) {
 	simulation := d.simulation
 	put := simulation.Checker.Register.Put(version, string(body), simulation.Now)
@@ -112,15 +113,16 @@
 			answer = checker.AnswerOf(response.Status, response.Body)
 		}
 		if answer == checker.Unclear && alive && response.Status == http.StatusBadRequest {
-			simulation.Checker.Violate(checker.BrokenAccepted, "a valid configuration was refused: %s", response.Body)
+			simulation.Checker.Violate(checker.BrokenAccepted, "a valid configuration was rejected: %s", response.Body)
 		}
-		simulation.trace("order %d through %s: %d, heard as %d", version, node.Name, response.Status, answer)
+		simulation.trace("order %d at %s: %d, seen by the operator as %d", version, node.Name, response.Status, answer)
 		put.End(answer, simulation.Now)
 		done(answer)
 	})
 }
 
-// race has several operators put their contents at once, under so many numbers.
+// race makes several operators put different configurations at once, spread over the given
+// number of new versions.
 func (d *desk) race(operators, numbers int) {
 	first := d.highest + 1
 	d.highest += uint64(numbers)
@@ -132,8 +134,8 @@
 	}
 }
 
-// retireTwo has two operators order two stores away at once, where only one may
-// go, sends what was taken again, and takes it back.
+// retireTwo makes two operators retire two stores at once, where only one may be retired.
+// It then repeats the accepted order and returns the store.
 func (d *desk) retireTwo(done func()) {
 	stores := d.simulation.Nodes(membership.KindStore)
 	first := d.simulation.Random.IntN(len(stores))
@@ -149,14 +151,15 @@
 				return
 			}
 			if len(absent) == len(pair) {
-				d.simulation.Checker.Violate(checker.TooFewLeft, "%s and %s were both ordered away", pair[0].Name, pair[1].Name)
+				d.simulation.Checker.Violate(checker.TooFewLeft, "the orders to retire %s and %s were both accepted", pair[0].Name, pair[1].Name)
 			}
 			d.repeat(absent, done)
 		})
 	}
 }
 
-// repeat sends orders that were taken again after a while, and takes them back.
+// repeat repeats accepted orders to retire after a while, which must be accepted again, and
+// then returns the stores.
 func (d *desk) repeat(absent []*Node, done func()) {
 	if len(absent) == 0 {
 		done()
@@ -166,14 +169,14 @@
 	d.simulation.After(d.simulation.between(0, 4*time.Second), func() {
 		d.retire(store, "retire", maxOrderAttempts, func(status int) {
 			if status != http.StatusAccepted {
-				d.simulation.Checker.Violate(checker.RefusedAgain, "the order to retire %s was taken and then refused with %d", store.Name, status)
+				d.simulation.Checker.Violate(checker.RefusedAgain, "the order to retire %s was accepted and then rejected with %d", store.Name, status)
 			}
 			d.retire(store, "return", maxOrderAttempts, func(int) { d.repeat(rest, done) })
 		})
 	})
 }
 
-// retire sends an order about a store until its fate is clear.
+// retire retries an order to retire or return a store until its outcome is known.
 func (d *desk) retire(store *Node, verb string, attempts int, done func(status int)) {
 	simulation := d.simulation
 	if attempts == 0 {
@@ -195,7 +198,7 @@
 		}
 		simulation.After(orderTimeout, func() { end(0) })
 		simulation.Control(node, http.MethodPost, "/v1/stores/"+store.Name+"/"+verb, nil, func(response membership.ControlResponse, alive bool) {
-			simulation.trace("%s %s through %s: %d", verb, store.Name, node.Name, response.Status)
+			simulation.trace("%s %s at %s: %d", verb, store.Name, node.Name, response.Status)
 			if !alive || simulation.Random.IntN(answersLostOne) == 0 {
 				response.Status = 0
 			}
@@ -204,9 +207,9 @@
 	})
 }
 
-// takeOvers has the primary lost in one way after another: killed, frozen, cut off,
-// killed right after it confirmed something and then without its disk, and with all
-// other controllers at once.
+// takeOvers makes the primary fail in one way after another: killed, frozen, isolated,
+// killed right after it acknowledged an order, the same with its disk lost, and killed
+// together with all other controllers.
 func (d *desk) takeOvers(length time.Duration) {
 	simulation := d.simulation
 	turn := simulation.Random.IntN(6)
@@ -234,12 +237,12 @@
 	})
 }
 
-// cutOff cuts a daemon off from all others for a while.
+// cutOff isolates a daemon from all others for a while.
 func (s *Simulation) cutOff(node *Node, length time.Duration) {
 	if node == nil {
 		return
 	}
-	s.trace("%s is cut off", node.Name)
+	s.trace("%s is isolated", node.Name)
 	s.Isolate(func(other *Node) bool { return other == node })
 	s.After(length, s.Heal)
 }
--- a/internal/simulator/orders_test.go
+++ b/internal/simulator/orders_test.go
@@ -1,5 +1,5 @@
-// Orders that meet, judged as histories: in both modes of numbers, and hundreds over
-// a long day.
+// Concurrent orders whose histories must be linearizable: in both modes of versions, and
+// several hundred orders in one long run.
 package simulator
 
 import (
@@ -30,7 +30,7 @@
 	}
 }
 
-// Several hundred orders over a long day, with few daemons so that it is quick.
+// Several hundred orders in one long run, with few daemons to keep the test fast.
 func TestHundredsOfOrdersOverALongDay(t *testing.T) {
 	for _, highest := range []bool{true, false} {
 		t.Run(fmt.Sprint("highest ", highest), func(t *testing.T) {
@@ -49,14 +49,14 @@
 			run.Run(5 * time.Second)
 			faults := run.Checker.Register.Faults()
 			assert.Equal(t, len(faults), 0, "%v", faults)
-			t.Logf("%d operations, %d taken, %d refused", run.Checker.Register.Operations(), desk.accepted, desk.refused)
+			t.Logf("%d operations, %d accepted, %d rejected", run.Checker.Register.Operations(), desk.accepted, desk.refused)
 			assert.Assert(t, desk.accepted > 200 && desk.refused > 30)
 		})
 	}
 }
 
-// A store that was emptied is taken away for good; the order that emptied it is sent
-// again for minutes, through all daemons and across take-overs, and is never refused.
+// A retired store is removed permanently. The order to retire it is repeated for minutes, at
+// all daemons and across failovers of the primary, and must never be rejected.
 func TestAnOrderToRetireIsAcknowledgedWhenItsStoreIsGone(t *testing.T) {
 	size := Shape{Gateways: 1, Stores: 3, Controllers: 5, Zones: 3, Delay: time.Millisecond}
 	run, _ := Prepare(11, size, nil)
@@ -65,7 +65,7 @@
 	taken := 0
 	acknowledged := func(status int) {
 		taken++
-		assert.Check(t, status == http.StatusAccepted, "refused with %d at %s", status, run.Now)
+		assert.Check(t, status == http.StatusAccepted, "rejected with %d at %s", status, run.Now)
 	}
 	desk.retire(store, "retire", maxOrderAttempts, acknowledged)
 	assert.Assert(t, run.RunUntil(10*time.Second, func() bool {
@@ -78,6 +78,6 @@
 	desk.takeOvers(gone)
 	run.every(gone, time.Second, 5*time.Second, func() { desk.retire(store, "retire", maxOrderAttempts, acknowledged) })
 	run.Run(gone + 20*time.Second)
-	t.Logf("%d times acknowledged", taken)
+	t.Logf("acknowledged %d times", taken)
 	assert.Assert(t, taken > 40)
 }
--- a/internal/simulator/secondloss_test.go
+++ b/internal/simulator/secondloss_test.go
@@ -1,6 +1,6 @@
-// The second loss: while a machine is replaced, retired or leaves, planned or not, and
-// right after, another is lost with its disk, and all others lose power, with callers
-// and operators judged by the checker.
+// The second loss: while a machine is replaced, retired or stopped, planned or not, or right
+// after it, another machine is lost with its disk and all other machines lose power. The
+// checker judges the runs, which have clients and operators.
 package simulator
 
 import (
@@ -17,10 +17,10 @@
 	"dahlialock/internal/membership"
 )
 
-// catchUp is how long a machine that is new counts as lost.
+// catchUp is how long a new machine counts as lost, because it has not caught up yet.
 const catchUp = 4100 * time.Millisecond
 
-// witness gives a voter that holds no copy.
+// witness returns a voter that holds no copy of the state.
 func (s *Simulation) witness() *Node {
 	record := s.Primary().watch().Record()
 	for _, voter := range record.Voters {
@@ -38,7 +38,7 @@
 	return s.controllerIn(role)
 }
 
-// remove takes a machine away for good.
+// remove removes a machine with its disk permanently.
 func (s *Simulation) remove(node *Node) {
 	if node.Up {
 		node.Kill()
@@ -54,9 +54,9 @@
 	fresh.Start()
 }
 
-// strikeAgain wipes as many controllers as may be lost beside those lost already,
-// one with the state among them, and takes the power of all other machines with
-// a disk.
+// strikeAgain wipes count controllers that hold a complete copy of the state, as many as may
+// be lost in addition to those lost already, and makes all other machines with a disk lose
+// power.
 func (s *Simulation) strikeAgain(count int) {
 	var wiped []string
 	for _, node := range s.Nodes(membership.KindController) {
@@ -71,15 +71,15 @@
 	}
 }
 
-// leavePlanned starts a successor, asks a controller to stop and takes its machine away
-// once it has ended.
+// leavePlanned starts a successor, asks a controller to stop, and removes its machine if
+// its process ends within strikeAfter.
 func leavePlanned(role string, strikeAfter time.Duration) func(t *testing.T, run *Simulation) {
 	return func(_ *testing.T, run *Simulation) {
 		run.addFresh(17)
 		run.Run(catchUp)
 		leaver := run.controllerAs(role)
 		leaver.Terminate()
-		// What has not ended by then loses power, comes back and goes on as a voter.
+		// A controller that has not stopped by then loses power, restarts and remains a voter.
 		if run.RunUntil(strikeAfter, func() bool { return !leaver.Up }) {
 			run.remove(leaver)
 		}
@@ -87,8 +87,8 @@
 	}
 }
 
-// replaced takes a controller away and starts another, and strikes as soon as that
-// one counts.
+// replaced removes a controller, starts another, and injects the second loss after wait. If
+// wait is shorter than catchUp, the new controller still counts as lost.
 func replaced(role string, wait time.Duration) func(t *testing.T, run *Simulation) {
 	return func(_ *testing.T, run *Simulation) {
 		run.remove(run.controllerAs(role))
@@ -103,7 +103,7 @@
 	}
 }
 
-// retiredStore empties a store, takes it away at once when it is done, and wipes
+// retiredStore retires a store, removes its machine as soon as it is retired, and wipes
 // others.
 func retiredStore(t *testing.T, run *Simulation) {
 	name := run.Nodes(membership.KindStore)[run.Seed%2].Name
@@ -114,14 +114,14 @@
 	assert.Check(t, run.RunUntil(5*time.Second, func() bool {
 		primary := run.Primary()
 		return primary != nil && primary.Machine.(*controller.Controller).State().Members[name].Retired
-	}), "answered %d", status)
+	}), "status %d", status)
 	run.remove(run.nodes[name])
 	for number, node := range run.Nodes(membership.KindStore) {
 		run.killFor(node, run.between(300*time.Millisecond, 900*time.Millisecond), number < run.Shape.Tolerance)
 	}
 }
 
-// stoppedStore asks a store to end, takes its machine away with it, and wipes others.
+// stoppedStore asks a store to stop, removes its machine once it has, and wipes others.
 func stoppedStore(t *testing.T, run *Simulation) {
 	leaver := run.Nodes(membership.KindStore)[run.Seed%2]
 	leaver.Terminate()
@@ -132,7 +132,7 @@
 	}
 }
 
-// afterEachAck wipes the primary right after it has acknowledged something, twice.
+// afterEachAck wipes the primary right after it has applied an order, twice.
 func afterEachAck(t *testing.T, run *Simulation) {
 	for range 2 {
 		version := func() uint64 {
@@ -156,19 +156,19 @@
 	tolerance int
 	strike    func(t *testing.T, run *Simulation)
 }{
-	{"the primary leaves by plan and has gone", 1, leavePlanned("primary", 3*time.Second)},
-	{"the primary leaves by plan and goes", 1, leavePlanned("primary", 250*time.Millisecond)},
-	{"a backup leaves by plan and has gone", 1, leavePlanned("backup", 3*time.Second)},
-	{"a backup leaves by plan and has gone, two may be lost", 2, leavePlanned("backup", 3*time.Second)},
-	{"a witness leaves by plan and goes", 1, leavePlanned("witness", 550*time.Millisecond)},
+	{"the primary was stopped by plan", 1, leavePlanned("primary", 3*time.Second)},
+	{"the primary is being stopped by plan", 1, leavePlanned("primary", 250*time.Millisecond)},
+	{"a backup was stopped by plan", 1, leavePlanned("backup", 3*time.Second)},
+	{"a backup was stopped by plan, two may be lost", 2, leavePlanned("backup", 3*time.Second)},
+	{"a witness is being stopped by plan", 1, leavePlanned("witness", 550*time.Millisecond)},
 	{"the primary is replaced", 1, replaced("primary", catchUp)},
 	{"a witness is replaced", 1, replaced("witness", catchUp)},
 	{"a backup is being replaced, two may be lost", 2, replaced("backup", 1300*time.Millisecond)},
-	{"a voter change is open, all lose power", 1, replaced("witness", 1400*time.Millisecond)},
+	{"a voter change is in progress, all lose power", 1, replaced("witness", 1400*time.Millisecond)},
 	{"a store is retired", 1, retiredStore},
 	{"a store is retired, two may be lost", 2, retiredStore},
-	{"a store leaves by plan", 1, stoppedStore},
-	{"a store leaves by plan, two may be lost", 2, stoppedStore},
+	{"a store was stopped by plan", 1, stoppedStore},
+	{"a store was stopped by plan, two may be lost", 2, stoppedStore},
 	{"right after acknowledgements", 1, afterEachAck},
 }
 
@@ -195,7 +195,7 @@
 	operator.work(run.Now.Add(16 * time.Second))
 	run.lastFaultAt = run.Now.Add(16 * time.Second)
 	inject(t, run)
-	assert.Check(t, run.RunUntil(12*time.Second, func() bool { return run.Primary() != nil }), "seed %d, nobody serves: %s", seed, records(run))
+	assert.Check(t, run.RunUntil(12*time.Second, func() bool { return run.Primary() != nil }), "seed %d: no primary: %s", seed, records(run))
 	assert.Check(t, run.RunUntil(15*time.Second, func() bool { return len(run.voters()) == 2*tolerance+1 }), "%v", run.voters())
 	run.WaitUntilStable(10 * time.Second)
 	for _, line := range run.Checker.Violations() {
@@ -204,7 +204,7 @@
 	assert.Check(t, run.Checker.Accepted > 20, "%s", run.Checker.Summary())
 }
 
-// records tells what each controller knows.
+// records formats the record that each running controller holds.
 func records(run *Simulation) string {
 	known := map[string]consensus.Record{}
 	for _, node := range run.Nodes(membership.KindController) {
--- a/internal/simulator/stores_test.go
+++ b/internal/simulator/stores_test.go
@@ -1,6 +1,6 @@
-// How long partitions are without a first that accepts, measured in virtual time on
-// whole fleets: after a store's process ended, its machine was lost, and while a
-// store is emptied.
+// How long partitions are without a serving leader, measured in virtual time on complete
+// fleets: after a store's process ended, after its machine was lost, and while a store is
+// drained of its replicas.
 package simulator
 
 import (
@@ -20,7 +20,7 @@
 
 const routedDocument = `{"version": 1, "spaces": [{"name": "readings", "promise": "kept", "order": "topic"}], "routes": [{"prefix": "reading.", "space": "readings"}]}`
 
-// served tells how many shared partitions some store accepts messages for.
+// served returns the number of shared partitions that have a serving store.
 func served(run *Simulation) int {
 	serving := map[string]bool{}
 	for _, node := range run.Nodes(membership.KindStore) {
@@ -40,7 +40,7 @@
 	return count
 }
 
-// routed gives a fleet with all shared partitions placed.
+// routed starts a fleet with routes and waits until all shared partitions are served.
 func routed(t *testing.T, seed uint64, size Shape) *Simulation {
 	run := New(seed, size)
 	run.StartAll()
@@ -55,8 +55,7 @@
 	return run
 }
 
-// outage is how long not all shared partitions are served, and how long it took
-// until then.
+// outage waits until all shared partitions are served and returns how long that took.
 func outage(t *testing.T, run *Simulation) time.Duration {
 	began := run.Now
 	assert.Assert(t, run.RunUntil(10*time.Second, func() bool { return served(run) == config.SharedPartitions }), "%d partitions are served", served(run))
@@ -89,10 +88,10 @@
 	}
 }
 
-// appendEvery is the pause between two messages of traffic.
+// appendEvery is the interval between two messages of traffic.
 const appendEvery = 3 * time.Millisecond
 
-// traffic lets a gateway append to partitions, as the primary places them.
+// traffic makes a gateway append to partitions, at the leaders that the primary has placed.
 func traffic(run *Simulation) {
 	seq := uint64(0)
 	var next func()
@@ -117,8 +116,8 @@
 	next()
 }
 
-// Where messages flow, the others miss a lost store's copies long before its
-// watchers miss its heartbeats.
+// With traffic, the other stores detect the missing replication messages of a lost store long
+// before the failure detector detects its missing heartbeats.
 func TestAStoreThatIsLostSilentlyIsMissedByItsFellows(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -135,7 +134,8 @@
 	}
 }
 
-// A disk that becomes slow, or hangs, costs its partitions a moment.
+// A disk that becomes slow or hangs interrupts the store's partitions only briefly: the
+// primary moves them to other stores.
 func TestAStoreWhoseDiskIsSlowIsEmptied(t *testing.T) {
 	for _, times := range []int{100, 3000} {
 		for seed := range uint64(3) {
@@ -155,7 +155,7 @@
 					}
 					return served(run) == config.SharedPartitions
 				}))
-				t.Logf("emptied after %s", run.Now.Sub(began))
+				t.Logf("no replicas left after %s", run.Now.Sub(began))
 				assert.Assert(t, run.Now.Sub(began) < 2500*time.Millisecond)
 				store.slowDisk = 0
 				assert.Assert(t, run.RunUntil(20*time.Second, func() bool {
@@ -166,7 +166,7 @@
 	}
 }
 
-// Links that lose packets are no fault of the disks behind them.
+// Packet loss on the links must not make stores count as degraded, as a slow disk does.
 func TestNoStoreIsEmptiedBecauseOfLostPackets(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -178,14 +178,15 @@
 			for range 200 {
 				run.Run(50 * time.Millisecond)
 				for _, member := range run.Primary().Machine.(*controller.Controller).State().Members {
-					assert.Assert(t, !member.Degraded, "%s is taken for degraded", member.Name)
+					assert.Assert(t, !member.Degraded, "%s is marked as degraded", member.Name)
 				}
 			}
 		})
 	}
 }
 
-// A store that comes back is not blamed for the silence of its earlier process.
+// A restarted store must not be declared lost because of the missed heartbeats of its earlier
+// process.
 func TestAStoreThatComesBackStays(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -200,14 +201,14 @@
 			run.Run(500 * time.Millisecond)
 			for range 60 {
 				run.Run(50 * time.Millisecond)
-				assert.Assert(t, run.Primary().Machine.(*controller.Controller).State().Members[store.Name].Alive, "it is taken for lost again")
+				assert.Assert(t, run.Primary().Machine.(*controller.Controller).State().Members[store.Name].Alive, "the store was declared lost again")
 			}
 		})
 	}
 }
 
-// A store that is emptied is done well within the ten seconds that operators
-// wait, and the partitions go on being served but for moments.
+// A store is retired well within the ten seconds that operators wait, and its partitions are
+// served except for short interruptions.
 func TestARetiredStoreIsEmptiedQuickly(t *testing.T) {
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -239,13 +240,13 @@
 			assert.Assert(t, done && run.Now.Sub(began) < 2*time.Second && unserved < 500*time.Millisecond)
 			other := run.Nodes(membership.KindStore)[(seed+1)%3].Name
 			status = asked(http.MethodPost, "/v1/stores/"+other+"/retire")
-			assert.Equal(t, status, http.StatusConflict, "two must be left")
+			assert.Equal(t, status, http.StatusConflict, "two stores must remain")
 		})
 	}
 }
 
-// All machines lose power and one store its disk: once a primary acts again and
-// the stores are back, the partitions that lay there have other copies at once.
+// All machines lose power and one store loses its disk. As soon as a primary and the other
+// stores are back, the partitions of that store get new replicas.
 func TestAWipedStoreIsReplacedAtOnceAfterAllCameBack(t *testing.T) {
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -259,7 +260,7 @@
 			run.StartAll()
 			assert.Assert(t, run.RunUntil(10*time.Second, func() bool { return run.Primary() != nil }))
 			length := outage(t, run)
-			t.Logf("after a primary acts again: %s", length)
+			t.Logf("after the election of a primary: %s", length)
 			assert.Assert(t, length < 900*time.Millisecond, "after %s", length)
 		})
 	}
--- a/internal/simulator/topic_client.go
+++ b/internal/simulator/topic_client.go
@@ -1,8 +1,9 @@
-// Stand-in callers of routed topics, as the users' clients behave on their lines:
-// one connection, whose commands and answers keep their order; every topic is
-// asked for anew on each connection, with the cursor of its last message; a
-// publication of open fate is sent again under its number until its deadline, and
-// one that was certainly not done gets a new number, a few times.
+// Simulated clients of routed topics. They behave as the users' clients do on TCP
+// connections: requests and responses on the one connection keep their order; each
+// connection subscribes to every topic again, with the cursor of the last message
+// received; a publication with an unknown outcome is retried with the same sequence
+// number until its deadline; a publication that was certainly not applied is retried a
+// few times with a new sequence number.
 
 package simulator
 
@@ -18,7 +19,7 @@
 	"dahlialock/internal/statemachine"
 )
 
-// Spans of a caller on a line.
+// Delays, timeouts and limits of a client of routed topics.
 const (
 	lineDelay       = time.Millisecond
 	pingEvery       = 2 * time.Second
@@ -33,7 +34,7 @@
 	accountableSpan = 10 * time.Second
 )
 
-// TopicClient is one caller of routed topics.
+// TopicClient is a simulated client of routed topics.
 type TopicClient struct {
 	simulation  *Simulation
 	Name        string
@@ -61,7 +62,7 @@
 	outbox   map[string][]*posting
 }
 
-// heldSubscription is a topic that a caller wants to hold.
+// heldSubscription is a topic to which a client wants to be subscribed.
 type heldSubscription struct {
 	topic       string
 	cursor      string
@@ -72,11 +73,11 @@
 	leaving     bool
 	nowhere     bool
 	requestedAt time.Time
-	// heldAt is when it was first held.
+	// heldAt is when the subscription was first confirmed.
 	heldAt time.Time
 }
 
-// posting is a publication whose fate is not known.
+// posting is a publication whose outcome is not known.
 type posting struct {
 	name     checker.Post
 	topic    string
@@ -86,11 +87,12 @@
 	tries    int
 	inFlight bool
 	waits    bool
-	// acceptedAt, if somebody asks, is when it was taken, under any number.
+	// acceptedAt, if not nil, receives the time at which the publication was accepted, under
+	// any of its sequence numbers.
 	acceptedAt *time.Time
 }
 
-// AddTopicClient adds a caller that holds topics.
+// AddTopicClient adds a client that subscribes to topics. It connects within 400 ms.
 func (s *Simulation) AddTopicClient(name string, zone int, topics ...string) *TopicClient {
 	client := &TopicClient{simulation: s, Name: name, Zone: zone, topics: map[string]*heldSubscription{}, outbox: map[string][]*posting{}, pipeline: 1}
 	s.topicClients = append(s.topicClients, client)
@@ -103,14 +105,15 @@
 	return client
 }
 
-// platform is what the platform knows of a gateway: whether it gets new callers,
-// and how often in turn it did not answer as ready.
+// platform is the load balancer's state of a gateway: whether it receives new clients, and
+// how many readiness probes in a row it failed.
 type platform struct {
 	in     bool
 	missed int
 }
 
-// probe asks every gateway once a second whether it is ready.
+// probe checks the readiness of every gateway once a second. A gateway that fails two probes
+// in a row receives no new clients until a probe succeeds.
 func (s *Simulation) probe() {
 	s.After(time.Second, s.probe)
 	for _, node := range s.Nodes(membership.KindGateway) {
@@ -129,8 +132,10 @@
 	}
 }
 
-// pick chooses as the platform does: in the caller's zone, of those that are in,
-// or of all where fewer than half are; with none in, of those elsewhere.
+// pick chooses a gateway as the platform's load balancer does: among the gateways of the
+// client's zone that pass the readiness probe, or among all gateways of the zone if fewer
+// than half pass it. If none of the zone passes, it chooses among those of other zones that
+// do. A fixed gateway or the target of a requested move comes before these rules.
 func (tc *TopicClient) pick() *Node {
 	simulation := tc.simulation
 	if tc.fixed != nil {
@@ -165,8 +170,8 @@
 	return in[simulation.Random.IntN(len(in))]
 }
 
-// say sends a command of a size on the line; done is called with its answer if that comes
-// while the connection lasts.
+// say sends a command of the given size on the connection. It calls done with the response
+// if the response arrives before the connection ends.
 func (tc *TopicClient) say(size int, command func(request uint64) any, done func(answer gateway.Reply)) {
 	simulation, node, turn, incarnation, line := tc.simulation, tc.node, tc.turn, tc.incarnation, tc.line
 	tc.saidAt = simulation.Now
@@ -232,14 +237,14 @@
 	}
 	line := tc.line
 	tc.say(len(tc.Name), func(request uint64) any {
-		// The line's writer stands before the channel does.
+		// The connection's writer is registered before the session opens.
 		node.sinks[channel] = func(deliver statemachine.Delivery) {
 			line.toCaller(simulation, node, lineEvent, deliveredSize(deliver), func() { tc.event(turn, deliver) })
 		}
 		return gateway.OpenSession{Request: request, Session: channel, Name: fmt.Sprint(channel), Client: tc.Name, AdapterPings: true}
 	}, func(answer gateway.Reply) {
 		if answer.Outcome != gateway.OutcomeAccepted {
-			simulation.trace("%s is not let in by %s: %s", tc.Name, node.Name, answer.Code)
+			simulation.trace("%s: session rejected by %s: %s", tc.Name, node.Name, answer.Code)
 			tc.blame(answer.Code, "hello of "+tc.Name)
 			tc.cut(turn, false, simulation.between(50*time.Millisecond, 250*time.Millisecond))
 			return
@@ -259,8 +264,9 @@
 	})
 }
 
-// cut ends the connection, from either side, and comes back after a while. One
-// that only falls silent leaves its channel behind for a time.
+// cut ends the connection, whichever side ended it, and reconnects after wait. With tells
+// the gateway closes the session at once; without it the client has only become
+// unreachable, and the gateway keeps the session until droppedAfter has passed.
 func (tc *TopicClient) cut(turn int, tells bool, wait time.Duration) {
 	if tc.turn != turn {
 		return
@@ -318,7 +324,7 @@
 	tc.schedule(wait)
 }
 
-// leave ends a caller for good.
+// leave ends the client permanently.
 func (tc *TopicClient) leave() {
 	tc.Closed = true
 	for _, each := range statemachine.Sorted(tc.topics) {
@@ -329,13 +335,15 @@
 	tc.cut(tc.turn, true, 0)
 }
 
-// Leave cuts the connection, by closing it or by falling silent.
+// Leave ends the connection, either by closing it or by becoming unreachable without a
+// close. The client reconnects after wait.
 func (tc *TopicClient) Leave(closes bool, wait time.Duration) {
 	tc.absentUntil = tc.simulation.Now.Add(wait + 2*time.Second)
 	tc.cut(tc.turn, closes, wait)
 }
 
-// watch says something now and then, and resets a connection that is silent.
+// watch sends a ping when nothing was sent for pingEvery, and closes a connection on which
+// nothing was received for silentFor.
 func (tc *TopicClient) watch() {
 	simulation := tc.simulation
 	if tc.Closed {
@@ -346,14 +354,14 @@
 		return
 	}
 	if simulation.Now.Sub(tc.heardAt) > silentFor {
-		simulation.trace("%s hears nothing of %s", tc.Name, tc.node.Name)
+		simulation.trace("%s: nothing received from %s, closing the connection", tc.Name, tc.node.Name)
 		tc.cut(tc.turn, true, 0)
 		return
 	}
 	if simulation.Now.Sub(tc.saidAt) < pingEvery {
 		return
 	}
-	// Signs of life are answered by the line itself.
+	// Pings are answered by the connection's server and not by the gateway's state machine.
 	tc.saidAt = simulation.Now
 	node, incarnation, turn, channel := tc.node, tc.incarnation, tc.turn, tc.channel
 	line := tc.line
@@ -377,7 +385,8 @@
 	})
 }
 
-// blame tells the checker of a request that a daemon refused.
+// blame reports a rejected request to the checker, unless the client is exempt from that or
+// has left.
 func (tc *TopicClient) blame(code, what string) {
 	if !tc.unjudged && !tc.Closed {
 		tc.simulation.Checker.RefusedAs(code, what, tc.simulation.calmSince(), tc.simulation.Now)
@@ -386,7 +395,7 @@
 
 // Topics.
 
-// take begins to hold a topic.
+// take subscribes to a topic.
 func (tc *TopicClient) take(topic string) {
 	if present, found := tc.topics[topic]; found && !present.leaving || tc.Closed {
 		return
@@ -397,7 +406,7 @@
 	}
 }
 
-// drop ends holding a topic.
+// drop unsubscribes from a topic.
 func (tc *TopicClient) drop(topic string) {
 	present, found := tc.topics[topic]
 	if !found || present.leaving {
@@ -478,7 +487,7 @@
 			simulation.Checker.Handled("a subscription", topic, false, sent, simulation.Now)
 			again(simulation.between(300*time.Millisecond, 900*time.Millisecond))
 		case each.leaving:
-			// It was taken back before it was answered.
+			// The client unsubscribed before the response arrived.
 		case answer.Code == "moved" || answer.Code == "no-such-channel":
 			tc.violateUnlessMoved(answer.Code, "subscription of "+tc.Name)
 			tc.cut(turn, true, simulation.between(0, 50*time.Millisecond))
@@ -504,13 +513,13 @@
 	}
 }
 
-// holds tells whether all that the caller wants is there.
+// holds reports whether the client is connected and all its subscriptions are confirmed.
 func (tc *TopicClient) holds() bool {
 	if !tc.connected {
 		return false
 	}
 	for _, each := range tc.topics {
-		// One that was just taken up is still under way.
+		// A recent request may still be in flight.
 		underway := each.requested && tc.simulation.Now.Sub(each.requestedAt) < joinWithin
 		if !each.held && !each.leaving && !each.nowhere && !underway {
 			return false
@@ -540,7 +549,8 @@
 	}
 }
 
-// deliveredSize is what an event takes on the line beside its head.
+// deliveredSize is the number of bytes that an event takes on the connection, without its
+// header.
 func deliveredSize(deliver statemachine.Delivery) int {
 	event, matches := deliver.Event.(gateway.Event)
 	if !matches {
@@ -566,7 +576,7 @@
 	simulation.save(each)
 }
 
-// count asks how many subscribe to a topic.
+// count requests the number of subscribers of a topic.
 func (tc *TopicClient) count(topic string) {
 	if !tc.connected {
 		return
@@ -589,7 +599,7 @@
 
 // Publishing.
 
-// publish sends something new on a topic, if its earlier ones leave room.
+// publish sends a new publication on a topic, unless the pipeline is full.
 func (tc *TopicClient) publish(topic string) {
 	queue := tc.outbox[topic]
 	if tc.Closed || tc.stopped || len(queue) >= tc.pipeline || !tc.connected {
@@ -608,7 +618,7 @@
 	}
 }
 
-// finish takes a publication from its queue.
+// finish removes a publication from its queue.
 func (tc *TopicClient) finish(item *posting) {
 	tc.outbox[item.topic] = slices.DeleteFunc(tc.outbox[item.topic], func(other *posting) bool { return other == item })
 	if len(tc.outbox[item.topic]) == 0 {
@@ -679,7 +689,7 @@
 				tc.finish(item)
 				break
 			}
-			// What was certainly not done is sent under a new number.
+			// A publication that was certainly not applied is retried under a new sequence number.
 			tc.finish(item)
 			renewed := &posting{topic: item.topic, wanted: item.wanted, renewals: item.renewals, waits: true, acceptedAt: item.acceptedAt}
 			tc.outbox[item.topic] = append(tc.outbox[item.topic], renewed)
@@ -709,7 +719,8 @@
 	}, done)
 }
 
-// resend sends an accepted number again while that must be acknowledged.
+// resend sends an accepted publication again within the span in which the gateway must
+// acknowledge it.
 func (tc *TopicClient) resend(item *posting) {
 	simulation, accepted := tc.simulation, tc.simulation.Now
 	simulation.After(simulation.between(0, accountableSpan*8/10), func() {
--- a/internal/simulator/topics.go
+++ b/internal/simulator/topics.go
@@ -1,7 +1,7 @@
-// Runs with routed topics: the operator's routes, a crowd of callers who hold
-// topics, publish, come and go, the faults that strike such callers, and the
-// faults of their users that close a run. At the end new callers take up places
-// that others were given before.
+// Runs with routed topics: the routes of the configuration, the clients that subscribe,
+// publish, connect and disconnect, the faults that affect these clients, and the faults
+// that end a run. At the end of a run new clients resume from cursors that other clients
+// received earlier.
 
 package simulator
 
@@ -17,26 +17,27 @@
 	"dahlialock/internal/statemachine"
 )
 
+// Limits of runs with routed topics.
 const (
 	topicScenario = 14 * time.Second
 	maxSaved      = 300
 	takeEach      = 12
 )
 
-// topicRoute leads a prefix to a space of its own.
+// topicRoute routes a prefix of topics to its own space.
 type topicRoute struct {
 	prefix string
 	space  string
 	kept   bool
 }
 
-// topicRoutes are always there. Longer prefixes lead elsewhere than the shorter
-// ones that they begin with, and stand after them.
+// topicRoutes are in every configuration. A prefix that extends a shorter one routes to
+// another space, and is listed after the shorter one.
 var topicRoutes = []topicRoute{
 	{"board.", "boards-by-topic", true}, {"halt.", "halts", false}, {"halt.kept.", "halts-kept", true}, {"board.live.", "boards-live", false},
 }
 
-// fleeting are the prefixes that come and go.
+// fleeting lists the routes that the operator removes and restores during a run.
 var fleeting = []topicRoute{{"guest.", "guests", true}, {"flash.", "flashes", false}}
 
 type routeDocument struct {
@@ -44,23 +45,23 @@
 	Space  string `json:"space"`
 }
 
-// topicWorld is what a run with routed topics holds beside its callers.
+// topicWorld is the state of a run with routed topics, apart from its clients.
 type topicWorld struct {
 	topics []string
 	saved  []checker.Saved
 	given  int
-	// early are the first places of the hot topic.
+	// early holds the first cursors of the hot topic.
 	early []checker.Saved
-	// away lists the fleeting prefixes that are not led anywhere now.
+	// away lists the prefixes of fleeting whose route is removed at present.
 	away map[string]bool
-	// crowdAt is when the usual callers came; steady, that they keep what they
-	// hold and stay.
+	// crowdAt is when the usual clients were added. If steady is set, they keep their
+	// subscriptions and connections.
 	crowdAt time.Time
 	steady  bool
 	hot     string
-	// body is the least length of what callers send.
+	// body is the minimum length of a publication's body, in bytes.
 	body int
-	// demands are what callers of the grown shape wanted.
+	// demands are the requests of the clients of the grown shape.
 	demands []demand
 }
 
@@ -81,8 +82,8 @@
 	return &topicWorld{topics: topics, away: map[string]bool{}}
 }
 
-// Some topics are sent to for a short while only, one after the other: there the
-// last message has none after it that would show it missing.
+// Some topics receive publications for a short time only, one topic after the other. The
+// last message of such a topic has no successor that would reveal its loss.
 const (
 	onceCount = 6
 	onceFor   = 2500 * time.Millisecond
@@ -90,7 +91,7 @@
 
 func onceTopic(number int) string { return fmt.Sprintf("board.once.%d", number) }
 
-// onceNow is the one of them that is sent to now, if there is one.
+// onceNow returns the short-lived topic that receives publications at present, or "".
 func (s *Simulation) onceNow() string {
 	number := int(s.Now.Sub(s.world.crowdAt) / onceFor)
 	if s.world.crowdAt.IsZero() || number >= onceCount {
@@ -99,7 +100,7 @@
 	return onceTopic(number)
 }
 
-// routes lists what leads somewhere at present.
+// routes lists the routes of the current configuration.
 func (tw *topicWorld) routes() []topicRoute {
 	routes := slices.Clone(topicRoutes)
 	for _, each := range fleeting {
@@ -118,7 +119,7 @@
 	return found
 }
 
-// save notes some of the cursors that callers are given.
+// save keeps a random sample of the cursors that clients receive, for takeSaved.
 func (s *Simulation) save(each *heldSubscription) {
 	world := s.world
 	if each.entry == nil || each.entry.Ended() || each.cursor == "" {
@@ -127,7 +128,7 @@
 	world.given++
 	saved := checker.Saved{Topic: each.topic, Cursor: each.cursor, After: each.after, At: s.Now}
 	if each.topic == world.hot {
-		// Only the first places are taken up, each on another gateway perhaps.
+		// Only the first cursors are resumed, possibly each at another gateway.
 		if len(world.early) < 3 {
 			world.early = append(world.early, saved)
 		}
@@ -140,7 +141,7 @@
 	}
 }
 
-// prepareTopics starts a fleet whose configuration routes topics.
+// prepareTopics starts a fleet whose configuration has routes.
 func prepareTopics(seed uint64, size Shape, apart time.Duration, trace func(line string)) (*Simulation, *Operator) {
 	simulation := New(seed, size)
 	simulation.world = newTopicWorld(size)
@@ -152,8 +153,8 @@
 	return simulation, operator
 }
 
-// TopicCrowd adds the usual callers of routed topics, one that calls each of the
-// first gateways itself, and what they do all along.
+// TopicCrowd adds the usual clients of routed topics with their periodic actions, and for
+// each of the first three gateways a client that always connects to it.
 func (s *Simulation) TopicCrowd(count int) {
 	s.world.crowdAt = s.Now
 	for number := range count {
@@ -167,7 +168,7 @@
 	}
 }
 
-// finishJoining gives a caller its topics and habits.
+// finishJoining gives a client its topics and starts its periodic actions.
 func (tc *TopicClient) finishJoining(number int) {
 	simulation := tc.simulation
 	topics := simulation.world.topics
@@ -182,7 +183,7 @@
 	tc.topics[once] = &heldSubscription{topic: once}
 	tc.publishes(180 * time.Millisecond)
 	if hot := simulation.world.hot; hot != "" {
-		// Most gateways have nobody who holds it.
+		// Few clients subscribe, so that most gateways have no subscriber of the hot topic.
 		if number < 2 {
 			tc.topics[hot] = &heldSubscription{topic: hot}
 		}
@@ -193,7 +194,7 @@
 	tc.wanders()
 }
 
-// floods lets a caller send to one topic as fast as it is answered.
+// floods makes the client publish on one topic every 30 ms, as far as its pipeline allows.
 func (tc *TopicClient) floods(topic string) {
 	tc.simulation.After(30*time.Millisecond, func() {
 		if tc.Closed || tc.stopped {
@@ -204,7 +205,7 @@
 	})
 }
 
-// publishes lets a caller publish all along, now and then a burst.
+// publishes makes the client publish on random topics, sometimes in bursts.
 func (tc *TopicClient) publishes(every time.Duration) {
 	simulation := tc.simulation
 	simulation.After(every/2+simulation.between(0, every), func() {
@@ -227,8 +228,8 @@
 	})
 }
 
-// wanders lets a caller take up and drop topics, ask for counts, and go away for
-// a time.
+// wanders makes the client subscribe and unsubscribe, request subscriber counts, and
+// disconnect for a while.
 func (tc *TopicClient) wanders() {
 	simulation := tc.simulation
 	simulation.After(simulation.between(500*time.Millisecond, 2500*time.Millisecond), func() {
@@ -264,8 +265,8 @@
 	})
 }
 
-// probes lets a caller that calls one gateway itself ask for what was just added
-// or removed, or never was.
+// probes makes a client with a fixed gateway use topics whose route was just added or
+// removed, or never existed.
 func (tc *TopicClient) probes() {
 	simulation := tc.simulation
 	simulation.After(simulation.between(100*time.Millisecond, 500*time.Millisecond), func() {
@@ -290,7 +291,7 @@
 	})
 }
 
-// RunTopics runs a plot with callers of routed topics.
+// RunTopics runs a schedule with clients of routed topics.
 func RunTopics(seed uint64, size Shape, schedule TopicPlot, trace func(line string)) *Simulation {
 	simulation, operator := prepareTopics(seed, size, schedule.Apart, trace)
 	simulation.world.steady, simulation.world.hot = schedule.Steady, schedule.Hot
@@ -306,7 +307,7 @@
 	}
 	simulation.Run(topicScenario)
 	if !simulation.RunUntil(60*time.Second, func() bool { return simulation.open == 0 }) {
-		simulation.Checker.Violate(checker.NotBack, "a fault has not come to its end after a minute")
+		simulation.Checker.Violate(checker.NotBack, "a fault has not ended after a minute")
 	}
 	if len(schedule.Faults) > 0 {
 		simulation.Run(checker.FaultSettleTime + 4*time.Second)
@@ -319,33 +320,35 @@
 	return simulation
 }
 
-// TopicPlot is what befalls a run with routed topics.
+// TopicPlot is the schedule of a run with routed topics. Last names the fault that ends the
+// run, if any; Changes says that the operator changes the configuration during the run.
 type TopicPlot struct {
 	Faults  []faults.Fault
 	Last    string
 	Apart   time.Duration
 	Changes bool
-	// Hot is the topic to which some callers send all along, far more than one
-	// fetch brings.
+	// Hot is a topic on which some clients publish continuously, far more than one fetch
+	// returns.
 	Hot string
-	// Steady callers neither take up nor drop anything nor go away, so that nothing
-	// of theirs mends what a gateway was not told.
+	// Steady clients neither subscribe, unsubscribe nor disconnect, so that no request of
+	// theirs repairs a gateway that missed an update.
 	Steady bool
 }
 
-// TopicLast lists the faults of the users that close a run: everything loses
-// power right after a configuration and a message were acknowledged, all disks
-// but one last; the same and one disk is empty; every process is killed.
+// TopicLast lists the users' faults that end a run, each right after a configuration and a
+// message were acknowledged: all machines lose power and all disks survive; all machines
+// lose power and one disk is empty; every process is killed.
 var TopicLast = []string{"power-off", "power-off-and-wipe", "kill-all"}
 
-// closing brings a closing fault about as soon as a configuration is taken.
+// closing injects the fault that ends a run, as soon as a configuration and a message after
+// it were acknowledged.
 func (s *Simulation) closing(name string) {
 	s.trace("closing fault: %s", name)
 	s.open++
 	taken := false
 	s.operator.next(func() { taken = true })
 	if !s.RunUntil(10*time.Second, func() bool { return taken }) {
-		s.Checker.Violate(checker.NotBack, "no configuration was taken in 10 s of calm")
+		s.Checker.Violate(checker.NotBack, "no configuration was accepted within 10 s without faults")
 	}
 	accepted := s.Checker.Accepted
 	s.RunUntil(time.Second, func() bool { return s.Checker.Accepted > accepted })
@@ -379,15 +382,15 @@
 	s.lastFaultAt = s.Now
 }
 
-// closeTopics ends publications, lets new callers take up places that others
-// were given, and closes the book.
+// closeTopics ends publications, lets new clients resume from saved cursors, and runs the
+// checks that need the end of a run.
 func (s *Simulation) closeTopics() {
 	s.Run(2 * time.Second)
 	for _, client := range s.topicClients {
 		client.stopped = true
 	}
 	s.Run(2 * time.Second)
-	// Callers who are away come back to what is owed to them.
+	// Disconnected clients reconnect, to receive the messages that they are still to get.
 	for _, client := range s.topicClients {
 		client.stopped = true
 		if client.fixed != nil {
@@ -405,18 +408,18 @@
 	}
 	s.Run(4 * time.Second)
 	if s.operator.reads == reads {
-		s.Checker.Violate(checker.StaleRead, "the configuration does not come back at the end")
+		s.Checker.Violate(checker.StaleRead, "the configuration can't be read at the end of the run")
 	}
 	for _, client := range s.topicClients {
 		if !client.Closed && !client.holds() {
-			s.Checker.Violate(checker.NotBack, "%s is still not served at the end", client.Name)
+			s.Checker.Violate(checker.NotBack, "%s is not served at the end of the run", client.Name)
 		}
 	}
 	s.describe()
 	s.Checker.Close(s.Now)
 }
 
-// takeSaved lets new callers, named after a prefix, take up the places that were saved.
+// takeSaved adds clients, with names that begin with prefix, which resume from the saved cursors.
 func (s *Simulation) takeSaved(prefix string) {
 	random := rand.New(rand.NewPCG(s.Seed, 0x7a4e))
 	saved := slices.Clone(s.world.saved)
@@ -444,7 +447,7 @@
 	}
 }
 
-// fleetingOf is the fleeting prefix of a topic, if it has one.
+// fleetingOf returns the prefix in fleeting that matches a topic, or "".
 func (s *Simulation) fleetingOf(topic string) string {
 	for _, each := range fleeting {
 		if len(topic) > len(each.prefix) && topic[:len(each.prefix)] == each.prefix {
@@ -454,14 +457,13 @@
 	return ""
 }
 
-// change takes a fleeting route away, or brings it back.
+// change removes a route of fleeting from the configuration, or restores it.
 func (s *Simulation) change(prefix string, absent bool, done func()) {
 	s.world.away[prefix] = absent
 	s.operator.next(done)
 }
 
-// topicInjectors are the faults that strike callers, as callers of routed topics
-// are struck by them.
+// topicInjectors inject the faults that affect clients, in runs with clients of routed topics.
 var topicInjectors = map[string]injector{
 	"resets": func(simulation *Simulation, fault faults.Fault, end func()) {
 		for _, client := range simulation.topicClients {
@@ -499,7 +501,7 @@
 		})
 	},
 	"rolling": func(simulation *Simulation, fault faults.Fault, end func()) {
-		// The platform waits a moment between two machines, and for nothing else.
+		// The platform waits a short time between two machines and checks nothing before the next one.
 		kinds := []string{membership.KindController, membership.KindStore, membership.KindAgent, membership.KindGateway}
 		nodes := simulation.Nodes(kinds[fault.Pick%4])
 		gap := simulation.between(time.Second, 1300*time.Millisecond)
@@ -529,7 +531,7 @@
 	},
 }
 
-// drawTopicPlot draws the plot of a seed.
+// drawTopicPlot draws the schedule of a seed.
 func drawTopicPlot(seed uint64, names []string, count int) TopicPlot {
 	random := rand.New(rand.NewPCG(seed, 0x70b1))
 	schedule := TopicPlot{Faults: faults.Draw(random, names, topicScenario, count), Changes: true}
