--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// maxBodyBytes bounds the body of a request at ctl.
+	// maxBodyBytes bounds the body of a request to the ctl address.
 	maxBodyBytes = config.MaxDocumentBytes
-	// inspectTimeout bounds the time for the loop to respond to ctl: less than
-	// those who check for liveness would wait.
+	// inspectTimeout bounds the time for the event loop to respond to a request at
+	// ctl. It is shorter than the timeout of external liveness checks.
 	inspectTimeout = 800 * time.Millisecond
 )
 
-// errorCode is the code of an error that ctl responds with.
+// errorCode is the code of an error in a response of ctl.
 type errorCode string
 
 const (
@@ -37,7 +37,7 @@
 
 const stoppingText = "the daemon is stopping"
 
-// The bodies that ctl responds with. The members are in alphabetical order.
+// The response bodies of ctl. Their members are in alphabetical order.
 type (
 	errorBody struct {
 		Code   errorCode      `json:"code"`
@@ -77,7 +77,7 @@
 	return withJSONErrors(routes)
 }
 
-// writeJSON responds with a value as JSON, and a newline.
+// writeJSON responds with a value as JSON, followed by a newline.
 func writeJSON(writer http.ResponseWriter, status int, value any) {
 	body, err := json.Marshal(value)
 	if err != nil {
@@ -96,7 +96,8 @@
 	writeJSON(writer, status, errorBody{Code: code, Text: text})
 }
 
-// withJSONErrors responds in JSON to what no route matches.
+// withJSONErrors returns a handler that responds with a JSON error to requests that
+// match no route.
 func withJSONErrors(routes *http.ServeMux) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		if _, pattern := routes.Handler(request); pattern != "" {
@@ -115,8 +116,8 @@
 	})
 }
 
-// rejectionRecorder records the status and headers that the routes would have
-// responded with.
+// rejectionRecorder records the status and headers of the default response of
+// http.ServeMux to a request that matches no route. It discards the body.
 type rejectionRecorder struct {
 	header http.Header
 	status int
@@ -126,7 +127,7 @@
 func (rr *rejectionRecorder) Write(body []byte) (int, error) { return len(body), nil }
 func (rr *rejectionRecorder) WriteHeader(status int)         { rr.status = status }
 
-// statusFor returns the status of a check that passed or failed.
+// statusFor returns the HTTP status for a health check that passed or failed.
 func statusFor(passed bool) int {
 	if passed {
 		return http.StatusOK
@@ -154,7 +155,8 @@
 	writeJSON(writer, http.StatusOK, value)
 }
 
-// serveDecisions responds with the decisions about a request, message or client.
+// serveDecisions responds with the entries of the decision log about a request,
+// message or client.
 func (p *process) serveDecisions(writer http.ResponseWriter, request *http.Request) {
 	query := request.URL.Query()
 	entries := []decisionlog.Entry{}
@@ -171,7 +173,7 @@
 	writeJSON(writer, http.StatusOK, decisionsBody{Daemon: p.self.Name, Decisions: entries})
 }
 
-// serveCheck checks a configuration without applying it.
+// serveCheck validates a configuration without applying it.
 func serveCheck(writer http.ResponseWriter, request *http.Request) {
 	body, complete := readBody(writer, request)
 	if !complete {
@@ -203,7 +205,8 @@
 	writeBody(writer, reply.Status, reply.Body)
 }
 
-// readBody reads the body of a request, or responds with an error.
+// readBody reads the body of a request. If that fails, it responds with an error and
+// returns false.
 func readBody(writer http.ResponseWriter, request *http.Request) ([]byte, bool) {
 	body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, maxBodyBytes))
 	if err != nil {
@@ -241,8 +244,8 @@
 	return ControlReply{Status: response.Status, RetryAfter: response.RetryAfter, Body: response.Body}
 }
 
-// inspect is Inspect of the loop, for no longer than inspectTimeout; false if the
-// loop hasn't responded by then.
+// inspect is like EventLoop.Inspect, but waits no longer than inspectTimeout. It
+// returns false if the loop hasn't responded by then.
 func (p *process) inspect(question func(now time.Time) any) (any, bool) {
 	type result struct {
 		value     any
--- a/internal/daemon/control_test.go
+++ b/internal/daemon/control_test.go
@@ -18,8 +18,8 @@
 	"dahlialock/internal/statemachine"
 )
 
-// delayedResponder keeps requests until respondAll, and then responds to the
-// newest first.
+// delayedResponder is a state machine that keeps requests until the command respondAll, and
+// then responds to the newest request first.
 type delayedResponder struct {
 	echo
 	pending  []operatorRequest
@@ -42,7 +42,7 @@
 		for position := len(dr.pending) - 1; position >= 0; position-- {
 			each := dr.pending[position]
 			effects.Respond(each.request, membership.ControlResponse{Status: 200, Body: []byte(each.path)})
-			// A second response to the same request is for nobody.
+			// A second response to the same request must be ignored.
 			effects.Respond(each.request, membership.ControlResponse{Status: 409, Body: []byte("again")})
 		}
 		dr.pending = nil
@@ -51,7 +51,8 @@
 	}
 }
 
-// newDelayedControl serves the ctl of a daemon with a delayedResponder.
+// newDelayedControl starts a server for the ctl address of a daemon with a
+// delayedResponder.
 func newDelayedControl(t *testing.T) (*httptest.Server, *EventLoop, *delayedResponder) {
 	t.Helper()
 	machine := &delayedResponder{received: make(chan string, 16)}
@@ -114,7 +115,7 @@
 	}
 }
 
-// Requests on one connection, sent before the first is answered.
+// Two requests are sent on one connection before the first response.
 func TestControlRespondsToPipelinedRequestsInOrder(t *testing.T) {
 	server, loop, machine := newDelayedControl(t)
 	connection, err := net.Dial("tcp", server.Listener.Addr().String())
@@ -136,7 +137,7 @@
 	}
 }
 
-// testAdapter is an adapter of one route.
+// testAdapter is a ControlAdapter with one route.
 type testAdapter struct{}
 
 func (testAdapter) RegisterRoutes(routes *http.ServeMux, port ControlPort) {
--- a/internal/daemon/deadline_test.go
+++ b/internal/daemon/deadline_test.go
@@ -17,11 +17,11 @@
 
 const testLease = time.Second
 
-// suspension is how long the process of a sleeper is suspended within a step.
+// suspension is the duration for which the process of a sleeper is suspended within a step.
 const suspension = 20 * time.Second
 
-// sleeper is a machine whose process can be suspended, by a clock that the test
-// sets.
+// sleeper is a state machine whose process can be suspended. The suspension is simulated by
+// advancing its clock.
 type sleeper struct {
 	// clock has the nanoseconds since the start.
 	clock    *atomic.Int64
@@ -30,8 +30,9 @@
 	received []string
 }
 
-// suspend has the sleeper send and respond under a lease, and then be suspended;
-// readClock has it respond with the time of the step.
+// The command suspend makes the sleeper send messages and a response, with and without the
+// deadline of a lease, and then suspends it. readClock makes it respond with the time of the
+// step.
 type (
 	suspend   struct{ request uint64 }
 	readClock struct{ request uint64 }
@@ -95,8 +96,9 @@
 	return opened, machine
 }
 
-// What may be sent under a lease isn't sent by a process that was suspended in
-// between: not to others, not to itself, and not in response.
+// If the process is suspended within a step until the lease has expired, messages and
+// responses that are only valid under the lease must not be sent: neither to a peer, nor to
+// the daemon itself, nor as a response.
 func TestEventLoopDropsWhatExpiredDuringSuspension(t *testing.T) {
 	inbox, control := make(chan transport.Inbound, 8), make(chan transport.Inbound, 8)
 	peer := freeAddress(t)
@@ -119,8 +121,8 @@
 	assert.DeepEqual(t, received, []string{"at any time"})
 }
 
-// A process that was suspended within a turn handles the rest of the turn by the
-// clock as it is then.
+// If the process is suspended within a turn, the remaining steps of the turn must use the
+// time after the suspension.
 func TestEventLoopReadsClockBeforeEachStep(t *testing.T) {
 	loop, machine := openSleeper(t, "")
 	var moments []time.Time
--- a/internal/daemon/disk_writer.go
+++ b/internal/daemon/disk_writer.go
@@ -10,27 +10,29 @@
 )
 
 const (
-	// diskRetryInterval is the pause after a write that failed.
+	// diskRetryInterval is the pause after a failed attempt to write to, or open, the
+	// log on disk.
 	diskRetryInterval = 200 * time.Millisecond
-	// diskReportEvery is how many failed attempts there are to one log event.
+	// diskReportEvery is the number of failed attempts per log event.
 	diskReportEvery = 50
 )
 
-// diskWriter writes to the log on disk, on a goroutine of its own. It is given
-// the writes of one or more steps at a time, and syncs their entries together.
+// diskWriter writes to the log on disk, on a separate goroutine. Each batch has the
+// writes of one or more steps, whose entries are synced together.
 type diskWriter struct {
 	log    *wal.Log
 	logger *logevent.Logger
-	// requests receives writes, one batch at a time; synced returns the tokens of
-	// each batch once it is on disk.
+	// requests receives one batch of writes at a time; the tokens of each batch are
+	// sent to synced once the batch is on disk.
 	requests chan []statemachine.Write
 	synced   chan []uint64
-	// unavailable is called after each write that failed.
+	// unavailable is called after each failed write.
 	unavailable func()
-	// stopped ends the attempts to write.
+	// stopped is closed once the state machine has stopped, which ends the retries.
 	stopped <-chan struct{}
-	// delay is added to each batch by a trial, in nanoseconds.
+	// delay is an artificial delay of each batch for trials, in nanoseconds.
 	delay atomic.Int64
+	// syncs is a copy of log.Syncs that other goroutines may read.
 	syncs atomic.Int64
 }
 
@@ -46,7 +48,8 @@
 	}
 }
 
-// writeBatch writes entries and snapshots in order, and returns the tokens.
+// writeBatch writes the entries and snapshots of a batch in order, and returns the
+// tokens of the batch.
 func (dw *diskWriter) writeBatch(writes []statemachine.Write) []uint64 {
 	var tokens []uint64
 	var entries [][]byte
@@ -70,10 +73,11 @@
 	return tokens
 }
 
-// retry repeats a write until the disk takes it. Meanwhile nothing counts as
-// stored, and the machine is notified of each failure, so that other daemons can
-// take its part. It gives up once the machine has stopped: the tokens of the batch
-// then go to synced although it isn't on disk, and nobody acts on them any more.
+// retry repeats a write until it succeeds. Until then, nothing of the batch is
+// acknowledged as stored. The state machine is notified of each failure, so that other
+// daemons can take over from it. retry gives up once the state machine has stopped.
+// The tokens of the batch are then still sent to synced although the batch isn't on
+// disk, but no one acts on them any more.
 func (dw *diskWriter) retry(write func() error) {
 	for attempt := 0; ; attempt++ {
 		err := write()
--- a/internal/daemon/doc.go
+++ b/internal/daemon/doc.go
@@ -1,16 +1,17 @@
 // Package daemon runs a state machine as a process.
 //
-// Main is the body of each daemon's main function: it loads the settings, locks
-// the data directory and recovers what was stored, builds the state machine of
-// its kind (see Service), and runs it until it stops. Around it are the signals,
-// the reloading of settings, and the ctl address, at which every daemon gives
-// operators the same answers.
+// Main is the body of each daemon's main function. It loads the settings, locks the
+// data directory, recovers the stored state, builds the state machine of the daemon's
+// kind (see Service), and runs it until it stops. It also handles signals, reloads
+// the settings, and serves the ctl address, whose endpoints for operators are the
+// same for every daemon.
 //
-// An EventLoop drives one state machine. All that touches the machine runs on
-// the goroutine of the loop and comes to it through channels: messages from the
-// Transport, work of callers (Execute, Submit, Call), finished writes of the disk,
-// and timers. The loop works in turns. It waits, takes what else has come
-// meanwhile in fair turns, and sends what was gathered once at the end, since
-// each wake-up and each system call costs. The control state goes before all
-// else, so that a busy daemon doesn't look lost.
+// An EventLoop drives one state machine. The state machine is only accessed on the
+// goroutine of the loop. All its inputs arrive through channels: messages from the
+// Transport, tasks of other goroutines (Execute, Submit, Call), completed writes of
+// the disk, and timers. The loop works in turns. In each turn it waits for an input,
+// handles the inputs that are queued by then, up to a limit, and flushes the
+// resulting output once at the end, which saves wake-ups and system calls. Messages
+// of the control state are handled before all other inputs, so that other daemons
+// don't suspect a busy daemon of having failed.
 package daemon
--- a/internal/daemon/event_loop.go
+++ b/internal/daemon/event_loop.go
@@ -16,36 +16,36 @@
 const (
 	inboxSize = 4096
 	tasksSize = 4096
-	// maxTurnSteps is how many messages or tasks a turn takes after the one that
-	// woke the loop, and how many control messages go before each of them.
+	// maxTurnSteps is how many inputs a turn handles after the one that woke the loop,
+	// and how many control messages it handles before each of them.
 	maxTurnSteps = 256
-	// clockCheckEvery is after how many of these the loop checks for due timers.
+	// clockCheckEvery is the number of inputs after which a turn checks for due timers.
 	clockCheckEvery = 16
-	// noTimer is how long the loop waits where the machine has no timer.
+	// noTimer is the duration of the loop's timer if the state machine has none.
 	noTimer = time.Hour
-	// shutdownTimeout bounds the last writes to the disk.
+	// shutdownTimeout bounds the time for the last writes to the disk.
 	shutdownTimeout = time.Second
 )
 
-// Options are what an event loop needs besides the machine.
+// Options configure an event loop.
 type Options struct {
 	// Address is where the transport listens.
 	Address string
 	Logger  *logevent.Logger
-	// Log is on the daemon's disk, nil for a daemon without one.
+	// Log is the log on the daemon's disk, nil for a daemon without a disk.
 	Log *wal.Log
-	// CloseSlowSession is that of Service; it may be nil if there are no sessions
-	// with queues.
+	// CloseSlowSession is Service.CloseSlowSession; it may be nil if no session has a
+	// queue.
 	CloseSlowSession func(session uint64) any
-	// Clock is a monotonic clock, time.Now if it is nil.
+	// Clock is a monotonic clock; nil means time.Now.
 	Clock func() time.Time
 }
 
-// EventLoop drives one state machine: see the package. All methods may be called
-// by any goroutine.
+// EventLoop drives one state machine, as the package comment describes. All methods
+// may be called by any goroutine.
 type EventLoop struct {
 	machine statemachine.Machine
-	// linkObserver is the machine, if it implements that.
+	// linkObserver is the state machine if it implements LinkObserver, otherwise nil.
 	linkObserver     statemachine.LinkObserver
 	transport        *transport.Transport
 	logger           *logevent.Logger
@@ -53,21 +53,22 @@
 	closeSlowSession func(session uint64) any
 	clock            func() time.Time
 
-	// inbox and control receive messages, control those of the control state.
+	// control receives the messages of the control state, inbox all others.
 	inbox   chan transport.Inbound
 	control chan transport.Inbound
 	tasks   chan task
-	// disk only runs for a daemon with a log.
+	// disk only runs if there is a log.
 	disk *diskWriter
-	// done is closed once the machine has stopped.
+	// done is closed once the state machine has stopped.
 	done  chan struct{}
 	steps atomic.Int64
-	// flushers run at the end of each turn. They belong to the loop once it has
-	// started.
+	// flushers are called at the end of each turn. After Start, the slice is only
+	// accessed on the loop.
 	flushers []func()
 }
 
-// NewEventLoop opens the transport of a daemon. Start then runs the machine.
+// NewEventLoop returns an event loop, and opens its transport. Start then runs a state
+// machine on it.
 func NewEventLoop(options Options) (*EventLoop, error) {
 	loop := &EventLoop{
 		logger:           options.Logger,
@@ -104,22 +105,22 @@
 	l.logger.Report(logevent.MalformedFrame, "remote", remote, "error", err.Error())
 }
 
-// Transport returns the daemon's links.
+// Transport returns the daemon's transport.
 func (l *EventLoop) Transport() *transport.Transport { return l.transport }
 
-// Done returns a channel that is closed once the machine has stopped.
+// Done returns a channel that is closed once the state machine has stopped.
 func (l *EventLoop) Done() <-chan struct{} { return l.done }
 
-// Steps returns how many steps the machine has made.
+// Steps returns the number of steps that the state machine has made.
 func (l *EventLoop) Steps() int64 { return l.steps.Load() }
 
-// Syncs returns how many times the log on disk was synced.
+// Syncs returns the number of times that the log on disk was synced.
 func (l *EventLoop) Syncs() int64 { return l.disk.syncs.Load() }
 
-// SetDiskDelay adds a delay to each write to the disk, for trials.
+// SetDiskDelay sets an artificial delay of each write to the disk, for trials.
 func (l *EventLoop) SetDiskDelay(delay time.Duration) { l.disk.delay.Store(int64(delay)) }
 
-// Start runs the machine until it stops. It doesn't wait.
+// Start starts a goroutine that runs a state machine until the state machine stops.
 func (l *EventLoop) Start(machine statemachine.Machine) {
 	l.machine = machine
 	if observer, implements := machine.(statemachine.LinkObserver); implements {
@@ -134,23 +135,24 @@
 
 // loopState is the state of the goroutine of the loop.
 type loopState struct {
-	// now is the clock as last read, before each step.
+	// now is the time at which the clock was last read. It is read before each step.
 	now time.Time
-	// lastRequest numbers requests to the machine, responses has who waits for
-	// each of them.
+	// lastRequest is the number of the last request to the state machine. responses
+	// has the response handler of each pending request.
 	lastRequest uint64
 	responses   map[uint64]func(value any)
 	sinks       map[uint64]sink
-	// selfMessages are the messages of the machine to its own address.
+	// selfMessages are messages that the state machine has sent to its own address.
 	selfMessages []selfMessage
-	// writes are those not yet given to the disk; writing is set while it has
-	// others.
+	// writes are not yet passed to the disk writer; writing is set while the disk
+	// writer works on an earlier batch.
 	writes  []statemachine.Write
 	writing bool
-	// armed is when the timer fires, zero if the machine has no timer.
+	// armed is when the timer fires, zero if the state machine has no timer.
 	armed time.Time
 	timer *time.Timer
-	// stopping is set once the machine wants to stop, stopped once it has.
+	// stopping is set once the state machine has requested to stop, stopped once it has
+	// stopped.
 	stopping bool
 	stopped  bool
 }
@@ -160,8 +162,8 @@
 	notAfter time.Time
 }
 
-// run is the goroutine of the loop. A panic is a broken invariant: nothing that
-// follows could be trusted, and others take over.
+// run is the goroutine of the loop. A panic means a broken invariant. The process then
+// exits because its state can't be trusted any more, and other daemons take over.
 func (l *EventLoop) run() {
 	defer func() {
 		if broken := recover(); broken != nil {
@@ -189,7 +191,7 @@
 	l.shutdown(state)
 }
 
-// arm sets the timer to when the machine is due.
+// arm sets the timer to the time at which the state machine's next timer is due.
 func (l *EventLoop) arm(state *loopState, due time.Time) {
 	if due.Equal(state.armed) {
 		return
@@ -202,9 +204,10 @@
 	}
 }
 
-// wait waits for something to do, and makes a turn of it.
+// wait waits for one input, and runs a turn that starts with it.
 func (l *EventLoop) wait(state *loopState) {
-	// The disk is only offered writes while it has none.
+	// The disk writer is given one batch at a time. While it works on a batch, and while
+	// there are no writes, disk is nil, so its case below never runs.
 	var disk chan []statemachine.Write
 	if len(state.writes) > 0 && !state.writing {
 		disk = l.disk.requests
@@ -235,14 +238,15 @@
 	l.endTurn(state)
 }
 
-// tick runs the machine's due timers as a turn of its own.
+// tick runs a turn that starts with the due timers of the state machine.
 func (l *EventLoop) tick(state *loopState) {
 	l.drainControl(state)
 	l.step(state, func(now time.Time, effects *statemachine.Effects) { l.machine.Tick(now, effects) })
 	l.endTurn(state)
 }
 
-// endTurn takes what else has come, lets the disk begin, and flushes.
+// endTurn handles the inputs that are queued, passes writes to the disk writer if it is
+// idle, and flushes.
 func (l *EventLoop) endTurn(state *loopState) {
 	l.drain(state)
 	if len(state.writes) > 0 && !state.writing {
@@ -255,15 +259,15 @@
 	l.flush()
 }
 
-// flush sends what was gathered in a turn.
+// flush calls the flushers, which send the output of a turn.
 func (l *EventLoop) flush() {
 	for _, flush := range l.flushers {
 		flush()
 	}
 }
 
-// drainControl takes the control messages that have come, however much else
-// waits.
+// drainControl handles the queued control messages, up to maxTurnSteps, before any
+// other queued input.
 func (l *EventLoop) drainControl(state *loopState) {
 	for range maxTurnSteps {
 		select {
@@ -275,7 +279,7 @@
 	}
 }
 
-// drain takes what else has come, as long as no timer is due.
+// drain handles queued inputs, up to maxTurnSteps, until a timer is due.
 func (l *EventLoop) drain(state *loopState) {
 	for count := range maxTurnSteps {
 		if state.stopping {
@@ -301,7 +305,8 @@
 	}
 }
 
-// shutdown lets the last writes and messages out before the process ends.
+// shutdown completes the last writes, sends the last messages, and closes the sessions
+// after the state machine has requested to stop.
 func (l *EventLoop) shutdown(state *loopState) {
 	timeout := time.NewTimer(shutdownTimeout)
 	if state.writing {
@@ -327,8 +332,8 @@
 	state.stopped = true
 	l.flush()
 	close(l.done)
-	// Work that needs no machine is done as long as the process lives, so that
-	// nobody is left without a response, and nothing is touched by two goroutines.
+	// Tasks with afterStop run until the process exits. Their requests still get a
+	// response, and the state of the loop is still accessed by one goroutine only.
 	for next := range l.tasks {
 		if next.afterStop {
 			next.work(LoopContext{loop: l, state: state})
--- a/internal/daemon/event_loop_test.go
+++ b/internal/daemon/event_loop_test.go
@@ -12,7 +12,8 @@
 	"dahlialock/internal/statemachine"
 )
 
-// echo responds to each command with its text, and delivers it to session 7.
+// echo is a state machine that responds to each command with its text, and also delivers the
+// text to session 7.
 type echo struct {
 	turns int
 	due   time.Time
@@ -48,7 +49,8 @@
 	}
 }
 
-// startLoop runs a machine until the end of the test; stopNow must stop it.
+// startLoop runs a state machine until the end of the test. The state machine must handle
+// the command stopNow.
 func startLoop(t *testing.T, machine statemachine.Machine) *EventLoop {
 	t.Helper()
 	loop, err := NewEventLoop(Options{Address: freeAddress(t), Logger: logevent.New(io.Discard, "test", 0)})
--- a/internal/daemon/forms_test.go
+++ b/internal/daemon/forms_test.go
@@ -18,7 +18,7 @@
 	"dahlialock/internal/storedforms"
 )
 
-// keysOf lists the paths of a JSON value with the types of the values.
+// keysOf returns the paths in a JSON value, each with the type of its value.
 func keysOf(path string, value any) []string {
 	switch body := value.(type) {
 	case map[string]any:
@@ -37,13 +37,13 @@
 	return []string{fmt.Sprintf("%s %T", path, value)}
 }
 
-// valueRequest is a command that is responded to with a value.
+// valueRequest is a command to which the response is its value.
 type valueRequest struct {
 	request uint64
 	value   any
 }
 
-// valueResponder is an echo that also handles valueRequest.
+// valueResponder is an echo that also handles the command valueRequest.
 type valueResponder struct{ echo }
 
 func (vr *valueResponder) HandleCommand(now time.Time, command any, effects *statemachine.Effects) {
@@ -54,7 +54,8 @@
 	vr.echo.HandleCommand(now, command, effects)
 }
 
-// serveControl serves the ctl of a store whose primary responds with the status 418.
+// serveControl starts a server for the ctl address of a store. The primary responds to
+// forwarded requests with the status 418.
 func serveControl(t *testing.T) *httptest.Server {
 	t.Helper()
 	machine := &valueResponder{}
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -22,21 +22,22 @@
 )
 
 const (
-	// garbageCollectionPercent is that of debug.SetGCPercent: on small machines
-	// memory costs more than the time of the collector, which doesn't show at
-	// this rate.
+	// garbageCollectionPercent is the argument of debug.SetGCPercent. On small hosts
+	// memory is scarcer than processor time, and at this value the processor time of
+	// the collector is negligible.
 	garbageCollectionPercent = 100
 	maxProcessors            = 4
 
 	readHeaderTimeout     = 5 * time.Second
 	idleConnectionTimeout = 2 * time.Minute
 	maxRequestHeaderBytes = 32 << 10
-	// serversShutdownTimeout bounds the time for HTTP requests in progress.
+	// serversShutdownTimeout bounds the time for HTTP requests in progress to
+	// complete.
 	serversShutdownTimeout = 300 * time.Millisecond
 )
 
-// Main runs a daemon of a kind, as in membership.Member, and returns the exit code
-// of the process.
+// Main runs a daemon and returns the exit code of the process. The kind is that of
+// membership.Member.
 func Main(kind string, arguments []string, build Builder) ExitCode {
 	loader, err := settings.ParseFlags(kind, arguments)
 	if errors.Is(err, flag.ErrHelp) {
@@ -61,14 +62,15 @@
 	return process.run(build)
 }
 
-// exitWith prints why a daemon of a kind doesn't start.
+// exitWith prints the error that prevents a daemon of a kind from starting, and returns
+// the exit code.
 func exitWith(kind string, err error, code ExitCode) ExitCode {
 	fmt.Fprintf(os.Stderr, "%s: %v\n", kind, err)
 	return code
 }
 
-// process is a daemon's process. Its fields are set while it starts; settings
-// changes with each reload, and is only used by the goroutine of Main.
+// process is a daemon's process. Its fields are set at the start. Only settings changes
+// later, with each reload, and is only accessed by the goroutine of Main.
 type process struct {
 	kind     string
 	loader   *settings.Loader
@@ -77,8 +79,9 @@
 	self     membership.Member
 	service  Service
 	loop     *EventLoop
-	// servers and clients are closed at the end; clients is nil for a daemon that
-	// serves them by HTTP or not at all.
+	// servers are the HTTP servers. clients is the server returned by
+	// Service.ListenClients, nil if the daemon serves clients over HTTP or not at all.
+	// They are closed at the end.
 	servers []*http.Server
 	clients Server
 }
@@ -129,7 +132,8 @@
 	return ExitOK
 }
 
-// listen serves operators, and clients if the service does.
+// listen starts the server of the ctl address, and the server for clients if the
+// service has one.
 func (p *process) listen() error {
 	if err := p.serve(p.settings.ControlAddress, p.controlHandler()); err != nil {
 		return err
@@ -147,7 +151,7 @@
 	return nil
 }
 
-// serve serves HTTP at an address.
+// serve starts an HTTP server at an address.
 func (p *process) serve(address string, handler http.Handler) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -164,7 +168,7 @@
 	return nil
 }
 
-// wait handles signals and changes of the settings until the machine has stopped.
+// wait handles signals and changes of the settings until the state machine has stopped.
 func (p *process) wait() {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
@@ -189,7 +193,7 @@
 	}
 }
 
-// close closes all servers and links after the machine has stopped.
+// close closes all servers and links after the state machine has stopped.
 func (p *process) close() {
 	if p.clients != nil {
 		p.clients.Close()
@@ -204,7 +208,7 @@
 	p.loop.Transport().Close()
 }
 
-// reloadReason is why settings are reloaded, as the log has it.
+// reloadReason is the reason for a reload of the settings, as written to the log.
 type reloadReason string
 
 const (
@@ -212,7 +216,8 @@
 	reloadByFile   reloadReason = "file"
 )
 
-// reload applies changed settings, or leaves the previous ones in force.
+// reload loads and applies the settings. If they are rejected, the previous ones remain
+// in force.
 func (p *process) reload(why reloadReason) {
 	after, err := p.loader.Load()
 	if err != nil {
--- a/internal/daemon/service.go
+++ b/internal/daemon/service.go
@@ -14,83 +14,87 @@
 
 // Exit codes.
 const (
-	// ExitOK is that of a daemon that was stopped, ExitFailed that of one that
-	// couldn't start.
+	// ExitOK means that the daemon was stopped, ExitFailed that it couldn't start.
 	ExitOK     ExitCode = 0
 	ExitFailed ExitCode = 1
-	// ExitInvariant is that of a daemon that panicked.
+	// ExitInvariant means that the daemon panicked.
 	ExitInvariant ExitCode = 2
-	// ExitDisk is that of a data directory that can't be opened.
+	// ExitDisk means that the data directory can't be opened.
 	ExitDisk ExitCode = 3
-	// ExitSettings is that of faulty settings or flags.
+	// ExitSettings means that the settings or flags are faulty.
 	ExitSettings ExitCode = 64
 )
 
-// Machine is a daemon's state machine, with its view of the cluster.
+// Machine is a daemon's state machine. It also gives access to its view of the cluster.
 type Machine interface {
 	statemachine.Machine
 	ViewClient() *membership.ViewClient
 }
 
-// Service is what one kind of daemon provides. Its functions are called on the
-// goroutine of the event loop, unless they say otherwise.
+// Service has the state machine of one kind of daemon, and the functions that connect it
+// to the process. The functions are called on the goroutine of the event loop unless
+// their comments say otherwise.
 type Service struct {
 	Machine Machine
-	// Ready reports whether the daemon serves its purpose now.
+	// Ready reports whether the daemon is ready to serve.
 	Ready func(now time.Time) bool
-	// StopCommand asks the machine to stop gracefully.
+	// StopCommand is the command that makes the state machine stop gracefully.
 	StopCommand any
-	// CloseSlowSession returns the command for a session whose queue was full.
+	// CloseSlowSession returns the command that closes a session whose queue was full.
 	CloseSlowSession func(session uint64) any
-	// OperatorRequest returns the command for an operator's request at ctl; the
+	// OperatorRequest returns the command for an operator's request at ctl. The state
 	// machine responds to it with a membership.ControlResponse.
 	OperatorRequest func(request uint64, method, path string, body []byte) any
-	// FindDecisions returns the command for a search in the decision log, which
-	// the machine responds to with entries. It is nil if there is no log.
+	// FindDecisions returns the command for a search in the decision log. The state
+	// machine responds to it with a slice of decisionlog.Entry. It is nil if there is no
+	// decision log.
 	FindDecisions func(request uint64, requestName, message, client string) any
-	// Counters returns what ctl shows of the machine, as a JSON value.
+	// Counters returns the state machine's counters for ctl, as a value to be encoded
+	// in JSON.
 	Counters func() any
-	// ClientHandler serves clients over HTTP. It is called once, before the
-	// machine starts.
+	// ClientHandler returns the HTTP handler for clients. It is called once, before the
+	// state machine starts.
 	ClientHandler func(loop *EventLoop) http.Handler
-	// ListenClients serves clients by itself at an address, in place of
-	// ClientHandler.
+	// ListenClients starts a server for clients at an address that isn't an
+	// http.Server. It is used instead of ClientHandler, and also called once before the
+	// state machine starts.
 	ListenClients func(loop *EventLoop, address string) (Server, error)
 	// ControlAdapter adds routes to ctl; nil for none.
 	ControlAdapter ControlAdapter
-	// Reload applies settings that changed; nil if none concern the machine.
+	// Reload applies changed settings to the state machine; nil if no setting concerns
+	// it.
 	Reload func(after settings.Settings)
 }
 
-// Builder makes a daemon's service from its settings and what its disk stored.
+// Builder builds a daemon's service from its settings and the state stored on its disk.
 type Builder func(settings settings.Settings, self membership.Member, stored StoredState) (Service, error)
 
-// StoredState is what a daemon starts from.
+// StoredState is the state with which a daemon starts.
 type StoredState struct {
-	// Snapshot and Entries are what the disk has: nil for a new one.
+	// Snapshot and Entries are read from the disk; both are nil for a new disk.
 	Snapshot []byte
 	Entries  [][]byte
-	// NewDisk is a random name for the disk, if it has none yet.
+	// NewDisk is a random name, to be used if the disk has no name yet.
 	NewDisk string
-	// Incarnation is random, and identifies this run of the process.
+	// Incarnation is a random number that identifies this run of the process.
 	Incarnation statemachine.Incarnation
 }
 
-// Server serves clients until it is closed.
+// Server is a server for clients, which runs until it is closed.
 type Server interface{ Close() }
 
-// ControlAdapter serves operators at ctl in another form than the daemons' own.
-// It has no state of its own, and uses the ControlPort.
+// ControlAdapter adds routes to ctl that serve operators in another format than the
+// built-in routes. It is stateless, and accesses the daemon through the ControlPort.
 type ControlAdapter interface {
 	RegisterRoutes(routes *http.ServeMux, port ControlPort)
 }
 
-// ControlPort is what a ControlAdapter may ask of its daemon. Its methods may be
+// ControlPort is the interface of a daemon to its ControlAdapter. Its methods may be
 // called by any goroutine, and wait for the event loop.
 type ControlPort interface {
 	// Live reports whether the event loop responds.
 	Live() bool
-	// Ready reports whether the daemon serves its purpose now.
+	// Ready reports whether the daemon is ready to serve.
 	Ready() bool
 	// Request forwards an operator's request to the primary, and waits for its
 	// response.
@@ -99,9 +103,10 @@
 
 // ControlReply is the response to a request at ctl.
 type ControlReply struct {
-	// Status is that of HTTP.
+	// Status is the HTTP status.
 	Status int
-	// RetryAfter is 0 where the request need not be repeated.
+	// RetryAfter is the time after which to retry the request, 0 if no retry is
+	// needed.
 	RetryAfter time.Duration
 	// Body is JSON.
 	Body []byte
--- a/internal/daemon/stats.go
+++ b/internal/daemon/stats.go
@@ -6,8 +6,8 @@
 	"dahlialock/internal/transport"
 )
 
-// selfBody is what ctl shows of a daemon at /v1/self. The members are in
-// alphabetical order.
+// selfBody is the response body of ctl at /v1/self. Its members are in alphabetical
+// order.
 type selfBody struct {
 	Counters any                            `json:"counters"`
 	Epoch    uint64                         `json:"epoch"`
@@ -25,7 +25,8 @@
 	Zone     string                         `json:"zone"`
 }
 
-// selfBody returns the daemon's state and counters. It runs on the loop.
+// selfBody returns the daemon's state and counters. It is called on the goroutine of
+// the loop.
 func (p *process) selfBody(now time.Time) selfBody {
 	view := p.service.Machine.ViewClient()
 	links := p.loop.Transport()
@@ -47,8 +48,8 @@
 	}
 }
 
-// linkCounts are the counters of the links as ctl and the log show them. The
-// members are in alphabetical order.
+// linkCounts has the transport's counters as ctl and the log show them. Its members are
+// in alphabetical order.
 type linkCounts struct {
 	BytesCrossZone    int64 `json:"bytes_away"`
 	BytesIn           int64 `json:"bytes_in"`
@@ -81,7 +82,8 @@
 	}
 }
 
-// trafficTicks returns when the traffic is to be logged; nil for never.
+// trafficTicks returns a channel with a tick whenever the traffic is to be logged; nil
+// if it is never logged.
 func (p *process) trafficTicks() <-chan time.Time {
 	if p.settings.TrafficInterval <= 0 {
 		return nil
@@ -89,8 +91,8 @@
 	return time.NewTicker(p.settings.TrafficInterval).C
 }
 
-// trafficFields returns what crossed the links since the start, as the fields of a
-// log event, and what the server of clients counts.
+// trafficFields returns the fields of a log event with the transport's counters since
+// the start. If the daemon has ListenClients, they include the counters of its service.
 func (p *process) trafficFields() []any {
 	links := p.loop.Transport()
 	fields := []any{"links", countsOf(&links.Counters), "sent", links.Sent(), "received", links.Received()}
--- a/internal/daemon/stats_test.go
+++ b/internal/daemon/stats_test.go
@@ -9,8 +9,8 @@
 	"dahlialock/internal/transport"
 )
 
-// Operators' programs depend on the keys, and on their order where they compare
-// texts.
+// Operators' programs depend on the keys. Programs that compare the text also depend on
+// their order.
 func TestSelfBodyKeys(t *testing.T) {
 	body, err := json.Marshal(selfBody{
 		Received: map[string]transport.KindCount{"a": {Messages: 1, Bytes: 2}},
--- a/internal/daemon/step.go
+++ b/internal/daemon/step.go
@@ -7,10 +7,12 @@
 	"dahlialock/internal/transport"
 )
 
-// step makes one step of the machine and applies its effects.
+// step runs one step of the state machine and applies its effects. It then delivers the
+// messages that the state machine has sent to its own address.
 func (l *EventLoop) step(state *loopState, run func(now time.Time, effects *statemachine.Effects)) {
 	l.steps.Add(1)
-	// The process may have been suspended since the last step, also within a turn.
+	// The clock is read before each step, and not only once per turn, because the
+	// process may have been suspended since the last step.
 	state.now = l.clock()
 	var effects statemachine.Effects
 	run(state.now, &effects)
@@ -28,7 +30,8 @@
 	}
 }
 
-// receive gives the machine a message, or tells it of a refused connection.
+// receive passes a message to the state machine, or notifies it of a refused
+// connection.
 func (l *EventLoop) receive(state *loopState, inbound transport.Inbound) {
 	if _, refused := inbound.Message.(transport.ConnectionRefused); refused {
 		l.step(state, func(now time.Time, effects *statemachine.Effects) {
@@ -41,7 +44,7 @@
 	})
 }
 
-// synced tells the machine which writes are on disk.
+// synced notifies the state machine of the writes that are on disk.
 func (l *EventLoop) synced(state *loopState, tokens []uint64) {
 	state.writing = false
 	for _, token := range tokens {
@@ -51,8 +54,9 @@
 	}
 }
 
-// submit gives the machine a command with a new request number. The response
-// goes to respond, unless that is nil; it is nil if the machine has stopped.
+// submit passes a command with a new request number to the state machine. It calls
+// respond with the response, or with nil if the state machine has stopped. respond may
+// be nil.
 func (l *EventLoop) submit(state *loopState, command func(request uint64) any, respond func(value any)) {
 	if state.stopped {
 		if respond != nil {
@@ -70,7 +74,7 @@
 	})
 }
 
-// apply carries out the effects of a step.
+// apply executes the effects of a step.
 func (l *EventLoop) apply(state *loopState, effects *statemachine.Effects) {
 	for _, event := range effects.LogEvents {
 		l.logger.Write(event)
@@ -92,8 +96,8 @@
 	}
 }
 
-// send gives messages to the transport; those to the daemon's own address are
-// kept for the machine itself.
+// send passes messages to the transport. Messages to the daemon's own address are queued
+// in selfMessages instead.
 func (l *EventLoop) send(state *loopState, sends []statemachine.Send) {
 	version := l.machine.ConfigurationVersion()
 	for _, send := range sends {
@@ -111,8 +115,8 @@
 	}
 }
 
-// valueOf returns the value of a response by the clock as it is when the response
-// leaves.
+// valueOf returns the value of a response at the time when the response is sent: its
+// LateValue if its deadline has passed by then.
 func (l *EventLoop) valueOf(response statemachine.Response) any {
 	if response.NotAfter.IsZero() {
 		return response.Value
@@ -120,15 +124,15 @@
 	return response.ValueAt(l.clock())
 }
 
-// sink takes the events of one session: a queue, or a function that runs on the
-// goroutine of the loop.
+// sink receives the events of one session. It is a queue, or a function that is called
+// on the goroutine of the loop.
 type sink struct {
 	queue  chan statemachine.Delivery
 	handle func(statemachine.Delivery)
 }
 
-// deliver gives events to the sinks of their sessions, and returns the sessions
-// whose queues were full; their sinks are gone.
+// deliver passes events to the sinks of their sessions. It returns the sessions whose
+// queues were full, after closing and removing their sinks.
 func (s *loopState) deliver(deliveries []statemachine.Delivery) (slow []uint64) {
 	for _, delivery := range deliveries {
 		sink, found := s.sinks[delivery.Session]
@@ -147,7 +151,7 @@
 	return slow
 }
 
-// offer gives an event to the sink, and returns false if its queue is full.
+// offer passes an event to the sink, and returns false if its queue is full.
 func (s sink) offer(delivery statemachine.Delivery) bool {
 	if s.handle != nil {
 		s.handle(delivery)
@@ -161,7 +165,7 @@
 	}
 }
 
-// close ends the queue, if there is one.
+// close closes the queue, if there is one.
 func (s sink) close() {
 	if s.queue != nil {
 		close(s.queue)
--- a/internal/transport/acceptor.go
+++ b/internal/transport/acceptor.go
@@ -8,22 +8,24 @@
 	"github.com/panjf2000/gnet/v2"
 )
 
-// keepAliveInterval is that of TCP's probes, which find accepted connections
-// whose peers are gone.
+// keepAliveInterval is the interval of TCP keep-alive probes, which detect accepted
+// connections whose peers have disappeared.
 const keepAliveInterval = 15 * time.Second
 
 // acceptor accepts connections from peers and decodes their messages. It is the
-// event handler of a gnet engine with one loop, to which its state belongs.
+// event handler of a gnet engine with one loop; its state is only accessed on that
+// loop.
 type acceptor struct {
 	gnet.BuiltinEventEngine
 	transport *Transport
 	engine    gnet.Engine
-	// booted is closed once the engine listens, ended receives its end.
+	// booted is closed once the engine listens; ended receives the result of the
+	// engine when it stops.
 	booted chan struct{}
 	ended  chan error
 
 	decoder decoder
-	// connections are the newest from each peer, by its address.
+	// connections has the newest connection from each peer, by the peer's address.
 	connections map[string]gnet.Conn
 }
 
@@ -38,12 +40,12 @@
 
 // inboundPeer is the state of an accepted connection.
 type inboundPeer struct {
-	// address is that of the sender, empty before its preamble.
+	// address is that of the sender, empty until the preamble was received.
 	address string
-	// decompressor is nil unless the sender compresses.
+	// decompressor is nil unless the sender compresses batches.
 	decompressor *decompressor
-	// received counts bytes; acknowledged is its value at the last
-	// acknowledgement, of which there are none unless acknowledges is set.
+	// received counts received bytes; acknowledged is the value of received at the
+	// last acknowledgement. Acknowledgements are only sent if acknowledges is set.
 	received     int64
 	acknowledged int64
 	acknowledges bool
@@ -51,14 +53,15 @@
 
 // start listens on an address.
 func (a *acceptor) start(address string) error {
-	// gnet would share the port with another process that listens on it.
+	// gnet sets SO_REUSEPORT, and would share the port with another process that
+	// listens on it. The probe fails in that case.
 	probe, err := net.Listen("tcp", address)
 	if err != nil {
 		return err
 	}
 	_ = probe.Close()
 	options := append(gnetLogging(),
-		// With a port that may be shared, gnet accepts and reads in one loop.
+		// With SO_REUSEPORT, gnet accepts and reads in the same loop.
 		gnet.WithNumEventLoop(1), gnet.WithReuseAddr(true), gnet.WithReusePort(true),
 		gnet.WithTCPNoDelay(gnet.TCPNoDelay), gnet.WithTCPKeepAlive(keepAliveInterval))
 	go func() { a.ended <- gnet.Run(a, "tcp://"+address, options...) }()
@@ -77,13 +80,13 @@
 	return gnet.None
 }
 
-// OnOpen is called by gnet for a connection that was accepted.
+// OnOpen is called by gnet when a connection was accepted.
 func (a *acceptor) OnOpen(connection gnet.Conn) ([]byte, gnet.Action) {
 	connection.SetContext(&inboundPeer{})
 	return nil, gnet.None
 }
 
-// OnClose is called by gnet for a connection that ended.
+// OnClose is called by gnet when a connection has ended.
 func (a *acceptor) OnClose(connection gnet.Conn, _ error) gnet.Action {
 	if closed, matches := connection.Context().(*inboundPeer); matches && a.connections[closed.address] == connection {
 		delete(a.connections, closed.address)
@@ -91,8 +94,8 @@
 	return gnet.None
 }
 
-// OnTraffic is called by gnet when bytes were received. It reads all complete
-// frames.
+// OnTraffic is called by gnet when bytes were received. It handles all complete
+// frames in the receive buffer.
 func (a *acceptor) OnTraffic(connection gnet.Conn) gnet.Action {
 	from, matches := connection.Context().(*inboundPeer)
 	if !matches {
@@ -132,14 +135,14 @@
 	}
 }
 
-// isCompressed reports whether the header is that of a compressed batch.
+// isCompressed reports whether a header is that of a compressed batch.
 func isCompressed(header []byte) bool {
 	const flagInFirstByte = compressedFlag >> 24
 	return header[0]&flagInFirstByte != 0
 }
 
-// nextLength reads the header of a frame or of a compressed batch, as FrameLength
-// does.
+// nextLength reads the header of a frame or of a compressed batch, with the results
+// of FrameLength.
 func (ip *inboundPeer) nextLength(header []byte) (int, bool, error) {
 	if !isCompressed(header) {
 		return FrameLength(header)
@@ -151,7 +154,8 @@
 	return length, true, nil
 }
 
-// acknowledge tells the sender how many bytes were received, if enough were.
+// acknowledge sends the number of received bytes to the sender if an
+// acknowledgement is due.
 func (ip *inboundPeer) acknowledge(connection gnet.Conn) gnet.Action {
 	if !ip.acknowledges || !AcknowledgementDue(ip.acknowledged, ip.received) {
 		return gnet.None
@@ -190,7 +194,8 @@
 	return nil
 }
 
-// readFrame decodes one frame without its length, and delivers the message.
+// readFrame decodes one frame, passed without its length field, and delivers the
+// message.
 func (a *acceptor) readFrame(connection gnet.Conn, from *inboundPeer, frame []byte) error {
 	meta, message, err := a.decoder.decode(frame, from.address)
 	if err != nil {
@@ -211,8 +216,8 @@
 	return nil
 }
 
-// identified handles the preamble of a connection. Of several connections from a
-// peer the newest is the one that it writes to; the others are closed.
+// identified handles the preamble of a connection. A peer only writes to the newest
+// of its connections, so the older one is closed.
 func (a *acceptor) identified(connection gnet.Conn, from *inboundPeer, address string, first preamble) {
 	from.address = address
 	if first.Compressed && from.decompressor == nil {
@@ -229,16 +234,16 @@
 	a.transport.dialer.peerAppeared(address)
 }
 
-// reject closes a connection because of what was received.
+// reject reports and closes a connection on which malformed data was received.
 func (a *acceptor) reject(connection gnet.Conn, err error) gnet.Action {
 	a.transport.Counters.Malformed.Add(1)
 	a.transport.onMalformed(connection.RemoteAddr().String(), err)
 	return gnet.Close
 }
 
-// deliver queues a message for the owner. Where the owner can't keep up, what
-// isn't of the control state is dropped, as a network would, rather than hold up
-// everything behind it.
+// deliver queues a message for the owner. If the inbox is full, messages outside of
+// the control state are dropped, as by a congested network, so that they don't block
+// the messages behind them.
 func (t *Transport) deliver(inbound Inbound) {
 	if IsControl(inbound.Message) {
 		t.control <- inbound
--- a/internal/transport/bench_test.go
+++ b/internal/transport/bench_test.go
@@ -57,7 +57,7 @@
 	return made
 }
 
-// sendBatch sends messages as one batch of an owner.
+// sendBatch sends messages as one batch.
 func (e *end) sendBatch(tb testing.TB, to string, messages []any) {
 	tb.Helper()
 	for _, message := range messages {
@@ -110,8 +110,8 @@
 	mirrorReady = "mirror listens"
 )
 
-// TestMirror is the other end of the benchmark, as a process of its own: it
-// sends each batch back to its sender, until its input ends.
+// TestMirror is the peer process of the benchmark. It sends each batch back to its
+// sender until its standard input is closed.
 func TestMirror(t *testing.T) {
 	address := os.Getenv(mirrorFor)
 	if address == "" {
@@ -163,10 +163,10 @@
 	return ""
 }
 
-// BenchmarkTurns measures what a message costs between two processes on the
-// loopback address: the processor time, allocations and waits of one of them for
-// each message that it sends and gets back. One processor is used, as on the small
-// machines that daemons run on.
+// BenchmarkTurns measures the cost of a message between two processes over the
+// loopback interface: the processor time, allocations and voluntary context switches of
+// one process for each message that it sends and receives back. It uses one processor,
+// like the small hosts on which daemons run.
 func BenchmarkTurns(b *testing.B) {
 	for _, each := range []int{1, 4, 16} {
 		b.Run(fmt.Sprintf("frames=%d", each), func(b *testing.B) {
@@ -190,7 +190,7 @@
 			}
 			b.StopTimer()
 			_ = syscall.Getrusage(syscall.RUSAGE_SELF, &after)
-			// A message is sent once and received once.
+			// Each message is sent once and received once.
 			count := float64(each * b.N)
 			used := after.Utime.Nano() - before.Utime.Nano() + after.Stime.Nano() - before.Stime.Nano()
 			b.ReportMetric(float64(used)/count, "cpu-ns/msg")
--- a/internal/transport/class.go
+++ b/internal/transport/class.go
@@ -6,46 +6,47 @@
 	"dahlialock/internal/statemachine"
 )
 
-// Class is the priority of a message on a full link; a lower one goes first.
-// Order is kept between messages of one class to one peer, and between no others.
+// Class is the priority of a message on a saturated link; lower values are sent
+// first. Order is only kept between messages of the same class to the same peer.
 type Class int
 
-// Classes, in the order in which they go.
+// Classes in the order of their priority, highest first.
 const (
-	// ClassControl is the control state: epochs, leases, heartbeats, views and
+	// ClassControl is for the control state: epochs, leases, heartbeats, views and
 	// operators' requests.
 	ClassControl Class = iota
-	// ClassTransient is what is of use at once or not at all.
+	// ClassTransient is for messages that are useless if they arrive late.
 	ClassTransient
-	// ClassLive is what clients wait for.
+	// ClassLive is for messages that clients wait for.
 	ClassLive
-	// ClassInterest is who subscribes to what.
+	// ClassInterest is for announcements of subscriptions.
 	ClassInterest
-	// ClassCatchUp is what was missed before.
+	// ClassCatchUp is for records that the receiver has missed and requested afterwards.
 	ClassCatchUp
 	classCount
 )
 
-// mutationSingleClass has all messages treated alike.
+// mutationSingleClass names a mutation that disables the priorities: all messages
+// are treated alike.
 const mutationSingleClass = "single-class"
 
-// maxQueueTime is how long a message of a class may wait before it is dropped,
-// 0 for no bound. Interest is announced anew by then, and what was missed is
-// requested again.
+// maxQueueTime is how long a message of a class may be queued before it is dropped,
+// 0 for no bound. Dropping is safe for these classes: after that time, interest is
+// announced again, and missed records are requested again.
 var maxQueueTime = [classCount]time.Duration{
 	ClassInterest: 300 * time.Millisecond,
 	ClassCatchUp:  time.Second,
 }
 
-// Expired reports whether a message of the class is of no use any more after it
-// has waited that long.
+// Expired reports whether a message of the class that was queued for that long is
+// to be dropped.
 func (c Class) Expired(waited time.Duration) bool {
 	return maxQueueTime[c] > 0 && waited > maxQueueTime[c] && !statemachine.Mutated(mutationSingleClass)
 }
 
-// Numbers of message types are given by class: those below firstInterestNumber
-// are of the control state, the next ones of interest, the rest of what clients
-// wait for unless classOfNumber says otherwise.
+// The class of a message type follows from the range of its number: numbers below
+// firstInterestNumber are in ClassControl, those from there up to firstLiveNumber in
+// ClassInterest, and the rest in ClassLive. classOfNumber has the exceptions.
 const (
 	firstInterestNumber = 400
 	firstLiveNumber     = 500
@@ -54,14 +55,15 @@
 	transientMessageNumber = 601 // of package gateway
 )
 
-// classOfNumber has the exceptions to the ranges. The copies and the snapshots
-// of a partition are one stream, so that both stay in ClassLive.
+// classOfNumber has the message types whose class differs from that of their range.
+// The replicated records and the snapshots of a partition must stay in order, so both
+// are in ClassLive.
 var classOfNumber = map[uint16]Class{
 	fetchResponseNumber:    ClassCatchUp,
 	transientMessageNumber: ClassTransient,
 }
 
-// IsControl reports whether a message is of the control state.
+// IsControl reports whether a message belongs to the control state.
 func IsControl(message any) bool { return numberOf(message) < firstInterestNumber }
 
 // classifier is implemented by messages whose class depends on their content.
--- a/internal/transport/class_test.go
+++ b/internal/transport/class_test.go
@@ -11,8 +11,8 @@
 	"dahlialock/internal/transport"
 )
 
-// What is replicated in an epoch of a partition is one stream, and so is the
-// control state: no part of either may overtake another.
+// The replication messages of a partition must stay in order, and so must those of the
+// control state. Each of the two groups is therefore in a single class.
 func TestClassOfRegisteredMessages(t *testing.T) {
 	classes := map[transport.Class][]string{}
 	for number, name := range transport.Numbers() {
--- a/internal/transport/codec.go
+++ b/internal/transport/codec.go
@@ -2,7 +2,7 @@
 
 import "github.com/fxamacker/cbor/v2"
 
-// Bounds of what is decoded.
+// Bounds of decoded values.
 const (
 	maxNesting  = 32
 	maxElements = 4 << 20
@@ -44,8 +44,8 @@
 	return encoding.Marshal(value)
 }
 
-// MustMarshal is Marshal for the project's own types, for which an error is a
-// broken invariant: it panics.
+// MustMarshal is like Marshal, but panics on an error. It is for the project's own
+// types, for which an encoding error is a broken invariant.
 func MustMarshal(value any) []byte {
 	body, err := encoding.Marshal(value)
 	if err != nil {
--- a/internal/transport/compression.go
+++ b/internal/transport/compression.go
@@ -5,52 +5,56 @@
 	"math/bits"
 )
 
-// Batches to other zones are compressed, as bytes cost more there than the time
-// it takes. A batch is small, a few hundred bytes, so that a format gains little
-// that begins anew or sends its tables with each block. Here both ends of a
-// connection have the same model, which goes on from batch to batch: repetitions
-// within the last historyBytes are a length and a distance (LZ77), and all of it
-// is written in adaptive Huffman codes, so that text in which nothing repeats
-// still shrinks to its entropy.
+// Batches to other zones are compressed because traffic between zones costs more
+// than the processor time for compression. A batch is small, a few hundred bytes, so
+// a format that starts from an empty state or sends its code tables with each block
+// would save little. In this format, both ends of a connection maintain the same
+// model across batches. Repetitions within the last historyBytes are encoded as a
+// length and a distance (LZ77), and all symbols are written in adaptive Huffman
+// codes, so that text without repetitions still shrinks to its entropy.
 //
-// A compressed batch is the length of the body as a varint, and then bits, the
-// most significant first: symbols of literals or matches, the low bits of a
-// match's length, and for a match with a new distance the number of bits of the
-// distance as a symbol and the distance without its highest bit.
+// A compressed batch consists of the length of the body as a varint, followed by a
+// bit stream, the most significant bit first. Each element of the stream is a
+// literal or a match. A match is the symbol of its length slot and the low bits of
+// its length. If it has a new distance, a symbol for the number of bits of the
+// distance and the distance without its highest bit follow.
 const (
-	// historyBytes is how far back a match may be; longer bodies are compressed
+	// historyBytes is the maximum distance of a match; longer bodies are compressed
 	// in blocks of that size.
 	historyBytes = 8 << 10
 	// maxCompressible is the longest body that is compressed.
 	maxCompressible = 32 << 10
 
-	// minMatch is the shortest match with a new distance, minRepeat that with
-	// the last one, maxMatch the longest of both.
+	// minMatch is the minimum length of a match with a new distance, minRepeat of a
+	// match with the last distance. maxMatch is the maximum length of both.
 	minMatch  = 6
 	minRepeat = 3
 	maxMatch  = 255
-	// goodMatch is the length of a repeat for which no other match is sought,
-	// newDistanceCost what a new distance costs in bytes more than a repeat.
+	// goodMatch is the length from which on a match with the last distance is used
+	// without looking for another one. newDistanceCost is the additional cost in bytes
+	// of a match with a new distance.
 	goodMatch       = 16
 	newDistanceCost = 2
 
-	// Symbols below matchSymbols are literal bytes. Then come the slots of
-	// lengths of matches with a new distance, then those with the last one.
+	// Symbols below matchSymbols are literal bytes. They are followed by the length
+	// slots of matches with a new distance, and then by those of matches with the last
+	// distance.
 	lengthSlots   = 13
 	matchSymbols  = 256
 	repeatSymbols = matchSymbols + lengthSlots
 	symbolCount   = repeatSymbols + lengthSlots
 	maxSymbolBits = 11
 
-	// distanceSymbols are the numbers of bits that a distance may have.
+	// distanceSymbols is the size of the alphabet for the number of bits of a distance.
 	distanceSymbols = 14
 	maxDistanceBits = 8
 
-	// The codes are rebuilt after so many bytes, sooner at first.
+	// The codes are rebuilt after firstRebuild bytes; the interval then doubles up to
+	// maxRebuildInterval bytes.
 	firstRebuild       = 512
 	maxRebuildInterval = 4 << 10
 
-	// What is expected of symbols before anything was seen.
+	// The initial counts of symbols (see expectedSymbol).
 	commonCount = 8
 	rareCount   = 2
 
@@ -58,16 +62,17 @@
 	hashMultiplier = 2654435761
 )
 
-// model is the state that both ends of a connection keep equal.
+// model is the compression state, which is identical at both ends of a connection.
 type model struct {
-	// history has the last bytes, at least historyBytes of them if there were so
-	// many.
+	// history has the most recent bytes: at least the last historyBytes, if there
+	// were so many.
 	history []byte
-	// lastDistance is that of the last match, 0 before there was one.
+	// lastDistance is the distance of the last match, 0 before the first match.
 	lastDistance int
 	symbols      huffman
 	distances    huffman
-	// seen counts bytes since the codes were rebuilt; they are at rebuildAt.
+	// seen counts bytes since the codes were last rebuilt. They are rebuilt again when
+	// it reaches rebuildAt.
 	seen      int
 	rebuildAt int
 }
@@ -81,7 +86,8 @@
 	}
 }
 
-// expectedSymbol favours letters, digits and matches.
+// expectedSymbol returns the initial count of a symbol. It is higher for lowercase
+// letters, digits and matches.
 func expectedSymbol(symbol int) uint32 {
 	switch {
 	case symbol >= 'a' && symbol <= 'z', symbol >= '0' && symbol <= '9', symbol >= matchSymbols:
@@ -91,7 +97,7 @@
 }
 
 // slide makes space for more bytes in the history by dropping old ones, and
-// returns how many it dropped. Both ends do it at the same moments.
+// returns how many it dropped. Both ends call it at the same positions of the stream.
 func (m *model) slide(more int) int {
 	if len(m.history)+more <= cap(m.history) {
 		return 0
@@ -102,7 +108,7 @@
 	return dropped
 }
 
-// learn rebuilds the codes once enough bytes were seen.
+// learn counts processed bytes, and rebuilds the codes when that is due.
 func (m *model) learn(more int) {
 	m.seen += more
 	if m.seen < m.rebuildAt {
@@ -113,11 +119,12 @@
 	m.seen, m.rebuildAt = 0, min(2*m.rebuildAt, maxRebuildInterval)
 }
 
-// Lengths below plainSlots have a slot each; a longer one has the slot of its
-// number of bits, and all bits but the highest follow the slot.
+// Each length below plainSlots has a slot of its own. Longer lengths share the slot of
+// their number of bits, which is followed by all bits of the length but the highest.
 const plainSlots = 8
 
-// slotOf returns the slot of a length, and how many of its low bits follow.
+// slotOf returns the slot of a length, and how many low bits of the length follow the
+// slot.
 func slotOf(length int) (slot, extraBits int) {
 	if length < plainSlots {
 		return length, 0
@@ -126,7 +133,7 @@
 	return plainSlots + extraBits - 3, extraBits
 }
 
-// slotBase returns the shortest length of a slot, and how many bits follow.
+// slotBase returns the smallest length of a slot, and how many bits follow the slot.
 func slotBase(slot int) (base, extraBits int) {
 	if slot < plainSlots {
 		return slot, 0
@@ -135,14 +142,15 @@
 	return 1 << extraBits, extraBits
 }
 
-// compressor is the sending end.
+// compressor compresses batches at the sending end of a connection.
 type compressor struct {
 	model
-	// lastSeen has, by the hash of four bytes (hashOf), their last index in the
-	// history, -1 for none. Only indexes that at least minMatch bytes follow are in it.
+	// lastSeen maps the hash of four bytes (hashOf) to the last index in the history
+	// at which they occurred, -1 for none. It only has indexes from which on there are
+	// at least minMatch bytes.
 	lastSeen [1 << hashBits]int32
-	// out is the batch being written; bits has bitCount low bits that aren't yet
-	// in it.
+	// out is the batch being written. The lowest bitCount bits of bits aren't written to
+	// it yet.
 	out      []byte
 	bits     uint64
 	bitCount int
@@ -156,8 +164,8 @@
 	return made
 }
 
-// compress appends the compressed form of a body, of at most maxCompressible
-// bytes.
+// compress appends the compressed form of a body to out. The body has at most
+// maxCompressible bytes.
 func (c *compressor) compress(out, body []byte) []byte {
 	c.out, c.bits, c.bitCount = binary.AppendUvarint(out, uint64(len(body))), 0, 0
 	for len(body) > 0 {
@@ -176,7 +184,7 @@
 
 const bitsPerByte = 8
 
-// compressBlock compresses bytes that fit into the history.
+// compressBlock compresses a block of at most historyBytes.
 func (c *compressor) compressBlock(block []byte) {
 	if dropped := int32(c.slide(len(block))); dropped > 0 {
 		for hash, index := range c.lastSeen {
@@ -197,14 +205,15 @@
 	}
 }
 
-// match is a repetition of earlier bytes, none if its length is 0.
+// match is a repetition of earlier bytes. The length is 0 if there is none.
 type match struct {
 	length, distance int
-	// repeat is set where the distance is that of the last match.
+	// repeat is set if the distance is that of the previous match.
 	repeat bool
 }
 
-// findMatch finds what to write for the bytes from an index on.
+// findMatch returns the match to write for the bytes at an index, with the length 0 for
+// a literal.
 func (c *compressor) findMatch(at int) match {
 	history := c.history
 	var found match
@@ -228,7 +237,7 @@
 	return found
 }
 
-// writeMatch writes a match for the bytes from an index on, or one literal byte.
+// writeMatch writes a match, or the literal byte at an index if there is no match.
 func (c *compressor) writeMatch(at int, found match) {
 	switch {
 	case found.length == 0:
@@ -244,7 +253,8 @@
 	}
 }
 
-// writeLength writes a length over the shortest one, as symbols from a first on.
+// writeLength writes the length of a match, of which the minimum length was
+// subtracted. firstSymbol is the symbol of the first length slot.
 func (c *compressor) writeLength(firstSymbol, length int) {
 	slot, extraBits := slotOf(length)
 	c.writeSymbol(&c.symbols, firstSymbol+slot)
@@ -265,8 +275,8 @@
 	}
 }
 
-// matchLength returns how many bytes from two indexes on are equal; the earlier
-// ones may run into the later ones.
+// matchLength returns how many bytes at two indexes are equal, up to maxMatch. The two
+// ranges may overlap.
 func matchLength(history []byte, earlier, later int) int {
 	length, longest := 0, min(len(history)-later, maxMatch)
 	for length < longest && history[earlier+length] == history[later+length] {
@@ -275,16 +285,17 @@
 	return length
 }
 
-// hashOf returns the hash of the first four bytes.
+// hashOf returns the hash of the first four bytes of a slice.
 func hashOf(body []byte) uint32 {
 	return binary.LittleEndian.Uint32(body) * hashMultiplier >> (32 - hashBits)
 }
 
-// decompressor is the receiving end.
+// decompressor decompresses batches at the receiving end of a connection.
 type decompressor struct {
 	model
-	// in is what is left of the batch being read; bits has bitCount low bits
-	// taken from it. padding counts the zero bits read after its end.
+	// in is the unread rest of the current batch. The lowest bitCount bits of bits were
+	// taken from it, but not used yet. padding counts the zero bits that were added
+	// after its end.
 	in       []byte
 	bits     uint64
 	bitCount int
@@ -295,8 +306,8 @@
 	return &decompressor{model: newModel()}
 }
 
-// decompress returns the body of a compressed batch. After an error the model
-// differs from the sender's, so that the connection must be closed.
+// decompress returns the body of a compressed batch. After an error, the model
+// differs from the sender's, so the connection must be closed.
 func (d *decompressor) decompress(compressed []byte) ([]byte, error) {
 	length, size := binary.Uvarint(compressed)
 	if size <= 0 || length == 0 || length > maxCompressible {
@@ -315,14 +326,15 @@
 		body = append(body, d.history[start:]...)
 		remaining -= block
 	}
-	// Less than a byte may be left over: the padding of the last one.
+	// At most seven bits may be left over: the padding of the last byte.
 	if unread := bitsPerByte*len(d.in) + d.bitCount - d.padding; unread < 0 || unread >= bitsPerByte {
 		return nil, ErrorFrame.New("a compressed batch is longer or shorter than its body")
 	}
 	return body, nil
 }
 
-// decompressBlock appends to the history up to a length.
+// decompressBlock appends decompressed bytes to the history until it has the length
+// end.
 func (d *decompressor) decompressBlock(end int) error {
 	for len(d.history) < end {
 		symbol := d.readSymbol(&d.symbols)
@@ -353,8 +365,8 @@
 	return base | int(d.readBits(extraBits))
 }
 
-// fill takes bits from the batch until there are so many; after its end they are
-// zeros.
+// fill takes bytes from the batch until at least count bits are available. After the
+// end of the batch it adds zeros.
 func (d *decompressor) fill(count int) {
 	for d.bitCount < count {
 		next := byte(0)
--- a/internal/transport/compression_test.go
+++ b/internal/transport/compression_test.go
@@ -21,7 +21,8 @@
 	return len(compressed)
 }
 
-// letters is text of sixteen letters in which nothing repeats: four bits each.
+// letters returns random text over sixteen letters. It has no repetitions to match, and
+// an entropy of four bits per letter.
 func letters(random *rand.Rand, length int) []byte {
 	body := make([]byte, length)
 	for position := range body {
@@ -110,7 +111,7 @@
 	})
 }
 
-// BenchmarkCompress compresses batches of one publication each, as a gateway sends
+// BenchmarkCompress compresses batches with one publication each, as a gateway sends
 // them to a daemon in another zone.
 func BenchmarkCompress(b *testing.B) {
 	random := rand.New(rand.NewPCG(7, 8))
--- a/internal/transport/deadline.go
+++ b/internal/transport/deadline.go
@@ -7,24 +7,24 @@
 	"dahlialock/internal/statemachine"
 )
 
-// Some messages may only be sent until a deadline, such as what a daemon says
-// under a lease. The clock is read once more when the bytes go to the socket,
-// since the process may have been suspended after the state machine sent them,
-// or they may have waited for a connection.
+// Some messages may only be sent until a deadline, such as messages that are valid
+// only while the sender has a lease. The clock is read again when the bytes are
+// written to the socket, because the process may have been suspended after the state
+// machine sent them, or they may have been queued until there was a connection.
 
 // deadline is the time until which one frame of a batch may be sent; start and
-// end are its place in the batch's bytes.
+// end are the frame's byte offsets in the batch.
 type deadline struct {
 	start, end int
 	notAfter   time.Time
 }
 
-// SetClock sets the clock by which deadlines are judged, which must be the one
-// of the state machine. It is called before the first message is sent.
+// SetClock sets the clock for deadlines, which must be the clock of the state machine.
+// It is called before the first message is sent.
 func (t *Transport) SetClock(clock func() time.Time) { t.clock = clock }
 
-// withoutExpired returns a chunk without the frames whose deadlines have passed.
-// The deadlines of the others are kept, since the chunk may have to wait again.
+// withoutExpired returns a chunk without the frames whose deadlines have passed. The
+// deadlines of the remaining frames are kept, because the chunk may be queued again.
 func (t *Transport) withoutExpired(sent chunk) chunk {
 	if len(sent.deadlines) == 0 {
 		return sent
@@ -76,8 +76,8 @@
 	}
 }
 
-// deadlinesWithin returns the deadlines of the frames in a part of a batch, with
-// their places in that part.
+// deadlinesWithin returns the deadlines of the frames in the range from start to end of
+// a batch, with byte offsets relative to start.
 func deadlinesWithin(deadlines []deadline, start, end int) []deadline {
 	var within []deadline
 	for _, each := range deadlines {
--- a/internal/transport/deadline_test.go
+++ b/internal/transport/deadline_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// The frames that remain keep their bytes, order and deadlines.
+// The remaining frames keep their bytes, order and deadlines.
 func TestTransportDropsExpiredFramesOfBatch(t *testing.T) {
 	past, future := time.Now().Add(-time.Second), time.Now().Add(time.Hour)
 	links := &Transport{clock: time.Now}
--- a/internal/transport/dialer.go
+++ b/internal/transport/dialer.go
@@ -17,54 +17,57 @@
 )
 
 const (
-	// firstDialTimeout is that of each of the first eagerDials dials to a peer;
-	// the later ones may take twice as long each, up to maxDialTimeout. A machine
-	// that is just starting drops the first SYN, and the system would repeat it
-	// after a second only.
+	// firstDialTimeout is the timeout of the first eagerDials+1 dials to a peer. Each
+	// later dial has twice the timeout of the previous one, up to maxDialTimeout. The
+	// timeout is short because a host that is just starting drops the first SYN, and the
+	// kernel retransmits a SYN only after a second.
 	firstDialTimeout = 200 * time.Millisecond
 	eagerDials       = 8
 	maxDialTimeout   = time.Second
 	// minBackoff and maxBackoff bound the pause after a dial that failed.
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 500 * time.Millisecond
-	// probeDelay is when a connection that ended is dialed again to see whether
-	// anybody is there, if links are observed; slowProbeDelay where somebody
-	// accepts connections and closes them again and again.
+	// probeDelay is the delay after which an ended connection is dialed again if
+	// links are observed, to find out whether the peer still listens. slowProbeDelay
+	// is used instead if the peer accepts connections but closes them repeatedly.
 	probeDelay     = 5 * time.Millisecond
 	slowProbeDelay = 200 * time.Millisecond
-	// idleTimeout is after how long without a batch a connection is closed, and
-	// how often that is checked.
+	// idleTimeout is the interval of the checks for idle connections. A check closes
+	// the connections that had no batch since the previous check.
 	idleTimeout = 30 * time.Second
-	// unacknowledgedTimeout ends a connection whose peer's TCP acknowledges
-	// nothing for that long.
+	// unacknowledgedTimeout is the TCP_USER_TIMEOUT: a connection ends if sent data
+	// isn't acknowledged by the peer's TCP stack for that long.
 	unacknowledgedTimeout = 1500 * time.Millisecond
-	// readBufferBytes is that of dialed connections, which only receive
+	// readBufferBytes is the read buffer of a dialed connection, which only receives
 	// acknowledgements.
 	readBufferBytes = 1 << 10
 )
 
-// dialer dials peers, and sends what the owner can't write at once (see
-// takeOver). It is the event handler of a gnet client with one loop, whose
-// connections have their link as context.
+// dialer dials peers, and sends the chunks that the owner can't write at once (see
+// takeOver). It is the event handler of a gnet client with one loop. The gnet
+// context of each of its connections is the link.
 type dialer struct {
 	gnet.BuiltinEventEngine
 	transport *Transport
 	client    *gnet.Client
 	loop      gnet.EventLoop
-	// running is set once there is a loop; peers may connect before.
+	// running is set once the loop has been started; peers may connect to the
+	// acceptor before that.
 	running atomic.Bool
 	// dial connects to an address. Tests replace it and firstDialTimeout.
 	dial             func(limit context.Context, address string) (net.Conn, error)
 	firstDialTimeout time.Duration
 
-	// The rest belongs to the loop, see run. Links are by address, and stay.
+	// The remaining fields are only accessed on the loop (see run). links has links
+	// by address; entries are never removed.
 	links map[string]*link
-	// queue has what waits for a connection, its window, or the pacer.
+	// queue has the chunks that wait for a connection, for the connection's flow
+	// window, or for the pacer.
 	queue PriorityQueue[chunk]
-	// drainAt is when a timer drains the queue, zero for none.
+	// drainAt is when the timer of drainAfter fires, zero for none.
 	drainAt time.Time
 	stopped bool
-	// compressBuffer is reused from chunk to chunk.
+	// compressBuffer is reused across chunks.
 	compressBuffer []byte
 }
 
@@ -79,8 +82,8 @@
 }
 
 // start starts the loop. gnet gives access to a loop only through one of its
-// connections, so that the first one goes to the daemon's own address, and ends
-// at once.
+// connections, so start opens a connection to the daemon's own address, and closes
+// it at once.
 func (d *dialer) start() error {
 	options := append(gnetLogging(), gnet.WithNumEventLoop(1), gnet.WithReadBufferCap(readBufferBytes))
 	client, err := gnet.NewClient(d, options...)
@@ -108,7 +111,8 @@
 	return nil
 }
 
-// run runs a function on the loop, after those before it. It doesn't wait.
+// run schedules a function on the loop, in the order of the calls. It doesn't wait
+// for the function.
 func (d *dialer) run(work func()) {
 	_ = d.loop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
 		work()
@@ -116,12 +120,12 @@
 	}))
 }
 
-// after runs a function on the loop after a while.
+// after runs a function on the loop after a delay.
 func (d *dialer) after(wait time.Duration, work func()) {
 	time.AfterFunc(wait, func() { d.run(work) })
 }
 
-// OnOpen is called by gnet for a connection that was made.
+// OnOpen is called by gnet when a connection was established.
 func (d *dialer) OnOpen(connection gnet.Conn) ([]byte, gnet.Action) {
 	to, matches := connection.Context().(*link)
 	if !matches {
@@ -130,7 +134,7 @@
 	return nil, d.connected(to, connection)
 }
 
-// OnClose is called by gnet for a connection that ended.
+// OnClose is called by gnet when a connection has ended.
 func (d *dialer) OnClose(connection gnet.Conn, _ error) gnet.Action {
 	if to, matches := connection.Context().(*link); matches {
 		d.connectionLost(to, connection)
@@ -138,8 +142,8 @@
 	return gnet.None
 }
 
-// OnTraffic is called by gnet when bytes were received, which are
-// acknowledgements: only the newest one counts.
+// OnTraffic is called by gnet when bytes were received. They are cumulative
+// acknowledgements, of which only the newest is used.
 func (d *dialer) OnTraffic(connection gnet.Conn) gnet.Action {
 	from, matches := connection.Context().(*link)
 	if !matches {
@@ -162,7 +166,8 @@
 	return gnet.None
 }
 
-// connect dials a peer, unless a dial is in progress or failed a moment ago.
+// connect dials a peer unless a dial is in progress. After a failed dial it waits
+// until the backoff has passed.
 func (d *dialer) connect(to *link) {
 	if to.dialing || d.stopped {
 		return
@@ -187,7 +192,7 @@
 	}()
 }
 
-// dialTimeout returns how long a dial may take after some attempts.
+// dialTimeout returns the timeout of a dial after a number of earlier attempts.
 func (d *dialer) dialTimeout(attempts int) time.Duration {
 	doublings := min(max(0, attempts-eagerDials), eagerDials)
 	return max(d.firstDialTimeout, min(d.firstDialTimeout<<doublings, maxDialTimeout))
@@ -200,7 +205,7 @@
 	}
 	dialer.Control = func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(descriptor uintptr) {
-			// Where the system doesn't know the option, a dead peer is found later.
+			// On systems without this option, an unreachable peer is detected later.
 			_ = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT,
 				int(unacknowledgedTimeout.Milliseconds()))
 		})
@@ -208,13 +213,14 @@
 	return dialer.DialContext(limit, "tcp", address)
 }
 
-// compresses reports whether batches to a peer are compressed: those to other
-// zones, and all where the machine's own link is slow.
+// compresses reports whether batches to a peer are compressed. If compression is
+// enabled, batches to other zones are, and all batches if the host's own network
+// link is slow.
 func (d *dialer) compresses(to *link) bool {
 	return d.transport.compression.Load() && (to.crossZone || d.transport.pacer.RequiresAcknowledgements())
 }
 
-// connected handles a new connection. The preamble goes first.
+// connected handles a new connection. It sends the preamble before all else.
 func (d *dialer) connected(to *link, connection gnet.Conn) gnet.Action {
 	to.dialing, to.peerSeen, to.attempts = false, false, 0
 	descriptor, err := connection.Dup()
@@ -254,12 +260,13 @@
 	var netError net.Error
 	timedOut := errors.As(err, &netError) && netError.Timeout()
 	if timedOut && to.attempts <= eagerDials {
-		// The dial itself was pause enough.
+		// The timeout of the dial has already delayed the next one, so the backoff
+		// doesn't grow.
 		to.backoff = 0
 	}
 	if !timedOut && !refused && !to.peerSeen {
-		// The connection was made and reset before it could be used: somebody was
-		// there, and may be gone by the next time.
+		// The connection was established, but reset before it could be used. The
+		// peer was listening, and the next dial shows whether it still is.
 		d.probeAfter(to, slowProbeDelay)
 	}
 	if !to.peerSeen {
@@ -272,8 +279,8 @@
 	}
 }
 
-// reportRefused tells the owner that nobody listens at a peer's address, unless
-// the owner is busy.
+// reportRefused delivers a ConnectionRefused for a peer's address to the owner. It
+// is dropped if the channel is full.
 func (d *dialer) reportRefused(to *link) {
 	inbound := Inbound{
 		Meta:    statemachine.Meta{From: to.address},
@@ -285,11 +292,11 @@
 	}
 }
 
-// peerAppeared is called by the acceptor when a peer has identified itself on a
-// connection of its own: since the peer is there, a dial begun before it was is
-// cancelled and made anew.
+// peerAppeared is called by the acceptor when a peer has connected and sent its
+// preamble. The peer is now reachable, so a dial that is still in progress, which
+// may have started before the peer was listening, is cancelled and repeated.
 func (d *dialer) peerAppeared(address string) {
-	// While the transport is still opening there is no dial to cancel.
+	// While the transport is still opening, there is no dial to cancel.
 	if !d.running.Load() {
 		return
 	}
@@ -327,17 +334,18 @@
 		d.probeAfter(to, wait)
 	}
 	to.unwritten = chunk{}
-	// Who requested what it had missed requests it again, on a connection of its
-	// own.
+	// Catch-up responses are dropped because the peer requests the missed records
+	// again on its own connection.
 	d.dropped(d.queue.Remove(to.address, ClassCatchUp, func(chunk) bool { return true }))
 	if d.queue.Contains(to.address) {
-		// The queue may be in use by what closed the connection.
+		// The queue isn't accessed at once because the connection may have been closed
+		// by a function that is iterating over the queue.
 		d.serveAfter(to, to.backoff)
 	}
 }
 
-// probeAfter dials again after a while, if links are observed, so that the owner
-// learns whether anybody is there.
+// probeAfter dials again after a delay if links are observed, so that the owner is
+// notified if the peer no longer listens.
 func (d *dialer) probeAfter(to *link, wait time.Duration) {
 	if !d.transport.observesLinks.Load() || d.stopped {
 		return
@@ -350,14 +358,14 @@
 	})
 }
 
-// backOff makes the pause before the next dial longer.
+// backOff doubles the pause before the next dial, within its bounds.
 func (d *dialer) backOff(to *link) {
 	to.backoff = min(max(2*to.backoff, minBackoff), maxBackoff)
 	to.retryAt = time.Now().Add(to.backoff)
 }
 
-// closeAfterError closes the connection of a socket after a write has failed.
-// It is called by the owner.
+// closeAfterError closes the connection of a socket after a failed write. It is
+// called by the owner.
 func (d *dialer) closeAfterError(to *link, failed *socket) {
 	d.run(func() {
 		if to.socket == failed {
@@ -366,7 +374,8 @@
 	})
 }
 
-// sweepIdle closes the connections that had no batch since the last sweep.
+// sweepIdle closes the connections that had no batch since the last sweep and have
+// nothing queued.
 func (d *dialer) sweepIdle() {
 	d.run(func() {
 		if d.stopped {
--- a/internal/transport/dialer_queue.go
+++ b/internal/transport/dialer_queue.go
@@ -5,16 +5,17 @@
 const (
 	// maxConnectWait is how long a chunk may wait for a connection.
 	maxConnectWait = 2 * time.Second
-	// maxOutboundBuffer is how many bytes gnet may buffer for a connection before
-	// more wait in the queue; it is checked again after bufferCheckInterval.
+	// maxOutboundBuffer is how many bytes gnet may buffer for a connection. If there
+	// are more, chunks stay in the queue, and the buffer is checked again after
+	// bufferCheckInterval.
 	maxOutboundBuffer   = 64 << 10
 	bufferCheckInterval = 10 * time.Millisecond
-	// maxChunkBytes is how many bytes of a batch are sent at once where they had
-	// to wait.
+	// maxChunkBytes bounds the size of the chunks into which queued batches are
+	// split. A chunk is larger only if it has a single frame.
 	maxChunkBytes = 8 << 10
 )
 
-// takeOver takes the chunks that the owner handed over for a link.
+// takeOver queues the chunks that the owner handed over for a link.
 func (d *dialer) takeOver(to *link, chunks []chunk) {
 	to.takenOver++
 	d.links[to.address] = to
@@ -31,8 +32,9 @@
 	d.serve(to)
 }
 
-// split splits a chunk between frames, so that more urgent ones can go in
-// between; into single frames where an impairment may treat them differently.
+// split splits a chunk at frame boundaries, so that chunks of higher classes can be
+// sent in between. If an impairment is set, which may apply to each frame
+// differently, it splits the chunk into single frames.
 func (d *dialer) split(to *link, complete chunk, now time.Time) []chunk {
 	impairment := d.transport.impairment.Load()
 	unimpaired := impairment.none()
@@ -74,14 +76,14 @@
 	return parts
 }
 
-// serve sends what is queued, beginning with what a link hasn't written.
+// serve sends the unwritten rest of a link's last write, and then drains the queue.
 func (d *dialer) serve(to *link) {
 	d.continueWrite(to)
 	d.drain()
 	d.restoreDirect(to)
 }
 
-// serveAfter serves a link after a while, unless that is due sooner anyway.
+// serveAfter serves a link after a delay, unless an earlier timer is already set.
 func (d *dialer) serveAfter(to *link, wait time.Duration) {
 	due := time.Now().Add(wait)
 	if !to.serveAt.IsZero() && !due.Before(to.serveAt) {
@@ -94,8 +96,8 @@
 	})
 }
 
-// drain sends what is queued for all links, as far as their connections and the
-// machine's link take it.
+// drain sends the queued chunks of all links until their connections or the host's
+// network link have no more capacity.
 func (d *dialer) drain() {
 	for {
 		now := time.Now()
@@ -123,7 +125,8 @@
 	}
 }
 
-// drainAfter drains the queue once the machine's link takes more.
+// drainAfter sets a timer that drains the queue once the host's network link has
+// capacity again.
 func (d *dialer) drainAfter(now time.Time, wait time.Duration) {
 	if d.queue.Empty() || d.drainAt.After(now) {
 		return
@@ -135,8 +138,9 @@
 	})
 }
 
-// accepts reports whether a chunk may leave the queue, to be sent or dropped. If
-// not, it sees to it that the link is served once it may.
+// accepts reports whether a chunk may be taken from the queue, to be sent or
+// dropped. If not, it ensures that the link is served again later: by a dial or a
+// timer, or by the acknowledgement that opens the flow window.
 func (d *dialer) accepts(peer string, next chunk) bool {
 	to := d.links[peer]
 	switch {
@@ -161,7 +165,7 @@
 // transmit writes a chunk to its connection.
 func (d *dialer) transmit(now time.Time, to *link, next chunk) {
 	if d.transport.blocksOutbound(to.address) {
-		// What follows goes over a connection that is dialed anew.
+		// The connection is closed; a new one is dialed for later chunks.
 		d.transport.Counters.Dropped.Add(int64(next.frames))
 		if to.connection != nil {
 			_ = d.loop.Close(to.connection)
@@ -177,7 +181,8 @@
 	d.write(now, to, framed, next.frames)
 }
 
-// continueWrite continues a write of which the owner's socket took a part.
+// continueWrite writes the rest of a partial write of the owner. If the connection
+// has changed since, the rest is dropped.
 func (d *dialer) continueWrite(to *link) {
 	rest := to.unwritten
 	if rest.continues == nil {
@@ -198,8 +203,8 @@
 	_, _ = to.connection.Write(body)
 }
 
-// restoreDirect lets the owner write to a link itself again where nothing is
-// queued.
+// restoreDirect permits the owner to write to a link's socket again if nothing is
+// queued for the link.
 func (d *dialer) restoreDirect(to *link) {
 	switch {
 	case to.connection == nil, to.unwritten.continues != nil, d.queue.Contains(to.address):
@@ -213,14 +218,15 @@
 	}
 }
 
-// dropStale drops what has waited for a connection for too long.
+// dropStale drops the chunks for a peer that were queued for longer than
+// maxConnectWait.
 func (d *dialer) dropStale(to *link) {
 	oldest := time.Now().Add(-maxConnectWait)
 	stale := func(each chunk) bool { return each.queuedAt.Before(oldest) }
 	d.dropped(d.queue.RemoveAll(to.address, stale))
 }
 
-// dropped counts chunks that aren't sent.
+// dropped counts the frames of chunks that were dropped.
 func (d *dialer) dropped(chunks []chunk) {
 	for _, each := range chunks {
 		d.transport.Counters.Dropped.Add(int64(each.frames))
--- a/internal/transport/dialer_test.go
+++ b/internal/transport/dialer_test.go
@@ -10,12 +10,12 @@
 	"gotest.tools/v3/assert"
 )
 
-// testMessage is a registered message.
+// testMessage is a registered message type.
 type testMessage struct{ Number uint64 }
 
 func init() { MustRegister(9001, testMessage{}) }
 
-// testTimeout bounds each wait; no test depends on how long it took.
+// testTimeout bounds each wait. No assertion depends on the duration of a wait.
 const testTimeout = 20 * time.Second
 
 func openAt(t *testing.T) (*Transport, string, chan Inbound) {
@@ -42,8 +42,8 @@
 	}
 }
 
-// A machine that is just starting drops SYNs, and the system repeats them after a
-// second only.
+// The first dials time out early because a host that is just starting drops SYNs, and the
+// kernel retransmits a SYN only after a second.
 func TestDialerTimesOutUnansweredDialsEarly(t *testing.T) {
 	links, _, _ := openAt(t)
 	limits := make(chan time.Duration, 16)
@@ -58,7 +58,8 @@
 		if number > eagerDials {
 			maximum = min(firstDialTimeout<<(number-eagerDials), maxDialTimeout)
 		}
-		// What has waited for too long is dropped, and without it there is no dial.
+		// A message is sent for each dial, because a message that was queued for too long is
+		// dropped, and there is no dial without a queued message.
 		assert.NilError(t, links.Send("127.0.0.1:9", 0, testMessage{}))
 		links.Flush()
 		limit := awaited(t, limits, "it was not dialed again")
@@ -94,7 +95,8 @@
 	assert.Equal(t, came.Message.(testMessage).Number, uint64(7))
 }
 
-// A daemon listens before it dials, so that peers may connect in between.
+// A daemon starts the acceptor before the dialer, so peers may connect before the dialer
+// runs.
 func TestDialerIgnoresPeersBeforeItRuns(_ *testing.T) {
 	opening := newTransport("10.0.0.2:1")
 	opening.dialer.peerAppeared("10.0.0.1:1")
--- a/internal/transport/flow_window.go
+++ b/internal/transport/flow_window.go
@@ -12,49 +12,51 @@
 	initialWindow int64 = 8 << 10
 	maxWindow     int64 = 1 << 20
 
-	// AcknowledgeEvery is how many bytes there are between two acknowledgements,
-	// counted from the beginning of the connection at both of its ends.
+	// AcknowledgeEvery is the number of bytes between two acknowledgements. Both ends
+	// of a connection count from its start.
 	AcknowledgeEvery = 2 << 10
-	// acknowledgementBytes is the size of an acknowledgement: a count of bytes.
+	// acknowledgementBytes is the size of an acknowledgement, which is the total count
+	// of received bytes.
 	acknowledgementBytes = 8
-	// AcknowledgeUnlimited is the only acknowledgement of a receiver that needs
-	// no flow control, given at the beginning.
+	// AcknowledgeUnlimited is sent once, after the preamble, by a receiver that needs
+	// no flow control. It sends no other acknowledgements.
 	AcknowledgeUnlimited int64 = 1 << 62
 
-	// targetQueueDelay is how long bytes may be queued on their way for the
-	// window to grow; above maxQueueDelay it shrinks.
+	// The window grows only if the queueing delay is below targetQueueDelay, and
+	// shrinks if the delay is above maxQueueDelay.
 	targetQueueDelay = 15 * time.Millisecond
 	maxQueueDelay    = 40 * time.Millisecond
-	// maxBaseRoundTrip bounds the round trip that counts as the link's own; what
-	// is beyond is taken for queueing.
+	// maxBaseRoundTrip bounds the part of the round trip that is taken for propagation
+	// delay; the rest counts as queueing delay.
 	maxBaseRoundTrip = 60 * time.Millisecond
 )
 
-// FlowWindow bounds the bytes in flight on one connection. It is a congestion
-// window by delay, as in LEDBAT: it grows while acknowledgements take no longer
-// than the shortest round trip seen, and shrinks while bytes are queued on their
-// way, behind others' on a full link or at a peer that doesn't read.
+// FlowWindow bounds the bytes in flight on one connection. It is a delay-based
+// congestion window, similar to LEDBAT. It grows while the round trip of
+// acknowledgements is close to the shortest one measured. It shrinks when bytes are
+// queued on the path: behind other traffic on a saturated link, or at a peer that
+// doesn't read.
 //
-// Sent and Admits are for whoever may write on the connection at the time;
-// Acknowledge may be called at the same time by one other goroutine. The zero
+// Sent and Admits are called by the goroutine that may currently write to the
+// connection; Acknowledge may be called concurrently by one other goroutine. The zero
 // value is ready for use.
 type FlowWindow struct {
-	// limit is the window in bytes, 0 before it was ever changed.
+	// limit is the window in bytes, 0 for initialWindow.
 	limit atomic.Int64
-	// sent and acknowledged count bytes since the connection began.
+	// sent and acknowledged count bytes since the connection was established.
 	sent         atomic.Int64
 	acknowledged atomic.Int64
-	// nearlyFull is set where three quarters of the window were used since it
-	// last grew; a window that isn't used doesn't grow.
+	// nearlyFull is set if more than three quarters of the window were in flight at
+	// some time since it last grew. A window that isn't used doesn't grow.
 	nearlyFull atomic.Bool
-	// probe is the count of bytes whose acknowledgement is being timed, 0 if
-	// none is, and probeSentAt when it was reached, in nanoseconds since 1970.
-	// Whoever sends sets probe from 0, whoever acknowledges sets it to 0.
+	// probe is the byte count whose acknowledgement is being timed, 0 for none.
+	// probeSentAt is when that count was sent, in nanoseconds since 1970. Sent sets
+	// probe if it is 0, Acknowledge resets it to 0.
 	probe       atomic.Int64
 	probeSentAt atomic.Int64
 
-	// Of the goroutine that calls Acknowledge: the shortest round trip seen, and
-	// the bytes sent when the window last shrank.
+	// The next two fields belong to the goroutine that calls Acknowledge: the shortest
+	// round trip measured, and the count of sent bytes when the window last shrank.
 	baseRoundTrip time.Duration
 	shrunkAtSent  int64
 }
@@ -72,8 +74,8 @@
 	}
 }
 
-// Acknowledge takes an acknowledgement: how many bytes the receiver has received
-// since the connection began.
+// Acknowledge handles an acknowledgement. The count is the total of bytes that the
+// receiver has received on the connection.
 func (w *FlowWindow) Acknowledge(now time.Time, count int64) {
 	if count < w.acknowledged.Load() {
 		return
@@ -86,7 +88,7 @@
 	}
 }
 
-// adapt changes the window after a round trip.
+// adapt adjusts the window to a measured round trip.
 func (w *FlowWindow) adapt(roundTrip time.Duration) {
 	if w.baseRoundTrip == 0 || roundTrip < w.baseRoundTrip {
 		w.baseRoundTrip = roundTrip
@@ -98,14 +100,15 @@
 		w.limit.Store(min(maxWindow, w.size()+w.size()/2))
 	case queued > maxQueueDelay && w.acknowledged.Load() >= w.shrunkAtSent:
 		w.limit.Store(max(minWindow, w.size()/2))
-		// It shrinks once for all that is in flight now.
+		// The window doesn't shrink again until all bytes now in flight are
+		// acknowledged.
 		w.shrunkAtSent = w.sent.Load()
 	}
 }
 
 // Admits reports whether a message of a class may be written to the connection.
-// Control and transient messages always may, and what clients wait for up to
-// twice the window, so that bytes of lower classes in flight don't hold it back.
+// ClassControl and ClassTransient are always admitted. ClassLive is admitted up to
+// twice the window, so that bytes of lower classes in flight don't block it.
 func (w *FlowWindow) Admits(class Class) bool {
 	inFlight := w.sent.Load() - w.acknowledged.Load()
 	switch {
@@ -117,8 +120,9 @@
 	return inFlight < w.size()
 }
 
-// AcknowledgementDue reports whether a receiver has received enough since its
-// last acknowledgement for the next one.
+// AcknowledgementDue reports whether a receiver has to send an acknowledgement: whether
+// its count of received bytes has passed a multiple of AcknowledgeEvery since the last
+// one.
 func AcknowledgementDue(acknowledged, received int64) bool {
 	return received/AcknowledgeEvery > acknowledged/AcknowledgeEvery
 }
--- a/internal/transport/flow_window_test.go
+++ b/internal/transport/flow_window_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// receiver is the other end of a connection, which acknowledges what it receives.
+// receiver is the receiving end of a connection. It acknowledges received bytes.
 type receiver struct{ received, acknowledged int64 }
 
 func (r *receiver) receive(window *FlowWindow, at time.Time, size int) {
@@ -18,8 +18,9 @@
 	}
 }
 
-// sendFor sends for a while over a link of a rate on which others cause a delay.
-// It returns the most bytes in flight once the window is stable, and those received.
+// sendFor sends for the duration length over a link with a rate in bytes per second, on
+// which other traffic causes a constant queueing delay. It returns the maximum of bytes in
+// flight once the window is stable, and the number of received bytes.
 func sendFor(length, others time.Duration, rate int) (inFlight, received int64) {
 	var window FlowWindow
 	var peer receiver
@@ -57,7 +58,7 @@
 	assert.Assert(t, inFlight > 64<<10 && received > 30_000_000, "free: %d, %d received", inFlight, received)
 	inFlight, received = sendFor(4*time.Second, 200*time.Millisecond, 325_000)
 	assert.Assert(t, inFlight <= minWindow+1000 && received > 40_000, "others: %d, %d received", inFlight, received)
-	// On its own a slow link's queue stays short, and the link is used.
+	// Without other traffic, the queue of a slow link stays short and the link is utilized.
 	inFlight, received = sendFor(4*time.Second, 0, 325_000)
 	assert.Assert(t, inFlight < 325_000/10 && received > 4*325_000*9/10, "slow: %d, %d received", inFlight, received)
 }
@@ -84,10 +85,10 @@
 	window.Sent(now, int(initialWindow))
 	assert.Assert(t, !window.Admits(ClassLive) && window.Admits(ClassTransient) && window.Admits(ClassControl))
 	window.Acknowledge(now, initialWindow)
-	// The acknowledgement came at once, so that the window has grown by half.
+	// The round trip was 0, so the window has grown by half.
 	assert.Assert(t, window.Admits(ClassCatchUp) && window.Admits(ClassLive))
 	assert.Equal(t, window.size(), initialWindow*3/2)
-	// A receiver that needs no flow control says so once.
+	// A receiver that needs no flow control sends a single acknowledgement.
 	window.Acknowledge(now, AcknowledgeUnlimited)
 	window.Sent(now, 1<<30)
 	assert.Assert(t, window.Admits(ClassCatchUp))
--- a/internal/transport/frame.go
+++ b/internal/transport/frame.go
@@ -10,14 +10,14 @@
 	"dahlialock/internal/statemachine"
 )
 
-// A frame on the wire is
+// A frame on the wire consists of:
 //
-//	length   4 bytes, big-endian, of all that follows
-//	number   2 bytes, big-endian, of the message's type, with addressFlag where
-//	         the sender's address follows
-//	address  its length as a varint and its bytes, only with addressFlag: once
-//	         a connection has named its sender, frames leave it out
-//	version  a varint, the sender's configuration version
+//	length   4 bytes, big-endian: the number of bytes after this field
+//	number   2 bytes, big-endian: the number of the message type, with addressFlag
+//	         set if the sender's address follows
+//	address  the sender's address: its length as a varint, and its bytes. It is only
+//	         present with addressFlag; frames after the preamble omit it
+//	version  a varint: the sender's configuration version
 //	body     the message in CBOR
 //
 // Decoding is strict: an unknown number, trailing bytes, and an oversized or
@@ -40,11 +40,11 @@
 	ErrorFrame = namespace.NewType("frame")
 )
 
-// preamble is the first message on a connection, and names its sender for all
-// that follow.
+// preamble is the first message on a connection. Its frame contains the sender's
+// address, which applies to all messages that follow.
 type preamble struct {
 	_ struct{} `cbor:",toarray"`
-	// Compressed announces that batches on the connection may be compressed.
+	// Compressed is set if batches on the connection may be compressed.
 	Compressed bool
 }
 
@@ -62,7 +62,7 @@
 }
 
 // appendFrame appends one frame to a buffer, or nothing if that fails. The
-// address is empty where the connection has named its sender.
+// address is empty for frames after the preamble.
 func appendFrame(buffer *bytes.Buffer, address string, version uint64, message any) error {
 	number, found := numberOfType[reflect.TypeOf(message)]
 	if !found {
@@ -70,7 +70,7 @@
 	}
 	start := buffer.Len()
 	var scratch [frameHeaderBytes + numberBytes + 2*binary.MaxVarintLen64]byte
-	// The length is filled in once it is known.
+	// The length is filled in after the body has been encoded.
 	head := scratch[:frameHeaderBytes]
 	if address == "" {
 		head = binary.BigEndian.AppendUint16(head, number)
@@ -94,14 +94,15 @@
 	return nil
 }
 
-// Decode decodes one frame without its length.
+// Decode decodes one frame, passed without its length field.
 func Decode(frame []byte) (statemachine.Meta, any, error) {
 	var once decoder
 	return once.decode(frame, "")
 }
 
-// FrameLength reads the header of a frame: the length of what follows it, false
-// if there are too few bytes yet, or an error if the length is out of range.
+// FrameLength reads the header of a frame and returns the length of the rest of
+// the frame. It returns false if the header is incomplete, and an error if the
+// length is out of range.
 func FrameLength(header []byte) (int, bool, error) {
 	if len(header) < frameHeaderBytes {
 		return 0, false, nil
@@ -113,14 +114,14 @@
 	return int(length), true, nil
 }
 
-// decoder decodes frames one after another. It keeps one value of each type to
-// decode into, so that a message costs a single copy.
+// decoder decodes successive frames. It reuses one value per message type as the
+// decoding target, so that decoding a message takes a single copy.
 type decoder struct {
 	values map[uint16]reflect.Value
 }
 
-// decode decodes a frame without its length. The address is that of the sender
-// unless the frame names another.
+// decode decodes a frame, passed without its length field. The address is that of
+// the connection's sender; an address in the frame takes precedence.
 func (d *decoder) decode(frame []byte, address string) (statemachine.Meta, any, error) {
 	meta := statemachine.Meta{From: address}
 	if len(frame) < numberBytes {
--- a/internal/transport/huffman.go
+++ b/internal/transport/huffman.go
@@ -2,23 +2,23 @@
 
 import "slices"
 
-// huffman is an adaptive Huffman code: how often each symbol was seen, and the
-// canonical code made from that. Both ends of a connection rebuild it at the same
-// moments, so that no table is ever sent.
+// huffman is an adaptive Huffman code: the counts of the symbols, and the canonical
+// code that was built from them. Both ends of a connection rebuild it at the same
+// positions of the stream, so that no code table is sent.
 type huffman struct {
 	// maxBits bounds the lengths of the codes.
 	maxBits int
-	// counts are of the symbols seen since the last rebuild, with half of the
-	// earlier ones; they are never 0, so that every symbol has a code.
+	// counts has the number of occurrences of each symbol since the last rebuild, plus
+	// half of its earlier count. Counts are never 0, so that every symbol has a code.
 	counts  []uint32
 	codes   []uint16
 	lengths []uint8
-	// decodeTable has, for the next maxBits bits, the symbol and the length of
-	// its code, as tableEntry packs them.
+	// decodeTable maps the next maxBits bits of the input to a symbol and the length of
+	// its code, packed by tableEntry.
 	decodeTable []uint16
 }
 
-// Entries of a decode table have the length of a code in the lowest bits.
+// Entries of a decode table have the length of the code in the lowest bits.
 const (
 	entryLengthBits = 4
 	entryLengthMask = 1<<entryLengthBits - 1
@@ -28,7 +28,8 @@
 	return uint16(symbol)<<entryLengthBits | uint16(length)
 }
 
-// newHuffman returns the code of an alphabet from what is expected of it.
+// newHuffman returns a code for an alphabet, built from the expected counts of its
+// symbols.
 func newHuffman(symbols, maxBits int, expected func(symbol int) uint32) huffman {
 	made := huffman{
 		maxBits:     maxBits,
@@ -44,8 +45,8 @@
 	return made
 }
 
-// rebuild makes the code from the counts, and then halves them, so that what was
-// seen long ago counts less.
+// rebuild builds the code from the counts. It then halves the counts, so that older
+// symbols have less weight.
 func (h *huffman) rebuild() {
 	h.assignLengths()
 	code := uint16(0)
@@ -69,10 +70,11 @@
 	}
 }
 
-// assignLengths finds the lengths of the best code for the counts, with none
-// over maxBits.
+// assignLengths computes the code lengths from the counts, none of them longer than
+// maxBits.
 func (h *huffman) assignLengths() {
-	// The symbols by count, the rarest first, with the symbol in the low bits.
+	// The symbols are sorted by count, the rarest first. Each entry has the symbol in
+	// its low bits.
 	const symbolMask = 0xffff
 	var storage [symbolCount]uint64
 	rarestFirst := storage[:len(h.counts)]
@@ -90,12 +92,12 @@
 	}
 }
 
-// lengthCounts are how many codes there are of each length.
+// lengthCounts has the number of codes of each length.
 type lengthCounts [maxSymbolBits + 1]int
 
-// treeDepths returns how many leaves the Huffman tree has at each depth; those
-// that are deeper than a bound count there. The tree is made by merging the two
-// rarest nodes over and over.
+// treeDepths returns how many leaves the Huffman tree has at each depth. Leaves deeper
+// than maxDepth are counted at maxDepth. The tree is built by repeatedly merging the two
+// rarest nodes.
 func treeDepths(rarestFirst []uint64, maxDepth int) lengthCounts {
 	var (
 		weights [2 * symbolCount]uint32
@@ -106,7 +108,8 @@
 	for index, each := range rarestFirst {
 		weights[index] = uint32(each >> 16)
 	}
-	// Inner nodes come after the leaves, and are made in the order of weight.
+	// Inner nodes have the indexes after the leaves, and are created in ascending order
+	// of weight.
 	leaf, inner := 0, leaves
 	for node := leaves; node < 2*leaves-1; node++ {
 		for range 2 {
@@ -129,9 +132,9 @@
 	return atDepth
 }
 
-// limitLengths lengthens codes until they form a prefix code again (Kraft's
-// inequality): the codes that treeDepths cut to maxBits take more of the code space
-// than they did in the tree.
+// limitLengths lengthens codes until they satisfy Kraft's inequality and so form a
+// prefix code again. This is needed because the codes that treeDepths shortened to
+// maxBits take more of the code space than in the tree.
 func (h *huffman) limitLengths(counts lengthCounts) lengthCounts {
 	used := 0
 	for length := 1; length <= h.maxBits; length++ {
--- a/internal/transport/impairment.go
+++ b/internal/transport/impairment.go
@@ -7,28 +7,28 @@
 )
 
 const (
-	// retransmissionDelay is that of a frame which an Impairment loses: TCP would
-	// deliver it late.
+	// retransmissionDelay is the delay of a frame that an Impairment treats as lost. It
+	// simulates the retransmission by TCP.
 	retransmissionDelay = 200 * time.Millisecond
-	// lossScale is the resolution of the probabilities of loss.
+	// lossScale is the resolution of loss probabilities.
 	lossScale = 100_000
 )
 
-// Impairment is what a trial imposes on links. The links are chosen by prefixes
-// of the other daemon's address.
+// Impairment is the set of network faults that are injected into links for a trial. The
+// links are selected by prefixes of the peer's address.
 type Impairment struct {
-	// Delays are added to what is sent. Loss is the probability, 0 to 1, that a
-	// frame is delayed as by a retransmission.
+	// Delays are added to each frame that is sent. Loss is the probability, 0 to 1,
+	// that a frame is delayed as by a TCP retransmission.
 	Delays map[string]time.Duration
 	Loss   map[string]float64
 	// Partitioned links drop frames in both directions, OutboundBlocked and
-	// InboundBlocked links in one.
+	// InboundBlocked links in one direction.
 	Partitioned     []string
 	OutboundBlocked []string
 	InboundBlocked  []string
 }
 
-// none reports whether nothing is imposed.
+// none reports whether the impairment has no effect.
 func (i *Impairment) none() bool {
 	return len(i.Delays)+len(i.Loss)+len(i.Partitioned)+len(i.OutboundBlocked)+len(i.InboundBlocked) == 0
 }
@@ -41,9 +41,9 @@
 	return hasAnyPrefix(address, i.Partitioned) || hasAnyPrefix(address, i.InboundBlocked)
 }
 
-// delay returns by how much a frame to an address is delayed. Whether it is lost
-// follows from a hash of its bytes. Where several prefixes of Delays match, any one
-// of them counts; where several of Loss match, each may add a retransmission.
+// delay returns the delay of a frame to an address. Whether the frame counts as lost
+// depends on a hash of its bytes. If several prefixes of Delays match, an arbitrary one
+// of them applies; if several prefixes of Loss match, each may add a retransmission.
 func (i *Impairment) delay(address string, frame []byte) time.Duration {
 	var delay time.Duration
 	for prefix, length := range i.Delays {
@@ -72,7 +72,7 @@
 	return false
 }
 
-// SetImpairment replaces the impairment. It may be called at any time.
+// SetImpairment replaces the current impairment. It may be called at any time.
 func (t *Transport) SetImpairment(impairment Impairment) {
 	t.impairment.Store(&impairment)
 }
--- a/internal/transport/kind_counters.go
+++ b/internal/transport/kind_counters.go
@@ -6,17 +6,18 @@
 	"sync/atomic"
 )
 
-// KindCount is how many messages of one kind crossed the links, and the bytes
-// of their frames before compression.
+// KindCount is the number of messages of one kind that were sent or received, and the
+// size of their frames before compression.
 type KindCount struct {
 	Messages int64 `json:"messages"`
 	Bytes    int64 `json:"bytes"`
 }
 
-// kindCounters are running sums by registered number. They may be read at any
+// kindCounters has totals by the number of the message type. They may be read at any
 // time while one goroutine adds.
 type kindCounters struct {
-	// indexes are those of counters by number; they are fixed from the start.
+	// indexes has the index into counters of each number. It doesn't change after
+	// newKindCounters.
 	indexes  map[uint16]int
 	counters []kindCounter
 }
@@ -44,7 +45,7 @@
 	kc.counters[index].bytes.Add(int64(size))
 }
 
-// counts returns the sums of the kinds that occurred, by KindName.
+// counts returns the totals by KindName, without those that are zero.
 func (kc *kindCounters) counts() map[string]KindCount {
 	counts := map[string]KindCount{}
 	for number, index := range kc.indexes {
@@ -57,8 +58,9 @@
 	return counts
 }
 
-// Sent returns what the owner sent, by kind, whether or not it arrived.
+// Sent returns the totals of messages that the owner passed to Send or SendBefore, by
+// kind, whether or not they were delivered.
 func (t *Transport) Sent() map[string]KindCount { return t.sent.counts() }
 
-// Received returns what was received, by kind.
+// Received returns the totals of received messages by kind.
 func (t *Transport) Received() map[string]KindCount { return t.received.counts() }
--- a/internal/transport/kind_names.go
+++ b/internal/transport/kind_names.go
@@ -2,8 +2,9 @@
 
 import "reflect"
 
-// kindNames are the names of messages, by number, under which ctl and the log show
-// what was counted. Operators depend on them, so they stay when a type is renamed.
+// kindNames has the names of message types by number, as the ctl endpoint and the log
+// show them with the counters. Operators' tools depend on these names, so they don't
+// change when a type is renamed.
 var kindNames = map[uint16]string{
 	1:   "transport.preamble",
 	100: "consensus.Hello",
@@ -58,8 +59,8 @@
 	602: "gateway.RoutedCopy",
 }
 
-// KindName returns the name of a registered number for operators. A message type
-// that isn't in the table has the name of its type.
+// KindName returns the name of a message type's number, as operators see it. If the
+// number isn't in kindNames, it is the name of the Go type.
 func KindName(number uint16) string {
 	if name, found := kindNames[number]; found {
 		return name
--- a/internal/transport/link.go
+++ b/internal/transport/link.go
@@ -9,74 +9,77 @@
 	"github.com/panjf2000/gnet/v2"
 )
 
-// maxSpareBytes bounds the buffers that are kept for the next batch.
+// maxSpareBytes bounds the capacity of buffers that are reused for the next batch.
 const maxSpareBytes = 16 << 10
 
-// link is the outbound path to one peer, with or without a connection. Its state is divided between the owner and the
-// dialer; direct is where they hand the link to each other.
+// link is the outbound path to one peer, with or without a connection. Some of its
+// fields belong to the owner and some to the dialer; the right to write to the
+// connection passes between them by the field direct.
 type link struct {
 	address string
-	// crossZone is set where the peer is in another zone.
+	// crossZone is set if the peer is in another zone.
 	crossZone bool
 
-	// Of the owner: the frames of the present batch by class, whether the link is
-	// in the list of dirty ones, and how often it handed bytes to the dialer.
+	// The next three fields belong to the owner: the frames of the current batch by
+	// class, whether the link is in the list of dirty links, and how often the owner
+	// has handed chunks to the dialer.
 	pending    [classCount]pendingFrames
 	dirty      bool
 	handedOver uint64
 
 	// direct is set by the dialer while nothing is queued for the peer. The owner
-	// may write to its socket as long as the owner has handed nothing over since.
+	// may write to its socket as long as it hasn't handed over any chunks since.
 	direct atomic.Pointer[directPath]
-	// batches counts the owner's batches, by which the dialer finds idle links.
+	// batches counts the owner's batches; the dialer uses it to find idle links.
 	batches atomic.Uint64
 
-	// The rest is of the dialer's loop.
+	// The remaining fields belong to the dialer's loop.
 
-	// takenOver counts what arrived of handedOver.
+	// takenOver counts how many of the handovers in handedOver the dialer has
+	// received.
 	takenOver uint64
-	// unwritten is what is left of the owner's last write, and goes before all
-	// else that is queued.
+	// unwritten is the rest of a partial write of the owner. It is sent before all
+	// queued chunks.
 	unwritten chunk
 	// connection and socket are nil while there is no connection.
 	connection gnet.Conn
 	socket     *socket
 	openedAt   time.Time
-	// closedIdle is set where this side closed the connection as idle.
+	// closedIdle is set if this daemon closed the connection because it was idle.
 	closedIdle bool
 
-	// dialing is set while a dial is in progress, which cancelDial ends.
+	// dialing is set while a dial is in progress; cancelDial cancels it.
 	dialing    bool
 	cancelDial context.CancelFunc
-	// attempts counts the dials since the peer was last known to be there.
+	// attempts counts the dials since the peer was last known to be reachable.
 	attempts int
-	// peerSeen is set where the peer showed during the dial that it is there, by a
-	// connection of its own.
+	// peerSeen is set if the peer has connected to this daemon while a dial to it
+	// was in progress.
 	peerSeen bool
-	// backoff is the pause after the last failure; no dial begins before retryAt.
+	// backoff is the pause after the last failure; no dial starts before retryAt.
 	backoff time.Duration
 	retryAt time.Time
-	// serveAt is when the earliest timer for the link fires, zero for none.
+	// serveAt is when the earliest serveAfter timer of the link fires, zero for none.
 	serveAt time.Time
 	// sweptBatches is the value of batches at the last sweep for idle links.
 	sweptBatches uint64
 }
 
-// directPath is a connection that the owner may write to, as long as its count
-// of handovers is the same.
+// directPath is a connection that the owner may write to as long as handedOver
+// equals the link's own count of handovers.
 type directPath struct {
 	socket     *socket
 	handedOver uint64
 }
 
-// pendingFrames are the frames of one class in the owner's present batch.
+// pendingFrames are the frames of one class in the owner's current batch.
 type pendingFrames struct {
 	bytes.Buffer
 	frames    int
 	deadlines []deadline
 }
 
-// chunk returns the frames as a chunk that shares their buffer.
+// chunk returns the frames as a chunk that shares the buffer with pf.
 func (pf *pendingFrames) chunk(class Class) chunk {
 	return chunk{
 		body:      pf.Bytes(),
@@ -86,7 +89,8 @@
 	}
 }
 
-// reset makes the frames empty for the next batch.
+// reset discards the frames, and keeps the buffer for the next batch unless it is
+// too large.
 func (pf *pendingFrames) reset() {
 	pf.frames, pf.deadlines = 0, nil
 	if pf.Cap() > maxSpareBytes {
@@ -96,22 +100,22 @@
 	}
 }
 
-// chunk is what the owner hands to the dialer: complete frames of one class, or,
-// if continues is set, the rest of a write that only that socket's connection may
-// take.
+// chunk is a unit of data that the owner hands to the dialer: complete frames of
+// one class, or, if continues is set, the rest of a partial write, which may only be
+// written to the connection of that socket.
 type chunk struct {
 	body      []byte
 	class     Class
 	frames    int
 	deadlines []deadline
 	queuedAt  time.Time
-	// dueAt is when an impaired chunk may be sent, zero for at once.
+	// dueAt is when a chunk delayed by an Impairment may be sent, zero for at once.
 	dueAt     time.Time
 	continues *socket
 }
 
-// lowestClass returns the lowest class in the batch, by which a FlowWindow
-// admits it.
+// lowestClass returns the lowest-priority class in the batch. A FlowWindow admits
+// the batch by this class.
 func (l *link) lowestClass() Class {
 	lowest := ClassControl
 	for class := range l.pending {
@@ -122,7 +126,7 @@
 	return lowest
 }
 
-// reset makes the link ready for the next batch.
+// reset clears the batch of the link.
 func (l *link) reset() {
 	l.dirty = false
 	for class := range l.pending {
--- a/internal/transport/pacer_test.go
+++ b/internal/transport/pacer_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// slowLink is a link of a low rate in virtual time, with a FIFO queue of its own.
-// arrived has when items were through, since the beginning.
+// slowLink is a link with a low rate and a FIFO queue, in virtual time. arrived has the
+// time since the start at which each item was transmitted.
 type slowLink struct {
 	rate    int
 	now     time.Time
@@ -26,8 +26,8 @@
 	sl.arrived[item] = sl.free.Sub(sl.began)
 }
 
-// drain gives a link what is queued, as the pacer allows, with a lease in between,
-// and returns how long that takes.
+// drain sends queued items over a slow link as the pacer permits. After 500 ms it queues a
+// lease in ClassControl, and returns the time until the lease was transmitted.
 func drain(t *testing.T) time.Duration {
 	t.Helper()
 	const rate, size = 325_000, 8 << 10
--- a/internal/transport/priority_queue.go
+++ b/internal/transport/priority_queue.go
@@ -2,24 +2,25 @@
 
 const (
 	// starvationBytes is how many bytes of higher classes may overtake a lower
-	// one before that is served.
+	// class before an item of the lower class is served.
 	starvationBytes = 64 << 10
 	// maxQueuedBytes bounds the bytes that are queued for one peer in one class.
 	maxQueuedBytes = 1 << 20
 )
 
-// PriorityQueue queues items for the machine's link, by class and peer. The
-// highest class goes first, peers in turn, and the items of a class for a peer
-// keep their order. So that no class starves, one that was overtaken by
-// starvationBytes has one item popped. The zero value is an empty queue.
+// PriorityQueue queues items for the host's network link, by class and peer. Items of
+// the highest class are popped first. Within a class, the peers are served round robin,
+// and the items for each peer in FIFO order. To prevent starvation, one item of a lower
+// class is popped after starvationBytes of higher classes have overtaken that class. The
+// zero value is an empty queue.
 type PriorityQueue[Item any] struct {
 	classes [classCount]classQueue[Item]
 }
 
-// classQueue has the peers for which something of a class is queued.
+// classQueue has the queues of all peers with items of one class.
 type classQueue[Item any] struct {
-	// turns are the peers in the order in which they are served (round robin), byPeer
-	// the same ones by address.
+	// turns has the queues in the order in which they are served (round robin), byPeer
+	// has the same queues by address.
 	turns  []*peerQueue[Item]
 	byPeer map[string]*peerQueue[Item]
 	// overtaken counts bytes of higher classes since the class was last served.
@@ -39,8 +40,8 @@
 	size int
 }
 
-// Push adds an item of a size in bytes. It returns the items that are dropped
-// for it: the oldest of its class and peer where more is queued than the bound.
+// Push adds an item with its size in bytes. If the items of its class and peer exceed
+// maxQueuedBytes, it drops and returns the oldest of them, but never the new item.
 func (q *PriorityQueue[Item]) Push(peer string, class Class, size int, item Item) (dropped []Item) {
 	queue := &q.classes[class]
 	present, found := queue.byPeer[peer]
@@ -81,8 +82,8 @@
 	return false
 }
 
-// Pop removes the next item that its peer accepts. The function is asked about
-// the oldest item of each class and peer, in the order of the queue.
+// Pop removes the next item that may be sent. It calls accepts with the oldest item of
+// each class and peer, in the order of the queue, until accepts returns true.
 func (q *PriorityQueue[Item]) Pop(accepts func(peer string, item Item) bool) (peer string, item Item, found bool) {
 	for class := classCount - 1; class > 0; class-- {
 		if q.classes[class].overtaken >= starvationBytes {
@@ -120,8 +121,8 @@
 	return "", item, false
 }
 
-// countOvertaken counts bytes that a class has sent for the lower classes that
-// have something queued.
+// countOvertaken adds the size of an item of a class to the overtaken bytes of all lower
+// classes with queued items.
 func (q *PriorityQueue[Item]) countOvertaken(class Class, size int) {
 	q.classes[class].overtaken = 0
 	for lower := class + 1; lower < classCount; lower++ {
@@ -131,7 +132,8 @@
 	}
 }
 
-// Remove removes and returns the items of a class for a peer that are unwanted.
+// Remove removes and returns the items of a class and a peer for which unwanted returns
+// true.
 func (q *PriorityQueue[Item]) Remove(peer string, class Class, unwanted func(item Item) bool) (removed []Item) {
 	queue := &q.classes[class]
 	present, found := queue.byPeer[peer]
@@ -156,7 +158,7 @@
 	return removed
 }
 
-// RemoveAll is Remove for all classes.
+// RemoveAll is like Remove, for the items of all classes.
 func (q *PriorityQueue[Item]) RemoveAll(peer string, unwanted func(item Item) bool) (removed []Item) {
 	for class := range classCount {
 		removed = append(removed, q.Remove(peer, class, unwanted)...)
@@ -173,7 +175,8 @@
 	}
 }
 
-// pop removes the oldest item, and lets go of what it refers to.
+// pop removes the oldest item. It clears the slot so that the item can be garbage
+// collected.
 func (pq *peerQueue[Item]) pop() queued[Item] {
 	oldest := pq.items[0]
 	pq.items[0] = queued[Item]{}
--- a/internal/transport/priority_queue_test.go
+++ b/internal/transport/priority_queue_test.go
@@ -9,7 +9,7 @@
 
 func anyPeer(string, string) bool { return true }
 
-// popAll pops what a queue has as long as peers accept it.
+// popAll pops all items that accepts admits.
 func popAll(queue *PriorityQueue[string], accepts func(peer, item string) bool) []string {
 	var popped []string
 	for {
@@ -59,7 +59,8 @@
 		assert.Assert(t, found)
 		popped[item] = number
 	}
-	// Each had one turn after as many bytes as may overtake it, and not sooner.
+	// Each lower class was served once after starvationBytes had overtaken it, and not
+	// earlier.
 	assert.Equal(t, popped["missed"], starvationBytes/size)
 	assert.Equal(t, popped["interest"], starvationBytes/size+1)
 	assert.Equal(t, popped["live 63"], 63)
@@ -73,7 +74,7 @@
 		dropped = append(dropped, queue.Push("blocked", ClassLive, maxQueuedBytes/100, fmt.Sprint("live ", number))...)
 	}
 	assert.DeepEqual(t, dropped, []string{"0", "1", "2", "3", "4", "5", "6", "7", "8", "9"})
-	// One that is larger than the bound is not dropped for itself.
+	// A single item that is larger than the bound is not dropped.
 	assert.Equal(t, len(queue.Push("a", ClassLive, 2*maxQueuedBytes, "large")), 0)
 	assert.DeepEqual(t, queue.Remove("blocked", ClassCatchUp, func(item string) bool { return item != "15" }),
 		[]string{"10", "11", "12", "13", "14", "16", "17", "18", "19"})
--- a/internal/transport/registry.go
+++ b/internal/transport/registry.go
@@ -2,15 +2,15 @@
 
 import "reflect"
 
-// Message types by number and the reverse. They are filled by init functions
-// and only read afterwards.
+// The registered message types. The maps are filled by init functions, and only read
+// afterwards.
 var (
 	numberOfType = map[reflect.Type]uint16{}
 	typeOfNumber = map[uint16]reflect.Type{}
 )
 
-// MustRegister gives the type of a message its number on the wire. It is called
-// from init functions, and panics if the number is taken or out of range.
+// MustRegister assigns a number on the wire to the type of a message. It is called from
+// init functions, and panics if the number is already assigned or out of range.
 func MustRegister(number uint16, prototype any) {
 	kind := reflect.TypeOf(prototype)
 	if number >= addressFlag {
@@ -23,11 +23,11 @@
 	typeOfNumber[number] = kind
 }
 
-// numberOf returns the number of a message's type, 0 if it isn't registered; by
-// that number such a message counts as one of the control state.
+// numberOf returns the number of a message's type, 0 if it isn't registered. An
+// unregistered message counts as one of the control state.
 func numberOf(message any) uint16 { return numberOfType[reflect.TypeOf(message)] }
 
-// Numbers returns the registered numbers with the names of their types.
+// Numbers returns the registered numbers with the names of their Go types.
 func Numbers() map[uint16]string {
 	names := make(map[uint16]string, len(typeOfNumber))
 	for number, kind := range typeOfNumber {
@@ -36,7 +36,8 @@
 	return names
 }
 
-// Prototype returns a new zero message of a registered number.
+// Prototype returns the zero value of the message type with a number, and false if the
+// number isn't registered.
 func Prototype(number uint16) (any, bool) {
 	kind, found := typeOfNumber[number]
 	if !found {
--- a/internal/transport/sender.go
+++ b/internal/transport/sender.go
@@ -12,12 +12,13 @@
 
 // sender is the owner's state.
 type sender struct {
-	// links are by address, and stay. dirty are those with frames of this batch.
+	// links has the link of each peer by address; entries are never removed. dirty
+	// has the links with frames in the current batch.
 	links map[string]*link
 	dirty []*link
 	// batching is set once the owner has called Flush.
 	batching bool
-	// compressBuffer and joinBuffer are reused from batch to batch.
+	// compressBuffer and joinBuffer are reused across batches.
 	compressBuffer []byte
 	joinBuffer     []byte
 }
@@ -27,15 +28,16 @@
 	return t.SendBefore(to, version, message, time.Time{})
 }
 
-// SendBefore adds a message to the batch for a peer, to be sent by Flush if its
-// deadline hasn't passed by then; a zero time is no deadline. The version is that of
-// the sender's configuration. An error means that the message can't be encoded;
-// whether a message arrives is never reported. Only the owner may call it. Until
-// the first call of Flush each message is a batch of its own.
+// SendBefore adds a message to the batch for a peer. Flush sends it unless its
+// deadline has passed by then; a zero time means no deadline. The version is that
+// of the sender's configuration. An error means that the message can't be encoded;
+// delivery isn't reported. Only the owner may call it. Until the first call of
+// Flush, each message is sent at once as its own batch.
 //
-// It doesn't wait, except for a message to the own address: that goes to the
-// channel inbox, without regard to its deadline, and blocks where inbox is full. An
-// EventLoop handles such messages itself and never sends them here.
+// SendBefore doesn't block, except for a message to the transport's own address:
+// such a message is put into the channel inbox regardless of its deadline, which
+// blocks if inbox is full. The EventLoop of package daemon handles such messages
+// itself and doesn't pass them to SendBefore.
 func (t *Transport) SendBefore(to string, version uint64, message any, notAfter time.Time) error {
 	if to == t.address {
 		t.inbox <- Inbound{
@@ -75,8 +77,8 @@
 	return present
 }
 
-// Flush ends a batch: each peer gets the frames that were sent since the last
-// one in a single write. Only the owner may call it.
+// Flush ends a batch: it sends the frames since the last Flush, with a single write
+// for each peer. Only the owner may call it.
 func (t *Transport) Flush() {
 	t.sender.batching = true
 	t.flush()
@@ -95,7 +97,8 @@
 	t.sender.dirty = t.sender.dirty[:0]
 }
 
-// sendBatch writes a link's batch, or hands it to the dialer.
+// sendBatch writes a link's batch to its socket, or hands it to the dialer if the
+// owner may not write to the socket now.
 func (t *Transport) sendBatch(now time.Time, to *link) {
 	to.batches.Add(1)
 	direct := to.direct.Load()
@@ -131,8 +134,8 @@
 	}
 }
 
-// joinClasses returns the frames of a batch in the order of their classes, and
-// how many they are.
+// joinClasses returns the frames of a batch in the order of their classes, and the
+// number of frames.
 func (t *Transport) joinClasses(of *link) (body []byte, frames int) {
 	classes := 0
 	for class := range of.pending {
@@ -157,7 +160,7 @@
 	return body, frames
 }
 
-// handOverBatch hands a batch to the dialer, a chunk for each class.
+// handOverBatch hands a batch to the dialer, as one chunk per class.
 func (t *Transport) handOverBatch(of *link) {
 	var chunks []chunk
 	for class := range of.pending {
@@ -170,14 +173,14 @@
 	t.handOver(of, chunks...)
 }
 
-// handOver hands chunks to the dialer. The owner doesn't write to the link again
-// until the dialer has made it direct.
+// handOver hands chunks to the dialer. The owner doesn't write to the link's socket
+// again until the dialer has called restoreDirect.
 func (t *Transport) handOver(to *link, chunks ...chunk) {
 	to.handedOver++
 	t.dialer.run(func() { t.dialer.takeOver(to, chunks) })
 }
 
-// countSent counts frames that were written, of a size as written.
+// countSent counts frames that were written, and their size in bytes on the wire.
 func (t *Transport) countSent(to *link, frames, size int) {
 	t.Counters.MessagesOut.Add(int64(frames))
 	t.Counters.BytesOut.Add(int64(size))
@@ -187,22 +190,23 @@
 	}
 }
 
-// SpendBandwidth accounts for bytes that others give to the machine's link, such
-// as those to clients. It may be called by any goroutine.
+// SpendBandwidth accounts for bytes that are sent over the host's network link
+// outside of the transport, such as those to clients. It may be called by any
+// goroutine.
 func (t *Transport) SpendBandwidth(size int) {
 	if t.pacer.rate.Load() != 0 {
 		t.pacer.Spend(time.Now(), size)
 	}
 }
 
-// SetRate sets the bytes a second that the machine's link takes, 0 for no limit.
-// It may be called at any time.
+// SetRate sets the bandwidth of the host's network link in bytes per second, 0 for
+// no limit. It may be called at any time.
 func (t *Transport) SetRate(rate int) { t.pacer.SetRate(rate) }
 
-// EnableCompression has batches to other zones compressed, on connections made
-// from now on.
+// EnableCompression enables the compression of batches to other zones, on
+// connections that are established after the call.
 func (t *Transport) EnableCompression() { t.compression.Store(true) }
 
-// ObserveLinks has connections that end dialed again at once, and addresses that
-// refuse connections reported to the owner as ConnectionRefused.
+// ObserveLinks makes the transport dial again at once when a connection ends, and
+// deliver a ConnectionRefused to the owner when an address refuses a connection.
 func (t *Transport) ObserveLinks() { t.observesLinks.Store(true) }
--- a/internal/transport/slow_link_test.go
+++ b/internal/transport/slow_link_test.go
@@ -42,6 +42,6 @@
 	assert.NilError(t, left.links.Send(right.address, 0, membership.Heartbeat{Name: "left"}))
 	left.links.Flush()
 	assert.Equal(t, receive(t, right.control).Message.(membership.Heartbeat).Name, "left")
-	// What waits takes more than four seconds.
+	// Sending the queued messages takes more than four seconds.
 	assert.Assert(t, len(right.inbox) < count-1, "the heartbeat came last")
 }
--- a/internal/transport/socket.go
+++ b/internal/transport/socket.go
@@ -8,8 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// States of a socket. It is socketBusy during a write; if it is closed meanwhile,
-// it becomes socketClosing, and the writer closes the descriptor after the write.
+// States of a socket. It is socketBusy during a write. If it is closed during the
+// write, it becomes socketClosing, and the writer closes the descriptor afterwards.
 const (
 	socketIdle int32 = iota
 	socketBusy
@@ -17,22 +17,22 @@
 	socketClosed
 )
 
-// socket is the owner's descriptor of a connection, a duplicate of gnet's. The
-// owner writes to it without waiting, while the dialer may close it at the same
-// time; neither waits for the other.
+// socket is the owner's descriptor of a connection, a duplicate of gnet's
+// descriptor. The owner writes to it without blocking. The dialer may close it
+// concurrently; neither waits for the other.
 type socket struct {
 	descriptor int
 	state      atomic.Int32
-	// compressor is nil where batches aren't compressed. It and the window are
-	// for whoever may write on the connection at the time: the owner while the
-	// link is direct, else the dialer.
+	// compressor is nil if batches aren't compressed. The compressor and the window
+	// are used by the goroutine that may currently write to the connection: the
+	// owner while link.direct permits it, otherwise the dialer.
 	compressor *compressor
 	window     FlowWindow
 }
 
-// frameBatch returns the bytes that go out for a batch of frames: its compressed
-// form, or the frames as they are. It may use the buffer, and returns the one for
-// the next batch.
+// frameBatch returns the wire form of a batch of frames: compressed, or the frames
+// unchanged. It may write into the buffer, and returns the buffer to pass for the
+// next batch.
 func (s *socket) frameBatch(buffer, body []byte) (framed, nextBuffer []byte) {
 	if s.compressor == nil || len(body) > maxCompressible {
 		return body, buffer
@@ -46,7 +46,7 @@
 	return framed, framed
 }
 
-// write writes once, without waiting, and returns how many bytes were taken.
+// write makes one non-blocking write, and returns how many bytes were written.
 func (s *socket) write(body []byte) (int, error) {
 	if !s.state.CompareAndSwap(socketIdle, socketBusy) {
 		return 0, unix.EPIPE
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -17,20 +17,21 @@
 // closeTimeout bounds each of the two steps of Close.
 const closeTimeout = time.Second
 
-// Inbound is a message that was received, or a ConnectionRefused.
+// Inbound is a received message, or a ConnectionRefused.
 type Inbound struct {
 	Meta    statemachine.Meta
 	Message any
 }
 
-// ConnectionRefused is reported to the owner of a transport that observes links:
-// the machine at the address in Meta.From says that nobody listens there.
+// ConnectionRefused is delivered to the owner of a transport that observes links
+// (see ObserveLinks) when the host of the address in Meta.From refused a
+// connection, so no process listens at that address.
 type ConnectionRefused struct{}
 
-// Counters are running sums since the start. They may be read at any time.
+// Counters are totals since the start. They may be read at any time.
 type Counters struct {
-	// MessagesOut and BytesOut count what was written to links, with
-	// MessagesCrossZone and BytesCrossZone the part for other zones; MessagesIn
+	// MessagesOut and BytesOut count what was written to links; MessagesCrossZone
+	// and BytesCrossZone count the part of it that went to other zones. MessagesIn
 	// and BytesIn count what was received.
 	MessagesOut       atomic.Int64
 	BytesOut          atomic.Int64
@@ -38,31 +39,35 @@
 	BytesCrossZone    atomic.Int64
 	MessagesIn        atomic.Int64
 	BytesIn           atomic.Int64
-	// Dropped are messages that weren't sent: they waited for too long, too much
-	// was queued, or their connection ended. The rest of a write that was cut short
-	// counts as one, though its messages are in MessagesOut already.
+	// Dropped counts messages that weren't sent because they were queued for too
+	// long, the queue was full, or their connection ended. The unsent rest of a
+	// partial write counts as one, although its messages are already counted in
+	// MessagesOut.
 	Dropped atomic.Int64
-	// Expired are messages that weren't sent since their deadlines had passed.
+	// Expired counts messages that weren't sent because their deadlines had passed.
 	Expired atomic.Int64
-	// Shed are messages received that the owner couldn't keep up with.
+	// Shed counts received messages that were dropped because the inbox of the
+	// owner was full.
 	Shed atomic.Int64
-	// Malformed are connections closed because of what was received.
+	// Malformed counts connections that were closed because of malformed input.
 	Malformed atomic.Int64
-	// Writes are system calls that wrote to links, Dials connections made.
+	// Writes counts system calls that wrote to links, Dials connections that were
+	// established.
 	Writes atomic.Int64
 	Dials  atomic.Int64
-	// Throttled counts how often something had to wait for the machine's link, or
-	// a batch for the window of a connection.
+	// Throttled counts how often sending was delayed by the bandwidth limit of the
+	// host's network link, or a batch by the flow window of a connection.
 	Throttled atomic.Int64
 }
 
-// Transport is a daemon's end of all its links. Send, SendBefore and Flush are
-// for the owner alone; all other methods may be called by any goroutine.
+// Transport manages the links of a daemon to its peers. Send, SendBefore and Flush
+// may only be called by the owner; all other methods may be called by any
+// goroutine.
 type Transport struct {
 	address string
-	// zonePrefix is what the addresses of this daemon's zone begin with.
+	// zonePrefix is the common prefix of the addresses in this daemon's zone.
 	zonePrefix string
-	// inbox and control receive messages; control those of the control state.
+	// control receives the messages of the control state, inbox all others.
 	inbox   chan<- Inbound
 	control chan<- Inbound
 	// onMalformed is called by the acceptor with the address of the peer.
@@ -72,33 +77,33 @@
 
 	// Counters may be read at any time.
 	Counters Counters
-	// sent and received are by kind of message.
+	// sent and received count messages by kind.
 	sent, received kindCounters
 
 	pacer Pacer
-	// throttled is set by the dialer while something queued waits for the pacer,
-	// so that the owner doesn't overtake it.
+	// throttled is set by the dialer while queued chunks wait for the pacer, so that
+	// the owner doesn't overtake them.
 	throttled     atomic.Bool
 	compression   atomic.Bool
 	observesLinks atomic.Bool
 	closing       atomic.Bool
 
-	// The states of the three goroutines.
+	// The state of each of the three goroutines.
 	sender   sender
 	acceptor *acceptor
 	dialer   *dialer
 }
 
 // Open listens on an address and starts the dialer. Messages of the control state
-// (see IsControl) are delivered to the channel control, which must be emptied
-// without delay, all others to inbox, and dropped where that is full. Connections
-// with malformed frames are closed and reported to onMalformed.
+// (see IsControl) are delivered to the channel control, which must be drained
+// without delay. All others are delivered to inbox, and dropped if it is full.
+// Connections with malformed frames are closed and reported to onMalformed.
 func Open(
 	address string, inbox, control chan<- Inbound, onMalformed func(remote string, err error),
 ) (*Transport, error) {
 	opened := newTransport(address)
 	opened.inbox, opened.control, opened.onMalformed = inbox, control, onMalformed
-	// gnet's pool of workers, which nothing here uses, would wake up twice a
+	// gnet's worker pool isn't used by this package, and would wake up twice a
 	// second.
 	goroutine.DefaultWorkerPool.Release()
 	if err := opened.acceptor.start(address); err != nil {
@@ -137,7 +142,9 @@
 		close(stopped)
 	})
 	awaitClosed(stopped)
-	// gnet polls for its end twice a second; its goroutine reports it sooner.
+	// Engine.Stop polls for the end of the engine twice a second. The channel
+	// acceptor.ended reports it sooner, so Stop gets a context that is already
+	// cancelled.
 	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
 	_ = t.acceptor.engine.Stop(cancelled)
@@ -160,8 +167,8 @@
 	}
 }
 
-// zonePrefixOf returns the part of an address that the daemons of a zone share:
-// all but the last number of the IP address.
+// zonePrefixOf returns the part of an address that all daemons of a zone have in
+// common: the IP address without its last number.
 func zonePrefixOf(address string) string {
 	last := strings.LastIndex(address, ".")
 	if last < 0 {
@@ -178,8 +185,8 @@
 	return host
 }
 
-// gnetLogging keeps gnet's lines out of a daemon's log, which has numbered events
-// only.
+// gnetLogging returns options that discard gnet's log lines, because a daemon's
+// log contains numbered events only.
 func gnetLogging() []gnet.Option {
 	return []gnet.Option{gnet.WithLogLevel(logging.ErrorLevel), gnet.WithLogger(discardLogger{})}
 }
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -14,7 +14,7 @@
 	"dahlialock/internal/transport"
 )
 
-// testTimeout bounds each wait; no test depends on how long it took.
+// testTimeout bounds each wait. No assertion depends on the duration of a wait.
 const testTimeout = 20 * time.Second
 
 func receive(t *testing.T, from <-chan transport.Inbound) transport.Inbound {
@@ -67,7 +67,7 @@
 			assert.NilError(t, left.links.Send(right.address, sent, message))
 			sent++
 		}
-		// A batch that is too large to be compressed goes among the others.
+		// Some batches are too large to be compressed.
 		if sent%1000 < 17 {
 			request := partition.Append{RequestID: sent, Data: make([]byte, 40<<10)}
 			assert.NilError(t, left.links.Send(right.address, sent, request))
@@ -201,7 +201,7 @@
 		{0, 0, 0, 1, 9},
 		{0, 0, 0, 3, 0x01, 0xf4, 0},
 		[]byte("GET / HTTP/1.1\r\n\r\n"),
-		// Complete frames of a sender that no preamble has named.
+		// Complete frames without the sender's address, not preceded by a preamble.
 		{0, 0, 0, 5, 0x01, 0x2f, 0, 0x80, 0},
 		{0, 0, 0, 4, 0x00, 0x01, 0, 0x80},
 	} {
@@ -225,7 +225,8 @@
 	assert.Equal(t, receive(t, inbox).Message.(partition.Append).RequestID, uint64(7))
 }
 
-// A connection that is merely reset isn't reported.
+// A refused connection is reported to the owner. A connection that is accepted and then
+// reset is dialed again without a report.
 func TestTransportReportsRefusedConnections(t *testing.T) {
 	address := freeAddress(t)
 	inbox, control := make(chan transport.Inbound, 4096), make(chan transport.Inbound, 4096)
