--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -109,10 +109,10 @@
 		path := request.URL.Path
 		if rejection.status == http.StatusMethodNotAllowed {
 			writer.Header().Set("Allow", rejection.header.Get("Allow"))
-			writeError(writer, http.StatusMethodNotAllowed, codeNoSuchMethod, path+" does not know "+request.Method)
+			writeError(writer, http.StatusMethodNotAllowed, codeNoSuchMethod, path+" does not support "+request.Method)
 			return
 		}
-		writeError(writer, http.StatusNotFound, codeNoSuchPath, path+" is not known")
+		writeError(writer, http.StatusNotFound, codeNoSuchPath, path+" is not a known path")
 	})
 }
 
@@ -149,7 +149,7 @@
 func (p *process) serveSelf(writer http.ResponseWriter, _ *http.Request) {
 	value, responded := p.inspect(func(now time.Time) any { return p.selfBody(now) })
 	if !responded {
-		writeError(writer, http.StatusServiceUnavailable, codeBusy, "the daemon does not answer")
+		writeError(writer, http.StatusServiceUnavailable, codeBusy, "the event loop of the daemon did not respond in time")
 		return
 	}
 	writeJSON(writer, http.StatusOK, value)
@@ -246,14 +246,14 @@
 
 // inspect is like EventLoop.Inspect, but waits no longer than inspectTimeout. It
 // returns false if the loop hasn't responded by then.
-func (p *process) inspect(question func(now time.Time) any) (any, bool) {
+func (p *process) inspect(query func(now time.Time) any) (any, bool) {
 	type result struct {
 		value     any
 		responded bool
 	}
 	results := make(chan result, 1)
 	go func() {
-		value, responded := p.loop.Inspect(question)
+		value, responded := p.loop.Inspect(query)
 		results <- result{value: value, responded: responded}
 	}()
 	select {
--- a/internal/daemon/control_test.go
+++ b/internal/daemon/control_test.go
@@ -73,8 +73,8 @@
 	return server, loop, machine
 }
 
-func get(within context.Context, server *httptest.Server, path string) (string, error) {
-	request, err := http.NewRequestWithContext(within, http.MethodGet, server.URL+path, nil)
+func get(requestContext context.Context, server *httptest.Server, path string) (string, error) {
+	request, err := http.NewRequestWithContext(requestContext, http.MethodGet, server.URL+path, nil)
 	if err != nil {
 		return "", err
 	}
@@ -89,21 +89,21 @@
 
 func TestControlRespondsToEachRequester(t *testing.T) {
 	server, loop, machine := newDelayedControl(t)
-	gone, leave := context.WithCancel(context.Background())
-	left := make(chan error, 1)
+	cancellable, cancel := context.WithCancel(context.Background())
+	cancelled := make(chan error, 1)
 	go func() {
-		_, err := get(gone, server, "/v1/gone")
-		left <- err
+		_, err := get(cancellable, server, "/v1/cancelled")
+		cancelled <- err
 	}()
 	<-machine.received
-	leave()
-	assert.Assert(t, <-left != nil)
-	answers := make(chan string, 4)
+	cancel()
+	assert.Assert(t, <-cancelled != nil)
+	responses := make(chan string, 4)
 	for number := range 4 {
 		go func() {
-			path := fmt.Sprintf("/v1/caller-%d", number)
+			path := fmt.Sprintf("/v1/client-%d", number)
 			got, err := get(context.Background(), server, path)
-			answers <- fmt.Sprint(got == path, err)
+			responses <- fmt.Sprint(got == path, err)
 		}()
 	}
 	for range 4 {
@@ -111,7 +111,7 @@
 	}
 	loop.Post(respondAll{})
 	for range 4 {
-		assert.Equal(t, <-answers, "true <nil>")
+		assert.Equal(t, <-responses, "true <nil>")
 	}
 }
 
@@ -156,7 +156,7 @@
 		ControlAdapter: testAdapter{},
 		OperatorRequest: func(number uint64, method, path string, _ []byte) any {
 			requests++
-			return said{request: number, text: "not a reply"}
+			return echoCommand{request: number, text: "not a reply"}
 		},
 	}}
 	control := process.controlHandler()
--- a/internal/daemon/deadline_test.go
+++ b/internal/daemon/deadline_test.go
@@ -17,12 +17,12 @@
 
 const testLease = time.Second
 
-// suspension is the duration for which the process of a sleeper is suspended within a step.
+// suspension is the duration for which a process is suspended within a step.
 const suspension = 20 * time.Second
 
-// sleeper is a state machine whose process can be suspended. The suspension is simulated by
-// advancing its clock.
-type sleeper struct {
+// suspendableMachine is a state machine whose process can be suspended. The suspension is
+// simulated by advancing its clock.
+type suspendableMachine struct {
 	// clock has the nanoseconds since the start.
 	clock    *atomic.Int64
 	self     string
@@ -30,24 +30,24 @@
 	received []string
 }
 
-// The command suspend makes the sleeper send messages and a response, with and without the
-// deadline of a lease, and then suspends it. readClock makes it respond with the time of the
-// step.
+// The command suspend makes the state machine send messages and a response, with and without
+// the deadline of a lease, and then suspends it. The command readClock makes it respond with
+// the time of the step.
 type (
 	suspend   struct{ request uint64 }
 	readClock struct{ request uint64 }
 )
 
-func (*sleeper) Start(time.Time, *statemachine.Effects) {}
-func (*sleeper) Tick(time.Time, *statemachine.Effects)  {}
-func (*sleeper) NextTick() time.Time                    { return time.Time{} }
-func (*sleeper) ConfigurationVersion() uint64           { return 0 }
+func (*suspendableMachine) Start(time.Time, *statemachine.Effects) {}
+func (*suspendableMachine) Tick(time.Time, *statemachine.Effects)  {}
+func (*suspendableMachine) NextTick() time.Time                    { return time.Time{} }
+func (*suspendableMachine) ConfigurationVersion() uint64           { return 0 }
 
-func (s *sleeper) HandleMessage(_ time.Time, _ statemachine.Meta, message any, _ *statemachine.Effects) {
+func (s *suspendableMachine) HandleMessage(_ time.Time, _ statemachine.Meta, message any, _ *statemachine.Effects) {
 	s.received = append(s.received, message.(membership.GracefulLeave).Name)
 }
 
-func (s *sleeper) HandleCommand(now time.Time, command any, effects *statemachine.Effects) {
+func (s *suspendableMachine) HandleCommand(now time.Time, command any, effects *statemachine.Effects) {
 	switch body := command.(type) {
 	case suspend:
 		until := now.Add(testLease)
@@ -59,7 +59,7 @@
 			Request:   body.request,
 			Value:     "yes",
 			NotAfter:  until,
-			LateValue: "come back",
+			LateValue: "too late",
 		})
 		s.clock.Add(int64(suspension))
 	case readClock:
@@ -77,13 +77,13 @@
 	return listener.Addr().String()
 }
 
-func openSleeper(t *testing.T, peer string) (*EventLoop, *sleeper) {
+func startSuspendable(t *testing.T, peer string) (*EventLoop, *suspendableMachine) {
 	t.Helper()
-	machine := &sleeper{clock: &atomic.Int64{}, self: freeAddress(t), peer: peer}
+	machine := &suspendableMachine{clock: &atomic.Int64{}, self: freeAddress(t), peer: peer}
 	began := time.Now()
 	opened, err := NewEventLoop(Options{
 		Address: machine.self,
-		Logger:  logevent.New(io.Discard, "sleeper", 0),
+		Logger:  logevent.New(io.Discard, "suspendable", 0),
 		Clock:   func() time.Time { return began.Add(time.Duration(machine.clock.Load())) },
 	})
 	assert.NilError(t, err)
@@ -105,17 +105,17 @@
 	links, err := transport.Open(peer, inbox, control, func(string, error) {})
 	assert.NilError(t, err)
 	t.Cleanup(links.Close)
-	loop, machine := openSleeper(t, peer)
+	loop, machine := startSuspendable(t, peer)
 	value, alive := loop.Call(func(request uint64) any { return suspend{request: request} })
 	assert.Assert(t, alive)
-	assert.Equal(t, value, "come back")
+	assert.Equal(t, value, "too late")
 	select {
 	case first := <-inbox:
 		assert.Equal(t, first.Message.(membership.GracefulLeave).Name, "at any time")
 	case first := <-control:
 		assert.Equal(t, first.Message.(membership.GracefulLeave).Name, "at any time")
 	case <-time.After(20 * time.Second):
-		t.Fatal("nothing came")
+		t.Fatal("no message was received")
 	}
 	received, _ := loop.Inspect(func(time.Time) any { return machine.received })
 	assert.DeepEqual(t, received, []string{"at any time"})
@@ -124,7 +124,7 @@
 // If the process is suspended within a turn, the remaining steps of the turn must use the
 // time after the suspension.
 func TestEventLoopReadsClockBeforeEachStep(t *testing.T) {
-	loop, machine := openSleeper(t, "")
+	loop, machine := startSuspendable(t, "")
 	var moments []time.Time
 	command := func(request uint64) any { return readClock{request: request} }
 	record := func(value any) { moments = append(moments, value.(time.Time)) }
--- a/internal/daemon/disk_writer.go
+++ b/internal/daemon/disk_writer.go
@@ -26,8 +26,8 @@
 	// sent to synced once the batch is on disk.
 	requests chan []statemachine.Write
 	synced   chan []uint64
-	// unavailable is called after each failed write.
-	unavailable func()
+	// onWriteFailed is called after each failed write.
+	onWriteFailed func()
 	// stopped is closed once the state machine has stopped, which ends the retries.
 	stopped <-chan struct{}
 	// delay is an artificial delay of each batch for trials, in nanoseconds.
@@ -87,7 +87,7 @@
 		if attempt%diskReportEvery == 0 {
 			dw.logger.Report(logevent.DiskWriteFailed, "error", err.Error(), "tries", attempt+1)
 		}
-		dw.unavailable()
+		dw.onWriteFailed()
 		select {
 		case <-dw.stopped:
 			return
--- a/internal/daemon/event_loop.go
+++ b/internal/daemon/event_loop.go
@@ -84,12 +84,12 @@
 		loop.clock = time.Now
 	}
 	loop.disk = &diskWriter{
-		log:         options.Log,
-		logger:      options.Logger,
-		requests:    make(chan []statemachine.Write),
-		synced:      make(chan []uint64, 1),
-		unavailable: func() { loop.Post(statemachine.DiskUnavailable{}) },
-		stopped:     loop.done,
+		log:           options.Log,
+		logger:        options.Logger,
+		requests:      make(chan []statemachine.Write),
+		synced:        make(chan []uint64, 1),
+		onWriteFailed: func() { loop.Post(statemachine.DiskUnavailable{}) },
+		stopped:       loop.done,
 	}
 	links, err := transport.Open(options.Address, loop.inbox, loop.control, loop.reportMalformed)
 	if err != nil {
@@ -144,13 +144,13 @@
 	sinks       map[uint64]sink
 	// selfMessages are messages that the state machine has sent to its own address.
 	selfMessages []selfMessage
-	// writes are not yet passed to the disk writer; writing is set while the disk
+	// writes are not yet passed to the disk writer; writeInFlight is set while the disk
 	// writer works on an earlier batch.
-	writes  []statemachine.Write
-	writing bool
-	// armed is when the timer fires, zero if the state machine has no timer.
-	armed time.Time
-	timer *time.Timer
+	writes        []statemachine.Write
+	writeInFlight bool
+	// timerDue is when the timer fires, zero if the state machine has no timer.
+	timerDue time.Time
+	timer    *time.Timer
 	// stopping is set once the state machine has requested to stop, stopped once it has
 	// stopped.
 	stopping bool
@@ -193,10 +193,10 @@
 
 // arm sets the timer to the time at which the state machine's next timer is due.
 func (l *EventLoop) arm(state *loopState, due time.Time) {
-	if due.Equal(state.armed) {
+	if due.Equal(state.timerDue) {
 		return
 	}
-	state.armed = due
+	state.timerDue = due
 	if due.IsZero() {
 		state.timer.Reset(noTimer)
 	} else {
@@ -209,7 +209,7 @@
 	// The disk writer is given one batch at a time. While it works on a batch, and while
 	// there are no writes, disk is nil, so its case below never runs.
 	var disk chan []statemachine.Write
-	if len(state.writes) > 0 && !state.writing {
+	if len(state.writes) > 0 && !state.writeInFlight {
 		disk = l.disk.requests
 	}
 	select {
@@ -225,13 +225,13 @@
 		l.drainControl(state)
 		next.work(LoopContext{loop: l, state: state})
 	case disk <- state.writes:
-		state.writes, state.writing = nil, true
+		state.writes, state.writeInFlight = nil, true
 		return
 	case tokens := <-l.disk.synced:
 		state.now = l.clock()
 		l.synced(state, tokens)
 	case <-state.timer.C:
-		state.now, state.armed = l.clock(), time.Time{}
+		state.now, state.timerDue = l.clock(), time.Time{}
 		l.tick(state)
 		return
 	}
@@ -249,10 +249,10 @@
 // idle, and flushes.
 func (l *EventLoop) endTurn(state *loopState) {
 	l.drain(state)
-	if len(state.writes) > 0 && !state.writing {
+	if len(state.writes) > 0 && !state.writeInFlight {
 		select {
 		case l.disk.requests <- state.writes:
-			state.writes, state.writing = nil, true
+			state.writes, state.writeInFlight = nil, true
 		default:
 		}
 	}
@@ -309,14 +309,14 @@
 // after the state machine has requested to stop.
 func (l *EventLoop) shutdown(state *loopState) {
 	timeout := time.NewTimer(shutdownTimeout)
-	if state.writing {
+	if state.writeInFlight {
 		select {
 		case <-l.disk.synced:
-			state.writing = false
+			state.writeInFlight = false
 		case <-timeout.C:
 		}
 	}
-	if len(state.writes) > 0 && !state.writing {
+	if len(state.writes) > 0 && !state.writeInFlight {
 		l.disk.requests <- state.writes
 		select {
 		case <-l.disk.synced:
--- a/internal/daemon/event_loop_test.go
+++ b/internal/daemon/event_loop_test.go
@@ -19,7 +19,7 @@
 	due   time.Time
 }
 
-type said struct {
+type echoCommand struct {
 	request uint64
 	text    string
 }
@@ -38,7 +38,7 @@
 
 func (e *echo) HandleCommand(now time.Time, command any, effects *statemachine.Effects) {
 	switch body := command.(type) {
-	case said:
+	case echoCommand:
 		effects.Respond(body.request, body.text)
 		delivery := statemachine.Delivery{Session: 7, Event: body.text, Close: body.text == "last"}
 		effects.Deliveries = append(effects.Deliveries, delivery)
@@ -70,16 +70,16 @@
 	return startLoop(t, machine), machine
 }
 
-func say(text string) func(request uint64) any {
-	return func(request uint64) any { return said{request: request, text: text} }
+func echoText(text string) func(request uint64) any {
+	return func(request uint64) any { return echoCommand{request: request, text: text} }
 }
 
 func TestEventLoopSubmitResponds(t *testing.T) {
 	loop, _ := startEcho(t)
-	answers := make(chan any, 1)
-	loop.Submit(say("a"), func(value any) { answers <- value })
-	assert.Equal(t, <-answers, "a")
-	value, alive := loop.Call(say("b"))
+	responses := make(chan any, 1)
+	loop.Submit(echoText("a"), func(value any) { responses <- value })
+	assert.Equal(t, <-responses, "a")
+	value, alive := loop.Call(echoText("b"))
 	assert.Assert(t, alive)
 	assert.Equal(t, value, "b")
 }
@@ -88,10 +88,10 @@
 	loop, _ := startEcho(t)
 	loop.Post(stopNow{})
 	<-loop.Done()
-	answers := make(chan any, 1)
-	loop.Submit(say("a"), func(value any) { answers <- value })
-	assert.Assert(t, <-answers == nil)
-	_, alive := loop.Call(say("b"))
+	responses := make(chan any, 1)
+	loop.Submit(echoText("a"), func(value any) { responses <- value })
+	assert.Assert(t, <-responses == nil)
+	_, alive := loop.Call(echoText("b"))
 	assert.Assert(t, !alive)
 }
 
@@ -100,7 +100,7 @@
 	delivered := make(chan string, 64)
 	turns := make(chan int, 64)
 	count := 0
-	loop.AttachSessionFunc(7, func(deliver statemachine.Delivery) { delivered <- deliver.Event.(string); count++ })
+	loop.AttachSessionFunc(7, func(delivery statemachine.Delivery) { delivered <- delivery.Event.(string); count++ })
 	loop.OnTurnEnd(func() {
 		if count > 0 {
 			turns <- count
@@ -109,7 +109,7 @@
 	})
 	loop.Execute(func(context LoopContext) {
 		for _, text := range []string{"a", "b", "c"} {
-			context.Submit(say(text), func(value any) { delivered <- "response " + value.(string) })
+			context.Submit(echoText(text), func(value any) { delivered <- "response " + value.(string) })
 		}
 	})
 	for _, want := range []string{"response a", "a", "response b", "b", "response c", "c"} {
@@ -121,9 +121,9 @@
 func TestEventLoopDeliversNothingAfterClose(t *testing.T) {
 	loop, _ := startEcho(t)
 	delivered := make(chan string, 64)
-	loop.AttachSessionFunc(7, func(deliver statemachine.Delivery) { delivered <- deliver.Event.(string) })
+	loop.AttachSessionFunc(7, func(delivery statemachine.Delivery) { delivered <- delivery.Event.(string) })
 	for _, text := range []string{"a", "last", "b"} {
-		_, alive := loop.Call(say(text))
+		_, alive := loop.Call(echoText(text))
 		assert.Assert(t, alive)
 	}
 	close(delivered)
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -79,11 +79,11 @@
 	self     membership.Member
 	service  Service
 	loop     *EventLoop
-	// servers are the HTTP servers. clients is the server returned by
+	// servers are the HTTP servers. clientServer is the server returned by
 	// Service.ListenClients, nil if the daemon serves clients over HTTP or not at all.
 	// They are closed at the end.
-	servers []*http.Server
-	clients Server
+	servers      []*http.Server
+	clientServer Server
 }
 
 func (p *process) run(build Builder) ExitCode {
@@ -144,7 +144,7 @@
 		if err != nil {
 			return err
 		}
-		p.clients = clients
+		p.clientServer = clients
 	case p.service.ClientHandler != nil:
 		return p.serve(p.settings.ClientAddress, p.service.ClientHandler(p.loop))
 	}
@@ -195,8 +195,8 @@
 
 // close closes all servers and links after the state machine has stopped.
 func (p *process) close() {
-	if p.clients != nil {
-		p.clients.Close()
+	if p.clientServer != nil {
+		p.clientServer.Close()
 	}
 	timeout, cancel := context.WithTimeout(context.Background(), serversShutdownTimeout)
 	defer cancel()
@@ -218,15 +218,15 @@
 
 // reload loads and applies the settings. If they are rejected, the previous ones remain
 // in force.
-func (p *process) reload(why reloadReason) {
+func (p *process) reload(reason reloadReason) {
 	after, err := p.loader.Load()
 	if err != nil {
-		p.logger.Report(logevent.SettingsRejected, "error", err.Error(), "why", why)
+		p.logger.Report(logevent.SettingsRejected, "error", err.Error(), "why", reason)
 		return
 	}
 	if changes := settings.ImmutableChanges(p.settings, after); len(changes) > 0 {
 		problem := "only a restart changes " + strings.Join(changes, ", ")
-		p.logger.Report(logevent.SettingsRejected, "error", problem, "why", why)
+		p.logger.Report(logevent.SettingsRejected, "error", problem, "why", reason)
 		return
 	}
 	p.settings = after
@@ -240,7 +240,7 @@
 			return nil
 		})
 	}
-	p.logger.Report(logevent.SettingsApplied, "why", why)
+	p.logger.Report(logevent.SettingsApplied, "why", reason)
 }
 
 func (p *process) applyImpairment(impairment settings.Impairment) {
--- a/internal/daemon/step.go
+++ b/internal/daemon/step.go
@@ -46,7 +46,7 @@
 
 // synced notifies the state machine of the writes that are on disk.
 func (l *EventLoop) synced(state *loopState, tokens []uint64) {
-	state.writing = false
+	state.writeInFlight = false
 	for _, token := range tokens {
 		l.step(state, func(now time.Time, effects *statemachine.Effects) {
 			l.machine.HandleCommand(now, statemachine.Synced{Token: token}, effects)
--- a/internal/transport/acceptor.go
+++ b/internal/transport/acceptor.go
@@ -149,7 +149,7 @@
 	}
 	length := int(binary.BigEndian.Uint32(header) &^ compressedFlag)
 	if ip.decompressor == nil || length == 0 || length > 2*maxCompressible {
-		return 0, false, ErrorFrame.New("length %d of a compressed batch is out of bounds", length)
+		return 0, false, ErrorFrame.New("compressed batch of %d bytes is too large, empty or unexpected", length)
 	}
 	return length, true, nil
 }
@@ -184,7 +184,7 @@
 			return err
 		}
 		if !complete || len(body) < frameHeaderBytes+length {
-			return ErrorFrame.New("a compressed batch ends within a frame")
+			return ErrorFrame.New("compressed batch ends within a frame")
 		}
 		if err := a.readFrame(connection, from, body[frameHeaderBytes:frameHeaderBytes+length]); err != nil {
 			return err
@@ -202,10 +202,10 @@
 		return err
 	}
 	if meta.From == "" {
-		return ErrorFrame.New("%T before the sender's address", message)
+		return ErrorFrame.New("%T received before the address of the sender", message)
 	}
 	if first, isPreamble := message.(preamble); isPreamble {
-		a.identified(connection, from, meta.From, first)
+		a.handlePreamble(connection, from, meta.From, first)
 		return nil
 	}
 	a.transport.Counters.MessagesIn.Add(1)
@@ -216,9 +216,9 @@
 	return nil
 }
 
-// identified handles the preamble of a connection. A peer only writes to the newest
+// handlePreamble handles the preamble of a connection. A peer only writes to the newest
 // of its connections, so the older one is closed.
-func (a *acceptor) identified(connection gnet.Conn, from *inboundPeer, address string, first preamble) {
+func (a *acceptor) handlePreamble(connection gnet.Conn, from *inboundPeer, address string, first preamble) {
 	from.address = address
 	if first.Compressed && from.decompressor == nil {
 		from.decompressor = newDecompressor()
--- a/internal/transport/bench_test.go
+++ b/internal/transport/bench_test.go
@@ -22,10 +22,10 @@
 
 func freeAddress(tb testing.TB) string {
 	tb.Helper()
-	return freeAddressOf(tb, "127.0.0.1")
+	return freeAddressOn(tb, "127.0.0.1")
 }
 
-func freeAddressOf(tb testing.TB, host string) string {
+func freeAddressOn(tb testing.TB, host string) string {
 	tb.Helper()
 	listener, err := net.Listen("tcp", host+":0")
 	assert.NilError(tb, err)
@@ -33,23 +33,27 @@
 	return listener.Addr().String()
 }
 
-type end struct {
+type endpoint struct {
 	address string
 	links   *transport.Transport
 	inbox   chan transport.Inbound
 	control chan transport.Inbound
 }
 
-func openEnd(tb testing.TB) *end {
+func openEndpoint(tb testing.TB) *endpoint {
 	tb.Helper()
-	return openEndAt(tb, freeAddress(tb))
+	return openEndpointAt(tb, freeAddress(tb))
 }
 
-func openEndAt(tb testing.TB, address string) *end {
+func openEndpointAt(tb testing.TB, address string) *endpoint {
 	tb.Helper()
-	made := &end{address: address, inbox: make(chan transport.Inbound, 4096), control: make(chan transport.Inbound, 4096)}
+	made := &endpoint{
+		address: address,
+		inbox:   make(chan transport.Inbound, 4096),
+		control: make(chan transport.Inbound, 4096),
+	}
 	links, err := transport.Open(made.address, made.inbox, made.control, func(remote string, err error) {
-		tb.Errorf("garbage from %s: %v", remote, err)
+		tb.Errorf("malformed data from %s: %v", remote, err)
 	})
 	assert.NilError(tb, err)
 	made.links = links
@@ -58,7 +62,7 @@
 }
 
 // sendBatch sends messages as one batch.
-func (e *end) sendBatch(tb testing.TB, to string, messages []any) {
+func (e *endpoint) sendBatch(tb testing.TB, to string, messages []any) {
 	tb.Helper()
 	for _, message := range messages {
 		if err := e.links.Send(to, 7, message); err != nil {
@@ -68,8 +72,8 @@
 	e.links.Flush()
 }
 
-func manyMessages(count int) []any {
-	const shared = "+~0/17"
+func benchmarkMessages(count int) []any {
+	const sharedPartition = "+~0/17"
 	body := bytes.Repeat([]byte("reading of a sensor "), 12)[:230]
 	var messages []any
 	for number := range count {
@@ -84,22 +88,22 @@
 		}
 		messages = append(messages,
 			partition.Append{
-				Partition: shared,
+				Partition: sharedPartition,
 				RequestID: 123456,
 				Topic:     record.Topic,
 				Sender:    record.Sender,
 				Seq:       record.Seq,
 				Data:      body,
 			},
-			gateway.RecordCopy{Partition: shared, Record: record},
+			gateway.RecordCopy{Partition: sharedPartition, Record: record},
 			partition.AppendResponse{
-				Partition: shared,
+				Partition: sharedPartition,
 				RequestID: 123456,
 				Outcome:   partition.OutcomeAccepted,
 				Epoch:     3,
 				Record:    record,
 			},
-			partition.ReplicateResponse{Partition: shared, Epoch: 3, LastOffset: 70000, LastEpoch: 3},
+			partition.ReplicateResponse{Partition: sharedPartition, Epoch: 3, LastOffset: 70000, LastEpoch: 3},
 		)
 	}
 	return messages[:count]
@@ -118,7 +122,7 @@
 		t.Skip("for the benchmark only")
 	}
 	runtime.GOMAXPROCS(1)
-	mirror := openEndAt(t, address)
+	mirror := openEndpointAt(t, address)
 	fmt.Println(mirrorReady)
 	ended := make(chan struct{})
 	go func() {
@@ -159,7 +163,7 @@
 			return address
 		}
 	}
-	b.Fatal("the other end did not start")
+	b.Fatal("the mirror process did not start")
 	return ""
 }
 
@@ -171,22 +175,22 @@
 	for _, each := range []int{1, 4, 16} {
 		b.Run(fmt.Sprintf("frames=%d", each), func(b *testing.B) {
 			defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
-			here, mirror := openEnd(b), startMirror(b)
-			messages := manyMessages(each)
-			swap := func() {
-				here.sendBatch(b, mirror, messages)
+			local, mirror := openEndpoint(b), startMirror(b)
+			messages := benchmarkMessages(each)
+			exchange := func() {
+				local.sendBatch(b, mirror, messages)
 				for range messages {
-					<-here.inbox
+					<-local.inbox
 				}
 			}
-			swap()
+			exchange()
 			var before, after syscall.Rusage
 			_ = syscall.Getrusage(syscall.RUSAGE_SELF, &before)
-			out, sent := here.links.Counters.BytesOut.Load(), here.links.Counters.MessagesOut.Load()
+			out, sent := local.links.Counters.BytesOut.Load(), local.links.Counters.MessagesOut.Load()
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
-				swap()
+				exchange()
 			}
 			b.StopTimer()
 			_ = syscall.Getrusage(syscall.RUSAGE_SELF, &after)
@@ -195,7 +199,7 @@
 			used := after.Utime.Nano() - before.Utime.Nano() + after.Stime.Nano() - before.Stime.Nano()
 			b.ReportMetric(float64(used)/count, "cpu-ns/msg")
 			b.ReportMetric(float64(after.Nvcsw-before.Nvcsw)/count, "waits/msg")
-			out, sent = here.links.Counters.BytesOut.Load()-out, here.links.Counters.MessagesOut.Load()-sent
+			out, sent = local.links.Counters.BytesOut.Load()-out, local.links.Counters.MessagesOut.Load()-sent
 			b.ReportMetric(float64(out)/float64(sent), "bytes/msg")
 		})
 	}
--- a/internal/transport/codec_test.go
+++ b/internal/transport/codec_test.go
@@ -24,16 +24,16 @@
 		length, complete, err := transport.FrameLength(frame)
 		assert.NilError(t, err)
 		assert.Assert(t, complete && length == len(frame)-4)
-		meta, back, err := transport.Decode(frame[4:])
+		meta, decoded, err := transport.Decode(frame[4:])
 		assert.NilError(t, err, name)
 		assert.Equal(t, meta.Version, uint64(7))
-		assert.Equal(t, reflect.TypeOf(back), reflect.TypeOf(message), name)
+		assert.Equal(t, reflect.TypeOf(decoded), reflect.TypeOf(message), name)
 		for cut := range len(frame) - 4 {
 			_, _, err := transport.Decode(frame[4 : 4+cut])
-			assert.Assert(t, err != nil, "%s cut at %d was read", name, cut)
+			assert.Assert(t, err != nil, "%s truncated to %d bytes was decoded", name, cut)
 		}
 		_, _, err = transport.Decode(append(frame[4:len(frame):len(frame)], 0))
-		assert.Assert(t, err != nil, "%s with a byte more was read", name)
+		assert.Assert(t, err != nil, "%s with a trailing byte was decoded", name)
 	}
 }
 
@@ -56,15 +56,15 @@
 		}
 		f.Add(frame[4:])
 	}
-	f.Fuzz(func(t *testing.T, packed []byte) {
-		meta, message, err := transport.Decode(packed)
+	f.Fuzz(func(t *testing.T, encoded []byte) {
+		meta, message, err := transport.Decode(encoded)
 		if err != nil {
 			return
 		}
 		frame, err := transport.Encode(meta, message)
 		assert.NilError(t, err)
-		_, again, err := transport.Decode(frame[4:])
+		_, decodedAgain, err := transport.Decode(frame[4:])
 		assert.NilError(t, err)
-		assert.Assert(t, reflect.TypeOf(again) == reflect.TypeOf(message))
+		assert.Assert(t, reflect.TypeOf(decodedAgain) == reflect.TypeOf(message))
 	})
 }
--- a/internal/transport/compression.go
+++ b/internal/transport/compression.go
@@ -54,7 +54,7 @@
 	firstRebuild       = 512
 	maxRebuildInterval = 4 << 10
 
-	// The initial counts of symbols (see expectedSymbol).
+	// The initial counts of symbols (see initialSymbolCount).
 	commonCount = 8
 	rareCount   = 2
 
@@ -71,24 +71,24 @@
 	lastDistance int
 	symbols      huffman
 	distances    huffman
-	// seen counts bytes since the codes were last rebuilt. They are rebuilt again when
-	// it reaches rebuildAt.
-	seen      int
-	rebuildAt int
+	// bytesSinceRebuild counts bytes since the codes were last rebuilt. The codes are
+	// rebuilt again when it reaches rebuildAt.
+	bytesSinceRebuild int
+	rebuildAt         int
 }
 
 func newModel() model {
 	return model{
 		history:   make([]byte, 0, 2*historyBytes),
-		symbols:   newHuffman(symbolCount, maxSymbolBits, expectedSymbol),
+		symbols:   newHuffman(symbolCount, maxSymbolBits, initialSymbolCount),
 		distances: newHuffman(distanceSymbols, maxDistanceBits, func(size int) uint32 { return uint32(1 + size) }),
 		rebuildAt: firstRebuild,
 	}
 }
 
-// expectedSymbol returns the initial count of a symbol. It is higher for lowercase
+// initialSymbolCount returns the initial count of a symbol. It is higher for lowercase
 // letters, digits and matches.
-func expectedSymbol(symbol int) uint32 {
+func initialSymbolCount(symbol int) uint32 {
 	switch {
 	case symbol >= 'a' && symbol <= 'z', symbol >= '0' && symbol <= '9', symbol >= matchSymbols:
 		return commonCount
@@ -108,15 +108,15 @@
 	return dropped
 }
 
-// learn counts processed bytes, and rebuilds the codes when that is due.
-func (m *model) learn(more int) {
-	m.seen += more
-	if m.seen < m.rebuildAt {
+// rebuildIfDue counts processed bytes, and rebuilds the codes when that is due.
+func (m *model) rebuildIfDue(more int) {
+	m.bytesSinceRebuild += more
+	if m.bytesSinceRebuild < m.rebuildAt {
 		return
 	}
 	m.symbols.rebuild()
 	m.distances.rebuild()
-	m.seen, m.rebuildAt = 0, min(2*m.rebuildAt, maxRebuildInterval)
+	m.bytesSinceRebuild, m.rebuildAt = 0, min(2*m.rebuildAt, maxRebuildInterval)
 }
 
 // Each length below plainSlots has a slot of its own. Longer lengths share the slot of
@@ -171,7 +171,7 @@
 	for len(body) > 0 {
 		block := body[:min(len(body), historyBytes)]
 		c.compressBlock(block)
-		c.learn(len(block))
+		c.rebuildIfDue(len(block))
 		body = body[len(block):]
 	}
 	if c.bitCount > 0 {
@@ -311,7 +311,7 @@
 func (d *decompressor) decompress(compressed []byte) ([]byte, error) {
 	length, size := binary.Uvarint(compressed)
 	if size <= 0 || length == 0 || length > maxCompressible {
-		return nil, ErrorFrame.New("body of %d bytes in a compressed batch is out of bounds", length)
+		return nil, ErrorFrame.New("decompressed size of %d bytes of a compressed batch is out of range", length)
 	}
 	d.in, d.bits, d.bitCount, d.padding = compressed[size:], 0, 0, 0
 	body := make([]byte, 0, length)
@@ -322,13 +322,13 @@
 		if err := d.decompressBlock(start + block); err != nil {
 			return nil, err
 		}
-		d.learn(block)
+		d.rebuildIfDue(block)
 		body = append(body, d.history[start:]...)
 		remaining -= block
 	}
 	// At most seven bits may be left over: the padding of the last byte.
 	if unread := bitsPerByte*len(d.in) + d.bitCount - d.padding; unread < 0 || unread >= bitsPerByte {
-		return nil, ErrorFrame.New("a compressed batch is longer or shorter than its body")
+		return nil, ErrorFrame.New("compressed batch is truncated or has trailing bytes")
 	}
 	return body, nil
 }
@@ -351,7 +351,7 @@
 			length = d.readLength(symbol-repeatSymbols) + minRepeat
 		}
 		if d.lastDistance == 0 || d.lastDistance > len(d.history) || length > end-len(d.history) {
-			return ErrorFrame.New("a compressed batch refers to bytes that weren't sent")
+			return ErrorFrame.New("distance or length of a match in a compressed batch is out of range")
 		}
 		for range length {
 			d.history = append(d.history, d.history[len(d.history)-d.lastDistance])
--- a/internal/transport/compression_test.go
+++ b/internal/transport/compression_test.go
@@ -15,9 +15,9 @@
 func roundTrip(tb testing.TB, sender *compressor, receiver *decompressor, body []byte) int {
 	tb.Helper()
 	compressed := sender.compress(nil, body)
-	back, err := receiver.decompress(compressed)
+	decompressed, err := receiver.decompress(compressed)
 	assert.NilError(tb, err)
-	assert.Assert(tb, bytes.Equal(back, body), "%d bytes differ", len(body))
+	assert.Assert(tb, bytes.Equal(decompressed, body), "the decompressed body of %d bytes differs", len(body))
 	return len(compressed)
 }
 
@@ -73,7 +73,7 @@
 	for range 100 {
 		total += roundTrip(t, sender, receiver, letters(random, 230))
 	}
-	assert.Assert(t, total < 100*130, "230 letters of 16 kinds take %d bytes", total/100)
+	assert.Assert(t, total < 100*130, "230 random letters from an alphabet of 16 were compressed to %d bytes", total/100)
 }
 
 func TestDecompressorSurvivesCorruptBatches(t *testing.T) {
@@ -125,7 +125,7 @@
 			Seq:    uint64(number),
 			Data:   letters(random, 230),
 		}
-		assert.NilError(b, appendFrameOf(&batch, message))
+		assert.NilError(b, appendPublicationFrame(&batch, message))
 		batches = append(batches, batch.Bytes())
 		plain += batch.Len()
 	}
@@ -155,9 +155,9 @@
 	Data   []byte
 }
 
-func appendFrameOf(batch *bytes.Buffer, message publication) error {
-	_, known := typeOfNumber[9999]
-	if !known {
+func appendPublicationFrame(batch *bytes.Buffer, message publication) error {
+	_, registered := typeOfNumber[9999]
+	if !registered {
 		MustRegister(9999, publication{})
 	}
 	return appendFrame(batch, statemachine.Meta{}.From, 7, message)
--- a/internal/transport/dialer.go
+++ b/internal/transport/dialer.go
@@ -336,7 +336,7 @@
 	to.unwritten = chunk{}
 	// Catch-up responses are dropped because the peer requests the missed records
 	// again on its own connection.
-	d.dropped(d.queue.Remove(to.address, ClassCatchUp, func(chunk) bool { return true }))
+	d.countDropped(d.queue.Remove(to.address, ClassCatchUp, func(chunk) bool { return true }))
 	if d.queue.Contains(to.address) {
 		// The queue isn't accessed at once because the connection may have been closed
 		// by a function that is iterating over the queue.
--- a/internal/transport/dialer_queue.go
+++ b/internal/transport/dialer_queue.go
@@ -26,7 +26,7 @@
 			continue
 		}
 		for _, part := range d.split(to, each, now) {
-			d.dropped(d.queue.Push(to.address, part.class, len(part.body), part))
+			d.countDropped(d.queue.Push(to.address, part.class, len(part.body), part))
 		}
 	}
 	d.serve(to)
@@ -37,7 +37,7 @@
 // differently, it splits the chunk into single frames.
 func (d *dialer) split(to *link, complete chunk, now time.Time) []chunk {
 	impairment := d.transport.impairment.Load()
-	unimpaired := impairment.none()
+	unimpaired := impairment.isEmpty()
 	complete.queuedAt = now
 	if unimpaired && len(complete.body) <= maxChunkBytes {
 		return []chunk{complete}
@@ -117,7 +117,7 @@
 		}
 		to := d.links[peer]
 		if next.class.Expired(now.Sub(next.queuedAt)) {
-			d.dropped([]chunk{next})
+			d.countDropped([]chunk{next})
 		} else {
 			d.transmit(now, to, next)
 		}
@@ -223,11 +223,11 @@
 func (d *dialer) dropStale(to *link) {
 	oldest := time.Now().Add(-maxConnectWait)
 	stale := func(each chunk) bool { return each.queuedAt.Before(oldest) }
-	d.dropped(d.queue.RemoveAll(to.address, stale))
+	d.countDropped(d.queue.RemoveAll(to.address, stale))
 }
 
-// dropped counts the frames of chunks that were dropped.
-func (d *dialer) dropped(chunks []chunk) {
+// countDropped counts the frames of chunks that were dropped.
+func (d *dialer) countDropped(chunks []chunk) {
 	for _, each := range chunks {
 		d.transport.Counters.Dropped.Add(int64(each.frames))
 	}
--- a/internal/transport/dialer_test.go
+++ b/internal/transport/dialer_test.go
@@ -18,7 +18,7 @@
 // testTimeout bounds each wait. No assertion depends on the duration of a wait.
 const testTimeout = 20 * time.Second
 
-func openAt(t *testing.T) (*Transport, string, chan Inbound) {
+func openTransport(t *testing.T) (*Transport, string, chan Inbound) {
 	t.Helper()
 	probe, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -31,13 +31,13 @@
 	return links, address, inbox
 }
 
-func awaited[T any](t *testing.T, from <-chan T, what string) T {
+func receiveOrFail[T any](t *testing.T, from <-chan T, failure string) T {
 	t.Helper()
 	select {
-	case came := <-from:
-		return came
+	case value := <-from:
+		return value
 	case <-time.After(testTimeout):
-		t.Fatal(what)
+		t.Fatal(failure)
 		panic("unreachable")
 	}
 }
@@ -45,7 +45,7 @@
 // The first dials time out early because a host that is just starting drops SYNs, and the
 // kernel retransmits a SYN only after a second.
 func TestDialerTimesOutUnansweredDialsEarly(t *testing.T) {
-	links, _, _ := openAt(t)
+	links, _, _ := openTransport(t)
 	limits := make(chan time.Duration, 16)
 	links.dialer.dial = func(limit context.Context, _ string) (net.Conn, error) {
 		end, bounded := limit.Deadline()
@@ -62,37 +62,37 @@
 		// dropped, and there is no dial without a queued message.
 		assert.NilError(t, links.Send("127.0.0.1:9", 0, testMessage{}))
 		links.Flush()
-		limit := awaited(t, limits, "it was not dialed again")
-		assert.Assert(t, limit <= maximum, "%s for a dial that may take %s", limit, maximum)
-		assert.Assert(t, limit > maximum/4, "%s for a dial that may take %s", limit, maximum)
+		limit := receiveOrFail(t, limits, "the peer was not dialed again")
+		assert.Assert(t, limit <= maximum, "the dial timeout is %s, want at most %s", limit, maximum)
+		assert.Assert(t, limit > maximum/4, "the dial timeout is %s, want more than a quarter of %s", limit, maximum)
 	}
 }
 
 func TestDialerRedialsWhenPeerAppears(t *testing.T) {
-	links, address, _ := openAt(t)
-	peer, peerAddress, peerInbox := openAt(t)
+	links, address, _ := openTransport(t)
+	peer, peerAddress, peerInbox := openTransport(t)
 	links.dialer.firstDialTimeout = time.Hour
-	plain := links.dialer.dial
-	ended := make(chan error, 1)
-	begun := make(chan struct{}, 1)
+	dialTCP := links.dialer.dial
+	cancelled := make(chan error, 1)
+	started := make(chan struct{}, 1)
 	dials := 0
 	links.dialer.dial = func(limit context.Context, to string) (net.Conn, error) {
 		if dials++; dials > 1 {
-			return plain(limit, to)
+			return dialTCP(limit, to)
 		}
-		begun <- struct{}{}
+		started <- struct{}{}
 		<-limit.Done()
-		ended <- limit.Err()
+		cancelled <- limit.Err()
 		return nil, limit.Err()
 	}
 	assert.NilError(t, links.Send(peerAddress, 0, testMessage{Number: 7}))
 	links.Flush()
-	awaited(t, begun, "it was not dialed")
+	receiveOrFail(t, started, "the peer was not dialed")
 	assert.NilError(t, peer.Send(address, 0, testMessage{Number: 1}))
 	peer.Flush()
-	assert.Assert(t, errors.Is(awaited(t, ended, "the dial went on though the peer was there"), context.Canceled))
-	came := awaited(t, peerInbox, "nothing came over a dial of its own")
-	assert.Equal(t, came.Message.(testMessage).Number, uint64(7))
+	assert.Assert(t, errors.Is(receiveOrFail(t, cancelled, "the pending dial was not cancelled"), context.Canceled))
+	inbound := receiveOrFail(t, peerInbox, "the message was not delivered over the repeated dial")
+	assert.Equal(t, inbound.Message.(testMessage).Number, uint64(7))
 }
 
 // A daemon starts the acceptor before the dialer, so peers may connect before the dialer
--- a/internal/transport/flow_window_test.go
+++ b/internal/transport/flow_window_test.go
@@ -19,23 +19,23 @@
 }
 
 // sendFor sends for the duration length over a link with a rate in bytes per second, on
-// which other traffic causes a constant queueing delay. It returns the maximum of bytes in
+// which other traffic causes a constant queueDelay. It returns the maximum of bytes in
 // flight once the window is stable, and the number of received bytes.
-func sendFor(length, others time.Duration, rate int) (inFlight, received int64) {
+func sendFor(length, queueDelay time.Duration, rate int) (inFlight, received int64) {
 	var window FlowWindow
 	var peer receiver
 	now := time.Unix(1_700_000_000, 0)
 	end, stable, freeAt := now.Add(length), now.Add(length/4), now
-	type flight struct {
+	type packet struct {
 		at   time.Time
 		size int
 	}
-	var flying []flight
+	var inTransit []packet
 	const size = 1000
 	for now.Before(end) {
-		for len(flying) > 0 && !flying[0].at.After(now) {
-			peer.receive(&window, now, flying[0].size)
-			flying = flying[1:]
+		for len(inTransit) > 0 && !inTransit[0].at.After(now) {
+			peer.receive(&window, now, inTransit[0].size)
+			inTransit = inTransit[1:]
 		}
 		for window.Admits(ClassCatchUp) {
 			window.Sent(now, size)
@@ -43,7 +43,7 @@
 				freeAt = now
 			}
 			freeAt = freeAt.Add(size * time.Second / time.Duration(rate))
-			flying = append(flying, flight{at: freeAt.Add(time.Millisecond + others), size: size})
+			inTransit = append(inTransit, packet{at: freeAt.Add(time.Millisecond + queueDelay), size: size})
 		}
 		if now.After(stable) {
 			inFlight = max(inFlight, window.sent.Load()-window.acknowledged.Load())
@@ -55,12 +55,15 @@
 
 func TestFlowWindowFollowsQueueDelay(t *testing.T) {
 	inFlight, received := sendFor(4*time.Second, 0, 10_000_000)
-	assert.Assert(t, inFlight > 64<<10 && received > 30_000_000, "free: %d, %d received", inFlight, received)
+	assert.Assert(t, inFlight > 64<<10 && received > 30_000_000,
+		"fast link: %d bytes in flight, %d received", inFlight, received)
 	inFlight, received = sendFor(4*time.Second, 200*time.Millisecond, 325_000)
-	assert.Assert(t, inFlight <= minWindow+1000 && received > 40_000, "others: %d, %d received", inFlight, received)
+	assert.Assert(t, inFlight <= minWindow+1000 && received > 40_000,
+		"with other traffic: %d bytes in flight, %d received", inFlight, received)
 	// Without other traffic, the queue of a slow link stays short and the link is utilized.
 	inFlight, received = sendFor(4*time.Second, 0, 325_000)
-	assert.Assert(t, inFlight < 325_000/10 && received > 4*325_000*9/10, "slow: %d, %d received", inFlight, received)
+	assert.Assert(t, inFlight < 325_000/10 && received > 4*325_000*9/10,
+		"slow link: %d bytes in flight, %d received", inFlight, received)
 }
 
 func TestFlowWindowGrowsOnlyWhenUsed(t *testing.T) {
--- a/internal/transport/frame.go
+++ b/internal/transport/frame.go
@@ -66,7 +66,7 @@
 func appendFrame(buffer *bytes.Buffer, address string, version uint64, message any) error {
 	number, found := numberOfType[reflect.TypeOf(message)]
 	if !found {
-		return ErrorFrame.New("type %T has no number", message)
+		return ErrorFrame.New("message type %T is not registered", message)
 	}
 	start := buffer.Len()
 	var scratch [frameHeaderBytes + numberBytes + 2*binary.MaxVarintLen64]byte
@@ -83,12 +83,12 @@
 	buffer.Write(binary.AppendUvarint(scratch[:0], version))
 	if err := encoding.MarshalToBuffer(message, buffer); err != nil {
 		buffer.Truncate(start)
-		return ErrorFrame.Wrap(err, "body of %T", message)
+		return ErrorFrame.Wrap(err, "encoding the body of %T", message)
 	}
 	length := buffer.Len() - start - frameHeaderBytes
 	if length > FrameLimit {
 		buffer.Truncate(start)
-		return ErrorFrame.New("%T of %d bytes is over the limit", message, length)
+		return ErrorFrame.New("%T of %d bytes exceeds the frame limit", message, length)
 	}
 	binary.BigEndian.PutUint32(buffer.Bytes()[start:], uint32(length))
 	return nil
@@ -109,7 +109,7 @@
 	}
 	length := binary.BigEndian.Uint32(header)
 	if length == 0 || length > FrameLimit {
-		return 0, false, ErrorFrame.New("length %d is out of bounds", length)
+		return 0, false, ErrorFrame.New("frame length %d is out of range", length)
 	}
 	return int(length), true, nil
 }
@@ -125,7 +125,7 @@
 func (d *decoder) decode(frame []byte, address string) (statemachine.Meta, any, error) {
 	meta := statemachine.Meta{From: address}
 	if len(frame) < numberBytes {
-		return meta, nil, ErrorFrame.New("a frame of %d bytes is too short", len(frame))
+		return meta, nil, ErrorFrame.New("frame of %d bytes is too short for a message type number", len(frame))
 	}
 	number := binary.BigEndian.Uint16(frame)
 	rest := frame[numberBytes:]
@@ -133,14 +133,14 @@
 		number &^= addressFlag
 		length, size := binary.Uvarint(rest)
 		if size <= 0 || length == 0 || length > uint64(len(rest)-size) {
-			return meta, nil, ErrorFrame.New("the address is truncated")
+			return meta, nil, ErrorFrame.New("sender address in the frame is empty or truncated")
 		}
 		meta.From = string(rest[size : size+int(length)])
 		rest = rest[size+int(length):]
 	}
 	version, size := binary.Uvarint(rest)
 	if size <= 0 {
-		return meta, nil, ErrorFrame.New("the version is truncated")
+		return meta, nil, ErrorFrame.New("configuration version in the frame is truncated or too large")
 	}
 	meta.Version = version
 	message, err := d.decodeBody(number, rest[size:])
@@ -152,7 +152,7 @@
 	if !found {
 		kind, known := typeOfNumber[number]
 		if !known {
-			return nil, ErrorFrame.New("number %d is unknown", number)
+			return nil, ErrorFrame.New("unknown message type number %d", number)
 		}
 		value = reflect.New(kind)
 		if d.values == nil {
@@ -164,7 +164,7 @@
 	message := value.Elem().Interface()
 	value.Elem().SetZero()
 	if err != nil {
-		return nil, ErrorFrame.Wrap(err, "body of %s", value.Elem().Type().String())
+		return nil, ErrorFrame.Wrap(err, "decoding the body of %s", value.Elem().Type().String())
 	}
 	return message, nil
 }
--- a/internal/transport/huffman.go
+++ b/internal/transport/huffman.go
@@ -30,7 +30,7 @@
 
 // newHuffman returns a code for an alphabet, built from the expected counts of its
 // symbols.
-func newHuffman(symbols, maxBits int, expected func(symbol int) uint32) huffman {
+func newHuffman(symbols, maxBits int, initialCount func(symbol int) uint32) huffman {
 	made := huffman{
 		maxBits:     maxBits,
 		counts:      make([]uint32, symbols),
@@ -39,7 +39,7 @@
 		decodeTable: make([]uint16, 1<<maxBits),
 	}
 	for symbol := range made.counts {
-		made.counts[symbol] = expected(symbol)
+		made.counts[symbol] = initialCount(symbol)
 	}
 	made.rebuild()
 	return made
--- a/internal/transport/impairment.go
+++ b/internal/transport/impairment.go
@@ -28,8 +28,8 @@
 	InboundBlocked  []string
 }
 
-// none reports whether the impairment has no effect.
-func (i *Impairment) none() bool {
+// isEmpty reports whether the impairment has no effect.
+func (i *Impairment) isEmpty() bool {
 	return len(i.Delays)+len(i.Loss)+len(i.Partitioned)+len(i.OutboundBlocked)+len(i.InboundBlocked) == 0
 }
 
--- a/internal/transport/pacer_test.go
+++ b/internal/transport/pacer_test.go
@@ -13,26 +13,27 @@
 type slowLink struct {
 	rate    int
 	now     time.Time
-	free    time.Time
+	freeAt  time.Time
 	arrived map[string]time.Duration
-	began   time.Time
+	start   time.Time
 }
 
-func (sl *slowLink) give(item string, size int) {
-	if sl.free.Before(sl.now) {
-		sl.free = sl.now
+func (sl *slowLink) transmit(item string, size int) {
+	if sl.freeAt.Before(sl.now) {
+		sl.freeAt = sl.now
 	}
-	sl.free = sl.free.Add(time.Duration(size) * time.Second / time.Duration(sl.rate))
-	sl.arrived[item] = sl.free.Sub(sl.began)
+	sl.freeAt = sl.freeAt.Add(time.Duration(size) * time.Second / time.Duration(sl.rate))
+	sl.arrived[item] = sl.freeAt.Sub(sl.start)
 }
 
-// drain sends queued items over a slow link as the pacer permits. After 500 ms it queues a
-// lease in ClassControl, and returns the time until the lease was transmitted.
-func drain(t *testing.T) time.Duration {
+// drainWithLease sends queued items over a slow link as the pacer permits. After 500 ms it
+// queues a lease in ClassControl. It returns the time from then until the lease was
+// transmitted.
+func drainWithLease(t *testing.T) time.Duration {
 	t.Helper()
 	const rate, size = 325_000, 8 << 10
-	began := time.Unix(1_700_000_000, 0)
-	link := &slowLink{rate: rate, now: began, began: began, arrived: map[string]time.Duration{}}
+	start := time.Unix(1_700_000_000, 0)
+	link := &slowLink{rate: rate, now: start, start: start, arrived: map[string]time.Duration{}}
 	var queue PriorityQueue[string]
 	var pacer Pacer
 	pacer.SetRate(rate)
@@ -40,10 +41,10 @@
 		queue.Push("a", ClassCatchUp, size, fmt.Sprint("missed ", number))
 	}
 	const leaseAt = 500 * time.Millisecond
-	leased := false
-	for !queue.Empty() || !leased {
-		if !leased && link.now.Sub(began) >= leaseAt {
-			leased = true
+	leaseQueued := false
+	for !queue.Empty() || !leaseQueued {
+		if !leaseQueued && link.now.Sub(start) >= leaseAt {
+			leaseQueued = true
 			queue.Push("b", ClassControl, 100, "lease")
 		}
 		if wait := pacer.Delay(link.now); wait > 0 || queue.Empty() {
@@ -56,16 +57,16 @@
 			bytes = 100
 		}
 		pacer.Spend(link.now, bytes)
-		link.give(item, bytes)
+		link.transmit(item, bytes)
 	}
 	last := link.arrived["missed 99"]
-	assert.Assert(t, last < 100*size*time.Second/rate*10/8, "the link was left idle: %v", last)
+	assert.Assert(t, last < 100*size*time.Second/rate*10/8, "the link was not fully utilized: %v", last)
 	return link.arrived["lease"] - leaseAt
 }
 
 func TestPacerLetsControlOvertakeQueue(t *testing.T) {
-	late := drain(t)
-	assert.Assert(t, late < 2*pacerBurst+30*time.Millisecond, "the lease was through after %v", late)
+	delay := drainWithLease(t)
+	assert.Assert(t, delay < 2*pacerBurst+30*time.Millisecond, "the lease was transmitted after %v", delay)
 }
 
 func TestPacerRequiresAcknowledgementsOnSlowLinksOnly(t *testing.T) {
--- a/internal/transport/registry.go
+++ b/internal/transport/registry.go
@@ -14,10 +14,10 @@
 func MustRegister(number uint16, prototype any) {
 	kind := reflect.TypeOf(prototype)
 	if number >= addressFlag {
-		panic("transport: number out of range, wanted by " + kind.String())
+		panic("transport: message type number out of range for " + kind.String())
 	}
 	if earlier, found := typeOfNumber[number]; found {
-		panic("transport: number taken by " + earlier.String() + ", wanted by " + kind.String())
+		panic("transport: message type number of " + kind.String() + " is already registered for " + earlier.String())
 	}
 	numberOfType[kind] = number
 	typeOfNumber[number] = kind
--- a/internal/transport/sender.go
+++ b/internal/transport/sender.go
@@ -102,7 +102,7 @@
 func (t *Transport) sendBatch(now time.Time, to *link) {
 	to.batches.Add(1)
 	direct := to.direct.Load()
-	if direct == nil || direct.handedOver != to.handedOver || !t.impairment.Load().none() {
+	if direct == nil || direct.handedOver != to.handedOver || !t.impairment.Load().isEmpty() {
 		t.handOverBatch(to)
 		return
 	}
--- a/internal/transport/slow_link_test.go
+++ b/internal/transport/slow_link_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestTransportKeepsOrderOnSlowLink(t *testing.T) {
-	left, right := openEnd(t), openEnd(t)
+	left, right := openEndpoint(t), openEndpoint(t)
 	const rate, count = 4_000_000, 400
 	left.links.SetRate(rate)
 	right.links.SetRate(rate)
@@ -24,12 +24,12 @@
 	for number := range uint64(count) {
 		assert.Equal(t, receive(t, right.inbox).Message.(partition.Append).RequestID, number)
 	}
-	assert.Assert(t, left.links.Counters.Throttled.Load() > 0, "nothing waited for the link")
+	assert.Assert(t, left.links.Counters.Throttled.Load() > 0, "sending was never throttled")
 	assert.Equal(t, left.links.Counters.Dropped.Load(), int64(0))
 }
 
 func TestTransportSendsControlFirstOnSlowLink(t *testing.T) {
-	left, right := openEnd(t), openEnd(t)
+	left, right := openEndpoint(t), openEndpoint(t)
 	const rate, count = 200_000, 300
 	left.links.Flush()
 	left.links.SetRate(rate)
@@ -43,5 +43,5 @@
 	left.links.Flush()
 	assert.Equal(t, receive(t, right.control).Message.(membership.Heartbeat).Name, "left")
 	// Sending the queued messages takes more than four seconds.
-	assert.Assert(t, len(right.inbox) < count-1, "the heartbeat came last")
+	assert.Assert(t, len(right.inbox) < count-1, "the heartbeat was received after all queued messages")
 }
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -23,21 +23,21 @@
 	case inbound := <-from:
 		return inbound
 	case <-time.After(testTimeout):
-		t.Fatal("nothing came")
+		t.Fatal("no message was received")
 		return transport.Inbound{}
 	}
 }
 
-func appendOf(number uint64) partition.Append {
+func appendRequest(number uint64) partition.Append {
 	return partition.Append{Partition: "s~1/2", RequestID: number, Data: make([]byte, number%300)}
 }
 
 func TestTransportDeliversAllInOrder(t *testing.T) {
-	left, right := openEnd(t), openEnd(t)
+	left, right := openEndpoint(t), openEndpoint(t)
 	const count = 3000
 	for sent := uint64(0); sent < count; {
 		for range 1 + sent%17 {
-			assert.NilError(t, left.links.Send(right.address, sent, appendOf(sent)))
+			assert.NilError(t, left.links.Send(right.address, sent, appendRequest(sent)))
 			sent++
 		}
 		left.links.Flush()
@@ -54,13 +54,13 @@
 }
 
 func TestTransportDeliversCompressedBatchesInOrder(t *testing.T) {
-	left, right := openEndAt(t, freeAddress(t)), openEndAt(t, freeAddressOf(t, "127.0.1.1"))
+	left, right := openEndpointAt(t, freeAddress(t)), openEndpointAt(t, freeAddressOn(t, "127.0.1.1"))
 	left.links.EnableCompression()
 	const count = 3000
 	plain := 0
 	for sent := uint64(0); sent < count; {
 		for range 1 + sent%17 {
-			message := appendOf(sent)
+			message := appendRequest(sent)
 			frame, err := transport.Encode(statemachine.Meta{Version: sent}, message)
 			assert.NilError(t, err)
 			plain += len(frame)
@@ -81,18 +81,18 @@
 		assert.Equal(t, inbound.Message.(partition.Append).RequestID, number)
 	}
 	assert.Equal(t, left.links.Counters.Dropped.Load(), int64(0))
-	assert.Assert(t, left.links.Counters.BytesOut.Load() < int64(plain), "nothing became smaller")
+	assert.Assert(t, left.links.Counters.BytesOut.Load() < int64(plain), "compression did not reduce the size")
 }
 
 func TestTransportWritesBatchAtOnce(t *testing.T) {
-	left, right := openEnd(t), openEnd(t)
+	left, right := openEndpoint(t), openEndpoint(t)
 	left.links.Flush()
 	for number := range uint64(8) {
 		before := left.links.Counters.Writes.Load()
 		for range 16 {
-			assert.NilError(t, left.links.Send(right.address, 0, appendOf(number)))
+			assert.NilError(t, left.links.Send(right.address, 0, appendRequest(number)))
 		}
-		assert.Equal(t, left.links.Counters.Writes.Load(), before, "a frame went before the end of its batch")
+		assert.Equal(t, left.links.Counters.Writes.Load(), before, "a frame was written before Flush")
 		left.links.Flush()
 		for range 16 {
 			receive(t, right.inbox)
@@ -102,15 +102,15 @@
 }
 
 func TestTransportSendsAtOnceBeforeFirstFlush(t *testing.T) {
-	left, right := openEnd(t), openEnd(t)
+	left, right := openEndpoint(t), openEndpoint(t)
 	for number := range uint64(50) {
-		assert.NilError(t, left.links.Send(right.address, 0, appendOf(number)))
+		assert.NilError(t, left.links.Send(right.address, 0, appendRequest(number)))
 		assert.Equal(t, receive(t, right.inbox).Message.(partition.Append).RequestID, number)
 	}
 }
 
 func TestDecoderKeepsNothingOfEarlierMessages(t *testing.T) {
-	left, right := openEnd(t), openEnd(t)
+	left, right := openEndpoint(t), openEndpoint(t)
 	full := partition.FetchResponse{
 		Partition: "a",
 		RequestID: 1,
@@ -131,59 +131,59 @@
 	blocked, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer func() { assert.NilError(t, blocked.Close()) }()
-	left, right := openEnd(t), openEnd(t)
+	left, right := openEndpoint(t), openEndpoint(t)
 	large := partition.Append{Partition: "s~1/2", Data: make([]byte, 64<<10)}
 	began := time.Now()
 	for number := range uint64(400) {
 		assert.NilError(t, left.links.Send(blocked.Addr().String(), 0, large))
-		assert.NilError(t, left.links.Send(right.address, 0, appendOf(number)))
+		assert.NilError(t, left.links.Send(right.address, 0, appendRequest(number)))
 		left.links.Flush()
 		assert.Equal(t, receive(t, right.inbox).Message.(partition.Append).RequestID, number)
 	}
 	assert.Assert(t, time.Since(began) < testTimeout)
-	assert.Assert(t, left.links.Counters.Dropped.Load() > 0, "the bound of the queue was not kept")
+	assert.Assert(t, left.links.Counters.Dropped.Load() > 0, "no message was dropped although the queue is bounded")
 }
 
 func TestTransportReconnectsToRestartedPeer(t *testing.T) {
 	address := freeAddress(t)
-	left := openEnd(t)
+	left := openEndpoint(t)
 	inbox, control := make(chan transport.Inbound, 4096), make(chan transport.Inbound, 4096)
-	come := func() *transport.Transport {
+	openPeer := func() *transport.Transport {
 		links, err := transport.Open(address, inbox, control, func(string, error) {})
 		assert.NilError(t, err)
 		return links
 	}
 	number := uint64(0)
-	arrives := func() {
+	sendUntilReceived := func() {
 		t.Helper()
-		pace, limit := time.NewTicker(5*time.Millisecond), time.After(testTimeout)
-		defer pace.Stop()
+		ticker, timeout := time.NewTicker(5*time.Millisecond), time.After(testTimeout)
+		defer ticker.Stop()
 		for {
 			number++
-			assert.NilError(t, left.links.Send(address, 0, appendOf(number)))
+			assert.NilError(t, left.links.Send(address, 0, appendRequest(number)))
 			left.links.Flush()
 			select {
 			case <-inbox:
 				return
-			case <-limit:
-				t.Fatal("nothing came")
-			case <-pace.C:
+			case <-timeout:
+				t.Fatal("no message was received")
+			case <-ticker.C:
 			}
 		}
 	}
 	for range 20 {
-		assert.NilError(t, left.links.Send(address, 0, appendOf(0)))
+		assert.NilError(t, left.links.Send(address, 0, appendRequest(0)))
 		left.links.Flush()
 	}
 	for range 3 {
-		there := come()
-		arrives()
-		there.Close()
+		peer := openPeer()
+		sendUntilReceived()
+		peer.Close()
 	}
 }
 
 func TestTransportCloseTwice(t *testing.T) {
-	left := openEnd(t)
+	left := openEndpoint(t)
 	left.links.Close()
 	left.links.Close()
 }
@@ -213,15 +213,15 @@
 		case err := <-reported:
 			assert.Assert(t, err != nil)
 		case <-time.After(testTimeout):
-			t.Fatalf("%v was not refused", malformed)
+			t.Fatalf("%v was not rejected", malformed)
 		}
 		assert.NilError(t, connection.SetReadDeadline(time.Now().Add(testTimeout)))
 		_, err = connection.Read(make([]byte, 1))
-		assert.Assert(t, err != nil && !errors.Is(err, os.ErrDeadlineExceeded), "the connection is open after %v", malformed)
+		assert.Assert(t, err != nil && !errors.Is(err, os.ErrDeadlineExceeded), "still open after %v", malformed)
 		assert.NilError(t, connection.Close())
 	}
-	left := openEnd(t)
-	assert.NilError(t, left.links.Send(address, 0, appendOf(7)))
+	left := openEndpoint(t)
+	assert.NilError(t, left.links.Send(address, 0, appendRequest(7)))
 	assert.Equal(t, receive(t, inbox).Message.(partition.Append).RequestID, uint64(7))
 }
 
@@ -230,14 +230,14 @@
 func TestTransportReportsRefusedConnections(t *testing.T) {
 	address := freeAddress(t)
 	inbox, control := make(chan transport.Inbound, 4096), make(chan transport.Inbound, 4096)
-	there, err := transport.Open(address, inbox, control, func(string, error) {})
+	peer, err := transport.Open(address, inbox, control, func(string, error) {})
 	assert.NilError(t, err)
-	left := openEnd(t)
+	left := openEndpoint(t)
 	left.links.ObserveLinks()
-	assert.NilError(t, left.links.Send(address, 0, appendOf(1)))
+	assert.NilError(t, left.links.Send(address, 0, appendRequest(1)))
 	left.links.Flush()
 	receive(t, inbox)
-	there.Close()
+	peer.Close()
 	reported := receive(t, left.control)
 	_, refused := reported.Message.(transport.ConnectionRefused)
 	assert.Assert(t, refused, "%T", reported.Message)
@@ -258,23 +258,23 @@
 			accepted <- struct{}{}
 		}
 	}()
-	assert.NilError(t, left.links.Send(resetting.Addr().String(), 0, appendOf(2)))
+	assert.NilError(t, left.links.Send(resetting.Addr().String(), 0, appendRequest(2)))
 	left.links.Flush()
 	for range 3 {
 		select {
 		case <-accepted:
 		case <-time.After(testTimeout):
-			t.Fatal("a link that was reset is not dialed again")
+			t.Fatal("the peer was not dialed again after a reset")
 		}
 	}
 	assert.Equal(t, len(left.control), 0)
 }
 
 func TestTransportDropsFramesThatExpireWhileQueued(t *testing.T) {
-	left, right := openEnd(t), openEnd(t)
-	assert.NilError(t, left.links.SendBefore(right.address, 1, appendOf(1), time.Now().Add(-time.Millisecond)))
-	assert.NilError(t, left.links.SendBefore(right.address, 2, appendOf(2), time.Now().Add(time.Hour)))
-	assert.NilError(t, left.links.Send(right.address, 3, appendOf(3)))
+	left, right := openEndpoint(t), openEndpoint(t)
+	assert.NilError(t, left.links.SendBefore(right.address, 1, appendRequest(1), time.Now().Add(-time.Millisecond)))
+	assert.NilError(t, left.links.SendBefore(right.address, 2, appendRequest(2), time.Now().Add(time.Hour)))
+	assert.NilError(t, left.links.Send(right.address, 3, appendRequest(3)))
 	assert.Equal(t, receive(t, right.inbox).Meta.Version, uint64(2))
 	assert.Equal(t, receive(t, right.inbox).Meta.Version, uint64(3))
 }
