--- a/internal/overlay/cell.go
+++ b/internal/overlay/cell.go
@@ -10,91 +10,96 @@
 // CellOf returns the cell of a topic by its number (config.TopicHash).
 func CellOf(topic uint64) uint8 { return uint8(topic >> 60) }
 
-// cellArea returns the area of a cell: a square of half the cell's width in its
-// middle. The peers' points lie still closer together, so that the regions of the
-// cell's peers cover the area completely and those of other cells never meet it.
+// cellArea returns the area of a cell's peers: a square in the middle of the cell, half
+// as wide as the cell. The reference points of the peers lie even closer to the middle
+// (see cellPeer), so that the regions of the cell's peers cover the area completely and
+// the regions of other cells' peers never meet it.
 func cellArea(cell uint8) Area {
 	const side = 1.0 / cellSide
 	return Area{X: (float64(cell%cellSide) + 0.25) * side, Y: (float64(cell/cellSide) + 0.25) * side, Size: side / 2}
 }
 
-// cellPeer returns the peer in a cell that has a key; all but Change follows from
-// the two, so that a key and a cell are enough to tell others of it.
+// cellPeer returns the peer with the given key in a cell. Everything except Change is
+// derived from the key and the cell, so notices identify a peer by these two.
 func cellPeer(key PeerKey, cell uint8, change uint64) Peer {
 	area := cellArea(cell)
 	return Peer{Key: key, At: area.scatter(key.Daemon, key.Number, 0.4, 0.2), Area: area, Subscribes: true, Change: change}
 }
 
-// plane is a unit square of cells. Its name is also that of the space in which the
-// cells' peers are.
+// plane is a unit square of cells. The space that contains the peers of its cells has
+// the same name.
 type plane struct {
 	name string
-	// cells are nil where this daemon has no peer.
+	// cells has nil for each cell in which this daemon has no peer.
 	cells [CellCount]*cell
-	// turn is the next of the daemons with which no cell is shared to be checked.
+	// turn selects the next daemon to check among those with which no cell is shared.
 	turn int
 }
 
-// cell is this daemon's part of one cell: its peer, its subscribers, and what the
-// other daemons' peers in the cell announced.
+// cell is this daemon's state for one cell: its peer, its subscriber counts, and the
+// announcements of the other daemons' peers in the cell.
 type cell struct {
 	plane  *plane
 	number uint8
 	peer   *hosted
-	// counts are this daemon's subscribers by topic; changed has the counts that were
-	// last announced of those topics whose count has changed since.
+	// counts are this daemon's subscriber counts, by topic. changed has, for each
+	// topic whose count has changed since the last announcement, the count that was
+	// announced.
 	counts  map[uint64]uint32
 	changed map[uint64]uint32
-	// sequence is that of the last NoticeChanges, due when the next one is to be
-	// sent, zero for none.
+	// sequence is that of the last NoticeChanges; due is when the next one must be
+	// sent, or zero if none is pending.
 	sequence uint64
 	due      time.Time
-	// members are the other daemons' peers in the cell by daemon, order the daemons'
-	// names in order.
+	// members are the other daemons' peers in the cell, by daemon; order are the
+	// sorted names of these daemons.
 	members map[string]*member
 	order   []string
-	// owed are the daemons that are to get a NoticeComplete.
+	// owed are the daemons to which a NoticeComplete must be sent.
 	owed map[string]bool
 	// digest is the XOR of the hashes of the members' keys.
 	digest uint64
-	// waiting are called once the cell is joined, or at until.
+	// waiting are called once the cell is joined, or at the time until.
 	waiting []Completion
 	// changedAt is when a member was last added.
 	changedAt time.Time
-	// reached is set once the cell was joined or a wait for that has timed out; reset
+	// reached is set once the cell is joined or a wait for it has timed out; reset
 	// clears it.
 	reached bool
 	until   time.Time
-	// turn picks the member with which the members are compared next.
+	// turn selects the member to which compareMembers sends the next NoticeDiffers.
 	turn uint64
-	// lastUse is when a caller last used the cell; see keepFor.
+	// lastUse is when SetSubscribers or AwaitCell last used the cell; see keepFor.
 	lastUse time.Time
 }
 
-// member is another daemon's peer in a cell, and what it announced.
+// member is another daemon's peer in a cell, with the counts that it announced.
 type member struct {
 	key PeerKey
-	// heard is set once a NoticeComplete came; sequence is that of the last notice
-	// that was applied to counts.
+	// heard is set once a NoticeComplete was received; sequence is that of the last
+	// notice applied to counts.
 	heard    bool
 	sequence uint64
-	// digest is the peer's latest Digest, 0 for none, and digestAt when it came.
+	// digest is the last Digest received from the peer, 0 for none; digestAt is when
+	// it was received.
 	digest   uint64
 	digestAt time.Time
 	counts   map[uint64]uint32
-	// requested is when a NoticeComplete was last requested, or the member added, and
-	// asks how often since the last one came.
+	// requested is when a NoticeComplete was last requested or, before the first
+	// request, when the member was added. asks counts the requests since the last
+	// NoticeComplete was received.
 	requested time.Time
 	asks      int
-	// wanted is set while a request waits for nextRequestAt.
+	// wanted is set while a request is delayed until nextRequestAt.
 	wanted bool
-	// compared is the XOR of the two digests that were last compared, comparedAt when.
+	// compared is the XOR of the two digests that were last compared; comparedAt is
+	// when they were.
 	compared   uint64
 	comparedAt time.Time
 }
 
 // joined reports whether the peer has joined and all members have sent their counts,
-// or a wait for that has timed out before.
+// or an earlier wait for this has timed out.
 func (c *cell) joined() bool {
 	if c.reached {
 		return true
@@ -111,7 +116,7 @@
 	return true
 }
 
-// part removes a member with all that it announced.
+// part removes a member with its counts.
 func (c *cell) part(key PeerKey) {
 	if known, found := c.members[key.Daemon]; !found || known.key != key {
 		return
@@ -124,7 +129,7 @@
 	}
 }
 
-// reset removes all members, after which this daemon's peer joins anew.
+// reset removes all members, before this daemon's peer joins under a new key.
 func (c *cell) reset() {
 	c.members, c.order, c.owed = map[string]*member{}, nil, map[string]bool{}
 	c.reached, c.digest = false, 0
@@ -135,7 +140,7 @@
 	return Notice{Kind: kind, Cell: c.number, Number: c.peer.self.Key.Number, Change: c.peer.self.Change, Sequence: c.sequence, Digest: c.digestHere()}
 }
 
-// digestHere returns the digest of the members and this daemon's peer.
+// digestHere returns the digest of the members including this daemon's peer.
 func (c *cell) digestHere() uint64 { return c.digest ^ keyHash(c.peer.self.Key) }
 
 // keyHash returns a hash of a peer's key.
@@ -145,7 +150,7 @@
 	return mix(sum.Sum64() ^ mix(key.Incarnation^mix(key.Number)))
 }
 
-// mix returns a number whose bits all depend on those of the value.
+// mix returns a hash of the value: each bit of the result depends on all bits of it.
 func mix(value uint64) uint64 {
 	value ^= value >> 30
 	value *= 0xbf58476d1ce4e5b9
@@ -154,8 +159,8 @@
 	return value ^ value>>31
 }
 
-// completeNotice returns a notice with all counts as of the newest NoticeChanges:
-// changes that are still to be sent aren't in it.
+// completeNotice returns a notice with all counts as of the newest NoticeChanges,
+// without the changes that haven't been announced yet.
 func (c *cell) completeNotice() Notice {
 	notice := c.notice(NoticeComplete)
 	for topic := range statemachine.Sorted(c.counts) {
@@ -173,7 +178,7 @@
 	return notice
 }
 
-// apply takes the counts of a notice.
+// apply applies the counts of a notice to those of the member.
 func (m *member) apply(notice Notice) {
 	if m.counts == nil {
 		m.counts = map[uint64]uint32{}
@@ -187,8 +192,7 @@
 	}
 }
 
-// sums returns a notice with the short hashes of all members but the one that it
-// goes to.
+// sums returns a notice with the short hashes of all members except its receiver.
 func (c *cell) sums(kind uint8, to PeerKey) Notice {
 	notice := c.notice(kind)
 	for _, name := range c.order {
@@ -199,7 +203,8 @@
 	return notice
 }
 
-// nextRequestAt returns when a NoticeComplete may be requested next, zero for at once.
+// nextRequestAt returns the earliest time of the next request for a NoticeComplete, or
+// the zero time if it may be sent immediately.
 func (m *member) nextRequestAt() time.Time {
 	if m.requested.IsZero() {
 		return m.requested
@@ -207,5 +212,5 @@
 	return m.requested.Add(backoff(requestRetry, min(m.asks, maxRequestDoublings)))
 }
 
-// shortHash returns the hash of a peer's key in NoticeDiffers and NoticeMissing.
+// shortHash returns the hash of a peer's key that NoticeDiffers and NoticeMissing have.
 func shortHash(key PeerKey) uint32 { return uint32(keyHash(key) >> 32) }
--- a/internal/overlay/churn_test.go
+++ b/internal/overlay/churn_test.go
@@ -1,9 +1,8 @@
-// A model of churn around the cells: daemons are killed and come back under
-// their names, freeze, are cut off from each other in both ways or one, are
-// wrongly taken for lost; frames get lost; views reach each daemon at its own
-// time. A while after the last fault every daemon must know the others'
-// subscribers exactly; and where nothing fails, nobody misses a listener for
-// longer than a comparison takes to come round.
+// Churn tests of the cells. Daemons crash and restart under the same names, freeze, are
+// partitioned from each other in one or both directions, or are wrongly declared lost;
+// frames are lost; views reach each daemon at a different time. Within healedAfter of
+// the last fault every daemon must know the others' subscribers exactly. Without faults
+// no daemon may lack a subscriber for longer than the interval of checks.
 package overlay
 
 import (
@@ -18,14 +17,14 @@
 	"dahlialock/internal/statemachine"
 )
 
-// healedAfter bounds how long wrong knowledge may outlast the last fault: the
-// latest view, a comparison whose answers ask for wholes, members compared
-// after it, and the last changes of counts.
+// healedAfter bounds the time from the last fault until all counts are correct. It
+// consists of the delay of the view, a check and the NoticeComplete requested after it,
+// a comparison of members after that, and the last changes of counts.
 const healedAfter = viewLag + 2*checkInterval + countsDelay + time.Second
 
 const viewLag = 300 * time.Millisecond
 
-// strait is a fleet under faults.
+// strait is a fleet into which faults are injected.
 type strait struct {
 	*net
 	truth   crowd
@@ -60,7 +59,7 @@
 	s.events = append(s.events, event{s.now.Add(length), run})
 }
 
-// sail lets time pass and events happen.
+// sail advances the virtual time and runs the events that are due.
 func (s *strait) sail(length time.Duration) {
 	until := s.now.Add(length)
 	for {
@@ -83,7 +82,7 @@
 	}
 }
 
-// tellViews lets every daemon hear who is there, each at its own time.
+// tellViews schedules an update of the view for each daemon, each after a random delay.
 func (s *strait) tellViews() {
 	for _, name := range s.names {
 		s.after(time.Duration(s.random.Int64N(int64(viewLag))), func() { s.tellView(name) })
@@ -120,7 +119,7 @@
 	s.tellViews()
 }
 
-// fault brings one fault about, and tells how long it lasts.
+// fault injects a random fault, and returns its kind and duration.
 func (s *strait) fault() (kind string, length time.Duration) {
 	name := s.names[s.random.IntN(len(s.names))]
 	length = time.Duration(500+s.random.IntN(6000)) * time.Millisecond
@@ -176,7 +175,7 @@
 	return kind, length
 }
 
-// turn lets some caller come or go somewhere.
+// turn changes the subscriber count of a random topic on a random daemon.
 func (s *strait) turn() {
 	name := s.names[s.random.IntN(len(s.names))]
 	if s.parts[name] == nil || s.frozen[name] {
@@ -185,7 +184,8 @@
 	s.tell(s.truth, name, s.topics[s.random.IntN(len(s.topics))], s.random.IntN(4))
 }
 
-// storm runs a seed, and tells what is wrong a while after the last fault.
+// storm runs the churn of a seed. It returns the wrong counts healedAfter the last fault,
+// and the faults injected.
 func storm(t *testing.T, seed uint64, count int) (wrong []string, faults []string) {
 	strait := newStrait(t, seed, count, 60)
 	strait.sail(time.Second)
@@ -212,12 +212,13 @@
 	}
 }
 
-// missing names a listener that is not known somewhere.
+// missing identifies a subscribed daemon that another daemon doesn't know.
 type missing struct {
 	here, there, topic string
 }
 
-// watch notes since when listeners are not known, and gives the longest time.
+// watch records since when subscribed daemons have been unknown to others, and returns
+// the longest time.
 func (s *strait) watch(since map[missing]time.Time) time.Duration {
 	longest := time.Duration(0)
 	for name, part := range statemachine.Sorted(s.parts) {
@@ -260,9 +261,10 @@
 				later = max(later, longest)
 			}
 		}
-		// At first views differ and cells are joined at the same time.
+		// During the start, views differ and all cells are joined at the same time.
 		assert.Assert(t, starting <= checkInterval, "seed %d: %v", seed, starting)
-		// Later it takes the gathering and the pace, or a join and both wholes.
+		// Later the delay is that of gathering and the pace, or of a join and a
+		// NoticeComplete in each direction.
 		assert.Assert(t, later <= 2*gatherFor+2*paceEach*8+10*time.Millisecond, "seed %d: %v", seed, later)
 		t.Logf("seed %d: %v at first, %v later", seed, starting, later)
 	}
--- a/internal/overlay/cost_test.go
+++ b/internal/overlay/cost_test.go
@@ -1,8 +1,7 @@
-// What the cells cost: benchmarks of a fleet's start, of one more daemon that
-// joins it, of a reset of most connections, and of single calls. Frames are
-// encoded and decoded as on a link. Besides the time of the benchmark itself
-// they report, for each daemon, signals, frames, bytes and the processor time
-// spent in the overlay and the codec.
+// Benchmarks of the cells: the start of a fleet, a daemon that joins a running fleet, a
+// reset of most connections, and single calls. Frames are encoded and decoded as on a
+// network link. The benchmarks report, for each daemon, the signals, frames and bytes
+// sent and the processor time spent in the overlay and the codec.
 package overlay
 
 import (
@@ -43,7 +42,8 @@
 	return item
 }
 
-// yard is a fleet whose frames take a millisecond and whose work is timed.
+// yard simulates a fleet with a network latency of one millisecond. It measures the
+// processor time of each step.
 type yard struct {
 	now       time.Time
 	random    *rand.Rand
@@ -138,7 +138,7 @@
 	}
 }
 
-// seat is one subscription of one caller.
+// seat is a subscription of a client.
 type seat struct{ gateway, topic string }
 
 type house struct {
@@ -161,8 +161,8 @@
 	})
 }
 
-// arrive lets callers come one after another over some time, each with its
-// subscriptions, at whatever gateway.
+// arrive connects clients to random gateways, one after another within some time, each
+// with its subscriptions.
 func (h *house) arrive(callers int, within time.Duration) {
 	for range callers {
 		name := h.names[h.random.IntN(len(h.names))]
@@ -203,7 +203,7 @@
 	return signals
 }
 
-// report gives what was spent since it was last reset, for each daemon.
+// report reports the cost per daemon since the last call of clear, which returned before.
 func (y *yard) report(b *testing.B, before uint64) {
 	each := float64(len(y.names) * b.N)
 	signals := y.sum()
@@ -222,7 +222,8 @@
 
 var fleets = []int{7, 50}
 
-// BenchmarkStart: all cells are joined at once by all, and then compared.
+// BenchmarkStart measures the start of a fleet: all daemons join all cells at once, and
+// checks follow.
 func BenchmarkStart(b *testing.B) {
 	for _, count := range fleets {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
@@ -247,8 +248,8 @@
 	}
 }
 
-// BenchmarkArrival: 4950 callers with three subscriptions each come within two
-// seconds; the heap is what all parts together hold afterwards.
+// BenchmarkArrival measures 4950 clients with three subscriptions each that connect
+// within two seconds. KiB/daemon is the heap that each overlay uses afterwards.
 func BenchmarkArrival(b *testing.B) {
 	for _, count := range fleets {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
@@ -279,8 +280,8 @@
 	}
 }
 
-// BenchmarkReset: four fifths of all callers are cut off at once and come back
-// within a second, at whatever gateway.
+// BenchmarkReset measures a reset of four fifths of all connections; the clients
+// reconnect to random gateways within a second.
 func BenchmarkReset(b *testing.B) {
 	for _, count := range fleets {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
@@ -298,7 +299,7 @@
 	}
 }
 
-// BenchmarkQuiet: ten seconds in which nothing changes.
+// BenchmarkQuiet measures ten seconds without changes.
 func BenchmarkQuiet(b *testing.B) {
 	for _, count := range fleets {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
@@ -314,8 +315,8 @@
 	}
 }
 
-// BenchmarkJoin: one daemon more comes to a fleet and joins all cells; what all
-// of them spend is told.
+// BenchmarkJoin measures a daemon that joins a running fleet and all its cells. It
+// reports the total cost of all daemons.
 func BenchmarkJoin(b *testing.B) {
 	for _, count := range fleets {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
@@ -343,7 +344,7 @@
 	}
 }
 
-// BenchmarkTell: one call, with everybody known.
+// BenchmarkTell measures a call of SetSubscribers on a daemon that has joined all cells.
 func BenchmarkTell(b *testing.B) {
 	house := newHouse(50)
 	house.arrive(callersAll, 2*time.Second)
@@ -356,7 +357,7 @@
 	}
 }
 
-// BenchmarkListeners: a publication's look at who listens.
+// BenchmarkListeners measures the lookup of the destinations of a publication.
 func BenchmarkListeners(b *testing.B) {
 	house := newHouse(50)
 	house.arrive(callersAll, 2*time.Second)
@@ -369,8 +370,8 @@
 	}
 }
 
-// BenchmarkSpaceJoins: callers subscribe, and publish once, at topics of a space
-// without routes; signals are told for each daemon and for each join.
+// BenchmarkSpaceJoins measures clients that subscribe and publish to topics of a space
+// without routes. It reports the signals per daemon and per join.
 func BenchmarkSpaceJoins(b *testing.B) {
 	for _, count := range fleets {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
--- a/internal/overlay/crowded_mutation_test.go
+++ b/internal/overlay/crowded_mutation_test.go
@@ -1,7 +1,7 @@
 //go:build mutation
 
-// With retries at fixed pauses, and comparisons while all still join, daemons that
-// begin on thin links say more until all know all.
+// With retries at fixed intervals, and comparisons of members while daemons still join,
+// daemons that start on slow links send more bytes until all know all subscribers.
 package overlay
 
 import (
--- a/internal/overlay/crowded_test.go
+++ b/internal/overlay/crowded_test.go
@@ -1,5 +1,5 @@
-// Links that are thin: all daemons begin at once, as after a loss of all power, and
-// what they tell each other is more than their links take in a moment.
+// Tests the start of all daemons at once on slow links, as after a power failure: they
+// have more to announce than their links can transfer immediately.
 package overlay
 
 import (
@@ -11,17 +11,18 @@
 	"dahlialock/internal/statemachine"
 )
 
-// crowdedFleet is how many daemons begin at once.
+// crowdedFleet is the number of daemons that start at once.
 const crowdedFleet = 10
 
-// thin is what a part's link takes a second.
+// thin is the bandwidth of a daemon's link in bytes per second.
 const thin = 4_000
 
-// bytesWanted is what each may say until all know all.
+// bytesWanted bounds the bytes that a daemon may send until all daemons know all
+// subscribers.
 const bytesWanted = 170_000
 
-// levelAfter has many daemons begin at once on thin links and tells how long it takes
-// until all know all, and how many bytes they sent until then.
+// levelAfter starts many daemons at once on slow links. It returns the time until all
+// daemons know all subscribers, and the bytes sent until then.
 func levelAfter(t *testing.T, seed uint64, limit time.Duration) (time.Duration, int) {
 	names := gatewayNames(crowdedFleet)
 	net, truth := newFleet(t, seed, names)
@@ -60,12 +61,12 @@
 	net.run(3 * checkInterval)
 	before, levels := net.notices(NoticeCheck), net.levels()
 	net.run(numbersEveryChecks * checkInterval)
-	// Each tells the six others its numbers once, and its level the other times.
+	// Each daemon sends its sequences to the six others once, and its level otherwise.
 	assert.Assert(t, net.notices(NoticeCheck)-before <= 7*6*CellCount, "%d", net.notices(NoticeCheck)-before)
 	assert.Equal(t, net.levels()-levels, uint64(7*6*(numbersEveryChecks-1)))
 }
 
-// notices counts the notices of a kind that all parts sent.
+// notices counts the notices of a kind that all daemons sent.
 func (n *net) notices(kind uint8) uint64 {
 	sum := uint64(0)
 	for _, part := range statemachine.Sorted(n.parts) {
--- a/internal/overlay/geometry.go
+++ b/internal/overlay/geometry.go
@@ -6,27 +6,29 @@
 	"strings"
 )
 
-// Topics lie in the unit square, after VAST's spatial publish and subscribe: each
-// part of a topic's path picks a square in a grid inside the square of the part
-// before it, so that a prefix is one square and a topic a small one, and every
-// topic under a prefix lies inside that prefix's square. A peer's reference point
-// lies inside its area, moved by a hash of its daemon's name and its number, so
-// that hardly ever two peers share a point.
+// Topics are mapped to the unit square as in VAST's spatial publish/subscribe: each
+// part of a topic's path selects a square in a grid inside the square of the part
+// before it. A prefix is therefore one square, and the squares of all topics under the
+// prefix lie inside it. A peer's reference point lies inside its area at a position
+// derived from a hash of its daemon's name and its number, so that two peers hardly
+// ever have the same point.
 const (
 	gridBits = 8
 	gridSide = 1 << gridBits
-	// maxDepth is how many parts of a path count: longer ones share a square.
+	// maxDepth is the number of parts of a path that are used; paths that differ only in
+	// later parts have the same square.
 	maxDepth = 4
 )
 
-// Point is a point of the unit square.
+// Point is a point in the unit square.
 type Point struct {
 	_ struct{} `cbor:",toarray"`
 	X float64
 	Y float64
 }
 
-// Area is a square in the unit square: its corner nearest to 0, and its width.
+// Area is a square in the unit square, given by the corner with the lowest coordinates
+// and its width.
 type Area struct {
 	_    struct{} `cbor:",toarray"`
 	X    float64
@@ -37,15 +39,15 @@
 // WholeSquare is the unit square, the area of all topics.
 var WholeSquare = Area{Size: 1}
 
-// AreaOf returns the square of a path: of a topic, or of a prefix without a slash at
-// its end. The empty path has the unit square.
+// AreaOf returns the square of a topic, or of a prefix without its trailing slash. The
+// empty path has the unit square.
 func AreaOf(path string) Area {
 	area := WholeSquare
 	if path == "" {
 		return area
 	}
-	// The hash runs on over the whole path: parts of the same name under two
-	// prefixes that share a square lie apart.
+	// The hash includes all previous parts of the path. Otherwise parts with the same
+	// name under two prefixes with the same square would have the same square too.
 	sum := fnv.New64a()
 	for depth, part := range strings.Split(path, "/") {
 		if depth == maxDepth {
@@ -64,24 +66,25 @@
 	return area
 }
 
-// Contains reports whether a point lies inside.
+// Contains reports whether a point lies inside the area.
 func (a Area) Contains(point Point) bool {
 	return point.X >= a.X && point.X < a.X+a.Size && point.Y >= a.Y && point.Y < a.Y+a.Size
 }
 
-// Covers reports whether another area lies inside or is the same. Areas are squares
-// of nested grids, so they either nest or don't meet.
+// Covers reports whether another area lies inside this one or equals it. Areas are
+// squares of nested grids: of two areas, one covers the other, or they are disjoint.
 func (a Area) Covers(other Area) bool {
 	return a.Size >= other.Size && a.Contains(Point{X: other.X + other.Size/2, Y: other.Y + other.Size/2})
 }
 
-// reference returns a peer's reference point, in the middle four fifths of each axis.
+// reference returns the reference point of a peer, in the middle four fifths of the area
+// on each axis.
 func (a Area) reference(daemon string, number uint64) Point {
 	return a.scatter(daemon, number, 0.1, 0.8)
 }
 
-// scatter returns a point by a hash; from and width bound it on both axes, as
-// fractions of the area's width.
+// scatter returns a point at a position derived from a hash. On both axes it lies
+// between from and from+width, as fractions of the area's width.
 func (a Area) scatter(daemon string, number uint64, from, width float64) Point {
 	sum := fnv.New64a()
 	_, _ = sum.Write([]byte(daemon))
@@ -95,25 +98,27 @@
 	return Point{X: a.X + a.Size*(from+width*across), Y: a.Y + a.Size*(from+width*along)}
 }
 
-// distance returns the square of the distance between two points, which is enough to
-// compare.
+// distance returns the squared distance between two points, which is sufficient for
+// comparisons.
 func distance(left, right Point) float64 {
 	across, along := left.X-right.X, left.Y-right.Y
 	return across*across + along*along
 }
 
-// Region is a peer's own Voronoi region, clipped to the unit square. Its corners, in
-// order around it, are relative to middle, the peer's reference point. Each edge has
-// an owner: the enclosing neighbour beyond it, or nobody at the border of the square.
+// Region is a peer's Voronoi region, clipped to the unit square. Its corners are listed
+// in order around it, relative to middle, the peer's reference point. The owner of an
+// edge is the enclosing neighbour beyond it; edges on the border of the unit square
+// have no owner.
 type Region struct {
 	middle  Point
 	corners []corner
 }
 
+// corner is a corner of a polygon, with the owner of the edge that starts at it.
 type corner struct {
 	x, y float64
-	// owner is the neighbour beyond the edge from this corner to the next, empty for
-	// nobody, and there its reference point.
+	// owner is the neighbour beyond the edge from this corner to the next one, empty
+	// on the border of the unit square; there is the owner's reference point.
 	owner PeerKey
 	there Point
 }
@@ -124,13 +129,13 @@
 	return Region{middle: middle, corners: []corner{{x: left, y: low}, {x: right, y: low}, {x: right, y: high}, {x: left, y: high}}}
 }
 
-// side is positive where a corner is nearer to another point, given relative to the
-// middle, than to the middle.
+// side returns a positive number if a corner is nearer to another point than to the
+// middle. The other point is given relative to the middle.
 func (r *Region) side(at corner, across, along float64) float64 {
 	return at.x*across + at.y*along - (across*across+along*along)/2
 }
 
-// cuts reports whether a peer at another point would take part of the region.
+// cuts reports whether a peer at another point would take over part of the region.
 func (r *Region) cuts(other Point) bool {
 	across, along := other.X-r.middle.X, other.Y-r.middle.Y
 	for _, at := range r.corners {
@@ -141,8 +146,8 @@
 	return false
 }
 
-// clip removes what is nearer to another point, the owner's, and reports whether
-// anything was. The part removed is returned as a polygon.
+// clip removes the part of the region that is nearer to another point, the reference
+// point of owner. It returns that part as a polygon, and whether the region changed.
 func (r *Region) clip(other Point, owner PeerKey) (taken []corner, changed bool) {
 	across, along := other.X-r.middle.X, other.Y-r.middle.Y
 	if across == 0 && along == 0 {
@@ -205,8 +210,8 @@
 	return false
 }
 
-// beside returns the owners of the edges next to one owner's edge: the neighbours
-// that this peer and that owner have in common.
+// beside returns the owners of the edges adjacent to the edges of a given owner: the
+// neighbours that this peer and that owner have in common.
 func (r *Region) beside(key PeerKey) []PeerKey {
 	var found []PeerKey
 	count := len(r.corners)
@@ -228,8 +233,8 @@
 func (r *Region) meets(area Area) bool { return polygonMeets(r.middle, r.corners, area) }
 
 // polygonMeets reports whether a convex polygon, relative to middle, meets an area.
-// Most areas are far away or contain a corner, which the bounds and the corners show
-// without clipping.
+// Most areas are far away or contain a corner of the polygon. Comparing the corners and
+// the bounding box decides these cases without clipping.
 func polygonMeets(middle Point, polygon []corner, area Area) bool {
 	if len(polygon) == 0 {
 		return false
@@ -276,8 +281,8 @@
 // spot is a corner without its owner.
 type spot struct{ x, y float64 }
 
-// boundary returns the neighbours beyond those edges that meet an area: their
-// regions meet it too. One with several such edges is returned once for each.
+// boundary returns the neighbours beyond the edges that meet an area; their regions
+// meet it too. A neighbour with several such edges is returned once for each edge.
 func (r *Region) boundary(area Area) []PeerKey {
 	var found []PeerKey
 	for position, here := range r.corners {
@@ -292,8 +297,8 @@
 	return found
 }
 
-// segmentMeets reports whether an edge, relative to middle, meets an area. It widens
-// the area a little, so that an edge along its border counts.
+// segmentMeets reports whether an edge, relative to middle, meets an area. The area is
+// widened slightly, so that an edge along its border meets it.
 func segmentMeets(middle Point, from, to corner, area Area) bool {
 	wider := area.Size * 1e-9
 	low, high := 0.0, 1.0
--- a/internal/overlay/greet.go
+++ b/internal/overlay/greet.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// introduce records a newcomer as known to a peer here, and returns a signal with what
-// the newcomer must know; the caller sets its kind.
+// introduce records newcomer, a joining or greeting peer, as known to a peer of this
+// daemon. It returns the response with the peers that newcomer must know; the caller
+// sets the kind of the signal.
 func (o *Overlay) introduce(now time.Time, peer *hosted, newcomer Peer) Signal {
 	answer := Signal{Space: peer.space.name, From: peer.self}
 	if newcomer.Key == peer.self.Key {
@@ -28,7 +29,7 @@
 		candidates(peer.region.owners())
 	}
 	if peer.cell != nil {
-		// The peers of a cell find each other by their notices.
+		// The peers of a cell discover each other through notices.
 		for _, known := range sortedPeers(include) {
 			answer.Peers = append(answer.Peers, known)
 		}
@@ -64,9 +65,9 @@
 	return answer
 }
 
-// recordPeer records another peer as known, unless a newer version of it is, and
-// clips the region. The subscribers over the part of the region that it takes are owed
-// to it: they are named in the next signal to it.
+// recordPeer records another peer as known, unless a newer version of it is known, and
+// clips the region. The subscribers whose areas meet the part of the region that the
+// other peer takes over are added to owed, to be named in the next signal to it.
 func (o *Overlay) recordPeer(now time.Time, peer *hosted, other Peer) {
 	earlier, found := peer.known[other.Key]
 	if found && earlier.Change > other.Change {
@@ -117,7 +118,7 @@
 	}
 }
 
-// owes moves the peers that are owed to another one into include.
+// owes moves the subscribers in owed for another peer into include.
 func (o *Overlay) owes(peer *hosted, key PeerKey, include map[PeerKey]Peer) {
 	for owed := range peer.owed[key] {
 		if known, found := peer.known[owed]; found {
@@ -129,7 +130,7 @@
 	delete(peer.owed, key)
 }
 
-// owedTo returns the peers that are owed to another one, which aren't from then on.
+// owedTo removes the subscribers in owed for another peer and returns them.
 func (o *Overlay) owedTo(peer *hosted, key PeerKey) []Peer {
 	include := map[PeerKey]Peer{}
 	o.owes(peer, key, include)
@@ -140,16 +141,17 @@
 	return owed
 }
 
-// announceSubscriber names a subscriber that has just become known to the neighbours
-// that took part of this peer's region within rejoinWindow: the subscriber may have
-// greeted this peer for a part of its area that is theirs now.
+// announceSubscriber names a newly known subscriber to the neighbours that took over
+// part of this peer's region within rejoinWindow. The subscriber may have greeted this
+// peer because its area meets a part of the region that now belongs to such a
+// neighbour.
 func (o *Overlay) announceSubscriber(now time.Time, peer *hosted, subscriber Peer) {
 	for _, key := range peer.region.owners() {
 		if key == subscriber.Key || now.Sub(peer.tookAt[key]) > rejoinWindow {
 			continue
 		}
 		if peer.cell != nil && peer.known[key].Area == subscriber.Area {
-			// They find each other by the notices of their cell.
+			// They discover each other through the notices of their cell.
 			continue
 		}
 		if key.Daemon != o.daemon {
@@ -160,9 +162,9 @@
 	}
 }
 
-// learn records the peers that a sender has named and that matter to a peer here, or
-// all of them if always is set, and greets those that were not greeted since the
-// peer's last change. The sender is corrected where one of them is gone.
+// learn records those of the peers named by a sender that are relevant to a peer of
+// this daemon, or all of them if always is set. It greets those that were not greeted
+// since the peer's last change. If one of them has left, it reports that to the sender.
 func (o *Overlay) learn(now time.Time, peer *hosted, sender PeerKey, others []Peer, always bool) {
 	var mates []Peer
 	for _, other := range others {
@@ -201,8 +203,9 @@
 			o.greet(now, peer, other)
 		}
 	}
-	// Of the peers of its own cell it greets only those that are beyond its edges once
-	// all of them are known; a sender that named itself greets if it must.
+	// Peers of the same cell are greeted only if they are enclosing neighbours after
+	// all of them have been recorded. The sender isn't greeted: it greets by itself if
+	// it has to.
 	for _, mate := range mates {
 		if mate.Key != sender && peer.region.owns(mate.Key) && peer.greeted[mate.Key] < peer.self.Change {
 			o.greet(now, peer, mate)
@@ -210,12 +213,12 @@
 	}
 }
 
-// sharesArea reports whether another peer is another daemon's in the same cell.
+// sharesArea reports whether another peer belongs to the same cell and another daemon.
 func (h *hosted) sharesArea(other Peer) bool {
 	return h.cell != nil && other.Area == h.self.Area && other.Key.Daemon != h.self.Key.Daemon
 }
 
-// hasOuterEdge reports whether a peer's region reaches beyond its area.
+// hasOuterEdge reports whether the region extends beyond the peer's area.
 func (h *hosted) hasOuterEdge() bool {
 	area, middle := h.self.Area, h.self.At
 	for _, at := range h.region.corners {
@@ -226,8 +229,8 @@
 	return false
 }
 
-// correct reports to a sender that a peer which it named is gone, so that peers don't
-// name it to each other for ever.
+// correct reports to a sender that a peer it named has left. Otherwise peers would keep
+// naming the departed peer to each other.
 func (o *Overlay) correct(peer *hosted, sender, gone PeerKey) {
 	if sender.Daemon == o.daemon {
 		if neighbour, here := peer.space.byKey[sender]; here && neighbour != peer {
@@ -240,8 +243,8 @@
 	}
 }
 
-// matters reports whether a peer here must know another: a neighbour, a peer in its
-// area if it subscribes, or a subscriber whose area meets its region.
+// matters reports whether a peer of this daemon must know another peer: a neighbour, a
+// peer inside its area if it subscribes, or a subscriber whose area meets its region.
 func (o *Overlay) matters(peer *hosted, other Peer) bool {
 	if peer.region.owns(other.Key) || peer.region.cuts(other.At) {
 		return true
@@ -252,17 +255,17 @@
 	return other.Subscribes && (other.Area.Contains(peer.self.At) || peer.region.meets(other.Area))
 }
 
-// greet introduces a peer to another one and has a response due.
+// greet sends a greeting from a peer of this daemon to another peer, which must respond.
 func (o *Overlay) greet(now time.Time, peer *hosted, other Peer) {
 	o.greetAs(now, peer, other, now.Before(peer.healUntil))
 }
 
-// greetAs is greet, with the greeting marked as healing or not.
+// greetAs sends a greeting as greet does; heals sets whether it is marked as healing.
 func (o *Overlay) greetAs(now time.Time, peer *hosted, other Peer, heals bool) {
 	peer.greeted[other.Key] = peer.self.Change
 	if peer.sharesArea(other) && !peer.hasOuterEdge() {
-		// Neighbours in the same cell are found by notices; only a peer that has
-		// neighbours in other cells needs to be named theirs.
+		// Peers discover neighbours in the same cell through notices. Greetings are
+		// needed only by a peer with neighbours in other cells.
 		delete(peer.pending, other.Key)
 		return
 	}
@@ -292,8 +295,8 @@
 	o.signal(other.Key.Daemon, greeting)
 }
 
-// regreet greets all that a peer knows after it has changed, which also finds the
-// peers of its area if it has become a subscriber.
+// regreet greets all known peers after a peer has changed. If the peer has become a
+// subscriber, the responses also name the peers inside its area.
 func (o *Overlay) regreet(now time.Time, peer *hosted) {
 	for _, known := range sortedPeers(peer.known) {
 		if peer.greeted[known.Key] < peer.self.Change {
--- a/internal/overlay/identity_mutation_test.go
+++ b/internal/overlay/identity_mutation_test.go
@@ -1,6 +1,6 @@
 //go:build mutation
 
-// With any life of a peer taken, messages go to one that has ended.
+// If peers of any incarnation are accepted, messages are sent to a peer that has ended.
 package overlay
 
 import (
--- a/internal/overlay/identity_test.go
+++ b/internal/overlay/identity_test.go
@@ -1,5 +1,6 @@
-// What the links held of an earlier life of a daemon tells nothing of the life that is
-// there now: no message goes to a peer that has ended.
+// Signals delayed in the network may arrive after their sender has restarted. Signals of
+// an earlier incarnation must be ignored: no message may be sent to a peer that has
+// ended.
 package overlay
 
 import (
@@ -11,8 +12,8 @@
 	"dahlialock/internal/statemachine"
 )
 
-// lateJoin has the join of an earlier life of b come to a after b began anew without
-// subscriptions, and tells whether a sends its messages to b.
+// lateJoin delivers the join request of an earlier incarnation of b to a after b has
+// restarted without subscriptions. It returns the destinations of a's publications.
 func lateJoin(t *testing.T) []string {
 	const space = "boards~1"
 	net := newNet(t, 1)
--- a/internal/overlay/join.go
+++ b/internal/overlay/join.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// join sends a peer's join, for the first time or again: through the nearest joined
-// peer of the space here, or else to other daemons. If the latter is in progress for
-// another peer here, this one waits for that.
+// join sends or retries a peer's join request: through the nearest joined peer of this
+// daemon in the space or, if there is none, to other daemons. If another peer of this
+// daemon is already joining through other daemons, this peer waits for it.
 func (o *Overlay) join(now time.Time, peer *hosted) {
 	o.Counts.Joins++
 	if peer.joining == nil {
@@ -28,7 +28,7 @@
 	}
 	for _, other := range peer.space.peers {
 		if other != peer && other.joining != nil && !other.queued {
-			// Another peer here is still looking for the other daemons' ones.
+			// Another peer of this daemon is already joining through other daemons.
 			peer.queued = true
 			return
 		}
@@ -47,7 +47,8 @@
 	o.joinThroughAll(now, peer)
 }
 
-// backoff returns the timeout of an attempt, which doubles up to maxDoublings times.
+// backoff returns the timeout of an attempt. It doubles with each attempt, up to
+// maxDoublings times.
 func backoff(first time.Duration, attempts int) time.Duration {
 	if statemachine.Mutated("no-retry-pauses") {
 		return first
@@ -55,8 +56,8 @@
 	return first << min(max(0, attempts-1), maxDoublings)
 }
 
-// joinThroughAll sends a join to all daemons. Only if none of them hosts a peer of the
-// space is the joining one the first.
+// joinThroughAll sends a join request to all daemons. A peer may join as the first of
+// its space only if no daemon hosts a peer of the space.
 func (o *Overlay) joinThroughAll(now time.Time, peer *hosted) {
 	peer.joinedThroughAll = true
 	request := Signal{Kind: SignalJoin, Space: peer.space.name, From: peer.self, Attempts: uint8(min(peer.joining.attempts, 255))}
@@ -69,8 +70,8 @@
 	}
 }
 
-// joined ends a peer's joining, and continues with the requests and the peers that
-// waited for it.
+// joined marks a peer as joined. It then handles the join requests and starts the joins
+// that waited for the peer.
 func (o *Overlay) joined(now time.Time, peer *hosted) {
 	peer.joining = nil
 	o.timers.ArmSooner("settle", now)
@@ -87,8 +88,8 @@
 	}
 }
 
-// nearestHosted returns the joined peer here that is nearest to a point, other than
-// without; nil if there is none.
+// nearestHosted returns the joined peer of this daemon that is nearest to a point,
+// excluding without, or nil if there is none.
 func (o *Overlay) nearestHosted(here *space, at Point, without *hosted) *hosted {
 	var best *hosted
 	bestDistance := 0.0
@@ -104,7 +105,7 @@
 	return best
 }
 
-// anyJoining returns the first peer by key that is still joining, nil if none is.
+// anyJoining returns the joining peer with the lowest key, or nil if there is none.
 func (s *space) anyJoining() *hosted {
 	for _, peer := range s.sorted() {
 		if peer.joining != nil {
@@ -114,8 +115,9 @@
 	return nil
 }
 
-// forward passes a join on from a peer here to the nearest one that it knows, until
-// one here is the nearest and accepts it or the next is on another daemon.
+// forward forwards a join request from a peer of this daemon to the known peer that is
+// nearest to the joining peer's point. It repeats this until a peer of this daemon is
+// itself the nearest and accepts the request, or the next peer is on another daemon.
 func (o *Overlay) forward(now time.Time, at *hosted, request Signal) {
 	target := request.From.At
 	for {
@@ -157,8 +159,8 @@
 	}
 }
 
-// accept responds to a join as the acceptor. One of the same cell is sent all
-// members of the cell.
+// accept responds to a join request as the acceptor. If the joining peer is in the same
+// cell, the response names all members of the cell.
 func (o *Overlay) accept(now time.Time, acceptor *hosted, request Signal) {
 	answer := o.introduce(now, acceptor, request.From)
 	if acceptor.sharesArea(request.From) {
@@ -173,8 +175,8 @@
 	o.sendTo(now, request.From.Key, answer)
 }
 
-// handleJoin handles a join from another daemon; here is nil if the space has no
-// peers on this one.
+// handleJoin handles a join request from another daemon. here is nil if this daemon
+// doesn't have the space.
 func (o *Overlay) handleJoin(now time.Time, here *space, request Signal) {
 	if here == nil || len(here.peers) == 0 {
 		o.signal(request.From.Key.Daemon, Signal{
@@ -188,8 +190,8 @@
 		}
 	}
 	if named, present := here.byKey[request.To]; present && named.holdsOff(request) {
-		// Others know that peer already, but it does not know its surroundings yet; the
-		// request waits for that.
+		// Other peers already know the addressed peer, but it doesn't know its neighbours
+		// yet. The request waits until it has joined.
 		named.requests = append(named.requests, request)
 		return
 	}
@@ -200,15 +202,16 @@
 	o.accept(now, here.anyJoining(), request)
 }
 
-// holdsOff reports whether a join must wait at a peer that is still joining. From the
-// third attempt on it doesn't, since joins may wait for each other in a cycle.
+// holdsOff reports whether a join request must wait at a peer that is still joining.
+// From its third attempt on a request doesn't wait, since joining peers may wait for
+// each other in a cycle.
 func (h *hosted) holdsOff(request Signal) bool {
 	return h.joining != nil && len(h.known) == 0 && request.Attempts <= 2
 }
 
-// handleNobody records that a daemon hosts no peer of the space, or was lost. Once
-// that holds for all daemons the join was sent to, it goes to all; if it has, the peer
-// is the first.
+// handleNobody records that a daemon hosts no peer of the space, or was lost. Once this
+// applies to all daemons to which the join request was sent, the request is sent to all
+// daemons; if it already was, the peer joins as the first of the space.
 func (o *Overlay) handleNobody(now time.Time, peer *hosted, daemon string) {
 	if peer.joining == nil || peer.queued || len(peer.joinTargets) == 0 {
 		return
@@ -226,8 +229,8 @@
 	o.joined(now, peer)
 }
 
-// whenJoined has done called once a peer has joined, and has a new one begin to join.
-// done may be nil.
+// whenJoined registers done to be called once a peer has joined, and starts the join of
+// a newly created peer. done may be nil.
 func (o *Overlay) whenJoined(now time.Time, peer *hosted, made bool, done Completion, effects *statemachine.Effects) {
 	if done != nil {
 		peer.waiting = append(peer.waiting, done)
@@ -239,8 +242,8 @@
 	o.flush(effects)
 }
 
-// checkJoined calls those who wait for a peer if it has joined and no greeting is
-// pending.
+// checkJoined calls the waiting completions of a peer if it has joined and no greeting
+// is pending.
 func (o *Overlay) checkJoined(now time.Time, peer *hosted, effects *statemachine.Effects) {
 	if peer.joining != nil || len(peer.pending) > 0 {
 		return
--- a/internal/overlay/leave.go
+++ b/internal/overlay/leave.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// drop removes another peer that is gone from what a peer here knows, and rebuilds the
-// region if it was a neighbour.
+// drop removes a departed peer from the known peers of a peer of this daemon, and
+// rebuilds the region if the departed peer was an enclosing neighbour.
 func (o *Overlay) drop(now time.Time, peer *hosted, key PeerKey) {
 	if _, found := peer.known[key]; !found {
 		delete(peer.pending, key)
@@ -19,8 +19,8 @@
 	}
 }
 
-// forget removes another peer from all that this one knows, except the region and the
-// pending greetings.
+// forget removes all state about another peer, except in the region and the pending
+// greetings.
 func (h *hosted) forget(key PeerKey) {
 	if h.cell != nil {
 		h.cell.part(key)
@@ -32,7 +32,7 @@
 	delete(h.owed, key)
 }
 
-// leave removes a peer here and announces that to all that it knows.
+// leave removes a peer of this daemon and sends a SignalLeave to all peers that it knows.
 func (o *Overlay) leave(peer *hosted) {
 	o.Counts.Leaves++
 	peer.space.unindexPeer(peer)
@@ -46,8 +46,8 @@
 		}
 	}
 	for key := range sortedPeers(peer.known) {
-		// Only the enclosing neighbours' regions grow, so that only they need to know
-		// who else was around.
+		// Only the regions of the enclosing neighbours grow, so only they need the
+		// other neighbours and the subscribers of the region.
 		farewell := Signal{Kind: SignalLeave, Space: peer.space.name, To: key, From: peer.self}
 		if peer.region.owns(key) {
 			farewell.Peers = parting
@@ -60,14 +60,14 @@
 	}
 }
 
-// handleLeave removes a peer that leaves, and learns those that it names.
+// handleLeave removes a leaving peer, and learns the peers that it names.
 func (o *Overlay) handleLeave(now time.Time, peer *hosted, farewell Signal) {
 	o.drop(now, peer, farewell.From.Key)
 	o.learn(now, peer, farewell.From.Key, farewell.Peers, false)
 }
 
-// dropDaemon removes the peers of a daemon that are of another incarnation than the
-// given one, which is 0 where the daemon is gone.
+// dropDaemon removes all peers of a daemon except those of the given incarnation, which
+// is 0 if the daemon is no longer in the view.
 func (o *Overlay) dropDaemon(now time.Time, daemon string, incarnation uint64, effects *statemachine.Effects) {
 	for _, here := range statemachine.Sorted(o.spaces) {
 		for _, peer := range here.sorted() {
@@ -89,8 +89,8 @@
 			case peer.joinTargets[daemon]:
 				o.handleNobody(now, peer, daemon)
 			case len(peer.joinTargets) == 0 && (now.Sub(peer.joining.sent) > joinAttemptValid || statemachine.Mutated("no-retry-pauses")):
-				// The join may have been on its way through that daemon. Where many are
-				// lost at a time, one new attempt is enough for all.
+				// The join request may have been lost with that daemon. If many daemons
+				// are lost at the same time, one new attempt is enough.
 				o.join(now, peer)
 			}
 			if rebuild {
@@ -106,12 +106,12 @@
 	}
 }
 
-// probeAll sends a probe of each peer here to one other daemon, which finds the
-// neighbours that this side of a split did not know.
+// probeAll sends a probe for each peer of this daemon to one other daemon. After a
+// network partition, this discovers the neighbours on the other side.
 func (o *Overlay) probeAll(_ time.Time, daemon string) {
 	for _, here := range statemachine.Sorted(o.spaces) {
 		if _, cells := o.planes[here.name]; cells {
-			// A comparison of cells finds what a probe would.
+			// Checks between the members of cells discover the same neighbours.
 			continue
 		}
 		for _, peer := range here.sorted() {
@@ -120,24 +120,25 @@
 	}
 }
 
-// probe sends a peer's join to a daemon once more, for what the response shows: the
-// neighbours as that side knows them. No response is awaited.
+// probe sends a join request for a peer that has already joined. The response names the
+// neighbours that the other daemon's peers know for its region. A lost response isn't
+// detected.
 func (o *Overlay) probe(peer *hosted, daemon string) {
 	o.Counts.Probes++
 	o.signal(daemon, Signal{Kind: SignalJoin, Space: peer.space.name, From: peer.self})
 }
 
-// ended reports whether a peer is of a daemon that isn't in the view, or of an earlier
-// incarnation of one that is. Incarnations rise; a peer of one that is above the
-// view's isn't ended, since the view may be old.
+// ended reports whether a peer belongs to a daemon that isn't in the view, or to an
+// earlier incarnation of a daemon that is. A peer with a higher incarnation than the
+// view's hasn't ended, since incarnations increase and the view may be out of date.
 func (o *Overlay) ended(key PeerKey) bool {
 	gateway, alive := o.gateways[key.Daemon]
 	return !alive || key.Incarnation > 0 && key.Incarnation < gateway.Joined && !statemachine.Mutated("any-life-of-a-peer")
 }
 
-// SetIncarnation sets this daemon's incarnation: the index at which it joined, for the
-// first time or after the others had declared it lost. Every peer joins anew under a
-// new key. It does nothing if the incarnation is the same.
+// SetIncarnation sets this daemon's incarnation: the index of the control state at
+// which it joined or, after the others had declared it lost, rejoined. Every peer
+// rejoins under a new key. It does nothing if the incarnation is unchanged.
 func (o *Overlay) SetIncarnation(now time.Time, incarnation uint64, effects *statemachine.Effects) {
 	if o.incarnation == incarnation {
 		return
@@ -172,7 +173,7 @@
 	o.flush(effects)
 }
 
-// LeaveAll has every peer leave, before the daemon ends.
+// LeaveAll has every peer leave; it is called before the daemon shuts down.
 func (o *Overlay) LeaveAll(effects *statemachine.Effects) {
 	for _, here := range statemachine.Sorted(o.spaces) {
 		for _, peer := range here.sorted() {
--- a/internal/overlay/messages.go
+++ b/internal/overlay/messages.go
@@ -5,9 +5,9 @@
 	"strings"
 )
 
-// PeerKey identifies one peer and is never used again: the daemon's name, its
-// incarnation as the membership has it (see Gateway.Joined), and a number that
-// rises within the daemon.
+// PeerKey identifies a peer and is never reused. It consists of the daemon's name, the
+// daemon's incarnation in the membership (see Gateway.Joined), and a number that
+// increases with each key of the daemon.
 type PeerKey struct {
 	_           struct{} `cbor:",toarray"`
 	Daemon      string
@@ -35,8 +35,8 @@
 	return 0
 }
 
-// Peer is what other peers know of one: its reference point, its area, and whether
-// it subscribes. Of two versions the one with the higher Change is the newer.
+// Peer describes a peer to other peers: its reference point, its area, and whether it
+// subscribes. Of two versions, the one with the higher Change is newer.
 type Peer struct {
 	_          struct{} `cbor:",toarray"`
 	Key        PeerKey
@@ -48,46 +48,49 @@
 
 // Kinds of signals between peers. They are part of the wire format.
 const (
-	// SignalJoin asks for the acceptor: the peer whose region covers the point of
-	// From. It is forwarded until it is there.
+	// SignalJoin is a join request. It is forwarded to the acceptor: the peer whose
+	// region covers the reference point of From.
 	SignalJoin uint8 = iota + 1
-	// SignalWelcome is the acceptor's response to a join.
+	// SignalWelcome is the acceptor's response to a join request.
 	SignalWelcome
-	// SignalGreet introduces a peer to another one, also after a change.
+	// SignalGreet introduces a peer to another peer, or announces a new version of it.
 	SignalGreet
 	// SignalGreeted is the response to a greeting.
 	SignalGreeted
 	// SignalLeave announces that the sending peer leaves.
 	SignalLeave
-	// SignalLeft reports that a peer, of which From has the key only, doesn't exist.
+	// SignalLeft reports that a peer doesn't exist. From contains only the key of that
+	// peer.
 	SignalLeft
-	// SignalNobody responds to a join that the daemon hosts no peer in the space.
+	// SignalNobody is the response to a join request by a daemon without peers in the
+	// space.
 	SignalNobody
-	// SignalAnnounce names a subscriber to a neighbour that may have missed it.
+	// SignalAnnounce names a subscriber to a neighbour that may not know it.
 	SignalAnnounce
 )
 
-// Signal is one message from peer to peer.
+// Signal is a message from one peer to another.
 type Signal struct {
 	_     struct{} `cbor:",toarray"`
 	Kind  uint8
 	Space string
-	// To is empty in a join that is sent to a daemon instead of a peer.
+	// To is empty in a join request that is addressed to a daemon instead of a peer.
 	To   PeerKey
 	From Peer
-	// Peers are peers that the receiver may want to know. Boundary are those beyond
-	// the edges that the receiver's area meets, which it greets in any case.
+	// Peers are peers that may be relevant to the receiver. Boundary are the peers
+	// beyond the edges that the receiver's area meets; the receiver greets them
+	// unconditionally.
 	Peers    []Peer
 	Boundary []Peer
-	// Hops counts how often a join was forwarded. In a greeting it is healing where
-	// the sender's region has grown by a loss, otherwise 0.
+	// Hops counts how often a join request was forwarded. In a greeting it is healing
+	// if the sender's region has grown because a neighbour was lost, otherwise 0.
 	Hops uint8
-	// Attempts is how often the join was sent, 0 in a probe.
+	// Attempts counts how often the join request was sent; it is 0 in a probe.
 	Attempts uint8
 }
 
-// Signals is all that one daemon's peers send to another daemon's in one step, as
-// one frame.
+// Signals is a frame with all signals and notices that one daemon's peers send to
+// another daemon's peers in one step.
 type Signals struct {
 	_       struct{} `cbor:",toarray"`
 	Signals []Signal
--- a/internal/overlay/mutation_test.go
+++ b/internal/overlay/mutation_test.go
@@ -1,7 +1,7 @@
 //go:build mutation
 
-// The healing of the cells is needed: without it the model of churn finds
-// knowledge that stays wrong. Built with the tag mutation only.
+// Shows that the checks and the detection of gaps are needed: without them the churn
+// tests find counts that stay wrong. Built with the tag mutation only.
 package overlay
 
 import (
--- a/internal/overlay/notices_test.go
+++ b/internal/overlay/notices_test.go
@@ -1,6 +1,6 @@
-// The cells of routed topics against a checker: whatever the daemons' callers
-// subscribe to, each daemon that uses a topic's cell knows the other daemons
-// with subscribers and how many they have, soon after the last change or fault.
+// Tests the cells of routed topics against expected counts. Soon after the last change
+// or fault, each daemon with a peer in a topic's cell must know which other daemons have
+// subscribers of the topic, and how many.
 package overlay
 
 import (
@@ -17,7 +17,7 @@
 
 const trialPlane = "+"
 
-// crowd is what the callers of all daemons subscribe to.
+// crowd has the expected subscriber counts, by daemon and topic.
 type crowd map[string]map[string]int
 
 func newCrowd(names ...string) crowd {
@@ -30,7 +30,7 @@
 
 func topicNamed(number int) string { return fmt.Sprintf("turbine/%d", number) }
 
-// tell changes one count, and tells it.
+// tell sets a subscriber count on a daemon, and in the expected counts.
 func (n *net) tell(truth crowd, name, topic string, count int) {
 	truth[name][topic] = count
 	var effects statemachine.Effects
@@ -38,8 +38,8 @@
 	n.carry(name, &effects)
 }
 
-// wrongNotices lists what living daemons with a peer in a topic's cell don't
-// know rightly of the others'.
+// wrongNotices lists the differences between the expected counts and those known to
+// running daemons that have a peer in the cell of a topic.
 func (n *net) wrongNotices(truth crowd, topics []string) []string {
 	var wrong []string
 	for name, part := range statemachine.Sorted(n.parts) {
@@ -188,7 +188,7 @@
 	assert.Assert(t, after.BatchesOut-before.BatchesOut < 7*6*100)
 }
 
-// sum adds up the counts of all parts.
+// sum adds up the counters of all daemons.
 func (n *net) sum() Counts {
 	var sum Counts
 	for _, part := range n.parts {
@@ -245,7 +245,7 @@
 		storm(lost)
 		net.run(400 * time.Millisecond)
 		assert.DeepEqual(t, net.wrongNotices(truth, topics), []string(nil))
-		// Its next life begins without a loss: the others had taken it for lost.
+		// Its next incarnation begins without a restart: the others had declared it lost.
 		net.lives[lost] = 200
 		net.view()
 		net.run(400 * time.Millisecond)
--- a/internal/overlay/overlay.go
+++ b/internal/overlay/overlay.go
@@ -1,27 +1,31 @@
-// Package overlay finds the gateways with subscribers of a topic, after VAST's
-// Voronoi-based overlay network. A gateway asks it where the copies of a message go.
+// Package overlay finds the gateways that have subscribers of a topic. It implements
+// VAST, spatial publish/subscribe over a Voronoi-based overlay network. Gateways use
+// it to determine the destinations of a publication.
 //
-// Topics are squares in a unit square (AreaOf), one unit square for each space. Each
-// area that this daemon's sessions subscribe to, or publish at, has one peer here. A
-// peer has a Voronoi region around its reference point. It always knows the enclosing
-// neighbours beyond its edges, the peers inside its area if it subscribes, and every
-// subscriber whose area meets its region. A joining peer's request is forwarded
-// greedily to the acceptor, the peer whose region covers its point. From there it
-// walks from neighbour to neighbour, and each one that it greets names more of them:
-// the neighbours that they have in common, the subscribers over the part of the region
-// that it took, and, if it subscribes, the neighbours beyond the edges that its area
-// meets. Knowledge is mutual, so a publisher's peer has the subscribers of its area,
-// and Destinations returns their daemons.
+// Each space has a unit square, and each topic is a smaller square in it (AreaOf). A
+// daemon has one peer for each area that its sessions subscribe to or publish to. A
+// peer owns the Voronoi region around its reference point. It knows the enclosing
+// neighbours (the peers beyond the edges of its region), the peers inside its area if
+// it subscribes, and every subscriber whose area meets its region.
 //
-// All topics of the routed spaces together are in one plane of 16 cells, with at most
-// one peer of each daemon in a cell. There the peers of a cell announce to each other
-// how many subscribers each topic has on their daemon: see presence.go, SetSubscribers
-// and SubscribedDaemons.
+// The request of a joining peer is forwarded greedily to the acceptor, the peer whose
+// region covers the reference point of the joining peer. The joining peer then greets
+// the peers that the acceptor names. Each of them responds with further peers: the
+// neighbours that the two have in common, the subscribers whose area meets the part of
+// the region that the joining peer took over, and, if the joining peer subscribes, the
+// neighbours beyond the edges that its area meets. Both sides of a greeting record
+// each other, so the peer of a publisher knows the subscribers of its area, and
+// Destinations returns their daemons.
 //
-// An Overlay is a state machine without clock or I/O, driven by the gateway's. All
-// methods are for one goroutine. What is to be sent is added to the effects of the
-// call; timers run by Tick, at NextTick. SetIncarnation and SetView come before any
-// peer.
+// The topics of all routed spaces share one plane of 16 cells. A daemon has at most
+// one peer in each cell. The peers of a cell announce to each other how many
+// subscribers each topic has on their daemons; see presence.go, SetSubscribers and
+// SubscribedDaemons.
+//
+// An Overlay is a state machine without clock or I/O; the gateway's state machine
+// calls it. It isn't safe for concurrent use. Messages to send are added to the
+// effects of a call. Timers are run by Tick, which is due at NextTick. SetIncarnation
+// and SetView must be called before the first peer is created.
 package overlay
 
 import (
@@ -31,35 +35,35 @@
 	"dahlialock/internal/statemachine"
 )
 
-// Times and bounds of the overlay.
+// Timeouts, intervals and limits of the overlay.
 const (
-	// greetTimeout and joinTimeout are for the responses to the first attempts; see
-	// backoff for later ones.
+	// greetTimeout and joinTimeout apply to the first attempt; see backoff for later
+	// attempts.
 	greetTimeout     = 300 * time.Millisecond
 	maxGreetAttempts = 4
 	joinTimeout      = 400 * time.Millisecond
-	// joinAttemptValid is how old an attempt to join must be to be repeated at once
-	// when a daemon is lost.
+	// joinAttemptValid is the minimum age at which an attempt to join is repeated
+	// immediately when a daemon is lost.
 	joinAttemptValid = 100 * time.Millisecond
-	// maxDoublings is how often the timeout of a join, a greeting or a request to a
-	// peer doubles. A response that is late because links are full must not be
-	// requested again and again, which keeps them full.
+	// maxDoublings limits how often the timeout of a join, a greeting or a request
+	// doubles. Without backoff, responses delayed by saturated links would be
+	// requested again and again, which would keep the links saturated.
 	maxDoublings = 3
-	// maxHops is how often a join is forwarded before the peer that has it accepts it.
+	// maxHops limits how often a join is forwarded; the peer that it then reaches accepts it.
 	maxHops = 48
-	// firstJoinTargets is to how many daemons the first attempt of a join goes.
+	// firstJoinTargets is the number of daemons to which the first attempt of a join is sent.
 	firstJoinTargets = 3
-	// healing is the Hops of a greeting by a peer whose region has grown by a loss,
-	// which its greetings say for healFor.
+	// healing is the value of Hops in a greeting from a peer whose region has grown
+	// because a neighbour was lost. Its greetings are marked so for healFor.
 	healing = 1
 	healFor = 2 * time.Second
-	// rejoinWindow is for how long a neighbour that took part of a region is sent the
-	// subscribers that become known over it (see announceSubscriber).
+	// rejoinWindow is the time after a neighbour took over part of a region during
+	// which newly known subscribers are announced to it (see announceSubscriber).
 	rejoinWindow = 3 * time.Second
-	// tombstoneLifetime is how long the keys of peers that left are remembered.
+	// tombstoneLifetime is how long the tombstone of a peer that left is kept.
 	tombstoneLifetime = 30 * time.Second
 	compareInterval   = 4 * time.Second
-	// quietFor is how long a publishing peer stays after the last publication.
+	// quietFor is how long a publishing peer is kept after the last publication.
 	quietFor      = 4 * time.Minute
 	sweepInterval = 5 * time.Second
 )
@@ -68,18 +72,18 @@
 type Gateway struct {
 	Name    string
 	Address string
-	// Joined is the index of the control state at which this run of the daemon joined:
-	// its peers' PeerKey.Incarnation. It rises from run to run.
+	// Joined is the index of the control state at which this run of the daemon joined.
+	// It is the PeerKey.Incarnation of the daemon's peers and increases with each run.
 	Joined uint64
 }
 
-// Completion is called once a peer knows its surroundings, with done, or without once
-// the wait has timed out or the space was removed. The call may come within the call
-// that it was given to.
+// Completion is called with done set once a peer has joined and knows its neighbours,
+// or with done unset when the wait has timed out or the space was removed. It may be
+// called before the method that it was passed to returns.
 type Completion func(now time.Time, effects *statemachine.Effects, done bool)
 
-// outstanding is a join or a greeting without a response: when it times out, when it
-// was last sent, and how often.
+// outstanding is a join or a greeting without a response: when the present attempt
+// times out, when it was sent, and the number of attempts.
 type outstanding struct {
 	until    time.Time
 	sent     time.Time
@@ -90,58 +94,61 @@
 type hosted struct {
 	self  Peer
 	space *space
-	// known are the peers that this one knows, of this daemon too; subscribers are
-	// those of them that subscribe.
+	// known are the peers that this peer knows, including those of the same daemon;
+	// subscribers are the ones among them that subscribe.
 	known       map[PeerKey]Peer
 	subscribers map[PeerKey]Peer
 	region      Region
-	// greeted is the Change of self with which a peer was last greeted.
+	// greeted is the value of self.Change with which each peer was last greeted.
 	greeted map[PeerKey]uint64
-	// tookAt is when a peer introduced itself first.
+	// tookAt is when each peer first introduced itself.
 	tookAt map[PeerKey]time.Time
-	// owed are the subscribers that are to be named to a peer in the next signal to
-	// it: those over the part of the region that it took.
+	// owed are, for each peer, the subscribers to be named in the next signal to it:
+	// those whose area meets the part of the region that it took over.
 	owed map[PeerKey]map[PeerKey]bool
 	// pending are the greetings without a response.
 	pending map[PeerKey]*outstanding
 	// joining is nil once the peer has joined.
 	joining *outstanding
 	// joinTargets are the daemons to which the join was sent and that haven't
-	// responded with SignalNobody; joinedThroughAll is set if it went to all.
+	// responded with SignalNobody; joinedThroughAll is set if it was sent to all
+	// daemons.
 	joinTargets      map[string]bool
 	joinedThroughAll bool
 	// waiting are called once the peer has joined and no greeting is pending.
 	waiting []Completion
-	// holders is how many calls of Subscribe no Unsubscribe has ended yet.
+	// holders counts the calls of Subscribe without a matching Unsubscribe.
 	holders int
-	// publishes is set from a Publish until quietFor after the last one, at lastUse.
+	// publishes is set by Publish and cleared quietFor after the last call, which was
+	// at lastUse.
 	lastUse   time.Time
 	publishes bool
-	// queued is set while a joining peer only waits for another one of the space here.
+	// queued is set while the peer waits for another peer of this daemon in the same
+	// space to join first.
 	queued bool
-	// requests are the joins of others that wait until this peer has joined.
+	// requests are the join requests of other peers that wait until this peer has joined.
 	requests []Signal
-	// healUntil is until when greetings are marked as healing.
+	// healUntil is the time until which greetings are marked as healing.
 	healUntil time.Time
 	// cell is set for a peer of routed topics.
 	cell *cell
 }
 
-// space is the unit square of a space or a plane, with the peers here.
+// space is the unit square of a space or a plane, with the peers of this daemon in it.
 type space struct {
 	name  string
 	peers map[Area]*hosted
 	byKey map[PeerKey]*hosted
 	// ordered are the same peers in the order of their keys.
 	ordered []*hosted
-	// gone are the tombstones of peers of other daemons: when each was last reported
-	// to have left.
+	// gone are the tombstones of other daemons' peers: when each was last reported to
+	// have left.
 	gone map[PeerKey]time.Time
-	// turn is the next peer that compare treats.
+	// turn is the position of the next peer that compare treats.
 	turn int
 }
 
-// Counts are running sums for measurements and tests.
+// Counts are cumulative counters for measurements and tests.
 type Counts struct {
 	Joins      uint64 `json:"Joins"`
 	Hops       uint64 `json:"Hops"`
@@ -150,20 +157,20 @@
 	BatchesOut uint64 `json:"BatchesOut"`
 	Leaves     uint64 `json:"Leaves"`
 	Probes     uint64 `json:"Probes"`
-	// ByKind counts the signals that went out, by their kind.
+	// ByKind counts the signals sent, by kind.
 	ByKind [SignalAnnounce + 1]uint64 `json:"ByKind"`
-	// Notices counts the notices that went out by their kind, Announced the topics,
-	// hashes and members in them, and Levels the digests of cells.
+	// Notices counts the notices sent, by kind; Announced the topics, hashes and
+	// members in them; Levels the digests of a daemon's cells.
 	Notices   [NoticeMissing + 1]uint64 `json:"Notices"`
 	Announced [NoticeMissing + 1]uint64 `json:"Told"`
 	Levels    uint64                    `json:"Levels"`
 }
 
-// Overlay is one daemon's part of the overlay.
+// Overlay is the part of the overlay that runs on one daemon.
 type Overlay struct {
 	daemon string
-	// incarnation is that of this daemon's PeerKeys, number the last one's Number, and
-	// change the highest Change of the peers here.
+	// incarnation is that of this daemon's peer keys, number the Number of the newest
+	// key, and change the highest Change of this daemon's peers.
 	incarnation uint64
 	number      uint64
 	change      uint64
@@ -172,28 +179,28 @@
 	spaces   map[string]*space
 	planes   map[string]*plane
 	timers   *statemachine.Timers[string]
-	// out is what the present step sends, by address.
+	// out are the frames that the present step sends, by address.
 	out map[string]*Signals
-	// paceUntil is when the next changes may go out to all, and paced counts those
-	// that waited for that.
+	// paceUntil is when the next changes may be sent to all members; paced counts the
+	// consecutive times that changes were sent less than gatherFor after paceUntil.
 	paceUntil time.Time
 	paced     int
-	// checked is when this daemon last compared its cells with others.
+	// checked is when this daemon last sent a check of its cells to others.
 	checked time.Time
-	// checks counts the checks that followed another within checkInterval; checkTurn
-	// counts all of them.
+	// checks counts the consecutive checks that each followed the previous one within
+	// checkInterval; checkTurn counts all checks.
 	checks    int
 	checkTurn uint64
-	// roundTrips are smoothed (see observe), by daemon.
+	// roundTrips are the smoothed round trip times (see observe), by daemon.
 	roundTrips map[string]time.Duration
 	// found are the discoveries since the last TakeDiscovered.
 	found []Discovery
-	// Counts are only changed by the overlay.
+	// Counts must not be modified by users of the overlay.
 	Counts Counts
 }
 
-// New returns a daemon's part of the overlay; SetIncarnation and SetView come before
-// any peer.
+// New returns the overlay of a daemon. SetIncarnation and SetView must be called
+// before the first peer is created.
 func New(daemon string) *Overlay {
 	return &Overlay{
 		daemon: daemon, gateways: map[string]Gateway{}, spaces: map[string]*space{}, planes: map[string]*plane{},
@@ -201,11 +208,11 @@
 	}
 }
 
-// NextTick returns when Tick is due, zero for never.
+// NextTick returns when Tick is due, or the zero time if no timer is set.
 func (o *Overlay) NextTick() time.Time { return o.timers.Next() }
 
-// Subscribe adds one holder to the subscribing peer of an area, and makes the peer if
-// need be. Every call is ended by one of Unsubscribe. done may be nil.
+// Subscribe registers a subscription with the subscribing peer of an area, which is
+// created if it doesn't exist. Each call needs a matching Unsubscribe. done may be nil.
 func (o *Overlay) Subscribe(now time.Time, spaceName string, area Area, done Completion, effects *statemachine.Effects) {
 	peer, made := o.peer(now, spaceName, area)
 	peer.holders++
@@ -220,8 +227,9 @@
 	o.whenJoined(now, peer, made, done, effects)
 }
 
-// Unsubscribe removes one holder; with the last the peer stops subscribing, and
-// leaves if nobody publishes there either. It ignores an area without holders.
+// Unsubscribe reverts one call of Subscribe. After the last one the peer stops
+// subscribing, and leaves unless it also publishes. An area without subscriptions is
+// ignored.
 func (o *Overlay) Unsubscribe(now time.Time, spaceName string, area Area, effects *statemachine.Effects) {
 	here, found := o.spaces[spaceName]
 	if !found {
@@ -248,8 +256,8 @@
 }
 
 // Publish ensures that an area has a publishing peer, and calls done once the peer
-// has its subscribers. Before each publication it is called again, since a peer that
-// isn't used for quietFor leaves.
+// knows the subscribers of the area. It must be called before each publication, since
+// a peer that isn't used for quietFor leaves.
 func (o *Overlay) Publish(now time.Time, spaceName string, area Area, done Completion, effects *statemachine.Effects) {
 	peer, made := o.peer(now, spaceName, area)
 	peer.publishes = true
@@ -257,9 +265,9 @@
 	o.whenJoined(now, peer, made, done, effects)
 }
 
-// Destinations returns the names of the living daemons, without this one, that have
-// subscribers of an area, in order, as its peer here knows them; none if there is no
-// such peer (see Publish).
+// Destinations returns the sorted names of the other daemons in the view that have
+// subscribers of an area, according to this daemon's peer of the area. It returns none
+// if there is no such peer (see Publish).
 func (o *Overlay) Destinations(spaceName string, area Area) []string {
 	here, found := o.spaces[spaceName]
 	if !found {
@@ -284,8 +292,9 @@
 	return destinations
 }
 
-// observe records the round trip of a greeting. A shorter one replaces the last
-// value, a longer one changes it little, since a busy daemon only lengthens it.
+// observe records the round trip time of a greeting. A shorter one replaces the
+// estimate; a longer one changes it by 1/64 of the difference, since it may include the
+// delay of a busy daemon.
 func (o *Overlay) observe(daemon string, length time.Duration) {
 	present, found := o.roundTrips[daemon]
 	switch {
@@ -296,7 +305,7 @@
 	}
 }
 
-// RoundTrips returns the round trips observed to the other living daemons, by name.
+// RoundTrips returns the smoothed round trip times to the other daemons in the view, by name.
 func (o *Overlay) RoundTrips() map[string]time.Duration {
 	roundTrips := make(map[string]time.Duration, len(o.roundTrips))
 	for name, length := range o.roundTrips {
@@ -307,8 +316,8 @@
 	return roundTrips
 }
 
-// Discovery is a destination that a publishing peer has newly found: a daemon with a
-// subscriber of the peer's area.
+// Discovery is a destination that a publishing peer has newly discovered: a daemon
+// with a subscriber of the peer's area.
 type Discovery struct {
 	Space  string
 	Area   Area
@@ -322,8 +331,8 @@
 	return found
 }
 
-// Joined reports whether an area has a peer here that has joined and knows its
-// surroundings.
+// Joined reports whether this daemon has a peer for an area that has joined and has
+// no pending greetings.
 func (o *Overlay) Joined(spaceName string, area Area) bool {
 	here, found := o.spaces[spaceName]
 	if !found {
@@ -333,8 +342,8 @@
 	return found && peer.joining == nil && len(peer.pending) == 0
 }
 
-// PeerCounts returns how many peers here subscribe and publish, over all spaces; one
-// that does both counts twice.
+// PeerCounts returns how many peers of this daemon subscribe and how many publish,
+// over all spaces. A peer that does both is counted in both.
 func (o *Overlay) PeerCounts() (subscribing, publishing int) {
 	for _, here := range o.spaces {
 		for _, peer := range here.peers {
@@ -349,8 +358,8 @@
 	return subscribing, publishing
 }
 
-// RemoveSpace removes a space with all its peers, without a word to others, which
-// remove it too. Those who wait are called without done.
+// RemoveSpace removes a space with all its peers. No SignalLeave is sent, since the
+// other daemons remove the space too. Waiting completions are called with done unset.
 func (o *Overlay) RemoveSpace(now time.Time, spaceName string, effects *statemachine.Effects) {
 	here, found := o.spaces[spaceName]
 	if !found {
@@ -366,14 +375,14 @@
 	delete(o.spaces, spaceName)
 }
 
-// sorted returns the peers in the order of their keys, as a copy, since what is done
-// with them may add or remove some.
+// sorted returns a copy of the list of peers in the order of their keys. Callers may
+// add or remove peers while they iterate over it.
 func (s *space) sorted() []*hosted {
 	return slices.Clone(s.ordered)
 }
 
-// indexPeer and unindexPeer add and remove a peer. A new key is always above those
-// before it, so that ordered stays in order.
+// indexPeer adds a peer. Keys are assigned in increasing order, so appending keeps
+// ordered sorted.
 func (s *space) indexPeer(peer *hosted) {
 	s.peers[peer.self.Area] = peer
 	s.byKey[peer.self.Key] = peer
@@ -388,7 +397,8 @@
 	}
 }
 
-// sortedPeers walks peers in the order of their keys; entries may be removed meanwhile.
+// sortedPeers iterates over peers in the order of their keys. Entries may be removed
+// during the iteration.
 func sortedPeers(known map[PeerKey]Peer) func(yield func(PeerKey, Peer) bool) {
 	return func(yield func(PeerKey, Peer) bool) {
 		keys := make([]PeerKey, 0, len(known))
@@ -405,8 +415,8 @@
 	}
 }
 
-// peer returns the peer of an area, which it makes if there is none. The caller has a
-// new one join (see whenJoined).
+// peer returns the peer of an area, and creates it if there is none. The caller must
+// have a new peer join (see whenJoined).
 func (o *Overlay) peer(now time.Time, spaceName string, area Area) (peer *hosted, made bool) {
 	here, found := o.spaces[spaceName]
 	if !found {
@@ -432,7 +442,8 @@
 	return peer, true
 }
 
-// signal adds a signal to the frame for a daemon, unless the view doesn't have it.
+// signal adds a signal to the frame for a daemon. A daemon that isn't in the view is
+// ignored.
 func (o *Overlay) signal(daemon string, signal Signal) {
 	gateway, alive := o.gateways[daemon]
 	if !alive {
@@ -463,7 +474,8 @@
 	clear(o.out)
 }
 
-// sendTo sends a signal to a peer; one of this daemon handles it at once.
+// sendTo sends a signal to a peer. If the peer is on this daemon, the signal is
+// handled immediately.
 func (o *Overlay) sendTo(now time.Time, key PeerKey, signal Signal) {
 	signal.To = key
 	if key.Daemon != o.daemon {
@@ -475,9 +487,9 @@
 	}
 }
 
-// rebuild computes a region anew after the loss of a neighbour, from all peers of the
-// space that any peer here knows: what the neighbour had is then divided at once among
-// those who border on it. New neighbours are greeted.
+// rebuild recomputes a region after the loss of a neighbour, from all peers of the
+// space that any peer of this daemon knows. This divides the lost neighbour's region
+// immediately among the peers around it. New neighbours are greeted.
 func (o *Overlay) rebuild(now time.Time, peer *hosted) {
 	before := peer.region.owners()
 	peer.healUntil = now.Add(healFor)
@@ -485,8 +497,8 @@
 	for _, known := range sortedPeers(peer.known) {
 		peer.region.clip(known.At, known.Key)
 	}
-	// learn may remove peers from the space, so the walk is over a copy. Most peers are
-	// too far away to matter, which cuts finds cheaply.
+	// learn may remove peers from the space, so the loop uses a copy. Most peers are
+	// too far away to cut the region; cuts is a cheap test for that.
 	for _, other := range peer.space.sorted() {
 		if other == peer {
 			continue
@@ -512,11 +524,11 @@
 	}
 }
 
-// HandleSignals handles the frame of another daemon's peers.
+// HandleSignals handles a frame from another daemon's peers.
 func (o *Overlay) HandleSignals(now time.Time, signals Signals, effects *statemachine.Effects) {
 	for _, signal := range signals.Signals {
-		// A daemon that isn't in the view, or an earlier incarnation of one that is, sent
-		// it by an older view.
+		// Ignores signals from daemons that aren't in the view and from earlier
+		// incarnations; they were sent under an older view.
 		if !o.ended(signal.From.Key) {
 			o.handleSignal(now, signal, effects)
 		}
@@ -529,7 +541,7 @@
 }
 
 // handleSignal handles one signal. effects is nil for a signal between peers of this
-// daemon: completions wait for the timer then.
+// daemon; completions are then called by the settle timer.
 func (o *Overlay) handleSignal(now time.Time, signal Signal, effects *statemachine.Effects) {
 	here, found := o.spaces[signal.Space]
 	if signal.Kind == SignalJoin {
@@ -565,8 +577,9 @@
 		answer.Kind = SignalGreeted
 		o.sendTo(now, signal.From.Key, answer)
 		if signal.Hops == healing && peer.self.Subscribes {
-			// The sender's region has grown by a loss; its new neighbours may be in
-			// this peer's area, and the response names them.
+			// The sender's region has grown because a neighbour was lost. Its new
+			// neighbours may be in this peer's area; the response to a greeting names
+			// them.
 			o.greetAs(now, peer, signal.From, false)
 		}
 	case SignalGreeted:
@@ -591,9 +604,9 @@
 	}
 }
 
-// SetView sets the other living daemons, by name. Peers of daemons that are gone, or
-// that joined anew, are removed. A daemon that is new is probed, so that two halves of
-// a split overlay find each other.
+// SetView sets the other daemons in the membership view, by name. Peers of daemons that
+// are no longer in the view, or that have a new incarnation, are removed. New daemons
+// are probed, so that the two halves of a split overlay find each other.
 func (o *Overlay) SetView(now time.Time, gateways map[string]Gateway, effects *statemachine.Effects) {
 	earlier := o.gateways
 	o.gateways = gateways
@@ -617,8 +630,8 @@
 	o.flush(effects)
 }
 
-// Tick runs the timers that are due. A timer without a case only has completeWaiting
-// run.
+// Tick runs the timers that are due. A timer without a case only causes completeWaiting
+// to run.
 func (o *Overlay) Tick(now time.Time, effects *statemachine.Effects) {
 	for _, key := range o.timers.Expired(now) {
 		switch key {
--- a/internal/overlay/overlay_test.go
+++ b/internal/overlay/overlay_test.go
@@ -1,6 +1,6 @@
-// The overlay against a brute-force checker: whatever joins, leaves, comes and
-// goes, each publishing peer's destinations are in the end exactly the daemons
-// that subscribe to an area over it, and the signals it takes stay few.
+// Tests the overlay against a brute-force checker. After random joins, leaves and
+// faults, the destinations of each publishing peer must be exactly the daemons that
+// subscribe to an area covering its area, and the number of signals must stay small.
 package overlay
 
 import (
@@ -16,7 +16,7 @@
 	"dahlialock/internal/transport"
 )
 
-// net is a tiny seeded network of overlay parts, each a step at a time.
+// net is a simulated, seeded network of overlays in virtual time.
 type net struct {
 	t       *testing.T
 	now     time.Time
@@ -26,12 +26,14 @@
 	queue   []letter
 	loss    float64
 	signals int
-	// cut names ways on which nothing arrives, frozen the parts that stand still.
+	// cut has the directed links on which all frames are lost, frozen the daemons that
+	// make no steps, and held the frames that arrived at frozen daemons.
 	cut    map[[2]string]bool
 	frozen map[string]bool
 	held   []letter
-	// rate is how many bytes a second a part's link takes, 0 for no bound; free is
-	// when it has taken what it was given, and bytes what all were given.
+	// rate is the bandwidth of a daemon's link in bytes per second, 0 for unlimited;
+	// free is when each link has transferred all of its frames, and bytes the total of
+	// all links.
 	rate  int
 	free  map[string]time.Time
 	bytes int
@@ -68,7 +70,7 @@
 	}
 }
 
-// passed is when a part's link has taken a message.
+// passed returns when a daemon's link has transferred a message.
 func (n *net) passed(from string, message any) time.Time {
 	if n.rate == 0 {
 		return n.now
@@ -83,7 +85,7 @@
 	return n.free[from]
 }
 
-// run lets virtual time pass.
+// run advances the virtual time.
 func (n *net) run(length time.Duration) {
 	until := n.now.Add(length)
 	for {
@@ -128,7 +130,7 @@
 	}
 }
 
-// thaw lets a part take what came for it while it stood still.
+// thaw delivers the frames that arrived while a daemon was frozen.
 func (n *net) thaw(name string) {
 	held := n.held
 	n.held = nil
@@ -142,7 +144,7 @@
 	}
 }
 
-// view tells every part who is there.
+// view sets the current view on every daemon.
 func (n *net) view() {
 	for name, part := range statemachine.Sorted(n.parts) {
 		others := map[string]Gateway{}
@@ -223,7 +225,7 @@
 	net.carry(name, &effects)
 }
 
-// use keeps the publishing peers in use, so that they don't leave.
+// use publishes at all publishing peers, so that they don't leave.
 func (n *net) use(truth *checker) {
 	for name, areas := range statemachine.Sorted(truth.published) {
 		for area := range areas {
@@ -282,7 +284,7 @@
 		net.view()
 		net.run(4 * time.Second)
 		net.check(seed, truth)
-		// It comes back empty, and subscribes again.
+		// The lost daemon restarts without subscriptions and subscribes again.
 		net.come(lost, 100)
 		truth.subscribed[lost], truth.published[lost] = map[Area]int{}, map[Area]bool{}
 		net.view()
--- a/internal/overlay/presence.go
+++ b/internal/overlay/presence.go
@@ -8,68 +8,75 @@
 	"dahlialock/internal/statemachine"
 )
 
-// This file has the cells of routed topics, and what their peers announce to each
-// other. The unit square of a plane is cut into four by four cells; a topic's number
-// picks one, and a square in the middle of it is the area of all the cell's peers.
-// This daemon has one peer in each cell in which its sessions subscribe or publish. It
-// stays for keepFor after its last use, so that clients that are disconnected and come
-// back don't have it join anew. All peers of a cell subscribe to its area, so that by
-// the overlay's mutual discovery each knows all the others, its members.
+// This file implements the cells of routed topics and the announcements between their
+// peers. The unit square of a plane is divided into four by four cells. The hash of a
+// topic selects its cell, and a square in the middle of the cell is the area of all of
+// the cell's peers. A daemon has one peer in each cell in which its sessions subscribe
+// or publish. The peer is kept for keepFor after its last use, so that it doesn't have
+// to rejoin when clients disconnect and reconnect. All peers of a cell subscribe to its
+// area, so each of them discovers all others, the members of the cell.
 //
-// The peers of a cell announce to each other in notices how many subscribers each
-// topic has on their daemon. Changes are gathered for a moment and go to all members as
-// a numbered NoticeChanges, with those of all cells in one frame for each daemon. A
-// topic's first subscriber is announced within the gathering time or the pace, another
-// change of a count within countsDelay. A new member is sent a NoticeComplete. A peer
-// that finds that it lacks a notice requests a NoticeComplete. Every checkInterval each
-// daemon sends the others the sequences of its newest notices and the digests of its
-// cells' members, which shows what was lost: a notice, or the knowledge of a peer.
+// The peers of a cell announce in notices how many subscribers each topic has on their
+// daemons. Changes are gathered for a short time and sent to all members as a numbered
+// NoticeChanges; the changes of all cells are sent to a daemon in one frame. The first
+// subscriber of a topic is announced after the gathering time or at the end of the
+// current pause (see pace), other changes of a count within countsDelay. A new member
+// is sent a NoticeComplete. A peer that detects a gap in the sequence of notices
+// requests a NoticeComplete. Every checkInterval each daemon sends the others the
+// sequences of its newest notices and the digests of its cells' members, or a digest of
+// both. This detects lost notices and members that a peer doesn't know.
 //
-// All of this is sent within calls or by the timers of Tick.
+// Frames are sent by the calls that cause them or by the timers of Tick.
 
-// Times and bounds of the cells.
+// Timeouts, intervals and limits of the cells.
 const (
-	// cellSide is how many cells there are along an axis.
+	// cellSide is the number of cells along an axis.
 	cellSide = 4
-	// CellCount is how many cells a plane has.
+	// CellCount is the number of cells in a plane.
 	CellCount = cellSide * cellSide
-	// gatherFor is how long changes are gathered, so that one frame has what several
-	// clients, or several requests of one, change almost at once.
+	// gatherFor is how long changes are gathered, so that one frame contains the
+	// changes of several clients, or of several requests of a client, made at almost
+	// the same time.
 	gatherFor = 2 * time.Millisecond
-	// paceEach is the pause for each gateway between two announcements to all, so that
-	// the frames in a second are bounded, however many gateways there are.
+	// paceEach times the number of gateways is the pause between two announcements to
+	// all members. This bounds the frames per second for any number of gateways.
 	paceEach = time.Millisecond
-	// countsDelay is how long a changed count may wait, unless it was 0 before.
+	// countsDelay is how long the announcement of a changed count may be delayed, unless
+	// the count was 0 before.
 	countsDelay   = 200 * time.Millisecond
 	checkInterval = 2 * time.Second
-	// numbersEveryChecks is every how many checks the sequences themselves are sent in
-	// place of a digest. They show neighbours in cells that a receiver has no peer in.
+	// In every numbersEveryChecks-th check the sequences themselves are sent instead of
+	// a digest. From them a receiver discovers neighbours in cells in which it has no
+	// peer.
 	numbersEveryChecks = 5
-	// checkAfter is how soon a check follows a change of the peers known here, and
-	// checkAgain how soon it follows another check for that reason, doubled in a row.
+	// checkAfter is the delay of a check after a change of the known peers. checkAgain
+	// is the minimum time between such a check and the previous check; it doubles for
+	// consecutive checks.
 	checkAfter = 10 * time.Millisecond
 	checkAgain = 250 * time.Millisecond
-	// requestRetry is after what time a NoticeComplete is requested again; it doubles
-	// up to maxRequestDoublings times.
+	// requestRetry is the time after which a NoticeComplete is requested again; it
+	// doubles up to maxRequestDoublings times.
 	requestRetry        = 300 * time.Millisecond
 	maxRequestDoublings = 3
-	// membersWait lets joins become stable before peers compare whom they know.
+	// membersWait is the delay after a differing digest before members are compared, so
+	// that joins in progress can finish.
 	membersWait = 100 * time.Millisecond
-	// membersQuiet is for how long the members of a cell must have stayed the same
-	// before they are compared: while many join, all differ from all, and the checks
-	// that each sends to all others make them equal by themselves.
+	// membersQuiet is how long the members of a cell must have been stable before they
+	// are compared. While many peers join, all digests differ, and the checks that
+	// each daemon sends to all others are enough to make them equal.
 	membersQuiet = 400 * time.Millisecond
-	// reachTimeout is how long AwaitCell waits at most.
+	// reachTimeout limits how long AwaitCell waits.
 	reachTimeout = time.Second
-	// keepFor is how long a cell without subscribers here keeps its peer.
+	// keepFor is how long the peer of a cell is kept while this daemon has no subscribers
+	// in it.
 	keepFor = 10 * time.Minute
-	// unknownDaemonsPerCheck is to how many daemons with which no cell is shared a
-	// check goes, in turn.
+	// unknownDaemonsPerCheck is the number of daemons without a shared cell to which a
+	// check is sent; they are selected in turn.
 	unknownDaemonsPerCheck = 16
 )
 
-// SetSubscribers sets how many subscribers of a topic this daemon has; 0 removes it. The
-// change is announced later, by a timer.
+// SetSubscribers sets the number of subscribers that a topic has on this daemon; 0
+// removes the topic. A timer announces the change later.
 func (o *Overlay) SetSubscribers(now time.Time, planeName, topic string, count int, effects *statemachine.Effects) {
 	number := config.TopicHash(topic)
 	if count == 0 && o.cellAt(planeName, number) == nil {
@@ -106,9 +113,9 @@
 	o.timers.ArmSooner("notices", here.due)
 }
 
-// AwaitCell ensures that a topic's cell has a peer here. It calls then once that knows
-// the members of the cell and their subscribers, or without done after reachTimeout; if
-// it knows them already, at once.
+// AwaitCell ensures that this daemon has a peer in a topic's cell. It calls then with
+// done set once the peer knows the members of the cell and their subscriber counts,
+// which is immediately if it already does, or with done unset after reachTimeout.
 func (o *Overlay) AwaitCell(now time.Time, planeName, topic string, then Completion, effects *statemachine.Effects) {
 	here := o.cell(now, planeName, CellOf(config.TopicHash(topic)), effects)
 	here.lastUse = now
@@ -123,8 +130,9 @@
 	here.waiting = append(here.waiting, then)
 }
 
-// SubscribedDaemons returns the names of the other daemons that have subscribers of a
-// topic, in order, as announced; none if there is no peer in its cell (see AwaitCell).
+// SubscribedDaemons returns the sorted names of the other daemons that have announced
+// subscribers of a topic. It returns none if this daemon has no peer in the topic's
+// cell (see AwaitCell).
 func (o *Overlay) SubscribedDaemons(planeName, topic string) []string {
 	number := config.TopicHash(topic)
 	here := o.cellAt(planeName, number)
@@ -140,7 +148,8 @@
 	return names
 }
 
-// Subscribers returns how many subscribers of a topic all other daemons have announced.
+// Subscribers returns the number of subscribers of a topic that all other daemons have
+// announced.
 func (o *Overlay) Subscribers(planeName, topic string) int {
 	number := config.TopicHash(topic)
 	here := o.cellAt(planeName, number)
@@ -154,7 +163,7 @@
 	return sum
 }
 
-// cellAt returns the cell of a topic, nil if there is no peer in it here.
+// cellAt returns the cell of a topic, or nil if this daemon has no peer in it.
 func (o *Overlay) cellAt(planeName string, topic uint64) *cell {
 	plane, found := o.planes[planeName]
 	if !found {
@@ -163,7 +172,8 @@
 	return plane.cells[CellOf(topic)]
 }
 
-// cell returns a cell of a plane; if it is new, its peer here begins to join.
+// cell returns a cell of a plane. If it doesn't exist yet, it is created and this
+// daemon's peer starts to join.
 func (o *Overlay) cell(now time.Time, planeName string, number uint8, effects *statemachine.Effects) *cell {
 	where, found := o.planes[planeName]
 	if !found {
@@ -188,8 +198,8 @@
 	return here
 }
 
-// completeWaiting calls those who wait for cells that are joined, or whose wait has
-// timed out.
+// completeWaiting calls the waiting completions of cells that are joined or whose wait
+// has timed out.
 func (o *Overlay) completeWaiting(now time.Time, effects *statemachine.Effects) {
 	for _, where := range statemachine.Sorted(o.planes) {
 		for _, here := range where.cells {
@@ -211,8 +221,8 @@
 	}
 }
 
-// meet adds another daemon's peer to the members, unless a newer one of the daemon is
-// among them; it is to get a NoticeComplete.
+// meet adds another daemon's peer to the members of a cell, unless a newer peer of that
+// daemon is a member, and schedules a NoticeComplete to it.
 func (o *Overlay) meet(now time.Time, here *cell, key PeerKey) {
 	earlier, found := here.members[key.Daemon]
 	if found && (earlier.key == key || earlier.key.Incarnation > key.Incarnation || earlier.key.Incarnation == key.Incarnation && earlier.key.Number > key.Number) {
@@ -224,22 +234,22 @@
 		position, _ := slices.BinarySearch(here.order, key.Daemon)
 		here.order = slices.Insert(here.order, position, key.Daemon)
 	}
-	// It sends a NoticeComplete by itself once it has met this peer, which is requested
-	// only if it does not come.
+	// The new member sends a NoticeComplete once it has added this peer to its own
+	// members. It is requested only if it isn't received in time.
 	here.members[key.Daemon] = &member{key: key, requested: now}
 	here.digest ^= keyHash(key)
 	here.changedAt = now
 	o.owe(now, here, key.Daemon)
 }
 
-// owe has a NoticeComplete sent to a daemon after gatherFor.
+// owe schedules a NoticeComplete to a daemon after gatherFor.
 func (o *Overlay) owe(now time.Time, here *cell, daemon string) {
 	here.owed[daemon] = true
 	o.timers.ArmSooner("owed", now.Add(gatherFor))
 }
 
-// notify adds a notice to the frame to a daemon, and returns the part of the frame in
-// which it is, nil if the view doesn't have the daemon.
+// notify adds a notice to the frame for a daemon, and returns the Notices that contains
+// it, or nil if the daemon isn't in the view.
 func (o *Overlay) notify(daemon, planeName string, notice Notice) *Notices {
 	gateway, alive := o.gateways[daemon]
 	if !alive {
@@ -258,7 +268,7 @@
 	return &frame.Notices[len(frame.Notices)-1]
 }
 
-// sendOwed sends a NoticeComplete to all new members and those that requested it.
+// sendOwed sends a NoticeComplete to all new members and to those that requested one.
 func (o *Overlay) sendOwed() {
 	for _, where := range statemachine.Sorted(o.planes) {
 		for _, here := range where.cells {
@@ -274,8 +284,8 @@
 	}
 }
 
-// sendChanges sends the changes of the cells if any is due, those that aren't due yet
-// too, since the frames are sent in any case.
+// sendChanges sends the changes of all cells if those of any cell are due. Changes that
+// aren't due yet are included, since the frames are sent anyway.
 func (o *Overlay) sendChanges(now time.Time) {
 	var next time.Time
 	any := false
@@ -304,7 +314,7 @@
 			if len(here.changed) == 0 {
 				continue
 			}
-			// What is owed goes first, so that the changes follow it.
+			// A pending NoticeComplete must be sent before the changes that follow it.
 			o.sendOwed()
 			here.sequence++
 			notice := here.notice(NoticeChanges)
@@ -320,8 +330,8 @@
 	}
 }
 
-// pace sets when the next changes may go to all. While there always are some, the pause
-// grows, which makes fewer and fuller frames of them.
+// pace sets when the next changes may be sent to all members. Under continuous changes
+// the pause grows, so that fewer frames with more changes each are sent.
 func (o *Overlay) pace(now time.Time) {
 	if now.Sub(o.paceUntil) < gatherFor {
 		o.paced++
@@ -331,9 +341,9 @@
 	o.paceUntil = now.Add(min(backoff(paceEach*time.Duration(len(o.gateways)), o.paced), max(countsDelay, paceEach*time.Duration(len(o.gateways)))))
 }
 
-// check sends a digest or, in every numbersEveryChecks-th check, the sequences of the
-// newest notices here to all daemons with which a cell is shared, and the sequences to
-// some of the others in turn.
+// check sends to all daemons with which a cell is shared a digest or, in every
+// numbersEveryChecks-th check, the sequences of this daemon's newest notices. It also
+// sends the sequences to some of the other daemons, in turn.
 func (o *Overlay) check(now time.Time) {
 	if o.checks++; now.Sub(o.checked) >= checkInterval {
 		o.checks = 0
@@ -375,8 +385,8 @@
 	}
 }
 
-// levelWith sends one daemon the digest of the cells here; it requests the checks
-// themselves unless it computes the same.
+// levelWith sends a daemon the digest of this daemon's cells. The receiver requests the
+// checks themselves if it computes a different digest.
 func (o *Overlay) levelWith(daemon string, where *plane) {
 	gateway, alive := o.gateways[daemon]
 	if !alive {
@@ -390,14 +400,14 @@
 	frame.Notices = append(frame.Notices, Notices{Daemon: o.daemon, Incarnation: o.incarnation, Plane: where.name, Level: level})
 }
 
-// levelPart is what goes into a level of a daemon's peer in one cell: the number of its
-// key, and the sequence of its newest notice.
+// levelPart is the part of a level that describes a daemon's peer in one cell: the
+// number of its key and the sequence of its newest notice.
 type levelPart struct{ number, sequence uint64 }
 
-// level returns a digest of cells: of the members of each, and of a daemon's peer
-// there, as told returns it. It is 0 if told knows none. A daemon without a peer in one
-// of another's cells never computes the same level, and requests the checks: from them
-// its peers learn of neighbours in that cell.
+// level returns a digest of the cells for which told returns the state of a daemon's
+// peer: of the members of each cell and that state. It is 0 if there is no such cell. A
+// daemon that lacks a peer in one of the sender's cells computes a different level and
+// requests the checks, from which its peers discover neighbours in that cell.
 func (p *plane) level(told func(here *cell) (levelPart, bool)) uint64 {
 	sum := uint64(0)
 	for _, here := range p.cells {
@@ -411,8 +421,8 @@
 	return sum
 }
 
-// levelOf returns the level of an incarnation of another daemon as far as its cells are
-// known here.
+// levelOf returns the level of an incarnation of another daemon, computed from the
+// members known to this daemon.
 func (p *plane) levelOf(daemon string, incarnation uint64) uint64 {
 	return p.level(func(here *cell) (levelPart, bool) {
 		known, found := here.members[daemon]
@@ -423,8 +433,9 @@
 	})
 }
 
-// handleLevel requests a NoticeCheck of each of a daemon's cells unless its level is the
-// one known here. where is nil if this daemon doesn't have the plane.
+// handleLevel requests a NoticeCheck for each of another daemon's cells, unless the
+// received level equals the one computed by levelOf. where is nil if this daemon
+// doesn't have the plane.
 func (o *Overlay) handleLevel(where *plane, told Notices) {
 	gateway := o.gateways[told.Daemon]
 	if where != nil && where.levelOf(told.Daemon, told.Incarnation) == told.Level {
@@ -434,8 +445,8 @@
 	frame.Notices = append(frame.Notices, Notices{Daemon: o.daemon, Incarnation: o.incarnation, Plane: told.Plane, Answer: true})
 }
 
-// scheduleCheck has a check follow a change of the peers known here, so that peers that
-// join at the same time find each other.
+// scheduleCheck schedules a check after a change of the known peers, so that peers that
+// join at the same time discover each other.
 func (o *Overlay) scheduleCheck(now time.Time) {
 	at := o.checked.Add(backoff(checkAgain, o.checks))
 	if soon := now.Add(checkAfter); at.Before(soon) {
@@ -444,8 +455,8 @@
 	o.timers.ArmSooner("checks", at)
 }
 
-// checkWith sends one daemon a NoticeCheck of each cell here, and requests its own if
-// answer is set.
+// checkWith sends a daemon a NoticeCheck for each of this daemon's cells, and requests
+// the same from it if answer is set.
 func (o *Overlay) checkWith(daemon string, where *plane, answer bool) {
 	for _, here := range where.cells {
 		if here == nil {
@@ -457,7 +468,7 @@
 	}
 }
 
-// handleNotices handles the notices of another daemon's peers; those of an earlier
+// handleNotices handles notices from another daemon's peers. Those of an earlier
 // incarnation are ignored.
 func (o *Overlay) handleNotices(now time.Time, told Notices) {
 	gateway, alive := o.gateways[told.Daemon]
@@ -489,7 +500,8 @@
 	}
 }
 
-// border has the peers here whose regions a peer of another cell would cut learn of it.
+// border introduces the sender of a NoticeCheck to this daemon's peers in other cells
+// whose regions it would cut.
 func (o *Overlay) border(now time.Time, where *plane, key PeerKey, notice Notice) {
 	other := cellPeer(key, notice.Cell, notice.Change)
 	for _, here := range where.cells {
@@ -502,7 +514,8 @@
 	}
 }
 
-// handleNotice handles a notice of a peer in a cell here, which becomes a member by it.
+// handleNotice handles a notice from a peer of one of the cells in which this daemon has
+// a peer. The sender becomes a member of the cell if it was none.
 func (o *Overlay) handleNotice(now time.Time, here *cell, key PeerKey, notice Notice) {
 	known, found := here.members[key.Daemon]
 	if notice.Kind == NoticeAbsent {
@@ -548,7 +561,8 @@
 		o.owe(now, here, key.Daemon)
 	case NoticeDiffers, NoticeMissing:
 		o.level(here, key, notice)
-		// level has sent it what it lacks, so that the two count as equal.
+		// level has sent the missing members to the sender, so the two digests count as
+		// equal.
 		notice.Digest = here.digestHere()
 	case NoticeMembers:
 		o.merge(now, here, key, notice.Members)
@@ -562,7 +576,7 @@
 	}
 }
 
-// merge learns the members of a cell that a sender names.
+// merge learns the members of a cell named by a sender.
 func (o *Overlay) merge(now time.Time, here *cell, sender PeerKey, members []PeerKey) {
 	var others []Peer
 	for _, each := range members {
@@ -573,8 +587,9 @@
 	o.learn(now, here.peer, sender, others, false)
 }
 
-// level responds to NoticeDiffers and NoticeMissing: it names the members whose hashes
-// the sender did not send, and sends those known here if some of its were unknown.
+// level responds to NoticeDiffers and NoticeMissing with the members whose hashes the
+// sender did not include. If a NoticeDiffers contains unknown hashes, it also sends the
+// hashes of the members that this daemon knows.
 func (o *Overlay) level(here *cell, key PeerKey, notice Notice) {
 	summed := make(map[uint32]bool, len(notice.Counts))
 	for _, hash := range notice.Counts {
@@ -602,7 +617,7 @@
 }
 
 // compareMembers sends, in each cell, a NoticeDiffers to one of the members whose
-// digests differ from the one here.
+// digests differ from this daemon's digest.
 func (o *Overlay) compareMembers(now time.Time) {
 	for _, where := range statemachine.Sorted(o.planes) {
 		for _, here := range where.cells {
@@ -621,8 +636,8 @@
 					continue
 				}
 				if !known.digestAt.After(here.changedAt) && !statemachine.Mutated("no-retry-pauses") {
-					// It is from before the last change here; the next check shows whether
-					// they still differ.
+					// The digest was received before the last change of this daemon's members;
+					// the next check shows whether the two still differ.
 					continue
 				}
 				if known.compared == digest^known.digest && now.Sub(known.comparedAt) < checkInterval {
@@ -641,8 +656,8 @@
 	}
 }
 
-// requestComplete requests a NoticeComplete of a member, at once or when the response to
-// an earlier request is overdue.
+// requestComplete requests a NoticeComplete from a member, immediately or once an
+// earlier request has timed out.
 func (o *Overlay) requestComplete(now time.Time, here *cell, known *member) {
 	if due := known.nextRequestAt(); due.After(now) {
 		known.wanted = true
@@ -654,7 +669,7 @@
 	o.notify(known.key.Daemon, here.plane.name, here.notice(NoticeAsk))
 }
 
-// retryRequests sends the requests that waited for an earlier one to be overdue.
+// retryRequests sends the requests that waited for an earlier request to time out.
 func (o *Overlay) retryRequests(now time.Time) {
 	for _, where := range statemachine.Sorted(o.planes) {
 		for _, here := range where.cells {
@@ -670,8 +685,8 @@
 	}
 }
 
-// releaseCells has the peers of cells leave that nobody used for keepFor and that have
-// no subscribers here.
+// releaseCells has this daemon's peers leave the cells that have no subscribers on this
+// daemon and weren't used for keepFor.
 func (o *Overlay) releaseCells(now time.Time) {
 	for _, where := range statemachine.Sorted(o.planes) {
 		for number, here := range where.cells {
--- a/internal/overlay/regions_test.go
+++ b/internal/overlay/regions_test.go
@@ -1,6 +1,6 @@
-// The second half of the checker: each peer's region and enclosing neighbours
-// must be those of the true Voronoi diagram over all peers, and each peer must
-// know every subscriber whose area meets its region.
+// Checks regions by brute force: the enclosing neighbours of each peer must be those of
+// the Voronoi diagram of all peers, and each peer must know every subscriber whose area
+// meets its region.
 package overlay
 
 import (
--- a/internal/overlay/repair.go
+++ b/internal/overlay/repair.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// checkDeadlines repeats the joins and greetings whose responses are overdue. A
-// greeting is given up after maxGreetAttempts, a join never.
+// checkDeadlines retries joins and greetings that have timed out. A greeting is
+// abandoned after maxGreetAttempts; a join is retried indefinitely.
 func (o *Overlay) checkDeadlines(now time.Time, effects *statemachine.Effects) {
 	var next time.Time
 	for _, here := range statemachine.Sorted(o.spaces) {
 		for _, peer := range here.sorted() {
 			if peer.joining != nil && !peer.joining.until.After(now) {
-				// Without an acceptor the peer can't go on; where the request was
-				// lost with a daemon, dropDaemon joins sooner.
+				// A peer can't operate without having joined. If the request was lost
+				// with a daemon, dropDaemon retries sooner.
 				o.join(now, peer)
 			}
 			for key := range sortedPending(peer.pending) {
@@ -24,7 +24,7 @@
 				}
 				known, found := peer.known[key]
 				if !found || waiting.attempts >= maxGreetAttempts {
-					// It stays known; compare greets it again.
+					// The peer stays known; compare greets it again later.
 					delete(peer.pending, key)
 					peer.greeted[key] = 0
 					continue
@@ -45,8 +45,8 @@
 	}
 }
 
-// sortedPending walks the keys of pending greetings in order; entries may be removed
-// meanwhile.
+// sortedPending iterates over the keys of pending greetings in order. Entries may be
+// removed during the iteration.
 func sortedPending(pending map[PeerKey]*outstanding) func(yield func(PeerKey) bool) {
 	return func(yield func(PeerKey) bool) {
 		keys := make([]PeerKey, 0, len(pending))
@@ -62,10 +62,10 @@
 	}
 }
 
-// compare has a few peers in turn greet their enclosing neighbours again and probe
-// another daemon. This repairs what a lost signal, a split of the network or a
-// misjudged edge left out, at whichever end. It runs every compareInterval while
-// there are peers here.
+// compare has a few peers, in turn, greet their enclosing neighbours again and probe
+// another daemon. On both sides this repairs missing knowledge that is due to a lost
+// signal, a network partition or a wrongly computed edge. It runs every compareInterval
+// while this daemon has peers.
 func (o *Overlay) compare(now time.Time, _ *statemachine.Effects) {
 	any := false
 	var names []string
@@ -105,8 +105,8 @@
 	}
 }
 
-// sweep ends the publishing of peers at which nobody published for quietFor, so that
-// those without subscribers leave, and forgets old tombstones.
+// sweep ends publishing at peers without a Publish call for quietFor, has those of them
+// leave that don't subscribe, and removes expired tombstones.
 func (o *Overlay) sweep(now time.Time) {
 	any := false
 	for _, here := range statemachine.Sorted(o.spaces) {
--- a/internal/overlay/unsubscribe_test.go
+++ b/internal/overlay/unsubscribe_test.go
@@ -1,5 +1,5 @@
-// A subscription to a space without a route that ends takes nothing of the routed
-// topics with it, which lie on a plane of their own.
+// The end of a subscription to a space without a route must not affect routed topics,
+// which have a separate plane.
 package overlay
 
 import (
--- a/internal/topology/topology.go
+++ b/internal/topology/topology.go
@@ -1,7 +1,6 @@
-// Package topology reads zones and the ways between them from a GraphViz or
-// GeoJSON file, each through a library, and puts them into an operators'
-// configuration, which is then checked as strictly as any other. A fault names
-// its line or its element.
+// Package topology reads zones and the links between them from a GraphViz or GeoJSON
+// file and inserts them into an operator's configuration, which is then validated as
+// usual. Errors name the line or the element of the file.
 package topology
 
 import (
@@ -20,23 +19,23 @@
 	"dahlialock/internal/config"
 )
 
-// ErrorTopology tells what is wrong with a topology file.
+// ErrorTopology is the type of errors about a topology file.
 var ErrorTopology = errorx.NewNamespace("portolan").NewType("topology")
 
-// Link is a way between two zones.
+// Link is a network link between two zones.
 type Link struct {
 	From  string `json:"from"`
 	To    string `json:"to"`
 	Delay string `json:"delay"`
 }
 
-// Topology is what a file says.
+// Topology has the zones and links of a file.
 type Topology struct {
 	Zones []string
 	Links []Link
 }
 
-// Read reads a file: GeoJSON if it begins with a brace, else GraphViz.
+// Read parses a file: as GeoJSON if it begins with a brace, otherwise as GraphViz.
 func Read(text []byte) (Topology, error) {
 	if trimmed := strings.TrimSpace(string(text)); strings.HasPrefix(trimmed, "{") {
 		return readGeo(text)
@@ -44,6 +43,7 @@
 	return readGraph(text)
 }
 
+// place adds a zone; element is its place in the file, for errors.
 func (t *Topology) place(element, name string) error {
 	if !config.ValidName(name) {
 		return ErrorTopology.New("%s: %q is not a fit name for a zone", element, name)
@@ -55,6 +55,7 @@
 	return nil
 }
 
+// link adds a link; element is its place in the file, for errors.
 func (t *Topology) link(element string, link Link) error {
 	length, err := time.ParseDuration(link.Delay)
 	if err != nil || length < 0 || length > time.Minute {
@@ -77,11 +78,11 @@
 	return nil
 }
 
-// readGraph reads an undirected graph: a node for each zone, an edge with
-// the delay as its label for each way.
+// readGraph parses an undirected graph with a node for each zone and an edge for each
+// link. The label of an edge is the delay.
 func readGraph(text []byte) (topology Topology, err error) {
 	defer func() {
-		// The library panics over a few malformed graphs.
+		// The library panics on some malformed graphs.
 		if broken := recover(); broken != nil {
 			err = ErrorTopology.New("GraphViz: %v", broken)
 		}
@@ -112,6 +113,7 @@
 	return topology, nil
 }
 
+// unquote returns a GraphViz identifier without quotes, if it has any.
 func unquote(text string) string {
 	if plain, err := strconv.Unquote(text); err == nil {
 		return plain
@@ -119,8 +121,8 @@
 	return text
 }
 
-// readGeo reads a collection of features: a point with a name for each
-// zone, a line with from, to and delay for each way.
+// readGeo parses a collection of features: a Point with a name for each zone, and a
+// LineString with from, to and delay for each link.
 func readGeo(text []byte) (topology Topology, err error) {
 	collection, err := geojson.UnmarshalFeatureCollection(text)
 	if err != nil {
@@ -154,7 +156,7 @@
 	return topology, nil
 }
 
-// Into puts a topology into a configuration that has none of its own.
+// Into inserts a topology into a configuration that has neither zones nor links.
 func (t Topology) Into(document []byte) ([]byte, error) {
 	var members map[string]json.RawMessage
 	if err := json.Unmarshal(document, &members); err != nil {
@@ -169,7 +171,8 @@
 	if err != nil {
 		return nil, err
 	}
-	// The rest stays as it was written, so that every fault in it is found.
+	// The text of the configuration is kept as written, so that validation finds all of
+	// its errors.
 	body := strings.TrimSpace(string(document))
 	separator := ","
 	if len(members) == 0 {
--- a/internal/topology/topology_test.go
+++ b/internal/topology/topology_test.go
@@ -1,5 +1,5 @@
-// Both kinds of files give the same configuration, and each fault names where it
-// is; whatever bytes come, nothing panics.
+// Tests that GraphViz and GeoJSON files give equivalent configurations, that each error
+// names its line or element, and that no input causes a panic.
 package topology
 
 import (
@@ -32,7 +32,7 @@
 		assert.Equal(t, len(configuration.Links), 2)
 		_, err = topology.Into([]byte(`{"version": 3, "links": []}`))
 		assert.ErrorContains(t, err, "$.links")
-		// A fault of the configuration itself is still found.
+		// Validation still finds errors of the configuration itself.
 		document, err = topology.Into([]byte(`{"version": 3, "spaces": [], "spaces": []}`))
 		assert.NilError(t, err)
 		_, faults = config.Read(document)
