--- a/internal/overlay/cell.go
+++ b/internal/overlay/cell.go
@@ -41,7 +41,7 @@
 type cell struct {
 	plane  *plane
 	number uint8
-	peer   *hosted
+	peer   *hostedPeer
 	// counts are this daemon's subscriber counts, by topic. changed has, for each
 	// topic whose count has changed since the last announcement, the count that was
 	// announced.
@@ -55,43 +55,43 @@
 	// sorted names of these daemons.
 	members map[string]*member
 	order   []string
-	// owed are the daemons to which a NoticeComplete must be sent.
-	owed map[string]bool
+	// pendingComplete are the daemons to which a NoticeComplete must be sent.
+	pendingComplete map[string]bool
 	// digest is the XOR of the hashes of the members' keys.
 	digest uint64
-	// waiting are called once the cell is joined, or at the time until.
+	// waiting are called once the cell is joined, or at the deadline.
 	waiting []Completion
 	// changedAt is when a member was last added.
 	changedAt time.Time
-	// reached is set once the cell is joined or a wait for it has timed out; reset
+	// ready is set once the cell is joined or a wait for it has timed out; reset
 	// clears it.
-	reached bool
-	until   time.Time
+	ready    bool
+	deadline time.Time
 	// turn selects the member to which compareMembers sends the next NoticeDiffers.
 	turn uint64
-	// lastUse is when SetSubscribers or AwaitCell last used the cell; see keepFor.
+	// lastUse is when SetSubscribers or AwaitCell last used the cell; see cellIdleTimeout.
 	lastUse time.Time
 }
 
 // member is another daemon's peer in a cell, with the counts that it announced.
 type member struct {
 	key PeerKey
-	// heard is set once a NoticeComplete was received; sequence is that of the last
-	// notice applied to counts.
-	heard    bool
-	sequence uint64
+	// countsReceived is set once a NoticeComplete was received; sequence is that of the
+	// last notice applied to counts.
+	countsReceived bool
+	sequence       uint64
 	// digest is the last Digest received from the peer, 0 for none; digestAt is when
 	// it was received.
 	digest   uint64
 	digestAt time.Time
 	counts   map[uint64]uint32
 	// requested is when a NoticeComplete was last requested or, before the first
-	// request, when the member was added. asks counts the requests since the last
-	// NoticeComplete was received.
-	requested time.Time
-	asks      int
-	// wanted is set while a request is delayed until nextRequestAt.
-	wanted bool
+	// request, when the member was added. requestAttempts counts the requests since the
+	// last NoticeComplete was received.
+	requested       time.Time
+	requestAttempts int
+	// requestDelayed is set while a request is delayed until nextRequestAt.
+	requestDelayed bool
 	// compared is the XOR of the two digests that were last compared; comparedAt is
 	// when they were.
 	compared   uint64
@@ -101,29 +101,29 @@
 // joined reports whether the peer has joined and all members have sent their counts,
 // or an earlier wait for this has timed out.
 func (c *cell) joined() bool {
-	if c.reached {
+	if c.ready {
 		return true
 	}
 	if c.peer.joining != nil || len(c.peer.pending) > 0 {
 		return false
 	}
 	for _, known := range c.members {
-		if !known.heard {
+		if !known.countsReceived {
 			return false
 		}
 	}
-	c.reached = true
+	c.ready = true
 	return true
 }
 
-// part removes a member with its counts.
-func (c *cell) part(key PeerKey) {
+// removeMember removes a member with its counts.
+func (c *cell) removeMember(key PeerKey) {
 	if known, found := c.members[key.Daemon]; !found || known.key != key {
 		return
 	}
 	c.digest ^= keyHash(key)
 	delete(c.members, key.Daemon)
-	delete(c.owed, key.Daemon)
+	delete(c.pendingComplete, key.Daemon)
 	if position, found := slices.BinarySearch(c.order, key.Daemon); found {
 		c.order = slices.Delete(c.order, position, position+1)
 	}
@@ -131,8 +131,8 @@
 
 // reset removes all members, before this daemon's peer joins under a new key.
 func (c *cell) reset() {
-	c.members, c.order, c.owed = map[string]*member{}, nil, map[string]bool{}
-	c.reached, c.digest = false, 0
+	c.members, c.order, c.pendingComplete = map[string]*member{}, nil, map[string]bool{}
+	c.ready, c.digest = false, 0
 }
 
 // notice returns a notice of the cell's peer without counts.
@@ -165,14 +165,14 @@
 	notice := c.notice(NoticeComplete)
 	for topic := range statemachine.Sorted(c.counts) {
 		count := c.counts[topic]
-		if told, changed := c.changed[topic]; changed {
-			count = told
+		if announced, changed := c.changed[topic]; changed {
+			count = announced
 		}
 		notice.add(topic, count)
 	}
-	for topic, told := range statemachine.Sorted(c.changed) {
+	for topic, announced := range statemachine.Sorted(c.changed) {
 		if _, counted := c.counts[topic]; !counted {
-			notice.add(topic, told)
+			notice.add(topic, announced)
 		}
 	}
 	return notice
@@ -192,8 +192,8 @@
 	}
 }
 
-// sums returns a notice with the short hashes of all members except its receiver.
-func (c *cell) sums(kind uint8, to PeerKey) Notice {
+// memberHashes returns a notice with the short hashes of all members except its receiver.
+func (c *cell) memberHashes(kind uint8, to PeerKey) Notice {
 	notice := c.notice(kind)
 	for _, name := range c.order {
 		if key := c.members[name].key; key != to {
@@ -209,7 +209,7 @@
 	if m.requested.IsZero() {
 		return m.requested
 	}
-	return m.requested.Add(backoff(requestRetry, min(m.asks, maxRequestDoublings)))
+	return m.requested.Add(backoff(requestRetry, min(m.requestAttempts, maxRequestDoublings)))
 }
 
 // shortHash returns the hash of a peer's key that NoticeDiffers and NoticeMissing have.
--- a/internal/overlay/churn_test.go
+++ b/internal/overlay/churn_test.go
@@ -1,6 +1,6 @@
 // Churn tests of the cells. Daemons crash and restart under the same names, freeze, are
 // partitioned from each other in one or both directions, or are wrongly declared lost;
-// frames are lost; views reach each daemon at a different time. Within healedAfter of
+// frames are lost; views reach each daemon at a different time. Within recoveryTime of
 // the last fault every daemon must know the others' subscribers exactly. Without faults
 // no daemon may lack a subscriber for longer than the interval of checks.
 package overlay
@@ -17,22 +17,22 @@
 	"dahlialock/internal/statemachine"
 )
 
-// healedAfter bounds the time from the last fault until all counts are correct. It
+// recoveryTime bounds the time from the last fault until all counts are correct. It
 // consists of the delay of the view, a check and the NoticeComplete requested after it,
 // a comparison of members after that, and the last changes of counts.
-const healedAfter = viewLag + 2*checkInterval + countsDelay + time.Second
+const recoveryTime = viewLag + 2*checkInterval + countsDelay + time.Second
 
 const viewLag = 300 * time.Millisecond
 
-// strait is a fleet into which faults are injected.
-type strait struct {
-	*net
-	truth   crowd
-	names   []string
-	topics  []string
-	members map[string]uint64
-	life    uint64
-	events  []event
+// churnFleet is a fleet into which faults are injected.
+type churnFleet struct {
+	*network
+	expected        subscriberCounts
+	names           []string
+	topics          []string
+	members         map[string]uint64
+	lastIncarnation uint64
+	events          []event
 }
 
 type event struct {
@@ -40,205 +40,206 @@
 	run func()
 }
 
-func newStrait(t *testing.T, seed uint64, count, topics int) *strait {
+func newChurnFleet(t *testing.T, seed uint64, count, topics int) *churnFleet {
 	names := gatewayNames(count)
-	strait := &strait{
-		net: newNet(t, seed), truth: newCrowd(names...), names: names, topics: someTopics(topics),
-		members: map[string]uint64{}, life: uint64(count),
+	fleet := &churnFleet{
+		network: newNetwork(t, seed), expected: newSubscriberCounts(names...), names: names, topics: someTopics(topics),
+		members: map[string]uint64{}, lastIncarnation: uint64(count),
 	}
-	strait.cut, strait.frozen = map[[2]string]bool{}, map[string]bool{}
+	fleet.cut, fleet.frozen = map[[2]string]bool{}, map[string]bool{}
 	for position, name := range names {
-		strait.come(name, uint64(position+1))
-		strait.members[name] = uint64(position + 1)
+		fleet.start(name, uint64(position+1))
+		fleet.members[name] = uint64(position + 1)
 	}
-	strait.tellViews()
-	return strait
+	fleet.scheduleViews()
+	return fleet
 }
 
-func (s *strait) after(length time.Duration, run func()) {
-	s.events = append(s.events, event{s.now.Add(length), run})
+func (f *churnFleet) after(length time.Duration, run func()) {
+	f.events = append(f.events, event{f.now.Add(length), run})
 }
 
-// sail advances the virtual time and runs the events that are due.
-func (s *strait) sail(length time.Duration) {
-	until := s.now.Add(length)
+// advance advances the virtual time and runs the events that are due.
+func (f *churnFleet) advance(length time.Duration) {
+	until := f.now.Add(length)
 	for {
-		pick := -1
-		for position, each := range s.events {
-			if !each.at.After(until) && (pick < 0 || each.at.Before(s.events[pick].at)) {
-				pick = position
+		next := -1
+		for position, each := range f.events {
+			if !each.at.After(until) && (next < 0 || each.at.Before(f.events[next].at)) {
+				next = position
 			}
 		}
-		if pick < 0 {
-			s.run(until.Sub(s.now))
+		if next < 0 {
+			f.run(until.Sub(f.now))
 			return
 		}
-		taken := s.events[pick]
-		s.events = slices.Delete(s.events, pick, pick+1)
-		if taken.at.After(s.now) {
-			s.run(taken.at.Sub(s.now))
+		due := f.events[next]
+		f.events = slices.Delete(f.events, next, next+1)
+		if due.at.After(f.now) {
+			f.run(due.at.Sub(f.now))
 		}
-		taken.run()
+		due.run()
 	}
 }
 
-// tellViews schedules an update of the view for each daemon, each after a random delay.
-func (s *strait) tellViews() {
-	for _, name := range s.names {
-		s.after(time.Duration(s.random.Int64N(int64(viewLag))), func() { s.tellView(name) })
+// scheduleViews schedules an update of the view for each daemon, each after a random
+// delay.
+func (f *churnFleet) scheduleViews() {
+	for _, name := range f.names {
+		f.after(time.Duration(f.random.Int64N(int64(viewLag))), func() { f.setView(name) })
 	}
 }
 
-func (s *strait) tellView(name string) {
-	part, alive := s.parts[name]
-	if !alive || s.frozen[name] {
+func (f *churnFleet) setView(name string) {
+	overlay, alive := f.overlays[name]
+	if !alive || f.frozen[name] {
 		return
 	}
 	others := map[string]Gateway{}
-	for other, incarnation := range s.members {
+	for other, incarnation := range f.members {
 		if other != name {
 			others[other] = Gateway{Name: other, Address: other, Joined: incarnation}
 		}
 	}
 	var effects statemachine.Effects
-	part.SetView(s.now, others, &effects)
-	if incarnation, member := s.members[name]; member {
-		part.SetIncarnation(s.now, incarnation, &effects)
+	overlay.SetView(f.now, others, &effects)
+	if incarnation, member := f.members[name]; member {
+		overlay.SetIncarnation(f.now, incarnation, &effects)
 	}
-	s.carry(name, &effects)
+	f.send(name, &effects)
 }
 
-func (s *strait) leave(name string) {
-	delete(s.members, name)
-	s.tellViews()
+func (f *churnFleet) leave(name string) {
+	delete(f.members, name)
+	f.scheduleViews()
 }
 
-func (s *strait) join(name string) {
-	s.life++
-	s.members[name] = s.life
-	s.tellViews()
+func (f *churnFleet) join(name string) {
+	f.lastIncarnation++
+	f.members[name] = f.lastIncarnation
+	f.scheduleViews()
 }
 
-// fault injects a random fault, and returns its kind and duration.
-func (s *strait) fault() (kind string, length time.Duration) {
-	name := s.names[s.random.IntN(len(s.names))]
-	length = time.Duration(500+s.random.IntN(6000)) * time.Millisecond
-	if s.parts[name] == nil || s.frozen[name] {
+// injectFault injects a random fault, and returns its kind and duration.
+func (f *churnFleet) injectFault() (kind string, length time.Duration) {
+	name := f.names[f.random.IntN(len(f.names))]
+	length = time.Duration(500+f.random.IntN(6000)) * time.Millisecond
+	if f.overlays[name] == nil || f.frozen[name] {
 		return "none", 0
 	}
-	switch s.random.IntN(6) {
+	switch f.random.IntN(6) {
 	case 0:
 		kind = "kill"
-		delete(s.parts, name)
-		s.truth[name] = map[string]int{}
-		noticed := min(length, time.Duration(s.random.IntN(2000))*time.Millisecond)
-		s.after(noticed, func() { s.leave(name) })
-		s.after(length, func() {
-			s.parts[name] = New(name)
-			s.join(name)
+		delete(f.overlays, name)
+		f.expected[name] = map[string]int{}
+		noticed := min(length, time.Duration(f.random.IntN(2000))*time.Millisecond)
+		f.after(noticed, func() { f.leave(name) })
+		f.after(length, func() {
+			f.overlays[name] = New(name)
+			f.join(name)
 		})
 	case 1:
 		kind = "freeze"
-		s.frozen[name] = true
-		s.after(length, func() {
-			s.frozen[name] = false
-			s.thaw(name)
-			if _, member := s.members[name]; !member {
-				s.join(name)
+		f.frozen[name] = true
+		f.after(length, func() {
+			f.frozen[name] = false
+			f.unfreeze(name)
+			if _, member := f.members[name]; !member {
+				f.join(name)
 			}
-			s.tellView(name)
+			f.setView(name)
 		})
 		if length > 4*time.Second {
-			s.after(4*time.Second, func() { s.leave(name) })
+			f.after(4*time.Second, func() { f.leave(name) })
 		}
 	case 2, 3:
 		kind = "cut"
-		other := s.names[s.random.IntN(len(s.names))]
-		both := s.random.IntN(2) == 0
-		s.cut[[2]string{name, other}] = true
+		other := f.names[f.random.IntN(len(f.names))]
+		both := f.random.IntN(2) == 0
+		f.cut[[2]string{name, other}] = true
 		if both {
-			s.cut[[2]string{other, name}] = true
+			f.cut[[2]string{other, name}] = true
 		}
-		s.after(length, func() {
-			delete(s.cut, [2]string{name, other})
-			delete(s.cut, [2]string{other, name})
+		f.after(length, func() {
+			delete(f.cut, [2]string{name, other})
+			delete(f.cut, [2]string{other, name})
 		})
 	case 4:
 		kind = "loss"
-		s.loss = 0.3
-		s.after(length, func() { s.loss = 0 })
+		f.loss = 0.3
+		f.after(length, func() { f.loss = 0 })
 	default:
-		kind = "taken for lost"
-		s.leave(name)
-		s.after(length, func() { s.join(name) })
+		kind = "declared lost"
+		f.leave(name)
+		f.after(length, func() { f.join(name) })
 	}
 	return kind, length
 }
 
-// turn changes the subscriber count of a random topic on a random daemon.
-func (s *strait) turn() {
-	name := s.names[s.random.IntN(len(s.names))]
-	if s.parts[name] == nil || s.frozen[name] {
+// changeRandomCount changes the subscriber count of a random topic on a random daemon.
+func (f *churnFleet) changeRandomCount() {
+	name := f.names[f.random.IntN(len(f.names))]
+	if f.overlays[name] == nil || f.frozen[name] {
 		return
 	}
-	s.tell(s.truth, name, s.topics[s.random.IntN(len(s.topics))], s.random.IntN(4))
+	f.setSubscribers(f.expected, name, f.topics[f.random.IntN(len(f.topics))], f.random.IntN(4))
 }
 
-// storm runs the churn of a seed. It returns the wrong counts healedAfter the last fault,
-// and the faults injected.
-func storm(t *testing.T, seed uint64, count int) (wrong []string, faults []string) {
-	strait := newStrait(t, seed, count, 60)
-	strait.sail(time.Second)
+// runChurn runs the churn of a seed. It returns the wrong counts recoveryTime the last
+// fault, and the faults injected.
+func runChurn(t *testing.T, seed uint64, count int) (wrong []string, faults []string) {
+	fleet := newChurnFleet(t, seed, count, 60)
+	fleet.advance(time.Second)
 	for range 6 {
-		kind, length := strait.fault()
+		kind, length := fleet.injectFault()
 		faults = append(faults, fmt.Sprintf("%s %v", kind, length))
 		for range 60 {
-			strait.turn()
-			strait.sail(time.Duration(strait.random.IntN(50)) * time.Millisecond)
+			fleet.changeRandomCount()
+			fleet.advance(time.Duration(fleet.random.IntN(50)) * time.Millisecond)
 		}
 	}
-	for len(strait.events) > 0 {
-		strait.turn()
-		strait.sail(20 * time.Millisecond)
+	for len(fleet.events) > 0 {
+		fleet.changeRandomCount()
+		fleet.advance(20 * time.Millisecond)
 	}
-	strait.sail(healedAfter)
-	return strait.wrongNotices(strait.truth, strait.topics), faults
+	fleet.advance(recoveryTime)
+	return fleet.wrongCounts(fleet.expected, fleet.topics), faults
 }
 
-func TestKnowledgeIsExactAWhileAfterTheLastFault(t *testing.T) {
+func TestSubscribersAreExactSoonAfterTheLastFault(t *testing.T) {
 	for seed := range uint64(60) {
-		wrong, faults := storm(t, seed, 4+int(seed%5))
+		wrong, faults := runChurn(t, seed, 4+int(seed%5))
 		assert.Assert(t, len(wrong) == 0, "seed %d, %v: %v", seed, faults, wrong)
 	}
 }
 
-// missing identifies a subscribed daemon that another daemon doesn't know.
-type missing struct {
-	here, there, topic string
+// unknownSubscriber identifies a subscribed daemon that another daemon doesn't know.
+type unknownSubscriber struct {
+	observer, daemon, topic string
 }
 
-// watch records since when subscribed daemons have been unknown to others, and returns
-// the longest time.
-func (s *strait) watch(since map[missing]time.Time) time.Duration {
+// longestUnknown records since when subscribed daemons have been unknown to others, and
+// returns the longest time.
+func (f *churnFleet) longestUnknown(since map[unknownSubscriber]time.Time) time.Duration {
 	longest := time.Duration(0)
-	for name, part := range statemachine.Sorted(s.parts) {
-		for _, topic := range s.topics {
+	for name, overlay := range statemachine.Sorted(f.overlays) {
+		for _, topic := range f.topics {
 			number := config.TopicHash(topic)
-			here := part.cellAt(trialPlane, number)
-			if here == nil {
+			cell := overlay.cellAt(testPlane, number)
+			if cell == nil {
 				continue
 			}
-			for other, counts := range s.truth {
-				key := missing{name, other, topic}
-				known := here.members[other]
+			for other, counts := range f.expected {
+				key := unknownSubscriber{name, other, topic}
+				known := cell.members[other]
 				if other == name || counts[topic] == 0 || known != nil && known.counts[number] > 0 {
 					delete(since, key)
 					continue
 				}
 				if began, found := since[key]; found {
-					longest = max(longest, s.now.Sub(began))
+					longest = max(longest, f.now.Sub(began))
 				} else {
-					since[key] = s.now
+					since[key] = f.now
 				}
 			}
 		}
@@ -246,16 +247,16 @@
 	return longest
 }
 
-func TestNoListenerIsMissedForLongWhereNothingFails(t *testing.T) {
+func TestSubscribersAreKnownSoonWithoutFaults(t *testing.T) {
 	for seed := range uint64(8) {
-		strait := newStrait(t, seed, 8, 60)
-		since := map[missing]time.Time{}
+		fleet := newChurnFleet(t, seed, 8, 60)
+		since := map[unknownSubscriber]time.Time{}
 		starting, later := time.Duration(0), time.Duration(0)
-		began := strait.now
+		began := fleet.now
 		for range 2500 {
-			strait.turn()
-			strait.sail(time.Duration(strait.random.IntN(4)) * time.Millisecond)
-			if longest := strait.watch(since); strait.now.Sub(began) < checkInterval {
+			fleet.changeRandomCount()
+			fleet.advance(time.Duration(fleet.random.IntN(4)) * time.Millisecond)
+			if longest := fleet.longestUnknown(since); fleet.now.Sub(began) < checkInterval {
 				starting = max(starting, longest)
 			} else {
 				later = max(later, longest)
@@ -265,7 +266,7 @@
 		assert.Assert(t, starting <= checkInterval, "seed %d: %v", seed, starting)
 		// Later the delay is that of gathering and the pace, or of a join and a
 		// NoticeComplete in each direction.
-		assert.Assert(t, later <= 2*gatherFor+2*paceEach*8+10*time.Millisecond, "seed %d: %v", seed, later)
-		t.Logf("seed %d: %v at first, %v later", seed, starting, later)
+		assert.Assert(t, later <= 2*gatherDelay+2*pausePerGateway*8+10*time.Millisecond, "seed %d: %v", seed, later)
+		t.Logf("seed %d: longest time without a subscriber: %v at the start, %v later", seed, starting, later)
 	}
 }
--- a/internal/overlay/cost_test.go
+++ b/internal/overlay/cost_test.go
@@ -16,7 +16,7 @@
 	"dahlialock/internal/transport"
 )
 
-type parcel struct {
+type queuedFrame struct {
 	at    time.Time
 	order int
 	from  string
@@ -24,54 +24,54 @@
 	frame []byte
 }
 
-type parcels []parcel
+type deliveryQueue []queuedFrame
 
-func (p parcels) Len() int { return len(p) }
-func (p parcels) Less(left, right int) bool {
-	if !p[left].at.Equal(p[right].at) {
-		return p[left].at.Before(p[right].at)
+func (q deliveryQueue) Len() int { return len(q) }
+func (q deliveryQueue) Less(left, right int) bool {
+	if !q[left].at.Equal(q[right].at) {
+		return q[left].at.Before(q[right].at)
 	}
-	return p[left].order < p[right].order
+	return q[left].order < q[right].order
 }
-func (p parcels) Swap(left, right int) { p[left], p[right] = p[right], p[left] }
-func (p *parcels) Push(item any)       { *p = append(*p, item.(parcel)) }
-func (p *parcels) Pop() any {
-	last := len(*p) - 1
-	item := (*p)[last]
-	*p = (*p)[:last]
+func (q deliveryQueue) Swap(left, right int) { q[left], q[right] = q[right], q[left] }
+func (q *deliveryQueue) Push(item any)       { *q = append(*q, item.(queuedFrame)) }
+func (q *deliveryQueue) Pop() any {
+	last := len(*q) - 1
+	item := (*q)[last]
+	*q = (*q)[:last]
 	return item
 }
 
-// yard simulates a fleet with a network latency of one millisecond. It measures the
-// processor time of each step.
-type yard struct {
-	now       time.Time
-	random    *rand.Rand
-	names     []string
-	parts     map[string]*Overlay
-	lives     map[string]uint64
-	queue     parcels
-	order     int
-	bytes     int
-	frames    int
-	processor time.Duration
+// benchNetwork simulates a fleet with a network latency of one millisecond. It measures
+// the processor time of each step.
+type benchNetwork struct {
+	now           time.Time
+	random        *rand.Rand
+	names         []string
+	overlays      map[string]*Overlay
+	incarnations  map[string]uint64
+	queue         deliveryQueue
+	order         int
+	bytes         int
+	frames        int
+	processorTime time.Duration
 }
 
-func newYard(seed uint64, count int) *yard {
-	yard := &yard{
+func newBenchNetwork(seed uint64, count int) *benchNetwork {
+	network := &benchNetwork{
 		now: time.Unix(1000, 0), random: rand.New(rand.NewPCG(seed, 11)), names: gatewayNames(count),
-		parts: map[string]*Overlay{}, lives: map[string]uint64{},
+		overlays: map[string]*Overlay{}, incarnations: map[string]uint64{},
 	}
-	for position, name := range yard.names {
-		yard.parts[name], yard.lives[name] = New(name), uint64(position+1)
+	for position, name := range network.names {
+		network.overlays[name], network.incarnations[name] = New(name), uint64(position+1)
 	}
-	return yard
+	return network
 }
 
-func (y *yard) step(name string, run func(part *Overlay, effects *statemachine.Effects)) {
+func (n *benchNetwork) step(name string, run func(overlay *Overlay, effects *statemachine.Effects)) {
 	var effects statemachine.Effects
 	began := time.Now()
-	run(y.parts[name], &effects)
+	run(n.overlays[name], &effects)
 	var frames [][]byte
 	for _, send := range effects.Sends {
 		frame, err := transport.Encode(statemachine.Meta{From: "10.0.0.1:7000"}, send.Message)
@@ -80,167 +80,168 @@
 		}
 		frames = append(frames, frame)
 	}
-	y.processor += time.Since(began)
+	n.processorTime += time.Since(began)
 	for position, send := range effects.Sends {
-		y.frames++
-		y.bytes += len(frames[position])
-		y.order++
-		heap.Push(&y.queue, parcel{at: y.now.Add(time.Millisecond), order: y.order, from: name, to: send.To, frame: frames[position]})
+		n.frames++
+		n.bytes += len(frames[position])
+		n.order++
+		heap.Push(&n.queue, queuedFrame{at: n.now.Add(time.Millisecond), order: n.order, from: name, to: send.To, frame: frames[position]})
 	}
 }
 
-func (y *yard) run(length time.Duration) {
-	until := y.now.Add(length)
+func (n *benchNetwork) run(length time.Duration) {
+	until := n.now.Add(length)
 	for {
 		next, due := until, ""
-		for _, name := range y.names {
-			if at := y.parts[name].NextTick(); !at.IsZero() && at.Before(next) {
+		for _, name := range n.names {
+			if at := n.overlays[name].NextTick(); !at.IsZero() && at.Before(next) {
 				next, due = at, name
 			}
 		}
-		if len(y.queue) > 0 && y.queue[0].at.Before(next) {
-			taken := heap.Pop(&y.queue).(parcel)
-			if taken.at.After(y.now) {
-				y.now = taken.at
+		if len(n.queue) > 0 && n.queue[0].at.Before(next) {
+			arrived := heap.Pop(&n.queue).(queuedFrame)
+			if arrived.at.After(n.now) {
+				n.now = arrived.at
 			}
-			y.step(taken.to, func(part *Overlay, effects *statemachine.Effects) {
-				_, message, err := transport.Decode(taken.frame[4:])
+			n.step(arrived.to, func(overlay *Overlay, effects *statemachine.Effects) {
+				_, message, err := transport.Decode(arrived.frame[4:])
 				if err != nil {
 					panic(err)
 				}
-				part.HandleSignals(y.now, message.(Signals), effects)
+				overlay.HandleSignals(n.now, message.(Signals), effects)
 			})
 			continue
 		}
 		if due == "" {
-			y.now = until
+			n.now = until
 			return
 		}
-		if next.After(y.now) {
-			y.now = next
+		if next.After(n.now) {
+			n.now = next
 		}
-		y.step(due, func(part *Overlay, effects *statemachine.Effects) { part.Tick(y.now, effects) })
+		n.step(due, func(overlay *Overlay, effects *statemachine.Effects) { overlay.Tick(n.now, effects) })
 	}
 }
 
-func (y *yard) view() {
-	for _, name := range y.names {
+func (n *benchNetwork) setViews() {
+	for _, name := range n.names {
 		others := map[string]Gateway{}
-		for _, other := range y.names {
+		for _, other := range n.names {
 			if other != name {
-				others[other] = Gateway{Name: other, Address: other, Joined: y.lives[other]}
+				others[other] = Gateway{Name: other, Address: other, Joined: n.incarnations[other]}
 			}
 		}
-		y.step(name, func(part *Overlay, effects *statemachine.Effects) {
-			part.SetView(y.now, others, effects)
-			part.SetIncarnation(y.now, y.lives[name], effects)
+		n.step(name, func(overlay *Overlay, effects *statemachine.Effects) {
+			overlay.SetView(n.now, others, effects)
+			overlay.SetIncarnation(n.now, n.incarnations[name], effects)
 		})
 	}
 }
 
-// seat is a subscription of a client.
-type seat struct{ gateway, topic string }
+// subscription is a subscription of a client.
+type subscription struct{ gateway, topic string }
 
-type house struct {
-	*yard
-	counts map[seat]int
-	seats  []seat
+type benchFleet struct {
+	*benchNetwork
+	counts        map[subscription]int
+	subscriptions []subscription
 }
 
 const (
-	seatsEach  = 3
-	callersAll = 4950
-	topicsAll  = 1030
+	subscriptionsPerClient = 3
+	clientCount            = 4950
+	topicCount             = 1030
 )
 
-func (h *house) take(name, topic string, step int) {
-	at := seat{name, topic}
-	h.counts[at] += step
-	h.step(name, func(part *Overlay, effects *statemachine.Effects) {
-		part.SetSubscribers(h.now, trialPlane, topic, h.counts[at], effects)
+func (f *benchFleet) changeCount(name, topic string, step int) {
+	at := subscription{name, topic}
+	f.counts[at] += step
+	f.step(name, func(overlay *Overlay, effects *statemachine.Effects) {
+		overlay.SetSubscribers(f.now, testPlane, topic, f.counts[at], effects)
 	})
 }
 
-// arrive connects clients to random gateways, one after another within some time, each
-// with its subscriptions.
-func (h *house) arrive(callers int, within time.Duration) {
-	for range callers {
-		name := h.names[h.random.IntN(len(h.names))]
-		for range seatsEach {
-			topic := topicNamed(h.random.IntN(topicsAll))
-			h.take(name, topic, 1)
-			h.seats = append(h.seats, seat{name, topic})
+// connectClients connects clients to random gateways, one after another within some
+// time, each with its subscriptions.
+func (f *benchFleet) connectClients(clients int, within time.Duration) {
+	for range clients {
+		name := f.names[f.random.IntN(len(f.names))]
+		for range subscriptionsPerClient {
+			topic := topicNamed(f.random.IntN(topicCount))
+			f.changeCount(name, topic, 1)
+			f.subscriptions = append(f.subscriptions, subscription{name, topic})
 		}
-		h.run(within / time.Duration(callers))
+		f.run(within / time.Duration(clients))
 	}
 }
 
-func (h *house) reset(fraction float64) int {
-	var kept []seat
-	gone := 0
-	for _, at := range h.seats {
-		if h.random.Float64() < fraction {
-			h.take(at.gateway, at.topic, -1)
-			gone++
+func (f *benchFleet) disconnect(fraction float64) int {
+	var kept []subscription
+	disconnected := 0
+	for _, at := range f.subscriptions {
+		if f.random.Float64() < fraction {
+			f.changeCount(at.gateway, at.topic, -1)
+			disconnected++
 		} else {
 			kept = append(kept, at)
 		}
 	}
-	h.seats = kept
-	return gone
+	f.subscriptions = kept
+	return disconnected
 }
 
-func newHouse(count int) *house {
-	house := &house{yard: newYard(1, count), counts: map[seat]int{}}
-	house.view()
-	return house
+func newBenchFleet(count int) *benchFleet {
+	fleet := &benchFleet{benchNetwork: newBenchNetwork(1, count), counts: map[subscription]int{}}
+	fleet.setViews()
+	return fleet
 }
 
-func (y *yard) sum() (signals uint64) {
-	for _, part := range y.parts {
-		signals += part.Counts.SignalsOut
+func (n *benchNetwork) signalsSent() (signals uint64) {
+	for _, overlay := range n.overlays {
+		signals += overlay.Counts.SignalsOut
 	}
 	return signals
 }
 
-// report reports the cost per daemon since the last call of clear, which returned before.
-func (y *yard) report(b *testing.B, before uint64) {
-	each := float64(len(y.names) * b.N)
-	signals := y.sum()
+// report reports the cost per daemon since the last call of resetCosts, which returned
+// before.
+func (n *benchNetwork) report(b *testing.B, before uint64) {
+	each := float64(len(n.names) * b.N)
+	signals := n.signalsSent()
 	b.ReportMetric(float64(signals-before)/each, "signals/daemon")
-	b.ReportMetric(float64(y.frames)/each, "frames/daemon")
-	b.ReportMetric(float64(y.bytes)/each, "bytes/daemon")
-	b.ReportMetric(float64(y.processor.Microseconds())/1000/each, "ms/daemon")
+	b.ReportMetric(float64(n.frames)/each, "frames/daemon")
+	b.ReportMetric(float64(n.bytes)/each, "bytes/daemon")
+	b.ReportMetric(float64(n.processorTime.Microseconds())/1000/each, "ms/daemon")
 	b.ReportMetric(0, "ns/op")
 }
 
-func (y *yard) clear() uint64 {
-	y.frames, y.bytes, y.processor = 0, 0, 0
-	signals := y.sum()
+func (n *benchNetwork) resetCosts() uint64 {
+	n.frames, n.bytes, n.processorTime = 0, 0, 0
+	signals := n.signalsSent()
 	return signals
 }
 
-var fleets = []int{7, 50}
+var fleetSizes = []int{7, 50}
 
 // BenchmarkStart measures the start of a fleet: all daemons join all cells at once, and
 // checks follow.
 func BenchmarkStart(b *testing.B) {
-	for _, count := range fleets {
+	for _, count := range fleetSizes {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
-			var spent yard
+			var spent benchNetwork
 			var signals uint64
 			for range b.N {
-				house := newHouse(count)
-				house.clear()
-				for _, name := range house.names {
+				fleet := newBenchFleet(count)
+				fleet.resetCosts()
+				for _, name := range fleet.names {
 					for topic := range 100 {
-						house.take(name, topicNamed(topic), 1)
+						fleet.changeCount(name, topicNamed(topic), 1)
 					}
 				}
-				house.run(1500 * time.Millisecond)
-				spent.frames, spent.bytes, spent.processor = spent.frames+house.frames, spent.bytes+house.bytes, spent.processor+house.processor
-				spent.names = house.names
-				sum := house.sum()
+				fleet.run(1500 * time.Millisecond)
+				spent.frames, spent.bytes, spent.processorTime = spent.frames+fleet.frames, spent.bytes+fleet.bytes, spent.processorTime+fleet.processorTime
+				spent.names = fleet.names
+				sum := fleet.signalsSent()
 				signals += sum
 			}
 			spent.report(b, -signals)
@@ -251,31 +252,31 @@
 // BenchmarkArrival measures 4950 clients with three subscriptions each that connect
 // within two seconds. KiB/daemon is the heap that each overlay uses afterwards.
 func BenchmarkArrival(b *testing.B) {
-	for _, count := range fleets {
+	for _, count := range fleetSizes {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
-			var spent yard
+			var spent benchNetwork
 			var signals uint64
-			var held float64
+			var heapUsed float64
 			for range b.N {
 				var before, after runtime.MemStats
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				house := newHouse(count)
-				house.clear()
-				house.arrive(callersAll, 2*time.Second)
-				house.run(500 * time.Millisecond)
-				spent.frames, spent.bytes, spent.processor = spent.frames+house.frames, spent.bytes+house.bytes, spent.processor+house.processor
-				spent.names = house.names
-				sum := house.sum()
+				fleet := newBenchFleet(count)
+				fleet.resetCosts()
+				fleet.connectClients(clientCount, 2*time.Second)
+				fleet.run(500 * time.Millisecond)
+				spent.frames, spent.bytes, spent.processorTime = spent.frames+fleet.frames, spent.bytes+fleet.bytes, spent.processorTime+fleet.processorTime
+				spent.names = fleet.names
+				sum := fleet.signalsSent()
 				signals += sum
-				house.counts, house.seats, house.queue = nil, nil, nil
+				fleet.counts, fleet.subscriptions, fleet.queue = nil, nil, nil
 				runtime.GC()
 				runtime.ReadMemStats(&after)
-				held += float64(after.HeapAlloc) - float64(before.HeapAlloc)
-				runtime.KeepAlive(house)
+				heapUsed += float64(after.HeapAlloc) - float64(before.HeapAlloc)
+				runtime.KeepAlive(fleet)
 			}
 			spent.report(b, -signals)
-			b.ReportMetric(held/1024/float64(count*b.N), "KiB/daemon")
+			b.ReportMetric(heapUsed/1024/float64(count*b.N), "KiB/daemon")
 		})
 	}
 }
@@ -283,34 +284,34 @@
 // BenchmarkReset measures a reset of four fifths of all connections; the clients
 // reconnect to random gateways within a second.
 func BenchmarkReset(b *testing.B) {
-	for _, count := range fleets {
+	for _, count := range fleetSizes {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
-			house := newHouse(count)
-			house.arrive(callersAll, 2*time.Second)
-			house.run(3 * time.Second)
-			before := house.clear()
+			fleet := newBenchFleet(count)
+			fleet.connectClients(clientCount, 2*time.Second)
+			fleet.run(3 * time.Second)
+			before := fleet.resetCosts()
 			for range b.N {
-				gone := house.reset(0.8)
-				house.arrive(gone/seatsEach, time.Second)
-				house.run(500 * time.Millisecond)
+				disconnected := fleet.disconnect(0.8)
+				fleet.connectClients(disconnected/subscriptionsPerClient, time.Second)
+				fleet.run(500 * time.Millisecond)
 			}
-			house.report(b, before)
+			fleet.report(b, before)
 		})
 	}
 }
 
-// BenchmarkQuiet measures ten seconds without changes.
-func BenchmarkQuiet(b *testing.B) {
-	for _, count := range fleets {
+// BenchmarkIdle measures ten seconds without changes.
+func BenchmarkIdle(b *testing.B) {
+	for _, count := range fleetSizes {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
-			house := newHouse(count)
-			house.arrive(callersAll, 2*time.Second)
-			house.run(3 * time.Second)
-			before := house.clear()
+			fleet := newBenchFleet(count)
+			fleet.connectClients(clientCount, 2*time.Second)
+			fleet.run(3 * time.Second)
+			before := fleet.resetCosts()
 			for range b.N {
-				house.run(10 * time.Second)
+				fleet.run(10 * time.Second)
 			}
-			house.report(b, before)
+			fleet.report(b, before)
 		})
 	}
 }
@@ -318,24 +319,24 @@
 // BenchmarkJoin measures a daemon that joins a running fleet and all its cells. It
 // reports the total cost of all daemons.
 func BenchmarkJoin(b *testing.B) {
-	for _, count := range fleets {
+	for _, count := range fleetSizes {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
-			var spent yard
+			var spent benchNetwork
 			var signals uint64
 			for range b.N {
-				house := newHouse(count)
-				house.arrive(1000, time.Second)
-				house.run(3 * time.Second)
-				house.names = append(house.names, "newcomer")
-				house.parts["newcomer"], house.lives["newcomer"] = New("newcomer"), 1000
-				before := house.clear()
-				house.view()
+				fleet := newBenchFleet(count)
+				fleet.connectClients(1000, time.Second)
+				fleet.run(3 * time.Second)
+				fleet.names = append(fleet.names, "newcomer")
+				fleet.overlays["newcomer"], fleet.incarnations["newcomer"] = New("newcomer"), 1000
+				before := fleet.resetCosts()
+				fleet.setViews()
 				for topic := range 100 {
-					house.take("newcomer", topicNamed(topic), 1)
+					fleet.changeCount("newcomer", topicNamed(topic), 1)
 				}
-				house.run(300 * time.Millisecond)
-				spent.frames, spent.bytes, spent.processor = spent.frames+house.frames, spent.bytes+house.bytes, spent.processor+house.processor
-				sum := house.sum()
+				fleet.run(300 * time.Millisecond)
+				spent.frames, spent.bytes, spent.processorTime = spent.frames+fleet.frames, spent.bytes+fleet.bytes, spent.processorTime+fleet.processorTime
+				sum := fleet.signalsSent()
 				signals += sum - before
 			}
 			spent.names = []string{"all"}
@@ -344,69 +345,70 @@
 	}
 }
 
-// BenchmarkTell measures a call of SetSubscribers on a daemon that has joined all cells.
-func BenchmarkTell(b *testing.B) {
-	house := newHouse(50)
-	house.arrive(callersAll, 2*time.Second)
-	part := house.parts[house.names[0]]
-	topics := someTopics(topicsAll)
+// BenchmarkSetSubscribers measures a call of SetSubscribers on a daemon that has joined
+// all cells.
+func BenchmarkSetSubscribers(b *testing.B) {
+	fleet := newBenchFleet(50)
+	fleet.connectClients(clientCount, 2*time.Second)
+	overlay := fleet.overlays[fleet.names[0]]
+	topics := someTopics(topicCount)
 	b.ResetTimer()
 	for turn := range b.N {
 		var effects statemachine.Effects
-		part.SetSubscribers(house.now, trialPlane, topics[turn%topicsAll], turn/topicsAll%3, &effects)
+		overlay.SetSubscribers(fleet.now, testPlane, topics[turn%topicCount], turn/topicCount%3, &effects)
 	}
 }
 
-// BenchmarkListeners measures the lookup of the destinations of a publication.
-func BenchmarkListeners(b *testing.B) {
-	house := newHouse(50)
-	house.arrive(callersAll, 2*time.Second)
-	house.run(time.Second)
-	part := house.parts[house.names[0]]
-	topics := someTopics(topicsAll)
+// BenchmarkSubscribedDaemons measures the lookup of the destinations of a publication.
+func BenchmarkSubscribedDaemons(b *testing.B) {
+	fleet := newBenchFleet(50)
+	fleet.connectClients(clientCount, 2*time.Second)
+	fleet.run(time.Second)
+	overlay := fleet.overlays[fleet.names[0]]
+	topics := someTopics(topicCount)
 	b.ResetTimer()
 	for turn := range b.N {
-		part.SubscribedDaemons(trialPlane, topics[turn%topicsAll])
+		overlay.SubscribedDaemons(testPlane, topics[turn%topicCount])
 	}
 }
 
 // BenchmarkSpaceJoins measures clients that subscribe and publish to topics of a space
 // without routes. It reports the signals per daemon and per join.
 func BenchmarkSpaceJoins(b *testing.B) {
-	for _, count := range fleets {
+	for _, count := range fleetSizes {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
-			var spent yard
-			var signals, joins, tells, greets uint64
+			var spent benchNetwork
+			var signals, joins, announcements, greets uint64
 			for range b.N {
-				house := newHouse(count)
-				house.clear()
+				fleet := newBenchFleet(count)
+				fleet.resetCosts()
 				for range 600 {
-					name := house.names[house.random.IntN(len(house.names))]
+					name := fleet.names[fleet.random.IntN(len(fleet.names))]
 					for range 2 {
-						area := AreaOf(fmt.Sprintf("board/%d", house.random.IntN(1000)))
-						house.step(name, func(part *Overlay, effects *statemachine.Effects) {
-							part.Subscribe(house.now, "space", area, nil, effects)
+						area := AreaOf(fmt.Sprintf("board/%d", fleet.random.IntN(1000)))
+						fleet.step(name, func(overlay *Overlay, effects *statemachine.Effects) {
+							overlay.Subscribe(fleet.now, "space", area, nil, effects)
 						})
 					}
-					area := AreaOf(fmt.Sprintf("board/%d", house.random.IntN(1000)))
-					house.step(name, func(part *Overlay, effects *statemachine.Effects) {
-						part.Publish(house.now, "space", area, nil, effects)
+					area := AreaOf(fmt.Sprintf("board/%d", fleet.random.IntN(1000)))
+					fleet.step(name, func(overlay *Overlay, effects *statemachine.Effects) {
+						overlay.Publish(fleet.now, "space", area, nil, effects)
 					})
-					house.run(5 * time.Millisecond)
+					fleet.run(5 * time.Millisecond)
 				}
-				house.run(500 * time.Millisecond)
-				spent.frames, spent.bytes, spent.processor = spent.frames+house.frames, spent.bytes+house.bytes, spent.processor+house.processor
-				spent.names = house.names
-				for _, part := range house.parts {
-					signals += part.Counts.SignalsOut
-					tells += part.Counts.ByKind[SignalAnnounce]
-					greets += part.Counts.ByKind[SignalGreet]
+				fleet.run(500 * time.Millisecond)
+				spent.frames, spent.bytes, spent.processorTime = spent.frames+fleet.frames, spent.bytes+fleet.bytes, spent.processorTime+fleet.processorTime
+				spent.names = fleet.names
+				for _, overlay := range fleet.overlays {
+					signals += overlay.Counts.SignalsOut
+					announcements += overlay.Counts.ByKind[SignalAnnounce]
+					greets += overlay.Counts.ByKind[SignalGreet]
 				}
 			}
 			spent.report(b, -signals)
 			b.ReportMetric(float64(signals)/float64(joins), "signals/join")
 			b.ReportMetric(float64(greets)/float64(joins), "greets/join")
-			b.ReportMetric(float64(tells)/float64(joins), "tells/join")
+			b.ReportMetric(float64(announcements)/float64(joins), "tells/join")
 		})
 	}
 }
--- a/internal/overlay/geometry.go
+++ b/internal/overlay/geometry.go
@@ -94,15 +94,15 @@
 	mixed ^= mixed >> 27
 	mixed *= 0x94d049bb133111eb
 	mixed ^= mixed >> 31
-	across, along := float64(mixed>>40)/(1<<24), float64(mixed>>16&0xffffff)/(1<<24)
-	return Point{X: a.X + a.Size*(from+width*across), Y: a.Y + a.Size*(from+width*along)}
+	dx, dy := float64(mixed>>40)/(1<<24), float64(mixed>>16&0xffffff)/(1<<24)
+	return Point{X: a.X + a.Size*(from+width*dx), Y: a.Y + a.Size*(from+width*dy)}
 }
 
 // distance returns the squared distance between two points, which is sufficient for
 // comparisons.
 func distance(left, right Point) float64 {
-	across, along := left.X-right.X, left.Y-right.Y
-	return across*across + along*along
+	dx, dy := left.X-right.X, left.Y-right.Y
+	return dx*dx + dy*dy
 }
 
 // Region is a peer's Voronoi region, clipped to the unit square. Its corners are listed
@@ -118,9 +118,9 @@
 type corner struct {
 	x, y float64
 	// owner is the neighbour beyond the edge from this corner to the next one, empty
-	// on the border of the unit square; there is the owner's reference point.
-	owner PeerKey
-	there Point
+	// on the border of the unit square; ownerPoint is the owner's reference point.
+	owner      PeerKey
+	ownerPoint Point
 }
 
 // newRegion returns the region of a peer without neighbours: the unit square.
@@ -131,15 +131,15 @@
 
 // side returns a positive number if a corner is nearer to another point than to the
 // middle. The other point is given relative to the middle.
-func (r *Region) side(at corner, across, along float64) float64 {
-	return at.x*across + at.y*along - (across*across+along*along)/2
+func (r *Region) side(at corner, dx, dy float64) float64 {
+	return at.x*dx + at.y*dy - (dx*dx+dy*dy)/2
 }
 
 // cuts reports whether a peer at another point would take over part of the region.
 func (r *Region) cuts(other Point) bool {
-	across, along := other.X-r.middle.X, other.Y-r.middle.Y
+	dx, dy := other.X-r.middle.X, other.Y-r.middle.Y
 	for _, at := range r.corners {
-		if r.side(at, across, along) > 0 {
+		if r.side(at, dx, dy) > 0 {
 			return true
 		}
 	}
@@ -149,8 +149,8 @@
 // clip removes the part of the region that is nearer to another point, the reference
 // point of owner. It returns that part as a polygon, and whether the region changed.
 func (r *Region) clip(other Point, owner PeerKey) (taken []corner, changed bool) {
-	across, along := other.X-r.middle.X, other.Y-r.middle.Y
-	if across == 0 && along == 0 {
+	dx, dy := other.X-r.middle.X, other.Y-r.middle.Y
+	if dx == 0 && dy == 0 {
 		return nil, false
 	}
 	if !r.cuts(other) {
@@ -158,21 +158,21 @@
 	}
 	var kept []corner
 	count := len(r.corners)
-	for position, here := range r.corners {
+	for position, current := range r.corners {
 		next := r.corners[(position+1)%count]
-		hereSide, nextSide := r.side(here, across, along), r.side(next, across, along)
-		if hereSide <= 0 {
-			kept = append(kept, here)
+		currentSide, nextSide := r.side(current, dx, dy), r.side(next, dx, dy)
+		if currentSide <= 0 {
+			kept = append(kept, current)
 		} else {
-			taken = append(taken, here)
+			taken = append(taken, current)
 		}
-		if hereSide <= 0 && nextSide > 0 || hereSide > 0 && nextSide <= 0 {
-			fraction := hereSide / (hereSide - nextSide)
-			crossing := corner{x: here.x + fraction*(next.x-here.x), y: here.y + fraction*(next.y-here.y)}
-			if hereSide <= 0 {
-				crossing.owner, crossing.there = owner, other
+		if currentSide <= 0 && nextSide > 0 || currentSide > 0 && nextSide <= 0 {
+			fraction := currentSide / (currentSide - nextSide)
+			crossing := corner{x: current.x + fraction*(next.x-current.x), y: current.y + fraction*(next.y-current.y)}
+			if currentSide <= 0 {
+				crossing.owner, crossing.ownerPoint = owner, other
 			} else {
-				crossing.owner, crossing.there = here.owner, here.there
+				crossing.owner, crossing.ownerPoint = current.owner, current.ownerPoint
 			}
 			kept = append(kept, crossing)
 			taken = append(taken, crossing)
@@ -210,9 +210,9 @@
 	return false
 }
 
-// beside returns the owners of the edges adjacent to the edges of a given owner: the
-// neighbours that this peer and that owner have in common.
-func (r *Region) beside(key PeerKey) []PeerKey {
+// commonNeighbours returns the owners of the edges adjacent to the edges of a given
+// owner: the neighbours that this peer and that owner have in common.
+func (r *Region) commonNeighbours(key PeerKey) []PeerKey {
 	var found []PeerKey
 	count := len(r.corners)
 	for position, at := range r.corners {
@@ -251,23 +251,23 @@
 	if minX > right || maxX < left || minY > high || maxY < low {
 		return false
 	}
-	var space [2][32]spot
-	present, spare := space[0][:0], space[1][:0]
+	var buffers [2][32]vertex
+	present, spare := buffers[0][:0], buffers[1][:0]
 	for _, at := range polygon {
-		present = append(present, spot{at.x, at.y})
+		present = append(present, vertex{at.x, at.y})
 	}
-	for _, bound := range [4]struct{ across, along, most float64 }{{-1, 0, -left}, {1, 0, right}, {0, -1, -low}, {0, 1, high}} {
+	for _, bound := range [4]struct{ dx, dy, limit float64 }{{-1, 0, -left}, {1, 0, right}, {0, -1, -low}, {0, 1, high}} {
 		spare = spare[:0]
-		for position, here := range present {
+		for position, current := range present {
 			next := present[(position+1)%len(present)]
-			hereSide := here.x*bound.across + here.y*bound.along - bound.most
-			nextSide := next.x*bound.across + next.y*bound.along - bound.most
-			if hereSide <= 0 {
-				spare = append(spare, here)
+			currentSide := current.x*bound.dx + current.y*bound.dy - bound.limit
+			nextSide := next.x*bound.dx + next.y*bound.dy - bound.limit
+			if currentSide <= 0 {
+				spare = append(spare, current)
 			}
-			if hereSide <= 0 && nextSide > 0 || hereSide > 0 && nextSide <= 0 {
-				fraction := hereSide / (hereSide - nextSide)
-				spare = append(spare, spot{here.x + fraction*(next.x-here.x), here.y + fraction*(next.y-here.y)})
+			if currentSide <= 0 && nextSide > 0 || currentSide > 0 && nextSide <= 0 {
+				fraction := currentSide / (currentSide - nextSide)
+				spare = append(spare, vertex{current.x + fraction*(next.x-current.x), current.y + fraction*(next.y-current.y)})
 			}
 		}
 		if len(spare) == 0 {
@@ -278,20 +278,20 @@
 	return true
 }
 
-// spot is a corner without its owner.
-type spot struct{ x, y float64 }
+// vertex is a corner without its owner.
+type vertex struct{ x, y float64 }
 
 // boundary returns the neighbours beyond the edges that meet an area; their regions
 // meet it too. A neighbour with several such edges is returned once for each edge.
 func (r *Region) boundary(area Area) []PeerKey {
 	var found []PeerKey
-	for position, here := range r.corners {
-		if here.owner.Daemon == "" {
+	for position, current := range r.corners {
+		if current.owner.Daemon == "" {
 			continue
 		}
 		next := r.corners[(position+1)%len(r.corners)]
-		if segmentMeets(r.middle, here, next, area) {
-			found = append(found, here.owner)
+		if segmentMeets(r.middle, current, next, area) {
+			found = append(found, current.owner)
 		}
 	}
 	return found
@@ -300,11 +300,11 @@
 // segmentMeets reports whether an edge, relative to middle, meets an area. The area is
 // widened slightly, so that an edge along its border meets it.
 func segmentMeets(middle Point, from, to corner, area Area) bool {
-	wider := area.Size * 1e-9
+	margin := area.Size * 1e-9
 	low, high := 0.0, 1.0
 	for _, axis := range []struct{ start, step, low, high float64 }{
-		{from.x, to.x - from.x, area.X - middle.X - wider, area.X + area.Size - middle.X + wider},
-		{from.y, to.y - from.y, area.Y - middle.Y - wider, area.Y + area.Size - middle.Y + wider},
+		{from.x, to.x - from.x, area.X - middle.X - margin, area.X + area.Size - middle.X + margin},
+		{from.y, to.y - from.y, area.Y - middle.Y - margin, area.Y + area.Size - middle.Y + margin},
 	} {
 		if axis.step == 0 {
 			if axis.start < axis.low || axis.start > axis.high {
--- a/internal/overlay/greet.go
+++ b/internal/overlay/greet.go
@@ -5,14 +5,14 @@
 // introduce records newcomer, a joining or greeting peer, as known to a peer of this
 // daemon. It returns the response with the peers that newcomer must know; the caller
 // sets the kind of the signal.
-func (o *Overlay) introduce(now time.Time, peer *hosted, newcomer Peer) Signal {
-	answer := Signal{Space: peer.space.name, From: peer.self}
+func (o *Overlay) introduce(now time.Time, peer *hostedPeer, newcomer Peer) Signal {
+	response := Signal{Space: peer.space.name, From: peer.self}
 	if newcomer.Key == peer.self.Key {
-		return answer
+		return response
 	}
 	_, wasKnown := peer.known[newcomer.Key]
 	if !wasKnown {
-		peer.tookAt[newcomer.Key] = now
+		peer.introducedAt[newcomer.Key] = now
 	}
 	o.recordPeer(now, peer, newcomer)
 	include := map[PeerKey]Peer{}
@@ -24,23 +24,23 @@
 		}
 	}
 	if peer.region.owns(newcomer.Key) && !wasKnown {
-		candidates(peer.region.beside(newcomer.Key))
+		candidates(peer.region.commonNeighbours(newcomer.Key))
 	} else {
 		candidates(peer.region.owners())
 	}
 	if peer.cell != nil {
 		// The peers of a cell discover each other through notices.
 		for _, known := range sortedPeers(include) {
-			answer.Peers = append(answer.Peers, known)
+			response.Peers = append(response.Peers, known)
 		}
-		return answer
+		return response
 	}
 	for key, known := range peer.subscribers {
 		if key == newcomer.Key {
 			continue
 		}
-		over := known.Area.Contains(newcomer.At) || wasKnown && peer.region.meets(known.Area)
-		if over {
+		relevant := known.Area.Contains(newcomer.At) || wasKnown && peer.region.meets(known.Area)
+		if relevant {
 			include[key] = known
 		}
 	}
@@ -51,24 +51,24 @@
 			}
 		}
 	}
-	o.owes(peer, newcomer.Key, include)
+	o.moveUnannounced(peer, newcomer.Key, include)
 	for _, known := range sortedPeers(include) {
-		answer.Peers = append(answer.Peers, known)
+		response.Peers = append(response.Peers, known)
 	}
 	if newcomer.Subscribes {
 		for _, key := range peer.region.boundary(newcomer.Area) {
 			if known, found := peer.known[key]; found && key != newcomer.Key {
-				answer.Boundary = append(answer.Boundary, known)
+				response.Boundary = append(response.Boundary, known)
 			}
 		}
 	}
-	return answer
+	return response
 }
 
 // recordPeer records another peer as known, unless a newer version of it is known, and
 // clips the region. The subscribers whose areas meet the part of the region that the
-// other peer takes over are added to owed, to be named in the next signal to it.
-func (o *Overlay) recordPeer(now time.Time, peer *hosted, other Peer) {
+// other peer takes over are added to unannounced, to be named in the next signal to it.
+func (o *Overlay) recordPeer(now time.Time, peer *hostedPeer, other Peer) {
 	earlier, found := peer.known[other.Key]
 	if found && earlier.Change > other.Change {
 		return
@@ -81,8 +81,8 @@
 	}
 	if peer.cell != nil {
 		if !found {
-			if peer.sharesArea(other) {
-				o.meet(now, peer.cell, other.Key)
+			if peer.sharesCell(other) {
+				o.addMember(now, peer.cell, other.Key)
 			}
 			if _, cut := peer.region.clip(other.At, other.Key); cut {
 				o.announceSubscriber(now, peer, other)
@@ -94,7 +94,7 @@
 	if other.Subscribes && !earlier.Subscribes {
 		o.announceSubscriber(now, peer, other)
 		if peer.publishes && other.Key.Daemon != o.daemon && other.Area.Covers(peer.self.Area) {
-			o.found = append(o.found, Discovery{Space: peer.space.name, Area: peer.self.Area, Daemon: other.Key.Daemon})
+			o.discoveries = append(o.discoveries, Discovery{Space: peer.space.name, Area: peer.self.Area, Daemon: other.Key.Daemon})
 		}
 	}
 	if found {
@@ -104,50 +104,51 @@
 	if len(taken) == 0 {
 		return
 	}
-	owed := map[PeerKey]bool{}
+	unannounced := map[PeerKey]bool{}
 	for key, known := range peer.subscribers {
 		if key != other.Key && polygonMeets(peer.self.At, taken, known.Area) {
-			owed[key] = true
+			unannounced[key] = true
 		}
 	}
 	if peer.self.Subscribes && polygonMeets(peer.self.At, taken, peer.self.Area) {
-		owed[peer.self.Key] = true
+		unannounced[peer.self.Key] = true
 	}
-	if len(owed) > 0 {
-		peer.owed[other.Key] = owed
+	if len(unannounced) > 0 {
+		peer.unannounced[other.Key] = unannounced
 	}
 }
 
-// owes moves the subscribers in owed for another peer into include.
-func (o *Overlay) owes(peer *hosted, key PeerKey, include map[PeerKey]Peer) {
-	for owed := range peer.owed[key] {
-		if known, found := peer.known[owed]; found {
-			include[owed] = known
-		} else if owed == peer.self.Key {
-			include[owed] = peer.self
+// moveUnannounced moves the subscribers in unannounced for another peer into include.
+func (o *Overlay) moveUnannounced(peer *hostedPeer, key PeerKey, include map[PeerKey]Peer) {
+	for subscriber := range peer.unannounced[key] {
+		if known, found := peer.known[subscriber]; found {
+			include[subscriber] = known
+		} else if subscriber == peer.self.Key {
+			include[subscriber] = peer.self
 		}
 	}
-	delete(peer.owed, key)
+	delete(peer.unannounced, key)
 }
 
-// owedTo removes the subscribers in owed for another peer and returns them.
-func (o *Overlay) owedTo(peer *hosted, key PeerKey) []Peer {
+// takeUnannounced removes the subscribers in unannounced for another peer and returns
+// them.
+func (o *Overlay) takeUnannounced(peer *hostedPeer, key PeerKey) []Peer {
 	include := map[PeerKey]Peer{}
-	o.owes(peer, key, include)
-	var owed []Peer
+	o.moveUnannounced(peer, key, include)
+	var unannounced []Peer
 	for _, known := range sortedPeers(include) {
-		owed = append(owed, known)
+		unannounced = append(unannounced, known)
 	}
-	return owed
+	return unannounced
 }
 
 // announceSubscriber names a newly known subscriber to the neighbours that took over
 // part of this peer's region within rejoinWindow. The subscriber may have greeted this
 // peer because its area meets a part of the region that now belongs to such a
 // neighbour.
-func (o *Overlay) announceSubscriber(now time.Time, peer *hosted, subscriber Peer) {
+func (o *Overlay) announceSubscriber(now time.Time, peer *hostedPeer, subscriber Peer) {
 	for _, key := range peer.region.owners() {
-		if key == subscriber.Key || now.Sub(peer.tookAt[key]) > rejoinWindow {
+		if key == subscriber.Key || now.Sub(peer.introducedAt[key]) > rejoinWindow {
 			continue
 		}
 		if peer.cell != nil && peer.known[key].Area == subscriber.Area {
@@ -156,7 +157,7 @@
 		}
 		if key.Daemon != o.daemon {
 			o.signal(key.Daemon, Signal{Kind: SignalAnnounce, Space: peer.space.name, To: key, From: peer.self, Peers: []Peer{subscriber}})
-		} else if neighbour, here := peer.space.byKey[key]; here {
+		} else if neighbour, local := peer.space.byKey[key]; local {
 			o.learn(now, neighbour, peer.self.Key, []Peer{subscriber}, false)
 		}
 	}
@@ -165,20 +166,20 @@
 // learn records those of the peers named by a sender that are relevant to a peer of
 // this daemon, or all of them if always is set. It greets those that were not greeted
 // since the peer's last change. If one of them has left, it reports that to the sender.
-func (o *Overlay) learn(now time.Time, peer *hosted, sender PeerKey, others []Peer, always bool) {
-	var mates []Peer
+func (o *Overlay) learn(now time.Time, peer *hostedPeer, sender PeerKey, others []Peer, always bool) {
+	var sameCell []Peer
 	for _, other := range others {
 		if other.Key == peer.self.Key {
 			continue
 		}
 		if other.Key.Daemon == o.daemon {
-			current, here := peer.space.byKey[other.Key]
-			if !here {
+			current, local := peer.space.byKey[other.Key]
+			if !local {
 				o.correct(peer, sender, other.Key)
 				continue
 			}
 			other = current.self
-		} else if _, left := peer.space.gone[other.Key]; left {
+		} else if _, left := peer.space.tombstones[other.Key]; left {
 			o.correct(peer, sender, other.Key)
 			continue
 		} else if o.ended(other.Key) {
@@ -186,17 +187,17 @@
 		}
 		earlier, known := peer.known[other.Key]
 		if known && earlier.Change >= other.Change {
-			if peer.greeted[other.Key] < peer.self.Change && (always || o.matters(peer, other)) {
+			if peer.greeted[other.Key] < peer.self.Change && (always || o.isRelevant(peer, other)) {
 				o.greet(now, peer, other)
 			}
 			continue
 		}
-		if !always && !known && !o.matters(peer, other) {
+		if !always && !known && !o.isRelevant(peer, other) {
 			continue
 		}
 		o.recordPeer(now, peer, other)
-		if peer.sharesArea(other) {
-			mates = append(mates, other)
+		if peer.sharesCell(other) {
+			sameCell = append(sameCell, other)
 			continue
 		}
 		if peer.greeted[other.Key] < peer.self.Change {
@@ -206,20 +207,20 @@
 	// Peers of the same cell are greeted only if they are enclosing neighbours after
 	// all of them have been recorded. The sender isn't greeted: it greets by itself if
 	// it has to.
-	for _, mate := range mates {
-		if mate.Key != sender && peer.region.owns(mate.Key) && peer.greeted[mate.Key] < peer.self.Change {
-			o.greet(now, peer, mate)
+	for _, neighbour := range sameCell {
+		if neighbour.Key != sender && peer.region.owns(neighbour.Key) && peer.greeted[neighbour.Key] < peer.self.Change {
+			o.greet(now, peer, neighbour)
 		}
 	}
 }
 
-// sharesArea reports whether another peer belongs to the same cell and another daemon.
-func (h *hosted) sharesArea(other Peer) bool {
+// sharesCell reports whether another peer belongs to the same cell and another daemon.
+func (h *hostedPeer) sharesCell(other Peer) bool {
 	return h.cell != nil && other.Area == h.self.Area && other.Key.Daemon != h.self.Key.Daemon
 }
 
 // hasOuterEdge reports whether the region extends beyond the peer's area.
-func (h *hosted) hasOuterEdge() bool {
+func (h *hostedPeer) hasOuterEdge() bool {
 	area, middle := h.self.Area, h.self.At
 	for _, at := range h.region.corners {
 		if !area.Contains(Point{X: middle.X + at.x, Y: middle.Y + at.y}) {
@@ -231,21 +232,21 @@
 
 // correct reports to a sender that a peer it named has left. Otherwise peers would keep
 // naming the departed peer to each other.
-func (o *Overlay) correct(peer *hosted, sender, gone PeerKey) {
+func (o *Overlay) correct(peer *hostedPeer, sender, departed PeerKey) {
 	if sender.Daemon == o.daemon {
-		if neighbour, here := peer.space.byKey[sender]; here && neighbour != peer {
-			o.drop(time.Time{}, neighbour, gone)
+		if neighbour, local := peer.space.byKey[sender]; local && neighbour != peer {
+			o.drop(time.Time{}, neighbour, departed)
 		}
 		return
 	}
-	if sender != gone {
-		o.signal(sender.Daemon, Signal{Kind: SignalLeft, Space: peer.space.name, To: sender, From: Peer{Key: gone}})
+	if sender != departed {
+		o.signal(sender.Daemon, Signal{Kind: SignalLeft, Space: peer.space.name, To: sender, From: Peer{Key: departed}})
 	}
 }
 
-// matters reports whether a peer of this daemon must know another peer: a neighbour, a
+// isRelevant reports whether a peer of this daemon must know another peer: a neighbour, a
 // peer inside its area if it subscribes, or a subscriber whose area meets its region.
-func (o *Overlay) matters(peer *hosted, other Peer) bool {
+func (o *Overlay) isRelevant(peer *hostedPeer, other Peer) bool {
 	if peer.region.owns(other.Key) || peer.region.cuts(other.At) {
 		return true
 	}
@@ -256,14 +257,14 @@
 }
 
 // greet sends a greeting from a peer of this daemon to another peer, which must respond.
-func (o *Overlay) greet(now time.Time, peer *hosted, other Peer) {
-	o.greetAs(now, peer, other, now.Before(peer.healUntil))
+func (o *Overlay) greet(now time.Time, peer *hostedPeer, other Peer) {
+	o.greetAs(now, peer, other, now.Before(peer.healingUntil))
 }
 
 // greetAs sends a greeting as greet does; heals sets whether it is marked as healing.
-func (o *Overlay) greetAs(now time.Time, peer *hosted, other Peer, heals bool) {
+func (o *Overlay) greetAs(now time.Time, peer *hostedPeer, other Peer, heals bool) {
 	peer.greeted[other.Key] = peer.self.Change
-	if peer.sharesArea(other) && !peer.hasOuterEdge() {
+	if peer.sharesCell(other) && !peer.hasOuterEdge() {
 		// Peers discover neighbours in the same cell through notices. Greetings are
 		// needed only by a peer with neighbours in other cells.
 		delete(peer.pending, other.Key)
@@ -272,32 +273,32 @@
 	o.Counts.Greets++
 	greeting := Signal{Kind: SignalGreet, Space: peer.space.name, To: other.Key, From: peer.self}
 	if other.Key.Daemon == o.daemon {
-		if neighbour, here := peer.space.byKey[other.Key]; here {
-			o.learn(now, neighbour, peer.self.Key, o.owedTo(peer, other.Key), false)
-			answer := o.introduce(now, neighbour, peer.self)
-			o.learn(now, peer, neighbour.self.Key, answer.Peers, false)
-			o.learn(now, peer, neighbour.self.Key, answer.Boundary, true)
+		if neighbour, local := peer.space.byKey[other.Key]; local {
+			o.learn(now, neighbour, peer.self.Key, o.takeUnannounced(peer, other.Key), false)
+			response := o.introduce(now, neighbour, peer.self)
+			o.learn(now, peer, neighbour.self.Key, response.Peers, false)
+			o.learn(now, peer, neighbour.self.Key, response.Boundary, true)
 		}
 		return
 	}
-	greeting.Peers = o.owedTo(peer, other.Key)
+	greeting.Peers = o.takeUnannounced(peer, other.Key)
 	if heals {
 		greeting.Hops = healing
 	}
 	waiting, found := peer.pending[other.Key]
 	if !found {
-		waiting = &outstanding{}
+		waiting = &pendingRequest{}
 		peer.pending[other.Key] = waiting
 	}
 	waiting.attempts++
-	waiting.sent, waiting.until = now, now.Add(backoff(greetTimeout, waiting.attempts))
-	o.timers.ArmSooner("limits", waiting.until)
+	waiting.sent, waiting.deadline = now, now.Add(backoff(greetTimeout, waiting.attempts))
+	o.timers.ArmSooner("limits", waiting.deadline)
 	o.signal(other.Key.Daemon, greeting)
 }
 
 // regreet greets all known peers after a peer has changed. If the peer has become a
 // subscriber, the responses also name the peers inside its area.
-func (o *Overlay) regreet(now time.Time, peer *hosted) {
+func (o *Overlay) regreet(now time.Time, peer *hostedPeer) {
 	for _, known := range sortedPeers(peer.known) {
 		if peer.greeted[known.Key] < peer.self.Change {
 			o.greet(now, peer, known)
--- a/internal/overlay/identity_mutation_test.go
+++ b/internal/overlay/identity_mutation_test.go
@@ -11,7 +11,7 @@
 	"dahlialock/internal/statemachine"
 )
 
-func TestTheLifeOfAPeerIsNeeded(t *testing.T) {
+func TestTheIncarnationOfAPeerIsNeeded(t *testing.T) {
 	defer statemachine.Mutate("any-life-of-a-peer")()
-	assert.Equal(t, len(lateJoin(t)), 1)
+	assert.Equal(t, len(destinationsAfterLateJoin(t)), 1)
 }
--- a/internal/overlay/identity_test.go
+++ b/internal/overlay/identity_test.go
@@ -12,35 +12,36 @@
 	"dahlialock/internal/statemachine"
 )
 
-// lateJoin delivers the join request of an earlier incarnation of b to a after b has
-// restarted without subscriptions. It returns the destinations of a's publications.
-func lateJoin(t *testing.T) []string {
+// destinationsAfterLateJoin delivers the join request of an earlier incarnation of b to
+// a after b has restarted without subscriptions. It returns the destinations of a's
+// publications.
+func destinationsAfterLateJoin(t *testing.T) []string {
 	const space = "boards~1"
-	net := newNet(t, 1)
-	net.come("a", 1)
-	net.come("b", 2)
-	net.view()
+	network := newNetwork(t, 1)
+	network.start("a", 1)
+	network.start("b", 2)
+	network.setViews()
 	area := AreaOf("p0/b1")
 	var effects statemachine.Effects
-	net.parts["b"].Subscribe(net.now, space, area, func(time.Time, *statemachine.Effects, bool) {}, &effects)
+	network.overlays["b"].Subscribe(network.now, space, area, func(time.Time, *statemachine.Effects, bool) {}, &effects)
 	var late []Signals
 	for _, send := range effects.Sends {
 		late = append(late, send.Message.(Signals))
 	}
-	net.come("b", 3)
-	net.view()
+	network.start("b", 3)
+	network.setViews()
 	effects = statemachine.Effects{}
-	net.parts["a"].Publish(net.now, space, area, nil, &effects)
-	net.carry("a", &effects)
-	net.run(2 * time.Second)
+	network.overlays["a"].Publish(network.now, space, area, nil, &effects)
+	network.send("a", &effects)
+	network.run(2 * time.Second)
 	for _, signals := range late {
 		effects = statemachine.Effects{}
-		net.parts["a"].HandleSignals(net.now, signals, &effects)
-		net.carry("a", &effects)
+		network.overlays["a"].HandleSignals(network.now, signals, &effects)
+		network.send("a", &effects)
 	}
-	return net.parts["a"].Destinations(space, area)
+	return network.overlays["a"].Destinations(space, area)
 }
 
-func TestAnEarlierLifesPeersAreNotTakenIn(t *testing.T) {
-	assert.Equal(t, len(lateJoin(t)), 0)
+func TestPeersOfAnEarlierIncarnationAreIgnored(t *testing.T) {
+	assert.Equal(t, len(destinationsAfterLateJoin(t)), 0)
 }
--- a/internal/overlay/join.go
+++ b/internal/overlay/join.go
@@ -10,15 +10,15 @@
 // join sends or retries a peer's join request: through the nearest joined peer of this
 // daemon in the space or, if there is none, to other daemons. If another peer of this
 // daemon is already joining through other daemons, this peer waits for it.
-func (o *Overlay) join(now time.Time, peer *hosted) {
+func (o *Overlay) join(now time.Time, peer *hostedPeer) {
 	o.Counts.Joins++
 	if peer.joining == nil {
-		peer.joining = &outstanding{}
+		peer.joining = &pendingRequest{}
 	}
 	peer.joining.attempts++
 	peer.joining.sent = now
-	peer.joining.until = now.Add(backoff(joinTimeout, peer.joining.attempts))
-	o.timers.ArmSooner("limits", peer.joining.until)
+	peer.joining.deadline = now.Add(backoff(joinTimeout, peer.joining.attempts))
+	o.timers.ArmSooner("limits", peer.joining.deadline)
 	clear(peer.joinTargets)
 	peer.queued = false
 	request := Signal{Kind: SignalJoin, Space: peer.space.name, From: peer.self, Attempts: uint8(min(peer.joining.attempts, 255))}
@@ -33,7 +33,7 @@
 			return
 		}
 	}
-	peer.joinedThroughAll = false
+	peer.joinSentToAll = false
 	if peer.joining.attempts == 1 && len(o.gateways) > firstJoinTargets {
 		names := slices.Collect(maps.Keys(o.gateways))
 		slices.Sort(names)
@@ -44,7 +44,7 @@
 		}
 		return
 	}
-	o.joinThroughAll(now, peer)
+	o.joinThroughAllDaemons(now, peer)
 }
 
 // backoff returns the timeout of an attempt. It doubles with each attempt, up to
@@ -56,10 +56,10 @@
 	return first << min(max(0, attempts-1), maxDoublings)
 }
 
-// joinThroughAll sends a join request to all daemons. A peer may join as the first of
-// its space only if no daemon hosts a peer of the space.
-func (o *Overlay) joinThroughAll(now time.Time, peer *hosted) {
-	peer.joinedThroughAll = true
+// joinThroughAllDaemons sends a join request to all daemons. A peer may join as the
+// first of its space only if no daemon hosts a peer of the space.
+func (o *Overlay) joinThroughAllDaemons(now time.Time, peer *hostedPeer) {
+	peer.joinSentToAll = true
 	request := Signal{Kind: SignalJoin, Space: peer.space.name, From: peer.self, Attempts: uint8(min(peer.joining.attempts, 255))}
 	for name := range statemachine.Sorted(o.gateways) {
 		peer.joinTargets[name] = true
@@ -72,7 +72,7 @@
 
 // joined marks a peer as joined. It then handles the join requests and starts the joins
 // that waited for the peer.
-func (o *Overlay) joined(now time.Time, peer *hosted) {
+func (o *Overlay) joined(now time.Time, peer *hostedPeer) {
 	peer.joining = nil
 	o.timers.ArmSooner("settle", now)
 	requests := peer.requests
@@ -89,24 +89,24 @@
 }
 
 // nearestHosted returns the joined peer of this daemon that is nearest to a point,
-// excluding without, or nil if there is none.
-func (o *Overlay) nearestHosted(here *space, at Point, without *hosted) *hosted {
-	var best *hosted
+// excluding except, or nil if there is none.
+func (o *Overlay) nearestHosted(space *space, at Point, except *hostedPeer) *hostedPeer {
+	var best *hostedPeer
 	bestDistance := 0.0
-	for _, peer := range here.peers {
-		if peer == without || peer.joining != nil {
+	for _, peer := range space.peers {
+		if peer == except || peer.joining != nil {
 			continue
 		}
-		distanceAway := distance(peer.self.At, at)
-		if best == nil || distanceAway < bestDistance || distanceAway == bestDistance && peer.self.Key.compare(best.self.Key) < 0 {
-			best, bestDistance = peer, distanceAway
+		candidateDistance := distance(peer.self.At, at)
+		if best == nil || candidateDistance < bestDistance || candidateDistance == bestDistance && peer.self.Key.compare(best.self.Key) < 0 {
+			best, bestDistance = peer, candidateDistance
 		}
 	}
 	return best
 }
 
 // anyJoining returns the joining peer with the lowest key, or nil if there is none.
-func (s *space) anyJoining() *hosted {
+func (s *space) anyJoining() *hostedPeer {
 	for _, peer := range s.sorted() {
 		if peer.joining != nil {
 			return peer
@@ -118,7 +118,7 @@
 // forward forwards a join request from a peer of this daemon to the known peer that is
 // nearest to the joining peer's point. It repeats this until a peer of this daemon is
 // itself the nearest and accepts the request, or the next peer is on another daemon.
-func (o *Overlay) forward(now time.Time, at *hosted, request Signal) {
+func (o *Overlay) forward(now time.Time, at *hostedPeer, request Signal) {
 	target := request.From.At
 	for {
 		best, bestDistance := at.self, distance(at.self.At, target)
@@ -126,17 +126,17 @@
 			if key == request.From.Key {
 				continue
 			}
-			distanceAway := distance(known.At, target)
-			if distanceAway < bestDistance || distanceAway == bestDistance && key.compare(best.Key) < 0 {
-				best, bestDistance = known, distanceAway
+			candidateDistance := distance(known.At, target)
+			if candidateDistance < bestDistance || candidateDistance == bestDistance && key.compare(best.Key) < 0 {
+				best, bestDistance = known, candidateDistance
 			}
 		}
 		if best.Key == at.self.Key {
 			o.accept(now, at, request)
 			return
 		}
-		if next, here := at.space.byKey[best.Key]; here {
-			if next.holdsOff(request) {
+		if next, local := at.space.byKey[best.Key]; local {
+			if next.defersJoin(request) {
 				next.requests = append(next.requests, request)
 				return
 			}
@@ -161,58 +161,58 @@
 
 // accept responds to a join request as the acceptor. If the joining peer is in the same
 // cell, the response names all members of the cell.
-func (o *Overlay) accept(now time.Time, acceptor *hosted, request Signal) {
-	answer := o.introduce(now, acceptor, request.From)
-	if acceptor.sharesArea(request.From) {
+func (o *Overlay) accept(now time.Time, acceptor *hostedPeer, request Signal) {
+	response := o.introduce(now, acceptor, request.From)
+	if acceptor.sharesCell(request.From) {
 		for key, known := range sortedPeers(acceptor.subscribers) {
-			if key != request.From.Key && acceptor.sharesArea(known) && !slices.ContainsFunc(answer.Peers, func(named Peer) bool { return named.Key == key }) {
-				answer.Peers = append(answer.Peers, known)
+			if key != request.From.Key && acceptor.sharesCell(known) && !slices.ContainsFunc(response.Peers, func(named Peer) bool { return named.Key == key }) {
+				response.Peers = append(response.Peers, known)
 			}
 		}
 	}
-	answer.Kind = SignalWelcome
-	answer.Hops = request.Hops
-	o.sendTo(now, request.From.Key, answer)
+	response.Kind = SignalWelcome
+	response.Hops = request.Hops
+	o.sendTo(now, request.From.Key, response)
 }
 
-// handleJoin handles a join request from another daemon. here is nil if this daemon
+// handleJoin handles a join request from another daemon. space is nil if this daemon
 // doesn't have the space.
-func (o *Overlay) handleJoin(now time.Time, here *space, request Signal) {
-	if here == nil || len(here.peers) == 0 {
+func (o *Overlay) handleJoin(now time.Time, space *space, request Signal) {
+	if space == nil || len(space.peers) == 0 {
 		o.signal(request.From.Key.Daemon, Signal{
-			Kind: SignalNobody, Space: request.Space, To: request.From.Key, From: Peer{Key: PeerKey{Daemon: o.daemon}},
+			Kind: SignalNoPeer, Space: request.Space, To: request.From.Key, From: Peer{Key: PeerKey{Daemon: o.daemon}},
 		})
 		return
 	}
 	if request.To.Daemon != "" {
-		if _, present := here.byKey[request.To]; !present {
+		if _, present := space.byKey[request.To]; !present {
 			o.signal(request.From.Key.Daemon, Signal{Kind: SignalLeft, Space: request.Space, To: request.From.Key, From: Peer{Key: request.To}})
 		}
 	}
-	if named, present := here.byKey[request.To]; present && named.holdsOff(request) {
+	if named, present := space.byKey[request.To]; present && named.defersJoin(request) {
 		// Other peers already know the addressed peer, but it doesn't know its neighbours
 		// yet. The request waits until it has joined.
 		named.requests = append(named.requests, request)
 		return
 	}
-	if start := o.nearestHosted(here, request.From.At, nil); start != nil {
+	if start := o.nearestHosted(space, request.From.At, nil); start != nil {
 		o.forward(now, start, request)
 		return
 	}
-	o.accept(now, here.anyJoining(), request)
+	o.accept(now, space.anyJoining(), request)
 }
 
-// holdsOff reports whether a join request must wait at a peer that is still joining.
+// defersJoin reports whether a join request must wait at a peer that is still joining.
 // From its third attempt on a request doesn't wait, since joining peers may wait for
 // each other in a cycle.
-func (h *hosted) holdsOff(request Signal) bool {
+func (h *hostedPeer) defersJoin(request Signal) bool {
 	return h.joining != nil && len(h.known) == 0 && request.Attempts <= 2
 }
 
-// handleNobody records that a daemon hosts no peer of the space, or was lost. Once this
+// handleNoPeer records that a daemon hosts no peer of the space, or was lost. Once this
 // applies to all daemons to which the join request was sent, the request is sent to all
 // daemons; if it already was, the peer joins as the first of the space.
-func (o *Overlay) handleNobody(now time.Time, peer *hosted, daemon string) {
+func (o *Overlay) handleNoPeer(now time.Time, peer *hostedPeer, daemon string) {
 	if peer.joining == nil || peer.queued || len(peer.joinTargets) == 0 {
 		return
 	}
@@ -222,8 +222,8 @@
 			return
 		}
 	}
-	if !peer.joinedThroughAll {
-		o.joinThroughAll(now, peer)
+	if !peer.joinSentToAll {
+		o.joinThroughAllDaemons(now, peer)
 		return
 	}
 	o.joined(now, peer)
@@ -231,11 +231,11 @@
 
 // whenJoined registers done to be called once a peer has joined, and starts the join of
 // a newly created peer. done may be nil.
-func (o *Overlay) whenJoined(now time.Time, peer *hosted, made bool, done Completion, effects *statemachine.Effects) {
+func (o *Overlay) whenJoined(now time.Time, peer *hostedPeer, created bool, done Completion, effects *statemachine.Effects) {
 	if done != nil {
 		peer.waiting = append(peer.waiting, done)
 	}
-	if made {
+	if created {
 		o.join(now, peer)
 	}
 	o.checkJoined(now, peer, effects)
@@ -244,7 +244,7 @@
 
 // checkJoined calls the waiting completions of a peer if it has joined and no greeting
 // is pending.
-func (o *Overlay) checkJoined(now time.Time, peer *hosted, effects *statemachine.Effects) {
+func (o *Overlay) checkJoined(now time.Time, peer *hostedPeer, effects *statemachine.Effects) {
 	if peer.joining != nil || len(peer.pending) > 0 {
 		return
 	}
--- a/internal/overlay/leave.go
+++ b/internal/overlay/leave.go
@@ -7,7 +7,7 @@
 
 // drop removes a departed peer from the known peers of a peer of this daemon, and
 // rebuilds the region if the departed peer was an enclosing neighbour.
-func (o *Overlay) drop(now time.Time, peer *hosted, key PeerKey) {
+func (o *Overlay) drop(now time.Time, peer *hostedPeer, key PeerKey) {
 	if _, found := peer.known[key]; !found {
 		delete(peer.pending, key)
 		return
@@ -21,56 +21,56 @@
 
 // forget removes all state about another peer, except in the region and the pending
 // greetings.
-func (h *hosted) forget(key PeerKey) {
+func (h *hostedPeer) forget(key PeerKey) {
 	if h.cell != nil {
-		h.cell.part(key)
+		h.cell.removeMember(key)
 	}
 	delete(h.known, key)
 	delete(h.subscribers, key)
 	delete(h.greeted, key)
-	delete(h.tookAt, key)
-	delete(h.owed, key)
+	delete(h.introducedAt, key)
+	delete(h.unannounced, key)
 }
 
 // leave removes a peer of this daemon and sends a SignalLeave to all peers that it knows.
-func (o *Overlay) leave(peer *hosted) {
+func (o *Overlay) leave(peer *hostedPeer) {
 	o.Counts.Leaves++
 	peer.space.unindexPeer(peer)
-	var parting []Peer
+	var remaining []Peer
 	for _, key := range peer.region.owners() {
-		parting = append(parting, peer.known[key])
+		remaining = append(remaining, peer.known[key])
 	}
 	for _, known := range sortedPeers(peer.known) {
 		if peer.cell == nil && known.Subscribes && !peer.region.owns(known.Key) && peer.region.meets(known.Area) {
-			parting = append(parting, known)
+			remaining = append(remaining, known)
 		}
 	}
 	for key := range sortedPeers(peer.known) {
 		// Only the regions of the enclosing neighbours grow, so only they need the
 		// other neighbours and the subscribers of the region.
-		farewell := Signal{Kind: SignalLeave, Space: peer.space.name, To: key, From: peer.self}
+		leaveSignal := Signal{Kind: SignalLeave, Space: peer.space.name, To: key, From: peer.self}
 		if peer.region.owns(key) {
-			farewell.Peers = parting
+			leaveSignal.Peers = remaining
 		}
 		if key.Daemon != o.daemon {
-			o.signal(key.Daemon, farewell)
-		} else if neighbour, here := peer.space.byKey[key]; here {
-			o.handleLeave(time.Time{}, neighbour, farewell)
+			o.signal(key.Daemon, leaveSignal)
+		} else if neighbour, local := peer.space.byKey[key]; local {
+			o.handleLeave(time.Time{}, neighbour, leaveSignal)
 		}
 	}
 }
 
 // handleLeave removes a leaving peer, and learns the peers that it names.
-func (o *Overlay) handleLeave(now time.Time, peer *hosted, farewell Signal) {
-	o.drop(now, peer, farewell.From.Key)
-	o.learn(now, peer, farewell.From.Key, farewell.Peers, false)
+func (o *Overlay) handleLeave(now time.Time, peer *hostedPeer, leaveSignal Signal) {
+	o.drop(now, peer, leaveSignal.From.Key)
+	o.learn(now, peer, leaveSignal.From.Key, leaveSignal.Peers, false)
 }
 
 // dropDaemon removes all peers of a daemon except those of the given incarnation, which
 // is 0 if the daemon is no longer in the view.
 func (o *Overlay) dropDaemon(now time.Time, daemon string, incarnation uint64, effects *statemachine.Effects) {
-	for _, here := range statemachine.Sorted(o.spaces) {
-		for _, peer := range here.sorted() {
+	for _, space := range statemachine.Sorted(o.spaces) {
+		for _, peer := range space.sorted() {
 			rebuild := false
 			for key := range sortedPeers(peer.known) {
 				if key.Daemon != daemon || key.Incarnation == incarnation {
@@ -87,7 +87,7 @@
 			switch {
 			case peer.joining == nil || peer.queued:
 			case peer.joinTargets[daemon]:
-				o.handleNobody(now, peer, daemon)
+				o.handleNoPeer(now, peer, daemon)
 			case len(peer.joinTargets) == 0 && (now.Sub(peer.joining.sent) > joinAttemptValid || statemachine.Mutated("no-retry-pauses")):
 				// The join request may have been lost with that daemon. If many daemons
 				// are lost at the same time, one new attempt is enough.
@@ -109,12 +109,12 @@
 // probeAll sends a probe for each peer of this daemon to one other daemon. After a
 // network partition, this discovers the neighbours on the other side.
 func (o *Overlay) probeAll(_ time.Time, daemon string) {
-	for _, here := range statemachine.Sorted(o.spaces) {
-		if _, cells := o.planes[here.name]; cells {
+	for _, space := range statemachine.Sorted(o.spaces) {
+		if _, cells := o.planes[space.name]; cells {
 			// Checks between the members of cells discover the same neighbours.
 			continue
 		}
-		for _, peer := range here.sorted() {
+		for _, peer := range space.sorted() {
 			o.probe(peer, daemon)
 		}
 	}
@@ -123,7 +123,7 @@
 // probe sends a join request for a peer that has already joined. The response names the
 // neighbours that the other daemon's peers know for its region. A lost response isn't
 // detected.
-func (o *Overlay) probe(peer *hosted, daemon string) {
+func (o *Overlay) probe(peer *hostedPeer, daemon string) {
 	o.Counts.Probes++
 	o.signal(daemon, Signal{Kind: SignalJoin, Space: peer.space.name, From: peer.self})
 }
@@ -144,9 +144,9 @@
 		return
 	}
 	o.incarnation = incarnation
-	for _, here := range statemachine.Sorted(o.spaces) {
-		for _, peer := range here.sorted() {
-			delete(here.byKey, peer.self.Key)
+	for _, space := range statemachine.Sorted(o.spaces) {
+		for _, peer := range space.sorted() {
+			delete(space.byKey, peer.self.Key)
 			o.number++
 			o.change++
 			peer.self.Key.Incarnation, peer.self.Key.Number = incarnation, o.number
@@ -156,15 +156,15 @@
 				peer.cell.reset()
 			}
 			peer.subscribers = map[PeerKey]Peer{}
-			peer.known, peer.greeted, peer.pending = map[PeerKey]Peer{}, map[PeerKey]uint64{}, map[PeerKey]*outstanding{}
-			peer.tookAt, peer.owed = map[PeerKey]time.Time{}, map[PeerKey]map[PeerKey]bool{}
+			peer.known, peer.greeted, peer.pending = map[PeerKey]Peer{}, map[PeerKey]uint64{}, map[PeerKey]*pendingRequest{}
+			peer.introducedAt, peer.unannounced = map[PeerKey]time.Time{}, map[PeerKey]map[PeerKey]bool{}
 			peer.region = newRegion(peer.self.At)
 			peer.joining, peer.queued = nil, false
-			here.byKey[peer.self.Key] = peer
+			space.byKey[peer.self.Key] = peer
 		}
-		peers := here.sorted()
+		peers := space.sorted()
 		for _, peer := range peers {
-			peer.joining, peer.queued = &outstanding{}, true
+			peer.joining, peer.queued = &pendingRequest{}, true
 		}
 		if len(peers) > 0 {
 			o.join(now, peers[0])
@@ -175,8 +175,8 @@
 
 // LeaveAll has every peer leave; it is called before the daemon shuts down.
 func (o *Overlay) LeaveAll(effects *statemachine.Effects) {
-	for _, here := range statemachine.Sorted(o.spaces) {
-		for _, peer := range here.sorted() {
+	for _, space := range statemachine.Sorted(o.spaces) {
+		for _, peer := range space.sorted() {
 			o.leave(peer)
 		}
 	}
--- a/internal/overlay/messages.go
+++ b/internal/overlay/messages.go
@@ -62,9 +62,9 @@
 	// SignalLeft reports that a peer doesn't exist. From contains only the key of that
 	// peer.
 	SignalLeft
-	// SignalNobody is the response to a join request by a daemon without peers in the
+	// SignalNoPeer is the response to a join request by a daemon without peers in the
 	// space.
-	SignalNobody
+	SignalNoPeer
 	// SignalAnnounce names a subscriber to a neighbour that may not know it.
 	SignalAnnounce
 )
--- a/internal/overlay/mutation_test.go
+++ b/internal/overlay/mutation_test.go
@@ -15,17 +15,17 @@
 func TestKnowledgeStaysWrongWithoutComparisons(t *testing.T) {
 	for _, mutation := range []string{"no-notice-checks", "gaps-unheeded"} {
 		restore := statemachine.Mutate(mutation)
-		red := 0
+		failures := 0
 		for seed := range uint64(60) {
-			if wrong, faults := storm(t, seed, 4+int(seed%5)); len(wrong) > 0 {
-				red++
-				if red == 1 {
+			if wrong, faults := runChurn(t, seed, 4+int(seed%5)); len(wrong) > 0 {
+				failures++
+				if failures == 1 {
 					t.Logf("%s, seed %d, %v: %s", mutation, seed, faults, wrong[0])
 				}
 			}
 		}
 		restore()
-		t.Logf("%s: %d of 60 seeds", mutation, red)
-		assert.Assert(t, red > 0, mutation)
+		t.Logf("%s: wrong counts with %d of 60 seeds", mutation, failures)
+		assert.Assert(t, failures > 0, mutation)
 	}
 }
--- a/internal/overlay/notice.go
+++ b/internal/overlay/notice.go
@@ -9,8 +9,8 @@
 	NoticeChanges
 	// NoticeCheck contains the sequence of the peer's newest notice, without counts.
 	NoticeCheck
-	// NoticeAsk requests a NoticeComplete.
-	NoticeAsk
+	// NoticeRequest requests a NoticeComplete.
+	NoticeRequest
 	// NoticeAbsent is the response of a daemon that has no peer in the cell.
 	NoticeAbsent
 	// NoticeDiffers is sent to a member whose Digest differs. Its Counts are the short
@@ -55,7 +55,7 @@
 	Plane       string
 	// Answer requests a NoticeCheck for each of the receiver's cells.
 	Answer bool
-	// Level is a digest of the sender's cells (see plane.level), 0 for none. A
+	// Level is a digest of the sender's cells (see plane.cellsDigest), 0 for none. A
 	// receiver that computes a different digest requests the checks with Answer.
 	Level   uint64
 	Notices []Notice
--- a/internal/overlay/overlay.go
+++ b/internal/overlay/overlay.go
@@ -49,23 +49,26 @@
 	// doubles. Without backoff, responses delayed by saturated links would be
 	// requested again and again, which would keep the links saturated.
 	maxDoublings = 3
-	// maxHops limits how often a join is forwarded; the peer that it then reaches accepts it.
+	// maxHops limits how often a join is forwarded; the peer that it then reaches
+	// accepts it.
 	maxHops = 48
-	// firstJoinTargets is the number of daemons to which the first attempt of a join is sent.
+	// firstJoinTargets is the number of daemons to which the first attempt of a join is
+	// sent.
 	firstJoinTargets = 3
 	// healing is the value of Hops in a greeting from a peer whose region has grown
-	// because a neighbour was lost. Its greetings are marked so for healFor.
-	healing = 1
-	healFor = 2 * time.Second
+	// because a neighbour was lost. Its greetings are marked so for healingPeriod.
+	healing       = 1
+	healingPeriod = 2 * time.Second
 	// rejoinWindow is the time after a neighbour took over part of a region during
 	// which newly known subscribers are announced to it (see announceSubscriber).
 	rejoinWindow = 3 * time.Second
 	// tombstoneLifetime is how long the tombstone of a peer that left is kept.
 	tombstoneLifetime = 30 * time.Second
-	compareInterval   = 4 * time.Second
-	// quietFor is how long a publishing peer is kept after the last publication.
-	quietFor      = 4 * time.Minute
-	sweepInterval = 5 * time.Second
+	reconcileInterval = 4 * time.Second
+	// publisherIdleTimeout is how long a publishing peer is kept after the last
+	// publication.
+	publisherIdleTimeout = 4 * time.Minute
+	sweepInterval        = 5 * time.Second
 )
 
 // Gateway is another daemon that hosts peers.
@@ -82,16 +85,16 @@
 // called before the method that it was passed to returns.
 type Completion func(now time.Time, effects *statemachine.Effects, done bool)
 
-// outstanding is a join or a greeting without a response: when the present attempt
+// pendingRequest is a join or a greeting without a response: when the present attempt
 // times out, when it was sent, and the number of attempts.
-type outstanding struct {
-	until    time.Time
+type pendingRequest struct {
+	deadline time.Time
 	sent     time.Time
 	attempts int
 }
 
-// hosted is a peer of this daemon.
-type hosted struct {
+// hostedPeer is a peer of this daemon.
+type hostedPeer struct {
 	self  Peer
 	space *space
 	// known are the peers that this peer knows, including those of the same daemon;
@@ -101,26 +104,26 @@
 	region      Region
 	// greeted is the value of self.Change with which each peer was last greeted.
 	greeted map[PeerKey]uint64
-	// tookAt is when each peer first introduced itself.
-	tookAt map[PeerKey]time.Time
-	// owed are, for each peer, the subscribers to be named in the next signal to it:
-	// those whose area meets the part of the region that it took over.
-	owed map[PeerKey]map[PeerKey]bool
+	// introducedAt is when each peer first introduced itself.
+	introducedAt map[PeerKey]time.Time
+	// unannounced are, for each peer, the subscribers to be named in the next signal to
+	// it: those whose area meets the part of the region that it took over.
+	unannounced map[PeerKey]map[PeerKey]bool
 	// pending are the greetings without a response.
-	pending map[PeerKey]*outstanding
+	pending map[PeerKey]*pendingRequest
 	// joining is nil once the peer has joined.
-	joining *outstanding
+	joining *pendingRequest
 	// joinTargets are the daemons to which the join was sent and that haven't
-	// responded with SignalNobody; joinedThroughAll is set if it was sent to all
+	// responded with SignalNoPeer; joinSentToAll is set if it was sent to all
 	// daemons.
-	joinTargets      map[string]bool
-	joinedThroughAll bool
+	joinTargets   map[string]bool
+	joinSentToAll bool
 	// waiting are called once the peer has joined and no greeting is pending.
 	waiting []Completion
-	// holders counts the calls of Subscribe without a matching Unsubscribe.
-	holders int
-	// publishes is set by Publish and cleared quietFor after the last call, which was
-	// at lastUse.
+	// subscriptions counts the calls of Subscribe without a matching Unsubscribe.
+	subscriptions int
+	// publishes is set by Publish and cleared publisherIdleTimeout after the last call,
+	// which was at lastUse.
 	lastUse   time.Time
 	publishes bool
 	// queued is set while the peer waits for another peer of this daemon in the same
@@ -128,8 +131,8 @@
 	queued bool
 	// requests are the join requests of other peers that wait until this peer has joined.
 	requests []Signal
-	// healUntil is the time until which greetings are marked as healing.
-	healUntil time.Time
+	// healingUntil is the time until which greetings are marked as healing.
+	healingUntil time.Time
 	// cell is set for a peer of routed topics.
 	cell *cell
 }
@@ -137,14 +140,14 @@
 // space is the unit square of a space or a plane, with the peers of this daemon in it.
 type space struct {
 	name  string
-	peers map[Area]*hosted
-	byKey map[PeerKey]*hosted
+	peers map[Area]*hostedPeer
+	byKey map[PeerKey]*hostedPeer
 	// ordered are the same peers in the order of their keys.
-	ordered []*hosted
-	// gone are the tombstones of other daemons' peers: when each was last reported to
+	ordered []*hostedPeer
+	// tombstones are those of other daemons' peers: when each was last reported to
 	// have left.
-	gone map[PeerKey]time.Time
-	// turn is the position of the next peer that compare treats.
+	tombstones map[PeerKey]time.Time
+	// turn is the position of the next peer to reconcile.
 	turn int
 }
 
@@ -179,22 +182,23 @@
 	spaces   map[string]*space
 	planes   map[string]*plane
 	timers   *statemachine.Timers[string]
-	// out are the frames that the present step sends, by address.
-	out map[string]*Signals
-	// paceUntil is when the next changes may be sent to all members; paced counts the
-	// consecutive times that changes were sent less than gatherFor after paceUntil.
-	paceUntil time.Time
-	paced     int
-	// checked is when this daemon last sent a check of its cells to others.
-	checked time.Time
-	// checks counts the consecutive checks that each followed the previous one within
-	// checkInterval; checkTurn counts all checks.
-	checks    int
-	checkTurn uint64
+	// frames are those that the present step sends, by address.
+	frames map[string]*Signals
+	// paceUntil is when the next changes may be sent to all members; consecutivePaced
+	// counts the consecutive times that changes were sent less than gatherDelay after
+	// paceUntil.
+	paceUntil        time.Time
+	consecutivePaced int
+	// lastCheck is when this daemon last sent a check of its cells to others.
+	lastCheck time.Time
+	// consecutiveChecks counts the consecutive checks that each followed the previous
+	// one within checkInterval; checkCount counts all checks.
+	consecutiveChecks int
+	checkCount        uint64
 	// roundTrips are the smoothed round trip times (see observe), by daemon.
 	roundTrips map[string]time.Duration
-	// found are the discoveries since the last TakeDiscovered.
-	found []Discovery
+	// discoveries are the discoveries since the last TakeDiscovered.
+	discoveries []Discovery
 	// Counts must not be modified by users of the overlay.
 	Counts Counts
 }
@@ -204,7 +208,7 @@
 func New(daemon string) *Overlay {
 	return &Overlay{
 		daemon: daemon, gateways: map[string]Gateway{}, spaces: map[string]*space{}, planes: map[string]*plane{},
-		timers: statemachine.NewTimers[string](), out: map[string]*Signals{}, roundTrips: map[string]time.Duration{},
+		timers: statemachine.NewTimers[string](), frames: map[string]*Signals{}, roundTrips: map[string]time.Duration{},
 	}
 }
 
@@ -214,33 +218,33 @@
 // Subscribe registers a subscription with the subscribing peer of an area, which is
 // created if it doesn't exist. Each call needs a matching Unsubscribe. done may be nil.
 func (o *Overlay) Subscribe(now time.Time, spaceName string, area Area, done Completion, effects *statemachine.Effects) {
-	peer, made := o.peer(now, spaceName, area)
-	peer.holders++
+	peer, created := o.peer(now, spaceName, area)
+	peer.subscriptions++
 	if !peer.self.Subscribes {
 		peer.self.Subscribes = true
 		o.change++
 		peer.self.Change = o.change
-		if !made {
+		if !created {
 			o.regreet(now, peer)
 		}
 	}
-	o.whenJoined(now, peer, made, done, effects)
+	o.whenJoined(now, peer, created, done, effects)
 }
 
 // Unsubscribe reverts one call of Subscribe. After the last one the peer stops
 // subscribing, and leaves unless it also publishes. An area without subscriptions is
 // ignored.
 func (o *Overlay) Unsubscribe(now time.Time, spaceName string, area Area, effects *statemachine.Effects) {
-	here, found := o.spaces[spaceName]
+	space, found := o.spaces[spaceName]
 	if !found {
 		return
 	}
-	peer, found := here.peers[area]
-	if !found || peer.holders == 0 {
+	peer, found := space.peers[area]
+	if !found || peer.subscriptions == 0 {
 		return
 	}
-	peer.holders--
-	if peer.holders == 0 {
+	peer.subscriptions--
+	if peer.subscriptions == 0 {
 		peer.self.Subscribes = false
 		o.change++
 		peer.self.Change = o.change
@@ -257,23 +261,23 @@
 
 // Publish ensures that an area has a publishing peer, and calls done once the peer
 // knows the subscribers of the area. It must be called before each publication, since
-// a peer that isn't used for quietFor leaves.
+// a peer that isn't used for publisherIdleTimeout leaves.
 func (o *Overlay) Publish(now time.Time, spaceName string, area Area, done Completion, effects *statemachine.Effects) {
-	peer, made := o.peer(now, spaceName, area)
+	peer, created := o.peer(now, spaceName, area)
 	peer.publishes = true
 	peer.lastUse = now
-	o.whenJoined(now, peer, made, done, effects)
+	o.whenJoined(now, peer, created, done, effects)
 }
 
 // Destinations returns the sorted names of the other daemons in the view that have
 // subscribers of an area, according to this daemon's peer of the area. It returns none
 // if there is no such peer (see Publish).
 func (o *Overlay) Destinations(spaceName string, area Area) []string {
-	here, found := o.spaces[spaceName]
+	space, found := o.spaces[spaceName]
 	if !found {
 		return nil
 	}
-	peer, found := here.peers[area]
+	peer, found := space.peers[area]
 	if !found {
 		return nil
 	}
@@ -295,22 +299,23 @@
 // observe records the round trip time of a greeting. A shorter one replaces the
 // estimate; a longer one changes it by 1/64 of the difference, since it may include the
 // delay of a busy daemon.
-func (o *Overlay) observe(daemon string, length time.Duration) {
-	present, found := o.roundTrips[daemon]
+func (o *Overlay) observe(daemon string, duration time.Duration) {
+	current, found := o.roundTrips[daemon]
 	switch {
-	case !found || length < present:
-		o.roundTrips[daemon] = length
+	case !found || duration < current:
+		o.roundTrips[daemon] = duration
 	default:
-		o.roundTrips[daemon] = present + (length-present)/64
+		o.roundTrips[daemon] = current + (duration-current)/64
 	}
 }
 
-// RoundTrips returns the smoothed round trip times to the other daemons in the view, by name.
+// RoundTrips returns the smoothed round trip times to the other daemons in the view, by
+// name.
 func (o *Overlay) RoundTrips() map[string]time.Duration {
 	roundTrips := make(map[string]time.Duration, len(o.roundTrips))
-	for name, length := range o.roundTrips {
+	for name, duration := range o.roundTrips {
 		if _, alive := o.gateways[name]; alive {
-			roundTrips[name] = length.Round(10 * time.Microsecond)
+			roundTrips[name] = duration.Round(10 * time.Microsecond)
 		}
 	}
 	return roundTrips
@@ -326,27 +331,27 @@
 
 // TakeDiscovered returns the discoveries since the last call.
 func (o *Overlay) TakeDiscovered() []Discovery {
-	found := o.found
-	o.found = nil
-	return found
+	discoveries := o.discoveries
+	o.discoveries = nil
+	return discoveries
 }
 
 // Joined reports whether this daemon has a peer for an area that has joined and has
 // no pending greetings.
 func (o *Overlay) Joined(spaceName string, area Area) bool {
-	here, found := o.spaces[spaceName]
+	space, found := o.spaces[spaceName]
 	if !found {
 		return false
 	}
-	peer, found := here.peers[area]
+	peer, found := space.peers[area]
 	return found && peer.joining == nil && len(peer.pending) == 0
 }
 
 // PeerCounts returns how many peers of this daemon subscribe and how many publish,
 // over all spaces. A peer that does both is counted in both.
 func (o *Overlay) PeerCounts() (subscribing, publishing int) {
-	for _, here := range o.spaces {
-		for _, peer := range here.peers {
+	for _, space := range o.spaces {
+		for _, peer := range space.peers {
 			if peer.self.Subscribes {
 				subscribing++
 			}
@@ -361,11 +366,11 @@
 // RemoveSpace removes a space with all its peers. No SignalLeave is sent, since the
 // other daemons remove the space too. Waiting completions are called with done unset.
 func (o *Overlay) RemoveSpace(now time.Time, spaceName string, effects *statemachine.Effects) {
-	here, found := o.spaces[spaceName]
+	space, found := o.spaces[spaceName]
 	if !found {
 		return
 	}
-	for _, peer := range here.sorted() {
+	for _, peer := range space.sorted() {
 		waiting := peer.waiting
 		peer.waiting = nil
 		for _, done := range waiting {
@@ -377,19 +382,19 @@
 
 // sorted returns a copy of the list of peers in the order of their keys. Callers may
 // add or remove peers while they iterate over it.
-func (s *space) sorted() []*hosted {
+func (s *space) sorted() []*hostedPeer {
 	return slices.Clone(s.ordered)
 }
 
 // indexPeer adds a peer. Keys are assigned in increasing order, so appending keeps
 // ordered sorted.
-func (s *space) indexPeer(peer *hosted) {
+func (s *space) indexPeer(peer *hostedPeer) {
 	s.peers[peer.self.Area] = peer
 	s.byKey[peer.self.Key] = peer
 	s.ordered = append(s.ordered, peer)
 }
 
-func (s *space) unindexPeer(peer *hosted) {
+func (s *space) unindexPeer(peer *hostedPeer) {
 	delete(s.peers, peer.self.Area)
 	delete(s.byKey, peer.self.Key)
 	if position := slices.Index(s.ordered, peer); position >= 0 {
@@ -417,28 +422,28 @@
 
 // peer returns the peer of an area, and creates it if there is none. The caller must
 // have a new peer join (see whenJoined).
-func (o *Overlay) peer(now time.Time, spaceName string, area Area) (peer *hosted, made bool) {
-	here, found := o.spaces[spaceName]
+func (o *Overlay) peer(now time.Time, spaceName string, area Area) (peer *hostedPeer, created bool) {
+	inSpace, found := o.spaces[spaceName]
 	if !found {
-		here = &space{name: spaceName, peers: map[Area]*hosted{}, byKey: map[PeerKey]*hosted{}, gone: map[PeerKey]time.Time{}}
-		o.spaces[spaceName] = here
+		inSpace = &space{name: spaceName, peers: map[Area]*hostedPeer{}, byKey: map[PeerKey]*hostedPeer{}, tombstones: map[PeerKey]time.Time{}}
+		o.spaces[spaceName] = inSpace
 	}
-	if peer, found = here.peers[area]; found {
+	if peer, found = inSpace.peers[area]; found {
 		return peer, false
 	}
 	o.number++
 	key := PeerKey{Daemon: o.daemon, Incarnation: o.incarnation, Number: o.number}
 	o.change++
-	peer = &hosted{
+	peer = &hostedPeer{
 		self:  Peer{Key: key, At: area.reference(o.daemon, o.number), Area: area, Change: o.change},
-		space: here, known: map[PeerKey]Peer{}, subscribers: map[PeerKey]Peer{}, greeted: map[PeerKey]uint64{}, pending: map[PeerKey]*outstanding{},
-		tookAt: map[PeerKey]time.Time{}, owed: map[PeerKey]map[PeerKey]bool{},
+		space: inSpace, known: map[PeerKey]Peer{}, subscribers: map[PeerKey]Peer{}, greeted: map[PeerKey]uint64{}, pending: map[PeerKey]*pendingRequest{},
+		introducedAt: map[PeerKey]time.Time{}, unannounced: map[PeerKey]map[PeerKey]bool{},
 		joinTargets: map[string]bool{}, lastUse: now,
 	}
 	peer.region = newRegion(peer.self.At)
-	here.indexPeer(peer)
+	inSpace.indexPeer(peer)
 	o.timers.ArmSooner("sweep", now.Add(sweepInterval))
-	o.timers.ArmSooner("compare", now.Add(compareInterval))
+	o.timers.ArmSooner("compare", now.Add(reconcileInterval))
 	return peer, true
 }
 
@@ -451,27 +456,27 @@
 	}
 	o.Counts.SignalsOut++
 	o.Counts.ByKind[signal.Kind]++
-	frame := o.signalsTo(gateway.Address)
+	frame := o.frameTo(gateway.Address)
 	frame.Signals = append(frame.Signals, signal)
 }
 
-// signalsTo returns the frame that the present step sends to an address.
-func (o *Overlay) signalsTo(address string) *Signals {
-	frame, found := o.out[address]
+// frameTo returns the frame that the present step sends to an address.
+func (o *Overlay) frameTo(address string) *Signals {
+	frame, found := o.frames[address]
 	if !found {
 		frame = &Signals{}
-		o.out[address] = frame
+		o.frames[address] = frame
 	}
 	return frame
 }
 
 // flush sends the frames of the present step.
 func (o *Overlay) flush(effects *statemachine.Effects) {
-	for address, frame := range statemachine.Sorted(o.out) {
+	for address, frame := range statemachine.Sorted(o.frames) {
 		o.Counts.BatchesOut++
 		effects.Send(address, *frame)
 	}
-	clear(o.out)
+	clear(o.frames)
 }
 
 // sendTo sends a signal to a peer. If the peer is on this daemon, the signal is
@@ -490,9 +495,9 @@
 // rebuild recomputes a region after the loss of a neighbour, from all peers of the
 // space that any peer of this daemon knows. This divides the lost neighbour's region
 // immediately among the peers around it. New neighbours are greeted.
-func (o *Overlay) rebuild(now time.Time, peer *hosted) {
+func (o *Overlay) rebuild(now time.Time, peer *hostedPeer) {
 	before := peer.region.owners()
-	peer.healUntil = now.Add(healFor)
+	peer.healingUntil = now.Add(healingPeriod)
 	peer.region = newRegion(peer.self.At)
 	for _, known := range sortedPeers(peer.known) {
 		peer.region.clip(known.At, known.Key)
@@ -507,7 +512,7 @@
 			o.learn(now, peer, other.self.Key, []Peer{other.self}, false)
 		}
 		for _, edge := range other.region.corners {
-			if edge.owner.Daemon == "" || edge.owner == peer.self.Key || !peer.region.cuts(edge.there) {
+			if edge.owner.Daemon == "" || edge.owner == peer.self.Key || !peer.region.cuts(edge.ownerPoint) {
 				continue
 			}
 			if known, found := other.known[edge.owner]; found {
@@ -533,8 +538,8 @@
 			o.handleSignal(now, signal, effects)
 		}
 	}
-	for _, told := range signals.Notices {
-		o.handleNotices(now, told)
+	for _, notices := range signals.Notices {
+		o.handleNotices(now, notices)
 	}
 	o.completeWaiting(now, effects)
 	o.flush(effects)
@@ -543,14 +548,14 @@
 // handleSignal handles one signal. effects is nil for a signal between peers of this
 // daemon; completions are then called by the settle timer.
 func (o *Overlay) handleSignal(now time.Time, signal Signal, effects *statemachine.Effects) {
-	here, found := o.spaces[signal.Space]
+	space, found := o.spaces[signal.Space]
 	if signal.Kind == SignalJoin {
-		o.handleJoin(now, here, signal)
+		o.handleJoin(now, space, signal)
 		return
 	}
-	var peer *hosted
+	var peer *hostedPeer
 	if found {
-		peer = here.byKey[signal.To]
+		peer = space.byKey[signal.To]
 	}
 	if peer == nil {
 		if signal.Kind == SignalGreet || signal.Kind == SignalWelcome || signal.Kind == SignalGreeted {
@@ -559,8 +564,8 @@
 		return
 	}
 	switch signal.Kind {
-	case SignalNobody:
-		o.handleNobody(now, peer, signal.From.Key.Daemon)
+	case SignalNoPeer:
+		o.handleNoPeer(now, peer, signal.From.Key.Daemon)
 	case SignalWelcome:
 		peer.greeted[signal.From.Key] = peer.self.Change
 		o.learn(now, peer, signal.From.Key, []Peer{signal.From}, true)
@@ -573,9 +578,9 @@
 		o.learn(now, peer, signal.From.Key, signal.Peers, false)
 	case SignalGreet:
 		o.learn(now, peer, signal.From.Key, signal.Peers, false)
-		answer := o.introduce(now, peer, signal.From)
-		answer.Kind = SignalGreeted
-		o.sendTo(now, signal.From.Key, answer)
+		response := o.introduce(now, peer, signal.From)
+		response.Kind = SignalGreeted
+		o.sendTo(now, signal.From.Key, response)
 		if signal.Hops == healing && peer.self.Subscribes {
 			// The sender's region has grown because a neighbour was lost. Its new
 			// neighbours may be in this peer's area; the response to a greeting names
@@ -591,10 +596,10 @@
 		o.learn(now, peer, signal.From.Key, signal.Peers, false)
 		o.learn(now, peer, signal.From.Key, signal.Boundary, true)
 	case SignalLeave:
-		here.gone[signal.From.Key] = now
+		space.tombstones[signal.From.Key] = now
 		o.handleLeave(now, peer, signal)
 	case SignalLeft:
-		here.gone[signal.From.Key] = now
+		space.tombstones[signal.From.Key] = now
 		o.drop(now, peer, signal.From.Key)
 	}
 	if effects != nil {
@@ -622,8 +627,8 @@
 			continue
 		}
 		o.probeAll(now, name)
-		for _, where := range statemachine.Sorted(o.planes) {
-			o.checkWith(name, where, true)
+		for _, plane := range statemachine.Sorted(o.planes) {
+			o.checkWith(name, plane, true)
 		}
 	}
 	o.completeWaiting(now, effects)
@@ -638,12 +643,12 @@
 		case "limits":
 			o.checkDeadlines(now, effects)
 		case "compare":
-			o.compare(now, effects)
+			o.reconcile(now, effects)
 		case "sweep":
 			o.sweep(now)
 			o.releaseCells(now)
 		case "owed":
-			o.sendOwed()
+			o.sendPendingComplete()
 		case "asks":
 			o.retryRequests(now)
 		case "members":
@@ -653,8 +658,8 @@
 		case "checks":
 			o.check(now)
 		case "settle":
-			for _, here := range statemachine.Sorted(o.spaces) {
-				for _, peer := range here.sorted() {
+			for _, space := range statemachine.Sorted(o.spaces) {
+				for _, peer := range space.sorted() {
 					if len(peer.waiting) > 0 {
 						o.checkJoined(now, peer, effects)
 					}
--- a/internal/overlay/regions_test.go
+++ b/internal/overlay/regions_test.go
@@ -8,33 +8,33 @@
 	"slices"
 )
 
-func (n *net) wrongRegions(space string) []string {
+func (n *network) wrongRegions(spaceName string) []string {
 	var all []Peer
-	for _, part := range n.parts {
-		if here := part.spaces[space]; here != nil {
-			for _, peer := range here.peers {
+	for _, overlay := range n.overlays {
+		if space := overlay.spaces[spaceName]; space != nil {
+			for _, peer := range space.peers {
 				all = append(all, peer.self)
 			}
 		}
 	}
 	var wrong []string
-	for name, part := range n.parts {
-		here := part.spaces[space]
-		if here == nil {
+	for name, overlay := range n.overlays {
+		space := overlay.spaces[spaceName]
+		if space == nil {
 			continue
 		}
-		for _, peer := range here.sorted() {
+		for _, peer := range space.sorted() {
 			region := newRegion(peer.self.At)
 			for _, other := range all {
 				if other.Key != peer.self.Key {
 					region.clip(other.At, other.Key)
 				}
 			}
-			truth, got := region.owners(), peer.region.owners()
-			slices.SortFunc(truth, PeerKey.compare)
+			expected, got := region.owners(), peer.region.owners()
+			slices.SortFunc(expected, PeerKey.compare)
 			slices.SortFunc(got, PeerKey.compare)
-			if !slices.Equal(truth, got) {
-				wrong = append(wrong, fmt.Sprintf("%s %v area %v sub %v joining %v known %d:\n  truth %v\n  got   %v", name, peer.self.Key.Number, peer.self.Area, peer.self.Subscribes, peer.joining != nil, len(peer.known), truth, got))
+			if !slices.Equal(expected, got) {
+				wrong = append(wrong, fmt.Sprintf("%s %v area %v sub %v joining %v known %d:\n  expected %v\n  got   %v", name, peer.self.Key.Number, peer.self.Area, peer.self.Subscribes, peer.joining != nil, len(peer.known), expected, got))
 			}
 			for _, other := range all {
 				if other.Key == peer.self.Key || !other.Subscribes {
--- a/internal/overlay/repair.go
+++ b/internal/overlay/repair.go
@@ -10,21 +10,21 @@
 // abandoned after maxGreetAttempts; a join is retried indefinitely.
 func (o *Overlay) checkDeadlines(now time.Time, effects *statemachine.Effects) {
 	var next time.Time
-	for _, here := range statemachine.Sorted(o.spaces) {
-		for _, peer := range here.sorted() {
-			if peer.joining != nil && !peer.joining.until.After(now) {
+	for _, space := range statemachine.Sorted(o.spaces) {
+		for _, peer := range space.sorted() {
+			if peer.joining != nil && !peer.joining.deadline.After(now) {
 				// A peer can't operate without having joined. If the request was lost
 				// with a daemon, dropDaemon retries sooner.
 				o.join(now, peer)
 			}
 			for key := range sortedPending(peer.pending) {
 				waiting := peer.pending[key]
-				if waiting.until.After(now) {
+				if waiting.deadline.After(now) {
 					continue
 				}
 				known, found := peer.known[key]
 				if !found || waiting.attempts >= maxGreetAttempts {
-					// The peer stays known; compare greets it again later.
+					// The peer stays known; reconcile greets it again later.
 					delete(peer.pending, key)
 					peer.greeted[key] = 0
 					continue
@@ -32,10 +32,10 @@
 				o.greet(now, peer, known)
 			}
 			for _, waiting := range peer.pending {
-				next = statemachine.Earliest(next, waiting.until)
+				next = statemachine.Earliest(next, waiting.deadline)
 			}
 			if peer.joining != nil {
-				next = statemachine.Earliest(next, peer.joining.until)
+				next = statemachine.Earliest(next, peer.joining.deadline)
 			}
 			o.checkJoined(now, peer, effects)
 		}
@@ -47,7 +47,7 @@
 
 // sortedPending iterates over the keys of pending greetings in order. Entries may be
 // removed during the iteration.
-func sortedPending(pending map[PeerKey]*outstanding) func(yield func(PeerKey) bool) {
+func sortedPending(pending map[PeerKey]*pendingRequest) func(yield func(PeerKey) bool) {
 	return func(yield func(PeerKey) bool) {
 		keys := make([]PeerKey, 0, len(pending))
 		for key := range pending {
@@ -62,26 +62,26 @@
 	}
 }
 
-// compare has a few peers, in turn, greet their enclosing neighbours again and probe
+// reconcile has a few peers, in turn, greet their enclosing neighbours again and probe
 // another daemon. On both sides this repairs missing knowledge that is due to a lost
-// signal, a network partition or a wrongly computed edge. It runs every compareInterval
+// signal, a network partition or a wrongly computed edge. It runs every reconcileInterval
 // while this daemon has peers.
-func (o *Overlay) compare(now time.Time, _ *statemachine.Effects) {
+func (o *Overlay) reconcile(now time.Time, _ *statemachine.Effects) {
 	any := false
 	var names []string
 	for name := range statemachine.Sorted(o.gateways) {
 		names = append(names, name)
 	}
-	for _, here := range statemachine.Sorted(o.spaces) {
-		peers := here.sorted()
+	for _, space := range statemachine.Sorted(o.spaces) {
+		peers := space.sorted()
 		if len(peers) == 0 {
 			continue
 		}
 		any = true
 		count := max(1, len(peers)/64)
 		for range count {
-			peer := peers[here.turn%len(peers)]
-			here.turn++
+			peer := peers[space.turn%len(peers)]
+			space.turn++
 			if peer.joining != nil {
 				continue
 			}
@@ -96,28 +96,28 @@
 				}
 			}
 			if len(names) > 0 {
-				o.probe(peer, names[here.turn/len(peers)%len(names)])
+				o.probe(peer, names[space.turn/len(peers)%len(names)])
 			}
 		}
 	}
 	if any {
-		o.timers.Arm("compare", now.Add(compareInterval))
+		o.timers.Arm("compare", now.Add(reconcileInterval))
 	}
 }
 
-// sweep ends publishing at peers without a Publish call for quietFor, has those of them
-// leave that don't subscribe, and removes expired tombstones.
+// sweep ends publishing at peers without a Publish call for publisherIdleTimeout, has
+// those of them leave that don't subscribe, and removes expired tombstones.
 func (o *Overlay) sweep(now time.Time) {
 	any := false
-	for _, here := range statemachine.Sorted(o.spaces) {
-		for key, at := range here.gone {
+	for _, space := range statemachine.Sorted(o.spaces) {
+		for key, at := range space.tombstones {
 			if now.Sub(at) > tombstoneLifetime {
-				delete(here.gone, key)
+				delete(space.tombstones, key)
 			}
 		}
-		for _, peer := range here.sorted() {
+		for _, peer := range space.sorted() {
 			any = true
-			if !peer.publishes || now.Sub(peer.lastUse) < quietFor {
+			if !peer.publishes || now.Sub(peer.lastUse) < publisherIdleTimeout {
 				continue
 			}
 			peer.publishes = false
--- a/internal/overlay/crowded_mutation_test.go
+++ b/internal/overlay/slow_links_mutation_test.go
@@ -13,11 +13,11 @@
 	"dahlialock/internal/statemachine"
 )
 
-func TestFixedPausesSayMoreOnThinLinks(t *testing.T) {
+func TestFixedPausesSendMoreOnSlowLinks(t *testing.T) {
 	defer statemachine.Mutate("no-retry-pauses")()
 	for seed := range uint64(2) {
-		took, bytes := levelAfter(t, seed, 60*time.Second)
-		t.Logf("seed %d: level after %v, %d bytes a daemon", seed, took, bytes/crowdedFleet)
-		assert.Assert(t, bytes/crowdedFleet > bytesWanted, "seed %d: %d bytes", seed, bytes/crowdedFleet)
+		took, bytes := startOnSlowLinks(t, seed, 60*time.Second)
+		t.Logf("seed %d: all subscribers known after %v, %d bytes per daemon", seed, took, bytes/startingDaemons)
+		assert.Assert(t, bytes/startingDaemons > maxBytesPerDaemon, "seed %d: %d bytes", seed, bytes/startingDaemons)
 	}
 }
--- a/internal/overlay/unsubscribe_test.go
+++ b/internal/overlay/unsubscribe_test.go
@@ -13,24 +13,24 @@
 
 func TestOverlayUnsubscribeLeavesRoutedTopics(t *testing.T) {
 	const plane, topic, space = "+", "board.1", "boards~1"
-	network := newNet(t, 1)
-	network.come("a", 1)
-	network.come("b", 2)
-	network.view()
+	network := newNetwork(t, 1)
+	network.start("a", 1)
+	network.start("b", 2)
+	network.setViews()
 	var effects statemachine.Effects
-	network.parts["b"].SetSubscribers(network.now, plane, topic, 1, &effects)
-	network.carry("b", &effects)
+	network.overlays["b"].SetSubscribers(network.now, plane, topic, 1, &effects)
+	network.send("b", &effects)
 	effects = statemachine.Effects{}
-	network.parts["a"].AwaitCell(network.now, plane, topic, func(time.Time, *statemachine.Effects, bool) {}, &effects)
-	network.carry("a", &effects)
+	network.overlays["a"].AwaitCell(network.now, plane, topic, func(time.Time, *statemachine.Effects, bool) {}, &effects)
+	network.send("a", &effects)
 	network.run(2 * time.Second)
-	assert.DeepEqual(t, network.parts["a"].SubscribedDaemons(plane, topic), []string{"b"})
+	assert.DeepEqual(t, network.overlays["a"].SubscribedDaemons(plane, topic), []string{"b"})
 
 	area := AreaOf("p0/b1")
 	effects = statemachine.Effects{}
-	network.parts["a"].Subscribe(network.now, space, area, func(time.Time, *statemachine.Effects, bool) {}, &effects)
-	network.parts["a"].Unsubscribe(network.now, space, area, &effects)
-	network.carry("a", &effects)
+	network.overlays["a"].Subscribe(network.now, space, area, func(time.Time, *statemachine.Effects, bool) {}, &effects)
+	network.overlays["a"].Unsubscribe(network.now, space, area, &effects)
+	network.send("a", &effects)
 	network.run(2 * time.Second)
-	assert.DeepEqual(t, network.parts["a"].SubscribedDaemons(plane, topic), []string{"b"})
+	assert.DeepEqual(t, network.overlays["a"].SubscribedDaemons(plane, topic), []string{"b"})
 }
--- a/internal/topology/topology.go
+++ b/internal/topology/topology.go
@@ -43,23 +43,23 @@
 	return readGraph(text)
 }
 
-// place adds a zone; element is its place in the file, for errors.
-func (t *Topology) place(element, name string) error {
+// addZone adds a zone; element is its place in the file, for errors.
+func (t *Topology) addZone(element, name string) error {
 	if !config.ValidName(name) {
-		return ErrorTopology.New("%s: %q is not a fit name for a zone", element, name)
+		return ErrorTopology.New("%s: %q is not a valid zone name", element, name)
 	}
 	if slices.Contains(t.Zones, name) {
-		return ErrorTopology.New("%s: the zone %q stands twice", element, name)
+		return ErrorTopology.New("%s: duplicate zone %q", element, name)
 	}
 	t.Zones = append(t.Zones, name)
 	return nil
 }
 
-// link adds a link; element is its place in the file, for errors.
-func (t *Topology) link(element string, link Link) error {
+// addLink adds a link; element is its place in the file, for errors.
+func (t *Topology) addLink(element string, link Link) error {
 	length, err := time.ParseDuration(link.Delay)
 	if err != nil || length < 0 || length > time.Minute {
-		return ErrorTopology.New("%s: %q is not a delay such as \"500us\", up to 1m", element, link.Delay)
+		return ErrorTopology.New("%s: %q is not a valid delay such as \"500us\", up to 1m", element, link.Delay)
 	}
 	for _, end := range []string{link.From, link.To} {
 		if !slices.Contains(t.Zones, end) {
@@ -67,11 +67,11 @@
 		}
 	}
 	if link.From == link.To {
-		return ErrorTopology.New("%s: a way from %q to itself", element, link.From)
+		return ErrorTopology.New("%s: link from zone %q to itself", element, link.From)
 	}
 	for _, other := range t.Links {
 		if other.From == link.From && other.To == link.To || other.From == link.To && other.To == link.From {
-			return ErrorTopology.New("%s: the way between %q and %q stands twice", element, link.From, link.To)
+			return ErrorTopology.New("%s: duplicate link between %q and %q", element, link.From, link.To)
 		}
 	}
 	t.Links = append(t.Links, link)
@@ -83,8 +83,8 @@
 func readGraph(text []byte) (topology Topology, err error) {
 	defer func() {
 		// The library panics on some malformed graphs.
-		if broken := recover(); broken != nil {
-			err = ErrorTopology.New("GraphViz: %v", broken)
+		if reason := recover(); reason != nil {
+			err = ErrorTopology.New("GraphViz: %v", reason)
 		}
 	}()
 	tree, err := gographviz.Parse(text)
@@ -96,17 +96,17 @@
 		return topology, ErrorTopology.New("GraphViz: %v", err)
 	}
 	if graph.Directed {
-		return topology, ErrorTopology.New("GraphViz: a graph is wanted, not a digraph: a way goes both ways")
+		return topology, ErrorTopology.New("GraphViz: expected an undirected graph, got a digraph; links are bidirectional")
 	}
 	for _, node := range graph.Nodes.Sorted() {
-		if err := topology.place("node "+node.Name, unquote(node.Name)); err != nil {
+		if err := topology.addZone("node "+node.Name, unquote(node.Name)); err != nil {
 			return topology, err
 		}
 	}
 	for _, edge := range graph.Edges.Sorted() {
 		element := fmt.Sprintf("edge %s -- %s", edge.Src, edge.Dst)
 		link := Link{From: unquote(edge.Src), To: unquote(edge.Dst), Delay: unquote(edge.Attrs[gographviz.Label])}
-		if err := topology.link(element, link); err != nil {
+		if err := topology.addLink(element, link); err != nil {
 			return topology, err
 		}
 	}
@@ -137,15 +137,15 @@
 		element := fmt.Sprintf("features[%d]", position)
 		switch feature.Geometry.(type) {
 		case orb.Point:
-			if err := topology.place(element, property(feature, "name")); err != nil {
+			if err := topology.addZone(element, property(feature, "name")); err != nil {
 				return topology, err
 			}
 		case orb.LineString:
 			lines = append(lines, func() error {
-				return topology.link(element, Link{From: property(feature, "from"), To: property(feature, "to"), Delay: property(feature, "delay")})
+				return topology.addLink(element, Link{From: property(feature, "from"), To: property(feature, "to"), Delay: property(feature, "delay")})
 			})
 		default:
-			return topology, ErrorTopology.New("%s: a Point or a LineString is wanted", element)
+			return topology, ErrorTopology.New("%s: the geometry must be a Point or a LineString", element)
 		}
 	}
 	for _, line := range lines {
@@ -160,11 +160,11 @@
 func (t Topology) Into(document []byte) ([]byte, error) {
 	var members map[string]json.RawMessage
 	if err := json.Unmarshal(document, &members); err != nil {
-		return nil, ErrorTopology.New("the configuration: %v", err)
+		return nil, ErrorTopology.New("invalid configuration: %v", err)
 	}
 	for _, key := range []string{"zones", "links"} {
 		if _, found := members[key]; found {
-			return nil, ErrorTopology.New("$.%s: the configuration has its own, leave one of them out", key)
+			return nil, ErrorTopology.New("$.%s: defined in both the configuration and the topology file; remove one of them", key)
 		}
 	}
 	added, err := json.Marshal(map[string]any{"zones": append([]string{}, t.Zones...), "links": append([]Link{}, t.Links...)})
--- a/internal/topology/topology_test.go
+++ b/internal/topology/topology_test.go
@@ -38,12 +38,12 @@
 		_, faults = config.Read(document)
 		assert.Assert(t, len(faults) > 0)
 	}
-	for _, each := range []struct{ text, says string }{
+	for _, each := range []struct{ text, wantError string }{
 		{"graph {\n north;\n south -- ;\n}", "line=3"},
 		{"digraph { a -> b }", "digraph"},
 		{`graph { a; b; a -- b }`, "edge a -- b"},
 		{`graph { a; b; a -- b [label="soon"] }`, "edge a -- b"},
-		{`graph { a; b; a -- b [label="1ms"]; b -- a [label="1ms"] }`, "stands twice"},
+		{`graph { a; b; a -- b [label="1ms"]; b -- a [label="1ms"] }`, "duplicate link"},
 		{`graph { "a b" }`, "node"},
 		{`{"type":"FeatureCollection","features":[{"type":"Feature","geometry":{"type":"Point","coordinates":[1,2]},"properties":{}}]}`, "features[0]"},
 		{strings.Replace(geo, `"to":"south"`, `"to":"nowhere"`, 1), "features[0]"},
@@ -52,7 +52,7 @@
 		{`{}`, "GeoJSON"},
 	} {
 		_, err := Read([]byte(each.text))
-		assert.ErrorContains(t, err, each.says, "%s", each.text)
+		assert.ErrorContains(t, err, each.wantError, "%s", each.text)
 	}
 }
 
