--- a/cmd/fleetlab/simulate.go
+++ b/cmd/fleetlab/simulate.go
@@ -201,10 +201,10 @@
 		{"noticed", func(each simulator.Recovery) time.Duration { return each.Noticed }},
 		{"decided", func(each simulator.Recovery) time.Duration { return each.Decided }},
 		{"taken over", func(each simulator.Recovery) time.Duration { return each.TakeoverDone }},
-		{"refilled", func(each simulator.Recovery) time.Duration { return each.Refilled }},
+		{"refilled", func(each simulator.Recovery) time.Duration { return each.PartitionsComplete }},
 		{"last caller back", func(each simulator.Recovery) time.Duration { return each.ClientsBack }},
 		{"service back", func(each simulator.Recovery) time.Duration {
-			return max(each.TakeoverDone, each.Refilled, each.ClientsBack)
+			return max(each.TakeoverDone, each.PartitionsComplete, each.ClientsBack)
 		}},
 	}
 	for _, part := range parts {
--- a/internal/simulator/bandwidth.go
+++ b/internal/simulator/bandwidth.go
@@ -27,8 +27,8 @@
 	windowSize = 64 << 10
 	// confirmationSize is the size of a receiver's acknowledgement in bytes.
 	confirmationSize = 48
-	// lineHead is the assumed size in bytes of a command or an answer without its texts.
-	lineHead = 24
+	// commandOverheadSize is the assumed size in bytes of a command or an answer without its texts.
+	commandOverheadSize = 24
 )
 
 // Bandwidth is the bandwidth of a machine's link in each direction, in bytes per second;
@@ -66,9 +66,9 @@
 // Traffic counts the messages of one kind that a daemon sent, received and dropped.
 type Traffic struct {
 	MessagesOut, BytesOut, MessagesIn, BytesIn, Dropped int64
-	// Took is the sum of the times from the step that sent a message to its arrival, over
-	// all received messages; Slowest is the longest of these times.
-	Took, Slowest time.Duration
+	// TotalDelay is the sum of the times from the step that sent a message to its arrival, over
+	// all received messages; MaxDelay is the longest of these times.
+	TotalDelay, MaxDelay time.Duration
 }
 
 // KindTraffic is the traffic of one kind of message.
@@ -221,7 +221,7 @@
 	if from.nic == to.nic {
 		made.up, made.down = nil, nil
 	}
-	s.arrival[key] = s.Now
+	s.lastArrival[key] = s.Now
 	opened := &connection{pipe: made, from: from.incarnation, to: to.incarnation}
 	s.connections[key] = opened
 	return opened
@@ -374,7 +374,7 @@
 }
 
 // Traffic returns the sums of the traffic of all daemons of a kind (all daemons if kind is
-// empty) over links with a limited bandwidth since the last ForgetTraffic, by kind of
+// empty) over links with a limited bandwidth since the last ResetTraffic, by kind of
 // message. The kinds with the most bytes come first.
 func (s *Simulation) Traffic(kind string) []KindTraffic {
 	sums := map[string]*Traffic{}
@@ -402,17 +402,17 @@
 	t.MessagesIn += other.MessagesIn
 	t.BytesIn += other.BytesIn
 	t.Dropped += other.Dropped
-	t.Took += other.Took
-	t.Slowest = max(t.Slowest, other.Slowest)
+	t.TotalDelay += other.TotalDelay
+	t.MaxDelay = max(t.MaxDelay, other.MaxDelay)
 }
 
 func (t *Traffic) arrived(took time.Duration) {
-	t.Took += took
-	t.Slowest = max(t.Slowest, took)
+	t.TotalDelay += took
+	t.MaxDelay = max(t.MaxDelay, took)
 }
 
-// ForgetTraffic resets the traffic counters of all daemons.
-func (s *Simulation) ForgetTraffic() {
+// ResetTraffic resets the traffic counters of all daemons.
+func (s *Simulation) ResetTraffic() {
 	for _, node := range s.Nodes("") {
 		clear(node.trafficOf)
 	}
@@ -421,15 +421,15 @@
 // Connections of clients. A client's own link has unlimited bandwidth, that of its
 // gateway is limited.
 
-// line is the connection of a client to its gateway.
-type line struct {
+// clientConnection is the connection of a client to its gateway.
+type clientConnection struct {
 	up, down *pipe
 }
 
-func (s *Simulation) openLine(node *Node) *line {
+func (s *Simulation) openClientConnection(node *Node) *clientConnection {
 	incarnation := node.incarnation
 	delay := func() time.Duration { return lineDelay }
-	return &line{
+	return &clientConnection{
 		up: &pipe{simulation: s, down: &node.nic.down, delay: delay, enter: func(run func()) {
 			if node.Up && node.incarnation == incarnation {
 				node.enter(run)
@@ -439,10 +439,10 @@
 	}
 }
 
-func (l *line) close() {
-	if l != nil {
-		l.up.close()
-		l.down.close()
+func (cc *clientConnection) close() {
+	if cc != nil {
+		cc.up.close()
+		cc.down.close()
 	}
 }
 
@@ -453,9 +453,9 @@
 	lineEvent   = "line event"
 )
 
-// toNode sends a command of size bytes from the client to its gateway, and calls run when
+// toGateway sends a command of size bytes from the client to its gateway, and calls run when
 // it arrives.
-func (tc *TopicClient) toNode(size int, run func()) {
+func (tc *TopicClient) toGateway(size int, run func()) {
 	if tc.line == nil {
 		tc.simulation.After(lineDelay, run)
 		return
@@ -465,21 +465,21 @@
 		tc.simulation.After(lineDelay, run)
 		return
 	}
-	tc.line.up.put(&parcel{size: lineHead + size, sent: func() {}, arrived: func() {
-		node.counts(lineCommand, 0, lineHead+size)
+	tc.line.up.put(&parcel{size: commandOverheadSize + size, sent: func() {}, arrived: func() {
+		node.counts(lineCommand, 0, commandOverheadSize+size)
 		run()
 	}})
 }
 
-// toCaller sends an answer or an event of size bytes from the gateway to the client, and
+// toClient sends an answer or an event of size bytes from the gateway to the client, and
 // calls run when it arrives.
-func (l *line) toCaller(simulation *Simulation, node *Node, kind string, size int, run func()) {
-	if l == nil {
+func (cc *clientConnection) toClient(simulation *Simulation, node *Node, kind string, size int, run func()) {
+	if cc == nil {
 		simulation.After(lineDelay, run)
 		return
 	}
-	node.pace.Spend(simulation.Now, lineHead+size)
-	l.down.put(&parcel{
-		size: lineHead + size, sent: func() { node.counts(kind, lineHead+size, 0) }, arrived: run,
+	node.pace.Spend(simulation.Now, commandOverheadSize+size)
+	cc.down.put(&parcel{
+		size: commandOverheadSize + size, sent: func() { node.counts(kind, commandOverheadSize+size, 0) }, arrived: run,
 	})
 }
--- a/internal/simulator/client.go
+++ b/internal/simulator/client.go
@@ -71,7 +71,7 @@
 func (c *Client) pick() *Node {
 	simulation := c.simulation
 	if c.moveTo != "" {
-		target := simulation.byPort[c.moveTo]
+		target := simulation.byAddress[c.moveTo]
 		c.moveTo = ""
 		if target != nil && target.Up {
 			return target
--- a/internal/simulator/closing_test.go
+++ b/internal/simulator/closing_test.go
@@ -67,13 +67,13 @@
 
 func beginSpaces(seed uint64, size Shape) (*Simulation, *Operator) {
 	run, operator := Prepare(seed, size, nil)
-	run.Crowd(size.Clients)
+	run.AddDefaultClients(size.Clients)
 	return run, operator
 }
 
 func beginBoth(seed uint64, size Shape) (*Simulation, *Operator) {
 	run, operator := prepareTopics(seed, size, 0, nil)
-	run.Crowd(size.Clients)
+	run.AddDefaultClients(size.Clients)
 	run.TopicCrowd(size.Clients)
 	return run, operator
 }
@@ -207,10 +207,10 @@
 	accepted := run.Checker.Accepted
 	count := tolerated(size)
 	wiped := append(fault.wiped(run, membership.KindStore, count), fault.wiped(run, membership.KindController, count)...)
-	run.open++
+	run.activeFaults++
 	run.losePowerAndDisks(wiped, fault.delay)
 	run.Run(fault.delay + 1500*time.Millisecond)
-	run.open--
+	run.activeFaults--
 	run.lastFaultAt = run.Now
 	run.Run(checker.FaultSettleTime + 2*time.Second)
 
@@ -235,7 +235,7 @@
 		s.After(fault.Start, func() { s.inject(fault) })
 	}
 	s.Run(topicScenario)
-	ended := s.RunUntil(time.Minute, func() bool { return s.open == 0 })
+	ended := s.RunUntil(time.Minute, func() bool { return s.activeFaults == 0 })
 	assert.Check(t, ended, "a fault has not ended: %s", faults.Format(schedule))
 	s.Run(checker.FaultSettleTime + 4*time.Second)
 }
--- a/internal/simulator/controllers_test.go
+++ b/internal/simulator/controllers_test.go
@@ -109,14 +109,14 @@
 			t.Parallel()
 			for seed := range uint64(2) {
 				simulation, operator := Prepare(5000+seed, each.size, nil)
-				simulation.Crowd(each.size.Clients)
+				simulation.AddDefaultClients(each.size.Clients)
 				simulation.Run(time.Second)
 				operator.work(simulation.Now.Add(24 * time.Second))
 				simulation.lastFaultAt = simulation.Now.Add(24 * time.Second)
 				each.strike(t, simulation)
 				simulation.Run(24 * time.Second)
 				assert.Check(t, simulation.RunUntil(10*time.Second, func() bool { return len(simulation.voters()) == each.voters }), "%v", simulation.voters())
-				simulation.WaitUntilStable(20 * time.Second)
+				simulation.HealAndClose(20 * time.Second)
 				for _, line := range simulation.Checker.Violations() {
 					t.Errorf("seed %d: %s", seed, line)
 				}
--- a/internal/simulator/cutoff_store_test.go
+++ b/internal/simulator/cutoff_store_test.go
@@ -19,7 +19,7 @@
 func cutStore(t trial, each severance, seed uint64) {
 	t.Helper()
 	simulation, _ := Prepare(8100+seed, seeded(5, 1), nil)
-	simulation.Crowd(Small.Clients)
+	simulation.AddDefaultClients(Small.Clients)
 	simulation.Run(3 * time.Second)
 	simulation.lastFaultAt = simulation.Now.Add(cutLength + contactWithin)
 	firsts := map[string]int{}
@@ -60,7 +60,7 @@
 	assert.Check(t, len(degraded) == 0, "%s, seed %d: a report of the isolated store took partitions from %v", each, seed, degraded)
 	_, partitions, callers = simulation.serving()
 	assert.Check(t, partitions && callers, "%s, seed %d: partitions served: %v, clients served: %v, after reconnecting", each, seed, partitions, callers)
-	simulation.WaitUntilStable(20 * time.Second)
+	simulation.HealAndClose(20 * time.Second)
 	for _, line := range simulation.Checker.Violations() {
 		assert.Check(t, false, "%s, seed %d: %s", each, seed, line)
 	}
--- a/internal/simulator/cutoff_test.go
+++ b/internal/simulator/cutoff_test.go
@@ -83,7 +83,7 @@
 	case "standby":
 		return []*Node{standby}
 	case "seed":
-		return []*Node{simulation.byPort[simulation.seeds[0]]}
+		return []*Node{simulation.byAddress[simulation.seeds[0]]}
 	case "minority":
 		return []*Node{leader, standby}
 	}
@@ -206,7 +206,7 @@
 func cutOff(t trial, each severance, seed uint64) []asked {
 	t.Helper()
 	simulation, operator := Prepare(8000+seed, seeded(5, 1), nil)
-	simulation.Crowd(4)
+	simulation.AddDefaultClients(4)
 	simulation.Run(2 * time.Second)
 	simulation.lastFaultAt = simulation.Now.Add(cutLength + contactWithin)
 	old := simulation.watchDepartures()
@@ -224,7 +224,7 @@
 	simulation.Run(contactWithin)
 	each.judgeGateways(t, simulation, inside, false)
 	simulation.Run(8 * time.Second)
-	simulation.WaitUntilStable(10 * time.Second)
+	simulation.HealAndClose(10 * time.Second)
 	assert.Check(t, len(*old) == 0, "%s, seed %d: %v", each, seed, *old)
 	for _, line := range simulation.Checker.Violations() {
 		assert.Check(t, false, "%s, seed %d: %s", each, seed, line)
--- a/internal/simulator/departure_test.go
+++ b/internal/simulator/departure_test.go
@@ -30,7 +30,7 @@
 func (s *Simulation) watchDepartures() *[]string {
 	old := &[]string{}
 	own := map[statemachine.RequestID]bool{}
-	s.OnDepart = func(from *Node, to string, message any) {
+	s.OnSend = func(from *Node, to string, message any) {
 		if from.Kind != membership.KindController || !restsOnLease(message) {
 			return
 		}
@@ -98,13 +98,13 @@
 	t.Helper()
 	each := standstills[number]
 	simulation, operator := Prepare(7000+seed, Small, nil)
-	simulation.Crowd(4)
+	simulation.AddDefaultClients(4)
 	simulation.Run(2 * time.Second)
 	primary := simulation.Primary()
 	assert.Assert(t, primary != nil)
 	left := simulation.watchDepartures()
 	froze := false
-	primary.FreezeMidway(20*time.Second, func(effects *statemachine.Effects) bool {
+	primary.FreezeAfterStep(20*time.Second, func(effects *statemachine.Effects) bool {
 		froze = froze || each.matches(effects)
 		return froze
 	})
@@ -127,7 +127,7 @@
 	if each.method != "" {
 		assert.Check(t, len(told) == 1, "the operator received %v", told)
 	}
-	simulation.WaitUntilStable(10 * time.Second)
+	simulation.HealAndClose(10 * time.Second)
 	for _, line := range simulation.Checker.Violations() {
 		assert.Check(t, false, "%s, seed %d: %s", each.name, seed, line)
 	}
--- a/internal/simulator/grown.go
+++ b/internal/simulator/grown.go
@@ -52,7 +52,7 @@
 // Service counts the requests that clients made in one second of a run, and how many of
 // them were served in time.
 type Service struct {
-	Wanted, Served int
+	Requested, Served int
 }
 
 // GrownResult is the result of a run of the grown shape.
@@ -65,12 +65,12 @@
 	// Recovery that in the first RecoverySpan after the return of power.
 	Calm, Recovery         []KindTraffic
 	CalmSpan, RecoverySpan time.Duration
-	// Fullest is, for each second after the return of power, the ratio of the largest
+	// LoadImbalance is, for each second after the return of power, the ratio of the largest
 	// number of clients on a gateway to the mean.
-	Fullest []float64
-	// Refused counts the requests that were rejected after the return of power,
+	LoadImbalance []float64
+	// Rejected counts the requests that were rejected after the return of power,
 	// RejectedLater those of them from the fourth second on.
-	Refused, RejectedLater int
+	Rejected, RejectedLater int
 }
 
 // RunGrown runs the grown shape. In the middle of the run all machines lose power, and then
@@ -90,12 +90,12 @@
 	}
 	began := simulation.Now
 	simulation.Run(grownBefore / 2)
-	simulation.ForgetTraffic()
+	simulation.ResetTraffic()
 	simulation.Run(grownBefore / 2)
 	result := &GrownResult{Simulation: simulation, Calm: simulation.Traffic(membership.KindGateway), CalmSpan: grownBefore / 2, RecoverySpan: grownAfter / 2}
 	simulation.losePower()
 	simulation.Run(grownDown)
-	simulation.ForgetTraffic()
+	simulation.ResetTraffic()
 	back := simulation.Now
 	refused := simulation.refusals()
 	for _, node := range simulation.Nodes("") {
@@ -108,13 +108,13 @@
 		if time.Duration(second+1)*time.Second == grownCrowd {
 			soon = simulation.refusals()
 		}
-		result.Fullest = append(result.Fullest, simulation.fullest())
+		result.LoadImbalance = append(result.LoadImbalance, simulation.fullest())
 		if time.Duration(second+1)*time.Second == grownAfter/2 {
 			result.Recovery = simulation.Traffic(membership.KindGateway)
 		}
 	}
-	result.Refused, result.RejectedLater = simulation.refusals()-refused, simulation.refusals()-soon
-	simulation.open--
+	result.Rejected, result.RejectedLater = simulation.refusals()-refused, simulation.refusals()-soon
+	simulation.activeFaults--
 	simulation.lastFaultAt = simulation.Now
 	simulation.closeTopics()
 	result.Before = simulation.world.service(began, grownBefore)
@@ -158,7 +158,7 @@
 // losePower kills all daemons at the same time.
 func (s *Simulation) losePower() {
 	s.trace("all power is lost")
-	s.open++
+	s.activeFaults++
 	for _, node := range s.Nodes("") {
 		node.Kill()
 	}
@@ -251,7 +251,7 @@
 		if each.at.Before(from) || second >= len(found) {
 			continue
 		}
-		found[second].Wanted++
+		found[second].Requested++
 		if each.served() {
 			found[second].Served++
 		}
@@ -259,11 +259,11 @@
 	return found
 }
 
-// Shares formats the share of the demands that was served in each second.
-func Shares(seconds []Service) string {
+// FormatShares formats the share of the demands that was served in each second.
+func FormatShares(seconds []Service) string {
 	var texts []string
 	for _, each := range seconds {
-		texts = append(texts, fmt.Sprintf("%.2f", float64(each.Served)/float64(max(1, each.Wanted))))
+		texts = append(texts, fmt.Sprintf("%.2f", float64(each.Served)/float64(max(1, each.Requested))))
 	}
 	return strings.Join(texts, " ")
 }
@@ -287,7 +287,7 @@
 	for _, kind := range kinds {
 		fmt.Fprintf(&text, "%-32s %9.0f %9.1f %9.0f %9.1f %8d %9s %9s\n", kind.Kind, float64(kind.BytesOut)/each, float64(kind.MessagesOut)/each,
 			float64(kind.BytesIn)/each, float64(kind.MessagesIn)/each, kind.Dropped,
-			(kind.Took / time.Duration(max(1, kind.MessagesIn))).Round(100*time.Microsecond), kind.Slowest.Round(100*time.Microsecond))
+			(kind.TotalDelay / time.Duration(max(1, kind.MessagesIn))).Round(100*time.Microsecond), kind.MaxDelay.Round(100*time.Microsecond))
 	}
 	return text.String()
 }
--- a/internal/simulator/grown_mutation_test.go
+++ b/internal/simulator/grown_mutation_test.go
@@ -14,14 +14,14 @@
 func TestTheOrderOfLinksIsNeeded(t *testing.T) {
 	defer statemachine.Mutate("single-class")()
 	result := RunGrown(1, thin(), nil)
-	t.Logf("before %s; after %s", Shares(result.Before), Shares(result.After))
-	assert.Assert(t, worst(result.After[thinAfter:]) < thinShareWanted, "after: %s", Shares(result.After))
+	t.Logf("before %s; after %s", FormatShares(result.Before), FormatShares(result.After))
+	assert.Assert(t, worst(result.After[thinAfter:]) < thinShareWanted, "after: %s", FormatShares(result.After))
 }
 
 // Without admission control, the gateways that listen first keep the clients of all.
 func TestAdmissionOnThinLinksIsNeeded(t *testing.T) {
 	defer statemachine.Mutate("all-admitted")()
 	result := RunGrown(1, thin(), nil)
-	t.Logf("after %s; fullest %.2f; rejected later %d", Shares(result.After), result.Fullest, result.RejectedLater)
-	assert.Assert(t, result.Fullest[soonAfter-1] > fullestSoon, "%.2f", result.Fullest)
+	t.Logf("after %s; fullest %.2f; rejected later %d", FormatShares(result.After), result.LoadImbalance, result.RejectedLater)
+	assert.Assert(t, result.LoadImbalance[soonAfter-1] > fullestSoon, "%.2f", result.LoadImbalance)
 }
--- a/internal/simulator/grown_test.go
+++ b/internal/simulator/grown_test.go
@@ -36,7 +36,7 @@
 func worst(seconds []Service) float64 {
 	minimum := 1.0
 	for _, each := range seconds {
-		minimum = min(minimum, float64(each.Served)/float64(max(1, each.Wanted)))
+		minimum = min(minimum, float64(each.Served)/float64(max(1, each.Requested)))
 	}
 	return minimum
 }
@@ -44,9 +44,9 @@
 func TestServiceIsBackAfterALossOfAllPowerOnThinLinks(t *testing.T) {
 	for _, seed := range []uint64{1, 2} {
 		result := RunGrown(seed, Grown, nil)
-		t.Logf("seed %d: before %s; after %s; fullest %.2f; rejected %d", seed, Shares(result.Before), Shares(result.After), result.Fullest, result.Refused)
-		assert.Check(t, worst(result.Before) > 0.95, "seed %d, before: %s", seed, Shares(result.Before))
-		assert.Check(t, worst(result.After) > shareWanted, "seed %d, after: %s\n%s", seed, Shares(result.After), TrafficTable(result.Recovery, Grown.Gateways, result.RecoverySpan))
+		t.Logf("seed %d: before %s; after %s; fullest %.2f; rejected %d", seed, FormatShares(result.Before), FormatShares(result.After), result.LoadImbalance, result.Rejected)
+		assert.Check(t, worst(result.Before) > 0.95, "seed %d, before: %s", seed, FormatShares(result.Before))
+		assert.Check(t, worst(result.After) > shareWanted, "seed %d, after: %s\n%s", seed, FormatShares(result.After), TrafficTable(result.Recovery, Grown.Gateways, result.RecoverySpan))
 		assert.Check(t, len(result.Simulation.Checker.Violations()) == 0, "seed %d: %v", seed, result.Simulation.Checker.Violations())
 	}
 }
@@ -54,8 +54,8 @@
 func TestServiceIsBackThoughLinksAreFull(t *testing.T) {
 	for _, seed := range []uint64{1, 2} {
 		result := RunGrown(seed, thin(), nil)
-		t.Logf("seed %d: before %s; after %s; fullest %.2f; rejected %d", seed, Shares(result.Before), Shares(result.After), result.Fullest, result.Refused)
-		assert.Check(t, worst(result.After[thinAfter:]) > thinShareWanted, "after: %s\n%s", Shares(result.After), TrafficTable(result.Recovery, Grown.Gateways, result.RecoverySpan))
+		t.Logf("seed %d: before %s; after %s; fullest %.2f; rejected %d", seed, FormatShares(result.Before), FormatShares(result.After), result.LoadImbalance, result.Rejected)
+		assert.Check(t, worst(result.After[thinAfter:]) > thinShareWanted, "after: %s\n%s", FormatShares(result.After), TrafficTable(result.Recovery, Grown.Gateways, result.RecoverySpan))
 		assert.Check(t, len(result.Simulation.Checker.Violations()) == 0, "%v", result.Simulation.Checker.Violations())
 	}
 }
@@ -75,9 +75,9 @@
 func TestCallersAreEvenSoonAfterTheReturn(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3, 4} {
 		result := RunGrown(seed, thin(), nil)
-		t.Logf("seed %d: after %s; fullest %.2f; rejected %d, later %d", seed, Shares(result.After), result.Fullest, result.Refused, result.RejectedLater)
-		assert.Check(t, result.Fullest[soonAfter-1] <= fullestSoon, "seed %d: %.2f", seed, result.Fullest)
-		assert.Check(t, result.Fullest[laterAfter-1] <= fullestLater, "seed %d: %.2f", seed, result.Fullest)
+		t.Logf("seed %d: after %s; fullest %.2f; rejected %d, later %d", seed, FormatShares(result.After), result.LoadImbalance, result.Rejected, result.RejectedLater)
+		assert.Check(t, result.LoadImbalance[soonAfter-1] <= fullestSoon, "seed %d: %.2f", seed, result.LoadImbalance)
+		assert.Check(t, result.LoadImbalance[laterAfter-1] <= fullestLater, "seed %d: %.2f", seed, result.LoadImbalance)
 		assert.Check(t, result.RejectedLater <= refusedMost, "seed %d: %d rejected", seed, result.RejectedLater)
 		assert.Check(t, len(result.Simulation.Checker.Violations()) == 0, "seed %d: %v", seed, result.Simulation.Checker.Violations())
 	}
--- a/internal/simulator/heldlinks.go
+++ b/internal/simulator/heldlinks.go
@@ -89,7 +89,7 @@
 	kinds := []string{membership.KindController, membership.KindStore, membership.KindStore, membership.KindGateway, membership.KindAgent}
 	simulation.every(length, 1500*time.Millisecond, 3500*time.Millisecond, func() {
 		for range 1 + simulation.Random.IntN(2) {
-			simulation.restartWithHeldLinks(simulation.pickUp(kinds[simulation.Random.IntN(len(kinds))]), 1+simulation.Random.IntN(3))
+			simulation.restartWithHeldLinks(simulation.randomRunningNode(kinds[simulation.Random.IntN(len(kinds))]), 1+simulation.Random.IntN(3))
 		}
 	})
 }
--- a/internal/simulator/injection.go
+++ b/internal/simulator/injection.go
@@ -63,7 +63,7 @@
 // RunSchedule runs a fault schedule with a seed.
 func RunSchedule(seed uint64, size Shape, schedule FaultSchedule, trace func(line string)) *Simulation {
 	simulation, operator := prepare(seed, size, schedule.ClockSkew, trace)
-	simulation.Crowd(size.Clients)
+	simulation.AddDefaultClients(size.Clients)
 	simulation.Run(3 * time.Second)
 	operator.work(simulation.Now.Add(faultPeriod + 40*time.Second))
 	simulation.lastFaultAt = simulation.Now.Add(-checker.FaultSettleTime)
@@ -72,16 +72,16 @@
 		simulation.After(fault.Start, func() { simulation.inject(fault) })
 	}
 	simulation.Run(faultPeriod)
-	if !simulation.RunUntil(120*time.Second, func() bool { return simulation.open == 0 }) {
+	if !simulation.RunUntil(120*time.Second, func() bool { return simulation.activeFaults == 0 }) {
 		simulation.Checker.Violate(checker.NotBack, "a fault has not ended after two minutes")
 	}
 	simulation.Run(checker.FaultSettleTime + 3*time.Second)
 	if schedule.Last != "" {
 		simulation.trace("last fault: %s", schedule.Last)
-		simulation.open++
+		simulation.activeFaults++
 		simulation.injectLast(schedule.Last)
-		simulation.ServiceBack(schedule.Last)
-		simulation.open--
+		simulation.MeasureRecovery(schedule.Last)
+		simulation.activeFaults--
 		simulation.lastFaultAt = simulation.Now
 		simulation.Run(checker.FaultSettleTime + 3*time.Second)
 	}
@@ -91,7 +91,7 @@
 
 // calmSince returns the time since which no fault is active.
 func (s *Simulation) calmSince() time.Time {
-	if s.open > 0 {
+	if s.activeFaults > 0 {
 		return s.Now
 	}
 	return s.lastFaultAt
@@ -99,14 +99,14 @@
 
 // faultEnds records the end of a fault.
 func (s *Simulation) faultEnds(name string) {
-	s.open--
+	s.activeFaults--
 	s.lastFaultAt = s.Now
 	s.trace("fault ends: %s", name)
 }
 
-// choose returns a daemon of a kind that is up. While all daemons are up, the same pick
+// pickRunningNode returns a daemon of a kind that is up. While all daemons are up, the same pick
 // always yields the same daemon.
-func (s *Simulation) choose(kind string, pick uint64) *Node {
+func (s *Simulation) pickRunningNode(kind string, pick uint64) *Node {
 	var up []*Node
 	for _, node := range s.Nodes(kind) {
 		if node.Up && !node.Frozen && !node.Stopping {
@@ -121,7 +121,7 @@
 
 // inject injects one fault.
 func (s *Simulation) inject(fault faults.Fault) {
-	s.open++
+	s.activeFaults++
 	s.trace("fault: %s", fault)
 	end := func() { s.faultEnds(fault.Name) }
 	inject := injectors[fault.Name]
@@ -134,16 +134,16 @@
 // injector injects a fault, and calls end when the fault has ended.
 type injector func(simulation *Simulation, fault faults.Fault, end func())
 
-// on returns an injector that applies inject to one daemon of a kind, or to the
+// onNode returns an injector that applies inject to one daemon of a kind, or to the
 // controller in the role "primary" or "backup".
-func on(kind string, inject func(simulation *Simulation, node *Node, fault faults.Fault, end func())) injector {
+func onNode(kind string, inject func(simulation *Simulation, node *Node, fault faults.Fault, end func())) injector {
 	return func(simulation *Simulation, fault faults.Fault, end func()) {
 		var node *Node
 		switch kind {
 		case "primary", "backup":
 			node = simulation.controllerIn(kind)
 		default:
-			node = simulation.choose(kind, fault.Pick)
+			node = simulation.pickRunningNode(kind, fault.Pick)
 		}
 		if node == nil || !node.Up || node.Frozen {
 			end()
@@ -260,8 +260,8 @@
 	}
 }
 
-// over calls undo and end when the length of a fault has passed.
-func over(fault faults.Fault, simulation *Simulation, end func(), undo func()) {
+// undoAfter calls undo and end when the length of a fault has passed.
+func undoAfter(fault faults.Fault, simulation *Simulation, end func(), undo func()) {
 	simulation.After(fault.Length, func() { undo(); end() })
 }
 
@@ -272,10 +272,10 @@
 			client.Reset(s.between(0, 400*time.Millisecond))
 		}
 	}
-	over(fault, s, end, func() {})
+	undoAfter(fault, s, end, func() {})
 }
 
-func (s *Simulation) someClient(pick uint64) *Client {
+func (s *Simulation) pickClient(pick uint64) *Client {
 	return s.clients[pick%uint64(len(s.clients))]
 }
 
@@ -300,30 +300,30 @@
 }
 
 var injectors = map[string]injector{
-	"kill-gateway":       on(membership.KindGateway, injectKill),
-	"kill-agent":         on(membership.KindAgent, injectKill),
-	"kill-store":         on(membership.KindStore, injectKill),
-	"kill-controller":    on(membership.KindController, injectKill),
-	"kill-primary":       on("primary", injectKill),
-	"kill-backup":        on("backup", injectKill),
-	"wipe-store":         on(membership.KindStore, injectKill),
-	"wipe-controller":    on(membership.KindController, injectKill),
-	"freeze-gateway":     on(membership.KindGateway, injectFreeze),
-	"freeze-agent":       on(membership.KindAgent, injectFreeze),
-	"freeze-store":       on(membership.KindStore, injectFreeze),
-	"freeze-controller":  on(membership.KindController, injectFreeze),
-	"freeze-primary":     on("primary", injectFreeze),
-	"restart-gateway":    on(membership.KindGateway, injectRestart),
-	"restart-store":      on(membership.KindStore, injectRestart),
-	"restart-controller": on(membership.KindController, injectRestart),
-	"slow-daemon":        on("", injectSlowProcess),
+	"kill-gateway":       onNode(membership.KindGateway, injectKill),
+	"kill-agent":         onNode(membership.KindAgent, injectKill),
+	"kill-store":         onNode(membership.KindStore, injectKill),
+	"kill-controller":    onNode(membership.KindController, injectKill),
+	"kill-primary":       onNode("primary", injectKill),
+	"kill-backup":        onNode("backup", injectKill),
+	"wipe-store":         onNode(membership.KindStore, injectKill),
+	"wipe-controller":    onNode(membership.KindController, injectKill),
+	"freeze-gateway":     onNode(membership.KindGateway, injectFreeze),
+	"freeze-agent":       onNode(membership.KindAgent, injectFreeze),
+	"freeze-store":       onNode(membership.KindStore, injectFreeze),
+	"freeze-controller":  onNode(membership.KindController, injectFreeze),
+	"freeze-primary":     onNode("primary", injectFreeze),
+	"restart-gateway":    onNode(membership.KindGateway, injectRestart),
+	"restart-store":      onNode(membership.KindStore, injectRestart),
+	"restart-controller": onNode(membership.KindController, injectRestart),
+	"slow-daemon":        onNode("", injectSlowProcess),
 	"join-gateway":       join(membership.KindGateway),
 	"join-store":         join(membership.KindStore),
 	"join-controller":    join(membership.KindController),
-	"restart-beside": on(membership.KindGateway, func(simulation *Simulation, node *Node, fault faults.Fault, end func()) {
+	"restart-beside": onNode(membership.KindGateway, func(simulation *Simulation, node *Node, fault faults.Fault, end func()) {
 		// A gateway and its agent restart at the same time. In one of three cases the
 		// agent is killed first.
-		agent := simulation.besideOf(node)
+		agent := simulation.agentOf(node)
 		if fault.Pick%3 == 0 {
 			agent.Kill()
 		}
@@ -342,13 +342,13 @@
 		if fault.Pick%3 == 0 {
 			kind = membership.KindController
 		}
-		node := simulation.choose(kind, fault.Pick)
+		node := simulation.pickRunningNode(kind, fault.Pick)
 		if node == nil {
 			end()
 			return
 		}
 		node.slowDisk = 120
-		over(fault, simulation, end, func() { node.slowDisk = 0 })
+		undoAfter(fault, simulation, end, func() { node.slowDisk = 0 })
 	},
 	"power-loss": func(simulation *Simulation, fault faults.Fault, end func()) {
 		// All stores lose power at the same time and keep their synced writes.
@@ -358,7 +358,7 @@
 				simulation.After(fault.Length/2+simulation.between(0, fault.Length/2), node.Start)
 			}
 		}
-		over(fault, simulation, end, func() {})
+		undoAfter(fault, simulation, end, func() {})
 	},
 	"lose-place": func(simulation *Simulation, fault faults.Fault, end func()) {
 		zone := int(fault.Pick) % simulation.Shape.Zones
@@ -370,38 +370,38 @@
 		}
 		simulation.After(fault.Length+time.Second, end)
 	},
-	"cut-daemon": on("", func(simulation *Simulation, node *Node, fault faults.Fault, end func()) {
-		inside := func(each *Node) bool { return each == node || beside(each, node) }
+	"cut-daemon": onNode("", func(simulation *Simulation, node *Node, fault faults.Fault, end func()) {
+		inside := func(each *Node) bool { return each == node || onSameMachine(each, node) }
 		simulation.partitionFor(fault.Length, func(from, to *Node) bool { return inside(from) != inside(to) }, end)
 	}),
-	"cut-one-way": on("", func(simulation *Simulation, node *Node, fault faults.Fault, end func()) {
+	"cut-one-way": onNode("", func(simulation *Simulation, node *Node, fault faults.Fault, end func()) {
 		simulation.partitionFor(fault.Length, func(from, to *Node) bool {
 			if fault.Pick%2 == 0 {
-				return from == node && !beside(from, to)
+				return from == node && !onSameMachine(from, to)
 			}
-			return to == node && !beside(from, to)
+			return to == node && !onSameMachine(from, to)
 		}, end)
 	}),
 	"cut-place": func(simulation *Simulation, fault faults.Fault, end func()) {
 		zone := int(fault.Pick) % simulation.Shape.Zones
 		simulation.partitionFor(fault.Length, func(from, to *Node) bool { return (from.Zone == zone) != (to.Zone == zone) }, end)
 	},
-	"cut-primary": on("primary", func(simulation *Simulation, node *Node, fault faults.Fault, end func()) {
+	"cut-primary": onNode("primary", func(simulation *Simulation, node *Node, fault faults.Fault, end func()) {
 		simulation.partitionFor(fault.Length+3*time.Second, func(from, to *Node) bool {
 			return from.Kind == membership.KindController && to.Kind == membership.KindController && (from == node || to == node)
 		}, end)
 	}),
 	"loss": func(simulation *Simulation, fault faults.Fault, end func()) {
 		simulation.loss += 0.12
-		over(fault, simulation, end, func() { simulation.loss = max(0, simulation.loss-0.12) })
+		undoAfter(fault, simulation, end, func() { simulation.loss = max(0, simulation.loss-0.12) })
 	},
 	"slow-links": func(simulation *Simulation, fault faults.Fault, end func()) {
-		simulation.lag += 80 * time.Millisecond
-		over(fault, simulation, end, func() { simulation.lag = max(0, simulation.lag-80*time.Millisecond) })
+		simulation.extraDelay += 80 * time.Millisecond
+		undoAfter(fault, simulation, end, func() { simulation.extraDelay = max(0, simulation.extraDelay-80*time.Millisecond) })
 	},
 	"relink": func(simulation *Simulation, fault faults.Fault, end func()) {
-		simulation.relinks++
-		over(fault, simulation, end, func() { simulation.relinks = max(0, simulation.relinks-1) })
+		simulation.reconnects++
+		undoAfter(fault, simulation, end, func() { simulation.reconnects = max(0, simulation.reconnects-1) })
 	},
 	"held-links": func(simulation *Simulation, fault faults.Fault, end func()) {
 		restartsWithHeldLinks(simulation, fault.Length+2*time.Second)
@@ -409,16 +409,16 @@
 	},
 	"resets": func(simulation *Simulation, fault faults.Fault, end func()) { simulation.resetNearlyAll(fault, end) },
 	"vanish": func(simulation *Simulation, fault faults.Fault, end func()) {
-		simulation.someClient(fault.Pick).Reset(fault.Length * 4)
+		simulation.pickClient(fault.Pick).Reset(fault.Length * 4)
 		simulation.After(fault.Length*4, end)
 	},
 	"wander": func(simulation *Simulation, fault faults.Fault, end func()) {
 		for turn := range 4 {
-			client := simulation.someClient(fault.Pick + uint64(turn))
+			client := simulation.pickClient(fault.Pick + uint64(turn))
 			client.Zone = simulation.Random.IntN(simulation.Shape.Zones)
 			client.Reset(simulation.between(0, 50*time.Millisecond))
 		}
-		over(fault, simulation, end, func() {})
+		undoAfter(fault, simulation, end, func() {})
 	},
 	"crowd": func(simulation *Simulation, fault faults.Fault, end func()) {
 		var crowd []*Client
@@ -430,7 +430,7 @@
 			crowd = append(crowd, simulation.AddClient(fmt.Sprintf("crowd-%d-%d", fault.Pick, len(simulation.clients)), zone%simulation.Shape.Zones,
 				gateway.Interest{Space: "boards", Path: fmt.Sprintf("p%d", number%3), Prefix: true}))
 		}
-		over(fault, simulation, end, func() {
+		undoAfter(fault, simulation, end, func() {
 			for _, client := range crowd {
 				client.leave()
 			}
@@ -443,10 +443,10 @@
 			simulation.operator.race()
 			simulation.operator.next(nil)
 		}
-		over(fault, simulation, end, func() {})
+		undoAfter(fault, simulation, end, func() {})
 	},
 	"space": func(simulation *Simulation, fault faults.Fault, end func()) { simulation.spaceFor(fault, end) },
-	"drain": on(membership.KindGateway, func(simulation *Simulation, node *Node, fault faults.Fault, end func()) {
+	"drain": onNode(membership.KindGateway, func(simulation *Simulation, node *Node, fault faults.Fault, end func()) {
 		simulation.operator.drains = []string{node.Name}
 		simulation.operator.next(nil)
 		simulation.After(fault.Length+4*time.Second, func() {
@@ -455,17 +455,17 @@
 			end()
 		})
 	}),
-	"edit-settings": on(membership.KindGateway, func(simulation *Simulation, node *Node, fault faults.Fault, end func()) {
+	"edit-settings": onNode(membership.KindGateway, func(simulation *Simulation, node *Node, fault faults.Fault, end func()) {
 		incarnation := node.incarnation
 		node.Gateway().SetMaxClients(1)
-		over(fault, simulation, end, func() {
+		undoAfter(fault, simulation, end, func() {
 			if node.Up && node.incarnation == incarnation {
 				node.Gateway().SetMaxClients(2000)
 			}
 		})
 	}),
 	"retire": func(simulation *Simulation, fault faults.Fault, end func()) {
-		node := simulation.choose(membership.KindStore, fault.Pick)
+		node := simulation.pickRunningNode(membership.KindStore, fault.Pick)
 		if node == nil {
 			end()
 			return
@@ -519,11 +519,11 @@
 	}
 	switch name {
 	case "kill-gateway":
-		kill(s.pickUp(membership.KindGateway))
+		kill(s.randomRunningNode(membership.KindGateway))
 	case "kill-store":
-		kill(s.pickUp(membership.KindStore))
+		kill(s.randomRunningNode(membership.KindStore))
 	case "kill-agent":
-		kill(s.pickUp(membership.KindAgent))
+		kill(s.randomRunningNode(membership.KindAgent))
 	case "kill-primary":
 		kill(s.controllerIn("primary"))
 	case "kill-backup":
@@ -538,8 +538,8 @@
 	case "lose-two":
 		kinds := []string{membership.KindGateway, membership.KindStore, membership.KindController, membership.KindAgent}
 		first := s.Random.IntN(len(kinds))
-		kill(s.pickUp(kinds[first]))
-		kill(s.pickUp(kinds[(first+1+s.Random.IntN(len(kinds)-1))%len(kinds)]))
+		kill(s.randomRunningNode(kinds[first]))
+		kill(s.randomRunningNode(kinds[(first+1+s.Random.IntN(len(kinds)-1))%len(kinds)]))
 	case "restart-all":
 		for _, node := range s.Nodes("") {
 			if node.Up {
@@ -552,8 +552,8 @@
 	}
 }
 
-// besideOf returns the agent on the machine of a gateway.
-func (s *Simulation) besideOf(gateway *Node) *Node {
+// agentOf returns the agent on the machine of a gateway.
+func (s *Simulation) agentOf(gateway *Node) *Node {
 	return s.nodes[membership.KindAgent+gateway.Name[len(membership.KindGateway):]]
 }
 
@@ -562,8 +562,8 @@
 // every partition had both of its replicas, and the last client was back.
 type Recovery struct {
 	// What names the failure.
-	What                                                  string
-	Noticed, Decided, TakeoverDone, Refilled, ClientsBack time.Duration
+	What                                                            string
+	Noticed, Decided, TakeoverDone, PartitionsComplete, ClientsBack time.Duration
 }
 
 // record derives the first two parts of a recovery from the events that daemons log.
@@ -583,19 +583,19 @@
 func (s *Simulation) serving() (primary, partitions, callers bool) {
 	acting := s.Primary()
 	if acting == nil {
-		return false, false, s.callersServed()
+		return false, false, s.clientsServed()
 	}
 	partitions = true
 	for _, placement := range acting.Machine.(*controller.Controller).State().Placements {
 		leader := s.nodes[placement.Leader]
 		partitions = partitions && placement.Complete && leader.Up && !leader.Frozen
 	}
-	return true, partitions, s.callersServed()
+	return true, partitions, s.clientsServed()
 }
 
-// callersServed reports whether all clients, except those that are away on purpose, are
+// clientsServed reports whether all clients, except those that are away on purpose, are
 // served.
-func (s *Simulation) callersServed() bool {
+func (s *Simulation) clientsServed() bool {
 	for _, client := range s.topicClients {
 		if !client.Closed && client.fixed == nil && !client.holds() && !s.Now.Before(client.absentUntil) {
 			return false
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -48,7 +48,7 @@
 		from, to, _ := strings.Cut(name, ">")
 		s.nodes[from].HealthySince, s.nodes[to].HealthySince = s.Now, s.Now
 	}
-	s.cuts, s.loss, s.lag, s.relinks = map[string]int{}, 0, 0, 0
+	s.cuts, s.loss, s.extraDelay, s.reconnects = map[string]int{}, 0, 0, 0
 }
 
 // delay draws the one-way delay of a message between two zones.
@@ -61,15 +61,15 @@
 		// TCP retransmits a lost packet, so the loss only delays the message.
 		length += 200 * time.Millisecond
 	}
-	if s.lag > 0 {
-		length += time.Duration(s.Random.Int64N(int64(s.lag)))
+	if s.extraDelay > 0 {
+		length += time.Duration(s.Random.Int64N(int64(s.extraDelay)))
 	}
 	return length
 }
 
 // send sends a message over the link to its receiver.
 func (s *Simulation) send(from *Node, send statemachine.Send, version uint64) {
-	to, found := s.byPort[send.To]
+	to, found := s.byAddress[send.To]
 	if !found {
 		return
 	}
@@ -97,16 +97,16 @@
 	}
 	key := link(from, to)
 	times := 1
-	if s.relinks > 0 && from != to && s.Random.IntN(20) == 0 {
+	if s.reconnects > 0 && from != to && s.Random.IntN(20) == 0 {
 		// The link has reconnected. A message that the old connection still held
 		// arrives late, twice or not at all.
 		times = s.Random.IntN(3)
 		at = at.Add(time.Duration(s.Random.IntN(30)) * time.Millisecond)
 	} else {
-		if last := s.arrival[key]; last.After(at) {
+		if last := s.lastArrival[key]; last.After(at) {
 			at = last
 		}
-		s.arrival[key] = at
+		s.lastArrival[key] = at
 	}
 	for range times {
 		s.arrive(from, to, frame, at)
--- a/internal/simulator/recorded_test.go
+++ b/internal/simulator/recorded_test.go
@@ -98,8 +98,8 @@
 	size := Small
 	size.Recorder = NewRecorder()
 	simulation, _ := Prepare(seed, size, nil)
-	simulation.OnDepart = func(_ *Node, _ string, message any) { alter(message) }
-	simulation.Crowd(size.Clients)
+	simulation.OnSend = func(_ *Node, _ string, message any) { alter(message) }
+	simulation.AddDefaultClients(size.Clients)
 	simulation.Run(3 * time.Second)
 	return size.Recorder.Digest()
 }
--- a/internal/simulator/scenario.go
+++ b/internal/simulator/scenario.go
@@ -52,7 +52,7 @@
 			continue
 		}
 		healthy := node.HealthySince
-		beside := s.besideOf(node)
+		beside := s.agentOf(node)
 		if !beside.Up || beside.Frozen {
 			continue
 		}
@@ -128,8 +128,8 @@
 	return operator
 }
 
-// Crowd adds the clients that most scenarios have.
-func (s *Simulation) Crowd(count int) {
+// AddDefaultClients adds the clients that most scenarios have.
+func (s *Simulation) AddDefaultClients(count int) {
 	topics := []string{}
 	for project := range 3 {
 		for board := range 4 {
@@ -169,25 +169,25 @@
 		return RunSchedule(seed, size, scenario.Schedule(seed), trace)
 	}
 	simulation, operator := Prepare(seed, size, trace)
-	simulation.Crowd(size.Clients)
+	simulation.AddDefaultClients(size.Clients)
 	simulation.Run(3 * time.Second)
 	operator.work(simulation.Now.Add(scenario.Length))
 	simulation.lastFaultAt = simulation.Now.Add(-checker.FaultSettleTime)
 	if scenario.Faults != nil {
-		simulation.open++
+		simulation.activeFaults++
 		scenario.Faults(simulation, scenario.Length)
 	}
 	simulation.Run(scenario.Length)
 	if scenario.Faults != nil {
 		simulation.faultEnds(scenario.Name)
 	}
-	simulation.WaitUntilStable(20 * time.Second)
+	simulation.HealAndClose(20 * time.Second)
 	return simulation
 }
 
-// WaitUntilStable heals all faults, gives clients time to reconnect and to continue, and
+// HealAndClose heals all faults, gives clients time to reconnect and to continue, and
 // ends the run with the checker's final checks.
-func (s *Simulation) WaitUntilStable(wait time.Duration) {
+func (s *Simulation) HealAndClose(wait time.Duration) {
 	s.Heal()
 	for _, node := range s.Nodes("") {
 		if node.Frozen {
@@ -244,9 +244,9 @@
 	}
 }
 
-// ServiceBack measures how long from now it takes until every client is subscribed again
+// MeasureRecovery measures how long from now it takes until every client is subscribed again
 // and can publish, and when each part of the recovery was observed.
-func (s *Simulation) ServiceBack(what string) {
+func (s *Simulation) MeasureRecovery(what string) {
 	from := s.Now
 	comeback := &Recovery{What: what}
 	s.recovery, s.recoveryStart = comeback, from
@@ -257,7 +257,7 @@
 		for _, part := range []struct {
 			there bool
 			since *time.Duration
-		}{{primary, &comeback.TakeoverDone}, {partitions, &comeback.Refilled}, {callers, &comeback.ClientsBack}} {
+		}{{primary, &comeback.TakeoverDone}, {partitions, &comeback.PartitionsComplete}, {callers, &comeback.ClientsBack}} {
 			if !part.there {
 				*part.since = 0
 			} else if *part.since == 0 {
@@ -266,7 +266,7 @@
 		}
 		// The failure may be detected only after a time in which everything still
 		// appears healthy, so service counts as back once it lasted for four seconds.
-		if back := max(comeback.TakeoverDone, comeback.Refilled, comeback.ClientsBack); primary && partitions && callers && after-back > 4*time.Second || after > 2*checker.BackWithin {
+		if back := max(comeback.TakeoverDone, comeback.PartitionsComplete, comeback.ClientsBack); primary && partitions && callers && after-back > 4*time.Second || after > 2*checker.BackWithin {
 			if !primary || !partitions || !callers {
 				back = after
 			}
@@ -283,8 +283,8 @@
 
 // Faults.
 
-// pickUp picks a random daemon of a kind that is up and not frozen, or nil.
-func (s *Simulation) pickUp(kind string) *Node {
+// randomRunningNode picks a random daemon of a kind that is up and not frozen, or nil.
+func (s *Simulation) randomRunningNode(kind string) *Node {
 	var up []*Node
 	for _, node := range s.Nodes(kind) {
 		if node.Up && !node.Frozen {
@@ -364,7 +364,7 @@
 func kill(kind string) func(simulation *Simulation, length time.Duration) {
 	return func(simulation *Simulation, length time.Duration) {
 		simulation.every(length, 6*time.Second, 10*time.Second, func() {
-			simulation.killFor(simulation.pickUp(kind), simulation.between(200*time.Millisecond, 5*time.Second), false)
+			simulation.killFor(simulation.randomRunningNode(kind), simulation.between(200*time.Millisecond, 5*time.Second), false)
 		})
 	}
 }
@@ -372,7 +372,7 @@
 func freeze(kind string) func(simulation *Simulation, length time.Duration) {
 	return func(simulation *Simulation, length time.Duration) {
 		simulation.every(length, 6*time.Second, 9*time.Second, func() {
-			simulation.freezeFor(simulation.pickUp(kind), simulation.between(300*time.Millisecond, 6*time.Second))
+			simulation.freezeFor(simulation.randomRunningNode(kind), simulation.between(300*time.Millisecond, 6*time.Second))
 		})
 	}
 }
@@ -407,22 +407,22 @@
 	},
 	"wipe-controller": func(simulation *Simulation, length time.Duration) {
 		simulation.every(length, 14*time.Second, 18*time.Second, func() {
-			simulation.killFor(simulation.pickUp(membership.KindController), simulation.between(time.Second, 5*time.Second), true)
+			simulation.killFor(simulation.randomRunningNode(membership.KindController), simulation.between(time.Second, 5*time.Second), true)
 		})
 	},
 	"wipe-store": func(simulation *Simulation, length time.Duration) {
 		simulation.every(length, 14*time.Second, 18*time.Second, func() {
-			simulation.killFor(simulation.pickUp(membership.KindStore), simulation.between(time.Second, 5*time.Second), true)
+			simulation.killFor(simulation.randomRunningNode(membership.KindStore), simulation.between(time.Second, 5*time.Second), true)
 		})
 	},
 	"restart-gateways": func(simulation *Simulation, length time.Duration) {
 		simulation.every(length, 8*time.Second, 10*time.Second, func() {
-			simulation.restartFor(simulation.pickUp(membership.KindGateway), simulation.between(0, time.Second))
+			simulation.restartFor(simulation.randomRunningNode(membership.KindGateway), simulation.between(0, time.Second))
 		})
 	},
 	"restart-stores": func(simulation *Simulation, length time.Duration) {
 		simulation.every(length, 11*time.Second, 13*time.Second, func() {
-			simulation.restartFor(simulation.pickUp(membership.KindStore), simulation.between(0, time.Second))
+			simulation.restartFor(simulation.randomRunningNode(membership.KindStore), simulation.between(0, time.Second))
 		})
 	},
 	"resets": func(simulation *Simulation, length time.Duration) {
@@ -458,7 +458,7 @@
 			nodes := simulation.Nodes("")
 			for range 8 {
 				from, to := nodes[simulation.Random.IntN(len(nodes))], nodes[simulation.Random.IntN(len(nodes))]
-				if from != to && !beside(from, to) {
+				if from != to && !onSameMachine(from, to) {
 					simulation.CutLink(from, to)
 				}
 			}
@@ -467,9 +467,9 @@
 	},
 	"cut-daemon": func(simulation *Simulation, length time.Duration) {
 		simulation.every(length, 9*time.Second, 12*time.Second, func() {
-			chosen := simulation.pickUp("")
+			chosen := simulation.randomRunningNode("")
 			simulation.trace("%s is cut off", chosen.Name)
-			simulation.Isolate(func(node *Node) bool { return node == chosen || beside(node, chosen) })
+			simulation.Isolate(func(node *Node) bool { return node == chosen || onSameMachine(node, chosen) })
 			simulation.After(simulation.between(500*time.Millisecond, 7*time.Second), simulation.Heal)
 		})
 	},
@@ -490,14 +490,14 @@
 					simulation.After(simulation.between(14*time.Second, 16*time.Second), node.Start)
 				}
 			}
-			simulation.ServiceBack("a zone lost")
+			simulation.MeasureRecovery("a zone lost")
 		})
 	},
 	"lose-primary": func(simulation *Simulation, _ time.Duration) {
 		simulation.After(3*time.Second, func() {
 			if node := simulation.controllerIn("primary"); node != nil {
 				simulation.killFor(node, 20*time.Second, false)
-				simulation.ServiceBack("the primary lost")
+				simulation.MeasureRecovery("the primary lost")
 			}
 		})
 	},
@@ -506,9 +506,9 @@
 			kinds := [][2]string{{membership.KindGateway, membership.KindStore}, {membership.KindController, membership.KindStore}, {membership.KindGateway, membership.KindController}}
 			pair := kinds[simulation.Random.IntN(len(kinds))]
 			for _, kind := range pair {
-				simulation.killFor(simulation.pickUp(kind), 20*time.Second, false)
+				simulation.killFor(simulation.randomRunningNode(kind), 20*time.Second, false)
 			}
-			simulation.ServiceBack("two daemons of different kinds lost")
+			simulation.MeasureRecovery("two daemons of different kinds lost")
 		})
 	},
 	"cut-primary": func(simulation *Simulation, length time.Duration) {
@@ -553,7 +553,7 @@
 				}
 				simulation.AddClient(fmt.Sprintf("crowd-%d", number), zone, gateway.Interest{Space: "boards", Path: "p1", Prefix: true})
 			}
-			simulation.ServiceBack("a crowd on a rested fleet")
+			simulation.MeasureRecovery("a crowd on a rested fleet")
 		})
 	},
 	"rest-and-fail": func(simulation *Simulation, length time.Duration) {
@@ -566,7 +566,7 @@
 				simulation.killFor(simulation.controllerIn("primary"), simulation.between(time.Second, 6*time.Second), false)
 				return
 			}
-			simulation.killFor(simulation.pickUp(kinds[simulation.Random.IntN(len(kinds))]), simulation.between(200*time.Millisecond, 5*time.Second), false)
+			simulation.killFor(simulation.randomRunningNode(kinds[simulation.Random.IntN(len(kinds))]), simulation.between(200*time.Millisecond, 5*time.Second), false)
 		})
 	},
 	"busy-operators": func(simulation *Simulation, length time.Duration) {
@@ -578,7 +578,7 @@
 	"drain": func(simulation *Simulation, _ time.Duration) {
 		// An operator drains a gateway; ten seconds later it must have no clients.
 		simulation.After(2*time.Second, func() {
-			node := simulation.pickUp(membership.KindGateway)
+			node := simulation.randomRunningNode(membership.KindGateway)
 			simulation.operator.drains = []string{node.Name}
 			simulation.operator.next(func() {
 				simulation.After(10*time.Second, func() {
@@ -608,7 +608,7 @@
 	},
 	"retire": func(simulation *Simulation, _ time.Duration) {
 		simulation.After(2*time.Second, func() {
-			node := simulation.pickUp(membership.KindStore)
+			node := simulation.randomRunningNode(membership.KindStore)
 			simulation.retire(node, func() {
 				simulation.trace("%s was retired and is wiped", node.Name)
 				simulation.killFor(node, 5*time.Second, true)
@@ -641,8 +641,8 @@
 	return count
 }
 
-// beside reports whether two daemons are a gateway and the agent of the same machine.
-func beside(left, right *Node) bool {
+// onSameMachine reports whether two daemons are a gateway and the agent of the same machine.
+func onSameMachine(left, right *Node) bool {
 	pair := []string{left.Kind, right.Kind}
 	slices.Sort(pair)
 	return pair[0] == membership.KindGateway && pair[1] == membership.KindAgent && left.Name[len(left.Kind):] == right.Name[len(right.Kind):]
@@ -653,7 +653,7 @@
 func (s *Simulation) retire(node *Node, done, never func()) {
 	var poll func()
 	ask := func(method, path string) {
-		at := s.pickUp("")
+		at := s.randomRunningNode("")
 		if at == nil {
 			s.After(500*time.Millisecond, func() { s.retire(node, done, never) })
 			return
@@ -695,15 +695,15 @@
 			users = append(users, client)
 		}
 		s.After(4*time.Second, func() {
-			chosen := s.pickUp(membership.KindGateway)
+			chosen := s.randomRunningNode(membership.KindGateway)
 			switch s.Random.IntN(4) {
 			case 0:
 				s.trace("%s is cut off", chosen.Name)
-				s.Isolate(func(node *Node) bool { return node == chosen || beside(node, chosen) })
+				s.Isolate(func(node *Node) bool { return node == chosen || onSameMachine(node, chosen) })
 			case 1:
 				for _, controller := range s.Nodes(membership.KindController) {
 					for _, node := range s.Nodes("") {
-						if node == chosen || beside(node, chosen) {
+						if node == chosen || onSameMachine(node, chosen) {
 							s.CutLink(node, controller)
 							s.CutLink(controller, node)
 						}
--- a/internal/simulator/secondloss_test.go
+++ b/internal/simulator/secondloss_test.go
@@ -190,14 +190,14 @@
 	size := seeded(2*tolerance+1, tolerance)
 	size.Stores, size.Clients, size.Gateways = tolerance+2, 4, 3
 	run, operator := Prepare(seed, size, nil)
-	run.Crowd(size.Clients)
+	run.AddDefaultClients(size.Clients)
 	run.Run(time.Second)
 	operator.work(run.Now.Add(16 * time.Second))
 	run.lastFaultAt = run.Now.Add(16 * time.Second)
 	inject(t, run)
 	assert.Check(t, run.RunUntil(12*time.Second, func() bool { return run.Primary() != nil }), "seed %d: no primary: %s", seed, records(run))
 	assert.Check(t, run.RunUntil(15*time.Second, func() bool { return len(run.voters()) == 2*tolerance+1 }), "%v", run.voters())
-	run.WaitUntilStable(10 * time.Second)
+	run.HealAndClose(10 * time.Second)
 	for _, line := range run.Checker.Violations() {
 		t.Errorf("seed %d: %s", seed, line)
 	}
--- a/internal/simulator/simulator.go
+++ b/internal/simulator/simulator.go
@@ -96,20 +96,20 @@
 	Checker *checker.Checker
 	Shape   Shape
 	Trace   func(line string)
-	// OnDepart, if not nil, is called for each message or response as it leaves a daemon.
+	// OnSend, if not nil, is called for each message or response as it leaves a daemon.
 	// to is the address of the receiver; it is empty for a response to a request that
 	// was made from outside the fleet.
-	OnDepart       func(from *Node, to string, message any)
+	OnSend         func(from *Node, to string, message any)
 	started        time.Time
 	queue          events
 	order          uint64
 	nodes          map[string]*Node
-	byPort         map[string]*Node
-	arrival        map[string]time.Time
+	byAddress      map[string]*Node
+	lastArrival    map[string]time.Time
 	cuts           map[string]int
 	loss           float64
-	lag            time.Duration
-	relinks        int
+	extraDelay     time.Duration
+	reconnects     int
 	heldLinks      heldLinks
 	nics           map[string]*nic
 	connections    map[string]*connection
@@ -117,7 +117,7 @@
 	seeds          []string
 	lastFaultAt    time.Time
 	unready        map[string]time.Duration
-	open           int
+	activeFaults   int
 	recovery       *Recovery
 	recoveryStart  time.Time
 	primarySince   time.Time
@@ -198,7 +198,7 @@
 func New(seed uint64, size Shape) *Simulation {
 	simulation := &Simulation{
 		Seed: seed, Random: rand.New(rand.NewPCG(seed, 0x5eed)), Now: time.Unix(1_700_000_000, 0), Checker: checker.New(), Shape: size,
-		nodes: map[string]*Node{}, byPort: map[string]*Node{}, arrival: map[string]time.Time{}, cuts: map[string]int{}, Sent: map[string]int{}, unready: map[string]time.Duration{}, probed: map[string]*platform{},
+		nodes: map[string]*Node{}, byAddress: map[string]*Node{}, lastArrival: map[string]time.Time{}, cuts: map[string]int{}, Sent: map[string]int{}, unready: map[string]time.Duration{}, probed: map[string]*platform{},
 		nics: map[string]*nic{}, connections: map[string]*connection{},
 	}
 	simulation.started = simulation.Now
@@ -271,7 +271,7 @@
 		node.disk = wal.NewMemoryFolder()
 	}
 	s.nodes[node.Name] = node
-	s.byPort[node.Address] = node
+	s.byAddress[node.Address] = node
 	return node
 }
 
@@ -432,7 +432,7 @@
 	n.end()
 	n.refuses = true
 	for _, other := range n.simulation.Nodes("") {
-		if _, linked := n.simulation.arrival[link(other, n)]; linked {
+		if _, linked := n.simulation.lastArrival[link(other, n)]; linked {
 			n.simulation.refuse(other, n)
 		}
 	}
@@ -515,13 +515,13 @@
 	}
 }
 
-// FreezeMidway pauses the process for length after the next step whose effects match,
+// FreezeAfterStep pauses the process for length after the next step whose effects match,
 // before any of these effects is applied.
-func (n *Node) FreezeMidway(length time.Duration, matches func(effects *statemachine.Effects) bool) {
+func (n *Node) FreezeAfterStep(length time.Duration, matches func(effects *statemachine.Effects) bool) {
 	n.suspendAfter, n.suspendFor = matches, length
 }
 
-// suspends reports whether FreezeMidway pauses the process before it applies these
+// suspends reports whether FreezeAfterStep pauses the process before it applies these
 // effects; if so, it freezes the process.
 func (n *Node) suspends(effects *statemachine.Effects) bool {
 	if n.suspendAfter == nil || !n.suspendAfter(effects) {
@@ -680,8 +680,8 @@
 }
 
 func (n *Node) depart(to string, message any) {
-	if n.simulation.OnDepart != nil {
-		n.simulation.OnDepart(n, to, message)
+	if n.simulation.OnSend != nil {
+		n.simulation.OnSend(n, to, message)
 	}
 }
 
--- a/internal/simulator/simulator_test.go
+++ b/internal/simulator/simulator_test.go
@@ -129,14 +129,14 @@
 		lost bool
 	}{{34 * time.Second, false}, {100 * time.Second, true}} {
 		run, _ := Prepare(7, Small, nil)
-		run.Crowd(6)
+		run.AddDefaultClients(6)
 		run.Run(6 * time.Second)
 		client := run.clients[1]
 		assert.Assert(t, client.subscribed)
 		client.Reset(each.away)
 		run.Run(each.away + 3*time.Second)
 		assert.Equal(t, client.Closed, each.lost, "after %s", each.away)
-		run.WaitUntilStable(10 * time.Second)
+		run.HealAndClose(10 * time.Second)
 		assert.Equal(t, len(run.Checker.Violations()), 0, "%v", run.Checker.Violations())
 	}
 }
--- a/internal/simulator/topic_client.go
+++ b/internal/simulator/topic_client.go
@@ -43,7 +43,7 @@
 	node        *Node
 	incarnation uint64
 	channel     uint64
-	line        *line
+	line        *clientConnection
 	turn        int
 	connected   bool
 	heardAt     time.Time
@@ -141,7 +141,7 @@
 	if tc.fixed != nil {
 		return tc.fixed
 	}
-	if target := simulation.byPort[tc.moveTo]; target != nil {
+	if target := simulation.byAddress[tc.moveTo]; target != nil {
 		tc.moveTo = ""
 		return target
 	}
@@ -178,7 +178,7 @@
 	lost := func() {
 		simulation.After(lineDelay, func() { tc.cut(turn, true, simulation.between(0, 50*time.Millisecond)) })
 	}
-	tc.toNode(size, func() {
+	tc.toGateway(size, func() {
 		if !node.Up || node.incarnation != incarnation {
 			lost()
 			return
@@ -195,7 +195,7 @@
 					return
 				}
 				answer := value.(gateway.Reply)
-				line.toCaller(simulation, node, lineAnswer, len(answer.Cursor), func() {
+				line.toClient(simulation, node, lineAnswer, len(answer.Cursor), func() {
 					if tc.turn == turn {
 						tc.heardAt = simulation.Now
 						done(answer)
@@ -233,13 +233,13 @@
 	channel := simulation.number
 	tc.channel = channel
 	if simulation.limited() {
-		tc.line = simulation.openLine(node)
+		tc.line = simulation.openClientConnection(node)
 	}
 	line := tc.line
 	tc.say(len(tc.Name), func(request uint64) any {
 		// The connection's writer is registered before the session opens.
 		node.sinks[channel] = func(deliver statemachine.Delivery) {
-			line.toCaller(simulation, node, lineEvent, deliveredSize(deliver), func() { tc.event(turn, deliver) })
+			line.toClient(simulation, node, lineEvent, deliveredSize(deliver), func() { tc.event(turn, deliver) })
 		}
 		return gateway.OpenSession{Request: request, Session: channel, Name: fmt.Sprint(channel), Client: tc.Name, AdapterPings: true}
 	}, func(answer gateway.Reply) {
@@ -365,7 +365,7 @@
 	tc.saidAt = simulation.Now
 	node, incarnation, turn, channel := tc.node, tc.incarnation, tc.turn, tc.channel
 	line := tc.line
-	tc.toNode(0, func() {
+	tc.toGateway(0, func() {
 		if !node.Up || node.incarnation != incarnation {
 			return
 		}
@@ -376,7 +376,7 @@
 			node.step(func(now time.Time, effects *statemachine.Effects) {
 				node.Machine.HandleCommand(now, gateway.ClientActive{Session: channel}, effects)
 			})
-			line.toCaller(simulation, node, lineAnswer, 0, func() {
+			line.toClient(simulation, node, lineAnswer, 0, func() {
 				if tc.turn == turn {
 					tc.heardAt = simulation.Now
 				}
--- a/internal/simulator/topics.go
+++ b/internal/simulator/topics.go
@@ -306,7 +306,7 @@
 		simulation.After(fault.Start, func() { simulation.inject(fault) })
 	}
 	simulation.Run(topicScenario)
-	if !simulation.RunUntil(60*time.Second, func() bool { return simulation.open == 0 }) {
+	if !simulation.RunUntil(60*time.Second, func() bool { return simulation.activeFaults == 0 }) {
 		simulation.Checker.Violate(checker.NotBack, "a fault has not ended after a minute")
 	}
 	if len(schedule.Faults) > 0 {
@@ -344,7 +344,7 @@
 // it were acknowledged.
 func (s *Simulation) closing(name string) {
 	s.trace("closing fault: %s", name)
-	s.open++
+	s.activeFaults++
 	taken := false
 	s.operator.next(func() { taken = true })
 	if !s.RunUntil(10*time.Second, func() bool { return taken }) {
@@ -357,7 +357,7 @@
 	case "power-off", "kill-all":
 	case "power-off-and-wipe":
 		kinds := []string{membership.KindStore, membership.KindController}
-		lost = s.pickUp(kinds[s.Random.IntN(len(kinds))])
+		lost = s.randomRunningNode(kinds[s.Random.IntN(len(kinds))])
 	default:
 		s.injectLast(name)
 	}
@@ -377,8 +377,8 @@
 			s.After(s.between(300*time.Millisecond, 1500*time.Millisecond), node.Start)
 		}
 	}
-	s.ServiceBack(name)
-	s.open--
+	s.MeasureRecovery(name)
+	s.activeFaults--
 	s.lastFaultAt = s.Now
 }
 
@@ -471,7 +471,7 @@
 				client.Leave(true, simulation.between(0, 400*time.Millisecond))
 			}
 		}
-		over(fault, simulation, end, func() {})
+		undoAfter(fault, simulation, end, func() {})
 	},
 	"vanish": func(simulation *Simulation, fault faults.Fault, end func()) {
 		client := simulation.topicClients[fault.Pick%uint64(len(simulation.topicClients))]
@@ -485,7 +485,7 @@
 				client.Leave(true, simulation.between(0, 50*time.Millisecond))
 			}
 		}
-		over(fault, simulation, end, func() {})
+		undoAfter(fault, simulation, end, func() {})
 	},
 	"crowd": func(simulation *Simulation, fault faults.Fault, end func()) {
 		var crowd []*TopicClient
@@ -494,7 +494,7 @@
 			client.publishes(time.Second)
 			crowd = append(crowd, client)
 		}
-		over(fault, simulation, end, func() {
+		undoAfter(fault, simulation, end, func() {
 			for _, client := range crowd {
 				client.leave()
 			}
