--- a/internal/daemon/control_test.go
+++ b/internal/daemon/control_test.go
@@ -73,8 +73,8 @@
 	return server, loop, machine
 }
 
-func get(requestContext context.Context, server *httptest.Server, path string) (string, error) {
-	request, err := http.NewRequestWithContext(requestContext, http.MethodGet, server.URL+path, nil)
+func get(ctx context.Context, server *httptest.Server, path string) (string, error) {
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, server.URL+path, nil)
 	if err != nil {
 		return "", err
 	}
--- a/internal/transport/dialer.go
+++ b/internal/transport/dialer.go
@@ -55,7 +55,7 @@
 	// acceptor before that.
 	running atomic.Bool
 	// dial connects to an address. Tests replace it and firstDialTimeout.
-	dial             func(limit context.Context, address string) (net.Conn, error)
+	dial             func(ctx context.Context, address string) (net.Conn, error)
 	firstDialTimeout time.Duration
 
 	// The remaining fields are only accessed on the loop (see run). links has links
@@ -94,13 +94,13 @@
 		return err
 	}
 	d.client = client
-	limit, cancel := context.WithTimeout(context.Background(), maxDialTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), maxDialTimeout)
 	defer cancel()
-	plain, err := d.dial(limit, d.transport.address)
+	rawConnection, err := d.dial(ctx, d.transport.address)
 	if err != nil {
 		return err
 	}
-	first, err := client.Enroll(plain)
+	first, err := client.Enroll(rawConnection)
 	if err != nil {
 		return err
 	}
@@ -177,14 +177,14 @@
 		return
 	}
 	to.dialing = true
-	limit, cancel := context.WithTimeout(context.Background(), d.dialTimeout(to.attempts))
+	ctx, cancel := context.WithTimeout(context.Background(), d.dialTimeout(to.attempts))
 	to.attempts++
 	to.cancelDial = cancel
 	go func() {
 		defer cancel()
-		plain, err := d.dial(limit, to.address)
+		rawConnection, err := d.dial(ctx, to.address)
 		if err == nil {
-			_, err = d.client.EnrollContext(plain, to)
+			_, err = d.client.EnrollContext(rawConnection, to)
 		}
 		if err != nil {
 			d.run(func() { d.dialFailed(to, err) })
@@ -198,7 +198,7 @@
 	return max(d.firstDialTimeout, min(d.firstDialTimeout<<doublings, maxDialTimeout))
 }
 
-func (d *dialer) dialTCP(limit context.Context, address string) (net.Conn, error) {
+func (d *dialer) dialTCP(ctx context.Context, address string) (net.Conn, error) {
 	dialer := net.Dialer{
 		KeepAlive: -1,
 		LocalAddr: &net.TCPAddr{IP: net.ParseIP(hostOf(d.transport.address))},
@@ -210,7 +210,7 @@
 				int(unacknowledgedTimeout.Milliseconds()))
 		})
 	}
-	return dialer.DialContext(limit, "tcp", address)
+	return dialer.DialContext(ctx, "tcp", address)
 }
 
 // compresses reports whether batches to a peer are compressed. If compression is
--- a/internal/transport/dialer_test.go
+++ b/internal/transport/dialer_test.go
@@ -46,11 +46,11 @@
 // kernel retransmits a SYN only after a second.
 func TestDialerTimesOutUnansweredDialsEarly(t *testing.T) {
 	links, _, _ := openTransport(t)
-	limits := make(chan time.Duration, 16)
-	links.dialer.dial = func(limit context.Context, _ string) (net.Conn, error) {
-		end, bounded := limit.Deadline()
+	timeouts := make(chan time.Duration, 16)
+	links.dialer.dial = func(ctx context.Context, _ string) (net.Conn, error) {
+		end, bounded := ctx.Deadline()
 		assert.Check(t, bounded)
-		limits <- time.Until(end).Round(100 * time.Millisecond)
+		timeouts <- time.Until(end).Round(100 * time.Millisecond)
 		return nil, context.DeadlineExceeded
 	}
 	for number := range eagerDials + 4 {
@@ -62,9 +62,9 @@
 		// dropped, and there is no dial without a queued message.
 		assert.NilError(t, links.Send("127.0.0.1:9", 0, testMessage{}))
 		links.Flush()
-		limit := receiveOrFail(t, limits, "the peer was not dialed again")
-		assert.Assert(t, limit <= maximum, "the dial timeout is %s, want at most %s", limit, maximum)
-		assert.Assert(t, limit > maximum/4, "the dial timeout is %s, want more than a quarter of %s", limit, maximum)
+		timeout := receiveOrFail(t, timeouts, "the peer was not dialed again")
+		assert.Assert(t, timeout <= maximum, "the dial timeout is %s, want at most %s", timeout, maximum)
+		assert.Assert(t, timeout > maximum/4, "the dial timeout is %s, want more than a quarter of %s", timeout, maximum)
 	}
 }
 
@@ -76,14 +76,14 @@
 	cancelled := make(chan error, 1)
 	started := make(chan struct{}, 1)
 	dials := 0
-	links.dialer.dial = func(limit context.Context, to string) (net.Conn, error) {
+	links.dialer.dial = func(ctx context.Context, to string) (net.Conn, error) {
 		if dials++; dials > 1 {
-			return dialTCP(limit, to)
+			return dialTCP(ctx, to)
 		}
 		started <- struct{}{}
-		<-limit.Done()
-		cancelled <- limit.Err()
-		return nil, limit.Err()
+		<-ctx.Done()
+		cancelled <- ctx.Err()
+		return nil, ctx.Err()
 	}
 	assert.NilError(t, links.Send(peerAddress, 0, testMessage{Number: 7}))
 	links.Flush()
