--- a/internal/overlay/cell.go
+++ b/internal/overlay/cell.go
@@ -13,7 +13,7 @@
 // cellArea returns the area of a cell's peers: a square in the middle of the cell, half
 // as wide as the cell. The reference points of the peers lie even closer to the middle
 // (see cellPeer), so that the regions of the cell's peers cover the area completely and
-// the regions of other cells' peers never meet it.
+// the regions of other cells' peers never intersect it.
 func cellArea(cell uint8) Area {
 	const side = 1.0 / cellSide
 	return Area{X: (float64(cell%cellSide) + 0.25) * side, Y: (float64(cell/cellSide) + 0.25) * side, Size: side / 2}
--- a/internal/overlay/churn_test.go
+++ b/internal/overlay/churn_test.go
@@ -55,6 +55,7 @@
 	return fleet
 }
 
+// after schedules an event.
 func (f *churnFleet) after(length time.Duration, run func()) {
 	f.events = append(f.events, event{f.now.Add(length), run})
 }
@@ -90,6 +91,7 @@
 	}
 }
 
+// setView sets the current view on a daemon.
 func (f *churnFleet) setView(name string) {
 	overlay, alive := f.overlays[name]
 	if !alive || f.frozen[name] {
@@ -109,11 +111,13 @@
 	f.send(name, &effects)
 }
 
+// leave removes a daemon from the membership.
 func (f *churnFleet) leave(name string) {
 	delete(f.members, name)
 	f.scheduleViews()
 }
 
+// join adds a daemon to the membership with a new incarnation.
 func (f *churnFleet) join(name string) {
 	f.lastIncarnation++
 	f.members[name] = f.lastIncarnation
@@ -185,8 +189,8 @@
 	f.setSubscribers(f.expected, name, f.topics[f.random.IntN(len(f.topics))], f.random.IntN(4))
 }
 
-// runChurn runs the churn of a seed. It returns the wrong counts recoveryTime the last
-// fault, and the faults injected.
+// runChurn injects the faults of a seed. It returns the counts that are wrong
+// recoveryTime after the last fault, and the faults.
 func runChurn(t *testing.T, seed uint64, count int) (wrong []string, faults []string) {
 	fleet := newChurnFleet(t, seed, count, 60)
 	fleet.advance(time.Second)
--- a/internal/overlay/geometry.go
+++ b/internal/overlay/geometry.go
@@ -229,13 +229,13 @@
 	return found
 }
 
-// meets reports whether an area and the region have a point in common.
-func (r *Region) meets(area Area) bool { return polygonMeets(r.middle, r.corners, area) }
+// intersects reports whether an area and the region have a point in common.
+func (r *Region) intersects(area Area) bool { return polygonIntersects(r.middle, r.corners, area) }
 
-// polygonMeets reports whether a convex polygon, relative to middle, meets an area.
-// Most areas are far away or contain a corner of the polygon. Comparing the corners and
-// the bounding box decides these cases without clipping.
-func polygonMeets(middle Point, polygon []corner, area Area) bool {
+// polygonIntersects reports whether a convex polygon, relative to middle, intersects an
+// area. Most areas are far away or contain a corner of the polygon. Comparing the
+// corners and the bounding box decides these cases without clipping.
+func polygonIntersects(middle Point, polygon []corner, area Area) bool {
 	if len(polygon) == 0 {
 		return false
 	}
@@ -281,8 +281,8 @@
 // vertex is a corner without its owner.
 type vertex struct{ x, y float64 }
 
-// boundary returns the neighbours beyond the edges that meet an area; their regions
-// meet it too. A neighbour with several such edges is returned once for each edge.
+// boundary returns the neighbours beyond the edges that intersect an area; their regions
+// intersect it too. A neighbour with several such edges is returned once for each edge.
 func (r *Region) boundary(area Area) []PeerKey {
 	var found []PeerKey
 	for position, current := range r.corners {
@@ -290,16 +290,16 @@
 			continue
 		}
 		next := r.corners[(position+1)%len(r.corners)]
-		if segmentMeets(r.middle, current, next, area) {
+		if segmentIntersects(r.middle, current, next, area) {
 			found = append(found, current.owner)
 		}
 	}
 	return found
 }
 
-// segmentMeets reports whether an edge, relative to middle, meets an area. The area is
-// widened slightly, so that an edge along its border meets it.
-func segmentMeets(middle Point, from, to corner, area Area) bool {
+// segmentIntersects reports whether an edge, relative to middle, intersects an area.
+// The area is widened slightly, so that an edge along its border intersects it.
+func segmentIntersects(middle Point, from, to corner, area Area) bool {
 	margin := area.Size * 1e-9
 	low, high := 0.0, 1.0
 	for _, axis := range []struct{ start, step, low, high float64 }{
--- a/internal/overlay/greet.go
+++ b/internal/overlay/greet.go
@@ -39,7 +39,7 @@
 		if key == newcomer.Key {
 			continue
 		}
-		relevant := known.Area.Contains(newcomer.At) || wasKnown && peer.region.meets(known.Area)
+		relevant := known.Area.Contains(newcomer.At) || wasKnown && peer.region.intersects(known.Area)
 		if relevant {
 			include[key] = known
 		}
@@ -66,7 +66,7 @@
 }
 
 // recordPeer records another peer as known, unless a newer version of it is known, and
-// clips the region. The subscribers whose areas meet the part of the region that the
+// clips the region. The subscribers whose areas intersect the part of the region that the
 // other peer takes over are added to unannounced, to be named in the next signal to it.
 func (o *Overlay) recordPeer(now time.Time, peer *hostedPeer, other Peer) {
 	earlier, found := peer.known[other.Key]
@@ -106,11 +106,11 @@
 	}
 	unannounced := map[PeerKey]bool{}
 	for key, known := range peer.subscribers {
-		if key != other.Key && polygonMeets(peer.self.At, taken, known.Area) {
+		if key != other.Key && polygonIntersects(peer.self.At, taken, known.Area) {
 			unannounced[key] = true
 		}
 	}
-	if peer.self.Subscribes && polygonMeets(peer.self.At, taken, peer.self.Area) {
+	if peer.self.Subscribes && polygonIntersects(peer.self.At, taken, peer.self.Area) {
 		unannounced[peer.self.Key] = true
 	}
 	if len(unannounced) > 0 {
@@ -144,7 +144,7 @@
 
 // announceSubscriber names a newly known subscriber to the neighbours that took over
 // part of this peer's region within rejoinWindow. The subscriber may have greeted this
-// peer because its area meets a part of the region that now belongs to such a
+// peer because its area intersects a part of the region that now belongs to such a
 // neighbour.
 func (o *Overlay) announceSubscriber(now time.Time, peer *hostedPeer, subscriber Peer) {
 	for _, key := range peer.region.owners() {
@@ -245,7 +245,7 @@
 }
 
 // isRelevant reports whether a peer of this daemon must know another peer: a neighbour, a
-// peer inside its area if it subscribes, or a subscriber whose area meets its region.
+// peer inside its area if it subscribes, or a subscriber whose area intersects its region.
 func (o *Overlay) isRelevant(peer *hostedPeer, other Peer) bool {
 	if peer.region.owns(other.Key) || peer.region.cuts(other.At) {
 		return true
@@ -253,7 +253,7 @@
 	if peer.self.Subscribes && peer.self.Area.Contains(other.At) {
 		return true
 	}
-	return other.Subscribes && (other.Area.Contains(peer.self.At) || peer.region.meets(other.Area))
+	return other.Subscribes && (other.Area.Contains(peer.self.At) || peer.region.intersects(other.Area))
 }
 
 // greet sends a greeting from a peer of this daemon to another peer, which must respond.
--- a/internal/overlay/join.go
+++ b/internal/overlay/join.go
@@ -118,11 +118,11 @@
 // forward forwards a join request from a peer of this daemon to the known peer that is
 // nearest to the joining peer's point. It repeats this until a peer of this daemon is
 // itself the nearest and accepts the request, or the next peer is on another daemon.
-func (o *Overlay) forward(now time.Time, at *hostedPeer, request Signal) {
+func (o *Overlay) forward(now time.Time, current *hostedPeer, request Signal) {
 	target := request.From.At
 	for {
-		best, bestDistance := at.self, distance(at.self.At, target)
-		for key, known := range at.known {
+		best, bestDistance := current.self, distance(current.self.At, target)
+		for key, known := range current.known {
 			if key == request.From.Key {
 				continue
 			}
@@ -131,24 +131,24 @@
 				best, bestDistance = known, candidateDistance
 			}
 		}
-		if best.Key == at.self.Key {
-			o.accept(now, at, request)
+		if best.Key == current.self.Key {
+			o.accept(now, current, request)
 			return
 		}
-		if next, local := at.space.byKey[best.Key]; local {
+		if next, local := current.space.byKey[best.Key]; local {
 			if next.defersJoin(request) {
 				next.requests = append(next.requests, request)
 				return
 			}
-			at = next
+			current = next
 			continue
 		}
 		if o.ended(best.Key) {
-			o.drop(now, at, best.Key)
+			o.drop(now, current, best.Key)
 			continue
 		}
 		if request.Hops >= maxHops {
-			o.accept(now, at, request)
+			o.accept(now, current, request)
 			return
 		}
 		request.Hops++
--- a/internal/overlay/leave.go
+++ b/internal/overlay/leave.go
@@ -41,7 +41,7 @@
 		remaining = append(remaining, peer.known[key])
 	}
 	for _, known := range sortedPeers(peer.known) {
-		if peer.cell == nil && known.Subscribes && !peer.region.owns(known.Key) && peer.region.meets(known.Area) {
+		if peer.cell == nil && known.Subscribes && !peer.region.owns(known.Key) && peer.region.intersects(known.Area) {
 			remaining = append(remaining, known)
 		}
 	}
--- a/internal/overlay/messages.go
+++ b/internal/overlay/messages.go
@@ -78,7 +78,7 @@
 	To   PeerKey
 	From Peer
 	// Peers are peers that may be relevant to the receiver. Boundary are the peers
-	// beyond the edges that the receiver's area meets; the receiver greets them
+	// beyond the edges that the receiver's area intersects; the receiver greets them
 	// unconditionally.
 	Peers    []Peer
 	Boundary []Peer
--- a/internal/overlay/overlay.go
+++ b/internal/overlay/overlay.go
@@ -1,31 +1,31 @@
 // Package overlay finds the gateways that have subscribers of a topic. It implements
-// VAST, spatial publish/subscribe over a Voronoi-based overlay network. Gateways use
-// it to determine the destinations of a publication.
+// VAST, spatial publish/subscribe over a Voronoi-based overlay network. Gateways use it
+// to determine the destinations of a publication.
 //
 // Each space has a unit square, and each topic is a smaller square in it (AreaOf). A
 // daemon has one peer for each area that its sessions subscribe to or publish to. A
 // peer owns the Voronoi region around its reference point. It knows the enclosing
 // neighbours (the peers beyond the edges of its region), the peers inside its area if
-// it subscribes, and every subscriber whose area meets its region.
+// it subscribes, and every subscriber whose area intersects its region.
 //
 // The request of a joining peer is forwarded greedily to the acceptor, the peer whose
 // region covers the reference point of the joining peer. The joining peer then greets
 // the peers that the acceptor names. Each of them responds with further peers: the
-// neighbours that the two have in common, the subscribers whose area meets the part of
-// the region that the joining peer took over, and, if the joining peer subscribes, the
-// neighbours beyond the edges that its area meets. Both sides of a greeting record
-// each other, so the peer of a publisher knows the subscribers of its area, and
-// Destinations returns their daemons.
+// neighbours that the two have in common, the subscribers whose area intersects the
+// part of the region that the joining peer took over, and, if the joining peer
+// subscribes, the neighbours beyond the edges that its area intersects. Both sides of a
+// greeting record each other, so the peer of a publisher knows the subscribers of its
+// area, and Destinations returns their daemons.
 //
-// The topics of all routed spaces share one plane of 16 cells. A daemon has at most
-// one peer in each cell. The peers of a cell announce to each other how many
-// subscribers each topic has on their daemons; see presence.go, SetSubscribers and
+// The topics of all routed spaces share one plane of 16 cells. A daemon has at most one
+// peer in each cell. The peers of a cell announce to each other how many subscribers
+// each topic has on their daemons; see presence.go, SetSubscribers and
 // SubscribedDaemons.
 //
-// An Overlay is a state machine without clock or I/O; the gateway's state machine
-// calls it. It isn't safe for concurrent use. Messages to send are added to the
-// effects of a call. Timers are run by Tick, which is due at NextTick. SetIncarnation
-// and SetView must be called before the first peer is created.
+// An Overlay is a state machine without clock or I/O; the gateway's state machine calls
+// it. It isn't safe for concurrent use. Messages to send are added to the effects of a
+// call. Timers are run by Tick, which is due at NextTick. SetIncarnation and SetView
+// must be called before the first peer is created.
 package overlay
 
 import (
@@ -56,7 +56,7 @@
 	// sent.
 	firstJoinTargets = 3
 	// healing is the value of Hops in a greeting from a peer whose region has grown
-	// because a neighbour was lost. Its greetings are marked so for healingPeriod.
+	// because a neighbour was lost. The peer marks its greetings so for healingPeriod.
 	healing       = 1
 	healingPeriod = 2 * time.Second
 	// rejoinWindow is the time after a neighbour took over part of a region during
@@ -107,7 +107,7 @@
 	// introducedAt is when each peer first introduced itself.
 	introducedAt map[PeerKey]time.Time
 	// unannounced are, for each peer, the subscribers to be named in the next signal to
-	// it: those whose area meets the part of the region that it took over.
+	// it: those whose area intersects the part of the region that it took over.
 	unannounced map[PeerKey]map[PeerKey]bool
 	// pending are the greetings without a response.
 	pending map[PeerKey]*pendingRequest
@@ -177,7 +177,7 @@
 	incarnation uint64
 	number      uint64
 	change      uint64
-	// gateways are the other living daemons, by name.
+	// gateways are the other daemons in the view, by name.
 	gateways map[string]Gateway
 	spaces   map[string]*space
 	planes   map[string]*plane
--- a/internal/overlay/overlay_test.go
+++ b/internal/overlay/overlay_test.go
@@ -39,6 +39,7 @@
 	bytes  int
 }
 
+// delivery is a frame in flight.
 type delivery struct {
 	at      time.Time
 	from    string
@@ -53,6 +54,7 @@
 	}
 }
 
+// send puts the messages of a step in flight, unless they are lost.
 func (n *network) send(from string, effects *statemachine.Effects) {
 	for _, send := range effects.Sends {
 		n.signals += len(send.Message.(Signals).Signals)
@@ -160,11 +162,13 @@
 	}
 }
 
+// start starts or restarts a daemon.
 func (n *network) start(name string, incarnation uint64) {
 	n.overlays[name] = New(name)
 	n.incarnations[name] = incarnation
 }
 
+// checker has the expected subscriptions and the publishing areas, by daemon.
 type checker struct {
 	subscribed map[string]map[Area]int
 	published  map[string]map[Area]bool
@@ -196,6 +200,7 @@
 	return fmt.Sprintf("p%d/b%d", random.IntN(4), random.IntN(6))
 }
 
+// randomAction has a daemon subscribe, unsubscribe or publish at a random area.
 func randomAction(network *network, expected *checker, name string) {
 	overlay := network.overlays[name]
 	random := network.random
--- a/internal/overlay/regions_test.go
+++ b/internal/overlay/regions_test.go
@@ -1,6 +1,6 @@
 // Checks regions by brute force: the enclosing neighbours of each peer must be those of
 // the Voronoi diagram of all peers, and each peer must know every subscriber whose area
-// meets its region.
+// intersects its region.
 package overlay
 
 import (
@@ -40,7 +40,7 @@
 				if other.Key == peer.self.Key || !other.Subscribes {
 					continue
 				}
-				if _, known := peer.known[other.Key]; !known && region.meets(other.Area) {
+				if _, known := peer.known[other.Key]; !known && region.intersects(other.Area) {
 					wrong = append(wrong, fmt.Sprintf("%s %d (area %v) does not know subscriber %v (area %v)", name, peer.self.Key.Number, peer.self.Area, other.Key, other.Area))
 				}
 			}
--- a/internal/overlay/repair.go
+++ b/internal/overlay/repair.go
@@ -105,8 +105,8 @@
 	}
 }
 
-// sweep ends publishing at peers without a Publish call for publisherIdleTimeout, has
-// those of them leave that don't subscribe, and removes expired tombstones.
+// sweep ends publishing at peers that had no Publish call for publisherIdleTimeout; of
+// these, the peers that don't subscribe leave. It also removes expired tombstones.
 func (o *Overlay) sweep(now time.Time) {
 	any := false
 	for _, space := range statemachine.Sorted(o.spaces) {
