--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -25,10 +25,10 @@
 	Seeds []string
 	// Gateway is the address of the gateway that the agent serves.
 	Gateway string
-	// Acknowledge is the time within which operators expect the response to a valid
+	// AcknowledgeTimeout is the time within which operators expect the response to a valid
 	// request; 0 stands for controlclient.DefaultAcknowledgeTimeout.
-	Acknowledge time.Duration
-	Incarnation statemachine.Incarnation
+	AcknowledgeTimeout time.Duration
+	Incarnation        statemachine.Incarnation
 }
 
 // Request is the command for an operator's request received at this daemon's own ctl. The
@@ -86,7 +86,7 @@
 		detector:   membership.NewFailureDetector(settings.Self),
 		controlClient: controlclient.New(controlclient.Settings{
 			Incarnation:        settings.Incarnation,
-			AcknowledgeTimeout: settings.Acknowledge,
+			AcknowledgeTimeout: settings.AcknowledgeTimeout,
 			Upstream:           viewClient.Upstream,
 			NextController:     viewClient.NextController,
 			Relays:             viewClient.Relays,
--- a/internal/consolidation/planner.go
+++ b/internal/consolidation/planner.go
@@ -29,11 +29,11 @@
 // Observation is the state of the fleet on which a plan is based.
 type Observation struct {
 	Configuration config.Configuration
-	// Members, Loads and LastHeard are keyed by the member's name. LastHeard is when the
+	// Members, Loads and LastReported are keyed by the member's name. LastReported is when the
 	// member last reported its load.
-	Members   map[string]membership.Member
-	Loads     map[string]membership.Load
-	LastHeard map[string]time.Time
+	Members      map[string]membership.Member
+	Loads        map[string]membership.Load
+	LastReported map[string]time.Time
 }
 
 // Planner decides which gateways rest. It is not safe for concurrent use.
@@ -91,12 +91,12 @@
 			timeout += membership.LowPriorityLongPollTimeout
 			p.resting[name] = true
 		}
-		lastHeard := observation.LastHeard[name]
-		if now.Sub(lastHeard) > timeout {
+		lastReported := observation.LastReported[name]
+		if now.Sub(lastReported) > timeout {
 			current = false
 		}
 		load := observation.Loads[name]
-		observed.add(gatewayState{member: member, load: load, rate: p.observeRate(name, lastHeard, load)})
+		observed.add(gatewayState{member: member, load: load, rate: p.observeRate(name, lastReported, load)})
 	}
 	return observed, current
 }
--- a/internal/consolidation/planner_test.go
+++ b/internal/consolidation/planner_test.go
@@ -52,7 +52,7 @@
 			Configuration: config.Configuration{Consolidation: settings},
 			Members:       map[string]membership.Member{},
 			Loads:         map[string]membership.Load{},
-			LastHeard:     map[string]time.Time{},
+			LastReported:  map[string]time.Time{},
 		},
 	}
 	for number := range gateways {
@@ -99,7 +99,7 @@
 	load.ForwardedMessages += uint64(float64(load.Sessions) * factor)
 	load.ProcessorTime += time.Duration(float64(load.Sessions)*factor*0.5) * time.Millisecond
 	m.observation.Loads[name] = load
-	m.observation.LastHeard[name] = m.now
+	m.observation.LastReported[name] = m.now
 }
 
 // move moves the sessions that a gateway moves in one second to its targets.
--- a/internal/consolidation/rate.go
+++ b/internal/consolidation/rate.go
@@ -18,8 +18,8 @@
 	// at and load are the time and the counters of the last update.
 	at   time.Time
 	load membership.Load
-	// known is set once a rate has been computed.
-	known bool
+	// initialized is set once a rate has been computed.
+	initialized bool
 	// delivered and copies are deliveries and received record copies per second.
 	delivered float64
 	copies    float64
@@ -40,14 +40,14 @@
 	}
 	seconds := elapsed.Seconds()
 	updated := loadRate{
-		at:        reportedAt,
-		load:      load,
-		known:     true,
-		delivered: float64(load.Delivered-r.load.Delivered) / seconds,
-		copies:    float64(load.ForwardedMessages-r.load.ForwardedMessages) / seconds,
-		processor: (load.ProcessorTime - r.load.ProcessorTime).Seconds() / seconds,
+		at:          reportedAt,
+		load:        load,
+		initialized: true,
+		delivered:   float64(load.Delivered-r.load.Delivered) / seconds,
+		copies:      float64(load.ForwardedMessages-r.load.ForwardedMessages) / seconds,
+		processor:   (load.ProcessorTime - r.load.ProcessorTime).Seconds() / seconds,
 	}
-	if r.known {
+	if r.initialized {
 		updated.delivered = smoothed(r.delivered, updated.delivered)
 		updated.copies = smoothed(r.copies, updated.copies)
 		updated.processor = smoothed(r.processor, updated.processor)
--- a/internal/controller/economy.go
+++ b/internal/controller/economy.go
@@ -30,7 +30,7 @@
 		Configuration: configuration,
 		Members:       c.state.Members,
 		Loads:         c.loads,
-		LastHeard:     c.lastPolled,
+		LastReported:  c.lastPolled,
 	})
 	c.addBalancing(now, configuration, directives)
 	c.issueDirectives(now, directives, effects)
--- a/internal/storedforms/words_test.go
+++ b/internal/storedforms/protocol_strings_test.go
@@ -36,19 +36,20 @@
 	}
 }
 
-// word matches the syntax of codes, decision steps, reasons and keys.
-var word = regexp.MustCompile(`^[A-Za-z][A-Za-z0-9]*([-_][a-z0-9]+)*$`)
+// protocolString matches the syntax of codes, decision steps, reasons and keys.
+var protocolString = regexp.MustCompile(`^[A-Za-z][A-Za-z0-9]*([-_][a-z0-9]+)*$`)
 
 // tagKey matches the JSON key in a struct tag.
 var tagKey = regexp.MustCompile(`json:"([^",]+)`)
 
-// addWords adds a string literal if it is a word, or its JSON key if it is a struct tag.
-func addWords(found map[string]bool, literal string) {
+// addProtocolStrings adds a string literal if it has the syntax of a
+// protocol string, or its JSON key if it is a struct tag.
+func addProtocolStrings(found map[string]bool, literal string) {
 	text, err := strconv.Unquote(literal)
 	if err != nil {
 		return
 	}
-	if word.MatchString(text) {
+	if protocolString.MatchString(text) {
 		found[text] = true
 	}
 	if key := tagKey.FindStringSubmatch(text); key != nil {
@@ -56,9 +57,9 @@
 	}
 }
 
-// words returns all words among the string literals and struct tags of the programs,
-// without those in tests.
-func words(t *testing.T) map[string]bool {
+// protocolStrings returns all protocol strings among the string literals and struct tags
+// of the programs, without those in tests.
+func protocolStrings(t *testing.T) map[string]bool {
 	t.Helper()
 	found := map[string]bool{}
 	for _, root := range []string{"../../internal", "../../cmd", "../../platform"} {
@@ -72,7 +73,7 @@
 			}
 			ast.Inspect(tree, func(node ast.Node) bool {
 				if literal, matches := node.(*ast.BasicLit); matches && literal.Kind == token.STRING {
-					addWords(found, literal.Value)
+					addProtocolStrings(found, literal.Value)
 				}
 				return true
 			})
@@ -85,10 +86,10 @@
 	return found
 }
 
-// TestWordsOfOperatorsAndClientsStay checks the words that other programs compare with and
-// that no other test in this package produces: each must still occur in the code.
-func TestWordsOfOperatorsAndClientsStay(t *testing.T) {
-	found := words(t)
+// TestProtocolStringsStay checks the strings that other programs compare with and that no
+// other test in this package produces: each must still occur in the code.
+func TestProtocolStringsStay(t *testing.T) {
+	found := protocolStrings(t)
 	recorded, _ := storedforms.Recorded(t, "words.txt", nil)
 	for _, text := range recorded {
 		for _, each := range strings.Fields(text)[1:] {
