--- a/internal/controller/configuration_requests.go
+++ b/internal/controller/configuration_requests.go
@@ -81,11 +81,11 @@
 	done := func(now time.Time, effects *statemachine.Effects, outcome consensus.Outcome) {
 		switch outcome {
 		case consensus.Rejected:
-			rejected := unavailableResponse(codeRefused, "the configuration was not accepted")
+			rejected := unavailableResponse(codeRefused, "the configuration was not taken")
 			responder.respond(rejected, effects)
 		case consensus.Indeterminate:
 			indeterminate := unavailableResponse(
-				codeIndeterminate, "the configuration may have been accepted; send the same configuration again")
+				codeIndeterminate, "the configuration may have been taken; send the same again")
 			responder.respond(indeterminate, effects)
 		case consensus.Committed:
 			result := c.state.result
@@ -119,9 +119,9 @@
 				string(codeInvalidConfiguration), "the configuration is faulty", result.faults),
 		}
 	case result.outcome == ContentConflict:
-		return c.conflictResponse(codeSameVersion, "this version was accepted with other content")
+		return c.conflictResponse(codeSameVersion, "this version was taken with other content")
 	case result.outcome == Superseded && !c.settings.HighestWins:
-		return c.conflictResponse(codeOlderVersion, "a newer version was accepted")
+		return c.conflictResponse(codeOlderVersion, "a newer version was taken")
 	}
 	// With HighestWins, a version below the one in force is acknowledged without effect.
 	return okResponse(configurationAccepted{Accepted: true, Version: c.state.Version})
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -107,7 +107,7 @@
 	done := func(_ time.Time, effects *statemachine.Effects, outcome consensus.Outcome) {
 		if outcome != consensus.Committed {
 			responder.respond(unavailableResponse(
-				codeUnconfirmed, "no majority confirmed that this controller is still the primary"), effects)
+				codeUnconfirmed, "no majority confirmed this answer"), effects)
 			return
 		}
 		responder.respond(read(), effects)
