--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -1,7 +1,7 @@
-// Package client is a client of a gateway, as a client program would be: it
-// opens a channel, sends requests, answers pings, follows moves within a
-// twentieth of a second, and resumes with its newest cursor after a cut. The
-// command line and the stand-in callers of trials use it.
+// Package client is a client of a gateway's HTTP API: it opens channels (streams of
+// events), sends requests and answers pings. The command line and the simulated
+// clients of trials use it; they follow move events within 50 ms
+// and resume with their newest cursor after a lost connection.
 package client
 
 import (
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// Answer is a request's answer.
+// Answer is the response to a request.
 type Answer struct {
 	Status       int    `json:"-"`
 	Outcome      string `json:"outcome,omitempty"`
@@ -29,7 +29,7 @@
 	Missed       int    `json:"missed,omitempty"`
 }
 
-// Event is one line of a channel.
+// Event is one event of a channel; each is one line of JSON.
 type Event struct {
 	Event   string          `json:"event,omitempty"`
 	Channel string          `json:"channel,omitempty"`
@@ -54,14 +54,14 @@
 	Prefix *string `json:"prefix,omitempty"`
 }
 
-// Caller is one origin's client.
+// Caller sends the requests of one client, which its token identifies.
 type Caller struct {
 	Token string
 	HTTP  *http.Client
 }
 
-// NewClient makes an HTTP client that keeps its connections; source may bind
-// them to a local address.
+// NewClient returns an HTTP client that pools its connections. If source is not
+// empty, they are bound to that local IP address.
 func NewClient(source string) *http.Client {
 	dialer := &net.Dialer{Timeout: time.Second}
 	if source != "" {
@@ -72,7 +72,7 @@
 	}}
 }
 
-// Request posts one request.
+// Request sends one POST request with a JSON body to a gateway.
 func (c *Caller) Request(within context.Context, address, path string, body any) (Answer, error) {
 	packed, err := json.Marshal(body)
 	if err != nil {
@@ -100,7 +100,7 @@
 	return answer, nil
 }
 
-// Channel is an open channel.
+// Channel is an open stream of events. Events is closed when the connection ends.
 type Channel struct {
 	Address string
 	Name    string
@@ -109,14 +109,14 @@
 	cancel  context.CancelFunc
 }
 
-// Refusal says why a channel was not opened.
+// Refusal is the error of Open if the gateway rejected the channel.
 type Refusal struct{ Answer Answer }
 
 func (r Refusal) Error() string {
 	return fmt.Sprintf("status %d %s: %s", r.Answer.Status, r.Answer.Code, r.Answer.Text)
 }
 
-// Open opens a channel and waits for its hello.
+// Open opens a channel and waits for its first event, the hello.
 func (c *Caller) Open(within context.Context, address string) (*Channel, error) {
 	living, cancel := context.WithCancel(within)
 	request, err := http.NewRequestWithContext(living, http.MethodGet, "http://"+address+"/v1/channel", nil)
@@ -125,7 +125,7 @@
 		return nil, err
 	}
 	request.Header.Set("Authorization", "Bearer "+c.Token)
-	// Opening must not hang on a daemon that is frozen.
+	// A frozen daemon accepts connections but never responds, so the opening has a timeout.
 	opened := make(chan struct{})
 	stopOpening := time.AfterFunc(3*time.Second, func() {
 		select {
@@ -184,10 +184,10 @@
 	return channel, nil
 }
 
-// Close ends a channel.
+// Close closes a channel.
 func (c *Channel) Close() { c.cancel() }
 
-// Subscribe adds subscriptions to a channel, or resumes a place.
+// Subscribe adds subscriptions to a channel, or resumes them from a cursor.
 func (c *Caller) Subscribe(within context.Context, channel *Channel, subscriptions []Subscription, cursor string) (Answer, error) {
 	body := map[string]any{"channel": channel.Name}
 	if subscriptions != nil {
@@ -199,7 +199,7 @@
 	return c.Request(within, channel.Address, "/v1/subscribe", body)
 }
 
-// Publish sends a message.
+// Publish publishes a message.
 func (c *Caller) Publish(within context.Context, address, space, topic string, seq uint64, data any) (Answer, error) {
 	return c.Request(within, address, "/v1/publish", map[string]any{"space": space, "topic": topic, "seq": seq, "data": data})
 }
--- a/internal/client/client_test.go
+++ b/internal/client/client_test.go
@@ -1,5 +1,6 @@
-// A request that the server may have taken is not sent again, whatever becomes of
-// the connection, and an answer belongs to the request that asked on it.
+// Tests that the client does not retry a request that the server may already have
+// processed when the connection breaks, and that each response is matched to its own
+// request.
 package client_test
 
 import (
@@ -16,8 +17,8 @@
 	"dahlialock/internal/client"
 )
 
-// server answers requests on real connections as a script says: the first request of
-// each connection is answered, and the next one is what becomes of it.
+// server accepts TCP connections, responds to the first request of each connection
+// and handles the second one with a given function.
 type server struct {
 	listener net.Listener
 	taken    atomic.Int64
@@ -81,10 +82,10 @@
 			address := at.listener.Addr().String()
 			_, err := caller.Publish(context.Background(), address, "boards", "t", 1, "first")
 			assert.NilError(t, err)
-			// The connection is pooled, and goes while the second one is under way.
+			// The second publication reuses the pooled connection, which breaks while it is in flight.
 			_, err = caller.Publish(context.Background(), address, "boards", "t", 2, "second")
-			assert.Assert(t, err != nil, "an answer that never came was told")
-			assert.Equal(t, at.taken.Load(), int64(2), "the second publication was sent again")
+			assert.Assert(t, err != nil, "a publication without a response was reported as answered")
+			assert.Equal(t, at.taken.Load(), int64(2), "the second publication was retried")
 		})
 	}
 }
--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -1,7 +1,8 @@
-// Package httpapi is the callers' side of a gateway: HTTP/1.1 with JSON through
-// the standard library. A client opens a channel, which is a long streamed
-// response with an event a line, and sends requests to the same daemon. Bodies
-// are read strictly, and every fault is told with its path.
+// Package httpapi serves the HTTP API of a gateway for clients: HTTP/1.1 with JSON
+// through the standard library. A client opens a channel (a long streamed response
+// with one event on each line, which delivers the events of one session) and sends
+// requests to the same daemon. Request bodies are validated strictly, and each fault
+// is reported with its JSON path.
 package httpapi
 
 import (
@@ -36,15 +37,15 @@
 	writeLimit   = 10 * time.Second
 )
 
-// Token is the pass of an origin: its name, and a keyed sum of it.
+// Token returns the bearer token of a client: its name and an HMAC of it.
 func Token(key []byte, client string) string {
 	sum := hmac.New(sha256.New, key)
 	_, _ = sum.Write([]byte("origin:" + client))
 	return client + "." + hex.EncodeToString(sum.Sum(nil))
 }
 
-// ClientOf reads a pass; it is empty if the pass is not a right one. Where there
-// is no key anyone is admitted, and the pass is the name alone.
+// ClientOf returns the client's name from a token, or an empty string if the token is
+// invalid. Without a key each client is admitted, and the token is the name alone.
 func ClientOf(key []byte, token string) string {
 	if len(key) == 0 {
 		if !config.ValidName(token) {
@@ -59,7 +60,7 @@
 	return token[:last]
 }
 
-// Server serves callers.
+// Server serves the clients of a gateway.
 type Server struct {
 	host     *daemon.EventLoop
 	name     string
@@ -68,7 +69,7 @@
 	started  string
 }
 
-// New makes the callers' handler of a gateway.
+// New returns the HTTP handler of a gateway's client API.
 func New(name string, key []byte, at *daemon.EventLoop) http.Handler {
 	server := &Server{host: at, name: name, key: key, started: strconv.FormatInt(time.Now().UnixNano(), 36)}
 	routes := http.NewServeMux()
@@ -116,7 +117,7 @@
 	return gateway.Reply{Status: status, Outcome: gateway.OutcomeRejected, Code: code, Text: text}
 }
 
-// admit reads the caller's pass.
+// admit authenticates the client; it responds with an error if the token is missing or invalid.
 func (s *Server) admit(writer http.ResponseWriter, request *http.Request, name string) (string, bool) {
 	token, found := strings.CutPrefix(request.Header.Get("Authorization"), "Bearer ")
 	client := ""
@@ -130,7 +131,7 @@
 	return client, true
 }
 
-// read reads a body strictly, with the keys that may stand in it.
+// read parses a request body as an object with no other keys than the given ones.
 func (s *Server) read(writer http.ResponseWriter, request *http.Request, name string, walk *config.Reader, keys ...string) (map[string]*fastjson.Value, bool) {
 	body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, maxBodyBytes))
 	if err != nil {
@@ -150,7 +151,7 @@
 	return walk.Object("$", value, keys...), true
 }
 
-// enter admits a request and reads its body.
+// enter authenticates the client of a request and reads the body.
 func (s *Server) enter(writer http.ResponseWriter, request *http.Request, walk *config.Reader, keys ...string) (name, client string, members map[string]*fastjson.Value, valid bool) {
 	name = s.requestName()
 	if client, valid = s.admit(writer, request, name); !valid {
@@ -167,12 +168,14 @@
 	s.give(writer, name, answer)
 }
 
+// need reports a fault if a required key is missing.
 func need(walk *config.Reader, members map[string]*fastjson.Value, key string) {
 	if members[key] == nil {
 		walk.Report("$."+key, "missing", "%s is wanted", key)
 	}
 }
 
+// do submits a command to the gateway and writes its reply as the response.
 func (s *Server) do(writer http.ResponseWriter, name string, command func(request uint64) any) {
 	value, alive := s.host.Call(command)
 	answer, matches := value.(gateway.Reply)
@@ -188,6 +191,7 @@
 	return number, err == nil && number != 0
 }
 
+// mustNumber returns a random session number other than 0.
 func mustNumber() uint64 {
 	var body [8]byte
 	for {
@@ -237,6 +241,8 @@
 	s.host.Post(gateway.CloseSession{Session: number, Reason: why})
 }
 
+// stream writes the events of sink and flushes when no more are queued. It returns
+// the reason why the channel ended.
 func (s *Server) stream(writer http.ResponseWriter, request *http.Request, sink chan statemachine.Delivery) string {
 	controller := http.NewResponseController(writer)
 	encoder := json.NewEncoder(writer)
@@ -285,8 +291,9 @@
 	}
 }
 
-// written is an event as JSON: a message of a routed topic has bytes of any kind,
-// which stand there as a string, or in base64 if they are no text.
+// written returns an event in the form in which it is encoded as JSON. The body of a
+// message of a routed topic is arbitrary bytes: it is written as a string if it is
+// valid UTF-8, and in base64 otherwise.
 func written(event any) any {
 	message, matches := event.(gateway.Event)
 	if !matches || message.Body == nil {
@@ -306,7 +313,7 @@
 	return message
 }
 
-// routedData reads the bytes of a message for a routed topic.
+// routedData reads the body of a publication to a routed topic, from data or data_base64.
 func routedData(walk *config.Reader, members map[string]*fastjson.Value) []byte {
 	switch text, plain := members["data"], members["data_base64"]; {
 	case text != nil && plain != nil, text == nil && plain == nil:
@@ -328,7 +335,7 @@
 	for position, item := range walk.List("$.subscriptions", value, 256) {
 		path := fmt.Sprintf("$.subscriptions[%d]", position)
 		members := walk.Object(path, item, "space", "topic", "prefix")
-		// Without a space the routes decide, which lead topics only.
+		// Without a space the routes determine it; they apply to topics but not to prefixes.
 		interest := gateway.Interest{Space: walk.Text(path+".space", members["space"], "")}
 		if members["space"] == nil && members["topic"] == nil {
 			walk.Report(path+".space", "missing", "space is wanted")
@@ -444,7 +451,7 @@
 	s.do(writer, name, func(local uint64) any { return gateway.Pong{Request: local, Session: channel, Client: client} })
 }
 
-// count tells how many origins subscribe to a routed topic.
+// count responds with the number of clients that subscribe to a routed topic.
 func (s *Server) count(writer http.ResponseWriter, request *http.Request) {
 	var walk config.Reader
 	name, client, members, valid := s.enter(writer, request, &walk, "channel", "topic")
--- a/internal/httpapi/httpapi_test.go
+++ b/internal/httpapi/httpapi_test.go
@@ -20,7 +20,7 @@
 	"dahlialock/internal/statemachine"
 )
 
-// stub hands each publication to every open channel, as routed topics do.
+// stub is a gateway that delivers each publication to all open sessions.
 type stub struct {
 	channels  map[uint64]bool
 	published []gateway.Publish
--- a/internal/lineserver/command.go
+++ b/internal/lineserver/command.go
@@ -1,19 +1,21 @@
-// Package lineserver serves callers on plain connections: each keeps one open, asks
-// on it and is told on it. What the bytes mean is a Protocol's matter; the server
-// reads commands through it, brings them to the gateway in the order in which
-// each connection sent them, and writes answers and events back.
+// The commands of clients and the Protocol that decodes and encodes them. Clients
+// keep one TCP connection open, send commands on it and receive responses and
+// events on it. A Protocol defines the wire format; the server decodes commands
+// with it, submits them to the gateway in the order in which each connection sent
+// them, and writes responses and events back.
+
 package lineserver
 
 import (
 	"dahlialock/internal/gateway"
 )
 
-// Kind is what a caller's command asks for.
+// Kind is the type of a client's command.
 type Kind uint8
 
 // Kinds of commands.
 const (
-	// Unreadable asks for nothing that could be done: Fault tells why.
+	// Unreadable is a command that could not be decoded; Fault holds the error code.
 	Unreadable Kind = iota
 	Open
 	Subscribe
@@ -23,12 +25,12 @@
 	Ping
 )
 
-// kindNames are the kinds' names where they are counted.
+// kindNames holds the names under which responses are counted.
 var kindNames = [...]string{
 	Unreadable: "unreadable", Open: "open", Subscribe: "subscribe", Unsubscribe: "unsubscribe", Publish: "publish", Count: "count", Ping: "ping",
 }
 
-// Codes of what the server itself refuses.
+// Error codes of commands that the server rejects itself, without the gateway.
 const (
 	CodeMalformed = "malformed"
 	CodeTooLarge  = "too-large"
@@ -38,24 +40,24 @@
 	CodeStopping  = "stopping"
 )
 
-// Command is one thing a caller asks. What its slices show is only valid until
-// the next bytes are read.
+// Command is one command of a client. Its slices refer to the read buffer and are
+// only valid until the next read.
 type Command struct {
 	Kind   Kind
-	Word   []byte // as the caller wrote it
+	Word   []byte // the command word as the client sent it
 	Origin []byte
 	Token  []byte
 	Topic  []byte
 	Cursor []byte
 	Seq    uint64
 	Body   []byte
-	// Fault is the code of why nothing can be done with it.
+	// Fault is the error code of a command that can't be executed; empty otherwise.
 	Fault string
-	// Lost is set if what follows can't be read any more.
+	// Lost is set if the position in the stream is lost, so that no later bytes can be decoded.
 	Lost bool
 }
 
-// About is what an answer has to repeat of its command.
+// About holds the fields of a command that its response repeats.
 type About struct {
 	Kind  Kind
 	Word  string
@@ -63,12 +65,13 @@
 	Seq   uint64
 }
 
-// Protocol reads commands from bytes and writes what goes back. The appending
-// methods append to a buffer and give it back, as append does.
+// Protocol decodes commands and encodes responses and events. The Append methods
+// append to a buffer and return it, as the built-in append does.
 type Protocol interface {
-	// Read reads the first command. It gives how many bytes that takes: none if
-	// more must come first, and more than there are if bytes yet to come belong to
-	// a command that is not wanted whole.
+	// Read decodes the first command and returns the number of bytes that it takes:
+	// 0 if the command is still incomplete, and more than len(bytes) if the server has
+	// to skip bytes that have not arrived yet (the rest of a command that is rejected
+	// before its end).
 	Read(bytes []byte) (Command, int)
 	AppendAnswer(buffer []byte, about About, answer gateway.Reply) []byte
 	AppendEvent(buffer []byte, event gateway.Event) []byte
--- a/internal/lineserver/connection.go
+++ b/internal/lineserver/connection.go
@@ -1,4 +1,4 @@
-// One connection: what its reading task does, and how bytes get onto it.
+// One connection: its reading goroutine and its writes.
 
 package lineserver
 
@@ -13,7 +13,7 @@
 	"dahlialock/internal/daemon"
 )
 
-// state is where a connection stands with the gateway.
+// state is the state of a connection's session at the gateway.
 type state uint8
 
 const (
@@ -23,26 +23,29 @@
 	ended
 )
 
-// connection is one caller's connection.
+// connection is one client's connection.
 type connection struct {
 	socket  *net.TCPConn
 	raw     syscall.RawConn
 	channel uint64
-	// waiting counts commands that are on their way, heard is the tick at which
-	// something came, greeted tells that signs of life may be answered, stuck that
-	// a task is writing what the socket did not take at once, over that it was cut.
+	// waiting counts the commands in flight. heard is the tick of the last read.
+	// greeted is set once the session is open, so that the reading goroutine may
+	// answer pings. stuck is set while a goroutine writes bytes that the socket did
+	// not accept at once. over is set when the server closes the connection.
 	waiting atomic.Int32
 	heard   atomic.Int64
 	greeted atomic.Bool
 	stuck   atomic.Bool
 	over    atomic.Bool
 
-	// What the reading task owns.
+	// Owned by the reading goroutine. rest is an incomplete command, skip the number
+	// of bytes still to discard, lost that the stream can't be decoded any more.
 	rest []byte
 	skip int
 	lost bool
 
-	// What the owner owns.
+	// Owned by the event loop. why is the reason of the close, output the unsent
+	// bytes of this turn, owed the number of bytes that sendRest still has to write.
 	state  state
 	client string
 	why    string
@@ -50,7 +53,7 @@
 	owed   int
 	dirty  bool
 	ending bool
-	// put is handed to the socket for each write, and these are its results.
+	// put is the callback that writes output to the socket; sent and fault are its results.
 	put   func(descriptor uintptr) bool
 	sent  int
 	fault error
@@ -61,7 +64,7 @@
 	made.put = func(descriptor uintptr) bool {
 		made.sent, made.fault = write(descriptor, made.output)
 		if made.fault == nil && made.sent < len(made.output) {
-			// Nothing else may come between the two parts of what is written.
+			// No other write may come between the two parts of this output.
 			made.stuck.Store(true)
 		}
 		return true
@@ -69,7 +72,7 @@
 	return made
 }
 
-// write tries once, without waiting.
+// write makes one write without blocking; it returns 0 if the socket buffer is full.
 func write(descriptor uintptr, bytes []byte) (int, error) {
 	for {
 		sent, err := unix.Write(int(descriptor), bytes)
@@ -83,8 +86,9 @@
 	}
 }
 
-// closeWith ends a connection at once. The reading task closes it: closing waits for
-// that task, which may wait for the owner.
+// closeWith ends a connection at once. It only sets the deadline, and the reading
+// goroutine closes the socket: Close waits for that goroutine, which may itself wait
+// for the event loop.
 func (c *connection) closeWith(why string) {
 	if c.why == "" {
 		c.why = why
@@ -93,7 +97,7 @@
 	_ = c.socket.SetDeadline(time.Unix(1, 0))
 }
 
-// pendingRequest is a command that is on its way to the owner.
+// pendingRequest is a command that is queued for the event loop.
 type pendingRequest struct {
 	about  About
 	client string
@@ -103,10 +107,11 @@
 	lost   bool
 }
 
-// read reads a connection until either side ends it.
+// read reads from a connection until either side ends it.
 func (s *Server) read(from *connection) {
 	if s.settings.Silent > 0 {
-		// Until something came the owner does not know of it.
+		// The event loop learns of a connection with its first command, so tick can't
+		// detect the silence of a new one.
 		_ = from.socket.SetReadDeadline(time.Now().Add(s.settings.Silent))
 	}
 	first, alive := true, true
@@ -152,7 +157,7 @@
 	}
 }
 
-// arrived takes what came; false if the connection is of no more use.
+// arrived processes the bytes of one read. It returns false if the connection has to be closed.
 func (s *Server) arrived(from *connection, bytes []byte) bool {
 	s.Counters.Reads.Add(1)
 	s.Counters.BytesIn.Add(int64(len(bytes)))
@@ -187,7 +192,8 @@
 			continue
 		}
 		batch = append(batch, s.ask(command))
-		// If nothing more can be read, the refusal goes out, then the end.
+		// After a command with Lost no more are read: the error response is sent and the
+		// connection closed.
 		from.lost = command.Lost
 	}
 	switch {
@@ -216,8 +222,9 @@
 	return s.settings.Host.Execute(func(owner daemon.LoopContext) { s.take(owner, from, batch) })
 }
 
-// pong answers signs of life at once. Where the socket takes nothing now the
-// owner has to; where it takes a part the connection can't be read any more.
+// pong answers pings at once. If the socket accepts no bytes (sent is false), the
+// event loop has to answer; if it accepts only a part (whole is false), the stream is
+// corrupt for the client and the connection has to be closed.
 func (s *Server) pong(to *connection, count int) (sent, whole bool) {
 	var text []byte
 	for range count {
@@ -234,7 +241,8 @@
 	return taken > 0, taken == 0 || taken == len(text)
 }
 
-// ask makes a command last beyond the bytes that it was read from.
+// ask copies a command out of the read buffer, so that it stays valid after the next
+// read, and checks the token of an Open.
 func (s *Server) ask(command Command) pendingRequest {
 	made := pendingRequest{
 		fault: command.Fault, lost: command.Lost,
--- a/internal/lineserver/lineserver.go
+++ b/internal/lineserver/lineserver.go
@@ -1,13 +1,13 @@
-// Package lineserver serves clients that speak lines over TCP.
+// Package lineserver serves clients of a line protocol over TCP.
 //
-// The server proper. Each connection has a task that reads: it sleeps in the
-// runtime's own poller, and hands all that one arrival brought to the owner as
-// one piece of work, so that commands stay in order and cost one wake-up. Answers
-// and events gather on the owner's turn in a buffer for each connection, and the
-// owner itself writes each once at the end of the turn, without waiting. Only
-// where a caller does not read fast enough does a task wait to write the rest.
-// Signs of life are answered by the reading task. A connection that does not read
-// what it is sent, or says nothing for too long, is cut.
+// Each connection has a goroutine that reads. It waits in the runtime's network
+// poller and submits all commands of one read to the gateway's event loop as one
+// task, so that commands stay in order and cost one wake-up. Responses and events
+// are collected in a buffer for each connection, and at the end of each turn the
+// event loop writes each buffer once, without blocking. If a client does not read
+// fast enough, a goroutine of its own waits to write the rest. Pings are answered by
+// the reading goroutine. The server closes a connection whose client does not read
+// its output, or sends nothing for too long.
 package lineserver
 
 import (
@@ -33,33 +33,34 @@
 	acceptPause        = 50 * time.Millisecond
 	writeLimit         = 10 * time.Second
 	lingerLimit        = time.Second
-	// A span of silence is looked at in four ticks, and one more as a tick is when
-	// something was heard.
+	// silentTicks is the number of ticks in Settings.Silent. A connection is closed
+	// after more than silentTicks: the tick of its last read is only partly silent.
 	silentTicks = 4
 )
 
-// Settings are what a server needs.
+// Settings are the settings of a server.
 type Settings struct {
-	// Address is where callers connect to.
+	// Address is the TCP address on which the server listens.
 	Address  string
 	Host     *daemon.EventLoop
 	Protocol Protocol
-	// Admit tells whether a token is the origin's; nil admits everyone.
+	// Admit reports whether a token is valid for a client (origin); nil admits every client.
 	Admit func(origin, token string) bool
-	// Silent is how long a connection may say nothing; zero means for ever.
+	// Silent is how long a connection may stay without input; 0 means without limit.
 	Silent time.Duration
-	// MaxConnections is how many connections may be open; zero sets no bound.
+	// MaxConnections is the maximum number of open connections; 0 means without limit.
 	MaxConnections int
-	// MaxUnsentBytes is how much may wait for a connection that does not read.
+	// MaxUnsentBytes is the maximum number of bytes that may be queued for a connection
+	// whose client does not read.
 	MaxUnsentBytes int
 }
 
-// Counters are running sums, read by anyone.
+// Counters are running totals that any goroutine may read.
 type Counters struct {
 	Connections, Refused, Reads, Commands, Writes, BytesOut, BytesIn, Slow, Silent, Unreadable atomic.Int64
 }
 
-// Server serves the connections of callers.
+// Server serves the connections of clients.
 type Server struct {
 	settings        Settings
 	listener        net.Listener
@@ -70,24 +71,24 @@
 	spare           chan []byte
 	Counters        Counters
 
-	// What the owner owns: connections that said something, those with output,
-	// and one text for each name that comes again and again.
+	// Owned by the event loop: the connections that have sent a command, those with
+	// output, the interned topic names, and the totals of sent responses and events.
 	connections map[uint64]*connection
 	dirty       []*connection
 	names       map[string]string
 	said        map[saidKind]Said
 }
 
-// saidKind is what callers are told: an event, or an answer and its outcome.
+// saidKind is the type of sent output: an event, or a response and its outcome.
 type saidKind struct{ what, outcome string }
 
-// Said is how often callers were told something, and its bytes.
+// Said is the number and the total size of the responses or events of one saidKind.
 type Said struct {
 	Times int64 `json:"times"`
 	Bytes int64 `json:"bytes"`
 }
 
-// Sums gives the counters by name; it may be asked before there is a server.
+// Sums returns the counters by name; a nil server returns an empty map.
 func (s *Server) Sums() map[string]int64 {
 	if s == nil {
 		return map[string]int64{}
@@ -100,7 +101,7 @@
 	}
 }
 
-// Sent gives what callers were told, by kind; for the owner alone.
+// Sent returns the totals of sent responses and events by kind. Only the event loop may call it.
 func (s *Server) Sent() map[string]Said {
 	if s == nil {
 		return nil
@@ -121,7 +122,7 @@
 		settings: settings, closing: make(chan struct{}), spare: make(chan []byte, spareBuffers),
 		connections: map[uint64]*connection{}, names: map[string]string{}, said: map[saidKind]Said{},
 	}
-	// The server watches silence itself and needs no probes.
+	// The server detects silent connections itself and needs no TCP keep-alive probes.
 	listening := net.ListenConfig{KeepAlive: -1}
 	listener, err := listening.Listen(context.Background(), "tcp", settings.Address)
 	if err != nil {
@@ -164,7 +165,7 @@
 	}
 }
 
-// tickLoop counts the time in which connections are silent.
+// tickLoop runs tick on the event loop, silentTicks times within Settings.Silent.
 func (s *Server) tickLoop() {
 	ticker := time.NewTicker(s.settings.Silent / silentTicks)
 	defer ticker.Stop()
@@ -180,8 +181,8 @@
 	}
 }
 
-// tick cuts who is silent. The gateway leaves that to the server, so that signs of
-// life don't wake it.
+// tick closes the connections that have been silent for too long. The server does
+// this in place of the gateway, so that pings don't wake the gateway's event loop.
 func (s *Server) tick() {
 	now := s.ticks.Add(1)
 	for _, each := range s.connections {
@@ -192,7 +193,7 @@
 	}
 }
 
-// Close ends listening and all connections.
+// Close closes the listener and all connections.
 func (s *Server) Close() {
 	if !s.closed.CompareAndSwap(false, true) {
 		return
@@ -209,6 +210,7 @@
 	<-done
 }
 
+// mustNumber returns a random session number other than 0.
 func mustNumber() uint64 {
 	var body [8]byte
 	for {
--- a/internal/lineserver/owner.go
+++ b/internal/lineserver/owner.go
@@ -1,5 +1,5 @@
-// The owner's side of the server: commands go to the gateway, and what comes back
-// gathers for each connection until the end of the turn.
+// The part of the server that runs on the event loop: it submits commands to the
+// gateway and collects the output of each connection until the end of the turn.
 
 package lineserver
 
@@ -12,7 +12,7 @@
 	"dahlialock/internal/statemachine"
 )
 
-// flush writes what the turn made, each connection's once.
+// flush writes the output of the turn, with one write for each connection.
 func (s *Server) flush() {
 	for position, each := range s.dirty {
 		each.dirty = false
@@ -56,7 +56,7 @@
 	}
 }
 
-// sendRest waits until the socket has taken the rest of a write.
+// sendRest writes the rest of a partial write and blocks until the socket has accepted it.
 func (s *Server) sendRest(to *connection, rest []byte) {
 	_ = to.socket.SetWriteDeadline(time.Now().Add(writeLimit))
 	sent, err := to.socket.Write(rest)
@@ -77,8 +77,8 @@
 	})
 }
 
-// finish says that nothing more comes, and gives the caller a moment to read
-// what did.
+// finish closes the writing side of the connection and gives the client up to
+// lingerLimit to read the last output.
 func (to *connection) finish() {
 	if to.why != "" {
 		return
@@ -88,7 +88,8 @@
 	_ = to.socket.SetReadDeadline(time.Now().Add(lingerLimit))
 }
 
-// gather keeps what was appended until the end of the turn.
+// gather stores a connection's output, with one response or event appended, until the
+// end of the turn and counts it under kind.
 func (s *Server) gather(to *connection, kind saidKind, output []byte) {
 	sent := s.said[kind]
 	s.said[kind] = Said{Times: sent.Times + 1, Bytes: sent.Bytes + int64(len(output)-len(to.output))}
@@ -98,7 +99,7 @@
 	}
 }
 
-// markDirty has a connection looked at when the turn ends.
+// markDirty queues a connection for flush at the end of the turn.
 func (s *Server) markDirty(to *connection) {
 	if !to.dirty {
 		to.dirty = true
@@ -114,11 +115,12 @@
 	s.gather(to, saidKind{kindNames[about.Kind], string(answer.Outcome)}, s.settings.Protocol.AppendAnswer(to.output, about, answer))
 }
 
+// refused returns a rejection with a code; back is the time after which to retry.
 func refused(code string, back time.Duration) gateway.Reply {
 	return gateway.Reply{Outcome: gateway.OutcomeRejected, Code: code, RetryAfter: back}
 }
 
-// take does what one read of a connection brought.
+// take executes the commands of one read of a connection.
 func (s *Server) take(owner daemon.LoopContext, from *connection, batch []pendingRequest) {
 	if from.state == fresh {
 		s.connections[from.channel] = from
@@ -140,7 +142,7 @@
 		case from.state != open:
 			s.answer(from, about, refused(CodeNotOpen, comeBack))
 		case about.Kind == Ping:
-			// It came before the channel was open, or while bytes wait.
+			// The ping arrived before the session was open, or while output was unsent.
 			from.waiting.Add(-1)
 			s.gather(from, saidKind{what: "pong"}, s.settings.Protocol.AppendPong(from.output))
 		default:
@@ -174,8 +176,8 @@
 	})
 }
 
-// answerOf is the gateway's answer; where it ended, nobody can tell what became
-// of what it was asked.
+// answerOf returns the gateway's reply. If the gateway stopped before it replied, the
+// outcome of the command is unknown (unsettled).
 func answerOf(value any) gateway.Reply {
 	if answer, matches := value.(gateway.Reply); matches {
 		return answer
@@ -201,7 +203,7 @@
 	}, func(value any) { s.answer(from, about, answerOf(value)) })
 }
 
-// deliver takes an event of the gateway.
+// deliver encodes an event of the gateway for a connection.
 func (s *Server) deliver(to *connection, deliver statemachine.Delivery) {
 	if to.state == ended {
 		return
@@ -214,13 +216,13 @@
 	}
 }
 
-// end closes a connection after what was written.
+// end closes a connection after its pending output has been written.
 func (s *Server) end(to *connection) {
 	to.ending, to.state = true, ended
 	s.markDirty(to)
 }
 
-// over ends the channel of a connection that is gone.
+// over closes the session of a connection that has ended.
 func (s *Server) over(owner daemon.LoopContext, gone *connection) {
 	had := gone.state
 	gone.state = ended
@@ -238,7 +240,8 @@
 	owner.Post(gateway.CloseSession{Session: gone.channel, Reason: gone.why})
 }
 
-// name keeps one text for each name that comes again and again.
+// name interns a topic name, so that repeated names share one string. The table is
+// emptied when it reaches maxNames.
 func (s *Server) name(text string) string {
 	if known, found := s.names[text]; found {
 		return known
