--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -34,7 +34,7 @@
 // A new subscription to durable topics first requests the high watermarks of its partitions
 // or, if it has a cursor, fetches all missed records. Until that is done, the live messages
 // of the session are buffered, so that no message is delivered twice, skipped or delivered
-// out of order. Interests that are resumed together are filled by one fetch, since the order
+// out of order. Interests that are resumed together share one fetch, since the order
 // of a sender's messages extends across them.
 //
 // The messages of a space with ephemeral retention are not stored. Clients move between
--- a/internal/gateway/session.go
+++ b/internal/gateway/session.go
@@ -49,7 +49,7 @@
 	// sequences are the newest sequences of each sender that the client saw in ephemeral spaces, by
 	// space and sender. Entries are kept for sequenceRetention.
 	sequences map[string]map[string]senderSequence
-	// buffer and ephemeralBuffer are the copies that arrived while a subscription is being filled.
+	// buffer and ephemeralBuffer are the copies that arrived while a subscription is catching up.
 	buffer []RecordCopy
 	// backlogFloors are the offsets at which the backlog starts while a backlog is being delivered, by
 	// partition; nil at other times.
@@ -74,7 +74,7 @@
 	return interests
 }
 
-// isCatchingUp reports whether a subscription to a space without routed topics is being filled.
+// isCatchingUp reports whether a subscription to a space without routed topics is catching up.
 func (c *session) isCatchingUp() bool {
 	for _, subscription := range c.subscriptions {
 		if subscription.catchingUp {
@@ -84,7 +84,7 @@
 	return false
 }
 
-// isCatchingUpRouted reports whether a subscription to a routed topic is being filled.
+// isCatchingUpRouted reports whether a subscription to a routed topic is catching up.
 func (c *session) isCatchingUpRouted() bool {
 	for _, subscription := range c.routed {
 		if subscription.catchingUp {
