--- a/internal/simulator/bandwidth.go
+++ b/internal/simulator/bandwidth.go
@@ -25,8 +25,8 @@
 	// windowSize is the maximum number of bytes in flight on a connection, unless
 	// Shape.Window is set.
 	windowSize = 64 << 10
-	// confirmationSize is the size of a receiver's acknowledgement in bytes.
-	confirmationSize = 48
+	// acknowledgementSize is the size of a receiver's acknowledgement in bytes.
+	acknowledgementSize = 48
 	// commandOverheadSize is the assumed size in bytes of a command or an answer without its texts.
 	commandOverheadSize = 24
 )
@@ -37,8 +37,8 @@
 	Up, Down int
 }
 
-// lane is one direction of a machine's link.
-type lane struct {
+// linkDirection is one direction of a machine's link.
+type linkDirection struct {
 	// rate is in bytes per second; zero means unlimited.
 	rate int
 	// free is when all bytes accepted so far are transmitted.
@@ -47,7 +47,7 @@
 
 // transmitAt queues size bytes on the lane and returns the time at which they are
 // transmitted.
-func (l *lane) transmitAt(now time.Time, size int) time.Time {
+func (l *linkDirection) transmitAt(now time.Time, size int) time.Time {
 	if l == nil || l.rate == 0 {
 		return now
 	}
@@ -60,7 +60,7 @@
 
 // nic is the link of a machine.
 type nic struct {
-	up, down lane
+	up, down linkDirection
 }
 
 // Traffic counts the messages of one kind that a daemon sent, received and dropped.
@@ -86,7 +86,7 @@
 		return present
 	}
 	bandwidth := s.Shape.Links[kind]
-	made := &nic{up: lane{rate: bandwidth.Up}, down: lane{rate: bandwidth.Down}}
+	made := &nic{up: linkDirection{rate: bandwidth.Up}, down: linkDirection{rate: bandwidth.Down}}
 	s.nics[name] = made
 	return made
 }
@@ -99,8 +99,8 @@
 	return kind
 }
 
-// limited reports whether links have a limited bandwidth in this run.
-func (s *Simulation) limited() bool { return len(s.Shape.Links) > 0 }
+// hasBandwidthLimits reports whether links have a hasBandwidthLimits bandwidth in this run.
+func (s *Simulation) hasBandwidthLimits() bool { return len(s.Shape.Links) > 0 }
 
 func (s *Simulation) window() int {
 	if s.Shape.Window > 0 {
@@ -112,18 +112,18 @@
 // pipe is one direction of a connection.
 type pipe struct {
 	simulation *Simulation
-	up, down   *lane
+	up, down   *linkDirection
 	delay      func() time.Duration
 	// enter runs a function in the receiver's process, when it reads.
-	enter    func(run func())
-	queue    []*parcel
-	inFlight int
-	last     time.Time
-	over     bool
+	enter       func(run func())
+	queue       []*queuedMessage
+	inFlight    int
+	lastArrival time.Time
+	closed      bool
 }
 
-// parcel is a message in a pipe.
-type parcel struct {
+// queuedMessage is a message in a pipe.
+type queuedMessage struct {
 	// left is the number of bytes that are not yet sent.
 	size, left int
 	// sent is called when all bytes are sent, arrived when all have arrived.
@@ -131,8 +131,8 @@
 	arrived func()
 }
 
-// put queues a message.
-func (p *pipe) put(added *parcel) {
+// send queues a message.
+func (p *pipe) send(added *queuedMessage) {
 	added.left = added.size
 	p.queue = append(p.queue, added)
 	p.transmit()
@@ -140,11 +140,11 @@
 
 // transmit sends queued messages, segment by segment, until the window is full.
 func (p *pipe) transmit() {
-	for len(p.queue) > 0 && p.inFlight < p.simulation.window() && !p.over {
+	for len(p.queue) > 0 && p.inFlight < p.simulation.window() && !p.closed {
 		first := p.queue[0]
 		size := min(first.left, segmentSize)
 		first.left -= size
-		p.segment(first, size, first.left == 0)
+		p.sendSegment(first, size, first.left == 0)
 		if first.left == 0 {
 			p.queue = p.queue[1:]
 			first.sent()
@@ -152,18 +152,18 @@
 	}
 }
 
-// segment sends one segment of a message over the links of both machines.
-func (p *pipe) segment(of *parcel, size int, last bool) {
+// sendSegment sends one sendSegment of a message over the links of both machines.
+func (p *pipe) sendSegment(of *queuedMessage, size int, last bool) {
 	simulation := p.simulation
 	p.inFlight += size
 	at := p.up.transmitAt(simulation.Now, size).Add(p.delay())
-	if at.Before(p.last) {
-		at = p.last
+	if at.Before(p.lastArrival) {
+		at = p.lastArrival
 	}
-	p.last = at
+	p.lastArrival = at
 	simulation.At(at, func() {
 		simulation.At(p.down.transmitAt(simulation.Now, size), func() {
-			if p.over {
+			if p.closed {
 				return
 			}
 			p.enter(func() {
@@ -181,7 +181,7 @@
 
 // close closes the pipe and drops the messages that are queued or in flight.
 func (p *pipe) close() {
-	p.over = true
+	p.closed = true
 	p.queue = nil
 }
 
@@ -191,16 +191,16 @@
 	// from and to are the incarnations of both processes.
 	from, to uint64
 	window   transport.FlowWindow
-	// took is the number of bytes that the receiver has taken, told the number that it
+	// taken is the number of bytes that the receiver has taken, acknowledged the number that it
 	// last acknowledged.
-	took, told     int64
-	confirmationAt time.Time
+	taken, acknowledged   int64
+	lastAcknowledgementAt time.Time
 }
 
 // connect returns the connection from one daemon to another. It opens a new one if there
 // is none between their current processes.
 func (s *Simulation) connect(from, to *Node) *connection {
-	key := link(from, to)
+	key := linkName(from, to)
 	present, found := s.connections[key]
 	if found && present.from == from.incarnation && present.to == to.incarnation {
 		return present
@@ -240,14 +240,14 @@
 // dispatch queues a frame at its sender, for links with a limited bandwidth.
 func (s *Simulation) dispatch(from, to *Node, message any, frame []byte) {
 	if !to.Up {
-		if to.refuses {
+		if to.refusesConnections {
 			s.refuse(from, to)
 		}
 		return
 	}
 	waits := outgoingFrame{to: to, incarnation: to.incarnation, kind: strings.TrimPrefix(fmt.Sprintf("%T", message), "*"), class: transport.ClassOf(message), frame: frame, at: s.Now}
-	for _, lost := range from.order.Push(to.Address, waits.class, len(frame), waits) {
-		from.traffic(lost.kind).Dropped++
+	for _, lost := range from.sendQueue.Push(to.Address, waits.class, len(frame), waits) {
+		from.trafficCounters(lost.kind).Dropped++
 	}
 	from.sendQueued()
 }
@@ -257,20 +257,20 @@
 func (n *Node) sendQueued() {
 	simulation := n.simulation
 	for {
-		if wait := n.pace.Delay(simulation.Now); wait > 0 {
+		if wait := n.pacer.Delay(simulation.Now); wait > 0 {
 			n.scheduleSend(wait)
 			return
 		}
-		_, next, found := n.order.Pop(func(_ string, each outgoingFrame) bool {
+		_, next, found := n.sendQueue.Pop(func(_ string, each outgoingFrame) bool {
 			return each.undeliverable() || simulation.connect(n, each.to).window.Admits(each.class)
 		})
 		switch {
 		case !found:
 			return
 		case next.undeliverable(), next.class.Expired(simulation.Now.Sub(next.at)):
-			n.traffic(next.kind).Dropped++
+			n.trafficCounters(next.kind).Dropped++
 		default:
-			n.pace.Spend(simulation.Now, len(next.frame))
+			n.pacer.Spend(simulation.Now, len(next.frame))
 			n.transmit(next)
 		}
 	}
@@ -281,14 +281,14 @@
 
 // scheduleSend calls sendQueued after wait, unless a call is already scheduled.
 func (n *Node) scheduleSend(wait time.Duration) {
-	if n.sending {
+	if n.sendScheduled {
 		return
 	}
-	n.sending = true
+	n.sendScheduled = true
 	incarnation := n.incarnation
 	n.simulation.After(wait, func() {
 		if n.incarnation == incarnation {
-			n.sending = false
+			n.sendScheduled = false
 			n.sendQueued()
 		}
 	})
@@ -299,40 +299,40 @@
 	simulation, to, kind, size := n.simulation, next.to, next.kind, len(next.frame)
 	connection := simulation.connect(n, to)
 	connection.window.Sent(simulation.Now, size)
-	connection.put(&parcel{
+	connection.send(&queuedMessage{
 		size: size,
-		sent: func() { n.counts(kind, size, 0) },
+		sent: func() { n.countMessage(kind, size, 0) },
 		arrived: func() {
-			to.counts(kind, 0, size)
-			to.traffic(kind).arrived(simulation.Now.Sub(next.at))
-			connection.took += int64(size)
-			simulation.confirm(n, to, connection)
-			if simulation.cuts[link(n, to)] == 0 {
+			to.countMessage(kind, 0, size)
+			to.trafficCounters(kind).arrived(simulation.Now.Sub(next.at))
+			connection.taken += int64(size)
+			simulation.acknowledge(n, to, connection)
+			if simulation.cuts[linkName(n, to)] == 0 {
 				to.receive(next.frame)
 			}
 		},
 	})
 }
 
-// confirm sends the sender an acknowledgement of the bytes that the receiver has taken, if
+// acknowledge sends the sender an acknowledgement of the bytes that the receiver has taken, if
 // one is due.
-func (s *Simulation) confirm(from, to *Node, taken *connection) {
-	count := taken.took
-	if !to.pace.RequiresAcknowledgements() {
+func (s *Simulation) acknowledge(from, to *Node, taken *connection) {
+	count := taken.taken
+	if !to.pacer.RequiresAcknowledgements() {
 		count = transport.AcknowledgeUnlimited
 	}
-	if !transport.AcknowledgementDue(taken.told, count) {
+	if !transport.AcknowledgementDue(taken.acknowledged, count) {
 		return
 	}
-	taken.told = count
-	at := to.nic.up.transmitAt(s.Now, confirmationSize).Add(s.delay(to.Zone, from.Zone))
-	if at.Before(taken.confirmationAt) {
-		at = taken.confirmationAt
+	taken.acknowledged = count
+	at := to.nic.up.transmitAt(s.Now, acknowledgementSize).Add(s.delay(to.Zone, from.Zone))
+	if at.Before(taken.lastAcknowledgementAt) {
+		at = taken.lastAcknowledgementAt
 	}
-	taken.confirmationAt = at
+	taken.lastAcknowledgementAt = at
 	s.At(at, func() {
-		s.At(from.nic.down.transmitAt(s.Now, confirmationSize), func() {
-			if taken.over || !from.Up || from.incarnation != taken.from {
+		s.At(from.nic.down.transmitAt(s.Now, acknowledgementSize), func() {
+			if taken.closed || !from.Up || from.incarnation != taken.from {
 				return
 			}
 			taken.window.Acknowledge(s.Now, count)
@@ -350,8 +350,8 @@
 	})
 }
 
-// traffic returns the counters of a kind of message.
-func (n *Node) traffic(kind string) *Traffic {
+// trafficCounters returns the counters of a kind of message.
+func (n *Node) trafficCounters(kind string) *Traffic {
 	present, found := n.trafficOf[kind]
 	if !found {
 		present = &Traffic{}
@@ -360,9 +360,9 @@
 	return present
 }
 
-// counts counts a message that was sent or received, by its size in bytes.
-func (n *Node) counts(kind string, sent, received int) {
-	traffic := n.traffic(kind)
+// countMessage countMessage a message that was sent or received, by its size in bytes.
+func (n *Node) countMessage(kind string, sent, received int) {
+	traffic := n.trafficCounters(kind)
 	if sent > 0 {
 		traffic.MessagesOut++
 		traffic.BytesOut += int64(sent)
@@ -448,9 +448,9 @@
 
 // Kinds of traffic with clients.
 const (
-	lineCommand = "line command"
-	lineAnswer  = "line answer"
-	lineEvent   = "line event"
+	clientCommandTraffic = "line command"
+	clientAnswerTraffic  = "line answer"
+	clientEventTraffic   = "line event"
 )
 
 // toGateway sends a command of size bytes from the client to its gateway, and calls run when
@@ -465,8 +465,8 @@
 		tc.simulation.After(lineDelay, run)
 		return
 	}
-	tc.line.up.put(&parcel{size: commandOverheadSize + size, sent: func() {}, arrived: func() {
-		node.counts(lineCommand, 0, commandOverheadSize+size)
+	tc.line.up.send(&queuedMessage{size: commandOverheadSize + size, sent: func() {}, arrived: func() {
+		node.countMessage(clientCommandTraffic, 0, commandOverheadSize+size)
 		run()
 	}})
 }
@@ -478,8 +478,8 @@
 		simulation.After(lineDelay, run)
 		return
 	}
-	node.pace.Spend(simulation.Now, commandOverheadSize+size)
-	cc.down.put(&parcel{
-		size: commandOverheadSize + size, sent: func() { node.counts(kind, commandOverheadSize+size, 0) }, arrived: run,
+	node.pacer.Spend(simulation.Now, commandOverheadSize+size)
+	cc.down.send(&queuedMessage{
+		size: commandOverheadSize + size, sent: func() { node.countMessage(kind, commandOverheadSize+size, 0) }, arrived: run,
 	})
 }
--- a/internal/simulator/bandwidth_test.go
+++ b/internal/simulator/bandwidth_test.go
@@ -15,7 +15,7 @@
 func testPipe(simulation *Simulation, rate int, reads *bool) *pipe {
 	var held []func()
 	return &pipe{
-		simulation: simulation, up: &lane{rate: rate}, down: &lane{rate: rate}, delay: func() time.Duration { return 0 },
+		simulation: simulation, up: &linkDirection{rate: rate}, down: &linkDirection{rate: rate}, delay: func() time.Duration { return 0 },
 		enter: func(run func()) {
 			held = append(held, run)
 			if *reads {
@@ -34,7 +34,7 @@
 	var landed time.Duration
 	pipe := testPipe(simulation, 100_000, &reads)
 	for range 10 {
-		pipe.put(&parcel{size: 20_000, sent: func() {}, arrived: func() { landed = simulation.Now.Sub(began) }})
+		pipe.send(&queuedMessage{size: 20_000, sent: func() {}, arrived: func() { landed = simulation.Now.Sub(began) }})
 	}
 	simulation.Run(10 * time.Second)
 	// The bytes pass two links in series; the second one finishes a segment after the first.
@@ -46,13 +46,13 @@
 	reads, landed, sent := false, 0, 0
 	pipe := testPipe(simulation, 0, &reads)
 	for range 20 {
-		pipe.put(&parcel{size: 10_000, sent: func() { sent++ }, arrived: func() { landed++ }})
+		pipe.send(&queuedMessage{size: 10_000, sent: func() { sent++ }, arrived: func() { landed++ }})
 	}
 	simulation.Run(time.Second)
 	assert.Equal(t, sent, windowSize/10_000)
 	assert.Equal(t, landed, 0)
 	reads = true
-	pipe.put(&parcel{size: 10_000, sent: func() { sent++ }, arrived: func() { landed++ }})
+	pipe.send(&queuedMessage{size: 10_000, sent: func() { sent++ }, arrived: func() { landed++ }})
 	for pipe.enter(func() {}); landed < 21; {
 		assert.Assert(t, simulation.RunUntil(time.Second, func() bool { return landed == 21 }), "%d of 21", landed)
 	}
--- a/internal/simulator/client.go
+++ b/internal/simulator/client.go
@@ -119,8 +119,8 @@
 	}
 	c.node = node
 	c.openedAt = simulation.Now
-	simulation.number++
-	c.channel = simulation.number
+	simulation.counter++
+	c.channel = simulation.counter
 	incarnation := node.incarnation
 	// The sink is attached before the session opens, as the HTTP server does.
 	simulation.After(100*time.Microsecond, func() {
--- a/internal/simulator/closing_test.go
+++ b/internal/simulator/closing_test.go
@@ -96,7 +96,7 @@
 		run.operator.read()
 		run.Run(500 * time.Millisecond)
 	}
-	run.close(6 * time.Second)
+	run.finish(6 * time.Second)
 }
 
 // closingShapes returns fleets whose controllers are bootstrapped through seed addresses,
--- a/internal/simulator/controllers_test.go
+++ b/internal/simulator/controllers_test.go
@@ -63,7 +63,7 @@
 		lost.Kill()
 		delete(simulation.nodes, lost.Name)
 		fresh := simulation.addController(7)
-		fresh.founded = true
+		fresh.bootstrapped = true
 		simulation.After(2*time.Second, fresh.Start)
 		simulation.After(6100*time.Millisecond, func() {
 			assert.Check(t, slices.Contains(simulation.voters(), fresh.Name), "%v", simulation.voters())
@@ -72,7 +72,7 @@
 	{"controllers are added", seeded(3, 2), 5, func(_ *testing.T, simulation *Simulation) {
 		for number := range 2 {
 			fresh := simulation.addController(7 + number)
-			fresh.founded = true
+			fresh.bootstrapped = true
 			simulation.After(time.Duration(number)*time.Second, fresh.Start)
 		}
 	}},
--- a/internal/simulator/cutoff_test.go
+++ b/internal/simulator/cutoff_test.go
@@ -239,7 +239,7 @@
 	for _, node := range simulation.Nodes(membership.KindGateway) {
 		lost := cut && slices.Contains(inside, node)
 		assert.Check(t, node.Ready() == !lost, "%s: %s: ready is %v at %s", s, node.Name, node.Ready(), simulation.Now.Sub(simulation.started))
-		assert.Check(t, !lost || !node.Gateway().Confirmed(node.local()), "%s: %s considers its configuration confirmed", s, node.Name)
+		assert.Check(t, !lost || !node.Gateway().Confirmed(node.localTime()), "%s: %s considers its configuration confirmed", s, node.Name)
 	}
 }
 
--- a/internal/simulator/departure_test.go
+++ b/internal/simulator/departure_test.go
@@ -40,7 +40,7 @@
 				return
 			}
 		}
-		if from.watch().IsPrimary() && !from.watch().HoldsLease(from.local()) {
+		if from.watch().IsPrimary() && !from.watch().HoldsLease(from.localTime()) {
 			*old = append(*old, fmt.Sprintf("%s sent %T at %s without the lease", from.Name, message, s.Now.Sub(s.started)))
 		}
 	}
--- a/internal/simulator/digest.go
+++ b/internal/simulator/digest.go
@@ -88,7 +88,7 @@
 	for _, response := range effects.Responses {
 		r.begin(recordResponse, node)
 		r.number(response.Request)
-		r.pending = appendValue(r.pending, response.ValueAt(node.local()))
+		r.pending = appendValue(r.pending, response.ValueAt(node.localTime()))
 		r.end()
 	}
 	for _, deliver := range effects.Deliveries {
--- a/internal/simulator/heldlinks.go
+++ b/internal/simulator/heldlinks.go
@@ -40,7 +40,7 @@
 	if s.heldLinks.until == nil || from == to {
 		return time.Time{}, false
 	}
-	key := fmt.Sprint(link(from, to), " ", from.incarnation)
+	key := fmt.Sprint(linkName(from, to), " ", from.incarnation)
 	if release := s.heldLinks.release[key]; release.After(s.Now) {
 		return release, true
 	}
@@ -52,11 +52,11 @@
 	return release, true
 }
 
-// land delivers a held message to the process of the receiver that runs at that time,
+// deliverHeld delivers a held message to the process of the receiver that runs at that time,
 // whatever its incarnation.
-func (s *Simulation) land(from, to *Node, frame []byte, at time.Time) {
+func (s *Simulation) deliverHeld(from, to *Node, frame []byte, at time.Time) {
 	s.At(at, func() {
-		if to.Up && s.cuts[link(from, to)] == 0 {
+		if to.Up && s.cuts[linkName(from, to)] == 0 {
 			to.enter(func() { to.receive(frame) })
 		}
 	})
--- a/internal/simulator/injection.go
+++ b/internal/simulator/injection.go
@@ -85,7 +85,7 @@
 		simulation.lastFaultAt = simulation.Now
 		simulation.Run(checker.FaultSettleTime + 3*time.Second)
 	}
-	simulation.close(8 * time.Second)
+	simulation.finish(8 * time.Second)
 	return simulation
 }
 
@@ -347,8 +347,8 @@
 			end()
 			return
 		}
-		node.slowDisk = 120
-		undoAfter(fault, simulation, end, func() { node.slowDisk = 0 })
+		node.diskSlowdown = 120
+		undoAfter(fault, simulation, end, func() { node.diskSlowdown = 0 })
 	},
 	"power-loss": func(simulation *Simulation, fault faults.Fault, end func()) {
 		// All stores lose power at the same time and keep their synced writes.
@@ -484,8 +484,8 @@
 // spaceFor adds a space with clients that use it immediately, and removes it again.
 func (s *Simulation) spaceFor(fault faults.Fault, end func()) {
 	operator := s.operator
-	s.number++
-	name := fmt.Sprintf("brief-%d", s.number)
+	s.counter++
+	name := fmt.Sprintf("brief-%d", s.counter)
 	s.Checker.Space(name, false, false)
 	operator.extras[name] = true
 	var users []*Client
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -12,16 +12,16 @@
 	"dahlialock/internal/transport"
 )
 
-// link returns the key of the link from one daemon to another.
-func link(from, to *Node) string { return from.Name + ">" + to.Name }
+// linkName returns the key of the linkName from one daemon to another.
+func linkName(from, to *Node) string { return from.Name + ">" + to.Name }
 
 // CutLink cuts the link from one daemon to another, in this direction only. Cuts of the
 // same link are counted.
-func (s *Simulation) CutLink(from, to *Node) { s.cuts[link(from, to)]++ }
+func (s *Simulation) CutLink(from, to *Node) { s.cuts[linkName(from, to)]++ }
 
 // HealLink reverts one CutLink.
 func (s *Simulation) HealLink(from, to *Node) {
-	name := link(from, to)
+	name := linkName(from, to)
 	if s.cuts[name]--; s.cuts[name] <= 0 {
 		delete(s.cuts, name)
 		from.HealthySince, to.HealthySince = s.Now, s.Now
@@ -77,17 +77,17 @@
 	must(err)
 	s.Shape.Recorder.frame(from, to, frame)
 	s.Sent[fmt.Sprintf("%T", send.Message)]++
-	if s.cuts[link(from, to)] > 0 {
+	if s.cuts[linkName(from, to)] > 0 {
 		return
 	}
 	if from.Zone != to.Zone {
 		s.InterzoneBytes += int64(len(frame))
 	}
 	if release, holds := s.heldUntil(from, to); holds {
-		s.land(from, to, frame, release)
+		s.deliverHeld(from, to, frame, release)
 		return
 	}
-	if s.limited() && from != to {
+	if s.hasBandwidthLimits() && from != to {
 		s.dispatch(from, to, send.Message, frame)
 		return
 	}
@@ -95,7 +95,7 @@
 	if from == to {
 		at = s.Now
 	}
-	key := link(from, to)
+	key := linkName(from, to)
 	times := 1
 	if s.reconnects > 0 && from != to && s.Random.IntN(20) == 0 {
 		// The link has reconnected. A message that the old connection still held
@@ -116,9 +116,9 @@
 // arrive schedules the arrival of a frame at the receiver's process. The frame is lost if
 // by then the link is cut, or the process is down or was restarted.
 func (s *Simulation) arrive(from, to *Node, frame []byte, at time.Time) {
-	key, incarnation := link(from, to), to.incarnation
+	key, incarnation := linkName(from, to), to.incarnation
 	s.At(at, func() {
-		if to.refuses && s.cuts[key] == 0 {
+		if to.refusesConnections && s.cuts[key] == 0 {
 			s.refuse(from, to)
 		}
 		if !to.Up || to.incarnation != incarnation || s.cuts[key] > 0 {
--- a/internal/simulator/scenario.go
+++ b/internal/simulator/scenario.go
@@ -34,10 +34,10 @@
 
 const sampleEvery = 100 * time.Millisecond
 
-// sample passes the configuration version in force and the readiness of every healthy
+// sampleVersions passes the configuration version in force and the readiness of every healthy
 // gateway to the checker, and repeats itself every sampleEvery.
-func (s *Simulation) sample() {
-	s.After(sampleEvery, s.sample)
+func (s *Simulation) sampleVersions() {
+	s.After(sampleEvery, s.sampleVersions)
 	for _, client := range s.clients {
 		client.watch()
 	}
@@ -81,7 +81,7 @@
 	cut, all := 0, 0
 	for _, other := range s.Nodes(membership.KindController) {
 		all++
-		if s.cuts[link(node, other)]+s.cuts[link(other, node)] > 0 {
+		if s.cuts[linkName(node, other)]+s.cuts[linkName(other, node)] > 0 {
 			cut++
 		}
 	}
@@ -96,12 +96,12 @@
 
 func prepare(seed uint64, size Shape, apart time.Duration, trace func(line string)) (*Simulation, *Operator) {
 	simulation := New(seed, size)
-	return simulation, simulation.begin(apart, trace)
+	return simulation, simulation.startFleet(apart, trace)
 }
 
-// begin starts the daemons, puts the first configuration, and waits until all gateways
+// startFleet starts the daemons, puts the first configuration, and waits until all gateways
 // are ready.
-func (s *Simulation) begin(apart time.Duration, trace func(line string)) *Operator {
+func (s *Simulation) startFleet(apart time.Duration, trace func(line string)) *Operator {
 	s.Trace = trace
 	s.clockSkew = apart
 	s.StartAll()
@@ -124,7 +124,7 @@
 		return true
 	})
 	s.lastFaultAt = s.Now
-	s.sample()
+	s.sampleVersions()
 	return operator
 }
 
@@ -200,12 +200,12 @@
 		}
 	}
 	s.Run(wait * 7 / 10)
-	s.close(wait * 3 / 10)
+	s.finish(wait * 3 / 10)
 }
 
-// close stops new publications, waits for those in flight, and ends the run with the
+// finish stops new publications, waits for those in flight, and ends the run with the
 // checker's final checks.
-func (s *Simulation) close(wait time.Duration) {
+func (s *Simulation) finish(wait time.Duration) {
 	for _, client := range s.clients {
 		client.Quiet()
 	}
@@ -215,17 +215,17 @@
 			s.Checker.Violate(checker.NotBack, "%s is still not served %s after the last fault", client.Name, wait)
 		}
 	}
-	s.describe()
+	s.traceFinalState()
 	s.Checker.Close(s.Now)
 }
 
-// describe writes the state of gateways, stores and clients at the end to the trace.
-func (s *Simulation) describe() {
+// traceFinalState writes the state of gateways, stores and clients at the end to the trace.
+func (s *Simulation) traceFinalState() {
 	if s.Trace == nil {
 		return
 	}
 	for _, node := range s.Nodes(membership.KindGateway) {
-		for name, status := range statemachine.Sorted(node.Gateway().Trackers(node.local())) {
+		for name, status := range statemachine.Sorted(node.Gateway().Trackers(node.localTime())) {
 			s.trace("%s ready %v %s: %+v", node.Name, node.Ready(), name, status)
 		}
 	}
@@ -383,8 +383,8 @@
 	})
 }
 
-// single lists the scenarios whose faults are injected by a function, by name.
-var single = map[string]func(simulation *Simulation, length time.Duration){
+// faultFunctions lists the scenarios whose faults are injected by a function, by name.
+var faultFunctions = map[string]func(simulation *Simulation, length time.Duration){
 	"calm":              func(*Simulation, time.Duration) {},
 	"kill-gateway":      kill(membership.KindGateway),
 	"kill-agent":        kill(membership.KindAgent),
@@ -543,9 +543,9 @@
 	"rest-and-crowd": func(simulation *Simulation, length time.Duration) {
 		// A fleet with little load drains gateways and lets them rest. Then many clients
 		// connect within a second, half of them in one zone.
-		simulation.thrift()
+		simulation.enableEconomy()
 		simulation.After(length*6/10, func() {
-			simulation.trace("a crowd connects; %d gateways are resting", simulation.resting())
+			simulation.trace("a crowd connects; %d gateways are resting", simulation.countResting())
 			for number := range 24 {
 				zone := number % simulation.Shape.Zones
 				if number%2 == 0 {
@@ -559,7 +559,7 @@
 	"rest-and-fail": func(simulation *Simulation, length time.Duration) {
 		// The same fleet with little load, while the primary controller, which lets
 		// gateways rest, and other daemons are lost.
-		simulation.thrift()
+		simulation.enableEconomy()
 		simulation.every(length, 7*time.Second, 10*time.Second, func() {
 			kinds := []string{membership.KindGateway, membership.KindController, membership.KindStore, membership.KindAgent}
 			if simulation.Random.IntN(2) == 0 {
@@ -623,15 +623,15 @@
 	},
 }
 
-// thrift enables the economy setting, which lets gateways rest while there is little
+// enableEconomy enables the economy setting, which lets gateways rest while there is little
 // load, with a short quiet_for.
-func (s *Simulation) thrift() {
+func (s *Simulation) enableEconomy() {
 	s.operator.economy = map[string]any{"enabled": true, "origins_each": 8, "spare_gateways": 1, "quiet_for": "2s"}
 	s.operator.next(nil)
 }
 
-// resting counts the gateways that are resting.
-func (s *Simulation) resting() int {
+// countResting counts the gateways that are countResting.
+func (s *Simulation) countResting() int {
 	count := 0
 	for _, node := range s.Nodes(membership.KindGateway) {
 		if node.Up && node.Gateway().Resting() {
@@ -734,12 +734,12 @@
 func Scenarios() []Scenario {
 	var found []Scenario
 	var names []string
-	for name := range single {
+	for name := range faultFunctions {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		found = append(found, Scenario{Name: name, Length: 25 * time.Second, Faults: single[name]})
+		found = append(found, Scenario{Name: name, Length: 25 * time.Second, Faults: faultFunctions[name]})
 	}
 	for _, name := range faults.Names {
 		found = append(found, Scenario{Name: "storm-" + name, Schedule: func(seed uint64) FaultSchedule { return drawSchedule(seed, []string{name}, 3) }})
--- a/internal/simulator/secondloss_test.go
+++ b/internal/simulator/secondloss_test.go
@@ -50,7 +50,7 @@
 // addFresh starts an empty controller at another address.
 func (s *Simulation) addFresh(number int) {
 	fresh := s.addController(number)
-	fresh.founded = true
+	fresh.bootstrapped = true
 	fresh.Start()
 }
 
--- a/internal/simulator/simulator.go
+++ b/internal/simulator/simulator.go
@@ -66,9 +66,9 @@
 }
 
 type event struct {
-	at    time.Time
-	order uint64
-	run   func()
+	at       time.Time
+	sequence uint64
+	run      func()
 }
 
 type events []event
@@ -78,7 +78,7 @@
 	if !e[left].at.Equal(e[right].at) {
 		return e[left].at.Before(e[right].at)
 	}
-	return e[left].order < e[right].order
+	return e[left].sequence < e[right].sequence
 }
 func (e events) Swap(left, right int) { e[left], e[right] = e[right], e[left] }
 func (e *events) Push(item any)       { *e = append(*e, item.(event)) }
@@ -101,8 +101,8 @@
 	// was made from outside the fleet.
 	OnSend         func(from *Node, to string, message any)
 	started        time.Time
-	queue          events
-	order          uint64
+	pendingEvents  events
+	lastSequence   uint64
 	nodes          map[string]*Node
 	byAddress      map[string]*Node
 	lastArrival    map[string]time.Time
@@ -127,7 +127,7 @@
 	probed         map[string]*platform
 	world          *topicWorld
 	operator       *Operator
-	number         uint64
+	counter        uint64
 	Events         int
 	Sent           map[string]int
 	InterzoneBytes int64
@@ -135,49 +135,49 @@
 
 // Node is one daemon of the run, on its machine.
 type Node struct {
-	simulation       *Simulation
-	Name             string
-	Kind             string
-	Zone             int
-	Address          string
-	Machine          hostedMachine
-	build            func(node *Node, stored storedState) hostedMachine
-	disk             *wal.MemoryFolder
-	log              *wal.Log
-	Up               bool
-	Frozen           bool
-	Stopping         bool
-	backlog          []func()
-	suspendAfter     func(effects *statemachine.Effects) bool
-	suspendFor       time.Duration
-	suspendedEffects *statemachine.Effects
-	rate             float64
-	simStart         time.Time
-	localStart       time.Time
-	incarnation      uint64
-	writes           []statemachine.Write
-	writing          bool
-	timer            uint64
-	responses        map[uint64]func(value any, alive bool)
-	request          uint64
-	sinks            map[uint64]func(deliver statemachine.Delivery)
-	HealthySince     time.Time
-	Steps            int
-	Syncs            int
-	slowDisk         int
-	founded          bool
-	refuses          bool
-	lastShown        shownVersion
-	nic              *nic
-	trafficOf        map[string]*Traffic
-	order            transport.PriorityQueue[outgoingFrame]
-	pace             *transport.Pacer
-	sending          bool
-}
-
-// shownVersion is the configuration version that a gateway last had in force while it
+	simulation         *Simulation
+	Name               string
+	Kind               string
+	Zone               int
+	Address            string
+	Machine            hostedMachine
+	build              func(node *Node, stored storedState) hostedMachine
+	disk               *wal.MemoryFolder
+	log                *wal.Log
+	Up                 bool
+	Frozen             bool
+	Stopping           bool
+	backlog            []func()
+	suspendAfter       func(effects *statemachine.Effects) bool
+	suspendFor         time.Duration
+	suspendedEffects   *statemachine.Effects
+	clockRate          float64
+	simStart           time.Time
+	localStart         time.Time
+	incarnation        uint64
+	writes             []statemachine.Write
+	writing            bool
+	timer              uint64
+	pendingRequests    map[uint64]func(value any, alive bool)
+	lastRequest        uint64
+	sinks              map[uint64]func(deliver statemachine.Delivery)
+	HealthySince       time.Time
+	Steps              int
+	Syncs              int
+	diskSlowdown       int
+	bootstrapped       bool
+	refusesConnections bool
+	lastServed         servedVersion
+	nic                *nic
+	trafficOf          map[string]*Traffic
+	sendQueue          transport.PriorityQueue[outgoingFrame]
+	pacer              *transport.Pacer
+	sendScheduled      bool
+}
+
+// servedVersion is the configuration version that a gateway last had in force while it
 // was serving, with the incarnation of its process.
-type shownVersion struct {
+type servedVersion struct {
 	version     uint64
 	incarnation uint64
 }
@@ -225,8 +225,8 @@
 		}
 		if s.Shape.Seeded {
 			settings.ControllerCount, settings.Tolerance = 0, &s.Shape.Tolerance
-			settings.Bootstrap = !node.founded
-			node.founded = true
+			settings.Bootstrap = !node.bootstrapped
+			node.bootstrapped = true
 		}
 		machine, err := controller.New(settings, stored.snapshot, stored.entries)
 		must(err)
@@ -265,7 +265,7 @@
 func (s *Simulation) add(kind string, number int, build func(node *Node, stored storedState) hostedMachine) *Node {
 	node := &Node{
 		simulation: s, Name: fmt.Sprintf("%s-%d", kind, number+1), Kind: kind, Zone: number % s.Shape.Zones, Address: address(kind, number),
-		build: build, rate: 1 + (s.Random.Float64()-0.5)*0.04, nic: s.linkOf(kind, number), trafficOf: map[string]*Traffic{},
+		build: build, clockRate: 1 + (s.Random.Float64()-0.5)*0.04, nic: s.linkOf(kind, number), trafficOf: map[string]*Traffic{},
 	}
 	if kind == membership.KindController || kind == membership.KindStore {
 		node.disk = wal.NewMemoryFolder()
@@ -298,8 +298,8 @@
 // At schedules run for a point in virtual time. Events for the same time run in the order
 // in which they were scheduled.
 func (s *Simulation) At(at time.Time, run func()) {
-	s.order++
-	heap.Push(&s.queue, event{at: at, order: s.order, run: run})
+	s.lastSequence++
+	heap.Push(&s.pendingEvents, event{at: at, sequence: s.lastSequence, run: run})
 }
 
 // After schedules run after a delay in virtual time.
@@ -310,8 +310,8 @@
 // Run advances virtual time by length and runs all events that are due by then.
 func (s *Simulation) Run(length time.Duration) {
 	until := s.Now.Add(length)
-	for len(s.queue) > 0 && !s.queue[0].at.After(until) {
-		next := heap.Pop(&s.queue).(event)
+	for len(s.pendingEvents) > 0 && !s.pendingEvents[0].at.After(until) {
+		next := heap.Pop(&s.pendingEvents).(event)
 		s.Now = next.at
 		s.Events++
 		next.run()
@@ -351,9 +351,9 @@
 	return statemachine.Incarnation(rand.New(rand.NewPCG(n.simulation.Seed, n.incarnation)).Uint64())
 }
 
-// local returns the current time on the daemon's local clock.
-func (n *Node) local() time.Time {
-	return n.localStart.Add(time.Duration(float64(n.simulation.Now.Sub(n.simStart)) * n.rate))
+// localTime returns the current time on the daemon's localTime clock.
+func (n *Node) localTime() time.Time {
+	return n.localStart.Add(time.Duration(float64(n.simulation.Now.Sub(n.simStart)) * n.clockRate))
 }
 
 // Start starts a daemon's process.
@@ -362,9 +362,9 @@
 	if n.Up {
 		return
 	}
-	n.Up, n.Frozen, n.Stopping, n.refuses = true, false, false, false
-	simulation.number++
-	n.incarnation = simulation.number
+	n.Up, n.Frozen, n.Stopping, n.refusesConnections = true, false, false, false
+	simulation.counter++
+	n.incarnation = simulation.counter
 	n.simStart = simulation.Now
 	n.localStart = simulation.Now.Add(time.Duration(simulation.Random.IntN(200)-100) * time.Millisecond)
 	if simulation.clockSkew > 0 {
@@ -372,11 +372,11 @@
 		// restarts.
 		n.localStart = n.localStart.Add(time.Duration(simulation.Random.Int64N(int64(2*simulation.clockSkew))) - simulation.clockSkew)
 	}
-	n.responses, n.sinks = map[uint64]func(any, bool){}, map[uint64]func(statemachine.Delivery){}
+	n.pendingRequests, n.sinks = map[uint64]func(any, bool){}, map[uint64]func(statemachine.Delivery){}
 	n.writes, n.writing, n.backlog = nil, false, nil
 	n.suspendAfter, n.suspendedEffects = nil, nil
-	n.order, n.pace, n.sending = transport.PriorityQueue[outgoingFrame]{}, &transport.Pacer{}, false
-	n.pace.SetRate(simulation.Shape.Links[linkKind(n.Kind)].Up)
+	n.sendQueue, n.pacer, n.sendScheduled = transport.PriorityQueue[outgoingFrame]{}, &transport.Pacer{}, false
+	n.pacer.SetRate(simulation.Shape.Links[linkKind(n.Kind)].Up)
 	n.HealthySince = simulation.Now
 	var held storedState
 	if n.disk != nil {
@@ -430,9 +430,9 @@
 		}
 	}
 	n.end()
-	n.refuses = true
+	n.refusesConnections = true
 	for _, other := range n.simulation.Nodes("") {
-		if _, linked := n.simulation.lastArrival[link(other, n)]; linked {
+		if _, linked := n.simulation.lastArrival[linkName(other, n)]; linked {
 			n.simulation.refuse(other, n)
 		}
 	}
@@ -444,7 +444,7 @@
 	incarnation := from.incarnation
 	s.After(2*s.delay(from.Zone, to.Zone), func() {
 		watcher, watches := from.Machine.(statemachine.LinkObserver)
-		if !watches || !to.refuses || !from.Up || from.incarnation != incarnation || s.cuts[link(from, to)] > 0 {
+		if !watches || !to.refusesConnections || !from.Up || from.incarnation != incarnation || s.cuts[linkName(from, to)] > 0 {
 			return
 		}
 		from.enter(func() {
@@ -459,8 +459,8 @@
 	n.Up, n.Frozen = false, false
 	n.incarnation = 0
 	n.timer++
-	returns := n.responses
-	n.responses = map[uint64]func(any, bool){}
+	returns := n.pendingRequests
+	n.pendingRequests = map[uint64]func(any, bool){}
 	for _, done := range statemachine.Sorted(returns) {
 		n.simulation.After(time.Millisecond, func() { done(nil, false) })
 	}
@@ -521,9 +521,9 @@
 	n.suspendAfter, n.suspendFor = matches, length
 }
 
-// suspends reports whether FreezeAfterStep pauses the process before it applies these
+// suspendsBefore reports whether FreezeAfterStep pauses the process before it applies these
 // effects; if so, it freezes the process.
-func (n *Node) suspends(effects *statemachine.Effects) bool {
+func (n *Node) suspendsBefore(effects *statemachine.Effects) bool {
 	if n.suspendAfter == nil || !n.suspendAfter(effects) {
 		return false
 	}
@@ -582,14 +582,14 @@
 func (n *Node) step(run func(now time.Time, effects *statemachine.Effects)) {
 	n.Steps++
 	var effects statemachine.Effects
-	run(n.local(), &effects)
-	if n.suspends(&effects) {
+	run(n.localTime(), &effects)
+	if n.suspendsBefore(&effects) {
 		return
 	}
 	n.applyEffects(&effects)
 	if n.Up {
 		n.checkVersionInForce()
-		n.arm()
+		n.scheduleTick()
 	}
 }
 
@@ -601,21 +601,21 @@
 	}
 	gateway := n.Gateway()
 	version := gateway.Configuration().Version
-	if n.lastShown == (shownVersion{version: version, incarnation: n.incarnation}) || !gateway.Confirmed(n.local()) {
+	if n.lastServed == (servedVersion{version: version, incarnation: n.incarnation}) || !gateway.Confirmed(n.localTime()) {
 		return
 	}
-	n.lastShown = shownVersion{version: version, incarnation: n.incarnation}
+	n.lastServed = servedVersion{version: version, incarnation: n.incarnation}
 	n.simulation.Checker.Showed(n.Name, version, n.simulation.Now, n.simulation.Now)
 }
 
-// arm schedules the next tick of the daemon's state machine.
-func (n *Node) arm() {
+// scheduleTick schedules the next tick of the daemon's state machine.
+func (n *Node) scheduleTick() {
 	n.timer++
 	due := n.Machine.NextTick()
 	if due.IsZero() {
 		return
 	}
-	at := n.simStart.Add(time.Duration(float64(due.Sub(n.localStart)) / n.rate)).Add(time.Microsecond)
+	at := n.simStart.Add(time.Duration(float64(due.Sub(n.localStart)) / n.clockRate)).Add(time.Microsecond)
 	if at.Before(n.simulation.Now) {
 		at = n.simulation.Now
 	}
@@ -643,8 +643,8 @@
 	simulation.Shape.Recorder.answers(n, effects)
 	version := n.Machine.ConfigurationVersion()
 	for _, send := range effects.Sends {
-		if statemachine.BeforeDeadline(send.NotAfter, n.local()) {
-			n.depart(send.To, send.Message)
+		if statemachine.BeforeDeadline(send.NotAfter, n.localTime()) {
+			n.observeSend(send.To, send.Message)
 			simulation.send(n, send, version)
 		}
 	}
@@ -653,10 +653,10 @@
 		n.writeDisk()
 	}
 	for _, response := range effects.Responses {
-		if done, found := n.responses[response.Request]; found {
-			delete(n.responses, response.Request)
-			value := response.ValueAt(n.local())
-			n.depart("", value)
+		if done, found := n.pendingRequests[response.Request]; found {
+			delete(n.pendingRequests, response.Request)
+			value := response.ValueAt(n.localTime())
+			n.observeSend("", value)
 			done(value, true)
 		}
 	}
@@ -679,7 +679,7 @@
 	}
 }
 
-func (n *Node) depart(to string, message any) {
+func (n *Node) observeSend(to string, message any) {
 	if n.simulation.OnSend != nil {
 		n.simulation.OnSend(n, to, message)
 	}
@@ -712,8 +712,8 @@
 	batch := len(n.writes)
 	incarnation := n.incarnation
 	takes := time.Duration(500+n.simulation.Random.IntN(3000)) * time.Microsecond
-	if n.slowDisk > 0 {
-		takes *= time.Duration(1 + n.simulation.Random.IntN(n.slowDisk))
+	if n.diskSlowdown > 0 {
+		takes *= time.Duration(1 + n.simulation.Random.IntN(n.diskSlowdown))
 	}
 	n.simulation.After(takes, func() {
 		if !n.Up || n.incarnation != incarnation {
@@ -747,9 +747,9 @@
 			s.After(wait, func() { done(nil, false) })
 			return
 		}
-		node.request++
-		request := node.request
-		node.responses[request] = func(value any, alive bool) { s.After(wait, func() { done(value, alive) }) }
+		node.lastRequest++
+		request := node.lastRequest
+		node.pendingRequests[request] = func(value any, alive bool) { s.After(wait, func() { done(value, alive) }) }
 		node.enter(func() {
 			node.step(func(now time.Time, effects *statemachine.Effects) {
 				node.Machine.HandleCommand(now, command(request), effects)
@@ -786,7 +786,7 @@
 // Primary returns the controller that may act as the primary now, or nil.
 func (s *Simulation) Primary() *Node {
 	for _, node := range s.Nodes(membership.KindController) {
-		if node.Up && !node.Frozen && node.Machine.(*controller.Controller).Node().Serving(node.local()) {
+		if node.Up && !node.Frozen && node.Machine.(*controller.Controller).Node().Serving(node.localTime()) {
 			return node
 		}
 	}
@@ -803,7 +803,7 @@
 	}
 	switch machine := n.Machine.(type) {
 	case *gateway.Gateway:
-		return machine.Ready(n.local())
+		return machine.Ready(n.localTime())
 	case *partition.Store:
 		return machine.Ready()
 	case *controller.Controller:
--- a/internal/simulator/stores_test.go
+++ b/internal/simulator/stores_test.go
@@ -145,7 +145,7 @@
 				traffic(run)
 				run.Run(5 * time.Second)
 				store := run.Nodes(membership.KindStore)[seed%3]
-				store.slowDisk = times
+				store.diskSlowdown = times
 				began := run.Now
 				assert.Assert(t, run.RunUntil(5*time.Second, func() bool {
 					for _, placement := range run.Primary().Machine.(*controller.Controller).State().Placements {
@@ -157,7 +157,7 @@
 				}))
 				t.Logf("no replicas left after %s", run.Now.Sub(began))
 				assert.Assert(t, run.Now.Sub(began) < 2500*time.Millisecond)
-				store.slowDisk = 0
+				store.diskSlowdown = 0
 				assert.Assert(t, run.RunUntil(20*time.Second, func() bool {
 					return !run.Primary().Machine.(*controller.Controller).State().Members[store.Name].Degraded
 				}))
--- a/internal/simulator/topic_client.go
+++ b/internal/simulator/topic_client.go
@@ -187,15 +187,15 @@
 			if node.incarnation != incarnation {
 				return
 			}
-			node.request++
-			request := node.request
-			node.responses[request] = func(value any, alive bool) {
+			node.lastRequest++
+			request := node.lastRequest
+			node.pendingRequests[request] = func(value any, alive bool) {
 				if !alive {
 					lost()
 					return
 				}
 				answer := value.(gateway.Reply)
-				line.toClient(simulation, node, lineAnswer, len(answer.Cursor), func() {
+				line.toClient(simulation, node, clientAnswerTraffic, len(answer.Cursor), func() {
 					if tc.turn == turn {
 						tc.heardAt = simulation.Now
 						done(answer)
@@ -229,17 +229,17 @@
 	node := tc.node
 	tc.incarnation = node.incarnation
 	tc.beganAt, tc.heardAt = simulation.Now, simulation.Now
-	simulation.number++
-	channel := simulation.number
+	simulation.counter++
+	channel := simulation.counter
 	tc.channel = channel
-	if simulation.limited() {
+	if simulation.hasBandwidthLimits() {
 		tc.line = simulation.openClientConnection(node)
 	}
 	line := tc.line
 	tc.say(len(tc.Name), func(request uint64) any {
 		// The connection's writer is registered before the session opens.
 		node.sinks[channel] = func(deliver statemachine.Delivery) {
-			line.toClient(simulation, node, lineEvent, deliveredSize(deliver), func() { tc.event(turn, deliver) })
+			line.toClient(simulation, node, clientEventTraffic, deliveredSize(deliver), func() { tc.event(turn, deliver) })
 		}
 		return gateway.OpenSession{Request: request, Session: channel, Name: fmt.Sprint(channel), Client: tc.Name, AdapterPings: true}
 	}, func(answer gateway.Reply) {
@@ -376,7 +376,7 @@
 			node.step(func(now time.Time, effects *statemachine.Effects) {
 				node.Machine.HandleCommand(now, gateway.ClientActive{Session: channel}, effects)
 			})
-			line.toClient(simulation, node, lineAnswer, 0, func() {
+			line.toClient(simulation, node, clientAnswerTraffic, 0, func() {
 				if tc.turn == turn {
 					tc.heardAt = simulation.Now
 				}
--- a/internal/simulator/topics.go
+++ b/internal/simulator/topics.go
@@ -148,7 +148,7 @@
 	for _, each := range append(slices.Clone(topicRoutes), fleeting...) {
 		simulation.Checker.Route(each.prefix, each.kept, checker.Holding)
 	}
-	operator := simulation.begin(apart, trace)
+	operator := simulation.startFleet(apart, trace)
 	simulation.probe()
 	return simulation, operator
 }
@@ -415,7 +415,7 @@
 			s.Checker.Violate(checker.NotBack, "%s is not served at the end of the run", client.Name)
 		}
 	}
-	s.describe()
+	s.traceFinalState()
 	s.Checker.Close(s.Now)
 }
 
