--- a/cmd/agent/main.go
+++ b/cmd/agent/main.go
@@ -1,4 +1,4 @@
-// The agent daemon: the agent beside a gateway.
+// Agent is the daemon that runs next to each gateway, on the same machine.
 package main
 
 import (
--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -1,4 +1,4 @@
-// The controller daemon: the coordinator, as primary, backup or witness.
+// Controller is the daemon that coordinates the fleet, as primary, backup or witness.
 package main
 
 import (
--- a/cmd/dahlialock/explain.go
+++ b/cmd/dahlialock/explain.go
@@ -1,6 +1,6 @@
-// The command that explains why a request or a message went where it went: it asks
-// every daemon of the cluster for the decisions that it recorded, puts them in order,
-// and says what it could not learn. An id that nobody knows is an error.
+// The subcommand explain: it shows how a request or a message was routed. It collects the
+// decisions that every daemon of the cluster recorded, sorts them by time, and lists the
+// daemons that did not answer. An id without any recorded decision is an error.
 
 package main
 
@@ -24,7 +24,7 @@
 	"dahlialock/internal/membership"
 )
 
-// Exit codes of explain: 1 nobody knows of it; 3 no daemon answered.
+// Exit codes of explain: 1 no daemon that answered has a decision about it; 3 no daemon answered.
 const (
 	exitUnknown = subcommands.ExitStatus(1)
 	exitSilent  = subcommands.ExitStatus(3)
@@ -33,14 +33,14 @@
 // clusterTimeout is how long explain waits for the list of members.
 const clusterTimeout = 3 * time.Second
 
-// explainOptions says what to explain, and whom to ask.
+// explainOptions holds what to explain, and which daemons to query.
 type explainOptions struct {
 	control, request, message, client string
 	raw                               bool
 	patience                          time.Duration
 }
 
-// explanation is what the daemons that answered know, in order of time.
+// explanation holds the decisions of the daemons that answered, sorted by time.
 type explanation struct {
 	Decisions  []decisionlog.Entry `json:"decisions"`
 	Asked      []string            `json:"asked"`
@@ -50,7 +50,7 @@
 func explainCommand() *command {
 	var options explainOptions
 	return &command{
-		name: "explain", synopsis: "why a request or a message went where it went",
+		name: "explain", synopsis: "show how a request or a message was routed, and why",
 		usage: "-ctl ADDRESS (-visit ID | -message SPACE/SENDER/SEQ | -origin NAME)",
 		flags: func(set *flag.FlagSet) {
 			set.StringVar(&options.request, "visit", "", "`id` of a request, as its answer's Visit-Id named it")
@@ -86,7 +86,7 @@
 	return json.Unmarshal(body, value)
 }
 
-// explain prints what the cluster knows and gives the exit code.
+// explain prints the recorded decisions and returns the exit code.
 func explain(options explainOptions, out, complaints io.Writer) subcommands.ExitStatus {
 	found := learn(options)
 	if err := found.write(options.raw, out); err != nil {
@@ -105,7 +105,8 @@
 	return exitUnknown
 }
 
-// learn asks all members, and once more by the message that a request names.
+// learn queries all members. If the decisions about a request name a message, it queries them
+// again with that message.
 func learn(options explainOptions) explanation {
 	members, err := clusterMembers(options.control)
 	var found explanation
@@ -130,8 +131,9 @@
 	return found
 }
 
-// clusterMembers gives the members that the first of the named daemons knows.
-// Without a primary the named daemons can still be asked; they come with the error.
+// clusterMembers returns the members from the first given daemon that answers. If none does,
+// as when the controllers have no primary, it returns the given daemons themselves, which
+// can still be queried, together with the error.
 func clusterMembers(control string) ([]membership.Member, error) {
 	var cluster struct {
 		Members []membership.Member `json:"members"`
--- a/cmd/dahlialock/forms_test.go
+++ b/cmd/dahlialock/forms_test.go
@@ -6,13 +6,13 @@
 	"github.com/google/subcommands"
 )
 
-// TestExitCodesStay holds what scripts of operators compare with.
+// TestExitCodesStay guards the exit codes that operators' scripts compare with.
 func TestExitCodesStay(t *testing.T) {
 	for code, wanted := range map[subcommands.ExitStatus]int{
 		subcommands.ExitSuccess: 0, exitAgain: 1, exitUsage: 2, exitRefused: 3,
 	} {
 		if int(code) != wanted {
-			t.Errorf("an exit code is %d, and was %d", code, wanted)
+			t.Errorf("exit code is %d, want %d", code, wanted)
 		}
 	}
 }
@@ -21,7 +21,7 @@
 	for status, wanted := range map[int]subcommands.ExitStatus{200: 0, 202: 0, 400: 3, 404: 3, 409: 3, 503: 1} {
 		asking := shared{raw: true}
 		if got := asking.finish(answered{status: status, body: []byte(`{}`)}, nil, nil); got != wanted {
-			t.Errorf("status %d ends with %d, and did with %d", status, got, wanted)
+			t.Errorf("status %d gives exit code %d, want %d", status, got, wanted)
 		}
 	}
 }
--- a/cmd/dahlialock/main.go
+++ b/cmd/dahlialock/main.go
@@ -1,5 +1,5 @@
-// The operators' command line. It talks to any daemon's ctl address and gets
-// the same result from each; its exit codes are for scripts.
+// Dahlialock is the operators' command-line tool. It sends requests to the control address
+// of any daemon; every daemon gives the same result. Scripts can rely on the exit codes.
 package main
 
 import (
@@ -23,8 +23,8 @@
 	"dahlialock/internal/topology"
 )
 
-// Exit codes: 0 done; 1 no daemon answered or it can't tell yet, try again;
-// 2 the command line is wrong; 3 refused for good.
+// Exit codes: 0 success; 1 no daemon answered, or the fleet can't answer yet: retry;
+// 2 the command line is wrong; 3 rejected, a retry won't help.
 const (
 	exitAgain   = subcommands.ExitStatus(1)
 	exitUsage   = subcommands.ExitUsageError
@@ -40,7 +40,7 @@
 func (s *shared) declare(set *flag.FlagSet) {
 	set.StringVar(&s.control, "ctl", os.Getenv("DAHLIALOCK_CTL"), "`address` of any daemon's ctl, or several with commas between; DAHLIALOCK_CTL if not given")
 	set.BoolVar(&s.raw, "json", false, "print the answer as JSON")
-	set.DurationVar(&s.wait, "wait", 0, "try again for so `long` while the fleet can't answer")
+	set.DurationVar(&s.wait, "wait", 0, "how `long` to retry while the fleet can't answer")
 }
 
 type answered struct {
@@ -48,8 +48,8 @@
 	body   []byte
 }
 
-// ask sends a request to the first daemon that answers, and again for as long
-// as was allowed.
+// ask sends a request to the given daemons in turn until one answers with a status other than
+// 503, and retries until the time of -wait has passed.
 func (s *shared) ask(method, path string, body []byte) (answered, error) {
 	if s.control == "" {
 		return answered{}, fmt.Errorf("no daemon given: use -ctl or DAHLIALOCK_CTL")
@@ -91,7 +91,7 @@
 	return answered{status: response.StatusCode, body: read}, err
 }
 
-// finish prints an answer and gives the exit code.
+// finish prints an answer and returns the exit code.
 func (s *shared) finish(got answered, err error, show func(value map[string]any)) subcommands.ExitStatus {
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "dahlialock: %v\n", err)
@@ -132,7 +132,7 @@
 	return exitRefused
 }
 
-// command is one subcommand made of a few functions.
+// command is a subcommand that is defined by its functions.
 type command struct {
 	shared
 	name, synopsis, usage string
@@ -211,7 +211,8 @@
 	set.StringVar(&topologyFile, "topology", "", "a GraphViz or GeoJSON `file` with the zones and links of the configuration")
 }
 
-// readConfiguration reads a configuration, and the topology that goes into it.
+// readConfiguration reads a configuration and, if -topology is given, inserts the zones and links
+// of the topology file into it.
 func readConfiguration(name string) ([]byte, subcommands.ExitStatus) {
 	document, err := readFile(name)
 	if err != nil {
@@ -367,7 +368,8 @@
 	return usageError(command)
 }
 
-// retire returns only when every partition has two synced copies elsewhere.
+// retire requests the retirement of a store and waits until it has finished, which is when every
+// partition has two replicas in sync on other stores, or until the time limit has passed.
 func retire(command *command, name string, show func(value map[string]any)) subcommands.ExitStatus {
 	limit := time.Now().Add(max(command.wait, 30*time.Second))
 	asked := false
@@ -412,14 +414,14 @@
 
 func callerFlags(set *flag.FlagSet) {
 	set.StringVar(&key, "key", os.Getenv("DAHLIALOCK_KEY"), "the fleet's `key`; DAHLIALOCK_KEY if not given")
-	set.StringVar(&origin, "origin", "operator", "`name` of the origin")
-	set.StringVar(&address, "caller", "", "a gateway's caller `address`")
+	set.StringVar(&origin, "origin", "operator", "`name` of the client")
+	set.StringVar(&address, "caller", "", "`address` of a gateway for clients")
 	set.StringVar(&space, "space", "", "`name` of the space")
 	set.StringVar(&topic, "topic", "", "`path` of the topic")
 	set.StringVar(&prefix, "prefix", "", "`path` of the prefix; all topics of the space if empty and no topic is given")
-	set.StringVar(&cursor, "cursor", "", "`place` to resume")
-	set.Uint64Var(&seq, "seq", 0, "the `seq`; the present time if not given")
-	set.IntVar(&count, "count", 0, "end after so `many` messages; 0 is never")
+	set.StringVar(&cursor, "cursor", "", "`cursor` to resume from")
+	set.Uint64Var(&seq, "seq", 0, "the `number` of the message; the current time if not given")
+	set.IntVar(&count, "count", 0, "exit after so `many` messages; 0 means never")
 }
 
 func token(command *command, arguments []string) subcommands.ExitStatus {
@@ -512,16 +514,16 @@
 	subcommands.Register(subcommands.HelpCommand(), "")
 	subcommands.Register(subcommands.FlagsCommand(), "")
 	for _, each := range []*command{
-		{name: "check", usage: "[-topology T] FILE", synopsis: "check a configuration here, without any daemon", flags: topologyFlag, run: checkConfiguration},
+		{name: "check", usage: "[-topology T] FILE", synopsis: "check a configuration locally, without any daemon", flags: topologyFlag, run: checkConfiguration},
 		{name: "put", usage: "[-ctl A] [-topology T] FILE", synopsis: "put a configuration in force", flags: topologyFlag, run: putConfiguration},
 		{name: "get", usage: "[-ctl A]", synopsis: "read the configuration back", run: getConfiguration},
 		{name: "cluster", usage: "[-ctl A]", synopsis: "list the daemons", run: cluster},
-		{name: "placement", usage: "[-ctl A]", synopsis: "list where each partition is kept", run: placement},
-		{name: "epochs", usage: "[-ctl A]", synopsis: "tell the controllers' epoch, primary and backup", run: epochs},
-		{name: "self", usage: "[-ctl A]", synopsis: "tell the counters of the one daemon asked", run: self},
-		{name: "store", usage: "[-ctl A] show|retire|return NAME", synopsis: "show a store, empty and retire it, or take it back", run: store},
+		{name: "placement", usage: "[-ctl A]", synopsis: "list the stores of each partition", run: placement},
+		{name: "epochs", usage: "[-ctl A]", synopsis: "print the epoch, primary and backups of the controllers", run: epochs},
+		{name: "self", usage: "[-ctl A]", synopsis: "print the counters of one daemon", run: self},
+		{name: "store", usage: "[-ctl A] show|retire|return NAME", synopsis: "show a store, retire it, or return it to service", run: store},
 		explainCommand(),
-		{name: "token", usage: "-key K ORIGIN", synopsis: "make the token of an origin", flags: callerFlags, run: token},
+		{name: "token", usage: "-key K ORIGIN", synopsis: "print the token of a client", flags: callerFlags, run: token},
 		{name: "publish", usage: "-key K -caller A -origin O -space S -topic T JSON", synopsis: "publish one message", flags: callerFlags, run: publish},
 		{name: "listen", usage: "-key K -caller A -origin O -space S [-topic T | -prefix P]", synopsis: "print the messages of a topic or prefix", flags: callerFlags, run: listen},
 	} {
--- a/cmd/fleetlab/client.go
+++ b/cmd/fleetlab/client.go
@@ -1,5 +1,5 @@
-// A stand-in origin of a trial: one client program with a long channel and a
-// publishing side, honest about what it saw.
+// The simulated client of a trial: it keeps one long-lived session open, publishes
+// messages, and reports to the checker what it sent and received.
 package main
 
 import (
@@ -53,7 +53,7 @@
 	}
 	zone := testfleet.ZoneName(zoneNumber)
 	each.zone.Store(&zone)
-	// Each caller comes from an address of its own zone.
+	// Each client connects from a loopback address of its zone.
 	each.caller = &client.Caller{Token: httpapi.Token([]byte(testfleet.Key), each.name), HTTP: client.NewClient(testfleet.Prefix(zoneNumber) + "2")}
 	each.trace("begins")
 	return each
@@ -85,7 +85,7 @@
 }
 
 // probe publishes once to topics of every partition, through any ready gateway, and
-// tells whether all were accepted.
+// reports whether all publications were accepted.
 func (to *trialClient) probe() bool {
 	daemon := to.run.platform.pick(to.random, *to.zone.Load())
 	if daemon == nil {
@@ -101,7 +101,7 @@
 	return true
 }
 
-// leave ends an origin for good; nothing more is owed to it.
+// leave stops the client permanently; the checker expects no further deliveries to it.
 func (to *trialClient) leave() {
 	to.record(func(checker *checker.Checker) { checker.Dropped(to.name) })
 	to.cancel()
@@ -136,7 +136,7 @@
 	return wanted
 }
 
-// live keeps the channel open, again and again, until it is stopped.
+// live opens a session and reopens it whenever it ends, until the client is stopped.
 func (to *trialClient) live() {
 	cursor, target := "", ""
 	var disconnectedAt time.Time
@@ -239,7 +239,8 @@
 	return false
 }
 
-// read takes events until the channel ends, and tells where to move to.
+// read handles events until the session ends. It returns the address of the gateway to
+// reconnect to, or an empty string if the gateway named none.
 func (to *trialClient) read(channel *client.Channel, cursor *string) string {
 	silent := time.NewTimer(8 * time.Second)
 	defer silent.Stop()
@@ -280,8 +281,8 @@
 	}
 }
 
-// start begins to publish: kept messages at the origin's share of the load, a
-// few urgent ones from every tenth, and some passing and shared-order ones.
+// start begins to publish: durable messages at the client's share of the load and a few
+// ephemeral ones; every tenth client also publishes urgent messages and messages in a shared order.
 func (to *trialClient) start() { go to.publishAll() }
 
 func (to *trialClient) publishAll() {
@@ -333,7 +334,7 @@
 	}
 }
 
-// publish sends one message until its fate is settled.
+// publish retries one message until it is accepted or finally rejected.
 func (to *trialClient) publish(message checker.Message, topic string) {
 	data := fmt.Sprintf("%q", message.String()+" with some text such as a note on a board would have")
 	for to.ctx.Err() == nil {
@@ -350,7 +351,8 @@
 	}
 }
 
-// attempt sends one seq once, and tells how it ended and when to try again.
+// attempt sends one message once and returns its outcome and the delay before a retry;
+// no delay means that the message must not be retried.
 func (to *trialClient) attempt(address string, message checker.Message, topic, data string) (string, time.Duration) {
 	began := time.Now()
 	to.record(func(checker *checker.Checker) { checker.Attempt(message, topic, data, began) })
@@ -376,7 +378,7 @@
 
 type rawJSON string
 
-// MarshalJSON gives the text as it is.
+// MarshalJSON returns the text unchanged.
 //
 //nolint:unparam // the interface json.Marshaler has an error
 func (rj rawJSON) MarshalJSON() ([]byte, error) { return []byte(rj), nil }
--- a/cmd/fleetlab/injector.go
+++ b/cmd/fleetlab/injector.go
@@ -1,7 +1,7 @@
-// Storms on real processes: the faults that squall names, brought about on a
-// fleet as the platform, the network and its callers would. One hand does all
-// of it, from a queue of what is due when, so that faults overlap and no two of
-// them touch a process at the same time.
+// Fault injection on real processes: the faults that package faults names, caused in a
+// fleet the way the platform, the network and the clients would cause them. A single
+// injector runs all actions from a queue ordered by due time, so that faults can overlap
+// but no two actions touch a process at the same time.
 package main
 
 import (
@@ -24,7 +24,7 @@
 	"dahlialock/internal/testfleet"
 )
 
-// draw makes the list of faults that a trial was asked for.
+// draw returns the schedule of faults that the flags of the trial select.
 func (t *trial) draw() ([]faults.Fault, error) {
 	if t.last != "" && t.last != "draw" && !slices.Contains(faults.Last, t.last) {
 		return nil, faults.ErrorList.New("%q is not a last fault", t.last)
@@ -55,8 +55,8 @@
 	return faults.Draw(random, names, t.length*9/10, count), nil
 }
 
-// holdsFor is how long service must have held before it counts as back: a
-// gateway that lost its agent lets its origins go only after some seconds.
+// holdsFor is how long service must be uninterrupted before it counts as restored: a
+// gateway that lost its agent closes its sessions only after some seconds.
 const holdsFor = 8 * time.Second
 
 type due struct {
@@ -78,7 +78,8 @@
 	h.queue = append(h.queue, due{at: time.Now().Add(wait), do: do})
 }
 
-// until does what is due until a condition holds or a limit has passed.
+// until runs the queued actions as they fall due, until a condition holds or the time
+// limit has passed. It reports whether the condition holds.
 func (h *injector) until(limit time.Duration, holds func() bool) bool {
 	end := time.Now().Add(limit)
 	for !holds() {
@@ -97,8 +98,8 @@
 	return true
 }
 
-// poll looks now and then until something holds, or a limit has passed, and then
-// goes on with whether it does.
+// poll checks a condition every 50 ms until it holds or the time limit has passed, and
+// then calls then with the result.
 func (h *injector) poll(limit time.Duration, holds func() bool, then func(holding bool)) {
 	end := time.Now().Add(limit)
 	var check func()
@@ -117,8 +118,8 @@
 	return h.run.gone.Load() != nil && slices.Contains(*h.run.gone.Load(), name)
 }
 
-// runFaults brings a list of faults about, and then waits for their end and for the
-// calm in which nothing may be amiss.
+// runFaults injects a schedule of faults, waits until all of them have ended, and then
+// waits for the settle time plus 5 s, after which nothing may be wrong any more.
 func (h *injector) runFaults(schedule []faults.Fault, length time.Duration) {
 	h.frozen, h.away = map[string]int{}, map[string]bool{}
 	if len(schedule) > 0 {
@@ -132,7 +133,7 @@
 		return
 	}
 	if !h.until(3*time.Minute, func() bool { return h.open == 0 }) {
-		h.run.log.record(func(log *checker.Checker) { log.Violate(checker.NotBack, "a fault has not come to its end") })
+		h.run.log.record(func(log *checker.Checker) { log.Violate(checker.NotBack, "a fault has not ended within 3 minutes") })
 	}
 	h.until(checker.FaultSettleTime+5*time.Second, func() bool { return false })
 }
@@ -168,7 +169,7 @@
 	return up[pick%uint64(len(up))]
 }
 
-// roles finds the controllers that are primary and backup.
+// roles returns the primary controller and its first backup, nil where there is none.
 func (h *injector) roles() (primary, backup *testfleet.Daemon) {
 	for _, daemon := range h.run.fleet.OfKind(membership.KindController) {
 		if h.frozen[daemon.Name] > 0 || !daemon.Running() {
@@ -202,7 +203,7 @@
 			daemon = injector.choose(kind, fault.Pick)
 		}
 		if daemon == nil || !daemon.Running() || injector.frozen[daemon.Name] > 0 || injector.away[daemon.Name] {
-			fmt.Println("    nobody to strike")
+			fmt.Println("    no running daemon to inject the fault into")
 			end()
 			return
 		}
@@ -211,7 +212,7 @@
 	}
 }
 
-// start starts a daemon that is away, once.
+// start starts a stopped daemon; it does nothing if the daemon is running.
 func (h *injector) start(daemon *testfleet.Daemon) {
 	delete(h.away, daemon.Name)
 	if !daemon.Running() {
@@ -267,7 +268,8 @@
 	turn()
 }
 
-// restart restarts a daemon as the platform does.
+// restart restarts a daemon as the platform does: SIGTERM, and SIGKILL if it is still
+// running after 6 s.
 func (h *injector) restart(daemon *testfleet.Daemon, wait time.Duration, then func()) {
 	h.away[daemon.Name] = true
 	requested := time.Now()
@@ -304,7 +306,7 @@
 	})
 }
 
-// impose puts something on the links or disks of daemons for a while.
+// impose impairs the links or disks of daemons for the given time.
 func (h *injector) impose(daemons []*testfleet.Daemon, length time.Duration, trial func(daemon *testfleet.Daemon) testfleet.Trial, end func()) {
 	h.number++
 	number := h.number
@@ -333,12 +335,12 @@
 	return found
 }
 
-// agentOf is the agent on a gateway's machine.
+// agentOf returns the agent on the gateway's machine.
 func (h *injector) agentOf(gateway *testfleet.Daemon) *testfleet.Daemon {
 	return h.run.fleet.Daemons[membership.KindAgent+strings.TrimPrefix(gateway.Name, membership.KindGateway)]
 }
 
-// strangers are the addresses of all daemons but one and its machine's other.
+// strangers returns the addresses of all daemons on other machines.
 func (h *injector) strangers(daemon *testfleet.Daemon) []string {
 	var addresses []string
 	for _, other := range h.daemons(func(other *testfleet.Daemon) bool { return other != daemon && !beside(other, daemon) }) {
@@ -359,7 +361,7 @@
 	return func(injector *injector, _ faults.Fault, end func()) {
 		newcomer, found := injector.run.fleet.Spare(kind)
 		if !found {
-			fmt.Println("    no machine is left to join")
+			fmt.Println("    no spare machine is left to join")
 			end()
 			return
 		}
@@ -605,7 +607,8 @@
 
 func everyone(*testfleet.Daemon) bool { return true }
 
-// retire retires a store through any daemon; then its disk is lost.
+// retire retires a store with requests to random daemons. Then it kills the store and, if the
+// retirement succeeded, wipes its disk.
 func (h *injector) retire(daemon *testfleet.Daemon, length time.Duration, end func()) {
 	random := rand.New(rand.NewPCG(uint64(length), 3))
 	refused := false
@@ -619,7 +622,7 @@
 	}
 	h.poll(40*time.Second, func() bool { return ask("POST", "/retire") || refused }, func(bool) {
 		if refused {
-			fmt.Println("    refused for want of other stores")
+			fmt.Println("    rejected: too few other stores")
 			end()
 			return
 		}
@@ -636,7 +639,7 @@
 	})
 }
 
-// last brings the fault about that stays, and measures until service is back.
+// last injects the final fault, which is permanent, and measures the time until service is restored.
 func (h *injector) last(name string) {
 	random := rand.New(rand.NewPCG(h.run.trial.seed, 0x1a57))
 	if name == "draw" {
@@ -710,8 +713,9 @@
 	h.until(checker.FaultSettleTime+3*time.Second, func() bool { return false })
 }
 
-// parts reads from the daemons' logs when a failure was noticed, decided upon
-// and mended.
+// parts reads from the daemons' logs how long after the failure it was detected, when the
+// membership and the placement were last changed, and when the replication of all
+// partitions was complete again.
 func (tr *trialRun) parts(from time.Time) (noticed, decided, complete time.Duration) {
 	for _, name := range tr.fleet.Names() {
 		file, err := os.Open(tr.fleet.LogPath(name))
--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -1,6 +1,6 @@
 // Fleetlab is the trial tool: it starts a fleet on one machine as the platform
-// would, drives it with stand-in callers, brings about faults, and judges every
-// promise from what callers and operators saw.
+// would, drives it with simulated clients, injects faults, and checks every
+// guarantee against what clients and operators observed.
 package main
 
 import (
@@ -39,7 +39,7 @@
 	return filepath.Dir(path)
 }
 
-// begin lays a fleet out in a folder, a new one if none is named, and starts it.
+// begin creates the files of a fleet in a folder, a new one if none is given, and starts the fleet.
 func begin(name, folder, binaries string) (*testfleet.Fleet, string, error) {
 	deployment, found := testfleet.Deployments[name]
 	if !found {
--- a/cmd/fleetlab/operator.go
+++ b/cmd/fleetlab/operator.go
@@ -1,6 +1,6 @@
-// The stand-in operators of a trial: one owner of the configuration, who puts
-// the next version now and then, races itself, reads back, and tells the checker
-// what it was told.
+// The simulated operator of a trial: it owns the configuration, puts new versions from time
+// to time, sends conflicting requests concurrently, reads the configuration back, and
+// reports all answers to the checker.
 package main
 
 import (
@@ -15,7 +15,7 @@
 	"dahlialock/internal/checker"
 )
 
-// wish is what a fault asks the operators to change before the next version.
+// wish is a change that a fault requests for the next version of the configuration.
 type wish func(operator *operator)
 
 type operator struct {
@@ -60,7 +60,7 @@
 	return body
 }
 
-// weights are the economy of a deployment: what it says costs it most.
+// weights returns the economy section of the configuration, with the weights of the deployment's costs.
 func (t *trial) weights() map[string]any {
 	economy := map[string]any{"enabled": true, "origins_each": 250, "spare_gateways": 1, "quiet_for": "8s", "processor_weight": 1, "traffic_weight": 1}
 	switch t.deployment {
@@ -72,7 +72,7 @@
 	return economy
 }
 
-// control asks a random daemon's ctl.
+// control sends a request to the control address of a random daemon.
 func (o *operator) control(random *rand.Rand, method, path, body string) (int, []byte) {
 	names := o.run.fleet.Names()
 	daemon := o.run.fleet.Daemons[names[random.IntN(len(names))]]
@@ -90,7 +90,7 @@
 	return response.StatusCode, text
 }
 
-// put puts one version until it is taken or found out of date.
+// put retries one version until it is accepted, is out of date, or the time limit has passed.
 func (o *operator) put(random *rand.Rand, version int, body []byte, limit time.Duration) bool {
 	until := time.Now().Add(limit)
 	for time.Now().Before(until) {
@@ -125,8 +125,8 @@
 	return o.put(o.random, o.version, o.document("1s"), limit)
 }
 
-// race puts two of one version with different content, and the next one, all at
-// the same time.
+// race concurrently puts two different configurations under one version number and the
+// version that follows.
 func (o *operator) race() {
 	o.version++
 	done := make(chan struct{})
@@ -162,7 +162,7 @@
 	})
 }
 
-// broken puts what must be refused.
+// broken puts malformed configurations, each of which must be rejected.
 func (o *operator) broken() {
 	bodies := []string{`{"version":900000,"spaces":[{"name":"boards"}]}`, `{"version":900000,"spaces":[],"spaces":[]}`, `{"version":900000,"spaces":[]} x`}
 	body := bodies[o.random.IntN(len(bodies))]
@@ -201,7 +201,7 @@
 	<-o.ended
 }
 
-// addSpace adds a space and tells once it was taken.
+// addSpace adds a space and calls accepted once the configuration has been accepted.
 func addSpace(name string, accepted func()) wish {
 	return func(operator *operator) {
 		operator.spaces[name] = true
--- a/cmd/fleetlab/recorded.go
+++ b/cmd/fleetlab/recorded.go
@@ -17,8 +17,8 @@
 // everything selects all scenarios, or all shapes.
 const everything = "all"
 
-// record prints the digest of each run that the flags select, or, with a table to
-// compare with, the lines of it that no longer hold.
+// record prints the digest of each run that the flags select or, with a recorded table to
+// compare with, the lines whose digest has changed.
 func (h *hunt) record(set *flag.FlagSet) subcommands.ExitStatus {
 	var wanted []simulator.Recording
 	if h.compare == "" {
@@ -93,7 +93,7 @@
 	return chosen
 }
 
-// leftOut tells whether the flags that were given leave out a line of a table.
+// leftOut returns a function that reports whether the given flags exclude a line of the table.
 func (h *hunt) leftOut(set *flag.FlagSet) func(simulator.Recording) bool {
 	given := map[string]bool{}
 	set.Visit(func(each *flag.Flag) { given[each.Name] = true })
@@ -113,7 +113,7 @@
 	err       error
 }
 
-// recordAll records runs on all workers, and gives a channel for each, in their order.
+// recordAll records the runs on all workers and returns a result channel for each run, in the order given.
 func (h *hunt) recordAll(wanted []simulator.Recording) []chan recordingResult {
 	results := make([]chan recordingResult, len(wanted))
 	pending := make(chan int, len(wanted))
--- a/cmd/fleetlab/simulate.go
+++ b/cmd/fleetlab/simulate.go
@@ -1,5 +1,5 @@
-// The seed hunt: scenarios of the simulator over many seeds, on all cores. A
-// failing seed is named with the one command that runs it again.
+// The subcommand simulate: it runs scenarios of the simulator with many seeds on all
+// cores. For each failing seed it prints the command that reproduces the run.
 package main
 
 import (
@@ -46,16 +46,16 @@
 	set.StringVar(&h.scenario, "scenario", "all", "`name` of the scenario, or all")
 	set.Uint64Var(&h.from, "from", 0, "the first `seed`")
 	set.Uint64Var(&h.seeds, "seeds", 20, "how `many` seeds")
-	set.BoolVar(&h.trace, "trace", false, "print all that happens")
+	set.BoolVar(&h.trace, "trace", false, "print every event")
 	set.IntVar(&h.workers, "workers", runtime.NumCPU(), "how `many` runs at once")
 	set.StringVar(&h.size, "size", "small", "the fleet's `shape`: small, fjordlys, qureshi or four")
 	set.StringVar(&h.plot, "plot", "", "a `list` of faults as name@start+length#pick, instead of a scenario")
 	set.StringVar(&h.last, "last", "", "the last fault of a -plot")
 	set.BoolVar(&h.shorten, "shorten", false, "shorten the list of faults of a failing seed")
-	set.BoolVar(&h.parts, "parts", false, "tell how long each part of coming back took, over all seeds")
+	set.BoolVar(&h.parts, "parts", false, "print how long each phase of recovery took, over all seeds")
 	set.IntVar(&h.most, "most", 3, "how `many` violations to print of a run")
-	set.BoolVar(&h.digest, "digest", false, "print scenario, shape, seed and digest of each run; -scenario and -size take lists here")
-	set.StringVar(&h.compare, "compare", "", "with -digest, run what a `file` has recorded and print the lines that differ")
+	set.BoolVar(&h.digest, "digest", false, "print scenario, shape, seed and digest of each run; -scenario and -size then take lists")
+	set.StringVar(&h.compare, "compare", "", "with -digest, repeat the runs recorded in a `file` and print the lines that differ")
 }
 
 type ran struct {
@@ -67,8 +67,8 @@
 }
 
 func (h *hunt) Execute(_ context.Context, set *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	// Runs are short and there is memory enough: the collector took a quarter of
-	// a hunt's time.
+	// The garbage collector took a quarter of the total time. Runs are short and memory
+	// is plentiful, so it may run less often.
 	debug.SetGCPercent(800)
 	if h.digest || h.compare != "" {
 		return h.record(set)
@@ -180,7 +180,7 @@
 	return result
 }
 
-// shortest leaves faults out of a failing seed's list for as long as it fails.
+// shortest removes faults from the schedule of a failing seed while the run still fails.
 func (h *hunt) shortest(scenario simulator.Scenario, seed uint64) {
 	plot := scenario.Schedule(seed)
 	plot.Faults = faults.Shorten(plot.Faults, func(schedule []faults.Fault) bool {
@@ -192,7 +192,7 @@
 	fmt.Printf("    shortest: -plot %q -last %q, clocks apart %s\n", faults.Format(plot.Faults), plot.Last, plot.ClockSkew)
 }
 
-// printRecoveryParts tells the distribution of each part of coming back after a failure.
+// printRecoveryParts prints the distribution of the duration of each phase of recovery.
 func printRecoveryParts(comebacks []simulator.Recovery) {
 	parts := []struct {
 		name string
--- a/cmd/fleetlab/trial.go
+++ b/cmd/fleetlab/trial.go
@@ -1,6 +1,6 @@
-// The trial: a whole deployment as real processes on one machine, driven with
-// the stated load by stand-in callers, while faults are brought about, and
-// judged by the checker from what callers and operators saw.
+// The subcommand trial: it runs a complete deployment as real processes on one machine
+// under the configured load of simulated clients, injects faults, and lets the checker
+// verify what clients and operators observed.
 package main
 
 import (
@@ -33,7 +33,7 @@
 }
 
 func (*trial) Name() string     { return "trial" }
-func (*trial) Synopsis() string { return "run a whole deployment under load and judge it" }
+func (*trial) Synopsis() string { return "run a deployment under load and check it" }
 func (*trial) Usage() string {
 	return "trial [-deployment D] [-length 2m] [-faults all|NAMES|pair] [-count N] [-last NAME] [-seed N]\n"
 }
@@ -43,19 +43,20 @@
 	set.StringVar(&t.folder, "folder", "", "`folder` for settings, logs and data; a new one if not given")
 	set.StringVar(&t.binaries, "binaries", ownFolder(), "`folder` of the daemons' programs")
 	set.StringVar(&t.faults, "faults", "", "`names` of faults with commas between, to draw from; all; or pair for two that the seed picks. Known: "+strings.Join(faults.Names, ", "))
-	set.IntVar(&t.count, "count", 0, "how `many` faults to draw; one for each 8 s if not given")
+	set.IntVar(&t.count, "count", 0, "how `many` faults to draw; one per 8 s if not given")
 	set.StringVar(&t.plot, "plot", "", "a `list` of faults as name@start+length#pick, instead of drawing")
-	set.StringVar(&t.last, "last", "", "the last fault, which stays: draw, or a `name` of "+strings.Join(faults.Last, ", "))
+	set.StringVar(&t.last, "last", "", "the last fault, which is permanent: draw, or a `name` from "+strings.Join(faults.Last, ", "))
 	set.DurationVar(&t.length, "length", 2*time.Minute, "how `long` the load lasts")
-	set.IntVar(&t.origins, "origins", 580, "how `many` channels")
-	set.Float64Var(&t.kept, "kept", 300, "kept messages a `second`")
-	set.Float64Var(&t.urgent, "urgent", 8, "urgent messages a `second`")
-	set.Uint64Var(&t.seed, "seed", 1, "the `seed` of the callers' choices")
+	set.IntVar(&t.origins, "origins", 580, "how `many` clients, each with one session")
+	set.Float64Var(&t.kept, "kept", 300, "durable messages per `second`")
+	set.Float64Var(&t.urgent, "urgent", 8, "urgent messages per `second`")
+	set.Uint64Var(&t.seed, "seed", 1, "the `seed` of the clients' choices")
 	set.BoolVar(&t.keep, "keep", false, "keep the folder")
-	set.BoolVar(&t.economy, "economy", false, "let gateways rest")
+	set.BoolVar(&t.economy, "economy", false, "let idle gateways be put to rest")
 }
 
-// checkerLog is the one owner of the checker; all others send it what they saw.
+// checkerLog owns the checker. Only its goroutine accesses the checker; all others send it
+// their observations.
 type checkerLog struct {
 	entries chan func(checker *checker.Checker)
 	done    chan struct{}
@@ -103,8 +104,8 @@
 	return run.run()
 }
 
-// platform asks every gateway's readiness each second, and spreads new
-// connections over the ready ones of a zone.
+// platform polls the readiness of every gateway each second and spreads new connections
+// over the ready gateways of a zone, or of all zones if the zone has none.
 type platform struct {
 	fleet *testfleet.Fleet
 	asks  chan chan map[string]bool
@@ -185,12 +186,12 @@
 	operator *operator
 	calm     atomic.Int64
 	gone     atomic.Pointer[[]string]
-	// unready is the sampler's; it is read once the sampler has ended.
+	// unready is written by the sampler only and read after the sampler has ended.
 	unready map[string]time.Duration
 }
 
-// calmSince is the moment from which nothing goes wrong; now, while a fault is
-// under way.
+// calmSince returns the time since which no fault has been active, or the current time
+// while a fault is active.
 func (tr *trialRun) calmSince() time.Time {
 	if since := tr.calm.Load(); since > 0 {
 		return time.Unix(0, since)
@@ -200,8 +201,8 @@
 
 const sampleEvery = 200 * time.Millisecond
 
-// sample watches which configuration is in force on the gateways, and which of
-// them ought to be ready and are not.
+// sample records which configuration is in force on each gateway, and which gateways
+// should be ready but are not.
 func (tr *trialRun) sample(stop chan struct{}) {
 	since := map[string]time.Time{}
 	starts := map[string]int64{}
@@ -242,7 +243,7 @@
 	}
 }
 
-// within reads a value deep in a table.
+// within returns the value at a path of keys in nested tables, or nil if there is none.
 func within(value any, path ...string) any {
 	for _, key := range path {
 		table, matches := value.(map[string]any)
@@ -264,7 +265,7 @@
 		checker.AnswerWithin("urgent", time.Second)
 	})
 	if !tr.operator.next(20 * time.Second) {
-		fmt.Println("no configuration was taken")
+		fmt.Println("no configuration was accepted")
 		return subcommands.ExitFailure
 	}
 	time.Sleep(2 * time.Second)
@@ -322,7 +323,7 @@
 	return subcommands.ExitSuccess
 }
 
-// missing counts the origins that ought to be served and are not.
+// missing returns the number of clients that should be subscribed but are not.
 func (tr *trialRun) missing() int {
 	missing := 0
 	for _, each := range tr.clients {
--- a/cmd/gateway/forms_test.go
+++ b/cmd/gateway/forms_test.go
@@ -11,10 +11,10 @@
 	"dahlialock/internal/storedforms"
 )
 
-// processor is the time that this very process used.
+// processor matches the processor time of the test process, which differs in each run.
 var processor = regexp.MustCompile(`"Processor":[0-9]+`)
 
-// TestCountersKeepTheirKeys holds what ctl tells of a daemon that has just been made.
+// TestCountersKeepTheirKeys guards the keys of the counters that operators read, on a new daemon.
 func TestCountersKeepTheirKeys(t *testing.T) {
 	var lines []string
 	for _, callers := range []settings.ClientProtocol{settings.ClientProtocolJSON, settings.ClientProtocolLines} {
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -1,4 +1,4 @@
-// The gateway daemon: the proxy that holds client connections.
+// Gateway is the daemon that serves the connections of clients.
 package main
 
 import (
@@ -20,7 +20,7 @@
 	os.Exit(int(daemon.Main(membership.KindGateway, os.Args[1:], build)))
 }
 
-// processorTime is what this process has used so far.
+// processorTime returns the processor time that this process has used so far.
 func processorTime() time.Duration {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
@@ -43,8 +43,9 @@
 		LinkBytesPerSecond: current.LinkBytesPerSecond,
 		ProcessorTime:      processorTime,
 		Incarnation:        stored.Incarnation,
-		// A sixth of the time in which a version is to be in force is left for news
-		// on its way, and two fifths of the grace for what comes after the callers.
+		// One sixth of the time within which a version must be in force is reserved for
+		// updates in flight, and two fifths of the grace period for the rest of the
+		// shutdown after the clients have moved.
 		ConfirmedFor:       current.Timeouts.Apply * 5 / 6,
 		StopWithin:         current.Timeouts.Grace * 3 / 5,
 		AcknowledgeTimeout: current.Timeouts.Acknowledge,
@@ -80,7 +81,7 @@
 	return built, nil
 }
 
-// serveLines has callers speak lines in place of HTTP.
+// serveLines serves clients with the line protocol instead of HTTP.
 func serveLines(built *daemon.Service, current settings.Settings, key []byte) {
 	var served *lineserver.Server
 	var admit func(origin, token string) bool
@@ -93,7 +94,8 @@
 		var err error
 		served, err = lineserver.Start(lineserver.Settings{
 			Address: address, Host: at, Protocol: platform.Lines{}, Admit: admit, Silent: 3 * current.Timeouts.Ping,
-			// A few more than may open a channel, so that they are told to go elsewhere.
+			// Some connections beyond the session limit are accepted, so that their clients
+			// get an answer that refers them to another gateway.
 			MaxConnections: current.MaxSessions + current.MaxSessions/10 + 64,
 		})
 		return served, err
--- a/cmd/store/forms_test.go
+++ b/cmd/store/forms_test.go
@@ -10,7 +10,7 @@
 	"dahlialock/internal/storedforms"
 )
 
-// TestCountersKeepTheirKeys holds what ctl tells of a daemon that has just been made.
+// TestCountersKeepTheirKeys guards the keys of the counters that operators read, on a new daemon.
 func TestCountersKeepTheirKeys(t *testing.T) {
 	var lines []string
 	for _, callers := range []settings.ClientProtocol{settings.ClientProtocolJSON, settings.ClientProtocolLines} {
--- a/cmd/store/linked.go
+++ b/cmd/store/linked.go
@@ -1,7 +1,7 @@
-// Some platforms reach into a program through the system's C library, so that
-// it must be linked against that library. Whether Go does so by itself hangs
-// on which packages of the standard library happen to use cgo; the import here
-// makes it certain wherever cgo is on, and does nothing where it is off.
+// Some platforms intercept calls to the system's C library, so the program must be
+// linked against it. Go links it only if a package in use, such as some of the standard
+// library, uses cgo. This import forces the linking wherever cgo is enabled; where cgo
+// is disabled, this file is not built.
 package main
 
 import "C"
--- a/cmd/store/main.go
+++ b/cmd/store/main.go
@@ -1,4 +1,4 @@
-// The store daemon: the store with a small disk.
+// Store is the daemon that keeps replicas of partitions on its disk.
 package main
 
 import (
--- a/deploy/packages_test.go
+++ b/deploy/packages_test.go
@@ -1,5 +1,5 @@
-// Package deploy holds what the platform reads to build and start dahlialock. Its
-// tests hold the deploy file to what the build really uses.
+// Package deploy contains the files that the platform reads to build and start dahlialock.
+// Its tests compare the deploy file with the packages that the build uses.
 package deploy
 
 import (
@@ -14,7 +14,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// compilerParts are the programs that gcc starts, and compilerFiles what it hands to the linker.
+// compilerParts lists the programs that gcc starts, compilerFiles the files that it passes to the linker.
 var (
 	compilerParts = []string{"cc1", "collect2", "as", "ld"}
 	compilerFiles = []string{
@@ -28,7 +28,7 @@
 const certificateWriter = "/usr/sbin/update-ca-certificates"
 
 // TestPackagesAreWhatTheBuildUses finds the programs, headers and libraries that the build
-// line uses beside the Go toolchain: each must belong to a listed package or to one that a
+// line uses in addition to the Go toolchain: each must belong to a listed package or to one that a
 // listed package depends on, and each listed package must own one of them.
 func TestPackagesAreWhatTheBuildUses(t *testing.T) {
 	requireDebian(t)
@@ -36,20 +36,20 @@
 	reached := withDependencies(t, listed)
 	used := map[string]bool{}
 	for file, owner := range ownersOf(t, usedFiles(t, build)) {
-		assert.Assert(t, reached[owner], "%s belongs to %s, which no package of system.toml brings", file, owner)
+		assert.Assert(t, reached[owner], "%s belongs to %s, which no package of system.toml installs", file, owner)
 		used[owner] = true
 	}
 	for _, name := range listed {
-		assert.Assert(t, used[name], "the build uses nothing of %s", name)
+		assert.Assert(t, used[name], "the build uses no file of %s", name)
 	}
 }
 
-// requireDebian skips the test where packages have other names. It never skips on Debian.
+// requireDebian skips the test on other systems, whose packages have other names. It never skips on Debian.
 func requireDebian(t *testing.T) {
 	t.Helper()
 	release, err := os.ReadFile("/etc/os-release")
 	if err != nil || !slices.Contains(strings.Split(string(release), "\n"), "ID=debian") {
-		t.Skip("the deploy file lists Debian's packages, and this is no Debian")
+		t.Skip("the deploy file lists Debian packages, and this system is not Debian")
 	}
 }
 
@@ -87,7 +87,7 @@
 	return append(files, usedHeaders(t, compiler, words[len(words)-1])...)
 }
 
-// usedHeaders lists the headers that the C files read which the programs are built of.
+// usedHeaders lists the system headers that the C files of the programs include.
 func usedHeaders(t *testing.T, compiler, programs string) []string {
 	t.Helper()
 	const sources = `{{if .CgoFiles}}{{$d := .Dir}}{{range .CFiles}}{{$d}}/{{.}}{{"\n"}}{{end}}{{end}}`
@@ -100,7 +100,7 @@
 	assert.Assert(t, len(files) > 0, "no C file is built, not even of runtime/cgo")
 	headers := map[string]bool{}
 	for _, file := range files {
-		// -MG: a header that cgo writes during the build is not there yet.
+		// -MG accepts missing headers, because cgo generates one only during the build.
 		for _, word := range strings.Fields(output(t, compiler, "-M", "-MG", file)) {
 			if strings.HasPrefix(word, "/usr/include/") || strings.HasPrefix(word, "/usr/lib/") {
 				headers[word] = true
@@ -116,7 +116,7 @@
 	return found
 }
 
-// absolute finds a program by its name, and leaves a path as it is.
+// absolute returns the path of a program; it looks up a name and only cleans an absolute path.
 func absolute(t *testing.T, name string) string {
 	t.Helper()
 	if filepath.IsAbs(name) {
@@ -127,14 +127,14 @@
 	return found
 }
 
-// ownersOf names the package that each file belongs to.
+// ownersOf returns the package that owns each file.
 func ownersOf(t *testing.T, files []string) map[string]string {
 	t.Helper()
 	var paths []string
 	for _, file := range files {
 		paths = append(paths, pathsOf(file)...)
 	}
-	// It fails if it knows one of the paths not, and prints the others all the same.
+	// dpkg-query fails if no package owns one of the paths, but still prints the owners of the others.
 	found, _ := exec.Command("dpkg-query", append([]string{"-S"}, paths...)...).Output()
 	packages := map[string]string{}
 	for _, line := range strings.Split(string(found), "\n") {
@@ -151,8 +151,9 @@
 	return owners
 }
 
-// pathsOf lists the paths by which the package database may name a file: its own, the one
-// that it links to, and where /lib is a link to /usr/lib, either without /usr.
+// pathsOf lists the paths under which the package database may list a file: its own path,
+// the target if it is a symbolic link, and both without /usr, for systems where /lib is a link
+// to /usr/lib.
 func pathsOf(file string) []string {
 	paths := []string{file, strings.TrimPrefix(file, "/usr")}
 	if target, err := filepath.EvalSymlinks(file); err == nil && target != file {
@@ -161,8 +162,8 @@
 	return paths
 }
 
-// withDependencies returns the installed packages that the listed ones bring: they
-// themselves and what they depend on, but nothing that they only recommend.
+// withDependencies returns the listed packages and all installed packages that they depend
+// on, directly or not, but none that they only recommend.
 func withDependencies(t *testing.T, listed []string) map[string]bool {
 	t.Helper()
 	reached := map[string]bool{}
@@ -176,7 +177,7 @@
 		fields, err := exec.Command("dpkg-query", "-W", "-f", "${Depends},${Pre-Depends}\n", name).Output()
 		if err != nil {
 			assert.Assert(t, !slices.Contains(listed, name), "%s is not installed", name)
-			// An alternative that isn't installed, or the name of a virtual package.
+			// The name is an alternative that isn't installed, or a virtual package.
 			continue
 		}
 		reached[name] = true
@@ -185,7 +186,7 @@
 	return reached
 }
 
-// dependencies reads the names of a field like "libc6 (>= 2.36), debconf | debconf-2.0".
+// dependencies returns the package names in a field such as "libc6 (>= 2.36), debconf | debconf-2.0".
 func dependencies(fields string) []string {
 	var names []string
 	for _, alternative := range strings.FieldsFunc(fields, func(r rune) bool { return strings.ContainsRune(",|\n", r) }) {
@@ -198,7 +199,7 @@
 	return names
 }
 
-// output runs a program and returns what it wrote, without blanks at its ends.
+// output runs a program and returns its standard output without surrounding white space.
 func output(t *testing.T, name string, arguments ...string) string {
 	t.Helper()
 	written, err := exec.Command(name, arguments...).Output()
--- a/internal/explore/explore.go
+++ b/internal/explore/explore.go
@@ -1,11 +1,11 @@
-// Package explore walks every state that a small world of real state machines can
-// reach, up to a bound. A world offers its choices (deliver this message, let this
-// write last, let that process end, let time pass) and takes one; the walk takes all of
-// them in turn. State machines hold closures and can't be copied, so a state is made
-// anew by taking the same choices from the beginning; a state that was seen before,
-// with at least as much left to spend, is not walked again. Choices may cost: with
-// a budget the walk takes all schedules that differ from the ordinary one in so
-// many places, which reaches far into a long run.
+// Package explore is a bounded model checker: it visits every state that a small system of
+// real state machines, called a world, can reach within bounds. A world lists its choices
+// (deliver a message, complete a write, end a process, let time pass) and applies one of
+// them; the search tries all of them in turn. State machines contain closures and can't be
+// copied, so the search restores a state by replaying the same choices from the initial state.
+// It does not expand a state again that it has visited with at least as much depth and budget
+// left. Choices may have a cost: with a budget the search covers all schedules that
+// deviate from the default schedule by at most that cost, which allows deep runs.
 package explore
 
 import (
@@ -13,32 +13,32 @@
 	"strings"
 )
 
-// Choice is one thing that may happen next, and what it costs of the budget. Label
-// is asked for only where a path is told.
+// Choice is a possible next step and its cost, which is charged to the budget. Label is
+// called only to print a path.
 type Choice struct {
 	Label func() string
 	Cost  int
 }
 
-// World is a small system with all that decides what happens next. Equal choices
-// from the beginning give equal worlds.
+// World is a small deterministic system: equal choices from the initial state give equal
+// worlds.
 type World interface {
-	// Choices lists what may happen next, in a fixed order; the ordinary one first.
+	// Choices lists the possible next steps in a fixed order; the default step comes first.
 	Choices() []Choice
-	// Take lets one of the choices happen.
+	// Take applies the choice with this index.
 	Take(choice int)
-	// Key names the state; two states with one key have the same future.
+	// Key returns the fingerprint of the state; states with equal keys behave the same from then on.
 	Key() Key
-	// Broken tells which promise the present state breaks.
+	// Broken returns an error if the current state violates an invariant.
 	Broken() error
-	// Finish lets all trouble end and tells what is wrong with what comes of it. The
-	// world is not used after.
+	// Finish ends all faults, runs the world to completion, and returns an error if its
+	// final state is wrong. The world is not used afterwards.
 	Finish() error
 }
 
-// Bounds end a walk: so many choices in a row, so much of the budget, and, as a
-// safeguard, so many states. Finish says from which states the world is brought to
-// its end.
+// Bounds limit a search: the number of consecutive choices, the sum of their costs and, as
+// a safeguard, the number of states. Finish selects the states from which the world is run
+// to completion.
 type Bounds struct {
 	Depth  int
 	Budget int
@@ -46,17 +46,17 @@
 	Finish Ending
 }
 
-// Ending says which states are brought to their end.
+// Ending selects the states from which the world is run to completion.
 type Ending int
 
-// The endings: none; those at which the walk turns back; every state.
+// FinishNone selects no state, FinishLast the states at which the search backtracks, FinishAll every state.
 const (
 	FinishNone Ending = iota
 	FinishLast
 	FinishAll
 )
 
-// Result is what a walk has seen. Whole says that no bound on states cut it short.
+// Result summarizes a search. Whole reports that the bound on states did not cut it short.
 type Result struct {
 	States      int
 	Transitions int
@@ -67,7 +67,7 @@
 	Path        []string
 }
 
-// String gives the counts, and the path to what is broken.
+// String returns the counts and, if an invariant is violated, the path to the violation.
 func (r Result) String() string {
 	counts := fmt.Sprintf("%d states, %d transitions, depth %d, %d brought to their end", r.States, r.Transitions, r.Depth, r.Finished)
 	if !r.Whole {
@@ -79,7 +79,7 @@
 	return fmt.Sprintf("%s\nbroken: %s\nafter:\n  %s", counts, r.Broken, strings.Join(r.Path, "\n  "))
 }
 
-// left is what a state was walked with.
+// left is the depth and the budget that remained when a state was visited.
 type left struct {
 	depth  int
 	budget int
@@ -93,8 +93,8 @@
 	path   []int
 }
 
-// Run walks all states within the bounds. It stops at the first broken promise, and
-// then looks for a shorter way to one.
+// Run visits all states within the bounds. It stops at the first violation and then
+// searches for a shorter path to one.
 func Run(begin func() World, bounds Bounds) Result {
 	result := once(begin, bounds)
 	for result.Broken != nil && len(result.Path) > 1 {
@@ -115,7 +115,7 @@
 	return walk.result
 }
 
-// visit walks on from a world that is in the state of the present path.
+// visit continues the search from a world that is in the state of the current path.
 func (w *walk) visit(world World, budget int) {
 	w.result.Depth = max(w.result.Depth, len(w.path))
 	if w.breaks(world.Broken()) || !w.enter(world.Key(), budget) {
@@ -150,8 +150,8 @@
 	}
 }
 
-// settled tells whether only the ordinary choice is left to somebody who has nothing
-// more to spend: the world's own end is then as good as a walk.
+// settled reports whether only the default choice is free. With no budget left there is
+// then a single schedule, so Finish can replace the rest of the search.
 func settled(choices []Choice) bool {
 	for _, choice := range choices[1:] {
 		if choice.Cost == 0 {
@@ -161,7 +161,8 @@
 	return true
 }
 
-// enter tells whether a state is walked: not if it was, with as much left to spend.
+// enter reports whether to visit a state: not if it was visited before with at least as much
+// depth and budget left, and not if it exceeds the bound on states.
 func (w *walk) enter(key Key, budget int) bool {
 	present := left{depth: w.bounds.Depth - len(w.path), budget: budget}
 	earlier, found := w.seen[key]
@@ -190,7 +191,7 @@
 	return true
 }
 
-// labels takes the present path once more and tells what happens on it.
+// labels replays the current path and returns the label of each choice.
 func (w *walk) labels() []string {
 	var labels []string
 	world := w.begin()
@@ -201,7 +202,7 @@
 	return labels
 }
 
-// again makes the state of the present path anew.
+// again replays the current path in a new world.
 func (w *walk) again() World {
 	world := w.begin()
 	for _, choice := range w.path {
--- a/internal/explore/explore_test.go
+++ b/internal/explore/explore_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// steps is a world of two counters that may be raised, one of them at a cost.
+// steps is a world of two counters that can be incremented, the second one at a cost.
 type steps struct {
 	first, second int
 	forbidden     [2]int
@@ -49,7 +49,7 @@
 	assert.Equal(t, result.Depth, 4)
 	result = Run(begin, Bounds{Depth: 4, Budget: 1})
 	assert.Equal(t, result.States, 5+4)
-	// With nothing left to spend the end is reached at once.
+	// Once the budget is used up, the world is finished immediately.
 	result = Run(begin, Bounds{Depth: 4, Budget: 1, Finish: FinishLast})
 	assert.Equal(t, result.Finished, 5)
 }
--- a/internal/explore/key.go
+++ b/internal/explore/key.go
@@ -14,14 +14,14 @@
 // Key is the fingerprint of a state.
 type Key [16]byte
 
-// oldest is how long ago a moment may be to count as such; older ones are alike.
+// oldest is the age beyond which all times in the past count as equal.
 const oldest = 20 * time.Second
 
 var moment = reflect.TypeFor[time.Time]()
 
-// KeyOf gives the fingerprint of values with all that hangs on them, fields that are
-// not exported too. Maps count in the order of their keys, moments by how far they
-// are from now; functions, channels and fields of the named kinds don't count.
+// KeyOf returns the fingerprint of values and all that they refer to, including unexported
+// fields. Maps are hashed in the order of their keys, times by their distance from now;
+// functions, channels and values of the types in without are ignored.
 func KeyOf(now time.Time, without []reflect.Type, values ...any) Key {
 	encoder := &encoder{now: now, without: without, sum: fnv.New128a()}
 	for _, value := range values {
@@ -129,9 +129,9 @@
 	panic("a map with keys of the kind " + left.Kind().String())
 }
 
-// moment counts a moment by its distance from now. Fields that are not exported can't
-// be taken out as a whole, so it is put together from its parts: made by
-// time.Unix and sums, without a monotonic reading.
+// moment hashes a time by its distance from now. Reflection can't return an unexported
+// field as a time.Time, so the time is rebuilt from its wall and ext fields. This requires a
+// time without a monotonic reading, as time.Unix and additions to it give.
 func (e *encoder) moment(value reflect.Value) {
 	const nanoseconds, epoch = 1<<30 - 1, 62135596800
 	wall, seconds := value.Field(0).Uint(), value.Field(1).Int()
--- a/internal/mutationtest/trial.go
+++ b/internal/mutationtest/trial.go
@@ -1,7 +1,7 @@
 //go:build mutation
 
-// Package mutationtest runs tests that are expected to fail, as a mechanism was taken
-// away. It is part of builds with the tag mutation only.
+// Package mutationtest runs tests that are expected to fail because a mutation has
+// disabled a mechanism. It is built with the tag mutation only.
 package mutationtest
 
 import (
@@ -9,14 +9,15 @@
 	"runtime"
 )
 
-// Trial stands in for a *testing.T whose failure is noted and ends nothing else.
+// Trial replaces a *testing.T. It records a failure without failing the test that runs
+// the trial.
 type Trial struct {
-	// Failed tells whether the run failed; Lines are what it said.
+	// Failed reports whether the run failed; Lines holds the lines that it logged.
 	Failed bool
 	Lines  []string
 }
 
-// Run runs a test on a task of its own and gives what came of it.
+// Run runs a test in a new goroutine and returns its result.
 func Run(run func(t *Trial)) *Trial {
 	trial, done := &Trial{}, make(chan struct{})
 	go func() {
@@ -27,26 +28,26 @@
 	return trial
 }
 
-// Helper does nothing.
+// Helper does nothing; test helpers call it.
 func (t *Trial) Helper() {}
 
-// Fail notes the failure.
+// Fail records the failure.
 func (t *Trial) Fail() { t.Failed = true }
 
-// FailNow notes the failure and ends the run.
+// FailNow records the failure and ends the run.
 func (t *Trial) FailNow() {
 	t.Failed = true
 	runtime.Goexit()
 }
 
-// Fatalf notes the failure with a line and ends the run.
+// Fatalf records the failure and a line, and ends the run.
 func (t *Trial) Fatalf(format string, values ...any) {
 	t.Log(fmt.Sprintf(format, values...))
 	t.FailNow()
 }
 
-// Log notes a line.
+// Log records a line.
 func (t *Trial) Log(values ...any) { t.Lines = append(t.Lines, fmt.Sprint(values...)) }
 
-// Logf drops a line that a test logs whether it fails or not.
+// Logf drops its line, because a test logs it whether it fails or not.
 func (t *Trial) Logf(string, ...any) {}
--- a/internal/testfleet/testfleet.go
+++ b/internal/testfleet/testfleet.go
@@ -1,8 +1,8 @@
-// Package testfleet starts a whole fleet on one machine as the platform would: each
-// daemon a plain process with its own settings file, TERM and then KILL after
-// six seconds, readiness asked every second. Zones are ranges of loopback
-// addresses, and the delays between them are set through the daemons' trial
-// settings. It is a test tool; no daemon uses it.
+// Package testfleet starts a complete fleet on one machine as the platform would: each
+// daemon is a process with its own settings file and is stopped with SIGTERM, and with
+// SIGKILL after six seconds. Zones are ranges of loopback addresses; the delays between
+// them are set in the trial settings of the daemons. Only tests and the trial tool use
+// this package.
 package testfleet
 
 import (
@@ -23,7 +23,7 @@
 	"dahlialock/internal/membership"
 )
 
-// Deployment is the size of a fleet.
+// Deployment is the size and layout of a fleet.
 type Deployment struct {
 	Name        string
 	Gateways    int
@@ -34,17 +34,17 @@
 	Port        int
 }
 
-// Deployments are the two of the brief, and a small one for quick trials.
+// Deployments holds the two specified deployments and a small one for quick trials.
 var Deployments = map[string]Deployment{
 	"fjordlys": {Name: "fjordlys", Gateways: 7, Stores: 3, Controllers: 5, Zones: 3, Delay: 500 * time.Microsecond, Port: 21000},
 	"qureshi":  {Name: "qureshi", Gateways: 9, Stores: 3, Controllers: 5, Zones: 3, Delay: 1500 * time.Microsecond, Port: 22000},
 	"small":    {Name: "small", Gateways: 3, Stores: 3, Controllers: 3, Zones: 3, Delay: 500 * time.Microsecond, Port: 23000},
 }
 
-// Key is the fleet's key in trials.
+// Key is the key that a fleet uses in trials.
 const Key = "fleetlab-trial-key-0123456789"
 
-// Trial is what is imposed on one daemon's links.
+// Trial holds the impairments of the links and the disk of one daemon.
 type Trial struct {
 	Delays map[string]string  `json:"delays,omitempty"`
 	Loss   map[string]float64 `json:"loss,omitempty"`
@@ -72,13 +72,13 @@
 	imposed  map[int]Trial
 }
 
-// life is one process of a daemon.
+// life is one run of a daemon's process.
 type life struct {
 	command *exec.Cmd
 	exited  chan struct{}
 }
 
-// Fleet is all of them.
+// Fleet is a set of daemons that form one deployment.
 type Fleet struct {
 	Deployment Deployment
 	Daemons    map[string]*Daemon
@@ -86,13 +86,13 @@
 	names      []string
 }
 
-// ZoneName is the name of a zone.
+// ZoneName returns the name of a zone.
 func ZoneName(number int) string { return "zone-" + string(rune('a'+number)) }
 
-// Prefix is the range of addresses of a zone.
+// Prefix returns the common prefix of the addresses of a zone.
 func Prefix(number int) string { return fmt.Sprintf("127.0.%d.", number+1) }
 
-// New lays out a fleet in a folder; binaries are in another.
+// New writes the settings of a fleet to a folder. The folder binaries contains the programs.
 func New(deployment Deployment, folder, binaries string) (*Fleet, error) {
 	fleet := &Fleet{Deployment: deployment, Daemons: map[string]*Daemon{}, folder: folder}
 	port := deployment.Port
@@ -152,7 +152,7 @@
 	for number := range deployment.Gateways {
 		addGateway(number)
 	}
-	// Machines that are laid out and not started: a trial lets them join.
+	// Spare machines get settings but are not started, so that a trial can let them join later.
 	spare = true
 	for number := range Spares {
 		addController(deployment.Controllers+number, next((deployment.Controllers+number)%deployment.Zones))
@@ -182,7 +182,7 @@
 
 func (d *Daemon) settingsPath() string { return filepath.Join(d.folder, "settings.json") }
 
-// Settings is the text of a daemon's right settings.
+// Settings returns the text of the daemon's valid settings.
 func (d *Daemon) Settings() string {
 	body, err := json.MarshalIndent(d.settings, "", "  ")
 	if err != nil {
@@ -199,15 +199,15 @@
 	return os.Rename(draft, d.settingsPath())
 }
 
-// Impose puts something on a daemon's links and disk, without a signal, until
-// Relieve takes just that away again; several may overlap.
+// Impose impairs a daemon's links and disk, without a signal, until Relieve is called with
+// the same number. Several impairments may overlap.
 func (f *Fleet) Impose(name string, number int, trial Trial) error {
 	daemon := f.Daemons[name]
 	daemon.imposed[number] = trial
 	return daemon.impairment()
 }
 
-// Relieve takes away what Impose put on a daemon.
+// Relieve removes the impairment that Impose added under this number.
 func (f *Fleet) Relieve(name string, number int) error {
 	daemon := f.Daemons[name]
 	delete(daemon.imposed, number)
@@ -228,10 +228,10 @@
 	return d.writeSettings()
 }
 
-// Spares is how many machines of each kind are laid out besides.
+// Spares is the number of spare machines of each kind.
 const Spares = 2
 
-// Spare finds a machine of a kind that has not joined yet.
+// Spare returns a machine of a kind that has not joined yet.
 func (f *Fleet) Spare(kind string) (*Daemon, bool) {
 	for _, name := range f.names {
 		if daemon := f.Daemons[name]; daemon.Kind == kind && !daemon.joined.Load() {
@@ -241,19 +241,18 @@
 	return nil, false
 }
 
-// Edit changes a daemon's settings file to any text, without a signal.
+// Edit replaces the content of a daemon's settings file, without a signal.
 func (f *Fleet) Edit(name string, text []byte) error {
 	return os.WriteFile(f.Daemons[name].settingsPath(), text, 0o644)
 }
 
-// Vanish takes a daemon's settings file away.
+// Vanish removes a daemon's settings file.
 func (f *Fleet) Vanish(name string) error { return os.Remove(f.Daemons[name].settingsPath()) }
 
-// Restore writes a daemon's right settings again.
+// Restore writes a daemon's valid settings again.
 func (f *Fleet) Restore(name string) error { return f.Daemons[name].writeSettings() }
 
-// Names lists the daemons that have joined, in the order in which they are
-// started.
+// Names lists the daemons that have joined, in the order in which StartAll starts them.
 func (f *Fleet) Names() []string {
 	var names []string
 	for _, name := range f.names {
@@ -264,7 +263,7 @@
 	return names
 }
 
-// OfKind lists the daemons of one kind.
+// OfKind lists the daemons of one kind that have joined.
 func (f *Fleet) OfKind(kind string) []*Daemon {
 	var found []*Daemon
 	for _, name := range f.Names() {
@@ -300,8 +299,8 @@
 	return nil
 }
 
-// StartAll starts every daemon, if all addresses are free: two fleets on one
-// machine would take each other's daemons for their own.
+// StartAll starts every daemon that has joined. It returns an error if an address is in use, because
+// two fleets on the same addresses would mistake each other's daemons for their own.
 func (f *Fleet) StartAll() error {
 	for _, daemon := range f.Daemons {
 		for _, address := range []string{daemon.Address, daemon.Control, daemon.Caller} {
@@ -330,7 +329,7 @@
 	}
 }
 
-// Running tells whether a daemon's process is there.
+// Running reports whether the daemon's process is running.
 func (d *Daemon) Running() bool {
 	running := d.life.Load()
 	if running == nil {
@@ -344,20 +343,20 @@
 	}
 }
 
-// Process is the daemon's process number.
+// Process returns the process id of the daemon.
 func (d *Daemon) Process() int { return d.life.Load().command.Process.Pid }
 
-// Starts is how often it was started.
+// Starts returns how often the daemon was started.
 func (d *Daemon) Starts() int64 { return d.starts.Load() }
 
-// ExitCode is how the last process ended.
+// ExitCode waits for the daemon's last process to end and returns its exit code.
 func (d *Daemon) ExitCode() int {
 	running := d.life.Load()
 	<-running.exited
 	return running.command.ProcessState.ExitCode()
 }
 
-// Kill ends a daemon at once.
+// Kill ends a daemon with SIGKILL.
 func (f *Fleet) Kill(name string) {
 	f.Signal(name, syscall.SIGKILL)
 	if running := f.Daemons[name].life.Load(); running != nil {
@@ -365,8 +364,8 @@
 	}
 }
 
-// Stop asks politely, and forcibly after six seconds; it tells how long it took
-// and whether force was needed.
+// Stop stops a daemon with SIGTERM, and with SIGKILL after six seconds. It returns how long
+// that took and whether SIGKILL was needed.
 func (f *Fleet) Stop(name string) (time.Duration, bool) {
 	daemon := f.Daemons[name]
 	if !daemon.Running() {
@@ -383,7 +382,7 @@
 	}
 }
 
-// StopAll ends all daemons.
+// StopAll stops all daemons concurrently.
 func (f *Fleet) StopAll() {
 	done := make(chan struct{})
 	names := f.Names()
@@ -404,14 +403,14 @@
 	return os.RemoveAll(filepath.Join(f.Daemons[name].folder, "data"))
 }
 
-// LogPath is where a daemon logs.
+// LogPath returns the path of a daemon's log file.
 func (f *Fleet) LogPath(name string) string {
 	return filepath.Join(f.Daemons[name].folder, "log")
 }
 
 var probe = &http.Client{Timeout: 900 * time.Millisecond, Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: time.Minute}}
 
-// Ready asks a daemon's readiness once.
+// Ready requests a daemon's readiness once and reports whether it is ready.
 func (d *Daemon) Ready() bool {
 	response, err := probe.Get("http://" + d.Control + "/ready")
 	if err != nil {
@@ -452,7 +451,7 @@
 	}
 }
 
-// ProcessorTime is the processor time that a daemon's process has used.
+// ProcessorTime returns the processor time that a daemon's process has used.
 func (d *Daemon) ProcessorTime() time.Duration {
 	body, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", d.Process()))
 	if err != nil {
--- a/internal/testfleet/testfleet_test.go
+++ b/internal/testfleet/testfleet_test.go
@@ -1,5 +1,5 @@
-// A small fleet of real processes, as a new user and the platform would meet
-// it: started, configured, used, given bad input, reloaded, stopped.
+// Tests of a small fleet of real processes, as an operator and the platform use it: it is
+// started, configured, used, sent invalid input, reloaded and stopped.
 package testfleet
 
 import (
@@ -51,7 +51,7 @@
 	return &bench{t: t, fleet: running, binaries: binaries}
 }
 
-// command runs one of our programs and gives its exit code and output.
+// command runs one of the built programs and returns its exit code and output.
 func (b *bench) command(name string, arguments ...string) (int, string) {
 	command := exec.Command(filepath.Join(b.binaries, name), arguments...)
 	output, err := command.CombinedOutput()
@@ -72,19 +72,19 @@
 	return &client.Caller{Token: httpapi.Token([]byte(Key), name), HTTP: client.NewClient("")}
 }
 
-// next reads a channel's events up to one of a kind.
+// next reads events of a session until one of the given kind arrives, and returns it.
 func next(t *testing.T, channel *client.Channel, kind string) client.Event {
 	t.Helper()
 	limit := time.After(wide)
 	for {
 		select {
 		case event, open := <-channel.Events:
-			assert.Assert(t, open, "the channel ended before %s", kind)
+			assert.Assert(t, open, "the session ended before an event %s", kind)
 			if event.Event == kind {
 				return event
 			}
 		case <-limit:
-			t.Fatalf("no %s came", kind)
+			t.Fatalf("no event %s arrived", kind)
 		}
 	}
 }
@@ -92,7 +92,7 @@
 const configuration = `{"version": %d, "spaces": [{"name": "boards", "promise": "kept"}, {"name": "decisions", "promise": "kept", "order": "channel"},
  {"name": "cursors", "promise": "passing", "publishers": ["ada"], "limits": {"data_bytes": 50}}]}`
 
-// A released daemon holds no way to take a mechanism away.
+// released checks that a release build contains no mutations, which would disable mechanisms.
 func (b *bench) released() {
 	t := b.t
 	names := map[string]bool{}
@@ -112,7 +112,7 @@
 		body, err := os.ReadFile(filepath.Join(b.binaries, program))
 		assert.NilError(t, err)
 		for name := range names {
-			assert.Assert(t, !bytes.Contains(body, []byte(name)), "%s holds %s", program, name)
+			assert.Assert(t, !bytes.Contains(body, []byte(name)), "%s contains the mutation %s", program, name)
 		}
 	}
 }
@@ -130,9 +130,9 @@
 	code, output = bench.command("dahlialock", "put", "-wait", "20s", "-ctl", control("gateway-1"), bench.file(fmt.Sprintf(configuration, 2)))
 	assert.Equal(t, code, 0, output)
 	code, output = bench.command("dahlialock", "put", "-ctl", control("agent-2"), bench.file(fmt.Sprintf(configuration, 2)))
-	assert.Equal(t, code, 0, "the same again: %s", output)
+	assert.Equal(t, code, 0, "the same version again: %s", output)
 	code, output = bench.command("dahlialock", "put", "-ctl", control("store-1"), bench.file(fmt.Sprintf(configuration, 1)))
-	assert.Equal(t, code, 3, "an older one: %s", output)
+	assert.Equal(t, code, 3, "an older version: %s", output)
 	for _, name := range bench.fleet.Names() {
 		code, output = bench.command("dahlialock", "get", "-json", "-ctl", control(name))
 		assert.Equal(t, code, 0, output)
@@ -144,7 +144,7 @@
 		for _, name := range []string{"gateway-1", "gateway-2", "gateway-3"} {
 			self, err := daemons[name].Self()
 			if err != nil || self["version"] != 2.0 {
-				return poll.Continue("%s has not the version yet", name)
+				return poll.Continue("%s does not have the version yet", name)
 			}
 		}
 		return poll.Success()
@@ -189,12 +189,12 @@
 	code, output := b.command("dahlialock", "explain", "-ctl", b.fleet.Daemons["store-2"].Control, "-message", "boards/ada/1")
 	assert.Equal(t, code, 0, output)
 	for _, step := range []string{"judged", "append", "accepted", "fanned-out", "delivered"} {
-		assert.Assert(t, strings.Contains(output, " "+step+" "), "explain does not tell of %s:\n%s", step, output)
+		assert.Assert(t, strings.Contains(output, " "+step+" "), "explain does not show the step %s:\n%s", step, output)
 	}
 	code, output = b.command("dahlialock", "explain", "-ctl", b.fleet.Daemons["store-2"].Control, "-visit", "nobody-knows-1")
 	assert.Equal(t, code, 1, output)
 
-	// One copy for each destination daemon, however many subscribe there.
+	// Each destination daemon gets one copy, no matter how many of its clients subscribe.
 	for number := range 4 {
 		more := b.origin(fmt.Sprintf("more-%d", number))
 		other, err := more.Open(within, b.fleet.Daemons["gateway-3"].Caller)
@@ -290,8 +290,8 @@
 	assert.Equal(t, stolen.Code, "other-origin")
 }
 
-// spaces asks for one that was just added, through a daemon that may not know
-// it yet, and for one that was just removed.
+// spaces publishes to a space that was just added, through gateways that may not have the
+// new configuration yet, and to a space that was just removed.
 func (b *bench) spaces() {
 	t, within := b.t, context.Background()
 	writer := b.origin("ada")
@@ -316,7 +316,7 @@
 	}, poll.WithTimeout(wide))
 }
 
-// garbage sends bytes that are no frames to every daemon's own address.
+// garbage sends bytes that are not valid frames to the peer address of every daemon.
 func (b *bench) garbage() {
 	t := b.t
 	for _, name := range b.fleet.Names() {
@@ -327,7 +327,7 @@
 			assert.NilError(t, err)
 			assert.NilError(t, link.SetReadDeadline(time.Now().Add(wide)))
 			_, err = link.Read(make([]byte, 1))
-			assert.Assert(t, errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET), "%s did not close the link: %v", name, err)
+			assert.Assert(t, errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET), "%s did not close the connection: %v", name, err)
 			_ = link.Close()
 		}
 	}
@@ -349,8 +349,8 @@
 	}, poll.WithTimeout(wide))
 }
 
-// configurations puts what must be refused, each with the path of its fault, and
-// sees that nothing has changed.
+// configurations puts invalid configurations, checks that each is rejected with the path
+// of its error, and that the configuration in force has not changed.
 func (b *bench) configurations() {
 	t := b.t
 	for _, each := range []struct{ part, path string }{
@@ -385,8 +385,8 @@
 	for _, part := range []string{"$.name", "$.address", "$.ctl", "$.caller", "$.agent", "$.key"} {
 		assert.Assert(t, strings.Contains(output, part), output)
 	}
-	// A bad edit without a signal keeps the old settings and says so; a right
-	// one is taken, with a signal too.
+	// After an invalid edit the daemon keeps the old settings and logs the error. A valid
+	// edit is applied, both without and with a signal.
 	daemon := b.fleet.Daemons["gateway-2"]
 	swapped := func(key, value string) string {
 		return strings.Replace(daemon.Settings(), fmt.Sprintf("%q: %q", key, daemon.settings[key]), fmt.Sprintf("%q: %q", key, value), 1)
@@ -404,10 +404,10 @@
 	}
 	assert.NilError(t, b.fleet.Vanish("gateway-2"))
 	b.logs("gateway-2", "no such file")
-	assert.Assert(t, daemon.Ready(), "the file vanished")
+	assert.Assert(t, daemon.Ready(), "not ready after the settings file was removed")
 	assert.NilError(t, b.fleet.Restore("gateway-2"))
 	b.logs("gateway-2", `"why":"file"`)
-	// What a trial may impose is refused on an ordinary daemon.
+	// A daemon without the flag -trial rejects trial settings.
 	code, output = b.command("gateway", "-settings", daemon.settingsPath())
 	assert.Equal(t, code, 64, output)
 	assert.Assert(t, strings.Contains(output, "$.trial: this key is not known"), output)
@@ -415,7 +415,7 @@
 	b.logs("gateway-2", `"why":"signal"`)
 }
 
-// moves stops a gateway politely: its origins are sent elsewhere and resume.
+// moves stops a gateway with SIGTERM: it refers its clients to another gateway, where they resume.
 func (b *bench) moves() {
 	t, within := b.t, context.Background()
 	reader, writer := b.origin("eve"), b.origin("ada")
@@ -444,8 +444,8 @@
 	assert.NilError(t, b.fleet.WaitReady(wide, "gateway-2"))
 }
 
-// damage flips a byte in the middle of a store's log: it is reported, put
-// aside, and the copy rebuilt; what was accepted is still there for a cursor.
+// damage corrupts a byte inside each log of a store. The store reports the damage, sets the
+// data aside and rebuilds its replicas; a cursor still gets all accepted messages.
 func (b *bench) damage() {
 	t, within := b.t, context.Background()
 	reader, writer := b.origin("dan"), b.origin("ada")
@@ -517,11 +517,11 @@
 		assert.Assert(t, each.Complete && each.First != "store-2" && each.Follower != "store-2", "%+v", each)
 	}
 	code, output = b.command("dahlialock", "store", "-ctl", b.fleet.Daemons["agent-1"].Control, "retire", "store-1")
-	assert.Equal(t, code, 3, "with too few left: %s", output)
+	assert.Equal(t, code, 3, "too few stores would remain: %s", output)
 	code, output = b.command("dahlialock", "store", "-ctl", b.fleet.Daemons["agent-3"].Control, "retire", "gateway-1")
-	assert.Equal(t, code, 3, "no store: %s", output)
+	assert.Equal(t, code, 3, "not a store: %s", output)
 	code, output = b.command("dahlialock", "store", "-ctl", b.fleet.Daemons["agent-1"].Control, "retire", "store-9")
 	assert.Equal(t, code, 3, output)
 	code, output = b.command("dahlialock", "cluster", "-ctl", "127.0.0.1:9")
-	assert.Equal(t, code, 1, "nobody there: %s", output)
+	assert.Equal(t, code, 1, "no daemon at the address: %s", output)
 }
--- a/internal/testfleet/versions_test.go
+++ b/internal/testfleet/versions_test.go
@@ -1,5 +1,5 @@
-// Daemons of two versions in one fleet, under load: what each writes to the wire and to
-// its disk, the other reads.
+// Tests with daemons of two versions in one fleet under load: each version must read what
+// the other writes to the wire and to disk.
 package testfleet
 
 import (
@@ -18,13 +18,13 @@
 	"dahlialock/internal/client"
 )
 
-// earlierCommit is the last one before names in the code were changed for readers.
+// earlierCommit is the last commit before identifiers in the code were renamed for readability.
 const earlierCommit = "9cc32dd"
 
-// pace is how often the writer sends, and how soon whoever failed tries again.
+// pace is the interval between publications of the writer, and the delay before a retry.
 const pace = 10 * time.Millisecond
 
-// build makes all programs of a source tree.
+// build builds the programs of a source tree and returns the folder that contains them.
 func build(t *testing.T, tree string) string {
 	t.Helper()
 	binaries := t.TempDir()
@@ -43,12 +43,12 @@
 	return command.CombinedOutput()
 }
 
-// treeOf unpacks a commit. A shallow clone, which may lack it, fetches its history.
+// treeOf unpacks a commit. In a shallow clone that does not contain the commit, it fetches the history.
 func treeOf(t *testing.T, commit string) string {
 	t.Helper()
 	if _, err := git("cat-file", "-e", commit+"^{commit}"); err != nil {
 		output, err := git("fetch", "--quiet", "--unshallow")
-		assert.NilError(t, err, "the history must hold %s: %s", commit, output)
+		assert.NilError(t, err, "the history must contain %s: %s", commit, output)
 	}
 	tree := t.TempDir()
 	archive := filepath.Join(t.TempDir(), "tree.tar")
@@ -65,8 +65,8 @@
 	seq   uint64
 }
 
-// write publishes one message after another through one gateway after the other, each
-// until it is accepted, and gives them all once it is asked to end.
+// write publishes messages one by one, each until it is accepted, and rotates through the
+// gateways. When it ends, it sends all accepted messages to the channel accepted.
 func write(within context.Context, b *bench, end <-chan struct{}, accepted chan<- []sent) {
 	var done []sent
 	defer func() { accepted <- done }()
@@ -98,7 +98,7 @@
 	}
 }
 
-// reader keeps a channel open, wherever there is a gateway, from its cursor on.
+// reader keeps a session open at any available gateway and resumes it from its cursor.
 type reader struct {
 	bench  *bench
 	origin *client.Caller
@@ -108,7 +108,7 @@
 	fault  error
 }
 
-// open opens a channel at one gateway after the other, and goes on there.
+// open opens a session at the gateway that tries selects and subscribes, or resumes from the cursor.
 func (r *reader) open(within context.Context, tries int) *client.Channel {
 	gateways := r.bench.fleet.OfKind("gateway")
 	channel, err := r.origin.Open(within, gateways[tries%len(gateways)].Caller)
@@ -127,7 +127,7 @@
 		return channel
 	}
 	if answer.Code == "place-lost" || answer.Code == "bad-cursor" {
-		r.fault = fmt.Errorf("its cursor is refused: %+v", answer)
+		r.fault = fmt.Errorf("the cursor was rejected: %+v", answer)
 	}
 	channel.Close()
 	return nil
@@ -145,12 +145,12 @@
 		return
 	}
 	if event.Seq < r.last[event.Space] {
-		r.fault = fmt.Errorf("%v came after %d", message, r.last[event.Space])
+		r.fault = fmt.Errorf("%v arrived after %d", message, r.last[event.Space])
 	}
 	r.last[event.Space] = event.Seq
 }
 
-// lacks names the messages that have not come.
+// lacks returns the messages that have not arrived.
 func (r *reader) lacks(owed []sent) []sent {
 	var missing []sent
 	for _, message := range owed {
@@ -161,7 +161,7 @@
 	return missing
 }
 
-// read reads until it has all that it is owed, and tells what is wrong.
+// read receives until all accepted messages have arrived, and sends the error, if any, to ended.
 func (r *reader) read(within context.Context, subscribed chan<- struct{}, owing <-chan []sent, ended chan<- error) {
 	var owed []sent
 	settled := false
@@ -188,7 +188,7 @@
 	ended <- r.fault
 }
 
-// readChannel reads one channel until it ends or has given all.
+// readChannel receives from one session until it ends or all accepted messages have arrived.
 func (r *reader) readChannel(
 	within context.Context, channel *client.Channel, owing <-chan []sent, owed []sent, settled bool,
 ) ([]sent, bool) {
@@ -214,9 +214,9 @@
 	return owed, settled
 }
 
-// replace stops one daemon after the other and starts it from other programs. An agent
-// takes its time to leave, and does so while the controller and the store beside it are
-// replaced.
+// replace stops the daemons one by one and starts each with the program of another
+// version. An agent needs some time to leave the fleet; the controller and the store of
+// the same number are replaced meanwhile.
 func (b *bench) replace(binaries string) {
 	b.t.Helper()
 	for _, number := range []string{"-1", "-2", "-3"} {
@@ -227,8 +227,8 @@
 	}
 }
 
-// restart stops a daemon, with force after six seconds as the platform does, starts it
-// from another program, and waits until the fleet has recovered from that.
+// restart stops a daemon, with SIGKILL after six seconds as the platform does, starts it
+// with another program, and waits until the fleet has recovered.
 func (b *bench) restart(name, binary string) {
 	b.t.Helper()
 	if length, forced := b.fleet.Stop(name); forced {
@@ -242,7 +242,7 @@
 	b.complete()
 }
 
-// complete waits until every partition has all its copies.
+// complete waits until every partition has all its replicas in sync.
 func (b *bench) complete() {
 	b.t.Helper()
 	poll.WaitOn(b.t, func(poll.LogT) poll.Result {
@@ -288,7 +288,7 @@
 	owing <- owed
 	assert.NilError(t, <-ended)
 	assert.Assert(t, len(owed) > 100, "only %d messages were accepted", len(owed))
-	t.Logf("%d messages were accepted and came, %d of them twice", len(owed), twice(follower.got))
+	t.Logf("%d messages were accepted and delivered, %d of them twice", len(owed), twice(follower.got))
 }
 
 func twice(got map[sent]int) int {
