--- a/cmd/dahlialock/main.go
+++ b/cmd/dahlialock/main.go
@@ -439,7 +439,7 @@
 	if seq == 0 {
 		seq = uint64(time.Now().UnixNano())
 	}
-	caller := &client.Caller{Token: httpapi.Token([]byte(key), origin), HTTP: client.NewClient("")}
+	caller := &client.Client{Token: httpapi.Token([]byte(key), origin), HTTP: client.NewHTTPClient("")}
 	within, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	answer, err := caller.Publish(within, address, space, topic, seq, json.RawMessage(arguments[0]))
@@ -462,7 +462,7 @@
 	if len(arguments) != 0 || key == "" || address == "" || space == "" && cursor == "" {
 		return usageError(command)
 	}
-	caller := &client.Caller{Token: httpapi.Token([]byte(key), origin), HTTP: client.NewClient("")}
+	caller := &client.Client{Token: httpapi.Token([]byte(key), origin), HTTP: client.NewHTTPClient("")}
 	var wanted []client.Subscription
 	if cursor == "" {
 		wanted = []client.Subscription{{Space: space, Topic: &topic}}
--- a/cmd/fleetlab/client.go
+++ b/cmd/fleetlab/client.go
@@ -27,7 +27,7 @@
 	zone        atomic.Pointer[string]
 	absentUntil atomic.Int64
 	brief       string
-	caller      *client.Caller
+	caller      *client.Client
 	random      *rand.Rand
 	interests   []checker.Interest
 	served      atomic.Bool
@@ -54,7 +54,7 @@
 	zone := testfleet.ZoneName(zoneNumber)
 	each.zone.Store(&zone)
 	// Each client connects from a loopback address of its zone.
-	each.caller = &client.Caller{Token: httpapi.Token([]byte(testfleet.Key), each.name), HTTP: client.NewClient(testfleet.Prefix(zoneNumber) + "2")}
+	each.caller = &client.Client{Token: httpapi.Token([]byte(testfleet.Key), each.name), HTTP: client.NewHTTPClient(testfleet.Prefix(zoneNumber) + "2")}
 	each.trace("begins")
 	return each
 }
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -89,11 +89,13 @@
 		admit = func(origin, token string) bool { return httpapi.ClientOf(key, token) == origin }
 	}
 	own := built.Counters
-	built.Counters = func() any { return map[string]any{"machine": own(), "callers": served.Sums(), "told": served.Sent()} }
+	built.Counters = func() any {
+		return map[string]any{"machine": own(), "callers": served.CounterValues(), "told": served.SentTotals()}
+	}
 	built.ListenClients = func(at *daemon.EventLoop, address string) (daemon.Server, error) {
 		var err error
 		served, err = lineserver.Start(lineserver.Settings{
-			Address: address, Host: at, Protocol: platform.Lines{}, Admit: admit, Silent: 3 * current.Timeouts.Ping,
+			Address: address, EventLoop: at, Protocol: platform.LineProtocol{}, Admit: admit, SilenceTimeout: 3 * current.Timeouts.Ping,
 			// Some connections beyond the session limit are accepted, so that their clients
 			// get an answer that refers them to another gateway.
 			MaxConnections: current.MaxSessions + current.MaxSessions/10 + 64,
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -54,15 +54,15 @@
 	Prefix *string `json:"prefix,omitempty"`
 }
 
-// Caller sends the requests of one client, which its token identifies.
-type Caller struct {
+// Client sends the requests of one client, which its token identifies.
+type Client struct {
 	Token string
 	HTTP  *http.Client
 }
 
-// NewClient returns an HTTP client that pools its connections. If source is not
+// NewHTTPClient returns an HTTP client that pools its connections. If source is not
 // empty, they are bound to that local IP address.
-func NewClient(source string) *http.Client {
+func NewHTTPClient(source string) *http.Client {
 	dialer := &net.Dialer{Timeout: time.Second}
 	if source != "" {
 		dialer.LocalAddr = &net.TCPAddr{IP: net.ParseIP(source)}
@@ -73,7 +73,7 @@
 }
 
 // Request sends one POST request with a JSON body to a gateway.
-func (c *Caller) Request(within context.Context, address, path string, body any) (Answer, error) {
+func (c *Client) Request(within context.Context, address, path string, body any) (Answer, error) {
 	packed, err := json.Marshal(body)
 	if err != nil {
 		return Answer{}, err
@@ -109,15 +109,15 @@
 	cancel  context.CancelFunc
 }
 
-// Refusal is the error of Open if the gateway rejected the channel.
-type Refusal struct{ Answer Answer }
+// RejectedError is the error of Open if the gateway rejected the channel.
+type RejectedError struct{ Answer Answer }
 
-func (r Refusal) Error() string {
+func (r RejectedError) Error() string {
 	return fmt.Sprintf("status %d %s: %s", r.Answer.Status, r.Answer.Code, r.Answer.Text)
 }
 
 // Open opens a channel and waits for its first event, the hello.
-func (c *Caller) Open(within context.Context, address string) (*Channel, error) {
+func (c *Client) Open(within context.Context, address string) (*Channel, error) {
 	living, cancel := context.WithCancel(within)
 	request, err := http.NewRequestWithContext(living, http.MethodGet, "http://"+address+"/v1/channel", nil)
 	if err != nil {
@@ -146,7 +146,7 @@
 		_ = json.Unmarshal(body, &answer)
 		answer.Status = response.StatusCode
 		cancel()
-		return nil, Refusal{Answer: answer}
+		return nil, RejectedError{Answer: answer}
 	}
 	reader := bufio.NewReaderSize(response.Body, 64<<10)
 	channel := &Channel{Address: address, Events: make(chan Event, 64), cancel: cancel}
@@ -188,7 +188,7 @@
 func (c *Channel) Close() { c.cancel() }
 
 // Subscribe adds subscriptions to a channel, or resumes them from a cursor.
-func (c *Caller) Subscribe(within context.Context, channel *Channel, subscriptions []Subscription, cursor string) (Answer, error) {
+func (c *Client) Subscribe(within context.Context, channel *Channel, subscriptions []Subscription, cursor string) (Answer, error) {
 	body := map[string]any{"channel": channel.Name}
 	if subscriptions != nil {
 		body["subscriptions"] = subscriptions
@@ -200,12 +200,12 @@
 }
 
 // Publish publishes a message.
-func (c *Caller) Publish(within context.Context, address, space, topic string, seq uint64, data any) (Answer, error) {
+func (c *Client) Publish(within context.Context, address, space, topic string, seq uint64, data any) (Answer, error) {
 	return c.Request(within, address, "/v1/publish", map[string]any{"space": space, "topic": topic, "seq": seq, "data": data})
 }
 
 // Pong answers a ping.
-func (c *Caller) Pong(within context.Context, channel *Channel) error {
+func (c *Client) Pong(within context.Context, channel *Channel) error {
 	_, err := c.Request(within, channel.Address, "/v1/pong", map[string]any{"channel": channel.Name})
 	return err
 }
--- a/internal/client/client_test.go
+++ b/internal/client/client_test.go
@@ -78,7 +78,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			at := serve(t, second)
-			caller := &client.Caller{Token: "u", HTTP: client.NewClient("")}
+			caller := &client.Client{Token: "u", HTTP: client.NewHTTPClient("")}
 			address := at.listener.Addr().String()
 			_, err := caller.Publish(context.Background(), address, "boards", "t", 1, "first")
 			assert.NilError(t, err)
--- a/internal/lineserver/command.go
+++ b/internal/lineserver/command.go
@@ -15,7 +15,7 @@
 
 // Kinds of commands.
 const (
-	// Unreadable is a command that could not be decoded; Fault holds the error code.
+	// Unreadable is a command that could not be decoded; Code holds the error code.
 	Unreadable Kind = iota
 	Open
 	Subscribe
@@ -32,12 +32,12 @@
 
 // Error codes of commands that the server rejects itself, without the gateway.
 const (
-	CodeMalformed = "malformed"
-	CodeTooLarge  = "too-large"
-	CodeNotOpen   = "no-such-channel"
-	CodeTwice     = "already-open"
-	CodeStranger  = "not-authentic"
-	CodeStopping  = "stopping"
+	CodeMalformed    = "malformed"
+	CodeTooLarge     = "too-large"
+	CodeNotOpen      = "no-such-channel"
+	CodeAlreadyOpen  = "already-open"
+	CodeNotAuthentic = "not-authentic"
+	CodeStopping     = "stopping"
 )
 
 // Command is one command of a client. Its slices refer to the read buffer and are
@@ -45,20 +45,20 @@
 type Command struct {
 	Kind   Kind
 	Word   []byte // the command word as the client sent it
-	Origin []byte
+	Client []byte
 	Token  []byte
 	Topic  []byte
 	Cursor []byte
 	Seq    uint64
 	Body   []byte
-	// Fault is the error code of a command that can't be executed; empty otherwise.
-	Fault string
-	// Lost is set if the position in the stream is lost, so that no later bytes can be decoded.
-	Lost bool
+	// Code is the error code of a command that can't be executed; empty otherwise.
+	Code string
+	// StreamLost is set if the position in the stream is lost, so that no later bytes can be decoded.
+	StreamLost bool
 }
 
-// About holds the fields of a command that its response repeats.
-type About struct {
+// CommandRef holds the fields of a command that its response repeats.
+type CommandRef struct {
 	Kind  Kind
 	Word  string
 	Topic string
@@ -73,7 +73,7 @@
 	// to skip bytes that have not arrived yet (the rest of a command that is rejected
 	// before its end).
 	Read(bytes []byte) (Command, int)
-	AppendAnswer(buffer []byte, about About, answer gateway.Reply) []byte
+	AppendAnswer(buffer []byte, about CommandRef, answer gateway.Reply) []byte
 	AppendEvent(buffer []byte, event gateway.Event) []byte
 	AppendPong(buffer []byte) []byte
 }
--- a/internal/lineserver/connection.go
+++ b/internal/lineserver/connection.go
@@ -99,7 +99,7 @@
 
 // pendingRequest is a command that is queued for the event loop.
 type pendingRequest struct {
-	about  About
+	about  CommandRef
 	client string
 	cursor string
 	body   []byte
@@ -109,10 +109,10 @@
 
 // read reads from a connection until either side ends it.
 func (s *Server) read(from *connection) {
-	if s.settings.Silent > 0 {
+	if s.settings.SilenceTimeout > 0 {
 		// The event loop learns of a connection with its first command, so tick can't
 		// detect the silence of a new one.
-		_ = from.socket.SetReadDeadline(time.Now().Add(s.settings.Silent))
+		_ = from.socket.SetReadDeadline(time.Now().Add(s.settings.SilenceTimeout))
 	}
 	first, alive := true, true
 	_ = from.raw.Read(func(descriptor uintptr) bool {
@@ -129,7 +129,7 @@
 				return false
 			case err != nil || length == 0:
 				alive = false
-			case first && s.settings.Silent > 0:
+			case first && s.settings.SilenceTimeout > 0:
 				first = false
 				_ = from.socket.SetReadDeadline(time.Time{})
 			}
@@ -138,7 +138,7 @@
 	})
 	_ = from.socket.Close()
 	s.openConnections.Add(-1)
-	s.settings.Host.Execute(func(owner daemon.LoopContext) { s.over(owner, from) })
+	s.settings.EventLoop.Execute(func(owner daemon.LoopContext) { s.over(owner, from) })
 }
 
 func (s *Server) buffer() []byte {
@@ -187,14 +187,14 @@
 			from.skip, used = used-len(bytes), len(bytes)
 		}
 		bytes = bytes[used:]
-		if command.Kind == Ping && command.Fault == "" && from.greeted.Load() && !from.stuck.Load() {
+		if command.Kind == Ping && command.Code == "" && from.greeted.Load() && !from.stuck.Load() {
 			pongs++
 			continue
 		}
 		batch = append(batch, s.ask(command))
-		// After a command with Lost no more are read: the error response is sent and the
+		// After a command with StreamLost set no more are read: the error response is sent and the
 		// connection closed.
-		from.lost = command.Lost
+		from.lost = command.StreamLost
 	}
 	switch {
 	case from.lost || len(bytes) == 0:
@@ -208,7 +208,7 @@
 			return false
 		}
 		if !sent {
-			batch = append(batch, pendingRequest{about: About{Kind: Ping}})
+			batch = append(batch, pendingRequest{about: CommandRef{Kind: Ping}})
 		}
 	}
 	if len(batch) == 0 {
@@ -219,7 +219,7 @@
 		s.Counters.Slow.Add(1)
 		return false
 	}
-	return s.settings.Host.Execute(func(owner daemon.LoopContext) { s.take(owner, from, batch) })
+	return s.settings.EventLoop.Execute(func(owner daemon.LoopContext) { s.take(owner, from, batch) })
 }
 
 // pong answers pings at once. If the socket accepts no bytes (sent is false), the
@@ -245,16 +245,16 @@
 // read, and checks the token of an Open.
 func (s *Server) ask(command Command) pendingRequest {
 	made := pendingRequest{
-		fault: command.Fault, lost: command.Lost,
-		about: About{Kind: command.Kind, Word: string(command.Word), Topic: string(command.Topic), Seq: command.Seq},
+		fault: command.Code, lost: command.StreamLost,
+		about: CommandRef{Kind: command.Kind, Word: string(command.Word), Topic: string(command.Topic), Seq: command.Seq},
 	}
-	if command.Fault != "" {
+	if command.Code != "" {
 		s.Counters.Unreadable.Add(1)
 		return made
 	}
-	made.client, made.cursor = string(command.Origin), string(command.Cursor)
+	made.client, made.cursor = string(command.Client), string(command.Cursor)
 	if command.Kind == Open && s.settings.Admit != nil && !s.settings.Admit(made.client, string(command.Token)) {
-		made.fault = CodeStranger
+		made.fault = CodeNotAuthentic
 		return made
 	}
 	if len(command.Body) > 0 {
--- a/internal/lineserver/lineserver.go
+++ b/internal/lineserver/lineserver.go
@@ -33,7 +33,7 @@
 	acceptPause        = 50 * time.Millisecond
 	writeLimit         = 10 * time.Second
 	lingerLimit        = time.Second
-	// silentTicks is the number of ticks in Settings.Silent. A connection is closed
+	// silentTicks is the number of ticks in Settings.SilenceTimeout. A connection is closed
 	// after more than silentTicks: the tick of its last read is only partly silent.
 	silentTicks = 4
 )
@@ -41,13 +41,13 @@
 // Settings are the settings of a server.
 type Settings struct {
 	// Address is the TCP address on which the server listens.
-	Address  string
-	Host     *daemon.EventLoop
-	Protocol Protocol
+	Address   string
+	EventLoop *daemon.EventLoop
+	Protocol  Protocol
 	// Admit reports whether a token is valid for a client (origin); nil admits every client.
 	Admit func(origin, token string) bool
-	// Silent is how long a connection may stay without input; 0 means without limit.
-	Silent time.Duration
+	// SilenceTimeout is how long a connection may stay without input; 0 means without limit.
+	SilenceTimeout time.Duration
 	// MaxConnections is the maximum number of open connections; 0 means without limit.
 	MaxConnections int
 	// MaxUnsentBytes is the maximum number of bytes that may be queued for a connection
@@ -76,20 +76,20 @@
 	connections map[uint64]*connection
 	dirty       []*connection
 	names       map[string]string
-	said        map[saidKind]Said
+	said        map[saidKind]SentTotal
 }
 
 // saidKind is the type of sent output: an event, or a response and its outcome.
 type saidKind struct{ what, outcome string }
 
-// Said is the number and the total size of the responses or events of one saidKind.
-type Said struct {
+// SentTotal is the number and the total size of the responses or events of one saidKind.
+type SentTotal struct {
 	Times int64 `json:"times"`
 	Bytes int64 `json:"bytes"`
 }
 
-// Sums returns the counters by name; a nil server returns an empty map.
-func (s *Server) Sums() map[string]int64 {
+// CounterValues returns the counters by name; a nil server returns an empty map.
+func (s *Server) CounterValues() map[string]int64 {
 	if s == nil {
 		return map[string]int64{}
 	}
@@ -101,12 +101,12 @@
 	}
 }
 
-// Sent returns the totals of sent responses and events by kind. Only the event loop may call it.
-func (s *Server) Sent() map[string]Said {
+// SentTotals returns the totals of sent responses and events by kind. Only the event loop may call it.
+func (s *Server) SentTotals() map[string]SentTotal {
 	if s == nil {
 		return nil
 	}
-	sent := make(map[string]Said, len(s.said))
+	sent := make(map[string]SentTotal, len(s.said))
 	for kind, said := range s.said {
 		sent[strings.TrimSuffix(kind.what+"-"+kind.outcome, "-")] = said
 	}
@@ -120,7 +120,7 @@
 	}
 	server := &Server{
 		settings: settings, closing: make(chan struct{}), spare: make(chan []byte, spareBuffers),
-		connections: map[uint64]*connection{}, names: map[string]string{}, said: map[saidKind]Said{},
+		connections: map[uint64]*connection{}, names: map[string]string{}, said: map[saidKind]SentTotal{},
 	}
 	// The server detects silent connections itself and needs no TCP keep-alive probes.
 	listening := net.ListenConfig{KeepAlive: -1}
@@ -129,9 +129,9 @@
 		return nil, err
 	}
 	server.listener = listener
-	settings.Host.OnTurnEnd(server.flush)
+	settings.EventLoop.OnTurnEnd(server.flush)
 	go server.accept()
-	if settings.Silent > 0 {
+	if settings.SilenceTimeout > 0 {
 		go server.tickLoop()
 	}
 	return server, nil
@@ -165,9 +165,9 @@
 	}
 }
 
-// tickLoop runs tick on the event loop, silentTicks times within Settings.Silent.
+// tickLoop runs tick on the event loop, silentTicks times within Settings.SilenceTimeout.
 func (s *Server) tickLoop() {
-	ticker := time.NewTicker(s.settings.Silent / silentTicks)
+	ticker := time.NewTicker(s.settings.SilenceTimeout / silentTicks)
 	defer ticker.Stop()
 	for {
 		select {
@@ -175,7 +175,7 @@
 			return
 		case <-ticker.C:
 		}
-		if s.openConnections.Load() > 0 && !s.settings.Host.Execute(func(daemon.LoopContext) { s.tick() }) {
+		if s.openConnections.Load() > 0 && !s.settings.EventLoop.Execute(func(daemon.LoopContext) { s.tick() }) {
 			return
 		}
 	}
@@ -201,7 +201,7 @@
 	close(s.closing)
 	_ = s.listener.Close()
 	done := make(chan struct{})
-	s.settings.Host.Execute(func(daemon.LoopContext) {
+	s.settings.EventLoop.Execute(func(daemon.LoopContext) {
 		for _, each := range s.connections {
 			each.closeWith("stopping")
 		}
--- a/internal/lineserver/owner.go
+++ b/internal/lineserver/owner.go
@@ -38,7 +38,7 @@
 		}
 		s.Counters.Writes.Add(1)
 		s.Counters.BytesOut.Add(int64(to.sent))
-		s.settings.Host.Transport().SpendBandwidth(to.sent)
+		s.settings.EventLoop.Transport().SpendBandwidth(to.sent)
 		if to.stuck.Load() {
 			rest := to.output[to.sent:]
 			to.output, to.owed = nil, len(rest)
@@ -62,8 +62,8 @@
 	sent, err := to.socket.Write(rest)
 	_ = to.socket.SetWriteDeadline(time.Time{})
 	s.Counters.BytesOut.Add(int64(sent))
-	s.settings.Host.Transport().SpendBandwidth(sent)
-	s.settings.Host.Execute(func(daemon.LoopContext) {
+	s.settings.EventLoop.Transport().SpendBandwidth(sent)
+	s.settings.EventLoop.Execute(func(daemon.LoopContext) {
 		if err != nil {
 			if to.why == "" {
 				s.Counters.Slow.Add(1)
@@ -92,7 +92,7 @@
 // end of the turn and counts it under kind.
 func (s *Server) gather(to *connection, kind saidKind, output []byte) {
 	sent := s.said[kind]
-	s.said[kind] = Said{Times: sent.Times + 1, Bytes: sent.Bytes + int64(len(output)-len(to.output))}
+	s.said[kind] = SentTotal{Times: sent.Times + 1, Bytes: sent.Bytes + int64(len(output)-len(to.output))}
 	to.output = output
 	if len(output) > 0 {
 		s.markDirty(to)
@@ -107,7 +107,7 @@
 	}
 }
 
-func (s *Server) answer(to *connection, about About, answer gateway.Reply) {
+func (s *Server) answer(to *connection, about CommandRef, answer gateway.Reply) {
 	to.waiting.Add(-1)
 	if to.state == ended {
 		return
@@ -138,7 +138,7 @@
 		case about.Kind == Open && from.state == fresh:
 			s.open(owner, from, command)
 		case about.Kind == Open:
-			s.answer(from, about, refused(CodeTwice, 0))
+			s.answer(from, about, refused(CodeAlreadyOpen, 0))
 		case from.state != open:
 			s.answer(from, about, refused(CodeNotOpen, comeBack))
 		case about.Kind == Ping:
--- a/internal/storedforms/json_test.go
+++ b/internal/storedforms/json_test.go
@@ -45,7 +45,7 @@
 		jsonForm[partition.Counts]("ctl-self-store"),
 		jsonForm[partition.PartitionStatus]("ctl-self-partition"),
 		jsonForm[gateway.TrackerStatus]("tracker"),
-		jsonForm[lineserver.Said]("ctl-self-told"),
+		jsonForm[lineserver.SentTotal]("ctl-self-told"),
 		jsonForm[transport.KindCount]("ctl-self-kind"),
 		jsonForm[decisionlog.Entry]("ctl-decision"),
 		jsonForm[config.Fault]("ctl-fault"),
--- a/internal/testfleet/testfleet_test.go
+++ b/internal/testfleet/testfleet_test.go
@@ -68,8 +68,8 @@
 	return path
 }
 
-func (b *bench) origin(name string) *client.Caller {
-	return &client.Caller{Token: httpapi.Token([]byte(Key), name), HTTP: client.NewClient("")}
+func (b *bench) origin(name string) *client.Client {
+	return &client.Client{Token: httpapi.Token([]byte(Key), name), HTTP: client.NewHTTPClient("")}
 }
 
 // next reads events of a session until one of the given kind arrives, and returns it.
--- a/internal/testfleet/versions_test.go
+++ b/internal/testfleet/versions_test.go
@@ -101,7 +101,7 @@
 // reader keeps a session open at any available gateway and resumes it from its cursor.
 type reader struct {
 	bench  *bench
-	origin *client.Caller
+	origin *client.Client
 	cursor string
 	got    map[sent]int
 	last   map[string]uint64
