--- a/internal/simulator/bandwidth.go
+++ b/internal/simulator/bandwidth.go
@@ -45,7 +45,7 @@
 	free time.Time
 }
 
-// transmitAt queues size bytes on the lane and returns the time at which they are
+// transmitAt queues size bytes for transmission and returns the time at which they are
 // transmitted.
 func (l *linkDirection) transmitAt(now time.Time, size int) time.Time {
 	if l == nil || l.rate == 0 {
@@ -99,7 +99,7 @@
 	return kind
 }
 
-// hasBandwidthLimits reports whether links have a hasBandwidthLimits bandwidth in this run.
+// hasBandwidthLimits reports whether links have a limited bandwidth in this run.
 func (s *Simulation) hasBandwidthLimits() bool { return len(s.Shape.Links) > 0 }
 
 func (s *Simulation) window() int {
@@ -132,9 +132,9 @@
 }
 
 // send queues a message.
-func (p *pipe) send(added *queuedMessage) {
-	added.left = added.size
-	p.queue = append(p.queue, added)
+func (p *pipe) send(message *queuedMessage) {
+	message.left = message.size
+	p.queue = append(p.queue, message)
 	p.transmit()
 }
 
@@ -152,8 +152,8 @@
 	}
 }
 
-// sendSegment sends one sendSegment of a message over the links of both machines.
-func (p *pipe) sendSegment(of *queuedMessage, size int, last bool) {
+// sendSegment sends one segment of a message over the links of both machines.
+func (p *pipe) sendSegment(message *queuedMessage, size int, last bool) {
 	simulation := p.simulation
 	p.inFlight += size
 	at := p.up.transmitAt(simulation.Now, size).Add(p.delay())
@@ -172,7 +172,7 @@
 					p.transmit()
 				})
 				if last {
-					of.arrived()
+					message.arrived()
 				}
 			})
 		})
@@ -191,8 +191,8 @@
 	// from and to are the incarnations of both processes.
 	from, to uint64
 	window   transport.FlowWindow
-	// taken is the number of bytes that the receiver has taken, acknowledged the number that it
-	// last acknowledged.
+	// taken is the number of bytes that the receiver has taken, acknowledged the number in its
+	// last acknowledgement.
 	taken, acknowledged   int64
 	lastAcknowledgementAt time.Time
 }
@@ -245,8 +245,8 @@
 		}
 		return
 	}
-	waits := outgoingFrame{to: to, incarnation: to.incarnation, kind: strings.TrimPrefix(fmt.Sprintf("%T", message), "*"), class: transport.ClassOf(message), frame: frame, at: s.Now}
-	for _, lost := range from.sendQueue.Push(to.Address, waits.class, len(frame), waits) {
+	queued := outgoingFrame{to: to, incarnation: to.incarnation, kind: strings.TrimPrefix(fmt.Sprintf("%T", message), "*"), class: transport.ClassOf(message), frame: frame, at: s.Now}
+	for _, lost := range from.sendQueue.Push(to.Address, queued.class, len(frame), queued) {
 		from.trafficCounters(lost.kind).Dropped++
 	}
 	from.sendQueued()
@@ -316,26 +316,26 @@
 
 // acknowledge sends the sender an acknowledgement of the bytes that the receiver has taken, if
 // one is due.
-func (s *Simulation) acknowledge(from, to *Node, taken *connection) {
-	count := taken.taken
+func (s *Simulation) acknowledge(from, to *Node, connection *connection) {
+	count := connection.taken
 	if !to.pacer.RequiresAcknowledgements() {
 		count = transport.AcknowledgeUnlimited
 	}
-	if !transport.AcknowledgementDue(taken.acknowledged, count) {
+	if !transport.AcknowledgementDue(connection.acknowledged, count) {
 		return
 	}
-	taken.acknowledged = count
+	connection.acknowledged = count
 	at := to.nic.up.transmitAt(s.Now, acknowledgementSize).Add(s.delay(to.Zone, from.Zone))
-	if at.Before(taken.lastAcknowledgementAt) {
-		at = taken.lastAcknowledgementAt
+	if at.Before(connection.lastAcknowledgementAt) {
+		at = connection.lastAcknowledgementAt
 	}
-	taken.lastAcknowledgementAt = at
+	connection.lastAcknowledgementAt = at
 	s.At(at, func() {
 		s.At(from.nic.down.transmitAt(s.Now, acknowledgementSize), func() {
-			if taken.closed || !from.Up || from.incarnation != taken.from {
+			if connection.closed || !from.Up || from.incarnation != connection.from {
 				return
 			}
-			taken.window.Acknowledge(s.Now, count)
+			connection.window.Acknowledge(s.Now, count)
 			from.sendQueued()
 		})
 	})
@@ -360,7 +360,7 @@
 	return present
 }
 
-// countMessage countMessage a message that was sent or received, by its size in bytes.
+// countMessage counts a message that was sent or received, by its size in bytes.
 func (n *Node) countMessage(kind string, sent, received int) {
 	traffic := n.trafficCounters(kind)
 	if sent > 0 {
--- a/internal/simulator/bandwidth_test.go
+++ b/internal/simulator/bandwidth_test.go
@@ -41,7 +41,7 @@
 	assert.Assert(t, landed >= 2*time.Second && landed < 2050*time.Millisecond, "%v", landed)
 }
 
-func TestAPeerThatDoesNotReadHoldsItsSenderUp(t *testing.T) {
+func TestAPeerThatDoesNotReadBlocksItsSender(t *testing.T) {
 	simulation := New(1, Small)
 	reads, landed, sent := false, 0, 0
 	pipe := testPipe(simulation, 0, &reads)
--- a/internal/simulator/digest.go
+++ b/internal/simulator/digest.go
@@ -57,15 +57,15 @@
 	r.end()
 }
 
-// write records a write before it is applied to a disk. whole says whether the write
+// write records a write before it is applied to a disk. hasSnapshot says whether the write
 // has a checkpoint.
-func (r *Recorder) write(node *Node, checkpoint []byte, whole bool, entries [][]byte) {
+func (r *Recorder) write(node *Node, snapshot []byte, hasSnapshot bool, entries [][]byte) {
 	if r == nil {
 		return
 	}
 	r.begin(recordWrite, node)
-	r.flag(whole)
-	r.bytes(checkpoint)
+	r.flag(hasSnapshot)
+	r.bytes(snapshot)
 	r.number(uint64(len(entries)))
 	for _, entry := range entries {
 		r.bytes(entry)
--- a/internal/simulator/docs_test.go
+++ b/internal/simulator/docs_test.go
@@ -16,7 +16,7 @@
 func TestDocsNameWhatExists(t *testing.T) {
 	tests, mutated := map[string]bool{}, map[string]bool{}
 	testName := regexp.MustCompile(`(?m)^func (Test\w+|Fuzz\w+)\(`)
-	question := regexp.MustCompile(`statemachine\.Mutated\("([a-z-]+)"\)`)
+	mutationCall := regexp.MustCompile(`statemachine\.Mutated\("([a-z-]+)"\)`)
 	assert.NilError(t, filepath.WalkDir("../..", func(path string, entry os.DirEntry, err error) error {
 		if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") {
 			return err
@@ -25,14 +25,14 @@
 		for _, found := range testName.FindAllStringSubmatch(string(body), -1) {
 			tests[found[1]] = true
 		}
-		for _, found := range question.FindAllStringSubmatch(string(body), -1) {
+		for _, found := range mutationCall.FindAllStringSubmatch(string(body), -1) {
 			mutated[found[1]] = true
 		}
 		return err
 	}))
 	quoted := regexp.MustCompile("`([^`]+)`")
 	scenario := regexp.MustCompile(`^[a-z]+(-[a-z]+)*$`)
-	looked := 0
+	checked := 0
 	for _, page := range []struct {
 		name    string
 		columns []string
@@ -62,7 +62,7 @@
 				for _, found := range quoted.FindAllStringSubmatch(cells[position], -1) {
 					name := found[1]
 					_, isScenario := Find(name)
-					looked++
+					checked++
 					switch {
 					case strings.HasPrefix(name, "go test "):
 						parts := strings.Fields(name)
@@ -78,5 +78,5 @@
 			}
 		}
 	}
-	assert.Assert(t, looked > 100, "only %d names were found", looked)
+	assert.Assert(t, checked > 100, "only %d names were found", checked)
 }
--- a/internal/simulator/grown.go
+++ b/internal/simulator/grown.go
@@ -18,35 +18,35 @@
 var Grown = Shape{
 	Gateways: 12, Stores: 5, Controllers: 5, Zones: 3, Clients: 480, Delay: 500 * time.Microsecond, Tolerance: 2, Seeded: true,
 	Links: map[string]Bandwidth{
-		membership.KindGateway:    {Up: grownLink, Down: grownLink},
+		membership.KindGateway:    {Up: grownLinkRate, Down: grownLinkRate},
 		membership.KindStore:      {Up: 75_000_000, Down: 75_000_000},
 		membership.KindController: {Up: 125_000_000, Down: 125_000_000},
 	},
 }
 
 const (
-	// callersOfLink is the number of clients on a link of 2.6 Mbit/s on the grown
+	// clientsPerLink is the number of clients on a link of 2.6 Mbit/s on the grown
 	// deployment. grownLink is the bandwidth of a simulated gateway's link in bytes per
 	// second, for forty clients.
-	callersOfLink = 107
-	grownLink     = 2_600_000 / 8 * 40 / callersOfLink
-	// grownBody is the size in bytes of a publication's body.
-	grownBody = 700
-	// grownEach is the mean interval at which a client publishes, grownChurn the mean
-	// interval at which it replaces one of its topics.
-	grownEach  = 7300 * time.Millisecond
-	grownChurn = 20 * time.Second
+	clientsPerLink = 107
+	grownLinkRate  = 2_600_000 / 8 * 40 / clientsPerLink
+	// grownBodySize is the size in bytes of a publication's body.
+	grownBodySize = 700
+	// grownPublishInterval is the mean interval at which a client publishes, and
+	// grownTopicInterval the mean interval at which it replaces one of its topics.
+	grownPublishInterval = 7300 * time.Millisecond
+	grownTopicInterval   = 20 * time.Second
 	// Durations of the parts of a run: before the power loss, without power, and after it.
 	grownBefore = 8 * time.Second
 	grownDown   = 940 * time.Millisecond
 	grownAfter  = 12 * time.Second
-	// grownListens is the time within which gateways start again. grownTakers is the time
-	// after the return of power at which new clients subscribe with the saved cursors
-	// of others.
-	grownListens = 800 * time.Millisecond
-	grownTakers  = 600 * time.Millisecond
-	// grownCrowd is the time after the return of power within which most clients reconnect.
-	grownCrowd = 3 * time.Second
+	// grownGatewayStartTime is the time within which gateways start again. grownNewClientsAt
+	// is the time after the return of power at which new clients subscribe with the saved
+	// cursors of others.
+	grownGatewayStartTime = 800 * time.Millisecond
+	grownNewClientsAt     = 600 * time.Millisecond
+	// grownReconnectTime is the time after the return of power within which most clients reconnect.
+	grownReconnectTime = 3 * time.Second
 )
 
 // Service counts the requests that clients made in one second of a run, and how many of
@@ -77,18 +77,18 @@
 // start again.
 func RunGrown(seed uint64, size Shape, trace func(line string)) *GrownResult {
 	simulation, _ := prepareTopics(seed, size, 0, trace)
-	simulation.world.body, simulation.world.steady = grownBody, true
+	simulation.world.body, simulation.world.steady = grownBodySize, true
 	simulation.world.topics = boards(size.Clients * 5 / 3)
 	for number := range size.Clients {
 		client := simulation.AddTopicClient(fmt.Sprintf("caller-%d", number), number%size.Zones)
 		client.unjudged = true
-		client.holdsTopics(3)
+		client.subscribeRandomTopics(3)
 	}
 	simulation.Run(4 * time.Second)
 	for _, client := range simulation.topicClients {
-		client.demands()
+		client.generateLoad()
 	}
-	began := simulation.Now
+	start := simulation.Now
 	simulation.Run(grownBefore / 2)
 	simulation.ResetTraffic()
 	simulation.Run(grownBefore / 2)
@@ -96,29 +96,29 @@
 	simulation.losePower()
 	simulation.Run(grownDown)
 	simulation.ResetTraffic()
-	back := simulation.Now
-	refused := simulation.refusals()
+	restart := simulation.Now
+	rejectedBefore := simulation.rejectedRequests()
 	for _, node := range simulation.Nodes("") {
 		simulation.After(simulation.between(0, startSpread(node)), node.Start)
 	}
-	simulation.After(grownTakers, func() { simulation.takeSaved("early") })
-	soon := 0
+	simulation.After(grownNewClientsAt, func() { simulation.takeSaved("early") })
+	rejectedEarly := 0
 	for second := range int(grownAfter / time.Second) {
 		simulation.Run(time.Second)
-		if time.Duration(second+1)*time.Second == grownCrowd {
-			soon = simulation.refusals()
+		if time.Duration(second+1)*time.Second == grownReconnectTime {
+			rejectedEarly = simulation.rejectedRequests()
 		}
-		result.LoadImbalance = append(result.LoadImbalance, simulation.fullest())
+		result.LoadImbalance = append(result.LoadImbalance, simulation.loadImbalance())
 		if time.Duration(second+1)*time.Second == grownAfter/2 {
 			result.Recovery = simulation.Traffic(membership.KindGateway)
 		}
 	}
-	result.Rejected, result.RejectedLater = simulation.refusals()-refused, simulation.refusals()-soon
+	result.Rejected, result.RejectedLater = simulation.rejectedRequests()-rejectedBefore, simulation.rejectedRequests()-rejectedEarly
 	simulation.activeFaults--
 	simulation.lastFaultAt = simulation.Now
 	simulation.closeTopics()
-	result.Before = simulation.world.service(began, grownBefore)
-	result.After = simulation.world.service(back, grownAfter)
+	result.Before = simulation.world.service(start, grownBefore)
+	result.After = simulation.world.service(restart, grownAfter)
 	return result
 }
 
@@ -126,13 +126,13 @@
 // one after another, and the first ones that listen receive the clients of all.
 func startSpread(node *Node) time.Duration {
 	if node.Kind == membership.KindGateway {
-		return grownListens
+		return grownGatewayStartTime
 	}
 	return 300 * time.Millisecond
 }
 
-// fullest returns the ratio of the largest number of clients on a gateway to the mean.
-func (s *Simulation) fullest() float64 {
+// loadImbalance returns the ratio of the largest number of clients on a gateway to the mean.
+func (s *Simulation) loadImbalance() float64 {
 	maximum, sum := 0, 0
 	gateways := s.Nodes(membership.KindGateway)
 	for _, node := range gateways {
@@ -144,8 +144,8 @@
 	return float64(maximum) * float64(len(gateways)) / float64(max(1, sum))
 }
 
-// refusals counts the requests that the gateways have rejected since their last start.
-func (s *Simulation) refusals() int {
+// rejectedRequests counts the requests that the gateways have rejected since their last start.
+func (s *Simulation) rejectedRequests() int {
 	count := 0
 	for _, node := range s.Nodes(membership.KindGateway) {
 		if node.Up {
@@ -167,8 +167,8 @@
 	}
 }
 
-// holdsTopics lets a client subscribe to up to count random topics.
-func (tc *TopicClient) holdsTopics(count int) {
+// subscribeRandomTopics lets a client subscribe to up to count random topics.
+func (tc *TopicClient) subscribeRandomTopics(count int) {
 	topics := tc.simulation.world.topics
 	for range count {
 		topic := topics[tc.simulation.Random.IntN(len(topics))]
@@ -176,28 +176,28 @@
 	}
 }
 
-// demands lets a client publish, and replace topics, at times that do not depend on how it
+// generateLoad lets a client publish, and replace topics, at times that do not depend on how it
 // is served.
-func (tc *TopicClient) demands() {
+func (tc *TopicClient) generateLoad() {
 	simulation := tc.simulation
-	simulation.After(simulation.between(0, grownEach), tc.demandsSending)
-	simulation.After(simulation.between(0, grownChurn), tc.demandsTopics)
+	simulation.After(simulation.between(0, grownPublishInterval), tc.generatePublications)
+	simulation.After(simulation.between(0, grownTopicInterval), tc.generateTopicChanges)
 }
 
-// demandsSending publishes on a random topic, and repeats itself.
-func (tc *TopicClient) demandsSending() {
+// generatePublications publishes on a random topic, and repeats itself.
+func (tc *TopicClient) generatePublications() {
 	simulation, world := tc.simulation, tc.simulation.world
 	if tc.stopped {
 		return
 	}
-	simulation.After(grownEach/2+simulation.between(0, grownEach), tc.demandsSending)
+	simulation.After(grownPublishInterval/2+simulation.between(0, grownPublishInterval), tc.generatePublications)
 	topic := world.topics[simulation.Random.IntN(len(world.topics))]
-	world.demands = append(world.demands, demand{at: simulation.Now, served: tc.wants(topic)})
+	world.demands = append(world.demands, demand{at: simulation.Now, served: tc.publishOn(topic)})
 }
 
-// wants publishes on a topic, and returns a function that reports whether the publication
+// publishOn publishes on a topic, and returns a function that reports whether the publication
 // was accepted in time.
-func (tc *TopicClient) wants(topic string) func() bool {
+func (tc *TopicClient) publishOn(topic string) func() bool {
 	tc.pipeline = 8
 	if len(tc.outbox[topic]) >= tc.pipeline {
 		return func() bool { return false }
@@ -209,13 +209,13 @@
 	return func() bool { return !acceptedAt.IsZero() && acceptedAt.Sub(wanted) <= topicDeadline }
 }
 
-// demandsTopics replaces one of the client's topics by a random one, and repeats itself.
-func (tc *TopicClient) demandsTopics() {
+// generateTopicChanges replaces one of the client's topics by a random one, and repeats itself.
+func (tc *TopicClient) generateTopicChanges() {
 	simulation, world := tc.simulation, tc.simulation.world
 	if tc.stopped {
 		return
 	}
-	simulation.After(grownChurn/2+simulation.between(0, grownChurn), tc.demandsTopics)
+	simulation.After(grownTopicInterval/2+simulation.between(0, grownTopicInterval), tc.generateTopicChanges)
 	tc.drop(firstTopic(tc.topics))
 	topic := world.topics[simulation.Random.IntN(len(world.topics))]
 	tc.take(topic)
@@ -282,11 +282,11 @@
 // TrafficTable formats traffic by kind of message as a table, per gateway and second.
 func TrafficTable(kinds []KindTraffic, gateways int, span time.Duration) string {
 	var text strings.Builder
-	each := float64(gateways) * span.Seconds()
+	gatewaySeconds := float64(gateways) * span.Seconds()
 	fmt.Fprintf(&text, "%-32s %9s %9s %9s %9s %8s %9s %9s\n", "kind", "out B/s", "out 1/s", "in B/s", "in 1/s", "dropped", "mean", "slowest")
 	for _, kind := range kinds {
-		fmt.Fprintf(&text, "%-32s %9.0f %9.1f %9.0f %9.1f %8d %9s %9s\n", kind.Kind, float64(kind.BytesOut)/each, float64(kind.MessagesOut)/each,
-			float64(kind.BytesIn)/each, float64(kind.MessagesIn)/each, kind.Dropped,
+		fmt.Fprintf(&text, "%-32s %9.0f %9.1f %9.0f %9.1f %8d %9s %9s\n", kind.Kind, float64(kind.BytesOut)/gatewaySeconds, float64(kind.MessagesOut)/gatewaySeconds,
+			float64(kind.BytesIn)/gatewaySeconds, float64(kind.MessagesIn)/gatewaySeconds, kind.Dropped,
 			(kind.TotalDelay / time.Duration(max(1, kind.MessagesIn))).Round(100*time.Microsecond), kind.MaxDelay.Round(100*time.Microsecond))
 	}
 	return text.String()
--- a/internal/simulator/injection.go
+++ b/internal/simulator/injection.go
@@ -125,8 +125,8 @@
 	s.trace("fault: %s", fault)
 	end := func() { s.faultEnds(fault.Name) }
 	inject := injectors[fault.Name]
-	if callers, found := topicInjectors[fault.Name]; found && s.world != nil {
-		inject = callers
+	if topicInject, found := topicInjectors[fault.Name]; found && s.world != nil {
+		inject = topicInject
 	}
 	inject(s, fault, end)
 }
@@ -220,18 +220,18 @@
 
 // partitionFor cuts the links that the predicate cut selects, for length.
 func (s *Simulation) partitionFor(length time.Duration, cut func(from, to *Node) bool, end func()) {
-	type way struct{ from, to *Node }
-	var ways []way
+	type link struct{ from, to *Node }
+	var links []link
 	for _, from := range s.Nodes("") {
 		for _, to := range s.Nodes("") {
 			if from != to && cut(from, to) {
-				ways = append(ways, way{from, to})
+				links = append(links, link{from, to})
 				s.CutLink(from, to)
 			}
 		}
 	}
 	s.After(length, func() {
-		for _, each := range ways {
+		for _, each := range links {
 			s.HealLink(each.from, each.to)
 		}
 		end()
@@ -247,9 +247,9 @@
 	case membership.KindController:
 		s.addController(number).Start()
 	case membership.KindGateway:
-		gateway, beside := s.addGateway(number)
+		gateway, agent := s.addGateway(number)
 		gateway.Start()
-		beside.Start()
+		agent.Start()
 	}
 }
 
@@ -580,7 +580,7 @@
 
 // serving reports which parts of the service are available: a primary, all partitions
 // with both replicas and a running leader, and all clients.
-func (s *Simulation) serving() (primary, partitions, callers bool) {
+func (s *Simulation) serving() (primary, partitions, clients bool) {
 	acting := s.Primary()
 	if acting == nil {
 		return false, false, s.clientsServed()
--- a/internal/simulator/mutation_test.go
+++ b/internal/simulator/mutation_test.go
@@ -49,9 +49,9 @@
 	{"first-route-wins", "topics-resets", 0, []string{checker.Lost, checker.Skipped}},
 }
 
-// seen runs a scenario with several seeds until the checker reports a violation of one of the
-// kinds. It returns the seed and the violation.
-func seen(t *testing.T, scenario Scenario, kinds []string, from, seeds uint64) (uint64, string) {
+// findViolation runs a scenario with several seeds until the checker reports a violation of
+// one of the kinds. It returns the seed and the violation.
+func findViolation(t *testing.T, scenario Scenario, kinds []string, from, seeds uint64) (uint64, string) {
 	t.Helper()
 	for seed := from; seed < from+seeds; seed++ {
 		run := New(seed, Small)
@@ -78,12 +78,12 @@
 		scenario, found := Find(each.scenario)
 		assert.Assert(t, found, each.scenario)
 		restore := statemachine.Mutate(each.mutation)
-		seed, line := seen(t, scenario, each.kinds, each.from, 20)
+		seed, line := findViolation(t, scenario, each.kinds, each.from, 20)
 		restore()
 		assert.Check(t, line != "", "%s did not cause a violation of %v in %s", each.mutation, each.kinds, each.scenario)
 		if line != "" {
 			t.Logf("%s in %s, seed %d: %s", each.mutation, each.scenario, seed, line)
-			green = append(green, func() { judge(t, scenario, seed) })
+			green = append(green, func() { checkSeed(t, scenario, seed) })
 		}
 	}
 	done := make(chan struct{})
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -12,7 +12,7 @@
 	"dahlialock/internal/transport"
 )
 
-// linkName returns the key of the linkName from one daemon to another.
+// linkName returns the key of the link from one daemon to another.
 func linkName(from, to *Node) string { return from.Name + ">" + to.Name }
 
 // CutLink cuts the link from one daemon to another, in this direction only. Cuts of the
--- a/internal/simulator/recorded.go
+++ b/internal/simulator/recorded.go
@@ -41,9 +41,9 @@
 		RunGrown(rr.Seed, size, nil)
 		return Recording{rr, recorder.Digest()}, nil
 	}
-	scenario, known := Find(rr.Scenario)
-	size, shaped := Shapes[rr.Shape]
-	if !known || !shaped {
+	scenario, foundScenario := Find(rr.Scenario)
+	size, foundShape := Shapes[rr.Shape]
+	if !foundScenario || !foundShape {
 		return Recording{}, fmt.Errorf("unknown scenario %q or shape %q", rr.Scenario, rr.Shape)
 	}
 	size.Recorder = recorder
--- a/internal/simulator/recorded_test.go
+++ b/internal/simulator/recorded_test.go
@@ -105,14 +105,14 @@
 }
 
 func TestRecordedRunsSeeAnotherSeedAndOneChangedByte(t *testing.T) {
-	asIs := func(any) {}
-	plain := shortRun(1, asIs)
-	assert.Equal(t, shortRun(1, asIs), plain)
-	assert.Assert(t, shortRun(2, asIs) != plain)
+	unchanged := func(any) {}
+	plain := shortRun(1, unchanged)
+	assert.Equal(t, shortRun(1, unchanged), plain)
+	assert.Assert(t, shortRun(2, unchanged) != plain)
 	changed := 0
 	flipped := shortRun(1, func(message any) {
-		if said, is := message.(partition.Append); is && len(said.Data) > 0 && changed == 0 {
-			said.Data[0] ^= 1
+		if request, is := message.(partition.Append); is && len(request.Data) > 0 && changed == 0 {
+			request.Data[0] ^= 1
 			changed++
 		}
 	})
--- a/internal/simulator/scenario.go
+++ b/internal/simulator/scenario.go
@@ -52,17 +52,17 @@
 			continue
 		}
 		healthy := node.HealthySince
-		beside := s.agentOf(node)
-		if !beside.Up || beside.Frozen {
+		agent := s.agentOf(node)
+		if !agent.Up || agent.Frozen {
 			continue
 		}
-		if beside.HealthySince.After(healthy) {
-			healthy = beside.HealthySince
+		if agent.HealthySince.After(healthy) {
+			healthy = agent.HealthySince
 		}
-		if s.isolatedFromMajority(node) || s.isolatedFromMajority(beside) {
+		if s.isolatedFromMajority(node) || s.isolatedFromMajority(agent) {
 			continue
 		}
-		if orders := node.Gateway().ViewClient().Directives; !node.Ready() && !orders.Rest && !slices.Contains(node.Gateway().Configuration().Draining, node.Name) {
+		if directives := node.Gateway().ViewClient().Directives; !node.Ready() && !directives.Rest && !slices.Contains(node.Gateway().Configuration().Draining, node.Name) {
 			s.unready[node.Name] += sampleEvery
 			s.Checker.NotReady(node.Name, s.calmSince(), s.Now)
 		}
@@ -94,25 +94,25 @@
 	return prepare(seed, size, 0, trace)
 }
 
-func prepare(seed uint64, size Shape, apart time.Duration, trace func(line string)) (*Simulation, *Operator) {
+func prepare(seed uint64, size Shape, clockSkew time.Duration, trace func(line string)) (*Simulation, *Operator) {
 	simulation := New(seed, size)
-	return simulation, simulation.startFleet(apart, trace)
+	return simulation, simulation.startFleet(clockSkew, trace)
 }
 
 // startFleet starts the daemons, puts the first configuration, and waits until all gateways
 // are ready.
-func (s *Simulation) startFleet(apart time.Duration, trace func(line string)) *Operator {
+func (s *Simulation) startFleet(clockSkew time.Duration, trace func(line string)) *Operator {
 	s.Trace = trace
-	s.clockSkew = apart
+	s.clockSkew = clockSkew
 	s.StartAll()
 	operator := newOperator(s)
 	s.operator = operator
 	s.Checker.Space("boards", true, false)
 	s.Checker.Space("decisions", true, true)
 	s.Checker.Space("cursors", false, false)
-	taken := false
-	s.After(time.Second, func() { operator.next(func() { taken = true }) })
-	if !s.RunUntil(20*time.Second, func() bool { return taken }) {
+	accepted := false
+	s.After(time.Second, func() { operator.next(func() { accepted = true }) })
+	if !s.RunUntil(20*time.Second, func() bool { return accepted }) {
 		s.Checker.Violate(checker.NotBack, "no configuration was accepted within 20 s")
 	}
 	s.RunUntil(10*time.Second, func() bool {
@@ -246,19 +246,19 @@
 
 // MeasureRecovery measures how long from now it takes until every client is subscribed again
 // and can publish, and when each part of the recovery was observed.
-func (s *Simulation) MeasureRecovery(what string) {
+func (s *Simulation) MeasureRecovery(failure string) {
 	from := s.Now
-	comeback := &Recovery{What: what}
-	s.recovery, s.recoveryStart = comeback, from
+	recovery := &Recovery{What: failure}
+	s.recovery, s.recoveryStart = recovery, from
 	var check func()
 	check = func() {
 		after := s.Now.Sub(from)
-		primary, partitions, callers := s.serving()
+		primary, partitions, clients := s.serving()
 		for _, part := range []struct {
-			there bool
-			since *time.Duration
-		}{{primary, &comeback.TakeoverDone}, {partitions, &comeback.PartitionsComplete}, {callers, &comeback.ClientsBack}} {
-			if !part.there {
+			available bool
+			since     *time.Duration
+		}{{primary, &recovery.TakeoverDone}, {partitions, &recovery.PartitionsComplete}, {clients, &recovery.ClientsBack}} {
+			if !part.available {
 				*part.since = 0
 			} else if *part.since == 0 {
 				*part.since = after
@@ -266,13 +266,13 @@
 		}
 		// The failure may be detected only after a time in which everything still
 		// appears healthy, so service counts as back once it lasted for four seconds.
-		if back := max(comeback.TakeoverDone, comeback.PartitionsComplete, comeback.ClientsBack); primary && partitions && callers && after-back > 4*time.Second || after > 2*checker.BackWithin {
-			if !primary || !partitions || !callers {
+		if back := max(recovery.TakeoverDone, recovery.PartitionsComplete, recovery.ClientsBack); primary && partitions && clients && after-back > 4*time.Second || after > 2*checker.BackWithin {
+			if !primary || !partitions || !clients {
 				back = after
 			}
-			s.Checker.Served(what, back)
-			s.trace("service is back %s after %s: %+v", back, what, *comeback)
-			s.Recoveries = append(s.Recoveries, *comeback)
+			s.Checker.Served(failure, back)
+			s.trace("service is back %s after %s: %+v", back, failure, *recovery)
+			s.Recoveries = append(s.Recoveries, *recovery)
 			s.recovery = nil
 			return
 		}
@@ -334,15 +334,15 @@
 // has passed.
 func (s *Simulation) every(length, minimum, maximum time.Duration, fault func()) {
 	until := s.Now.Add(length - 2*time.Second)
-	var again func()
-	again = func() {
+	var inject func()
+	inject = func() {
 		if s.Now.After(until) {
 			return
 		}
 		fault()
-		s.After(s.between(minimum, maximum), again)
+		s.After(s.between(minimum, maximum), inject)
 	}
-	s.After(s.between(0, minimum), again)
+	s.After(s.between(0, minimum), inject)
 }
 
 // controllerIn returns the controller in a role, "primary" or "backup", or nil.
@@ -630,7 +630,7 @@
 	s.operator.next(nil)
 }
 
-// countResting counts the gateways that are countResting.
+// countResting counts the gateways that are resting.
 func (s *Simulation) countResting() int {
 	count := 0
 	for _, node := range s.Nodes(membership.KindGateway) {
@@ -648,14 +648,14 @@
 	return pair[0] == membership.KindGateway && pair[1] == membership.KindAgent && left.Name[len(left.Kind):] == right.Name[len(right.Kind):]
 }
 
-// retire retires a store and calls done when it is retired, or never if the request is
+// retire retires a store and calls done when it is retired, or rejected if the request is
 // rejected with a conflict because too few stores would be left.
-func (s *Simulation) retire(node *Node, done, never func()) {
+func (s *Simulation) retire(node *Node, done, rejected func()) {
 	var poll func()
-	ask := func(method, path string) {
+	request := func(method, path string) {
 		at := s.randomRunningNode("")
 		if at == nil {
-			s.After(500*time.Millisecond, func() { s.retire(node, done, never) })
+			s.After(500*time.Millisecond, func() { s.retire(node, done, rejected) })
 			return
 		}
 		s.Control(at, method, path, nil, func(response membership.ControlResponse, alive bool) {
@@ -669,16 +669,16 @@
 			case value.Retired:
 				done()
 			case alive && response.Status == http.StatusConflict:
-				never()
+				rejected()
 			case alive && response.Status < 300:
 				s.After(200*time.Millisecond, poll)
 			default:
-				s.After(500*time.Millisecond, func() { s.retire(node, done, never) })
+				s.After(500*time.Millisecond, func() { s.retire(node, done, rejected) })
 			}
 		})
 	}
-	poll = func() { ask(http.MethodGet, "/v1/stores/"+node.Name) }
-	ask(http.MethodPost, "/v1/stores/"+node.Name+"/retire")
+	poll = func() { request(http.MethodGet, "/v1/stores/"+node.Name) }
+	request(http.MethodPost, "/v1/stores/"+node.Name+"/retire")
 }
 
 // briefSpace adds a space with clients that use it and removes it again. While it is
--- a/internal/simulator/simulator.go
+++ b/internal/simulator/simulator.go
@@ -351,7 +351,7 @@
 	return statemachine.Incarnation(rand.New(rand.NewPCG(n.simulation.Seed, n.incarnation)).Uint64())
 }
 
-// localTime returns the current time on the daemon's localTime clock.
+// localTime returns the current time on the daemon's local clock.
 func (n *Node) localTime() time.Time {
 	return n.localStart.Add(time.Duration(float64(n.simulation.Now.Sub(n.simStart)) * n.clockRate))
 }
@@ -378,14 +378,14 @@
 	n.sendQueue, n.pacer, n.sendScheduled = transport.PriorityQueue[outgoingFrame]{}, &transport.Pacer{}, false
 	n.pacer.SetRate(simulation.Shape.Links[linkKind(n.Kind)].Up)
 	n.HealthySince = simulation.Now
-	var held storedState
+	var stored storedState
 	if n.disk != nil {
 		log, recovered, err := wal.Open(n.disk)
 		must(err)
 		n.log = log
-		held = storedState{snapshot: recovered.Snapshot, entries: recovered.Entries}
+		stored = storedState{snapshot: recovered.Snapshot, entries: recovered.Entries}
 	}
-	n.Machine = n.build(n, held)
+	n.Machine = n.build(n, stored)
 	simulation.trace("%s starts", n.Name)
 	n.step(func(now time.Time, effects *statemachine.Effects) { n.Machine.Start(now, effects) })
 }
@@ -443,13 +443,13 @@
 func (s *Simulation) refuse(from, to *Node) {
 	incarnation := from.incarnation
 	s.After(2*s.delay(from.Zone, to.Zone), func() {
-		watcher, watches := from.Machine.(statemachine.LinkObserver)
-		if !watches || !to.refusesConnections || !from.Up || from.incarnation != incarnation || s.cuts[linkName(from, to)] > 0 {
+		observer, observes := from.Machine.(statemachine.LinkObserver)
+		if !observes || !to.refusesConnections || !from.Up || from.incarnation != incarnation || s.cuts[linkName(from, to)] > 0 {
 			return
 		}
 		from.enter(func() {
 			from.step(func(now time.Time, effects *statemachine.Effects) {
-				watcher.ConnectionRefused(now, to.Address, effects)
+				observer.ConnectionRefused(now, to.Address, effects)
 			})
 		})
 	})
@@ -459,9 +459,9 @@
 	n.Up, n.Frozen = false, false
 	n.incarnation = 0
 	n.timer++
-	returns := n.pendingRequests
+	pending := n.pendingRequests
 	n.pendingRequests = map[uint64]func(any, bool){}
-	for _, done := range statemachine.Sorted(returns) {
+	for _, done := range statemachine.Sorted(pending) {
 		n.simulation.After(time.Millisecond, func() { done(nil, false) })
 	}
 	sinks := n.sinks
@@ -548,10 +548,10 @@
 	n.HealthySince = n.simulation.Now
 	backlog := n.backlog
 	n.backlog = nil
-	if held := n.suspendedEffects; held != nil {
+	if effects := n.suspendedEffects; effects != nil {
 		// The process was paused between a step and the application of its effects.
 		n.suspendedEffects = nil
-		n.applyEffects(held)
+		n.applyEffects(effects)
 		if !n.Up {
 			return
 		}
@@ -689,10 +689,10 @@
 
 func (n *Node) attemptWrite(write statemachine.Write) error {
 	n.Syncs++
-	frame, whole := write.SnapshotBytes()
-	n.simulation.Shape.Recorder.write(n, frame, whole, write.Entries)
-	if whole {
-		if err := n.log.Checkpoint(frame); err != nil {
+	snapshot, hasSnapshot := write.SnapshotBytes()
+	n.simulation.Shape.Recorder.write(n, snapshot, hasSnapshot, write.Entries)
+	if hasSnapshot {
+		if err := n.log.Checkpoint(snapshot); err != nil {
 			return err
 		}
 	}
@@ -711,21 +711,21 @@
 	n.writing = true
 	batch := len(n.writes)
 	incarnation := n.incarnation
-	takes := time.Duration(500+n.simulation.Random.IntN(3000)) * time.Microsecond
+	duration := time.Duration(500+n.simulation.Random.IntN(3000)) * time.Microsecond
 	if n.diskSlowdown > 0 {
-		takes *= time.Duration(1 + n.simulation.Random.IntN(n.diskSlowdown))
+		duration *= time.Duration(1 + n.simulation.Random.IntN(n.diskSlowdown))
 	}
-	n.simulation.After(takes, func() {
+	n.simulation.After(duration, func() {
 		if !n.Up || n.incarnation != incarnation {
 			return
 		}
-		taken := n.writes[:batch:batch]
-		for _, write := range taken {
+		written := n.writes[:batch:batch]
+		for _, write := range written {
 			n.perform(write)
 		}
 		n.enter(func() {
 			n.writes, n.writing = n.writes[batch:], false
-			for _, write := range taken {
+			for _, write := range written {
 				n.step(func(now time.Time, effects *statemachine.Effects) {
 					n.Machine.HandleCommand(now, statemachine.Synced{Token: write.Token}, effects)
 				})
--- a/internal/simulator/simulator_test.go
+++ b/internal/simulator/simulator_test.go
@@ -32,8 +32,8 @@
 	assert.Equal(t, sums[0], sums[1])
 }
 
-// remembered lists runs that failed in the past, with the fault that they showed.
-var remembered = []struct {
+// regressionSeeds lists runs that failed in the past, with the fault that they showed.
+var regressionSeeds = []struct {
 	scenario string
 	seed     uint64
 	showed   string
@@ -61,7 +61,7 @@
 	{"topics-steady", 4006, "a duplicate answer completed another publication, and a durable message was rejected"},
 }
 
-func judge(t *testing.T, scenario Scenario, seed uint64) {
+func checkSeed(t *testing.T, scenario Scenario, seed uint64) {
 	t.Helper()
 	run := Run(scenario, seed, Small, nil)
 	for _, line := range run.Checker.Violations() {
@@ -78,7 +78,7 @@
 		t.Run(scenario.Name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(2) {
-				judge(t, scenario, 1000+seed)
+				checkSeed(t, scenario, 1000+seed)
 			}
 		})
 	}
@@ -104,26 +104,26 @@
 			scenario, found := Find(each.scenario)
 			assert.Assert(t, found)
 			for seed := range each.seeds {
-				judge(t, scenario, 1000+seed)
+				checkSeed(t, scenario, 1000+seed)
 			}
 		})
 	}
 }
 
-func TestRememberedSeeds(t *testing.T) {
-	for _, each := range remembered {
+func TestRegressionSeeds(t *testing.T) {
+	for _, each := range regressionSeeds {
 		t.Run(fmt.Sprintf("%s-%d", each.scenario, each.seed), func(t *testing.T) {
 			t.Parallel()
 			scenario, found := Find(each.scenario)
 			assert.Assert(t, found)
-			judge(t, scenario, each.seed)
+			checkSeed(t, scenario, each.seed)
 		})
 	}
 }
 
 // A client that is away for longer than the retention time plus all margins gets its cursor
 // rejected; one that returns within the retention time does not.
-func TestAPlaceLastsForTheHoldingTimeAndIsThenRefused(t *testing.T) {
+func TestACursorIsValidForTheRetentionTimeAndIsThenRejected(t *testing.T) {
 	for _, each := range []struct {
 		away time.Duration
 		lost bool
