--- a/cmd/agent/main.go
+++ b/cmd/agent/main.go
@@ -1,4 +1,4 @@
-// The agent daemon: the agent beside a gateway.
+// Agent is the daemon that runs next to each gateway, on the same machine.
 package main
 
 import (
@@ -17,7 +17,7 @@
 }
 
 func build(current settings.Settings, self membership.Member, stored daemon.StoredState) (daemon.Service, error) {
-	machine := agent.New(agent.Settings{Self: self, Seeds: current.Seeds, Gateway: current.GatewayAddress, Acknowledge: current.Timeouts.Acknowledge, Incarnation: stored.Incarnation})
+	machine := agent.New(agent.Settings{Self: self, Seeds: current.Seeds, Gateway: current.GatewayAddress, AcknowledgeTimeout: current.Timeouts.Acknowledge, Incarnation: stored.Incarnation})
 	return daemon.Service{
 		Machine:     machine,
 		Ready:       func(time.Time) bool { return machine.Ready() },
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -9,12 +9,12 @@
 	"github.com/valyala/fastjson"
 )
 
-// annotationKey is the document's member that holds the annotation.
+// annotationKey is the key of the annotation in the document.
 const annotationKey = "annex"
 
 // Read parses a document. The faults are sorted by path. If there are any, the
-// document must not come into force, and the configuration has fallbacks or
-// nothing in place of what is faulty.
+// document must not take effect, and the configuration has defaults or zero values
+// in place of the faulty values.
 func Read(document []byte) (Configuration, []Fault) {
 	var reader Reader
 	if len(document) > MaxDocumentBytes {
@@ -30,7 +30,7 @@
 	return configuration, reader.Faults
 }
 
-// ValidName reports whether a space, client, zone or daemon may have a name: 1 to
+// ValidName reports whether a name is valid for a space, client, zone or daemon: 1 to
 // MaxNameBytes of the letters a to z and A to Z, digits, '-', '_' and '.'.
 func ValidName(name string) bool {
 	if name == "" || len(name) > MaxNameBytes {
@@ -52,8 +52,8 @@
 	return char == '-' || char == '_' || char == '.'
 }
 
-// validPattern reports whether a text is a name, a prefix of names, or the
-// wildcard alone.
+// validPattern reports whether a text is a name, a prefix of names followed by the
+// wildcard, or the wildcard alone.
 func validPattern(pattern string) bool {
 	prefix, wild := strings.CutSuffix(pattern, wildcard)
 	return wild && prefix == "" || ValidName(prefix)
@@ -64,11 +64,11 @@
 		annotationKey, "subscriptions_each")
 	var configuration Configuration
 	if members["version"] == nil {
-		r.Report("$.version", FaultMissing, "a version is wanted")
+		r.Report("$.version", FaultMissing, "a version is required")
 	}
 	configuration.Version = uint64(r.Integer("$.version", members["version"], 1, 1, math.MaxInt64))
 	if members["spaces"] == nil {
-		r.Report("$.spaces", FaultMissing, "spaces are wanted, if only an empty array")
+		r.Report("$.spaces", FaultMissing, "spaces are required; the array may be empty")
 	}
 	configuration.Spaces = r.spaces("$.spaces", members["spaces"])
 	configuration.Consolidation = r.consolidation("$.economy", members["economy"])
@@ -91,7 +91,7 @@
 		itemPath := indexed(path, index)
 		space := r.space(itemPath, item)
 		if _, duplicate := spaces[space.Name]; duplicate {
-			r.Report(itemPath+".name", FaultDuplicateName, "the space %q stands twice", space.Name)
+			r.Report(itemPath+".name", FaultDuplicateName, "the space %q appears twice", space.Name)
 		}
 		spaces[space.Name] = space
 	}
@@ -107,16 +107,16 @@
 	space.Order = Order(r.Choice(path+".order", members["order"],
 		string(OrderSender), string(OrderSender), string(OrderSpace), string(OrderTopic)))
 	if space.Order == OrderSpace && space.Retention != Durable {
-		r.Report(path+".order", FaultClash, "one shared order needs the promise kept")
+		r.Report(path+".order", FaultConflict, "the order channel requires the promise kept")
 	}
 	space.RetentionTime = r.Duration(path+".holding", members["holding"],
 		DefaultRetentionTime, MinRetentionTime, MaxRetentionTime)
 	if members["holding"] != nil && space.Retention != Durable {
-		r.Report(path+".holding", FaultClash, "only kept spaces have a holding time")
+		r.Report(path+".holding", FaultConflict, "only a space with the promise kept may have a holding time")
 	}
 	space.Tolerance = int(r.Integer(path+".tolerance", members["tolerance"], defaultTolerance, 1, maxTolerance))
 	if members["tolerance"] != nil && space.Retention != Durable {
-		r.Report(path+".tolerance", FaultClash, "only kept spaces have a tolerance")
+		r.Report(path+".tolerance", FaultConflict, "only a space with the promise kept may have a tolerance")
 	}
 	space.DataBytes, space.PublicationsPerSecond = r.limits(path+".limits", members["limits"])
 	everyone := []string{wildcard}
@@ -132,9 +132,9 @@
 	name := r.Text(path, value, "")
 	switch {
 	case value == nil:
-		r.Report(path, FaultMissing, "a name is wanted")
+		r.Report(path, FaultMissing, "a name is required")
 	case value.Type() == fastjson.TypeString && !ValidName(name):
-		r.Report(path, FaultBadName, "%q is not a fit name", name)
+		r.Report(path, FaultBadName, "%q is not a valid name", name)
 	}
 	return name
 }
@@ -146,7 +146,7 @@
 	return Retention(r.Choice(path, value, string(Ephemeral), string(Durable), string(Ephemeral)))
 }
 
-// limits reads the bounds of a space's publications.
+// limits reads the limits on a space's publications.
 func (r *Reader) limits(path string, value *fastjson.Value) (dataBytes, publicationsPerSecond int) {
 	members := map[string]*fastjson.Value{}
 	if value != nil {
--- a/internal/config/reader.go
+++ b/internal/config/reader.go
@@ -14,9 +14,10 @@
 
 // Reader reads the values of one JSON document strictly and collects every
 // fault with its path. Its methods return a fallback for a value that is absent
-// (nil) or faulty, and only report the latter. The zero value is ready for use.
+// (nil) or faulty, and report a fault only for a faulty one. The zero value is ready
+// for use.
 type Reader struct {
-	// Faults are in the order in which they were found.
+	// Faults are all reported faults in the order in which they were found.
 	Faults []Fault
 }
 
@@ -25,7 +26,8 @@
 	r.Faults = append(r.Faults, Fault{Path: path, Code: code, Text: fmt.Sprintf(text, values...)})
 }
 
-// Parse returns the root value of a document, or false after a fault.
+// Parse returns the root value of a document. It reports a fault and returns false if the
+// document isn't valid JSON.
 func (r *Reader) Parse(document []byte) (*fastjson.Value, bool) {
 	// fastjson accepts some bytes that no JSON text may contain.
 	if !json.Valid(document) {
@@ -56,7 +58,7 @@
 	members := map[string]*fastjson.Value{}
 	object, err := value.Object()
 	if err != nil {
-		r.Report(path, FaultWrongType, "an object is wanted, not %s", value.Type())
+		r.Report(path, FaultWrongType, "an object is required, not %s", value.Type())
 		return members
 	}
 	object.Visit(func(key []byte, member *fastjson.Value) {
@@ -77,7 +79,7 @@
 func (r *Reader) require(path string, members map[string]*fastjson.Value, keys ...string) {
 	for _, key := range keys {
 		if members[key] == nil {
-			r.Report(path+"."+key, FaultMissing, "%s is wanted", key)
+			r.Report(path+"."+key, FaultMissing, "%s is required", key)
 		}
 	}
 }
@@ -89,7 +91,7 @@
 	}
 	text, err := value.StringBytes()
 	if err != nil {
-		r.Report(path, FaultWrongType, "a string is wanted, not %s", value.Type())
+		r.Report(path, FaultWrongType, "a string is required, not %s", value.Type())
 		return fallback
 	}
 	return string(text)
@@ -103,7 +105,7 @@
 	}
 	number, err := value.Int64()
 	if value.Type() != fastjson.TypeNumber || err != nil || strings.ContainsAny(value.String(), ".eE") {
-		r.Report(path, FaultWrongType, "a whole number is wanted, not %s", value.String())
+		r.Report(path, FaultWrongType, "an integer is required, not %s", value.String())
 		return fallback
 	}
 	if number < minimum || number > maximum {
@@ -120,7 +122,7 @@
 	}
 	number, err := value.Float64()
 	if value.Type() != fastjson.TypeNumber || err != nil || math.IsNaN(number) || math.IsInf(number, 0) {
-		r.Report(path, FaultWrongType, "a number is wanted, not %s", value.String())
+		r.Report(path, FaultWrongType, "a number is required, not %s", value.String())
 		return fallback
 	}
 	if number < minimum || number > maximum {
@@ -130,14 +132,14 @@
 	return number
 }
 
-// Duration reads a text such as "35s" from minimum to maximum.
+// Duration reads a duration such as "35s" from minimum to maximum.
 func (r *Reader) Duration(path string, value *fastjson.Value, fallback, minimum, maximum time.Duration) time.Duration {
 	if value == nil {
 		return fallback
 	}
 	text, err := value.StringBytes()
 	if err != nil {
-		r.Report(path, FaultWrongType, "a duration such as \"35s\" is wanted, not %s", value.Type())
+		r.Report(path, FaultWrongType, "a duration such as \"35s\" is required, not %s", value.Type())
 		return fallback
 	}
 	duration, err := time.ParseDuration(string(text))
@@ -159,7 +161,7 @@
 	}
 	truth, err := value.Bool()
 	if err != nil {
-		r.Report(path, FaultWrongType, "true or false is wanted, not %s", value.Type())
+		r.Report(path, FaultWrongType, "true or false is required, not %s", value.Type())
 		return fallback
 	}
 	return truth
@@ -182,7 +184,7 @@
 	}
 	items, err := value.Array()
 	if err != nil {
-		r.Report(path, FaultWrongType, "an array is wanted, not %s", value.Type())
+		r.Report(path, FaultWrongType, "an array is required, not %s", value.Type())
 		return nil
 	}
 	if len(items) > maximum {
@@ -192,8 +194,8 @@
 	return items
 }
 
-// Names reads an array of texts that are valid and all different. Faulty ones are
-// in the result, too.
+// Names reads an array of valid and distinct strings. Invalid and duplicate ones are
+// reported, but are in the result, too.
 func (r *Reader) Names(path string, value *fastjson.Value, fallback []string, valid func(string) bool) []string {
 	if value == nil {
 		return fallback
@@ -203,10 +205,10 @@
 		itemPath := indexed(path, index)
 		name := r.Text(itemPath, item, "")
 		if item.Type() == fastjson.TypeString && !valid(name) {
-			r.Report(itemPath, FaultBadName, "%q is not a fit name", name)
+			r.Report(itemPath, FaultBadName, "%q is not a valid name", name)
 		}
 		if slices.Contains(names, name) {
-			r.Report(itemPath, FaultDuplicateName, "%q stands twice", name)
+			r.Report(itemPath, FaultDuplicateName, "%q appears twice", name)
 		}
 		names = append(names, name)
 	}
--- a/internal/consensus/founding.go
+++ b/internal/consensus/bootstrap.go
@@ -8,15 +8,16 @@
 	"dahlialock/internal/statemachine"
 )
 
-// mayFound reports whether this controller may propose the first epoch.
-func (n *Node) mayFound() bool {
+// mayBootstrap reports whether this controller may propose the first epoch.
+func (n *Node) mayBootstrap() bool {
 	return n.settings.ClusterSize > 0 || len(n.hardState.Founders) > 0
 }
 
-// recordFounders persists that this controller is one of the founders, so that it goes on
-// founding if it is restarted with other settings before the first epoch is decided.
+// recordFounders persists the addresses of the founders if this controller is one of them, so
+// that it continues to bootstrap the cluster if it is restarted with other settings before the
+// first epoch is decided.
 func (n *Node) recordFounders(effects *statemachine.Effects) {
-	if !n.blank || !n.settings.Founding || n.settings.ClusterSize > 0 || len(n.hardState.Founders) > 0 ||
+	if !n.blank || !n.settings.Bootstrap || n.settings.ClusterSize > 0 || len(n.hardState.Founders) > 0 ||
 		!slices.Contains(n.settings.Seeds, n.settings.Self.Address) {
 		return
 	}
@@ -24,9 +25,10 @@
 	n.persistHardState(effects, nil)
 }
 
-// foundingVoters returns the voters of the first epoch once all of them were heard and
-// are blank. If any controller that was heard is not blank, there is a fleet already.
-func (n *Node) foundingVoters() ([]Controller, bool) {
+// initialVoters returns the voters of the first epoch, and whether it is complete: all of them
+// have sent a Hello and are blank. If any other controller is not blank, a cluster already
+// exists.
+func (n *Node) initialVoters() ([]Controller, bool) {
 	voters := []Controller{n.identity()}
 	for address, known := range statemachine.Sorted(n.discovery.peers) {
 		switch {
@@ -41,45 +43,45 @@
 			voters = append(voters, known.hello.Self)
 		}
 	}
-	wanted := len(n.hardState.Founders)
+	expected := len(n.hardState.Founders)
 	if n.settings.ClusterSize > 0 {
-		wanted = n.settings.ClusterSize
+		expected = n.settings.ClusterSize
 	}
-	return voters, len(voters) == wanted
+	return voters, len(voters) == expected
 }
 
-// tryFounding proposes the first epoch once all founders were heard. It needs every one
-// of them, so that a founder whose disk is lost can't help to found a second fleet.
-func (n *Node) tryFounding(now time.Time, effects *statemachine.Effects) {
-	if n.election.attempt != nil || !n.mayFound() {
+// tryBootstrap proposes the first epoch once all founders have sent a Hello. It needs every
+// founder, so that a founder whose disk was lost can't help to create a second cluster.
+func (n *Node) tryBootstrap(now time.Time, effects *statemachine.Effects) {
+	if n.election.attempt != nil || !n.mayBootstrap() {
 		return
 	}
-	voters, complete := n.foundingVoters()
+	voters, complete := n.initialVoters()
 	if !complete {
 		return
 	}
 	sortByName(voters)
-	// The first by name proposes, of those that know that they are founders.
+	// Of the voters that have recorded that they are founders, the first by name proposes.
 	for _, voter := range voters {
 		if voter.SameAs(n.settings.Self) {
 			break
 		}
-		if known := n.discovery.peers[voter.Address]; known.hello.Founding || n.settings.ClusterSize > 0 {
+		if known := n.discovery.peers[voter.Address]; known.hello.Founder || n.settings.ClusterSize > 0 {
 			return
 		}
 	}
 	n.startBallot(now, Record{
 		Epoch:   1,
 		Primary: n.settings.Self.Name,
-		Backups: n.foundingBackups(voters),
+		Backups: n.initialBackups(voters),
 		Voters:  voters,
 	}, effects)
 }
 
-// foundingBackups chooses the backups of the first epoch, in different zones if possible.
-func (n *Node) foundingBackups(voters []Controller) []string {
+// initialBackups chooses the backups of the first epoch, in different zones if possible.
+func (n *Node) initialBackups(voters []Controller) []string {
 	var chosen []string
-	for len(chosen) < min(max(1, n.neededBackups()), len(voters)-1) {
+	for len(chosen) < min(max(1, n.requiredBackups()), len(voters)-1) {
 		var others []Controller
 		for _, voter := range voters {
 			if !voter.SameAs(n.settings.Self) && !slices.Contains(chosen, voter.Name) {
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -1,9 +1,10 @@
 package consensus
 
 // A simulated cluster for tests with random faults: clocks that differ in time and rate,
-// links that delay, lose and repeat, controllers that are frozen, killed, partitioned and
-// wiped one at a time. At no moment may two controllers hold the lease or the role, and
-// what was committed must be in the state of whoever may answer, in order.
+// links that delay, lose and duplicate messages, and controllers that are frozen, killed,
+// partitioned and wiped one at a time. It checks two invariants: no two controllers hold the
+// lease or the role at the same time, and the state of a serving controller contains all
+// committed commands in order.
 
 import (
 	"container/heap"
@@ -21,13 +22,13 @@
 	"dahlialock/internal/wal"
 )
 
-// commandOf is the command of a number, long enough for snapshots to be written now and
-// then.
+// commandOf returns the command with a number. The command is long enough that snapshots are
+// written from time to time.
 func commandOf(number uint64) []byte {
 	return append(binary.BigEndian.AppendUint64(nil, number), make([]byte, 3000)...)
 }
 
-// appliedNumbers is a StateMachine that holds the numbers of all commands, in order.
+// appliedNumbers is a StateMachine that records the numbers of all applied commands, in order.
 type appliedNumbers struct{ numbers []uint64 }
 
 func (w *appliedNumbers) Apply(_ time.Time, command []byte) {
@@ -64,36 +65,36 @@
 
 // testController is a simulated controller with its disk.
 type testController struct {
-	cluster   *testCluster
-	self      Controller
-	node      *Node
-	state     *appliedNumbers
-	roleLease *RoleLease
-	run       int
-	up        bool
-	frozen    bool
-	deferred  []func()
-	disk      *wal.MemoryFolder
-	log       *wal.Log
-	// pendingWrites are the writes that are not synced yet, in order, and writesDoneAt is
-	// when the last of them will be.
+	cluster     *testCluster
+	self        Controller
+	node        *Node
+	state       *appliedNumbers
+	roleLease   *RoleLease
+	incarnation int
+	up          bool
+	frozen      bool
+	deferred    []func()
+	disk        *wal.MemoryFolder
+	log         *wal.Log
+	// pendingWrites are the writes that are not synced yet, in order, and writesDoneAt is when
+	// the last of them will be synced.
 	pendingWrites []statemachine.Write
 	writesDoneAt  time.Duration
-	// snapshots counts those that were written.
+	// snapshots counts the snapshots that were written.
 	snapshots      int
 	offset         time.Duration
 	rate           float64
 	timer          int
 	partitioned    bool
-	deaf           bool
+	inboundBlocked bool
 	removed        bool
 	diskHangsUntil time.Duration
-	// founding is the setting at the next start.
-	founding bool
+	// bootstrap is the value of Settings.Bootstrap at the next start.
+	bootstrap bool
 }
 
-// trial is the part of testing.TB that a run needs; the mutation tests substitute one that
-// is expected to fail.
+// trial is the part of testing.TB that a run needs. The mutation tests substitute an
+// implementation that is expected to fail.
 type trial interface {
 	assert.TestingT
 	Helper()
@@ -120,9 +121,9 @@
 	diskCount         int
 	snapshots         int
 	incarnations      statemachine.Incarnation
-	founded           map[string]bool
-	// delayMessage, if set, returns for how long the links delay a message, which then
-	// reaches whatever incarnation is there, or that it is lost.
+	bootstrapped      map[string]bool
+	// delayMessage, if set, returns how long a message is delayed, or that it is lost. A delayed
+	// message is delivered to the incarnation of the receiver that runs by then.
 	delayMessage func(from, to *testController, message any) (delay time.Duration, lost bool)
 }
 
@@ -152,7 +153,7 @@
 	if c.up || c.removed {
 		return
 	}
-	c.run++
+	c.incarnation++
 	c.up, c.frozen, c.deferred = true, false, nil
 	c.offset = time.Duration(c.cluster.random.Int64N(int64(4*time.Hour))) - 2*time.Hour
 	c.state = &appliedNumbers{}
@@ -160,7 +161,7 @@
 		Self:        c.self,
 		ClusterSize: c.cluster.count,
 		Seeds:       c.cluster.seeds,
-		Founding:    c.founding,
+		Bootstrap:   c.bootstrap,
 		Tolerance:   c.cluster.tolerance,
 	}
 	if settings.ClusterSize == 0 {
@@ -179,8 +180,8 @@
 	c.step(func(now time.Time, effects *statemachine.Effects) { node.Start(now, effects) })
 }
 
-// kill takes the power: the disk stops in the midst of the pending writes, between any two
-// of its operations.
+// kill simulates a loss of power. The disk stops during the pending writes, between any two of
+// its operations.
 func (c *testController) kill() {
 	if c.up {
 		c.disk.FailAfter(c.cluster.random.IntN(12))
@@ -191,7 +192,7 @@
 		}
 		c.disk.LosePower(c.cluster.random.IntN)
 	}
-	c.up, c.run, c.node, c.pendingWrites, c.writesDoneAt = false, c.run+1, nil, nil, 0
+	c.up, c.incarnation, c.node, c.pendingWrites, c.writesDoneAt = false, c.incarnation+1, nil, nil, 0
 }
 
 func (c *testController) perform(write statemachine.Write) error {
@@ -213,47 +214,48 @@
 		return
 	}
 	c.frozen = false
-	waits := c.deferred
+	deferred := c.deferred
 	c.deferred = nil
 	c.step(func(now time.Time, effects *statemachine.Effects) { c.node.Tick(now, effects) })
-	for _, run := range waits {
+	for _, run := range deferred {
 		run()
 	}
 }
 
-// runIn runs something in an incarnation of a controller, if it still runs.
-func (c *testController) runIn(life int, run func()) {
+// runIn calls run if the given incarnation of the controller is still up. If the controller is
+// frozen, the call is deferred until it is unfrozen.
+func (c *testController) runIn(incarnation int, run func()) {
 	switch {
-	case !c.up || c.run != life:
+	case !c.up || c.incarnation != incarnation:
 	case c.frozen:
-		c.deferred = append(c.deferred, func() { c.runIn(life, run) })
+		c.deferred = append(c.deferred, func() { c.runIn(incarnation, run) })
 	default:
 		run()
 	}
 }
 
 func (c *testController) step(run func(now time.Time, effects *statemachine.Effects)) {
-	cluster, life := c.cluster, c.run
+	cluster, incarnation := c.cluster, c.incarnation
 	var effects statemachine.Effects
 	run(c.local(), &effects)
-	for _, note := range effects.LogEvents {
-		cluster.checkLogEvent(c, note)
+	for _, event := range effects.LogEvents {
+		cluster.checkLogEvent(c, event)
 	}
 	for _, send := range effects.Sends {
 		cluster.send(c, send)
 	}
 	for _, write := range effects.Writes {
-		// The disk does one write after the other.
+		// The disk executes one write after the other.
 		c.pendingWrites = append(c.pendingWrites, write)
 		wait := max(0, c.diskHangsUntil-cluster.now) + time.Duration(1+cluster.random.IntN(8))*time.Millisecond
 		c.writesDoneAt = max(c.writesDoneAt, cluster.now+wait)
 		cluster.after(c.writesDoneAt-cluster.now, func() {
-			if !c.up || c.run != life {
+			if !c.up || c.incarnation != incarnation {
 				return
 			}
 			c.pendingWrites = c.pendingWrites[1:]
 			assert.NilError(cluster.t, c.perform(write))
-			c.runIn(life, func() {
+			c.runIn(incarnation, func() {
 				c.step(func(now time.Time, effects *statemachine.Effects) { c.node.Synced(now, write.Token, effects) })
 			})
 		})
@@ -264,7 +266,7 @@
 		wait := max(0, time.Duration(float64(due.Sub(c.local()))/c.rate))
 		cluster.after(wait+time.Microsecond, func() {
 			if c.timer == timer {
-				c.runIn(life, func() {
+				c.runIn(incarnation, func() {
 					c.step(func(now time.Time, effects *statemachine.Effects) { c.node.Tick(now, effects) })
 				})
 			}
@@ -274,7 +276,8 @@
 
 func (tc *testCluster) send(from *testController, send statemachine.Send) {
 	for _, to := range tc.controllers {
-		if to.self.Address != send.To || from.partitioned != to.partitioned || to.deaf || tc.random.Float64() < tc.loss {
+		if to.self.Address != send.To || from.partitioned != to.partitioned || to.inboundBlocked ||
+			tc.random.Float64() < tc.loss {
 			continue
 		}
 		packed, err := transport.Encode(statemachine.Meta{From: from.self.Address}, send.Message)
@@ -290,9 +293,9 @@
 			}
 		}
 		for range 1 + tc.random.IntN(20)/19 {
-			life := to.run
+			incarnation := to.incarnation
 			tc.after(time.Duration(100+tc.random.IntN(3000))*time.Microsecond, func() {
-				if to.run == life {
+				if to.incarnation == incarnation {
 					to.receive(packed)
 				}
 			})
@@ -300,23 +303,23 @@
 	}
 }
 
-// receive hands a message to the present incarnation.
+// receive delivers a message to the current incarnation.
 func (c *testController) receive(packed []byte) {
-	c.runIn(c.run, func() {
+	c.runIn(c.incarnation, func() {
 		meta, message, err := transport.Decode(packed[4:])
 		assert.NilError(c.cluster.t, err)
 		c.step(func(now time.Time, effects *statemachine.Effects) { c.node.HandleMessage(now, meta, message, effects) })
 	})
 }
 
-// checkLogEvent checks that one fleet only is founded.
-func (tc *testCluster) checkLogEvent(controller *testController, note statemachine.LogEvent) {
-	if note.Number != logevent.Founded {
+// checkLogEvent checks that only one cluster is bootstrapped.
+func (tc *testCluster) checkLogEvent(controller *testController, event statemachine.LogEvent) {
+	if event.Number != logevent.FirstEpochDecided {
 		return
 	}
-	tc.founded[fmt.Sprint(controller.node.Record())] = true
-	if len(tc.founded) > 1 {
-		tc.t.Fatalf("%s at %s founded another fleet: %v", controller.self.Name, tc.now, tc.founded)
+	tc.bootstrapped[fmt.Sprint(controller.node.Record())] = true
+	if len(tc.bootstrapped) > 1 {
+		tc.t.Fatalf("%s at %s bootstrapped a second cluster: %v", controller.self.Name, tc.now, tc.bootstrapped)
 	}
 }
 
@@ -337,7 +340,7 @@
 			applied := controller.state.numbers
 			if len(applied) < len(tc.committed) || !slices.Equal(applied[:len(tc.committed)], tc.committed) {
 				tc.t.Fatalf(
-					"%s at %s may answer and has %v, committed were %v",
+					"%s at %s serves with state %v, but %v were committed",
 					controller.self.Name, tc.now, applied, tc.committed,
 				)
 			}
@@ -349,7 +352,8 @@
 	tc.leaseObservations += len(primaries)
 }
 
-// generateLoad lets controllers submit commands and request the role all the time.
+// generateLoad submits commands to random controllers, and lets them request the role, at random
+// intervals.
 func (tc *testCluster) generateLoad() {
 	tc.after(time.Duration(20+tc.random.IntN(80))*time.Millisecond, tc.generateLoad)
 	controller := tc.controllers[tc.random.IntN(len(tc.controllers))]
@@ -363,13 +367,13 @@
 		return
 	}
 	tc.submitTo(controller, func(number uint64) {
-		// Indeterminate commands that were applied before it are committed with it.
+		// Indeterminate commands that were applied before this one are committed with it.
 		applied := controller.state.numbers
 		tc.committed = append([]uint64(nil), applied[:slices.Index(applied, number)+1]...)
 	})
 }
 
-// injectFaults brings a fault to one controller, or to the links, now and then.
+// injectFaults injects a fault into one controller, or into the links, at random intervals.
 func (tc *testCluster) injectFaults() {
 	if tc.faultsOver {
 		return
@@ -402,7 +406,8 @@
 	}
 }
 
-// mayLoseDisk reports whether another disk may be lost: once the one before was replaced.
+// mayLoseDisk reports whether another disk may be lost: the previously lost one was replaced, and
+// no controller has another fault.
 func (tc *testCluster) mayLoseDisk() bool {
 	for _, controller := range tc.controllers {
 		if !controller.removed && (!controller.up || controller.frozen || controller.partitioned) {
@@ -421,19 +426,19 @@
 	return false
 }
 
-// newCluster returns a cluster whose first controllers are the seeds; all have Founding set
-// at their first start.
+// newCluster returns a cluster whose first controllers are the seeds. All controllers have
+// Bootstrap set at their first start.
 func newCluster(t trial, seed uint64, controllers, seeds, tolerance int) *testCluster {
 	cluster := &testCluster{
-		t:         t,
-		random:    rand.New(rand.NewPCG(seed, 0xf1ee7)),
-		tolerance: tolerance,
-		founded:   map[string]bool{},
+		t:            t,
+		random:       rand.New(rand.NewPCG(seed, 0xf1ee7)),
+		tolerance:    tolerance,
+		bootstrapped: map[string]bool{},
 	}
 	for number := range controllers {
 		name := fmt.Sprintf("controller-%d", number)
 		controller := cluster.add(name, name, fmt.Sprint(number%3))
-		controller.founding = true
+		controller.bootstrap = true
 		if number < seeds {
 			cluster.seeds = append(cluster.seeds, controller.self.Address)
 		}
@@ -458,21 +463,21 @@
 	}
 }
 
-// until runs the cluster until a condition holds, and returns how long that took. It fails
-// after the timeout.
+// until runs the cluster until a condition holds, and returns how long that took. The test fails
+// if it takes longer than the timeout.
 func (tc *testCluster) until(timeout time.Duration, what string, holds func() bool) time.Duration {
 	tc.t.Helper()
-	began := tc.now
+	started := tc.now
 	for !holds() {
-		if tc.now-began > timeout {
-			tc.t.Fatalf("after %s still not: %s", timeout, what)
+		if tc.now-started > timeout {
+			tc.t.Fatalf("condition not reached within %s: %s", timeout, what)
 		}
 		tc.run(20 * time.Millisecond)
 	}
-	return tc.now - began
+	return tc.now - started
 }
 
-// serving is the controller that may answer now.
+// serving returns the reachable controller that currently serves, or nil.
 func (tc *testCluster) serving() *testController {
 	for _, controller := range tc.controllers {
 		if controller.up && !controller.frozen && !controller.partitioned && controller.node.Serving(controller.local()) {
@@ -497,8 +502,8 @@
 	c.disk.Wipe()
 }
 
-// hasVoters reports whether there are so many voters, and all of them are up and take part
-// in the newest epoch.
+// hasVoters reports whether there is the given number of voters, and all of them are up and take
+// part in the newest epoch.
 func (tc *testCluster) hasVoters(size int) bool {
 	primary := tc.serving()
 	if primary == nil {
@@ -527,11 +532,11 @@
 	return names
 }
 
-// submit submits a command to whoever holds the lease, again and again until it is
+// submit submits a command to the controller that holds the lease, retries until a command is
 // committed, and returns how long that took.
 func (tc *testCluster) submit(timeout time.Duration) time.Duration {
 	tc.t.Helper()
-	began, committed := tc.now, false
+	started, committed := tc.now, false
 	var attempt func()
 	attempt = func() {
 		if committed {
@@ -552,11 +557,11 @@
 	}
 	attempt()
 	tc.until(timeout, "a command is committed", func() bool { return committed })
-	return tc.now - began
+	return tc.now - started
 }
 
-// submitTo submits the command of the next number to a controller, and calls committed if
-// it is.
+// submitTo submits the command with the next number to a controller, and calls committed once
+// the command is committed.
 func (tc *testCluster) submitTo(controller *testController, committed func(number uint64)) {
 	tc.next++
 	number := tc.next
@@ -570,7 +575,8 @@
 	})
 }
 
-// stableCluster returns a cluster with all its voters, which has committed some commands.
+// stableCluster returns a cluster in which all voters take part and which has committed some
+// commands.
 func stableCluster(t trial, seed uint64, tolerance int) *testCluster {
 	cluster := newCluster(t, seed, max(5, 2*tolerance+3), 3, tolerance)
 	cluster.startAll()
@@ -584,7 +590,7 @@
 	return cluster
 }
 
-// hangDisks lets a disk hang for a while now and then.
+// hangDisks lets a random disk stall for up to five seconds, at random intervals.
 func (tc *testCluster) hangDisks() {
 	if tc.faultsOver {
 		return
@@ -594,7 +600,8 @@
 	controller.diskHangsUntil = tc.now + time.Duration(tc.random.IntN(5000))*time.Millisecond
 }
 
-// replaceMachines replaces a machine by an empty one at another address now and then.
+// replaceMachines replaces a random machine with an empty one at another address, at random
+// intervals.
 func (tc *testCluster) replaceMachines() {
 	if tc.faultsOver {
 		return
@@ -618,7 +625,7 @@
 	tc.after(time.Duration(tc.random.IntN(6000))*time.Millisecond, replacement.start)
 }
 
-// restartControllers ends one controller after another, for a short while each.
+// restartControllers kills random controllers, and starts each again after at most 1.5 seconds.
 func (tc *testCluster) restartControllers() {
 	if tc.faultsOver {
 		return
--- a/internal/consensus/exploration_test.go
+++ b/internal/consensus/exploration_test.go
@@ -13,8 +13,8 @@
 
 var deep = flag.Bool("deep", false, "run the longer explorations too")
 
-// exploration is an exhaustive search of the states that follow from a beginning, with
-// bounds for ordinary runs and for those with -deep.
+// exploration is an exhaustive search of the states that are reachable from an initial state,
+// with bounds for ordinary runs and for runs with -deep.
 type exploration struct {
 	name   string
 	begin  func() explore.World
@@ -34,19 +34,19 @@
 		longer: explore.Bounds{Depth: 7, Budget: unlimitedBudget, Finish: explore.FinishLast},
 	}
 	takeoverExploration = exploration{
-		name:   "three voters, the primary is cut off, all orders",
-		begin:  func() explore.World { return primaryCutOff() },
+		name:   "three voters, the primary is partitioned, all orders",
+		begin:  func() explore.World { return primaryPartitioned() },
 		short:  explore.Bounds{Depth: 9, Budget: unlimitedBudget, Finish: explore.FinishLast},
 		longer: explore.Bounds{Depth: 13, Budget: unlimitedBudget, Finish: explore.FinishLast},
 	}
 	longTakeoverExploration = exploration{
-		name:   "three voters, the primary is cut off, troubles in a long run",
-		begin:  func() explore.World { return primaryCutOff() },
+		name:   "three voters, the primary is partitioned, faults in a long run",
+		begin:  func() explore.World { return primaryPartitioned() },
 		short:  explore.Bounds{Depth: 60, Budget: 1, Finish: explore.FinishLast},
 		longer: explore.Bounds{Depth: 30, Budget: 2, Finish: explore.FinishLast},
 	}
 	longExploration = exploration{
-		name: "three voters, troubles in a long run",
+		name: "three voters, faults in a long run",
 		begin: func() explore.World {
 			return newWorld(3, 3, 1, faultBudget{submits: 1, losses: 1, repeats: 1, crashes: 1, wipes: 1, kills: 1})
 		},
@@ -54,31 +54,31 @@
 		longer: explore.Bounds{Depth: 20, Budget: 2, Finish: explore.FinishLast},
 	}
 	releaseExploration = exploration{
-		name:   "the primary gives the lease back, another loses its disk, all lose power",
+		name:   "the primary releases the lease, another loses its disk, all lose power",
 		begin:  leaseReleased,
 		short:  explore.Bounds{Depth: 60, Budget: 1, Finish: explore.FinishLast},
 		longer: explore.Bounds{Depth: 30, Budget: 2, Finish: explore.FinishLast},
 	}
 	backupExploration = exploration{
-		name:   "five voters, a backup is replaced under a command, another loses its disk",
+		name:   "five voters, a backup is replaced while a command is pending, another loses its disk",
 		begin:  backupLost,
 		short:  explore.Bounds{Depth: 60, Budget: 1, Finish: explore.FinishLast},
 		longer: explore.Bounds{Depth: 30, Budget: 2, Finish: explore.FinishLast},
 	}
 	voterExploration = exploration{
-		name:   "one voter in for one that is gone, then another loses its disk, all lose power",
+		name:   "a lost voter is replaced, then another loses its disk, all lose power",
 		begin:  voterLost,
 		short:  explore.Bounds{Depth: 90, Budget: 1, Finish: explore.FinishLast},
 		longer: explore.Bounds{Depth: 40, Budget: 2, Finish: explore.FinishLast},
 	}
 )
 
-// leaveUnheardLearners has a witness leave as the primary is restarted, which has not heard
-// yet which learners there are.
-var leaveUnheardLearners = exploration{
-	name: "a witness leaves as the primary begins anew, another loses its disk",
+// leaveWithUnknownLearners has a witness leave while the primary is restarted and has not yet
+// received the Hello messages of the learners.
+var leaveWithUnknownLearners = exploration{
+	name: "a witness leaves while the primary restarts, another loses its disk",
 	begin: func() explore.World {
-		w := newWorld(4, 3, 1, faultBudget{wipes: 1, powers: 1, losses: 1})
+		w := newWorld(4, 3, 1, faultBudget{wipes: 1, powerLosses: 1, losses: 1})
 		w.introduceLearners()
 		w.processes[2].leave()
 		for range 12 {
@@ -92,7 +92,8 @@
 	longer: explore.Bounds{Depth: 40, Budget: 2, Finish: explore.FinishLast},
 }
 
-// leaveExploration has one of three voters leave while another loses its disk.
+// leaveExploration returns an exploration in which one of three voters leaves while another loses
+// its disk.
 func leaveExploration(leaver int, role string) exploration {
 	return exploration{
 		name:   role + " leaves, another loses its disk, all lose power",
@@ -113,12 +114,12 @@
 	leaveExploration(0, "the primary"),
 	leaveExploration(1, "the backup"),
 	leaveExploration(2, "a witness"),
-	leaveUnheardLearners,
+	leaveWithUnknownLearners,
 }
 
-// primaryCutOff is a world whose primary was partitioned a while ago, and whose backup is
-// about to take over while the lease still runs.
-func primaryCutOff() *world {
+// primaryPartitioned returns a world whose primary has been partitioned, and whose backup is about to
+// take over while the lease has not expired yet.
+func primaryPartitioned() *world {
 	w := newWorld(3, 3, 1, faultBudget{losses: 1, repeats: 1, crashes: 1})
 	w.submit(w.processes[0])
 	for len(w.committed) == 0 {
@@ -131,16 +132,17 @@
 	return w
 }
 
-// leaseReleased is a world whose primary has released the lease, as if its disk hung.
+// leaseReleased returns a world whose primary has released the lease, as it does when its disk
+// stalls.
 func leaseReleased() explore.World {
-	w := newWorld(3, 3, 1, faultBudget{submits: 1, losses: 1, crashes: 1, wipes: 1, powers: 1})
+	w := newWorld(3, 3, 1, faultBudget{submits: 1, losses: 1, crashes: 1, wipes: 1, powerLosses: 1})
 	primary := w.processes[0]
 	primary.step(func(now time.Time, effects *statemachine.Effects) { primary.node.ReleaseLease(now, effects) })
 	return w
 }
 
-// backupLost is a world of five voters, of which two disks may be lost: one backup was
-// just found lost, and a command is pending.
+// backupLost returns a world of five voters that tolerates the loss of two disks. The primary has
+// just detected the loss of one backup, and a command is pending.
 func backupLost() explore.World {
 	w := newWorld(5, 5, 2, faultBudget{losses: 1, crashes: 1, wipes: 1, kills: 1})
 	w.lost = 1
@@ -157,10 +159,10 @@
 	return w
 }
 
-// voterLost is a world in which a witness is lost for good and there is a learner. A disk
-// may be lost once the learner is a voter and a majority has that on its disks.
+// voterLost returns a world in which a witness is permanently lost and there is a learner. A disk
+// may be lost once the learner is a voter and a majority has synced the record that lists it.
 func voterLost() explore.World {
-	w := newWorld(4, 3, 1, faultBudget{losses: 1, crashes: 1, wipes: 1, powers: 1})
+	w := newWorld(4, 3, 1, faultBudget{losses: 1, crashes: 1, wipes: 1, powerLosses: 1})
 	w.introduceLearners()
 	w.processes[2].end()
 	w.processes[2].removed = true
@@ -179,18 +181,18 @@
 	return w
 }
 
-// leavingWorld is a world in which one of three voters was asked to leave, and there is a
-// learner.
+// leavingWorld returns a function that returns a world in which one of three voters was asked to
+// leave and there is a learner.
 func leavingWorld(leaver int) func() explore.World {
 	return func() explore.World {
-		w := newWorld(4, 3, 1, faultBudget{wipes: 1, powers: 1, losses: 1, crashes: 1})
+		w := newWorld(4, 3, 1, faultBudget{wipes: 1, powerLosses: 1, losses: 1, crashes: 1})
 		w.introduceLearners()
 		w.processes[leaver].leave()
 		return w
 	}
 }
 
-// introduceLearners has the learners say hello to all.
+// introduceLearners delivers a Hello of each learner to all processes.
 func (w *world) introduceLearners() {
 	for _, learner := range w.processes {
 		if learner.node.isVoter() {
--- a/internal/consensus/forms_test.go
+++ b/internal/consensus/forms_test.go
@@ -26,7 +26,7 @@
 
 func TestStoredFormsHaveExplicitKeys(t *testing.T) { storedforms.CheckKeys(t, storedForms()) }
 
-// countingState stands for the control state, which has tests of its own.
+// countingState is a substitute for the control state, which is tested in another package.
 type countingState struct{ applied, restored, bytes int }
 
 func (cs *countingState) Apply(_ time.Time, command []byte) {
@@ -44,10 +44,10 @@
 	var lines []string
 	for _, folder := range storedforms.Folders(t, "../storedforms", "controller") {
 		if len(folder.Snapshot) > 0 {
-			storedforms.CheckRewrite[diskSnapshot](t, folder.Name, folder.Snapshot)
+			storedforms.CheckRoundTrip[diskSnapshot](t, folder.Name, folder.Snapshot)
 		}
 		for position, packed := range folder.Entries {
-			storedforms.CheckRewrite[diskEntry](t, fmt.Sprintf("%s, entry %d", folder.Name, position), packed)
+			storedforms.CheckRoundTrip[diskEntry](t, fmt.Sprintf("%s, entry %d", folder.Name, position), packed)
 		}
 		state := &countingState{}
 		settings := Settings{Self: Controller{Name: "controller-1"}, ClusterSize: 3, Incarnation: 1}
--- a/internal/consensus/incarnation_test.go
+++ b/internal/consensus/incarnation_test.go
@@ -1,8 +1,8 @@
 package consensus
 
-// Messages that links delayed reach a later incarnation of the controller that they were
-// meant for: no answer to an earlier incarnation counts, and nothing that an earlier one
-// released is taken from a later one.
+// Tests of messages that are delayed until a later incarnation of a controller runs. A response
+// to a request of an earlier incarnation must not count, and a lease that an earlier incarnation
+// released must not be taken from a later one.
 
 import (
 	"fmt"
@@ -19,22 +19,22 @@
 func fiveControllers(t trial, seed uint64) (*testCluster, *testController) {
 	cluster := newCluster(t, seed, 5, 5, 2)
 	cluster.startAll()
-	cluster.until(20*time.Second, "a primary", func() bool { return cluster.serving() != nil })
+	cluster.until(20*time.Second, "a controller serves", func() bool { return cluster.serving() != nil })
 	cluster.run(time.Second)
 	return cluster, cluster.serving()
 }
 
-// delayedGrants has the grants for one incarnation of the primary reach the next one, which
-// hears nothing else; the others choose another primary meanwhile.
+// delayedGrants delivers the grants for one incarnation of the primary to the next one, which
+// receives nothing else, while the others choose another primary.
 func delayedGrants(t trial, seed uint64) {
 	cluster, primary := fiveControllers(t, seed)
 	primary.kill()
-	first := primary.run + 1
+	firstIncarnation := primary.incarnation + 1
 	cluster.delayMessage = func(from, to *testController, message any) (time.Duration, bool) {
-		if (from == primary || to == primary) && primary.run > first {
+		if (from == primary || to == primary) && primary.incarnation > firstIncarnation {
 			return 0, true
 		}
-		if _, grants := message.(LeaseGrant); grants && to == primary {
+		if _, isGrant := message.(LeaseGrant); isGrant && to == primary {
 			return 1850 * time.Millisecond, false
 		}
 		return 0, false
@@ -45,15 +45,15 @@
 	cluster.run(1300 * time.Millisecond)
 	primary.start()
 	cluster.run(3 * time.Second)
-	assert.Assert(t, cluster.serving() != nil && cluster.serving() != primary, "the others have no other primary")
+	assert.Assert(t, cluster.serving() != nil && cluster.serving() != primary, "no other controller became the primary")
 }
 
-// delayedRelease has the ReleaseLease of one incarnation of the primary reach the others
-// once its next one holds the lease again.
+// delayedRelease delivers the ReleaseLease of one incarnation of the primary to the others after
+// the next incarnation has obtained the lease again.
 func delayedRelease(t trial, seed uint64) {
 	cluster, primary := fiveControllers(t, seed)
 	cluster.delayMessage = func(_, _ *testController, message any) (time.Duration, bool) {
-		if _, yields := message.(ReleaseLease); yields {
+		if _, isRelease := message.(ReleaseLease); isRelease {
 			return 1500 * time.Millisecond, false
 		}
 		return 0, false
@@ -62,13 +62,13 @@
 	primary.kill()
 	primary.start()
 	cluster.run(time.Second)
-	assert.Assert(t, primary.node.HoldsLease(primary.local()), "the next incarnation holds no lease")
+	assert.Assert(t, primary.node.HoldsLease(primary.local()), "the next incarnation does not hold the lease")
 	cluster.run(2 * time.Second)
-	assert.Assert(t, primary.node.HoldsLease(primary.local()), "the lease was taken away")
+	assert.Assert(t, primary.node.HoldsLease(primary.local()), "the release of an earlier incarnation ended the lease")
 }
 
-// delayedRoleGrants has the grants of a role for one incarnation reach the next one, while
-// another controller gets the role.
+// delayedRoleGrants delivers the grants of a role for one incarnation to the next one, while
+// another controller obtains the role.
 func delayedRoleGrants(t trial, seed uint64) {
 	cluster, primary := fiveControllers(t, seed)
 	holder := cluster.controllers[0]
@@ -79,17 +79,17 @@
 	if other == primary {
 		other = cluster.controllers[3]
 	}
-	ask := func(asker *testController) {
-		asker.step(func(now time.Time, effects *statemachine.Effects) {
-			asker.node.RequestRoleLease(now, asker.roleLease, effects)
+	requestRole := func(requester *testController) {
+		requester.step(func(now time.Time, effects *statemachine.Effects) {
+			requester.node.RequestRoleLease(now, requester.roleLease, effects)
 		})
 	}
 	holder.kill()
-	first := holder.run + 1
+	firstIncarnation := holder.incarnation + 1
 	cluster.delayMessage = func(from, to *testController, message any) (time.Duration, bool) {
 		switch message.(type) {
 		case RoleLeaseRequest:
-			return 0, from == holder && holder.run > first
+			return 0, from == holder && holder.incarnation > firstIncarnation
 		case RoleLeaseResponse:
 			if to == holder {
 				return 1900 * time.Millisecond, false
@@ -99,21 +99,21 @@
 	}
 	holder.start()
 	cluster.run(2 * time.Second)
-	ask(holder)
+	requestRole(holder)
 	cluster.run(200 * time.Millisecond)
 	holder.kill()
 	cluster.run(1600 * time.Millisecond)
 	holder.start()
-	ask(holder)
+	requestRole(holder)
 	for range 20 {
 		cluster.run(100 * time.Millisecond)
-		ask(other)
+		requestRole(other)
 	}
-	assert.Assert(t, other.roleLease.Valid(other.local()), "nobody else holds the role")
+	assert.Assert(t, other.roleLease.Valid(other.local()), "the other controller does not hold the role")
 }
 
-// delayedLeaveResponse has the primary's answer that a controller is irreplaceable, which
-// an earlier incarnation asked for as it left, reach the next one as that leaves.
+// delayedLeaveResponse delivers the primary's response that a controller is irreplaceable, which
+// answers the Leave of an earlier incarnation, to the next one while that leaves.
 func delayedLeaveResponse(t trial, seed uint64) {
 	cluster, primary := fiveControllers(t, seed)
 	leaving := cluster.controllers[0]
@@ -130,15 +130,15 @@
 			Epoch: leaving.node.Record().Epoch, Request: earlier.Next(), Irreplaceable: true,
 		}, effects)
 	})
-	assert.Assert(t, !leaving.node.Left(), "it leaves by an answer to its earlier incarnation")
+	assert.Assert(t, !leaving.node.LeaveCompleted(), "a response to an earlier incarnation completed the leave")
 }
 
-// delaysAcrossRestarts has each link delay what it likes for up to two seconds, across
-// restarts of both ends, while controllers have faults.
+// delaysAcrossRestarts delays random messages by up to two seconds, across restarts of sender and
+// receiver, while controllers are restarted at random.
 func delaysAcrossRestarts(t trial, seed uint64) {
 	cluster := newCluster(t, seed, 5, 5, 2)
 	cluster.startAll()
-	cluster.until(20*time.Second, "a primary", func() bool { return cluster.serving() != nil })
+	cluster.until(20*time.Second, "a controller serves", func() bool { return cluster.serving() != nil })
 	random := rand.New(rand.NewPCG(seed, 0x1d))
 	cluster.delayMessage = func(_, _ *testController, _ any) (time.Duration, bool) {
 		if cluster.faultsOver || random.IntN(6) > 0 {
@@ -153,9 +153,9 @@
 	for _, controller := range cluster.controllers {
 		controller.start()
 	}
-	cluster.until(12*time.Second, "a primary after the last restart", func() bool { return cluster.serving() != nil })
+	cluster.until(12*time.Second, "a controller serves after restarts", func() bool { return cluster.serving() != nil })
 	before := len(cluster.committed)
-	cluster.until(5*time.Second, "a command after the last restart", func() bool {
+	cluster.until(5*time.Second, "a command is committed after restarts", func() bool {
 		return len(cluster.committed) > before
 	})
 }
--- a/internal/consensus/mutation_test.go
+++ b/internal/consensus/mutation_test.go
@@ -19,22 +19,23 @@
 }{
 	{"trust-lost-disk", func(t trial, seed uint64) { allFaults(t, seed) }},
 	{"no-hold-back", func(t trial, seed uint64) { allFaults(t, seed) }},
-	// A primary that hears no quorum stays quiet, so that few seeds need the withdrawal too.
+	// A primary that has lost contact with a quorum pauses its renewals, so only few seeds also
+	// need the revocation of its own grant.
 	{"no-way-given", func(t trial, seed uint64) { allFaults(t, 165+seed) }},
 	{"snapshot-without-pending", func(t trial, seed uint64) { loseDisksAfterSnapshots(t, seed) }},
 	{"lives-alike", delayedGrants},
 	{"lives-alike", delayedRelease},
 	{"lives-alike", delayedRoleGrants},
-	{"deaf-primary", func(t trial, seed uint64) { deafPrimary(t, seed, 1) }},
+	{"deaf-primary", func(t trial, seed uint64) { blockInboundOfPrimary(t, seed, 1) }},
 	{"lives-alike", delayedLeaveResponse},
 	{"fixed-voters", func(t trial, seed uint64) { replaceLostController(t, seed, "witness") }},
 	{"one-backup", func(t trial, seed uint64) { loseDisks(t, seed, 2) }},
 	{"patient-primary", func(t trial, seed uint64) {
-		longest := longestCommandUnder(t, seed, 1, "backup", holderFaults["hanging"])
+		longest := longestCommandUnder(t, seed, 1, "backup", replicaFaults["hanging"])
 		assert.Assert(t, longest < 2*time.Second, "%s", longest)
 	}},
 	{"patient-primary", func(t trial, seed uint64) {
-		longest := longestCommandUnder(t, seed, 1, "primary", holderFaults["hanging"])
+		longest := longestCommandUnder(t, seed, 1, "primary", replicaFaults["hanging"])
 		assert.Assert(t, longest < 2*time.Second, "%s", longest)
 	}},
 }
@@ -43,8 +44,8 @@
 	return mutationtest.Run(func(t *mutationtest.Trial) { run(t, seed) })
 }
 
-// TestEachMechanismIsNeeded disables each mechanism once, and expects a run that passes with
-// it to fail.
+// TestEachMechanismIsNeeded disables one mechanism at a time, and expects a run that passes with
+// the mechanism to fail without it.
 func TestEachMechanismIsNeeded(t *testing.T) {
 	for _, proof := range mechanismProofs {
 		restore := statemachine.Mutate(proof.mutation)
@@ -57,6 +58,6 @@
 			}
 		}
 		restore()
-		assert.Check(t, found, "%s was not seen to matter", proof.mutation)
+		assert.Check(t, found, "no run failed without %s", proof.mutation)
 	}
 }
--- a/internal/consensus/replication_test.go
+++ b/internal/consensus/replication_test.go
@@ -37,47 +37,47 @@
 	}
 }
 
-// loseDisks takes the power of all and as many disks as are tolerated, right after a command
-// was committed.
+// loseDisks cuts the power of all controllers and wipes as many disks as are tolerated, right
+// after a command was committed.
 func loseDisks(t trial, seed uint64, tolerance int) {
 	t.Helper()
 	cluster := stableCluster(t, seed, tolerance)
 	record := cluster.serving().node.Record()
 	cluster.submit(4 * time.Second)
-	// All lose power at once; the disks of the primary and of all
-	// backups but one, or of some others, are lost with it.
-	holders := append([]string{record.Primary}, record.Backups...)
+	// All controllers lose power at once. As many disks as are tolerated are lost with it: of the
+	// primary and the backups except one, and of other voters for the remaining ones.
+	replicas := append([]string{record.Primary}, record.Backups...)
 	for _, controller := range cluster.controllers {
 		controller.kill()
 	}
-	spared := int(seed) % (tolerance + 1)
+	keptReplica := int(seed) % (tolerance + 1)
 	lost := 0
-	for number, name := range holders {
-		if lost < tolerance && number != spared {
+	for number, name := range replicas {
+		if lost < tolerance && number != keptReplica {
 			cluster.named(name).wipe()
 			lost++
 		}
 	}
 	for _, controller := range cluster.controllers {
-		if lost < tolerance && !slices.Contains(holders, controller.self.Name) {
+		if lost < tolerance && !slices.Contains(replicas, controller.self.Name) {
 			controller.wipe()
 			lost++
 		}
 	}
 	for _, controller := range cluster.controllers {
-		controller.founding = false
+		controller.bootstrap = false
 		cluster.after(time.Duration(cluster.random.IntN(3000))*time.Millisecond, controller.start)
 	}
 	before := len(cluster.committed)
-	cluster.until(12*time.Second, "somebody serves", func() bool { return cluster.serving() != nil })
+	cluster.until(12*time.Second, "a controller serves", func() bool { return cluster.serving() != nil })
 	assert.Assert(t, len(cluster.serving().state.numbers) >= before)
 	cluster.until(12*time.Second, "all voters take part", func() bool { return cluster.hasVoters(max(3, 2*tolerance+1)) })
 	cluster.submit(4 * time.Second)
-	assert.Equal(t, len(cluster.founded), 1)
+	assert.Equal(t, len(cluster.bootstrapped), 1)
 }
 
-// TestPendingCommandSurvivesSnapshotAndLostDisk loses all power and a disk after a command
-// was committed that was pending while a snapshot was written.
+// TestPendingCommandSurvivesSnapshotAndLostDisk commits a command that was pending while a
+// snapshot was written, and then cuts the power of all controllers and wipes a disk.
 func TestPendingCommandSurvivesSnapshotAndLostDisk(t *testing.T) {
 	for seed := range uint64(30) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -87,24 +87,24 @@
 	}
 }
 
-// loseDisksAfterSnapshots submits commands without a pause, and takes all power and the disk
-// of the backup right after the primary wrote a snapshot.
+// loseDisksAfterSnapshots submits commands continuously. Right after the primary wrote a snapshot,
+// it cuts the power of all controllers and wipes the disk of the backup.
 func loseDisksAfterSnapshots(t trial, seed uint64) {
 	t.Helper()
 	cluster := stableCluster(t, seed, 1)
 	record := cluster.serving().node.Record()
 	primary, backup := cluster.named(record.Primary), cluster.named(record.Backups[0])
-	var more func()
-	more = func() {
+	var submitNext func()
+	submitNext = func() {
 		if !primary.up {
 			return
 		}
 		cluster.submitTo(primary, func(uint64) {
 			cluster.committed = append([]uint64(nil), primary.state.numbers...)
 		})
-		cluster.after(2*time.Millisecond, more)
+		cluster.after(2*time.Millisecond, submitNext)
 	}
-	more()
+	submitNext()
 	cluster.run(time.Duration(cluster.random.IntN(300)) * time.Millisecond)
 	before := primary.snapshots
 	cluster.until(4*time.Second, "the primary writes a snapshot", func() bool { return primary.snapshots > before })
@@ -114,19 +114,19 @@
 	}
 	backup.wipe()
 	for _, controller := range cluster.controllers {
-		controller.founding = false
+		controller.bootstrap = false
 		cluster.after(time.Duration(cluster.random.IntN(1000))*time.Millisecond, controller.start)
 	}
 	committed := len(cluster.committed)
-	cluster.until(12*time.Second, "somebody serves", func() bool { return cluster.serving() != nil })
+	cluster.until(12*time.Second, "a controller serves", func() bool { return cluster.serving() != nil })
 	assert.Assert(t, len(cluster.serving().state.numbers) >= committed)
 }
 
-// TestFaultsDelayCommandsBriefly has a command committed within two seconds whatever fault
-// the backups or the primary have, and within half a second after a primary that releases
-// its lease.
+// TestFaultsDelayCommandsBriefly injects each fault into the backups or the primary. Each command
+// must be committed within two seconds, and within half a second if the primary releases its
+// lease before it stops.
 func TestFaultsDelayCommandsBriefly(t *testing.T) {
-	for name, fault := range statemachine.Sorted(holderFaults) {
+	for name, fault := range statemachine.Sorted(replicaFaults) {
 		for tolerance := 1; tolerance < 4; tolerance++ {
 			for _, role := range []string{"backup", "primary"} {
 				t.Run(fmt.Sprint(name, " ", role, " ", tolerance), func(t *testing.T) {
@@ -147,7 +147,7 @@
 	}
 }
 
-var holderFaults = map[string]func(controller *testController){
+var replicaFaults = map[string]func(controller *testController){
 	"killed": func(controller *testController) { controller.kill() },
 	"frozen": func(controller *testController) { controller.frozen = true },
 	"cut":    func(controller *testController) { controller.partitioned = true },
@@ -158,8 +158,8 @@
 	"hanging": func(controller *testController) { controller.diskHangsUntil = controller.cluster.now + time.Minute },
 }
 
-// longestCommandUnder brings a fault to the primary or to all backups, and returns the
-// longest time that a command then took.
+// longestCommandUnder injects a fault into the primary or into all backups, and returns the
+// longest time that a command took after it.
 func longestCommandUnder(
 	t trial, seed uint64, tolerance int, role string, fault func(controller *testController),
 ) time.Duration {
@@ -181,7 +181,7 @@
 	return longest
 }
 
-// TestToleranceCanBeChanged changes the tolerance while controllers run.
+// TestToleranceCanBeChanged changes the tolerance while the controllers run.
 func TestToleranceCanBeChanged(t *testing.T) {
 	cluster := stableCluster(t, 1, 1)
 	for _, controller := range cluster.controllers {
--- a/internal/consolidation/planner_test.go
+++ b/internal/consolidation/planner_test.go
@@ -1,7 +1,7 @@
-// The planner against a small model of a fleet whose gateways carry directives out:
-// whatever the crowds, losses and noise, the fleet survives the loss of one zone as long
-// as any gateway rests, nothing oscillates, no choice is made on outdated reports, and
-// the weights decide which gateway rests.
+// The tests run the planner on a simulated fleet whose gateways execute its directives.
+// They check that, under changing and noisy load, the fleet survives the loss of one zone
+// while any gateway rests, that the set of resting gateways does not oscillate, that
+// nothing is decided on outdated reports, and that the weights decide which gateway rests.
 package consolidation
 
 import (
@@ -17,28 +17,28 @@
 	"dahlialock/internal/membership"
 )
 
-// modelFleet is a fleet that works for a second at a time.
+// modelFleet simulates a fleet in steps of one second.
 type modelFleet struct {
 	random      *rand.Rand
 	now         time.Time
 	observation Observation
 	planner     *Planner
 	balancer    *balancing.Balancer
-	// names holds the gateways in the order in which they work.
+	// names holds the names of the gateways in the order in which they are simulated.
 	names []string
-	// changes counts the gateways that began or ceased to rest.
+	// changes counts how often a gateway started or stopped resting.
 	changes int
 }
 
-// economySettings are settings of a fleet whose gateways serve a hundred sessions each.
-func economySettings(quietFor time.Duration) config.Consolidation {
+// consolidationSettings returns settings for gateways that serve a hundred sessions each.
+func consolidationSettings(stabilizationWindow time.Duration) config.Consolidation {
 	return config.Consolidation{
 		Enabled:             true,
 		ProcessorWeight:     1,
 		TrafficWeight:       1,
 		SessionsPerGateway:  100,
 		SpareGateways:       1,
-		StabilizationWindow: quietFor,
+		StabilizationWindow: stabilizationWindow,
 	}
 }
 
@@ -52,7 +52,7 @@
 			Configuration: config.Configuration{Consolidation: settings},
 			Members:       map[string]membership.Member{},
 			Loads:         map[string]membership.Load{},
-			LastHeard:     map[string]time.Time{},
+			LastReported:  map[string]time.Time{},
 		},
 	}
 	for number := range gateways {
@@ -76,8 +76,8 @@
 	m.observation.Loads[name] = load
 }
 
-// second lets the fleet work and carry out directives for a second.
-func (m *modelFleet) second(noise float64) map[string]membership.Directives {
+// step simulates the traffic of one second and the execution of the new directives.
+func (m *modelFleet) step(noise float64) map[string]membership.Directives {
 	m.now = m.now.Add(time.Second)
 	for _, name := range m.names {
 		m.work(name, noise)
@@ -91,18 +91,18 @@
 	return directives
 }
 
-// work advances the counters of a gateway and reports them.
+// work advances the counters of a gateway by a second of traffic and reports them.
 func (m *modelFleet) work(name string, noise float64) {
 	load := m.observation.Loads[name]
 	factor := 1 + noise*(m.random.Float64()-0.5)
 	load.Delivered += uint64(float64(load.Sessions) * 4 * factor)
-	load.Copies += uint64(float64(load.Sessions) * factor)
-	load.Processor += time.Duration(float64(load.Sessions)*factor*0.5) * time.Millisecond
+	load.ForwardedMessages += uint64(float64(load.Sessions) * factor)
+	load.ProcessorTime += time.Duration(float64(load.Sessions)*factor*0.5) * time.Millisecond
 	m.observation.Loads[name] = load
-	m.observation.LastHeard[name] = m.now
+	m.observation.LastReported[name] = m.now
 }
 
-// move moves the sessions of one second to a gateway's targets.
+// move moves the sessions that a gateway moves in one second to its targets.
 func (m *modelFleet) move(name string, directives membership.Directives) {
 	load := m.observation.Loads[name]
 	count := 0
@@ -120,7 +120,7 @@
 	}
 }
 
-// rest lets a gateway rest once it is empty, or wake.
+// rest makes a gateway rest once it has no sessions, or wakes it.
 func (m *modelFleet) rest(name string, directives membership.Directives) {
 	load, member := m.observation.Loads[name], m.observation.Members[name]
 	if resting := directives.Rest && load.Sessions == 0; resting != member.Resting {
@@ -130,7 +130,7 @@
 	}
 }
 
-// balance adds the directives that spread sessions evenly, as controllers do.
+// balance adds the balancer's directives to the planner's, as controllers do.
 func (m *modelFleet) balance(directives map[string]membership.Directives) {
 	var gateways []balancing.Gateway
 	for _, name := range m.names {
@@ -168,9 +168,9 @@
 	return count
 }
 
-// assertSurvivesZoneLoss checks that the awake gateways could lose any zone and still
-// serve all sessions, at a number of sessions each, while any gateway rests.
-func (m *modelFleet) assertSurvivesZoneLoss(t *testing.T, directives map[string]membership.Directives, each int) {
+// assertSurvivesZoneLoss checks that, while any gateway rests, the awake gateways can
+// serve all sessions after the loss of any zone, where each has the given capacity.
+func (m *modelFleet) assertSurvivesZoneLoss(t *testing.T, directives map[string]membership.Directives, capacity int) {
 	t.Helper()
 	awakeByZone, awake, resting := map[string]int{}, 0, 0
 	for name, directive := range directives {
@@ -187,12 +187,12 @@
 	assert.Assert(t, awake >= 2 && len(awakeByZone) >= 2, "%d awake in %v", awake, awakeByZone)
 	for zone, count := range awakeByZone {
 		remaining := awake - count
-		assert.Assert(t, remaining*each >= m.sessions(),
-			"without %s %d gateways are left for %d sessions", zone, remaining, m.sessions())
+		assert.Assert(t, remaining*capacity >= m.sessions(),
+			"without zone %s, %d gateways remain for %d sessions", zone, remaining, m.sessions())
 	}
 }
 
-// churn lets clients come and go, wherever the platform sends them.
+// churn opens and closes sessions at random gateways.
 func (m *modelFleet) churn() {
 	for range m.random.IntN(80) {
 		name := m.names[m.random.IntN(len(m.names))]
@@ -209,18 +209,18 @@
 
 func TestPlannerSurvivesZoneLossAndDoesNotOscillate(t *testing.T) {
 	for seed := range uint64(60) {
-		model := newModelFleet(seed, 5+int(seed%5), economySettings(5*time.Second))
+		model := newModelFleet(seed, 5+int(seed%5), consolidationSettings(5*time.Second))
 		for range 120 {
 			model.churn()
-			model.assertSurvivesZoneLoss(t, model.second(0.2), 100)
+			model.assertSurvivesZoneLoss(t, model.step(0.2), 100)
 		}
-		// Left alone with noise only, the fleet becomes stable and stays so.
+		// With noise but no change of load, the fleet becomes stable and stays stable.
 		for range 120 {
-			model.second(0.3)
+			model.step(0.3)
 		}
 		changesBefore := model.changes
 		for range 200 {
-			model.assertSurvivesZoneLoss(t, model.second(0.3), 100)
+			model.assertSurvivesZoneLoss(t, model.step(0.3), 100)
 		}
 		assert.Assert(t, model.changes == changesBefore,
 			"seed %d: %d changes without a change of load", seed, model.changes-changesBefore)
@@ -228,9 +228,9 @@
 }
 
 func TestPlannerIgnoresOutdatedReports(t *testing.T) {
-	model := newModelFleet(1, 6, economySettings(time.Second))
+	model := newModelFleet(1, 6, consolidationSettings(time.Second))
 	for range 3 {
-		model.second(0)
+		model.step(0)
 	}
 	size := len(model.planner.resting)
 	model.now = model.now.Add(reportTimeout)
@@ -241,8 +241,8 @@
 	assert.Equal(t, len(model.planner.resting), size)
 }
 
-// Seven gateways lie in three zones. Where processor time costs most, the last gateway of
-// a zone rests too; where traffic does, it stays awake for its zone.
+// Seven gateways are in three zones. If processor time has the higher weight, the last
+// gateway of a zone rests too; if traffic has, each zone keeps an awake gateway.
 func TestPlannerFollowsWeights(t *testing.T) {
 	for _, weights := range []struct {
 		processor, traffic float64
@@ -251,14 +251,14 @@
 		{processor: 100, traffic: 0.01, allZonesAwake: false},
 		{processor: 0.01, traffic: 100, allZonesAwake: true},
 	} {
-		settings := economySettings(time.Second)
+		settings := consolidationSettings(time.Second)
 		settings.ProcessorWeight, settings.TrafficWeight = weights.processor, weights.traffic
 		model := newModelFleet(3, 7, settings)
 		for _, name := range model.names {
 			model.addSessions(name, 12)
 		}
 		for range 60 {
-			model.second(0)
+			model.step(0)
 		}
 		awakeByZone := map[string]int{}
 		for name, member := range model.observation.Members {
--- a/internal/controlclient/client_test.go
+++ b/internal/controlclient/client_test.go
@@ -17,13 +17,13 @@
 
 func newClient(incarnation statemachine.Incarnation) *ControlClient {
 	return New(Settings{
-		Incarnation: incarnation,
-		Upstream:    func() string { return primary },
-		Next:        func() string { return other },
+		Incarnation:    incarnation,
+		Upstream:       func() string { return primary },
+		NextController: func() string { return other },
 	})
 }
 
-// forward forwards a request without a body and returns what is sent to the primary.
+// forward forwards a request without a body and returns the message to the primary.
 func forward(
 	t *testing.T,
 	client *ControlClient,
@@ -39,7 +39,7 @@
 	return effects.Sends[0].Message.(membership.ControlRequest)
 }
 
-// respond hands the client a response and returns what it responds to operators.
+// respond passes a response to the client and returns the client's responses to operators.
 func respond(
 	client *ControlClient,
 	now time.Time,
@@ -51,8 +51,8 @@
 	return effects.Responses
 }
 
-// responsesToEarlierIncarnation returns what the operator of a second incarnation is given
-// upon a response to a request of the first with the same number.
+// responsesToEarlierIncarnation returns the responses to the operator of a second incarnation
+// when a response to the request of the first with the same number arrives.
 func responsesToEarlierIncarnation(t *testing.T) []statemachine.Response {
 	t.Helper()
 	now := time.Unix(1000, 0)
@@ -73,8 +73,8 @@
 	client := newClient(1)
 	first := forward(t, client, now, 7, "GET")
 	second := forward(t, client, now, 8, "GET")
-	stranger := membership.ControlResponse{Request: second.Request, Status: 200}
-	assert.Equal(t, len(respond(client, now, other, stranger)), 0)
+	unsolicited := membership.ControlResponse{Request: second.Request, Status: 200}
+	assert.Equal(t, len(respond(client, now, other, unsolicited)), 0)
 	responses := respond(client, now, primary, membership.ControlResponse{
 		Request: second.Request, Status: 200, Body: []byte("second"),
 	})
@@ -90,12 +90,12 @@
 	assert.Equal(t, len(respond(client, now, primary, membership.ControlResponse{Status: 200})), 0)
 }
 
-// Responses from the hedged request and then from the slow primary: the operator gets one.
+// If the hedged request and then the slow primary respond, the operator gets one response.
 func TestControlClientRespondsOnceWhenHedged(t *testing.T) {
 	now := time.Unix(1000, 0)
 	client := newClient(1)
 	sent := forward(t, client, now, 7, "PUT")
-	now = now.Add(DefaultAcknowledge / hedgeDivisor)
+	now = now.Add(DefaultAcknowledgeTimeout / hedgeDivisor)
 	var effects statemachine.Effects
 	client.Tick(now, &effects)
 	assert.Equal(t, effects.Sends[0].To, other)
@@ -107,14 +107,14 @@
 	assert.Equal(t, len(respond(client, now, primary, late)), 0)
 }
 
-// A relayed request keeps its Order and gets a request identity of its own on each hop.
+// A relayed request keeps its Order and gets a new request identity on each hop.
 func TestControlClientRelayKeepsOrder(t *testing.T) {
 	now := time.Unix(1000, 0)
 	first := forward(t, newClient(1), now, 7, "POST")
-	assert.Equal(t, first.Order, first.Request)
+	assert.Equal(t, first.OriginalRequest, first.Request)
 	var effects statemachine.Effects
 	newClient(2).Relay(now, 9, first, &effects)
 	second := effects.Sends[0].Message.(membership.ControlRequest)
-	assert.Equal(t, second.Order, first.Order)
+	assert.Equal(t, second.OriginalRequest, first.OriginalRequest)
 	assert.Assert(t, second.Request != first.Request)
 }
--- a/internal/controller/acknowledgement.go
+++ b/internal/controller/acknowledgement.go
@@ -7,20 +7,21 @@
 	"dahlialock/internal/statemachine"
 )
 
-// unacknowledgedAnswer is the first answer to a store that the store is not yet known to
-// have received.
+// unacknowledgedResponse identifies the first response to a store whose receipt the store has
+// not acknowledged yet.
 //
-// A store whose incoming link has failed looks alive, since its polls and heartbeats still
-// arrive. The partitions that it leads make no progress all the same. So one that does not
-// acknowledge its answers for long counts as failed.
-type unacknowledgedAnswer struct {
+// A store whose incoming link has failed seems to be alive, since its polls and heartbeats still
+// arrive, but the partitions that it leads make no progress. So a store that does not
+// acknowledge a response in time is considered failed.
+type unacknowledgedResponse struct {
 	nonce       uint64
 	incarnation uint64
 	at          time.Time
 }
 
-// recordAnswer records that a store is sent an answer.
-func (c *Controller) recordAnswer(now time.Time, request membership.ViewRequest) {
+// recordResponse records that a response is being sent to a store, unless an earlier response to
+// the same incarnation is still unacknowledged.
+func (c *Controller) recordResponse(now time.Time, request membership.ViewRequest) {
 	self := request.Self
 	if self.Kind != membership.KindStore {
 		return
@@ -28,14 +29,15 @@
 	if earlier, found := c.unacknowledged[self.Name]; found && earlier.incarnation == self.Incarnation {
 		return
 	}
-	c.unacknowledged[self.Name] = unacknowledgedAnswer{
+	c.unacknowledged[self.Name] = unacknowledgedResponse{
 		nonce:       request.Nonce,
 		incarnation: self.Incarnation,
 		at:          now,
 	}
 }
 
-// recordAcknowledgement takes over which answers a member has received, by its own poll.
+// recordAcknowledgement processes the acknowledgement in a member's poll, which is the nonce of
+// the newest poll whose response the member has received.
 func (c *Controller) recordAcknowledgement(request membership.ViewRequest) {
 	self := request.Self
 	earlier, found := c.unacknowledged[self.Name]
@@ -44,8 +46,9 @@
 	}
 }
 
-// missesAnswers reports whether a member has received no answer for too long.
-func (c *Controller) missesAnswers(now time.Time, name string) bool {
+// acknowledgementOverdue reports whether a member has not acknowledged a response within the suspicion
+// timeout.
+func (c *Controller) acknowledgementOverdue(now time.Time, name string) bool {
 	earlier, found := c.unacknowledged[name]
 	return found && now.Sub(earlier.at) >= c.timeouts.suspicion && !statemachine.Mutated("deaf-store")
 }
--- a/internal/controller/state_test.go
+++ b/internal/controller/state_test.go
@@ -1,5 +1,4 @@
-// Whoever follows the state by what changed sees the same as whoever gets the complete view,
-// wherever it begins.
+// Incremental view updates must result in the same view as a complete update, from any index.
 package controller
 
 import (
@@ -15,7 +14,7 @@
 	"dahlialock/internal/statemachine"
 )
 
-// viewRun changes a state at random while a few clients follow it.
+// viewRun applies random changes to a state while several view clients follow it.
 type viewRun struct {
 	t       *testing.T
 	random  *rand.Rand
@@ -23,8 +22,8 @@
 	state   *State
 	clients []*membership.ViewClient
 	version uint64
-	// partial counts the updates with changes only, removed the members in them that were
-	// removed.
+	// partial counts the incremental updates, removed the removed members that were listed in
+	// updates.
 	partial, removed int
 }
 
@@ -48,12 +47,12 @@
 	return run
 }
 
-// drawCommand draws the command of a step.
-func (r *viewRun) drawCommand(step int) Command {
+// randomCommand returns a random command for a step.
+func (r *viewRun) randomCommand(step int) Command {
 	var command Command
 	switch r.random.IntN(6) {
 	case 0, 1:
-		r.drawMembershipChange(step, &command)
+		r.addRandomMembershipChange(step, &command)
 	case 2:
 		for _, placement := range statemachine.Sorted(r.state.Placements) {
 			if r.random.IntN(2) == 0 {
@@ -62,7 +61,7 @@
 		}
 	case 3:
 		if step%7 == 0 {
-			command.Configuration = r.drawConfiguration()
+			command.Configuration = r.randomConfiguration()
 		}
 	case 4:
 		if r.version > 0 {
@@ -78,7 +77,7 @@
 	return command
 }
 
-func (r *viewRun) drawMembershipChange(step int, command *Command) {
+func (r *viewRun) addRandomMembershipChange(step int, command *Command) {
 	name := fmt.Sprint("store-", r.random.IntN(6))
 	if r.random.IntN(4) > 0 {
 		self := membership.Member{
@@ -94,7 +93,7 @@
 	command.Leaves = append(command.Leaves, leave)
 }
 
-func (r *viewRun) drawConfiguration() *ConfigurationChange {
+func (r *viewRun) randomConfiguration() *ConfigurationChange {
 	r.version++
 	const spaces = `{"name": "a", "promise": "kept", "order": "topic"}, ` +
 		`{"name": "s%d", "promise": "kept", "order": "channel"}`
@@ -102,10 +101,10 @@
 	return configured(r.version, document)
 }
 
-// step changes the state, and brings one client up to date.
+// step applies a random command to the state, and updates one client.
 func (r *viewRun) step(step int) {
 	r.t.Helper()
-	r.state.Apply(r.now, encodeCommand(r.drawCommand(step)))
+	r.state.Apply(r.now, encodeCommand(r.randomCommand(step)))
 	client := r.clients[r.random.IntN(len(r.clients))]
 	update := membership.ViewUpdate{
 		Nonce:    1,
@@ -134,8 +133,8 @@
 		for step := range 300 {
 			run.step(step)
 		}
-		assert.Assert(t, run.partial > 200, "only %d of 300 updates had changes only", run.partial)
+		assert.Assert(t, run.partial > 200, "only %d of 300 updates were incremental", run.partial)
 		removed += run.removed
 	}
-	assert.Assert(t, removed > 100, "only %d members were removed in updates", removed)
+	assert.Assert(t, removed > 100, "updates listed only %d removed members", removed)
 }
--- a/internal/daemon/control_test.go
+++ b/internal/daemon/control_test.go
@@ -18,8 +18,8 @@
 	"dahlialock/internal/statemachine"
 )
 
-// delayedResponder keeps requests until respondAll, and then responds to the
-// newest first.
+// delayedResponder is a state machine that keeps requests until the command respondAll, and
+// then responds to the newest request first.
 type delayedResponder struct {
 	echo
 	pending  []operatorRequest
@@ -42,7 +42,7 @@
 		for position := len(dr.pending) - 1; position >= 0; position-- {
 			each := dr.pending[position]
 			effects.Respond(each.request, membership.ControlResponse{Status: 200, Body: []byte(each.path)})
-			// A second response to the same request is for nobody.
+			// A second response to the same request must be ignored.
 			effects.Respond(each.request, membership.ControlResponse{Status: 409, Body: []byte("again")})
 		}
 		dr.pending = nil
@@ -51,7 +51,8 @@
 	}
 }
 
-// newDelayedControl serves the ctl of a daemon with a delayedResponder.
+// newDelayedControl starts a server for the ctl address of a daemon with a
+// delayedResponder.
 func newDelayedControl(t *testing.T) (*httptest.Server, *EventLoop, *delayedResponder) {
 	t.Helper()
 	machine := &delayedResponder{received: make(chan string, 16)}
@@ -72,8 +73,8 @@
 	return server, loop, machine
 }
 
-func get(within context.Context, server *httptest.Server, path string) (string, error) {
-	request, err := http.NewRequestWithContext(within, http.MethodGet, server.URL+path, nil)
+func get(ctx context.Context, server *httptest.Server, path string) (string, error) {
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, server.URL+path, nil)
 	if err != nil {
 		return "", err
 	}
@@ -88,21 +89,21 @@
 
 func TestControlRespondsToEachRequester(t *testing.T) {
 	server, loop, machine := newDelayedControl(t)
-	gone, leave := context.WithCancel(context.Background())
-	left := make(chan error, 1)
+	cancellable, cancel := context.WithCancel(context.Background())
+	cancelled := make(chan error, 1)
 	go func() {
-		_, err := get(gone, server, "/v1/gone")
-		left <- err
+		_, err := get(cancellable, server, "/v1/cancelled")
+		cancelled <- err
 	}()
 	<-machine.received
-	leave()
-	assert.Assert(t, <-left != nil)
-	answers := make(chan string, 4)
+	cancel()
+	assert.Assert(t, <-cancelled != nil)
+	responses := make(chan string, 4)
 	for number := range 4 {
 		go func() {
-			path := fmt.Sprintf("/v1/caller-%d", number)
+			path := fmt.Sprintf("/v1/client-%d", number)
 			got, err := get(context.Background(), server, path)
-			answers <- fmt.Sprint(got == path, err)
+			responses <- fmt.Sprint(got == path, err)
 		}()
 	}
 	for range 4 {
@@ -110,11 +111,11 @@
 	}
 	loop.Post(respondAll{})
 	for range 4 {
-		assert.Equal(t, <-answers, "true <nil>")
+		assert.Equal(t, <-responses, "true <nil>")
 	}
 }
 
-// Requests on one connection, sent before the first is answered.
+// Two requests are sent on one connection before the first response.
 func TestControlRespondsToPipelinedRequestsInOrder(t *testing.T) {
 	server, loop, machine := newDelayedControl(t)
 	connection, err := net.Dial("tcp", server.Listener.Addr().String())
@@ -136,7 +137,7 @@
 	}
 }
 
-// testAdapter is an adapter of one route.
+// testAdapter is a ControlAdapter with one route.
 type testAdapter struct{}
 
 func (testAdapter) RegisterRoutes(routes *http.ServeMux, port ControlPort) {
@@ -155,7 +156,7 @@
 		ControlAdapter: testAdapter{},
 		OperatorRequest: func(number uint64, method, path string, _ []byte) any {
 			requests++
-			return said{request: number, text: "not a reply"}
+			return echoCommand{request: number, text: "not a reply"}
 		},
 	}}
 	control := process.controlHandler()
--- a/internal/daemon/deadline_test.go
+++ b/internal/daemon/deadline_test.go
@@ -17,12 +17,12 @@
 
 const testLease = time.Second
 
-// suspension is how long the process of a sleeper is suspended within a step.
+// suspension is the duration for which a process is suspended within a step.
 const suspension = 20 * time.Second
 
-// sleeper is a machine whose process can be suspended, by a clock that the test
-// sets.
-type sleeper struct {
+// suspendableMachine is a state machine whose process can be suspended. The suspension is
+// simulated by advancing its clock.
+type suspendableMachine struct {
 	// clock has the nanoseconds since the start.
 	clock    *atomic.Int64
 	self     string
@@ -30,23 +30,24 @@
 	received []string
 }
 
-// suspend has the sleeper send and respond under a lease, and then be suspended;
-// readClock has it respond with the time of the step.
+// The command suspend makes the state machine send messages and a response, with and without
+// the deadline of a lease, and then suspends it. The command readClock makes it respond with
+// the time of the step.
 type (
 	suspend   struct{ request uint64 }
 	readClock struct{ request uint64 }
 )
 
-func (*sleeper) Start(time.Time, *statemachine.Effects) {}
-func (*sleeper) Tick(time.Time, *statemachine.Effects)  {}
-func (*sleeper) NextTick() time.Time                    { return time.Time{} }
-func (*sleeper) ConfigurationVersion() uint64           { return 0 }
+func (*suspendableMachine) Start(time.Time, *statemachine.Effects) {}
+func (*suspendableMachine) Tick(time.Time, *statemachine.Effects)  {}
+func (*suspendableMachine) NextTick() time.Time                    { return time.Time{} }
+func (*suspendableMachine) ConfigurationVersion() uint64           { return 0 }
 
-func (s *sleeper) HandleMessage(_ time.Time, _ statemachine.Meta, message any, _ *statemachine.Effects) {
+func (s *suspendableMachine) HandleMessage(_ time.Time, _ statemachine.Meta, message any, _ *statemachine.Effects) {
 	s.received = append(s.received, message.(membership.GracefulLeave).Name)
 }
 
-func (s *sleeper) HandleCommand(now time.Time, command any, effects *statemachine.Effects) {
+func (s *suspendableMachine) HandleCommand(now time.Time, command any, effects *statemachine.Effects) {
 	switch body := command.(type) {
 	case suspend:
 		until := now.Add(testLease)
@@ -58,7 +59,7 @@
 			Request:   body.request,
 			Value:     "yes",
 			NotAfter:  until,
-			LateValue: "come back",
+			LateValue: "too late",
 		})
 		s.clock.Add(int64(suspension))
 	case readClock:
@@ -76,13 +77,13 @@
 	return listener.Addr().String()
 }
 
-func openSleeper(t *testing.T, peer string) (*EventLoop, *sleeper) {
+func startSuspendable(t *testing.T, peer string) (*EventLoop, *suspendableMachine) {
 	t.Helper()
-	machine := &sleeper{clock: &atomic.Int64{}, self: freeAddress(t), peer: peer}
+	machine := &suspendableMachine{clock: &atomic.Int64{}, self: freeAddress(t), peer: peer}
 	began := time.Now()
 	opened, err := NewEventLoop(Options{
 		Address: machine.self,
-		Logger:  logevent.New(io.Discard, "sleeper", 0),
+		Logger:  logevent.New(io.Discard, "suspendable", 0),
 		Clock:   func() time.Time { return began.Add(time.Duration(machine.clock.Load())) },
 	})
 	assert.NilError(t, err)
@@ -95,34 +96,35 @@
 	return opened, machine
 }
 
-// What may be sent under a lease isn't sent by a process that was suspended in
-// between: not to others, not to itself, and not in response.
+// If the process is suspended within a step until the lease has expired, messages and
+// responses that are only valid under the lease must not be sent: neither to a peer, nor to
+// the daemon itself, nor as a response.
 func TestEventLoopDropsWhatExpiredDuringSuspension(t *testing.T) {
 	inbox, control := make(chan transport.Inbound, 8), make(chan transport.Inbound, 8)
 	peer := freeAddress(t)
 	links, err := transport.Open(peer, inbox, control, func(string, error) {})
 	assert.NilError(t, err)
 	t.Cleanup(links.Close)
-	loop, machine := openSleeper(t, peer)
+	loop, machine := startSuspendable(t, peer)
 	value, alive := loop.Call(func(request uint64) any { return suspend{request: request} })
 	assert.Assert(t, alive)
-	assert.Equal(t, value, "come back")
+	assert.Equal(t, value, "too late")
 	select {
 	case first := <-inbox:
 		assert.Equal(t, first.Message.(membership.GracefulLeave).Name, "at any time")
 	case first := <-control:
 		assert.Equal(t, first.Message.(membership.GracefulLeave).Name, "at any time")
 	case <-time.After(20 * time.Second):
-		t.Fatal("nothing came")
+		t.Fatal("no message was received")
 	}
 	received, _ := loop.Inspect(func(time.Time) any { return machine.received })
 	assert.DeepEqual(t, received, []string{"at any time"})
 }
 
-// A process that was suspended within a turn handles the rest of the turn by the
-// clock as it is then.
+// If the process is suspended within a turn, the remaining steps of the turn must use the
+// time after the suspension.
 func TestEventLoopReadsClockBeforeEachStep(t *testing.T) {
-	loop, machine := openSleeper(t, "")
+	loop, machine := startSuspendable(t, "")
 	var moments []time.Time
 	command := func(request uint64) any { return readClock{request: request} }
 	record := func(value any) { moments = append(moments, value.(time.Time)) }
--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -7,61 +7,62 @@
 )
 
 const (
-	// sessionBytes is how many bytes a new session is estimated to bring over the link, and
-	// admitShare the share of the link that new sessions may take.
-	sessionBytes = 2 << 10
-	admitShare   = 0.5
-	// admitBurst is for how long unused admissions add up, and minAdmitted how many
-	// sessions are admitted at once in any case.
-	admitBurst  = 300 * time.Millisecond
-	minAdmitted = 16
-	// backlogAhead is how long the link may take for the missing records before no further session is
+	// estimatedSessionBytes is the estimated number of bytes that a new session transfers over the link.
+	// admissionShare is the share of the link's rate that new sessions may use.
+	estimatedSessionBytes = 2 << 10
+	admissionShare        = 0.5
+	// admissionBurst is the time for which unused admissions accumulate. minAdmissionBurst is the
+	// minimum burst: this many sessions may be admitted at once at any link rate.
+	admissionBurst    = 300 * time.Millisecond
+	minAdmissionBurst = 16
+	// maxBacklogTime is the transfer time of the missing records above which no further session is
 	// admitted.
-	backlogAhead = time.Second
+	maxBacklogTime = time.Second
 )
 
-// admission is a token bucket of the sessions that may still be admitted: how many, as of a moment.
+// admission is a token bucket that limits new sessions. tokens is the number of sessions that may be
+// admitted, as of updatedAt.
 type admission struct {
-	left float64
-	at   time.Time
+	tokens    float64
+	updatedAt time.Time
 }
 
-// admits returns whether the link can serve one more session soon, and subtracts that from what may
-// still be admitted. It always can if the rate of the link is unknown.
-func (g *Gateway) admits(now time.Time) bool {
-	if g.settings.Link == 0 || statemachine.Mutated("all-admitted") {
+// tryAdmit reports whether one more session may be admitted, and takes a token for it. All sessions are
+// admitted if the rate of the link is unknown.
+func (g *Gateway) tryAdmit(now time.Time) bool {
+	if g.settings.LinkBytesPerSecond == 0 || statemachine.Mutated("all-admitted") {
 		return true
 	}
-	rate := float64(g.settings.Link) * admitShare / sessionBytes
-	burst := max(rate*admitBurst.Seconds(), minAdmitted)
-	if g.admission.at.IsZero() {
-		g.admission = admission{left: burst, at: now}
+	rate := float64(g.settings.LinkBytesPerSecond) * admissionShare / estimatedSessionBytes
+	burst := max(rate*admissionBurst.Seconds(), minAdmissionBurst)
+	if g.admission.updatedAt.IsZero() {
+		g.admission = admission{tokens: burst, updatedAt: now}
 	}
-	g.admission.left = min(burst, g.admission.left+rate*now.Sub(g.admission.at).Seconds())
-	g.admission.at = now
-	if g.admission.left < 1 || g.backlog(now) > int(float64(g.settings.Link)*backlogAhead.Seconds()) {
+	g.admission.tokens = min(burst, g.admission.tokens+rate*now.Sub(g.admission.updatedAt).Seconds())
+	g.admission.updatedAt = now
+	if g.admission.tokens < 1 || g.backlog(now) > int(float64(g.settings.LinkBytesPerSecond)*maxBacklogTime.Seconds()) {
 		return false
 	}
-	g.admission.left--
+	g.admission.tokens--
 	return true
 }
 
-// backlog returns how many bytes of records are known to be missing here, of the topics that wait
-// for a batch or are in one.
+// backlog returns how many bytes of records this gateway is known to miss, summed over the topics that
+// wait for a batch or are in one.
 func (g *Gateway) backlog(now time.Time) int {
 	sum := 0
-	count := func(waits *topicState) {
-		if _, lacking := waits.missingAfter(now); lacking {
-			sum += waits.missingBytes
+	addMissing := func(topic *topicState) {
+		if _, missing := topic.missingAfter(now); missing {
+			sum += topic.missingBytes
 		}
 	}
 	for _, queued := range g.routed.queue {
-		count(queued)
+		addMissing(queued)
 	}
 	for _, sent := range g.routed.batches {
 		for _, fetch := range sent.fetches {
 			if fetch.topic.fetch == fetch {
-				count(fetch.topic)
+				addMissing(fetch.topic)
 			}
 		}
 	}
--- a/internal/gateway/append.go
+++ b/internal/gateway/append.go
@@ -7,18 +7,18 @@
 	"dahlialock/internal/statemachine"
 )
 
-// publishDurable sends a publication to the leader of its partition, after a lookup of the sender
-// where its newest messages are not known here.
+// publishDurable sends a publication to the leader of its partition. If this gateway does not know the
+// newest messages of the sender, it looks up the sender first.
 func (g *Gateway) publishDurable(
 	now time.Time,
 	state *spaceState,
-	from *sender,
+	senderState *sender,
 	item *publication,
 	effects *statemachine.Effects,
 ) {
-	// A sender whose seq does not follow the newest one known here may have published through another
-	// gateway in between; its dependencies are looked up anew.
-	follows := from.lookedUp && item.request.Seq <= from.lastSeq+1
+	// If the seq leaves a gap after the newest known one, the sender may have published through another
+	// gateway in between. Its dependencies are looked up again.
+	follows := senderState.lookedUp && item.request.Seq <= senderState.lastSeq+1
 	if !follows && !item.lookedUp && state.space.Partitions() > 1 {
 		item.lookedUp = true
 		g.lookUpSender(now, state, item, effects)
@@ -29,11 +29,12 @@
 	item.id = g.nextRequest
 	g.appends[item.id] = item
 	g.overlay.Publish(now, state.name, areaOf(state.space, item.request.Topic), nil, effects)
-	g.sendAppend(now, from, item, effects)
+	g.sendAppend(now, senderState, item, effects)
 }
 
-// sendAppend sends an append, or sends it again under a new request number.
-func (g *Gateway) sendAppend(now time.Time, from *sender, item *publication, effects *statemachine.Effects) {
+// sendAppend sends the append of a publication to the leader of its partition. Each send has a new
+// request number.
+func (g *Gateway) sendAppend(now time.Time, senderState *sender, item *publication, effects *statemachine.Effects) {
 	item.sentAt = now
 	g.timers.ArmSooner(timerDeadlines, now.Add(appendRetry))
 	address, store, found := g.leaderOf(item.partition)
@@ -41,9 +42,9 @@
 		g.viewClient.PollNow(now)
 		return
 	}
-	var before partition.Dependencies
+	var dependencies partition.Dependencies
 	if state, known := g.spaces[item.request.Space]; known && state.space.Partitions() > 1 {
-		before = from.currentDependencies(now)
+		dependencies = senderState.currentDependencies(now)
 	}
 	g.nextRequest++
 	send := g.nextRequest
@@ -65,19 +66,19 @@
 		Sender:        item.request.Sender,
 		Seq:           item.request.Seq,
 		Data:          item.request.Data,
-		Dependencies:  before,
-		DuplicateOnly: item.request.Seq <= from.lastSeq,
+		Dependencies:  dependencies,
+		DuplicateOnly: item.request.Seq <= senderState.lastSeq,
 	})
 }
 
-// handleAppendResponse applies the response of a store to a publication.
+// handleAppendResponse handles the response of a store to an append.
 func (g *Gateway) handleAppendResponse(
 	now time.Time,
 	response partition.AppendResponse,
 	effects *statemachine.Effects,
 ) {
 	if item, routed := g.routed.sends[response.RequestID]; routed && item.partition == response.Partition {
-		g.handleRoutedResponse(now, item, response, effects)
+		g.handleRoutedAppendResponse(now, item, response, effects)
 		return
 	}
 	item, found := g.sends[response.RequestID]
@@ -100,21 +101,21 @@
 	case partition.OutcomeRejected:
 		g.applyAppendRejected(now, item, response, effects)
 	default:
-		g.finish(now, item, unsettledReply(response.Code, "send the same seq again", retryLongDelay), effects)
+		g.finishPublication(now, item, unsettledReply(response.Code, "send the same seq again", retryLongDelay), effects)
 	}
 }
 
-// applyAppended fans out a message that was appended and accepts its publication.
+// applyAppended fans out an appended message and accepts its publication.
 func (g *Gateway) applyAppended(
 	now time.Time,
 	item *publication,
 	response partition.AppendResponse,
 	effects *statemachine.Effects,
 ) {
-	if from, known := g.senders[item.key]; known {
-		from.lastSeq = max(from.lastSeq, item.request.Seq)
-		from.dependencies = append(from.dependencies, dependency{
-			mark: partition.MessagePosition{
+	if senderState, known := g.senders[item.key]; known {
+		senderState.lastSeq = max(senderState.lastSeq, item.request.Seq)
+		senderState.dependencies = append(senderState.dependencies, dependency{
+			position: partition.MessagePosition{
 				Partition: partition.NumberOf(response.Partition),
 				Offset:    response.Record.Offset,
 				Topic:     item.request.Topic,
@@ -126,11 +127,11 @@
 	if state, present := g.spaces[item.request.Space]; present && !response.Duplicate {
 		g.fanOutRecord(now, state, response.Partition, response.Record, item, effects)
 	}
-	g.finish(now, item, acceptedReply(map[string]any{"again": response.Duplicate}), effects)
+	g.finishPublication(now, item, acceptedReply(map[string]any{"again": response.Duplicate}), effects)
 }
 
-// applyAppendRejected answers a publication that a store rejected, unless it can still
-// succeed within its deadline.
+// applyAppendRejected answers a publication whose append was rejected. If the store is
+// not the leader, the append is retried until the deadline instead.
 func (g *Gateway) applyAppendRejected(
 	now time.Time,
 	item *publication,
@@ -139,12 +140,17 @@
 ) {
 	switch response.Code {
 	case "not-first":
-		// The view of the store or of this gateway is old; the deadline decides.
+		// The view of the store or of this gateway is stale; the append is retried until the deadline.
 		g.viewClient.PollNow(now)
 		item.sentAt = now
 		g.timers.ArmSooner(timerDeadlines, now.Add(appendRetry))
 	case "old-seq", "seq-reused":
-		g.finish(now, item, rejectedReply(409, response.Code, "this seq is not above the sender's newest", 0), effects)
+		g.finishPublication(
+			now,
+			item,
+			rejectedReply(409, response.Code, "this seq is not above the sender's newest", 0),
+			effects,
+		)
 	default:
 		answer := rejectedReply(
 			503,
@@ -153,15 +159,15 @@
 			response.RetryAfter,
 		)
 		if len(item.unanswered) > 0 {
-			// An earlier attempt has no response; it may yet be appended.
+			// An earlier send has no response; its append may still succeed.
 			answer = unsettledReply(response.Code, "send the same seq again", response.RetryAfter)
 		}
-		g.finish(now, item, answer, effects)
+		g.finishPublication(now, item, answer, effects)
 	}
 }
 
-// fanOutRecord sends one copy of a record to each destination gateway, and delivers it to the
-// subscribers here.
+// fanOutRecord delivers a record to the subscribers of this gateway and sends one copy to each
+// destination gateway.
 func (g *Gateway) fanOutRecord(
 	now time.Time,
 	state *spaceState,
@@ -172,22 +178,22 @@
 ) {
 	area := areaOf(state.space, record.Topic)
 	recordCopy := RecordCopy{Partition: name, Record: record}
-	spread := func(now time.Time, effects *statemachine.Effects, stable bool) {
+	fanOut := func(now time.Time, effects *statemachine.Effects, stable bool) {
 		destinations := g.overlay.Destinations(state.name, area)
-		g.spread(now, item, destinations, stable, recordCopy, effects)
+		g.sendToDestinations(now, item, destinations, stable, recordCopy, effects)
 	}
-	if _, topic := g.trackers[name]; topic {
+	if _, tracked := g.trackers[name]; tracked {
 		g.handleRecordCopy(now, recordCopy, effects)
 	}
 	if g.overlay.Joined(state.name, area) {
-		spread(now, effects, true)
+		fanOut(now, effects, true)
 		return
 	}
-	g.overlay.Publish(now, state.name, area, spread, effects)
+	g.overlay.Publish(now, state.name, area, fanOut, effects)
 }
 
-// spread sends one copy to each destination gateway.
-func (g *Gateway) spread(
+// sendToDestinations sends one copy to each destination gateway.
+func (g *Gateway) sendToDestinations(
 	now time.Time,
 	item *publication,
 	destinations []string,
@@ -213,9 +219,9 @@
 func (g *Gateway) retryAppends(now time.Time, effects *statemachine.Effects) time.Time {
 	var next time.Time
 	for _, item := range statemachine.Sorted(g.appends) {
-		from, known := g.senders[item.key]
+		senderState, known := g.senders[item.key]
 		if known && item.deadline.After(now) && !item.sentAt.Add(appendRetry).After(now) {
-			g.sendAppend(now, from, item, effects)
+			g.sendAppend(now, senderState, item, effects)
 		}
 		if item.deadline.After(now) {
 			next = statemachine.Earliest(next, item.sentAt.Add(appendRetry), item.deadline)
--- a/internal/gateway/catchup.go
+++ b/internal/gateway/catchup.go
@@ -11,92 +11,96 @@
 )
 
 const (
-	// maxBatchTopics is how many topics one batch asks for.
+	// maxBatchTopics bounds the topics of one batch.
 	maxBatchTopics = 256
-	// batchRetry is how long the response to the first attempt of a batch may take; the
-	// timeout doubles with each further attempt.
-	batchRetry = 400 * time.Millisecond
-	// catchUpAhead is how long the link may take for the records that are requested at once, from all
-	// stores together.
-	catchUpAhead = 200 * time.Millisecond
-	// Bounds of the bytes of records that one batch asks for.
+	// batchTimeout is how long the response to the first attempt of a batch may take. The timeout
+	// doubles with each further attempt.
+	batchTimeout = 400 * time.Millisecond
+	// maxCatchUpLinkTime is how long the transfer of all records that are requested at the same time,
+	// from all stores together, may occupy the link.
+	maxCatchUpLinkTime = 200 * time.Millisecond
+	// minBatchBytes and maxBatchBytes bound the bytes of records that one batch requests.
 	minBatchBytes = 4 << 10
 	maxBatchBytes = 256 << 10
-	// reservedFor is for how long a rejected subscription keeps its turn.
-	reservedFor = 3 * time.Second
+	// reservationTimeout is how long the topic of a rejected subscription is still fetched for its
+	// retry, and how long the fetched records are retained for it.
+	reservationTimeout = 3 * time.Second
 )
 
-// topicFetch is one topic in a batch. It asks for the records after an offset.
+// topicFetch is one topic of a batch, which requests its records after an offset.
 type topicFetch struct {
 	topic *topicState
-	// after is the offset after which records are wanted; everything if only the high watermark is.
+	// after is the offset after which records are requested, or maxOffset if only the high watermark
+	// is requested.
 	after uint64
-	// sentBy is the route by which the batch was sent.
+	// sentBy is the route over which the batch was sent.
 	sentBy route
 }
 
-// batch is a request for several topics to one store that has not been answered yet.
+// batch is a request to one store for the records of several topics, which awaits its response.
 type batch struct {
-	// request is its number; it stays when the batch is sent again.
+	// request is the request number, which stays the same for all attempts.
 	request uint64
 	// store is the address of the store.
 	store string
-	// fetches are its topics. One that left the batch meanwhile no longer refers to its entry here.
+	// fetches are the topics in the batch. A topic that was removed from the batch after it was sent
+	// no longer refers to its entry.
 	fetches []*topicFetch
-	// bytes bounds the records of the response.
+	// bytes bounds the size of the records in the response.
 	bytes int
-	// sentAt is when it was last sent, attempts how often.
+	// sentAt is when the batch was last sent, attempts is how often it was sent.
 	sentAt   time.Time
 	attempts int
 }
 
-// due returns when the batch is sent again; the timeout doubles with each attempt.
-func (b *batch) due() time.Time { return b.sentAt.Add(backoff(batchRetry, b.attempts)) }
+// due returns when the batch is sent again. The timeout doubles with each attempt.
+func (b *batch) due() time.Time { return b.sentAt.Add(backoff(batchTimeout, b.attempts)) }
 
-// wanted returns whether any topic still waits for a response to the batch.
-func (b *batch) wanted() bool {
+// hasWaitingTopics reports whether any topic still waits for the response to the batch.
+func (b *batch) hasWaitingTopics() bool {
 	return slices.ContainsFunc(b.fetches, func(fetch *topicFetch) bool { return fetch.topic.fetch == fetch })
 }
 
-// backoff returns how long to wait for the response to an attempt; it doubles a few times.
+// backoff returns how long to wait for the response to an attempt. The timeout doubles with each
+// attempt, maxTimeoutDoublings times at most.
 func backoff(initial time.Duration, attempts int) time.Duration {
 	if statemachine.Mutated("no-retry-pauses") {
 		return initial
 	}
-	return initial << min(max(0, attempts-1), retryDoubles)
+	return initial << min(max(0, attempts-1), maxTimeoutDoublings)
 }
 
-// missingAfter returns the offset after which records of the topic are missing, and whether any
-// are.
-func (t *topicState) missingAfter(now time.Time) (after uint64, lacking bool) {
-	after = everything
-	if t.live && t.wanted > t.last {
-		after, lacking = t.last, len(t.subscriptions) > 0
+// missingAfter returns the offset after which records of the topic are to be fetched, maxOffset if
+// only its high watermark is needed, and whether anything is to be fetched.
+func (t *topicState) missingAfter(now time.Time) (after uint64, missing bool) {
+	after = maxOffset
+	if t.started && t.highestKnown > t.deliveredUpTo {
+		after, missing = t.deliveredUpTo, len(t.subscriptions) > 0
 	}
 	for _, subscription := range t.subscriptions {
-		if !subscription.filling {
+		if !subscription.catchingUp {
 			continue
 		}
-		lacking = true
+		missing = true
 		if subscription.resumes {
 			after = min(after, subscription.deliveredUpTo)
 		}
 	}
 	if t.reserved(now) {
-		after, lacking = min(after, t.reservedAfter), true
+		after, missing = min(after, t.reservedAfter), true
 	}
-	return after, lacking
+	return after, missing
 }
 
-// reserved returns whether a rejected subscription keeps its turn while the records that it lacks
-// are not here.
+// reserved reports whether the topic is still to be fetched for the retry of a rejected subscription:
+// its reservation has not expired, and this gateway lacks some of the records.
 func (t *topicState) reserved(now time.Time) bool {
-	here := t.live && t.recentFrom <= t.reservedAfter
-	return t.reservedUntil.After(now) && !here
+	available := t.started && t.recentFrom <= t.reservedAfter
+	return t.reservedUntil.After(now) && !available
 }
 
-// reserve keeps the turn of a subscription that is rejected because no response came in time: the
-// records that it lacks are fetched all the same, for its next attempt.
+// reserve adds a reservation for a subscription that is rejected because the store did not respond in
+// time: the records that it missed are fetched all the same, for the client's retry.
 func (t *topicState) reserve(now time.Time, subscription *topicSubscription) {
 	if statemachine.Mutated("refused-loses-turn") || !subscription.resumes {
 		return
@@ -105,11 +109,11 @@
 		t.reservedAfter = subscription.deliveredUpTo
 	}
 	t.reservedAfter = min(t.reservedAfter, subscription.deliveredUpTo)
-	t.reservedUntil = now.Add(reservedFor)
+	t.reservedUntil = now.Add(reservationTimeout)
 }
 
-// fetchTopic queues a topic for the next batch to its store, which is sent at once if none is in
-// flight there.
+// fetchTopic queues a topic for the next batch to its store. The batch is sent at once if no other one
+// is in flight to the store.
 func (g *Gateway) fetchTopic(now time.Time, topic *topicState, effects *statemachine.Effects) {
 	if topic.fetch != nil || topic.queued {
 		return
@@ -121,54 +125,55 @@
 		g.viewClient.PollNow(now)
 		return
 	}
-	if !g.busy(store) {
+	if !g.hasBatchInFlight(store) {
 		g.sendBatches(now, effects)
 	}
 }
 
-// busy returns whether a batch is in flight to a store.
-func (g *Gateway) busy(store string) bool {
+// hasBatchInFlight reports whether a batch is in flight to a store.
+func (g *Gateway) hasBatchInFlight(store string) bool {
 	_, busy := g.routed.batchInFlight[store]
 	return busy && !statemachine.Mutated("fetches-without-credit")
 }
 
 // sendBatches sends the queued topics to the stores to which no batch is in flight.
 func (g *Gateway) sendBatches(now time.Time, effects *statemachine.Effects) {
-	chosen := map[string][]*topicFetch{}
+	fetchesByStore := map[string][]*topicFetch{}
 	var waiting []*topicState
-	for _, next := range g.routed.queue {
-		after, lacking := next.missingAfter(now)
-		if !lacking || g.routed.topics[next.name] != next {
-			next.queued = false
+	for _, topic := range g.routed.queue {
+		after, missing := topic.missingAfter(now)
+		if !missing || g.routed.topics[topic.name] != topic {
+			topic.queued = false
 			continue
 		}
-		present := g.routeTo(next.partition)
-		if present == (route{}) || g.busy(present.address) || len(chosen[present.address]) >= maxBatchTopics {
-			waiting = append(waiting, next)
+		current := g.routeTo(topic.partition)
+		if current == (route{}) || g.hasBatchInFlight(current.address) ||
+			len(fetchesByStore[current.address]) >= maxBatchTopics {
+			waiting = append(waiting, topic)
 			continue
 		}
-		next.queued = false
-		next.fetch = &topicFetch{topic: next, after: after, sentBy: present}
-		chosen[present.address] = append(chosen[present.address], next.fetch)
+		topic.queued = false
+		topic.fetch = &topicFetch{topic: topic, after: after, sentBy: current}
+		fetchesByStore[current.address] = append(fetchesByStore[current.address], topic.fetch)
 	}
 	g.routed.queue = waiting
-	bytes := g.batchBytes(len(g.routed.batchInFlight) + len(chosen))
-	for store, fetches := range statemachine.Sorted(chosen) {
+	bytes := g.batchBytes(len(g.routed.batchInFlight) + len(fetchesByStore))
+	for store, fetches := range statemachine.Sorted(fetchesByStore) {
 		g.nextRequest++
 		sortByMissingBytes(fetches)
-		made := &batch{
+		created := &batch{
 			request: g.nextRequest,
 			store:   store,
 			fetches: fetches,
 			bytes:   bytes,
 		}
-		g.routed.batches[made.request] = made
-		g.routed.batchInFlight[store] = made.request
-		g.sendBatch(now, made, effects)
+		g.routed.batches[created.request] = created
+		g.routed.batchInFlight[store] = created.request
+		g.sendBatch(now, created, effects)
 	}
 }
 
-// sendBatch sends a batch, or sends it again.
+// sendBatch sends the first or a further attempt of a batch.
 func (g *Gateway) sendBatch(now time.Time, sent *batch, effects *statemachine.Effects) {
 	sent.sentAt = now
 	sent.attempts++
@@ -181,9 +186,9 @@
 	effects.Send(sent.store, fetch)
 }
 
-// sortByMissingBytes orders topics by the bytes that they are known to lack, since the records of a
-// response go to the front topics: one that lacks a single message must not wait for those that
-// lack hundreds. Topics of which that is not known yet come before all others.
+// sortByMissingBytes sorts topics by the number of bytes that they are known to lack. A store fills its
+// response with the records of the first topics, and a topic that lacks a single message must not wait
+// for topics that lack hundreds. Topics for which the number is not known yet are sorted to the front.
 func sortByMissingBytes(fetches []*topicFetch) {
 	if statemachine.Mutated("first-come-first") {
 		return
@@ -193,17 +198,17 @@
 	})
 }
 
-// batchBytes returns the credit of a batch while batches to that many stores are in flight: their
-// responses together take a short time of the link.
+// batchBytes returns the credit in bytes of a batch while batches to the given number of stores are in
+// flight. All responses together occupy the link for maxCatchUpLinkTime.
 func (g *Gateway) batchBytes(stores int) int {
-	if g.settings.Link == 0 {
+	if g.settings.LinkBytesPerSecond == 0 {
 		return maxBatchBytes
 	}
-	ahead := int(float64(g.settings.Link) * catchUpAhead.Seconds())
-	return min(max(ahead/max(1, stores), minBatchBytes), maxBatchBytes)
+	linkBytes := int(float64(g.settings.LinkBytesPerSecond) * maxCatchUpLinkTime.Seconds())
+	return min(max(linkBytes/max(1, stores), minBatchBytes), maxBatchBytes)
 }
 
-// endBatch removes a batch, which returns the store's credit.
+// endBatch removes a batch, so that the next one can be sent to its store.
 func (g *Gateway) endBatch(ended *batch) {
 	delete(g.routed.batches, ended.request)
 	if g.routed.batchInFlight[ended.store] == ended.request {
@@ -211,13 +216,14 @@
 	}
 }
 
-// retryBatches sends unanswered batches again, and removes those for which no topic waits any more.
+// retryBatches sends batches again whose response is overdue, and removes those for which no topic
+// waits any more.
 func (g *Gateway) retryBatches(now time.Time, effects *statemachine.Effects) {
 	for _, sent := range statemachine.Sorted(g.routed.batches) {
 		switch {
 		case sent.due().After(now):
 			g.timers.ArmSooner(timerRouted, sent.due())
-		case !sent.wanted():
+		case !sent.hasWaitingTopics():
 			g.endBatch(sent)
 		default:
 			g.sendBatch(now, sent, effects)
@@ -228,19 +234,19 @@
 	}
 }
 
-// rerouteFetches takes the topics whose partition has another leader now out of their batches, and
-// puts them at the front of the queue.
+// rerouteFetches moves the topics whose route has changed, for instance after a change of leader, from
+// their batches to the front of the queue.
 func (g *Gateway) rerouteFetches(now time.Time, effects *statemachine.Effects) {
 	var rerouted []*topicState
 	for _, sent := range statemachine.Sorted(g.routed.batches) {
 		for _, fetch := range sent.fetches {
 			topic := fetch.topic
-			if topic.fetch == fetch && fetch.sentBy.changed(g.routeTo(topic.partition)) {
+			if topic.fetch == fetch && fetch.sentBy.mustResend(g.routeTo(topic.partition)) {
 				topic.fetch, topic.queued = nil, true
 				rerouted = append(rerouted, topic)
 			}
 		}
-		if !sent.wanted() {
+		if !sent.hasWaitingTopics() {
 			g.endBatch(sent)
 		}
 	}
@@ -277,17 +283,18 @@
 		placement, placed := g.viewClient.Placements[topic.partition]
 		if !served || !placed || state.Epoch < placement.Epoch {
 			g.viewClient.PollNow(now)
-			g.scheduleTopic(topic, now.Add(topicFetchRetry))
+			g.scheduleTopic(topic, now.Add(topicFetchRetryDelay))
 			continue
 		}
 		g.applyFetchedTopic(now, fetch, state, records, effects)
 	}
-	// The batch ends only now, so that the next one has all topics that still lack records.
+	// The batch ends after its topics were handled, so that the next one includes all topics that still
+	// lack records.
 	g.endBatch(answered)
 	g.sendBatches(now, effects)
 }
 
-// applyFetchedTopic applies what a store responded for one topic.
+// applyFetchedTopic applies the response of a store for one topic.
 func (g *Gateway) applyFetchedTopic(
 	now time.Time,
 	fetch *topicFetch,
@@ -296,7 +303,7 @@
 	effects *statemachine.Effects,
 ) {
 	topic := fetch.topic
-	g.routed.bases[topic.partition] = state.Base
+	g.routed.baseOffsets[topic.partition] = state.Base
 	topic.missingBytes = response.RemainingBytes
 	if response.Expired {
 		topic.reservedUntil = time.Time{}
@@ -313,19 +320,20 @@
 	}
 	g.applyRecords(now, fetch, state, response, effects)
 	for _, subscription := range slices.Clone(topic.subscriptions) {
-		if subscription.filling {
+		if subscription.catchingUp {
 			g.advanceSubscription(now, subscription, fetch.after, response, effects)
 		}
 	}
-	g.release(now, topic, effects)
+	g.deliverPending(now, topic, effects)
 	if response.Until < state.HighWatermark {
-		// The records of the topic did not all fit into the response.
+		// The response was too small for all records of the topic; fetch the rest.
 		g.requireUpTo(now, topic, state.HighWatermark, 0)
 	}
 	g.tickTopic(now, topic, effects)
 }
 
-// applyRecords adds fetched records to the topic's own sequence.
+// applyRecords starts a topic that is not started yet, and delivers the fetched records that follow
+// the topic's newest delivered one.
 func (g *Gateway) applyRecords(
 	now time.Time,
 	fetch *topicFetch,
@@ -334,35 +342,35 @@
 	effects *statemachine.Effects,
 ) {
 	topic := fetch.topic
-	if !topic.live {
-		topic.live = true
-		topic.last, topic.recentFrom = response.Until, response.Until
-		if fetch.after != everything {
-			topic.last, topic.recentFrom = fetch.after, fetch.after
+	if !topic.started {
+		topic.started = true
+		topic.deliveredUpTo, topic.recentFrom = response.Until, response.Until
+		if fetch.after != maxOffset {
+			topic.deliveredUpTo, topic.recentFrom = fetch.after, fetch.after
 		}
 		if topic.reservedUntil.After(now) {
 			topic.recentUntil = topic.reservedUntil
 		}
 		g.startReports(now, topic.partition, state.HighWatermark)
 	}
-	if fetch.after == everything {
+	if fetch.after == maxOffset {
 		return
 	}
-	topic.extendRecent(now, fetch.after, response)
-	if fetch.after > topic.last {
+	topic.prependRecent(now, fetch.after, response)
+	if fetch.after > topic.deliveredUpTo {
 		return
 	}
 	for _, record := range response.Records {
-		if record.Offset > topic.last {
-			g.process(now, topic, record, effects)
+		if record.Offset > topic.deliveredUpTo {
+			g.deliverNext(now, topic, record, effects)
 		}
 	}
-	topic.last = max(topic.last, response.Until)
+	topic.deliveredUpTo = max(topic.deliveredUpTo, response.Until)
 }
 
-// extendRecent adds fetched records that precede the recent ones, for the subscriptions that come
-// next.
-func (t *topicState) extendRecent(now time.Time, after uint64, response partition.TopicRecords) {
+// prependRecent adds fetched records that precede the recent ones, so that further subscriptions can
+// catch up from them.
+func (t *topicState) prependRecent(now time.Time, after uint64, response partition.TopicRecords) {
 	if after >= t.recentFrom || response.Until < t.recentFrom {
 		return
 	}
@@ -374,11 +382,11 @@
 		}
 	}
 	t.recent = append(earlier, t.recent...)
-	t.recentFrom, t.recentUntil = after, now.Add(reservedFor)
+	t.recentFrom, t.recentUntil = after, now.Add(reservationTimeout)
 }
 
-// advanceSubscription confirms a subscription whose missed records the store still has, and
-// delivers those that came.
+// advanceSubscription confirms a subscription whose missed records the store still has, and delivers
+// those in the response.
 func (g *Gateway) advanceSubscription(
 	now time.Time,
 	subscription *topicSubscription,
@@ -387,11 +395,11 @@
 	effects *statemachine.Effects,
 ) {
 	if subscription.resumes && after <= subscription.deliveredUpTo {
-		g.startTopicSubscription(now, subscription, effects)
+		g.confirmTopicSubscription(now, subscription, effects)
 		for _, record := range response.Records {
 			g.deliverFetched(subscription, record, effects)
 		}
 		subscription.deliveredUpTo = max(subscription.deliveredUpTo, response.Until)
 	}
-	g.fill(now, subscription, effects)
+	g.completeCatchUp(now, subscription, effects)
 }
--- a/internal/gateway/ephemeral.go
+++ b/internal/gateway/ephemeral.go
@@ -18,34 +18,40 @@
 	request := item.request
 	if memory, known := from.recent[request.Seq]; known {
 		if memory.digest != partition.MessageDigest(request.Topic, request.Data) {
-			g.finish(now, item, rejectedReply(409, "seq-reused", "this seq was used for another message", 0), effects)
+			g.finishPublication(now, item, rejectedReply(409, "seq-reused", "this seq was used for another message", 0), effects)
 			return
 		}
-		g.finish(now, item, acceptedReply(map[string]any{"again": true}), effects)
+		g.finishPublication(now, item, acceptedReply(map[string]any{"again": true}), effects)
 		return
 	}
-	if request.Seq <= from.lastSeq && now.Sub(from.arrived) > seqMemory {
-		g.finish(now, item, rejectedReply(409, "old-seq", "this seq is not above the sender's newest", 0), effects)
+	if request.Seq <= from.lastSeq && now.Sub(from.arrived) > ephemeralSeqRetention {
+		g.finishPublication(now, item, rejectedReply(409, "old-seq", "this seq is not above the sender's newest", 0), effects)
 		return
 	}
-	// A sender that published through another gateway until now may retry what that fanned out.
-	// It is fanned out once more; a session that has had it, or a later one, ignores it.
+	// A sender that published through another gateway before may retry a message that was already
+	// fanned out there. It is fanned out again; a session that has received this or a later message
+	// of the sender ignores it.
 	area := areaOf(state.space, request.Topic)
 	g.overlay.Publish(now, state.name, area, func(now time.Time, effects *statemachine.Effects, stable bool) {
 		if item.answered {
 			return
 		}
 		if !stable {
-			g.finish(now, item, rejectedReply(503, "no-neighbours", "the overlay is being mended", retryShortDelay), effects)
+			g.finishPublication(
+				now,
+				item,
+				rejectedReply(503, "no-neighbours", "the overlay is being mended", retryShortDelay),
+				effects,
+			)
 			return
 		}
 		if request.Seq > from.lastSeq+1 {
 			from.arrived = now
 		}
 		from.lastSeq = max(from.lastSeq, request.Seq)
-		from.recent[request.Seq] = sentMemory{digest: partition.MessageDigest(request.Topic, request.Data), at: now}
+		from.recent[request.Seq] = acceptedEphemeral{digest: partition.MessageDigest(request.Topic, request.Data), at: now}
 		for seq, memory := range from.recent {
-			if now.Sub(memory.at) > seqMemory {
+			if now.Sub(memory.at) > ephemeralSeqRetention {
 				delete(from.recent, seq)
 			}
 		}
@@ -56,14 +62,14 @@
 			Seq:    request.Seq,
 			Data:   request.Data,
 		}
-		state.remember(now, message, true)
+		state.addRecent(now, message, true)
 		g.deliverEphemeral(now, state, message, effects)
-		g.spread(now, item, g.overlay.Destinations(state.name, area), true, message, effects)
-		g.finish(now, item, acceptedReply(map[string]any{"again": false}), effects)
+		g.sendToDestinations(now, item, g.overlay.Destinations(state.name, area), true, message, effects)
+		g.finishPublication(now, item, acceptedReply(map[string]any{"again": false}), effects)
 	}, effects)
 }
 
-// handleEphemeralCopy delivers an ephemeral message, and returns whether anybody here subscribes to
+// handleEphemeralCopy delivers an ephemeral message, and reports whether this gateway has subscriptions to
 // its topic.
 func (g *Gateway) handleEphemeralCopy(now time.Time, message EphemeralCopy, effects *statemachine.Effects) bool {
 	space, _ := spaceOf(message.Space + "/")
@@ -72,24 +78,24 @@
 		return false
 	}
 	if !message.Repeated {
-		state.remember(now, message, false)
+		state.addRecent(now, message, false)
 	}
 	return g.deliverEphemeral(now, state, message, effects)
 }
 
-// deliverEphemeral delivers an ephemeral message to the sessions here, and returns whether there
-// are any.
+// deliverEphemeral delivers an ephemeral message to the sessions with a matching subscription, and reports
+// whether there are any.
 func (g *Gateway) deliverEphemeral(
 	now time.Time,
 	state *spaceState,
 	message EphemeralCopy,
 	effects *statemachine.Effects,
 ) bool {
-	holders := state.subscribedSessions(message.Topic)
-	for id := range statemachine.Sorted(holders) {
+	subscribed := state.subscribedSessions(message.Topic)
+	for id := range statemachine.Sorted(subscribed) {
 		if session, open := g.sessions[id]; open {
 			g.deliverOrBufferEphemeral(now, id, session, message, effects)
 		}
 	}
-	return len(holders) > 0
+	return len(subscribed) > 0
 }
--- a/internal/gateway/fetch.go
+++ b/internal/gateway/fetch.go
@@ -8,76 +8,79 @@
 	"dahlialock/internal/statemachine"
 )
 
-// fetchOperation fetches records of several partitions: those that a session missed, or those that
-// a tracker lacks.
+// fetchOperation fetches the records of several partitions that a resumed session missed, or the
+// records of one partition that a tracker lacks.
 type fetchOperation struct {
-	// session, request, interests and resumes belong to the subscription that is being filled; they
-	// are unset in the operation of a tracker.
+	// session, request, interests and resumes belong to the request whose subscriptions are catching
+	// up. They are unset in the operation of a tracker.
 	session   uint64
 	request   Subscribe
 	interests []Interest
 	resumes   bool
-	// partitions is the progress of each partition, records what came so far, in order.
+	// partitions is the progress in each partition. records are the records received so far from each
+	// partition, in order of offset.
 	partitions map[string]*partitionFetch
 	records    map[string][]partition.Record
-	// refetches counts how often partitions were fetched further for a dependency.
+	// refetches counts how often the fetch was extended in some partitions, see refetch.
 	refetches int
-	// joins is how many overlay joins are not done; the fetch begins when it is 0. failed is set if
-	// one did not succeed.
-	joins  int
-	failed bool
+	// pendingJoins is the number of overlay joins that are not complete; the fetch starts when it is 0.
+	// joinFailed is set if a join failed.
+	pendingJoins int
+	joinFailed   bool
 	// deadline is when the operation fails.
 	deadline time.Time
-	// tracker is the partition of the tracker that verifies, version its version at the start.
+	// tracker is the partition of the tracker that is being verified, empty in the operation of a
+	// session. version is the tracker's version when the operation started.
 	tracker string
 	version uint64
 }
 
 // partitionFetch is the progress of a fetchOperation in one partition.
 type partitionFetch struct {
-	// from is the offset of the cursor, everything without one; after is the offset after which the
-	// next request asks, and until how far the responses have come.
-	from  uint64
-	after uint64
-	until uint64
-	// skip are offsets above after that are here already.
+	// cursorOffset is the offset of the cursor, or maxOffset without a cursor. after is the offset
+	// after which the next request asks for records, or maxOffset if it asks for the high watermark
+	// only. until is the offset up to which the responses have covered the partition.
+	cursorOffset uint64
+	after        uint64
+	until        uint64
+	// skip are offsets above after that need not be fetched, since their records were received before.
 	skip []uint64
-	// waiting is set while a request awaits its response, done once all records came.
-	waiting bool
-	done    bool
+	// awaitingResponse is set while a request is in flight. done is set once all records are received.
+	awaitingResponse bool
+	done             bool
 	// requestedAt is when the last request was sent.
 	requestedAt time.Time
-	// topics and prefixes are what the interests match.
+	// topics and prefixes are the paths of the interests.
 	topics   []string
 	prefixes []string
 }
 
-// advanceFetch continues once all joins of the overlay are done: it sends the fetches to the
-// leaders of the partitions, and completes when all have responded.
+// advanceFetch continues an operation once all overlay joins are complete. It sends the fetches to the
+// leaders of the partitions, and completes the operation when all partitions are done.
 func (g *Gateway) advanceFetch(
 	now time.Time,
 	id uint64,
 	operation *fetchOperation,
 	effects *statemachine.Effects,
 ) {
-	if operation.joins > 0 || g.fetches[id] != operation {
+	if operation.pendingJoins > 0 || g.fetches[id] != operation {
 		return
 	}
-	if operation.failed {
+	if operation.joinFailed {
 		g.failFetch(now, id, operation, "no-neighbours", effects)
 		return
 	}
-	operation.joins = 0
-	open := false
+	operation.pendingJoins = 0
+	incomplete := false
 	for name, fetch := range statemachine.Sorted(operation.partitions) {
 		if !fetch.done {
-			open = true
-			if !fetch.waiting {
+			incomplete = true
+			if !fetch.awaitingResponse {
 				g.sendFetch(now, id, name, fetch, effects)
 			}
 		}
 	}
-	if !open {
+	if !incomplete {
 		g.completeFetch(now, id, operation, effects)
 	}
 }
@@ -90,7 +93,7 @@
 	fetch *partitionFetch,
 	effects *statemachine.Effects,
 ) {
-	fetch.waiting, fetch.requestedAt = true, now
+	fetch.awaitingResponse, fetch.requestedAt = true, now
 	g.timers.ArmSooner(timerDeadlines, now.Add(fetchRetry))
 	address, _, found := g.leaderOf(name)
 	if !found {
@@ -108,8 +111,8 @@
 	})
 }
 
-// retryFetch sends unanswered fetches of an operation again, or fails it after its deadline. It
-// returns when to look at it next, zero if it has ended.
+// retryFetch sends the fetches of an operation again that have no response after fetchRetry, and fails
+// the operation after its deadline. It returns when the next retry is due, zero if the operation ended.
 func (g *Gateway) retryFetch(
 	now time.Time,
 	id uint64,
@@ -121,11 +124,11 @@
 		return time.Time{}
 	}
 	next := operation.deadline
-	if operation.joins > 0 {
+	if operation.pendingJoins > 0 {
 		return next
 	}
 	for name, fetch := range statemachine.Sorted(operation.partitions) {
-		if fetch.done || !fetch.waiting {
+		if fetch.done || !fetch.awaitingResponse {
 			continue
 		}
 		if !fetch.requestedAt.Add(fetchRetry).After(now) {
@@ -136,8 +139,8 @@
 	return next
 }
 
-// failFetch ends an operation without its records. A tracker verifies again later; the
-// subscriptions of a session are removed and rejected.
+// failFetch ends an operation that could not be completed. A tracker is verified again later. The
+// subscriptions of a session are removed, and their request is rejected.
 func (g *Gateway) failFetch(
 	now time.Time,
 	id uint64,
@@ -149,14 +152,14 @@
 	if operation.tracker != "" {
 		if tracker, found := g.trackers[operation.tracker]; found {
 			tracker.verifying = false
-			tracker.wanted = true
-			g.timers.ArmSooner(timerVerify, now.Add(verifyEvery))
+			tracker.verifyNeeded = true
+			g.timers.ArmSooner(timerVerify, now.Add(verifyInterval))
 		}
 		return
 	}
 	if session, found := g.sessions[operation.session]; found {
-		g.dropFilling(now, operation, session, effects)
-		g.drain(now, operation.session, session, effects)
+		g.dropUnfinished(now, operation, session, effects)
+		g.deliverBuffered(now, operation.session, session, effects)
 	}
 	g.answerSubscribe(
 		now,
@@ -166,14 +169,14 @@
 	)
 }
 
-// isDuplicate returns whether a response answers an earlier part of the fetch, which was applied
-// before.
+// isDuplicate reports whether a response belongs to an earlier request of the fetch whose response was
+// already applied.
 func (f *partitionFetch) isDuplicate(response partition.FetchResponse) bool {
-	return f.after != everything && response.Until <= f.after && f.after < response.HighWatermark &&
+	return f.after != maxOffset && response.Until <= f.after && f.after < response.HighWatermark &&
 		!statemachine.Mutated("any-answer")
 }
 
-// missing returns the records above the offset after which the fetch asks.
+// missing returns the records of a response above the offset after which the fetch requests records.
 func (f *partitionFetch) missing(records []partition.Record) []partition.Record {
 	if statemachine.Mutated("any-answer") {
 		return records
@@ -188,8 +191,8 @@
 		g.Counts.Late += uint64(len(response.Records))
 		return
 	}
-	fetch, wanted := operation.partitions[response.Partition]
-	if !wanted || fetch.done {
+	fetch, requested := operation.partitions[response.Partition]
+	if !requested || fetch.done {
 		return
 	}
 	placement, placed := g.viewClient.Placements[response.Partition]
@@ -199,16 +202,16 @@
 		}
 		return
 	}
-	if fetch.after != everything && fetch.after < response.Base && operation.tracker == "" {
-		// The records in between were removed when their retention had passed.
-		g.loseHistory(now, response.RequestID, operation, effects)
+	if fetch.after != maxOffset && fetch.after < response.Base && operation.tracker == "" {
+		// The records in between were removed after the retention period.
+		g.rejectExpiredCursor(now, response.RequestID, operation, effects)
 		return
 	}
 	if fetch.isDuplicate(response) {
 		return
 	}
-	fetch.waiting = false
-	if fetch.after == everything {
+	fetch.awaitingResponse = false
+	if fetch.after == maxOffset {
 		fetch.until = response.HighWatermark
 	} else {
 		fetch.until = max(response.Until, min(fetch.after, response.HighWatermark))
@@ -224,25 +227,31 @@
 	g.advanceFetch(now, response.RequestID, operation, effects)
 }
 
-// dropFilling removes the subscriptions that an operation was to fill.
-func (g *Gateway) dropFilling(
+// dropUnfinished removes the subscriptions of an operation that are still catching up.
+func (g *Gateway) dropUnfinished(
 	now time.Time,
 	operation *fetchOperation,
 	session *session,
 	effects *statemachine.Effects,
 ) {
 	for _, interest := range operation.interests {
-		if subscription, present := session.subscriptions[interest]; present && subscription.filling {
+		if subscription, present := session.subscriptions[interest]; present && subscription.catchingUp {
 			g.dropSubscription(now, operation.session, interest, true, effects)
 		}
 	}
 }
 
-// loseHistory rejects a subscription whose cursor is older than the retention of its space.
-func (g *Gateway) loseHistory(now time.Time, id uint64, operation *fetchOperation, effects *statemachine.Effects) {
+// rejectExpiredCursor ends an operation and rejects its request, because the cursor is older than the
+// retention of the space.
+func (g *Gateway) rejectExpiredCursor(
+	now time.Time,
+	id uint64,
+	operation *fetchOperation,
+	effects *statemachine.Effects,
+) {
 	delete(g.fetches, id)
 	if session, found := g.sessions[operation.session]; found {
-		g.dropFilling(now, operation, session, effects)
+		g.dropUnfinished(now, operation, session, effects)
 	}
 	g.answerSubscribe(
 		now,
@@ -252,13 +261,13 @@
 	)
 }
 
-// completeFetch ends a fetch whose partitions have all answered. The records of a
-// tracker's fetch go to the tracker. For a session the missed messages are delivered
-// in an order that fits all senders.
+// completeFetch completes an operation whose partitions are all done. The records of a tracker's
+// operation are applied to the tracker. For a session the missed messages are delivered in an order
+// that keeps the order of each sender, and the subscriptions start.
 func (g *Gateway) completeFetch(now time.Time, id uint64, operation *fetchOperation, effects *statemachine.Effects) {
 	if operation.tracker != "" {
 		delete(g.fetches, id)
-		g.verified(now, operation, effects)
+		g.applyVerification(now, operation, effects)
 		return
 	}
 	session, found := g.sessions[operation.session]
@@ -266,10 +275,10 @@
 		delete(g.fetches, id)
 		return
 	}
-	ordered, again := merge(operation)
-	again = append(again, g.overtakenPartitions(operation)...)
-	if len(again) > 0 && operation.refetches < maxRefetches {
-		g.refetch(now, id, operation, again, effects)
+	ordered, incomplete := merge(operation)
+	incomplete = append(incomplete, g.overtakenPartitions(operation)...)
+	if len(incomplete) > 0 && operation.refetches < maxRefetches {
+		g.refetch(now, id, operation, incomplete, effects)
 		return
 	}
 	delete(g.fetches, id)
@@ -284,25 +293,25 @@
 	if operation.resumes {
 		g.replayRecent(now, session, operation.interests)
 	}
-	g.drain(now, operation.session, session, effects)
-	g.timers.ArmSooner(timerFollow, now)
+	g.deliverBuffered(now, operation.session, session, effects)
+	g.timers.ArmSooner(timerHighWatermarks, now)
 	g.deliverReady(now, effects)
 }
 
-// overtakenPartitions returns the partitions that were verified further for other
-// sessions meanwhile: the records in between were not buffered for this session.
+// overtakenPartitions returns the partitions whose tracker has delivered records to other sessions
+// beyond the fetched offset during the operation. Those records were not buffered for this session.
 func (g *Gateway) overtakenPartitions(operation *fetchOperation) []string {
 	var names []string
 	for name, fetch := range statemachine.Sorted(operation.partitions) {
-		if tracker, topic := g.trackers[name]; topic && tracker.started && fetch.until < tracker.verified {
+		if tracker, tracked := g.trackers[name]; tracked && tracker.started && fetch.until < tracker.verified {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// refetch fetches some partitions further, since a message depends on one that they
-// had not reported yet.
+// refetch extends the fetch of some partitions: a fetched record depends on one above their fetched
+// offset, or their tracker has passed that offset.
 func (g *Gateway) refetch(
 	now time.Time,
 	id uint64,
@@ -314,14 +323,14 @@
 	for _, name := range names {
 		fetch := operation.partitions[name]
 		fetch.done = false
-		if fetch.from != everything {
+		if fetch.cursorOffset != maxOffset {
 			fetch.after = fetch.until
 		}
 	}
 	g.advanceFetch(now, id, operation, effects)
 }
 
-// startSubscriptions makes the subscriptions of a completed fetch live, from the
+// startSubscriptions starts the live delivery of the subscriptions of a completed operation, above the
 // offsets up to which their partitions were fetched.
 func (g *Gateway) startSubscriptions(now time.Time, operation *fetchOperation, session *session) {
 	for _, interest := range operation.interests {
@@ -329,25 +338,24 @@
 		if !present {
 			continue
 		}
-		subscription.filling = false
+		subscription.catchingUp = false
 		if operation.resumes {
 			subscription.resumedAt = now
 		}
 		for name := range subscription.since {
-			fetch, wanted := operation.partitions[name]
-			if !wanted {
+			fetch, fetched := operation.partitions[name]
+			if !fetched {
 				continue
 			}
 			subscription.since[name] = fetch.until
-			if tracker, topic := g.trackers[name]; topic {
-				tracker.begin(interest, fetch.until)
+			if tracker, tracked := g.trackers[name]; tracked {
+				tracker.startInterest(interest, fetch.until)
 			}
 		}
 	}
 }
 
-// deliverMissed delivers the missed messages of a resumed session and returns how
-// many there were.
+// deliverMissed delivers the missed messages of a resumed session and returns their number.
 func (g *Gateway) deliverMissed(
 	now time.Time,
 	operation *fetchOperation,
@@ -355,82 +363,84 @@
 	ordered []RecordCopy,
 	effects *statemachine.Effects,
 ) int {
-	// Until all of them are delivered, a cursor must still name where the backlog began.
-	session.floors = map[string]uint64{}
+	// Until all missed messages are delivered, a cursor must still contain the offsets at which they
+	// begin.
+	session.backlogFloors = map[string]uint64{}
 	for name, fetch := range operation.partitions {
-		if fetch.from != everything {
-			session.floors[name] = fetch.from
+		if fetch.cursorOffset != maxOffset {
+			session.backlogFloors[name] = fetch.cursorOffset
 		}
 	}
 	missed := 0
 	for _, each := range ordered {
-		if session.wantsRecord(operation.interests, each) {
+		if session.matchesMissedRecord(operation.interests, each) {
 			missed++
 			g.deliverRecord(now, operation.session, session, each, effects)
 		}
 	}
-	session.floors = nil
+	session.backlogFloors = nil
 	return missed
 }
 
-// merge orders the records of several partitions so that the records of each partition and the
-// messages of each sender follow each other. It also returns the partitions that must be fetched
-// further, since a record depends on one that they had not reported.
-func merge(operation *fetchOperation) (ordered []RecordCopy, again []string) {
-	at := map[string]int{}
-	// Records older than the dependency window are ordered by the sender's seq alone.
-	turns := map[string][]uint64{}
+// merge merges the records of several partitions so that the order of each partition and of each
+// sender is kept. It also returns the partitions whose fetch must be extended, because a record depends
+// on one above their fetched offset.
+func merge(operation *fetchOperation) (ordered []RecordCopy, incomplete []string) {
+	positions := map[string]int{}
+	// The dependencies of a record only name messages within the dependency window. Older records of
+	// the sender are ordered by seq alone.
+	sequences := map[string][]uint64{}
 	for name, records := range operation.records {
-		_, full := spaceOf(name)
+		_, spaceName := spaceOf(name)
 		for _, record := range records {
-			turns[full+" "+record.Sender] = append(turns[full+" "+record.Sender], record.Seq)
+			sequences[spaceName+" "+record.Sender] = append(sequences[spaceName+" "+record.Sender], record.Seq)
 		}
 	}
-	for key := range turns {
-		slices.Sort(turns[key])
+	for key := range sequences {
+		slices.Sort(sequences[key])
 	}
 	for {
-		progress, left := false, false
-		again = nil
+		progress, remaining := false, false
+		incomplete = nil
 		for name, records := range statemachine.Sorted(operation.records) {
-			for at[name] < len(records) {
-				record := records[at[name]]
-				_, full := spaceOf(name)
-				missing, waits := operation.blockers(full, name, record, at)
+			for positions[name] < len(records) {
+				record := records[positions[name]]
+				_, spaceName := spaceOf(name)
+				missing, blocked := operation.blockers(spaceName, name, record, positions)
 				if len(missing) > 0 {
-					again = append(again, missing...)
+					incomplete = append(incomplete, missing...)
 				}
-				turn := full + " " + record.Sender
-				if len(missing) > 0 || waits || turns[turn][0] < record.Seq {
-					left = true
+				key := spaceName + " " + record.Sender
+				if len(missing) > 0 || blocked || sequences[key][0] < record.Seq {
+					remaining = true
 					break
 				}
-				turns[turn] = turns[turn][1:]
+				sequences[key] = sequences[key][1:]
 				ordered = append(ordered, RecordCopy{Partition: name, Record: record})
-				at[name]++
+				positions[name]++
 				progress = true
 			}
 		}
-		if !left {
+		if !remaining {
 			return ordered, nil
 		}
-		if !progress && len(again) == 0 {
-			// Only a sender that published through two gateways at once, out
-			// of its own order, brings this about.
-			return append(ordered, unorderedRecords(operation, at)...), nil
+		if !progress && len(incomplete) == 0 {
+			// This happens only if a sender published through two gateways at the
+			// same time and not in the order of its sequences.
+			return append(ordered, unorderedRecords(operation, positions)...), nil
 		}
 		if !progress {
-			slices.Sort(again)
-			return ordered, slices.Compact(again)
+			slices.Sort(incomplete)
+			return ordered, slices.Compact(incomplete)
 		}
 	}
 }
 
-// unorderedRecords returns the records that could not be ordered, by the time of their append.
-func unorderedRecords(operation *fetchOperation, at map[string]int) []RecordCopy {
+// unorderedRecords returns the records that could not be merged, in order of their append time.
+func unorderedRecords(operation *fetchOperation, positions map[string]int) []RecordCopy {
 	var rest []RecordCopy
 	for name, records := range statemachine.Sorted(operation.records) {
-		for _, record := range records[at[name]:] {
+		for _, record := range records[positions[name]:] {
 			rest = append(rest, RecordCopy{Partition: name, Record: record})
 		}
 	}
@@ -440,39 +450,39 @@
 	return rest
 }
 
-// blockers returns what a missed record must wait for: partitions to be fetched further, since they
-// responded before the record that it depends on was appended, or records that are here and come
-// before it.
+// blockers returns what prevents the delivery of a missed record: the partitions whose fetch must be
+// extended, since they responded before a dependency of the record was appended, and whether a fetched
+// record must be delivered before it.
 func (f *fetchOperation) blockers(
-	full, name string,
+	spaceName, name string,
 	record partition.Record,
-	at map[string]int,
-) (missing []string, waits bool) {
-	for _, mark := range record.Dependencies.Messages {
-		other := partitionName(full, int(mark.Partition))
-		fetch, wanted := f.partitions[other]
-		if !wanted || other == name || !partition.Matches(mark.Topic, fetch.topics, fetch.prefixes) {
+	positions map[string]int,
+) (missing []string, blocked bool) {
+	for _, message := range record.Dependencies.Messages {
+		other := partitionName(spaceName, int(message.Partition))
+		fetch, fetched := f.partitions[other]
+		if !fetched || other == name || !partition.Matches(message.Topic, fetch.topics, fetch.prefixes) {
 			continue
 		}
-		if mark.Offset > fetch.until {
+		if message.Offset > fetch.until {
 			missing = append(missing, other)
 		}
-		for _, each := range f.records[other][at[other]:] {
-			waits = waits || each.Offset == mark.Offset
+		for _, each := range f.records[other][positions[other]:] {
+			blocked = blocked || each.Offset == message.Offset
 		}
 	}
-	for _, reach := range record.Dependencies.Floor {
-		other := partitionName(full, int(reach.Partition))
-		fetch, wanted := f.partitions[other]
-		if !wanted || other == name {
+	for _, floor := range record.Dependencies.Floor {
+		other := partitionName(spaceName, int(floor.Partition))
+		fetch, fetched := f.partitions[other]
+		if !fetched || other == name {
 			continue
 		}
-		if reach.Offset > fetch.until {
+		if floor.Offset > fetch.until {
 			missing = append(missing, other)
 		}
-		for _, each := range f.records[other][at[other]:] {
-			waits = waits || each.Offset <= reach.Offset
+		for _, each := range f.records[other][positions[other]:] {
+			blocked = blocked || each.Offset <= floor.Offset
 		}
 	}
-	return missing, waits
+	return missing, blocked
 }
--- a/internal/gateway/identity_mutation_test.go
+++ b/internal/gateway/identity_mutation_test.go
@@ -10,17 +10,18 @@
 	"dahlialock/internal/statemachine"
 )
 
-// With equal incarnations a client gets the answer to another one's message; with any response
-// accepted a sender lookup completes too early and a part of a fetch counts twice.
+// If all incarnations are equal, a response to an earlier run answers the request of another client.
+// If every response is accepted, a sender lookup completes too early and a part of a fetch counts
+// twice.
 func TestResponseMutationAcceptsAny(t *testing.T) {
 	restore := statemachine.Mutate("lives-alike")
-	response := lateAppend()
+	response := responsesToStaleAppend()
 	assert.Equal(t, len(response), 1)
 	assert.Equal(t, response[0].Value.(Reply).Outcome, OutcomeAccepted)
-	assert.Assert(t, lateFetch())
+	assert.Assert(t, staleResponseEndsFetch())
 	restore()
 	restore = statemachine.Mutate("any-answer")
-	assert.Assert(t, doubledLookup())
-	assert.Equal(t, doubledPage(), 15)
+	assert.Assert(t, duplicateCompletesLookup())
+	assert.Equal(t, recordsAfterDuplicates(), 15)
 	restore()
 }
--- a/internal/gateway/publish.go
+++ b/internal/gateway/publish.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// senderIdleTimeout is after what time an idle sender is forgotten, seqMemory how long its
-	// ephemeral messages are remembered.
-	senderIdleTimeout = 90 * time.Second
-	seqMemory         = 30 * time.Second
-	// maxSenderQueue bounds the publications of a sender that wait.
+	// senderIdleTimeout is the time after which the state of an idle sender is dropped.
+	// ephemeralSeqRetention is how long the ephemeral messages of a sender are remembered.
+	senderIdleTimeout     = 90 * time.Second
+	ephemeralSeqRetention = 30 * time.Second
+	// maxSenderQueue is the maximum number of queued publications of a sender.
 	maxSenderQueue = 64
-	// blockFor is how long a publication that was not accepted holds off later ones.
-	blockFor = 3 * time.Second
-	// appendRetry is after what time an unanswered append is sent again.
+	// blockDuration is how long a publication that was not accepted blocks later ones of its sender.
+	blockDuration = 3 * time.Second
+	// appendRetry is the time after which an unanswered append is sent again.
 	appendRetry = 150 * time.Millisecond
 )
 
@@ -28,27 +28,27 @@
 type publication struct {
 	request Publish
 	key     senderKey
-	// id is its number in appends, 0 before the first append.
+	// id is the key of the publication in appends, 0 before the first append.
 	id uint64
-	// partition is where it is appended.
+	// partition is the partition to which the message is appended.
 	partition string
 	// sentAt is when the append was last sent.
 	sentAt time.Time
-	// deadline is when it gets its final answer at the latest.
+	// deadline is the latest time of the final answer.
 	deadline time.Time
-	// unanswered are the numbers of the sends without a response; see routedPublication.
+	// unanswered are the request numbers of the sends without a response; see routedPublication.
 	unanswered map[uint64]bool
-	// lookedUp is set once the sender was looked up for it, which is done once only.
+	// lookedUp is set once the sender was looked up for this publication; it is not looked up again.
 	lookedUp bool
-	// answered is set with the final answer.
+	// answered is set once the final answer was given.
 	answered bool
 }
 
-// messageName is the name of the message in recorded decisions.
+// messageName returns the name of the message in recorded decisions.
 func (p Publish) messageName() string { return decisionlog.MessageName(p.Space, p.Sender, p.Seq) }
 
-// messageOf returns the name of the message in recorded decisions, empty if the request has none.
-func (g *Gateway) messageOf(request *PolicyRequest) string {
+// messageNameOf returns the name of the message in recorded decisions, empty if the request has none.
+func (g *Gateway) messageNameOf(request *PolicyRequest) string {
 	if request.Kind != RequestPublish {
 		return ""
 	}
@@ -65,8 +65,8 @@
 	g.publishAttempt(now, request, false, effects)
 }
 
-// publishAttempt evaluates a publication and queues it; refreshed is set where the configuration
-// was refreshed for it before.
+// publishAttempt evaluates a publication and queues it; refreshed is set if the configuration has
+// already been refreshed for it.
 func (g *Gateway) publishAttempt(now time.Time, request Publish, refreshed bool, effects *statemachine.Effects) {
 	policyRequest := &PolicyRequest{
 		Kind:      RequestPublish,
@@ -84,14 +84,14 @@
 	if !g.authorize(now, policyRequest, request.RequestName, retry, answer) {
 		return
 	}
-	from, found := g.senders[item.key]
+	senderState, found := g.senders[item.key]
 	if !found {
-		from = &sender{recent: map[uint64]sentMemory{}, arrived: now}
-		g.senders[item.key] = from
+		senderState = &sender{recent: map[uint64]acceptedEphemeral{}, arrived: now}
+		g.senders[item.key] = senderState
 	}
-	from.lastUse = now
-	if from.blocked > 0 && request.Seq > from.blocked {
-		if now.Sub(from.blockedAt) < blockFor {
+	senderState.lastUse = now
+	if senderState.blocked > 0 && request.Seq > senderState.blocked {
+		if now.Sub(senderState.blockedAt) < blockDuration {
 			answer(rejectedReply(
 				503,
 				"earlier-refused",
@@ -100,19 +100,19 @@
 			))
 			return
 		}
-		from.blocked = 0
+		senderState.blocked = 0
 	}
-	if len(from.queue) >= maxSenderQueue {
+	if len(senderState.queue) >= maxSenderQueue {
 		answer(rejectedReply(429, "queue-full", "too many publications of this sender wait", retryLongDelay))
 		return
 	}
-	g.ring.Record(now, request.RequestName, g.messageOf(policyRequest), request.Client, "judged", "topic", request.Topic,
-		"version", g.viewClient.Version, "queued", len(from.queue))
+	g.ring.Record(now, request.RequestName, g.messageNameOf(policyRequest), request.Client, "judged",
+		"topic", request.Topic, "version", g.viewClient.Version, "queued", len(senderState.queue))
 	item.deadline = now.Add(min(requestTimeout, g.spaces[request.Space].space.ResponseTimeout*7/10))
-	from.queue = append(from.queue, item)
+	senderState.queue = append(senderState.queue, item)
 	g.timers.ArmSooner(timerDeadlines, item.deadline)
-	if len(from.queue) == 1 {
-		g.begin(now, from, effects)
+	if len(senderState.queue) == 1 {
+		g.startNextPublication(now, senderState, effects)
 	}
 }
 
@@ -128,7 +128,7 @@
 	}
 }
 
-// answerPublication gives a publication its final answer, once.
+// answerPublication gives a publication its final answer, unless it already has one.
 func (g *Gateway) answerPublication(now time.Time, item *publication, answer Reply, effects *statemachine.Effects) {
 	if item.answered {
 		return
@@ -140,50 +140,51 @@
 	effects.Respond(item.request.Request, answer)
 }
 
-// begin starts the publication at the front of a sender's queue.
-func (g *Gateway) begin(now time.Time, from *sender, effects *statemachine.Effects) {
-	for len(from.queue) > 0 {
-		item := from.queue[0]
+// startNextPublication starts the publication at the front of a sender's queue.
+func (g *Gateway) startNextPublication(now time.Time, senderState *sender, effects *statemachine.Effects) {
+	for len(senderState.queue) > 0 {
+		item := senderState.queue[0]
 		state, found := g.spaces[item.request.Space]
 		if !found {
-			from.queue = from.queue[1:]
+			senderState.queue = senderState.queue[1:]
 			g.answerPublication(now, item, rejectedReply(404, "no-such-space", "the space was removed", 0), effects)
 			continue
 		}
 		if state.space.Retention == config.Durable {
-			g.publishDurable(now, state, from, item, effects)
+			g.publishDurable(now, state, senderState, item, effects)
 			return
 		}
-		g.publishEphemeral(now, state, from, item, effects)
+		g.publishEphemeral(now, state, senderState, item, effects)
 		return
 	}
 }
 
-// finish answers the publication at the front of a queue. Where it was not accepted, those behind
-// it are rejected, and later sequences are held off until this one is sent again.
-func (g *Gateway) finish(now time.Time, item *publication, answer Reply, effects *statemachine.Effects) {
+// finishPublication answers the publication at the front of a sender's queue. If it was not accepted
+// and may be retried, the publications behind it are rejected, and later sequences are blocked until
+// it is sent again.
+func (g *Gateway) finishPublication(now time.Time, item *publication, answer Reply, effects *statemachine.Effects) {
 	delete(g.appends, item.id)
 	for send := range item.unanswered {
 		delete(g.sends, send)
 	}
 	g.answerPublication(now, item, answer, effects)
-	from, found := g.senders[item.key]
-	if !found || len(from.queue) == 0 || from.queue[0] != item {
+	senderState, found := g.senders[item.key]
+	if !found || len(senderState.queue) == 0 || senderState.queue[0] != item {
 		return
 	}
-	from.queue = from.queue[1:]
+	senderState.queue = senderState.queue[1:]
 	if answer.Outcome == OutcomeAccepted {
-		if item.request.Seq >= from.blocked {
-			from.blocked = 0
+		if item.request.Seq >= senderState.blocked {
+			senderState.blocked = 0
 		}
-		g.begin(now, from, effects)
+		g.startNextPublication(now, senderState, effects)
 		return
 	}
 	if answer.RetryAfter > 0 {
-		from.blocked, from.blockedAt = item.request.Seq, now
-		waiting := from.queue
-		from.queue = nil
-		for _, behind := range waiting {
+		senderState.blocked, senderState.blockedAt = item.request.Seq, now
+		queued := senderState.queue
+		senderState.queue = nil
+		for _, behind := range queued {
 			g.answerPublication(
 				now,
 				behind,
@@ -193,7 +194,7 @@
 		}
 		return
 	}
-	g.begin(now, from, effects)
+	g.startNextPublication(now, senderState, effects)
 }
 
 // partitionOf returns the partition of a topic.
@@ -207,8 +208,8 @@
 	return space + name[len("~0"):]
 }
 
-// areaOf returns where a topic lies in the overlay: a space with one shared order is one area, so
-// that all gateways that have a part of it receive all of it.
+// areaOf returns the area of a topic in the overlay. A space with one order for all topics is a single
+// area, so that each gateway that subscribes to a part of the space receives all of its messages.
 func areaOf(space config.Space, path string) overlay.Area {
 	if space.Order == config.OrderSpace {
 		return overlay.WholeSquare
@@ -216,8 +217,8 @@
 	return overlay.AreaOf(path)
 }
 
-// checkDeadlines sends again what stayed without an answer, and ends what has passed
-// its deadline.
+// checkDeadlines retries unanswered requests to stores, and ends publications, sender
+// lookups and fetches that have passed their deadlines.
 func (g *Gateway) checkDeadlines(now time.Time, effects *statemachine.Effects) {
 	next := g.endOverdueLookups(now)
 	next = statemachine.Earliest(next, g.retryAppends(now, effects))
@@ -248,19 +249,19 @@
 // and returns the next deadline of the others.
 func (g *Gateway) endOverduePublications(now time.Time, effects *statemachine.Effects) time.Time {
 	var next time.Time
-	for _, from := range g.sortedSenders() {
-		for len(from.queue) > 0 && !from.queue[0].deadline.After(now) {
-			item := from.queue[0]
-			g.finish(now, item, overdueReply(item), effects)
+	for _, senderState := range g.sortedSenders() {
+		for len(senderState.queue) > 0 && !senderState.queue[0].deadline.After(now) {
+			item := senderState.queue[0]
+			g.finishPublication(now, item, overdueReply(item), effects)
 		}
-		if len(from.queue) > 0 {
-			next = statemachine.Earliest(next, from.queue[0].deadline)
+		if len(senderState.queue) > 0 {
+			next = statemachine.Earliest(next, senderState.queue[0].deadline)
 		}
 	}
 	return next
 }
 
-// overdueReply is the final answer of a publication that has passed its deadline. It
+// overdueReply returns the final answer to a publication that has passed its deadline. It
 // is unsettled if a store may still append the message.
 func overdueReply(item *publication) Reply {
 	switch {
--- a/internal/gateway/recent_ephemeral.go
+++ b/internal/gateway/recent_ephemeral.go
@@ -9,27 +9,27 @@
 )
 
 const (
-	// recentFor is how long ephemeral messages are remembered, maxRecentEphemeral how many of a
-	// space.
-	recentFor          = 3 * time.Second
+	// recentRetention is how long recent ephemeral messages are retained, maxRecentEphemeral how many
+	// of each space.
+	recentRetention    = 3 * time.Second
 	maxRecentEphemeral = 8192
-	// resumedFor is how long after a resumption repeated messages are delivered.
-	resumedFor = 5 * time.Second
+	// repeatWindow is how long repeated messages are delivered to a subscription after it was resumed.
+	repeatWindow = 5 * time.Second
 )
 
-// recentEphemeral is an ephemeral message that was published or received within recentFor.
+// recentEphemeral is an ephemeral message that was published or received here within recentRetention.
 type recentEphemeral struct {
 	at time.Time
-	// own is set if a client here published it.
-	own     bool
-	message EphemeralCopy
+	// publishedHere is set if a client of this gateway published the message.
+	publishedHere bool
+	message       EphemeralCopy
 }
 
-// remember adds an ephemeral message to the recent ones of the space, and forgets old ones.
-func (ss *spaceState) remember(now time.Time, message EphemeralCopy, own bool) {
-	ss.recent = append(ss.recent, recentEphemeral{at: now, own: own, message: message})
+// addRecent adds an ephemeral message to the recent messages of the space, and removes old ones.
+func (ss *spaceState) addRecent(now time.Time, message EphemeralCopy, own bool) {
+	ss.recent = append(ss.recent, recentEphemeral{at: now, publishedHere: own, message: message})
 	old := 0
-	for old < len(ss.recent) && (now.Sub(ss.recent[old].at) > recentFor || len(ss.recent)-old > maxRecentEphemeral) {
+	for old < len(ss.recent) && (now.Sub(ss.recent[old].at) > recentRetention || len(ss.recent)-old > maxRecentEphemeral) {
 		old++
 	}
 	if old > 0 {
@@ -37,28 +37,30 @@
 	}
 }
 
-// repeatRecent sends recent messages of clients here to newly discovered destinations.
+// repeatRecent sends the recent messages of the clients of this gateway to newly discovered
+// destinations.
 func (g *Gateway) repeatRecent(now time.Time, effects *statemachine.Effects) {
-	for _, found := range g.overlay.TakeDiscovered() {
-		member, known := g.viewClient.Members[found.Daemon]
-		space, _ := spaceOf(found.Space + "/")
+	for _, discovered := range g.overlay.TakeDiscovered() {
+		member, known := g.viewClient.Members[discovered.Daemon]
+		space, _ := spaceOf(discovered.Space + "/")
 		state, present := g.spaces[space]
-		if !known || !present || state.name != found.Space || statemachine.Mutated("no-recent") {
+		if !known || !present || state.name != discovered.Space || statemachine.Mutated("no-recent") {
 			continue
 		}
 		for _, each := range state.recent {
-			if each.own && now.Sub(each.at) <= recentFor && areaOf(state.space, each.message.Topic) == found.Area {
-				late := each.message
-				late.Repeated = true
+			if each.publishedHere && now.Sub(each.at) <= recentRetention &&
+				areaOf(state.space, each.message.Topic) == discovered.Area {
+				repeated := each.message
+				repeated.Repeated = true
 				g.Counts.Repeated++
-				effects.Send(member.Address, late)
+				effects.Send(member.Address, repeated)
 			}
 		}
 	}
 }
 
-// replayRecent puts the recent messages that match the interests of a resumed session in front of
-// those that were buffered meanwhile, and sorts them by sender and sequence.
+// replayRecent adds the recent messages that match the interests of a resumed session to its buffered
+// messages, and sorts the buffer by sender and sequence.
 func (g *Gateway) replayRecent(now time.Time, session *session, interests []Interest) {
 	var replayed []EphemeralCopy
 	for _, interest := range interests {
@@ -67,7 +69,7 @@
 			continue
 		}
 		for _, each := range state.recent {
-			if now.Sub(each.at) <= recentFor && interest.matches(each.message.Topic) {
+			if now.Sub(each.at) <= recentRetention && interest.matches(each.message.Topic) {
 				replayed = append(replayed, each.message)
 			}
 		}
--- a/internal/gateway/record_delivery.go
+++ b/internal/gateway/record_delivery.go
@@ -11,8 +11,8 @@
 	"dahlialock/internal/statemachine"
 )
 
-// handleRecordCopy buffers a record and delivers what is ready. It returns whether anybody here
-// subscribes to its topic.
+// handleRecordCopy adds a record to the pending records and delivers all that are deliverable. It reports
+// whether this gateway has subscriptions to the record's topic.
 func (g *Gateway) handleRecordCopy(now time.Time, recordCopy RecordCopy, effects *statemachine.Effects) bool {
 	tracker, found := g.trackers[recordCopy.Partition]
 	if !found {
@@ -22,7 +22,7 @@
 	if _, delivered := tracker.delivered[offset]; delivered || tracker.started && offset <= tracker.verified {
 		return true
 	}
-	if _, matters := tracker.startOf(recordCopy.Record.Topic); !matters {
+	if _, tracked := tracker.startOf(recordCopy.Record.Topic); !tracked {
 		return false
 	}
 	if len(tracker.pending) < maxPendingRecords {
@@ -33,7 +33,7 @@
 		return true
 	}
 	g.deliverReady(now, effects)
-	if _, waits := tracker.pending[offset]; waits && tracker.started {
+	if _, stillPending := tracker.pending[offset]; stillPending && tracker.started {
 		g.Counts.Gaps++
 		effects.Emit(logevent.GapFound,
 			"partition", recordCopy.Partition,
@@ -51,66 +51,67 @@
 			"before", recordCopy.Record.Dependencies.Messages,
 			"verified", tracker.verified,
 		)
-		tracker.wanted = true
+		tracker.verifyNeeded = true
 		g.timers.ArmSooner(timerVerify, now.Add(gapTimeout))
 		g.requestDependencies(tracker, recordCopy.Record)
 	}
 	return true
 }
 
-// requestDependencies marks the partitions that lack something a record depends on.
+// requestDependencies requests a verification of the partitions in which a dependency of a record is
+// missing.
 func (g *Gateway) requestDependencies(tracker *tracker, record partition.Record) {
-	for _, mark := range record.Dependencies.Messages {
-		other, found := g.trackers[partitionName(tracker.spaceName, int(mark.Partition))]
-		if found && !other.resolved(mark.Topic, mark.Offset) {
-			other.wanted = true
+	for _, message := range record.Dependencies.Messages {
+		other, found := g.trackers[partitionName(tracker.spaceName, int(message.Partition))]
+		if found && !other.resolved(message.Topic, message.Offset) {
+			other.verifyNeeded = true
 		}
 	}
-	for _, reach := range record.Dependencies.Floor {
-		other, found := g.trackers[partitionName(tracker.spaceName, int(reach.Partition))]
-		if found && !other.resolvedUpTo(reach.Offset) {
-			other.wanted = true
+	for _, floor := range record.Dependencies.Floor {
+		other, found := g.trackers[partitionName(tracker.spaceName, int(floor.Partition))]
+		if found && !other.resolvedUpTo(floor.Offset) {
+			other.verifyNeeded = true
 		}
 	}
 }
 
-// deliverable returns whether a pending record may be delivered.
+// deliverable reports whether a pending record may be delivered.
 func (g *Gateway) deliverable(now time.Time, tracker *tracker, record partition.Record) bool {
-	since, matters := tracker.startOf(record.Topic)
-	if matters && since == everything || !tracker.started {
+	since, tracked := tracker.startOf(record.Topic)
+	if tracked && since == maxOffset || !tracker.started {
 		return false
 	}
 	if statemachine.Mutated("no-order") {
 		return true
 	}
-	if tracker.shared {
+	if tracker.spaceOrdered {
 		return record.Offset <= 1 || tracker.resolved(record.Topic, record.Offset-1)
 	}
 	if !tracker.resolved(record.Topic, record.PreviousInTopic) {
 		return false
 	}
-	// If all partitions were verified lately nothing can be missing for long; what
-	// still waits is from a sender that published out of its own order through two
-	// gateways.
-	pendingSince, noted := tracker.pendingSince[record.Offset]
-	if noted && now.Sub(pendingSince) > cycleTimeout && g.recentlyVerified(now, tracker.spaceName) {
+	// If all partitions were verified recently no record can be missing for long. A record
+	// that still waits was published through two gateways by a sender that did not keep the
+	// order of its sequences.
+	pendingSince, waiting := tracker.pendingSince[record.Offset]
+	if waiting && now.Sub(pendingSince) > cycleTimeout && g.recentlyVerified(now, tracker.spaceName) {
 		return true
 	}
 	return g.dependenciesResolved(tracker, record) && g.recentlyVerified(now, tracker.spaceName)
 }
 
-// dependenciesResolved returns whether all that a record names as earlier messages of
-// its sender was delivered here or need not be.
+// dependenciesResolved reports whether all dependencies of a record, which are earlier messages of its
+// sender, are resolved: they were delivered, or no subscription here needs them.
 func (g *Gateway) dependenciesResolved(tracker *tracker, record partition.Record) bool {
-	for _, mark := range record.Dependencies.Messages {
-		other, found := g.trackers[partitionName(tracker.spaceName, int(mark.Partition))]
-		if found && (other != tracker || mark.Offset < record.Offset) && !other.resolved(mark.Topic, mark.Offset) {
+	for _, message := range record.Dependencies.Messages {
+		other, found := g.trackers[partitionName(tracker.spaceName, int(message.Partition))]
+		if found && (other != tracker || message.Offset < record.Offset) && !other.resolved(message.Topic, message.Offset) {
 			return false
 		}
 	}
-	for _, reach := range record.Dependencies.Floor {
-		other, found := g.trackers[partitionName(tracker.spaceName, int(reach.Partition))]
-		if found && (other != tracker || reach.Offset < record.Offset) && !other.resolvedUpTo(reach.Offset) {
+	for _, floor := range record.Dependencies.Floor {
+		other, found := g.trackers[partitionName(tracker.spaceName, int(floor.Partition))]
+		if found && (other != tracker || floor.Offset < record.Offset) && !other.resolvedUpTo(floor.Offset) {
 			return false
 		}
 	}
@@ -123,9 +124,9 @@
 	record  partition.Record
 }
 
-// deferDelivery arms a timer and returns true if so many records are pending that a scan of all of
-// them for each copy would cost more than a short delay; one scan then serves all copies that come
-// meanwhile.
+// deferDelivery arms a timer and returns true if so many records are pending that a scan of all of them
+// for each copy would cost more than a short delay. One scan then handles all copies that arrive before
+// the timer expires.
 func (g *Gateway) deferDelivery(now time.Time) bool {
 	pending := 0
 	for _, tracker := range g.trackers {
@@ -138,14 +139,15 @@
 	return true
 }
 
-// deliverAllReady is that scan; what is still pending after it is fetched.
+// deliverAllReady delivers all deliverable records of all trackers after deferDelivery, and requests the
+// verification of the partitions with records that are still pending.
 func (g *Gateway) deliverAllReady(now time.Time, effects *statemachine.Effects) {
 	g.deliverReady(now, effects)
 	for _, tracker := range statemachine.Sorted(g.trackers) {
 		if !tracker.started || len(tracker.pending) == 0 {
 			continue
 		}
-		tracker.wanted = true
+		tracker.verifyNeeded = true
 		g.timers.ArmSooner(timerVerify, now.Add(gapTimeout))
 		for _, record := range statemachine.Sorted(tracker.pending) {
 			g.requestDependencies(tracker, record)
@@ -153,8 +155,8 @@
 	}
 }
 
-// deliverReady delivers all pending records that are deliverable, until none is. Of each sender's
-// pending records in a space only the one with the lowest sequence may be delivered.
+// deliverReady delivers pending records until none is deliverable. Of the pending records of a sender in a
+// space, only the one with the lowest sequence may be delivered.
 func (g *Gateway) deliverReady(now time.Time, effects *statemachine.Effects) {
 	bySender := map[string][]pendingRecord{}
 	for _, tracker := range statemachine.Sorted(g.trackers) {
@@ -163,7 +165,7 @@
 				delete(tracker.pending, offset)
 				continue
 			}
-			if _, noted := tracker.pendingSince[offset]; !noted {
+			if _, waiting := tracker.pendingSince[offset]; !waiting {
 				tracker.pendingSince[offset] = now
 			}
 			key := tracker.spaceName + " " + record.Sender
@@ -194,7 +196,7 @@
 // deliver delivers a record to all sessions with a matching subscription.
 func (g *Gateway) deliver(now time.Time, tracker *tracker, record partition.Record, effects *statemachine.Effects) {
 	tracker.delivered[record.Offset] = now
-	if tracker.shared && record.Offset == tracker.verified+1 {
+	if tracker.spaceOrdered && record.Offset == tracker.verified+1 {
 		tracker.verified = record.Offset
 	}
 	state, found := g.spaces[tracker.space]
@@ -208,8 +210,8 @@
 	}
 }
 
-// subscribedSessions returns the sessions with a subscription that matches a topic exactly,
-// whatever else shares its area.
+// subscribedSessions returns the sessions with a subscription that matches a topic. Sessions whose
+// interests are only in the same overlay area are not included.
 func (ss *spaceState) subscribedSessions(topic string) map[uint64]bool {
 	found := map[uint64]bool{}
 	if statemachine.Mutated("no-exact-match") {
--- a/internal/gateway/route_test.go
+++ b/internal/gateway/route_test.go
@@ -11,10 +11,10 @@
 	"dahlialock/internal/statemachine"
 )
 
-// sentAgain returns how much a gateway with an open fetch sends when an unrelated view update
-// comes, and when one with another epoch of the partition comes. After a power loss of the
-// complete fleet view updates come all the time.
-func sentAgain() (unrelatedUpdate, otherEpoch int) {
+// resentMessages returns how many messages a gateway with an unanswered fetch sends after an unrelated view
+// update, and after an update with another epoch of the partition. After a power loss of the complete
+// fleet, view updates arrive continuously.
+func resentMessages() (unrelatedUpdate, otherEpoch int) {
 	now := time.Unix(1000, 0)
 	gateway := New(Settings{
 		Self:  membership.Member{Name: "gateway-1", Kind: membership.KindGateway, Address: "a:1"},
@@ -38,13 +38,13 @@
 		name:  "boards~0",
 	}
 	var effects statemachine.Effects
-	subscription := &topicSubscription{session: 1, filling: true, deadline: now.Add(time.Second)}
+	subscription := &topicSubscription{session: 1, catchingUp: true, deadline: now.Add(time.Second)}
 	topic := gateway.addTopicSubscription(now, "topic", "boards", subscription, &effects)
 	gateway.fetchTopic(now, topic, &effects)
 	again := func() int {
 		now = now.Add(30 * time.Millisecond)
 		var effects statemachine.Effects
-		gateway.placementsChanged(now, &effects)
+		gateway.handlePlacementsChanged(now, &effects)
 		return len(effects.Sends)
 	}
 	gateway.viewClient.Members["gateway-2"] = membership.Member{
@@ -65,7 +65,7 @@
 }
 
 func TestRouteUnrelatedViewUpdateResendsNothing(t *testing.T) {
-	unrelatedUpdate, otherEpoch := sentAgain()
+	unrelatedUpdate, otherEpoch := resentMessages()
 	assert.Equal(t, unrelatedUpdate, 0)
 	assert.Equal(t, otherEpoch, 1)
 }
@@ -77,6 +77,6 @@
 		waits = append(waits, sent.due().Sub(sent.sentAt))
 	}
 	assert.DeepEqual(t, waits, []time.Duration{
-		batchRetry, 2 * batchRetry, 4 * batchRetry, 8 * batchRetry, 8 * batchRetry, 8 * batchRetry,
+		batchTimeout, 2 * batchTimeout, 4 * batchTimeout, 8 * batchTimeout, 8 * batchTimeout, 8 * batchTimeout,
 	})
 }
--- a/internal/gateway/routed_publish.go
+++ b/internal/gateway/routed_publish.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// routedRetry is the timeout of the first attempt of an append; it doubles with further ones.
-	routedRetry = 200 * time.Millisecond
-	// routedRemember is how long an accepted publication is remembered, so that a retry is accepted
-	// at once.
-	routedRemember = 30 * time.Second
+	// routedAppendTimeout is the timeout of the first attempt of an append; it doubles with each further one.
+	routedAppendTimeout = 200 * time.Millisecond
+	// acceptedRetention is how long an accepted publication is remembered. A retry within this time is
+	// accepted at once.
+	acceptedRetention = 30 * time.Second
 )
 
-// routedKey names a message of a routed topic.
+// routedKey identifies a message of a routed topic.
 type routedKey struct {
 	topic  string
 	sender string
@@ -27,37 +27,38 @@
 // routedPublication is a message that a client published to a routed topic.
 type routedPublication struct {
 	request Publish
-	// id is its number in appends, which gives the order of retries.
+	// id is the key of the publication in appends; retries run in the order of the ids.
 	id        uint64
 	space     string
 	partition string
-	// ephemeral is set if only its offset, not its data, is appended.
+	// ephemeral is set if the message is appended without its data, only to assign an offset.
 	ephemeral bool
-	// sentAt and sentBy are when and by which route the append was last sent, sends how often.
-	sentAt time.Time
-	sentBy route
-	// deadline is when it gets its final answer at the latest.
+	// sentAt and sentRoute are the time and the route of the last send of the append.
+	sentAt    time.Time
+	sentRoute route
+	// deadline is the latest time of the final answer.
 	deadline time.Time
-	sends    int
-	// unanswered are the numbers of the sends without a response. A response answers the send that it
-	// names, so that one that comes twice answers no other.
+	// sendCount is how often the append was sent.
+	sendCount int
+	// unanswered are the request numbers of the sends without a response. Each send has its own number,
+	// so that a duplicate of a response does not count as the response to another send.
 	unanswered map[uint64]bool
 }
 
-// messageName is the name of the message in recorded decisions.
+// messageName returns the name of the message in recorded decisions.
 func (rp *routedPublication) messageName() string {
 	return decisionlog.MessageName(rp.space, rp.request.Sender, rp.request.Seq)
 }
 
 // due returns when the append is sent again; the timeout doubles with each send.
 func (rp *routedPublication) due() time.Time {
-	return rp.sentAt.Add(backoff(routedRetry, len(rp.unanswered)))
+	return rp.sentAt.Add(backoff(routedAppendTimeout, len(rp.unanswered)))
 }
 
-// publishRouted evaluates a publication to a routed topic and sends its append; refreshed is set
-// where the configuration was refreshed for it before.
+// publishRouted evaluates a publication to a routed topic and sends its append; refreshed is set if
+// the configuration has already been refreshed for it.
 func (g *Gateway) publishRouted(now time.Time, request Publish, refreshed bool, effects *statemachine.Effects) {
-	space := g.routeOf(request.Space, request.Topic)
+	space := g.routedSpace(request.Space, request.Topic)
 	policyRequest := &PolicyRequest{
 		Kind:      RequestPublish,
 		Client:    request.Client,
@@ -75,7 +76,7 @@
 		partition:  config.SharedPartition(request.Topic),
 		unanswered: map[uint64]bool{},
 	}
-	answer := func(response Reply) { g.answerRouted(now, item, response, effects) }
+	answer := func(response Reply) { g.answerRoutedPublication(now, item, response, effects) }
 	retry := func(now time.Time, effects *statemachine.Effects) { g.publishRouted(now, request, true, effects) }
 	if !g.authorize(now, policyRequest, request.RequestName, retry, answer) {
 		return
@@ -91,13 +92,18 @@
 	g.nextRequest++
 	item.id = g.nextRequest
 	g.routed.appends[item.id] = item
-	g.overlay.AwaitCell(now, routedPlane, request.Topic, func(time.Time, *statemachine.Effects, bool) {}, effects)
-	g.sendRouted(now, item, effects)
+	g.overlay.AwaitCell(now, routedOverlaySpace, request.Topic, func(time.Time, *statemachine.Effects, bool) {}, effects)
+	g.sendRoutedAppend(now, item, effects)
 	g.timers.ArmSooner(timerRouted, item.deadline)
 }
 
-// answerRouted gives a publication to a routed topic its final answer.
-func (g *Gateway) answerRouted(now time.Time, item *routedPublication, response Reply, effects *statemachine.Effects) {
+// answerRoutedPublication gives a publication to a routed topic its final answer.
+func (g *Gateway) answerRoutedPublication(
+	now time.Time,
+	item *routedPublication,
+	response Reply,
+	effects *statemachine.Effects,
+) {
 	g.countOutcome(response)
 	delete(g.routed.appends, item.id)
 	for send := range item.unanswered {
@@ -108,13 +114,14 @@
 		"outcome", response.Outcome,
 		"code", response.Code,
 		"topic", item.request.Topic,
-		"tries", item.sends,
+		"tries", item.sendCount,
 	)
 	effects.Respond(item.request.Request, response)
 }
 
-// sendRouted sends an append to the leader, or sends it again under a new request number.
-func (g *Gateway) sendRouted(now time.Time, item *routedPublication, effects *statemachine.Effects) {
+// sendRoutedAppend sends the append of a publication to the leader of its partition. Each send has a new
+// request number.
+func (g *Gateway) sendRoutedAppend(now time.Time, item *routedPublication, effects *statemachine.Effects) {
 	item.sentAt = now
 	g.timers.ArmSooner(timerRouted, item.due())
 	address, _, found := g.leaderOf(item.partition)
@@ -126,8 +133,8 @@
 	if item.ephemeral {
 		data = nil
 	}
-	item.sends++
-	item.sentBy = g.routeTo(item.partition)
+	item.sendCount++
+	item.sentRoute = g.routeTo(item.partition)
 	g.nextRequest++
 	item.unanswered[g.nextRequest] = true
 	g.routed.sends[g.nextRequest] = item
@@ -142,8 +149,8 @@
 	})
 }
 
-// handleRoutedResponse applies the response of a store to a publication to a routed topic.
-func (g *Gateway) handleRoutedResponse(
+// handleRoutedAppendResponse handles the response of a store to the append of a routed topic.
+func (g *Gateway) handleRoutedAppendResponse(
 	now time.Time,
 	item *routedPublication,
 	response partition.AppendResponse,
@@ -159,29 +166,34 @@
 		record.Sender = item.request.Sender
 		record.Seq = item.request.Seq
 		record.Data = item.request.Data
-		if !response.Duplicate || item.ephemeral || item.sends > 1 {
-			// A duplicate of a durable message that was not fanned out is found by the
-			// high watermarks of the partition. An ephemeral one is not; a session that
-			// has had it, or a later one, ignores it.
+		if !response.Duplicate || item.ephemeral || item.sendCount > 1 {
+			// If a duplicate of a durable message has not been fanned out, the other gateways detect it
+			// by the high watermarks of the partition. An ephemeral message is not detected in this way
+			// and is fanned out again; sessions that already got it or a later one ignore it.
 			g.fanOutRouted(now, item, record, effects)
 		}
-		g.answerRouted(now, item, acceptedReply(nil), effects)
+		g.answerRoutedPublication(now, item, acceptedReply(nil), effects)
 	case partition.OutcomeRejected:
 		switch {
 		case response.Code == "not-first":
 			g.viewClient.PollNow(now)
 		case response.Code == "old-seq" || response.Code == "seq-reused":
-			g.answerRouted(
+			g.answerRoutedPublication(
 				now,
 				item,
 				rejectedReply(409, response.Code, "this seq is not above the sender's newest of this topic", 0),
 				effects,
 			)
 		case len(item.unanswered) > 0:
-			// An earlier attempt has no response; it may yet be appended.
-			g.answerRouted(now, item, unsettledReply(response.Code, "send the same seq again", retryShortDelay), effects)
+			// An earlier send has no response; its append may still succeed.
+			g.answerRoutedPublication(
+				now,
+				item,
+				unsettledReply(response.Code, "send the same seq again", retryShortDelay),
+				effects,
+			)
 		default:
-			g.answerRouted(
+			g.answerRoutedPublication(
 				now,
 				item,
 				rejectedReply(
@@ -194,12 +206,17 @@
 			)
 		}
 	default:
-		g.answerRouted(now, item, unsettledReply(response.Code, "send the same seq again", retryShortDelay), effects)
+		g.answerRoutedPublication(
+			now,
+			item,
+			unsettledReply(response.Code, "send the same seq again", retryShortDelay),
+			effects,
+		)
 	}
 }
 
-// fanOutRouted delivers a message to the subscribers here and sends one copy to each gateway that
-// has any.
+// fanOutRouted delivers a message to the subscribers of this gateway and sends one copy to each other
+// gateway with subscribers.
 func (g *Gateway) fanOutRouted(
 	now time.Time,
 	item *routedPublication,
@@ -218,10 +235,10 @@
 	}
 	g.overlay.AwaitCell(
 		now,
-		routedPlane,
+		routedOverlaySpace,
 		item.request.Topic,
 		func(now time.Time, effects *statemachine.Effects, stable bool) {
-			destinations := g.overlay.SubscribedDaemons(routedPlane, item.request.Topic)
+			destinations := g.overlay.SubscribedDaemons(routedOverlaySpace, item.request.Topic)
 			for _, name := range destinations {
 				if member, found := g.viewClient.Members[name]; found {
 					g.Counts.CopiesOut++
@@ -241,26 +258,31 @@
 	)
 }
 
-// retryPublications sends unanswered appends again, and answers the publications that have passed
-// their deadline.
-func (g *Gateway) retryPublications(now time.Time, effects *statemachine.Effects) {
+// retryRoutedPublications sends unanswered appends of routed topics again, and answers the publications that
+// have passed their deadline.
+func (g *Gateway) retryRoutedPublications(now time.Time, effects *statemachine.Effects) {
 	var next time.Time
 	for _, item := range statemachine.Sorted(g.routed.appends) {
 		if !item.deadline.After(now) {
 			if len(item.unanswered) > 0 {
-				g.answerRouted(
+				g.answerRoutedPublication(
 					now,
 					item,
 					unsettledReply("no-answer", "the store did not answer; send the same seq again", retryShortDelay),
 					effects,
 				)
 			} else {
-				g.answerRouted(now, item, rejectedReply(503, "no-answer", "the message was not kept", retryShortDelay), effects)
+				g.answerRoutedPublication(
+					now,
+					item,
+					rejectedReply(503, "no-answer", "the message was not kept", retryShortDelay),
+					effects,
+				)
 			}
 			continue
 		}
 		if !item.due().After(now) {
-			g.sendRouted(now, item, effects)
+			g.sendRoutedAppend(now, item, effects)
 		}
 		next = statemachine.Earliest(next, item.due(), item.deadline)
 	}
@@ -269,10 +291,10 @@
 	}
 }
 
-// forgetRouted forgets accepted publications after routedRemember.
-func (g *Gateway) forgetRouted(now time.Time) {
+// dropExpiredAccepted drops accepted publications that are older than acceptedRetention.
+func (g *Gateway) dropExpiredAccepted(now time.Time) {
 	for key, at := range g.routed.accepted {
-		if now.Sub(at) > routedRemember {
+		if now.Sub(at) > acceptedRetention {
 			delete(g.routed.accepted, key)
 		}
 	}
--- a/internal/gateway/sender.go
+++ b/internal/gateway/sender.go
@@ -9,51 +9,52 @@
 	"dahlialock/internal/statemachine"
 )
 
-// senderKey names a sender within a space.
+// senderKey identifies a sender within a space.
 type senderKey struct {
 	space  string
 	sender string
 }
 
-// sentMemory is an ephemeral message of a sender that was accepted within seqMemory: the hash of its
-// content, by which a retry is told from another message with its sequence, and when.
-type sentMemory struct {
+// acceptedEphemeral is an ephemeral message of a sender that was accepted within
+// ephemeralSeqRetention. The digest of its content distinguishes a retry from another message with
+// the same sequence.
+type acceptedEphemeral struct {
 	digest uint64
 	at     time.Time
 }
 
 // sender is the state of one sender in one space.
 type sender struct {
-	// queue are the publications that wait for their turn; the first one is being processed.
+	// queue are the publications of the sender in order; the first one is being processed.
 	queue []*publication
-	// lastSeq is the highest accepted sequence that is known here.
+	// lastSeq is the highest accepted sequence that this gateway knows.
 	lastSeq uint64
-	// lookedUp is set once the stores have responded with lastSeq and the dependencies.
+	// lookedUp is set once the stores have reported lastSeq and the dependencies.
 	lookedUp bool
-	// dependencies are the messages that were accepted within the dependency window.
+	// dependencies are the messages of the sender that were accepted within the dependency window.
 	dependencies []dependency
-	// arrived is when the sender first published here, or skipped a sequence, which may mean that it
-	// published through another gateway in between.
+	// arrived is when the sender first published through this gateway or last skipped a sequence. A
+	// skipped sequence may mean that it published through another gateway in between.
 	arrived time.Time
-	// recent are the ephemeral messages of the last moments, by sequence.
-	recent map[uint64]sentMemory
+	// recent are the recent ephemeral messages, by sequence.
+	recent map[uint64]acceptedEphemeral
 	// blocked is the sequence that was not accepted and must be sent again before later ones, 0 if
-	// there is none; it lapses blockFor after blockedAt.
+	// there is none. It expires blockDuration after blockedAt.
 	blocked   uint64
 	blockedAt time.Time
-	// lastUse is when the sender last published; after senderIdleTimeout it is forgotten.
+	// lastUse is when the sender last published; its state is dropped after senderIdleTimeout.
 	lastUse time.Time
 }
 
-// dependency is a message of a sender that was accepted within partition.DependencyWindow: the
-// sender's next messages depend on it.
+// dependency is a message that was accepted within partition.DependencyWindow. The next messages of its
+// sender depend on it.
 type dependency struct {
-	mark partition.MessagePosition
-	seq  uint64
-	at   time.Time
+	position partition.MessagePosition
+	seq      uint64
+	at       time.Time
 }
 
-// currentDependencies returns the dependencies that go with a sender's next message.
+// currentDependencies returns the dependencies of the sender's next message, and drops expired ones.
 func (s *sender) currentDependencies(now time.Time) partition.Dependencies {
 	s.dependencies = slices.DeleteFunc(
 		s.dependencies,
@@ -63,34 +64,34 @@
 	older := max(0, len(s.dependencies)-partition.MaxDependencies)
 	floors := map[uint8]uint64{}
 	for _, each := range s.dependencies[:older] {
-		floors[each.mark.Partition] = max(floors[each.mark.Partition], each.mark.Offset)
+		floors[each.position.Partition] = max(floors[each.position.Partition], each.position.Offset)
 	}
 	for number, offset := range statemachine.Sorted(floors) {
 		result.Floor = append(result.Floor, partition.PartitionOffset{Partition: number, Offset: offset})
 	}
 	for _, each := range s.dependencies[older:] {
-		result.Messages = append(result.Messages, each.mark)
+		result.Messages = append(result.Messages, each.position)
 	}
 	return result
 }
 
-// senderLookup asks the stores of a space for the newest messages of a sender.
+// senderLookup is a pending request to the stores of a space for the newest messages of a sender.
 type senderLookup struct {
 	key senderKey
-	// waiting is how many stores have not responded; answered has an entry for each store that was
-	// asked.
-	waiting  int
-	answered map[string]bool
-	// ready is set while all responses came from stores that lead their partitions.
+	// outstanding is how many stores have not responded. responded has an entry for each store that the
+	// request was sent to, which is true once the store has responded.
+	outstanding int
+	responded   map[string]bool
+	// ready is set as long as all responses came from stores that are the leaders of their partitions.
 	ready bool
-	// lastSeq and recent gather what the stores responded.
+	// lastSeq and recent are the combined results of the responses.
 	lastSeq uint64
 	recent  []partition.RecentMessage
 	// deadline is when the lookup is dropped.
 	deadline time.Time
 }
 
-// lookUpSender asks all stores of a space for the newest messages of a sender.
+// lookUpSender requests the newest messages of a sender from all leaders of the partitions of a space.
 func (g *Gateway) lookUpSender(now time.Time, state *spaceState, item *publication, effects *statemachine.Effects) {
 	byStore := map[string][]string{}
 	for number := range state.space.Partitions() {
@@ -98,7 +99,7 @@
 		address, _, found := g.leaderOf(name)
 		if !found {
 			g.viewClient.PollNow(now)
-			g.finish(
+			g.finishPublication(
 				now,
 				item,
 				rejectedReply(503, "not-placed", "the space's partitions are not placed yet", retryLongDelay),
@@ -110,15 +111,15 @@
 	}
 	g.nextRequest++
 	lookup := &senderLookup{
-		key:      item.key,
-		waiting:  len(byStore),
-		answered: map[string]bool{},
-		ready:    true,
-		deadline: item.deadline,
+		key:         item.key,
+		outstanding: len(byStore),
+		responded:   map[string]bool{},
+		ready:       true,
+		deadline:    item.deadline,
 	}
 	g.senderLookups[g.nextRequest] = lookup
 	for address, names := range statemachine.Sorted(byStore) {
-		lookup.answered[address] = false
+		lookup.responded[address] = false
 		effects.Send(address, partition.SenderStateRequest{
 			RequestID:  g.nextRequest,
 			Partitions: names,
@@ -127,7 +128,8 @@
 	}
 }
 
-// handleSenderResponse applies the response of a store to a sender lookup; each store counts once.
+// handleSenderResponse handles the response of a store to a sender lookup. Further responses of the same
+// store are ignored.
 func (g *Gateway) handleSenderResponse(
 	now time.Time,
 	store string,
@@ -138,65 +140,65 @@
 	if !found {
 		return
 	}
-	if answered, requested := lookup.answered[store]; (!requested || answered) && !statemachine.Mutated("any-answer") {
+	if responded, requested := lookup.responded[store]; (!requested || responded) && !statemachine.Mutated("any-answer") {
 		return
 	}
-	lookup.answered[store] = true
-	lookup.waiting--
+	lookup.responded[store] = true
+	lookup.outstanding--
 	lookup.ready = lookup.ready && response.Ready
 	lookup.lastSeq = max(lookup.lastSeq, response.LastSeq)
 	lookup.recent = append(lookup.recent, response.RecentMessages...)
-	if lookup.waiting > 0 {
+	if lookup.outstanding > 0 {
 		return
 	}
 	delete(g.senderLookups, response.RequestID)
-	from, known := g.senders[lookup.key]
-	if !known || len(from.queue) == 0 {
+	senderState, known := g.senders[lookup.key]
+	if !known || len(senderState.queue) == 0 {
 		return
 	}
 	if !lookup.ready {
 		g.viewClient.PollNow(now)
-		g.finish(
+		g.finishPublication(
 			now,
-			from.queue[0],
+			senderState.queue[0],
 			rejectedReply(503, "partition-moving", "a partition of the space is being taken over", retryLongDelay),
 			effects,
 		)
 		return
 	}
-	from.lookedUp, from.lastSeq, from.dependencies = true, lookup.lastSeq, nil
+	senderState.lookedUp, senderState.lastSeq, senderState.dependencies = true, lookup.lastSeq, nil
 	slices.SortFunc(
 		lookup.recent,
 		func(left, right partition.RecentMessage) int { return cmp.Compare(left.Seq, right.Seq) },
 	)
 	for _, each := range lookup.recent {
-		from.dependencies = append(from.dependencies, dependency{
-			mark: each.Position,
-			seq:  each.Seq,
-			at:   now.Add(-each.Age / 2),
+		senderState.dependencies = append(senderState.dependencies, dependency{
+			position: each.Position,
+			seq:      each.Seq,
+			at:       now.Add(-each.Age / 2),
 		})
 	}
-	g.begin(now, from, effects)
+	g.startNextPublication(now, senderState, effects)
 }
 
-// sortedSenders walks the senders with a queue in the order of their space and name.
+// sortedSenders iterates over the senders with queued publications, sorted by space and name.
 func (g *Gateway) sortedSenders() func(yield func(senderKey, *sender) bool) {
 	return func(yield func(senderKey, *sender) bool) {
 		byName := map[string]senderKey{}
-		for key, from := range g.senders {
-			if len(from.queue) > 0 {
+		for key, senderState := range g.senders {
+			if len(senderState.queue) > 0 {
 				byName[key.space+" "+key.sender] = key
 			}
 		}
 		for _, key := range statemachine.Sorted(byName) {
-			if from, found := g.senders[key]; found && !yield(key, from) {
+			if senderState, found := g.senders[key]; found && !yield(key, senderState) {
 				return
 			}
 		}
 	}
 }
 
-// sendersOf returns the senders of a space by name.
+// sendersOf returns the senders of a space, by name.
 func (g *Gateway) sendersOf(space string) map[string]*sender {
 	found := map[string]*sender{}
 	for key, sender := range g.senders {
--- a/internal/gateway/stopping_test.go
+++ b/internal/gateway/stopping_test.go
@@ -17,23 +17,24 @@
 	"spaces":[{"name":"boards","promise":"kept","order":"topic"}],
 	"routes":[{"prefix":"b.","space":"boards"}]}`
 
-// fixture is a gateway that has had its first view update, beside another to move clients to.
+// fixture is a gateway that has received its first view update, which also names a second gateway as
+// the target of moves.
 type fixture struct {
-	now         time.Time
-	gateway     *gateway.Gateway
-	request     uint64
-	heartbeatAt time.Time
-	// heard is the effects of the newest view update.
-	heard statemachine.Effects
+	now           time.Time
+	gateway       *gateway.Gateway
+	request       uint64
+	viewUpdatedAt time.Time
+	// updateEffects are the effects of the newest view update.
+	updateEffects statemachine.Effects
 }
 
-func (f *fixture) do(command any) statemachine.Effects {
+func (f *fixture) handleCommand(command any) statemachine.Effects {
 	var effects statemachine.Effects
 	f.gateway.HandleCommand(f.now, command, &effects)
 	return effects
 }
 
-func (f *fixture) pass(length time.Duration) statemachine.Effects {
+func (f *fixture) advance(length time.Duration) statemachine.Effects {
 	var all statemachine.Effects
 	until := f.now.Add(length)
 	for {
@@ -53,19 +54,20 @@
 	return all
 }
 
-// respondToAgentRequests responds to the requests that the gateway sends to its agent, and sends heartbeats.
+// respondToAgentRequests responds to the view requests of the gateway with a view update, at most once
+// per 300 ms.
 func (f *fixture) respondToAgentRequests(effects statemachine.Effects) {
 	for _, send := range effects.Sends {
-		ask, matches := send.Message.(membership.ViewRequest)
-		if !matches || f.now.Sub(f.heartbeatAt) < 300*time.Millisecond {
+		request, matches := send.Message.(membership.ViewRequest)
+		if !matches || f.now.Sub(f.viewUpdatedAt) < 300*time.Millisecond {
 			continue
 		}
-		f.heartbeatAt = f.now
+		f.viewUpdatedAt = f.now
 		partitionName := config.SharedPartition("b.1")
-		f.heard = statemachine.Effects{}
+		f.updateEffects = statemachine.Effects{}
 		f.gateway.HandleMessage(f.now, statemachine.Meta{From: "10.0.0.1:2", Version: 1}, membership.ViewUpdate{
 			Recipient:      "gateway-1",
-			Nonce:          ask.Nonce,
+			Nonce:          request.Nonce,
 			Epoch:          1,
 			Primary:        "10.0.0.9:1",
 			Index:          1,
@@ -75,24 +77,24 @@
 			SpaceCreatedAt: map[string]uint64{"boards": 1},
 			Members: []membership.Member{
 				{
-					Name:        "gateway-1",
-					Kind:        membership.KindGateway,
-					Address:     "10.0.0.1:1",
-					Caller:      "10.0.0.1:8000",
-					Zone:        "east",
-					Incarnation: 1,
-					Alive:       true,
-					Joined:      1,
+					Name:          "gateway-1",
+					Kind:          membership.KindGateway,
+					Address:       "10.0.0.1:1",
+					ClientAddress: "10.0.0.1:8000",
+					Zone:          "east",
+					Incarnation:   1,
+					Alive:         true,
+					Joined:        1,
 				},
 				{
-					Name:        "gateway-2",
-					Kind:        membership.KindGateway,
-					Address:     "10.0.0.2:1",
-					Caller:      "10.0.0.2:8000",
-					Zone:        "east",
-					Incarnation: 1,
-					Alive:       true,
-					Joined:      1,
+					Name:          "gateway-2",
+					Kind:          membership.KindGateway,
+					Address:       "10.0.0.2:1",
+					ClientAddress: "10.0.0.2:8000",
+					Zone:          "east",
+					Incarnation:   1,
+					Alive:         true,
+					Joined:        1,
 				},
 				{
 					Name:        "store-1",
@@ -105,38 +107,38 @@
 				},
 			},
 			Placements: []membership.Placement{{Partition: partitionName, Epoch: 1, Leader: "store-1"}},
-		}, &f.heard)
+		}, &f.updateEffects)
 	}
 }
 
-func open(t *testing.T) *fixture {
+func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	fixture := &fixture{now: time.Unix(1000, 0), gateway: gateway.New(gateway.Settings{
 		Self: membership.Member{
-			Name:        "gateway-1",
-			Kind:        membership.KindGateway,
-			Address:     "10.0.0.1:1",
-			Caller:      "10.0.0.1:8000",
-			Zone:        "east",
-			Incarnation: 1,
+			Name:          "gateway-1",
+			Kind:          membership.KindGateway,
+			Address:       "10.0.0.1:1",
+			ClientAddress: "10.0.0.1:8000",
+			Zone:          "east",
+			Incarnation:   1,
 		},
 		Agent: "10.0.0.1:2",
 	})}
 	var effects statemachine.Effects
 	fixture.gateway.Start(fixture.now, &effects)
-	fixture.pass(time.Millisecond)
+	fixture.advance(time.Millisecond)
 	assert.Equal(t, fixture.gateway.ConfigurationVersion(), uint64(1))
 	return fixture
 }
 
-func (f *fixture) greet(t *testing.T, session uint64, origin string) statemachine.Effects {
+func (f *fixture) openSession(t *testing.T, session uint64, client string) statemachine.Effects {
 	t.Helper()
 	f.request++
-	return f.do(gateway.OpenSession{
+	return f.handleCommand(gateway.OpenSession{
 		Request:      f.request,
 		Session:      session,
-		Name:         origin,
-		Client:       origin,
+		Name:         client,
+		Client:       client,
 		AdapterPings: true,
 	})
 }
@@ -158,22 +160,22 @@
 }
 
 func TestStoppingGatewayRedirectsNewClients(t *testing.T) {
-	fixture := open(t)
-	fixture.do(gateway.Stop{})
-	effects := fixture.greet(t, 1, "u1")
+	fixture := newFixture(t)
+	fixture.handleCommand(gateway.Stop{})
+	effects := fixture.openSession(t, 1, "u1")
 	assert.Equal(t, outcome(t, effects).Outcome, gateway.OutcomeAccepted)
 	assert.Equal(t, moves(effects), 1)
 	fixture.request++
-	other := fixture.do(gateway.OpenSession{Request: fixture.request, Session: 2, Name: "u2", Client: "u2"})
+	other := fixture.handleCommand(gateway.OpenSession{Request: fixture.request, Session: 2, Name: "u2", Client: "u2"})
 	assert.Equal(t, outcome(t, other).Code, "stopping")
 }
 
 func TestStoppingGatewayServesRemainingClients(t *testing.T) {
-	fixture := open(t)
-	fixture.greet(t, 1, "u1")
-	fixture.do(gateway.Stop{})
+	fixture := newFixture(t)
+	fixture.openSession(t, 1, "u1")
+	fixture.handleCommand(gateway.Stop{})
 	fixture.request++
-	effects := fixture.do(gateway.Publish{
+	effects := fixture.handleCommand(gateway.Publish{
 		Request: fixture.request,
 		Client:  "u1",
 		Sender:  "u1",
@@ -187,19 +189,19 @@
 		appended, matches := send.Message.(partition.Append)
 		found = found || matches && appended.Topic == "b.1" && send.To == "10.0.0.3:1"
 	}
-	assert.Assert(t, found, "the publication must go to its store: %v", effects.Sends)
+	assert.Assert(t, found, "the publication must be sent to its store: %v", effects.Sends)
 }
 
 func TestStoppingGatewayDoesNotAwaitMovedClients(t *testing.T) {
-	fixture := open(t)
+	fixture := newFixture(t)
 	for session := range uint64(40) {
-		fixture.greet(t, session+1, "u")
+		fixture.openSession(t, session+1, "u")
 	}
-	effects := fixture.do(gateway.Stop{})
-	effects.Append(fixture.pass(250 * time.Millisecond))
+	effects := fixture.handleCommand(gateway.Stop{})
+	effects.Append(fixture.advance(250 * time.Millisecond))
 	assert.Equal(t, moves(effects), 40)
 	assert.Assert(t, !effects.Stop)
-	effects = fixture.pass(time.Second)
+	effects = fixture.advance(time.Second)
 	assert.Assert(t, effects.Stop)
 	ended := 0
 	for _, deliver := range effects.Deliveries {
@@ -208,10 +210,10 @@
 		}
 	}
 	assert.Equal(t, ended, 40)
-	farewell := false
+	leaveSent := false
 	for _, send := range effects.Sends {
 		_, matches := send.Message.(membership.GracefulLeave)
-		farewell = farewell || matches && send.To == "10.0.0.1:2"
+		leaveSent = leaveSent || matches && send.To == "10.0.0.1:2"
 	}
-	assert.Assert(t, farewell, "the agent must hear of the end")
+	assert.Assert(t, leaveSent, "the agent must receive a GracefulLeave")
 }
