--- a/internal/gateway/topic_delivery.go
+++ b/internal/gateway/topic_delivery.go
@@ -11,13 +11,13 @@
 	"dahlialock/internal/statemachine"
 )
 
-// deliverRouted delivers a record to a filled subscription unless it was delivered before.
+// deliverRouted delivers a record to a subscription that has caught up, unless it was delivered before.
 func (g *Gateway) deliverRouted(
 	subscription *topicSubscription,
 	record partition.Record,
 	effects *statemachine.Effects,
 ) {
-	if subscription.filling {
+	if subscription.catchingUp {
 		return
 	}
 	delivered := record.Offset <= subscription.deliveredUpTo
@@ -41,12 +41,18 @@
 	}, effects)
 }
 
-// process delivers the next record of the topic to all subscriptions here.
-func (g *Gateway) process(now time.Time, topic *topicState, record partition.Record, effects *statemachine.Effects) {
-	topic.last = record.Offset
+// deliverNext delivers the next record of a topic to all subscriptions, and adds it to the recent
+// records.
+func (g *Gateway) deliverNext(
+	now time.Time,
+	topic *topicState,
+	record partition.Record,
+	effects *statemachine.Effects,
+) {
+	topic.deliveredUpTo = record.Offset
 	topic.recent = append(topic.recent, record)
 	topic.recentSize += len(record.Data)
-	for len(topic.recent) > 1 && topic.tooMuchRecent(now) {
+	for len(topic.recent) > 1 && topic.exceedsRecentBounds(now) {
 		topic.recentFrom = topic.recent[0].Offset
 		topic.recentSize -= len(topic.recent[0].Data)
 		topic.recent = topic.recent[1:]
@@ -56,33 +62,33 @@
 	}
 }
 
-// tooMuchRecent returns whether the oldest recent record is to be forgotten.
-func (t *topicState) tooMuchRecent(now time.Time) bool {
+// exceedsRecentBounds reports whether the oldest recent record is to be removed.
+func (t *topicState) exceedsRecentBounds(now time.Time) bool {
 	if t.recentUntil.After(now) {
-		return t.recentSize > backlogBytes
+		return t.recentSize > maxBacklogBytes
 	}
-	return len(t.recent) > recentRecords || t.recentSize > recentBytes
+	return len(t.recent) > maxRecentRecords || t.recentSize > maxRecentBytes
 }
 
-// handleRoutedCopy delivers a message of a routed topic, or buffers it until what comes
-// before it is here. It returns whether anybody here subscribes to the topic.
+// handleRoutedCopy delivers a message of a routed topic, or buffers it until its predecessor in the
+// topic was delivered. It reports whether this gateway has subscriptions to the topic.
 func (g *Gateway) handleRoutedCopy(now time.Time, record partition.Record, effects *statemachine.Effects) bool {
 	topic, found := g.routed.topics[record.Topic]
 	if !found {
 		return false
 	}
-	if topic.live && record.Offset <= topic.last &&
+	if topic.started && record.Offset <= topic.deliveredUpTo &&
 		(topic.durable || !statemachine.Mutated("no-passing-offsets")) {
 		return true
 	}
-	follows := statemachine.Mutated("no-topic-prior") || record.PreviousInTopic <= topic.last ||
-		!topic.durable && topic.last == 0
-	if topic.live && follows {
-		g.process(now, topic, record, effects)
-		g.release(now, topic, effects)
+	follows := statemachine.Mutated("no-topic-prior") || record.PreviousInTopic <= topic.deliveredUpTo ||
+		!topic.durable && topic.deliveredUpTo == 0
+	if topic.started && follows {
+		g.deliverNext(now, topic, record, effects)
+		g.deliverPending(now, topic, effects)
 		return true
 	}
-	if !topic.buffer(now, record) || !topic.live {
+	if !topic.addPending(now, record) || !topic.started {
 		return true
 	}
 	g.Counts.Gaps++
@@ -99,9 +105,9 @@
 	return true
 }
 
-// buffer adds a record to the pending ones, in order of offsets. It returns whether
-// the record was added: duplicates are not, nor are records above the bound.
-func (t *topicState) buffer(now time.Time, record partition.Record) bool {
+// addPending adds a record to the pending records, which are in order of offset. It reports whether
+// the record was added: a duplicate is not, nor is a record beyond maxPendingTopicRecords.
+func (t *topicState) addPending(now time.Time, record partition.Record) bool {
 	byOffset := func(each partition.Record, offset uint64) int { return cmp.Compare(each.Offset, offset) }
 	index, present := slices.BinarySearchFunc(t.pending, record.Offset, byOffset)
 	if present || len(t.pending) >= maxPendingTopicRecords {
@@ -114,34 +120,34 @@
 	return true
 }
 
-// release delivers the pending records whose predecessors have come.
-func (g *Gateway) release(now time.Time, topic *topicState, effects *statemachine.Effects) {
+// deliverPending delivers the pending records whose predecessors were delivered.
+func (g *Gateway) deliverPending(now time.Time, topic *topicState, effects *statemachine.Effects) {
 	for len(topic.pending) > 0 {
 		next := topic.pending[0]
-		if next.Offset > topic.last && next.PreviousInTopic > topic.last {
+		if next.Offset > topic.deliveredUpTo && next.PreviousInTopic > topic.deliveredUpTo {
 			return
 		}
 		topic.pending = topic.pending[1:]
 		topic.pendingSince = now
-		if next.Offset > topic.last {
-			g.process(now, topic, next, effects)
+		if next.Offset > topic.deliveredUpTo {
+			g.deliverNext(now, topic, next, effects)
 		}
 	}
 	topic.pending = nil
 }
 
-// requireUpTo notes that the topic has records up to an offset. Unless they come by themselves
-// within a grace they are fetched.
+// requireUpTo records that the topic has records up to an offset. They are fetched unless their copies
+// arrive within the grace period.
 func (g *Gateway) requireUpTo(now time.Time, topic *topicState, offset uint64, grace time.Duration) {
-	if offset <= topic.wanted && offset <= topic.last {
+	if offset <= topic.highestKnown && offset <= topic.deliveredUpTo {
 		return
 	}
-	topic.wanted = max(topic.wanted, offset)
+	topic.highestKnown = max(topic.highestKnown, offset)
 	at := now.Add(grace)
-	if topic.checkAt.IsZero() || at.Before(topic.checkAt) {
-		topic.checkAt = at
+	if topic.fetchAt.IsZero() || at.Before(topic.fetchAt) {
+		topic.fetchAt = at
 	}
-	g.scheduleTopic(topic, topic.checkAt)
+	g.scheduleTopic(topic, topic.fetchAt)
 }
 
 // scheduleTopic schedules a tick of the topic.
@@ -150,35 +156,35 @@
 	g.timers.ArmSooner(timerRouted, at)
 }
 
-// startReports subscribes to the partition's reports of moved topics, from an offset up to which
-// one of its topics is known here. Reports that come while further topics are fetched count for
-// those too, so that nothing is to be reported again for their sake.
+// startReports subscribes to the leader's reports of topics with new records in a partition, from the
+// high watermark of the first fetch. Reports that arrive while other topics of the partition are being
+// fetched apply to these too, so the leader need not repeat them.
 func (g *Gateway) startReports(now time.Time, name string, until uint64) {
 	if _, begun := g.routed.reportedUpTo[name]; begun {
 		return
 	}
 	g.routed.reportedUpTo[name] = until
-	g.timers.ArmSooner(timerFollow, now.Add(gapTimeout))
+	g.timers.ArmSooner(timerHighWatermarks, now.Add(gapTimeout))
 }
 
-// tickRouted does what is due for routed topics, their batches and publications.
+// tickRouted runs the due ticks of routed topics, and retries their batches and publications.
 func (g *Gateway) tickRouted(now time.Time, effects *statemachine.Effects) {
 	for _, topic := range statemachine.Sorted(g.routed.scheduled) {
 		g.tickTopic(now, topic, effects)
 	}
 	g.retryBatches(now, effects)
-	g.retryPublications(now, effects)
+	g.retryRoutedPublications(now, effects)
 }
 
-// tickTopic does what is due for a topic and schedules its next tick.
+// tickTopic handles the expired deadlines of a topic and schedules its next tick.
 func (g *Gateway) tickTopic(now time.Time, topic *topicState, effects *statemachine.Effects) {
 	delete(g.routed.scheduled, topic.name)
 	if g.routed.topics[topic.name] != topic {
 		return
 	}
-	next, filling := g.tickSubscriptions(now, topic, effects)
+	next, catchingUp := g.tickSubscriptions(now, topic, effects)
 	if topic.durable {
-		next = statemachine.Earliest(next, g.tickDurable(now, topic, filling, effects))
+		next = statemachine.Earliest(next, g.tickDurable(now, topic, catchingUp, effects))
 	} else {
 		next = statemachine.Earliest(next, g.tickEphemeral(now, topic, effects))
 	}
@@ -187,22 +193,23 @@
 	}
 }
 
-// tickSubscriptions ends the subscriptions that could not be filled in time. It returns
-// the next deadline, and whether a subscription to a durable topic still needs records.
+// tickSubscriptions rejects the subscriptions to a durable topic that were not confirmed by their
+// deadline, and confirms those to an ephemeral topic. It returns the next deadline, and whether a
+// subscription to a durable topic still needs records.
 func (g *Gateway) tickSubscriptions(
 	now time.Time,
 	topic *topicState,
 	effects *statemachine.Effects,
-) (next time.Time, filling bool) {
+) (next time.Time, catchingUp bool) {
 	for _, subscription := range slices.Clone(topic.subscriptions) {
 		switch {
-		case !subscription.filling:
+		case !subscription.catchingUp:
 		case !subscription.deadline.After(now) && !topic.durable:
 			g.startEphemeral(now, subscription, effects)
 		case !subscription.deadline.After(now) && subscription.request.Request == 0:
-			// It was confirmed, and some of what it missed has come: the rest is
-			// fetched however long that takes.
-			filling = true
+			// The subscription is confirmed, so its missed records are fetched without
+			// a deadline.
+			catchingUp = true
 		case !subscription.deadline.After(now):
 			topic.reserve(now, subscription)
 			response := rejectedReply(
@@ -213,19 +220,19 @@
 			)
 			g.rejectTopicSubscription(now, subscription, response, effects)
 		default:
-			filling = filling || topic.durable
+			catchingUp = catchingUp || topic.durable
 			next = statemachine.Earliest(next, subscription.deadline)
 		}
 	}
-	return next, filling
+	return next, catchingUp
 }
 
-// tickEphemeral skips a gap of an ephemeral topic that has not been filled in time, and
-// returns when the next one ends.
+// tickEphemeral skips a gap in an ephemeral topic after ephemeralGapTimeout, and returns when the next
+// gap times out.
 func (g *Gateway) tickEphemeral(now time.Time, topic *topicState, effects *statemachine.Effects) time.Time {
 	if len(topic.pending) > 0 && !topic.pendingSince.Add(ephemeralGapTimeout).After(now) {
-		topic.last = max(topic.last, topic.pending[0].PreviousInTopic)
-		g.release(now, topic, effects)
+		topic.deliveredUpTo = max(topic.deliveredUpTo, topic.pending[0].PreviousInTopic)
+		g.deliverPending(now, topic, effects)
 	}
 	if len(topic.pending) > 0 {
 		return topic.pendingSince.Add(ephemeralGapTimeout)
@@ -233,25 +240,25 @@
 	return time.Time{}
 }
 
-// tickDurable fetches what a durable topic lacks, and drops a topic without subscriptions.
-// It returns when to look at the topic again.
+// tickDurable fetches the missing records of a durable topic, and removes a topic without
+// subscriptions and reservation. It returns when the next tick of the topic is due.
 func (g *Gateway) tickDurable(
 	now time.Time,
 	topic *topicState,
-	filling bool,
+	catchingUp bool,
 	effects *statemachine.Effects,
 ) (next time.Time) {
-	if topic.wanted <= topic.last {
-		topic.checkAt = time.Time{}
+	if topic.highestKnown <= topic.deliveredUpTo {
+		topic.fetchAt = time.Time{}
 	}
-	due := !topic.checkAt.IsZero() && !topic.checkAt.After(now)
+	due := !topic.fetchAt.IsZero() && !topic.fetchAt.After(now)
 	switch {
 	case topic.fetch != nil || topic.queued:
-	case filling || due || topic.reserved(now):
-		topic.checkAt = time.Time{}
+	case catchingUp || due || topic.reserved(now):
+		topic.fetchAt = time.Time{}
 		g.fetchTopic(now, topic, effects)
 	default:
-		next = topic.checkAt
+		next = topic.fetchAt
 	}
 	if len(topic.subscriptions) > 0 {
 		return next
@@ -263,33 +270,35 @@
 	return statemachine.Earliest(next, topic.reservedUntil)
 }
 
-// handleTopicHighWatermarks applies the report of which topics of a shared partition moved.
-func (g *Gateway) handleTopicHighWatermarks(now time.Time, head partition.HighWatermark) {
-	if _, used := g.routed.partitions[head.Partition]; !used || statemachine.Mutated("no-topic-heads") {
+// handleTopicHighWatermarks applies a leader's report of the topics of a shared partition that have new
+// records.
+func (g *Gateway) handleTopicHighWatermarks(now time.Time, report partition.HighWatermark) {
+	if _, used := g.routed.topicCounts[report.Partition]; !used || statemachine.Mutated("no-topic-heads") {
 		return
 	}
-	if head.Epoch < g.viewClient.Placements[head.Partition].Epoch {
+	if report.Epoch < g.viewClient.Placements[report.Partition].Epoch {
 		return
 	}
-	reported := g.routed.reportedUpTo[head.Partition]
-	for _, each := range head.Topics {
-		if topic, found := g.routed.numbers[each.TopicHash]; found && topic.durable && each.Offset > topic.last {
+	reported := g.routed.reportedUpTo[report.Partition]
+	for _, each := range report.Topics {
+		if topic, found := g.routed.topicsByHash[each.TopicHash]; found &&
+			topic.durable && each.Offset > topic.deliveredUpTo {
 			g.requireUpTo(now, topic, each.Offset, highWatermarkGrace)
 		}
 	}
-	if head.From > reported {
-		// A report was lost.
-		g.timers.ArmSooner(timerFollow, now)
+	if report.From > reported {
+		// An earlier report was lost; subscribe again from the last one received.
+		g.timers.ArmSooner(timerHighWatermarks, now)
 		return
 	}
-	g.routed.reportedUpTo[head.Partition] = max(reported, head.Offset)
+	g.routed.reportedUpTo[report.Partition] = max(reported, report.Offset)
 }
 
-// rerouteAll applies changed routes: the subscriptions to topics that lead elsewhere now, or
-// nowhere, end.
-func (g *Gateway) rerouteAll(now time.Time, effects *statemachine.Effects) {
+// applyRoutes applies changed routes. The subscriptions to a topic end if no route matches it any more,
+// or if its retention has changed.
+func (g *Gateway) applyRoutes(now time.Time, effects *statemachine.Effects) {
 	for name, topic := range statemachine.Sorted(g.routed.topics) {
-		space := g.routeOf("", name)
+		space := g.routedSpace("", name)
 		state, present := g.spaces[space]
 		if present && (state.space.Retention == config.Durable) == topic.durable {
 			topic.space = space
@@ -297,7 +306,7 @@
 		}
 		topic.reservedUntil = time.Time{}
 		for _, subscription := range slices.Clone(topic.subscriptions) {
-			if subscription.filling {
+			if subscription.catchingUp {
 				g.rejectTopicSubscription(
 					now,
 					subscription,
--- a/internal/gateway/topic_subscription.go
+++ b/internal/gateway/topic_subscription.go
@@ -9,8 +9,8 @@
 	"dahlialock/internal/statemachine"
 )
 
-// subscribeRouted subscribes a session to a routed topic; refreshed is set where the
-// configuration was refreshed for the request before.
+// subscribeRouted subscribes a session to a routed topic. refreshed is set if the configuration was
+// already refreshed for this request.
 func (g *Gateway) subscribeRouted(now time.Time, request Subscribe, refreshed bool, effects *statemachine.Effects) {
 	answer := func(response Reply) { g.answerSubscribe(now, request, response, effects) }
 	session, found := g.sessions[request.Session]
@@ -19,7 +19,7 @@
 		answer(rejectedReply(404, "no-such-channel", "this channel is not open here", 0))
 		return
 	case len(request.Interests) != 1 || request.Interests[0].Prefix:
-		answer(rejectedReply(400, "one-topic", "routed topics are subscribed to one by one", 0))
+		answer(rejectedReply(400, "one-topic", "a request subscribes to one routed topic only", 0))
 		return
 	}
 	session.pongAt = now
@@ -28,7 +28,7 @@
 		return
 	}
 	name := request.Interests[0].Path
-	interest := Interest{Space: g.routeOf(request.Interests[0].Space, name), Path: name}
+	interest := Interest{Space: g.routedSpace(request.Interests[0].Space, name), Path: name}
 	policyRequest := &PolicyRequest{
 		Kind:      RequestSubscribe,
 		Client:    request.Client,
@@ -42,23 +42,23 @@
 	if !g.authorize(now, policyRequest, request.RequestName, retry, answer) {
 		return
 	}
-	if present, subscribed := session.routed[name]; subscribed {
-		if present.filling {
+	if existing, subscribed := session.routed[name]; subscribed {
+		if existing.catchingUp {
 			answer(rejectedReply(409, "underway", "this subscription is being taken up", retryShortDelay))
 			return
 		}
-		g.replyTopicSubscription(now, request, present.deliveredUpTo, effects)
+		g.replyTopicSubscription(now, request, existing.deliveredUpTo, effects)
 		return
 	}
 	if len(session.routed)+len(session.subscriptions) >= g.config.SubscriptionsPerSession {
-		answer(rejectedReply(429, "too-many-subscriptions", "the channel holds all the subscriptions it may", 0))
+		answer(rejectedReply(429, "too-many-subscriptions", "the channel has reached its limit of subscriptions", 0))
 		return
 	}
 	g.startRouted(now, session, request, interest, effects)
 }
 
-// startRouted adds a subscription that passed all checks, and fills it at once if this
-// gateway has all that it lacks.
+// startRouted adds a subscription that passed all checks. It is confirmed at once if this gateway has
+// all records that the client missed, or if the store certainly has them.
 func (g *Gateway) startRouted(
 	now time.Time,
 	session *session,
@@ -67,15 +67,15 @@
 	effects *statemachine.Effects,
 ) {
 	subscription := &topicSubscription{
-		session:  request.Session,
-		filling:  true,
-		request:  request,
-		deadline: now.Add(g.subscribeTimeout),
+		session:    request.Session,
+		catchingUp: true,
+		request:    request,
+		deadline:   now.Add(g.subscribeTimeout),
 	}
 	if request.Cursor != "" && request.Cursor != "-" {
-		offset, fit := parseTopicCursor(request.Cursor)
-		if !fit {
-			response := rejectedReply(400, codeBadCursor, "the cursor is not one of this fleet's", 0)
+		offset, valid := parseTopicCursor(request.Cursor)
+		if !valid {
+			response := rejectedReply(400, codeBadCursor, "the cursor was not issued by this fleet", 0)
 			g.answerSubscribe(now, request, response, effects)
 			return
 		}
@@ -87,9 +87,9 @@
 		g.awaitEphemeral(now, topic, subscription, effects)
 		return
 	}
-	if !g.fill(now, subscription, effects) {
+	if !g.completeCatchUp(now, subscription, effects) {
 		if g.certainlyRetained(topic, subscription) {
-			g.startTopicSubscription(now, subscription, effects)
+			g.confirmTopicSubscription(now, subscription, effects)
 			g.announceSubscriberCount(now, topic, effects)
 		}
 		g.scheduleTopic(topic, subscription.deadline)
@@ -97,33 +97,34 @@
 	}
 }
 
-// awaitEphemeral starts a subscription to an ephemeral topic once the overlay knows the
-// topic's cell, or after a timeout.
+// awaitEphemeral starts a subscription to an ephemeral topic once the overlay has located the topic's
+// cell, or after a timeout.
 func (g *Gateway) awaitEphemeral(
 	now time.Time,
 	topic *topicState,
 	subscription *topicSubscription,
 	effects *statemachine.Effects,
 ) {
-	g.overlay.AwaitCell(now, routedPlane, topic.name, func(now time.Time, effects *statemachine.Effects, _ bool) {
+	g.overlay.AwaitCell(now, routedOverlaySpace, topic.name, func(now time.Time, effects *statemachine.Effects, _ bool) {
 		g.startEphemeral(now, subscription, effects)
 	}, effects)
-	if subscription.filling {
-		subscription.deadline = now.Add(ephemeralReachTimeout)
+	if subscription.catchingUp {
+		subscription.deadline = now.Add(ephemeralSubscribeTimeout)
 		g.scheduleTopic(topic, subscription.deadline)
 	}
 }
 
-// certainlyRetained returns whether the store certainly has all records that a subscription may
-// lack. It is confirmed before they are fetched then, which may take its time, and is not rejected
-// while the response is on its way.
+// certainlyRetained reports whether the store certainly has all records that a subscription may lack.
+// Such a subscription is confirmed before they are fetched, so that it isn't rejected when the fetch
+// takes longer than its deadline.
 func (g *Gateway) certainlyRetained(topic *topicState, subscription *topicSubscription) bool {
-	base, known := g.routed.bases[topic.partition]
+	base, known := g.routed.baseOffsets[topic.partition]
 	return known && subscription.resumes && subscription.deliveredUpTo >= base &&
 		!statemachine.Mutated("places-confirmed-late")
 }
 
-// subscribeTimeoutOf returns how long a subscription may take to be filled under a configuration.
+// subscribeTimeoutOf returns how long the confirmation of a subscription may take under a
+// configuration.
 func subscribeTimeoutOf(config config.Configuration) time.Duration {
 	longest := time.Second
 	for _, space := range config.Spaces {
@@ -132,7 +133,7 @@
 	return min(longest*6/10, defaultSubscribeTimeout)
 }
 
-// addTopicSubscription adds a subscription to its topic, which it creates if need be.
+// addTopicSubscription adds a subscription to its topic, and creates the topic if it doesn't exist yet.
 func (g *Gateway) addTopicSubscription(
 	now time.Time,
 	name, space string,
@@ -143,19 +144,19 @@
 	if !found {
 		topic = &topicState{
 			name:      name,
-			number:    config.TopicHash(name),
+			hash:      config.TopicHash(name),
 			partition: config.SharedPartition(name),
 			space:     space,
 			durable:   g.spaces[space].space.Retention == config.Durable,
 		}
 		g.routed.topics[name] = topic
-		g.routed.numbers[topic.number] = topic
+		g.routed.topicsByHash[topic.hash] = topic
 		if topic.durable {
-			g.routed.partitions[topic.partition]++
+			g.routed.topicCounts[topic.partition]++
 		}
 	}
-	if found && len(topic.subscriptions) == 0 && topic.wanted > topic.last {
-		topic.checkAt = now
+	if found && len(topic.subscriptions) == 0 && topic.highestKnown > topic.deliveredUpTo {
+		topic.fetchAt = now
 		g.scheduleTopic(topic, now)
 	}
 	subscription.topic, subscription.index = topic, len(topic.subscriptions)
@@ -164,7 +165,8 @@
 	return topic
 }
 
-// dropTopicSubscription removes a session's subscription to a routed topic.
+// dropTopicSubscription removes the subscription of a session to a routed topic. The topic is removed
+// with its last subscription, or once its reservation has expired.
 func (g *Gateway) dropTopicSubscription(now time.Time, session *session, name string, effects *statemachine.Effects) {
 	dropped, found := session.routed[name]
 	if !found {
@@ -183,20 +185,20 @@
 	g.dropTopic(topic)
 }
 
-// dropTopic removes a topic without subscriptions.
+// dropTopic removes a topic if it has no subscriptions.
 func (g *Gateway) dropTopic(topic *topicState) {
 	if len(topic.subscriptions) > 0 || g.routed.topics[topic.name] != topic {
 		return
 	}
 	topic.fetch = nil
 	delete(g.routed.topics, topic.name)
-	delete(g.routed.numbers, topic.number)
+	delete(g.routed.topicsByHash, topic.hash)
 	delete(g.routed.scheduled, topic.name)
 	if topic.durable {
-		if g.routed.partitions[topic.partition]--; g.routed.partitions[topic.partition] == 0 {
-			delete(g.routed.partitions, topic.partition)
+		if g.routed.topicCounts[topic.partition]--; g.routed.topicCounts[topic.partition] == 0 {
+			delete(g.routed.topicCounts, topic.partition)
 			delete(g.routed.reportedUpTo, topic.partition)
-			delete(g.routed.followRoutes, topic.partition)
+			delete(g.routed.highWatermarkRoutes, topic.partition)
 		}
 	}
 }
@@ -208,30 +210,30 @@
 	}
 }
 
-// supersede removes the routed subscriptions of a client's earlier session: only those of its
-// newest session count.
+// supersede records the newest session of a client and removes the routed subscriptions of its
+// previous session: a client has routed subscriptions in its newest session only.
 func (g *Gateway) supersede(now time.Time, client string, newest uint64, effects *statemachine.Effects) {
-	if earlier, found := g.newest[client]; found && earlier != newest {
+	if earlier, found := g.newestSession[client]; found && earlier != newest {
 		if session, open := g.sessions[earlier]; open {
 			g.dropRouted(now, session, effects)
 		}
 	}
-	g.newest[client] = newest
+	g.newestSession[client] = newest
 }
 
-// startEphemeral confirms a subscription to an ephemeral topic.
+// startEphemeral confirms a subscription to an ephemeral topic and delivers the recent records to it.
 func (g *Gateway) startEphemeral(now time.Time, subscription *topicSubscription, effects *statemachine.Effects) {
-	if !subscription.filling {
+	if !subscription.catchingUp {
 		return
 	}
 	session, open := g.sessions[subscription.session]
 	if !open || session.routed[subscription.topic.name] != subscription {
 		return
 	}
-	subscription.filling = false
-	subscription.topic.live = true
+	subscription.catchingUp = false
+	subscription.topic.started = true
 	if !subscription.resumes {
-		subscription.deliveredUpTo = subscription.topic.last
+		subscription.deliveredUpTo = subscription.topic.deliveredUpTo
 	}
 	g.replyTopicSubscription(now, subscription.request, subscription.deliveredUpTo, effects)
 	for _, record := range subscription.topic.recent {
@@ -239,31 +241,31 @@
 	}
 }
 
-// fill confirms a subscription to a durable topic if this gateway has all records that it lacks,
-// and returns whether it has.
-func (g *Gateway) fill(now time.Time, subscription *topicSubscription, effects *statemachine.Effects) bool {
+// completeCatchUp confirms a subscription to a durable topic and delivers the records that the client
+// missed, if this gateway has all of them. It reports whether it has.
+func (g *Gateway) completeCatchUp(now time.Time, subscription *topicSubscription, effects *statemachine.Effects) bool {
 	topic := subscription.topic
 	reported, known := g.routed.reportedUpTo[topic.partition]
-	if known && !topic.live && !subscription.resumes && topic.fetch == nil {
-		// A subscription without a cursor may begin at the offset that the leader
-		// reported last: what moves after that will be reported.
-		topic.live = true
-		topic.last, topic.recentFrom = reported, reported
-		g.release(now, topic, effects)
-	}
-	if !topic.live {
+	if known && !topic.started && !subscription.resumes && topic.fetch == nil {
+		// A subscription without a cursor may start at the offset up to which the leader
+		// has reported, since the leader reports all later records.
+		topic.started = true
+		topic.deliveredUpTo, topic.recentFrom = reported, reported
+		g.deliverPending(now, topic, effects)
+	}
+	if !topic.started {
 		return false
 	}
-	if subscription.resumes && subscription.deliveredUpTo < min(topic.recentFrom, topic.last) {
+	if subscription.resumes && subscription.deliveredUpTo < min(topic.recentFrom, topic.deliveredUpTo) {
 		return false
 	}
-	subscription.filling = false
+	subscription.catchingUp = false
 	g.announceSubscriberCount(now, topic, effects)
 	from := subscription.deliveredUpTo
 	if !subscription.resumes {
-		// What was reported as moved came before this subscription, though the topic
-		// may not have caught up with it.
-		from = max(topic.last, g.routed.reportedUpTo[topic.partition])
+		// Records that were already reported precede this subscription, even if the
+		// topic has not caught up with them yet.
+		from = max(topic.deliveredUpTo, g.routed.reportedUpTo[topic.partition])
 		subscription.deliveredUpTo = from
 	}
 	if subscription.request.Request != 0 {
@@ -287,7 +289,7 @@
 	g.answerSubscribe(now, request, response, effects)
 }
 
-// unsubscribeRouted handles the request of a client to end subscriptions to routed topics.
+// unsubscribeRouted handles the request of a client to unsubscribe from routed topics.
 func (g *Gateway) unsubscribeRouted(now time.Time, request Unsubscribe, effects *statemachine.Effects) {
 	session, found := g.sessions[request.Session]
 	if !found || session.client != request.Client {
@@ -297,7 +299,7 @@
 	session.pongAt = now
 	for _, interest := range request.Interests {
 		subscription, present := session.routed[interest.Path]
-		if present && subscription.filling && subscription.request.Request != 0 {
+		if present && subscription.catchingUp && subscription.request.Request != 0 {
 			g.answerSubscribe(
 				now,
 				subscription.request,
@@ -310,8 +312,8 @@
 	effects.Respond(request.Request, acceptedReply(nil))
 }
 
-// startTopicSubscription confirms a subscription whose missed records are about to come.
-func (g *Gateway) startTopicSubscription(
+// confirmTopicSubscription confirms a subscription whose missed records are delivered afterwards.
+func (g *Gateway) confirmTopicSubscription(
 	now time.Time,
 	subscription *topicSubscription,
 	effects *statemachine.Effects,
@@ -323,21 +325,22 @@
 	subscription.request.Request = 0
 }
 
-// deliverFetched delivers a missed record to a subscription that is being filled.
+// deliverFetched delivers a missed record to a subscription that is catching up.
 func (g *Gateway) deliverFetched(
 	subscription *topicSubscription,
 	record partition.Record,
 	effects *statemachine.Effects,
 ) {
-	subscription.filling = false
+	subscription.catchingUp = false
 	g.deliverRouted(subscription, record, effects)
-	subscription.filling = true
+	subscription.catchingUp = true
 }
 
-// expireSubscriptions rejects the subscriptions that lack records which the store has removed.
+// expireSubscriptions rejects the subscriptions whose cursor is at or below an offset, since the store
+// no longer has the records that they missed.
 func (g *Gateway) expireSubscriptions(now time.Time, topic *topicState, after uint64, effects *statemachine.Effects) {
 	for _, subscription := range slices.Clone(topic.subscriptions) {
-		if subscription.filling && subscription.resumes && subscription.deliveredUpTo <= after {
+		if subscription.catchingUp && subscription.resumes && subscription.deliveredUpTo <= after {
 			g.rejectTopicSubscription(
 				now,
 				subscription,
@@ -348,8 +351,8 @@
 	}
 }
 
-// rejectTopicSubscription rejects a subscription. One that was confirmed before cannot be rejected
-// any more: its session is closed instead, and its client subscribes again.
+// rejectTopicSubscription rejects a subscription. If it was confirmed before and its missed records are
+// no longer retained, the session is closed instead, and its client subscribes again.
 func (g *Gateway) rejectTopicSubscription(
 	now time.Time,
 	subscription *topicSubscription,
@@ -358,7 +361,7 @@
 ) {
 	session, open := g.sessions[subscription.session]
 	if open && subscription.request.Request == 0 && response.Code == "place-lost" {
-		g.emitLast(now, subscription.session, session, response.Code, effects)
+		g.emitFinalEvent(now, subscription.session, session, response.Code, effects)
 		g.closeSession(now, CloseSession{Session: subscription.session, Reason: response.Code}, effects)
 	} else if open {
 		g.dropTopicSubscription(now, session, subscription.topic.name, effects)
--- a/internal/gateway/verify.go
+++ b/internal/gateway/verify.go
@@ -11,25 +11,25 @@
 	"dahlialock/internal/statemachine"
 )
 
-// handleHighWatermarks applies the reports of a store.
+// handleHighWatermarks applies the high watermarks that a store reports.
 func (g *Gateway) handleHighWatermarks(
 	now time.Time,
 	highWatermarks partition.HighWatermarks,
 	effects *statemachine.Effects,
 ) {
-	for _, head := range highWatermarks.HighWatermarks {
-		if config.IsShared(head.Partition) {
-			g.handleTopicHighWatermarks(now, head)
+	for _, report := range highWatermarks.HighWatermarks {
+		if config.IsShared(report.Partition) {
+			g.handleTopicHighWatermarks(now, report)
 			continue
 		}
-		tracker, found := g.trackers[head.Partition]
-		if !found || head.Epoch < g.viewClient.Placements[head.Partition].Epoch {
+		tracker, found := g.trackers[report.Partition]
+		if !found || report.Epoch < g.viewClient.Placements[report.Partition].Epoch {
 			continue
 		}
-		tracker.highWatermark = max(tracker.highWatermark, head.Offset)
-		if tracker.started && head.Offset > tracker.verified {
-			tracker.wanted = true
-			g.timers.ArmSooner(timerVerify, now.Add(verifyEvery/2))
+		tracker.highWatermark = max(tracker.highWatermark, report.Offset)
+		if tracker.started && report.Offset > tracker.verified {
+			tracker.verifyNeeded = true
+			g.timers.ArmSooner(timerVerify, now.Add(verifyInterval/2))
 		} else if tracker.started {
 			tracker.advanceVerifiedAt(g.highWatermarksRequestedAt)
 		}
@@ -37,27 +37,27 @@
 	g.deliverReady(now, effects)
 }
 
-// advanceVerifiedAt notes that all records of the partition were here at a moment.
+// advanceVerifiedAt records that all records of the partition up to the given time were received.
 func (t *tracker) advanceVerifiedAt(at time.Time) {
 	if at.After(t.verifiedAt) {
 		t.verifiedAt = at
 	}
 }
 
-// verifyAll verifies the trackers that may lack a record.
+// verifyAll starts the verification of the trackers that need one.
 func (g *Gateway) verifyAll(now time.Time, effects *statemachine.Effects) {
 	for name, tracker := range statemachine.Sorted(g.trackers) {
-		if !tracker.wanted || tracker.verifying || !tracker.started {
+		if !tracker.verifyNeeded || tracker.verifying || !tracker.started {
 			continue
 		}
-		tracker.wanted = false
+		tracker.verifyNeeded = false
 		g.verify(now, name, tracker, effects)
 	}
 }
 
-// verify fetches the records of a partition that the tracker lacks.
+// verify fetches the records of a partition that the tracker has not received.
 func (g *Gateway) verify(now time.Time, name string, tracker *tracker, effects *statemachine.Effects) {
-	if tracker.shared && tracker.highWatermark <= tracker.verified && len(tracker.pending) == 0 {
+	if tracker.spaceOrdered && tracker.highWatermark <= tracker.verified && len(tracker.pending) == 0 {
 		return
 	}
 	g.Counts.Verifies++
@@ -65,7 +65,7 @@
 	tracker.requestedAt = now
 	fetch := &partitionFetch{after: tracker.verified}
 	for interest := range tracker.interests {
-		if tracker.shared {
+		if tracker.spaceOrdered {
 			fetch.prefixes = []string{""}
 			break
 		}
@@ -101,9 +101,9 @@
 	g.sendFetch(now, g.nextRequest, name, fetch, effects)
 }
 
-// verified applies the response to a verification. The missing records become pending as if they
-// had come as copies; the partition is verified up to the first one that stays pending.
-func (g *Gateway) verified(now time.Time, operation *fetchOperation, effects *statemachine.Effects) {
+// applyVerification applies the result of a verification. The fetched records become pending, as if their
+// copies had arrived. The partition is verified up to the first record that remains pending.
+func (g *Gateway) applyVerification(now time.Time, operation *fetchOperation, effects *statemachine.Effects) {
 	tracker, found := g.trackers[operation.tracker]
 	if !found {
 		return
@@ -111,8 +111,8 @@
 	tracker.verifying = false
 	until := operation.partitions[operation.tracker].until
 	g.addMissing(now, tracker, operation.records[operation.tracker], until, effects)
-	// The response has all of this partition up to until, so nothing of it is missing; a message can
-	// only wait for another partition.
+	// The fetch covers all records of this partition up to until, so a record that is still pending
+	// can only wait for a record of another partition.
 	g.deliverReady(now, effects)
 	if tracker.version == operation.version {
 		limit := until
@@ -122,7 +122,7 @@
 		if limit > tracker.verified {
 			tracker.verified = limit
 		}
-		// All records up to until are here now, though some may be pending.
+		// All records up to until were received, though some may still be pending.
 		tracker.advanceVerifiedAt(tracker.requestedAt)
 		g.deliverReady(now, effects)
 	}
@@ -130,18 +130,18 @@
 	if !outdated && len(tracker.pending) == 0 && tracker.highWatermark <= tracker.verified {
 		return
 	}
-	tracker.wanted = true
-	pause := verifyEvery
+	tracker.verifyNeeded = true
+	delay := verifyInterval
 	if len(tracker.pending) > 0 || outdated {
-		pause = gapTimeout
+		delay = gapTimeout
 	}
 	for _, record := range tracker.pending {
 		g.requestDependencies(tracker, record)
 	}
-	g.timers.ArmSooner(timerVerify, now.Add(pause))
+	g.timers.ArmSooner(timerVerify, now.Add(delay))
 }
 
-// addMissing adds fetched records to the pending ones of a tracker.
+// addMissing adds fetched records to the pending records of a tracker.
 func (g *Gateway) addMissing(
 	now time.Time,
 	tracker *tracker,
@@ -167,40 +167,40 @@
 	}
 }
 
-// followHighWatermarks subscribes to the high watermarks of the partitions in use here at their
-// leaders, and again before the leaders forget it.
-func (g *Gateway) followHighWatermarks(now time.Time, effects *statemachine.Effects) {
+// subscribeToHighWatermarks subscribes to the high watermarks of the partitions with subscriptions here at
+// their leaders. The subscriptions are renewed before they expire at the leaders.
+func (g *Gateway) subscribeToHighWatermarks(now time.Time, effects *statemachine.Effects) {
 	byStore := map[string]partition.SubscribeHighWatermarks{}
 	g.highWatermarksRequestedAt = now
 	add := func(name string, from uint64) {
 		if address, _, found := g.leaderOf(name); found {
-			follow := byStore[address]
-			follow.Partitions, follow.KnownOffsets = append(follow.Partitions, name), append(follow.KnownOffsets, from)
-			byStore[address] = follow
+			request := byStore[address]
+			request.Partitions, request.KnownOffsets = append(request.Partitions, name), append(request.KnownOffsets, from)
+			byStore[address] = request
 		}
 	}
 	for name := range statemachine.Sorted(g.trackers) {
 		add(name, 0)
 	}
-	for name := range statemachine.Sorted(g.routed.partitions) {
-		if from, begun := g.routed.reportedUpTo[name]; begun {
-			g.routed.followRoutes[name] = g.routeTo(name)
+	for name := range statemachine.Sorted(g.routed.topicCounts) {
+		if from, started := g.routed.reportedUpTo[name]; started {
+			g.routed.highWatermarkRoutes[name] = g.routeTo(name)
 			add(name, from)
 		}
 	}
-	for address, follow := range statemachine.Sorted(byStore) {
-		effects.Send(address, follow)
+	for address, request := range statemachine.Sorted(byStore) {
+		effects.Send(address, request)
 	}
-	if len(g.trackers)+len(g.routed.partitions) > 0 {
-		g.timers.Arm(timerFollow, now.Add(followEvery))
+	if len(g.trackers)+len(g.routed.topicCounts) > 0 {
+		g.timers.Arm(timerHighWatermarks, now.Add(highWatermarkRenewal))
 	}
 }
 
-// recentlyVerified returns whether all trackers of a space were verified lately, so that no record
-// older than the dependency window can be missing.
-func (g *Gateway) recentlyVerified(now time.Time, full string) bool {
+// recentlyVerified reports whether all trackers of a space were verified within the verification window,
+// so that no record older than the dependency window can be missing.
+func (g *Gateway) recentlyVerified(now time.Time, spaceName string) bool {
 	for _, other := range g.trackers {
-		if other.spaceName == full && other.started && now.Sub(other.verifiedAt) > partition.VerificationWindow {
+		if other.spaceName == spaceName && other.started && now.Sub(other.verifiedAt) > partition.VerificationWindow {
 			return false
 		}
 	}
--- a/internal/gateway/view.go
+++ b/internal/gateway/view.go
@@ -12,8 +12,8 @@
 	"dahlialock/internal/statemachine"
 )
 
-// deferred is a message that came while the gateway was unconfirmed.
-type deferred struct {
+// deferredMessage is a message that arrived while the gateway was unconfirmed.
+type deferredMessage struct {
 	meta    statemachine.Meta
 	message any
 }
@@ -25,8 +25,8 @@
 	if changed.View {
 		g.applyView(now, effects)
 	}
-	deaf := statemachine.Mutated("deaf-gateway") && g.settings.Self.Name == "gateway-1" && g.config.Version > 0
-	if changed.Document && !deaf {
+	ignored := statemachine.Mutated("deaf-gateway") && g.settings.Self.Name == "gateway-1" && g.config.Version > 0
+	if changed.Document && !ignored {
 		g.applyConfiguration(now, effects)
 	}
 	if resting := g.Resting(); resting != wasResting {
@@ -40,13 +40,15 @@
 			effects.Emit(logevent.GatewayWoken, "gateway", g.settings.Self.Name)
 		}
 	}
-	if orders := g.viewClient.Directives; (orders.Drain || orders.KeepSessions > 0) && !g.timers.Armed(timerMove) {
+	if directives := g.viewClient.Directives; (directives.Drain || directives.KeepSessions > 0) &&
+		!g.timers.Armed(timerMove) {
 		g.timers.Arm(timerMove, now)
 	}
 	g.resume(now, effects)
 }
 
-// resume handles the deferred messages, and the requests that wait for a refresh.
+// resume handles the deferred messages and continues the requests that wait for a refresh, if the
+// gateway is confirmed.
 func (g *Gateway) resume(now time.Time, effects *statemachine.Effects) {
 	if !g.Confirmed(now) {
 		return
@@ -78,32 +80,32 @@
 	if g.incarnation > 0 {
 		g.overlay.SetIncarnation(now, g.incarnation, effects)
 	}
-	g.placementsChanged(now, effects)
+	g.handlePlacementsChanged(now, effects)
 }
 
-// spaceName returns the name of a space with the index at which it was created.
+// spaceName returns the name of a space together with the index at which it was created.
 func (g *Gateway) spaceName(name string) (string, bool) {
 	createdAt, found := g.viewClient.SpaceCreatedAt[name]
 	if !found {
 		return "", false
 	}
-	full := controller.PartitionName(name, createdAt, 0)
-	return full[:strings.LastIndex(full, "/")], true
+	fullName := controller.PartitionName(name, createdAt, 0)
+	return fullName[:strings.LastIndex(fullName, "/")], true
 }
 
-// applyConfiguration puts the newest configuration in force. It is called only with a version above
-// the one before.
+// applyConfiguration puts the newest configuration in force. It is called only after the version has
+// increased.
 func (g *Gateway) applyConfiguration(now time.Time, effects *statemachine.Effects) {
 	document, faults := config.Read(g.viewClient.Document)
 	if len(faults) > 0 || document.Version < g.config.Version {
-		panic("a configuration was handed on that may not be in force")
+		panic("the configuration is invalid or older than the one in force")
 	}
 	g.config, g.subscribeTimeout = document, subscribeTimeoutOf(document)
 	for name, state := range statemachine.Sorted(g.spaces) {
 		space, found := document.Spaces[name]
-		full, born := g.spaceName(name)
+		fullName, created := g.spaceName(name)
 		routed := space.Order == config.OrderTopic && state.space.Order == config.OrderTopic
-		if found && (routed || born && full == state.name) {
+		if found && (routed || created && fullName == state.name) {
 			state.space = space
 			continue
 		}
@@ -117,21 +119,21 @@
 			g.spaces[name] = &spaceState{space: space, name: name + "~0"}
 			continue
 		}
-		if full, born := g.spaceName(name); born {
+		if fullName, created := g.spaceName(name); created {
 			g.spaces[name] = &spaceState{
 				space:    space,
-				name:     full,
+				name:     fullName,
 				topics:   map[string]map[uint64]bool{},
 				prefixes: map[string]map[uint64]bool{},
 			}
 		}
 	}
-	g.rerouteAll(now, effects)
+	g.applyRoutes(now, effects)
 	effects.Emit(logevent.ConfigurationApplied, "version", document.Version, "spaces", len(document.Spaces))
 	g.ring.Record(now, "", "", "", "configuration", "version", document.Version)
 }
 
-// removeSpace ends the subscriptions to a removed space and rejects its queued publications.
+// removeSpace ends the subscriptions to a removed space and rejects the queued publications to it.
 func (g *Gateway) removeSpace(now time.Time, name string, state *spaceState, effects *statemachine.Effects) {
 	delete(g.spaces, name)
 	if state.space.Order == config.OrderTopic {
@@ -149,9 +151,9 @@
 			g.emit(id, Event{Event: "ended", Space: name, Code: "space-removed"}, effects)
 		}
 	}
-	for full := range statemachine.Sorted(g.trackers) {
-		if strings.HasPrefix(full, state.name+"/") {
-			delete(g.trackers, full)
+	for trackerName := range statemachine.Sorted(g.trackers) {
+		if strings.HasPrefix(trackerName, state.name+"/") {
+			delete(g.trackers, trackerName)
 		}
 	}
 	for _, sender := range statemachine.Sorted(g.sendersOf(name)) {
--- a/internal/overlay/identity_mutation_test.go
+++ b/internal/overlay/identity_mutation_test.go
@@ -1,6 +1,6 @@
 //go:build mutation
 
-// With any life of a peer taken, messages go to one that has ended.
+// If peers of any incarnation are accepted, messages are sent to a peer that has ended.
 package overlay
 
 import (
@@ -11,7 +11,7 @@
 	"dahlialock/internal/statemachine"
 )
 
-func TestTheLifeOfAPeerIsNeeded(t *testing.T) {
+func TestTheIncarnationOfAPeerIsNeeded(t *testing.T) {
 	defer statemachine.Mutate("any-life-of-a-peer")()
-	assert.Equal(t, len(lateJoin(t)), 1)
+	assert.Equal(t, len(destinationsAfterLateJoin(t)), 1)
 }
--- a/internal/overlay/join.go
+++ b/internal/overlay/join.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// join sends a peer's join, for the first time or again: through the nearest joined
-// peer of the space here, or else to other daemons. If the latter is in progress for
-// another peer here, this one waits for that.
-func (o *Overlay) join(now time.Time, peer *hosted) {
+// join sends or retries a peer's join request: through the nearest joined peer of this
+// daemon in the space or, if there is none, to other daemons. If another peer of this
+// daemon is already joining through other daemons, this peer waits for it.
+func (o *Overlay) join(now time.Time, peer *hostedPeer) {
 	o.Counts.Joins++
 	if peer.joining == nil {
-		peer.joining = &outstanding{}
+		peer.joining = &pendingRequest{}
 	}
 	peer.joining.attempts++
 	peer.joining.sent = now
-	peer.joining.until = now.Add(backoff(joinTimeout, peer.joining.attempts))
-	o.timers.ArmSooner("limits", peer.joining.until)
+	peer.joining.deadline = now.Add(backoff(joinTimeout, peer.joining.attempts))
+	o.timers.ArmSooner("limits", peer.joining.deadline)
 	clear(peer.joinTargets)
 	peer.queued = false
 	request := Signal{Kind: SignalJoin, Space: peer.space.name, From: peer.self, Attempts: uint8(min(peer.joining.attempts, 255))}
@@ -28,12 +28,12 @@
 	}
 	for _, other := range peer.space.peers {
 		if other != peer && other.joining != nil && !other.queued {
-			// Another peer here is still looking for the other daemons' ones.
+			// Another peer of this daemon is already joining through other daemons.
 			peer.queued = true
 			return
 		}
 	}
-	peer.joinedThroughAll = false
+	peer.joinSentToAll = false
 	if peer.joining.attempts == 1 && len(o.gateways) > firstJoinTargets {
 		names := slices.Collect(maps.Keys(o.gateways))
 		slices.Sort(names)
@@ -44,10 +44,11 @@
 		}
 		return
 	}
-	o.joinThroughAll(now, peer)
+	o.joinThroughAllDaemons(now, peer)
 }
 
-// backoff returns the timeout of an attempt, which doubles up to maxDoublings times.
+// backoff returns the timeout of an attempt. It doubles with each attempt, up to
+// maxDoublings times.
 func backoff(first time.Duration, attempts int) time.Duration {
 	if statemachine.Mutated("no-retry-pauses") {
 		return first
@@ -55,10 +56,10 @@
 	return first << min(max(0, attempts-1), maxDoublings)
 }
 
-// joinThroughAll sends a join to all daemons. Only if none of them hosts a peer of the
-// space is the joining one the first.
-func (o *Overlay) joinThroughAll(now time.Time, peer *hosted) {
-	peer.joinedThroughAll = true
+// joinThroughAllDaemons sends a join request to all daemons. A peer may join as the
+// first of its space only if no daemon hosts a peer of the space.
+func (o *Overlay) joinThroughAllDaemons(now time.Time, peer *hostedPeer) {
+	peer.joinSentToAll = true
 	request := Signal{Kind: SignalJoin, Space: peer.space.name, From: peer.self, Attempts: uint8(min(peer.joining.attempts, 255))}
 	for name := range statemachine.Sorted(o.gateways) {
 		peer.joinTargets[name] = true
@@ -69,9 +70,9 @@
 	}
 }
 
-// joined ends a peer's joining, and continues with the requests and the peers that
-// waited for it.
-func (o *Overlay) joined(now time.Time, peer *hosted) {
+// joined marks a peer as joined. It then handles the join requests and starts the joins
+// that waited for the peer.
+func (o *Overlay) joined(now time.Time, peer *hostedPeer) {
 	peer.joining = nil
 	o.timers.ArmSooner("settle", now)
 	requests := peer.requests
@@ -87,25 +88,25 @@
 	}
 }
 
-// nearestHosted returns the joined peer here that is nearest to a point, other than
-// without; nil if there is none.
-func (o *Overlay) nearestHosted(here *space, at Point, without *hosted) *hosted {
-	var best *hosted
+// nearestHosted returns the joined peer of this daemon that is nearest to a point,
+// excluding except, or nil if there is none.
+func (o *Overlay) nearestHosted(space *space, at Point, except *hostedPeer) *hostedPeer {
+	var best *hostedPeer
 	bestDistance := 0.0
-	for _, peer := range here.peers {
-		if peer == without || peer.joining != nil {
+	for _, peer := range space.peers {
+		if peer == except || peer.joining != nil {
 			continue
 		}
-		distanceAway := distance(peer.self.At, at)
-		if best == nil || distanceAway < bestDistance || distanceAway == bestDistance && peer.self.Key.compare(best.self.Key) < 0 {
-			best, bestDistance = peer, distanceAway
+		candidateDistance := distance(peer.self.At, at)
+		if best == nil || candidateDistance < bestDistance || candidateDistance == bestDistance && peer.self.Key.compare(best.self.Key) < 0 {
+			best, bestDistance = peer, candidateDistance
 		}
 	}
 	return best
 }
 
-// anyJoining returns the first peer by key that is still joining, nil if none is.
-func (s *space) anyJoining() *hosted {
+// anyJoining returns the joining peer with the lowest key, or nil if there is none.
+func (s *space) anyJoining() *hostedPeer {
 	for _, peer := range s.sorted() {
 		if peer.joining != nil {
 			return peer
@@ -114,39 +115,40 @@
 	return nil
 }
 
-// forward passes a join on from a peer here to the nearest one that it knows, until
-// one here is the nearest and accepts it or the next is on another daemon.
-func (o *Overlay) forward(now time.Time, at *hosted, request Signal) {
+// forward forwards a join request from a peer of this daemon to the known peer that is
+// nearest to the joining peer's point. It repeats this until a peer of this daemon is
+// itself the nearest and accepts the request, or the next peer is on another daemon.
+func (o *Overlay) forward(now time.Time, current *hostedPeer, request Signal) {
 	target := request.From.At
 	for {
-		best, bestDistance := at.self, distance(at.self.At, target)
-		for key, known := range at.known {
+		best, bestDistance := current.self, distance(current.self.At, target)
+		for key, known := range current.known {
 			if key == request.From.Key {
 				continue
 			}
-			distanceAway := distance(known.At, target)
-			if distanceAway < bestDistance || distanceAway == bestDistance && key.compare(best.Key) < 0 {
-				best, bestDistance = known, distanceAway
+			candidateDistance := distance(known.At, target)
+			if candidateDistance < bestDistance || candidateDistance == bestDistance && key.compare(best.Key) < 0 {
+				best, bestDistance = known, candidateDistance
 			}
 		}
-		if best.Key == at.self.Key {
-			o.accept(now, at, request)
+		if best.Key == current.self.Key {
+			o.accept(now, current, request)
 			return
 		}
-		if next, here := at.space.byKey[best.Key]; here {
-			if next.holdsOff(request) {
+		if next, local := current.space.byKey[best.Key]; local {
+			if next.defersJoin(request) {
 				next.requests = append(next.requests, request)
 				return
 			}
-			at = next
+			current = next
 			continue
 		}
 		if o.ended(best.Key) {
-			o.drop(now, at, best.Key)
+			o.drop(now, current, best.Key)
 			continue
 		}
 		if request.Hops >= maxHops {
-			o.accept(now, at, request)
+			o.accept(now, current, request)
 			return
 		}
 		request.Hops++
@@ -157,59 +159,60 @@
 	}
 }
 
-// accept responds to a join as the acceptor. One of the same cell is sent all
-// members of the cell.
-func (o *Overlay) accept(now time.Time, acceptor *hosted, request Signal) {
-	answer := o.introduce(now, acceptor, request.From)
-	if acceptor.sharesArea(request.From) {
+// accept responds to a join request as the acceptor. If the joining peer is in the same
+// cell, the response names all members of the cell.
+func (o *Overlay) accept(now time.Time, acceptor *hostedPeer, request Signal) {
+	response := o.introduce(now, acceptor, request.From)
+	if acceptor.sharesCell(request.From) {
 		for key, known := range sortedPeers(acceptor.subscribers) {
-			if key != request.From.Key && acceptor.sharesArea(known) && !slices.ContainsFunc(answer.Peers, func(named Peer) bool { return named.Key == key }) {
-				answer.Peers = append(answer.Peers, known)
+			if key != request.From.Key && acceptor.sharesCell(known) && !slices.ContainsFunc(response.Peers, func(named Peer) bool { return named.Key == key }) {
+				response.Peers = append(response.Peers, known)
 			}
 		}
 	}
-	answer.Kind = SignalWelcome
-	answer.Hops = request.Hops
-	o.sendTo(now, request.From.Key, answer)
+	response.Kind = SignalWelcome
+	response.Hops = request.Hops
+	o.sendTo(now, request.From.Key, response)
 }
 
-// handleJoin handles a join from another daemon; here is nil if the space has no
-// peers on this one.
-func (o *Overlay) handleJoin(now time.Time, here *space, request Signal) {
-	if here == nil || len(here.peers) == 0 {
+// handleJoin handles a join request from another daemon. space is nil if this daemon
+// doesn't have the space.
+func (o *Overlay) handleJoin(now time.Time, space *space, request Signal) {
+	if space == nil || len(space.peers) == 0 {
 		o.signal(request.From.Key.Daemon, Signal{
-			Kind: SignalNobody, Space: request.Space, To: request.From.Key, From: Peer{Key: PeerKey{Daemon: o.daemon}},
+			Kind: SignalNoPeer, Space: request.Space, To: request.From.Key, From: Peer{Key: PeerKey{Daemon: o.daemon}},
 		})
 		return
 	}
 	if request.To.Daemon != "" {
-		if _, present := here.byKey[request.To]; !present {
+		if _, present := space.byKey[request.To]; !present {
 			o.signal(request.From.Key.Daemon, Signal{Kind: SignalLeft, Space: request.Space, To: request.From.Key, From: Peer{Key: request.To}})
 		}
 	}
-	if named, present := here.byKey[request.To]; present && named.holdsOff(request) {
-		// Others know that peer already, but it does not know its surroundings yet; the
-		// request waits for that.
+	if named, present := space.byKey[request.To]; present && named.defersJoin(request) {
+		// Other peers already know the addressed peer, but it doesn't know its neighbours
+		// yet. The request waits until it has joined.
 		named.requests = append(named.requests, request)
 		return
 	}
-	if start := o.nearestHosted(here, request.From.At, nil); start != nil {
+	if start := o.nearestHosted(space, request.From.At, nil); start != nil {
 		o.forward(now, start, request)
 		return
 	}
-	o.accept(now, here.anyJoining(), request)
+	o.accept(now, space.anyJoining(), request)
 }
 
-// holdsOff reports whether a join must wait at a peer that is still joining. From the
-// third attempt on it doesn't, since joins may wait for each other in a cycle.
-func (h *hosted) holdsOff(request Signal) bool {
+// defersJoin reports whether a join request must wait at a peer that is still joining.
+// From its third attempt on a request doesn't wait, since joining peers may wait for
+// each other in a cycle.
+func (h *hostedPeer) defersJoin(request Signal) bool {
 	return h.joining != nil && len(h.known) == 0 && request.Attempts <= 2
 }
 
-// handleNobody records that a daemon hosts no peer of the space, or was lost. Once
-// that holds for all daemons the join was sent to, it goes to all; if it has, the peer
-// is the first.
-func (o *Overlay) handleNobody(now time.Time, peer *hosted, daemon string) {
+// handleNoPeer records that a daemon hosts no peer of the space, or was lost. Once this
+// applies to all daemons to which the join request was sent, the request is sent to all
+// daemons; if it already was, the peer joins as the first of the space.
+func (o *Overlay) handleNoPeer(now time.Time, peer *hostedPeer, daemon string) {
 	if peer.joining == nil || peer.queued || len(peer.joinTargets) == 0 {
 		return
 	}
@@ -219,29 +222,29 @@
 			return
 		}
 	}
-	if !peer.joinedThroughAll {
-		o.joinThroughAll(now, peer)
+	if !peer.joinSentToAll {
+		o.joinThroughAllDaemons(now, peer)
 		return
 	}
 	o.joined(now, peer)
 }
 
-// whenJoined has done called once a peer has joined, and has a new one begin to join.
-// done may be nil.
-func (o *Overlay) whenJoined(now time.Time, peer *hosted, made bool, done Completion, effects *statemachine.Effects) {
+// whenJoined registers done to be called once a peer has joined, and starts the join of
+// a newly created peer. done may be nil.
+func (o *Overlay) whenJoined(now time.Time, peer *hostedPeer, created bool, done Completion, effects *statemachine.Effects) {
 	if done != nil {
 		peer.waiting = append(peer.waiting, done)
 	}
-	if made {
+	if created {
 		o.join(now, peer)
 	}
 	o.checkJoined(now, peer, effects)
 	o.flush(effects)
 }
 
-// checkJoined calls those who wait for a peer if it has joined and no greeting is
-// pending.
-func (o *Overlay) checkJoined(now time.Time, peer *hosted, effects *statemachine.Effects) {
+// checkJoined calls the waiting completions of a peer if it has joined and no greeting
+// is pending.
+func (o *Overlay) checkJoined(now time.Time, peer *hostedPeer, effects *statemachine.Effects) {
 	if peer.joining != nil || len(peer.pending) > 0 {
 		return
 	}
--- a/internal/overlay/leave.go
+++ b/internal/overlay/leave.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// drop removes another peer that is gone from what a peer here knows, and rebuilds the
-// region if it was a neighbour.
-func (o *Overlay) drop(now time.Time, peer *hosted, key PeerKey) {
+// drop removes a departed peer from the known peers of a peer of this daemon, and
+// rebuilds the region if the departed peer was an enclosing neighbour.
+func (o *Overlay) drop(now time.Time, peer *hostedPeer, key PeerKey) {
 	if _, found := peer.known[key]; !found {
 		delete(peer.pending, key)
 		return
@@ -19,58 +19,58 @@
 	}
 }
 
-// forget removes another peer from all that this one knows, except the region and the
-// pending greetings.
-func (h *hosted) forget(key PeerKey) {
+// forget removes all state about another peer, except in the region and the pending
+// greetings.
+func (h *hostedPeer) forget(key PeerKey) {
 	if h.cell != nil {
-		h.cell.part(key)
+		h.cell.removeMember(key)
 	}
 	delete(h.known, key)
 	delete(h.subscribers, key)
 	delete(h.greeted, key)
-	delete(h.tookAt, key)
-	delete(h.owed, key)
+	delete(h.introducedAt, key)
+	delete(h.unannounced, key)
 }
 
-// leave removes a peer here and announces that to all that it knows.
-func (o *Overlay) leave(peer *hosted) {
+// leave removes a peer of this daemon and sends a SignalLeave to all peers that it knows.
+func (o *Overlay) leave(peer *hostedPeer) {
 	o.Counts.Leaves++
 	peer.space.unindexPeer(peer)
-	var parting []Peer
+	var remaining []Peer
 	for _, key := range peer.region.owners() {
-		parting = append(parting, peer.known[key])
+		remaining = append(remaining, peer.known[key])
 	}
 	for _, known := range sortedPeers(peer.known) {
-		if peer.cell == nil && known.Subscribes && !peer.region.owns(known.Key) && peer.region.meets(known.Area) {
-			parting = append(parting, known)
+		if peer.cell == nil && known.Subscribes && !peer.region.owns(known.Key) && peer.region.intersects(known.Area) {
+			remaining = append(remaining, known)
 		}
 	}
 	for key := range sortedPeers(peer.known) {
-		// Only the enclosing neighbours' regions grow, so that only they need to know
-		// who else was around.
-		farewell := Signal{Kind: SignalLeave, Space: peer.space.name, To: key, From: peer.self}
+		// Only the regions of the enclosing neighbours grow, so only they need the
+		// other neighbours and the subscribers of the region.
+		leaveSignal := Signal{Kind: SignalLeave, Space: peer.space.name, To: key, From: peer.self}
 		if peer.region.owns(key) {
-			farewell.Peers = parting
+			leaveSignal.Peers = remaining
 		}
 		if key.Daemon != o.daemon {
-			o.signal(key.Daemon, farewell)
-		} else if neighbour, here := peer.space.byKey[key]; here {
-			o.handleLeave(time.Time{}, neighbour, farewell)
+			o.signal(key.Daemon, leaveSignal)
+		} else if neighbour, local := peer.space.byKey[key]; local {
+			o.handleLeave(time.Time{}, neighbour, leaveSignal)
 		}
 	}
 }
 
-// handleLeave removes a peer that leaves, and learns those that it names.
-func (o *Overlay) handleLeave(now time.Time, peer *hosted, farewell Signal) {
-	o.drop(now, peer, farewell.From.Key)
-	o.learn(now, peer, farewell.From.Key, farewell.Peers, false)
+// handleLeave removes a leaving peer, and learns the peers that it names.
+func (o *Overlay) handleLeave(now time.Time, peer *hostedPeer, leaveSignal Signal) {
+	o.drop(now, peer, leaveSignal.From.Key)
+	o.learn(now, peer, leaveSignal.From.Key, leaveSignal.Peers, false)
 }
 
-// dropDaemon removes the peers of a daemon that are of another incarnation than the
-// given one, which is 0 where the daemon is gone.
+// dropDaemon removes all peers of a daemon except those of the given incarnation, which
+// is 0 if the daemon is no longer in the view.
 func (o *Overlay) dropDaemon(now time.Time, daemon string, incarnation uint64, effects *statemachine.Effects) {
-	for _, here := range statemachine.Sorted(o.spaces) {
-		for _, peer := range here.sorted() {
+	for _, space := range statemachine.Sorted(o.spaces) {
+		for _, peer := range space.sorted() {
 			rebuild := false
 			for key := range sortedPeers(peer.known) {
 				if key.Daemon != daemon || key.Incarnation == incarnation {
@@ -87,10 +87,10 @@
 			switch {
 			case peer.joining == nil || peer.queued:
 			case peer.joinTargets[daemon]:
-				o.handleNobody(now, peer, daemon)
+				o.handleNoPeer(now, peer, daemon)
 			case len(peer.joinTargets) == 0 && (now.Sub(peer.joining.sent) > joinAttemptValid || statemachine.Mutated("no-retry-pauses")):
-				// The join may have been on its way through that daemon. Where many are
-				// lost at a time, one new attempt is enough for all.
+				// The join request may have been lost with that daemon. If many daemons
+				// are lost at the same time, one new attempt is enough.
 				o.join(now, peer)
 			}
 			if rebuild {
@@ -106,46 +106,47 @@
 	}
 }
 
-// probeAll sends a probe of each peer here to one other daemon, which finds the
-// neighbours that this side of a split did not know.
+// probeAll sends a probe for each peer of this daemon to one other daemon. After a
+// network partition, this discovers the neighbours on the other side.
 func (o *Overlay) probeAll(_ time.Time, daemon string) {
-	for _, here := range statemachine.Sorted(o.spaces) {
-		if _, cells := o.planes[here.name]; cells {
-			// A comparison of cells finds what a probe would.
+	for _, space := range statemachine.Sorted(o.spaces) {
+		if _, cells := o.planes[space.name]; cells {
+			// Checks between the members of cells discover the same neighbours.
 			continue
 		}
-		for _, peer := range here.sorted() {
+		for _, peer := range space.sorted() {
 			o.probe(peer, daemon)
 		}
 	}
 }
 
-// probe sends a peer's join to a daemon once more, for what the response shows: the
-// neighbours as that side knows them. No response is awaited.
-func (o *Overlay) probe(peer *hosted, daemon string) {
+// probe sends a join request for a peer that has already joined. The response names the
+// neighbours that the other daemon's peers know for its region. A lost response isn't
+// detected.
+func (o *Overlay) probe(peer *hostedPeer, daemon string) {
 	o.Counts.Probes++
 	o.signal(daemon, Signal{Kind: SignalJoin, Space: peer.space.name, From: peer.self})
 }
 
-// ended reports whether a peer is of a daemon that isn't in the view, or of an earlier
-// incarnation of one that is. Incarnations rise; a peer of one that is above the
-// view's isn't ended, since the view may be old.
+// ended reports whether a peer belongs to a daemon that isn't in the view, or to an
+// earlier incarnation of a daemon that is. A peer with a higher incarnation than the
+// view's hasn't ended, since incarnations increase and the view may be out of date.
 func (o *Overlay) ended(key PeerKey) bool {
 	gateway, alive := o.gateways[key.Daemon]
 	return !alive || key.Incarnation > 0 && key.Incarnation < gateway.Joined && !statemachine.Mutated("any-life-of-a-peer")
 }
 
-// SetIncarnation sets this daemon's incarnation: the index at which it joined, for the
-// first time or after the others had declared it lost. Every peer joins anew under a
-// new key. It does nothing if the incarnation is the same.
+// SetIncarnation sets this daemon's incarnation: the index of the control state at
+// which it joined or, after the others had declared it lost, rejoined. Every peer
+// rejoins under a new key. It does nothing if the incarnation is unchanged.
 func (o *Overlay) SetIncarnation(now time.Time, incarnation uint64, effects *statemachine.Effects) {
 	if o.incarnation == incarnation {
 		return
 	}
 	o.incarnation = incarnation
-	for _, here := range statemachine.Sorted(o.spaces) {
-		for _, peer := range here.sorted() {
-			delete(here.byKey, peer.self.Key)
+	for _, space := range statemachine.Sorted(o.spaces) {
+		for _, peer := range space.sorted() {
+			delete(space.byKey, peer.self.Key)
 			o.number++
 			o.change++
 			peer.self.Key.Incarnation, peer.self.Key.Number = incarnation, o.number
@@ -155,15 +156,15 @@
 				peer.cell.reset()
 			}
 			peer.subscribers = map[PeerKey]Peer{}
-			peer.known, peer.greeted, peer.pending = map[PeerKey]Peer{}, map[PeerKey]uint64{}, map[PeerKey]*outstanding{}
-			peer.tookAt, peer.owed = map[PeerKey]time.Time{}, map[PeerKey]map[PeerKey]bool{}
+			peer.known, peer.greeted, peer.pending = map[PeerKey]Peer{}, map[PeerKey]uint64{}, map[PeerKey]*pendingRequest{}
+			peer.introducedAt, peer.unannounced = map[PeerKey]time.Time{}, map[PeerKey]map[PeerKey]bool{}
 			peer.region = newRegion(peer.self.At)
 			peer.joining, peer.queued = nil, false
-			here.byKey[peer.self.Key] = peer
+			space.byKey[peer.self.Key] = peer
 		}
-		peers := here.sorted()
+		peers := space.sorted()
 		for _, peer := range peers {
-			peer.joining, peer.queued = &outstanding{}, true
+			peer.joining, peer.queued = &pendingRequest{}, true
 		}
 		if len(peers) > 0 {
 			o.join(now, peers[0])
@@ -172,10 +173,10 @@
 	o.flush(effects)
 }
 
-// LeaveAll has every peer leave, before the daemon ends.
+// LeaveAll has every peer leave; it is called before the daemon shuts down.
 func (o *Overlay) LeaveAll(effects *statemachine.Effects) {
-	for _, here := range statemachine.Sorted(o.spaces) {
-		for _, peer := range here.sorted() {
+	for _, space := range statemachine.Sorted(o.spaces) {
+		for _, peer := range space.sorted() {
 			o.leave(peer)
 		}
 	}
--- a/internal/overlay/presence.go
+++ b/internal/overlay/presence.go
@@ -8,153 +8,163 @@
 	"dahlialock/internal/statemachine"
 )
 
-// This file has the cells of routed topics, and what their peers announce to each
-// other. The unit square of a plane is cut into four by four cells; a topic's number
-// picks one, and a square in the middle of it is the area of all the cell's peers.
-// This daemon has one peer in each cell in which its sessions subscribe or publish. It
-// stays for keepFor after its last use, so that clients that are disconnected and come
-// back don't have it join anew. All peers of a cell subscribe to its area, so that by
-// the overlay's mutual discovery each knows all the others, its members.
+// This file implements the cells of routed topics and the announcements between their
+// peers. The unit square of a plane is divided into four by four cells. The hash of a
+// topic selects its cell, and a square in the middle of the cell is the area of all of
+// the cell's peers. A daemon has one peer in each cell in which its sessions subscribe
+// or publish. The peer is kept for cellIdleTimeout after its last use, so that it
+// doesn't have to rejoin when clients disconnect and reconnect. All peers of a cell
+// subscribe to its area, so each of them discovers all others, the members of the cell.
 //
-// The peers of a cell announce to each other in notices how many subscribers each
-// topic has on their daemon. Changes are gathered for a moment and go to all members as
-// a numbered NoticeChanges, with those of all cells in one frame for each daemon. A
-// topic's first subscriber is announced within the gathering time or the pace, another
-// change of a count within countsDelay. A new member is sent a NoticeComplete. A peer
-// that finds that it lacks a notice requests a NoticeComplete. Every checkInterval each
-// daemon sends the others the sequences of its newest notices and the digests of its
-// cells' members, which shows what was lost: a notice, or the knowledge of a peer.
+// The peers of a cell announce in notices how many subscribers each topic has on their
+// daemons. Changes are gathered for a short time and sent to all members as a numbered
+// NoticeChanges; the changes of all cells are sent to a daemon in one frame. The first
+// subscriber of a topic is announced after the gathering time or at the end of the
+// current pause (see pace), other changes of a count within countsDelay. A new member
+// is sent a NoticeComplete. A peer that detects a gap in the sequence of notices
+// requests a NoticeComplete. Every checkInterval each daemon sends the others the
+// sequences of its newest notices and the digests of its cells' members, or a digest of
+// both. This detects lost notices and members that a peer doesn't know.
 //
-// All of this is sent within calls or by the timers of Tick.
+// Frames are sent by the calls that cause them or by the timers of Tick.
 
-// Times and bounds of the cells.
+// Timeouts, intervals and limits of the cells.
 const (
-	// cellSide is how many cells there are along an axis.
+	// cellSide is the number of cells along an axis.
 	cellSide = 4
-	// CellCount is how many cells a plane has.
+	// CellCount is the number of cells in a plane.
 	CellCount = cellSide * cellSide
-	// gatherFor is how long changes are gathered, so that one frame has what several
-	// clients, or several requests of one, change almost at once.
-	gatherFor = 2 * time.Millisecond
-	// paceEach is the pause for each gateway between two announcements to all, so that
-	// the frames in a second are bounded, however many gateways there are.
-	paceEach = time.Millisecond
-	// countsDelay is how long a changed count may wait, unless it was 0 before.
+	// gatherDelay is how long changes are gathered, so that one frame contains the
+	// changes of several clients, or of several requests of a client, made at almost
+	// the same time.
+	gatherDelay = 2 * time.Millisecond
+	// pausePerGateway times the number of gateways is the pause between two
+	// announcements to all members. This bounds the frames per second for any number of
+	// gateways.
+	pausePerGateway = time.Millisecond
+	// countsDelay is how long the announcement of a changed count may be delayed, unless
+	// the count was 0 before.
 	countsDelay   = 200 * time.Millisecond
 	checkInterval = 2 * time.Second
-	// numbersEveryChecks is every how many checks the sequences themselves are sent in
-	// place of a digest. They show neighbours in cells that a receiver has no peer in.
-	numbersEveryChecks = 5
-	// checkAfter is how soon a check follows a change of the peers known here, and
-	// checkAgain how soon it follows another check for that reason, doubled in a row.
-	checkAfter = 10 * time.Millisecond
-	checkAgain = 250 * time.Millisecond
-	// requestRetry is after what time a NoticeComplete is requested again; it doubles
-	// up to maxRequestDoublings times.
+	// In every sequencesEveryChecks-th check the sequences themselves are sent instead of
+	// a digest. From them a receiver discovers neighbours in cells in which it has no
+	// peer.
+	sequencesEveryChecks = 5
+	// checkDelay is the delay of a check after a change of the known peers.
+	// repeatedCheckDelay is the minimum time between such a check and the previous
+	// check; it doubles for consecutive checks.
+	checkDelay         = 10 * time.Millisecond
+	repeatedCheckDelay = 250 * time.Millisecond
+	// requestRetry is the time after which a NoticeComplete is requested again; it
+	// doubles up to maxRequestDoublings times.
 	requestRetry        = 300 * time.Millisecond
 	maxRequestDoublings = 3
-	// membersWait lets joins become stable before peers compare whom they know.
+	// membersWait is the delay after a differing digest before members are compared, so
+	// that joins in progress can finish.
 	membersWait = 100 * time.Millisecond
-	// membersQuiet is for how long the members of a cell must have stayed the same
-	// before they are compared: while many join, all differ from all, and the checks
-	// that each sends to all others make them equal by themselves.
-	membersQuiet = 400 * time.Millisecond
-	// reachTimeout is how long AwaitCell waits at most.
-	reachTimeout = time.Second
-	// keepFor is how long a cell without subscribers here keeps its peer.
-	keepFor = 10 * time.Minute
-	// unknownDaemonsPerCheck is to how many daemons with which no cell is shared a
-	// check goes, in turn.
+	// membersStablePeriod is how long the members of a cell must have been stable
+	// before they are compared. While many peers join, all digests differ, and the
+	// checks that each daemon sends to all others are enough to make them equal.
+	membersStablePeriod = 400 * time.Millisecond
+	// awaitCellTimeout limits how long AwaitCell waits.
+	awaitCellTimeout = time.Second
+	// cellIdleTimeout is how long the peer of a cell is kept while this daemon has no
+	// subscribers in it.
+	cellIdleTimeout = 10 * time.Minute
+	// unknownDaemonsPerCheck is the number of daemons without a shared cell to which a
+	// check is sent; they are selected in turn.
 	unknownDaemonsPerCheck = 16
 )
 
-// SetSubscribers sets how many subscribers of a topic this daemon has; 0 removes it. The
-// change is announced later, by a timer.
+// SetSubscribers sets the number of subscribers that a topic has on this daemon; 0
+// removes the topic. A timer announces the change later.
 func (o *Overlay) SetSubscribers(now time.Time, planeName, topic string, count int, effects *statemachine.Effects) {
 	number := config.TopicHash(topic)
 	if count == 0 && o.cellAt(planeName, number) == nil {
 		return
 	}
-	here := o.cell(now, planeName, CellOf(number), effects)
-	here.lastUse = now
-	earlier := here.counts[number]
+	cell := o.cell(now, planeName, CellOf(number), effects)
+	cell.lastUse = now
+	earlier := cell.counts[number]
 	if earlier == uint32(count) {
 		return
 	}
 	if count == 0 {
-		delete(here.counts, number)
+		delete(cell.counts, number)
 	} else {
-		here.counts[number] = uint32(count)
+		cell.counts[number] = uint32(count)
 	}
-	told, changed := here.changed[number]
+	announced, changed := cell.changed[number]
 	if !changed {
-		told = earlier
-		here.changed[number] = told
+		announced = earlier
+		cell.changed[number] = announced
 	}
 	due := now.Add(countsDelay)
 	switch {
-	case told == uint32(count):
-		delete(here.changed, number)
+	case announced == uint32(count):
+		delete(cell.changed, number)
 		return
-	case told == 0:
-		due = now.Add(gatherFor)
+	case announced == 0:
+		due = now.Add(gatherDelay)
 		if due.Before(o.paceUntil) {
 			due = o.paceUntil
 		}
 	}
-	here.due = statemachine.Earliest(here.due, due)
-	o.timers.ArmSooner("notices", here.due)
+	cell.due = statemachine.Earliest(cell.due, due)
+	o.timers.ArmSooner("notices", cell.due)
 }
 
-// AwaitCell ensures that a topic's cell has a peer here. It calls then once that knows
-// the members of the cell and their subscribers, or without done after reachTimeout; if
-// it knows them already, at once.
+// AwaitCell ensures that this daemon has a peer in a topic's cell. It calls then with
+// done set once the peer knows the members of the cell and their subscriber counts,
+// which is immediately if it already does, or with done unset after awaitCellTimeout.
 func (o *Overlay) AwaitCell(now time.Time, planeName, topic string, then Completion, effects *statemachine.Effects) {
-	here := o.cell(now, planeName, CellOf(config.TopicHash(topic)), effects)
-	here.lastUse = now
-	if here.joined() {
+	cell := o.cell(now, planeName, CellOf(config.TopicHash(topic)), effects)
+	cell.lastUse = now
+	if cell.joined() {
 		then(now, effects, true)
 		return
 	}
-	if len(here.waiting) == 0 {
-		here.until = now.Add(reachTimeout)
-		o.timers.ArmSooner("reach", here.until)
+	if len(cell.waiting) == 0 {
+		cell.deadline = now.Add(awaitCellTimeout)
+		o.timers.ArmSooner("reach", cell.deadline)
 	}
-	here.waiting = append(here.waiting, then)
+	cell.waiting = append(cell.waiting, then)
 }
 
-// SubscribedDaemons returns the names of the other daemons that have subscribers of a
-// topic, in order, as announced; none if there is no peer in its cell (see AwaitCell).
+// SubscribedDaemons returns the sorted names of the other daemons that have announced
+// subscribers of a topic. It returns none if this daemon has no peer in the topic's
+// cell (see AwaitCell).
 func (o *Overlay) SubscribedDaemons(planeName, topic string) []string {
 	number := config.TopicHash(topic)
-	here := o.cellAt(planeName, number)
-	if here == nil {
+	cell := o.cellAt(planeName, number)
+	if cell == nil {
 		return nil
 	}
 	var names []string
-	for _, name := range here.order {
-		if here.members[name].counts[number] > 0 {
+	for _, name := range cell.order {
+		if cell.members[name].counts[number] > 0 {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// Subscribers returns how many subscribers of a topic all other daemons have announced.
+// Subscribers returns the number of subscribers of a topic that all other daemons have
+// announced.
 func (o *Overlay) Subscribers(planeName, topic string) int {
 	number := config.TopicHash(topic)
-	here := o.cellAt(planeName, number)
-	if here == nil {
+	cell := o.cellAt(planeName, number)
+	if cell == nil {
 		return 0
 	}
 	sum := 0
-	for _, known := range here.members {
+	for _, known := range cell.members {
 		sum += int(known.counts[number])
 	}
 	return sum
 }
 
-// cellAt returns the cell of a topic, nil if there is no peer in it here.
+// cellAt returns the cell of a topic, or nil if this daemon has no peer in it.
 func (o *Overlay) cellAt(planeName string, topic uint64) *cell {
 	plane, found := o.planes[planeName]
 	if !found {
@@ -163,47 +173,48 @@
 	return plane.cells[CellOf(topic)]
 }
 
-// cell returns a cell of a plane; if it is new, its peer here begins to join.
+// cell returns a cell of a plane. If it doesn't exist yet, it is created and this
+// daemon's peer starts to join.
 func (o *Overlay) cell(now time.Time, planeName string, number uint8, effects *statemachine.Effects) *cell {
-	where, found := o.planes[planeName]
+	inPlane, found := o.planes[planeName]
 	if !found {
-		where = &plane{name: planeName}
-		o.planes[planeName] = where
+		inPlane = &plane{name: planeName}
+		o.planes[planeName] = inPlane
 	}
-	if here := where.cells[number]; here != nil {
-		return here
+	if result := inPlane.cells[number]; result != nil {
+		return result
 	}
-	here := &cell{
-		plane: where, number: number, counts: map[uint64]uint32{}, changed: map[uint64]uint32{},
-		members: map[string]*member{}, owed: map[string]bool{}, lastUse: now,
+	result := &cell{
+		plane: inPlane, number: number, counts: map[uint64]uint32{}, changed: map[uint64]uint32{},
+		members: map[string]*member{}, pendingComplete: map[string]bool{}, lastUse: now,
 	}
-	where.cells[number] = here
+	inPlane.cells[number] = result
 	peer, _ := o.peer(now, planeName, cellArea(number))
 	peer.self = cellPeer(peer.self.Key, number, peer.self.Change)
 	peer.region = newRegion(peer.self.At)
-	peer.cell, here.peer = here, peer
-	peer.holders++
+	peer.cell, result.peer = result, peer
+	peer.subscriptions++
 	o.whenJoined(now, peer, true, nil, effects)
 	o.scheduleCheck(now)
-	return here
+	return result
 }
 
-// completeWaiting calls those who wait for cells that are joined, or whose wait has
-// timed out.
+// completeWaiting calls the waiting completions of cells that are joined or whose wait
+// has timed out.
 func (o *Overlay) completeWaiting(now time.Time, effects *statemachine.Effects) {
-	for _, where := range statemachine.Sorted(o.planes) {
-		for _, here := range where.cells {
-			if here == nil || len(here.waiting) == 0 {
+	for _, plane := range statemachine.Sorted(o.planes) {
+		for _, cell := range plane.cells {
+			if cell == nil || len(cell.waiting) == 0 {
 				continue
 			}
-			done := here.joined()
-			if !done && here.until.After(now) {
-				o.timers.ArmSooner("reach", here.until)
+			done := cell.joined()
+			if !done && cell.deadline.After(now) {
+				o.timers.ArmSooner("reach", cell.deadline)
 				continue
 			}
-			here.reached = true
-			waiting := here.waiting
-			here.waiting = nil
+			cell.ready = true
+			waiting := cell.waiting
+			cell.waiting = nil
 			for _, then := range waiting {
 				then(now, effects, done)
 			}
@@ -211,35 +222,35 @@
 	}
 }
 
-// meet adds another daemon's peer to the members, unless a newer one of the daemon is
-// among them; it is to get a NoticeComplete.
-func (o *Overlay) meet(now time.Time, here *cell, key PeerKey) {
-	earlier, found := here.members[key.Daemon]
+// addMember adds another daemon's peer to the members of a cell, unless a newer peer of
+// that daemon is a member, and schedules a NoticeComplete to it.
+func (o *Overlay) addMember(now time.Time, cell *cell, key PeerKey) {
+	earlier, found := cell.members[key.Daemon]
 	if found && (earlier.key == key || earlier.key.Incarnation > key.Incarnation || earlier.key.Incarnation == key.Incarnation && earlier.key.Number > key.Number) {
 		return
 	}
 	if found {
-		here.digest ^= keyHash(earlier.key)
+		cell.digest ^= keyHash(earlier.key)
 	} else {
-		position, _ := slices.BinarySearch(here.order, key.Daemon)
-		here.order = slices.Insert(here.order, position, key.Daemon)
-	}
-	// It sends a NoticeComplete by itself once it has met this peer, which is requested
-	// only if it does not come.
-	here.members[key.Daemon] = &member{key: key, requested: now}
-	here.digest ^= keyHash(key)
-	here.changedAt = now
-	o.owe(now, here, key.Daemon)
+		position, _ := slices.BinarySearch(cell.order, key.Daemon)
+		cell.order = slices.Insert(cell.order, position, key.Daemon)
+	}
+	// The new member sends a NoticeComplete once it has added this peer to its own
+	// members. It is requested only if it isn't received in time.
+	cell.members[key.Daemon] = &member{key: key, requested: now}
+	cell.digest ^= keyHash(key)
+	cell.changedAt = now
+	o.scheduleComplete(now, cell, key.Daemon)
 }
 
-// owe has a NoticeComplete sent to a daemon after gatherFor.
-func (o *Overlay) owe(now time.Time, here *cell, daemon string) {
-	here.owed[daemon] = true
-	o.timers.ArmSooner("owed", now.Add(gatherFor))
+// scheduleComplete schedules a NoticeComplete to a daemon after gatherDelay.
+func (o *Overlay) scheduleComplete(now time.Time, cell *cell, daemon string) {
+	cell.pendingComplete[daemon] = true
+	o.timers.ArmSooner("owed", now.Add(gatherDelay))
 }
 
-// notify adds a notice to the frame to a daemon, and returns the part of the frame in
-// which it is, nil if the view doesn't have the daemon.
+// notify adds a notice to the frame for a daemon, and returns the Notices that contains
+// it, or nil if the daemon isn't in the view.
 func (o *Overlay) notify(daemon, planeName string, notice Notice) *Notices {
 	gateway, alive := o.gateways[daemon]
 	if !alive {
@@ -247,7 +258,7 @@
 	}
 	o.Counts.Notices[notice.Kind]++
 	o.Counts.Announced[notice.Kind] += uint64(max(len(notice.Topics), len(notice.Counts)) + len(notice.Members))
-	frame := o.signalsTo(gateway.Address)
+	frame := o.frameTo(gateway.Address)
 	for position := range frame.Notices {
 		if frame.Notices[position].Plane == planeName {
 			frame.Notices[position].Notices = append(frame.Notices[position].Notices, notice)
@@ -258,34 +269,35 @@
 	return &frame.Notices[len(frame.Notices)-1]
 }
 
-// sendOwed sends a NoticeComplete to all new members and those that requested it.
-func (o *Overlay) sendOwed() {
-	for _, where := range statemachine.Sorted(o.planes) {
-		for _, here := range where.cells {
-			if here == nil || len(here.owed) == 0 {
+// sendPendingComplete sends a NoticeComplete to all new members and to those that
+// requested one.
+func (o *Overlay) sendPendingComplete() {
+	for _, plane := range statemachine.Sorted(o.planes) {
+		for _, cell := range plane.cells {
+			if cell == nil || len(cell.pendingComplete) == 0 {
 				continue
 			}
-			complete := here.completeNotice()
-			for daemon := range statemachine.Sorted(here.owed) {
-				o.notify(daemon, where.name, complete)
+			complete := cell.completeNotice()
+			for daemon := range statemachine.Sorted(cell.pendingComplete) {
+				o.notify(daemon, plane.name, complete)
 			}
-			clear(here.owed)
+			clear(cell.pendingComplete)
 		}
 	}
 }
 
-// sendChanges sends the changes of the cells if any is due, those that aren't due yet
-// too, since the frames are sent in any case.
+// sendChanges sends the changes of all cells if those of any cell are due. Changes that
+// aren't due yet are included, since the frames are sent anyway.
 func (o *Overlay) sendChanges(now time.Time) {
 	var next time.Time
 	any := false
-	for _, where := range o.planes {
-		for _, here := range where.cells {
-			if here == nil || here.due.IsZero() {
+	for _, plane := range o.planes {
+		for _, cell := range plane.cells {
+			if cell == nil || cell.due.IsZero() {
 				continue
 			}
-			any = any || !here.due.After(now)
-			next = statemachine.Earliest(next, here.due)
+			any = any || !cell.due.After(now)
+			next = statemachine.Earliest(next, cell.due)
 		}
 	}
 	if !any {
@@ -295,79 +307,79 @@
 		return
 	}
 	o.pace(now)
-	for _, where := range statemachine.Sorted(o.planes) {
-		for _, here := range where.cells {
-			if here == nil || here.due.IsZero() {
+	for _, plane := range statemachine.Sorted(o.planes) {
+		for _, cell := range plane.cells {
+			if cell == nil || cell.due.IsZero() {
 				continue
 			}
-			here.due = time.Time{}
-			if len(here.changed) == 0 {
+			cell.due = time.Time{}
+			if len(cell.changed) == 0 {
 				continue
 			}
-			// What is owed goes first, so that the changes follow it.
-			o.sendOwed()
-			here.sequence++
-			notice := here.notice(NoticeChanges)
+			// A pending NoticeComplete must be sent before the changes that follow it.
+			o.sendPendingComplete()
+			cell.sequence++
+			notice := cell.notice(NoticeChanges)
 			notice.Digest = 0
-			for topic := range statemachine.Sorted(here.changed) {
-				notice.add(topic, here.counts[topic])
+			for topic := range statemachine.Sorted(cell.changed) {
+				notice.add(topic, cell.counts[topic])
 			}
-			clear(here.changed)
-			for _, daemon := range here.order {
-				o.notify(daemon, where.name, notice)
+			clear(cell.changed)
+			for _, daemon := range cell.order {
+				o.notify(daemon, plane.name, notice)
 			}
 		}
 	}
 }
 
-// pace sets when the next changes may go to all. While there always are some, the pause
-// grows, which makes fewer and fuller frames of them.
+// pace sets when the next changes may be sent to all members. Under continuous changes
+// the pause grows, so that fewer frames with more changes each are sent.
 func (o *Overlay) pace(now time.Time) {
-	if now.Sub(o.paceUntil) < gatherFor {
-		o.paced++
+	if now.Sub(o.paceUntil) < gatherDelay {
+		o.consecutivePaced++
 	} else {
-		o.paced = 0
+		o.consecutivePaced = 0
 	}
-	o.paceUntil = now.Add(min(backoff(paceEach*time.Duration(len(o.gateways)), o.paced), max(countsDelay, paceEach*time.Duration(len(o.gateways)))))
+	o.paceUntil = now.Add(min(backoff(pausePerGateway*time.Duration(len(o.gateways)), o.consecutivePaced), max(countsDelay, pausePerGateway*time.Duration(len(o.gateways)))))
 }
 
-// check sends a digest or, in every numbersEveryChecks-th check, the sequences of the
-// newest notices here to all daemons with which a cell is shared, and the sequences to
-// some of the others in turn.
+// check sends to all daemons with which a cell is shared a digest or, in every
+// sequencesEveryChecks-th check, the sequences of this daemon's newest notices. It also
+// sends the sequences to some of the other daemons, in turn.
 func (o *Overlay) check(now time.Time) {
-	if o.checks++; now.Sub(o.checked) >= checkInterval {
-		o.checks = 0
+	if o.consecutiveChecks++; now.Sub(o.lastCheck) >= checkInterval {
+		o.consecutiveChecks = 0
 	}
-	o.checked = now
-	o.checkTurn++
+	o.lastCheck = now
+	o.checkCount++
 	if statemachine.Mutated("no-notice-checks") {
 		return
 	}
 	any := false
-	for _, where := range statemachine.Sorted(o.planes) {
+	for _, plane := range statemachine.Sorted(o.planes) {
 		sharing := map[string]bool{}
-		for _, here := range where.cells {
-			if here == nil {
+		for _, cell := range plane.cells {
+			if cell == nil {
 				continue
 			}
 			any = true
-			for daemon := range here.members {
+			for daemon := range cell.members {
 				sharing[daemon] = true
 			}
 		}
-		var strangers []string
+		var unshared []string
 		for daemon := range statemachine.Sorted(o.gateways) {
-			if sharing[daemon] && o.checkTurn%numbersEveryChecks != 0 {
-				o.levelWith(daemon, where)
+			if sharing[daemon] && o.checkCount%sequencesEveryChecks != 0 {
+				o.sendCellsDigest(daemon, plane)
 			} else if sharing[daemon] {
-				o.checkWith(daemon, where, false)
+				o.checkWith(daemon, plane, false)
 			} else {
-				strangers = append(strangers, daemon)
+				unshared = append(unshared, daemon)
 			}
 		}
-		for range min(len(strangers), unknownDaemonsPerCheck) {
-			o.checkWith(strangers[where.turn%len(strangers)], where, true)
-			where.turn++
+		for range min(len(unshared), unknownDaemonsPerCheck) {
+			o.checkWith(unshared[plane.turn%len(unshared)], plane, true)
+			plane.turn++
 		}
 	}
 	if any {
@@ -375,139 +387,143 @@
 	}
 }
 
-// levelWith sends one daemon the digest of the cells here; it requests the checks
-// themselves unless it computes the same.
-func (o *Overlay) levelWith(daemon string, where *plane) {
+// sendCellsDigest sends a daemon the digest of this daemon's cells. The receiver
+// requests the checks themselves if it computes a different digest.
+func (o *Overlay) sendCellsDigest(daemon string, plane *plane) {
 	gateway, alive := o.gateways[daemon]
 	if !alive {
 		return
 	}
-	frame := o.signalsTo(gateway.Address)
+	frame := o.frameTo(gateway.Address)
 	o.Counts.Levels++
-	level := where.level(func(here *cell) (levelPart, bool) {
-		return levelPart{number: here.peer.self.Key.Number, sequence: here.sequence}, true
+	digest := plane.cellsDigest(func(cell *cell) (peerState, bool) {
+		return peerState{number: cell.peer.self.Key.Number, sequence: cell.sequence}, true
 	})
-	frame.Notices = append(frame.Notices, Notices{Daemon: o.daemon, Incarnation: o.incarnation, Plane: where.name, Level: level})
+	frame.Notices = append(frame.Notices, Notices{Daemon: o.daemon, Incarnation: o.incarnation, Plane: plane.name, Level: digest})
 }
 
-// levelPart is what goes into a level of a daemon's peer in one cell: the number of its
-// key, and the sequence of its newest notice.
-type levelPart struct{ number, sequence uint64 }
+// peerState is the part of a cells' digest that describes a daemon's peer in one cell: the
+// number of its key and the sequence of its newest notice.
+type peerState struct{ number, sequence uint64 }
 
-// level returns a digest of cells: of the members of each, and of a daemon's peer
-// there, as told returns it. It is 0 if told knows none. A daemon without a peer in one
-// of another's cells never computes the same level, and requests the checks: from them
-// its peers learn of neighbours in that cell.
-func (p *plane) level(told func(here *cell) (levelPart, bool)) uint64 {
+// cellsDigest returns a digest of the cells for which stateOf returns the state of a
+// daemon's peer: of the members of each cell and that state. It is 0 if there is no
+// such cell. A daemon that lacks a peer in one of the sender's cells computes a
+// different digest and requests the checks, from which its peers discover neighbours in
+// that cell.
+func (p *plane) cellsDigest(stateOf func(cell *cell) (peerState, bool)) uint64 {
 	sum := uint64(0)
-	for _, here := range p.cells {
-		if here == nil {
+	for _, cell := range p.cells {
+		if cell == nil {
 			continue
 		}
-		if part, known := told(here); known {
-			sum = mix(sum ^ mix(uint64(here.number)^mix(part.number^mix(part.sequence^here.digestHere()))))
+		if part, known := stateOf(cell); known {
+			sum = mix(sum ^ mix(uint64(cell.number)^mix(part.number^mix(part.sequence^cell.digestHere()))))
 		}
 	}
 	return sum
 }
 
-// levelOf returns the level of an incarnation of another daemon as far as its cells are
-// known here.
-func (p *plane) levelOf(daemon string, incarnation uint64) uint64 {
-	return p.level(func(here *cell) (levelPart, bool) {
-		known, found := here.members[daemon]
-		if !found || !known.heard || known.key.Incarnation != incarnation {
-			return levelPart{}, false
+// cellsDigestOf returns the cells' digest of an incarnation of another daemon, computed
+// from the members known to this daemon.
+func (p *plane) cellsDigestOf(daemon string, incarnation uint64) uint64 {
+	return p.cellsDigest(func(cell *cell) (peerState, bool) {
+		known, found := cell.members[daemon]
+		if !found || !known.countsReceived || known.key.Incarnation != incarnation {
+			return peerState{}, false
 		}
-		return levelPart{number: known.key.Number, sequence: known.sequence}, true
+		return peerState{number: known.key.Number, sequence: known.sequence}, true
 	})
 }
 
-// handleLevel requests a NoticeCheck of each of a daemon's cells unless its level is the
-// one known here. where is nil if this daemon doesn't have the plane.
-func (o *Overlay) handleLevel(where *plane, told Notices) {
-	gateway := o.gateways[told.Daemon]
-	if where != nil && where.levelOf(told.Daemon, told.Incarnation) == told.Level {
+// handleCellsDigest requests a NoticeCheck for each of another daemon's cells, unless the
+// received digest equals the one computed by cellsDigestOf. plane is nil if this daemon
+// doesn't have the plane.
+func (o *Overlay) handleCellsDigest(plane *plane, received Notices) {
+	gateway := o.gateways[received.Daemon]
+	if plane != nil && plane.cellsDigestOf(received.Daemon, received.Incarnation) == received.Level {
 		return
 	}
-	frame := o.signalsTo(gateway.Address)
-	frame.Notices = append(frame.Notices, Notices{Daemon: o.daemon, Incarnation: o.incarnation, Plane: told.Plane, Answer: true})
+	frame := o.frameTo(gateway.Address)
+	frame.Notices = append(frame.Notices, Notices{Daemon: o.daemon, Incarnation: o.incarnation, Plane: received.Plane, Answer: true})
 }
 
-// scheduleCheck has a check follow a change of the peers known here, so that peers that
-// join at the same time find each other.
+// scheduleCheck schedules a check after a change of the known peers, so that peers that
+// join at the same time discover each other.
 func (o *Overlay) scheduleCheck(now time.Time) {
-	at := o.checked.Add(backoff(checkAgain, o.checks))
-	if soon := now.Add(checkAfter); at.Before(soon) {
+	at := o.lastCheck.Add(backoff(repeatedCheckDelay, o.consecutiveChecks))
+	if soon := now.Add(checkDelay); at.Before(soon) {
 		at = soon
 	}
 	o.timers.ArmSooner("checks", at)
 }
 
-// checkWith sends one daemon a NoticeCheck of each cell here, and requests its own if
-// answer is set.
-func (o *Overlay) checkWith(daemon string, where *plane, answer bool) {
-	for _, here := range where.cells {
-		if here == nil {
+// checkWith sends a daemon a NoticeCheck for each of this daemon's cells, and requests
+// the same from it if requestChecks is set.
+func (o *Overlay) checkWith(daemon string, plane *plane, requestChecks bool) {
+	for _, cell := range plane.cells {
+		if cell == nil {
 			continue
 		}
-		if frame := o.notify(daemon, where.name, here.notice(NoticeCheck)); frame != nil {
-			frame.Answer = frame.Answer || answer
+		if frame := o.notify(daemon, plane.name, cell.notice(NoticeCheck)); frame != nil {
+			frame.Answer = frame.Answer || requestChecks
 		}
 	}
 }
 
-// handleNotices handles the notices of another daemon's peers; those of an earlier
+// handleNotices handles notices from another daemon's peers. Those of an earlier
 // incarnation are ignored.
-func (o *Overlay) handleNotices(now time.Time, told Notices) {
-	gateway, alive := o.gateways[told.Daemon]
-	if !alive || told.Incarnation < gateway.Joined || told.Daemon == o.daemon {
+func (o *Overlay) handleNotices(now time.Time, received Notices) {
+	gateway, alive := o.gateways[received.Daemon]
+	if !alive || received.Incarnation < gateway.Joined || received.Daemon == o.daemon {
 		return
 	}
-	where, found := o.planes[told.Plane]
-	if told.Level != 0 {
-		o.handleLevel(where, told)
+	plane, found := o.planes[received.Plane]
+	if received.Level != 0 {
+		o.handleCellsDigest(plane, received)
 	}
-	for _, notice := range told.Notices {
+	for _, notice := range received.Notices {
 		if notice.Cell >= CellCount || !notice.fits() {
 			continue
 		}
-		key := PeerKey{Daemon: told.Daemon, Incarnation: told.Incarnation, Number: notice.Number}
+		key := PeerKey{Daemon: received.Daemon, Incarnation: received.Incarnation, Number: notice.Number}
 		if found && notice.Kind == NoticeCheck {
-			o.border(now, where, key, notice)
+			o.introduceSender(now, plane, key, notice)
 		}
-		if !found || where.cells[notice.Cell] == nil {
+		if !found || plane.cells[notice.Cell] == nil {
 			if notice.Kind != NoticeAbsent && notice.Kind != NoticeCheck {
-				o.notify(told.Daemon, told.Plane, Notice{Kind: NoticeAbsent, Cell: notice.Cell})
+				o.notify(received.Daemon, received.Plane, Notice{Kind: NoticeAbsent, Cell: notice.Cell})
 			}
 			continue
 		}
-		o.handleNotice(now, where.cells[notice.Cell], key, notice)
+		o.handleNotice(now, plane.cells[notice.Cell], key, notice)
 	}
-	if found && told.Answer {
-		o.checkWith(told.Daemon, where, false)
+	if found && received.Answer {
+		o.checkWith(received.Daemon, plane, false)
 	}
 }
 
-// border has the peers here whose regions a peer of another cell would cut learn of it.
-func (o *Overlay) border(now time.Time, where *plane, key PeerKey, notice Notice) {
+// introduceSender introduces the sender of a NoticeCheck to this daemon's peers in
+// other cells whose regions it would cut.
+func (o *Overlay) introduceSender(now time.Time, plane *plane, key PeerKey, notice Notice) {
 	other := cellPeer(key, notice.Cell, notice.Change)
-	for _, here := range where.cells {
-		if here == nil || here.number == notice.Cell || here.peer.joining != nil || !here.peer.region.cuts(other.At) {
+	for _, cell := range plane.cells {
+		if cell == nil || cell.number == notice.Cell || cell.peer.joining != nil || !cell.peer.region.cuts(other.At) {
 			continue
 		}
-		if _, known := here.peer.known[key]; !known {
-			o.learn(now, here.peer, key, []Peer{other}, false)
+		if _, known := cell.peer.known[key]; !known {
+			o.learn(now, cell.peer, key, []Peer{other}, false)
 		}
 	}
 }
 
-// handleNotice handles a notice of a peer in a cell here, which becomes a member by it.
-func (o *Overlay) handleNotice(now time.Time, here *cell, key PeerKey, notice Notice) {
-	known, found := here.members[key.Daemon]
+// handleNotice handles a notice from a peer of one of the cells in which this daemon has
+// a peer. The sender becomes a member of the cell if it was none.
+func (o *Overlay) handleNotice(now time.Time, cell *cell, key PeerKey, notice Notice) {
+	known, found := cell.members[key.Daemon]
 	if notice.Kind == NoticeAbsent {
 		if found {
-			o.drop(now, here.peer, known.key)
+			o.drop(now, cell.peer, known.key)
 		}
 		return
 	}
@@ -515,114 +531,116 @@
 		if found && known.key.Incarnation == key.Incarnation && known.key.Number > key.Number {
 			return
 		}
-		o.learn(now, here.peer, key, []Peer{cellPeer(key, here.number, notice.Change)}, true)
-		if known, found = here.members[key.Daemon]; !found || known.key != key {
+		o.learn(now, cell.peer, key, []Peer{cellPeer(key, cell.number, notice.Change)}, true)
+		if known, found = cell.members[key.Daemon]; !found || known.key != key {
 			return
 		}
 	}
 	switch notice.Kind {
 	case NoticeComplete:
-		if known.heard && notice.Sequence < known.sequence {
+		if known.countsReceived && notice.Sequence < known.sequence {
 			return
 		}
-		known.heard, known.sequence, known.asks, known.wanted = true, notice.Sequence, 0, false
+		known.countsReceived, known.sequence, known.requestAttempts, known.requestDelayed = true, notice.Sequence, 0, false
 		known.counts = make(map[uint64]uint32, len(notice.Topics))
 		known.apply(notice)
 	case NoticeChanges:
-		if statemachine.Mutated("gaps-unheeded") && known.heard {
+		if statemachine.Mutated("gaps-unheeded") && known.countsReceived {
 			known.sequence = max(known.sequence, notice.Sequence-1)
 		}
 		switch {
-		case known.heard && notice.Sequence <= known.sequence:
-		case known.heard && notice.Sequence == known.sequence+1:
+		case known.countsReceived && notice.Sequence <= known.sequence:
+		case known.countsReceived && notice.Sequence == known.sequence+1:
 			known.sequence = notice.Sequence
 			known.apply(notice)
 		default:
-			o.requestComplete(now, here, known)
+			o.requestComplete(now, cell, known)
 		}
 	case NoticeCheck:
-		if !known.heard || notice.Sequence > known.sequence {
-			o.requestComplete(now, here, known)
+		if !known.countsReceived || notice.Sequence > known.sequence {
+			o.requestComplete(now, cell, known)
 		}
-	case NoticeAsk:
-		o.owe(now, here, key.Daemon)
+	case NoticeRequest:
+		o.scheduleComplete(now, cell, key.Daemon)
 	case NoticeDiffers, NoticeMissing:
-		o.level(here, key, notice)
-		// level has sent it what it lacks, so that the two count as equal.
-		notice.Digest = here.digestHere()
+		o.sendMissingMembers(cell, key, notice)
+		// sendMissingMembers has sent the missing members to the sender, so the two
+		// digests count as equal.
+		notice.Digest = cell.digestHere()
 	case NoticeMembers:
-		o.merge(now, here, key, notice.Members)
+		o.learnMembers(now, cell, key, notice.Members)
 	}
 	if notice.Digest == 0 {
 		return
 	}
 	known.digestAt = now
-	if known.digest = notice.Digest; known.digest != here.digestHere() {
+	if known.digest = notice.Digest; known.digest != cell.digestHere() {
 		o.timers.ArmSooner("members", now.Add(membersWait))
 	}
 }
 
-// merge learns the members of a cell that a sender names.
-func (o *Overlay) merge(now time.Time, here *cell, sender PeerKey, members []PeerKey) {
+// learnMembers learns the members of a cell named by a sender.
+func (o *Overlay) learnMembers(now time.Time, cell *cell, sender PeerKey, members []PeerKey) {
 	var others []Peer
 	for _, each := range members {
-		if known, met := here.members[each.Daemon]; !met || known.key != each {
-			others = append(others, cellPeer(each, here.number, 0))
+		if known, met := cell.members[each.Daemon]; !met || known.key != each {
+			others = append(others, cellPeer(each, cell.number, 0))
 		}
 	}
-	o.learn(now, here.peer, sender, others, false)
+	o.learn(now, cell.peer, sender, others, false)
 }
 
-// level responds to NoticeDiffers and NoticeMissing: it names the members whose hashes
-// the sender did not send, and sends those known here if some of its were unknown.
-func (o *Overlay) level(here *cell, key PeerKey, notice Notice) {
-	summed := make(map[uint32]bool, len(notice.Counts))
+// sendMissingMembers responds to NoticeDiffers and NoticeMissing with the members whose
+// hashes the sender did not include. If a NoticeDiffers contains unknown hashes, it
+// also sends the hashes of the members that this daemon knows.
+func (o *Overlay) sendMissingMembers(cell *cell, key PeerKey, notice Notice) {
+	receivedHashes := make(map[uint32]bool, len(notice.Counts))
 	for _, hash := range notice.Counts {
-		summed[hash] = true
+		receivedHashes[hash] = true
 	}
-	var lacked []PeerKey
+	var missingMembers []PeerKey
 	matched := 0
-	for _, name := range here.order {
-		switch other := here.members[name].key; {
+	for _, name := range cell.order {
+		switch other := cell.members[name].key; {
 		case other == key:
-		case summed[shortHash(other)]:
+		case receivedHashes[shortHash(other)]:
 			matched++
 		default:
-			lacked = append(lacked, other)
+			missingMembers = append(missingMembers, other)
 		}
 	}
-	if len(lacked) > 0 {
-		answer := here.notice(NoticeMembers)
-		answer.Members = lacked
-		o.notify(key.Daemon, here.plane.name, answer)
+	if len(missingMembers) > 0 {
+		response := cell.notice(NoticeMembers)
+		response.Members = missingMembers
+		o.notify(key.Daemon, cell.plane.name, response)
 	}
-	if matched < len(summed) && notice.Kind == NoticeDiffers {
-		o.notify(key.Daemon, here.plane.name, here.sums(NoticeMissing, key))
+	if matched < len(receivedHashes) && notice.Kind == NoticeDiffers {
+		o.notify(key.Daemon, cell.plane.name, cell.memberHashes(NoticeMissing, key))
 	}
 }
 
 // compareMembers sends, in each cell, a NoticeDiffers to one of the members whose
-// digests differ from the one here.
+// digests differ from this daemon's digest.
 func (o *Overlay) compareMembers(now time.Time) {
-	for _, where := range statemachine.Sorted(o.planes) {
-		for _, here := range where.cells {
-			if here == nil {
+	for _, plane := range statemachine.Sorted(o.planes) {
+		for _, cell := range plane.cells {
+			if cell == nil {
 				continue
 			}
-			if quiet := here.changedAt.Add(membersQuiet); quiet.After(now) && !statemachine.Mutated("no-retry-pauses") {
+			if quiet := cell.changedAt.Add(membersStablePeriod); quiet.After(now) && !statemachine.Mutated("no-retry-pauses") {
 				o.timers.ArmSooner("members", quiet)
 				continue
 			}
-			digest := here.digestHere()
+			digest := cell.digestHere()
 			var differing []*member
-			for _, name := range here.order {
-				known := here.members[name]
+			for _, name := range cell.order {
+				known := cell.members[name]
 				if known.digest == 0 || known.digest == digest {
 					continue
 				}
-				if !known.digestAt.After(here.changedAt) && !statemachine.Mutated("no-retry-pauses") {
-					// It is from before the last change here; the next check shows whether
-					// they still differ.
+				if !known.digestAt.After(cell.changedAt) && !statemachine.Mutated("no-retry-pauses") {
+					// The digest was received before the last change of this daemon's
+					// members; the next check shows whether the two still differ.
 					continue
 				}
 				if known.compared == digest^known.digest && now.Sub(known.comparedAt) < checkInterval {
@@ -633,54 +651,54 @@
 			if len(differing) == 0 {
 				continue
 			}
-			known := differing[here.turn%uint64(len(differing))]
-			here.turn++
+			known := differing[cell.turn%uint64(len(differing))]
+			cell.turn++
 			known.compared, known.comparedAt = digest^known.digest, now
-			o.notify(known.key.Daemon, where.name, here.sums(NoticeDiffers, known.key))
+			o.notify(known.key.Daemon, plane.name, cell.memberHashes(NoticeDiffers, known.key))
 		}
 	}
 }
 
-// requestComplete requests a NoticeComplete of a member, at once or when the response to
-// an earlier request is overdue.
-func (o *Overlay) requestComplete(now time.Time, here *cell, known *member) {
+// requestComplete requests a NoticeComplete from a member, immediately or once an
+// earlier request has timed out.
+func (o *Overlay) requestComplete(now time.Time, cell *cell, known *member) {
 	if due := known.nextRequestAt(); due.After(now) {
-		known.wanted = true
+		known.requestDelayed = true
 		o.timers.ArmSooner("asks", due)
 		return
 	}
-	known.requested, known.wanted = now, false
-	known.asks++
-	o.notify(known.key.Daemon, here.plane.name, here.notice(NoticeAsk))
+	known.requested, known.requestDelayed = now, false
+	known.requestAttempts++
+	o.notify(known.key.Daemon, cell.plane.name, cell.notice(NoticeRequest))
 }
 
-// retryRequests sends the requests that waited for an earlier one to be overdue.
+// retryRequests sends the requests that waited for an earlier request to time out.
 func (o *Overlay) retryRequests(now time.Time) {
-	for _, where := range statemachine.Sorted(o.planes) {
-		for _, here := range where.cells {
-			if here == nil {
+	for _, plane := range statemachine.Sorted(o.planes) {
+		for _, cell := range plane.cells {
+			if cell == nil {
 				continue
 			}
-			for _, name := range here.order {
-				if known := here.members[name]; known.wanted {
-					o.requestComplete(now, here, known)
+			for _, name := range cell.order {
+				if known := cell.members[name]; known.requestDelayed {
+					o.requestComplete(now, cell, known)
 				}
 			}
 		}
 	}
 }
 
-// releaseCells has the peers of cells leave that nobody used for keepFor and that have
-// no subscribers here.
+// releaseCells has this daemon's peers leave the cells that have no subscribers on this
+// daemon and weren't used for cellIdleTimeout.
 func (o *Overlay) releaseCells(now time.Time) {
-	for _, where := range statemachine.Sorted(o.planes) {
-		for number, here := range where.cells {
-			if here == nil || len(here.counts) > 0 || len(here.changed) > 0 || len(here.waiting) > 0 || now.Sub(here.lastUse) < keepFor {
+	for _, plane := range statemachine.Sorted(o.planes) {
+		for number, cell := range plane.cells {
+			if cell == nil || len(cell.counts) > 0 || len(cell.changed) > 0 || len(cell.waiting) > 0 || now.Sub(cell.lastUse) < cellIdleTimeout {
 				continue
 			}
-			where.cells[number] = nil
-			here.peer.cell = nil
-			o.leave(here.peer)
+			plane.cells[number] = nil
+			cell.peer.cell = nil
+			o.leave(cell.peer)
 		}
 	}
 }
--- a/internal/partition/message_size_test.go
+++ b/internal/partition/message_size_test.go
@@ -10,8 +10,8 @@
 	"dahlialock/internal/transport"
 )
 
-// What the messages about one record of 200 bytes may weigh: traffic between zones costs more
-// than anything else.
+// TestMessagesAreSmall limits the size of the messages about one record of 200 bytes, since
+// traffic between zones is the largest cost.
 func TestMessagesAreSmall(t *testing.T) {
 	record := Record{
 		Offset:          1234,
@@ -20,11 +20,11 @@
 		Sender:          "u1fx3a9c",
 		Seq:             77,
 		Data:            make([]byte, 200),
-		AppendedAt:      began,
+		AppendedAt:      testStart,
 		PreviousInTopic: 1200,
 	}
 	acknowledged := responseRecord("+~0/17", record)
-	ages := takeTimes(began, []Record{record})
+	ages := extractAges(testStart, []Record{record})
 	record.AppendedAt = time.Time{}
 	for _, each := range []struct {
 		message  any
--- a/internal/settings/forms_test.go
+++ b/internal/settings/forms_test.go
@@ -11,7 +11,7 @@
 	"dahlialock/internal/storedforms"
 )
 
-// byKey lists what each key of a daemon's settings resulted in.
+// byKey returns the loaded value of each key of a daemon's settings, one line per key.
 func byKey(read Settings) []string {
 	bounds := read.Timeouts
 	return []string{
@@ -41,8 +41,9 @@
 const minimal = `{"name":"d-1","zone":"east","address":"10.1.0.2:1","ctl":"10.1.0.2:2","caller":"10.1.0.2:3",
 	"seeds":["10.1.0.9:1"],"data":"/data","agent":"10.1.0.2:4","gateway":"10.1.0.2:5","key":"a-key-of-16-bytes-or-more"}`
 
-// all has every key but two that others override: see the last two documents.
-const all = `{"name":"d-1","zone":"east","address":"10.1.0.2:1","ctl":"10.1.0.2:2","caller":"10.1.0.2:3",
+// complete has every key except two whose values others replace: descriptors and tolerance_zones
+// have a document of their own in TestLoadKeepsKeysAndDefaults.
+const complete = `{"name":"d-1","zone":"east","address":"10.1.0.2:1","ctl":"10.1.0.2:2","caller":"10.1.0.2:3",
 	"seeds":["10.1.0.9:1","10.1.0.8:1"],"seeds_port":7,"data":"/data","agent":"10.1.0.2:4","gateway":"10.1.0.2:5",
 	"key":"a-key-of-16-bytes-or-more","controllers":7,"bootstrap":true,"tolerance":2,"callers":"lines",
 	"admission":"open","versions":"highest","operators":"json","compression":"far","traffic":"3s","memory":"64MiB",
@@ -55,7 +56,7 @@
 	var lines []string
 	for _, kind := range []string{"agent", "controller", "gateway", "store"} {
 		for name, text := range []string{
-			minimal, all,
+			minimal, complete,
 			strings.Replace(minimal, `{`, `{"descriptors":1000,"tolerance_zones":3,`, 1),
 			`{}`, `{"no":1,"bounds":{"no":"1s"},"trial":{"no":1},"callers":"x","log_level":"loud","memory":"1X"}`,
 		} {
@@ -66,8 +67,8 @@
 	storedforms.Compare(t, "forms.txt", lines)
 }
 
-// readLines loads a document as a daemon of a kind does; of faults only the paths are
-// compared.
+// readLines loads a document for a kind of daemon and returns a line per key. For faulty
+// settings it returns only the paths of the faults, since their texts may be reworded.
 func readLines(t *testing.T, kind, text string) []string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "settings.json")
@@ -99,7 +100,7 @@
 		fmt.Sprint("admission ", AdmissionToken, " ", AdmissionOpen),
 		fmt.Sprint("versions ", VersionPolicyStrict, " ", VersionPolicyHighest),
 		fmt.Sprint("operators ", OperatorProtocolJSON),
-		fmt.Sprint("compression ", CompressionNone, " ", CompressionFar),
+		fmt.Sprint("compression ", CompressionNone, " ", CompressionCrossZone),
 	}
 	storedforms.Compare(t, "forms-words.txt", lines)
 }
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -30,7 +30,8 @@
 	defaultSessions = 2000
 	maxSessions     = 1 << 20
 	maxDescriptors  = 1 << 24
-	// reservedDescriptors are for a daemon's own files and links.
+	// reservedDescriptors is the number of file descriptors reserved for a daemon's own
+	// files and links.
 	reservedDescriptors = 400
 
 	minTimeout         = time.Millisecond
@@ -71,19 +72,19 @@
 	return settings
 }
 
-// cluster reads how the daemon finds or founds the cluster, and which losses the
-// cluster is to survive.
+// cluster reads how the daemon finds or founds the cluster, and how many losses the
+// cluster must survive.
 func (p *parser) cluster(settings *Settings) {
 	settings.SeedsPort = p.integer("seeds_port", 0, 0, maxPort)
 	settings.Seeds = p.seeds(settings.SeedsPort)
 	settings.Controllers = p.integer("controllers", defaultControllers, 0, maxControllers)
 	if count := settings.Controllers; count != 0 && (count%2 == 0 || count < minControllers) {
 		p.Report("$.controllers", config.FaultOutOfRange,
-			"an odd number from 3 is wanted, or 0 if the seeds found the fleet")
+			"an odd number of at least 3 is required, or 0 if the seeds found the cluster")
 	}
 	settings.Bootstrap = p.Bool("$.bootstrap", p.members["bootstrap"], false)
-	// Replicas are in different zones, so that to lose zones takes as many of
-	// them as to lose machines.
+	// Replicas are in different zones, so surviving the loss of a number of zones requires
+	// as many replicas as surviving the loss of the same number of machines.
 	settings.Tolerance = max(
 		p.integer("tolerance", defaultTolerance, 0, maxTolerance),
 		p.integer("tolerance_zones", 0, 0, maxTolerance),
@@ -95,14 +96,14 @@
 	settings.AdmissionMode = choice(p, "admission", AdmissionToken, AdmissionOpen)
 	settings.VersionPolicy = choice(p, "versions", VersionPolicyStrict, VersionPolicyHighest)
 	settings.OperatorProtocol = choice(p, "operators", operatorProtocols...)
-	settings.Compression = choice(p, "compression", CompressionNone, CompressionFar)
+	settings.Compression = choice(p, "compression", CompressionNone, CompressionCrossZone)
 }
 
 func (p *parser) resources(settings *Settings) {
 	settings.MemoryBytes = p.memory("$.memory", p.members["memory"])
 	settings.LinkBytesPerSecond = p.bandwidth("$.link", p.members["link"])
-	// Four fifths of the descriptors that aren't reserved may be sessions, if no
-	// number of sessions is given.
+	// If no number of sessions is given, four fifths of the descriptors that aren't
+	// reserved may be used for sessions.
 	sessions := defaultSessions
 	if descriptors := p.integer("descriptors", 0, 0, maxDescriptors); descriptors > 0 {
 		sessions = max(1, (descriptors-reservedDescriptors)*4/5)
@@ -110,7 +111,7 @@
 	settings.MaxSessions = p.integer("origins_most", sessions, 1, maxSessions)
 }
 
-// choice reads one of several texts, of which the first is the default.
+// choice reads one of several strings, of which the first is the default.
 func choice[Text ~string](p *parser, key string, choices ...Text) Text {
 	texts := make([]string, 0, len(choices))
 	for _, each := range choices {
@@ -123,10 +124,10 @@
 	return int(p.Integer("$."+key, p.members[key], int64(fallback), int64(minimum), int64(maximum)))
 }
 
-// required reads a text that must be there.
+// required reads a string and reports a fault if it is absent.
 func (p *parser) required(key string) string {
 	if p.members[key] == nil {
-		p.Report("$."+key, config.FaultMissing, "%s is wanted", key)
+		p.Report("$."+key, config.FaultMissing, "%s is required", key)
 		return ""
 	}
 	return p.Text("$."+key, p.members[key], "")
@@ -135,7 +136,7 @@
 func (p *parser) name(key string) string {
 	name := p.required(key)
 	if p.members[key] != nil && !config.ValidName(name) {
-		p.Report("$."+key, config.FaultBadName, "%q is not a fit name", name)
+		p.Report("$."+key, config.FaultBadName, "%q is not a valid name", name)
 	}
 	return name
 }
@@ -154,14 +155,14 @@
 func (p *parser) checkAddress(path, address string) {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil || net.ParseIP(host) == nil || port == "" || port == "0" {
-		p.Report(path, config.FaultBadAddress, "%q is not an IP number with a port", address)
+		p.Report(path, config.FaultBadAddress, "%q is not an IP address with a port", address)
 	}
 }
 
 func (p *parser) seeds(port int) []string {
 	items := p.List("$.seeds", p.members["seeds"], maxSeeds)
 	if p.kind != membership.KindGateway && len(items) == 0 {
-		p.Report("$.seeds", config.FaultMissing, "seeds are wanted: addresses of up to three other daemons")
+		p.Report("$.seeds", config.FaultMissing, "seeds are required: addresses of up to three other daemons")
 	}
 	var seeds []string
 	for index, item := range items {
@@ -173,7 +174,7 @@
 	return seeds
 }
 
-// withPort returns an address with another port, or as it is if the port is 0.
+// withPort returns an address with its port replaced, or unchanged if the port is 0.
 func withPort(address string, port int) string {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil || port == 0 {
@@ -186,7 +187,7 @@
 	path := p.Text("$.data", p.members["data"], "")
 	required := p.kind == membership.KindStore || p.kind == membership.KindController
 	if required && path == "" {
-		p.Report("$.data", config.FaultMissing, "a data folder is wanted")
+		p.Report("$.data", config.FaultMissing, "a data directory is required")
 	}
 	return path
 }
@@ -194,7 +195,7 @@
 func (p *parser) key(mode AdmissionMode) string {
 	key := p.Text("$.key", p.members["key"], "")
 	if p.kind == membership.KindGateway && mode == AdmissionToken && len(key) < minKeyBytes {
-		p.Report("$.key", config.FaultMissing, "a key of 16 characters or more is wanted, the same on all gateways")
+		p.Report("$.key", config.FaultMissing, "a key of at least 16 characters is required, the same on all gateways")
 	}
 	return key
 }
@@ -260,7 +261,7 @@
 	}
 	object, err := value.Object()
 	if err != nil {
-		p.Report(path, config.FaultWrongType, "an object is wanted")
+		p.Report(path, config.FaultWrongType, "an object is required")
 		return
 	}
 	object.Visit(func(key []byte, item *fastjson.Value) {
--- a/internal/simulator/bandwidth.go
+++ b/internal/simulator/bandwidth.go
@@ -1,10 +1,9 @@
-// Links with a bandwidth: each machine has one, and its daemons and their callers
-// share it. Bytes wait for it in the order in which they come, in segments; a
-// connection has no more than a window of them under way, so that a sender is
-// held up by a link that is full and by a peer that does not read. What a daemon
-// holds beyond that waits in internal/transport's own Order, held back by its Pace
-// and Window. Links have no bandwidth, and none of this acts, unless the Size names
-// one.
+// Links with a limited bandwidth. Each machine has one link, which its daemons and their
+// clients share. Segments of messages wait for the link in the order of their arrival. At
+// most a window of bytes is in flight on a connection, so that a sender is blocked by a
+// full link and by a peer that does not read. Further messages of a daemon wait in the
+// PriorityQueue of internal/transport, throttled by its Pacer and FlowWindow. Unless
+// Shape.Links is set, links have unlimited bandwidth and this file has no effect.
 
 package simulator
 
@@ -21,31 +20,34 @@
 )
 
 const (
-	// segmentSize is how many bytes go over a link at once.
+	// segmentSize is the number of bytes in a segment.
 	segmentSize = 1448
-	// windowSize is how many bytes are under way on one connection, unless the
-	// Size says otherwise.
+	// windowSize is the maximum number of bytes in flight on a connection, unless
+	// Shape.Window is set.
 	windowSize = 64 << 10
-	// confirmationSize is what a receiver's confirmation takes.
-	confirmationSize = 48
-	// lineHead stands for what a command or an answer has beside its texts.
-	lineHead = 24
+	// acknowledgementSize is the size of a receiver's acknowledgement in bytes.
+	acknowledgementSize = 48
+	// commandOverheadSize is the assumed size in bytes of a command or an answer without its texts.
+	commandOverheadSize = 24
 )
 
-// Bandwidth is what the link of a machine takes each way, in bytes a second; zero is
-// without a limit.
+// Bandwidth is the bandwidth of a machine's link in each direction, in bytes per second;
+// zero means unlimited.
 type Bandwidth struct {
 	Up, Down int
 }
 
-// lane is one direction of a machine's link.
-type lane struct {
+// linkDirection is one direction of a machine's link.
+type linkDirection struct {
+	// rate is in bytes per second; zero means unlimited.
 	rate int
+	// free is when all bytes accepted so far are transmitted.
 	free time.Time
 }
 
-// transmitAt gives the moment at which bytes that come now are through.
-func (l *lane) transmitAt(now time.Time, size int) time.Time {
+// transmitAt queues size bytes for transmission and returns the time at which they are
+// transmitted.
+func (l *linkDirection) transmitAt(now time.Time, size int) time.Time {
 	if l == nil || l.rate == 0 {
 		return now
 	}
@@ -58,24 +60,25 @@
 
 // nic is the link of a machine.
 type nic struct {
-	up, down lane
+	up, down linkDirection
 }
 
-// Traffic is what a daemon sent and received of one type of message.
+// Traffic counts the messages of one kind that a daemon sent, received and dropped.
 type Traffic struct {
 	MessagesOut, BytesOut, MessagesIn, BytesIn, Dropped int64
-	// Took is how long those that came in were on their way from the step that sent
-	// them, in all; Slowest is the longest of these.
-	Took, Slowest time.Duration
+	// TotalDelay is the sum of the times from the step that sent a message to its arrival, over
+	// all received messages; MaxDelay is the longest of these times.
+	TotalDelay, MaxDelay time.Duration
 }
 
-// KindTraffic is the traffic of one type.
+// KindTraffic is the traffic of one kind of message.
 type KindTraffic struct {
 	Kind string
 	Traffic
 }
 
-// linkOf gives a daemon its machine's link; an agent stands beside its gateway.
+// linkOf returns the link of a daemon's machine. An agent shares the machine of its
+// gateway.
 func (s *Simulation) linkOf(kind string, number int) *nic {
 	kind = linkKind(kind)
 	name := fmt.Sprintf("%s-%d", kind, number+1)
@@ -83,12 +86,12 @@
 		return present
 	}
 	bandwidth := s.Shape.Links[kind]
-	made := &nic{up: lane{rate: bandwidth.Up}, down: lane{rate: bandwidth.Down}}
+	made := &nic{up: linkDirection{rate: bandwidth.Up}, down: linkDirection{rate: bandwidth.Down}}
 	s.nics[name] = made
 	return made
 }
 
-// linkKind is the kind of daemon by which a Size names the link of a machine.
+// linkKind returns the key of a daemon's link in Shape.Links.
 func linkKind(kind string) string {
 	if kind == membership.KindAgent {
 		return membership.KindGateway
@@ -96,8 +99,8 @@
 	return kind
 }
 
-// limited tells whether links have a bandwidth in this run.
-func (s *Simulation) limited() bool { return len(s.Shape.Links) > 0 }
+// hasBandwidthLimits reports whether links have a limited bandwidth in this run.
+func (s *Simulation) hasBandwidthLimits() bool { return len(s.Shape.Links) > 0 }
 
 func (s *Simulation) window() int {
 	if s.Shape.Window > 0 {
@@ -109,37 +112,39 @@
 // pipe is one direction of a connection.
 type pipe struct {
 	simulation *Simulation
-	up, down   *lane
+	up, down   *linkDirection
 	delay      func() time.Duration
-	// enter runs something at the end that reads, once it does.
-	enter    func(run func())
-	queue    []*parcel
-	inFlight int
-	last     time.Time
-	over     bool
+	// enter runs a function in the receiver's process, when it reads.
+	enter       func(run func())
+	queue       []*queuedMessage
+	inFlight    int
+	lastArrival time.Time
+	closed      bool
 }
 
-// parcel is a message on its way.
-type parcel struct {
+// queuedMessage is a message in a pipe.
+type queuedMessage struct {
+	// left is the number of bytes that are not yet sent.
 	size, left int
-	sent       func()
-	arrived    func()
+	// sent is called when all bytes are sent, arrived when all have arrived.
+	sent    func()
+	arrived func()
 }
 
-// put queues a message.
-func (p *pipe) put(added *parcel) {
-	added.left = added.size
-	p.queue = append(p.queue, added)
+// send queues a message.
+func (p *pipe) send(message *queuedMessage) {
+	message.left = message.size
+	p.queue = append(p.queue, message)
 	p.transmit()
 }
 
-// transmit sends what the window has room for.
+// transmit sends queued messages, segment by segment, until the window is full.
 func (p *pipe) transmit() {
-	for len(p.queue) > 0 && p.inFlight < p.simulation.window() && !p.over {
+	for len(p.queue) > 0 && p.inFlight < p.simulation.window() && !p.closed {
 		first := p.queue[0]
 		size := min(first.left, segmentSize)
 		first.left -= size
-		p.segment(first, size, first.left == 0)
+		p.sendSegment(first, size, first.left == 0)
 		if first.left == 0 {
 			p.queue = p.queue[1:]
 			first.sent()
@@ -147,18 +152,18 @@
 	}
 }
 
-// segment takes a few bytes over both machines' links.
-func (p *pipe) segment(of *parcel, size int, last bool) {
+// sendSegment sends one segment of a message over the links of both machines.
+func (p *pipe) sendSegment(message *queuedMessage, size int, last bool) {
 	simulation := p.simulation
 	p.inFlight += size
 	at := p.up.transmitAt(simulation.Now, size).Add(p.delay())
-	if at.Before(p.last) {
-		at = p.last
+	if at.Before(p.lastArrival) {
+		at = p.lastArrival
 	}
-	p.last = at
+	p.lastArrival = at
 	simulation.At(at, func() {
 		simulation.At(p.down.transmitAt(simulation.Now, size), func() {
-			if p.over {
+			if p.closed {
 				return
 			}
 			p.enter(func() {
@@ -167,31 +172,35 @@
 					p.transmit()
 				})
 				if last {
-					of.arrived()
+					message.arrived()
 				}
 			})
 		})
 	})
 }
 
-// close loses what is under way.
+// close closes the pipe and drops the messages that are queued or in flight.
 func (p *pipe) close() {
-	p.over = true
+	p.closed = true
 	p.queue = nil
 }
 
-// connection is a pipe between two lives of daemons, with what its ends count.
+// connection is a pipe between two daemons' processes, with its flow control.
 type connection struct {
 	*pipe
-	from, to       uint64
-	window         transport.FlowWindow
-	took, told     int64
-	confirmationAt time.Time
+	// from and to are the incarnations of both processes.
+	from, to uint64
+	window   transport.FlowWindow
+	// taken is the number of bytes that the receiver has taken, acknowledged the number in its
+	// last acknowledgement.
+	taken, acknowledged   int64
+	lastAcknowledgementAt time.Time
 }
 
-// connect gives the connection from one daemon to another.
+// connect returns the connection from one daemon to another. It opens a new one if there
+// is none between their current processes.
 func (s *Simulation) connect(from, to *Node) *connection {
-	key := link(from, to)
+	key := linkName(from, to)
 	present, found := s.connections[key]
 	if found && present.from == from.incarnation && present.to == to.incarnation {
 		return present
@@ -212,13 +221,13 @@
 	if from.nic == to.nic {
 		made.up, made.down = nil, nil
 	}
-	s.arrival[key] = s.Now
+	s.lastArrival[key] = s.Now
 	opened := &connection{pipe: made, from: from.incarnation, to: to.incarnation}
 	s.connections[key] = opened
 	return opened
 }
 
-// outgoingFrame is a message that waits at its sender.
+// outgoingFrame is a message in its sender's queue.
 type outgoingFrame struct {
 	to          *Node
 	incarnation uint64
@@ -228,108 +237,111 @@
 	at          time.Time
 }
 
-// dispatch sends a frame over links with a bandwidth.
+// dispatch queues a frame at its sender, for links with a limited bandwidth.
 func (s *Simulation) dispatch(from, to *Node, message any, frame []byte) {
 	if !to.Up {
-		if to.refuses {
+		if to.refusesConnections {
 			s.refuse(from, to)
 		}
 		return
 	}
-	waits := outgoingFrame{to: to, incarnation: to.incarnation, kind: strings.TrimPrefix(fmt.Sprintf("%T", message), "*"), class: transport.ClassOf(message), frame: frame, at: s.Now}
-	for _, lost := range from.order.Push(to.Address, waits.class, len(frame), waits) {
-		from.traffic(lost.kind).Dropped++
+	queued := outgoingFrame{to: to, incarnation: to.incarnation, kind: strings.TrimPrefix(fmt.Sprintf("%T", message), "*"), class: transport.ClassOf(message), frame: frame, at: s.Now}
+	for _, lost := range from.sendQueue.Push(to.Address, queued.class, len(frame), queued) {
+		from.trafficCounters(lost.kind).Dropped++
 	}
 	from.sendQueued()
 }
 
-// sendQueued gives the link what it takes, in the order of the transport.
+// sendQueued sends queued frames, by priority, as far as the pacer and the flow windows
+// permit.
 func (n *Node) sendQueued() {
 	simulation := n.simulation
 	for {
-		if wait := n.pace.Delay(simulation.Now); wait > 0 {
+		if wait := n.pacer.Delay(simulation.Now); wait > 0 {
 			n.scheduleSend(wait)
 			return
 		}
-		_, next, found := n.order.Pop(func(_ string, each outgoingFrame) bool {
+		_, next, found := n.sendQueue.Pop(func(_ string, each outgoingFrame) bool {
 			return each.undeliverable() || simulation.connect(n, each.to).window.Admits(each.class)
 		})
 		switch {
 		case !found:
 			return
 		case next.undeliverable(), next.class.Expired(simulation.Now.Sub(next.at)):
-			n.traffic(next.kind).Dropped++
+			n.trafficCounters(next.kind).Dropped++
 		default:
-			n.pace.Spend(simulation.Now, len(next.frame))
+			n.pacer.Spend(simulation.Now, len(next.frame))
 			n.transmit(next)
 		}
 	}
 }
 
-// undeliverable tells whether the life that a frame was for has ended.
+// undeliverable reports whether the process for which a frame was sent has ended.
 func (of outgoingFrame) undeliverable() bool { return !of.to.Up || of.to.incarnation != of.incarnation }
 
+// scheduleSend calls sendQueued after wait, unless a call is already scheduled.
 func (n *Node) scheduleSend(wait time.Duration) {
-	if n.sending {
+	if n.sendScheduled {
 		return
 	}
-	n.sending = true
+	n.sendScheduled = true
 	incarnation := n.incarnation
 	n.simulation.After(wait, func() {
 		if n.incarnation == incarnation {
-			n.sending = false
+			n.sendScheduled = false
 			n.sendQueued()
 		}
 	})
 }
 
-// transmit puts a frame on its connection.
+// transmit sends a frame over its connection.
 func (n *Node) transmit(next outgoingFrame) {
 	simulation, to, kind, size := n.simulation, next.to, next.kind, len(next.frame)
 	connection := simulation.connect(n, to)
 	connection.window.Sent(simulation.Now, size)
-	connection.put(&parcel{
+	connection.send(&queuedMessage{
 		size: size,
-		sent: func() { n.counts(kind, size, 0) },
+		sent: func() { n.countMessage(kind, size, 0) },
 		arrived: func() {
-			to.counts(kind, 0, size)
-			to.traffic(kind).arrived(simulation.Now.Sub(next.at))
-			connection.took += int64(size)
-			simulation.confirm(n, to, connection)
-			if simulation.cuts[link(n, to)] == 0 {
+			to.countMessage(kind, 0, size)
+			to.trafficCounters(kind).arrived(simulation.Now.Sub(next.at))
+			connection.taken += int64(size)
+			simulation.acknowledge(n, to, connection)
+			if simulation.cuts[linkName(n, to)] == 0 {
 				to.receive(next.frame)
 			}
 		},
 	})
 }
 
-// confirm tells a sender how many bytes were taken.
-func (s *Simulation) confirm(from, to *Node, taken *connection) {
-	count := taken.took
-	if !to.pace.RequiresAcknowledgements() {
+// acknowledge sends the sender an acknowledgement of the bytes that the receiver has taken, if
+// one is due.
+func (s *Simulation) acknowledge(from, to *Node, connection *connection) {
+	count := connection.taken
+	if !to.pacer.RequiresAcknowledgements() {
 		count = transport.AcknowledgeUnlimited
 	}
-	if !transport.AcknowledgementDue(taken.told, count) {
+	if !transport.AcknowledgementDue(connection.acknowledged, count) {
 		return
 	}
-	taken.told = count
-	at := to.nic.up.transmitAt(s.Now, confirmationSize).Add(s.delay(to.Zone, from.Zone))
-	if at.Before(taken.confirmationAt) {
-		at = taken.confirmationAt
+	connection.acknowledged = count
+	at := to.nic.up.transmitAt(s.Now, acknowledgementSize).Add(s.delay(to.Zone, from.Zone))
+	if at.Before(connection.lastAcknowledgementAt) {
+		at = connection.lastAcknowledgementAt
 	}
-	taken.confirmationAt = at
+	connection.lastAcknowledgementAt = at
 	s.At(at, func() {
-		s.At(from.nic.down.transmitAt(s.Now, confirmationSize), func() {
-			if taken.over || !from.Up || from.incarnation != taken.from {
+		s.At(from.nic.down.transmitAt(s.Now, acknowledgementSize), func() {
+			if connection.closed || !from.Up || from.incarnation != connection.from {
 				return
 			}
-			taken.window.Acknowledge(s.Now, count)
+			connection.window.Acknowledge(s.Now, count)
 			from.sendQueued()
 		})
 	})
 }
 
-// receive reads a frame that came in.
+// receive decodes a frame and passes the message to the daemon's state machine.
 func (n *Node) receive(frame []byte) {
 	meta, message, err := transport.Decode(frame[4:])
 	must(err)
@@ -338,7 +350,8 @@
 	})
 }
 
-func (n *Node) traffic(kind string) *Traffic {
+// trafficCounters returns the counters of a kind of message.
+func (n *Node) trafficCounters(kind string) *Traffic {
 	present, found := n.trafficOf[kind]
 	if !found {
 		present = &Traffic{}
@@ -347,8 +360,9 @@
 	return present
 }
 
-func (n *Node) counts(kind string, sent, received int) {
-	traffic := n.traffic(kind)
+// countMessage counts a message that was sent or received, by its size in bytes.
+func (n *Node) countMessage(kind string, sent, received int) {
+	traffic := n.trafficCounters(kind)
 	if sent > 0 {
 		traffic.MessagesOut++
 		traffic.BytesOut += int64(sent)
@@ -359,9 +373,9 @@
 	}
 }
 
-// Traffic sums what the daemons of a kind, or all, sent and received over links with
-// a bandwidth since the last ForgetTraffic, by type of message, with the most
-// bytes first.
+// Traffic returns the sums of the traffic of all daemons of a kind (all daemons if kind is
+// empty) over links with a limited bandwidth since the last ResetTraffic, by kind of
+// message. The kinds with the most bytes come first.
 func (s *Simulation) Traffic(kind string) []KindTraffic {
 	sums := map[string]*Traffic{}
 	for _, node := range s.Nodes(kind) {
@@ -388,33 +402,34 @@
 	t.MessagesIn += other.MessagesIn
 	t.BytesIn += other.BytesIn
 	t.Dropped += other.Dropped
-	t.Took += other.Took
-	t.Slowest = max(t.Slowest, other.Slowest)
+	t.TotalDelay += other.TotalDelay
+	t.MaxDelay = max(t.MaxDelay, other.MaxDelay)
 }
 
 func (t *Traffic) arrived(took time.Duration) {
-	t.Took += took
-	t.Slowest = max(t.Slowest, took)
+	t.TotalDelay += took
+	t.MaxDelay = max(t.MaxDelay, took)
 }
 
-// ForgetTraffic begins to count anew.
-func (s *Simulation) ForgetTraffic() {
+// ResetTraffic resets the traffic counters of all daemons.
+func (s *Simulation) ResetTraffic() {
 	for _, node := range s.Nodes("") {
 		clear(node.trafficOf)
 	}
 }
 
-// Lines of callers. A caller's own link has no limit, its gateway's has.
+// Connections of clients. A client's own link has unlimited bandwidth, that of its
+// gateway is limited.
 
-// line is the connection of a caller.
-type line struct {
+// clientConnection is the connection of a client to its gateway.
+type clientConnection struct {
 	up, down *pipe
 }
 
-func (s *Simulation) openLine(node *Node) *line {
+func (s *Simulation) openClientConnection(node *Node) *clientConnection {
 	incarnation := node.incarnation
 	delay := func() time.Duration { return lineDelay }
-	return &line{
+	return &clientConnection{
 		up: &pipe{simulation: s, down: &node.nic.down, delay: delay, enter: func(run func()) {
 			if node.Up && node.incarnation == incarnation {
 				node.enter(run)
@@ -424,22 +439,23 @@
 	}
 }
 
-func (l *line) close() {
-	if l != nil {
-		l.up.close()
-		l.down.close()
+func (cc *clientConnection) close() {
+	if cc != nil {
+		cc.up.close()
+		cc.down.close()
 	}
 }
 
-// Kinds of traffic with callers.
+// Kinds of traffic with clients.
 const (
-	lineCommand = "line command"
-	lineAnswer  = "line answer"
-	lineEvent   = "line event"
+	clientCommandTraffic = "line command"
+	clientAnswerTraffic  = "line answer"
+	clientEventTraffic   = "line event"
 )
 
-// toNode brings a command from a caller to its gateway.
-func (tc *TopicClient) toNode(size int, run func()) {
+// toGateway sends a command of size bytes from the client to its gateway, and calls run when
+// it arrives.
+func (tc *TopicClient) toGateway(size int, run func()) {
 	if tc.line == nil {
 		tc.simulation.After(lineDelay, run)
 		return
@@ -449,20 +465,21 @@
 		tc.simulation.After(lineDelay, run)
 		return
 	}
-	tc.line.up.put(&parcel{size: lineHead + size, sent: func() {}, arrived: func() {
-		node.counts(lineCommand, 0, lineHead+size)
+	tc.line.up.send(&queuedMessage{size: commandOverheadSize + size, sent: func() {}, arrived: func() {
+		node.countMessage(clientCommandTraffic, 0, commandOverheadSize+size)
 		run()
 	}})
 }
 
-// toCaller brings an answer or an event from the gateway to its caller.
-func (l *line) toCaller(simulation *Simulation, node *Node, kind string, size int, run func()) {
-	if l == nil {
+// toClient sends an answer or an event of size bytes from the gateway to the client, and
+// calls run when it arrives.
+func (cc *clientConnection) toClient(simulation *Simulation, node *Node, kind string, size int, run func()) {
+	if cc == nil {
 		simulation.After(lineDelay, run)
 		return
 	}
-	node.pace.Spend(simulation.Now, lineHead+size)
-	l.down.put(&parcel{
-		size: lineHead + size, sent: func() { node.counts(kind, lineHead+size, 0) }, arrived: run,
+	node.pacer.Spend(simulation.Now, commandOverheadSize+size)
+	cc.down.send(&queuedMessage{
+		size: commandOverheadSize + size, sent: func() { node.countMessage(kind, commandOverheadSize+size, 0) }, arrived: run,
 	})
 }
--- a/internal/simulator/controllers_test.go
+++ b/internal/simulator/controllers_test.go
@@ -1,6 +1,6 @@
-// Fleets whose controllers are founded by the seeds: the whole fleet with callers and
-// operators, judged by the checker, while founders lose their disks, machines are
-// replaced, and the voters grows.
+// Fleets whose controllers are bootstrapped through seed addresses. The checker judges runs
+// with clients and operators while founding controllers lose their disks, machines are
+// replaced, and the set of voters grows.
 package simulator
 
 import (
@@ -26,7 +26,7 @@
 
 func (n *Node) watchedState() *controller.State { return n.Machine.(*controller.Controller).State() }
 
-// voters gives the names in the serving primary's voters.
+// voters returns the names of the voters in the record of the current primary.
 func (s *Simulation) voters() []string {
 	primary := s.Primary()
 	if primary == nil {
@@ -63,7 +63,7 @@
 		lost.Kill()
 		delete(simulation.nodes, lost.Name)
 		fresh := simulation.addController(7)
-		fresh.founded = true
+		fresh.bootstrapped = true
 		simulation.After(2*time.Second, fresh.Start)
 		simulation.After(6100*time.Millisecond, func() {
 			assert.Check(t, slices.Contains(simulation.voters(), fresh.Name), "%v", simulation.voters())
@@ -72,11 +72,11 @@
 	{"controllers are added", seeded(3, 2), 5, func(_ *testing.T, simulation *Simulation) {
 		for number := range 2 {
 			fresh := simulation.addController(7 + number)
-			fresh.founded = true
+			fresh.bootstrapped = true
 			simulation.After(time.Duration(number)*time.Second, fresh.Start)
 		}
 	}},
-	{"power is lost, and two disks of three with the state", seeded(9, 2), 5, func(_ *testing.T, simulation *Simulation) {
+	{"power loss, with two of the three disks that hold the state", seeded(9, 2), 5, func(_ *testing.T, simulation *Simulation) {
 		simulation.After(8*time.Second, func() {
 			primary := simulation.Primary()
 			if primary == nil {
@@ -109,14 +109,14 @@
 			t.Parallel()
 			for seed := range uint64(2) {
 				simulation, operator := Prepare(5000+seed, each.size, nil)
-				simulation.Crowd(each.size.Clients)
+				simulation.AddDefaultClients(each.size.Clients)
 				simulation.Run(time.Second)
 				operator.work(simulation.Now.Add(24 * time.Second))
 				simulation.lastFaultAt = simulation.Now.Add(24 * time.Second)
 				each.strike(t, simulation)
 				simulation.Run(24 * time.Second)
 				assert.Check(t, simulation.RunUntil(10*time.Second, func() bool { return len(simulation.voters()) == each.voters }), "%v", simulation.voters())
-				simulation.WaitUntilStable(20 * time.Second)
+				simulation.HealAndClose(20 * time.Second)
 				for _, line := range simulation.Checker.Violations() {
 					t.Errorf("seed %d: %s", seed, line)
 				}
--- a/internal/simulator/grown.go
+++ b/internal/simulator/grown.go
@@ -1,6 +1,6 @@
-// The grown shape: many gateways on thin links, with callers whose messages take
-// the share of a link that they take on the users' grown deployment. What its
-// machines need after all of them lost power is seen here, by kind of message.
+// The grown shape: many gateways on links with little bandwidth, with clients whose
+// messages take the same share of a link as on the users' grown deployment. It measures the
+// traffic of the gateways' links, by kind of message, after all machines lost power.
 
 package simulator
 
@@ -13,120 +13,126 @@
 	"dahlialock/internal/membership"
 )
 
-// Grown is a part of the users' grown deployment: the callers of a gateway and the
-// bandwidth of its link are scaled alike.
+// Grown is a scaled-down model of the users' grown deployment: the number of clients per
+// gateway and the bandwidth of its link are reduced by the same factor.
 var Grown = Shape{
 	Gateways: 12, Stores: 5, Controllers: 5, Zones: 3, Clients: 480, Delay: 500 * time.Microsecond, Tolerance: 2, Seeded: true,
 	Links: map[string]Bandwidth{
-		membership.KindGateway:    {Up: grownLink, Down: grownLink},
+		membership.KindGateway:    {Up: grownLinkRate, Down: grownLinkRate},
 		membership.KindStore:      {Up: 75_000_000, Down: 75_000_000},
 		membership.KindController: {Up: 125_000_000, Down: 125_000_000},
 	},
 }
 
 const (
-	// callersOfLink is how many callers a link of 2.6 Mbit/s has on the grown
-	// deployment, and grownLink the bytes a second of ours, for forty.
-	callersOfLink = 107
-	grownLink     = 2_600_000 / 8 * 40 / callersOfLink
-	grownBody     = 700
-	// grownEach is how often a caller sends, and grownChurn how often it takes up
-	// another topic.
-	grownEach  = 7300 * time.Millisecond
-	grownChurn = 20 * time.Second
-	// Spans of a run: before the loss, without power, and after it.
+	// clientsPerLink is the number of clients on a link of 2.6 Mbit/s on the grown
+	// deployment. grownLink is the bandwidth of a simulated gateway's link in bytes per
+	// second, for forty clients.
+	clientsPerLink = 107
+	grownLinkRate  = 2_600_000 / 8 * 40 / clientsPerLink
+	// grownBodySize is the size in bytes of a publication's body.
+	grownBodySize = 700
+	// grownPublishInterval is the mean interval at which a client publishes, and
+	// grownTopicInterval the mean interval at which it replaces one of its topics.
+	grownPublishInterval = 7300 * time.Millisecond
+	grownTopicInterval   = 20 * time.Second
+	// Durations of the parts of a run: before the power loss, without power, and after it.
 	grownBefore = 8 * time.Second
 	grownDown   = 940 * time.Millisecond
 	grownAfter  = 12 * time.Second
-	// grownListens is the span in which gateways begin to listen again, grownTakers
-	// when, after the return of power, new callers take up others' saved places.
-	grownListens = 800 * time.Millisecond
-	grownTakers  = 600 * time.Millisecond
-	// grownCrowd is for how long after the return most callers come back.
-	grownCrowd = 3 * time.Second
+	// grownGatewayStartTime is the time within which gateways start again. grownNewClientsAt
+	// is the time after the return of power at which new clients subscribe with the saved
+	// cursors of others.
+	grownGatewayStartTime = 800 * time.Millisecond
+	grownNewClientsAt     = 600 * time.Millisecond
+	// grownReconnectTime is the time after the return of power within which most clients reconnect.
+	grownReconnectTime = 3 * time.Second
 )
 
-// Service is what callers wanted and got in one second of a run.
+// Service counts the requests that clients made in one second of a run, and how many of
+// them were served in time.
 type Service struct {
-	Wanted, Served int
+	Requested, Served int
 }
 
-// GrownResult is what came of a run of the grown shape.
+// GrownResult is the result of a run of the grown shape.
 type GrownResult struct {
 	Simulation *Simulation
-	// Before and After count by second, from the beginning of the traffic and from
-	// the return of power.
+	// Before and After have an element for each second from the start of the traffic, and
+	// from the return of power.
 	Before, After []Service
-	// Calm and Recovery are the bytes by kind over gateways' links in the last
-	// seconds before the loss and in the first after it.
+	// Calm is the traffic of the gateways in the last CalmSpan before the power loss,
+	// Recovery that in the first RecoverySpan after the return of power.
 	Calm, Recovery         []KindTraffic
 	CalmSpan, RecoverySpan time.Duration
-	// Fullest is, for each second after the return of power, the callers of the
-	// fullest gateway over the mean; Refused counts what was refused, and RefusedLater
-	// what was from the fourth second on.
-	Fullest                []float64
-	Refused, RejectedLater int
+	// LoadImbalance is, for each second after the return of power, the ratio of the largest
+	// number of clients on a gateway to the mean.
+	LoadImbalance []float64
+	// Rejected counts the requests that were rejected after the return of power,
+	// RejectedLater those of them from the fourth second on.
+	Rejected, RejectedLater int
 }
 
-// RunGrown runs the grown shape: all power is lost in its midst, and comes back.
+// RunGrown runs the grown shape. In the middle of the run all machines lose power, and then
+// start again.
 func RunGrown(seed uint64, size Shape, trace func(line string)) *GrownResult {
 	simulation, _ := prepareTopics(seed, size, 0, trace)
-	simulation.world.body, simulation.world.steady = grownBody, true
+	simulation.world.body, simulation.world.steady = grownBodySize, true
 	simulation.world.topics = boards(size.Clients * 5 / 3)
 	for number := range size.Clients {
 		client := simulation.AddTopicClient(fmt.Sprintf("caller-%d", number), number%size.Zones)
 		client.unjudged = true
-		client.holdsTopics(3)
+		client.subscribeRandomTopics(3)
 	}
 	simulation.Run(4 * time.Second)
 	for _, client := range simulation.topicClients {
-		client.demands()
+		client.generateLoad()
 	}
-	began := simulation.Now
+	start := simulation.Now
 	simulation.Run(grownBefore / 2)
-	simulation.ForgetTraffic()
+	simulation.ResetTraffic()
 	simulation.Run(grownBefore / 2)
 	result := &GrownResult{Simulation: simulation, Calm: simulation.Traffic(membership.KindGateway), CalmSpan: grownBefore / 2, RecoverySpan: grownAfter / 2}
 	simulation.losePower()
 	simulation.Run(grownDown)
-	simulation.ForgetTraffic()
-	back := simulation.Now
-	refused := simulation.refusals()
+	simulation.ResetTraffic()
+	restart := simulation.Now
+	rejectedBefore := simulation.rejectedRequests()
 	for _, node := range simulation.Nodes("") {
 		simulation.After(simulation.between(0, startSpread(node)), node.Start)
 	}
-	simulation.After(grownTakers, func() { simulation.takeSaved("early") })
-	soon := 0
+	simulation.After(grownNewClientsAt, func() { simulation.takeSaved("early") })
+	rejectedEarly := 0
 	for second := range int(grownAfter / time.Second) {
 		simulation.Run(time.Second)
-		if time.Duration(second+1)*time.Second == grownCrowd {
-			soon = simulation.refusals()
+		if time.Duration(second+1)*time.Second == grownReconnectTime {
+			rejectedEarly = simulation.rejectedRequests()
 		}
-		result.Fullest = append(result.Fullest, simulation.fullest())
+		result.LoadImbalance = append(result.LoadImbalance, simulation.loadImbalance())
 		if time.Duration(second+1)*time.Second == grownAfter/2 {
 			result.Recovery = simulation.Traffic(membership.KindGateway)
 		}
 	}
-	result.Refused, result.RejectedLater = simulation.refusals()-refused, simulation.refusals()-soon
-	simulation.open--
+	result.Rejected, result.RejectedLater = simulation.rejectedRequests()-rejectedBefore, simulation.rejectedRequests()-rejectedEarly
+	simulation.activeFaults--
 	simulation.lastFaultAt = simulation.Now
 	simulation.closeTopics()
-	result.Before = simulation.world.service(began, grownBefore)
-	result.After = simulation.world.service(back, grownAfter)
+	result.Before = simulation.world.service(start, grownBefore)
+	result.After = simulation.world.service(restart, grownAfter)
 	return result
 }
 
-// startSpread is the span in which the machines of a kind begin again. Gateways begin
-// to listen one after another, and whoever listens is given the callers of all.
+// startSpread is the time within which the machines of a kind start again. Gateways start
+// one after another, and the first ones that listen receive the clients of all.
 func startSpread(node *Node) time.Duration {
 	if node.Kind == membership.KindGateway {
-		return grownListens
+		return grownGatewayStartTime
 	}
 	return 300 * time.Millisecond
 }
 
-// fullest is how many callers the fullest gateway has over the mean.
-func (s *Simulation) fullest() float64 {
+// loadImbalance returns the ratio of the largest number of clients on a gateway to the mean.
+func (s *Simulation) loadImbalance() float64 {
 	maximum, sum := 0, 0
 	gateways := s.Nodes(membership.KindGateway)
 	for _, node := range gateways {
@@ -138,8 +144,8 @@
 	return float64(maximum) * float64(len(gateways)) / float64(max(1, sum))
 }
 
-// refusals counts the requests that gateways refused so far, in their present lives.
-func (s *Simulation) refusals() int {
+// rejectedRequests counts the requests that the gateways have rejected since their last start.
+func (s *Simulation) rejectedRequests() int {
 	count := 0
 	for _, node := range s.Nodes(membership.KindGateway) {
 		if node.Up {
@@ -149,10 +155,10 @@
 	return count
 }
 
-// losePower ends every process at once.
+// losePower kills all daemons at the same time.
 func (s *Simulation) losePower() {
 	s.trace("all power is lost")
-	s.open++
+	s.activeFaults++
 	for _, node := range s.Nodes("") {
 		node.Kill()
 	}
@@ -161,8 +167,8 @@
 	}
 }
 
-// holdsTopics has a caller hold a few topics.
-func (tc *TopicClient) holdsTopics(count int) {
+// subscribeRandomTopics lets a client subscribe to up to count random topics.
+func (tc *TopicClient) subscribeRandomTopics(count int) {
 	topics := tc.simulation.world.topics
 	for range count {
 		topic := topics[tc.simulation.Random.IntN(len(topics))]
@@ -170,26 +176,28 @@
 	}
 }
 
-// demands lets a caller send, and take up other topics, at moments that do not
-// depend on how it is served.
-func (tc *TopicClient) demands() {
+// generateLoad lets a client publish, and replace topics, at times that do not depend on how it
+// is served.
+func (tc *TopicClient) generateLoad() {
 	simulation := tc.simulation
-	simulation.After(simulation.between(0, grownEach), tc.demandsSending)
-	simulation.After(simulation.between(0, grownChurn), tc.demandsTopics)
+	simulation.After(simulation.between(0, grownPublishInterval), tc.generatePublications)
+	simulation.After(simulation.between(0, grownTopicInterval), tc.generateTopicChanges)
 }
 
-func (tc *TopicClient) demandsSending() {
+// generatePublications publishes on a random topic, and repeats itself.
+func (tc *TopicClient) generatePublications() {
 	simulation, world := tc.simulation, tc.simulation.world
 	if tc.stopped {
 		return
 	}
-	simulation.After(grownEach/2+simulation.between(0, grownEach), tc.demandsSending)
+	simulation.After(grownPublishInterval/2+simulation.between(0, grownPublishInterval), tc.generatePublications)
 	topic := world.topics[simulation.Random.IntN(len(world.topics))]
-	world.demands = append(world.demands, demand{at: simulation.Now, served: tc.wants(topic)})
+	world.demands = append(world.demands, demand{at: simulation.Now, served: tc.publishOn(topic)})
 }
 
-// wants sends on a topic, and gives what tells whether it was taken in time.
-func (tc *TopicClient) wants(topic string) func() bool {
+// publishOn publishes on a topic, and returns a function that reports whether the publication
+// was accepted in time.
+func (tc *TopicClient) publishOn(topic string) func() bool {
 	tc.pipeline = 8
 	if len(tc.outbox[topic]) >= tc.pipeline {
 		return func() bool { return false }
@@ -201,12 +209,13 @@
 	return func() bool { return !acceptedAt.IsZero() && acceptedAt.Sub(wanted) <= topicDeadline }
 }
 
-func (tc *TopicClient) demandsTopics() {
+// generateTopicChanges replaces one of the client's topics by a random one, and repeats itself.
+func (tc *TopicClient) generateTopicChanges() {
 	simulation, world := tc.simulation, tc.simulation.world
 	if tc.stopped {
 		return
 	}
-	simulation.After(grownChurn/2+simulation.between(0, grownChurn), tc.demandsTopics)
+	simulation.After(grownTopicInterval/2+simulation.between(0, grownTopicInterval), tc.generateTopicChanges)
 	tc.drop(firstTopic(tc.topics))
 	topic := world.topics[simulation.Random.IntN(len(world.topics))]
 	tc.take(topic)
@@ -216,7 +225,7 @@
 	}})
 }
 
-// firstTopic is the first of a caller's topics by name.
+// firstTopic returns the first of a client's topics in alphabetical order.
 func firstTopic(topics map[string]*heldSubscription) string {
 	first := ""
 	for name := range topics {
@@ -227,13 +236,14 @@
 	return first
 }
 
-// demand is something that a caller wanted.
+// demand is a publication or subscription that a client requested.
 type demand struct {
 	at     time.Time
 	served func() bool
 }
 
-// service counts by second what was wanted from a moment on, and got.
+// service counts, for each second of span after from, the demands and those that were
+// served.
 func (tw *topicWorld) service(from time.Time, span time.Duration) []Service {
 	found := make([]Service, span/time.Second)
 	for _, each := range tw.demands {
@@ -241,7 +251,7 @@
 		if each.at.Before(from) || second >= len(found) {
 			continue
 		}
-		found[second].Wanted++
+		found[second].Requested++
 		if each.served() {
 			found[second].Served++
 		}
@@ -249,16 +259,16 @@
 	return found
 }
 
-// Shares tells the part that was served of each second.
-func Shares(seconds []Service) string {
+// FormatShares formats the share of the demands that was served in each second.
+func FormatShares(seconds []Service) string {
 	var texts []string
 	for _, each := range seconds {
-		texts = append(texts, fmt.Sprintf("%.2f", float64(each.Served)/float64(max(1, each.Wanted))))
+		texts = append(texts, fmt.Sprintf("%.2f", float64(each.Served)/float64(max(1, each.Requested))))
 	}
 	return strings.Join(texts, " ")
 }
 
-// Lost lists what was acknowledged and is missing.
+// Lost lists the checker's findings of publications that were acknowledged and then lost.
 func (r *GrownResult) Lost() []string {
 	var lost []string
 	for _, line := range r.Simulation.Checker.Violations() {
@@ -269,15 +279,15 @@
 	return lost
 }
 
-// TrafficTable tells bytes by kind, for each gateway and second.
+// TrafficTable formats traffic by kind of message as a table, per gateway and second.
 func TrafficTable(kinds []KindTraffic, gateways int, span time.Duration) string {
 	var text strings.Builder
-	each := float64(gateways) * span.Seconds()
+	gatewaySeconds := float64(gateways) * span.Seconds()
 	fmt.Fprintf(&text, "%-32s %9s %9s %9s %9s %8s %9s %9s\n", "kind", "out B/s", "out 1/s", "in B/s", "in 1/s", "dropped", "mean", "slowest")
 	for _, kind := range kinds {
-		fmt.Fprintf(&text, "%-32s %9.0f %9.1f %9.0f %9.1f %8d %9s %9s\n", kind.Kind, float64(kind.BytesOut)/each, float64(kind.MessagesOut)/each,
-			float64(kind.BytesIn)/each, float64(kind.MessagesIn)/each, kind.Dropped,
-			(kind.Took / time.Duration(max(1, kind.MessagesIn))).Round(100*time.Microsecond), kind.Slowest.Round(100*time.Microsecond))
+		fmt.Fprintf(&text, "%-32s %9.0f %9.1f %9.0f %9.1f %8d %9s %9s\n", kind.Kind, float64(kind.BytesOut)/gatewaySeconds, float64(kind.MessagesOut)/gatewaySeconds,
+			float64(kind.BytesIn)/gatewaySeconds, float64(kind.MessagesIn)/gatewaySeconds, kind.Dropped,
+			(kind.TotalDelay / time.Duration(max(1, kind.MessagesIn))).Round(100*time.Microsecond), kind.MaxDelay.Round(100*time.Microsecond))
 	}
 	return text.String()
 }
--- a/internal/simulator/grown_mutation_test.go
+++ b/internal/simulator/grown_mutation_test.go
@@ -10,19 +10,18 @@
 	"dahlialock/internal/statemachine"
 )
 
-// One class for all, and nothing held back from a link: the fleet's own load holds
-// the recovery down.
-func TestTheOrderOfLinksIsNeeded(t *testing.T) {
+// Without priority classes and pacing, the internal traffic of the fleet delays the recovery.
+func TestThePriorityClassesOfLinksAreNeeded(t *testing.T) {
 	defer statemachine.Mutate("single-class")()
-	result := RunGrown(1, thin(), nil)
-	t.Logf("before %s; after %s", Shares(result.Before), Shares(result.After))
-	assert.Assert(t, worst(result.After[thinAfter:]) < thinShareWanted, "after: %s", Shares(result.After))
+	result := RunGrown(1, thinLinks(), nil)
+	t.Logf("before %s; after %s", FormatShares(result.Before), FormatShares(result.After))
+	assert.Assert(t, minimumServedShare(result.After[thinAfter:]) < thinMinimumShare, "after: %s", FormatShares(result.After))
 }
 
-// Everybody is let in by whoever listens first.
+// Without admission control, the gateways that listen first keep the clients of all.
 func TestAdmissionOnThinLinksIsNeeded(t *testing.T) {
 	defer statemachine.Mutate("all-admitted")()
-	result := RunGrown(1, thin(), nil)
-	t.Logf("after %s; fullest %.2f; refused later %d", Shares(result.After), result.Fullest, result.RejectedLater)
-	assert.Assert(t, result.Fullest[soonAfter-1] > fullestSoon, "%.2f", result.Fullest)
+	result := RunGrown(1, thinLinks(), nil)
+	t.Logf("after %s; fullest %.2f; rejected later %d", FormatShares(result.After), result.LoadImbalance, result.RejectedLater)
+	assert.Assert(t, result.LoadImbalance[soonAfter-1] > maxImbalanceSoon, "%.2f", result.LoadImbalance)
 }
--- a/internal/simulator/injection.go
+++ b/internal/simulator/injection.go
@@ -1,7 +1,8 @@
-// Storms in the simulator: every fault of the list in squall brought about for
-// its length, and a run that is made of one: faults alone or together, a calm
-// in which everything must be as if nothing had been, and one last fault that
-// stays. Each fault undoes only what it did, so that any of them may overlap.
+// Fault schedules in the simulator. Each fault that package faults names has an
+// injector, which injects it for its length. A run of a schedule consists of the faults,
+// alone or overlapping, a time without faults after which the fleet must have recovered
+// completely, and one last fault that remains. Each injector reverts only its own
+// changes, so that any faults may overlap.
 
 package simulator
 
@@ -19,17 +20,20 @@
 	"dahlialock/internal/statemachine"
 )
 
-// FaultSchedule is what befalls a run: a storm, and the fault that ends it.
+// FaultSchedule lists the faults of a run, and the last fault, with which the run ends.
 type FaultSchedule struct {
-	Faults    []faults.Fault
-	Last      string
+	Faults []faults.Fault
+	Last   string
+	// ClockSkew is the maximum deviation of the machines' wall clocks.
 	ClockSkew time.Duration
 }
 
+// faultPeriod is the time within which the faults of a schedule start.
 const faultPeriod = 24 * time.Second
 
-// drawSchedule draws the plot of a seed; its own random numbers keep a shortened
-// list the same run in all else.
+// drawSchedule draws the schedule of a seed. It has a random generator that is separate
+// from the simulation's, so that a run with a shortened schedule stays the same in all
+// other respects.
 func drawSchedule(seed uint64, names []string, count int) FaultSchedule {
 	random := rand.New(rand.NewPCG(seed, 0x5707))
 	schedule := FaultSchedule{Faults: faults.Draw(random, names, faultPeriod, count), Last: faults.Last[random.IntN(len(faults.Last))]}
@@ -39,13 +43,14 @@
 	return schedule
 }
 
-// drawPairSchedule draws two faults that come again and again over each other.
+// drawPairSchedule draws a schedule of two kinds of faults, which are repeated and may
+// overlap.
 func drawPairSchedule(seed uint64) FaultSchedule {
 	pair := drawPair(rand.New(rand.NewPCG(seed, 0x9a13)))
 	return drawSchedule(seed, pair[:], 4)
 }
 
-// drawPair draws two faults that may come at once.
+// drawPair draws two kinds of faults that may occur at the same time.
 func drawPair(random *rand.Rand) [2]string {
 	left := faults.Names[random.IntN(len(faults.Names))]
 	right := faults.Names[random.IntN(len(faults.Names))]
@@ -55,10 +60,10 @@
 	return [2]string{left, right}
 }
 
-// RunSchedule runs a plot under a seed.
+// RunSchedule runs a fault schedule with a seed.
 func RunSchedule(seed uint64, size Shape, schedule FaultSchedule, trace func(line string)) *Simulation {
 	simulation, operator := prepare(seed, size, schedule.ClockSkew, trace)
-	simulation.Crowd(size.Clients)
+	simulation.AddDefaultClients(size.Clients)
 	simulation.Run(3 * time.Second)
 	operator.work(simulation.Now.Add(faultPeriod + 40*time.Second))
 	simulation.lastFaultAt = simulation.Now.Add(-checker.FaultSettleTime)
@@ -67,41 +72,41 @@
 		simulation.After(fault.Start, func() { simulation.inject(fault) })
 	}
 	simulation.Run(faultPeriod)
-	if !simulation.RunUntil(120*time.Second, func() bool { return simulation.open == 0 }) {
-		simulation.Checker.Violate(checker.NotBack, "a fault has not come to its end after two minutes")
+	if !simulation.RunUntil(120*time.Second, func() bool { return simulation.activeFaults == 0 }) {
+		simulation.Checker.Violate(checker.NotBack, "a fault has not ended after two minutes")
 	}
 	simulation.Run(checker.FaultSettleTime + 3*time.Second)
 	if schedule.Last != "" {
 		simulation.trace("last fault: %s", schedule.Last)
-		simulation.open++
+		simulation.activeFaults++
 		simulation.injectLast(schedule.Last)
-		simulation.ServiceBack(schedule.Last)
-		simulation.open--
+		simulation.MeasureRecovery(schedule.Last)
+		simulation.activeFaults--
 		simulation.lastFaultAt = simulation.Now
 		simulation.Run(checker.FaultSettleTime + 3*time.Second)
 	}
-	simulation.close(8 * time.Second)
+	simulation.finish(8 * time.Second)
 	return simulation
 }
 
-// calmSince is the moment from which nothing goes wrong.
+// calmSince returns the time since which no fault is active.
 func (s *Simulation) calmSince() time.Time {
-	if s.open > 0 {
+	if s.activeFaults > 0 {
 		return s.Now
 	}
 	return s.lastFaultAt
 }
 
-// faultEnds closes a fault.
+// faultEnds records the end of a fault.
 func (s *Simulation) faultEnds(name string) {
-	s.open--
+	s.activeFaults--
 	s.lastFaultAt = s.Now
 	s.trace("fault ends: %s", name)
 }
 
-// choose picks a daemon of a kind that is up; the same pick names the same
-// daemon while the fleet is whole.
-func (s *Simulation) choose(kind string, pick uint64) *Node {
+// pickRunningNode returns a daemon of a kind that is up. While all daemons are up, the same pick
+// always yields the same daemon.
+func (s *Simulation) pickRunningNode(kind string, pick uint64) *Node {
 	var up []*Node
 	for _, node := range s.Nodes(kind) {
 		if node.Up && !node.Frozen && !node.Stopping {
@@ -114,29 +119,31 @@
 	return up[pick%uint64(len(up))]
 }
 
-// inject brings one fault about.
+// inject injects one fault.
 func (s *Simulation) inject(fault faults.Fault) {
-	s.open++
+	s.activeFaults++
 	s.trace("fault: %s", fault)
 	end := func() { s.faultEnds(fault.Name) }
 	inject := injectors[fault.Name]
-	if callers, found := topicInjectors[fault.Name]; found && s.world != nil {
-		inject = callers
+	if topicInject, found := topicInjectors[fault.Name]; found && s.world != nil {
+		inject = topicInject
 	}
 	inject(s, fault, end)
 }
 
+// injector injects a fault, and calls end when the fault has ended.
 type injector func(simulation *Simulation, fault faults.Fault, end func())
 
-// on makes a fault of what is done to one daemon of a kind.
-func on(kind string, inject func(simulation *Simulation, node *Node, fault faults.Fault, end func())) injector {
+// onNode returns an injector that applies inject to one daemon of a kind, or to the
+// controller in the role "primary" or "backup".
+func onNode(kind string, inject func(simulation *Simulation, node *Node, fault faults.Fault, end func())) injector {
 	return func(simulation *Simulation, fault faults.Fault, end func()) {
 		var node *Node
 		switch kind {
 		case "primary", "backup":
 			node = simulation.controllerIn(kind)
 		default:
-			node = simulation.choose(kind, fault.Pick)
+			node = simulation.pickRunningNode(kind, fault.Pick)
 		}
 		if node == nil || !node.Up || node.Frozen {
 			end()
@@ -165,7 +172,8 @@
 	})
 }
 
-// restart restarts a daemon as the platform does, and tells when it has.
+// restart restarts a daemon as the platform does: it waits for the graceful shutdown,
+// then for wait, and calls then after the start.
 func (s *Simulation) restart(node *Node, wait time.Duration, then func()) {
 	if !node.Up {
 		node.Start()
@@ -188,7 +196,8 @@
 	simulation.restart(node, fault.Length/3, end)
 }
 
-// restartInTurn restarts daemons one after another, each once the one before is ready.
+// restartInTurn restarts daemons one after another, each when the previous one is ready
+// or was not ready for eight seconds.
 func (s *Simulation) restartInTurn(nodes []*Node, end func()) {
 	if len(nodes) == 0 {
 		end()
@@ -209,27 +218,27 @@
 	})
 }
 
-// partitionFor cuts the ways that a test names for a while, and only those.
+// partitionFor cuts the links that the predicate cut selects, for length.
 func (s *Simulation) partitionFor(length time.Duration, cut func(from, to *Node) bool, end func()) {
-	type way struct{ from, to *Node }
-	var ways []way
+	type link struct{ from, to *Node }
+	var links []link
 	for _, from := range s.Nodes("") {
 		for _, to := range s.Nodes("") {
 			if from != to && cut(from, to) {
-				ways = append(ways, way{from, to})
+				links = append(links, link{from, to})
 				s.CutLink(from, to)
 			}
 		}
 	}
 	s.After(length, func() {
-		for _, each := range ways {
+		for _, each := range links {
 			s.HealLink(each.from, each.to)
 		}
 		end()
 	})
 }
 
-// addNewDaemon adds a machine that nobody has heard of.
+// addNewDaemon adds and starts a daemon that is unknown to the fleet, on a new machine.
 func (s *Simulation) addNewDaemon(kind string) {
 	number := len(s.Nodes(kind))
 	switch kind {
@@ -238,9 +247,9 @@
 	case membership.KindController:
 		s.addController(number).Start()
 	case membership.KindGateway:
-		gateway, beside := s.addGateway(number)
+		gateway, agent := s.addGateway(number)
 		gateway.Start()
-		beside.Start()
+		agent.Start()
 	}
 }
 
@@ -251,25 +260,26 @@
 	}
 }
 
-func over(fault faults.Fault, simulation *Simulation, end func(), undo func()) {
+// undoAfter calls undo and end when the length of a fault has passed.
+func undoAfter(fault faults.Fault, simulation *Simulation, end func(), undo func()) {
 	simulation.After(fault.Length, func() { undo(); end() })
 }
 
-// resetNearlyAll cuts the channels of nearly all callers, or of one.
+// resetNearlyAll closes the connections of nine in ten clients, chosen at random.
 func (s *Simulation) resetNearlyAll(fault faults.Fault, end func()) {
 	for _, client := range s.clients {
 		if s.Random.IntN(10) > 0 {
 			client.Reset(s.between(0, 400*time.Millisecond))
 		}
 	}
-	over(fault, s, end, func() {})
+	undoAfter(fault, s, end, func() {})
 }
 
-func (s *Simulation) someClient(pick uint64) *Client {
+func (s *Simulation) pickClient(pick uint64) *Client {
 	return s.clients[pick%uint64(len(s.clients))]
 }
 
-// injectSlowProcess stops and continues a daemon in short turns.
+// injectSlowProcess pauses and resumes a daemon's process in short intervals.
 func injectSlowProcess(simulation *Simulation, node *Node, fault faults.Fault, end func()) {
 	until, incarnation := simulation.Now.Add(fault.Length), node.incarnation
 	var turn func()
@@ -290,29 +300,30 @@
 }
 
 var injectors = map[string]injector{
-	"kill-gateway":       on(membership.KindGateway, injectKill),
-	"kill-agent":         on(membership.KindAgent, injectKill),
-	"kill-store":         on(membership.KindStore, injectKill),
-	"kill-controller":    on(membership.KindController, injectKill),
-	"kill-primary":       on("primary", injectKill),
-	"kill-backup":        on("backup", injectKill),
-	"wipe-store":         on(membership.KindStore, injectKill),
-	"wipe-controller":    on(membership.KindController, injectKill),
-	"freeze-gateway":     on(membership.KindGateway, injectFreeze),
-	"freeze-agent":       on(membership.KindAgent, injectFreeze),
-	"freeze-store":       on(membership.KindStore, injectFreeze),
-	"freeze-controller":  on(membership.KindController, injectFreeze),
-	"freeze-primary":     on("primary", injectFreeze),
-	"restart-gateway":    on(membership.KindGateway, injectRestart),
-	"restart-store":      on(membership.KindStore, injectRestart),
-	"restart-controller": on(membership.KindController, injectRestart),
-	"slow-daemon":        on("", injectSlowProcess),
+	"kill-gateway":       onNode(membership.KindGateway, injectKill),
+	"kill-agent":         onNode(membership.KindAgent, injectKill),
+	"kill-store":         onNode(membership.KindStore, injectKill),
+	"kill-controller":    onNode(membership.KindController, injectKill),
+	"kill-primary":       onNode("primary", injectKill),
+	"kill-backup":        onNode("backup", injectKill),
+	"wipe-store":         onNode(membership.KindStore, injectKill),
+	"wipe-controller":    onNode(membership.KindController, injectKill),
+	"freeze-gateway":     onNode(membership.KindGateway, injectFreeze),
+	"freeze-agent":       onNode(membership.KindAgent, injectFreeze),
+	"freeze-store":       onNode(membership.KindStore, injectFreeze),
+	"freeze-controller":  onNode(membership.KindController, injectFreeze),
+	"freeze-primary":     onNode("primary", injectFreeze),
+	"restart-gateway":    onNode(membership.KindGateway, injectRestart),
+	"restart-store":      onNode(membership.KindStore, injectRestart),
+	"restart-controller": onNode(membership.KindController, injectRestart),
+	"slow-daemon":        onNode("", injectSlowProcess),
 	"join-gateway":       join(membership.KindGateway),
 	"join-store":         join(membership.KindStore),
 	"join-controller":    join(membership.KindController),
-	"restart-beside": on(membership.KindGateway, func(simulation *Simulation, node *Node, fault faults.Fault, end func()) {
-		// A gateway and its agent at once, and now and then the agent first.
-		agent := simulation.besideOf(node)
+	"restart-beside": onNode(membership.KindGateway, func(simulation *Simulation, node *Node, fault faults.Fault, end func()) {
+		// A gateway and its agent restart at the same time. In one of three cases the
+		// agent is killed first.
+		agent := simulation.agentOf(node)
 		if fault.Pick%3 == 0 {
 			agent.Kill()
 		}
@@ -331,23 +342,23 @@
 		if fault.Pick%3 == 0 {
 			kind = membership.KindController
 		}
-		node := simulation.choose(kind, fault.Pick)
+		node := simulation.pickRunningNode(kind, fault.Pick)
 		if node == nil {
 			end()
 			return
 		}
-		node.slowDisk = 120
-		over(fault, simulation, end, func() { node.slowDisk = 0 })
+		node.diskSlowdown = 120
+		undoAfter(fault, simulation, end, func() { node.diskSlowdown = 0 })
 	},
 	"power-loss": func(simulation *Simulation, fault faults.Fault, end func()) {
-		// All stores lose power at the same moment and keep what was synced.
+		// All stores lose power at the same time and keep their synced writes.
 		for _, node := range simulation.Nodes(membership.KindStore) {
 			if node.Up {
 				node.Kill()
 				simulation.After(fault.Length/2+simulation.between(0, fault.Length/2), node.Start)
 			}
 		}
-		over(fault, simulation, end, func() {})
+		undoAfter(fault, simulation, end, func() {})
 	},
 	"lose-place": func(simulation *Simulation, fault faults.Fault, end func()) {
 		zone := int(fault.Pick) % simulation.Shape.Zones
@@ -359,38 +370,38 @@
 		}
 		simulation.After(fault.Length+time.Second, end)
 	},
-	"cut-daemon": on("", func(simulation *Simulation, node *Node, fault faults.Fault, end func()) {
-		inside := func(each *Node) bool { return each == node || beside(each, node) }
+	"cut-daemon": onNode("", func(simulation *Simulation, node *Node, fault faults.Fault, end func()) {
+		inside := func(each *Node) bool { return each == node || onSameMachine(each, node) }
 		simulation.partitionFor(fault.Length, func(from, to *Node) bool { return inside(from) != inside(to) }, end)
 	}),
-	"cut-one-way": on("", func(simulation *Simulation, node *Node, fault faults.Fault, end func()) {
+	"cut-one-way": onNode("", func(simulation *Simulation, node *Node, fault faults.Fault, end func()) {
 		simulation.partitionFor(fault.Length, func(from, to *Node) bool {
 			if fault.Pick%2 == 0 {
-				return from == node && !beside(from, to)
+				return from == node && !onSameMachine(from, to)
 			}
-			return to == node && !beside(from, to)
+			return to == node && !onSameMachine(from, to)
 		}, end)
 	}),
 	"cut-place": func(simulation *Simulation, fault faults.Fault, end func()) {
 		zone := int(fault.Pick) % simulation.Shape.Zones
 		simulation.partitionFor(fault.Length, func(from, to *Node) bool { return (from.Zone == zone) != (to.Zone == zone) }, end)
 	},
-	"cut-primary": on("primary", func(simulation *Simulation, node *Node, fault faults.Fault, end func()) {
+	"cut-primary": onNode("primary", func(simulation *Simulation, node *Node, fault faults.Fault, end func()) {
 		simulation.partitionFor(fault.Length+3*time.Second, func(from, to *Node) bool {
 			return from.Kind == membership.KindController && to.Kind == membership.KindController && (from == node || to == node)
 		}, end)
 	}),
 	"loss": func(simulation *Simulation, fault faults.Fault, end func()) {
 		simulation.loss += 0.12
-		over(fault, simulation, end, func() { simulation.loss = max(0, simulation.loss-0.12) })
+		undoAfter(fault, simulation, end, func() { simulation.loss = max(0, simulation.loss-0.12) })
 	},
 	"slow-links": func(simulation *Simulation, fault faults.Fault, end func()) {
-		simulation.lag += 80 * time.Millisecond
-		over(fault, simulation, end, func() { simulation.lag = max(0, simulation.lag-80*time.Millisecond) })
+		simulation.extraDelay += 80 * time.Millisecond
+		undoAfter(fault, simulation, end, func() { simulation.extraDelay = max(0, simulation.extraDelay-80*time.Millisecond) })
 	},
 	"relink": func(simulation *Simulation, fault faults.Fault, end func()) {
-		simulation.relinks++
-		over(fault, simulation, end, func() { simulation.relinks = max(0, simulation.relinks-1) })
+		simulation.reconnects++
+		undoAfter(fault, simulation, end, func() { simulation.reconnects = max(0, simulation.reconnects-1) })
 	},
 	"held-links": func(simulation *Simulation, fault faults.Fault, end func()) {
 		restartsWithHeldLinks(simulation, fault.Length+2*time.Second)
@@ -398,16 +409,16 @@
 	},
 	"resets": func(simulation *Simulation, fault faults.Fault, end func()) { simulation.resetNearlyAll(fault, end) },
 	"vanish": func(simulation *Simulation, fault faults.Fault, end func()) {
-		simulation.someClient(fault.Pick).Reset(fault.Length * 4)
+		simulation.pickClient(fault.Pick).Reset(fault.Length * 4)
 		simulation.After(fault.Length*4, end)
 	},
 	"wander": func(simulation *Simulation, fault faults.Fault, end func()) {
 		for turn := range 4 {
-			client := simulation.someClient(fault.Pick + uint64(turn))
+			client := simulation.pickClient(fault.Pick + uint64(turn))
 			client.Zone = simulation.Random.IntN(simulation.Shape.Zones)
 			client.Reset(simulation.between(0, 50*time.Millisecond))
 		}
-		over(fault, simulation, end, func() {})
+		undoAfter(fault, simulation, end, func() {})
 	},
 	"crowd": func(simulation *Simulation, fault faults.Fault, end func()) {
 		var crowd []*Client
@@ -419,23 +430,23 @@
 			crowd = append(crowd, simulation.AddClient(fmt.Sprintf("crowd-%d-%d", fault.Pick, len(simulation.clients)), zone%simulation.Shape.Zones,
 				gateway.Interest{Space: "boards", Path: fmt.Sprintf("p%d", number%3), Prefix: true}))
 		}
-		over(fault, simulation, end, func() {
+		undoAfter(fault, simulation, end, func() {
 			for _, client := range crowd {
 				client.leave()
 			}
 		})
 	},
 	"operators": func(simulation *Simulation, fault faults.Fault, end func()) {
-		// Two operators race with the same version and other content, and a
-		// third puts the next one at the same time.
+		// Two operators put the same version with different contents concurrently,
+		// and a third one puts the next version at the same time.
 		for range 3 {
 			simulation.operator.race()
 			simulation.operator.next(nil)
 		}
-		over(fault, simulation, end, func() {})
+		undoAfter(fault, simulation, end, func() {})
 	},
 	"space": func(simulation *Simulation, fault faults.Fault, end func()) { simulation.spaceFor(fault, end) },
-	"drain": on(membership.KindGateway, func(simulation *Simulation, node *Node, fault faults.Fault, end func()) {
+	"drain": onNode(membership.KindGateway, func(simulation *Simulation, node *Node, fault faults.Fault, end func()) {
 		simulation.operator.drains = []string{node.Name}
 		simulation.operator.next(nil)
 		simulation.After(fault.Length+4*time.Second, func() {
@@ -444,17 +455,17 @@
 			end()
 		})
 	}),
-	"edit-settings": on(membership.KindGateway, func(simulation *Simulation, node *Node, fault faults.Fault, end func()) {
+	"edit-settings": onNode(membership.KindGateway, func(simulation *Simulation, node *Node, fault faults.Fault, end func()) {
 		incarnation := node.incarnation
 		node.Gateway().SetMaxClients(1)
-		over(fault, simulation, end, func() {
+		undoAfter(fault, simulation, end, func() {
 			if node.Up && node.incarnation == incarnation {
 				node.Gateway().SetMaxClients(2000)
 			}
 		})
 	}),
 	"retire": func(simulation *Simulation, fault faults.Fault, end func()) {
-		node := simulation.choose(membership.KindStore, fault.Pick)
+		node := simulation.pickRunningNode(membership.KindStore, fault.Pick)
 		if node == nil {
 			end()
 			return
@@ -470,11 +481,11 @@
 	},
 }
 
-// spaceFor adds a space that callers use at once, and removes it.
+// spaceFor adds a space with clients that use it immediately, and removes it again.
 func (s *Simulation) spaceFor(fault faults.Fault, end func()) {
 	operator := s.operator
-	s.number++
-	name := fmt.Sprintf("brief-%d", s.number)
+	s.counter++
+	name := fmt.Sprintf("brief-%d", s.counter)
 	s.Checker.Space(name, false, false)
 	operator.extras[name] = true
 	var users []*Client
@@ -498,8 +509,8 @@
 	})
 }
 
-// injectLast brings about the fault that ends a run; nothing takes it away but
-// a restart, where the fault is one.
+// injectLast injects the last fault of a run. Its daemons stay down, except that
+// restart-all starts them again.
 func (s *Simulation) injectLast(name string) {
 	kill := func(node *Node) {
 		if node != nil && node.Up {
@@ -508,11 +519,11 @@
 	}
 	switch name {
 	case "kill-gateway":
-		kill(s.pickUp(membership.KindGateway))
+		kill(s.randomRunningNode(membership.KindGateway))
 	case "kill-store":
-		kill(s.pickUp(membership.KindStore))
+		kill(s.randomRunningNode(membership.KindStore))
 	case "kill-agent":
-		kill(s.pickUp(membership.KindAgent))
+		kill(s.randomRunningNode(membership.KindAgent))
 	case "kill-primary":
 		kill(s.controllerIn("primary"))
 	case "kill-backup":
@@ -527,8 +538,8 @@
 	case "lose-two":
 		kinds := []string{membership.KindGateway, membership.KindStore, membership.KindController, membership.KindAgent}
 		first := s.Random.IntN(len(kinds))
-		kill(s.pickUp(kinds[first]))
-		kill(s.pickUp(kinds[(first+1+s.Random.IntN(len(kinds)-1))%len(kinds)]))
+		kill(s.randomRunningNode(kinds[first]))
+		kill(s.randomRunningNode(kinds[(first+1+s.Random.IntN(len(kinds)-1))%len(kinds)]))
 	case "restart-all":
 		for _, node := range s.Nodes("") {
 			if node.Up {
@@ -537,23 +548,25 @@
 			}
 		}
 	default:
-		panic("no last fault is named " + name)
+		panic("unknown last fault " + name)
 	}
 }
 
-func (s *Simulation) besideOf(gateway *Node) *Node {
+// agentOf returns the agent on the machine of a gateway.
+func (s *Simulation) agentOf(gateway *Node) *Node {
 	return s.nodes[membership.KindAgent+gateway.Name[len(membership.KindGateway):]]
 }
 
-// Recovery is when each part of a recovery was first seen, counted from the
-// failure: a watcher or the backup noticed, the controllers decided, a primary could
-// act again, every partition had its two copies, and the last caller was back.
+// Recovery holds the times from a failure to each part of the recovery: a failure
+// detector or the backup noticed it, the controllers decided, a primary could act again,
+// every partition had both of its replicas, and the last client was back.
 type Recovery struct {
-	What                                                  string
-	Noticed, Decided, TakeoverDone, Refilled, ClientsBack time.Duration
+	// What names the failure.
+	What                                                            string
+	Noticed, Decided, TakeoverDone, PartitionsComplete, ClientsBack time.Duration
 }
 
-// record takes what daemons log as signs of a recovery's first two parts.
+// record derives the first two parts of a recovery from the events that daemons log.
 func (c *Recovery) record(number statemachine.EventNumber, after time.Duration) {
 	switch number {
 	case logevent.MemberSuspected, logevent.TakeoverStarted, logevent.BackupLost, logevent.EpochRecovered:
@@ -565,21 +578,24 @@
 	}
 }
 
-// serving names the parts of service that are there.
-func (s *Simulation) serving() (primary, partitions, callers bool) {
+// serving reports which parts of the service are available: a primary, all partitions
+// with both replicas and a running leader, and all clients.
+func (s *Simulation) serving() (primary, partitions, clients bool) {
 	acting := s.Primary()
 	if acting == nil {
-		return false, false, s.callersServed()
+		return false, false, s.clientsServed()
 	}
 	partitions = true
 	for _, placement := range acting.Machine.(*controller.Controller).State().Placements {
 		leader := s.nodes[placement.Leader]
 		partitions = partitions && placement.Complete && leader.Up && !leader.Frozen
 	}
-	return true, partitions, s.callersServed()
+	return true, partitions, s.clientsServed()
 }
 
-func (s *Simulation) callersServed() bool {
+// clientsServed reports whether all clients, except those that are away on purpose, are
+// served.
+func (s *Simulation) clientsServed() bool {
 	for _, client := range s.topicClients {
 		if !client.Closed && client.fixed == nil && !client.holds() && !s.Now.Before(client.absentUntil) {
 			return false
