--- a/internal/simulator/scenario.go
+++ b/internal/simulator/scenario.go
@@ -1,7 +1,7 @@
-// Scenarios: what befalls a simulated fleet. Each is a name with a function that
-// schedules its faults from the seed; all share the same callers, operators and
-// checks. At the end every fault is taken away, callers are given time to come
-// back, and the checker closes its book.
+// Scenarios: the faults that are injected into a simulated fleet. Each is a name with a
+// function that schedules its faults from the seed; all share the same clients, operators
+// and checks. At the end every fault is healed, clients get time to reconnect, and the
+// checker runs its final checks.
 
 package simulator
 
@@ -21,21 +21,23 @@
 	"dahlialock/internal/statemachine"
 )
 
-// Scenario is one kind of run.
+// Scenario is one kind of run. At most one of Faults, Schedule and Topics is set.
 type Scenario struct {
-	Name     string
+	Name string
+	// Length is for how long Faults injects faults.
 	Length   time.Duration
 	Faults   func(simulation *Simulation, length time.Duration)
 	Schedule func(seed uint64) FaultSchedule
-	// Topics is set for runs with callers of routed topics.
+	// Topics is set for runs with clients of routed topics.
 	Topics func(seed uint64) TopicPlot
 }
 
 const sampleEvery = 100 * time.Millisecond
 
-// sample looks at what is in force on every daemon.
-func (s *Simulation) sample() {
-	s.After(sampleEvery, s.sample)
+// sampleVersions passes the configuration version in force and the readiness of every healthy
+// gateway to the checker, and repeats itself every sampleEvery.
+func (s *Simulation) sampleVersions() {
+	s.After(sampleEvery, s.sampleVersions)
 	for _, client := range s.clients {
 		client.watch()
 	}
@@ -50,17 +52,17 @@
 			continue
 		}
 		healthy := node.HealthySince
-		beside := s.besideOf(node)
-		if !beside.Up || beside.Frozen {
+		agent := s.agentOf(node)
+		if !agent.Up || agent.Frozen {
 			continue
 		}
-		if beside.HealthySince.After(healthy) {
-			healthy = beside.HealthySince
+		if agent.HealthySince.After(healthy) {
+			healthy = agent.HealthySince
 		}
-		if s.isolatedFromMajority(node) || s.isolatedFromMajority(beside) {
+		if s.isolatedFromMajority(node) || s.isolatedFromMajority(agent) {
 			continue
 		}
-		if orders := node.Gateway().ViewClient().Directives; !node.Ready() && !orders.Rest && !slices.Contains(node.Gateway().Configuration().Draining, node.Name) {
+		if directives := node.Gateway().ViewClient().Directives; !node.Ready() && !directives.Rest && !slices.Contains(node.Gateway().Configuration().Draining, node.Name) {
 			s.unready[node.Name] += sampleEvery
 			s.Checker.NotReady(node.Name, s.calmSince(), s.Now)
 		}
@@ -73,42 +75,45 @@
 	}
 }
 
+// isolatedFromMajority reports whether a daemon is cut off from at least half of the
+// controllers.
 func (s *Simulation) isolatedFromMajority(node *Node) bool {
 	cut, all := 0, 0
 	for _, other := range s.Nodes(membership.KindController) {
 		all++
-		if s.cuts[link(node, other)]+s.cuts[link(other, node)] > 0 {
+		if s.cuts[linkName(node, other)]+s.cuts[linkName(other, node)] > 0 {
 			cut++
 		}
 	}
 	return cut*2 >= all
 }
 
-// Prepare starts a fleet with a configuration and callers, and waits until it
-// serves.
+// Prepare starts a fleet, puts its first configuration, and waits until all gateways are
+// ready.
 func Prepare(seed uint64, size Shape, trace func(line string)) (*Simulation, *Operator) {
 	return prepare(seed, size, 0, trace)
 }
 
-func prepare(seed uint64, size Shape, apart time.Duration, trace func(line string)) (*Simulation, *Operator) {
+func prepare(seed uint64, size Shape, clockSkew time.Duration, trace func(line string)) (*Simulation, *Operator) {
 	simulation := New(seed, size)
-	return simulation, simulation.begin(apart, trace)
+	return simulation, simulation.startFleet(clockSkew, trace)
 }
 
-// begin starts the daemons and puts the first configuration.
-func (s *Simulation) begin(apart time.Duration, trace func(line string)) *Operator {
+// startFleet starts the daemons, puts the first configuration, and waits until all gateways
+// are ready.
+func (s *Simulation) startFleet(clockSkew time.Duration, trace func(line string)) *Operator {
 	s.Trace = trace
-	s.clockSkew = apart
+	s.clockSkew = clockSkew
 	s.StartAll()
 	operator := newOperator(s)
 	s.operator = operator
 	s.Checker.Space("boards", true, false)
 	s.Checker.Space("decisions", true, true)
 	s.Checker.Space("cursors", false, false)
-	taken := false
-	s.After(time.Second, func() { operator.next(func() { taken = true }) })
-	if !s.RunUntil(20*time.Second, func() bool { return taken }) {
-		s.Checker.Violate(checker.NotBack, "no configuration was taken in 20 s")
+	accepted := false
+	s.After(time.Second, func() { operator.next(func() { accepted = true }) })
+	if !s.RunUntil(20*time.Second, func() bool { return accepted }) {
+		s.Checker.Violate(checker.NotBack, "no configuration was accepted within 20 s")
 	}
 	s.RunUntil(10*time.Second, func() bool {
 		for _, node := range s.Nodes(membership.KindGateway) {
@@ -119,12 +124,12 @@
 		return true
 	})
 	s.lastFaultAt = s.Now
-	s.sample()
+	s.sampleVersions()
 	return operator
 }
 
-// Crowd adds the usual callers.
-func (s *Simulation) Crowd(count int) {
+// AddDefaultClients adds the clients that most scenarios have.
+func (s *Simulation) AddDefaultClients(count int) {
 	topics := []string{}
 	for project := range 3 {
 		for board := range 4 {
@@ -155,7 +160,7 @@
 	}
 }
 
-// Run runs a scenario under one seed.
+// Run runs a scenario with a seed.
 func Run(scenario Scenario, seed uint64, size Shape, trace func(line string)) *Simulation {
 	if scenario.Topics != nil {
 		return RunTopics(seed, size, scenario.Topics(seed), trace)
@@ -164,25 +169,25 @@
 		return RunSchedule(seed, size, scenario.Schedule(seed), trace)
 	}
 	simulation, operator := Prepare(seed, size, trace)
-	simulation.Crowd(size.Clients)
+	simulation.AddDefaultClients(size.Clients)
 	simulation.Run(3 * time.Second)
 	operator.work(simulation.Now.Add(scenario.Length))
 	simulation.lastFaultAt = simulation.Now.Add(-checker.FaultSettleTime)
 	if scenario.Faults != nil {
-		simulation.open++
+		simulation.activeFaults++
 		scenario.Faults(simulation, scenario.Length)
 	}
 	simulation.Run(scenario.Length)
 	if scenario.Faults != nil {
 		simulation.faultEnds(scenario.Name)
 	}
-	simulation.WaitUntilStable(20 * time.Second)
+	simulation.HealAndClose(20 * time.Second)
 	return simulation
 }
 
-// WaitUntilStable takes all faults away, lets callers come back and go on for a while,
-// and closes the book.
-func (s *Simulation) WaitUntilStable(wait time.Duration) {
+// HealAndClose heals all faults, gives clients time to reconnect and to continue, and
+// ends the run with the checker's final checks.
+func (s *Simulation) HealAndClose(wait time.Duration) {
 	s.Heal()
 	for _, node := range s.Nodes("") {
 		if node.Frozen {
@@ -195,11 +200,12 @@
 		}
 	}
 	s.Run(wait * 7 / 10)
-	s.close(wait * 3 / 10)
+	s.finish(wait * 3 / 10)
 }
 
-// close ends new publications, and the run.
-func (s *Simulation) close(wait time.Duration) {
+// finish stops new publications, waits for those in flight, and ends the run with the
+// checker's final checks.
+func (s *Simulation) finish(wait time.Duration) {
 	for _, client := range s.clients {
 		client.Quiet()
 	}
@@ -209,17 +215,17 @@
 			s.Checker.Violate(checker.NotBack, "%s is still not served %s after the last fault", client.Name, wait)
 		}
 	}
-	s.describe()
+	s.traceFinalState()
 	s.Checker.Close(s.Now)
 }
 
-// describe traces what is still under way at the end.
-func (s *Simulation) describe() {
+// traceFinalState writes the state of gateways, stores and clients at the end to the trace.
+func (s *Simulation) traceFinalState() {
 	if s.Trace == nil {
 		return
 	}
 	for _, node := range s.Nodes(membership.KindGateway) {
-		for name, status := range statemachine.Sorted(node.Gateway().Trackers(node.local())) {
+		for name, status := range statemachine.Sorted(node.Gateway().Trackers(node.localTime())) {
 			s.trace("%s ready %v %s: %+v", node.Name, node.Ready(), name, status)
 		}
 	}
@@ -238,35 +244,35 @@
 	}
 }
 
-// ServiceBack measures how long after a moment every caller can publish and is
-// subscribed again, and when each part of the recovery was seen.
-func (s *Simulation) ServiceBack(what string) {
+// MeasureRecovery measures how long from now it takes until every client is subscribed again
+// and can publish, and when each part of the recovery was observed.
+func (s *Simulation) MeasureRecovery(failure string) {
 	from := s.Now
-	comeback := &Recovery{What: what}
-	s.recovery, s.recoveryStart = comeback, from
+	recovery := &Recovery{What: failure}
+	s.recovery, s.recoveryStart = recovery, from
 	var check func()
 	check = func() {
 		after := s.Now.Sub(from)
-		primary, partitions, callers := s.serving()
+		primary, partitions, clients := s.serving()
 		for _, part := range []struct {
-			there bool
-			since *time.Duration
-		}{{primary, &comeback.TakeoverDone}, {partitions, &comeback.Refilled}, {callers, &comeback.ClientsBack}} {
-			if !part.there {
+			available bool
+			since     *time.Duration
+		}{{primary, &recovery.TakeoverDone}, {partitions, &recovery.PartitionsComplete}, {clients, &recovery.ClientsBack}} {
+			if !part.available {
 				*part.since = 0
 			} else if *part.since == 0 {
 				*part.since = after
 			}
 		}
-		// Word of the loss may come after a moment in which all still seems
-		// well, so service counts as back once it has held for four seconds.
-		if back := max(comeback.TakeoverDone, comeback.Refilled, comeback.ClientsBack); primary && partitions && callers && after-back > 4*time.Second || after > 2*checker.BackWithin {
-			if !primary || !partitions || !callers {
+		// The failure may be detected only after a time in which everything still
+		// appears healthy, so service counts as back once it lasted for four seconds.
+		if back := max(recovery.TakeoverDone, recovery.PartitionsComplete, recovery.ClientsBack); primary && partitions && clients && after-back > 4*time.Second || after > 2*checker.BackWithin {
+			if !primary || !partitions || !clients {
 				back = after
 			}
-			s.Checker.Served(what, back)
-			s.trace("service is back %s after %s: %+v", back, what, *comeback)
-			s.Recoveries = append(s.Recoveries, *comeback)
+			s.Checker.Served(failure, back)
+			s.trace("service is back %s after %s: %+v", back, failure, *recovery)
+			s.Recoveries = append(s.Recoveries, *recovery)
 			s.recovery = nil
 			return
 		}
@@ -277,7 +283,8 @@
 
 // Faults.
 
-func (s *Simulation) pickUp(kind string) *Node {
+// randomRunningNode picks a random daemon of a kind that is up and not frozen, or nil.
+func (s *Simulation) randomRunningNode(kind string) *Node {
 	var up []*Node
 	for _, node := range s.Nodes(kind) {
 		if node.Up && !node.Frozen {
@@ -290,11 +297,12 @@
 	return up[s.Random.IntN(len(up))]
 }
 
+// between draws a random duration.
 func (s *Simulation) between(minimum, maximum time.Duration) time.Duration {
 	return minimum + time.Duration(s.Random.Int64N(int64(maximum-minimum)+1))
 }
 
-// killFor kills a daemon and starts it again after a while.
+// killFor kills a daemon, wipes its disk if requested, and restarts it after length.
 func (s *Simulation) killFor(node *Node, length time.Duration, wipe bool) {
 	if node == nil || !node.Up {
 		return
@@ -322,20 +330,22 @@
 	s.After(6*time.Second+length, node.Start)
 }
 
-// every repeats a fault over a run.
+// every injects a fault again and again, at random intervals, until shortly before length
+// has passed.
 func (s *Simulation) every(length, minimum, maximum time.Duration, fault func()) {
 	until := s.Now.Add(length - 2*time.Second)
-	var again func()
-	again = func() {
+	var inject func()
+	inject = func() {
 		if s.Now.After(until) {
 			return
 		}
 		fault()
-		s.After(s.between(minimum, maximum), again)
+		s.After(s.between(minimum, maximum), inject)
 	}
-	s.After(s.between(0, minimum), again)
+	s.After(s.between(0, minimum), inject)
 }
 
+// controllerIn returns the controller in a role, "primary" or "backup", or nil.
 func (s *Simulation) controllerIn(role string) *Node {
 	primary := s.Primary()
 	if primary == nil {
@@ -354,7 +364,7 @@
 func kill(kind string) func(simulation *Simulation, length time.Duration) {
 	return func(simulation *Simulation, length time.Duration) {
 		simulation.every(length, 6*time.Second, 10*time.Second, func() {
-			simulation.killFor(simulation.pickUp(kind), simulation.between(200*time.Millisecond, 5*time.Second), false)
+			simulation.killFor(simulation.randomRunningNode(kind), simulation.between(200*time.Millisecond, 5*time.Second), false)
 		})
 	}
 }
@@ -362,7 +372,7 @@
 func freeze(kind string) func(simulation *Simulation, length time.Duration) {
 	return func(simulation *Simulation, length time.Duration) {
 		simulation.every(length, 6*time.Second, 9*time.Second, func() {
-			simulation.freezeFor(simulation.pickUp(kind), simulation.between(300*time.Millisecond, 6*time.Second))
+			simulation.freezeFor(simulation.randomRunningNode(kind), simulation.between(300*time.Millisecond, 6*time.Second))
 		})
 	}
 }
@@ -373,8 +383,8 @@
 	})
 }
 
-// single lists faults that may be combined in pairs.
-var single = map[string]func(simulation *Simulation, length time.Duration){
+// faultFunctions lists the scenarios whose faults are injected by a function, by name.
+var faultFunctions = map[string]func(simulation *Simulation, length time.Duration){
 	"calm":              func(*Simulation, time.Duration) {},
 	"kill-gateway":      kill(membership.KindGateway),
 	"kill-agent":        kill(membership.KindAgent),
@@ -397,22 +407,22 @@
 	},
 	"wipe-controller": func(simulation *Simulation, length time.Duration) {
 		simulation.every(length, 14*time.Second, 18*time.Second, func() {
-			simulation.killFor(simulation.pickUp(membership.KindController), simulation.between(time.Second, 5*time.Second), true)
+			simulation.killFor(simulation.randomRunningNode(membership.KindController), simulation.between(time.Second, 5*time.Second), true)
 		})
 	},
 	"wipe-store": func(simulation *Simulation, length time.Duration) {
 		simulation.every(length, 14*time.Second, 18*time.Second, func() {
-			simulation.killFor(simulation.pickUp(membership.KindStore), simulation.between(time.Second, 5*time.Second), true)
+			simulation.killFor(simulation.randomRunningNode(membership.KindStore), simulation.between(time.Second, 5*time.Second), true)
 		})
 	},
 	"restart-gateways": func(simulation *Simulation, length time.Duration) {
 		simulation.every(length, 8*time.Second, 10*time.Second, func() {
-			simulation.restartFor(simulation.pickUp(membership.KindGateway), simulation.between(0, time.Second))
+			simulation.restartFor(simulation.randomRunningNode(membership.KindGateway), simulation.between(0, time.Second))
 		})
 	},
 	"restart-stores": func(simulation *Simulation, length time.Duration) {
 		simulation.every(length, 11*time.Second, 13*time.Second, func() {
-			simulation.restartFor(simulation.pickUp(membership.KindStore), simulation.between(0, time.Second))
+			simulation.restartFor(simulation.randomRunningNode(membership.KindStore), simulation.between(0, time.Second))
 		})
 	},
 	"resets": func(simulation *Simulation, length time.Duration) {
@@ -448,7 +458,7 @@
 			nodes := simulation.Nodes("")
 			for range 8 {
 				from, to := nodes[simulation.Random.IntN(len(nodes))], nodes[simulation.Random.IntN(len(nodes))]
-				if from != to && !beside(from, to) {
+				if from != to && !onSameMachine(from, to) {
 					simulation.CutLink(from, to)
 				}
 			}
@@ -457,16 +467,16 @@
 	},
 	"cut-daemon": func(simulation *Simulation, length time.Duration) {
 		simulation.every(length, 9*time.Second, 12*time.Second, func() {
-			chosen := simulation.pickUp("")
+			chosen := simulation.randomRunningNode("")
 			simulation.trace("%s is cut off", chosen.Name)
-			simulation.Isolate(func(node *Node) bool { return node == chosen || beside(node, chosen) })
+			simulation.Isolate(func(node *Node) bool { return node == chosen || onSameMachine(node, chosen) })
 			simulation.After(simulation.between(500*time.Millisecond, 7*time.Second), simulation.Heal)
 		})
 	},
 	"cut-place": func(simulation *Simulation, length time.Duration) {
 		simulation.every(length, 14*time.Second, 18*time.Second, func() {
 			zone := simulation.Random.IntN(simulation.Shape.Zones)
-			simulation.trace("place %d is cut off", zone)
+			simulation.trace("zone %d is cut off", zone)
 			simulation.Isolate(func(node *Node) bool { return node.Zone == zone })
 			simulation.After(simulation.between(500*time.Millisecond, 8*time.Second), simulation.Heal)
 		})
@@ -480,14 +490,14 @@
 					simulation.After(simulation.between(14*time.Second, 16*time.Second), node.Start)
 				}
 			}
-			simulation.ServiceBack("a zone lost")
+			simulation.MeasureRecovery("a zone lost")
 		})
 	},
 	"lose-primary": func(simulation *Simulation, _ time.Duration) {
 		simulation.After(3*time.Second, func() {
 			if node := simulation.controllerIn("primary"); node != nil {
 				simulation.killFor(node, 20*time.Second, false)
-				simulation.ServiceBack("the primary lost")
+				simulation.MeasureRecovery("the primary lost")
 			}
 		})
 	},
@@ -496,9 +506,9 @@
 			kinds := [][2]string{{membership.KindGateway, membership.KindStore}, {membership.KindController, membership.KindStore}, {membership.KindGateway, membership.KindController}}
 			pair := kinds[simulation.Random.IntN(len(kinds))]
 			for _, kind := range pair {
-				simulation.killFor(simulation.pickUp(kind), 20*time.Second, false)
+				simulation.killFor(simulation.randomRunningNode(kind), 20*time.Second, false)
 			}
-			simulation.ServiceBack("two daemons of different kinds lost")
+			simulation.MeasureRecovery("two daemons of different kinds lost")
 		})
 	},
 	"cut-primary": func(simulation *Simulation, length time.Duration) {
@@ -518,8 +528,9 @@
 		})
 	},
 	"lose-disk-in-turn": func(simulation *Simulation, length time.Duration) {
-		// One store is away for a moment, and the disk of another is lost just
-		// as the first comes back: what was accepted meanwhile must be elsewhere.
+		// One store is down for a short time, and another loses its disk just as the
+		// first one returns. Publications that were accepted in between must have
+		// been replicated elsewhere.
 		simulation.every(length, 16*time.Second, 18*time.Second, func() {
 			stores := simulation.Nodes(membership.KindStore)
 			absent := simulation.Random.IntN(len(stores))
@@ -530,11 +541,11 @@
 		})
 	},
 	"rest-and-crowd": func(simulation *Simulation, length time.Duration) {
-		// A quiet fleet empties gateways and lets them rest; then a crowd comes
-		// within a second, half of it in one place.
-		simulation.thrift()
+		// A fleet with little load drains gateways and lets them rest. Then many clients
+		// connect within a second, half of them in one zone.
+		simulation.enableEconomy()
 		simulation.After(length*6/10, func() {
-			simulation.trace("a crowd comes; %d gateways rest", simulation.resting())
+			simulation.trace("a crowd connects; %d gateways are resting", simulation.countResting())
 			for number := range 24 {
 				zone := number % simulation.Shape.Zones
 				if number%2 == 0 {
@@ -542,46 +553,45 @@
 				}
 				simulation.AddClient(fmt.Sprintf("crowd-%d", number), zone, gateway.Interest{Space: "boards", Path: "p1", Prefix: true})
 			}
-			simulation.ServiceBack("a crowd on a rested fleet")
+			simulation.MeasureRecovery("a crowd on a rested fleet")
 		})
 	},
 	"rest-and-fail": func(simulation *Simulation, length time.Duration) {
-		// The same quiet fleet, while the duty's holder and others are lost.
-		simulation.thrift()
+		// The same fleet with little load, while the primary controller, which lets
+		// gateways rest, and other daemons are lost.
+		simulation.enableEconomy()
 		simulation.every(length, 7*time.Second, 10*time.Second, func() {
 			kinds := []string{membership.KindGateway, membership.KindController, membership.KindStore, membership.KindAgent}
 			if simulation.Random.IntN(2) == 0 {
 				simulation.killFor(simulation.controllerIn("primary"), simulation.between(time.Second, 6*time.Second), false)
 				return
 			}
-			simulation.killFor(simulation.pickUp(kinds[simulation.Random.IntN(len(kinds))]), simulation.between(200*time.Millisecond, 5*time.Second), false)
+			simulation.killFor(simulation.randomRunningNode(kinds[simulation.Random.IntN(len(kinds))]), simulation.between(200*time.Millisecond, 5*time.Second), false)
 		})
 	},
 	"busy-operators": func(simulation *Simulation, length time.Duration) {
-		// Configurations are put and read back all the time while primaries
-		// are lost.
+		// Configurations are put and read back continuously while primaries are lost.
 		simulation.every(length, 250*time.Millisecond, 400*time.Millisecond, func() { simulation.operator.next(nil) })
 		simulation.every(length, 80*time.Millisecond, 150*time.Millisecond, simulation.operator.read)
 		killPrimary(simulation, length)
 	},
 	"drain": func(simulation *Simulation, _ time.Duration) {
-		// An operator empties a gateway; ten seconds later nobody is on it.
+		// An operator drains a gateway; ten seconds later it must have no clients.
 		simulation.After(2*time.Second, func() {
-			node := simulation.pickUp(membership.KindGateway)
+			node := simulation.randomRunningNode(membership.KindGateway)
 			simulation.operator.drains = []string{node.Name}
 			simulation.operator.next(func() {
 				simulation.After(10*time.Second, func() {
 					if node.Up && node.Gateway().Load().Sessions > 0 && len(simulation.operator.drains) > 0 {
-						simulation.Checker.Violate("drain", "%s still holds %d origins", node.Name, node.Gateway().Load().Sessions)
+						simulation.Checker.Violate("drain", "%s still has %d clients", node.Name, node.Gateway().Load().Sessions)
 					}
 				})
 			})
 		})
 	},
 	"moves": func(simulation *Simulation, length time.Duration) {
-		// Gateways are drained in turn and origins move and reconnect all the
-		// time, but no daemon and no link is lost: then not even a passing
-		// message may be missed.
+		// Gateways are drained in turn, and clients move and reconnect continuously, but
+		// no daemon and no link fails. Then not even an ephemeral message may be lost.
 		simulation.Checker.EphemeralOwed = true
 		gateways := simulation.Nodes(membership.KindGateway)
 		turn := 0
@@ -598,7 +608,7 @@
 	},
 	"retire": func(simulation *Simulation, _ time.Duration) {
 		simulation.After(2*time.Second, func() {
-			node := simulation.pickUp(membership.KindStore)
+			node := simulation.randomRunningNode(membership.KindStore)
 			simulation.retire(node, func() {
 				simulation.trace("%s was retired and is wiped", node.Name)
 				simulation.killFor(node, 5*time.Second, true)
@@ -613,14 +623,15 @@
 	},
 }
 
-// thrift turns the economy on, with short spells.
-func (s *Simulation) thrift() {
+// enableEconomy enables the economy setting, which lets gateways rest while there is little
+// load, with a short quiet_for.
+func (s *Simulation) enableEconomy() {
 	s.operator.economy = map[string]any{"enabled": true, "origins_each": 8, "spare_gateways": 1, "quiet_for": "2s"}
 	s.operator.next(nil)
 }
 
-// resting counts the gateways that rest.
-func (s *Simulation) resting() int {
+// countResting counts the gateways that are resting.
+func (s *Simulation) countResting() int {
 	count := 0
 	for _, node := range s.Nodes(membership.KindGateway) {
 		if node.Up && node.Gateway().Resting() {
@@ -630,19 +641,21 @@
 	return count
 }
 
-func beside(left, right *Node) bool {
+// onSameMachine reports whether two daemons are a gateway and the agent of the same machine.
+func onSameMachine(left, right *Node) bool {
 	pair := []string{left.Kind, right.Kind}
 	slices.Sort(pair)
 	return pair[0] == membership.KindGateway && pair[1] == membership.KindAgent && left.Name[len(left.Kind):] == right.Name[len(right.Kind):]
 }
 
-// retire retires a store; never is called if it is refused for want of others.
-func (s *Simulation) retire(node *Node, done, never func()) {
+// retire retires a store and calls done when it is retired, or rejected if the request is
+// rejected with a conflict because too few stores would be left.
+func (s *Simulation) retire(node *Node, done, rejected func()) {
 	var poll func()
-	ask := func(method, path string) {
-		at := s.pickUp("")
+	request := func(method, path string) {
+		at := s.randomRunningNode("")
 		if at == nil {
-			s.After(500*time.Millisecond, func() { s.retire(node, done, never) })
+			s.After(500*time.Millisecond, func() { s.retire(node, done, rejected) })
 			return
 		}
 		s.Control(at, method, path, nil, func(response membership.ControlResponse, alive bool) {
@@ -656,20 +669,20 @@
 			case value.Retired:
 				done()
 			case alive && response.Status == http.StatusConflict:
-				never()
+				rejected()
 			case alive && response.Status < 300:
 				s.After(200*time.Millisecond, poll)
 			default:
-				s.After(500*time.Millisecond, func() { s.retire(node, done, never) })
+				s.After(500*time.Millisecond, func() { s.retire(node, done, rejected) })
 			}
 		})
 	}
-	poll = func() { ask(http.MethodGet, "/v1/stores/"+node.Name) }
-	ask(http.MethodPost, "/v1/stores/"+node.Name+"/retire")
+	poll = func() { request(http.MethodGet, "/v1/stores/"+node.Name) }
+	request(http.MethodPost, "/v1/stores/"+node.Name+"/retire")
 }
 
-// briefSpace adds a space, lets it be used, and removes it, while a gateway is
-// cut off in one of several ways.
+// briefSpace adds a space with clients that use it and removes it again. While it is
+// removed, a gateway may be cut off, in one of several ways.
 func (s *Simulation) briefSpace(_ time.Duration) {
 	operator := newOperator(s)
 	operator.version, operator.extra = 1000, true
@@ -682,22 +695,22 @@
 			users = append(users, client)
 		}
 		s.After(4*time.Second, func() {
-			chosen := s.pickUp(membership.KindGateway)
+			chosen := s.randomRunningNode(membership.KindGateway)
 			switch s.Random.IntN(4) {
 			case 0:
 				s.trace("%s is cut off", chosen.Name)
-				s.Isolate(func(node *Node) bool { return node == chosen || beside(node, chosen) })
+				s.Isolate(func(node *Node) bool { return node == chosen || onSameMachine(node, chosen) })
 			case 1:
 				for _, controller := range s.Nodes(membership.KindController) {
 					for _, node := range s.Nodes("") {
-						if node == chosen || beside(node, chosen) {
+						if node == chosen || onSameMachine(node, chosen) {
 							s.CutLink(node, controller)
 							s.CutLink(controller, node)
 						}
 					}
 				}
 			case 2:
-				s.trace("place %d is cut off", chosen.Zone)
+				s.trace("zone %d is cut off", chosen.Zone)
 				s.Isolate(func(node *Node) bool { return node.Zone == chosen.Zone })
 			}
 			operator.extra = false
@@ -715,16 +728,18 @@
 	})
 }
 
-// Scenarios lists all, single and in pairs with one last fault.
+// Scenarios lists all scenarios: one for each function in single, one for each fault
+// alone in a storm or as the last fault, faults in pairs, storms of all faults, and those
+// with routed topics.
 func Scenarios() []Scenario {
 	var found []Scenario
 	var names []string
-	for name := range single {
+	for name := range faultFunctions {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		found = append(found, Scenario{Name: name, Length: 25 * time.Second, Faults: single[name]})
+		found = append(found, Scenario{Name: name, Length: 25 * time.Second, Faults: faultFunctions[name]})
 	}
 	for _, name := range faults.Names {
 		found = append(found, Scenario{Name: "storm-" + name, Schedule: func(seed uint64) FaultSchedule { return drawSchedule(seed, []string{name}, 3) }})
@@ -738,7 +753,7 @@
 	return append(found, topicScenarios()...)
 }
 
-// Find finds a scenario by its name.
+// Find returns the scenario with a name; false if there is none.
 func Find(name string) (Scenario, bool) {
 	for _, scenario := range Scenarios() {
 		if scenario.Name == name {
--- a/internal/storedforms/fields.go
+++ b/internal/storedforms/fields.go
@@ -14,13 +14,13 @@
 
 // Field is one encoded field of a struct.
 type Field struct {
-	// Index is the place of the field in its struct.
+	// Index is the index of the field in its struct.
 	Index int
-	// Name is the name of the field in the code.
+	// Name is the Go name of the field.
 	Name string
-	// Key is the key of the field in the encoding, or its position in an array.
+	// Key is the key of the field in the encoding, or "#" and its position in an array.
 	Key string
-	// Explicit is set if the key doesn't follow from the field's name.
+	// Explicit is set if the key is independent of the field's Go name.
 	Explicit bool
 }
 
@@ -30,8 +30,8 @@
 	binaryMarshaler = reflect.TypeFor[encoding.BinaryMarshaler]()
 )
 
-// leaf tells whether a type is encoded without a look at its fields.
-func leaf(kind reflect.Type) bool {
+// encodesItself reports whether a type is encoded as a whole and not field by field.
+func encodesItself(kind reflect.Type) bool {
 	for _, marshaler := range []reflect.Type{cborMarshaler, binaryMarshaler} {
 		if kind.Implements(marshaler) || reflect.PointerTo(kind).Implements(marshaler) {
 			return true
@@ -40,8 +40,8 @@
 	return kind == timeType
 }
 
-// arrayStruct tells whether a struct is encoded as an array.
-func arrayStruct(kind reflect.Type) bool {
+// isArrayStruct reports whether a struct is encoded as an array.
+func isArrayStruct(kind reflect.Type) bool {
 	marker, found := kind.FieldByName("_")
 	if !found {
 		return false
@@ -49,16 +49,16 @@
 	return slices.Contains(strings.Split(marker.Tag.Get("cbor"), ","), "toarray")
 }
 
-// FieldsOf gives the encoded fields of a struct, as cbor finds them: those of an array
-// in their order, others by their keys. Embedded structs are refused, since none of
-// our forms has one.
+// FieldsOf returns the fields of a struct that cbor encodes: in the order of the code for
+// a struct that is encoded as an array, sorted by key for others. It returns an error for
+// embedded structs, which no recorded form has, and for keys that are numbers.
 func FieldsOf(kind reflect.Type) ([]Field, error) {
-	array := arrayStruct(kind)
+	array := isArrayStruct(kind)
 	var fields []Field
 	for index := range kind.NumField() {
 		field := kind.Field(index)
 		if field.Anonymous {
-			return nil, fmt.Errorf("%s embeds %s", kind, field.Name)
+			return nil, fmt.Errorf("%s embeds %s, but embedded structs are not supported", kind, field.Name)
 		}
 		if !field.IsExported() {
 			continue
@@ -72,16 +72,16 @@
 		}
 		key, options, _ := strings.Cut(tag, ",")
 		if strings.Contains(options, "keyasint") {
-			return nil, fmt.Errorf("%s.%s has a number as its key", kind, field.Name)
+			return nil, fmt.Errorf("%s.%s has a number as its key, which is not supported", kind, field.Name)
 		}
-		made := Field{Index: index, Name: field.Name, Key: key, Explicit: key != ""}
+		encoded := Field{Index: index, Name: field.Name, Key: key, Explicit: key != ""}
 		if key == "" {
-			made.Key = field.Name
+			encoded.Key = field.Name
 		}
 		if array {
-			made.Key, made.Explicit = fmt.Sprintf("#%d", len(fields)), true
+			encoded.Key, encoded.Explicit = fmt.Sprintf("#%d", len(fields)), true
 		}
-		fields = append(fields, made)
+		fields = append(fields, encoded)
 	}
 	if !array {
 		slices.SortFunc(fields, func(left, right Field) int { return cmp.Compare(left.Key, right.Key) })
@@ -89,8 +89,8 @@
 	return fields, nil
 }
 
-// ImplicitKeys names the fields, of a type and of all that it holds, whose keys follow
-// from their names in the code, or whose values are of any type.
+// ImplicitKeys returns the names of those fields of a type and of all types that it
+// contains whose keys are derived from their Go names, or whose values are interfaces.
 func ImplicitKeys(kind reflect.Type) ([]string, error) {
 	var implicit []string
 	seen := map[reflect.Type]bool{}
@@ -102,35 +102,35 @@
 	return implicit, err
 }
 
-// Layout lists the encoded fields of a type and of all that it holds: each one's path
-// of keys, name in the code and kind.
+// Layout describes the encoded fields of a type and of all types that it contains, one
+// line per field: the path of keys, the Go name and the kind.
 func Layout(kind reflect.Type, root string) ([]string, error) {
 	var lines []string
 	err := walk(kind, root, nil, func(owner reflect.Type, path string, field Field) {
-		lines = append(lines, fmt.Sprintf("%s\t%s\t%s", path, field.Name, shape(owner.Field(field.Index).Type)))
+		lines = append(lines, fmt.Sprintf("%s\t%s\t%s", path, field.Name, kindName(owner.Field(field.Index).Type)))
 	})
 	return lines, err
 }
 
-// shape names the kind of a field's value without the names of its types.
-func shape(kind reflect.Type) string {
+// kindName describes the kind of a field's value without the Go names of its types.
+func kindName(kind reflect.Type) string {
 	if kind == timeType {
 		return "time"
 	}
 	switch kind.Kind() {
 	case reflect.Pointer, reflect.Slice:
-		return kind.Kind().String() + " of " + shape(kind.Elem())
+		return kind.Kind().String() + " of " + kindName(kind.Elem())
 	case reflect.Array:
-		return fmt.Sprintf("%d of %s", kind.Len(), shape(kind.Elem()))
+		return fmt.Sprintf("%d of %s", kind.Len(), kindName(kind.Elem()))
 	case reflect.Map:
-		return "map of " + shape(kind.Key()) + " to " + shape(kind.Elem())
+		return "map of " + kindName(kind.Key()) + " to " + kindName(kind.Elem())
 	default:
 		return kind.Kind().String()
 	}
 }
 
-// walk visits the fields of all structs that a type holds; each struct once if seen is
-// given, else wherever it occurs.
+// walk visits the fields of all structs that a type contains. It visits each struct type
+// once if seen is not nil, and otherwise every time that it occurs.
 func walk(
 	kind reflect.Type, path string, seen map[reflect.Type]bool, visit func(owner reflect.Type, path string, field Field),
 ) error {
@@ -143,12 +143,12 @@
 		}
 		return walk(kind.Elem(), path+"/value", seen, visit)
 	case reflect.Func, reflect.Chan:
-		return fmt.Errorf("%s: a %s can't be frozen", path, kind)
+		return fmt.Errorf("%s: a %s can't be encoded", path, kind)
 	case reflect.Struct:
 	default:
 		return nil
 	}
-	if leaf(kind) || seen[kind] {
+	if encodesItself(kind) || seen[kind] {
 		return nil
 	}
 	if seen != nil {
--- a/internal/storedforms/folders.go
+++ b/internal/storedforms/folders.go
@@ -13,19 +13,20 @@
 	"dahlialock/internal/wal"
 )
 
-// Folder is a recorded data folder and what a log read there.
+// Folder is a recorded data folder with the state that the log recovered from it.
 type Folder struct {
 	Name string
 	wal.Recovered
 }
 
-// Folders opens copies of the recorded data folders of a kind of daemon. They lie in
-// the testdata of this package; root is the way there from the test's own folder.
+// Folders opens copies of the recorded data folders of a kind of daemon, which are in the
+// testdata directory of this package. root is the relative path from the test's directory
+// to this package.
 func Folders(t *testing.T, root, kind string) []Folder {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(root, "testdata", "folders", kind+"-*"))
 	if err != nil || len(paths) == 0 {
-		t.Fatalf("no folders of a %s (%v)", kind, err)
+		t.Fatalf("no recorded data folders of a %s (%v)", kind, err)
 	}
 	slices.Sort(paths)
 	var folders []Folder
@@ -47,8 +48,8 @@
 	return folders
 }
 
-// Describe gives what a value encodes to as lines of text, with the keys as they lie
-// on disk.
+// Describe returns the encoded form of a value in cbor's diagnostic notation, split into
+// lines, with the keys as they are stored on disk.
 func Describe(t *testing.T, name string, value any) []string {
 	t.Helper()
 	packed, err := transport.Marshal(value)
@@ -62,17 +63,18 @@
 	return strings.Split(name+": "+strings.ReplaceAll(text, "}, ", "},\n\t"), "\n")
 }
 
-// CheckRewrite reads recorded bytes into a value and compares what it writes anew.
-func CheckRewrite[T any](t *testing.T, name string, packed []byte) T {
+// CheckRoundTrip decodes recorded bytes into a value, checks that encoding the value again
+// gives the same bytes, and returns the value.
+func CheckRoundTrip[T any](t *testing.T, name string, packed []byte) T {
 	t.Helper()
 	var value T
 	if err := transport.Unmarshal(packed, &value); err != nil {
 		t.Errorf("%s: %v", name, err)
 		return value
 	}
-	again, err := transport.Marshal(value)
-	if err != nil || string(again) != string(packed) {
-		t.Errorf("%s: read and written anew it is\n\t%x\nnot\n\t%x (%v)", name, again, packed, err)
+	encoded, err := transport.Marshal(value)
+	if err != nil || string(encoded) != string(packed) {
+		t.Errorf("%s: decoded and encoded again\n\t%x\nrecorded\n\t%x (%v)", name, encoded, packed, err)
 	}
 	return value
 }
--- a/internal/storedforms/json_test.go
+++ b/internal/storedforms/json_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// jsonForms are the structs that operators get at ctl and callers on their channels.
+// jsonForms returns the structs that operators receive at ctl and clients in their sessions.
 func jsonForms() []storedforms.Form {
 	return []storedforms.Form{
 		jsonForm[membership.Member]("ctl-cluster-member"),
@@ -45,7 +45,7 @@
 		jsonForm[partition.Counts]("ctl-self-store"),
 		jsonForm[partition.PartitionStatus]("ctl-self-partition"),
 		jsonForm[gateway.TrackerStatus]("tracker"),
-		jsonForm[lineserver.Said]("ctl-self-told"),
+		jsonForm[lineserver.SentTotal]("ctl-self-told"),
 		jsonForm[transport.KindCount]("ctl-self-kind"),
 		jsonForm[decisionlog.Entry]("ctl-decision"),
 		jsonForm[config.Fault]("ctl-fault"),
@@ -57,7 +57,7 @@
 
 func TestJSONFormsHaveExplicitKeys(t *testing.T) { storedforms.CheckJSONKeys(t, jsonForms()) }
 
-// TestKindsKeepTheirNames holds the names under which ctl counts messages by kind.
+// TestKindsKeepTheirNames checks the names under which ctl counts messages by kind.
 func TestKindsKeepTheirNames(t *testing.T) {
 	var lines []string
 	for _, number := range slices.Sorted(maps.Keys(transport.Numbers())) {
--- a/internal/storedforms/words_test.go
+++ b/internal/storedforms/protocol_strings_test.go
@@ -36,19 +36,20 @@
 	}
 }
 
-// word is what a code, a step of a decision, a reason or a key looks like.
-var word = regexp.MustCompile(`^[A-Za-z][A-Za-z0-9]*([-_][a-z0-9]+)*$`)
+// protocolString matches the syntax of codes, decision steps, reasons and keys.
+var protocolString = regexp.MustCompile(`^[A-Za-z][A-Za-z0-9]*([-_][a-z0-9]+)*$`)
 
-// tagKey is a key in the tag of a struct's field.
+// tagKey matches the JSON key in a struct tag.
 var tagKey = regexp.MustCompile(`json:"([^",]+)`)
 
-// addWords adds a literal that is a word, or the key in one that is a tag.
-func addWords(found map[string]bool, literal string) {
+// addProtocolStrings adds a string literal if it has the syntax of a
+// protocol string, or its JSON key if it is a struct tag.
+func addProtocolStrings(found map[string]bool, literal string) {
 	text, err := strconv.Unquote(literal)
 	if err != nil {
 		return
 	}
-	if word.MatchString(text) {
+	if protocolString.MatchString(text) {
 		found[text] = true
 	}
 	if key := tagKey.FindStringSubmatch(text); key != nil {
@@ -56,9 +57,9 @@
 	}
 }
 
-// words are the string literals and tags of the programs that look like one, tests left
-// out.
-func words(t *testing.T) map[string]bool {
+// protocolStrings returns all protocol strings among the string literals and struct tags
+// of the programs, without those in tests.
+func protocolStrings(t *testing.T) map[string]bool {
 	t.Helper()
 	found := map[string]bool{}
 	for _, root := range []string{"../../internal", "../../cmd", "../../platform"} {
@@ -72,7 +73,7 @@
 			}
 			ast.Inspect(tree, func(node ast.Node) bool {
 				if literal, matches := node.(*ast.BasicLit); matches && literal.Kind == token.STRING {
-					addWords(found, literal.Value)
+					addProtocolStrings(found, literal.Value)
 				}
 				return true
 			})
@@ -85,15 +86,15 @@
 	return found
 }
 
-// TestWordsOfOperatorsAndCallersStay holds what programs of others compare with and the
-// other tests of forms don't bring about: each must still be written somewhere.
-func TestWordsOfOperatorsAndCallersStay(t *testing.T) {
-	found := words(t)
+// TestProtocolStringsStay checks the strings that other programs compare with and that no
+// other test in this package produces: each must still occur in the code.
+func TestProtocolStringsStay(t *testing.T) {
+	found := protocolStrings(t)
 	recorded, _ := storedforms.Recorded(t, "words.txt", nil)
 	for _, text := range recorded {
 		for _, each := range strings.Fields(text)[1:] {
 			if !found[each] {
-				t.Errorf("%s %s is written nowhere any more", strings.Fields(text)[0], each)
+				t.Errorf("%s %s no longer occurs in the code", strings.Fields(text)[0], each)
 			}
 		}
 	}
--- a/internal/storedforms/recorded.go
+++ b/internal/storedforms/recorded.go
@@ -11,10 +11,10 @@
 	"dahlialock/internal/transport"
 )
 
-// recordVariable asks for files that are not there yet.
+// recordVariable is the environment variable that allows missing files to be recorded.
 const recordVariable = "RECORD_FORMS"
 
-// Compare checks lines against those of a recorded file, and names each that differs.
+// Compare compares lines with those of a recorded file and reports each difference.
 func Compare(t *testing.T, file string, lines []string) {
 	t.Helper()
 	recorded, found := Recorded(t, file, lines)
@@ -36,8 +36,9 @@
 	return lines[position]
 }
 
-// Recorded reads the lines of a recorded file. If there is none it fails, or, where the
-// environment asks for it, writes the given lines.
+// Recorded returns the lines of a recorded file. If the file does not exist, the test
+// fails, unless the environment has RECORD_FORMS=1: then Recorded writes the given lines to
+// the file and returns false.
 func Recorded(t *testing.T, file string, lines []string) ([]string, bool) {
 	t.Helper()
 	path := filepath.Join("testdata", file)
@@ -59,29 +60,30 @@
 	return strings.Split(strings.TrimSuffix(string(text), "\n"), "\n"), true
 }
 
-// Form is one encoded type, by a name that is none of the code's.
+// Form is an encoded type with a name that is independent of the Go names.
 type Form struct {
 	Name string
 	Type reflect.Type
-	// Encode and Decode are the ways in and out; those of the disk if not given.
+	// Encode and Decode convert values to and from bytes. The default is the encoding that
+	// is used on disk.
 	Encode func(value any) ([]byte, error)
 	Decode func(packed []byte) (any, error)
-	// Text forms are recorded as they are, others in hexadecimal digits.
+	// Text is set for forms that are recorded as text. Others are recorded in hexadecimal.
 	Text bool
 }
 
-func (f Form) written(packed []byte) string {
+func (f Form) format(packed []byte) string {
 	if f.Text {
 		return string(packed)
 	}
 	return hex.EncodeToString(packed)
 }
 
-func (f Form) read(written string) ([]byte, error) {
+func (f Form) parse(text string) ([]byte, error) {
 	if f.Text {
-		return []byte(written), nil
+		return []byte(text), nil
 	}
-	return hex.DecodeString(written)
+	return hex.DecodeString(text)
 }
 
 func (f Form) encode(value any) ([]byte, error) {
@@ -102,8 +104,9 @@
 	return value.Elem().Interface(), nil
 }
 
-// CheckBytes compares the bytes of samples, in which all is set, and of zero values with
-// those recorded; it also reads the recorded bytes and writes them anew.
+// CheckBytes compares the encoded samples, in which every field is set, and the encoded
+// zero values of forms with the recorded bytes. It also checks that the recorded bytes
+// stay the same when they are decoded and encoded again.
 func CheckBytes(t *testing.T, file string, forms []Form) {
 	t.Helper()
 	var lines []string
@@ -117,14 +120,14 @@
 			if err != nil {
 				t.Fatalf("%s: %v", form.Name, err)
 			}
-			lines = append(lines, strings.Join([]string{form.Name, [2]string{"set", "zero"}[kind], form.written(packed)}, " "))
+			lines = append(lines, strings.Join([]string{form.Name, [2]string{"set", "zero"}[kind], form.format(packed)}, " "))
 		}
 	}
 	Compare(t, file, lines)
-	rewriteRecorded(t, file, lines, forms)
+	checkRecordedRoundTrip(t, file, lines, forms)
 }
 
-func rewriteRecorded(t *testing.T, file string, lines []string, forms []Form) {
+func checkRecordedRoundTrip(t *testing.T, file string, lines []string, forms []Form) {
 	t.Helper()
 	recorded, _ := Recorded(t, file, lines)
 	byName := map[string]Form{}
@@ -135,10 +138,10 @@
 		parts := strings.SplitN(text, " ", 3)
 		form, found := byName[parts[0]]
 		if !found {
-			t.Errorf("%s: nothing of today's is %s", file, parts[0])
+			t.Errorf("%s: no form is named %s any more", file, parts[0])
 			continue
 		}
-		packed, err := form.read(parts[2])
+		packed, err := form.parse(parts[2])
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -147,15 +150,15 @@
 			t.Errorf("%s %s: %v", parts[0], parts[1], err)
 			continue
 		}
-		again, err := form.encode(value)
-		if err != nil || form.written(again) != parts[2] {
-			t.Errorf("%s %s: read and written anew it is\n\t%s\nnot\n\t%s (%v)",
-				parts[0], parts[1], form.written(again), parts[2], err)
+		encoded, err := form.encode(value)
+		if err != nil || form.format(encoded) != parts[2] {
+			t.Errorf("%s %s: decoded and encoded again\n\t%s\nrecorded\n\t%s (%v)",
+				parts[0], parts[1], form.format(encoded), parts[2], err)
 		}
 	}
 }
 
-// CheckKeys checks that no key of a type follows from a name in the code.
+// CheckKeys checks that no key of the forms is derived from a Go name.
 func CheckKeys(t *testing.T, forms []Form) {
 	t.Helper()
 	for _, form := range forms {
@@ -164,15 +167,15 @@
 			t.Errorf("%s: %v", form.Name, err)
 		}
 		for _, name := range implicit {
-			t.Errorf("%s: %s has neither toarray nor a tag, and its key would move with its name; or it holds any type",
+			t.Errorf("%s: %s has neither toarray nor a tag, so its key changes with its Go name, or it is an interface",
 				form.Name, name)
 		}
 	}
 }
 
-// CheckLayout compares the keys, positions and kinds of all fields with those recorded.
-// Names in the code are free, but one that a struct had may not stand for another of
-// its fields: two fields of one kind that changed places would else go unseen.
+// CheckLayout compares the keys, positions and kinds of all fields with the recorded ones.
+// Fields may be renamed, but a recorded Go name must not be used for another field of the
+// same struct: otherwise two fields of one kind that are swapped would not be detected.
 func CheckLayout(t *testing.T, file string, forms []Form) {
 	t.Helper()
 	var lines []string
@@ -187,48 +190,48 @@
 	if !found {
 		return
 	}
-	today, before := byPath(lines), byPath(recorded)
-	for path, place := range before {
-		now, found := today[path]
-		if !found || now.kind != place.kind {
-			t.Errorf("%s: %s was a %s and is a %s", file, path, place.kind, now.kind)
+	current, before := byPath(lines), byPath(recorded)
+	for path, field := range before {
+		now, found := current[path]
+		if !found || now.kind != field.kind {
+			t.Errorf("%s: %s was a %s and is a %s", file, path, field.kind, now.kind)
 		}
 	}
 	names := map[string]string{}
-	for path, place := range before {
-		names[parent(path)+"\t"+place.name] = path
+	for path, field := range before {
+		names[parent(path)+"\t"+field.name] = path
 	}
-	for path, place := range today {
+	for path, field := range current {
 		if _, found := before[path]; !found {
 			t.Errorf("%s: %s is new", file, path)
 		}
-		if earlier, found := names[parent(path)+"\t"+place.name]; found && earlier != path {
-			t.Errorf("%s: %s was named %s, which now names %s", file, earlier, place.name, path)
+		if earlier, found := names[parent(path)+"\t"+field.name]; found && earlier != path {
+			t.Errorf("%s: %s was named %s, which is now the name of %s", file, earlier, field.name, path)
 		}
 	}
 }
 
-type placed struct{ name, kind string }
+type layoutField struct{ name, kind string }
 
-func byPath(lines []string) map[string]placed {
-	paths := map[string]placed{}
+func byPath(lines []string) map[string]layoutField {
+	paths := map[string]layoutField{}
 	for _, text := range lines {
 		parts := strings.Split(text, "\t")
-		paths[parts[0]] = placed{name: parts[1], kind: parts[2]}
+		paths[parts[0]] = layoutField{name: parts[1], kind: parts[2]}
 	}
 	return paths
 }
 
 func parent(path string) string { return path[:strings.LastIndex(path, "/")] }
 
-// CheckJSONKeys checks that no JSON key of a type follows from a name in the code.
+// CheckJSONKeys checks that no JSON key of the forms is derived from a Go name.
 func CheckJSONKeys(t *testing.T, forms []Form) {
 	t.Helper()
 	for _, form := range forms {
 		err := walk(form.Type, form.Name, map[reflect.Type]bool{}, func(owner reflect.Type, _ string, field Field) {
 			key, _, _ := strings.Cut(owner.Field(field.Index).Tag.Get("json"), ",")
 			if key == "" {
-				t.Errorf("%s: %s.%s has no json tag, its key would move with its name", form.Name, owner, field.Name)
+				t.Errorf("%s: %s.%s has no json tag, so its key changes with its Go name", form.Name, owner, field.Name)
 			}
 		})
 		if err != nil {
--- a/internal/storedforms/storedforms_test.go
+++ b/internal/storedforms/storedforms_test.go
@@ -19,37 +19,37 @@
 	"dahlialock/internal/transport"
 )
 
-// sampleMeta is what stands before the body in each recorded frame.
+// sampleMeta is the metadata before the body in each recorded frame.
 var sampleMeta = statemachine.Meta{From: "192.0.2.1:7000", Version: 300}
 
 func encodeFrame(message any) ([]byte, error) { return transport.Encode(sampleMeta, message) }
 
-// frameHeader is the size of the length before a frame.
-const frameHeader = 4
+// frameHeaderBytes is the size in bytes of the length that precedes a frame.
+const frameHeaderBytes = 4
 
 func decodeFrame(packed []byte) (any, error) {
 	length, enough, err := transport.FrameLength(packed)
 	if err != nil {
 		return nil, err
 	}
-	if !enough || length != len(packed)-frameHeader {
-		return nil, fmt.Errorf("a length of %d before %d bytes", length, len(packed)-frameHeader)
+	if !enough || length != len(packed)-frameHeaderBytes {
+		return nil, fmt.Errorf("the frame length is %d, but %d bytes follow", length, len(packed)-frameHeaderBytes)
 	}
-	meta, message, err := transport.Decode(packed[frameHeader:])
+	meta, message, err := transport.Decode(packed[frameHeaderBytes:])
 	if err == nil && meta != sampleMeta {
-		return nil, fmt.Errorf("the frame is of %v", meta)
+		return nil, fmt.Errorf("the frame has the metadata %v", meta)
 	}
 	return message, err
 }
 
-// wireForms are all messages that have a number.
+// wireForms returns the forms of all messages that have a number.
 func wireForms(t *testing.T) []storedforms.Form {
 	t.Helper()
 	var forms []storedforms.Form
 	for _, number := range slices.Sorted(maps.Keys(transport.Numbers())) {
 		message, found := transport.Prototype(number)
 		if !found {
-			t.Fatalf("number %d has no type", number)
+			t.Fatalf("the message number %d has no type", number)
 		}
 		forms = append(forms, storedforms.Form{
 			Name:   fmt.Sprint(number),
@@ -61,8 +61,8 @@
 	return forms
 }
 
-// diskForms are what is exported of what lies on disks; the packages that keep the
-// others to themselves have such a test of their own.
+// diskForms returns the exported types that are stored on disk. The packages that store
+// unexported types have tests of their own for them.
 func diskForms() []storedforms.Form {
 	return []storedforms.Form{
 		{Name: "consensus-durable", Type: reflect.TypeFor[consensus.HardState]()},
--- a/internal/topology/topology.go
+++ b/internal/topology/topology.go
@@ -1,7 +1,6 @@
-// Package topology reads zones and the ways between them from a GraphViz or
-// GeoJSON file, each through a library, and puts them into an operators'
-// configuration, which is then checked as strictly as any other. A fault names
-// its line or its element.
+// Package topology reads zones and the links between them from a GraphViz or GeoJSON
+// file and inserts them into an operator's configuration, which is then validated as
+// usual. Errors name the line or the element of the file.
 package topology
 
 import (
@@ -20,23 +19,23 @@
 	"dahlialock/internal/config"
 )
 
-// ErrorTopology tells what is wrong with a topology file.
+// ErrorTopology is the type of errors about a topology file.
 var ErrorTopology = errorx.NewNamespace("portolan").NewType("topology")
 
-// Link is a way between two zones.
+// Link is a network link between two zones.
 type Link struct {
 	From  string `json:"from"`
 	To    string `json:"to"`
 	Delay string `json:"delay"`
 }
 
-// Topology is what a file says.
+// Topology has the zones and links of a file.
 type Topology struct {
 	Zones []string
 	Links []Link
 }
 
-// Read reads a file: GeoJSON if it begins with a brace, else GraphViz.
+// Read parses a file: as GeoJSON if it begins with a brace, otherwise as GraphViz.
 func Read(text []byte) (Topology, error) {
 	if trimmed := strings.TrimSpace(string(text)); strings.HasPrefix(trimmed, "{") {
 		return readGeo(text)
@@ -44,21 +43,23 @@
 	return readGraph(text)
 }
 
-func (t *Topology) place(element, name string) error {
+// addZone adds a zone; element is its place in the file, for errors.
+func (t *Topology) addZone(element, name string) error {
 	if !config.ValidName(name) {
-		return ErrorTopology.New("%s: %q is not a fit name for a zone", element, name)
+		return ErrorTopology.New("%s: %q is not a valid zone name", element, name)
 	}
 	if slices.Contains(t.Zones, name) {
-		return ErrorTopology.New("%s: the zone %q stands twice", element, name)
+		return ErrorTopology.New("%s: duplicate zone %q", element, name)
 	}
 	t.Zones = append(t.Zones, name)
 	return nil
 }
 
-func (t *Topology) link(element string, link Link) error {
+// addLink adds a link; element is its place in the file, for errors.
+func (t *Topology) addLink(element string, link Link) error {
 	length, err := time.ParseDuration(link.Delay)
 	if err != nil || length < 0 || length > time.Minute {
-		return ErrorTopology.New("%s: %q is not a delay such as \"500us\", up to 1m", element, link.Delay)
+		return ErrorTopology.New("%s: %q is not a valid delay such as \"500us\", up to 1m", element, link.Delay)
 	}
 	for _, end := range []string{link.From, link.To} {
 		if !slices.Contains(t.Zones, end) {
@@ -66,24 +67,24 @@
 		}
 	}
 	if link.From == link.To {
-		return ErrorTopology.New("%s: a way from %q to itself", element, link.From)
+		return ErrorTopology.New("%s: link from zone %q to itself", element, link.From)
 	}
 	for _, other := range t.Links {
 		if other.From == link.From && other.To == link.To || other.From == link.To && other.To == link.From {
-			return ErrorTopology.New("%s: the way between %q and %q stands twice", element, link.From, link.To)
+			return ErrorTopology.New("%s: duplicate link between %q and %q", element, link.From, link.To)
 		}
 	}
 	t.Links = append(t.Links, link)
 	return nil
 }
 
-// readGraph reads an undirected graph: a node for each zone, an edge with
-// the delay as its label for each way.
+// readGraph parses an undirected graph with a node for each zone and an edge for each
+// link. The label of an edge is the delay.
 func readGraph(text []byte) (topology Topology, err error) {
 	defer func() {
-		// The library panics over a few malformed graphs.
-		if broken := recover(); broken != nil {
-			err = ErrorTopology.New("GraphViz: %v", broken)
+		// The library panics on some malformed graphs.
+		if reason := recover(); reason != nil {
+			err = ErrorTopology.New("GraphViz: %v", reason)
 		}
 	}()
 	tree, err := gographviz.Parse(text)
@@ -95,23 +96,24 @@
 		return topology, ErrorTopology.New("GraphViz: %v", err)
 	}
 	if graph.Directed {
-		return topology, ErrorTopology.New("GraphViz: a graph is wanted, not a digraph: a way goes both ways")
+		return topology, ErrorTopology.New("GraphViz: expected an undirected graph, got a digraph; links are bidirectional")
 	}
 	for _, node := range graph.Nodes.Sorted() {
-		if err := topology.place("node "+node.Name, unquote(node.Name)); err != nil {
+		if err := topology.addZone("node "+node.Name, unquote(node.Name)); err != nil {
 			return topology, err
 		}
 	}
 	for _, edge := range graph.Edges.Sorted() {
 		element := fmt.Sprintf("edge %s -- %s", edge.Src, edge.Dst)
 		link := Link{From: unquote(edge.Src), To: unquote(edge.Dst), Delay: unquote(edge.Attrs[gographviz.Label])}
-		if err := topology.link(element, link); err != nil {
+		if err := topology.addLink(element, link); err != nil {
 			return topology, err
 		}
 	}
 	return topology, nil
 }
 
+// unquote returns a GraphViz identifier without quotes, if it has any.
 func unquote(text string) string {
 	if plain, err := strconv.Unquote(text); err == nil {
 		return plain
@@ -119,8 +121,8 @@
 	return text
 }
 
-// readGeo reads a collection of features: a point with a name for each
-// zone, a line with from, to and delay for each way.
+// readGeo parses a collection of features: a Point with a name for each zone, and a
+// LineString with from, to and delay for each link.
 func readGeo(text []byte) (topology Topology, err error) {
 	collection, err := geojson.UnmarshalFeatureCollection(text)
 	if err != nil {
@@ -135,15 +137,15 @@
 		element := fmt.Sprintf("features[%d]", position)
 		switch feature.Geometry.(type) {
 		case orb.Point:
-			if err := topology.place(element, property(feature, "name")); err != nil {
+			if err := topology.addZone(element, property(feature, "name")); err != nil {
 				return topology, err
 			}
 		case orb.LineString:
 			lines = append(lines, func() error {
-				return topology.link(element, Link{From: property(feature, "from"), To: property(feature, "to"), Delay: property(feature, "delay")})
+				return topology.addLink(element, Link{From: property(feature, "from"), To: property(feature, "to"), Delay: property(feature, "delay")})
 			})
 		default:
-			return topology, ErrorTopology.New("%s: a Point or a LineString is wanted", element)
+			return topology, ErrorTopology.New("%s: the geometry must be a Point or a LineString", element)
 		}
 	}
 	for _, line := range lines {
@@ -154,22 +156,23 @@
 	return topology, nil
 }
 
-// Into puts a topology into a configuration that has none of its own.
+// Into inserts a topology into a configuration that has neither zones nor links.
 func (t Topology) Into(document []byte) ([]byte, error) {
 	var members map[string]json.RawMessage
 	if err := json.Unmarshal(document, &members); err != nil {
-		return nil, ErrorTopology.New("the configuration: %v", err)
+		return nil, ErrorTopology.New("invalid configuration: %v", err)
 	}
 	for _, key := range []string{"zones", "links"} {
 		if _, found := members[key]; found {
-			return nil, ErrorTopology.New("$.%s: the configuration has its own, leave one of them out", key)
+			return nil, ErrorTopology.New("$.%s: defined in both the configuration and the topology file; remove one of them", key)
 		}
 	}
 	added, err := json.Marshal(map[string]any{"zones": append([]string{}, t.Zones...), "links": append([]Link{}, t.Links...)})
 	if err != nil {
 		return nil, err
 	}
-	// The rest stays as it was written, so that every fault in it is found.
+	// The text of the configuration is kept as written, so that validation finds all of
+	// its errors.
 	body := strings.TrimSpace(string(document))
 	separator := ","
 	if len(members) == 0 {
