--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -118,8 +118,8 @@
 
 // Open opens a channel and waits for its first event, the hello.
 func (c *Client) Open(within context.Context, address string) (*Channel, error) {
-	living, cancel := context.WithCancel(within)
-	request, err := http.NewRequestWithContext(living, http.MethodGet, "http://"+address+"/v1/channel", nil)
+	streamContext, cancel := context.WithCancel(within)
+	request, err := http.NewRequestWithContext(streamContext, http.MethodGet, "http://"+address+"/v1/channel", nil)
 	if err != nil {
 		cancel()
 		return nil, err
@@ -176,7 +176,7 @@
 			}
 			select {
 			case channel.Events <- event:
-			case <-living.Done():
+			case <-streamContext.Done():
 				return
 			}
 		}
--- a/internal/client/client_test.go
+++ b/internal/client/client_test.go
@@ -21,7 +21,7 @@
 // and handles the second one with a given function.
 type server struct {
 	listener net.Listener
-	taken    atomic.Int64
+	requests atomic.Int64
 }
 
 const answer = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 22\r\n\r\n{\"outcome\":\"accepted\"}"
@@ -53,7 +53,7 @@
 			return
 		}
 		_, _ = io.Copy(io.Discard, request.Body)
-		s.taken.Add(1)
+		s.requests.Add(1)
 		if count > 0 {
 			second(connection)
 			return
@@ -85,7 +85,7 @@
 			// The second publication reuses the pooled connection, which breaks while it is in flight.
 			_, err = caller.Publish(context.Background(), address, "boards", "t", 2, "second")
 			assert.Assert(t, err != nil, "a publication without a response was reported as answered")
-			assert.Equal(t, at.taken.Load(), int64(2), "the second publication was retried")
+			assert.Equal(t, at.requests.Load(), int64(2), "the second publication was retried")
 		})
 	}
 }
--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -86,7 +86,7 @@
 	return fmt.Sprintf("%s-%s-%d", s.name, s.started, s.requests.Add(1))
 }
 
-func (s *Server) give(writer http.ResponseWriter, request string, answer gateway.Reply) {
+func (s *Server) writeReply(writer http.ResponseWriter, request string, answer gateway.Reply) {
 	body := map[string]any{"outcome": answer.Outcome, "visit": request}
 	if answer.Code != "" {
 		body["code"], body["text"] = answer.Code, answer.Text
@@ -113,86 +113,86 @@
 	_, _ = writer.Write(append(packed, '\n'))
 }
 
-func refuse(status int, code, text string) gateway.Reply {
+func rejection(status int, code, text string) gateway.Reply {
 	return gateway.Reply{Status: status, Outcome: gateway.OutcomeRejected, Code: code, Text: text}
 }
 
-// admit authenticates the client; it responds with an error if the token is missing or invalid.
-func (s *Server) admit(writer http.ResponseWriter, request *http.Request, name string) (string, bool) {
+// authenticate authenticates the client; it responds with an error if the token is missing or invalid.
+func (s *Server) authenticate(writer http.ResponseWriter, request *http.Request, name string) (string, bool) {
 	token, found := strings.CutPrefix(request.Header.Get("Authorization"), "Bearer ")
 	client := ""
 	if found {
 		client = ClientOf(s.key, token)
 	}
 	if client == "" {
-		s.give(writer, name, refuse(http.StatusUnauthorized, "not-authentic", "a bearer token of this fleet is wanted"))
+		s.writeReply(writer, name, rejection(http.StatusUnauthorized, "not-authentic", "a bearer token of this fleet is wanted"))
 		return "", false
 	}
 	return client, true
 }
 
-// read parses a request body as an object with no other keys than the given ones.
-func (s *Server) read(writer http.ResponseWriter, request *http.Request, name string, walk *config.Reader, keys ...string) (map[string]*fastjson.Value, bool) {
+// readBody parses a request body as an object with no other keys than the given ones.
+func (s *Server) readBody(writer http.ResponseWriter, request *http.Request, name string, reader *config.Reader, keys ...string) (map[string]*fastjson.Value, bool) {
 	body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, maxBodyBytes))
 	if err != nil {
 		var large *http.MaxBytesError
 		if errors.As(err, &large) {
-			s.give(writer, name, refuse(http.StatusRequestEntityTooLarge, "too-large", err.Error()))
+			s.writeReply(writer, name, rejection(http.StatusRequestEntityTooLarge, "too-large", err.Error()))
 		} else {
-			s.give(writer, name, refuse(http.StatusBadRequest, "malformed", err.Error()))
+			s.writeReply(writer, name, rejection(http.StatusBadRequest, "malformed", err.Error()))
 		}
 		return nil, false
 	}
-	value, valid := walk.Parse(body)
+	value, valid := reader.Parse(body)
 	if !valid {
-		s.faulty(writer, name, walk)
+		s.rejectFaults(writer, name, reader)
 		return nil, false
 	}
-	return walk.Object("$", value, keys...), true
+	return reader.Object("$", value, keys...), true
 }
 
-// enter authenticates the client of a request and reads the body.
-func (s *Server) enter(writer http.ResponseWriter, request *http.Request, walk *config.Reader, keys ...string) (name, client string, members map[string]*fastjson.Value, valid bool) {
+// readRequest authenticates the client of a request and reads the body.
+func (s *Server) readRequest(writer http.ResponseWriter, request *http.Request, reader *config.Reader, keys ...string) (name, client string, members map[string]*fastjson.Value, valid bool) {
 	name = s.requestName()
-	if client, valid = s.admit(writer, request, name); !valid {
+	if client, valid = s.authenticate(writer, request, name); !valid {
 		return name, "", nil, false
 	}
-	members, valid = s.read(writer, request, name, walk, keys...)
+	members, valid = s.readBody(writer, request, name, reader, keys...)
 	return name, client, members, valid
 }
 
-func (s *Server) faulty(writer http.ResponseWriter, name string, walk *config.Reader) {
-	code := walk.Faults[0].Code
-	answer := refuse(http.StatusBadRequest, string(code), walk.Faults[0].String())
-	answer.Fields = map[string]any{"faults": walk.Faults}
-	s.give(writer, name, answer)
+func (s *Server) rejectFaults(writer http.ResponseWriter, name string, reader *config.Reader) {
+	code := reader.Faults[0].Code
+	answer := rejection(http.StatusBadRequest, string(code), reader.Faults[0].String())
+	answer.Fields = map[string]any{"faults": reader.Faults}
+	s.writeReply(writer, name, answer)
 }
 
-// need reports a fault if a required key is missing.
-func need(walk *config.Reader, members map[string]*fastjson.Value, key string) {
+// requireKey reports a fault if a required key is missing.
+func requireKey(reader *config.Reader, members map[string]*fastjson.Value, key string) {
 	if members[key] == nil {
-		walk.Report("$."+key, "missing", "%s is wanted", key)
+		reader.Report("$."+key, "missing", "%s is wanted", key)
 	}
 }
 
-// do submits a command to the gateway and writes its reply as the response.
-func (s *Server) do(writer http.ResponseWriter, name string, command func(request uint64) any) {
+// execute submits a command to the gateway and writes its reply as the response.
+func (s *Server) execute(writer http.ResponseWriter, name string, command func(request uint64) any) {
 	value, alive := s.host.Call(command)
 	answer, matches := value.(gateway.Reply)
 	if !alive || !matches {
-		answer = refuse(http.StatusServiceUnavailable, "stopping", "this daemon is stopping")
+		answer = rejection(http.StatusServiceUnavailable, "stopping", "this daemon is stopping")
 		answer.Outcome, answer.RetryAfter = gateway.OutcomeUnsettled, 250*time.Millisecond
 	}
-	s.give(writer, name, answer)
+	s.writeReply(writer, name, answer)
 }
 
-func channelNumber(text string) (uint64, bool) {
+func parseSessionNumber(text string) (uint64, bool) {
 	number, err := strconv.ParseUint(text, 16, 64)
 	return number, err == nil && number != 0
 }
 
-// mustNumber returns a random session number other than 0.
-func mustNumber() uint64 {
+// newSessionNumber returns a random session number other than 0.
+func newSessionNumber() uint64 {
 	var body [8]byte
 	for {
 		if _, err := rand.Read(body[:]); err != nil {
@@ -211,11 +211,11 @@
 // channel opens a channel and writes its events until either side ends it.
 func (s *Server) channel(writer http.ResponseWriter, request *http.Request) {
 	name := s.requestName()
-	client, admitted := s.admit(writer, request, name)
+	client, admitted := s.authenticate(writer, request, name)
 	if !admitted {
 		return
 	}
-	number := mustNumber()
+	number := newSessionNumber()
 	channel := strconv.FormatUint(number, 16)
 	sink := make(chan statemachine.Delivery, sinkSize)
 	s.host.AttachSession(number, sink)
@@ -226,10 +226,10 @@
 	if !alive || !matches || answer.Outcome != gateway.OutcomeAccepted {
 		s.host.DetachSession(number)
 		if !matches {
-			answer = refuse(http.StatusServiceUnavailable, "stopping", "this daemon is stopping")
+			answer = rejection(http.StatusServiceUnavailable, "stopping", "this daemon is stopping")
 			answer.RetryAfter = 250 * time.Millisecond
 		}
-		s.give(writer, name, answer)
+		s.writeReply(writer, name, answer)
 		return
 	}
 	writer.Header().Set("Content-Type", "application/x-ndjson")
@@ -265,7 +265,7 @@
 		}
 		_ = controller.SetWriteDeadline(time.Now().Add(writeLimit))
 		for {
-			if err := encoder.Encode(written(first.Event)); err != nil {
+			if err := encoder.Encode(jsonEvent(first.Event)); err != nil {
 				return "broken"
 			}
 			closed = closed || first.Close
@@ -291,10 +291,10 @@
 	}
 }
 
-// written returns an event in the form in which it is encoded as JSON. The body of a
+// jsonEvent returns an event in the form in which it is encoded as JSON. The body of a
 // message of a routed topic is arbitrary bytes: it is written as a string if it is
 // valid UTF-8, and in base64 otherwise.
-func written(event any) any {
+func jsonEvent(event any) any {
 	message, matches := event.(gateway.Event)
 	if !matches || message.Body == nil {
 		return event
@@ -314,39 +314,39 @@
 }
 
 // routedData reads the body of a publication to a routed topic, from data or data_base64.
-func routedData(walk *config.Reader, members map[string]*fastjson.Value) []byte {
+func routedData(reader *config.Reader, members map[string]*fastjson.Value) []byte {
 	switch text, plain := members["data"], members["data_base64"]; {
 	case text != nil && plain != nil, text == nil && plain == nil:
-		walk.Report("$.data", "missing", "either data or data_base64 is wanted")
+		reader.Report("$.data", "missing", "either data or data_base64 is wanted")
 	case text != nil:
-		return []byte(walk.Text("$.data", text, ""))
+		return []byte(reader.Text("$.data", text, ""))
 	default:
-		bytes, err := base64.StdEncoding.DecodeString(walk.Text("$.data_base64", plain, ""))
+		bytes, err := base64.StdEncoding.DecodeString(reader.Text("$.data_base64", plain, ""))
 		if err != nil {
-			walk.Report("$.data_base64", "malformed", "%s", err.Error())
+			reader.Report("$.data_base64", "malformed", "%s", err.Error())
 		}
 		return bytes
 	}
 	return nil
 }
 
-func interests(walk *config.Reader, value *fastjson.Value) []gateway.Interest {
+func interests(reader *config.Reader, value *fastjson.Value) []gateway.Interest {
 	var found []gateway.Interest
-	for position, item := range walk.List("$.subscriptions", value, 256) {
+	for position, item := range reader.List("$.subscriptions", value, 256) {
 		path := fmt.Sprintf("$.subscriptions[%d]", position)
-		members := walk.Object(path, item, "space", "topic", "prefix")
+		members := reader.Object(path, item, "space", "topic", "prefix")
 		// Without a space the routes determine it; they apply to topics but not to prefixes.
-		interest := gateway.Interest{Space: walk.Text(path+".space", members["space"], "")}
+		interest := gateway.Interest{Space: reader.Text(path+".space", members["space"], "")}
 		if members["space"] == nil && members["topic"] == nil {
-			walk.Report(path+".space", "missing", "space is wanted")
+			reader.Report(path+".space", "missing", "space is wanted")
 		}
 		switch {
 		case members["topic"] != nil && members["prefix"] != nil, members["topic"] == nil && members["prefix"] == nil:
-			walk.Report(path, "missing", "either topic or prefix is wanted")
+			reader.Report(path, "missing", "either topic or prefix is wanted")
 		case members["topic"] != nil:
-			interest.Path = walk.Text(path+".topic", members["topic"], "")
+			interest.Path = reader.Text(path+".topic", members["topic"], "")
 		default:
-			interest.Path, interest.Prefix = walk.Text(path+".prefix", members["prefix"], ""), true
+			interest.Path, interest.Prefix = reader.Text(path+".prefix", members["prefix"], ""), true
 		}
 		found = append(found, interest)
 	}
@@ -354,116 +354,116 @@
 }
 
 func (s *Server) subscribe(writer http.ResponseWriter, request *http.Request) {
-	var walk config.Reader
-	name, client, members, valid := s.enter(writer, request, &walk, "channel", "subscriptions", "cursor")
+	var reader config.Reader
+	name, client, members, valid := s.readRequest(writer, request, &reader, "channel", "subscriptions", "cursor")
 	if !valid {
 		return
 	}
-	need(&walk, members, "channel")
+	requireKey(&reader, members, "channel")
 	if members["cursor"] == nil {
-		need(&walk, members, "subscriptions")
+		requireKey(&reader, members, "subscriptions")
 	}
-	channel, fit := channelNumber(walk.Text("$.channel", members["channel"], ""))
+	channel, fit := parseSessionNumber(reader.Text("$.channel", members["channel"], ""))
 	command := gateway.Subscribe{
-		RequestName: name, Session: channel, Client: client, Interests: interests(&walk, members["subscriptions"]),
-		Cursor: walk.Text("$.cursor", members["cursor"], ""),
+		RequestName: name, Session: channel, Client: client, Interests: interests(&reader, members["subscriptions"]),
+		Cursor: reader.Text("$.cursor", members["cursor"], ""),
 	}
-	if len(walk.Faults) > 0 {
-		s.faulty(writer, name, &walk)
+	if len(reader.Faults) > 0 {
+		s.rejectFaults(writer, name, &reader)
 		return
 	}
 	if !fit {
-		s.give(writer, name, refuse(http.StatusNotFound, "no-such-channel", "this channel is not open here"))
+		s.writeReply(writer, name, rejection(http.StatusNotFound, "no-such-channel", "this channel is not open here"))
 		return
 	}
-	s.do(writer, name, func(local uint64) any {
+	s.execute(writer, name, func(local uint64) any {
 		command.Request = local
 		return command
 	})
 }
 
 func (s *Server) unsubscribe(writer http.ResponseWriter, request *http.Request) {
-	var walk config.Reader
-	name, client, members, valid := s.enter(writer, request, &walk, "channel", "subscriptions")
+	var reader config.Reader
+	name, client, members, valid := s.readRequest(writer, request, &reader, "channel", "subscriptions")
 	if !valid {
 		return
 	}
-	need(&walk, members, "channel")
-	need(&walk, members, "subscriptions")
-	channel, _ := channelNumber(walk.Text("$.channel", members["channel"], ""))
-	command := gateway.Unsubscribe{RequestName: name, Session: channel, Client: client, Interests: interests(&walk, members["subscriptions"])}
-	if len(walk.Faults) > 0 {
-		s.faulty(writer, name, &walk)
+	requireKey(&reader, members, "channel")
+	requireKey(&reader, members, "subscriptions")
+	channel, _ := parseSessionNumber(reader.Text("$.channel", members["channel"], ""))
+	command := gateway.Unsubscribe{RequestName: name, Session: channel, Client: client, Interests: interests(&reader, members["subscriptions"])}
+	if len(reader.Faults) > 0 {
+		s.rejectFaults(writer, name, &reader)
 		return
 	}
-	s.do(writer, name, func(local uint64) any {
+	s.execute(writer, name, func(local uint64) any {
 		command.Request = local
 		return command
 	})
 }
 
 func (s *Server) publish(writer http.ResponseWriter, request *http.Request) {
-	var walk config.Reader
-	name, client, members, valid := s.enter(writer, request, &walk, "space", "topic", "sender", "seq", "data", "data_base64")
+	var reader config.Reader
+	name, client, members, valid := s.readRequest(writer, request, &reader, "space", "topic", "sender", "seq", "data", "data_base64")
 	if !valid {
 		return
 	}
 	for _, key := range []string{"topic", "seq"} {
-		need(&walk, members, key)
+		requireKey(&reader, members, key)
 	}
 	routed := members["space"] == nil
 	if !routed {
-		need(&walk, members, "data")
+		requireKey(&reader, members, "data")
 	}
 	command := gateway.Publish{
-		RequestName: name, Client: client, Sender: walk.Text("$.sender", members["sender"], client),
-		Space: walk.Text("$.space", members["space"], ""), Topic: walk.Text("$.topic", members["topic"], ""),
-		Seq: uint64(walk.Integer("$.seq", members["seq"], 0, 1, math.MaxInt64)),
+		RequestName: name, Client: client, Sender: reader.Text("$.sender", members["sender"], client),
+		Space: reader.Text("$.space", members["space"], ""), Topic: reader.Text("$.topic", members["topic"], ""),
+		Seq: uint64(reader.Integer("$.seq", members["seq"], 0, 1, math.MaxInt64)),
 	}
 	if routed {
-		command.Data = routedData(&walk, members)
+		command.Data = routedData(&reader, members)
 	}
-	if len(walk.Faults) > 0 {
-		s.faulty(writer, name, &walk)
+	if len(reader.Faults) > 0 {
+		s.rejectFaults(writer, name, &reader)
 		return
 	}
 	if !routed {
 		command.Data = members["data"].MarshalTo(nil)
 	}
-	s.do(writer, name, func(local uint64) any {
+	s.execute(writer, name, func(local uint64) any {
 		command.Request = local
 		return command
 	})
 }
 
 func (s *Server) pong(writer http.ResponseWriter, request *http.Request) {
-	var walk config.Reader
-	name, client, members, valid := s.enter(writer, request, &walk, "channel")
+	var reader config.Reader
+	name, client, members, valid := s.readRequest(writer, request, &reader, "channel")
 	if !valid {
 		return
 	}
-	need(&walk, members, "channel")
-	channel, _ := channelNumber(walk.Text("$.channel", members["channel"], ""))
-	if len(walk.Faults) > 0 {
-		s.faulty(writer, name, &walk)
+	requireKey(&reader, members, "channel")
+	channel, _ := parseSessionNumber(reader.Text("$.channel", members["channel"], ""))
+	if len(reader.Faults) > 0 {
+		s.rejectFaults(writer, name, &reader)
 		return
 	}
-	s.do(writer, name, func(local uint64) any { return gateway.Pong{Request: local, Session: channel, Client: client} })
+	s.execute(writer, name, func(local uint64) any { return gateway.Pong{Request: local, Session: channel, Client: client} })
 }
 
 // count responds with the number of clients that subscribe to a routed topic.
 func (s *Server) count(writer http.ResponseWriter, request *http.Request) {
-	var walk config.Reader
-	name, client, members, valid := s.enter(writer, request, &walk, "channel", "topic")
+	var reader config.Reader
+	name, client, members, valid := s.readRequest(writer, request, &reader, "channel", "topic")
 	if !valid {
 		return
 	}
-	need(&walk, members, "channel")
-	need(&walk, members, "topic")
-	channel, _ := channelNumber(walk.Text("$.channel", members["channel"], ""))
-	command := gateway.CountSubscribers{RequestName: name, Session: channel, Client: client, Topic: walk.Text("$.topic", members["topic"], "")}
-	if len(walk.Faults) > 0 {
-		s.faulty(writer, name, &walk)
+	requireKey(&reader, members, "channel")
+	requireKey(&reader, members, "topic")
+	channel, _ := parseSessionNumber(reader.Text("$.channel", members["channel"], ""))
+	command := gateway.CountSubscribers{RequestName: name, Session: channel, Client: client, Topic: reader.Text("$.topic", members["topic"], "")}
+	if len(reader.Faults) > 0 {
+		s.rejectFaults(writer, name, &reader)
 		return
 	}
 	value, alive := s.host.Call(func(local uint64) any {
@@ -472,10 +472,10 @@
 	})
 	answer, matches := value.(gateway.Reply)
 	if !alive || !matches {
-		answer = refuse(http.StatusServiceUnavailable, "stopping", "this daemon is stopping")
+		answer = rejection(http.StatusServiceUnavailable, "stopping", "this daemon is stopping")
 		answer.RetryAfter = 250 * time.Millisecond
 	} else if answer.Outcome == gateway.OutcomeAccepted {
 		answer.Fields = map[string]any{"count": answer.SubscriberCount}
 	}
-	s.give(writer, name, answer)
+	s.writeReply(writer, name, answer)
 }
--- a/internal/httpapi/httpapi_test.go
+++ b/internal/httpapi/httpapi_test.go
@@ -89,7 +89,7 @@
 	return opened
 }
 
-func (f *fixture) ask(t *testing.T, method, path, token, body string) *http.Response {
+func (f *fixture) request(t *testing.T, method, path, token, body string) *http.Response {
 	t.Helper()
 	request, err := http.NewRequest(method, f.server.URL+path, bytes.NewBufferString(body))
 	assert.NilError(t, err)
@@ -100,9 +100,9 @@
 	return response
 }
 
-func (f *fixture) told(t *testing.T, path, body string, status int) map[string]any {
+func (f *fixture) post(t *testing.T, path, body string, status int) map[string]any {
 	t.Helper()
-	response := f.ask(t, "POST", path, "u1", body)
+	response := f.request(t, "POST", path, "u1", body)
 	packed, err := io.ReadAll(response.Body)
 	assert.NilError(t, err)
 	assert.Equal(t, response.StatusCode, status, "%s", packed)
@@ -113,7 +113,7 @@
 
 func TestRoutedTopicsCarryAnyBytes(t *testing.T) {
 	fixture := open(t)
-	events := bufio.NewScanner(fixture.ask(t, "GET", "/v1/channel", "u1", "").Body)
+	events := bufio.NewScanner(fixture.request(t, "GET", "/v1/channel", "u1", "").Body)
 	next := func() map[string]any {
 		assert.Assert(t, events.Scan())
 		var event map[string]any
@@ -121,24 +121,24 @@
 		return event
 	}
 	channel := next()["channel"].(string)
-	answer := fixture.told(t, "/v1/subscribe", `{"channel":"`+channel+`","subscriptions":[{"topic":"kafi810.2f"}]}`, 200)
+	answer := fixture.post(t, "/v1/subscribe", `{"channel":"`+channel+`","subscriptions":[{"topic":"kafi810.2f"}]}`, 200)
 	assert.Equal(t, answer["cursor"], "t1")
 	assert.DeepEqual(t, fixture.stub.subscribe[0].Interests, []gateway.Interest{{Path: "kafi810.2f"}})
-	fixture.told(t, "/v1/publish", `{"topic":"kafi810.2f","seq":1,"data":"not <JSON> é"}`, 200)
+	fixture.post(t, "/v1/publish", `{"topic":"kafi810.2f","seq":1,"data":"not <JSON> é"}`, 200)
 	event := next()
 	assert.Equal(t, event["data"], "not <JSON> é")
 	assert.Equal(t, event["cursor"], "t2")
-	fixture.told(t, "/v1/publish", `{"topic":"kafi810.2f","seq":2,"data_base64":"//4A"}`, 200)
+	fixture.post(t, "/v1/publish", `{"topic":"kafi810.2f","seq":2,"data_base64":"//4A"}`, 200)
 	event = next()
 	assert.Equal(t, event["data_base64"], "//4A")
 	assert.DeepEqual(t, fixture.stub.published[1].Data, []byte{0xff, 0xfe, 0})
-	answer = fixture.told(t, "/v1/count", `{"channel":"`+channel+`","topic":"kafi810.2f"}`, 200)
+	answer = fixture.post(t, "/v1/count", `{"channel":"`+channel+`","topic":"kafi810.2f"}`, 200)
 	assert.Equal(t, answer["count"], 12.0)
 }
 
 func TestSpacesKeepTheirJSON(t *testing.T) {
 	fixture := open(t)
-	fixture.told(t, "/v1/publish", `{"space":"boards","topic":"p1","seq":1,"data":{"x":[1]}}`, 200)
+	fixture.post(t, "/v1/publish", `{"space":"boards","topic":"p1","seq":1,"data":{"x":[1]}}`, 200)
 	assert.Equal(t, string(fixture.stub.published[0].Data), `{"x":[1]}`)
 }
 
@@ -154,9 +154,9 @@
 		"/v1/count":     {`{"channel":"1"}`, `{"topic":"a"}`, `{}`},
 	} {
 		for _, body := range bodies {
-			fixture.told(t, path, body, 400)
+			fixture.post(t, path, body, 400)
 		}
 	}
 	assert.Equal(t, len(fixture.stub.published)+len(fixture.stub.subscribe), 0)
-	assert.Equal(t, fixture.ask(t, "POST", "/v1/publish", "no name", `{}`).StatusCode, 401)
+	assert.Equal(t, fixture.request(t, "POST", "/v1/publish", "no name", `{}`).StatusCode, 401)
 }
--- a/internal/lineserver/command.go
+++ b/internal/lineserver/command.go
@@ -73,7 +73,7 @@
 	// to skip bytes that have not arrived yet (the rest of a command that is rejected
 	// before its end).
 	Read(bytes []byte) (Command, int)
-	AppendAnswer(buffer []byte, about CommandRef, answer gateway.Reply) []byte
+	AppendAnswer(buffer []byte, ref CommandRef, answer gateway.Reply) []byte
 	AppendEvent(buffer []byte, event gateway.Event) []byte
 	AppendPong(buffer []byte) []byte
 }
--- a/internal/lineserver/connection.go
+++ b/internal/lineserver/connection.go
@@ -17,7 +17,7 @@
 type state uint8
 
 const (
-	fresh state = iota
+	unopened state = iota
 	opening
 	open
 	ended
@@ -27,45 +27,47 @@
 type connection struct {
 	socket  *net.TCPConn
 	raw     syscall.RawConn
-	channel uint64
-	// waiting counts the commands in flight. heard is the tick of the last read.
-	// greeted is set once the session is open, so that the reading goroutine may
-	// answer pings. stuck is set while a goroutine writes bytes that the socket did
-	// not accept at once. over is set when the server closes the connection.
-	waiting atomic.Int32
-	heard   atomic.Int64
-	greeted atomic.Bool
-	stuck   atomic.Bool
-	over    atomic.Bool
+	session uint64
+	// inFlight counts the commands without a response yet. lastReadTick is the tick of
+	// the last read. sessionOpen is set once the session is open, so that the reading
+	// goroutine may answer pings. writeBlocked is set while a goroutine writes bytes that
+	// the socket did not accept at once. closing is set when the server closes the
+	// connection.
+	inFlight     atomic.Int32
+	lastReadTick atomic.Int64
+	sessionOpen  atomic.Bool
+	writeBlocked atomic.Bool
+	closing      atomic.Bool
 
-	// Owned by the reading goroutine. rest is an incomplete command, skip the number
-	// of bytes still to discard, lost that the stream can't be decoded any more.
-	rest []byte
-	skip int
-	lost bool
+	// Owned by the reading goroutine. incomplete holds the bytes of a command that has not
+	// arrived completely, skip is the number of bytes still to discard, and streamLost is
+	// set if the stream can't be decoded any more.
+	incomplete []byte
+	skip       int
+	streamLost bool
 
-	// Owned by the event loop. why is the reason of the close, output the unsent
-	// bytes of this turn, owed the number of bytes that sendRest still has to write.
-	state  state
-	client string
-	why    string
-	output []byte
-	owed   int
-	dirty  bool
-	ending bool
-	// put is the callback that writes output to the socket; sent and fault are its results.
-	put   func(descriptor uintptr) bool
-	sent  int
-	fault error
+	// Owned by the event loop. output holds the bytes to write at the end of the turn,
+	// unsentBytes is the number of bytes that sendRest still has to write.
+	state            state
+	client           string
+	closeReason      string
+	output           []byte
+	unsentBytes      int
+	dirty            bool
+	closeAfterOutput bool
+	// writeOutput is the callback that writes output to the socket; sent and fault are its results.
+	writeOutput func(descriptor uintptr) bool
+	sent        int
+	fault       error
 }
 
 func newConnection(socket *net.TCPConn, raw syscall.RawConn) *connection {
-	made := &connection{socket: socket, raw: raw, channel: mustNumber()}
-	made.put = func(descriptor uintptr) bool {
+	made := &connection{socket: socket, raw: raw, session: newSessionNumber()}
+	made.writeOutput = func(descriptor uintptr) bool {
 		made.sent, made.fault = write(descriptor, made.output)
 		if made.fault == nil && made.sent < len(made.output) {
 			// No other write may come between the two parts of this output.
-			made.stuck.Store(true)
+			made.writeBlocked.Store(true)
 		}
 		return true
 	}
@@ -90,21 +92,21 @@
 // goroutine closes the socket: Close waits for that goroutine, which may itself wait
 // for the event loop.
 func (c *connection) closeWith(why string) {
-	if c.why == "" {
-		c.why = why
+	if c.closeReason == "" {
+		c.closeReason = why
 	}
-	c.over.Store(true)
+	c.closing.Store(true)
 	_ = c.socket.SetDeadline(time.Unix(1, 0))
 }
 
 // pendingRequest is a command that is queued for the event loop.
 type pendingRequest struct {
-	about  CommandRef
-	client string
-	cursor string
-	body   []byte
-	fault  string
-	lost   bool
+	ref        CommandRef
+	client     string
+	cursor     string
+	body       []byte
+	code       string
+	streamLost bool
 }
 
 // read reads from a connection until either side ends it.
@@ -116,13 +118,13 @@
 	}
 	first, alive := true, true
 	_ = from.raw.Read(func(descriptor uintptr) bool {
-		for alive && !from.over.Load() {
+		for alive && !from.closing.Load() {
 			buffer := s.buffer()
 			length, err := unix.Read(int(descriptor), buffer)
 			if length > 0 && err == nil {
-				alive = s.arrived(from, buffer[:length])
+				alive = s.handleInput(from, buffer[:length])
 			}
-			s.keep(buffer)
+			s.recycle(buffer)
 			switch {
 			case err == unix.EINTR:
 			case err == unix.EAGAIN:
@@ -138,7 +140,7 @@
 	})
 	_ = from.socket.Close()
 	s.openConnections.Add(-1)
-	s.settings.EventLoop.Execute(func(owner daemon.LoopContext) { s.over(owner, from) })
+	s.settings.EventLoop.Execute(func(owner daemon.LoopContext) { s.connectionEnded(owner, from) })
 }
 
 func (s *Server) buffer() []byte {
@@ -150,28 +152,28 @@
 	}
 }
 
-func (s *Server) keep(buffer []byte) {
+func (s *Server) recycle(buffer []byte) {
 	select {
 	case s.spare <- buffer:
 	default:
 	}
 }
 
-// arrived processes the bytes of one read. It returns false if the connection has to be closed.
-func (s *Server) arrived(from *connection, bytes []byte) bool {
+// handleInput processes the bytes of one read. It returns false if the connection has to be closed.
+func (s *Server) handleInput(from *connection, bytes []byte) bool {
 	s.Counters.Reads.Add(1)
 	s.Counters.BytesIn.Add(int64(len(bytes)))
-	from.heard.Store(s.ticks.Load())
-	if from.lost {
+	from.lastReadTick.Store(s.ticks.Load())
+	if from.streamLost {
 		return true
 	}
-	if len(from.rest) > 0 {
-		from.rest = append(from.rest, bytes...)
-		bytes = from.rest
+	if len(from.incomplete) > 0 {
+		from.incomplete = append(from.incomplete, bytes...)
+		bytes = from.incomplete
 	}
 	var batch []pendingRequest
 	pongs := 0
-	for !from.lost {
+	for !from.streamLost {
 		if from.skip > 0 {
 			skipped := min(from.skip, len(bytes))
 			from.skip, bytes = from.skip-skipped, bytes[skipped:]
@@ -187,20 +189,20 @@
 			from.skip, used = used-len(bytes), len(bytes)
 		}
 		bytes = bytes[used:]
-		if command.Kind == Ping && command.Code == "" && from.greeted.Load() && !from.stuck.Load() {
+		if command.Kind == Ping && command.Code == "" && from.sessionOpen.Load() && !from.writeBlocked.Load() {
 			pongs++
 			continue
 		}
-		batch = append(batch, s.ask(command))
+		batch = append(batch, s.pendingFrom(command))
 		// After a command with StreamLost set no more are read: the error response is sent and the
 		// connection closed.
-		from.lost = command.StreamLost
+		from.streamLost = command.StreamLost
 	}
 	switch {
-	case from.lost || len(bytes) == 0:
-		from.rest = nil
+	case from.streamLost || len(bytes) == 0:
+		from.incomplete = nil
 	default:
-		from.rest = append(from.rest[:0], bytes...)
+		from.incomplete = append(from.incomplete[:0], bytes...)
 	}
 	if pongs > 0 {
 		sent, whole := s.pong(from, pongs)
@@ -208,18 +210,18 @@
 			return false
 		}
 		if !sent {
-			batch = append(batch, pendingRequest{about: CommandRef{Kind: Ping}})
+			batch = append(batch, pendingRequest{ref: CommandRef{Kind: Ping}})
 		}
 	}
 	if len(batch) == 0 {
 		return true
 	}
 	s.Counters.Commands.Add(int64(len(batch)))
-	if from.waiting.Add(int32(len(batch))) > maxPendingRequests {
+	if from.inFlight.Add(int32(len(batch))) > maxPendingRequests {
 		s.Counters.Slow.Add(1)
 		return false
 	}
-	return s.settings.EventLoop.Execute(func(owner daemon.LoopContext) { s.take(owner, from, batch) })
+	return s.settings.EventLoop.Execute(func(owner daemon.LoopContext) { s.handleBatch(owner, from, batch) })
 }
 
 // pong answers pings at once. If the socket accepts no bytes (sent is false), the
@@ -232,7 +234,7 @@
 	}
 	taken := 0
 	_ = to.raw.Write(func(descriptor uintptr) bool {
-		if !to.stuck.Load() {
+		if !to.writeBlocked.Load() {
 			taken, _ = write(descriptor, text)
 		}
 		return true
@@ -241,12 +243,12 @@
 	return taken > 0, taken == 0 || taken == len(text)
 }
 
-// ask copies a command out of the read buffer, so that it stays valid after the next
+// pendingFrom copies a command out of the read buffer, so that it stays valid after the next
 // read, and checks the token of an Open.
-func (s *Server) ask(command Command) pendingRequest {
+func (s *Server) pendingFrom(command Command) pendingRequest {
 	made := pendingRequest{
-		fault: command.Code, lost: command.StreamLost,
-		about: CommandRef{Kind: command.Kind, Word: string(command.Word), Topic: string(command.Topic), Seq: command.Seq},
+		code: command.Code, streamLost: command.StreamLost,
+		ref: CommandRef{Kind: command.Kind, Word: string(command.Word), Topic: string(command.Topic), Seq: command.Seq},
 	}
 	if command.Code != "" {
 		s.Counters.Unreadable.Add(1)
@@ -254,7 +256,7 @@
 	}
 	made.client, made.cursor = string(command.Client), string(command.Cursor)
 	if command.Kind == Open && s.settings.Admit != nil && !s.settings.Admit(made.client, string(command.Token)) {
-		made.fault = CodeNotAuthentic
+		made.code = CodeNotAuthentic
 		return made
 	}
 	if len(command.Body) > 0 {
--- a/internal/lineserver/lineserver.go
+++ b/internal/lineserver/lineserver.go
@@ -25,11 +25,11 @@
 const (
 	maxUnsentBytes     = 1 << 20
 	maxPendingRequests = 1024
-	maxNames           = 4096
+	maxTopicNames      = 4096
 	readSize           = 16 << 10
 	spareBuffers       = 64
-	keepSize           = 2 << 10
-	comeBack           = 250 * time.Millisecond
+	maxReusedBuffer    = 2 << 10
+	retryAfter         = 250 * time.Millisecond
 	acceptPause        = 50 * time.Millisecond
 	writeLimit         = 10 * time.Second
 	lingerLimit        = time.Second
@@ -75,12 +75,12 @@
 	// output, the interned topic names, and the totals of sent responses and events.
 	connections map[uint64]*connection
 	dirty       []*connection
-	names       map[string]string
-	said        map[saidKind]SentTotal
+	topicNames  map[string]string
+	sentTotals  map[outputKind]SentTotal
 }
 
-// saidKind is the type of sent output: an event, or a response and its outcome.
-type saidKind struct{ what, outcome string }
+// outputKind is the type of sent output: an event, or a response and its outcome.
+type outputKind struct{ what, outcome string }
 
 // SentTotal is the number and the total size of the responses or events of one saidKind.
 type SentTotal struct {
@@ -106,9 +106,9 @@
 	if s == nil {
 		return nil
 	}
-	sent := make(map[string]SentTotal, len(s.said))
-	for kind, said := range s.said {
-		sent[strings.TrimSuffix(kind.what+"-"+kind.outcome, "-")] = said
+	sent := make(map[string]SentTotal, len(s.sentTotals))
+	for kind, total := range s.sentTotals {
+		sent[strings.TrimSuffix(kind.what+"-"+kind.outcome, "-")] = total
 	}
 	return sent
 }
@@ -120,7 +120,7 @@
 	}
 	server := &Server{
 		settings: settings, closing: make(chan struct{}), spare: make(chan []byte, spareBuffers),
-		connections: map[uint64]*connection{}, names: map[string]string{}, said: map[saidKind]SentTotal{},
+		connections: map[uint64]*connection{}, topicNames: map[string]string{}, sentTotals: map[outputKind]SentTotal{},
 	}
 	// The server detects silent connections itself and needs no TCP keep-alive probes.
 	listening := net.ListenConfig{KeepAlive: -1}
@@ -186,7 +186,7 @@
 func (s *Server) tick() {
 	now := s.ticks.Add(1)
 	for _, each := range s.connections {
-		if now-each.heard.Load() > silentTicks && each.why == "" {
+		if now-each.lastReadTick.Load() > silentTicks && each.closeReason == "" {
 			s.Counters.Silent.Add(1)
 			each.closeWith("silent")
 		}
@@ -210,8 +210,8 @@
 	<-done
 }
 
-// mustNumber returns a random session number other than 0.
-func mustNumber() uint64 {
+// newSessionNumber returns a random session number other than 0.
+func newSessionNumber() uint64 {
 	var body [8]byte
 	for {
 		if _, err := rand.Read(body[:]); err != nil {
--- a/internal/lineserver/owner.go
+++ b/internal/lineserver/owner.go
@@ -23,8 +23,8 @@
 }
 
 func (s *Server) send(to *connection) {
-	if to.stuck.Load() {
-		if to.owed+len(to.output) > s.settings.MaxUnsentBytes {
+	if to.writeBlocked.Load() {
+		if to.unsentBytes+len(to.output) > s.settings.MaxUnsentBytes {
 			s.Counters.Slow.Add(1)
 			to.closeWith("slow")
 		}
@@ -32,27 +32,27 @@
 	}
 	if len(to.output) > 0 {
 		to.sent, to.fault = 0, nil
-		if err := to.raw.Write(to.put); err != nil || to.fault != nil {
+		if err := to.raw.Write(to.writeOutput); err != nil || to.fault != nil {
 			to.closeWith("closed")
 			return
 		}
 		s.Counters.Writes.Add(1)
 		s.Counters.BytesOut.Add(int64(to.sent))
 		s.settings.EventLoop.Transport().SpendBandwidth(to.sent)
-		if to.stuck.Load() {
+		if to.writeBlocked.Load() {
 			rest := to.output[to.sent:]
-			to.output, to.owed = nil, len(rest)
+			to.output, to.unsentBytes = nil, len(rest)
 			go s.sendRest(to, rest)
 			return
 		}
-		if cap(to.output) > keepSize {
+		if cap(to.output) > maxReusedBuffer {
 			to.output = nil
 		} else {
 			to.output = to.output[:0]
 		}
 	}
-	if to.ending {
-		to.finish()
+	if to.closeAfterOutput {
+		to.closeWriteSide()
 	}
 }
 
@@ -65,34 +65,34 @@
 	s.settings.EventLoop.Transport().SpendBandwidth(sent)
 	s.settings.EventLoop.Execute(func(daemon.LoopContext) {
 		if err != nil {
-			if to.why == "" {
+			if to.closeReason == "" {
 				s.Counters.Slow.Add(1)
 			}
 			to.closeWith("slow")
 			return
 		}
-		to.owed = 0
-		to.stuck.Store(false)
+		to.unsentBytes = 0
+		to.writeBlocked.Store(false)
 		s.markDirty(to)
 	})
 }
 
-// finish closes the writing side of the connection and gives the client up to
+// closeWriteSide closes the writing side of the connection and gives the client up to
 // lingerLimit to read the last output.
-func (to *connection) finish() {
-	if to.why != "" {
+func (to *connection) closeWriteSide() {
+	if to.closeReason != "" {
 		return
 	}
-	to.why = "ended"
+	to.closeReason = "ended"
 	_ = to.socket.CloseWrite()
 	_ = to.socket.SetReadDeadline(time.Now().Add(lingerLimit))
 }
 
-// gather stores a connection's output, with one response or event appended, until the
+// setOutput stores a connection's output, with one response or event appended, until the
 // end of the turn and counts it under kind.
-func (s *Server) gather(to *connection, kind saidKind, output []byte) {
-	sent := s.said[kind]
-	s.said[kind] = SentTotal{Times: sent.Times + 1, Bytes: sent.Bytes + int64(len(output)-len(to.output))}
+func (s *Server) setOutput(to *connection, kind outputKind, output []byte) {
+	sent := s.sentTotals[kind]
+	s.sentTotals[kind] = SentTotal{Times: sent.Times + 1, Bytes: sent.Bytes + int64(len(output)-len(to.output))}
 	to.output = output
 	if len(output) > 0 {
 		s.markDirty(to)
@@ -107,44 +107,44 @@
 	}
 }
 
-func (s *Server) answer(to *connection, about CommandRef, answer gateway.Reply) {
-	to.waiting.Add(-1)
+func (s *Server) answer(to *connection, ref CommandRef, answer gateway.Reply) {
+	to.inFlight.Add(-1)
 	if to.state == ended {
 		return
 	}
-	s.gather(to, saidKind{kindNames[about.Kind], string(answer.Outcome)}, s.settings.Protocol.AppendAnswer(to.output, about, answer))
+	s.setOutput(to, outputKind{kindNames[ref.Kind], string(answer.Outcome)}, s.settings.Protocol.AppendAnswer(to.output, ref, answer))
 }
 
-// refused returns a rejection with a code; back is the time after which to retry.
-func refused(code string, back time.Duration) gateway.Reply {
-	return gateway.Reply{Outcome: gateway.OutcomeRejected, Code: code, RetryAfter: back}
+// rejection returns a rejection with a code and the time after which to retry.
+func rejection(code string, retryAfter time.Duration) gateway.Reply {
+	return gateway.Reply{Outcome: gateway.OutcomeRejected, Code: code, RetryAfter: retryAfter}
 }
 
-// take executes the commands of one read of a connection.
-func (s *Server) take(owner daemon.LoopContext, from *connection, batch []pendingRequest) {
-	if from.state == fresh {
-		s.connections[from.channel] = from
+// handleBatch executes the commands of one read of a connection.
+func (s *Server) handleBatch(owner daemon.LoopContext, from *connection, batch []pendingRequest) {
+	if from.state == unopened {
+		s.connections[from.session] = from
 	}
 	for position := range batch {
 		command := &batch[position]
-		command.about.Topic = s.name(command.about.Topic)
-		about := command.about
+		command.ref.Topic = s.internTopic(command.ref.Topic)
+		ref := command.ref
 		switch {
-		case command.fault != "":
-			s.answer(from, about, refused(command.fault, 0))
-			if command.lost {
+		case command.code != "":
+			s.answer(from, ref, rejection(command.code, 0))
+			if command.streamLost {
 				s.end(from)
 			}
-		case about.Kind == Open && from.state == fresh:
+		case ref.Kind == Open && from.state == unopened:
 			s.open(owner, from, command)
-		case about.Kind == Open:
-			s.answer(from, about, refused(CodeAlreadyOpen, 0))
+		case ref.Kind == Open:
+			s.answer(from, ref, rejection(CodeAlreadyOpen, 0))
 		case from.state != open:
-			s.answer(from, about, refused(CodeNotOpen, comeBack))
-		case about.Kind == Ping:
+			s.answer(from, ref, rejection(CodeNotOpen, retryAfter))
+		case ref.Kind == Ping:
 			// The ping arrived before the session was open, or while output was unsent.
-			from.waiting.Add(-1)
-			s.gather(from, saidKind{what: "pong"}, s.settings.Protocol.AppendPong(from.output))
+			from.inFlight.Add(-1)
+			s.setOutput(from, outputKind{what: "pong"}, s.settings.Protocol.AppendPong(from.output))
 		default:
 			s.execute(owner, from, command)
 		}
@@ -152,27 +152,27 @@
 }
 
 func (s *Server) open(owner daemon.LoopContext, from *connection, command *pendingRequest) {
-	about := command.about
+	ref := command.ref
 	from.state, from.client = opening, command.client
-	owner.AttachSession(from.channel, func(deliver statemachine.Delivery) { s.deliver(from, deliver) })
+	owner.AttachSession(from.session, func(deliver statemachine.Delivery) { s.deliver(from, deliver) })
 	owner.Submit(func(request uint64) any {
-		return gateway.OpenSession{Request: request, Session: from.channel, Name: strconv.FormatUint(from.channel, 16), Client: command.client, AdapterPings: true}
+		return gateway.OpenSession{Request: request, Session: from.session, Name: strconv.FormatUint(from.session, 16), Client: command.client, AdapterPings: true}
 	}, func(value any) {
 		answer := answerOf(value)
 		if from.state == opening {
-			from.state = fresh
+			from.state = unopened
 			if answer.Outcome == gateway.OutcomeAccepted {
 				from.state = open
-				from.greeted.Store(true)
+				from.sessionOpen.Store(true)
 			}
 		}
 		if from.state != open {
-			owner.DetachSession(from.channel)
+			owner.DetachSession(from.session)
 		}
 		if from.state == ended && answer.Outcome == gateway.OutcomeAccepted {
-			owner.Post(gateway.CloseSession{Session: from.channel, Reason: from.why})
+			owner.Post(gateway.CloseSession{Session: from.session, Reason: from.closeReason})
 		}
-		s.answer(from, about, answer)
+		s.answer(from, ref, answer)
 	})
 }
 
@@ -182,25 +182,25 @@
 	if answer, matches := value.(gateway.Reply); matches {
 		return answer
 	}
-	return gateway.Reply{Outcome: gateway.OutcomeUnsettled, Code: CodeStopping, RetryAfter: comeBack}
+	return gateway.Reply{Outcome: gateway.OutcomeUnsettled, Code: CodeStopping, RetryAfter: retryAfter}
 }
 
 func (s *Server) execute(owner daemon.LoopContext, from *connection, command *pendingRequest) {
-	about := command.about
+	ref := command.ref
 	owner.Submit(func(request uint64) any {
-		switch about.Kind {
+		switch ref.Kind {
 		case Subscribe:
 			return gateway.Subscribe{
-				Request: request, Session: from.channel, Client: from.client, Interests: []gateway.Interest{{Path: about.Topic}}, Cursor: command.cursor,
+				Request: request, Session: from.session, Client: from.client, Interests: []gateway.Interest{{Path: ref.Topic}}, Cursor: command.cursor,
 			}
 		case Unsubscribe:
-			return gateway.Unsubscribe{Request: request, Session: from.channel, Client: from.client, Interests: []gateway.Interest{{Path: about.Topic}}}
+			return gateway.Unsubscribe{Request: request, Session: from.session, Client: from.client, Interests: []gateway.Interest{{Path: ref.Topic}}}
 		case Publish:
-			return gateway.Publish{Request: request, Client: from.client, Sender: from.client, Topic: about.Topic, Seq: about.Seq, Data: command.body}
+			return gateway.Publish{Request: request, Client: from.client, Sender: from.client, Topic: ref.Topic, Seq: ref.Seq, Data: command.body}
 		default:
-			return gateway.CountSubscribers{Request: request, Session: from.channel, Client: from.client, Topic: about.Topic}
+			return gateway.CountSubscribers{Request: request, Session: from.session, Client: from.client, Topic: ref.Topic}
 		}
-	}, func(value any) { s.answer(from, about, answerOf(value)) })
+	}, func(value any) { s.answer(from, ref, answerOf(value)) })
 }
 
 // deliver encodes an event of the gateway for a connection.
@@ -209,7 +209,7 @@
 		return
 	}
 	if event, matches := deliver.Event.(gateway.Event); matches {
-		s.gather(to, saidKind{what: event.Event}, s.settings.Protocol.AppendEvent(to.output, event))
+		s.setOutput(to, outputKind{what: event.Event}, s.settings.Protocol.AppendEvent(to.output, event))
 	}
 	if deliver.Close {
 		s.end(to)
@@ -218,37 +218,37 @@
 
 // end closes a connection after its pending output has been written.
 func (s *Server) end(to *connection) {
-	to.ending, to.state = true, ended
+	to.closeAfterOutput, to.state = true, ended
 	s.markDirty(to)
 }
 
-// over closes the session of a connection that has ended.
-func (s *Server) over(owner daemon.LoopContext, gone *connection) {
+// connectionEnded closes the session of a connection that has ended.
+func (s *Server) connectionEnded(owner daemon.LoopContext, gone *connection) {
 	had := gone.state
 	gone.state = ended
-	delete(s.connections, gone.channel)
-	if had == fresh {
+	delete(s.connections, gone.session)
+	if had == unopened {
 		return
 	}
 	switch {
-	case gone.lost:
-		gone.why = "unreadable"
-	case gone.why == "":
-		gone.why = "closed"
+	case gone.streamLost:
+		gone.closeReason = "unreadable"
+	case gone.closeReason == "":
+		gone.closeReason = "closed"
 	}
-	owner.DetachSession(gone.channel)
-	owner.Post(gateway.CloseSession{Session: gone.channel, Reason: gone.why})
+	owner.DetachSession(gone.session)
+	owner.Post(gateway.CloseSession{Session: gone.session, Reason: gone.closeReason})
 }
 
-// name interns a topic name, so that repeated names share one string. The table is
-// emptied when it reaches maxNames.
-func (s *Server) name(text string) string {
-	if known, found := s.names[text]; found {
+// internTopic interns a topic name, so that repeated names share one string. The table
+// is emptied when it reaches maxTopicNames.
+func (s *Server) internTopic(text string) string {
+	if known, found := s.topicNames[text]; found {
 		return known
 	}
-	if len(s.names) >= maxNames {
-		clear(s.names)
+	if len(s.topicNames) >= maxTopicNames {
+		clear(s.topicNames)
 	}
-	s.names[text] = text
+	s.topicNames[text] = text
 	return text
 }
