--- a/cmd/fleetlab/client.go
+++ b/cmd/fleetlab/client.go
@@ -71,13 +71,13 @@
 			checker.Interest{Space: "urgent", Path: urgentTopic(each.random.IntN(urgentTopics))},
 			checker.Interest{Space: "cursors", Path: durableTopic(each.random.IntN(50))})
 		if number%40 == 0 {
-			each.interests = append(each.interests, checker.Interest{Space: "boards", Path: fmt.Sprintf("project%d", each.random.IntN(100)), Wide: true})
+			each.interests = append(each.interests, checker.Interest{Space: "boards", Path: fmt.Sprintf("project%d", each.random.IntN(100)), Prefix: true})
 		}
 		if number%60 == 0 {
-			each.interests = append(each.interests, checker.Interest{Space: "decisions", Wide: true})
+			each.interests = append(each.interests, checker.Interest{Space: "decisions", Prefix: true})
 		}
 		if number%120 == 7 {
-			each.interests = append(each.interests, checker.Interest{Space: "boards", Wide: true})
+			each.interests = append(each.interests, checker.Interest{Space: "boards", Prefix: true})
 		}
 		tr.clients = append(tr.clients, each)
 		go each.live()
@@ -103,7 +103,7 @@
 
 // leave stops the client permanently; the checker expects no further deliveries to it.
 func (to *trialClient) leave() {
-	to.record(func(checker *checker.Checker) { checker.Dropped(to.name) })
+	to.record(func(checker *checker.Checker) { checker.SubscriberEnded(to.name) })
 	to.cancel()
 }
 
@@ -127,7 +127,7 @@
 	var wanted []client.Subscription
 	for _, interest := range interests {
 		path := interest.Path
-		if interest.Wide {
+		if interest.Prefix {
 			wanted = append(wanted, client.Subscription{Space: interest.Space, Prefix: &path})
 		} else {
 			wanted = append(wanted, client.Subscription{Space: interest.Space, Topic: &path})
@@ -165,13 +165,13 @@
 			continue
 		}
 		shown, at := channel.Hello, time.Now()
-		to.record(func(checker *checker.Checker) { checker.Showed(shown.Daemon, shown.Version, began, at) })
+		to.record(func(checker *checker.Checker) { checker.ServedVersion(shown.Daemon, shown.Version, began, at) })
 		if !requested {
 			requested = true
 			at := time.Now()
 			to.record(func(checker *checker.Checker) {
 				for _, interest := range to.interests {
-					checker.Asked(to.name, interest, at)
+					checker.SubscribeRequested(to.name, interest, at)
 				}
 			})
 		}
@@ -229,7 +229,7 @@
 		default:
 			at := time.Now()
 			to.record(func(checker *checker.Checker) {
-				checker.CursorLost(to.name, disconnectedAt, at)
+				checker.CursorExpired(to.name, disconnectedAt, at)
 				checker.Violate("place-refused", "%s: %s %s", to.name, answer.Code, answer.Text)
 			})
 			to.cancel()
@@ -264,7 +264,7 @@
 			case "message":
 				at := time.Now()
 				to.record(func(checker_ *checker.Checker) {
-					checker_.Got(to.name, checker.Message{Space: event.Space, Sender: event.Sender, Seq: event.Seq}, event.Topic, string(event.Data), at)
+					checker_.Received(to.name, checker.Message{Space: event.Space, Sender: event.Sender, Seq: event.Seq}, event.Topic, string(event.Data), at)
 				})
 			case "ping":
 				go func() {
@@ -373,7 +373,7 @@
 
 func (to *trialClient) rejected(code, what string) {
 	calm, at := to.run.calmSince(), time.Now()
-	to.record(func(checker *checker.Checker) { checker.RefusedAs(code, what, calm, at) })
+	to.record(func(checker *checker.Checker) { checker.RequestRejected(code, what, calm, at) })
 }
 
 type rawJSON string
--- a/cmd/fleetlab/injector.go
+++ b/cmd/fleetlab/injector.go
@@ -26,8 +26,8 @@
 
 // draw returns the schedule of faults that the flags of the trial select.
 func (t *trial) draw() ([]faults.Fault, error) {
-	if t.last != "" && t.last != "draw" && !slices.Contains(faults.Last, t.last) {
-		return nil, faults.ErrorList.New("%q is not a last fault", t.last)
+	if t.last != "" && t.last != "draw" && !slices.Contains(faults.Closing, t.last) {
+		return nil, faults.ErrorInvalidSchedule.New("%q is not a last fault", t.last)
 	}
 	if t.plot != "" {
 		return faults.Parse(t.plot)
@@ -45,7 +45,7 @@
 	}
 	for _, name := range names {
 		if !slices.Contains(faults.Names, name) {
-			return nil, faults.ErrorList.New("%q is not a fault", name)
+			return nil, faults.ErrorInvalidSchedule.New("%q is not a fault", name)
 		}
 	}
 	count := t.count
@@ -133,7 +133,9 @@
 		return
 	}
 	if !h.until(3*time.Minute, func() bool { return h.open == 0 }) {
-		h.run.log.record(func(log *checker.Checker) { log.Violate(checker.NotBack, "a fault has not ended within 3 minutes") })
+		h.run.log.record(func(log *checker.Checker) {
+			log.Violate(checker.NotRecovered, "a fault has not ended within 3 minutes")
+		})
 	}
 	h.until(checker.FaultSettleTime+5*time.Second, func() bool { return false })
 }
@@ -230,7 +232,7 @@
 
 func injectKill(injector *injector, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
 	injector.kill(daemon)
-	if faults.Wiping(fault.Name) {
+	if faults.LosesDisk(fault.Name) {
 		_ = injector.run.fleet.Wipe(daemon.Name)
 	}
 	injector.after(fault.Length, func() { injector.start(daemon); end() })
@@ -372,7 +374,9 @@
 		}
 		injector.poll(12*time.Second, newcomer.Ready, func(holding bool) {
 			if !holding {
-				injector.run.log.record(func(log *checker.Checker) { log.Violate(checker.NotBack, "%s has not joined in 12 s", newcomer.Name) })
+				injector.run.log.record(func(log *checker.Checker) {
+					log.Violate(checker.NotRecovered, "%s has not joined in 12 s", newcomer.Name)
+				})
 			}
 			end()
 		})
@@ -559,7 +563,7 @@
 		injector.wish(addSpace(name, func() {
 			for number := range 4 {
 				user := injector.run.newClient(fmt.Sprintf("%s-%d", name, number), number%injector.run.fleet.Deployment.Zones, uint64(number))
-				user.interests = []checker.Interest{{Space: name, Wide: true}}
+				user.interests = []checker.Interest{{Space: name, Prefix: true}}
 				user.brief = name
 				users <- user
 				go user.live()
@@ -643,7 +647,7 @@
 func (h *injector) last(name string) {
 	random := rand.New(rand.NewPCG(h.run.trial.seed, 0x1a57))
 	if name == "draw" {
-		name = faults.Last[random.IntN(len(faults.Last))]
+		name = faults.Closing[random.IntN(len(faults.Closing))]
 	}
 	h.run.calm.Store(0)
 	from := time.Now()
@@ -688,7 +692,7 @@
 	h.run.gone.Store(&removed)
 	prober := h.run.newClient("prober", 0, 77)
 	var refilled, callers time.Duration
-	h.until(2*checker.BackWithin, func() bool {
+	h.until(2*checker.RecoveryWithin, func() bool {
 		after := time.Since(from)
 		if refilled == 0 && after > 300*time.Millisecond && prober.probe() {
 			refilled = after
@@ -703,12 +707,12 @@
 	})
 	back := max(refilled, callers)
 	if refilled == 0 || callers == 0 {
-		back = 2 * checker.BackWithin
+		back = 2 * checker.RecoveryWithin
 	}
 	noticed, decided, complete := h.run.parts(from)
 	fmt.Printf("service is back %s after %s: noticed %s, decided %s, partitions whole %s, kept again %s, last caller %s\n", back.Round(time.Millisecond), name,
 		noticed.Round(time.Millisecond), decided.Round(time.Millisecond), complete.Round(time.Millisecond), refilled.Round(time.Millisecond), callers.Round(time.Millisecond))
-	h.run.log.record(func(checker *checker.Checker) { checker.Served(name, back) })
+	h.run.log.record(func(checker *checker.Checker) { checker.Recovered(name, back) })
 	h.run.calm.Store(time.Now().UnixNano())
 	h.until(checker.FaultSettleTime+3*time.Second, func() bool { return false })
 }
--- a/cmd/fleetlab/operator.go
+++ b/cmd/fleetlab/operator.go
@@ -99,7 +99,7 @@
 		o.run.log.record(func(checker *checker.Checker) { put = checker.Register.Put(uint64(version), string(body), began) })
 		status, text := o.control(random, http.MethodPut, "/v1/configuration", string(body))
 		answered := time.Now()
-		o.run.log.record(func(*checker.Checker) { put.End(checker.AnswerOf(status, text), answered) })
+		o.run.log.record(func(*checker.Checker) { put.End(checker.OutcomeOf(status, text), answered) })
 		switch status {
 		case http.StatusOK:
 			accepted := time.Now()
@@ -111,7 +111,7 @@
 			return false
 		case http.StatusBadRequest:
 			o.run.log.record(func(checker_ *checker.Checker) {
-				checker_.Violate(checker.BrokenAccepted, "a valid configuration was refused: %s", text)
+				checker_.Violate(checker.InvalidAccepted, "a valid configuration was refused: %s", text)
 			})
 			return false
 		}
@@ -167,7 +167,7 @@
 	bodies := []string{`{"version":900000,"spaces":[{"name":"boards"}]}`, `{"version":900000,"spaces":[],"spaces":[]}`, `{"version":900000,"spaces":[]} x`}
 	body := bodies[o.random.IntN(len(bodies))]
 	if status, _ := o.control(o.random, http.MethodPut, "/v1/configuration", body); status == http.StatusOK {
-		o.run.log.record(func(checker *checker.Checker) { checker.BrokenAccepted(body) })
+		o.run.log.record(func(checker *checker.Checker) { checker.InvalidConfigurationAccepted(body) })
 	}
 }
 
@@ -205,7 +205,7 @@
 func addSpace(name string, accepted func()) wish {
 	return func(operator *operator) {
 		operator.spaces[name] = true
-		operator.run.log.record(func(checker *checker.Checker) { checker.Space(name, false, false) })
+		operator.run.log.record(func(checker *checker.Checker) { checker.DefineSpace(name, false, false) })
 		if operator.next(20 * time.Second) {
 			accepted()
 		}
@@ -217,7 +217,7 @@
 		delete(operator.spaces, name)
 		if operator.next(20 * time.Second) {
 			at := time.Now()
-			operator.run.log.record(func(checker *checker.Checker) { checker.Removed(name, at) })
+			operator.run.log.record(func(checker *checker.Checker) { checker.SpaceRemoved(name, at) })
 		}
 	}
 }
--- a/cmd/fleetlab/simulate.go
+++ b/cmd/fleetlab/simulate.go
@@ -80,8 +80,8 @@
 	}
 	if h.plot != "" || h.last != "" {
 		schedule, err := faults.Parse(h.plot)
-		if err != nil || h.last != "" && !slices.Contains(faults.Last, h.last) {
-			fmt.Fprintf(os.Stderr, "fleetlab: %v; last faults are %v\n", err, faults.Last)
+		if err != nil || h.last != "" && !slices.Contains(faults.Closing, h.last) {
+			fmt.Fprintf(os.Stderr, "fleetlab: %v; last faults are %v\n", err, faults.Closing)
 			return subcommands.ExitUsageError
 		}
 		scenarios = []simulator.Scenario{{Name: "plot", Schedule: func(uint64) simulator.FaultSchedule { return simulator.FaultSchedule{Faults: schedule, Last: h.last} }}}
--- a/cmd/fleetlab/trial.go
+++ b/cmd/fleetlab/trial.go
@@ -45,7 +45,7 @@
 	set.StringVar(&t.faults, "faults", "", "`names` of faults with commas between, to draw from; all; or pair for two that the seed picks. Known: "+strings.Join(faults.Names, ", "))
 	set.IntVar(&t.count, "count", 0, "how `many` faults to draw; one per 8 s if not given")
 	set.StringVar(&t.plot, "plot", "", "a `list` of faults as name@start+length#pick, instead of drawing")
-	set.StringVar(&t.last, "last", "", "the last fault, which is permanent: draw, or a `name` from "+strings.Join(faults.Last, ", "))
+	set.StringVar(&t.last, "last", "", "the last fault, which is permanent: draw, or a `name` from "+strings.Join(faults.Closing, ", "))
 	set.DurationVar(&t.length, "length", 2*time.Minute, "how `long` the load lasts")
 	set.IntVar(&t.origins, "origins", 580, "how `many` clients, each with one session")
 	set.Float64Var(&t.kept, "kept", 300, "durable messages per `second`")
@@ -237,7 +237,7 @@
 			healthy := since[daemon.Name]
 			tr.log.record(func(checker *checker.Checker) {
 				checker.InForce(daemon.Name, uint64(version), true, healthy, at)
-				checker.Showed(daemon.Name, uint64(version), began, at)
+				checker.ServedVersion(daemon.Name, uint64(version), began, at)
 			})
 		}
 	}
@@ -257,10 +257,10 @@
 
 func (tr *trialRun) run() subcommands.ExitStatus {
 	tr.log.record(func(checker *checker.Checker) {
-		checker.Space("boards", true, false)
-		checker.Space("urgent", true, false)
-		checker.Space("decisions", true, true)
-		checker.Space("cursors", false, false)
+		checker.DefineSpace("boards", true, false)
+		checker.DefineSpace("urgent", true, false)
+		checker.DefineSpace("decisions", true, true)
+		checker.DefineSpace("cursors", false, false)
 		checker.AnswerWithin("boards", 1500*time.Millisecond)
 		checker.AnswerWithin("urgent", time.Second)
 	})
--- a/internal/checker/checker.go
+++ b/internal/checker/checker.go
@@ -13,10 +13,10 @@
 
 // Time limits of the promises.
 const (
-	ForceWithin   = 3 * time.Second
-	RemovalWithin = 3 * time.Second
-	Holding       = 35 * time.Second
-	BackWithin    = 12 * time.Second
+	InForceWithin  = 3 * time.Second
+	RemovalWithin  = 3 * time.Second
+	HoldingTime    = 35 * time.Second
+	RecoveryWithin = 12 * time.Second
 )
 
 // Message identifies a message.
@@ -43,16 +43,16 @@
 
 // Interest is one subscription: a topic, or a prefix.
 type Interest struct {
-	Space string
-	Path  string
-	Wide  bool
+	Space  string
+	Path   string
+	Prefix bool
 }
 
 func (i Interest) covers(space, topic string) bool {
 	if i.Space != space {
 		return false
 	}
-	if !i.Wide {
+	if !i.Prefix {
 		return i.Path == topic
 	}
 	return i.Path == "" || topic == i.Path || strings.HasPrefix(topic, i.Path+"/")
@@ -94,27 +94,27 @@
 
 // Checker records the observations of a run and the violations found in them.
 type Checker struct {
-	spaces      map[string]*space
-	messages    map[Message]*published
-	subscribers map[string]*subscriber
-	puts        []put
-	asked       map[uint64]string
-	forced      map[string]uint64
-	violations  []string
-	counts      map[string]int
-	Delivered   int
-	Accepted    int
-	Refused     int
-	Unsettled   int
-	Answers     []time.Duration
-	Late        int
-	// EphemeralOwed applies the promise of durable messages to ephemeral ones, too: each
+	spaces        map[string]*space
+	messages      map[Message]*published
+	subscribers   map[string]*subscriber
+	puts          []put
+	asked         map[uint64]string
+	forced        map[string]uint64
+	violations    []string
+	counts        map[string]int
+	Delivered     int
+	Accepted      int
+	Rejected      int
+	Unsettled     int
+	ResponseTimes []time.Duration
+	Late          int
+	// RequireEphemeral applies the promise of durable messages to ephemeral ones, too: each
 	// accepted message must reach every subscriber. It is for runs in which no subscriber is
 	// disconnected for long.
-	EphemeralOwed bool
-	Codes         map[string]int
-	showed        map[string][]shown
-	Topics        *Topics
+	RequireEphemeral bool
+	Codes            map[string]int
+	showed           map[string][]shown
+	Topics           *Topics
 	// Register is the history of the operators' reads and writes of the configuration.
 	Register Register
 }
@@ -130,24 +130,24 @@
 
 // Kinds of violations, one for each promise.
 const (
-	NotInForce     = "not-in-force"
-	WentBack       = "went-back"
-	StaleRead      = "stale-read"
-	BrokenAccepted = "broken-taken"
-	Lost           = "lost"
-	Twice          = "twice"
-	OutOfOrder     = "out-of-order"
-	Disagree       = "channel-order"
-	CursorRejected = "place-refused"
-	NeverAsked     = "never-asked"
-	AllRefused     = "all-refused"
-	AfterRemoval   = "after-removal"
-	NotBack        = "not-back"
-	Unready        = "unready"
-	RefusedCalm    = "refused-in-calm"
-	NotLinear      = "not-linearizable"
-	TooFewLeft     = "too-few-left"
-	RefusedAgain   = "refused-again"
+	NotInForce      = "not-in-force"
+	VersionWentBack = "went-back"
+	StaleRead       = "stale-read"
+	InvalidAccepted = "broken-taken"
+	Lost            = "lost"
+	Duplicate       = "twice"
+	OutOfOrder      = "out-of-order"
+	OrderMismatch   = "channel-order"
+	CursorRejected  = "place-refused"
+	Unsolicited     = "never-asked"
+	AllRejected     = "all-refused"
+	AfterRemoval    = "after-removal"
+	NotRecovered    = "not-back"
+	Unready         = "unready"
+	RejectedInCalm  = "refused-in-calm"
+	NotLinearizable = "not-linearizable"
+	TooFewStores    = "too-few-left"
+	RetryRejected   = "refused-again"
 )
 
 // FaultSettleTime is how long after the end of a fault daemons may still be unready
@@ -165,8 +165,8 @@
 // Violations returns the violations found so far, at most 20 of each kind.
 func (c *Checker) Violations() []string { return c.violations }
 
-// Space records the durability and the order that operators configured for a space.
-func (c *Checker) Space(name string, durable, channel bool) {
+// DefineSpace records the durability and the order that operators configured for a space.
+func (c *Checker) DefineSpace(name string, durable, channel bool) {
 	c.spaces[name] = &space{durable: durable, channel: channel}
 }
 
@@ -175,8 +175,8 @@
 	c.spaces[name].within = limit
 }
 
-// Removed records that the removal of a space was accepted.
-func (c *Checker) Removed(name string, at time.Time) {
+// SpaceRemoved records that the removal of a space was accepted.
+func (c *Checker) SpaceRemoved(name string, at time.Time) {
 	if here, found := c.spaces[name]; found {
 		here.removed = at
 	}
@@ -204,12 +204,12 @@
 			c.Accepted++
 			each.accepted, each.acceptedAt = true, at
 		}
-		c.Answers = append(c.Answers, at.Sub(began))
+		c.ResponseTimes = append(c.ResponseTimes, at.Sub(began))
 		if here, found := c.spaces[message.Space]; found && here.within > 0 && at.Sub(began) > here.within {
 			c.Late++
 		}
 	case "refused":
-		c.Refused++
+		c.Rejected++
 		each.refused++
 	default:
 		c.Unsettled++
@@ -233,8 +233,8 @@
 	each.interests = append(each.interests, held{interest: interest, from: at})
 }
 
-// Asked records that a subscription was requested. Its messages may arrive from then on.
-func (c *Checker) Asked(name string, interest Interest, at time.Time) {
+// SubscribeRequested records that a subscription was requested. Its messages may arrive from then on.
+func (c *Checker) SubscribeRequested(name string, interest Interest, at time.Time) {
 	each := c.subscriber(name)
 	each.interests = append(each.interests, held{interest: interest, from: time.Time{}, until: at})
 }
@@ -249,25 +249,25 @@
 	}
 }
 
-// Dropped records that a subscriber's cursor was rejected legitimately, or that its client
+// SubscriberEnded records that a subscriber's cursor was rejected legitimately, or that its client
 // ended. The checker expects no further deliveries to it.
-func (c *Checker) Dropped(name string) { c.subscriber(name).dropped = true }
+func (c *Checker) SubscriberEnded(name string) { c.subscriber(name).dropped = true }
 
-// CursorLost records that a client was disconnected at cutAt, returned, and its cursor was
+// CursorExpired records that a client was disconnected at cutAt, returned, and its cursor was
 // rejected as expired.
-func (c *Checker) CursorLost(name string, cutAt, at time.Time) {
-	if at.Sub(cutAt) < Holding {
+func (c *Checker) CursorExpired(name string, cutAt, at time.Time) {
+	if at.Sub(cutAt) < HoldingTime {
 		c.Violate(CursorRejected, "%s returned after %s", name, at.Sub(cutAt))
 	}
-	c.Dropped(name)
+	c.SubscriberEnded(name)
 }
 
-// Got records that a subscriber received a message.
-func (c *Checker) Got(name string, message Message, topic, data string, at time.Time) {
+// Received records that a subscriber received a message.
+func (c *Checker) Received(name string, message Message, topic, data string, at time.Time) {
 	c.Delivered++
 	each := c.subscriber(name)
 	if earlier, twice := each.got[message]; twice {
-		c.Violate(Twice, "%s got %s at %s and again %s later", name, message, earlier.Format("05.000"), at.Sub(earlier))
+		c.Violate(Duplicate, "%s got %s at %s and again %s later", name, message, earlier.Format("05.000"), at.Sub(earlier))
 		return
 	}
 	each.got[message] = at
@@ -279,7 +279,7 @@
 	each.lastSeq[key] = max(each.lastSeq[key], message.Seq)
 	sent, known := c.messages[message]
 	if !known || sent.topic != topic || sent.data != data {
-		c.Violate(NeverAsked, "%s got %s on %s, which was not sent with this topic and body", name, message, topic)
+		c.Violate(Unsolicited, "%s got %s on %s, which was not sent with this topic and body", name, message, topic)
 		return
 	}
 	asked := false
@@ -287,7 +287,7 @@
 		asked = asked || interest.interest.covers(message.Space, topic)
 	}
 	if !asked {
-		c.Violate(NeverAsked, "%s got %s on %s without a subscription", name, message, topic)
+		c.Violate(Unsolicited, "%s got %s on %s without a subscription", name, message, topic)
 	}
 	if here, found := c.spaces[message.Space]; found && !here.removed.IsZero() && at.Sub(here.removed) > RemovalWithin {
 		c.Violate(AfterRemoval, "%s got %s %s after the removal", name, message, at.Sub(here.removed))
@@ -305,9 +305,9 @@
 	c.puts = append(c.puts, put{version: version, document: document, began: began, taken: at})
 }
 
-// BrokenAccepted records that an invalid configuration was accepted.
-func (c *Checker) BrokenAccepted(text string) {
-	c.Violate(BrokenAccepted, "%s", text)
+// InvalidConfigurationAccepted records that an invalid configuration was accepted.
+func (c *Checker) InvalidConfigurationAccepted(text string) {
+	c.Violate(InvalidAccepted, "%s", text)
 }
 
 // ReadBack records the result of reading the configuration.
@@ -330,21 +330,21 @@
 // version in force, so its version may go back.
 func (c *Checker) InForce(daemon string, version uint64, serves bool, healthySince, at time.Time) {
 	if before := c.forced[daemon]; serves && version < before {
-		c.Violate(WentBack, "%s went back from version %d to %d", daemon, before, version)
+		c.Violate(VersionWentBack, "%s went back from version %d to %d", daemon, before, version)
 	}
 	c.forced[daemon] = max(c.forced[daemon], version)
 	for _, each := range c.puts {
-		if each.version > version && at.Sub(each.taken) > ForceWithin && at.Sub(healthySince) > ForceWithin {
+		if each.version > version && at.Sub(each.taken) > InForceWithin && at.Sub(healthySince) > InForceWithin {
 			c.Violate(NotInForce, "%s has version %d in force, %s after %d was accepted", daemon, version, at.Sub(each.taken), each.version)
 			return
 		}
 	}
 }
 
-// Showed records which version a daemon had in force at some time between began and at, while
+// ServedVersion records which version a daemon had in force at some time between began and at, while
 // it served. It is called at each change and not by sampling, and no fault excuses an older
 // version.
-func (c *Checker) Showed(daemon string, version uint64, began, at time.Time) {
+func (c *Checker) ServedVersion(daemon string, version uint64, began, at time.Time) {
 	before := uint64(0)
 	for _, each := range c.showed[daemon] {
 		if each.at.Before(began) {
@@ -352,26 +352,26 @@
 		}
 	}
 	if version < before {
-		c.Violate(WentBack, "%s served with version %d after %d, at %s", daemon, version, before, at.Format("05.000"))
+		c.Violate(VersionWentBack, "%s served with version %d after %d, at %s", daemon, version, before, at.Format("05.000"))
 	}
 	if version > before {
 		c.showed[daemon] = append(c.showed[daemon], shown{version: version, at: at})
 	}
 	for _, each := range c.puts {
-		if each.version > version && began.Sub(each.taken) > ForceWithin {
+		if each.version > version && began.Sub(each.taken) > InForceWithin {
 			c.Violate(NotInForce, "%s served with version %d, %s after %d was accepted", daemon, version, began.Sub(each.taken), each.version)
 			return
 		}
 	}
 }
 
-// RefusedAs records the code of a request that was not accepted. Callers report only codes
+// RequestRejected records the code of a request that was not accepted. Callers report only codes
 // for which a daemon is responsible. calmSince is the end of the last fault: a rejection
 // more than FaultSettleTime after it is a violation.
-func (c *Checker) RefusedAs(code, what string, calmSince, at time.Time) {
+func (c *Checker) RequestRejected(code, what string, calmSince, at time.Time) {
 	c.Codes[code]++
 	if at.Sub(calmSince) > FaultSettleTime {
-		c.Violate(RefusedCalm, "%s: %s, %s after the last fault", what, code, at.Sub(calmSince))
+		c.Violate(RejectedInCalm, "%s: %s, %s after the last fault", what, code, at.Sub(calmSince))
 	}
 }
 
@@ -382,10 +382,10 @@
 	}
 }
 
-// Served records how long after a major failure the service had recovered.
-func (c *Checker) Served(what string, after time.Duration) {
-	if after > BackWithin {
-		c.Violate(NotBack, "%s: service was back after %s", what, after)
+// Recovered records how long after a major failure the service had recovered.
+func (c *Checker) Recovered(what string, after time.Duration) {
+	if after > RecoveryWithin {
+		c.Violate(NotRecovered, "%s: service was back after %s", what, after)
 	}
 }
 
@@ -401,8 +401,8 @@
 		c.closeSubscriber(c.subscribers[name], at)
 	}
 	c.closeTopics(at)
-	for _, fault := range c.Register.Faults() {
-		c.Violate(NotLinear, "%s", fault)
+	for _, fault := range c.Register.Violations() {
+		c.Violate(NotLinearizable, "%s", fault)
 	}
 	for left, name := range names {
 		for _, other := range names[left+1:] {
@@ -415,7 +415,7 @@
 	for message, when := range each.got {
 		sent := c.messages[message]
 		if sent != nil && sent.tries > 0 && sent.refused == sent.tries {
-			c.Violate(AllRefused, "%s got %s at %s, though every attempt was rejected", each.name, message, when.Format("05.000"))
+			c.Violate(AllRejected, "%s got %s at %s, though every attempt was rejected", each.name, message, when.Format("05.000"))
 		}
 	}
 	if each.dropped {
@@ -423,7 +423,7 @@
 	}
 	for message, sent := range c.messages {
 		here, found := c.spaces[message.Space]
-		if !found || !here.durable && !c.EphemeralOwed || !sent.accepted || !here.removed.IsZero() {
+		if !found || !here.durable && !c.RequireEphemeral || !sent.accepted || !here.removed.IsZero() {
 			continue
 		}
 		if _, got := each.got[message]; got {
@@ -456,7 +456,7 @@
 				continue
 			}
 			if position < last {
-				c.Violate(Disagree, "%s and %s received %s in different orders", left.name, right.name, message)
+				c.Violate(OrderMismatch, "%s and %s received %s in different orders", left.name, right.name, message)
 				break
 			}
 			last = position
@@ -466,15 +466,15 @@
 
 // Summary returns the counts and response times of the run in one line.
 func (c *Checker) Summary() string {
-	slices.Sort(c.Answers)
+	slices.Sort(c.ResponseTimes)
 	part := func(fraction float64) time.Duration {
-		if len(c.Answers) == 0 {
+		if len(c.ResponseTimes) == 0 {
 			return 0
 		}
-		return c.Answers[min(len(c.Answers)-1, int(fraction*float64(len(c.Answers))))]
+		return c.ResponseTimes[min(len(c.ResponseTimes)-1, int(fraction*float64(len(c.ResponseTimes))))]
 	}
 	return fmt.Sprintf("accepted %d, refused %d, unsettled %d, delivered %d; answers half %s, most %s, slowest %s, late %d; violations %d",
-		c.Accepted, c.Refused, c.Unsettled, c.Delivered,
+		c.Accepted, c.Rejected, c.Unsettled, c.Delivered,
 		part(0.5).Round(100*time.Microsecond), part(0.99).Round(100*time.Microsecond), part(1).Round(100*time.Microsecond), c.Late, c.total())
 }
 
--- a/internal/checker/checker_test.go
+++ b/internal/checker/checker_test.go
@@ -12,13 +12,13 @@
 
 func honest(at func(seconds float64) time.Time) *Checker {
 	checker := New()
-	checker.Space("kept", true, false)
-	checker.Space("one", true, true)
-	checker.Space("pass", false, false)
+	checker.DefineSpace("kept", true, false)
+	checker.DefineSpace("one", true, true)
+	checker.DefineSpace("pass", false, false)
 	for _, name := range []string{"ada", "bob"} {
 		for _, space := range []string{"kept", "one", "pass"} {
-			checker.Asked(name, Interest{Space: space, Wide: true}, at(0))
-			checker.Subscribed(name, Interest{Space: space, Wide: true}, at(0.1))
+			checker.SubscribeRequested(name, Interest{Space: space, Prefix: true}, at(0))
+			checker.Subscribed(name, Interest{Space: space, Prefix: true}, at(0.1))
 		}
 	}
 	for seq := uint64(1); seq <= 4; seq++ {
@@ -28,7 +28,7 @@
 			checker.Attempt(message, "a/b", "data", began)
 			checker.Answered(message, "accepted", began, began.Add(time.Millisecond))
 			for _, name := range []string{"ada", "bob"} {
-				checker.Got(name, message, "a/b", "data", began.Add(2*time.Millisecond))
+				checker.Received(name, message, "a/b", "data", began.Add(2*time.Millisecond))
 			}
 		}
 	}
@@ -52,52 +52,52 @@
 			checker.ConfigurationAccepted(2, "two", at(6), at(6))
 			checker.InForce("gateway", 1, true, at(0), at(9.5))
 		},
-		WentBack: func(checker *Checker) { checker.InForce("gateway", 0, true, at(0), at(1)) },
+		VersionWentBack: func(checker *Checker) { checker.InForce("gateway", 0, true, at(0), at(1)) },
 		StaleRead: func(checker *Checker) {
 			checker.ConfigurationAccepted(2, "two", at(6), at(6))
 			checker.ReadBack(1, "one", at(7), at(7))
 		},
-		NotLinear: func(checker *Checker) {
+		NotLinearizable: func(checker *Checker) {
 			checker.Register.Put(1, "one", at(1)).End(Acknowledged, at(2))
 			checker.Register.Put(1, "other", at(1)).End(Acknowledged, at(2))
 		},
-		BrokenAccepted: func(checker *Checker) { checker.BrokenAccepted("a broken one") },
+		InvalidAccepted: func(checker *Checker) { checker.InvalidConfigurationAccepted("a broken one") },
 		Lost: func(checker *Checker) {
 			try(checker, fresh, "accepted")
-			checker.Got("ada", fresh, "a/b", "data", at(9.2))
+			checker.Received("ada", fresh, "a/b", "data", at(9.2))
 		},
-		Twice: func(checker *Checker) {
-			checker.Got("ada", Message{Space: "kept", Sender: "cy", Seq: 2}, "a/b", "data", at(9))
+		Duplicate: func(checker *Checker) {
+			checker.Received("ada", Message{Space: "kept", Sender: "cy", Seq: 2}, "a/b", "data", at(9))
 		},
 		OutOfOrder: func(checker *Checker) {
 			late := Message{Space: "pass", Sender: "cy", Seq: 0}
 			try(checker, late, "accepted")
-			checker.Got("ada", late, "a/b", "data", at(9))
+			checker.Received("ada", late, "a/b", "data", at(9))
 		},
-		CursorRejected: func(checker *Checker) { checker.CursorLost("ada", at(5), at(39)) },
-		NeverAsked: func(checker *Checker) {
-			checker.Got("eve", Message{Space: "kept", Sender: "cy", Seq: 2}, "a/b", "data", at(9))
+		CursorRejected: func(checker *Checker) { checker.CursorExpired("ada", at(5), at(39)) },
+		Unsolicited: func(checker *Checker) {
+			checker.Received("eve", Message{Space: "kept", Sender: "cy", Seq: 2}, "a/b", "data", at(9))
 		},
-		AllRefused: func(checker *Checker) {
+		AllRejected: func(checker *Checker) {
 			message := Message{Space: "pass", Sender: "cy", Seq: 9}
 			try(checker, message, "refused")
-			checker.Got("ada", message, "a/b", "data", at(9))
+			checker.Received("ada", message, "a/b", "data", at(9))
 		},
 		AfterRemoval: func(checker *Checker) {
 			message := Message{Space: "pass", Sender: "cy", Seq: 9}
 			try(checker, message, "accepted")
-			checker.Removed("pass", at(6))
-			checker.Got("ada", message, "a/b", "data", at(9.1))
+			checker.SpaceRemoved("pass", at(6))
+			checker.Received("ada", message, "a/b", "data", at(9.1))
 		},
-		NotBack: func(checker *Checker) { checker.Served("a zone lost", 13*time.Second) },
-		Disagree: func(checker *Checker) {
+		NotRecovered: func(checker *Checker) { checker.Recovered("a zone lost", 13*time.Second) },
+		OrderMismatch: func(checker *Checker) {
 			left, right := Message{Space: "one", Sender: "dan", Seq: 1}, Message{Space: "one", Sender: "eve", Seq: 1}
 			try(checker, left, "accepted")
 			try(checker, right, "accepted")
-			checker.Got("ada", left, "a/b", "data", at(9.2))
-			checker.Got("ada", right, "a/b", "data", at(9.2))
-			checker.Got("bob", right, "a/b", "data", at(9.2))
-			checker.Got("bob", left, "a/b", "data", at(9.2))
+			checker.Received("ada", left, "a/b", "data", at(9.2))
+			checker.Received("ada", right, "a/b", "data", at(9.2))
+			checker.Received("bob", right, "a/b", "data", at(9.2))
+			checker.Received("bob", left, "a/b", "data", at(9.2))
 		},
 	}
 	for kind, plant := range plants {
@@ -118,7 +118,7 @@
 func TestLateAnswersAreCounted(t *testing.T) {
 	start := time.Unix(5000, 0)
 	checker := New()
-	checker.Space("urgent", true, false)
+	checker.DefineSpace("urgent", true, false)
 	checker.AnswerWithin("urgent", time.Second)
 	for seq, took := range []time.Duration{time.Millisecond, time.Second, 1001 * time.Millisecond} {
 		message := Message{Space: "urgent", Sender: "cy", Seq: uint64(seq + 1)}
--- a/internal/checker/register.go
+++ b/internal/checker/register.go
@@ -27,24 +27,24 @@
 	"time"
 )
 
-// OrderAnswer is the outcome of an operator's order.
-type OrderAnswer int
+// OrderOutcome is the outcome of an operator's order.
+type OrderOutcome int
 
 // The outcomes of orders.
 const (
 	// Unclear orders got no response, or one that does not say whether they took effect.
-	Unclear OrderAnswer = iota
+	Unclear OrderOutcome = iota
 	// Acknowledged orders were accepted.
 	Acknowledged
-	// RefusedOther orders were rejected because the number was decided with another content.
-	RefusedOther
-	// RefusedOlder orders were rejected because the number is below the highest decided one.
-	RefusedOlder
+	// RejectedConflict orders were rejected because the number was decided with another content.
+	RejectedConflict
+	// RejectedOlder orders were rejected because the number is below the highest decided one.
+	RejectedOlder
 )
 
-// AnswerOf returns the outcome of an order from the status and the body of its response.
+// OutcomeOf returns the outcome of an order from the status and the body of its response.
 // Status 0 means that there was no response.
-func AnswerOf(status int, body []byte) OrderAnswer {
+func OutcomeOf(status int, body []byte) OrderOutcome {
 	var told struct {
 		Code string `json:"code"`
 	}
@@ -55,9 +55,9 @@
 	case status == http.StatusOK:
 		return Acknowledged
 	case status == http.StatusConflict && told.Code == "same-version":
-		return RefusedOther
+		return RejectedConflict
 	case status == http.StatusConflict && told.Code == "older-version":
-		return RefusedOlder
+		return RejectedOlder
 	}
 	return Unclear
 }
@@ -68,11 +68,11 @@
 	content string
 	began   time.Time
 	ended   time.Time
-	answer  OrderAnswer
+	answer  OrderOutcome
 }
 
 // End records the outcome of the order. An order that never ends is unclear.
-func (p *Put) End(answer OrderAnswer, at time.Time) { p.answer, p.ended = answer, at }
+func (p *Put) End(answer OrderOutcome, at time.Time) { p.answer, p.ended = answer, at }
 
 // read is the result of reading the configuration. Version 0 means that there was none.
 type read struct {
@@ -84,11 +84,11 @@
 
 // Register is the history of the configuration as a register with version numbers.
 type Register struct {
-	// Lax says that an order with an undecided number below the highest one is acknowledged
+	// AcknowledgesOlder says that an order with an undecided number below the highest one is acknowledged
 	// and decided without coming into force. Otherwise such an order is rejected.
-	Lax   bool
-	puts  []*Put
-	reads []read
+	AcknowledgesOlder bool
+	puts              []*Put
+	reads             []read
 }
 
 // Put records the begin of an order.
@@ -123,8 +123,8 @@
 	possible bool
 }
 
-// Faults returns the reasons why the history is not linearizable, or nothing if it is.
-func (r *Register) Faults() []string {
+// Violations returns the reasons why the history is not linearizable, or nothing if it is.
+func (r *Register) Violations() []string {
 	numbers := r.byNumber()
 	var faults []string
 	complain := func(text string, values ...any) { faults = append(faults, fmt.Sprintf(text, values...)) }
@@ -152,7 +152,7 @@
 				latest, latestRead = minimum, fmt.Sprintf("a read of %d", each.version)
 			}
 		}
-		if !r.Lax && each.sure && each.least.After(latest) {
+		if !r.AcknowledgesOlder && each.sure && each.least.After(latest) {
 			latest, latestRead = each.least, fmt.Sprintf("the decision of %d", each.version)
 		}
 	}
@@ -222,7 +222,7 @@
 		case Acknowledged:
 			told(put.content, "acknowledged by "+stamp(put.ended))
 			decided(put.ended)
-		case RefusedOther:
+		case RejectedConflict:
 			decided(put.ended)
 		}
 	}
@@ -238,7 +238,7 @@
 // is not known, with any content that was not rejected.
 func (n *number) place(after time.Time, complain func(text string, values ...any)) {
 	for _, put := range n.puts {
-		if put.answer == RefusedOlder || !n.mayBe(put.content) {
+		if put.answer == RejectedOlder || !n.mayBe(put.content) {
 			continue
 		}
 		if !n.possible || put.began.Before(n.least) {
@@ -250,10 +250,10 @@
 	}
 	n.least = later(n.least, after)
 	for _, put := range n.puts {
-		if put.answer == RefusedOther && n.known && put.content == n.content {
+		if put.answer == RejectedConflict && n.known && put.content == n.content {
 			complain("%d was rejected by %s because of another content, but the decided content is the same", n.version, stamp(put.ended))
 		}
-		if put.answer == RefusedOlder {
+		if put.answer == RejectedOlder {
 			// It was undecided at that time and can't be decided any more.
 			n.possible = false
 			if n.sure {
@@ -268,17 +268,17 @@
 	if n.known {
 		return content == n.content
 	}
-	return !slices.ContainsFunc(n.puts, func(put *Put) bool { return put.answer == RefusedOther && put.content == content })
+	return !slices.ContainsFunc(n.puts, func(put *Put) bool { return put.answer == RejectedConflict && put.content == content })
 }
 
 // judgeOlder checks that, whenever an order was rejected as older, a higher number can have
 // been decided before.
 func (r *Register) judgeOlder(numbers []*number, complain func(text string, values ...any)) {
 	for _, put := range r.puts {
-		if put.answer != RefusedOlder {
+		if put.answer != RejectedOlder {
 			continue
 		}
-		if r.Lax {
+		if r.AcknowledgesOlder {
 			complain("%d was rejected as older in the mode in which older numbers are acknowledged", put.version)
 			continue
 		}
--- a/internal/checker/register_test.go
+++ b/internal/checker/register_test.go
@@ -19,10 +19,10 @@
 	content string
 	began   int
 	ended   int
-	answer  OrderAnswer
+	answer  OrderOutcome
 }
 
-func ordered(version uint64, content string, began, ended int, answer OrderAnswer) operation {
+func ordered(version uint64, content string, began, ended int, answer OrderOutcome) operation {
 	return operation{version: version, content: content, began: began, ended: ended, answer: answer}
 }
 
@@ -36,7 +36,7 @@
 
 func registerOf(rising bool, operations []operation) *Register {
 	at := func(seconds int) time.Time { return time.Unix(int64(seconds), 0) }
-	register := &Register{Lax: !rising}
+	register := &Register{AcknowledgesOlder: !rising}
 	for _, each := range operations {
 		if each.read {
 			register.Read(each.version, each.content, at(each.began), at(each.ended))
@@ -62,10 +62,10 @@
 	{"two contents under a number below the highest", false, false, []operation{
 		ordered(5, "x", 0, 1, Acknowledged), ordered(4, "a", 2, 3, Acknowledged), ordered(4, "b", 4, 5, Acknowledged),
 	}},
-	{"one of two concurrent orders is rejected", false, true, []operation{ordered(1, "a", 0, 9, Acknowledged), ordered(1, "b", 0, 9, RefusedOther)}},
-	{"an accepted order is rejected", false, false, []operation{ordered(1, "a", 0, 1, Acknowledged), ordered(1, "a", 2, 3, RefusedOther)}},
+	{"one of two concurrent orders is rejected", false, true, []operation{ordered(1, "a", 0, 9, Acknowledged), ordered(1, "b", 0, 9, RejectedConflict)}},
+	{"an accepted order is rejected", false, false, []operation{ordered(1, "a", 0, 1, Acknowledged), ordered(1, "a", 2, 3, RejectedConflict)}},
 	{"an accepted order is rejected as older", true, false, []operation{
-		ordered(1, "a", 0, 1, Acknowledged), ordered(2, "b", 2, 3, Acknowledged), ordered(1, "a", 4, 5, RefusedOlder),
+		ordered(1, "a", 0, 1, Acknowledged), ordered(2, "b", 2, 3, Acknowledged), ordered(1, "a", 4, 5, RejectedOlder),
 	}},
 	{"an accepted order is acknowledged again later", true, true, []operation{
 		ordered(1, "a", 0, 1, Acknowledged), ordered(2, "b", 2, 3, Acknowledged), ordered(1, "a", 4, 5, Acknowledged),
@@ -86,23 +86,23 @@
 	{"a read of a version without an order", false, false, []operation{ordered(1, "a", 0, 1, Acknowledged), reads(2, "b", 2, 3)}},
 	{"a read of other content than was accepted", false, false, []operation{ordered(1, "a", 0, 1, Acknowledged), lost(1, "b", 0), reads(1, "b", 2, 3)}},
 	{"an empty read after an order was accepted", false, false, []operation{ordered(1, "a", 0, 1, Acknowledged), reads(0, "", 2, 3)}},
-	{"rejected because of another content that was never put", false, false, []operation{ordered(1, "a", 0, 1, RefusedOther)}},
-	{"rejected before the other order began", false, false, []operation{ordered(1, "a", 0, 1, RefusedOther), ordered(1, "b", 2, 3, Acknowledged)}},
-	{"rejected because of an order whose response was lost", false, true, []operation{lost(1, "b", 0), ordered(1, "a", 1, 2, RefusedOther)}},
-	{"two orders are rejected because of each other", false, false, []operation{ordered(1, "a", 0, 5, RefusedOther), ordered(1, "b", 0, 5, RefusedOther)}},
+	{"rejected because of another content that was never put", false, false, []operation{ordered(1, "a", 0, 1, RejectedConflict)}},
+	{"rejected before the other order began", false, false, []operation{ordered(1, "a", 0, 1, RejectedConflict), ordered(1, "b", 2, 3, Acknowledged)}},
+	{"rejected because of an order whose response was lost", false, true, []operation{lost(1, "b", 0), ordered(1, "a", 1, 2, RejectedConflict)}},
+	{"two orders are rejected because of each other", false, false, []operation{ordered(1, "a", 0, 5, RejectedConflict), ordered(1, "b", 0, 5, RejectedConflict)}},
 	{"two orders are rejected because of a third whose response was lost", false, true, []operation{
-		ordered(1, "a", 0, 5, RefusedOther), ordered(1, "b", 0, 5, RefusedOther), lost(1, "c", 4),
+		ordered(1, "a", 0, 5, RejectedConflict), ordered(1, "b", 0, 5, RejectedConflict), lost(1, "c", 4),
 	}},
 	{"a lower number is decided after a higher one", true, false, []operation{ordered(2, "b", 0, 1, Acknowledged), ordered(1, "a", 2, 3, Acknowledged)}},
 	{"a lower number is acknowledged after a higher one", false, true, []operation{ordered(2, "b", 0, 1, Acknowledged), ordered(1, "a", 2, 3, Acknowledged)}},
-	{"rejected as older without a higher number", true, false, []operation{ordered(1, "a", 0, 1, RefusedOlder), ordered(2, "b", 2, 3, Acknowledged)}},
-	{"rejected as older than a concurrent order", true, true, []operation{ordered(1, "a", 0, 3, RefusedOlder), ordered(2, "b", 2, 5, Acknowledged)}},
+	{"rejected as older without a higher number", true, false, []operation{ordered(1, "a", 0, 1, RejectedOlder), ordered(2, "b", 2, 3, Acknowledged)}},
+	{"rejected as older than a concurrent order", true, true, []operation{ordered(1, "a", 0, 3, RejectedOlder), ordered(2, "b", 2, 5, Acknowledged)}},
 }
 
 func TestHistoriesAreJudged(t *testing.T) {
 	for _, each := range histories {
 		t.Run(each.name, func(t *testing.T) {
-			faults := registerOf(each.rising, each.operations).Faults()
+			faults := registerOf(each.rising, each.operations).Violations()
 			assert.Equal(t, len(faults) == 0, each.holds, "%v", faults)
 			assert.Equal(t, search(each.rising, each.operations), each.holds, "the search through all orders")
 		})
@@ -172,9 +172,9 @@
 	case found && content == o.content:
 		return decided, o.answer == Acknowledged || o.answer == Unclear
 	case found:
-		return decided, o.answer == RefusedOther || o.answer == Unclear
+		return decided, o.answer == RejectedConflict || o.answer == Unclear
 	case rising && o.version < highest:
-		return decided, o.answer == RefusedOlder || o.answer == Unclear
+		return decided, o.answer == RejectedOlder || o.answer == Unclear
 	}
 	next := map[uint64]string{o.version: o.content}
 	for version, content := range decided {
@@ -191,7 +191,7 @@
 		random := rand.New(rand.NewPCG(seed, 0x4e6))
 		rising := seed%2 == 0
 		operations := drawHistory(random, rising)
-		faults := registerOf(rising, operations).Faults()
+		faults := registerOf(rising, operations).Violations()
 		holds := search(rising, operations)
 		assert.Equal(t, len(faults) == 0, holds, "seed %d: %+v: %v", seed, operations, faults)
 		if holds {
@@ -237,7 +237,7 @@
 		o.content = decided[o.version]
 		return
 	}
-	for _, answer := range []OrderAnswer{Acknowledged, RefusedOther, RefusedOlder} {
+	for _, answer := range []OrderOutcome{Acknowledged, RejectedConflict, RejectedOlder} {
 		o.answer = answer
 		if _, holds := o.apply(rising, decided); holds {
 			return
@@ -252,6 +252,6 @@
 	case o.read:
 		o.content = "b"
 	default:
-		o.answer = OrderAnswer(random.IntN(4))
+		o.answer = OrderOutcome(random.IntN(4))
 	}
 }
--- a/internal/checker/topics.go
+++ b/internal/checker/topics.go
@@ -70,9 +70,9 @@
 // unreachable without closing may be counted as present until lingers.
 type span struct{ from, until, lingers time.Time }
 
-// Saved is a cursor that a client received: the position after a message, or the position of
+// SavedCursor is a cursor that a client received: the position after a message, or the position of
 // a subscription that had not received any message.
-type Saved struct {
+type SavedCursor struct {
 	Topic  string
 	Cursor string
 	After  Post
@@ -86,7 +86,7 @@
 	topic     string
 	firstOK   time.Time
 	ended     time.Time
-	saved     *Saved
+	saved     *SavedCursor
 	present   []span
 	got       map[Post]time.Time
 	order     []Post
@@ -99,24 +99,24 @@
 
 // Topics holds the observations on routed topics.
 type Topics struct {
-	routes        []route
-	routings      []*routing
-	posts         map[Post]*post
-	byTopic       map[string][]*post
-	subscriptions map[string][]*Subscription
-	CountsRight   int
-	CountsWrong   int
-	Joins         []time.Duration
-	Delays        []time.Duration
-	Expired       int
+	routes         []route
+	routings       []*routing
+	posts          map[Post]*post
+	byTopic        map[string][]*post
+	subscriptions  map[string][]*Subscription
+	CorrectCounts  int
+	WrongCounts    int
+	JoinTimes      []time.Duration
+	DeliveryDelays []time.Duration
+	Expired        int
 }
 
 func newTopics() *Topics {
 	return &Topics{posts: map[Post]*post{}, byTopic: map[string][]*post{}, subscriptions: map[string][]*Subscription{}}
 }
 
-// Route records a prefix that some or all versions of the configuration route to a space.
-func (c *Checker) Route(prefix string, durable bool, holding time.Duration) {
+// DefineRoute records a prefix that some or all versions of the configuration route to a space.
+func (c *Checker) DefineRoute(prefix string, durable bool, holding time.Duration) {
 	c.Topics.routes = append(c.Topics.routes, route{prefix: prefix, durable: durable, holding: holding})
 }
 
@@ -160,7 +160,7 @@
 func (t *Topics) mayLead(topic string, leads bool, sent, at time.Time) bool {
 	newest := uint64(0)
 	for _, each := range t.routings {
-		if !each.taken.IsZero() && sent.Sub(each.taken) > ForceWithin {
+		if !each.taken.IsZero() && sent.Sub(each.taken) > InForceWithin {
 			newest = max(newest, each.version)
 		}
 	}
@@ -182,9 +182,9 @@
 
 // Publishing.
 
-// PostTried records an attempt to send a message, the first one or a retry. wanted is the time
+// PostAttempted records an attempt to send a message, the first one or a retry. wanted is the time
 // at which its sender requested the publication.
-func (c *Checker) PostTried(name Post, topic, body string, wanted, at time.Time) {
+func (c *Checker) PostAttempted(name Post, topic, body string, wanted, at time.Time) {
 	topics := c.Topics
 	each, found := topics.posts[name]
 	if !found {
@@ -203,10 +203,10 @@
 		if !each.accepted {
 			c.Accepted++
 			each.accepted, each.acceptedAt = true, at
-			c.Answers = append(c.Answers, at.Sub(each.wanted))
+			c.ResponseTimes = append(c.ResponseTimes, at.Sub(each.wanted))
 		}
 	case "refused":
-		c.Refused++
+		c.Rejected++
 		each.refused++
 	default:
 		c.Unsettled++
@@ -217,7 +217,7 @@
 
 // Subscribing records that a client starts to subscribe to a topic. If saved is not nil, the
 // client resumes from this cursor, which any client may have received.
-func (c *Checker) Subscribing(name, topic string, saved *Saved) *Subscription {
+func (c *Checker) Subscribing(name, topic string, saved *SavedCursor) *Subscription {
 	made := &Subscription{checker: c, name: name, topic: topic, saved: saved, got: map[Post]time.Time{}, place: map[Post]int{}, last: map[string]uint64{}, missed: map[Post]bool{}}
 	c.Topics.subscriptions[topic] = append(c.Topics.subscriptions[topic], made)
 	return made
@@ -231,27 +231,27 @@
 	}
 	s.opened, s.connected = at, true
 	s.present = append(s.present, span{from: at})
-	s.checker.Topics.Joins = append(s.checker.Topics.Joins, at.Sub(opened))
+	s.checker.Topics.JoinTimes = append(s.checker.Topics.JoinTimes, at.Sub(opened))
 	if !s.checker.Topics.routeOf(s.topic).durable {
 		clear(s.last)
 	}
 }
 
-// Cut records that the connection ended.
-func (s *Subscription) Cut(at time.Time) {
+// Disconnected records that the connection ended.
+func (s *Subscription) Disconnected(at time.Time) {
 	s.connected = false
 	if count := len(s.present); count > 0 && s.present[count-1].until.IsZero() {
 		s.present[count-1].until = at
 	}
 }
 
-// Silenced records that the client became unreachable without closing the connection, and
+// Unreachable records that the client became unreachable without closing the connection, and
 // until when a gateway may keep the connection open.
-func (s *Subscription) Silenced(at, until time.Time) {
+func (s *Subscription) Unreachable(at, until time.Time) {
 	if count := len(s.present); count > 0 && s.present[count-1].until.IsZero() {
 		s.present[count-1].lingers = until
 	}
-	s.Cut(at)
+	s.Disconnected(at)
 }
 
 // End records that the subscription ends.
@@ -259,7 +259,7 @@
 	if s.ended.IsZero() {
 		s.ended = at
 	}
-	s.Cut(at)
+	s.Disconnected(at)
 }
 
 // Ended reports whether the subscription has ended.
@@ -310,26 +310,26 @@
 	s.End(at)
 }
 
-// Got records that the client received a message. calmSince is the end of the last fault.
-func (s *Subscription) Got(name Post, topic, body string, calmSince, at time.Time) {
+// Received records that the client received a message. calmSince is the end of the last fault.
+func (s *Subscription) Received(name Post, topic, body string, calmSince, at time.Time) {
 	checker := s.checker
 	topics := checker.Topics
 	checker.Delivered++
 	who := s.name
 	sent, known := topics.posts[name]
 	if !known || sent.topic != topic || sent.body != body || topic != s.topic {
-		checker.Violate(NeverAsked, "%s got %v on %s, which was not sent with this topic and body", who, name, topic)
+		checker.Violate(Unsolicited, "%s got %v on %s, which was not sent with this topic and body", who, name, topic)
 		return
 	}
 	if earlier, twice := s.got[name]; twice {
-		checker.Violate(Twice, "%s got %v on %s and again %s later", who, name, topic, at.Sub(earlier))
+		checker.Violate(Duplicate, "%s got %v on %s and again %s later", who, name, topic, at.Sub(earlier))
 		return
 	}
 	if last := s.last[name.Sender]; last > name.Seq {
 		checker.Violate(OutOfOrder, "%s got %v on %s after seq %d", who, name, topic, last)
 	}
 	if saved := s.saved; saved != nil && (saved.After == name || topics.follows(topic, name, saved.After)) {
-		checker.Violate(Twice, "%s got %v on %s, which precedes the cursor from which it resumed", who, name, topic)
+		checker.Violate(Duplicate, "%s got %v on %s, which precedes the cursor from which it resumed", who, name, topic)
 	}
 	s.got[name] = at
 	s.place[name] = len(s.order)
@@ -340,23 +340,23 @@
 	}
 	delay := at.Sub(sent.wanted)
 	if s.opened.Before(sent.wanted) && s.connected {
-		topics.Delays = append(topics.Delays, delay)
+		topics.DeliveryDelays = append(topics.DeliveryDelays, delay)
 		if delay > DeliverWithin && sent.wanted.Sub(calmSince) > FaultSettleTime {
 			checker.Violate(LateInCalm, "%s got %v on %s after %s", who, name, topic, delay)
 		}
 	}
 }
 
-// Unasked records a message on a connection that is not subscribed to its topic, or that has
+// UnsolicitedPost records a message on a connection that is not subscribed to its topic, or that has
 // unsubscribed from it.
-func (c *Checker) Unasked(who string, name Post, topic string) {
-	c.Violate(NeverAsked, "%s got %v on %s without a subscription", who, name, topic)
+func (c *Checker) UnsolicitedPost(who string, name Post, topic string) {
+	c.Violate(Unsolicited, "%s got %v on %s without a subscription", who, name, topic)
 }
 
-// Resent records that the resend of an accepted message was rejected within the time in which
+// ResendRejected records that the resend of an accepted message was rejected within the time in which
 // it must be acknowledged.
-func (c *Checker) Resent(name Post, code string) {
-	c.Violate(Twice, "%v was accepted, and its resend was rejected: %s", name, code)
+func (c *Checker) ResendRejected(name Post, code string) {
+	c.Violate(Duplicate, "%v was accepted, and its resend was rejected: %s", name, code)
 }
 
 // Counted records the number of subscribers of a topic that a gateway returned to a client.
@@ -383,10 +383,10 @@
 		}
 	}
 	if float64(number) >= float64(throughout)*(1-PresenceFraction)-PresenceSlack && float64(number) <= float64(once)*(1+PresenceFraction)+PresenceSlack {
-		c.Topics.CountsRight++
+		c.Topics.CorrectCounts++
 		return
 	}
-	c.Topics.CountsWrong++
+	c.Topics.WrongCounts++
 	if at.Sub(calmSince) > FaultSettleTime {
 		c.Violate(Presence, "a count of %d subscribers of %s was returned, but %d to %d were present", number, topic, throughout, once)
 	}
@@ -394,12 +394,12 @@
 
 // closeTopics runs the checks that are only possible at the end of a run.
 func (c *Checker) closeTopics(at time.Time) {
-	c.AllBrought(at)
+	c.CheckAllDelivered(at)
 	for topic, subscriptions := range statemachine.Sorted(c.Topics.subscriptions) {
 		for position, each := range subscriptions {
 			for name := range each.got {
 				if sent := c.Topics.posts[name]; sent.refused == sent.tries {
-					c.Violate(AllRefused, "%s got %v on %s, though every attempt was rejected", each.name, name, each.topic)
+					c.Violate(AllRejected, "%s got %v on %s, though every attempt was rejected", each.name, name, each.topic)
 				}
 			}
 			for _, other := range subscriptions[position+1:] {
@@ -409,9 +409,9 @@
 	}
 }
 
-// AllBrought checks, at a time at which nothing is in flight, that every subscription to a
+// CheckAllDelivered checks, at a time at which nothing is in flight, that every subscription to a
 // durable topic has received the messages that must be delivered to it.
-func (c *Checker) AllBrought(at time.Time) {
+func (c *Checker) CheckAllDelivered(at time.Time) {
 	for topic, subscriptions := range statemachine.Sorted(c.Topics.subscriptions) {
 		if !c.Topics.routeOf(topic).durable {
 			continue
@@ -449,7 +449,7 @@
 			continue
 		}
 		if position < last {
-			c.Violate(Disagree, "%s and %s received %v on %s in different orders", left.name, right.name, name, topic)
+			c.Violate(OrderMismatch, "%s and %s received %v on %s in different orders", left.name, right.name, name, topic)
 			return
 		}
 		last = position
--- a/internal/checker/topics_test.go
+++ b/internal/checker/topics_test.go
@@ -32,9 +32,9 @@
 
 func honestTopics() *topicRun {
 	run := &topicRun{Checker: New(), held: map[string]*Subscription{}}
-	run.Route("board.", true, Holding)
-	run.Route("halt.", false, 0)
-	run.Route("guest.", true, Holding)
+	run.DefineRoute("board.", true, HoldingTime)
+	run.DefineRoute("halt.", false, 0)
+	run.DefineRoute("guest.", true, HoldingTime)
 	run.RoutesSent(1, []string{"board.", "halt.", "guest."}, moment(-10))
 	run.RoutesAccepted(1, moment(-9.9))
 	for _, name := range []string{"ada", "bob"} {
@@ -52,7 +52,7 @@
 	run.Handled("a publication", guestTopic, true, moment(5), moment(5.1))
 	run.Counted(keptTopic, 2, moment(-60), moment(5.9))
 	// Client eve resumes from the cursor that ada received with cy's second message.
-	taker := run.Subscribing("eve", keptTopic, &Saved{Topic: keptTopic, After: Post{"cy", 4}, At: moment(2.1)})
+	taker := run.Subscribing("eve", keptTopic, &SavedCursor{Topic: keptTopic, After: Post{"cy", 4}, At: moment(2.1)})
 	taker.Confirmed(moment(6), moment(6.1))
 	run.gets(taker, "cy", 7, 6.2)
 	run.gets(taker, "cy", 10, 6.2)
@@ -64,14 +64,14 @@
 
 func (tr *topicRun) try(sender string, seq uint64, topic, outcome string, at float64) {
 	name := Post{sender, seq}
-	tr.PostTried(name, topic, bodyOf(sender, seq), moment(at), moment(at))
+	tr.PostAttempted(name, topic, bodyOf(sender, seq), moment(at), moment(at))
 	tr.PostAnswered(name, outcome, moment(at+0.01))
 }
 
 // gets records the receipt of a message, with calmSince at the receipt, so that a late
 // delivery is no violation.
 func (tr *topicRun) gets(subscription *Subscription, sender string, seq uint64, at float64) {
-	subscription.Got(Post{sender, seq}, subscription.topic, bodyOf(sender, seq), moment(at), moment(at))
+	subscription.Received(Post{sender, seq}, subscription.topic, bodyOf(sender, seq), moment(at), moment(at))
 }
 
 func (tr *topicRun) send(sender string, seq uint64, topic string, at float64) {
@@ -94,20 +94,20 @@
 		plant func(run *topicRun, ada, bob *Subscription)
 	}{
 		{"", "a correct run", func(*topicRun, *Subscription, *Subscription) {}},
-		{Twice, "a duplicate message", func(run *topicRun, ada, _ *Subscription) { run.gets(ada, "cy", 10, 9) }},
-		{Twice, "a duplicate message after a reconnect", func(run *topicRun, ada, _ *Subscription) {
-			ada.Cut(moment(7))
+		{Duplicate, "a duplicate message", func(run *topicRun, ada, _ *Subscription) { run.gets(ada, "cy", 10, 9) }},
+		{Duplicate, "a duplicate message after a reconnect", func(run *topicRun, ada, _ *Subscription) {
+			ada.Disconnected(moment(7))
 			ada.Confirmed(moment(8), moment(8.1))
 			run.gets(ada, "cy", 10, 9)
 		}},
-		{Twice, "the message before a saved cursor", func(run *topicRun, _, _ *Subscription) {
-			taker := run.Subscribing("fay", keptTopic, &Saved{Topic: keptTopic, After: Post{"cy", 4}, At: moment(2.1)})
+		{Duplicate, "the message before a saved cursor", func(run *topicRun, _, _ *Subscription) {
+			taker := run.Subscribing("fay", keptTopic, &SavedCursor{Topic: keptTopic, After: Post{"cy", 4}, At: moment(2.1)})
 			taker.Confirmed(moment(7), moment(7.1))
 			for _, seq := range []uint64{4, 7, 10} {
 				run.gets(taker, "cy", seq, 7.2)
 			}
 		}},
-		{Twice, "an accepted sequence number is rejected", func(run *topicRun, _, _ *Subscription) { run.Resent(Post{"cy", 10}, "old-seq") }},
+		{Duplicate, "an accepted sequence number is rejected", func(run *topicRun, _, _ *Subscription) { run.ResendRejected(Post{"cy", 10}, "old-seq") }},
 		{OutOfOrder, "an earlier message of a sender, on one connection", func(run *topicRun, _, _ *Subscription) {
 			run.try("dan", 20, passingTopic, "unsettled", 7)
 			run.try("dan", 21, passingTopic, "accepted", 7.1)
@@ -118,7 +118,7 @@
 			run.try("cy", 20, keptTopic, "unsettled", 7)
 			run.try("cy", 21, keptTopic, "accepted", 7.1)
 			run.deliver("cy", 21, keptTopic, 7.2)
-			bob.Cut(moment(7.3))
+			bob.Disconnected(moment(7.3))
 			bob.Confirmed(moment(8), moment(8.1))
 			run.gets(bob, "cy", 20, 8.2)
 		}},
@@ -128,7 +128,7 @@
 			run.gets(run.held["eve "+keptTopic], "cy", 20, 7.1)
 			run.send("cy", 21, keptTopic, 7.2)
 		}},
-		{Disagree, "two subscribers receive different orders", func(run *topicRun, ada, bob *Subscription) {
+		{OrderMismatch, "two subscribers receive different orders", func(run *topicRun, ada, bob *Subscription) {
 			run.try("cy", 20, keptTopic, "accepted", 7)
 			run.try("dan", 20, keptTopic, "accepted", 7)
 			for _, each := range []*Subscription{ada, run.held["eve "+keptTopic]} {
@@ -140,17 +140,17 @@
 		}},
 		{CursorRejected, "a cursor is rejected, though no message is missing", func(_ *topicRun, ada, _ *Subscription) { ada.Expired(moment(60)) }},
 		{CursorRejected, "a cursor is rejected, though all missing messages are within the holding time", func(run *topicRun, ada, _ *Subscription) {
-			ada.Cut(moment(6))
+			ada.Disconnected(moment(6))
 			run.try("cy", 20, keptTopic, "accepted", 26)
 			run.gets(run.held["bob "+keptTopic], "cy", 20, 26.1)
 			run.gets(run.held["eve "+keptTopic], "cy", 20, 26.1)
 			ada.Expired(moment(60))
 		}},
 		{CursorRejected, "a saved cursor is rejected", func(run *topicRun, _, _ *Subscription) {
-			run.Subscribing("fay", keptTopic, &Saved{Topic: keptTopic, After: Post{"cy", 4}, At: moment(2.1)}).Expired(moment(20))
+			run.Subscribing("fay", keptTopic, &SavedCursor{Topic: keptTopic, After: Post{"cy", 4}, At: moment(2.1)}).Expired(moment(20))
 		}},
 		{Lost, "a message after a saved cursor is not delivered", func(run *topicRun, _, _ *Subscription) {
-			taker := run.Subscribing("fay", keptTopic, &Saved{Topic: keptTopic, After: Post{"cy", 4}, At: moment(2.1)})
+			taker := run.Subscribing("fay", keptTopic, &SavedCursor{Topic: keptTopic, After: Post{"cy", 4}, At: moment(2.1)})
 			taker.Confirmed(moment(7), moment(7.1))
 			run.gets(taker, "cy", 7, 7.2)
 		}},
@@ -159,17 +159,17 @@
 			run.gets(run.held["bob "+keptTopic], "cy", 20, 7.1)
 			run.gets(run.held["eve "+keptTopic], "cy", 20, 7.1)
 		}},
-		{NeverAsked, "a message that was never sent", func(run *topicRun, ada, _ *Subscription) { run.gets(ada, "cy", 99, 7) }},
-		{NeverAsked, "a message with another body", func(run *topicRun, ada, _ *Subscription) {
+		{Unsolicited, "a message that was never sent", func(run *topicRun, ada, _ *Subscription) { run.gets(ada, "cy", 99, 7) }},
+		{Unsolicited, "a message with another body", func(run *topicRun, ada, _ *Subscription) {
 			run.try("dan", 20, passingTopic, "accepted", 7)
-			run.held["ada "+passingTopic].Got(Post{"dan", 20}, passingTopic, "other", moment(7), moment(7.1))
+			run.held["ada "+passingTopic].Received(Post{"dan", 20}, passingTopic, "other", moment(7), moment(7.1))
 		}},
-		{NeverAsked, "a message on another topic", func(run *topicRun, ada, _ *Subscription) {
+		{Unsolicited, "a message on another topic", func(run *topicRun, ada, _ *Subscription) {
 			run.try("dan", 20, passingTopic, "accepted", 7)
-			ada.Got(Post{"dan", 20}, passingTopic, bodyOf("dan", 20), moment(7), moment(7.1))
+			ada.Received(Post{"dan", 20}, passingTopic, bodyOf("dan", 20), moment(7), moment(7.1))
 		}},
-		{NeverAsked, "a message on a topic after unsubscribing", func(run *topicRun, _, _ *Subscription) { run.Unasked("ada", Post{"cy", 10}, keptTopic) }},
-		{AllRefused, "a message of which every attempt was rejected", func(run *topicRun, _, _ *Subscription) {
+		{Unsolicited, "a message on a topic after unsubscribing", func(run *topicRun, _, _ *Subscription) { run.UnsolicitedPost("ada", Post{"cy", 10}, keptTopic) }},
+		{AllRejected, "a message of which every attempt was rejected", func(run *topicRun, _, _ *Subscription) {
 			run.try("dan", 20, passingTopic, "refused", 7)
 			run.deliver("dan", 20, passingTopic, 7.1)
 		}},
@@ -187,9 +187,9 @@
 		{WrongRoute, "an existing route is rejected", func(run *topicRun, _, _ *Subscription) {
 			run.Handled("a subscription", guestTopic, false, moment(7), moment(7.1))
 		}},
-		{WentBack, "a version goes back", func(run *topicRun, _, _ *Subscription) {
-			run.Showed("gateway", 2, moment(1), moment(1))
-			run.Showed("gateway", 1, moment(2), moment(2))
+		{VersionWentBack, "a version goes back", func(run *topicRun, _, _ *Subscription) {
+			run.ServedVersion("gateway", 2, moment(1), moment(1))
+			run.ServedVersion("gateway", 1, moment(2), moment(2))
 		}},
 		{Presence, "too few are counted", func(run *topicRun, _, _ *Subscription) {
 			for number := range 4 {
@@ -198,15 +198,15 @@
 			run.Counted(passingTopic, 3, moment(-60), moment(6))
 		}},
 		{Presence, "too many are counted", func(run *topicRun, ada, _ *Subscription) {
-			ada.Cut(moment(5))
+			ada.Disconnected(moment(5))
 			run.Counted(keptTopic, 5, moment(-60), moment(11))
 		}},
 		{LateInCalm, "a message is late without faults", func(run *topicRun, _, _ *Subscription) {
 			run.try("dan", 20, passingTopic, "accepted", 7)
-			run.held["ada "+passingTopic].Got(Post{"dan", 20}, passingTopic, bodyOf("dan", 20), moment(-60), moment(7.16))
+			run.held["ada "+passingTopic].Received(Post{"dan", 20}, passingTopic, bodyOf("dan", 20), moment(-60), moment(7.16))
 		}},
-		{RefusedCalm, "a request is rejected without faults", func(run *topicRun, _, _ *Subscription) {
-			run.RefusedAs("unconfirmed", "a publication", moment(-60), moment(7))
+		{RejectedInCalm, "a request is rejected without faults", func(run *topicRun, _, _ *Subscription) {
+			run.RequestRejected("unconfirmed", "a publication", moment(-60), moment(7))
 		}},
 	}
 	for _, each := range plants {
@@ -230,7 +230,7 @@
 	run := honestTopics()
 	ada := run.held["ada "+keptTopic]
 	// A cursor may expire if a missed message is older than the holding time.
-	ada.Cut(moment(6))
+	ada.Disconnected(moment(6))
 	run.try("cy", 20, keptTopic, "accepted", 7)
 	run.gets(run.held["bob "+keptTopic], "cy", 20, 7.1)
 	run.gets(run.held["eve "+keptTopic], "cy", 20, 7.1)
@@ -249,7 +249,7 @@
 	silent := run.Subscribing("gus", passingTopic, nil)
 	silent.Confirmed(moment(48), moment(48.1))
 	for number := range 4 {
-		silent.Silenced(moment(50+float64(number)), moment(57+float64(number)))
+		silent.Unreachable(moment(50+float64(number)), moment(57+float64(number)))
 		silent.Confirmed(moment(50.2), moment(50.3+float64(number)))
 	}
 	run.Counted(passingTopic, 9, moment(-60), moment(56))
--- a/internal/faults/faults.go
+++ b/internal/faults/faults.go
@@ -16,8 +16,8 @@
 	"github.com/joomcode/errorx"
 )
 
-// ErrorList reports a list of faults that can't be parsed.
-var ErrorList = errorx.NewNamespace("squall").NewType("list")
+// ErrorInvalidSchedule reports a list of faults that can't be parsed.
+var ErrorInvalidSchedule = errorx.NewNamespace("squall").NewType("list")
 
 // Fault is one fault that lasts for a limited time.
 type Fault struct {
@@ -37,8 +37,8 @@
 	"slow-disk", "slow-links", "space", "vanish", "wander", "wipe-store", "wipe-controller",
 }
 
-// Last lists the faults with which a run may end. They are not undone.
-var Last = []string{"kill-gateway", "kill-primary", "kill-backup", "kill-store", "kill-agent", "lose-place", "lose-two", "restart-all"}
+// Closing lists the faults with which a run may end. They are not undone.
+var Closing = []string{"kill-gateway", "kill-primary", "kill-backup", "kill-store", "kill-agent", "lose-place", "lose-two", "restart-all"}
 
 // grave lists the faults that remove redundancy: a replica of durable data or a part of a
 // majority. A second grave fault at the same time may exceed the tolerance.
@@ -53,8 +53,8 @@
 // time, so no grave fault may occur at the same time.
 var wiping = map[string]bool{"wipe-store": true, "wipe-controller": true, "retire": true}
 
-// Wiping reports whether a fault loses a disk.
-func Wiping(name string) bool { return wiping[name] }
+// LosesDisk reports whether a fault loses a disk.
+func LosesDisk(name string) bool { return wiping[name] }
 
 // Clashes reports whether two faults at the same time exceed what the service promises to
 // survive: a lost disk together with the loss of the only other copy.
@@ -82,11 +82,11 @@
 	return schedule
 }
 
-// Mending is how long a partition may need until it has two replicas again.
-const Mending = 12 * time.Second
+// RepairTime is how long a partition may need until it has two replicas again.
+const RepairTime = 12 * time.Second
 
 func near(left, right Fault) bool {
-	return left.Start < right.Start+right.Length+Mending && right.Start < left.Start+left.Length+Mending
+	return left.Start < right.Start+right.Length+RepairTime && right.Start < left.Start+left.Length+RepairTime
 }
 
 // String formats a fault as name@start+length#pick.
@@ -114,8 +114,8 @@
 		start, rest, _ := strings.Cut(rest, "+")
 		length, pick, _ := strings.Cut(rest, "#")
 		fault := Fault{Name: name}
-		if !slices.Contains(Names, name) && !slices.Contains(Last, name) {
-			return nil, ErrorList.New("%q is not a fault", name)
+		if !slices.Contains(Names, name) && !slices.Contains(Closing, name) {
+			return nil, ErrorInvalidSchedule.New("%q is not a fault", name)
 		}
 		var wrong [3]error
 		fault.Start, wrong[0] = time.ParseDuration(start)
@@ -123,7 +123,7 @@
 		fault.Pick, wrong[2] = strconv.ParseUint(pick, 10, 64)
 		for _, each := range wrong {
 			if each != nil {
-				return nil, ErrorList.Wrap(each, "%q is not name@start+length#pick", part)
+				return nil, ErrorInvalidSchedule.Wrap(each, "%q is not name@start+length#pick", part)
 			}
 		}
 		schedule = append(schedule, fault)
--- a/internal/simulator/client.go
+++ b/internal/simulator/client.go
@@ -39,7 +39,7 @@
 	Closed         bool
 	brief          string
 
-	publishes []Plan
+	publishes []PublishPlan
 	seqs      map[string]uint64
 	outbox    []*outgoing
 	pipeline  int
@@ -47,8 +47,8 @@
 	Resends   bool
 }
 
-// Plan says in which space, on which topics and how often a client publishes.
-type Plan struct {
+// PublishPlan says in which space, on which topics and how often a client publishes.
+type PublishPlan struct {
 	Space  string
 	Topics []string
 	Every  time.Duration
@@ -59,7 +59,7 @@
 	client := &Client{simulation: s, Name: name, Zone: zone, interests: interests, seqs: map[string]uint64{}, pipeline: 1}
 	s.clients = append(s.clients, client)
 	for _, interest := range interests {
-		s.Checker.Asked(name, checker.Interest{Space: interest.Space, Path: interest.Path, Wide: interest.Prefix}, s.Now)
+		s.Checker.SubscribeRequested(name, checker.Interest{Space: interest.Space, Path: interest.Path, Prefix: interest.Prefix}, s.Now)
 	}
 	s.After(time.Duration(s.Random.IntN(400))*time.Millisecond, func() { client.connect() })
 	return client
@@ -182,7 +182,7 @@
 // leave ends the client permanently. The checker expects no further deliveries to it.
 func (c *Client) leave() {
 	c.Closed = true
-	c.simulation.Checker.Dropped(c.Name)
+	c.simulation.Checker.SubscriberEnded(c.Name)
 	c.disconnect(c.turn, 0)
 }
 
@@ -221,19 +221,19 @@
 			c.takeCursor(answer.Fields["cursor"].(string))
 			if !resumes {
 				for _, interest := range c.interests {
-					simulation.Checker.Subscribed(c.Name, checker.Interest{Space: interest.Space, Path: interest.Path, Wide: interest.Prefix}, simulation.Now)
+					simulation.Checker.Subscribed(c.Name, checker.Interest{Space: interest.Space, Path: interest.Path, Prefix: interest.Prefix}, simulation.Now)
 				}
 			}
 		case answer.Code == "place-lost":
 			simulation.trace("%s: cursor expired, disconnected %s ago", c.Name, simulation.Now.Sub(c.disconnectedAt))
-			simulation.Checker.CursorLost(c.Name, c.disconnectedAt, simulation.Now)
+			simulation.Checker.CursorExpired(c.Name, c.disconnectedAt, simulation.Now)
 			c.Closed = true
 		case answer.Code == "no-such-channel" || answer.Code == "moved":
 			c.disconnect(turn, 20*time.Millisecond)
 		case answer.Code == "no-such-space" && c.brief != "":
 			c.leave()
 		case answer.RetryAfter > 0:
-			simulation.Checker.RefusedAs(answer.Code, c.Name+" subscribes", simulation.calmSince(), simulation.Now)
+			simulation.Checker.RequestRejected(answer.Code, c.Name+" subscribes", simulation.calmSince(), simulation.Now)
 			simulation.After(answer.RetryAfter, func() {
 				if c.turn == turn {
 					c.subscribe(turn)
@@ -269,9 +269,9 @@
 		switch event.Event {
 		case "message":
 			simulation.trace("%s at %s gets %s/%s/%d on %s", c.Name, c.node.Name, event.Space, event.Sender, event.Seq, event.Topic)
-			simulation.Checker.Got(c.Name, checker.Message{Space: event.Space, Sender: event.Sender, Seq: event.Seq}, event.Topic, string(event.Data), simulation.Now)
+			simulation.Checker.Received(c.Name, checker.Message{Space: event.Space, Sender: event.Sender, Seq: event.Seq}, event.Topic, string(event.Data), simulation.Now)
 		case "hello":
-			simulation.Checker.Showed(event.Daemon, event.Version, c.openedAt, simulation.Now)
+			simulation.Checker.ServedVersion(event.Daemon, event.Version, c.openedAt, simulation.Now)
 		case "ping":
 			simulation.Call(c.node, func(request uint64) any {
 				return gateway.Pong{Request: request, Session: c.channel, Client: c.Name}
@@ -294,9 +294,9 @@
 	}
 }
 
-// Publishes makes the client publish by the plans, with at most pipeline publications
+// PublishPeriodically makes the client publish by the plans, with at most pipeline publications
 // without a final response at a time.
-func (c *Client) Publishes(pipeline int, plans ...Plan) *Client {
+func (c *Client) PublishPeriodically(pipeline int, plans ...PublishPlan) *Client {
 	c.pipeline = pipeline
 	c.publishes = append(c.publishes, plans...)
 	for _, plan := range plans {
@@ -305,10 +305,10 @@
 	return c
 }
 
-// Quiet stops new publications. Pending ones are still retried.
-func (c *Client) Quiet() { c.stopped = true }
+// StopPublishing stops new publications. Pending ones are still retried.
+func (c *Client) StopPublishing() { c.stopped = true }
 
-func (c *Client) tick(plan Plan) {
+func (c *Client) tick(plan PublishPlan) {
 	simulation := c.simulation
 	if c.stopped || c.Closed {
 		return
@@ -375,7 +375,7 @@
 		}
 		done = true
 		if outcome != "accepted" && c.brief == "" && !c.Closed && !slices.Contains(expected, code) {
-			simulation.Checker.RefusedAs(code, message.String(), simulation.calmSince(), simulation.Now)
+			simulation.Checker.RequestRejected(code, message.String(), simulation.calmSince(), simulation.Now)
 		}
 		item.inFlight = false
 		simulation.trace("%s try %d at %s on %s: %s", message, item.attempts, node.Name, item.topic, outcome)
@@ -431,7 +431,7 @@
 		}, func(value any, alive bool) {
 			answer, matches := value.(gateway.Reply)
 			if alive && matches && answer.Outcome == gateway.OutcomeRejected && answer.RetryAfter == 0 && answer.Code != "no-such-space" {
-				simulation.Checker.Violate(checker.Twice, "%s was accepted, and its resend was rejected: %s", item.message, answer.Code)
+				simulation.Checker.Violate(checker.Duplicate, "%s was accepted, and its resend was rejected: %s", item.message, answer.Code)
 			}
 		})
 	})
--- a/internal/simulator/closing_test.go
+++ b/internal/simulator/closing_test.go
@@ -61,7 +61,7 @@
 
 func beginRouted(seed uint64, size Shape) (*Simulation, *Operator) {
 	run, operator := prepareTopics(seed, size, 0, nil)
-	run.TopicCrowd(size.Clients)
+	run.AddTopicClients(size.Clients)
 	return run, operator
 }
 
@@ -74,18 +74,18 @@
 func beginBoth(seed uint64, size Shape) (*Simulation, *Operator) {
 	run, operator := prepareTopics(seed, size, 0, nil)
 	run.AddDefaultClients(size.Clients)
-	run.TopicCrowd(size.Clients)
+	run.AddTopicClients(size.Clients)
 	return run, operator
 }
 
 func closeBoth(run *Simulation) {
 	for _, client := range run.clients {
-		client.Quiet()
+		client.StopPublishing()
 	}
 	run.Run(3 * time.Second)
 	for _, client := range run.clients {
 		if !client.subscribed && !client.Closed {
-			run.Checker.Violate(checker.NotBack, "%s is not served at the end of the run", client.Name)
+			run.Checker.Violate(checker.NotRecovered, "%s is not served at the end of the run", client.Name)
 		}
 	}
 	run.closeTopics()
--- a/internal/simulator/cutoff_test.go
+++ b/internal/simulator/cutoff_test.go
@@ -172,7 +172,7 @@
 		other := bytes.Replace(body, []byte(`"promise":"passing"`), []byte(`"promise":"passing","answer_within":"2s"`), 1)
 		q.operator.put(version, other, nil)
 	}
-	q.operator.order(q.node, version, body, func(_ checker.OrderAnswer, response membership.ControlResponse, _ bool) {
+	q.operator.order(q.node, version, body, func(_ checker.OrderOutcome, response membership.ControlResponse, _ bool) {
 		switch answer := q.heard(http.MethodPut, began, races, response); {
 		case answer.status == http.StatusOK:
 			simulation.Checker.ConfigurationAccepted(version, string(body), began, simulation.Now)
--- a/internal/simulator/injection.go
+++ b/internal/simulator/injection.go
@@ -36,7 +36,7 @@
 // other respects.
 func drawSchedule(seed uint64, names []string, count int) FaultSchedule {
 	random := rand.New(rand.NewPCG(seed, 0x5707))
-	schedule := FaultSchedule{Faults: faults.Draw(random, names, faultPeriod, count), Last: faults.Last[random.IntN(len(faults.Last))]}
+	schedule := FaultSchedule{Faults: faults.Draw(random, names, faultPeriod, count), Last: faults.Closing[random.IntN(len(faults.Closing))]}
 	if random.IntN(3) == 0 {
 		schedule.ClockSkew = 3 * time.Hour
 	}
@@ -73,7 +73,7 @@
 	}
 	simulation.Run(faultPeriod)
 	if !simulation.RunUntil(120*time.Second, func() bool { return simulation.activeFaults == 0 }) {
-		simulation.Checker.Violate(checker.NotBack, "a fault has not ended after two minutes")
+		simulation.Checker.Violate(checker.NotRecovered, "a fault has not ended after two minutes")
 	}
 	simulation.Run(checker.FaultSettleTime + 3*time.Second)
 	if schedule.Last != "" {
@@ -155,7 +155,7 @@
 
 func injectKill(simulation *Simulation, node *Node, fault faults.Fault, end func()) {
 	node.Kill()
-	if faults.Wiping(fault.Name) {
+	if faults.LosesDisk(fault.Name) {
 		node.Wipe()
 	}
 	simulation.After(fault.Length, func() { node.Start(); end() })
@@ -486,20 +486,20 @@
 	operator := s.operator
 	s.counter++
 	name := fmt.Sprintf("brief-%d", s.counter)
-	s.Checker.Space(name, false, false)
+	s.Checker.DefineSpace(name, false, false)
 	operator.extras[name] = true
 	var users []*Client
 	operator.next(func() {
 		for number := range 4 {
 			client := s.AddClient(fmt.Sprintf("%s-%d", name, number), number%s.Shape.Zones, gateway.Interest{Space: name, Prefix: true})
 			client.brief = name
-			client.Publishes(1, Plan{Space: name, Topics: []string{"a/b", "c"}, Every: 150 * time.Millisecond})
+			client.PublishPeriodically(1, PublishPlan{Space: name, Topics: []string{"a/b", "c"}, Every: 150 * time.Millisecond})
 			users = append(users, client)
 		}
 	})
 	s.After(3*time.Second+fault.Length, func() {
 		delete(operator.extras, name)
-		operator.next(func() { s.Checker.Removed(name, s.Now) })
+		operator.next(func() { s.Checker.SpaceRemoved(name, s.Now) })
 		s.After(6*time.Second, func() {
 			for _, client := range users {
 				client.leave()
--- a/internal/simulator/operator.go
+++ b/internal/simulator/operator.go
@@ -90,7 +90,7 @@
 		return
 	}
 	began := simulation.Now
-	o.order(node, version, body, func(_ checker.OrderAnswer, response membership.ControlResponse, alive bool) {
+	o.order(node, version, body, func(_ checker.OrderOutcome, response membership.ControlResponse, alive bool) {
 		switch {
 		case alive && response.Status == http.StatusOK:
 			simulation.trace("configuration %d accepted at %s", version, node.Name)
@@ -101,7 +101,7 @@
 			}
 		case alive && response.Status == http.StatusConflict:
 		case alive && response.Status == http.StatusBadRequest:
-			simulation.Checker.Violate(checker.BrokenAccepted, "a valid configuration was rejected: %s", response.Body)
+			simulation.Checker.Violate(checker.InvalidAccepted, "a valid configuration was rejected: %s", response.Body)
 		default:
 			simulation.After(500*time.Millisecond, func() { o.put(version, body, done) })
 		}
@@ -109,13 +109,13 @@
 }
 
 // order puts a configuration once at one daemon and reports the response to the checker.
-func (o *Operator) order(node *Node, version uint64, body []byte, done func(answer checker.OrderAnswer, response membership.ControlResponse, alive bool)) {
+func (o *Operator) order(node *Node, version uint64, body []byte, done func(answer checker.OrderOutcome, response membership.ControlResponse, alive bool)) {
 	simulation := o.simulation
 	put := simulation.Checker.Register.Put(version, string(body), simulation.Now)
 	simulation.Control(node, http.MethodPut, "/v1/configuration", body, func(response membership.ControlResponse, alive bool) {
 		answer := checker.Unclear
 		if alive {
-			answer = checker.AnswerOf(response.Status, response.Body)
+			answer = checker.OutcomeOf(response.Status, response.Body)
 		}
 		put.End(answer, simulation.Now)
 		done(answer, response, alive)
@@ -159,7 +159,7 @@
 	body := bodies[simulation.Random.IntN(len(bodies))]
 	simulation.Control(node, http.MethodPut, "/v1/configuration", []byte(body), func(response membership.ControlResponse, alive bool) {
 		if alive && response.Status == http.StatusOK {
-			simulation.Checker.BrokenAccepted(body)
+			simulation.Checker.InvalidConfigurationAccepted(body)
 		}
 	})
 }
--- a/internal/simulator/orders.go
+++ b/internal/simulator/orders.go
@@ -80,7 +80,7 @@
 			simulation.After(orderPause*time.Duration(1+simulation.Random.IntN(maxOrderAttempts-attempts+3)), func() { d.put(version, body, attempts-1, node.Name) })
 		}
 		simulation.After(orderTimeout, again)
-		d.order(node, version, body, func(answer checker.OrderAnswer) {
+		d.order(node, version, body, func(answer checker.OrderOutcome) {
 			switch {
 			case answer == checker.Unclear:
 				again()
@@ -104,16 +104,16 @@
 }
 
 // order sends an order whose response may be lost.
-func (d *desk) order(node *Node, version uint64, body []byte, done func(answer checker.OrderAnswer)) {
+func (d *desk) order(node *Node, version uint64, body []byte, done func(answer checker.OrderOutcome)) {
 	simulation := d.simulation
 	put := simulation.Checker.Register.Put(version, string(body), simulation.Now)
 	simulation.Control(node, http.MethodPut, "/v1/configuration", body, func(response membership.ControlResponse, alive bool) {
 		answer := checker.Unclear
 		if alive && simulation.Random.IntN(answersLostOne) > 0 {
-			answer = checker.AnswerOf(response.Status, response.Body)
+			answer = checker.OutcomeOf(response.Status, response.Body)
 		}
 		if answer == checker.Unclear && alive && response.Status == http.StatusBadRequest {
-			simulation.Checker.Violate(checker.BrokenAccepted, "a valid configuration was rejected: %s", response.Body)
+			simulation.Checker.Violate(checker.InvalidAccepted, "a valid configuration was rejected: %s", response.Body)
 		}
 		simulation.trace("order %d at %s: %d, seen by the operator as %d", version, node.Name, response.Status, answer)
 		put.End(answer, simulation.Now)
@@ -151,7 +151,7 @@
 				return
 			}
 			if len(absent) == len(pair) {
-				d.simulation.Checker.Violate(checker.TooFewLeft, "the orders to retire %s and %s were both accepted", pair[0].Name, pair[1].Name)
+				d.simulation.Checker.Violate(checker.TooFewStores, "the orders to retire %s and %s were both accepted", pair[0].Name, pair[1].Name)
 			}
 			d.repeat(absent, done)
 		})
@@ -169,7 +169,7 @@
 	d.simulation.After(d.simulation.between(0, 4*time.Second), func() {
 		d.retire(store, "retire", maxOrderAttempts, func(status int) {
 			if status != http.StatusAccepted {
-				d.simulation.Checker.Violate(checker.RefusedAgain, "the order to retire %s was accepted and then rejected with %d", store.Name, status)
+				d.simulation.Checker.Violate(checker.RetryRejected, "the order to retire %s was accepted and then rejected with %d", store.Name, status)
 			}
 			d.retire(store, "return", maxOrderAttempts, func(int) { d.repeat(rest, done) })
 		})
--- a/internal/simulator/orders_test.go
+++ b/internal/simulator/orders_test.go
@@ -47,7 +47,7 @@
 			run.Run(20 * time.Second)
 			operator.read()
 			run.Run(5 * time.Second)
-			faults := run.Checker.Register.Faults()
+			faults := run.Checker.Register.Violations()
 			assert.Equal(t, len(faults), 0, "%v", faults)
 			t.Logf("%d operations, %d accepted, %d rejected", run.Checker.Register.Operations(), desk.accepted, desk.refused)
 			assert.Assert(t, desk.accepted > 200 && desk.refused > 30)
--- a/internal/simulator/scenario.go
+++ b/internal/simulator/scenario.go
@@ -29,7 +29,7 @@
 	Faults   func(simulation *Simulation, length time.Duration)
 	Schedule func(seed uint64) FaultSchedule
 	// Topics is set for runs with clients of routed topics.
-	Topics func(seed uint64) TopicPlot
+	Topics func(seed uint64) TopicSchedule
 }
 
 const sampleEvery = 100 * time.Millisecond
@@ -69,7 +69,7 @@
 		if s.primarySince.After(healthy) && !node.Ready() {
 			healthy = s.primarySince
 		}
-		if node.Ready() || s.Now.Sub(healthy) > checker.ForceWithin && !s.primarySince.IsZero() {
+		if node.Ready() || s.Now.Sub(healthy) > checker.InForceWithin && !s.primarySince.IsZero() {
 			s.Checker.InForce(node.Name, node.Gateway().Configuration().Version, node.Ready(), healthy, s.Now)
 		}
 	}
@@ -107,13 +107,13 @@
 	s.StartAll()
 	operator := newOperator(s)
 	s.operator = operator
-	s.Checker.Space("boards", true, false)
-	s.Checker.Space("decisions", true, true)
-	s.Checker.Space("cursors", false, false)
+	s.Checker.DefineSpace("boards", true, false)
+	s.Checker.DefineSpace("decisions", true, true)
+	s.Checker.DefineSpace("cursors", false, false)
 	accepted := false
 	s.After(time.Second, func() { operator.next(func() { accepted = true }) })
 	if !s.RunUntil(20*time.Second, func() bool { return accepted }) {
-		s.Checker.Violate(checker.NotBack, "no configuration was accepted within 20 s")
+		s.Checker.Violate(checker.NotRecovered, "no configuration was accepted within 20 s")
 	}
 	s.RunUntil(10*time.Second, func() bool {
 		for _, node := range s.Nodes(membership.KindGateway) {
@@ -152,10 +152,10 @@
 		client := s.AddClient(fmt.Sprintf("origin-%d", number), zone, interests...)
 		if number%2 == 0 {
 			client.Resends = true
-			client.Publishes(1+number%3,
-				Plan{Space: "boards", Topics: topics, Every: 250 * time.Millisecond},
-				Plan{Space: "decisions", Topics: topics[:3], Every: 700 * time.Millisecond},
-				Plan{Space: "cursors", Topics: topics, Every: 400 * time.Millisecond})
+			client.PublishPeriodically(1+number%3,
+				PublishPlan{Space: "boards", Topics: topics, Every: 250 * time.Millisecond},
+				PublishPlan{Space: "decisions", Topics: topics[:3], Every: 700 * time.Millisecond},
+				PublishPlan{Space: "cursors", Topics: topics, Every: 400 * time.Millisecond})
 		}
 	}
 }
@@ -207,12 +207,12 @@
 // checker's final checks.
 func (s *Simulation) finish(wait time.Duration) {
 	for _, client := range s.clients {
-		client.Quiet()
+		client.StopPublishing()
 	}
 	s.Run(wait)
 	for _, client := range s.clients {
 		if !client.subscribed && !client.Closed {
-			s.Checker.Violate(checker.NotBack, "%s is still not served %s after the last fault", client.Name, wait)
+			s.Checker.Violate(checker.NotRecovered, "%s is still not served %s after the last fault", client.Name, wait)
 		}
 	}
 	s.traceFinalState()
@@ -266,11 +266,11 @@
 		}
 		// The failure may be detected only after a time in which everything still
 		// appears healthy, so service counts as back once it lasted for four seconds.
-		if back := max(recovery.TakeoverDone, recovery.PartitionsComplete, recovery.ClientsBack); primary && partitions && clients && after-back > 4*time.Second || after > 2*checker.BackWithin {
+		if back := max(recovery.TakeoverDone, recovery.PartitionsComplete, recovery.ClientsBack); primary && partitions && clients && after-back > 4*time.Second || after > 2*checker.RecoveryWithin {
 			if !primary || !partitions || !clients {
 				back = after
 			}
-			s.Checker.Served(failure, back)
+			s.Checker.Recovered(failure, back)
 			s.trace("service is back %s after %s: %+v", back, failure, *recovery)
 			s.Recoveries = append(s.Recoveries, *recovery)
 			s.recovery = nil
@@ -592,7 +592,7 @@
 	"moves": func(simulation *Simulation, length time.Duration) {
 		// Gateways are drained in turn, and clients move and reconnect continuously, but
 		// no daemon and no link fails. Then not even an ephemeral message may be lost.
-		simulation.Checker.EphemeralOwed = true
+		simulation.Checker.RequireEphemeral = true
 		gateways := simulation.Nodes(membership.KindGateway)
 		turn := 0
 		simulation.every(length, 3*time.Second, 4*time.Second, func() {
@@ -686,12 +686,12 @@
 func (s *Simulation) briefSpace(_ time.Duration) {
 	operator := newOperator(s)
 	operator.version, operator.extra = 1000, true
-	s.Checker.Space("brief", false, false)
+	s.Checker.DefineSpace("brief", false, false)
 	operator.next(func() {
 		var users []*Client
 		for number := range 4 {
 			client := s.AddClient(fmt.Sprintf("brief-%d", number), number%s.Shape.Zones, gateway.Interest{Space: "brief", Prefix: true})
-			client.Publishes(1, Plan{Space: "brief", Topics: []string{"a/b", "c"}, Every: 150 * time.Millisecond})
+			client.PublishPeriodically(1, PublishPlan{Space: "brief", Topics: []string{"a/b", "c"}, Every: 150 * time.Millisecond})
 			users = append(users, client)
 		}
 		s.After(4*time.Second, func() {
@@ -715,11 +715,11 @@
 			}
 			operator.extra = false
 			operator.next(func() {
-				s.Checker.Removed("brief", s.Now)
+				s.Checker.SpaceRemoved("brief", s.Now)
 				s.After(6*time.Second, func() {
 					for _, client := range users {
 						client.Closed = true
-						s.Checker.Dropped(client.Name)
+						s.Checker.SubscriberEnded(client.Name)
 					}
 					s.Heal()
 				})
@@ -744,7 +744,7 @@
 	for _, name := range faults.Names {
 		found = append(found, Scenario{Name: "storm-" + name, Schedule: func(seed uint64) FaultSchedule { return drawSchedule(seed, []string{name}, 3) }})
 	}
-	for _, name := range faults.Last {
+	for _, name := range faults.Closing {
 		found = append(found, Scenario{Name: "last-" + name, Schedule: func(uint64) FaultSchedule { return FaultSchedule{Last: name} }})
 	}
 	found = append(found,
--- a/internal/simulator/simulator.go
+++ b/internal/simulator/simulator.go
@@ -202,7 +202,7 @@
 		nics: map[string]*nic{}, connections: map[string]*connection{},
 	}
 	simulation.started = simulation.Now
-	simulation.Checker.Register.Lax = size.HighestVersion
+	simulation.Checker.Register.AcknowledgesOlder = size.HighestVersion
 	for number := range min(3, size.Controllers) {
 		simulation.seeds = append(simulation.seeds, address(membership.KindController, number))
 	}
@@ -605,7 +605,7 @@
 		return
 	}
 	n.lastServed = servedVersion{version: version, incarnation: n.incarnation}
-	n.simulation.Checker.Showed(n.Name, version, n.simulation.Now, n.simulation.Now)
+	n.simulation.Checker.ServedVersion(n.Name, version, n.simulation.Now, n.simulation.Now)
 }
 
 // scheduleTick schedules the next tick of the daemon's state machine.
--- a/internal/simulator/topic_client.go
+++ b/internal/simulator/topic_client.go
@@ -285,9 +285,9 @@
 		switch {
 		case each.entry == nil:
 		case tells:
-			each.entry.Cut(simulation.Now)
+			each.entry.Disconnected(simulation.Now)
 		default:
-			each.entry.Silenced(simulation.Now, simulation.Now.Add(droppedAfter))
+			each.entry.Unreachable(simulation.Now, simulation.Now.Add(droppedAfter))
 		}
 		if each.leaving {
 			delete(tc.topics, each.topic)
@@ -335,9 +335,9 @@
 	tc.cut(tc.turn, true, 0)
 }
 
-// Leave ends the connection, either by closing it or by becoming unreachable without a
+// DisconnectFor ends the connection, either by closing it or by becoming unreachable without a
 // close. The client reconnects after wait.
-func (tc *TopicClient) Leave(closes bool, wait time.Duration) {
+func (tc *TopicClient) DisconnectFor(closes bool, wait time.Duration) {
 	tc.absentUntil = tc.simulation.Now.Add(wait + 2*time.Second)
 	tc.cut(tc.turn, closes, wait)
 }
@@ -389,7 +389,7 @@
 // has left.
 func (tc *TopicClient) blame(code, what string) {
 	if !tc.unjudged && !tc.Closed {
-		tc.simulation.Checker.RefusedAs(code, what, tc.simulation.calmSince(), tc.simulation.Now)
+		tc.simulation.Checker.RequestRejected(code, what, tc.simulation.calmSince(), tc.simulation.Now)
 	}
 }
 
@@ -565,13 +565,13 @@
 	each, found := tc.topics[event.Topic]
 	simulation.trace("%s at %s gets %s/%d on %s, %s", tc.Name, tc.node.Name, event.Sender, event.Seq, event.Topic, event.Cursor)
 	if !found || !each.requested && !each.held || each.entry == nil {
-		simulation.Checker.Unasked(tc.Name, name, event.Topic)
+		simulation.Checker.UnsolicitedPost(tc.Name, name, event.Topic)
 		return
 	}
 	if each.leaving {
 		return
 	}
-	each.entry.Got(name, event.Topic, string(event.Body), simulation.calmSince(), simulation.Now)
+	each.entry.Received(name, event.Topic, string(event.Body), simulation.calmSince(), simulation.Now)
 	each.cursor, each.after = event.Cursor, name
 	simulation.save(each)
 }
@@ -653,7 +653,7 @@
 	item.inFlight = true
 	item.tries++
 	name, attempts, sent := item.name, item.tries, simulation.Now
-	simulation.Checker.PostTried(name, item.topic, item.body, item.wanted, sent)
+	simulation.Checker.PostAttempted(name, item.topic, item.body, item.wanted, sent)
 	node := tc.node
 	again := func(wait time.Duration) {
 		item.waits = true
@@ -696,7 +696,7 @@
 			item = renewed
 			again(max(answer.RetryAfter, simulation.between(resendAgain/2, 2*resendAgain)))
 		default:
-			simulation.Checker.Violate(checker.RefusedCalm, "%s/%d on %s: %s %s", name.Sender, name.Seq, item.topic, answer.Code, answer.Text)
+			simulation.Checker.Violate(checker.RejectedInCalm, "%s/%d on %s: %s %s", name.Sender, name.Seq, item.topic, answer.Code, answer.Text)
 			tc.finish(item)
 		}
 		tc.pump(item.topic)
@@ -729,7 +729,7 @@
 		}
 		tc.post(item, func(answer gateway.Reply) {
 			if answer.Outcome == gateway.OutcomeRejected && answer.RetryAfter == 0 && answer.Code != "no-such-space" && simulation.Now.Sub(accepted) < accountableSpan {
-				simulation.Checker.Resent(item.name, answer.Code)
+				simulation.Checker.ResendRejected(item.name, answer.Code)
 			}
 		})
 	})
--- a/internal/simulator/topics.go
+++ b/internal/simulator/topics.go
@@ -48,10 +48,10 @@
 // topicWorld is the state of a run with routed topics, apart from its clients.
 type topicWorld struct {
 	topics []string
-	saved  []checker.Saved
+	saved  []checker.SavedCursor
 	given  int
 	// early holds the first cursors of the hot topic.
-	early []checker.Saved
+	early []checker.SavedCursor
 	// away lists the prefixes of fleeting whose route is removed at present.
 	away map[string]bool
 	// crowdAt is when the usual clients were added. If steady is set, they keep their
@@ -126,7 +126,7 @@
 		return
 	}
 	world.given++
-	saved := checker.Saved{Topic: each.topic, Cursor: each.cursor, After: each.after, At: s.Now}
+	saved := checker.SavedCursor{Topic: each.topic, Cursor: each.cursor, After: each.after, At: s.Now}
 	if each.topic == world.hot {
 		// Only the first cursors are resumed, possibly each at another gateway.
 		if len(world.early) < 3 {
@@ -146,16 +146,16 @@
 	simulation := New(seed, size)
 	simulation.world = newTopicWorld(size)
 	for _, each := range append(slices.Clone(topicRoutes), fleeting...) {
-		simulation.Checker.Route(each.prefix, each.kept, checker.Holding)
+		simulation.Checker.DefineRoute(each.prefix, each.kept, checker.HoldingTime)
 	}
 	operator := simulation.startFleet(apart, trace)
 	simulation.probe()
 	return simulation, operator
 }
 
-// TopicCrowd adds the usual clients of routed topics with their periodic actions, and for
+// AddTopicClients adds the usual clients of routed topics with their periodic actions, and for
 // each of the first three gateways a client that always connects to it.
-func (s *Simulation) TopicCrowd(count int) {
+func (s *Simulation) AddTopicClients(count int) {
 	s.world.crowdAt = s.Now
 	for number := range count {
 		client := s.AddTopicClient(fmt.Sprintf("caller-%d", number), number%s.Shape.Zones)
@@ -257,7 +257,7 @@
 			tc.take(topic)
 		case 2:
 			if tc.connected {
-				tc.Leave(simulation.Random.IntN(2) == 0, simulation.between(300*time.Millisecond, 8*time.Second))
+				tc.DisconnectFor(simulation.Random.IntN(2) == 0, simulation.between(300*time.Millisecond, 8*time.Second))
 			}
 		default:
 			tc.count(topic)
@@ -292,10 +292,10 @@
 }
 
 // RunTopics runs a schedule with clients of routed topics.
-func RunTopics(seed uint64, size Shape, schedule TopicPlot, trace func(line string)) *Simulation {
+func RunTopics(seed uint64, size Shape, schedule TopicSchedule, trace func(line string)) *Simulation {
 	simulation, operator := prepareTopics(seed, size, schedule.Apart, trace)
 	simulation.world.steady, simulation.world.hot = schedule.Steady, schedule.Hot
-	simulation.TopicCrowd(size.Clients)
+	simulation.AddTopicClients(size.Clients)
 	simulation.Run(2 * time.Second)
 	if schedule.Changes {
 		operator.work(simulation.Now.Add(topicScenario + 20*time.Second))
@@ -307,7 +307,7 @@
 	}
 	simulation.Run(topicScenario)
 	if !simulation.RunUntil(60*time.Second, func() bool { return simulation.activeFaults == 0 }) {
-		simulation.Checker.Violate(checker.NotBack, "a fault has not ended after a minute")
+		simulation.Checker.Violate(checker.NotRecovered, "a fault has not ended after a minute")
 	}
 	if len(schedule.Faults) > 0 {
 		simulation.Run(checker.FaultSettleTime + 4*time.Second)
@@ -320,9 +320,9 @@
 	return simulation
 }
 
-// TopicPlot is the schedule of a run with routed topics. Last names the fault that ends the
+// TopicSchedule is the schedule of a run with routed topics. Last names the fault that ends the
 // run, if any; Changes says that the operator changes the configuration during the run.
-type TopicPlot struct {
+type TopicSchedule struct {
 	Faults  []faults.Fault
 	Last    string
 	Apart   time.Duration
@@ -335,10 +335,10 @@
 	Steady bool
 }
 
-// TopicLast lists the users' faults that end a run, each right after a configuration and a
+// TopicClosingFaults lists the users' faults that end a run, each right after a configuration and a
 // message were acknowledged: all machines lose power and all disks survive; all machines
 // lose power and one disk is empty; every process is killed.
-var TopicLast = []string{"power-off", "power-off-and-wipe", "kill-all"}
+var TopicClosingFaults = []string{"power-off", "power-off-and-wipe", "kill-all"}
 
 // closing injects the fault that ends a run, as soon as a configuration and a message after
 // it were acknowledged.
@@ -348,7 +348,7 @@
 	taken := false
 	s.operator.next(func() { taken = true })
 	if !s.RunUntil(10*time.Second, func() bool { return taken }) {
-		s.Checker.Violate(checker.NotBack, "no configuration was accepted within 10 s without faults")
+		s.Checker.Violate(checker.NotRecovered, "no configuration was accepted within 10 s without faults")
 	}
 	accepted := s.Checker.Accepted
 	s.RunUntil(time.Second, func() bool { return s.Checker.Accepted > accepted })
@@ -361,7 +361,7 @@
 	default:
 		s.injectLast(name)
 	}
-	if slices.Contains(TopicLast, name) {
+	if slices.Contains(TopicClosingFaults, name) {
 		for _, node := range s.Nodes("") {
 			if !node.Up {
 				continue
@@ -400,7 +400,7 @@
 		}
 	}
 	s.Run(2 * time.Second)
-	s.Checker.AllBrought(s.Now)
+	s.Checker.CheckAllDelivered(s.Now)
 	s.takeSaved("taker")
 	reads := s.operator.reads
 	for number := range 8 {
@@ -412,7 +412,7 @@
 	}
 	for _, client := range s.topicClients {
 		if !client.Closed && !client.holds() {
-			s.Checker.Violate(checker.NotBack, "%s is not served at the end of the run", client.Name)
+			s.Checker.Violate(checker.NotRecovered, "%s is not served at the end of the run", client.Name)
 		}
 	}
 	s.traceFinalState()
@@ -468,21 +468,21 @@
 	"resets": func(simulation *Simulation, fault faults.Fault, end func()) {
 		for _, client := range simulation.topicClients {
 			if simulation.Random.IntN(5) > 0 && client.connected {
-				client.Leave(true, simulation.between(0, 400*time.Millisecond))
+				client.DisconnectFor(true, simulation.between(0, 400*time.Millisecond))
 			}
 		}
 		undoAfter(fault, simulation, end, func() {})
 	},
 	"vanish": func(simulation *Simulation, fault faults.Fault, end func()) {
 		client := simulation.topicClients[fault.Pick%uint64(len(simulation.topicClients))]
-		client.Leave(fault.Pick%3 == 0, fault.Length*4)
+		client.DisconnectFor(fault.Pick%3 == 0, fault.Length*4)
 		simulation.After(fault.Length*4, end)
 	},
 	"wander": func(simulation *Simulation, fault faults.Fault, end func()) {
 		for _, client := range simulation.topicClients {
 			if simulation.Random.IntN(3) == 0 && client.connected {
 				client.Zone = simulation.Random.IntN(simulation.Shape.Zones)
-				client.Leave(true, simulation.between(0, 50*time.Millisecond))
+				client.DisconnectFor(true, simulation.between(0, 50*time.Millisecond))
 			}
 		}
 		undoAfter(fault, simulation, end, func() {})
@@ -532,10 +532,10 @@
 }
 
 // drawTopicPlot draws the schedule of a seed.
-func drawTopicPlot(seed uint64, names []string, count int) TopicPlot {
+func drawTopicPlot(seed uint64, names []string, count int) TopicSchedule {
 	random := rand.New(rand.NewPCG(seed, 0x70b1))
-	schedule := TopicPlot{Faults: faults.Draw(random, names, topicScenario, count), Changes: true}
-	last := append(slices.Clone(TopicLast), faults.Last...)
+	schedule := TopicSchedule{Faults: faults.Draw(random, names, topicScenario, count), Changes: true}
+	last := append(slices.Clone(TopicClosingFaults), faults.Closing...)
 	if random.IntN(2) == 0 {
 		schedule.Last = last[random.IntN(len(last))]
 	}
@@ -545,7 +545,7 @@
 	return schedule
 }
 
-func pairTopicPlot(seed uint64) TopicPlot {
+func pairTopicPlot(seed uint64) TopicSchedule {
 	pair := drawPair(rand.New(rand.NewPCG(seed, 0x9a14)))
 	return drawTopicPlot(seed, pair[:], 4)
 }
@@ -553,29 +553,29 @@
 // topicScenarios lists the runs with routed topics.
 func topicScenarios() []Scenario {
 	found := []Scenario{
-		{Name: "topics-calm", Topics: func(uint64) TopicPlot { return TopicPlot{} }},
-		{Name: "topics-configurations", Topics: func(uint64) TopicPlot { return TopicPlot{Changes: true} }},
+		{Name: "topics-calm", Topics: func(uint64) TopicSchedule { return TopicSchedule{} }},
+		{Name: "topics-configurations", Topics: func(uint64) TopicSchedule { return TopicSchedule{Changes: true} }},
 		{Name: "topics-pairs", Topics: pairTopicPlot},
-		{Name: "topics-storm", Topics: func(seed uint64) TopicPlot { return drawTopicPlot(seed, faults.Names, 8) }},
+		{Name: "topics-storm", Topics: func(seed uint64) TopicSchedule { return drawTopicPlot(seed, faults.Names, 8) }},
 	}
-	found = append(found, Scenario{Name: "topics-steady", Topics: func(seed uint64) TopicPlot {
+	found = append(found, Scenario{Name: "topics-steady", Topics: func(seed uint64) TopicSchedule {
 		schedule := drawTopicPlot(seed, []string{"relink", "cut-one-way", "restart-gateway", "loss"}, 8)
 		schedule.Last, schedule.Steady, schedule.Changes = "", true, false
 		return schedule
 	}})
-	found = append(found, Scenario{Name: "topics-hot", Topics: func(seed uint64) TopicPlot {
+	found = append(found, Scenario{Name: "topics-hot", Topics: func(seed uint64) TopicSchedule {
 		schedule := drawTopicPlot(seed, []string{"resets", "kill-store", "freeze-store", "vanish", "restart-gateway", "slow-daemon"}, 6)
 		schedule.Last, schedule.Hot = "", "board.hot"
 		return schedule
 	}})
-	found = append(found, Scenario{Name: "topics-held-links", Topics: func(uint64) TopicPlot {
-		return TopicPlot{Faults: []faults.Fault{{Name: "held-links", Start: 2 * time.Second, Length: 10 * time.Second}}}
+	found = append(found, Scenario{Name: "topics-held-links", Topics: func(uint64) TopicSchedule {
+		return TopicSchedule{Faults: []faults.Fault{{Name: "held-links", Start: 2 * time.Second, Length: 10 * time.Second}}}
 	}})
 	for _, name := range faults.Names {
-		found = append(found, Scenario{Name: "topics-" + name, Topics: func(seed uint64) TopicPlot { return drawTopicPlot(seed, []string{name}, 3) }})
+		found = append(found, Scenario{Name: "topics-" + name, Topics: func(seed uint64) TopicSchedule { return drawTopicPlot(seed, []string{name}, 3) }})
 	}
-	for _, name := range append(slices.Clone(TopicLast), faults.Last...) {
-		found = append(found, Scenario{Name: "topics-last-" + name, Topics: func(uint64) TopicPlot { return TopicPlot{Last: name} }})
+	for _, name := range append(slices.Clone(TopicClosingFaults), faults.Closing...) {
+		found = append(found, Scenario{Name: "topics-last-" + name, Topics: func(uint64) TopicSchedule { return TopicSchedule{Last: name} }})
 	}
 	return found
 }
