--- a/internal/simulator/client.go
+++ b/internal/simulator/client.go
@@ -33,7 +33,7 @@
 	disconnectedAt time.Time
 	absentUntil    time.Time
 	interests      []gateway.Interest
-	heardAt        time.Time
+	receivedAt     time.Time
 	openedAt       time.Time
 	moveTo         string
 	Closed         bool
@@ -144,7 +144,7 @@
 			return
 		}
 		c.connected = true
-		c.heardAt = simulation.Now
+		c.receivedAt = simulation.Now
 		c.subscribe(turn)
 	})
 	simulation.After(clientTimeout, func() {
@@ -262,7 +262,7 @@
 		return
 	}
 	simulation := c.simulation
-	c.heardAt = simulation.Now
+	c.receivedAt = simulation.Now
 	event, matches := deliver.Event.(gateway.Event)
 	if matches {
 		c.takeCursor(event.Cursor)
@@ -289,7 +289,7 @@
 
 // watch disconnects a client whose gateway has sent nothing for seven seconds.
 func (c *Client) watch() {
-	if c.connected && c.simulation.Now.Sub(c.heardAt) > 7*time.Second {
+	if c.connected && c.simulation.Now.Sub(c.receivedAt) > 7*time.Second {
 		c.disconnect(c.turn, 10*time.Millisecond)
 	}
 }
@@ -300,7 +300,7 @@
 	c.pipeline = pipeline
 	c.publishes = append(c.publishes, plans...)
 	for _, plan := range plans {
-		c.simulation.After(time.Duration(c.simulation.Random.Int64N(int64(plan.Every)))+time.Second, func() { c.tick(plan) })
+		c.simulation.After(time.Duration(c.simulation.Random.Int64N(int64(plan.Every)))+time.Second, func() { c.publishByPlan(plan) })
 	}
 	return c
 }
@@ -308,12 +308,12 @@
 // StopPublishing stops new publications. Pending ones are still retried.
 func (c *Client) StopPublishing() { c.stopped = true }
 
-func (c *Client) tick(plan PublishPlan) {
+func (c *Client) publishByPlan(plan PublishPlan) {
 	simulation := c.simulation
 	if c.stopped || c.Closed {
 		return
 	}
-	simulation.After(plan.Every/2+time.Duration(simulation.Random.Int64N(int64(plan.Every))), func() { c.tick(plan) })
+	simulation.After(plan.Every/2+time.Duration(simulation.Random.Int64N(int64(plan.Every))), func() { c.publishByPlan(plan) })
 	if !c.connected || len(c.outbox) >= c.pipeline {
 		return
 	}
@@ -327,12 +327,12 @@
 
 // outgoing is a publication without a final response.
 type outgoing struct {
-	message  checker.Message
-	topic    string
-	data     string
-	attempts int
-	inFlight bool
-	again    bool
+	message   checker.Message
+	topic     string
+	data      string
+	attempts  int
+	inFlight  bool
+	inBackoff bool
 }
 
 // sendNext sends the pending publications in order without waiting for responses. It stops
@@ -346,10 +346,10 @@
 		return
 	}
 	for _, item := range c.outbox {
-		if !item.inFlight && !item.again {
+		if !item.inFlight && !item.inBackoff {
 			c.attempt(item)
 		}
-		if item.attempts > 1 || item.again {
+		if item.attempts > 1 || item.inBackoff {
 			return
 		}
 	}
@@ -385,9 +385,9 @@
 			c.sendNext()
 			return
 		}
-		item.again = true
+		item.inBackoff = true
 		simulation.After(again, func() {
-			item.again = false
+			item.inBackoff = false
 			c.sendNext()
 		})
 	}
--- a/internal/simulator/closing_test.go
+++ b/internal/simulator/closing_test.go
@@ -54,7 +54,7 @@
 }
 
 var closingCrowds = []closingCrowd{
-	{name: "routed topics", begin: beginRouted, close: (*Simulation).closeTopics},
+	{name: "routed topics", begin: beginRouted, close: (*Simulation).finishTopics},
 	{name: "spaces", begin: beginSpaces, close: closeSpaces},
 	{name: "both", begin: beginBoth, close: closeBoth},
 }
@@ -88,7 +88,7 @@
 			run.Checker.Violate(checker.NotRecovered, "%s is not served at the end of the run", client.Name)
 		}
 	}
-	run.closeTopics()
+	run.finishTopics()
 }
 
 func closeSpaces(run *Simulation) {
@@ -197,10 +197,10 @@
 	t.Helper()
 	run, operator := callers.begin(seed, size)
 	run.Run(2 * time.Second)
-	operator.work(run.Now.Add(topicScenario + 40*time.Second))
+	operator.runUntil(run.Now.Add(topicScenarioLength + 40*time.Second))
 	run.lastFaultAt = run.Now.Add(-checker.FaultSettleTime)
 	if fault.day > 0 {
-		run.day(t, faults.Draw(rand.New(rand.NewPCG(seed, 0xc105)), faults.Names, topicScenario, fault.day))
+		run.day(t, faults.Draw(rand.New(rand.NewPCG(seed, 0xc105)), faults.Names, topicScenarioLength, fault.day))
 	}
 
 	acknowledged := run.acknowledgeMore(t, seed)
@@ -234,7 +234,7 @@
 	for _, fault := range schedule {
 		s.After(fault.Start, func() { s.inject(fault) })
 	}
-	s.Run(topicScenario)
+	s.Run(topicScenarioLength)
 	ended := s.RunUntil(time.Minute, func() bool { return s.activeFaults == 0 })
 	assert.Check(t, ended, "a fault has not ended: %s", faults.Format(schedule))
 	s.Run(checker.FaultSettleTime + 4*time.Second)
@@ -245,7 +245,7 @@
 func (s *Simulation) acknowledgeMore(t *testing.T, seed uint64) uint64 {
 	t.Helper()
 	taken := false
-	s.operator.next(func() { taken = true })
+	s.operator.putNext(func() { taken = true })
 	version := s.operator.version
 	assert.Check(t, s.RunUntil(10*time.Second, func() bool { return taken }), "seed %d: the configuration was not accepted", seed)
 	accepted := s.Checker.Accepted
--- a/internal/simulator/controllers_test.go
+++ b/internal/simulator/controllers_test.go
@@ -111,7 +111,7 @@
 				simulation, operator := Prepare(5000+seed, each.size, nil)
 				simulation.AddDefaultClients(each.size.Clients)
 				simulation.Run(time.Second)
-				operator.work(simulation.Now.Add(24 * time.Second))
+				operator.runUntil(simulation.Now.Add(24 * time.Second))
 				simulation.lastFaultAt = simulation.Now.Add(24 * time.Second)
 				each.strike(t, simulation)
 				simulation.Run(24 * time.Second)
--- a/internal/simulator/grown.go
+++ b/internal/simulator/grown.go
@@ -77,11 +77,11 @@
 // start again.
 func RunGrown(seed uint64, size Shape, trace func(line string)) *GrownResult {
 	simulation, _ := prepareTopics(seed, size, 0, trace)
-	simulation.world.body, simulation.world.steady = grownBodySize, true
+	simulation.world.minBodySize, simulation.world.steady = grownBodySize, true
 	simulation.world.topics = boards(size.Clients * 5 / 3)
 	for number := range size.Clients {
 		client := simulation.AddTopicClient(fmt.Sprintf("caller-%d", number), number%size.Zones)
-		client.unjudged = true
+		client.ignoreRejections = true
 		client.subscribeRandomTopics(3)
 	}
 	simulation.Run(4 * time.Second)
@@ -101,7 +101,7 @@
 	for _, node := range simulation.Nodes("") {
 		simulation.After(simulation.between(0, startSpread(node)), node.Start)
 	}
-	simulation.After(grownNewClientsAt, func() { simulation.takeSaved("early") })
+	simulation.After(grownNewClientsAt, func() { simulation.resumeSavedCursors("early") })
 	rejectedEarly := 0
 	for second := range int(grownAfter / time.Second) {
 		simulation.Run(time.Second)
@@ -116,7 +116,7 @@
 	result.Rejected, result.RejectedLater = simulation.rejectedRequests()-rejectedBefore, simulation.rejectedRequests()-rejectedEarly
 	simulation.activeFaults--
 	simulation.lastFaultAt = simulation.Now
-	simulation.closeTopics()
+	simulation.finishTopics()
 	result.Before = simulation.world.service(start, grownBefore)
 	result.After = simulation.world.service(restart, grownAfter)
 	return result
@@ -172,7 +172,7 @@
 	topics := tc.simulation.world.topics
 	for range count {
 		topic := topics[tc.simulation.Random.IntN(len(topics))]
-		tc.topics[topic] = &heldSubscription{topic: topic}
+		tc.topics[topic] = &topicSubscription{topic: topic}
 	}
 }
 
@@ -202,10 +202,10 @@
 	if len(tc.outbox[topic]) >= tc.pipeline {
 		return func() bool { return false }
 	}
-	item := &posting{topic: topic, wanted: tc.simulation.Now, acceptedAt: &time.Time{}}
-	wanted, acceptedAt := item.wanted, item.acceptedAt
+	item := &pendingPost{topic: topic, requestedAt: tc.simulation.Now, acceptedAt: &time.Time{}}
+	wanted, acceptedAt := item.requestedAt, item.acceptedAt
 	tc.outbox[topic] = append(tc.outbox[topic], item)
-	tc.pump(topic)
+	tc.sendPending(topic)
 	return func() bool { return !acceptedAt.IsZero() && acceptedAt.Sub(wanted) <= topicDeadline }
 }
 
@@ -216,17 +216,17 @@
 		return
 	}
 	simulation.After(grownTopicInterval/2+simulation.between(0, grownTopicInterval), tc.generateTopicChanges)
-	tc.drop(firstTopic(tc.topics))
+	tc.dropTopic(firstTopic(tc.topics))
 	topic := world.topics[simulation.Random.IntN(len(world.topics))]
-	tc.take(topic)
+	tc.addTopic(topic)
 	present, wanted := tc.topics[topic], simulation.Now
 	world.demands = append(world.demands, demand{at: wanted, served: func() bool {
-		return present != nil && !present.heldAt.IsZero() && present.heldAt.Sub(wanted) <= topicDeadline
+		return present != nil && !present.confirmedAt.IsZero() && present.confirmedAt.Sub(wanted) <= topicDeadline
 	}})
 }
 
 // firstTopic returns the first of a client's topics in alphabetical order.
-func firstTopic(topics map[string]*heldSubscription) string {
+func firstTopic(topics map[string]*topicSubscription) string {
 	first := ""
 	for name := range topics {
 		if first == "" || name < first {
@@ -244,7 +244,7 @@
 
 // service counts, for each second of span after from, the demands and those that were
 // served.
-func (tw *topicWorld) service(from time.Time, span time.Duration) []Service {
+func (tw *topicState) service(from time.Time, span time.Duration) []Service {
 	found := make([]Service, span/time.Second)
 	for _, each := range tw.demands {
 		second := int(each.at.Sub(from) / time.Second)
--- a/internal/simulator/injection.go
+++ b/internal/simulator/injection.go
@@ -65,7 +65,7 @@
 	simulation, operator := prepare(seed, size, schedule.ClockSkew, trace)
 	simulation.AddDefaultClients(size.Clients)
 	simulation.Run(3 * time.Second)
-	operator.work(simulation.Now.Add(faultPeriod + 40*time.Second))
+	operator.runUntil(simulation.Now.Add(faultPeriod + 40*time.Second))
 	simulation.lastFaultAt = simulation.Now.Add(-checker.FaultSettleTime)
 	simulation.trace("storm: %s; last %s", faults.Format(schedule.Faults), schedule.Last)
 	for _, fault := range schedule.Faults {
@@ -441,17 +441,17 @@
 		// and a third one puts the next version at the same time.
 		for range 3 {
 			simulation.operator.race()
-			simulation.operator.next(nil)
+			simulation.operator.putNext(nil)
 		}
 		undoAfter(fault, simulation, end, func() {})
 	},
 	"space": func(simulation *Simulation, fault faults.Fault, end func()) { simulation.spaceFor(fault, end) },
 	"drain": onNode(membership.KindGateway, func(simulation *Simulation, node *Node, fault faults.Fault, end func()) {
 		simulation.operator.drains = []string{node.Name}
-		simulation.operator.next(nil)
+		simulation.operator.putNext(nil)
 		simulation.After(fault.Length+4*time.Second, func() {
 			simulation.operator.drains = nil
-			simulation.operator.next(nil)
+			simulation.operator.putNext(nil)
 			end()
 		})
 	}),
@@ -489,7 +489,7 @@
 	s.Checker.DefineSpace(name, false, false)
 	operator.extras[name] = true
 	var users []*Client
-	operator.next(func() {
+	operator.putNext(func() {
 		for number := range 4 {
 			client := s.AddClient(fmt.Sprintf("%s-%d", name, number), number%s.Shape.Zones, gateway.Interest{Space: name, Prefix: true})
 			client.brief = name
@@ -499,7 +499,7 @@
 	})
 	s.After(3*time.Second+fault.Length, func() {
 		delete(operator.extras, name)
-		operator.next(func() { s.Checker.SpaceRemoved(name, s.Now) })
+		operator.putNext(func() { s.Checker.SpaceRemoved(name, s.Now) })
 		s.After(6*time.Second, func() {
 			for _, client := range users {
 				client.leave()
@@ -597,7 +597,7 @@
 // served.
 func (s *Simulation) clientsServed() bool {
 	for _, client := range s.topicClients {
-		if !client.Closed && client.fixed == nil && !client.holds() && !s.Now.Before(client.absentUntil) {
+		if !client.Closed && client.fixedGateway == nil && !client.allConfirmed() && !s.Now.Before(client.absentUntil) {
 			return false
 		}
 	}
--- a/internal/simulator/operator.go
+++ b/internal/simulator/operator.go
@@ -55,7 +55,7 @@
 	if world := o.simulation.world; world != nil {
 		for _, each := range world.routes() {
 			promise := config.Ephemeral
-			if each.kept {
+			if each.durable {
 				promise = config.Durable
 			}
 			made.Spaces = append(made.Spaces, spaceDocument{Name: each.space, Promise: string(promise), Order: string(config.OrderTopic)})
@@ -145,8 +145,8 @@
 	})
 }
 
-// broken puts an invalid configuration, which must be rejected.
-func (o *Operator) broken() {
+// putInvalid puts an invalid configuration, which must be rejected.
+func (o *Operator) putInvalid() {
 	simulation := o.simulation
 	node := o.anyNode()
 	if node == nil {
@@ -164,7 +164,7 @@
 	})
 }
 
-func (o *Operator) next(done func()) {
+func (o *Operator) putNext(done func()) {
 	o.version++
 	body := o.document()
 	o.sent[o.version] = body
@@ -181,22 +181,22 @@
 	o.put(o.version, other, nil)
 }
 
-// work puts, repeats and reads configurations, and puts invalid ones, at random intervals
+// runUntil puts, repeats and reads configurations, and puts invalid ones, at random intervals
 // until a point in time.
-func (o *Operator) work(until time.Time) {
+func (o *Operator) runUntil(until time.Time) {
 	simulation := o.simulation
 	if simulation.Now.After(until) {
 		return
 	}
-	simulation.After(time.Duration(300+simulation.Random.IntN(1500))*time.Millisecond, func() { o.work(until) })
+	simulation.After(time.Duration(300+simulation.Random.IntN(1500))*time.Millisecond, func() { o.runUntil(until) })
 	switch simulation.Random.IntN(6) {
 	case 0:
-		o.next(nil)
+		o.putNext(nil)
 	case 1:
-		o.next(nil)
-		o.next(nil)
+		o.putNext(nil)
+		o.putNext(nil)
 	case 2:
-		o.broken()
+		o.putInvalid()
 	case 3:
 		if o.version > 2 {
 			o.put(o.version-1, o.sent[o.version-1], nil)
--- a/internal/simulator/orders.go
+++ b/internal/simulator/orders.go
@@ -18,15 +18,15 @@
 
 // Timeouts and limits of operators that retry orders.
 const (
-	orderTimeout     = time.Second
-	orderPause       = 100 * time.Millisecond
-	maxOrderAttempts = 40
-	answersLostOne   = 3 // one response out of this many is lost
-	resentWithin     = 12 * time.Second
+	orderTimeout      = time.Second
+	orderPause        = 100 * time.Millisecond
+	maxOrderAttempts  = 40
+	lostResponseRatio = 3 // one response out of this many is lost
+	repeatWithin      = 12 * time.Second
 )
 
-// desk runs several operators at once and counts the outcomes of their orders.
-type desk struct {
+// operatorGroup runs several operators at once and counts the outcomes of their orders.
+type operatorGroup struct {
 	simulation *Simulation
 	operator   *Operator
 	highest    uint64
@@ -36,12 +36,12 @@
 	onAccepted func()
 }
 
-func newDesk(simulation *Simulation) *desk {
-	return &desk{simulation: simulation, operator: simulation.operator, highest: simulation.operator.version}
+func newOperatorGroup(simulation *Simulation) *operatorGroup {
+	return &operatorGroup{simulation: simulation, operator: simulation.operator, highest: simulation.operator.version}
 }
 
-// content is the configuration that one operator puts as a version.
-func (d *desk) content(version uint64, who int) []byte {
+// document is the configuration that one operator puts as a version.
+func (d *operatorGroup) document(version uint64, who int) []byte {
 	body, err := json.Marshal(map[string]any{
 		"version": version,
 		"spaces": []any{
@@ -54,7 +54,7 @@
 }
 
 // attemptElsewhere runs attempt at a random daemon, and mostly avoids the one tried before.
-func (d *desk) attemptElsewhere(before string, attempt func(node *Node)) {
+func (d *operatorGroup) attemptElsewhere(before string, attempt func(node *Node)) {
 	node := d.operator.anyNode()
 	if node == nil || node.Name == before && d.simulation.Random.IntN(4) > 0 {
 		d.simulation.After(orderPause, func() { d.attemptElsewhere("", attempt) })
@@ -65,7 +65,7 @@
 
 // put retries an order until its outcome is known. After a lost response, a timeout or a
 // temporary rejection it retries at another daemon.
-func (d *desk) put(version uint64, body []byte, attempts int, before string) {
+func (d *operatorGroup) put(version uint64, body []byte, attempts int, before string) {
 	simulation := d.simulation
 	if attempts == 0 {
 		return
@@ -93,7 +93,7 @@
 					simulation.After(simulation.between(0, 4*time.Millisecond), inject)
 				}
 				if simulation.Random.IntN(2) == 0 {
-					simulation.After(simulation.between(0, resentWithin), func() { d.put(version, body, 3, "") })
+					simulation.After(simulation.between(0, repeatWithin), func() { d.put(version, body, 3, "") })
 				}
 			default:
 				answered = true
@@ -104,12 +104,12 @@
 }
 
 // order sends an order whose response may be lost.
-func (d *desk) order(node *Node, version uint64, body []byte, done func(answer checker.OrderOutcome)) {
+func (d *operatorGroup) order(node *Node, version uint64, body []byte, done func(answer checker.OrderOutcome)) {
 	simulation := d.simulation
 	put := simulation.Checker.Register.Put(version, string(body), simulation.Now)
 	simulation.Control(node, http.MethodPut, "/v1/configuration", body, func(response membership.ControlResponse, alive bool) {
 		answer := checker.Unclear
-		if alive && simulation.Random.IntN(answersLostOne) > 0 {
+		if alive && simulation.Random.IntN(lostResponseRatio) > 0 {
 			answer = checker.OutcomeOf(response.Status, response.Body)
 		}
 		if answer == checker.Unclear && alive && response.Status == http.StatusBadRequest {
@@ -123,20 +123,20 @@
 
 // race makes several operators put different configurations at once, spread over the given
 // number of new versions.
-func (d *desk) race(operators, numbers int) {
+func (d *operatorGroup) race(operators, numbers int) {
 	first := d.highest + 1
 	d.highest += uint64(numbers)
 	for who := range operators {
 		version := first + uint64(who%numbers)
 		d.simulation.After(d.simulation.between(0, 30*time.Millisecond), func() {
-			d.put(version, d.content(version, who), maxOrderAttempts, "")
+			d.put(version, d.document(version, who), maxOrderAttempts, "")
 		})
 	}
 }
 
 // retireTwo makes two operators retire two stores at once, where only one may be retired.
 // It then repeats the accepted order and returns the store.
-func (d *desk) retireTwo(done func()) {
+func (d *operatorGroup) retireTwo(done func()) {
 	stores := d.simulation.Nodes(membership.KindStore)
 	first := d.simulation.Random.IntN(len(stores))
 	pair := []*Node{stores[first], stores[(first+1)%len(stores)]}
@@ -153,14 +153,14 @@
 			if len(absent) == len(pair) {
 				d.simulation.Checker.Violate(checker.TooFewStores, "the orders to retire %s and %s were both accepted", pair[0].Name, pair[1].Name)
 			}
-			d.repeat(absent, done)
+			d.repeatAndReturn(absent, done)
 		})
 	}
 }
 
-// repeat repeats accepted orders to retire after a while, which must be accepted again, and
+// repeatAndReturn repeats accepted orders to retire after a while, which must be accepted again, and
 // then returns the stores.
-func (d *desk) repeat(absent []*Node, done func()) {
+func (d *operatorGroup) repeatAndReturn(absent []*Node, done func()) {
 	if len(absent) == 0 {
 		done()
 		return
@@ -171,13 +171,13 @@
 			if status != http.StatusAccepted {
 				d.simulation.Checker.Violate(checker.RetryRejected, "the order to retire %s was accepted and then rejected with %d", store.Name, status)
 			}
-			d.retire(store, "return", maxOrderAttempts, func(int) { d.repeat(rest, done) })
+			d.retire(store, "return", maxOrderAttempts, func(int) { d.repeatAndReturn(rest, done) })
 		})
 	})
 }
 
 // retire retries an order to retire or return a store until its outcome is known.
-func (d *desk) retire(store *Node, verb string, attempts int, done func(status int)) {
+func (d *operatorGroup) retire(store *Node, verb string, attempts int, done func(status int)) {
 	simulation := d.simulation
 	if attempts == 0 {
 		done(0)
@@ -199,7 +199,7 @@
 		simulation.After(orderTimeout, func() { end(0) })
 		simulation.Control(node, http.MethodPost, "/v1/stores/"+store.Name+"/"+verb, nil, func(response membership.ControlResponse, alive bool) {
 			simulation.trace("%s %s at %s: %d", verb, store.Name, node.Name, response.Status)
-			if !alive || simulation.Random.IntN(answersLostOne) == 0 {
+			if !alive || simulation.Random.IntN(lostResponseRatio) == 0 {
 				response.Status = 0
 			}
 			end(response.Status)
@@ -207,10 +207,10 @@
 	})
 }
 
-// takeOvers makes the primary fail in one way after another: killed, frozen, isolated,
+// provokeFailovers makes the primary fail in one way after another: killed, frozen, isolated,
 // killed right after it acknowledged an order, the same with its disk lost, and killed
 // together with all other controllers.
-func (d *desk) takeOvers(length time.Duration) {
+func (d *operatorGroup) provokeFailovers(length time.Duration) {
 	simulation := d.simulation
 	turn := simulation.Random.IntN(6)
 	simulation.every(length, 6*time.Second, 9*time.Second, func() {
@@ -222,7 +222,7 @@
 		case 1:
 			simulation.freezeFor(simulation.controllerIn("primary"), wait)
 		case 2:
-			simulation.cutOff(simulation.controllerIn("primary"), wait)
+			simulation.isolateFor(simulation.controllerIn("primary"), wait)
 		case 3:
 			d.onAccepted = func() { simulation.killFor(simulation.controllerIn("primary"), wait, false) }
 		case 4:
@@ -237,8 +237,8 @@
 	})
 }
 
-// cutOff isolates a daemon from all others for a while.
-func (s *Simulation) cutOff(node *Node, length time.Duration) {
+// isolateFor isolates a daemon from all others for a while.
+func (s *Simulation) isolateFor(node *Node, length time.Duration) {
 	if node == nil {
 		return
 	}
@@ -248,23 +248,23 @@
 }
 
 func ordersOfPairs(simulation *Simulation, length time.Duration) {
-	desk := newDesk(simulation)
+	desk := newOperatorGroup(simulation)
 	simulation.every(length, 200*time.Millisecond, 700*time.Millisecond, func() { desk.race(2, 1) })
 	simulation.every(length, 100*time.Millisecond, 300*time.Millisecond, simulation.operator.read)
 	simulation.After(length+12*time.Second, simulation.operator.read)
-	desk.takeOvers(length)
+	desk.provokeFailovers(length)
 }
 
 func ordersOfEight(simulation *Simulation, length time.Duration) {
-	desk := newDesk(simulation)
+	desk := newOperatorGroup(simulation)
 	simulation.every(length, 600*time.Millisecond, 1500*time.Millisecond, func() { desk.race(8, 1+simulation.Random.IntN(4)) })
 	simulation.every(length, 100*time.Millisecond, 300*time.Millisecond, simulation.operator.read)
 	simulation.After(length+12*time.Second, simulation.operator.read)
-	desk.takeOvers(length)
+	desk.provokeFailovers(length)
 }
 
 func ordersToRetire(simulation *Simulation, length time.Duration) {
-	desk := newDesk(simulation)
+	desk := newOperatorGroup(simulation)
 	until := simulation.Now.Add(length)
 	var next func()
 	next = func() {
@@ -274,5 +274,5 @@
 	}
 	next()
 	simulation.every(length, time.Second, 2*time.Second, func() { desk.race(2, 1) })
-	desk.takeOvers(length)
+	desk.provokeFailovers(length)
 }
--- a/internal/simulator/orders_test.go
+++ b/internal/simulator/orders_test.go
@@ -38,10 +38,10 @@
 			size := Shape{Gateways: 1, Stores: 2, Controllers: 5, Zones: 3, Delay: time.Millisecond, HighestVersion: highest}
 			run, operator := Prepare(7, size, nil)
 			const day = 3 * time.Minute
-			desk := newDesk(run)
+			desk := newOperatorGroup(run)
 			run.every(day, time.Second, 2*time.Second, func() { desk.race(1+run.Random.IntN(8), 1+run.Random.IntN(3)) })
 			run.every(day, 200*time.Millisecond, 500*time.Millisecond, operator.read)
-			desk.takeOvers(day)
+			desk.provokeFailovers(day)
 			run.Run(day)
 			run.Heal()
 			run.Run(20 * time.Second)
@@ -60,7 +60,7 @@
 func TestAnOrderToRetireIsAcknowledgedWhenItsStoreIsGone(t *testing.T) {
 	size := Shape{Gateways: 1, Stores: 3, Controllers: 5, Zones: 3, Delay: time.Millisecond}
 	run, _ := Prepare(11, size, nil)
-	desk := newDesk(run)
+	desk := newOperatorGroup(run)
 	store := run.Nodes(membership.KindStore)[1]
 	taken := 0
 	acknowledged := func(status int) {
@@ -75,7 +75,7 @@
 	store.Kill()
 	store.Wipe()
 	const gone = 3 * time.Minute
-	desk.takeOvers(gone)
+	desk.provokeFailovers(gone)
 	run.every(gone, time.Second, 5*time.Second, func() { desk.retire(store, "retire", maxOrderAttempts, acknowledged) })
 	run.Run(gone + 20*time.Second)
 	t.Logf("acknowledged %d times", taken)
--- a/internal/simulator/scenario.go
+++ b/internal/simulator/scenario.go
@@ -111,7 +111,7 @@
 	s.Checker.DefineSpace("decisions", true, true)
 	s.Checker.DefineSpace("cursors", false, false)
 	accepted := false
-	s.After(time.Second, func() { operator.next(func() { accepted = true }) })
+	s.After(time.Second, func() { operator.putNext(func() { accepted = true }) })
 	if !s.RunUntil(20*time.Second, func() bool { return accepted }) {
 		s.Checker.Violate(checker.NotRecovered, "no configuration was accepted within 20 s")
 	}
@@ -171,7 +171,7 @@
 	simulation, operator := Prepare(seed, size, trace)
 	simulation.AddDefaultClients(size.Clients)
 	simulation.Run(3 * time.Second)
-	operator.work(simulation.Now.Add(scenario.Length))
+	operator.runUntil(simulation.Now.Add(scenario.Length))
 	simulation.lastFaultAt = simulation.Now.Add(-checker.FaultSettleTime)
 	if scenario.Faults != nil {
 		simulation.activeFaults++
@@ -236,7 +236,7 @@
 	}
 	for _, client := range s.topicClients {
 		for topic, each := range statemachine.Sorted(client.topics) {
-			s.trace("%s connected %v holds %s from %q: %v", client.Name, client.connected, topic, each.cursor, each.held)
+			s.trace("%s connected %v holds %s from %q: %v", client.Name, client.connected, topic, each.cursor, each.confirmed)
 		}
 	}
 	for _, client := range s.clients {
@@ -571,7 +571,7 @@
 	},
 	"busy-operators": func(simulation *Simulation, length time.Duration) {
 		// Configurations are put and read back continuously while primaries are lost.
-		simulation.every(length, 250*time.Millisecond, 400*time.Millisecond, func() { simulation.operator.next(nil) })
+		simulation.every(length, 250*time.Millisecond, 400*time.Millisecond, func() { simulation.operator.putNext(nil) })
 		simulation.every(length, 80*time.Millisecond, 150*time.Millisecond, simulation.operator.read)
 		killPrimary(simulation, length)
 	},
@@ -580,7 +580,7 @@
 		simulation.After(2*time.Second, func() {
 			node := simulation.randomRunningNode(membership.KindGateway)
 			simulation.operator.drains = []string{node.Name}
-			simulation.operator.next(func() {
+			simulation.operator.putNext(func() {
 				simulation.After(10*time.Second, func() {
 					if node.Up && node.Gateway().Load().Sessions > 0 && len(simulation.operator.drains) > 0 {
 						simulation.Checker.Violate("drain", "%s still has %d clients", node.Name, node.Gateway().Load().Sessions)
@@ -598,7 +598,7 @@
 		simulation.every(length, 3*time.Second, 4*time.Second, func() {
 			simulation.operator.drains = []string{gateways[turn%len(gateways)].Name}
 			turn++
-			simulation.operator.next(nil)
+			simulation.operator.putNext(nil)
 		})
 		simulation.every(length, 400*time.Millisecond, 900*time.Millisecond, func() {
 			client := simulation.clients[simulation.Random.IntN(len(simulation.clients))]
@@ -627,7 +627,7 @@
 // load, with a short quiet_for.
 func (s *Simulation) enableEconomy() {
 	s.operator.economy = map[string]any{"enabled": true, "origins_each": 8, "spare_gateways": 1, "quiet_for": "2s"}
-	s.operator.next(nil)
+	s.operator.putNext(nil)
 }
 
 // countResting counts the gateways that are resting.
@@ -687,7 +687,7 @@
 	operator := newOperator(s)
 	operator.version, operator.extra = 1000, true
 	s.Checker.DefineSpace("brief", false, false)
-	operator.next(func() {
+	operator.putNext(func() {
 		var users []*Client
 		for number := range 4 {
 			client := s.AddClient(fmt.Sprintf("brief-%d", number), number%s.Shape.Zones, gateway.Interest{Space: "brief", Prefix: true})
@@ -714,7 +714,7 @@
 				s.Isolate(func(node *Node) bool { return node.Zone == chosen.Zone })
 			}
 			operator.extra = false
-			operator.next(func() {
+			operator.putNext(func() {
 				s.Checker.SpaceRemoved("brief", s.Now)
 				s.After(6*time.Second, func() {
 					for _, client := range users {
--- a/internal/simulator/secondloss_test.go
+++ b/internal/simulator/secondloss_test.go
@@ -142,7 +142,7 @@
 			return 0
 		}
 		before := version()
-		run.operator.next(nil)
+		run.operator.putNext(nil)
 		assert.Check(t, run.RunUntil(6*time.Second, func() bool { return version() > before }))
 		if run.Primary() != nil {
 			run.killFor(run.Primary(), 500*time.Millisecond, true)
@@ -192,7 +192,7 @@
 	run, operator := Prepare(seed, size, nil)
 	run.AddDefaultClients(size.Clients)
 	run.Run(time.Second)
-	operator.work(run.Now.Add(16 * time.Second))
+	operator.runUntil(run.Now.Add(16 * time.Second))
 	run.lastFaultAt = run.Now.Add(16 * time.Second)
 	inject(t, run)
 	assert.Check(t, run.RunUntil(12*time.Second, func() bool { return run.Primary() != nil }), "seed %d: no primary: %s", seed, records(run))
--- a/internal/simulator/simulator.go
+++ b/internal/simulator/simulator.go
@@ -124,8 +124,8 @@
 	Recoveries     []Recovery
 	clients        []*Client
 	topicClients   []*TopicClient
-	probed         map[string]*platform
-	world          *topicWorld
+	probed         map[string]*probeState
+	world          *topicState
 	operator       *Operator
 	counter        uint64
 	Events         int
@@ -198,7 +198,7 @@
 func New(seed uint64, size Shape) *Simulation {
 	simulation := &Simulation{
 		Seed: seed, Random: rand.New(rand.NewPCG(seed, 0x5eed)), Now: time.Unix(1_700_000_000, 0), Checker: checker.New(), Shape: size,
-		nodes: map[string]*Node{}, byAddress: map[string]*Node{}, lastArrival: map[string]time.Time{}, cuts: map[string]int{}, Sent: map[string]int{}, unready: map[string]time.Duration{}, probed: map[string]*platform{},
+		nodes: map[string]*Node{}, byAddress: map[string]*Node{}, lastArrival: map[string]time.Time{}, cuts: map[string]int{}, Sent: map[string]int{}, unready: map[string]time.Duration{}, probed: map[string]*probeState{},
 		nics: map[string]*nic{}, connections: map[string]*connection{},
 	}
 	simulation.started = simulation.Now
--- a/internal/simulator/topic_client.go
+++ b/internal/simulator/topic_client.go
@@ -21,72 +21,72 @@
 
 // Delays, timeouts and limits of a client of routed topics.
 const (
-	lineDelay       = time.Millisecond
-	pingEvery       = 2 * time.Second
-	silentFor       = 5 * time.Second
-	droppedAfter    = 7 * time.Second
-	dialTimeout     = time.Second
-	responseTimeout = 1200 * time.Millisecond
-	topicDeadline   = 1200 * time.Millisecond
-	resendAgain     = 60 * time.Millisecond
-	joinWithin      = 500 * time.Millisecond
-	maxRenewals     = 2
-	accountableSpan = 10 * time.Second
+	lineDelay         = time.Millisecond
+	pingEvery         = 2 * time.Second
+	silenceTimeout    = 5 * time.Second
+	sessionTimeout    = 7 * time.Second
+	dialTimeout       = time.Second
+	responseTimeout   = 1200 * time.Millisecond
+	topicDeadline     = 1200 * time.Millisecond
+	retryDelay        = 60 * time.Millisecond
+	subscribeTimeout  = 500 * time.Millisecond
+	maxRenewals       = 2
+	deduplicationSpan = 10 * time.Second
 )
 
 // TopicClient is a simulated client of routed topics.
 type TopicClient struct {
-	simulation  *Simulation
-	Name        string
-	Zone        int
-	fixed       *Node
-	node        *Node
-	incarnation uint64
-	channel     uint64
-	line        *clientConnection
-	turn        int
-	connected   bool
-	heardAt     time.Time
-	saidAt      time.Time
-	beganAt     time.Time
-	absentUntil time.Time
-	failures    int
-	moveTo      string
-	Closed      bool
-	stopped     bool
-	unjudged    bool
-
-	topics   map[string]*heldSubscription
+	simulation       *Simulation
+	Name             string
+	Zone             int
+	fixedGateway     *Node
+	node             *Node
+	incarnation      uint64
+	channel          uint64
+	line             *clientConnection
+	turn             int
+	connected        bool
+	receivedAt       time.Time
+	sentAt           time.Time
+	connectStartedAt time.Time
+	absentUntil      time.Time
+	failures         int
+	moveTo           string
+	Closed           bool
+	stopped          bool
+	ignoreRejections bool
+
+	topics   map[string]*topicSubscription
 	seq      uint64
 	pipeline int
-	outbox   map[string][]*posting
+	outbox   map[string][]*pendingPost
 }
 
-// heldSubscription is a topic to which a client wants to be subscribed.
-type heldSubscription struct {
-	topic       string
-	cursor      string
-	after       checker.Post
-	entry       *checker.Subscription
-	requested   bool
-	held        bool
-	leaving     bool
-	nowhere     bool
-	requestedAt time.Time
-	// heldAt is when the subscription was first confirmed.
-	heldAt time.Time
+// topicSubscription is a topic to which a client wants to be subscribed.
+type topicSubscription struct {
+	topic         string
+	cursor        string
+	after         checker.Post
+	entry         *checker.Subscription
+	requested     bool
+	confirmed     bool
+	unsubscribing bool
+	unrouted      bool
+	requestedAt   time.Time
+	// confirmedAt is when the subscription was first confirmed.
+	confirmedAt time.Time
 }
 
-// posting is a publication whose outcome is not known.
-type posting struct {
-	name     checker.Post
-	topic    string
-	body     string
-	wanted   time.Time
-	renewals int
-	tries    int
-	inFlight bool
-	waits    bool
+// pendingPost is a publication whose outcome is not known.
+type pendingPost struct {
+	name        checker.Post
+	topic       string
+	body        string
+	requestedAt time.Time
+	renewals    int
+	attempts    int
+	inFlight    bool
+	inBackoff   bool
 	// acceptedAt, if not nil, receives the time at which the publication was accepted, under
 	// any of its sequence numbers.
 	acceptedAt *time.Time
@@ -94,10 +94,10 @@
 
 // AddTopicClient adds a client that subscribes to topics. It connects within 400 ms.
 func (s *Simulation) AddTopicClient(name string, zone int, topics ...string) *TopicClient {
-	client := &TopicClient{simulation: s, Name: name, Zone: zone, topics: map[string]*heldSubscription{}, outbox: map[string][]*posting{}, pipeline: 1}
+	client := &TopicClient{simulation: s, Name: name, Zone: zone, topics: map[string]*topicSubscription{}, outbox: map[string][]*pendingPost{}, pipeline: 1}
 	s.topicClients = append(s.topicClients, client)
 	for _, topic := range topics {
-		client.topics[topic] = &heldSubscription{topic: topic}
+		client.topics[topic] = &topicSubscription{topic: topic}
 	}
 	turn := client.turn
 	s.After(s.between(0, 400*time.Millisecond), func() { client.connect(turn) })
@@ -105,11 +105,11 @@
 	return client
 }
 
-// platform is the load balancer's state of a gateway: whether it receives new clients, and
+// probeState is the load balancer's state of a gateway: whether it receives new clients, and
 // how many readiness probes in a row it failed.
-type platform struct {
-	in     bool
-	missed int
+type probeState struct {
+	healthy      bool
+	failedProbes int
 }
 
 // probe checks the readiness of every gateway once a second. A gateway that fails two probes
@@ -119,15 +119,15 @@
 	for _, node := range s.Nodes(membership.KindGateway) {
 		known, found := s.probed[node.Name]
 		if !found {
-			known = &platform{}
+			known = &probeState{}
 			s.probed[node.Name] = known
 		}
 		if node.Ready() {
-			known.in, known.missed = true, 0
+			known.healthy, known.failedProbes = true, 0
 			continue
 		}
-		if known.missed++; known.missed >= 2 {
-			known.in = false
+		if known.failedProbes++; known.failedProbes >= 2 {
+			known.healthy = false
 		}
 	}
 }
@@ -138,8 +138,8 @@
 // do. A fixed gateway or the target of a requested move comes before these rules.
 func (tc *TopicClient) pick() *Node {
 	simulation := tc.simulation
-	if tc.fixed != nil {
-		return tc.fixed
+	if tc.fixedGateway != nil {
+		return tc.fixedGateway
 	}
 	if target := simulation.byAddress[tc.moveTo]; target != nil {
 		tc.moveTo = ""
@@ -151,10 +151,10 @@
 		switch {
 		case node.Zone == tc.Zone:
 			zone = append(zone, node)
-			if found && known.in {
+			if found && known.healthy {
 				in = append(in, node)
 			}
-		case found && known.in:
+		case found && known.healthy:
 			elsewhere = append(elsewhere, node)
 		}
 	}
@@ -170,13 +170,13 @@
 	return in[simulation.Random.IntN(len(in))]
 }
 
-// say sends a command of the given size on the connection. It calls done with the response
+// send sends a command of the given size on the connection. It calls done with the response
 // if the response arrives before the connection ends.
-func (tc *TopicClient) say(size int, command func(request uint64) any, done func(answer gateway.Reply)) {
+func (tc *TopicClient) send(size int, command func(request uint64) any, done func(answer gateway.Reply)) {
 	simulation, node, turn, incarnation, line := tc.simulation, tc.node, tc.turn, tc.incarnation, tc.line
-	tc.saidAt = simulation.Now
+	tc.sentAt = simulation.Now
 	lost := func() {
-		simulation.After(lineDelay, func() { tc.cut(turn, true, simulation.between(0, 50*time.Millisecond)) })
+		simulation.After(lineDelay, func() { tc.disconnect(turn, true, simulation.between(0, 50*time.Millisecond)) })
 	}
 	tc.toGateway(size, func() {
 		if !node.Up || node.incarnation != incarnation {
@@ -197,7 +197,7 @@
 				answer := value.(gateway.Reply)
 				line.toClient(simulation, node, clientAnswerTraffic, len(answer.Cursor), func() {
 					if tc.turn == turn {
-						tc.heardAt = simulation.Now
+						tc.receivedAt = simulation.Now
 						done(answer)
 					}
 				})
@@ -228,7 +228,7 @@
 	}
 	node := tc.node
 	tc.incarnation = node.incarnation
-	tc.beganAt, tc.heardAt = simulation.Now, simulation.Now
+	tc.connectStartedAt, tc.receivedAt = simulation.Now, simulation.Now
 	simulation.counter++
 	channel := simulation.counter
 	tc.channel = channel
@@ -236,7 +236,7 @@
 		tc.line = simulation.openClientConnection(node)
 	}
 	line := tc.line
-	tc.say(len(tc.Name), func(request uint64) any {
+	tc.send(len(tc.Name), func(request uint64) any {
 		// The connection's writer is registered before the session opens.
 		node.sinks[channel] = func(deliver statemachine.Delivery) {
 			line.toClient(simulation, node, clientEventTraffic, deliveredSize(deliver), func() { tc.event(turn, deliver) })
@@ -245,8 +245,8 @@
 	}, func(answer gateway.Reply) {
 		if answer.Outcome != gateway.OutcomeAccepted {
 			simulation.trace("%s: session rejected by %s: %s", tc.Name, node.Name, answer.Code)
-			tc.blame(answer.Code, "hello of "+tc.Name)
-			tc.cut(turn, false, simulation.between(50*time.Millisecond, 250*time.Millisecond))
+			tc.reportRejection(answer.Code, "hello of "+tc.Name)
+			tc.disconnect(turn, false, simulation.between(50*time.Millisecond, 250*time.Millisecond))
 			return
 		}
 		tc.connected, tc.failures = true, 0
@@ -254,20 +254,20 @@
 			tc.subscribe(each)
 		}
 		for topic := range statemachine.Sorted(tc.outbox) {
-			tc.pump(topic)
+			tc.sendPending(topic)
 		}
 	})
 	simulation.After(dialTimeout, func() {
 		if tc.turn == turn && !tc.connected {
-			tc.cut(turn, false, simulation.between(0, 200*time.Millisecond))
+			tc.disconnect(turn, false, simulation.between(0, 200*time.Millisecond))
 		}
 	})
 }
 
-// cut ends the connection, whichever side ended it, and reconnects after wait. With tells
-// the gateway closes the session at once; without it the client has only become
-// unreachable, and the gateway keeps the session until droppedAfter has passed.
-func (tc *TopicClient) cut(turn int, tells bool, wait time.Duration) {
+// disconnect ends the connection, whichever side ended it, and reconnects after wait. If closes
+// is set, the gateway closes the session at once. Otherwise the client has only become
+// unreachable, and the gateway keeps the session until sessionTimeout has passed.
+func (tc *TopicClient) disconnect(turn int, closes bool, wait time.Duration) {
 	if tc.turn != turn {
 		return
 	}
@@ -281,29 +281,29 @@
 	}
 	tc.connected = false
 	for _, each := range statemachine.Sorted(tc.topics) {
-		each.requested, each.held = false, false
+		each.requested, each.confirmed = false, false
 		switch {
 		case each.entry == nil:
-		case tells:
+		case closes:
 			each.entry.Disconnected(simulation.Now)
 		default:
-			each.entry.Unreachable(simulation.Now, simulation.Now.Add(droppedAfter))
+			each.entry.Unreachable(simulation.Now, simulation.Now.Add(sessionTimeout))
 		}
-		if each.leaving {
+		if each.unsubscribing {
 			delete(tc.topics, each.topic)
 		}
 	}
 	for _, queue := range statemachine.Sorted(tc.outbox) {
 		for _, item := range queue {
 			if item.inFlight {
-				tc.settled(item, "unsettled", "cut-off")
+				tc.recordOutcome(item, "unsettled", "cut-off")
 			}
-			item.waits = false
+			item.inBackoff = false
 		}
 	}
 	if node != nil {
-		removed := droppedAfter
-		if tells {
+		removed := sessionTimeout
+		if closes {
 			removed = lineDelay
 		}
 		simulation.After(removed, func() {
@@ -332,18 +332,18 @@
 			each.entry.End(tc.simulation.Now)
 		}
 	}
-	tc.cut(tc.turn, true, 0)
+	tc.disconnect(tc.turn, true, 0)
 }
 
 // DisconnectFor ends the connection, either by closing it or by becoming unreachable without a
 // close. The client reconnects after wait.
 func (tc *TopicClient) DisconnectFor(closes bool, wait time.Duration) {
 	tc.absentUntil = tc.simulation.Now.Add(wait + 2*time.Second)
-	tc.cut(tc.turn, closes, wait)
+	tc.disconnect(tc.turn, closes, wait)
 }
 
 // watch sends a ping when nothing was sent for pingEvery, and closes a connection on which
-// nothing was received for silentFor.
+// nothing was received for silenceTimeout.
 func (tc *TopicClient) watch() {
 	simulation := tc.simulation
 	if tc.Closed {
@@ -353,16 +353,16 @@
 	if !tc.connected {
 		return
 	}
-	if simulation.Now.Sub(tc.heardAt) > silentFor {
+	if simulation.Now.Sub(tc.receivedAt) > silenceTimeout {
 		simulation.trace("%s: nothing received from %s, closing the connection", tc.Name, tc.node.Name)
-		tc.cut(tc.turn, true, 0)
+		tc.disconnect(tc.turn, true, 0)
 		return
 	}
-	if simulation.Now.Sub(tc.saidAt) < pingEvery {
+	if simulation.Now.Sub(tc.sentAt) < pingEvery {
 		return
 	}
 	// Pings are answered by the connection's server and not by the gateway's state machine.
-	tc.saidAt = simulation.Now
+	tc.sentAt = simulation.Now
 	node, incarnation, turn, channel := tc.node, tc.incarnation, tc.turn, tc.channel
 	line := tc.line
 	tc.toGateway(0, func() {
@@ -378,55 +378,55 @@
 			})
 			line.toClient(simulation, node, clientAnswerTraffic, 0, func() {
 				if tc.turn == turn {
-					tc.heardAt = simulation.Now
+					tc.receivedAt = simulation.Now
 				}
 			})
 		})
 	})
 }
 
-// blame reports a rejected request to the checker, unless the client is exempt from that or
+// reportRejection reports a rejected request to the checker, unless the client is exempt from that or
 // has left.
-func (tc *TopicClient) blame(code, what string) {
-	if !tc.unjudged && !tc.Closed {
+func (tc *TopicClient) reportRejection(code, what string) {
+	if !tc.ignoreRejections && !tc.Closed {
 		tc.simulation.Checker.RequestRejected(code, what, tc.simulation.calmSince(), tc.simulation.Now)
 	}
 }
 
 // Topics.
 
-// take subscribes to a topic.
-func (tc *TopicClient) take(topic string) {
-	if present, found := tc.topics[topic]; found && !present.leaving || tc.Closed {
+// addTopic subscribes to a topic.
+func (tc *TopicClient) addTopic(topic string) {
+	if present, found := tc.topics[topic]; found && !present.unsubscribing || tc.Closed {
 		return
 	}
-	tc.topics[topic] = &heldSubscription{topic: topic}
+	tc.topics[topic] = &topicSubscription{topic: topic}
 	if tc.connected {
 		tc.subscribe(tc.topics[topic])
 	}
 }
 
-// drop unsubscribes from a topic.
-func (tc *TopicClient) drop(topic string) {
+// dropTopic unsubscribes from a topic.
+func (tc *TopicClient) dropTopic(topic string) {
 	present, found := tc.topics[topic]
-	if !found || present.leaving {
+	if !found || present.unsubscribing {
 		return
 	}
 	simulation := tc.simulation
 	if present.entry != nil {
 		present.entry.End(simulation.Now)
 	}
-	if !tc.connected || !present.held && !present.requested {
+	if !tc.connected || !present.confirmed && !present.requested {
 		delete(tc.topics, topic)
 		return
 	}
-	present.leaving = true
+	present.unsubscribing = true
 	turn := tc.turn
-	tc.say(len(topic), func(request uint64) any {
+	tc.send(len(topic), func(request uint64) any {
 		return gateway.Unsubscribe{Request: request, Session: tc.channel, Client: tc.Name, Interests: []gateway.Interest{{Path: topic}}}
 	}, func(answer gateway.Reply) {
 		if answer.Outcome != gateway.OutcomeAccepted {
-			tc.cut(turn, true, 0)
+			tc.disconnect(turn, true, 0)
 			return
 		}
 		if tc.topics[topic] == present {
@@ -435,9 +435,9 @@
 	})
 }
 
-func (tc *TopicClient) subscribe(each *heldSubscription) {
+func (tc *TopicClient) subscribe(each *topicSubscription) {
 	simulation, turn, topic := tc.simulation, tc.turn, each.topic
-	if each.requested || each.held || each.leaving {
+	if each.requested || each.confirmed || each.unsubscribing {
 		return
 	}
 	if each.entry == nil || each.entry.Ended() && each.cursor == "" {
@@ -445,7 +445,7 @@
 	}
 	each.requested, each.requestedAt = true, simulation.Now
 	entry, sent := each.entry, simulation.Now
-	tc.say(len(topic)+len(each.cursor), func(request uint64) any {
+	tc.send(len(topic)+len(each.cursor), func(request uint64) any {
 		return gateway.Subscribe{Request: request, Session: tc.channel, Client: tc.Name, Interests: []gateway.Interest{{Path: topic}}, Cursor: each.cursor}
 	}, func(answer gateway.Reply) {
 		if tc.topics[topic] != each {
@@ -462,66 +462,66 @@
 		if answer.Outcome != gateway.OutcomeAccepted {
 			simulation.trace("%s at %s subscribes to %s from %q: %s %s", tc.Name, tc.node.Name, topic, each.cursor, answer.Outcome, answer.Code)
 		}
-		each.nowhere = false
+		each.unrouted = false
 		switch {
 		case answer.Outcome == gateway.OutcomeAccepted:
 			simulation.Checker.Handled("a subscription", topic, true, sent, simulation.Now)
-			each.held = true
-			if each.heldAt.IsZero() {
-				each.heldAt = simulation.Now
+			each.confirmed = true
+			if each.confirmedAt.IsZero() {
+				each.confirmedAt = simulation.Now
 			}
-			if each.leaving {
+			if each.unsubscribing {
 				return
 			}
-			entry.Confirmed(tc.beganAt, simulation.Now)
+			entry.Confirmed(tc.connectStartedAt, simulation.Now)
 			if each.cursor == "" {
 				each.cursor = answer.Cursor
 			}
-			simulation.save(each)
+			simulation.saveCursor(each)
 		case answer.Code == "place-lost":
 			entry.Expired(simulation.Now)
 			each.cursor, each.after, each.entry = "", checker.Post{}, nil
 			again(simulation.between(0, 100*time.Millisecond))
 		case answer.Code == "no-such-space":
-			each.nowhere = true
+			each.unrouted = true
 			simulation.Checker.Handled("a subscription", topic, false, sent, simulation.Now)
 			again(simulation.between(300*time.Millisecond, 900*time.Millisecond))
-		case each.leaving:
+		case each.unsubscribing:
 			// The client unsubscribed before the response arrived.
 		case answer.Code == "moved" || answer.Code == "no-such-channel":
-			tc.violateUnlessMoved(answer.Code, "subscription of "+tc.Name)
-			tc.cut(turn, true, simulation.between(0, 50*time.Millisecond))
+			tc.reportUnlessMoved(answer.Code, "subscription of "+tc.Name)
+			tc.disconnect(turn, true, simulation.between(0, 50*time.Millisecond))
 		default:
 			if answer.RetryAfter == 0 {
 				simulation.Checker.Violate(checker.CursorRejected, "%s on %s: %s %s", tc.Name, topic, answer.Code, answer.Text)
 			}
-			tc.blame(answer.Code, "subscription of "+tc.Name+" to "+topic)
+			tc.reportRejection(answer.Code, "subscription of "+tc.Name+" to "+topic)
 			again(simulation.between(100*time.Millisecond, 900*time.Millisecond))
 		}
 	})
 	simulation.After(responseTimeout+300*time.Millisecond, func() {
 		if tc.turn == turn && each.requested && tc.topics[topic] == each && each.requestedAt.Equal(sent) {
-			tc.blame("silent", "subscription of "+tc.Name)
-			tc.cut(turn, true, 0)
+			tc.reportRejection("silent", "subscription of "+tc.Name)
+			tc.disconnect(turn, true, 0)
 		}
 	})
 }
 
-func (tc *TopicClient) violateUnlessMoved(code, what string) {
+func (tc *TopicClient) reportUnlessMoved(code, what string) {
 	if code != "moved" {
-		tc.blame(code, what)
+		tc.reportRejection(code, what)
 	}
 }
 
-// holds reports whether the client is connected and all its subscriptions are confirmed.
-func (tc *TopicClient) holds() bool {
+// allConfirmed reports whether the client is connected and all its subscriptions are confirmed.
+func (tc *TopicClient) allConfirmed() bool {
 	if !tc.connected {
 		return false
 	}
 	for _, each := range tc.topics {
 		// A recent request may still be in flight.
-		underway := each.requested && tc.simulation.Now.Sub(each.requestedAt) < joinWithin
-		if !each.held && !each.leaving && !each.nowhere && !underway {
+		underway := each.requested && tc.simulation.Now.Sub(each.requestedAt) < subscribeTimeout
+		if !each.confirmed && !each.unsubscribing && !each.unrouted && !underway {
 			return false
 		}
 	}
@@ -533,19 +533,19 @@
 		return
 	}
 	simulation := tc.simulation
-	tc.heardAt = simulation.Now
+	tc.receivedAt = simulation.Now
 	if event, matches := deliver.Event.(gateway.Event); matches {
 		switch event.Event {
 		case "message":
 			tc.message(event)
 		case "move":
 			tc.moveTo = event.To
-			tc.cut(turn, true, simulation.between(0, 50*time.Millisecond))
+			tc.disconnect(turn, true, simulation.between(0, 50*time.Millisecond))
 			return
 		}
 	}
 	if deliver.Close {
-		tc.cut(turn, true, simulation.between(0, 100*time.Millisecond))
+		tc.disconnect(turn, true, simulation.between(0, 100*time.Millisecond))
 	}
 }
 
@@ -564,25 +564,25 @@
 	name := checker.Post{Sender: event.Sender, Seq: event.Seq}
 	each, found := tc.topics[event.Topic]
 	simulation.trace("%s at %s gets %s/%d on %s, %s", tc.Name, tc.node.Name, event.Sender, event.Seq, event.Topic, event.Cursor)
-	if !found || !each.requested && !each.held || each.entry == nil {
+	if !found || !each.requested && !each.confirmed || each.entry == nil {
 		simulation.Checker.UnsolicitedPost(tc.Name, name, event.Topic)
 		return
 	}
-	if each.leaving {
+	if each.unsubscribing {
 		return
 	}
 	each.entry.Received(name, event.Topic, string(event.Body), simulation.calmSince(), simulation.Now)
 	each.cursor, each.after = event.Cursor, name
-	simulation.save(each)
+	simulation.saveCursor(each)
 }
 
-// count requests the number of subscribers of a topic.
-func (tc *TopicClient) count(topic string) {
+// requestCount requests the number of subscribers of a topic.
+func (tc *TopicClient) requestCount(topic string) {
 	if !tc.connected {
 		return
 	}
 	simulation, sent := tc.simulation, tc.simulation.Now
-	tc.say(len(topic), func(request uint64) any {
+	tc.send(len(topic), func(request uint64) any {
 		return gateway.CountSubscribers{Request: request, Session: tc.channel, Client: tc.Name, Topic: topic}
 	}, func(answer gateway.Reply) {
 		switch {
@@ -592,7 +592,7 @@
 		case answer.Code == "no-such-space":
 			simulation.Checker.Handled("a count", topic, false, sent, simulation.Now)
 		default:
-			tc.blame(answer.Code, "count by "+tc.Name)
+			tc.reportRejection(answer.Code, "count by "+tc.Name)
 		}
 	})
 }
@@ -605,39 +605,39 @@
 	if tc.Closed || tc.stopped || len(queue) >= tc.pipeline || !tc.connected {
 		return
 	}
-	item := &posting{topic: topic, wanted: tc.simulation.Now}
+	item := &pendingPost{topic: topic, requestedAt: tc.simulation.Now}
 	tc.outbox[topic] = append(queue, item)
-	tc.pump(topic)
+	tc.sendPending(topic)
 }
 
-func (tc *TopicClient) pump(topic string) {
+func (tc *TopicClient) sendPending(topic string) {
 	for _, item := range slices.Clone(tc.outbox[topic]) {
-		if tc.connected && !item.inFlight && !item.waits {
-			tc.try(item)
+		if tc.connected && !item.inFlight && !item.inBackoff {
+			tc.attempt(item)
 		}
 	}
 }
 
 // finish removes a publication from its queue.
-func (tc *TopicClient) finish(item *posting) {
-	tc.outbox[item.topic] = slices.DeleteFunc(tc.outbox[item.topic], func(other *posting) bool { return other == item })
+func (tc *TopicClient) finish(item *pendingPost) {
+	tc.outbox[item.topic] = slices.DeleteFunc(tc.outbox[item.topic], func(other *pendingPost) bool { return other == item })
 	if len(tc.outbox[item.topic]) == 0 {
 		delete(tc.outbox, item.topic)
 	}
 }
 
-func (tc *TopicClient) settled(item *posting, outcome, code string) {
+func (tc *TopicClient) recordOutcome(item *pendingPost, outcome, code string) {
 	simulation := tc.simulation
 	item.inFlight = false
 	simulation.Checker.PostAnswered(item.name, outcome, simulation.Now)
 	if outcome != string(gateway.OutcomeAccepted) && code != "cut-off" && code != "moved" && code != "no-such-space" {
-		tc.blame(code, fmt.Sprintf("%s/%d on %s", item.name.Sender, item.name.Seq, item.topic))
+		tc.reportRejection(code, fmt.Sprintf("%s/%d on %s", item.name.Sender, item.name.Seq, item.topic))
 	}
 }
 
-func (tc *TopicClient) try(item *posting) {
+func (tc *TopicClient) attempt(item *pendingPost) {
 	simulation, turn := tc.simulation, tc.turn
-	late := func() bool { return simulation.Now.Sub(item.wanted) > topicDeadline }
+	late := func() bool { return simulation.Now.Sub(item.requestedAt) > topicDeadline }
 	if late() {
 		tc.finish(item)
 		return
@@ -646,29 +646,29 @@
 		tc.seq++
 		item.name = checker.Post{Sender: tc.Name, Seq: tc.seq}
 		item.body = fmt.Sprintf("%s's message %d on %s", tc.Name, tc.seq, item.topic)
-		if missing := simulation.world.body - len(item.body); missing > 0 {
+		if missing := simulation.world.minBodySize - len(item.body); missing > 0 {
 			item.body += strings.Repeat(".", missing)
 		}
 	}
 	item.inFlight = true
-	item.tries++
-	name, attempts, sent := item.name, item.tries, simulation.Now
-	simulation.Checker.PostAttempted(name, item.topic, item.body, item.wanted, sent)
+	item.attempts++
+	name, attempts, sent := item.name, item.attempts, simulation.Now
+	simulation.Checker.PostAttempted(name, item.topic, item.body, item.requestedAt, sent)
 	node := tc.node
 	again := func(wait time.Duration) {
-		item.waits = true
+		item.inBackoff = true
 		simulation.After(wait, func() {
-			if item.waits {
-				item.waits = false
+			if item.inBackoff {
+				item.inBackoff = false
 				if tc.connected && !item.inFlight {
-					tc.try(item)
+					tc.attempt(item)
 				}
 			}
 		})
 	}
 	tc.post(item, func(answer gateway.Reply) {
 		simulation.trace("%s/%d try %d at %s on %s: %s %s", name.Sender, name.Seq, attempts, node.Name, item.topic, answer.Outcome, answer.Code)
-		tc.settled(item, string(answer.Outcome), answer.Code)
+		tc.recordOutcome(item, string(answer.Outcome), answer.Code)
 		switch {
 		case answer.Outcome == gateway.OutcomeAccepted:
 			simulation.Checker.Handled("a publication", item.topic, true, sent, simulation.Now)
@@ -680,7 +680,7 @@
 				tc.resend(item)
 			}
 		case answer.Outcome == gateway.OutcomeUnsettled:
-			again(simulation.between(resendAgain/2, 2*resendAgain))
+			again(simulation.between(retryDelay/2, 2*retryDelay))
 		case answer.Code == "no-such-space":
 			simulation.Checker.Handled("a publication", item.topic, false, sent, simulation.Now)
 			tc.finish(item)
@@ -691,27 +691,27 @@
 			}
 			// A publication that was certainly not applied is retried under a new sequence number.
 			tc.finish(item)
-			renewed := &posting{topic: item.topic, wanted: item.wanted, renewals: item.renewals, waits: true, acceptedAt: item.acceptedAt}
+			renewed := &pendingPost{topic: item.topic, requestedAt: item.requestedAt, renewals: item.renewals, inBackoff: true, acceptedAt: item.acceptedAt}
 			tc.outbox[item.topic] = append(tc.outbox[item.topic], renewed)
 			item = renewed
-			again(max(answer.RetryAfter, simulation.between(resendAgain/2, 2*resendAgain)))
+			again(max(answer.RetryAfter, simulation.between(retryDelay/2, 2*retryDelay)))
 		default:
 			simulation.Checker.Violate(checker.RejectedInCalm, "%s/%d on %s: %s %s", name.Sender, name.Seq, item.topic, answer.Code, answer.Text)
 			tc.finish(item)
 		}
-		tc.pump(item.topic)
+		tc.sendPending(item.topic)
 	})
 	simulation.After(responseTimeout, func() {
-		if tc.turn == turn && item.inFlight && item.name == name && item.tries == attempts {
-			tc.blame("silent", fmt.Sprintf("%s/%d on %s", name.Sender, name.Seq, item.topic))
-			tc.cut(turn, true, 0)
+		if tc.turn == turn && item.inFlight && item.name == name && item.attempts == attempts {
+			tc.reportRejection("silent", fmt.Sprintf("%s/%d on %s", name.Sender, name.Seq, item.topic))
+			tc.disconnect(turn, true, 0)
 		}
 	})
 }
 
-func (tc *TopicClient) post(item *posting, done func(answer gateway.Reply)) {
+func (tc *TopicClient) post(item *pendingPost, done func(answer gateway.Reply)) {
 	name, topic, body := item.name, item.topic, item.body
-	tc.say(len(topic)+len(body), func(request uint64) any {
+	tc.send(len(topic)+len(body), func(request uint64) any {
 		return gateway.Publish{
 			Request: request, RequestName: fmt.Sprintf("%s/%d", name.Sender, name.Seq), Client: tc.Name, Sender: tc.Name,
 			Topic: topic, Seq: name.Seq, Data: []byte(body),
@@ -721,14 +721,14 @@
 
 // resend sends an accepted publication again within the span in which the gateway must
 // acknowledge it.
-func (tc *TopicClient) resend(item *posting) {
+func (tc *TopicClient) resend(item *pendingPost) {
 	simulation, accepted := tc.simulation, tc.simulation.Now
-	simulation.After(simulation.between(0, accountableSpan*8/10), func() {
+	simulation.After(simulation.between(0, deduplicationSpan*8/10), func() {
 		if !tc.connected || tc.Closed {
 			return
 		}
 		tc.post(item, func(answer gateway.Reply) {
-			if answer.Outcome == gateway.OutcomeRejected && answer.RetryAfter == 0 && answer.Code != "no-such-space" && simulation.Now.Sub(accepted) < accountableSpan {
+			if answer.Outcome == gateway.OutcomeRejected && answer.RetryAfter == 0 && answer.Code != "no-such-space" && simulation.Now.Sub(accepted) < deduplicationSpan {
 				simulation.Checker.ResendRejected(item.name, answer.Code)
 			}
 		})
--- a/internal/simulator/topics.go
+++ b/internal/simulator/topics.go
@@ -19,16 +19,16 @@
 
 // Limits of runs with routed topics.
 const (
-	topicScenario = 14 * time.Second
-	maxSaved      = 300
-	takeEach      = 12
+	topicScenarioLength = 14 * time.Second
+	maxSaved            = 300
+	maxCursorsPerClient = 12
 )
 
 // topicRoute routes a prefix of topics to its own space.
 type topicRoute struct {
-	prefix string
-	space  string
-	kept   bool
+	prefix  string
+	space   string
+	durable bool
 }
 
 // topicRoutes are in every configuration. A prefix that extends a shorter one routes to
@@ -37,30 +37,30 @@
 	{"board.", "boards-by-topic", true}, {"halt.", "halts", false}, {"halt.kept.", "halts-kept", true}, {"board.live.", "boards-live", false},
 }
 
-// fleeting lists the routes that the operator removes and restores during a run.
-var fleeting = []topicRoute{{"guest.", "guests", true}, {"flash.", "flashes", false}}
+// temporaryRoutes lists the routes that the operator removes and restores during a run.
+var temporaryRoutes = []topicRoute{{"guest.", "guests", true}, {"flash.", "flashes", false}}
 
 type routeDocument struct {
 	Prefix string `json:"prefix"`
 	Space  string `json:"space"`
 }
 
-// topicWorld is the state of a run with routed topics, apart from its clients.
-type topicWorld struct {
-	topics []string
-	saved  []checker.SavedCursor
-	given  int
-	// early holds the first cursors of the hot topic.
-	early []checker.SavedCursor
-	// away lists the prefixes of fleeting whose route is removed at present.
-	away map[string]bool
-	// crowdAt is when the usual clients were added. If steady is set, they keep their
+// topicState is the state of a run with routed topics, apart from its clients.
+type topicState struct {
+	topics       []string
+	savedCursors []checker.SavedCursor
+	cursorCount  int
+	// hotCursors holds the first cursors of the hot topic.
+	hotCursors []checker.SavedCursor
+	// removedRoutes lists the prefixes of temporaryRoutes whose route is removed at present.
+	removedRoutes map[string]bool
+	// clientsAddedAt is when the usual clients were added. If steady is set, they keep their
 	// subscriptions and connections.
-	crowdAt time.Time
-	steady  bool
-	hot     string
-	// body is the minimum length of a publication's body, in bytes.
-	body int
+	clientsAddedAt time.Time
+	steady         bool
+	hot            string
+	// minBodySize is the minimum length of a publication's body, in bytes.
+	minBodySize int
 	// demands are the requests of the clients of the grown shape.
 	demands []demand
 }
@@ -73,13 +73,13 @@
 	return topics
 }
 
-func newTopicWorld(size Shape) *topicWorld {
+func newTopicWorld(size Shape) *topicState {
 	topics := boards(size.Clients * 2 / 3)
 	for number := range 3 {
 		topics = append(topics, fmt.Sprintf("halt.%d", number))
 	}
 	topics = append(topics, "halt.kept.0", "halt.kept.1", "board.live.0", "board.live.1")
-	return &topicWorld{topics: topics, away: map[string]bool{}}
+	return &topicState{topics: topics, removedRoutes: map[string]bool{}}
 }
 
 // Some topics receive publications for a short time only, one topic after the other. The
@@ -91,20 +91,20 @@
 
 func onceTopic(number int) string { return fmt.Sprintf("board.once.%d", number) }
 
-// onceNow returns the short-lived topic that receives publications at present, or "".
-func (s *Simulation) onceNow() string {
-	number := int(s.Now.Sub(s.world.crowdAt) / onceFor)
-	if s.world.crowdAt.IsZero() || number >= onceCount {
+// currentOnceTopic returns the short-lived topic that receives publications at present, or "".
+func (s *Simulation) currentOnceTopic() string {
+	number := int(s.Now.Sub(s.world.clientsAddedAt) / onceFor)
+	if s.world.clientsAddedAt.IsZero() || number >= onceCount {
 		return ""
 	}
 	return onceTopic(number)
 }
 
 // routes lists the routes of the current configuration.
-func (tw *topicWorld) routes() []topicRoute {
+func (tw *topicState) routes() []topicRoute {
 	routes := slices.Clone(topicRoutes)
-	for _, each := range fleeting {
-		if !tw.away[each.prefix] {
+	for _, each := range temporaryRoutes {
+		if !tw.removedRoutes[each.prefix] {
 			routes = append(routes, each)
 		}
 	}
@@ -119,25 +119,25 @@
 	return found
 }
 
-// save keeps a random sample of the cursors that clients receive, for takeSaved.
-func (s *Simulation) save(each *heldSubscription) {
+// saveCursor keeps a random sample of the cursors that clients receive, for resumeSavedCursors.
+func (s *Simulation) saveCursor(each *topicSubscription) {
 	world := s.world
 	if each.entry == nil || each.entry.Ended() || each.cursor == "" {
 		return
 	}
-	world.given++
+	world.cursorCount++
 	saved := checker.SavedCursor{Topic: each.topic, Cursor: each.cursor, After: each.after, At: s.Now}
 	if each.topic == world.hot {
 		// Only the first cursors are resumed, possibly each at another gateway.
-		if len(world.early) < 3 {
-			world.early = append(world.early, saved)
+		if len(world.hotCursors) < 3 {
+			world.hotCursors = append(world.hotCursors, saved)
 		}
 		return
 	}
-	if len(world.saved) < maxSaved {
-		world.saved = append(world.saved, saved)
-	} else if index := s.Random.IntN(world.given); index < maxSaved {
-		world.saved[index] = saved
+	if len(world.savedCursors) < maxSaved {
+		world.savedCursors = append(world.savedCursors, saved)
+	} else if index := s.Random.IntN(world.cursorCount); index < maxSaved {
+		world.savedCursors[index] = saved
 	}
 }
 
@@ -145,8 +145,8 @@
 func prepareTopics(seed uint64, size Shape, apart time.Duration, trace func(line string)) (*Simulation, *Operator) {
 	simulation := New(seed, size)
 	simulation.world = newTopicWorld(size)
-	for _, each := range append(slices.Clone(topicRoutes), fleeting...) {
-		simulation.Checker.DefineRoute(each.prefix, each.kept, checker.HoldingTime)
+	for _, each := range append(slices.Clone(topicRoutes), temporaryRoutes...) {
+		simulation.Checker.DefineRoute(each.prefix, each.durable, checker.HoldingTime)
 	}
 	operator := simulation.startFleet(apart, trace)
 	simulation.probe()
@@ -156,57 +156,57 @@
 // AddTopicClients adds the usual clients of routed topics with their periodic actions, and for
 // each of the first three gateways a client that always connects to it.
 func (s *Simulation) AddTopicClients(count int) {
-	s.world.crowdAt = s.Now
+	s.world.clientsAddedAt = s.Now
 	for number := range count {
 		client := s.AddTopicClient(fmt.Sprintf("caller-%d", number), number%s.Shape.Zones)
-		client.finishJoining(number)
+		client.startActivity(number)
 	}
 	for number, node := range s.Nodes(membership.KindGateway)[:3] {
 		client := s.AddTopicClient(fmt.Sprintf("prober-%d", number), node.Zone)
-		client.fixed, client.unjudged = node, true
-		client.probes()
+		client.fixedGateway, client.ignoreRejections = node, true
+		client.useTemporaryRoutes()
 	}
 }
 
-// finishJoining gives a client its topics and starts its periodic actions.
-func (tc *TopicClient) finishJoining(number int) {
+// startActivity gives a client its topics and starts its periodic actions.
+func (tc *TopicClient) startActivity(number int) {
 	simulation := tc.simulation
 	topics := simulation.world.topics
 	for range 3 + number%2 {
 		topic := topics[simulation.Random.IntN(len(topics))]
-		tc.topics[topic] = &heldSubscription{topic: topic}
+		tc.topics[topic] = &topicSubscription{topic: topic}
 	}
 	if number%4 == 3 {
 		tc.pipeline = 8
 	}
 	once := onceTopic(number % onceCount)
-	tc.topics[once] = &heldSubscription{topic: once}
-	tc.publishes(180 * time.Millisecond)
+	tc.topics[once] = &topicSubscription{topic: once}
+	tc.publishPeriodically(180 * time.Millisecond)
 	if hot := simulation.world.hot; hot != "" {
 		// Few clients subscribe, so that most gateways have no subscriber of the hot topic.
 		if number < 2 {
-			tc.topics[hot] = &heldSubscription{topic: hot}
+			tc.topics[hot] = &topicSubscription{topic: hot}
 		}
 		if number == 3 {
-			tc.floods(hot)
+			tc.publishContinuously(hot)
 		}
 	}
-	tc.wanders()
+	tc.changePeriodically()
 }
 
-// floods makes the client publish on one topic every 30 ms, as far as its pipeline allows.
-func (tc *TopicClient) floods(topic string) {
+// publishContinuously makes the client publish on one topic every 30 ms, as far as its pipeline allows.
+func (tc *TopicClient) publishContinuously(topic string) {
 	tc.simulation.After(30*time.Millisecond, func() {
 		if tc.Closed || tc.stopped {
 			return
 		}
 		tc.publish(topic)
-		tc.floods(topic)
+		tc.publishContinuously(topic)
 	})
 }
 
-// publishes makes the client publish on random topics, sometimes in bursts.
-func (tc *TopicClient) publishes(every time.Duration) {
+// publishPeriodically makes the client publish on random topics, sometimes in bursts.
+func (tc *TopicClient) publishPeriodically(every time.Duration) {
 	simulation := tc.simulation
 	simulation.After(every/2+simulation.between(0, every), func() {
 		if tc.Closed || tc.stopped {
@@ -214,7 +214,7 @@
 		}
 		topics := simulation.world.topics
 		topic := topics[simulation.Random.IntN(len(topics))]
-		if once := simulation.onceNow(); once != "" && simulation.Random.IntN(10) == 0 {
+		if once := simulation.currentOnceTopic(); once != "" && simulation.Random.IntN(10) == 0 {
 			topic = once
 		}
 		burst := 1
@@ -224,19 +224,19 @@
 		for range burst {
 			tc.publish(topic)
 		}
-		tc.publishes(every)
+		tc.publishPeriodically(every)
 	})
 }
 
-// wanders makes the client subscribe and unsubscribe, request subscriber counts, and
+// changePeriodically makes the client subscribe and unsubscribe, request subscriber counts, and
 // disconnect for a while.
-func (tc *TopicClient) wanders() {
+func (tc *TopicClient) changePeriodically() {
 	simulation := tc.simulation
 	simulation.After(simulation.between(500*time.Millisecond, 2500*time.Millisecond), func() {
 		if tc.Closed || tc.stopped {
 			return
 		}
-		tc.wanders()
+		tc.changePeriodically()
 		topics := simulation.world.topics
 		topic := topics[simulation.Random.IntN(len(topics))]
 		kind := simulation.Random.IntN(8)
@@ -247,43 +247,43 @@
 		case 0, 1:
 			var held []string
 			for name, each := range statemachine.Sorted(tc.topics) {
-				if !each.leaving {
+				if !each.unsubscribing {
 					held = append(held, name)
 				}
 			}
 			if len(held) > 2 {
-				tc.drop(held[simulation.Random.IntN(len(held))])
+				tc.dropTopic(held[simulation.Random.IntN(len(held))])
 			}
-			tc.take(topic)
+			tc.addTopic(topic)
 		case 2:
 			if tc.connected {
 				tc.DisconnectFor(simulation.Random.IntN(2) == 0, simulation.between(300*time.Millisecond, 8*time.Second))
 			}
 		default:
-			tc.count(topic)
+			tc.requestCount(topic)
 		}
 	})
 }
 
-// probes makes a client with a fixed gateway use topics whose route was just added or
+// useTemporaryRoutes makes a client with a fixed gateway use topics whose route was just added or
 // removed, or never existed.
-func (tc *TopicClient) probes() {
+func (tc *TopicClient) useTemporaryRoutes() {
 	simulation := tc.simulation
 	simulation.After(simulation.between(100*time.Millisecond, 500*time.Millisecond), func() {
 		if tc.Closed || tc.stopped {
 			return
 		}
-		tc.probes()
+		tc.useTemporaryRoutes()
 		topics := []string{"guest.a", "guest.b", "flash.a", "nowhere.a"}
 		topic := topics[simulation.Random.IntN(len(topics))]
 		switch simulation.Random.IntN(4) {
 		case 0:
-			tc.count(topic)
+			tc.requestCount(topic)
 		case 1:
 			if present, found := tc.topics[topic]; found && simulation.Random.IntN(3) == 0 || found && present.entry != nil && present.entry.Ended() {
-				tc.drop(topic)
+				tc.dropTopic(topic)
 			} else {
-				tc.take(topic)
+				tc.addTopic(topic)
 			}
 		default:
 			tc.publish(topic)
@@ -298,14 +298,14 @@
 	simulation.AddTopicClients(size.Clients)
 	simulation.Run(2 * time.Second)
 	if schedule.Changes {
-		operator.work(simulation.Now.Add(topicScenario + 20*time.Second))
+		operator.runUntil(simulation.Now.Add(topicScenarioLength + 20*time.Second))
 	}
 	simulation.lastFaultAt = simulation.Now.Add(-checker.FaultSettleTime)
 	simulation.trace("storm: %s; last %s", faults.Format(schedule.Faults), schedule.Last)
 	for _, fault := range schedule.Faults {
 		simulation.After(fault.Start, func() { simulation.inject(fault) })
 	}
-	simulation.Run(topicScenario)
+	simulation.Run(topicScenarioLength)
 	if !simulation.RunUntil(60*time.Second, func() bool { return simulation.activeFaults == 0 }) {
 		simulation.Checker.Violate(checker.NotRecovered, "a fault has not ended after a minute")
 	}
@@ -313,10 +313,10 @@
 		simulation.Run(checker.FaultSettleTime + 4*time.Second)
 	}
 	if schedule.Last != "" {
-		simulation.closing(schedule.Last)
+		simulation.injectClosingFault(schedule.Last)
 		simulation.Run(checker.FaultSettleTime + 2*time.Second)
 	}
-	simulation.closeTopics()
+	simulation.finishTopics()
 	return simulation
 }
 
@@ -340,13 +340,13 @@
 // lose power and one disk is empty; every process is killed.
 var TopicClosingFaults = []string{"power-off", "power-off-and-wipe", "kill-all"}
 
-// closing injects the fault that ends a run, as soon as a configuration and a message after
+// injectClosingFault injects the fault that ends a run, as soon as a configuration and a message after
 // it were acknowledged.
-func (s *Simulation) closing(name string) {
+func (s *Simulation) injectClosingFault(name string) {
 	s.trace("closing fault: %s", name)
 	s.activeFaults++
 	taken := false
-	s.operator.next(func() { taken = true })
+	s.operator.putNext(func() { taken = true })
 	if !s.RunUntil(10*time.Second, func() bool { return taken }) {
 		s.Checker.Violate(checker.NotRecovered, "no configuration was accepted within 10 s without faults")
 	}
@@ -382,9 +382,9 @@
 	s.lastFaultAt = s.Now
 }
 
-// closeTopics ends publications, lets new clients resume from saved cursors, and runs the
+// finishTopics ends publications, lets new clients resume from saved cursors, and runs the
 // checks that need the end of a run.
-func (s *Simulation) closeTopics() {
+func (s *Simulation) finishTopics() {
 	s.Run(2 * time.Second)
 	for _, client := range s.topicClients {
 		client.stopped = true
@@ -393,7 +393,7 @@
 	// Disconnected clients reconnect, to receive the messages that they are still to get.
 	for _, client := range s.topicClients {
 		client.stopped = true
-		if client.fixed != nil {
+		if client.fixedGateway != nil {
 			client.leave()
 		} else if !client.connected && !client.Closed {
 			client.schedule(0)
@@ -401,7 +401,7 @@
 	}
 	s.Run(2 * time.Second)
 	s.Checker.CheckAllDelivered(s.Now)
-	s.takeSaved("taker")
+	s.resumeSavedCursors("taker")
 	reads := s.operator.reads
 	for number := range 8 {
 		s.After(time.Duration(number)*500*time.Millisecond, s.operator.read)
@@ -411,7 +411,7 @@
 		s.Checker.Violate(checker.StaleRead, "the configuration can't be read at the end of the run")
 	}
 	for _, client := range s.topicClients {
-		if !client.Closed && !client.holds() {
+		if !client.Closed && !client.allConfirmed() {
 			s.Checker.Violate(checker.NotRecovered, "%s is not served at the end of the run", client.Name)
 		}
 	}
@@ -419,21 +419,21 @@
 	s.Checker.Close(s.Now)
 }
 
-// takeSaved adds clients, with names that begin with prefix, which resume from the saved cursors.
-func (s *Simulation) takeSaved(prefix string) {
+// resumeSavedCursors adds clients, with names that begin with prefix, which resume from the saved cursors.
+func (s *Simulation) resumeSavedCursors(prefix string) {
 	random := rand.New(rand.NewPCG(s.Seed, 0x7a4e))
-	saved := slices.Clone(s.world.saved)
+	saved := slices.Clone(s.world.savedCursors)
 	random.Shuffle(len(saved), func(left, right int) { saved[left], saved[right] = saved[right], saved[left] })
-	saved = append(slices.Clone(s.world.early), saved...)
+	saved = append(slices.Clone(s.world.hotCursors), saved...)
 	var takers []*TopicClient
 	for position := range saved {
 		cursor := saved[position]
-		if s.world.away[s.fleetingOf(cursor.Topic)] {
+		if s.world.removedRoutes[s.temporaryPrefixOf(cursor.Topic)] {
 			continue
 		}
 		chosen := slices.IndexFunc(takers, func(taker *TopicClient) bool {
 			_, found := taker.topics[cursor.Topic]
-			return !found && len(taker.topics) < takeEach
+			return !found && len(taker.topics) < maxCursorsPerClient
 		})
 		if chosen < 0 {
 			chosen = len(takers)
@@ -441,15 +441,15 @@
 		}
 		taker := takers[chosen]
 		taker.stopped = true
-		taker.topics[cursor.Topic] = &heldSubscription{
+		taker.topics[cursor.Topic] = &topicSubscription{
 			topic: cursor.Topic, cursor: cursor.Cursor, after: cursor.After, entry: s.Checker.Subscribing(taker.Name, cursor.Topic, &cursor),
 		}
 	}
 }
 
-// fleetingOf returns the prefix in fleeting that matches a topic, or "".
-func (s *Simulation) fleetingOf(topic string) string {
-	for _, each := range fleeting {
+// temporaryPrefixOf returns the prefix in temporaryRoutes that matches a topic, or "".
+func (s *Simulation) temporaryPrefixOf(topic string) string {
+	for _, each := range temporaryRoutes {
 		if len(topic) > len(each.prefix) && topic[:len(each.prefix)] == each.prefix {
 			return each.prefix
 		}
@@ -457,10 +457,10 @@
 	return ""
 }
 
-// change removes a route of fleeting from the configuration, or restores it.
-func (s *Simulation) change(prefix string, absent bool, done func()) {
-	s.world.away[prefix] = absent
-	s.operator.next(done)
+// changeRoute removes a route of temporaryRoutes from the configuration, or restores it.
+func (s *Simulation) changeRoute(prefix string, absent bool, done func()) {
+	s.world.removedRoutes[prefix] = absent
+	s.operator.putNext(done)
 }
 
 // topicInjectors inject the faults that affect clients, in runs with clients of routed topics.
@@ -491,7 +491,7 @@
 		var crowd []*TopicClient
 		for number := range simulation.Shape.Clients {
 			client := simulation.AddTopicClient(fmt.Sprintf("crowd-%d-%d", fault.Pick, len(simulation.topicClients)), number%simulation.Shape.Zones, "board.0", "board.1", "halt.0")
-			client.publishes(time.Second)
+			client.publishPeriodically(time.Second)
 			crowd = append(crowd, client)
 		}
 		undoAfter(fault, simulation, end, func() {
@@ -518,23 +518,23 @@
 		next()
 	},
 	"space": func(simulation *Simulation, fault faults.Fault, end func()) {
-		prefix := fleeting[fault.Pick%uint64(len(fleeting))].prefix
-		if simulation.world.away[prefix] {
+		prefix := temporaryRoutes[fault.Pick%uint64(len(temporaryRoutes))].prefix
+		if simulation.world.removedRoutes[prefix] {
 			end()
 			return
 		}
-		simulation.change(prefix, true, func() {})
+		simulation.changeRoute(prefix, true, func() {})
 		simulation.After(4*time.Second+fault.Length, func() {
-			simulation.change(prefix, false, func() {})
+			simulation.changeRoute(prefix, false, func() {})
 			simulation.After(4*time.Second, end)
 		})
 	},
 }
 
-// drawTopicPlot draws the schedule of a seed.
-func drawTopicPlot(seed uint64, names []string, count int) TopicSchedule {
+// drawTopicSchedule draws the schedule of a seed.
+func drawTopicSchedule(seed uint64, names []string, count int) TopicSchedule {
 	random := rand.New(rand.NewPCG(seed, 0x70b1))
-	schedule := TopicSchedule{Faults: faults.Draw(random, names, topicScenario, count), Changes: true}
+	schedule := TopicSchedule{Faults: faults.Draw(random, names, topicScenarioLength, count), Changes: true}
 	last := append(slices.Clone(TopicClosingFaults), faults.Closing...)
 	if random.IntN(2) == 0 {
 		schedule.Last = last[random.IntN(len(last))]
@@ -545,9 +545,9 @@
 	return schedule
 }
 
-func pairTopicPlot(seed uint64) TopicSchedule {
+func pairTopicSchedule(seed uint64) TopicSchedule {
 	pair := drawPair(rand.New(rand.NewPCG(seed, 0x9a14)))
-	return drawTopicPlot(seed, pair[:], 4)
+	return drawTopicSchedule(seed, pair[:], 4)
 }
 
 // topicScenarios lists the runs with routed topics.
@@ -555,16 +555,16 @@
 	found := []Scenario{
 		{Name: "topics-calm", Topics: func(uint64) TopicSchedule { return TopicSchedule{} }},
 		{Name: "topics-configurations", Topics: func(uint64) TopicSchedule { return TopicSchedule{Changes: true} }},
-		{Name: "topics-pairs", Topics: pairTopicPlot},
-		{Name: "topics-storm", Topics: func(seed uint64) TopicSchedule { return drawTopicPlot(seed, faults.Names, 8) }},
+		{Name: "topics-pairs", Topics: pairTopicSchedule},
+		{Name: "topics-storm", Topics: func(seed uint64) TopicSchedule { return drawTopicSchedule(seed, faults.Names, 8) }},
 	}
 	found = append(found, Scenario{Name: "topics-steady", Topics: func(seed uint64) TopicSchedule {
-		schedule := drawTopicPlot(seed, []string{"relink", "cut-one-way", "restart-gateway", "loss"}, 8)
+		schedule := drawTopicSchedule(seed, []string{"relink", "cut-one-way", "restart-gateway", "loss"}, 8)
 		schedule.Last, schedule.Steady, schedule.Changes = "", true, false
 		return schedule
 	}})
 	found = append(found, Scenario{Name: "topics-hot", Topics: func(seed uint64) TopicSchedule {
-		schedule := drawTopicPlot(seed, []string{"resets", "kill-store", "freeze-store", "vanish", "restart-gateway", "slow-daemon"}, 6)
+		schedule := drawTopicSchedule(seed, []string{"resets", "kill-store", "freeze-store", "vanish", "restart-gateway", "slow-daemon"}, 6)
 		schedule.Last, schedule.Hot = "", "board.hot"
 		return schedule
 	}})
@@ -572,7 +572,7 @@
 		return TopicSchedule{Faults: []faults.Fault{{Name: "held-links", Start: 2 * time.Second, Length: 10 * time.Second}}}
 	}})
 	for _, name := range faults.Names {
-		found = append(found, Scenario{Name: "topics-" + name, Topics: func(seed uint64) TopicSchedule { return drawTopicPlot(seed, []string{name}, 3) }})
+		found = append(found, Scenario{Name: "topics-" + name, Topics: func(seed uint64) TopicSchedule { return drawTopicSchedule(seed, []string{name}, 3) }})
 	}
 	for _, name := range append(slices.Clone(TopicClosingFaults), faults.Closing...) {
 		found = append(found, Scenario{Name: "topics-last-" + name, Topics: func(uint64) TopicSchedule { return TopicSchedule{Last: name} }})
