--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -32,9 +32,9 @@
 )
 
 const (
-	maxBodyBytes = config.MaxDataBytes + 512<<10
-	sinkSize     = 1024
-	writeLimit   = 10 * time.Second
+	maxBodyBytes   = config.MaxDataBytes + 512<<10
+	eventQueueSize = 1024
+	writeTimeout   = 10 * time.Second
 )
 
 // Token returns the bearer token of a client: its name and an HMAC of it.
@@ -217,8 +217,8 @@
 	}
 	number := newSessionNumber()
 	channel := strconv.FormatUint(number, 16)
-	sink := make(chan statemachine.Delivery, sinkSize)
-	s.host.AttachSession(number, sink)
+	events := make(chan statemachine.Delivery, eventQueueSize)
+	s.host.AttachSession(number, events)
 	value, alive := s.host.Call(func(local uint64) any {
 		return gateway.OpenSession{Request: local, Session: number, Name: channel, Client: client}
 	})
@@ -236,14 +236,14 @@
 	writer.Header().Set("Cache-Control", "no-store")
 	writer.Header().Set("Visit-Id", name)
 	writer.WriteHeader(http.StatusOK)
-	why := s.stream(writer, request, sink)
+	why := s.stream(writer, request, events)
 	s.host.DetachSession(number)
 	s.host.Post(gateway.CloseSession{Session: number, Reason: why})
 }
 
-// stream writes the events of sink and flushes when no more are queued. It returns
+// stream writes the queued events and flushes when the queue is empty. It returns
 // the reason why the channel ended.
-func (s *Server) stream(writer http.ResponseWriter, request *http.Request, sink chan statemachine.Delivery) string {
+func (s *Server) stream(writer http.ResponseWriter, request *http.Request, events chan statemachine.Delivery) string {
 	controller := http.NewResponseController(writer)
 	encoder := json.NewEncoder(writer)
 	encoder.SetEscapeHTML(false)
@@ -252,7 +252,7 @@
 		var first statemachine.Delivery
 		var open bool
 		select {
-		case first, open = <-sink:
+		case first, open = <-events:
 		case <-request.Context().Done():
 			return "closed"
 		}
@@ -263,14 +263,14 @@
 			}
 			return "ended"
 		}
-		_ = controller.SetWriteDeadline(time.Now().Add(writeLimit))
+		_ = controller.SetWriteDeadline(time.Now().Add(writeTimeout))
 		for {
 			if err := encoder.Encode(jsonEvent(first.Event)); err != nil {
 				return "broken"
 			}
 			closed = closed || first.Close
 			select {
-			case next, more := <-sink:
+			case next, more := <-events:
 				if more {
 					first = next
 					continue
--- a/internal/lineserver/connection.go
+++ b/internal/lineserver/connection.go
@@ -148,7 +148,7 @@
 	case spare := <-s.spare:
 		return spare
 	default:
-		return make([]byte, readSize)
+		return make([]byte, readBufferSize)
 	}
 }
 
--- a/internal/lineserver/lineserver.go
+++ b/internal/lineserver/lineserver.go
@@ -26,13 +26,13 @@
 	maxUnsentBytes     = 1 << 20
 	maxPendingRequests = 1024
 	maxTopicNames      = 4096
-	readSize           = 16 << 10
-	spareBuffers       = 64
+	readBufferSize     = 16 << 10
+	maxSpareBuffers    = 64
 	maxReusedBuffer    = 2 << 10
 	retryAfter         = 250 * time.Millisecond
-	acceptPause        = 50 * time.Millisecond
-	writeLimit         = 10 * time.Second
-	lingerLimit        = time.Second
+	acceptRetryDelay   = 50 * time.Millisecond
+	writeTimeout       = 10 * time.Second
+	lingerTimeout      = time.Second
 	// silentTicks is the number of ticks in Settings.SilenceTimeout. A connection is closed
 	// after more than silentTicks: the tick of its last read is only partly silent.
 	silentTicks = 4
@@ -119,7 +119,7 @@
 		settings.MaxUnsentBytes = maxUnsentBytes
 	}
 	server := &Server{
-		settings: settings, closing: make(chan struct{}), spare: make(chan []byte, spareBuffers),
+		settings: settings, closing: make(chan struct{}), spare: make(chan []byte, maxSpareBuffers),
 		connections: map[uint64]*connection{}, topicNames: map[string]string{}, sentTotals: map[outputKind]SentTotal{},
 	}
 	// The server detects silent connections itself and needs no TCP keep-alive probes.
@@ -144,7 +144,7 @@
 			select {
 			case <-s.closing:
 				return
-			case <-time.After(acceptPause):
+			case <-time.After(acceptRetryDelay):
 				continue
 			}
 		}
--- a/internal/lineserver/owner.go
+++ b/internal/lineserver/owner.go
@@ -58,7 +58,7 @@
 
 // sendRest writes the rest of a partial write and blocks until the socket has accepted it.
 func (s *Server) sendRest(to *connection, rest []byte) {
-	_ = to.socket.SetWriteDeadline(time.Now().Add(writeLimit))
+	_ = to.socket.SetWriteDeadline(time.Now().Add(writeTimeout))
 	sent, err := to.socket.Write(rest)
 	_ = to.socket.SetWriteDeadline(time.Time{})
 	s.Counters.BytesOut.Add(int64(sent))
@@ -78,14 +78,14 @@
 }
 
 // closeWriteSide closes the writing side of the connection and gives the client up to
-// lingerLimit to read the last output.
+// lingerTimeout to read the last output.
 func (to *connection) closeWriteSide() {
 	if to.closeReason != "" {
 		return
 	}
 	to.closeReason = "ended"
 	_ = to.socket.CloseWrite()
-	_ = to.socket.SetReadDeadline(time.Now().Add(lingerLimit))
+	_ = to.socket.SetReadDeadline(time.Now().Add(lingerTimeout))
 }
 
 // setOutput stores a connection's output, with one response or event appended, until the
