--- a/cmd/dahlialock/explain.go
+++ b/cmd/dahlialock/explain.go
@@ -26,8 +26,8 @@
 
 // Exit codes of explain: 1 no daemon that answered has a decision about it; 3 no daemon answered.
 const (
-	exitUnknown = subcommands.ExitStatus(1)
-	exitSilent  = subcommands.ExitStatus(3)
+	exitUnknown  = subcommands.ExitStatus(1)
+	exitNoAnswer = subcommands.ExitStatus(3)
 )
 
 // clusterTimeout is how long explain waits for the list of members.
@@ -37,7 +37,7 @@
 type explainOptions struct {
 	control, request, message, client string
 	raw                               bool
-	patience                          time.Duration
+	timeout                           time.Duration
 }
 
 // explanation holds the decisions of the daemons that answered, sorted by time.
@@ -56,7 +56,7 @@
 			set.StringVar(&options.request, "visit", "", "`id` of a request, as its answer's Visit-Id named it")
 			set.StringVar(&options.message, "message", "", "a message as `space/sender/seq`")
 			set.StringVar(&options.client, "origin", "", "`name` of a client")
-			set.DurationVar(&options.patience, "limit", 2*time.Second, "how `long` to wait for each daemon")
+			set.DurationVar(&options.timeout, "limit", 2*time.Second, "how `long` to wait for each daemon")
 		},
 		run: func(command *command, arguments []string) subcommands.ExitStatus {
 			options.control, options.raw = command.control, command.raw
@@ -88,32 +88,32 @@
 
 // explain prints the recorded decisions and returns the exit code.
 func explain(options explainOptions, out, complaints io.Writer) subcommands.ExitStatus {
-	found := learn(options)
+	found := collect(options)
 	if err := found.write(options.raw, out); err != nil {
 		_, _ = fmt.Fprintln(complaints, "dahlialock: explain:", err)
-		return exitSilent
+		return exitNoAnswer
 	}
 	switch {
 	case len(found.Decisions) > 0:
 		return subcommands.ExitSuccess
 	case len(found.Asked) == 0:
 		_, _ = fmt.Fprintln(complaints, "dahlialock: explain: no daemon answered")
-		return exitSilent
+		return exitNoAnswer
 	}
 	asked := slices.DeleteFunc([]string{options.request, options.message, options.client}, func(text string) bool { return text == "" })
 	_, _ = fmt.Fprintf(complaints, "dahlialock: explain: no daemon that answered knows of %s\n", strings.Join(asked, ", "))
 	return exitUnknown
 }
 
-// learn queries all members. If the decisions about a request name a message, it queries them
+// collect queries all members. If the decisions about a request name a message, it queries them
 // again with that message.
-func learn(options explainOptions) explanation {
+func collect(options explainOptions) explanation {
 	members, err := clusterMembers(options.control)
 	var found explanation
 	if err != nil {
 		found.NotLearned = append(found.NotLearned, "the cluster: "+err.Error())
 	}
-	found.gather(options, members)
+	found.query(options, members)
 	if options.request == "" || options.message != "" {
 		return found
 	}
@@ -127,7 +127,7 @@
 	}
 	found.Decisions, found.Asked = nil, nil
 	found.NotLearned = found.NotLearned[:0]
-	found.gather(options, members)
+	found.query(options, members)
 	return found
 }
 
@@ -151,7 +151,7 @@
 	return cluster.Members, last
 }
 
-func (e *explanation) gather(options explainOptions, members []membership.Member) {
+func (e *explanation) query(options explainOptions, members []membership.Member) {
 	query := url.Values{}
 	for name, value := range map[string]string{"visit": options.request, "message": options.message, "origin": options.client} {
 		if value != "" {
@@ -169,7 +169,7 @@
 			var value struct {
 				Decisions []decisionlog.Entry `json:"decisions"`
 			}
-			err := get(options.patience, "http://"+member.ControlAddress+"/v1/decisions?"+query.Encode(), &value)
+			err := get(options.timeout, "http://"+member.ControlAddress+"/v1/decisions?"+query.Encode(), &value)
 			answers <- answer{name: member.Name, entries: value.Decisions, err: err}
 		}()
 	}
--- a/cmd/dahlialock/main.go
+++ b/cmd/dahlialock/main.go
@@ -26,40 +26,40 @@
 // Exit codes: 0 success; 1 no daemon answered, or the fleet can't answer yet: retry;
 // 2 the command line is wrong; 3 rejected, a retry won't help.
 const (
-	exitAgain   = subcommands.ExitStatus(1)
+	exitRetry   = subcommands.ExitStatus(1)
 	exitUsage   = subcommands.ExitUsageError
 	exitRefused = subcommands.ExitStatus(3)
 )
 
-type shared struct {
+type commonFlags struct {
 	control string
 	raw     bool
 	wait    time.Duration
 }
 
-func (s *shared) declare(set *flag.FlagSet) {
+func (s *commonFlags) declare(set *flag.FlagSet) {
 	set.StringVar(&s.control, "ctl", os.Getenv("DAHLIALOCK_CTL"), "`address` of any daemon's ctl, or several with commas between; DAHLIALOCK_CTL if not given")
 	set.BoolVar(&s.raw, "json", false, "print the answer as JSON")
 	set.DurationVar(&s.wait, "wait", 0, "how `long` to retry while the fleet can't answer")
 }
 
-type answered struct {
+type answer struct {
 	status int
 	body   []byte
 }
 
 // ask sends a request to the given daemons in turn until one answers with a status other than
 // 503, and retries until the time of -wait has passed.
-func (s *shared) ask(method, path string, body []byte) (answered, error) {
+func (s *commonFlags) ask(method, path string, body []byte) (answer, error) {
 	if s.control == "" {
-		return answered{}, fmt.Errorf("no daemon given: use -ctl or DAHLIALOCK_CTL")
+		return answer{}, fmt.Errorf("no daemon given: use -ctl or DAHLIALOCK_CTL")
 	}
 	limit := time.Now().Add(s.wait)
 	for {
 		var last error
-		var final answered
+		var final answer
 		for _, address := range strings.Split(s.control, ",") {
-			got, err := once(method, "http://"+address+path, body)
+			got, err := send(method, "http://"+address+path, body)
 			if err != nil {
 				last = err
 				continue
@@ -76,33 +76,33 @@
 	}
 }
 
-func once(method, location string, body []byte) (answered, error) {
+func send(method, location string, body []byte) (answer, error) {
 	request, err := http.NewRequest(method, location, bytes.NewReader(body))
 	if err != nil {
-		return answered{}, err
+		return answer{}, err
 	}
 	caller := &http.Client{Timeout: 5 * time.Second}
 	response, err := caller.Do(request)
 	if err != nil {
-		return answered{}, err
+		return answer{}, err
 	}
 	defer func() { _ = response.Body.Close() }()
 	read, err := io.ReadAll(response.Body)
-	return answered{status: response.StatusCode, body: read}, err
+	return answer{status: response.StatusCode, body: read}, err
 }
 
 // finish prints an answer and returns the exit code.
-func (s *shared) finish(got answered, err error, show func(value map[string]any)) subcommands.ExitStatus {
+func (s *commonFlags) finish(got answer, err error, show func(value map[string]any)) subcommands.ExitStatus {
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "dahlialock: %v\n", err)
-		return exitAgain
+		return exitRetry
 	}
 	var value map[string]any
 	decoder := json.NewDecoder(bytes.NewReader(got.body))
 	decoder.UseNumber()
 	if err := decoder.Decode(&value); err != nil {
 		fmt.Fprintf(os.Stderr, "dahlialock: status %d with a body that can't be read: %v\n", got.status, err)
-		return exitAgain
+		return exitRetry
 	}
 	if s.raw {
 		fmt.Print(string(got.body))
@@ -127,14 +127,14 @@
 		}
 	}
 	if got.status == http.StatusServiceUnavailable {
-		return exitAgain
+		return exitRetry
 	}
 	return exitRefused
 }
 
 // command is a subcommand that is defined by its functions.
 type command struct {
-	shared
+	commonFlags
 	name, synopsis, usage string
 	flags                 func(set *flag.FlagSet)
 	run                   func(command *command, arguments []string) subcommands.ExitStatus
@@ -283,11 +283,11 @@
 	}
 	got, err := command.ask(http.MethodGet, "/v1/configuration", nil)
 	return command.finish(got, err, func(map[string]any) {
-		var whole struct {
+		var envelope struct {
 			Configuration json.RawMessage `json:"configuration"`
 		}
-		if json.Unmarshal(got.body, &whole) == nil {
-			fmt.Println(string(whole.Configuration))
+		if json.Unmarshal(got.body, &envelope) == nil {
+			fmt.Println(string(envelope.Configuration))
 		}
 	})
 }
@@ -400,7 +400,7 @@
 		if late {
 			command.finish(got, nil, show)
 			fmt.Fprintf(os.Stderr, "dahlialock: %s is not retired yet; its partitions are still being copied\n", name)
-			return exitAgain
+			return exitRetry
 		}
 		time.Sleep(250 * time.Millisecond)
 	}
@@ -412,7 +412,7 @@
 	count                                              int
 )
 
-func callerFlags(set *flag.FlagSet) {
+func clientFlags(set *flag.FlagSet) {
 	set.StringVar(&key, "key", os.Getenv("DAHLIALOCK_KEY"), "the fleet's `key`; DAHLIALOCK_KEY if not given")
 	set.StringVar(&origin, "origin", "operator", "`name` of the client")
 	set.StringVar(&address, "caller", "", "`address` of a gateway for clients")
@@ -445,7 +445,7 @@
 	answer, err := caller.Publish(within, address, space, topic, seq, json.RawMessage(arguments[0]))
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "dahlialock: %v\n", err)
-		return exitAgain
+		return exitRetry
 	}
 	packed, _ := json.Marshal(answer)
 	fmt.Println(string(packed))
@@ -453,7 +453,7 @@
 	case answer.Status == http.StatusOK:
 		return subcommands.ExitSuccess
 	case answer.RetryAfterMs > 0:
-		return exitAgain
+		return exitRetry
 	}
 	return exitRefused
 }
@@ -475,7 +475,7 @@
 		channel, err := caller.Open(context.Background(), address)
 		if err != nil {
 			fmt.Fprintf(os.Stderr, "dahlialock: %v\n", err)
-			return exitAgain
+			return exitRetry
 		}
 		answer, err := caller.Subscribe(context.Background(), channel, wanted, cursor)
 		if err != nil || answer.Status != http.StatusOK {
@@ -523,9 +523,9 @@
 		{name: "self", usage: "[-ctl A]", synopsis: "print the counters of one daemon", run: self},
 		{name: "store", usage: "[-ctl A] show|retire|return NAME", synopsis: "show a store, retire it, or return it to service", run: store},
 		explainCommand(),
-		{name: "token", usage: "-key K ORIGIN", synopsis: "print the token of a client", flags: callerFlags, run: token},
-		{name: "publish", usage: "-key K -caller A -origin O -space S -topic T JSON", synopsis: "publish one message", flags: callerFlags, run: publish},
-		{name: "listen", usage: "-key K -caller A -origin O -space S [-topic T | -prefix P]", synopsis: "print the messages of a topic or prefix", flags: callerFlags, run: listen},
+		{name: "token", usage: "-key K ORIGIN", synopsis: "print the token of a client", flags: clientFlags, run: token},
+		{name: "publish", usage: "-key K -caller A -origin O -space S -topic T JSON", synopsis: "publish one message", flags: clientFlags, run: publish},
+		{name: "listen", usage: "-key K -caller A -origin O -space S [-topic T | -prefix P]", synopsis: "print the messages of a topic or prefix", flags: clientFlags, run: listen},
 	} {
 		subcommands.Register(each, "")
 	}
--- a/cmd/fleetlab/client.go
+++ b/cmd/fleetlab/client.go
@@ -22,23 +22,23 @@
 )
 
 type trialClient struct {
-	run         *trialRun
-	name        string
-	zone        atomic.Pointer[string]
-	absentUntil atomic.Int64
-	brief       string
-	caller      *client.Client
-	random      *rand.Rand
-	interests   []checker.Interest
-	served      atomic.Bool
-	address     atomic.Pointer[string]
-	last        atomic.Pointer[string]
-	resets      chan struct{}
-	cancel      context.CancelFunc
-	ctx         context.Context
-	seqs        map[string]uint64
-	rate        float64
-	urgent      bool
+	run            *trialRun
+	name           string
+	zone           atomic.Pointer[string]
+	absentUntil    atomic.Int64
+	temporarySpace string
+	caller         *client.Client
+	random         *rand.Rand
+	interests      []checker.Interest
+	subscribed     atomic.Bool
+	address        atomic.Pointer[string]
+	lastTrace      atomic.Pointer[string]
+	resets         chan struct{}
+	cancel         context.CancelFunc
+	ctx            context.Context
+	seqs           map[string]uint64
+	rate           float64
+	urgent         bool
 }
 
 func durableTopic(number int) string { return fmt.Sprintf("project%d/board%d", number/10, number%10) }
@@ -63,7 +63,7 @@
 	for number := range tr.trial.origins {
 		each := tr.newClient(fmt.Sprintf("origin-%d", number), number%tr.fleet.Deployment.Zones, uint64(number))
 		each.urgent = number%10 == 0
-		each.rate = tr.trial.kept / float64(tr.trial.origins)
+		each.rate = tr.trial.durable / float64(tr.trial.origins)
 		for range 2 {
 			each.interests = append(each.interests, checker.Interest{Space: "boards", Path: durableTopic(each.random.IntN(durableTopics))})
 		}
@@ -80,7 +80,7 @@
 			each.interests = append(each.interests, checker.Interest{Space: "boards", Prefix: true})
 		}
 		tr.clients = append(tr.clients, each)
-		go each.live()
+		go each.keepConnected()
 	}
 }
 
@@ -118,7 +118,7 @@
 
 func (to *trialClient) trace(format string, values ...any) {
 	text := fmt.Sprintf(format, values...)
-	to.last.Store(&text)
+	to.lastTrace.Store(&text)
 }
 
 func (to *trialClient) stop() { to.cancel() }
@@ -136,8 +136,8 @@
 	return wanted
 }
 
-// live opens a session and reopens it whenever it ends, until the client is stopped.
-func (to *trialClient) live() {
+// keepConnected opens a session and reopens it whenever it ends, until the client is stopped.
+func (to *trialClient) keepConnected() {
 	cursor, target := "", ""
 	var disconnectedAt time.Time
 	requested := false
@@ -181,9 +181,9 @@
 		}
 		address := channel.Address
 		to.address.Store(&address)
-		to.served.Store(true)
+		to.subscribed.Store(true)
 		target = to.read(channel, &cursor)
-		to.served.Store(false)
+		to.subscribed.Store(false)
 		to.address.Store(nil)
 		channel.Close()
 		disconnectedAt = time.Now()
@@ -220,7 +220,7 @@
 			return true
 		case answer.Code == "no-such-channel" || answer.Code == "moved":
 			return false
-		case answer.Code == "no-such-space" && to.brief != "":
+		case answer.Code == "no-such-space" && to.temporarySpace != "":
 			to.leave()
 			return false
 		case answer.RetryAfterMs > 0:
@@ -300,9 +300,9 @@
 		fraction := float64(max(1, to.run.trial.origins/10))
 		spaces[2].rate, spaces[3].rate = to.run.trial.urgent/fraction, 4/fraction
 	}
-	if to.brief != "" {
+	if to.temporarySpace != "" {
 		spaces = spaces[:1]
-		spaces[0].space, spaces[0].rate, spaces[0].topic = to.brief, 5, func() string { return "a/b" }
+		spaces[0].space, spaces[0].rate, spaces[0].topic = to.temporarySpace, 5, func() string { return "a/b" }
 	}
 	next := make([]time.Time, len(spaces))
 	wait := func(rate float64) time.Duration {
@@ -321,7 +321,7 @@
 			}
 		}
 		select {
-		case <-to.run.quiet:
+		case <-to.run.loadEnded:
 			return
 		case <-to.ctx.Done():
 			return
@@ -365,14 +365,14 @@
 		outcome, code, again = answer.Outcome, answer.Code, time.Duration(answer.RetryAfterMs)*time.Millisecond
 	}
 	to.record(func(checker *checker.Checker) { checker.Answered(message, outcome, began, at) })
-	if outcome != "accepted" && to.ctx.Err() == nil && to.brief == "" && code != "earlier-refused" && code != "moved" {
+	if outcome != "accepted" && to.ctx.Err() == nil && to.temporarySpace == "" && code != "earlier-refused" && code != "moved" {
 		to.rejected(code, message.String())
 	}
 	return outcome, again
 }
 
 func (to *trialClient) rejected(code, what string) {
-	calm, at := to.run.calmSince(), time.Now()
+	calm, at := to.run.stableSince(), time.Now()
 	to.record(func(checker *checker.Checker) { checker.RequestRejected(code, what, calm, at) })
 }
 
--- a/cmd/fleetlab/injector.go
+++ b/cmd/fleetlab/injector.go
@@ -55,11 +55,11 @@
 	return faults.Draw(random, names, t.length*9/10, count), nil
 }
 
-// holdsFor is how long service must be uninterrupted before it counts as restored: a
+// requiredUptime is how long service must be uninterrupted before it counts as restored: a
 // gateway that lost its agent closes its sessions only after some seconds.
-const holdsFor = 8 * time.Second
+const requiredUptime = 8 * time.Second
 
-type due struct {
+type action struct {
 	at time.Time
 	do func()
 }
@@ -67,20 +67,20 @@
 type injector struct {
 	run      *trialRun
 	operator *operator
-	queue    []due
+	queue    []action
 	open     int
 	number   int
 	frozen   map[string]int
-	away     map[string]bool
+	stopped  map[string]bool
 }
 
 func (h *injector) after(wait time.Duration, do func()) {
-	h.queue = append(h.queue, due{at: time.Now().Add(wait), do: do})
+	h.queue = append(h.queue, action{at: time.Now().Add(wait), do: do})
 }
 
-// until runs the queued actions as they fall due, until a condition holds or the time
+// runUntil runs the queued actions as they fall due, until a condition holds or the time
 // limit has passed. It reports whether the condition holds.
-func (h *injector) until(limit time.Duration, holds func() bool) bool {
+func (h *injector) runUntil(limit time.Duration, holds func() bool) bool {
 	end := time.Now().Add(limit)
 	for !holds() {
 		if time.Now().After(end) {
@@ -114,35 +114,35 @@
 	check()
 }
 
-func (h *injector) left(name string) bool {
-	return h.run.gone.Load() != nil && slices.Contains(*h.run.gone.Load(), name)
+func (h *injector) hasLeft(name string) bool {
+	return h.run.removed.Load() != nil && slices.Contains(*h.run.removed.Load(), name)
 }
 
 // runFaults injects a schedule of faults, waits until all of them have ended, and then
 // waits for the settle time plus 5 s, after which nothing may be wrong any more.
 func (h *injector) runFaults(schedule []faults.Fault, length time.Duration) {
-	h.frozen, h.away = map[string]int{}, map[string]bool{}
+	h.frozen, h.stopped = map[string]int{}, map[string]bool{}
 	if len(schedule) > 0 {
 		fmt.Printf("storm: %s\n", faults.Format(schedule))
 	}
 	for _, fault := range schedule {
 		h.after(fault.Start, func() { h.inject(fault) })
 	}
-	h.until(length, func() bool { return false })
+	h.runUntil(length, func() bool { return false })
 	if len(schedule) == 0 {
 		return
 	}
-	if !h.until(3*time.Minute, func() bool { return h.open == 0 }) {
+	if !h.runUntil(3*time.Minute, func() bool { return h.open == 0 }) {
 		h.run.log.record(func(log *checker.Checker) {
 			log.Violate(checker.NotRecovered, "a fault has not ended within 3 minutes")
 		})
 	}
-	h.until(checker.FaultSettleTime+5*time.Second, func() bool { return false })
+	h.runUntil(checker.FaultSettleTime+5*time.Second, func() bool { return false })
 }
 
 func (h *injector) inject(fault faults.Fault) {
 	h.open++
-	h.run.calm.Store(0)
+	h.run.faultFreeSince.Store(0)
 	fmt.Printf("  fault: %s\n", fault)
 	ended := false
 	end := func() {
@@ -151,17 +151,17 @@
 		}
 		ended = true
 		if h.open--; h.open == 0 {
-			h.run.calm.Store(time.Now().UnixNano())
+			h.run.faultFreeSince.Store(time.Now().UnixNano())
 		}
 	}
-	brought[fault.Name](h, fault, end)
+	injectors[fault.Name](h, fault, end)
 }
 
 func (h *injector) choose(kind string, pick uint64) *testfleet.Daemon {
 	var up []*testfleet.Daemon
 	for _, name := range h.run.fleet.Names() {
 		daemon := h.run.fleet.Daemons[name]
-		if (kind == "" || daemon.Kind == kind) && daemon.Running() && h.frozen[name] == 0 && !h.away[name] {
+		if (kind == "" || daemon.Kind == kind) && daemon.Running() && h.frozen[name] == 0 && !h.stopped[name] {
 			up = append(up, daemon)
 		}
 	}
@@ -193,7 +193,7 @@
 
 type injectFunc func(injector *injector, fault faults.Fault, end func())
 
-func on(kind string, inject func(injector *injector, daemon *testfleet.Daemon, fault faults.Fault, end func())) injectFunc {
+func injectInto(kind string, inject func(injector *injector, daemon *testfleet.Daemon, fault faults.Fault, end func())) injectFunc {
 	return func(injector *injector, fault faults.Fault, end func()) {
 		var daemon *testfleet.Daemon
 		switch kind {
@@ -204,7 +204,7 @@
 		default:
 			daemon = injector.choose(kind, fault.Pick)
 		}
-		if daemon == nil || !daemon.Running() || injector.frozen[daemon.Name] > 0 || injector.away[daemon.Name] {
+		if daemon == nil || !daemon.Running() || injector.frozen[daemon.Name] > 0 || injector.stopped[daemon.Name] {
 			fmt.Println("    no running daemon to inject the fault into")
 			end()
 			return
@@ -216,7 +216,7 @@
 
 // start starts a stopped daemon; it does nothing if the daemon is running.
 func (h *injector) start(daemon *testfleet.Daemon) {
-	delete(h.away, daemon.Name)
+	delete(h.stopped, daemon.Name)
 	if !daemon.Running() {
 		if err := h.run.fleet.Start(daemon.Name); err != nil {
 			panic(err)
@@ -225,7 +225,7 @@
 }
 
 func (h *injector) kill(daemon *testfleet.Daemon) {
-	h.away[daemon.Name] = true
+	h.stopped[daemon.Name] = true
 	delete(h.frozen, daemon.Name)
 	h.run.fleet.Kill(daemon.Name)
 }
@@ -273,7 +273,7 @@
 // restart restarts a daemon as the platform does: SIGTERM, and SIGKILL if it is still
 // running after 6 s.
 func (h *injector) restart(daemon *testfleet.Daemon, wait time.Duration, then func()) {
-	h.away[daemon.Name] = true
+	h.stopped[daemon.Name] = true
 	requested := time.Now()
 	h.run.fleet.Signal(daemon.Name, syscall.SIGTERM)
 	h.poll(6*time.Second, func() bool { return !daemon.Running() }, func(holding bool) {
@@ -297,7 +297,7 @@
 		return
 	}
 	daemon := daemons[0]
-	if h.away[daemon.Name] || h.frozen[daemon.Name] > 0 {
+	if h.stopped[daemon.Name] || h.frozen[daemon.Name] > 0 {
 		h.restartInTurn(daemons[1:], end)
 		return
 	}
@@ -313,13 +313,13 @@
 	h.number++
 	number := h.number
 	for _, daemon := range daemons {
-		if err := h.run.fleet.Impose(daemon.Name, number, trial(daemon)); err != nil {
+		if err := h.run.fleet.Impair(daemon.Name, number, trial(daemon)); err != nil {
 			panic(err)
 		}
 	}
 	h.after(length, func() {
 		for _, daemon := range daemons {
-			if err := h.run.fleet.Relieve(daemon.Name, number); err != nil {
+			if err := h.run.fleet.RemoveImpairment(daemon.Name, number); err != nil {
 				panic(err)
 			}
 		}
@@ -342,16 +342,16 @@
 	return h.run.fleet.Daemons[membership.KindAgent+strings.TrimPrefix(gateway.Name, membership.KindGateway)]
 }
 
-// strangers returns the addresses of all daemons on other machines.
-func (h *injector) strangers(daemon *testfleet.Daemon) []string {
+// otherMachines returns the addresses of all daemons on other machines.
+func (h *injector) otherMachines(daemon *testfleet.Daemon) []string {
 	var addresses []string
-	for _, other := range h.daemons(func(other *testfleet.Daemon) bool { return other != daemon && !beside(other, daemon) }) {
+	for _, other := range h.daemons(func(other *testfleet.Daemon) bool { return other != daemon && !onSameMachine(other, daemon) }) {
 		addresses = append(addresses, other.Address)
 	}
 	return addresses
 }
 
-func beside(left, right *testfleet.Daemon) bool {
+func onSameMachine(left, right *testfleet.Daemon) bool {
 	number := func(daemon *testfleet.Daemon) string { return strings.TrimPrefix(daemon.Name, daemon.Kind) }
 	onMachine := func(daemon *testfleet.Daemon) bool {
 		return daemon.Kind == membership.KindGateway || daemon.Kind == membership.KindAgent
@@ -383,34 +383,34 @@
 	}
 }
 
-func (h *injector) wish(wished wish) { h.operator.wishes <- wished }
+func (h *injector) request(change changeRequest) { h.operator.requests <- change }
 
 func (h *injector) zone(pick uint64) int { return int(pick % uint64(h.run.fleet.Deployment.Zones)) }
 
-var brought = map[string]injectFunc{
-	"kill-gateway":       on(membership.KindGateway, injectKill),
-	"kill-agent":         on(membership.KindAgent, injectKill),
-	"kill-store":         on(membership.KindStore, injectKill),
-	"kill-controller":    on(membership.KindController, injectKill),
-	"kill-primary":       on("primary", injectKill),
-	"kill-backup":        on("backup", injectKill),
-	"wipe-store":         on(membership.KindStore, injectKill),
-	"wipe-controller":    on(membership.KindController, injectKill),
-	"freeze-gateway":     on(membership.KindGateway, injectFreeze),
-	"freeze-agent":       on(membership.KindAgent, injectFreeze),
-	"freeze-store":       on(membership.KindStore, injectFreeze),
-	"freeze-controller":  on(membership.KindController, injectFreeze),
-	"freeze-primary":     on("primary", injectFreeze),
-	"restart-gateway":    on(membership.KindGateway, injectRestart),
-	"restart-store":      on(membership.KindStore, injectRestart),
-	"restart-controller": on(membership.KindController, injectRestart),
-	"slow-daemon":        on("", injectSlowProcess),
+var injectors = map[string]injectFunc{
+	"kill-gateway":       injectInto(membership.KindGateway, injectKill),
+	"kill-agent":         injectInto(membership.KindAgent, injectKill),
+	"kill-store":         injectInto(membership.KindStore, injectKill),
+	"kill-controller":    injectInto(membership.KindController, injectKill),
+	"kill-primary":       injectInto("primary", injectKill),
+	"kill-backup":        injectInto("backup", injectKill),
+	"wipe-store":         injectInto(membership.KindStore, injectKill),
+	"wipe-controller":    injectInto(membership.KindController, injectKill),
+	"freeze-gateway":     injectInto(membership.KindGateway, injectFreeze),
+	"freeze-agent":       injectInto(membership.KindAgent, injectFreeze),
+	"freeze-store":       injectInto(membership.KindStore, injectFreeze),
+	"freeze-controller":  injectInto(membership.KindController, injectFreeze),
+	"freeze-primary":     injectInto("primary", injectFreeze),
+	"restart-gateway":    injectInto(membership.KindGateway, injectRestart),
+	"restart-store":      injectInto(membership.KindStore, injectRestart),
+	"restart-controller": injectInto(membership.KindController, injectRestart),
+	"slow-daemon":        injectInto("", injectSlowProcess),
 	"join-gateway":       join(membership.KindGateway),
 	"join-store":         join(membership.KindStore),
 	"join-controller":    join(membership.KindController),
-	"restart-beside": on(membership.KindGateway, func(injector *injector, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
+	"restart-beside": injectInto(membership.KindGateway, func(injector *injector, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
 		agent := injector.agentOf(daemon)
-		if injector.frozen[agent.Name] == 0 && !injector.away[agent.Name] {
+		if injector.frozen[agent.Name] == 0 && !injector.stopped[agent.Name] {
 			injector.restart(agent, fault.Length/4, func() {})
 		}
 		injector.restart(daemon, fault.Length/3, end)
@@ -451,16 +451,16 @@
 		}
 		injector.after(fault.Length+100*time.Millisecond, end)
 	},
-	"cut-daemon": on("", func(injector *injector, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
-		machine := injector.daemons(func(other *testfleet.Daemon) bool { return other == daemon || beside(other, daemon) })
-		injector.impose(machine, fault.Length, func(*testfleet.Daemon) testfleet.Trial { return testfleet.Trial{Cuts: injector.strangers(daemon)} }, end)
+	"cut-daemon": injectInto("", func(injector *injector, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
+		machine := injector.daemons(func(other *testfleet.Daemon) bool { return other == daemon || onSameMachine(other, daemon) })
+		injector.impose(machine, fault.Length, func(*testfleet.Daemon) testfleet.Trial { return testfleet.Trial{Cuts: injector.otherMachines(daemon)} }, end)
 	}),
-	"cut-one-way": on("", func(injector *injector, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
+	"cut-one-way": injectInto("", func(injector *injector, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
 		injector.impose([]*testfleet.Daemon{daemon}, fault.Length, func(*testfleet.Daemon) testfleet.Trial {
 			if fault.Pick%2 == 0 {
-				return testfleet.Trial{Mutes: injector.strangers(daemon)}
+				return testfleet.Trial{Mutes: injector.otherMachines(daemon)}
 			}
-			return testfleet.Trial{Deaf: injector.strangers(daemon)}
+			return testfleet.Trial{Deaf: injector.otherMachines(daemon)}
 		}, end)
 	}),
 	"cut-place": func(injector *injector, fault faults.Fault, end func()) {
@@ -474,7 +474,7 @@
 		inside := injector.daemons(func(daemon *testfleet.Daemon) bool { return daemon.Zone == testfleet.ZoneName(zone) })
 		injector.impose(inside, fault.Length, func(*testfleet.Daemon) testfleet.Trial { return testfleet.Trial{Cuts: others} }, end)
 	},
-	"cut-primary": on("primary", func(injector *injector, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
+	"cut-primary": injectInto("primary", func(injector *injector, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
 		var others []string
 		for _, controller := range injector.run.fleet.OfKind(membership.KindController) {
 			if controller != daemon {
@@ -501,7 +501,7 @@
 	},
 	"relink": func(injector *injector, fault faults.Fault, end func()) {
 		injector.impose(injector.daemons(everyone), min(fault.Length, 300*time.Millisecond), func(daemon *testfleet.Daemon) testfleet.Trial {
-			return testfleet.Trial{Mutes: injector.strangers(daemon)}
+			return testfleet.Trial{Mutes: injector.otherMachines(daemon)}
 		}, end)
 	},
 	"resets": func(injector *injector, fault faults.Fault, end func()) {
@@ -541,7 +541,7 @@
 			origin := injector.run.newClient(fmt.Sprintf("crowd-%d-%d", injector.number, number), zone, uint64(injector.number*1000+number))
 			origin.interests = []checker.Interest{{Space: "boards", Path: durableTopic(origin.random.IntN(durableTopics))}}
 			crowd = append(crowd, origin)
-			go origin.live()
+			go origin.keepConnected()
 		}
 		injector.after(fault.Length+4*time.Second, func() {
 			for _, origin := range crowd {
@@ -552,7 +552,7 @@
 	},
 	"operators": func(injector *injector, fault faults.Fault, end func()) {
 		for range 2 {
-			injector.wish(func(operator *operator) { operator.race() })
+			injector.request(func(operator *operator) { operator.race() })
 		}
 		injector.after(fault.Length, end)
 	},
@@ -560,18 +560,18 @@
 		injector.number++
 		name := fmt.Sprintf("brief-%d", injector.number)
 		users := make(chan *trialClient, 4)
-		injector.wish(addSpace(name, func() {
+		injector.request(addSpace(name, func() {
 			for number := range 4 {
 				user := injector.run.newClient(fmt.Sprintf("%s-%d", name, number), number%injector.run.fleet.Deployment.Zones, uint64(number))
 				user.interests = []checker.Interest{{Space: name, Prefix: true}}
-				user.brief = name
+				user.temporarySpace = name
 				users <- user
-				go user.live()
+				go user.keepConnected()
 				user.start()
 			}
 		}))
 		injector.after(3*time.Second+fault.Length, func() {
-			injector.wish(removeSpace(name))
+			injector.request(removeSpace(name))
 			injector.after(8*time.Second, func() {
 				for len(users) > 0 {
 					(<-users).leave()
@@ -580,31 +580,31 @@
 			})
 		})
 	},
-	"drain": on(membership.KindGateway, func(injector *injector, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
-		injector.wish(drain(daemon.Name))
+	"drain": injectInto(membership.KindGateway, func(injector *injector, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
+		injector.request(drain(daemon.Name))
 		injector.after(fault.Length+5*time.Second, func() {
-			injector.wish(drain())
+			injector.request(drain())
 			injector.after(time.Second, end)
 		})
 	}),
-	"edit-settings": on("", func(injector *injector, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
+	"edit-settings": injectInto("", func(injector *injector, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
 		text := daemon.Settings()
 		edits := []string{text[:len(text)/2], "", strings.Replace(text, daemon.Name, "another-name", 1), strings.Replace(text, daemon.Zone, "zone-z", 1)}
 		if fault.Pick%5 == 4 {
-			_ = injector.run.fleet.Vanish(daemon.Name)
+			_ = injector.run.fleet.RemoveSettings(daemon.Name)
 		} else {
-			_ = injector.run.fleet.Edit(daemon.Name, []byte(edits[fault.Pick%5]))
+			_ = injector.run.fleet.ReplaceSettings(daemon.Name, []byte(edits[fault.Pick%5]))
 		}
 		if fault.Pick%2 == 0 {
 			injector.run.fleet.Signal(daemon.Name, syscall.SIGHUP)
 		}
 		injector.after(fault.Length, func() {
-			_ = injector.run.fleet.Restore(daemon.Name)
+			_ = injector.run.fleet.RestoreSettings(daemon.Name)
 			injector.run.fleet.Signal(daemon.Name, syscall.SIGHUP)
 			end()
 		})
 	}),
-	"retire": on(membership.KindStore, func(injector *injector, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
+	"retire": injectInto(membership.KindStore, func(injector *injector, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
 		injector.retire(daemon, fault.Length, end)
 	}),
 }
@@ -643,13 +643,13 @@
 	})
 }
 
-// last injects the final fault, which is permanent, and measures the time until service is restored.
-func (h *injector) last(name string) {
+// injectFinal injects the final fault, which is permanent, and measures the time until service is restored.
+func (h *injector) injectFinal(name string) {
 	random := rand.New(rand.NewPCG(h.run.trial.seed, 0x1a57))
 	if name == "draw" {
 		name = faults.Closing[random.IntN(len(faults.Closing))]
 	}
-	h.run.calm.Store(0)
+	h.run.faultFreeSince.Store(0)
 	from := time.Now()
 	var lost []string
 	inject := func(daemon *testfleet.Daemon) {
@@ -689,38 +689,38 @@
 			removed = append(removed, membership.KindGateway+strings.TrimPrefix(each, membership.KindAgent))
 		}
 	}
-	h.run.gone.Store(&removed)
+	h.run.removed.Store(&removed)
 	prober := h.run.newClient("prober", 0, 77)
 	var refilled, callers time.Duration
-	h.until(2*checker.RecoveryWithin, func() bool {
+	h.runUntil(2*checker.RecoveryWithin, func() bool {
 		after := time.Since(from)
 		if refilled == 0 && after > 300*time.Millisecond && prober.probe() {
 			refilled = after
 		}
-		switch missing := h.run.missing(); {
+		switch missing := h.run.unserved(); {
 		case missing > 0:
 			callers = 0
 		case callers == 0:
 			callers = after
 		}
-		return refilled > 0 && callers > 0 && after-max(refilled, callers) > holdsFor
+		return refilled > 0 && callers > 0 && after-max(refilled, callers) > requiredUptime
 	})
 	back := max(refilled, callers)
 	if refilled == 0 || callers == 0 {
 		back = 2 * checker.RecoveryWithin
 	}
-	noticed, decided, complete := h.run.parts(from)
+	noticed, decided, complete := h.run.recoveryPhases(from)
 	fmt.Printf("service is back %s after %s: noticed %s, decided %s, partitions whole %s, kept again %s, last caller %s\n", back.Round(time.Millisecond), name,
 		noticed.Round(time.Millisecond), decided.Round(time.Millisecond), complete.Round(time.Millisecond), refilled.Round(time.Millisecond), callers.Round(time.Millisecond))
 	h.run.log.record(func(checker *checker.Checker) { checker.Recovered(name, back) })
-	h.run.calm.Store(time.Now().UnixNano())
-	h.until(checker.FaultSettleTime+3*time.Second, func() bool { return false })
+	h.run.faultFreeSince.Store(time.Now().UnixNano())
+	h.runUntil(checker.FaultSettleTime+3*time.Second, func() bool { return false })
 }
 
-// parts reads from the daemons' logs how long after the failure it was detected, when the
+// recoveryPhases reads from the daemons' logs how long after the failure it was detected, when the
 // membership and the placement were last changed, and when the replication of all
 // partitions was complete again.
-func (tr *trialRun) parts(from time.Time) (noticed, decided, complete time.Duration) {
+func (tr *trialRun) recoveryPhases(from time.Time) (noticed, decided, complete time.Duration) {
 	for _, name := range tr.fleet.Names() {
 		file, err := os.Open(tr.fleet.LogPath(name))
 		if err != nil {
--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -39,8 +39,8 @@
 	return filepath.Dir(path)
 }
 
-// begin creates the files of a fleet in a folder, a new one if none is given, and starts the fleet.
-func begin(name, folder, binaries string) (*testfleet.Fleet, string, error) {
+// startFleet creates the files of a fleet in a folder, a new one if none is given, and starts the fleet.
+func startFleet(name, folder, binaries string) (*testfleet.Fleet, string, error) {
 	deployment, found := testfleet.Deployments[name]
 	if !found {
 		return nil, "", fmt.Errorf("no deployment is named %q", name)
@@ -60,7 +60,7 @@
 }
 
 func (up *up) Execute(_ context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	running, folder, err := begin(up.deployment, up.folder, up.binaries)
+	running, folder, err := startFleet(up.deployment, up.folder, up.binaries)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "fleetlab:", err)
 		return subcommands.ExitFailure
@@ -84,7 +84,7 @@
 func main() {
 	subcommands.Register(subcommands.HelpCommand(), "")
 	subcommands.Register(&up{}, "")
-	subcommands.Register(&hunt{}, "")
+	subcommands.Register(&simulate{}, "")
 	subcommands.Register(&trial{}, "")
 	flag.Parse()
 	os.Exit(int(subcommands.Execute(context.Background())))
--- a/cmd/fleetlab/operator.go
+++ b/cmd/fleetlab/operator.go
@@ -15,24 +15,24 @@
 	"dahlialock/internal/checker"
 )
 
-// wish is a change that a fault requests for the next version of the configuration.
-type wish func(operator *operator)
+// changeRequest is a change that a fault requests for the next version of the configuration.
+type changeRequest func(operator *operator)
 
 type operator struct {
-	run     *trialRun
-	random  *rand.Rand
-	version int
-	spaces  map[string]bool
-	drains  []string
-	wishes  chan wish
-	ended   chan struct{}
-	working atomic.Bool
+	run      *trialRun
+	random   *rand.Rand
+	version  int
+	spaces   map[string]bool
+	drains   []string
+	requests chan changeRequest
+	ended    chan struct{}
+	working  atomic.Bool
 }
 
 func newOperator(run *trialRun) *operator {
 	return &operator{
 		run: run, random: rand.New(rand.NewPCG(run.trial.seed, 0x0b5)), spaces: map[string]bool{},
-		wishes: make(chan wish, 64), ended: make(chan struct{}),
+		requests: make(chan changeRequest, 64), ended: make(chan struct{}),
 	}
 }
 
@@ -120,7 +120,7 @@
 	return false
 }
 
-func (o *operator) next(limit time.Duration) bool {
+func (o *operator) putNext(limit time.Duration) bool {
 	o.version++
 	return o.put(o.random, o.version, o.document("1s"), limit)
 }
@@ -162,8 +162,8 @@
 	})
 }
 
-// broken puts malformed configurations, each of which must be rejected.
-func (o *operator) broken() {
+// putMalformed puts malformed configurations, each of which must be rejected.
+func (o *operator) putMalformed() {
 	bodies := []string{`{"version":900000,"spaces":[{"name":"boards"}]}`, `{"version":900000,"spaces":[],"spaces":[]}`, `{"version":900000,"spaces":[]} x`}
 	body := bodies[o.random.IntN(len(bodies))]
 	if status, _ := o.control(o.random, http.MethodPut, "/v1/configuration", body); status == http.StatusOK {
@@ -171,7 +171,7 @@
 	}
 }
 
-func nothing(*operator) {}
+func noChange(*operator) {}
 
 // work goes on until stop.
 func (o *operator) work() {
@@ -180,14 +180,14 @@
 		defer close(o.ended)
 		for o.working.Load() {
 			select {
-			case wished := <-o.wishes:
-				wished(o)
+			case change := <-o.requests:
+				change(o)
 			case <-time.After(time.Duration(1000+o.random.IntN(3000)) * time.Millisecond):
 				switch o.random.IntN(4) {
 				case 0:
-					o.broken()
+					o.putMalformed()
 				case 1:
-					o.next(8 * time.Second)
+					o.putNext(8 * time.Second)
 				}
 			}
 			o.readBack()
@@ -197,34 +197,34 @@
 
 func (o *operator) stop() {
 	o.working.Store(false)
-	o.wishes <- nothing
+	o.requests <- noChange
 	<-o.ended
 }
 
 // addSpace adds a space and calls accepted once the configuration has been accepted.
-func addSpace(name string, accepted func()) wish {
+func addSpace(name string, accepted func()) changeRequest {
 	return func(operator *operator) {
 		operator.spaces[name] = true
 		operator.run.log.record(func(checker *checker.Checker) { checker.DefineSpace(name, false, false) })
-		if operator.next(20 * time.Second) {
+		if operator.putNext(20 * time.Second) {
 			accepted()
 		}
 	}
 }
 
-func removeSpace(name string) wish {
+func removeSpace(name string) changeRequest {
 	return func(operator *operator) {
 		delete(operator.spaces, name)
-		if operator.next(20 * time.Second) {
+		if operator.putNext(20 * time.Second) {
 			at := time.Now()
 			operator.run.log.record(func(checker *checker.Checker) { checker.SpaceRemoved(name, at) })
 		}
 	}
 }
 
-func drain(names ...string) wish {
+func drain(names ...string) changeRequest {
 	return func(operator *operator) {
 		operator.drains = names
-		operator.next(20 * time.Second)
+		operator.putNext(20 * time.Second)
 	}
 }
--- a/cmd/fleetlab/recorded.go
+++ b/cmd/fleetlab/recorded.go
@@ -14,12 +14,12 @@
 	"dahlialock/internal/simulator"
 )
 
-// everything selects all scenarios, or all shapes.
-const everything = "all"
+// allNames selects all scenarios, or all shapes.
+const allNames = "all"
 
 // record prints the digest of each run that the flags select or, with a recorded table to
 // compare with, the lines whose digest has changed.
-func (h *hunt) record(set *flag.FlagSet) subcommands.ExitStatus {
+func (h *simulate) record(set *flag.FlagSet) subcommands.ExitStatus {
 	var wanted []simulator.Recording
 	if h.compare == "" {
 		for _, run := range h.chosenRuns() {
@@ -31,7 +31,7 @@
 			fmt.Fprintln(os.Stderr, "fleetlab:", err)
 			return subcommands.ExitUsageError
 		}
-		wanted = slices.DeleteFunc(recorded, h.leftOut(set))
+		wanted = slices.DeleteFunc(recorded, h.excluded(set))
 	}
 	if len(wanted) == 0 {
 		fmt.Fprintln(os.Stderr, "fleetlab: no run is selected")
@@ -71,15 +71,15 @@
 }
 
 // chosenRuns lists the runs that -scenario, -size, -from and -seeds select.
-func (h *hunt) chosenRuns() []simulator.RecordedRun {
+func (h *simulate) chosenRuns() []simulator.RecordedRun {
 	scenarios, shapes := strings.Split(h.scenario, ","), strings.Split(h.size, ",")
-	if h.scenario == everything {
+	if h.scenario == allNames {
 		scenarios = nil
 		for _, scenario := range simulator.Scenarios() {
 			scenarios = append(scenarios, scenario.Name)
 		}
 	}
-	if h.size == everything {
+	if h.size == allNames {
 		shapes = slices.Sorted(maps.Keys(simulator.Shapes))
 	}
 	var chosen []simulator.RecordedRun
@@ -93,12 +93,12 @@
 	return chosen
 }
 
-// leftOut returns a function that reports whether the given flags exclude a line of the table.
-func (h *hunt) leftOut(set *flag.FlagSet) func(simulator.Recording) bool {
+// excluded returns a function that reports whether the given flags exclude a line of the table.
+func (h *simulate) excluded(set *flag.FlagSet) func(simulator.Recording) bool {
 	given := map[string]bool{}
 	set.Visit(func(each *flag.Flag) { given[each.Name] = true })
 	excludes := func(list, name string) bool {
-		return list != everything && !slices.Contains(strings.Split(list, ","), name)
+		return list != allNames && !slices.Contains(strings.Split(list, ","), name)
 	}
 	return func(recording simulator.Recording) bool {
 		return excludes(h.scenario, recording.Scenario) ||
@@ -114,7 +114,7 @@
 }
 
 // recordAll records the runs on all workers and returns a result channel for each run, in the order given.
-func (h *hunt) recordAll(wanted []simulator.Recording) []chan recordingResult {
+func (h *simulate) recordAll(wanted []simulator.Recording) []chan recordingResult {
 	results := make([]chan recordingResult, len(wanted))
 	pending := make(chan int, len(wanted))
 	for number := range wanted {
--- a/cmd/fleetlab/simulate.go
+++ b/cmd/fleetlab/simulate.go
@@ -19,30 +19,30 @@
 	"dahlialock/internal/simulator"
 )
 
-type hunt struct {
-	scenario string
-	from     uint64
-	seeds    uint64
-	trace    bool
-	workers  int
-	most     int
-	size     string
-	plot     string
-	last     string
-	shorten  bool
-	parts    bool
-	digest   bool
-	compare  string
+type simulate struct {
+	scenario       string
+	from           uint64
+	seeds          uint64
+	trace          bool
+	workers        int
+	maxViolations  int
+	size           string
+	plot           string
+	last           string
+	shorten        bool
+	recoveryPhases bool
+	digest         bool
+	compare        string
 }
 
-func (*hunt) Name() string     { return "simulate" }
-func (*hunt) Synopsis() string { return "run simulated scenarios over many seeds" }
-func (*hunt) Usage() string {
+func (*simulate) Name() string     { return "simulate" }
+func (*simulate) Synopsis() string { return "run simulated scenarios over many seeds" }
+func (*simulate) Usage() string {
 	return "simulate [-scenario NAME|all] [-from N] [-seeds N] [-trace]\n" +
 		"simulate -digest [-scenario NAME,NAME|all] [-size NAME,NAME|all] [-from N] [-seeds N] [-compare FILE]\n"
 }
 
-func (h *hunt) SetFlags(set *flag.FlagSet) {
+func (h *simulate) SetFlags(set *flag.FlagSet) {
 	set.StringVar(&h.scenario, "scenario", "all", "`name` of the scenario, or all")
 	set.Uint64Var(&h.from, "from", 0, "the first `seed`")
 	set.Uint64Var(&h.seeds, "seeds", 20, "how `many` seeds")
@@ -52,21 +52,21 @@
 	set.StringVar(&h.plot, "plot", "", "a `list` of faults as name@start+length#pick, instead of a scenario")
 	set.StringVar(&h.last, "last", "", "the last fault of a -plot")
 	set.BoolVar(&h.shorten, "shorten", false, "shorten the list of faults of a failing seed")
-	set.BoolVar(&h.parts, "parts", false, "print how long each phase of recovery took, over all seeds")
-	set.IntVar(&h.most, "most", 3, "how `many` violations to print of a run")
+	set.BoolVar(&h.recoveryPhases, "parts", false, "print how long each phase of recovery took, over all seeds")
+	set.IntVar(&h.maxViolations, "most", 3, "how `many` violations to print of a run")
 	set.BoolVar(&h.digest, "digest", false, "print scenario, shape, seed and digest of each run; -scenario and -size then take lists")
 	set.StringVar(&h.compare, "compare", "", "with -digest, repeat the runs recorded in a `file` and print the lines that differ")
 }
 
-type ran struct {
+type runResult struct {
 	seed       uint64
 	summary    string
 	violations []string
-	comebacks  []simulator.Recovery
-	broken     any
+	recoveries []simulator.Recovery
+	panicked   any
 }
 
-func (h *hunt) Execute(_ context.Context, set *flag.FlagSet, _ ...any) subcommands.ExitStatus {
+func (h *simulate) Execute(_ context.Context, set *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	// The garbage collector took a quarter of the total time. Runs are short and memory
 	// is plentiful, so it may run less often.
 	debug.SetGCPercent(800)
@@ -105,25 +105,25 @@
 	return subcommands.ExitSuccess
 }
 
-func (h *hunt) run(scenario simulator.Scenario) int {
+func (h *simulate) run(scenario simulator.Scenario) int {
 	began := time.Now()
 	var next atomic.Uint64
-	results := make(chan ran)
+	results := make(chan runResult)
 	for range h.workers {
 		go func() {
 			for {
 				number := next.Add(1) - 1
 				if number >= h.seeds {
-					results <- ran{seed: ^uint64(0)}
+					results <- runResult{seed: ^uint64(0)}
 					return
 				}
-				results <- h.one(scenario, h.from+number)
+				results <- h.runSeed(scenario, h.from+number)
 			}
 		}()
 	}
-	var bad []ran
+	var failures []runResult
 	last := ""
-	var comebacks []simulator.Recovery
+	var recoveries []simulator.Recovery
 	for open := h.workers; open > 0; {
 		result := <-results
 		if result.seed == ^uint64(0) {
@@ -131,17 +131,17 @@
 			continue
 		}
 		last = result.summary
-		comebacks = append(comebacks, result.comebacks...)
-		if len(result.violations) > 0 || result.broken != nil {
-			bad = append(bad, result)
+		recoveries = append(recoveries, result.recoveries...)
+		if len(result.violations) > 0 || result.panicked != nil {
+			failures = append(failures, result)
 		}
 	}
-	slices.SortFunc(bad, func(left, right ran) int { return int(left.seed) - int(right.seed) })
-	fmt.Printf("%-18s %d seeds, %d failed, %.1f s; one: %s\n", scenario.Name, h.seeds, len(bad), time.Since(began).Seconds(), last)
-	if h.parts {
-		printRecoveryParts(comebacks)
+	slices.SortFunc(failures, func(left, right runResult) int { return int(left.seed) - int(right.seed) })
+	fmt.Printf("%-18s %d seeds, %d failed, %.1f s; one: %s\n", scenario.Name, h.seeds, len(failures), time.Since(began).Seconds(), last)
+	if h.recoveryPhases {
+		printRecoveryPhases(recoveries)
 	}
-	for position, result := range bad {
+	for position, result := range failures {
 		if position == 8 {
 			break
 		}
@@ -149,23 +149,23 @@
 		if h.shorten && scenario.Schedule != nil {
 			h.shortest(scenario, result.seed)
 		}
-		if result.broken != nil {
-			fmt.Printf("    broken: %v\n", result.broken)
+		if result.panicked != nil {
+			fmt.Printf("    broken: %v\n", result.panicked)
 		}
 		for number, text := range result.violations {
-			if number < h.most {
+			if number < h.maxViolations {
 				fmt.Printf("    %s\n", text)
 			}
 		}
 	}
-	return len(bad)
+	return len(failures)
 }
 
-func (h *hunt) one(scenario simulator.Scenario, seed uint64) (result ran) {
+func (h *simulate) runSeed(scenario simulator.Scenario, seed uint64) (result runResult) {
 	result.seed = seed
 	defer func() {
 		if broken := recover(); broken != nil {
-			result.broken = fmt.Sprint(broken)
+			result.panicked = fmt.Sprint(broken)
 			if h.trace {
 				panic(broken)
 			}
@@ -176,24 +176,24 @@
 		trace = func(text string) { fmt.Println(text) }
 	}
 	run := simulator.Run(scenario, seed, simulator.Shapes[h.size], trace)
-	result.summary, result.violations, result.comebacks = run.Checker.Summary(), run.Checker.Violations(), run.Recoveries
+	result.summary, result.violations, result.recoveries = run.Checker.Summary(), run.Checker.Violations(), run.Recoveries
 	return result
 }
 
 // shortest removes faults from the schedule of a failing seed while the run still fails.
-func (h *hunt) shortest(scenario simulator.Scenario, seed uint64) {
+func (h *simulate) shortest(scenario simulator.Scenario, seed uint64) {
 	plot := scenario.Schedule(seed)
 	plot.Faults = faults.Shorten(plot.Faults, func(schedule []faults.Fault) bool {
 		shorter := plot
 		shorter.Faults = schedule
-		again := h.one(simulator.Scenario{Name: scenario.Name, Schedule: func(uint64) simulator.FaultSchedule { return shorter }}, seed)
-		return len(again.violations) > 0 || again.broken != nil
+		again := h.runSeed(simulator.Scenario{Name: scenario.Name, Schedule: func(uint64) simulator.FaultSchedule { return shorter }}, seed)
+		return len(again.violations) > 0 || again.panicked != nil
 	})
 	fmt.Printf("    shortest: -plot %q -last %q, clocks apart %s\n", faults.Format(plot.Faults), plot.Last, plot.ClockSkew)
 }
 
-// printRecoveryParts prints the distribution of the duration of each phase of recovery.
-func printRecoveryParts(comebacks []simulator.Recovery) {
+// printRecoveryPhases prints the distribution of the duration of each phase of recovery.
+func printRecoveryPhases(recoveries []simulator.Recovery) {
 	parts := []struct {
 		name string
 		of   func(simulator.Recovery) time.Duration
@@ -209,7 +209,7 @@
 	}
 	for _, part := range parts {
 		var lengths []time.Duration
-		for _, each := range comebacks {
+		for _, each := range recoveries {
 			lengths = append(lengths, part.of(each))
 		}
 		if len(lengths) == 0 {
--- a/cmd/fleetlab/trial.go
+++ b/cmd/fleetlab/trial.go
@@ -26,7 +26,7 @@
 	deployment, folder, binaries, faults, plot, last string
 	length                                           time.Duration
 	origins, count                                   int
-	kept, urgent                                     float64
+	durable, urgent                                  float64
 	seed                                             uint64
 	keep                                             bool
 	economy                                          bool
@@ -48,7 +48,7 @@
 	set.StringVar(&t.last, "last", "", "the last fault, which is permanent: draw, or a `name` from "+strings.Join(faults.Closing, ", "))
 	set.DurationVar(&t.length, "length", 2*time.Minute, "how `long` the load lasts")
 	set.IntVar(&t.origins, "origins", 580, "how `many` clients, each with one session")
-	set.Float64Var(&t.kept, "kept", 300, "durable messages per `second`")
+	set.Float64Var(&t.durable, "kept", 300, "durable messages per `second`")
 	set.Float64Var(&t.urgent, "urgent", 8, "urgent messages per `second`")
 	set.Uint64Var(&t.seed, "seed", 1, "the `seed` of the clients' choices")
 	set.BoolVar(&t.keep, "keep", false, "keep the folder")
@@ -82,7 +82,7 @@
 		fmt.Fprintln(os.Stderr, "fleetlab:", err)
 		return subcommands.ExitUsageError
 	}
-	running, folder, err := begin(t.deployment, t.folder, t.binaries)
+	running, folder, err := startFleet(t.deployment, t.folder, t.binaries)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "fleetlab:", err)
 		return subcommands.ExitFailure
@@ -97,22 +97,22 @@
 	}
 	run := &trialRun{
 		trial: t, fleet: running, log: newCheckerLog(), random: rand.New(rand.NewPCG(t.seed, 0xba5e)), platform: newPlatform(running),
-		quiet: make(chan struct{}), storm: schedule, unready: map[string]time.Duration{},
+		loadEnded: make(chan struct{}), schedule: schedule, unready: map[string]time.Duration{},
 	}
 	run.operator = newOperator(run)
-	run.hand = &injector{run: run, operator: run.operator}
+	run.injector = &injector{run: run, operator: run.operator}
 	return run.run()
 }
 
 // platform polls the readiness of every gateway each second and spreads new connections
 // over the ready gateways of a zone, or of all zones if the zone has none.
 type platform struct {
-	fleet *testfleet.Fleet
-	asks  chan chan map[string]bool
+	fleet   *testfleet.Fleet
+	queries chan chan map[string]bool
 }
 
 func newPlatform(running *testfleet.Fleet) *platform {
-	platform := &platform{fleet: running, asks: make(chan chan map[string]bool)}
+	platform := &platform{fleet: running, queries: make(chan chan map[string]bool)}
 	checked := make(chan map[string]bool)
 	go func() {
 		for {
@@ -142,7 +142,7 @@
 		for {
 			select {
 			case present = <-checked:
-			case ask := <-platform.asks:
+			case ask := <-platform.queries:
 				ask <- present
 			}
 		}
@@ -152,7 +152,7 @@
 
 func (p *platform) pick(random *rand.Rand, zone string) *testfleet.Daemon {
 	ask := make(chan map[string]bool, 1)
-	p.asks <- ask
+	p.queries <- ask
 	ready := <-ask
 	var near, far []*testfleet.Daemon
 	for _, daemon := range p.fleet.OfKind(membership.KindGateway) {
@@ -174,32 +174,32 @@
 }
 
 type trialRun struct {
-	trial    *trial
-	fleet    *testfleet.Fleet
-	log      *checkerLog
-	random   *rand.Rand
-	platform *platform
-	quiet    chan struct{}
-	clients  []*trialClient
-	storm    []faults.Fault
-	hand     *injector
-	operator *operator
-	calm     atomic.Int64
-	gone     atomic.Pointer[[]string]
+	trial          *trial
+	fleet          *testfleet.Fleet
+	log            *checkerLog
+	random         *rand.Rand
+	platform       *platform
+	loadEnded      chan struct{}
+	clients        []*trialClient
+	schedule       []faults.Fault
+	injector       *injector
+	operator       *operator
+	faultFreeSince atomic.Int64
+	removed        atomic.Pointer[[]string]
 	// unready is written by the sampler only and read after the sampler has ended.
 	unready map[string]time.Duration
 }
 
-// calmSince returns the time since which no fault has been active, or the current time
+// stableSince returns the time since which no fault has been active, or the current time
 // while a fault is active.
-func (tr *trialRun) calmSince() time.Time {
-	if since := tr.calm.Load(); since > 0 {
+func (tr *trialRun) stableSince() time.Time {
+	if since := tr.faultFreeSince.Load(); since > 0 {
 		return time.Unix(0, since)
 	}
 	return time.Now()
 }
 
-const sampleEvery = 200 * time.Millisecond
+const sampleInterval = 200 * time.Millisecond
 
 // sample records which configuration is in force on each gateway, and which gateways
 // should be ready but are not.
@@ -210,7 +210,7 @@
 		select {
 		case <-stop:
 			return
-		case <-time.After(sampleEvery):
+		case <-time.After(sampleInterval):
 		}
 		for _, daemon := range tr.fleet.OfKind(membership.KindGateway) {
 			if !daemon.Running() {
@@ -221,9 +221,9 @@
 			at := time.Now()
 			if err != nil || self["ready"] != true {
 				if orders, _ := within(self, "counters", "orders").(map[string]any); orders["Rest"] != true {
-					tr.unready[daemon.Name] += sampleEvery
-					calm := tr.calmSince()
-					if !tr.hand.left(daemon.Name) {
+					tr.unready[daemon.Name] += sampleInterval
+					calm := tr.stableSince()
+					if !tr.injector.hasLeft(daemon.Name) {
 						tr.log.record(func(checker *checker.Checker) { checker.NotReady(daemon.Name, calm, at) })
 					}
 				}
@@ -264,7 +264,7 @@
 		checker.AnswerWithin("boards", 1500*time.Millisecond)
 		checker.AnswerWithin("urgent", time.Second)
 	})
-	if !tr.operator.next(20 * time.Second) {
+	if !tr.operator.putNext(20 * time.Second) {
 		fmt.Println("no configuration was accepted")
 		return subcommands.ExitFailure
 	}
@@ -287,16 +287,16 @@
 	for _, each := range tr.clients {
 		each.start()
 	}
-	tr.calm.Store(time.Now().Add(-checker.FaultSettleTime).UnixNano())
+	tr.faultFreeSince.Store(time.Now().Add(-checker.FaultSettleTime).UnixNano())
 	tr.operator.work()
-	tr.hand.runFaults(tr.storm, tr.trial.length)
+	tr.injector.runFaults(tr.schedule, tr.trial.length)
 	after := tr.measure()
 	loadFor := time.Since(loadBegan)
 	if tr.trial.last != "" {
-		tr.hand.last(tr.trial.last)
+		tr.injector.injectFinal(tr.trial.last)
 	}
 	tr.operator.stop()
-	close(tr.quiet)
+	close(tr.loadEnded)
 	fmt.Println("load ended; callers have 25 s to come back and receive what they missed")
 	time.Sleep(20 * time.Second)
 	served := tr.waitSubscribed(5 * time.Second)
@@ -323,11 +323,11 @@
 	return subcommands.ExitSuccess
 }
 
-// missing returns the number of clients that should be subscribed but are not.
-func (tr *trialRun) missing() int {
+// unserved returns the number of clients that should be subscribed but are not.
+func (tr *trialRun) unserved() int {
 	missing := 0
 	for _, each := range tr.clients {
-		if !each.served.Load() && time.Now().UnixNano() > each.absentUntil.Load() {
+		if !each.subscribed.Load() && time.Now().UnixNano() > each.absentUntil.Load() {
 			missing++
 		}
 	}
@@ -337,7 +337,7 @@
 func (tr *trialRun) waitSubscribed(limit time.Duration) bool {
 	until := time.Now().Add(limit)
 	for time.Now().Before(until) {
-		if tr.missing() == 0 {
+		if tr.unserved() == 0 {
 			return true
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -347,13 +347,13 @@
 
 func (tr *trialRun) printUnserved() {
 	for _, each := range tr.clients {
-		if !each.served.Load() {
-			fmt.Printf("  %s: %s\n", each.name, *each.last.Load())
+		if !each.subscribed.Load() {
+			fmt.Printf("  %s: %s\n", each.name, *each.lastTrace.Load())
 		}
 	}
 }
 
-type measured struct {
+type measurement struct {
 	processor      map[string]time.Duration
 	interzoneBytes float64
 	messages       float64
@@ -365,8 +365,8 @@
 	overlay        float64
 }
 
-func (tr *trialRun) measure() measured {
-	sum := measured{processor: map[string]time.Duration{}}
+func (tr *trialRun) measure() measurement {
+	sum := measurement{processor: map[string]time.Duration{}}
 	for _, name := range tr.fleet.Names() {
 		daemon := tr.fleet.Daemons[name]
 		if !daemon.Running() {
@@ -397,11 +397,11 @@
 	return sum
 }
 
-func (tr *trialRun) report(before, after measured, length time.Duration) {
+func (tr *trialRun) report(before, after measurement, length time.Duration) {
 	fmt.Println(tr.log.checker.Summary())
 	fmt.Printf("not accepted, by code: %v; unready gateway-seconds: %v\n", tr.log.checker.Codes, tr.unready)
 	delivered := after.delivered - before.delivered
-	if delivered > 0 && len(tr.storm) == 0 {
+	if delivered > 0 && len(tr.schedule) == 0 {
 		kinds := []string{}
 		for kind := range after.processor {
 			kinds = append(kinds, kind)
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -31,9 +31,9 @@
 
 func build(current settings.Settings, self membership.Member, stored daemon.StoredState) (daemon.Service, error) {
 	key := []byte(current.Key)
-	callersKey := key
+	clientKey := key
 	if current.AdmissionMode == settings.AdmissionOpen {
-		callersKey = nil
+		clientKey = nil
 	}
 	machine := gateway.New(gateway.Settings{
 		Self:               self,
@@ -68,7 +68,7 @@
 				"load": machine.Load(), "orders": machine.ViewClient().Directives,
 			}
 		},
-		ClientHandler: func(at *daemon.EventLoop) http.Handler { return httpapi.New(current.Name, callersKey, at) },
+		ClientHandler: func(at *daemon.EventLoop) http.Handler { return httpapi.New(current.Name, clientKey, at) },
 		Reload: func(after settings.Settings) {
 			machine.SetMaxClients(after.MaxSessions)
 			machine.SetLinkBytesPerSecond(after.LinkBytesPerSecond)
@@ -76,7 +76,7 @@
 		ControlAdapter: platform.Adapter(current),
 	}
 	if current.ClientProtocol == settings.ClientProtocolLines {
-		serveLines(&built, current, callersKey)
+		serveLines(&built, current, clientKey)
 	}
 	return built, nil
 }
@@ -88,9 +88,9 @@
 	if len(key) > 0 {
 		admit = func(origin, token string) bool { return httpapi.ClientOf(key, token) == origin }
 	}
-	own := built.Counters
+	machineCounters := built.Counters
 	built.Counters = func() any {
-		return map[string]any{"machine": own(), "callers": served.CounterValues(), "told": served.SentTotals()}
+		return map[string]any{"machine": machineCounters(), "callers": served.CounterValues(), "told": served.SentTotals()}
 	}
 	built.ListenClients = func(at *daemon.EventLoop, address string) (daemon.Server, error) {
 		var err error
--- a/internal/consensus/exploration_mutation_test.go
+++ b/internal/consensus/exploration_mutation_test.go
@@ -34,7 +34,7 @@
 			defer restore()
 			result := explore.Run(each.search.begin, each.search.short)
 			t.Log(result)
-			assert.Assert(t, result.Broken != nil, "the exploration found no violation without %s", each.mutation)
+			assert.Assert(t, result.Violation != nil, "the exploration found no violation without %s", each.mutation)
 		})
 	}
 }
--- a/internal/consensus/exploration_test.go
+++ b/internal/consensus/exploration_test.go
@@ -215,8 +215,8 @@
 			}
 			result := explore.Run(each.begin, bounds)
 			t.Log(result)
-			assert.NilError(t, result.Broken)
-			assert.Assert(t, result.Whole)
+			assert.NilError(t, result.Violation)
+			assert.Assert(t, result.Complete)
 		})
 	}
 }
--- a/internal/consensus/world_test.go
+++ b/internal/consensus/world_test.go
@@ -513,8 +513,8 @@
 		slices.Equal(left.Backups, right.Backups) && slices.Equal(left.Voters, right.Voters)
 }
 
-// Broken returns the invariant that was violated, if any.
-func (w *world) Broken() error { return w.broken }
+// Violation returns the invariant that was violated, if any.
+func (w *world) Violation() error { return w.broken }
 
 var excludedFromKey = []reflect.Type{reflect.TypeFor[*world](), reflect.TypeFor[Settings]()}
 
--- a/internal/controller/explore_mutation_test.go
+++ b/internal/controller/explore_mutation_test.go
@@ -32,7 +32,7 @@
 			defer restore()
 			result := explore.Run(each.exploration.begin, each.bounds)
 			t.Log(result)
-			assert.Assert(t, result.Broken != nil, "no violation was found under mutation %s", each.mutation)
+			assert.Assert(t, result.Violation != nil, "no violation was found under mutation %s", each.mutation)
 		})
 	}
 }
--- a/internal/controller/explore_world_test.go
+++ b/internal/controller/explore_world_test.go
@@ -317,8 +317,8 @@
 	}
 }
 
-// Broken returns the violation that was found, if any.
-func (w *storeWorld) Broken() error { return w.violation }
+// Violation returns the violation that was found, if any.
+func (w *storeWorld) Violation() error { return w.violation }
 
 // excludedTypes are the types whose values are not part of a world's state.
 var excludedTypes = []reflect.Type{
--- a/internal/explore/explore.go
+++ b/internal/explore/explore.go
@@ -29,8 +29,8 @@
 	Take(choice int)
 	// Key returns the fingerprint of the state; states with equal keys behave the same from then on.
 	Key() Key
-	// Broken returns an error if the current state violates an invariant.
-	Broken() error
+	// Violation returns an error if the current state violates an invariant.
+	Violation() error
 	// Finish ends all faults, runs the world to completion, and returns an error if its
 	// final state is wrong. The world is not used afterwards.
 	Finish() error
@@ -43,15 +43,15 @@
 	Depth  int
 	Budget int
 	States int
-	Finish Ending
+	Finish FinishPolicy
 }
 
-// Ending selects the states from which the world is run to completion.
-type Ending int
+// FinishPolicy selects the states from which the world is run to completion.
+type FinishPolicy int
 
 // FinishNone selects no state, FinishLast the states at which the search backtracks, FinishAll every state.
 const (
-	FinishNone Ending = iota
+	FinishNone FinishPolicy = iota
 	FinishLast
 	FinishAll
 )
@@ -62,33 +62,33 @@
 	Transitions int
 	Depth       int
 	Finished    int
-	Whole       bool
-	Broken      error
+	Complete    bool
+	Violation   error
 	Path        []string
 }
 
 // String returns the counts and, if an invariant is violated, the path to the violation.
 func (r Result) String() string {
 	counts := fmt.Sprintf("%d states, %d transitions, depth %d, %d brought to their end", r.States, r.Transitions, r.Depth, r.Finished)
-	if !r.Whole {
+	if !r.Complete {
 		counts += ", cut short"
 	}
-	if r.Broken == nil {
+	if r.Violation == nil {
 		return counts
 	}
-	return fmt.Sprintf("%s\nbroken: %s\nafter:\n  %s", counts, r.Broken, strings.Join(r.Path, "\n  "))
+	return fmt.Sprintf("%s\nbroken: %s\nafter:\n  %s", counts, r.Violation, strings.Join(r.Path, "\n  "))
 }
 
-// left is the depth and the budget that remained when a state was visited.
-type left struct {
+// remaining is the depth and the budget that remained when a state was visited.
+type remaining struct {
 	depth  int
 	budget int
 }
 
-type walk struct {
+type searcher struct {
 	begin  func() World
 	bounds Bounds
-	seen   map[Key][]left
+	seen   map[Key][]remaining
 	result Result
 	path   []int
 }
@@ -96,12 +96,12 @@
 // Run visits all states within the bounds. It stops at the first violation and then
 // searches for a shorter path to one.
 func Run(begin func() World, bounds Bounds) Result {
-	result := once(begin, bounds)
-	for result.Broken != nil && len(result.Path) > 1 {
+	result := search(begin, bounds)
+	for result.Violation != nil && len(result.Path) > 1 {
 		shorter := bounds
 		shorter.Depth = len(result.Path) - 1
-		next := once(begin, shorter)
-		if next.Broken == nil {
+		next := search(begin, shorter)
+		if next.Violation == nil {
 			break
 		}
 		result = next
@@ -109,50 +109,50 @@
 	return result
 }
 
-func once(begin func() World, bounds Bounds) Result {
-	walk := &walk{begin: begin, bounds: bounds, seen: map[Key][]left{}, result: Result{Whole: true}}
+func search(begin func() World, bounds Bounds) Result {
+	walk := &searcher{begin: begin, bounds: bounds, seen: map[Key][]remaining{}, result: Result{Complete: true}}
 	walk.visit(begin(), bounds.Budget)
 	return walk.result
 }
 
 // visit continues the search from a world that is in the state of the current path.
-func (w *walk) visit(world World, budget int) {
+func (w *searcher) visit(world World, budget int) {
 	w.result.Depth = max(w.result.Depth, len(w.path))
-	if w.breaks(world.Broken()) || !w.enter(world.Key(), budget) {
+	if w.fail(world.Violation()) || !w.shouldVisit(world.Key(), budget) {
 		return
 	}
 	choices := world.Choices()
-	last := len(w.path) >= w.bounds.Depth || w.bounds.Finish != FinishNone && budget == 0 && settled(choices)
+	last := len(w.path) >= w.bounds.Depth || w.bounds.Finish != FinishNone && budget == 0 && onlyDefaultIsFree(choices)
 	taken := false
 	for number, choice := range choices {
 		if last || choice.Cost > budget {
 			continue
 		}
 		if taken {
-			world = w.again()
+			world = w.replay()
 		}
 		taken = true
 		w.path = append(w.path, number)
 		w.result.Transitions++
 		world.Take(number)
 		w.visit(world, budget-choice.Cost)
-		if w.result.Broken != nil {
+		if w.result.Violation != nil {
 			return
 		}
 		w.path = w.path[:len(w.path)-1]
 	}
 	if w.bounds.Finish == FinishAll || w.bounds.Finish == FinishLast && !taken {
 		if taken {
-			world = w.again()
+			world = w.replay()
 		}
 		w.result.Finished++
-		w.breaks(world.Finish())
+		w.fail(world.Finish())
 	}
 }
 
-// settled reports whether only the default choice is free. With no budget left there is
+// onlyDefaultIsFree reports whether only the default choice is free. With no budget left there is
 // then a single schedule, so Finish can replace the rest of the search.
-func settled(choices []Choice) bool {
+func onlyDefaultIsFree(choices []Choice) bool {
 	for _, choice := range choices[1:] {
 		if choice.Cost == 0 {
 			return false
@@ -161,10 +161,10 @@
 	return true
 }
 
-// enter reports whether to visit a state: not if it was visited before with at least as much
+// shouldVisit reports whether to visit a state: not if it was visited before with at least as much
 // depth and budget left, and not if it exceeds the bound on states.
-func (w *walk) enter(key Key, budget int) bool {
-	present := left{depth: w.bounds.Depth - len(w.path), budget: budget}
+func (w *searcher) shouldVisit(key Key, budget int) bool {
+	present := remaining{depth: w.bounds.Depth - len(w.path), budget: budget}
 	earlier, found := w.seen[key]
 	for _, each := range earlier {
 		if each.depth >= present.depth && each.budget >= present.budget {
@@ -173,7 +173,7 @@
 	}
 	if !found {
 		if w.bounds.States > 0 && w.result.States >= w.bounds.States {
-			w.result.Whole = false
+			w.result.Complete = false
 			return false
 		}
 		w.result.States++
@@ -182,17 +182,17 @@
 	return true
 }
 
-func (w *walk) breaks(broken error) bool {
+func (w *searcher) fail(broken error) bool {
 	if broken == nil {
 		return false
 	}
-	w.result.Broken = broken
+	w.result.Violation = broken
 	w.result.Path = w.labels()
 	return true
 }
 
 // labels replays the current path and returns the label of each choice.
-func (w *walk) labels() []string {
+func (w *searcher) labels() []string {
 	var labels []string
 	world := w.begin()
 	for _, choice := range w.path {
@@ -202,8 +202,8 @@
 	return labels
 }
 
-// again replays the current path in a new world.
-func (w *walk) again() World {
+// replay replays the current path in a new world.
+func (w *searcher) replay() World {
 	world := w.begin()
 	for _, choice := range w.path {
 		world.Take(choice)
--- a/internal/explore/explore_test.go
+++ b/internal/explore/explore_test.go
@@ -31,7 +31,7 @@
 
 func (s *steps) Key() Key { return KeyOf(time.Time{}, nil, s.first, s.second) }
 
-func (s *steps) Broken() error {
+func (s *steps) Violation() error {
 	if [2]int{s.first, s.second} == s.forbidden {
 		return errors.New("forbidden")
 	}
@@ -57,11 +57,11 @@
 func TestTheShortestWayToABrokenPromiseIsTold(t *testing.T) {
 	begin := func() World { return &steps{forbidden: [2]int{2, 1}} }
 	result := Run(begin, Bounds{Depth: 6, Budget: 2})
-	assert.Error(t, result.Broken, "forbidden")
+	assert.Error(t, result.Violation, "forbidden")
 	assert.Equal(t, len(result.Path), 3)
 	assert.Equal(t, strings.Count(result.String(), "first"), 2)
 	result = Run(begin, Bounds{Depth: 6, Budget: 0})
-	assert.NilError(t, result.Broken)
+	assert.NilError(t, result.Violation)
 }
 
 func TestMomentsCountByTheirDistance(t *testing.T) {
--- a/internal/explore/key.go
+++ b/internal/explore/key.go
@@ -14,8 +14,8 @@
 // Key is the fingerprint of a state.
 type Key [16]byte
 
-// oldest is the age beyond which all times in the past count as equal.
-const oldest = 20 * time.Second
+// maxAge is the age beyond which all times in the past count as equal.
+const maxAge = 20 * time.Second
 
 var moment = reflect.TypeFor[time.Time]()
 
@@ -140,5 +140,5 @@
 		return
 	}
 	at := time.Unix(seconds-epoch, int64(wall&nanoseconds))
-	e.number(uint64(max(at.Sub(e.now), -oldest)))
+	e.number(uint64(max(at.Sub(e.now), -maxAge)))
 }
--- a/internal/testfleet/testfleet.go
+++ b/internal/testfleet/testfleet.go
@@ -56,24 +56,24 @@
 
 // Daemon is one process of the fleet.
 type Daemon struct {
-	Name     string
-	Kind     string
-	Zone     string
-	Address  string
-	Control  string
-	Caller   string
-	folder   string
-	settings map[string]any
-	binary   string
-	life     atomic.Pointer[life]
-	starts   atomic.Int64
-	joined   atomic.Bool
-	base     Trial
-	imposed  map[int]Trial
+	Name        string
+	Kind        string
+	Zone        string
+	Address     string
+	Control     string
+	Caller      string
+	folder      string
+	settings    map[string]any
+	binary      string
+	process     atomic.Pointer[process]
+	starts      atomic.Int64
+	joined      atomic.Bool
+	base        Trial
+	impairments map[int]Trial
 }
 
-// life is one run of a daemon's process.
-type life struct {
+// process is one run of a daemon's process.
+type process struct {
 	command *exec.Cmd
 	exited  chan struct{}
 }
@@ -116,7 +116,7 @@
 		daemon.settings = map[string]any{
 			"name": daemon.Name, "address": daemon.Address, "ctl": daemon.Control, "zone": daemon.Zone, "seeds": seeds,
 		}
-		daemon.base, daemon.imposed = Trial{Delays: fleet.delays(zone)}, map[int]Trial{}
+		daemon.base, daemon.impairments = Trial{Delays: fleet.delays(zone)}, map[int]Trial{}
 		daemon.settings["trial"] = daemon.base
 		daemon.joined.Store(!spare)
 		for key, value := range more {
@@ -199,24 +199,24 @@
 	return os.Rename(draft, d.settingsPath())
 }
 
-// Impose impairs a daemon's links and disk, without a signal, until Relieve is called with
-// the same number. Several impairments may overlap.
-func (f *Fleet) Impose(name string, number int, trial Trial) error {
+// Impair impairs a daemon's links and disk, without a signal, until RemoveImpairment is called
+// with the same number. Several impairments may overlap.
+func (f *Fleet) Impair(name string, number int, trial Trial) error {
 	daemon := f.Daemons[name]
-	daemon.imposed[number] = trial
-	return daemon.impairment()
+	daemon.impairments[number] = trial
+	return daemon.applyImpairments()
 }
 
-// Relieve removes the impairment that Impose added under this number.
-func (f *Fleet) Relieve(name string, number int) error {
+// RemoveImpairment removes the impairment that Impair added under this number.
+func (f *Fleet) RemoveImpairment(name string, number int) error {
 	daemon := f.Daemons[name]
-	delete(daemon.imposed, number)
-	return daemon.impairment()
+	delete(daemon.impairments, number)
+	return daemon.applyImpairments()
 }
 
-func (d *Daemon) impairment() error {
+func (d *Daemon) applyImpairments() error {
 	sum := Trial{Delays: maps.Clone(d.base.Delays), Loss: map[string]float64{}}
-	for _, each := range d.imposed {
+	for _, each := range d.impairments {
 		maps.Copy(sum.Delays, each.Delays)
 		maps.Copy(sum.Loss, each.Loss)
 		sum.Cuts, sum.Mutes, sum.Deaf = append(sum.Cuts, each.Cuts...), append(sum.Mutes, each.Mutes...), append(sum.Deaf, each.Deaf...)
@@ -241,16 +241,16 @@
 	return nil, false
 }
 
-// Edit replaces the content of a daemon's settings file, without a signal.
-func (f *Fleet) Edit(name string, text []byte) error {
+// ReplaceSettings replaces the content of a daemon's settings file, without a signal.
+func (f *Fleet) ReplaceSettings(name string, text []byte) error {
 	return os.WriteFile(f.Daemons[name].settingsPath(), text, 0o644)
 }
 
-// Vanish removes a daemon's settings file.
-func (f *Fleet) Vanish(name string) error { return os.Remove(f.Daemons[name].settingsPath()) }
+// RemoveSettings removes a daemon's settings file.
+func (f *Fleet) RemoveSettings(name string) error { return os.Remove(f.Daemons[name].settingsPath()) }
 
-// Restore writes a daemon's valid settings again.
-func (f *Fleet) Restore(name string) error { return f.Daemons[name].writeSettings() }
+// RestoreSettings writes a daemon's valid settings again.
+func (f *Fleet) RestoreSettings(name string) error { return f.Daemons[name].writeSettings() }
 
 // Names lists the daemons that have joined, in the order in which StartAll starts them.
 func (f *Fleet) Names() []string {
@@ -288,8 +288,8 @@
 	if err := command.Start(); err != nil {
 		return err
 	}
-	running := &life{command: command, exited: make(chan struct{})}
-	daemon.life.Store(running)
+	running := &process{command: command, exited: make(chan struct{})}
+	daemon.process.Store(running)
 	daemon.starts.Add(1)
 	daemon.joined.Store(true)
 	go func() {
@@ -325,13 +325,13 @@
 // Signal sends a signal to a daemon.
 func (f *Fleet) Signal(name string, signal syscall.Signal) {
 	if daemon := f.Daemons[name]; daemon.Running() {
-		_ = daemon.life.Load().command.Process.Signal(signal)
+		_ = daemon.process.Load().command.Process.Signal(signal)
 	}
 }
 
 // Running reports whether the daemon's process is running.
 func (d *Daemon) Running() bool {
-	running := d.life.Load()
+	running := d.process.Load()
 	if running == nil {
 		return false
 	}
@@ -344,14 +344,14 @@
 }
 
 // Process returns the process id of the daemon.
-func (d *Daemon) Process() int { return d.life.Load().command.Process.Pid }
+func (d *Daemon) Process() int { return d.process.Load().command.Process.Pid }
 
 // Starts returns how often the daemon was started.
 func (d *Daemon) Starts() int64 { return d.starts.Load() }
 
 // ExitCode waits for the daemon's last process to end and returns its exit code.
 func (d *Daemon) ExitCode() int {
-	running := d.life.Load()
+	running := d.process.Load()
 	<-running.exited
 	return running.command.ProcessState.ExitCode()
 }
@@ -359,7 +359,7 @@
 // Kill ends a daemon with SIGKILL.
 func (f *Fleet) Kill(name string) {
 	f.Signal(name, syscall.SIGKILL)
-	if running := f.Daemons[name].life.Load(); running != nil {
+	if running := f.Daemons[name].process.Load(); running != nil {
 		<-running.exited
 	}
 }
@@ -374,7 +374,7 @@
 	began := time.Now()
 	f.Signal(name, syscall.SIGTERM)
 	select {
-	case <-daemon.life.Load().exited:
+	case <-daemon.process.Load().exited:
 		return time.Since(began), false
 	case <-time.After(6 * time.Second):
 		f.Kill(name)
@@ -408,11 +408,11 @@
 	return filepath.Join(f.Daemons[name].folder, "log")
 }
 
-var probe = &http.Client{Timeout: 900 * time.Millisecond, Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: time.Minute}}
+var probeClient = &http.Client{Timeout: 900 * time.Millisecond, Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: time.Minute}}
 
 // Ready requests a daemon's readiness once and reports whether it is ready.
 func (d *Daemon) Ready() bool {
-	response, err := probe.Get("http://" + d.Control + "/ready")
+	response, err := probeClient.Get("http://" + d.Control + "/ready")
 	if err != nil {
 		return false
 	}
@@ -422,7 +422,7 @@
 
 // Self reads a daemon's counters.
 func (d *Daemon) Self() (map[string]any, error) {
-	response, err := probe.Get("http://" + d.Control + "/v1/self")
+	response, err := probeClient.Get("http://" + d.Control + "/v1/self")
 	if err != nil {
 		return nil, err
 	}
--- a/internal/testfleet/testfleet_test.go
+++ b/internal/testfleet/testfleet_test.go
@@ -27,15 +27,15 @@
 	"dahlialock/internal/httpapi"
 )
 
-const wide = 60 * time.Second
+const waitTimeout = 60 * time.Second
 
-type bench struct {
+type fixture struct {
 	t        *testing.T
 	fleet    *Fleet
 	binaries string
 }
 
-func newBench(t *testing.T) *bench {
+func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	binaries := t.TempDir()
 	build := exec.Command("go", "build", "-o", binaries, "../../cmd/...")
@@ -47,12 +47,12 @@
 	assert.NilError(t, err)
 	assert.NilError(t, running.StartAll())
 	t.Cleanup(running.StopAll)
-	assert.NilError(t, running.WaitReady(wide, running.Names()...))
-	return &bench{t: t, fleet: running, binaries: binaries}
+	assert.NilError(t, running.WaitReady(waitTimeout, running.Names()...))
+	return &fixture{t: t, fleet: running, binaries: binaries}
 }
 
 // command runs one of the built programs and returns its exit code and output.
-func (b *bench) command(name string, arguments ...string) (int, string) {
+func (b *fixture) command(name string, arguments ...string) (int, string) {
 	command := exec.Command(filepath.Join(b.binaries, name), arguments...)
 	output, err := command.CombinedOutput()
 	var exit *exec.ExitError
@@ -62,20 +62,20 @@
 	return command.ProcessState.ExitCode(), string(output)
 }
 
-func (b *bench) file(text string) string {
+func (b *fixture) file(text string) string {
 	path := filepath.Join(b.t.TempDir(), "file.json")
 	assert.NilError(b.t, os.WriteFile(path, []byte(text), 0o644))
 	return path
 }
 
-func (b *bench) origin(name string) *client.Client {
+func (b *fixture) origin(name string) *client.Client {
 	return &client.Client{Token: httpapi.Token([]byte(Key), name), HTTP: client.NewHTTPClient("")}
 }
 
 // next reads events of a session until one of the given kind arrives, and returns it.
 func next(t *testing.T, channel *client.Channel, kind string) client.Event {
 	t.Helper()
-	limit := time.After(wide)
+	limit := time.After(waitTimeout)
 	for {
 		select {
 		case event, open := <-channel.Events:
@@ -92,8 +92,8 @@
 const configuration = `{"version": %d, "spaces": [{"name": "boards", "promise": "kept"}, {"name": "decisions", "promise": "kept", "order": "channel"},
  {"name": "cursors", "promise": "passing", "publishers": ["ada"], "limits": {"data_bytes": 50}}]}`
 
-// released checks that a release build contains no mutations, which would disable mechanisms.
-func (b *bench) released() {
+// noMutations checks that a release build contains no mutations, which would disable mechanisms.
+func (b *fixture) noMutations() {
 	t := b.t
 	names := map[string]bool{}
 	question := regexp.MustCompile(`statemachine\.Mutated\("([a-z-]+)"\)`)
@@ -118,10 +118,10 @@
 }
 
 func TestAFleetOfProcesses(t *testing.T) {
-	bench := newBench(t)
+	bench := newFixture(t)
 	daemons := bench.fleet.Daemons
 	control := func(name string) string { return daemons[name].Control }
-	bench.released()
+	bench.noMutations()
 
 	// Configurations through different daemons.
 	code, output := bench.command("dahlialock", "check", bench.file(`{"version":1,"spaces":[{"name":"a"}],"x":1}`))
@@ -148,7 +148,7 @@
 			}
 		}
 		return poll.Success()
-	}, poll.WithTimeout(wide))
+	}, poll.WithTimeout(waitTimeout))
 
 	bench.messagesCross()
 	bench.badInput()
@@ -161,7 +161,7 @@
 	bench.retires()
 }
 
-func (b *bench) messagesCross() {
+func (b *fixture) messagesCross() {
 	t, within := b.t, context.Background()
 	reader, writer := b.origin("bob"), b.origin("ada")
 	channel, err := reader.Open(within, b.fleet.Daemons["gateway-3"].Caller)
@@ -217,7 +217,7 @@
 	assert.Equal(t, copies()-before, 1.0)
 }
 
-func (b *bench) badInput() {
+func (b *fixture) badInput() {
 	t := b.t
 	address := b.fleet.Daemons["gateway-2"].Caller
 	post := func(path, token, body string) (int, string, string) {
@@ -292,7 +292,7 @@
 
 // spaces publishes to a space that was just added, through gateways that may not have the
 // new configuration yet, and to a space that was just removed.
-func (b *bench) spaces() {
+func (b *fixture) spaces() {
 	t, within := b.t, context.Background()
 	writer := b.origin("ada")
 	with := strings.Replace(fmt.Sprintf(configuration, 3), `"spaces": [`, `"spaces": [{"name": "fresh", "promise": "passing"}, `, 1)
@@ -313,11 +313,11 @@
 			}
 		}
 		return poll.Success()
-	}, poll.WithTimeout(wide))
+	}, poll.WithTimeout(waitTimeout))
 }
 
 // garbage sends bytes that are not valid frames to the peer address of every daemon.
-func (b *bench) garbage() {
+func (b *fixture) garbage() {
 	t := b.t
 	for _, name := range b.fleet.Names() {
 		for _, body := range [][]byte{{0xff, 0xff, 0xff, 0xff, 1, 2, 3}, {0, 0, 0, 3, 1, 2, 3}, []byte("GET / HTTP/1.1\r\n\r\n")} {
@@ -325,7 +325,7 @@
 			assert.NilError(t, err)
 			_, err = link.Write(body)
 			assert.NilError(t, err)
-			assert.NilError(t, link.SetReadDeadline(time.Now().Add(wide)))
+			assert.NilError(t, link.SetReadDeadline(time.Now().Add(waitTimeout)))
 			_, err = link.Read(make([]byte, 1))
 			assert.Assert(t, errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET), "%s did not close the connection: %v", name, err)
 			_ = link.Close()
@@ -335,10 +335,10 @@
 		assert.Assert(t, b.fleet.Daemons[name].Running(), "%s ended", name)
 		b.logs(name, `"number":1020`)
 	}
-	assert.NilError(t, b.fleet.WaitReady(wide, b.fleet.Names()...))
+	assert.NilError(t, b.fleet.WaitReady(waitTimeout, b.fleet.Names()...))
 }
 
-func (b *bench) logs(name, text string) {
+func (b *fixture) logs(name, text string) {
 	b.t.Helper()
 	poll.WaitOn(b.t, func(poll.LogT) poll.Result {
 		body, err := os.ReadFile(b.fleet.LogPath(name))
@@ -346,12 +346,12 @@
 			return poll.Success()
 		}
 		return poll.Continue("%s has not logged %s", name, text)
-	}, poll.WithTimeout(wide))
+	}, poll.WithTimeout(waitTimeout))
 }
 
 // configurations puts invalid configurations, checks that each is rejected with the path
 // of its error, and that the configuration in force has not changed.
-func (b *bench) configurations() {
+func (b *fixture) configurations() {
 	t := b.t
 	for _, each := range []struct{ part, path string }{
 		{`"economy": {"processor_weight": -1}`, "$.economy.processor_weight"},
@@ -378,7 +378,7 @@
 	assert.Assert(t, !strings.Contains(output, "900"), output)
 }
 
-func (b *bench) settings() {
+func (b *fixture) settings() {
 	t := b.t
 	code, output := b.command("gateway", "-name", "x y", "-address", "nowhere:1", "-zone", "a")
 	assert.Equal(t, code, 64, output)
@@ -398,14 +398,14 @@
 		{"an unknown key", strings.Replace(daemon.Settings(), "{", `{"frobnicate": 1,`, 1), "$.frobnicate"},
 		{"empty", "", "$: EOF"},
 	} {
-		assert.NilError(t, b.fleet.Edit("gateway-2", []byte(each.text)))
+		assert.NilError(t, b.fleet.ReplaceSettings("gateway-2", []byte(each.text)))
 		b.logs("gateway-2", each.says)
 		assert.Assert(t, daemon.Ready(), each.what)
 	}
-	assert.NilError(t, b.fleet.Vanish("gateway-2"))
+	assert.NilError(t, b.fleet.RemoveSettings("gateway-2"))
 	b.logs("gateway-2", "no such file")
 	assert.Assert(t, daemon.Ready(), "not ready after the settings file was removed")
-	assert.NilError(t, b.fleet.Restore("gateway-2"))
+	assert.NilError(t, b.fleet.RestoreSettings("gateway-2"))
 	b.logs("gateway-2", `"why":"file"`)
 	// A daemon without the flag -trial rejects trial settings.
 	code, output = b.command("gateway", "-settings", daemon.settingsPath())
@@ -416,7 +416,7 @@
 }
 
 // moves stops a gateway with SIGTERM: it refers its clients to another gateway, where they resume.
-func (b *bench) moves() {
+func (b *fixture) moves() {
 	t, within := b.t, context.Background()
 	reader, writer := b.origin("eve"), b.origin("ada")
 	channel, err := reader.Open(within, b.fleet.Daemons["gateway-2"].Caller)
@@ -441,12 +441,12 @@
 	assert.Equal(t, string(next(t, resumed, "message").Data), `"missed"`)
 	assert.Equal(t, b.fleet.Daemons["gateway-2"].ExitCode(), 0)
 	assert.NilError(t, b.fleet.Start("gateway-2"))
-	assert.NilError(t, b.fleet.WaitReady(wide, "gateway-2"))
+	assert.NilError(t, b.fleet.WaitReady(waitTimeout, "gateway-2"))
 }
 
 // damage corrupts a byte inside each log of a store. The store reports the damage, sets the
 // data aside and rebuilds its replicas; a cursor still gets all accepted messages.
-func (b *bench) damage() {
+func (b *fixture) damage() {
 	t, within := b.t, context.Background()
 	reader, writer := b.origin("dan"), b.origin("ada")
 	channel, err := reader.Open(within, b.fleet.Daemons["gateway-1"].Caller)
@@ -476,7 +476,7 @@
 	}
 	assert.NilError(t, b.fleet.Start("store-1"))
 	b.logs("store-1", `"number":1041`)
-	assert.NilError(t, b.fleet.WaitReady(wide, "store-1"))
+	assert.NilError(t, b.fleet.WaitReady(waitTimeout, "store-1"))
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		again, err := reader.Open(within, b.fleet.Daemons["gateway-2"].Caller)
 		if err != nil {
@@ -489,17 +489,17 @@
 		}
 		assert.Equal(t, resumed.Missed, 20)
 		return poll.Success()
-	}, poll.WithTimeout(wide))
+	}, poll.WithTimeout(waitTimeout))
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		_, output := b.command("dahlialock", "placement", "-ctl", b.fleet.Daemons["controller-2"].Control)
 		if strings.Contains(output, "false") || !strings.Contains(output, "true") {
 			return poll.Continue("not all partitions are complete")
 		}
 		return poll.Success()
-	}, poll.WithTimeout(wide))
+	}, poll.WithTimeout(waitTimeout))
 }
 
-func (b *bench) retires() {
+func (b *fixture) retires() {
 	t := b.t
 	code, output := b.command("dahlialock", "store", "-wait", "40s", "-ctl", b.fleet.Daemons["agent-1"].Control, "retire", "store-2")
 	assert.Equal(t, code, 0, output)
--- a/internal/testfleet/versions_test.go
+++ b/internal/testfleet/versions_test.go
@@ -21,8 +21,8 @@
 // earlierCommit is the last commit before identifiers in the code were renamed for readability.
 const earlierCommit = "9cc32dd"
 
-// pace is the interval between publications of the writer, and the delay before a retry.
-const pace = 10 * time.Millisecond
+// publishInterval is the interval between publications of the writer, and the delay before a retry.
+const publishInterval = 10 * time.Millisecond
 
 // build builds the programs of a source tree and returns the folder that contains them.
 func build(t *testing.T, tree string) string {
@@ -67,11 +67,11 @@
 
 // write publishes messages one by one, each until it is accepted, and rotates through the
 // gateways. When it ends, it sends all accepted messages to the channel accepted.
-func write(within context.Context, b *bench, end <-chan struct{}, accepted chan<- []sent) {
+func write(within context.Context, b *fixture, end <-chan struct{}, accepted chan<- []sent) {
 	var done []sent
 	defer func() { accepted <- done }()
 	origin, gateways := b.origin("ada"), b.fleet.OfKind("gateway")
-	ticks := time.NewTicker(pace)
+	ticks := time.NewTicker(publishInterval)
 	defer ticks.Stop()
 	tries := 0
 	for seq := uint64(1); ; {
@@ -100,7 +100,7 @@
 
 // reader keeps a session open at any available gateway and resumes it from its cursor.
 type reader struct {
-	bench  *bench
+	bench  *fixture
 	origin *client.Client
 	cursor string
 	got    map[sent]int
@@ -133,7 +133,7 @@
 	return nil
 }
 
-func (r *reader) take(event client.Event) {
+func (r *reader) handle(event client.Event) {
 	if event.Cursor != "" {
 		r.cursor = event.Cursor
 	}
@@ -150,8 +150,8 @@
 	r.last[event.Space] = event.Seq
 }
 
-// lacks returns the messages that have not arrived.
-func (r *reader) lacks(owed []sent) []sent {
+// missing returns the messages that have not arrived.
+func (r *reader) missing(owed []sent) []sent {
 	var missing []sent
 	for _, message := range owed {
 		if r.got[message] == 0 {
@@ -165,12 +165,12 @@
 func (r *reader) read(within context.Context, subscribed chan<- struct{}, owing <-chan []sent, ended chan<- error) {
 	var owed []sent
 	settled := false
-	ticks := time.NewTicker(pace)
+	ticks := time.NewTicker(publishInterval)
 	defer ticks.Stop()
-	for tries := 0; r.fault == nil && (!settled || len(r.lacks(owed)) > 0); tries++ {
+	for tries := 0; r.fault == nil && (!settled || len(r.missing(owed)) > 0); tries++ {
 		select {
 		case <-within.Done():
-			ended <- fmt.Errorf("%d messages are missing: %v", len(r.lacks(owed)), r.lacks(owed))
+			ended <- fmt.Errorf("%d messages are missing: %v", len(r.missing(owed)), r.missing(owed))
 			return
 		case <-ticks.C:
 		}
@@ -192,7 +192,7 @@
 func (r *reader) readChannel(
 	within context.Context, channel *client.Channel, owing <-chan []sent, owed []sent, settled bool,
 ) ([]sent, bool) {
-	for r.fault == nil && (!settled || len(r.lacks(owed)) > 0) {
+	for r.fault == nil && (!settled || len(r.missing(owed)) > 0) {
 		select {
 		case <-within.Done():
 			return owed, settled
@@ -202,7 +202,7 @@
 			if !open {
 				return owed, settled
 			}
-			r.take(event)
+			r.handle(event)
 			if event.Event == "ping" && r.origin.Pong(within, channel) != nil {
 				return owed, settled
 			}
@@ -217,7 +217,7 @@
 // replace stops the daemons one by one and starts each with the program of another
 // version. An agent needs some time to leave the fleet; the controller and the store of
 // the same number are replaced meanwhile.
-func (b *bench) replace(binaries string) {
+func (b *fixture) replace(binaries string) {
 	b.t.Helper()
 	for _, number := range []string{"-1", "-2", "-3"} {
 		b.fleet.Signal("agent"+number, syscall.SIGTERM)
@@ -229,7 +229,7 @@
 
 // restart stops a daemon, with SIGKILL after six seconds as the platform does, starts it
 // with another program, and waits until the fleet has recovered.
-func (b *bench) restart(name, binary string) {
+func (b *fixture) restart(name, binary string) {
 	b.t.Helper()
 	if length, forced := b.fleet.Stop(name); forced {
 		b.t.Logf("%s was killed after %s", name, length)
@@ -238,12 +238,12 @@
 	}
 	b.fleet.Daemons[name].binary = binary
 	assert.NilError(b.t, b.fleet.Start(name))
-	assert.NilError(b.t, b.fleet.WaitReady(wide, name))
+	assert.NilError(b.t, b.fleet.WaitReady(waitTimeout, name))
 	b.complete()
 }
 
 // complete waits until every partition has all its replicas in sync.
-func (b *bench) complete() {
+func (b *fixture) complete() {
 	b.t.Helper()
 	poll.WaitOn(b.t, func(poll.LogT) poll.Result {
 		_, output := b.command("dahlialock", "placement", "-ctl", b.fleet.Daemons["gateway-3"].Control)
@@ -251,7 +251,7 @@
 			return poll.Continue("not all partitions are complete:\n%s", output)
 		}
 		return poll.Success()
-	}, poll.WithTimeout(wide), poll.WithDelay(50*time.Millisecond))
+	}, poll.WithTimeout(waitTimeout), poll.WithDelay(50*time.Millisecond))
 }
 
 func TestDaemonsOfTwoVersionsServeTogether(t *testing.T) {
@@ -262,14 +262,14 @@
 	assert.NilError(t, err)
 	assert.NilError(t, fleet.StartAll())
 	t.Cleanup(fleet.StopAll)
-	assert.NilError(t, fleet.WaitReady(wide, fleet.Names()...))
-	b := &bench{t: t, fleet: fleet, binaries: today}
+	assert.NilError(t, fleet.WaitReady(waitTimeout, fleet.Names()...))
+	b := &fixture{t: t, fleet: fleet, binaries: today}
 	code, output := b.command("dahlialock", "put", "-wait", "20s", "-ctl", fleet.Daemons["gateway-1"].Control,
 		b.file(fmt.Sprintf(configuration, 1)))
 	assert.Equal(t, code, 0, output)
 	b.complete()
 
-	within, cancel := context.WithTimeout(context.Background(), 2*wide)
+	within, cancel := context.WithTimeout(context.Background(), 2*waitTimeout)
 	defer cancel()
 	end, accepted := make(chan struct{}), make(chan []sent, 1)
 	subscribed, owing, ended := make(chan struct{}), make(chan []sent, 1), make(chan error, 1)
@@ -288,10 +288,10 @@
 	owing <- owed
 	assert.NilError(t, <-ended)
 	assert.Assert(t, len(owed) > 100, "only %d messages were accepted", len(owed))
-	t.Logf("%d messages were accepted and delivered, %d of them twice", len(owed), twice(follower.got))
+	t.Logf("%d messages were accepted and delivered, %d of them twice", len(owed), countDuplicates(follower.got))
 }
 
-func twice(got map[sent]int) int {
+func countDuplicates(got map[sent]int) int {
 	count := 0
 	for _, times := range got {
 		if times > 1 {
