--- a/internal/simulator/closing_test.go
+++ b/internal/simulator/closing_test.go
@@ -3,7 +3,7 @@
 // including those without durable state (gateways and agents). Everything that was
 // acknowledged before must be available when they are back.
 //
-// More seeds: go test -run AtTheEndOfADay ./internal/simulator -closing.seeds 20 -closing.from 20000
+// More seeds: go test -run AtTheEndOfARun ./internal/simulator -closing.seeds 20 -closing.from 20000
 package simulator
 
 import (
@@ -22,15 +22,15 @@
 )
 
 var (
-	closingSeeds = flag.Uint64("closing.seeds", 1, "seeds of each row of TestDisksAndAllPowerLostAtTheEndOfADay")
+	closingSeeds = flag.Uint64("closing.seeds", 1, "seeds of each row of TestDisksAndAllPowerLostAtTheEndOfARun")
 	closingFrom  = flag.Uint64("closing.from", 1, "the first of these seeds")
 )
 
 // closingFault is one kind of fault that ends a run.
 type closingFault struct {
 	name string
-	// day is the number of faults that are drawn before the closing one.
-	day int
+	// faultCount is the number of faults that are drawn before the closing one.
+	faultCount int
 	// wiped chooses the machines of a kind whose disks are lost.
 	wiped func(run *Simulation, kind string, count int) []*Node
 	// delay is how long after the others the machines with lost disks come back, empty.
@@ -42,18 +42,18 @@
 	{name: "disks of leaders", wiped: disksOfLeaders},
 	{name: "disks of followers", wiped: disksOfFollowers},
 	{name: "disks of leaders, restarted late", wiped: disksOfLeaders, delay: 4 * time.Second},
-	{name: "any disks after faults", wiped: anyDisks, day: 4},
-	{name: "disks of leaders after faults", wiped: disksOfLeaders, day: 4},
+	{name: "any disks after faults", wiped: anyDisks, faultCount: 4},
+	{name: "disks of leaders after faults", wiped: disksOfLeaders, faultCount: 4},
 }
 
-// closingCrowd is a kind of clients, with how a run with them begins and ends.
-type closingCrowd struct {
+// closingClients is a kind of clients, with how a run with them begins and ends.
+type closingClients struct {
 	name  string
 	begin func(seed uint64, size Shape) (*Simulation, *Operator)
 	close func(run *Simulation)
 }
 
-var closingCrowds = []closingCrowd{
+var closingClientKinds = []closingClients{
 	{name: "routed topics", begin: beginRouted, close: (*Simulation).finishTopics},
 	{name: "spaces", begin: beginSpaces, close: closeSpaces},
 	{name: "both", begin: beginBoth, close: closeBoth},
@@ -148,12 +148,12 @@
 func byRank(run *Simulation, kind string) []*Node {
 	rank := map[string]int{}
 	if primary := run.Primary(); primary != nil {
-		record := primary.watch().Record()
+		record := primary.consensusNode().Record()
 		rank[record.Primary] = 2
 		for _, backup := range record.Backups {
 			rank[backup] = 1
 		}
-		for _, placement := range primary.watchedState().Placements {
+		for _, placement := range primary.controllerState().Placements {
 			rank[placement.Leader]++
 		}
 	}
@@ -177,14 +177,14 @@
 	}
 }
 
-func TestDisksAndAllPowerLostAtTheEndOfADay(t *testing.T) {
+func TestDisksAndAllPowerLostAtTheEndOfARun(t *testing.T) {
 	for shape, size := range closingShapes() {
 		for _, fault := range closingFaults {
-			for _, callers := range closingCrowds {
+			for _, callers := range closingClientKinds {
 				t.Run(shape+"/"+callers.name+"/"+fault.name, func(t *testing.T) {
 					t.Parallel()
 					for seed := range *closingSeeds {
-						closeDay(t, *closingFrom+seed, size, callers, fault)
+						runClosingFault(t, *closingFrom+seed, size, callers, fault)
 					}
 				})
 			}
@@ -192,15 +192,15 @@
 	}
 }
 
-// closeDay runs a fleet with clients, ends the run with a fault, and checks the result.
-func closeDay(t *testing.T, seed uint64, size Shape, callers closingCrowd, fault closingFault) {
+// runClosingFault runs a fleet with clients, ends the run with a fault, and checks the result.
+func runClosingFault(t *testing.T, seed uint64, size Shape, callers closingClients, fault closingFault) {
 	t.Helper()
 	run, operator := callers.begin(seed, size)
 	run.Run(2 * time.Second)
 	operator.runUntil(run.Now.Add(topicScenarioLength + 40*time.Second))
 	run.lastFaultAt = run.Now.Add(-checker.FaultSettleTime)
-	if fault.day > 0 {
-		run.day(t, faults.Draw(rand.New(rand.NewPCG(seed, 0xc105)), faults.Names, topicScenarioLength, fault.day))
+	if fault.faultCount > 0 {
+		run.injectAndSettle(t, faults.Draw(rand.New(rand.NewPCG(seed, 0xc105)), faults.Names, topicScenarioLength, fault.faultCount))
 	}
 
 	acknowledged := run.acknowledgeMore(t, seed)
@@ -216,9 +216,9 @@
 
 	primary := run.Primary()
 	if primary == nil {
-		t.Fatalf("seed %d: no primary: %s", seed, records(run))
+		t.Fatalf("seed %d: no primary: %s", seed, controllerRecords(run))
 	}
-	version := primary.watchedState().Version
+	version := primary.controllerState().Version
 	assert.Check(t, version >= acknowledged, "seed %d: configuration %d is in force, but %d was acknowledged", seed, version, acknowledged)
 	callers.close(run)
 	for _, line := range run.Checker.Violations() {
@@ -228,8 +228,8 @@
 	assert.Check(t, enough, "seed %d: too few messages were accepted after the fault: %s", seed, run.Checker.Summary())
 }
 
-// day injects faults and waits until they have ended and their effects have settled.
-func (s *Simulation) day(t *testing.T, schedule []faults.Fault) {
+// injectAndSettle injects faults and waits until they have ended and their effects have settled.
+func (s *Simulation) injectAndSettle(t *testing.T, schedule []faults.Fault) {
 	t.Helper()
 	for _, fault := range schedule {
 		s.After(fault.Start, func() { s.inject(fault) })
--- a/internal/simulator/controllers_test.go
+++ b/internal/simulator/controllers_test.go
@@ -22,9 +22,9 @@
 	return size
 }
 
-func (n *Node) watch() *consensus.Node { return n.Machine.(*controller.Controller).Node() }
+func (n *Node) consensusNode() *consensus.Node { return n.Machine.(*controller.Controller).Node() }
 
-func (n *Node) watchedState() *controller.State { return n.Machine.(*controller.Controller).State() }
+func (n *Node) controllerState() *controller.State { return n.Machine.(*controller.Controller).State() }
 
 // voters returns the names of the voters in the record of the current primary.
 func (s *Simulation) voters() []string {
@@ -33,17 +33,17 @@
 		return nil
 	}
 	var names []string
-	for _, controller := range primary.watch().Record().Voters {
+	for _, controller := range primary.consensusNode().Record().Voters {
 		names = append(names, controller.Name)
 	}
 	return names
 }
 
-var controllerTroubles = []struct {
+var controllerFaults = []struct {
 	name   string
 	size   Shape
 	voters int
-	strike func(t *testing.T, simulation *Simulation)
+	inject func(t *testing.T, simulation *Simulation)
 }{
 	{"calm", seeded(5, 1), 3, func(*testing.T, *Simulation) {}},
 	{"three controllers", seeded(3, 1), 3, func(*testing.T, *Simulation) {}},
@@ -82,7 +82,7 @@
 			if primary == nil {
 				return
 			}
-			record := primary.watch().Record()
+			record := primary.consensusNode().Record()
 			lost := []string{record.Primary, record.Backups[int(simulation.Seed)%2]}
 			for _, node := range simulation.Nodes(membership.KindController) {
 				simulation.killFor(node, simulation.between(time.Second, 3*time.Second), slices.Contains(lost, node.Name))
@@ -104,7 +104,7 @@
 }
 
 func TestControllersFoundedByTheSeeds(t *testing.T) {
-	for _, each := range controllerTroubles {
+	for _, each := range controllerFaults {
 		t.Run(each.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(2) {
@@ -113,7 +113,7 @@
 				simulation.Run(time.Second)
 				operator.runUntil(simulation.Now.Add(24 * time.Second))
 				simulation.lastFaultAt = simulation.Now.Add(24 * time.Second)
-				each.strike(t, simulation)
+				each.inject(t, simulation)
 				simulation.Run(24 * time.Second)
 				assert.Check(t, simulation.RunUntil(10*time.Second, func() bool { return len(simulation.voters()) == each.voters }), "%v", simulation.voters())
 				simulation.HealAndClose(20 * time.Second)
--- a/internal/simulator/cutoff_test.go
+++ b/internal/simulator/cutoff_test.go
@@ -20,19 +20,19 @@
 )
 
 const (
-	cutLength = 20 * time.Second
-	// askEvery is the interval of the operator's requests to the isolated machine.
-	askEvery = 900 * time.Millisecond
-	// silenceBorne is how long the users' operator waits for a response.
-	silenceBorne = time.Second
-	// contactWithin is the time within which a machine is connected again after the heal.
-	contactWithin = 4 * time.Second
-	// takenOverWithin is the time within which another controller serves after the links fail.
-	takenOverWithin = 6 * time.Second
+	isolationLength = 20 * time.Second
+	// requestInterval is the interval of the operator's requests to the isolated machine.
+	requestInterval = 900 * time.Millisecond
+	// operatorTimeout is how long the users' operator waits for a response.
+	operatorTimeout = time.Second
+	// reconnectWithin is the time within which a machine is connected again after the heal.
+	reconnectWithin = 4 * time.Second
+	// failoverWithin is the time within which another controller serves after the links fail.
+	failoverWithin = 6 * time.Second
 )
 
-// severance is one kind of isolation.
-type severance struct {
+// isolation is one kind of network partition around some machines.
+type isolation struct {
 	position string
 	// reach says from which machines it is isolated: "core" means controllers and stores,
 	// "all" means all other machines.
@@ -42,25 +42,25 @@
 	direction string
 }
 
-func (s severance) String() string { return s.position + " from " + s.reach + ", " + s.direction }
+func (s isolation) String() string { return s.position + " from " + s.reach + ", " + s.direction }
 
-func severances() []severance {
-	var all []severance
+func isolations() []isolation {
+	var all []isolation
 	for _, position := range []string{"leader", "backup", "witness", "standby", "seed", "minority"} {
 		for _, direction := range []string{"both", "out", "in"} {
-			all = append(all, severance{position: position, reach: "core", direction: direction})
+			all = append(all, isolation{position: position, reach: "core", direction: direction})
 		}
-		all = append(all, severance{position: position, reach: "all", direction: "both"})
+		all = append(all, isolation{position: position, reach: "all", direction: "both"})
 	}
 	for _, direction := range []string{"both", "out", "in"} {
-		all = append(all, severance{position: "edge", reach: "core", direction: direction})
+		all = append(all, isolation{position: "edge", reach: "core", direction: direction})
 	}
-	return append(all, severance{position: "edge", reach: "all", direction: "both"})
+	return append(all, isolation{position: "edge", reach: "all", direction: "both"})
 }
 
 // inside returns the isolated machines. The operator sends its requests to the first.
-func (s severance) inside(simulation *Simulation) []*Node {
-	record := simulation.Primary().watch().Record()
+func (s isolation) inside(simulation *Simulation) []*Node {
+	record := simulation.Primary().consensusNode().Record()
 	leader := simulation.Node(record.Primary)
 	backup := simulation.Node(record.Backups[0])
 	var witness, standby *Node
@@ -90,8 +90,8 @@
 	return []*Node{simulation.Node("gateway-1"), simulation.Node("agent-1")}
 }
 
-// cut isolates the machines and returns a function that heals the links.
-func (s severance) cut(simulation *Simulation, inside []*Node) (mend func()) {
+// isolate isolates the machines and returns a function that heals the links.
+func (s isolation) isolate(simulation *Simulation, inside []*Node) (mend func()) {
 	type pair struct{ from, to *Node }
 	var pairs []pair
 	for _, node := range inside {
@@ -118,8 +118,8 @@
 	}
 }
 
-// asked is one request of the operator to the isolated machine, with its response.
-type asked struct {
+// operatorRequest is one request of the operator to the isolated machine, with its response.
+type operatorRequest struct {
 	at, took time.Duration
 	method   string
 	races    bool
@@ -128,24 +128,24 @@
 	body     string
 }
 
-func (a asked) String() string {
+func (a operatorRequest) String() string {
 	return fmt.Sprintf("%s at %s: status %d after %s: %s", a.method, a.at, a.status, a.took, a.body)
 }
 
-// questioner sends requests to one machine, one after another.
-type questioner struct {
+// steadyOperator sends requests to one machine, one after another.
+type steadyOperator struct {
 	simulation *Simulation
 	operator   *Operator
 	node       *Node
 	began      time.Time
 	until      time.Time
 	count      int
-	answers    []asked
+	answers    []operatorRequest
 }
 
-// heard records the response to a request.
-func (q *questioner) heard(method string, began time.Time, races bool, response membership.ControlResponse) asked {
-	answer := asked{
+// record records the response to a request.
+func (q *steadyOperator) record(method string, began time.Time, races bool, response membership.ControlResponse) operatorRequest {
+	answer := operatorRequest{
 		at: began.Sub(q.began), took: q.simulation.Now.Sub(began), method: method, races: races,
 		status: response.Status, retry: response.RetryAfter, body: string(response.Body),
 	}
@@ -153,13 +153,13 @@
 	return answer
 }
 
-func (q *questioner) ask() {
+func (q *steadyOperator) sendNext() {
 	simulation := q.simulation
 	if simulation.Now.After(q.until) {
 		return
 	}
 	began := simulation.Now
-	next := func() { simulation.After(max(0, askEvery-simulation.Now.Sub(began)), q.ask) }
+	next := func() { simulation.After(max(0, requestInterval-simulation.Now.Sub(began)), q.sendNext) }
 	q.count++
 	if q.count%2 == 0 {
 		q.read(next)
@@ -173,7 +173,7 @@
 		q.operator.put(version, other, nil)
 	}
 	q.operator.order(q.node, version, body, func(_ checker.OrderOutcome, response membership.ControlResponse, _ bool) {
-		switch answer := q.heard(http.MethodPut, began, races, response); {
+		switch answer := q.record(http.MethodPut, began, races, response); {
 		case answer.status == http.StatusOK:
 			simulation.Checker.ConfigurationAccepted(version, string(body), began, simulation.Now)
 			next()
@@ -186,10 +186,10 @@
 	})
 }
 
-func (q *questioner) read(next func()) {
+func (q *steadyOperator) read(next func()) {
 	simulation, began := q.simulation, q.simulation.Now
 	simulation.Control(q.node, http.MethodGet, "/v1/configuration", nil, func(response membership.ControlResponse, _ bool) {
-		if q.heard(http.MethodGet, began, false, response).status == http.StatusOK {
+		if q.record(http.MethodGet, began, false, response).status == http.StatusOK {
 			var got struct {
 				Version       uint64          `json:"version"`
 				Configuration json.RawMessage `json:"configuration"`
@@ -202,27 +202,27 @@
 	})
 }
 
-// cutOff runs a fleet with one severance and returns the operator's requests and responses.
-func cutOff(t trial, each severance, seed uint64) []asked {
+// runIsolation runs a fleet with one kind of isolation and returns the operator's requests and responses.
+func runIsolation(t trial, each isolation, seed uint64) []operatorRequest {
 	t.Helper()
 	simulation, operator := Prepare(8000+seed, seeded(5, 1), nil)
 	simulation.AddDefaultClients(4)
 	simulation.Run(2 * time.Second)
-	simulation.lastFaultAt = simulation.Now.Add(cutLength + contactWithin)
-	old := simulation.watchDepartures()
+	simulation.lastFaultAt = simulation.Now.Add(isolationLength + reconnectWithin)
+	old := simulation.recordSendsWithoutLease()
 	inside := each.inside(simulation)
-	asking := &questioner{simulation: simulation, operator: operator, node: inside[0], began: simulation.Now}
-	asking.until = simulation.Now.Add(cutLength + contactWithin + 8*time.Second)
-	mend := each.cut(simulation, inside)
-	simulation.every(cutLength, 200*time.Millisecond, 400*time.Millisecond, operator.read)
-	simulation.After(300*time.Millisecond, asking.ask)
-	simulation.Run(takenOverWithin)
-	each.judgeGateways(t, simulation, inside, true)
-	simulation.Run(cutLength - takenOverWithin)
-	each.judgeGateways(t, simulation, inside, true)
+	asking := &steadyOperator{simulation: simulation, operator: operator, node: inside[0], began: simulation.Now}
+	asking.until = simulation.Now.Add(isolationLength + reconnectWithin + 8*time.Second)
+	mend := each.isolate(simulation, inside)
+	simulation.every(isolationLength, 200*time.Millisecond, 400*time.Millisecond, operator.read)
+	simulation.After(300*time.Millisecond, asking.sendNext)
+	simulation.Run(failoverWithin)
+	each.checkGateways(t, simulation, inside, true)
+	simulation.Run(isolationLength - failoverWithin)
+	each.checkGateways(t, simulation, inside, true)
 	mend()
-	simulation.Run(contactWithin)
-	each.judgeGateways(t, simulation, inside, false)
+	simulation.Run(reconnectWithin)
+	each.checkGateways(t, simulation, inside, false)
 	simulation.Run(8 * time.Second)
 	simulation.HealAndClose(10 * time.Second)
 	assert.Check(t, len(*old) == 0, "%s, seed %d: %v", each, seed, *old)
@@ -232,9 +232,9 @@
 	return asking.answers
 }
 
-// judgeGateways checks readiness: an isolated gateway is not ready and its configuration is
+// checkGateways checks readiness: an isolated gateway is not ready and its configuration is
 // not confirmed, so that it pauses delivery. All other gateways are ready.
-func (s severance) judgeGateways(t trial, simulation *Simulation, inside []*Node, cut bool) {
+func (s isolation) checkGateways(t trial, simulation *Simulation, inside []*Node, cut bool) {
 	t.Helper()
 	for _, node := range simulation.Nodes(membership.KindGateway) {
 		lost := cut && slices.Contains(inside, node)
@@ -243,19 +243,19 @@
 	}
 }
 
-// judgeAnswers checks the responses to the operator: rejections only as unavailable, in
+// checkResponses checks the responses to the operator: rejections only as unavailable, in
 // time and with a retry delay, or as a conflict of concurrent orders; success after the
 // heal; and forwarded responses while only the core is unreachable.
-func judgeAnswers(t trial, each severance, seed uint64, answers []asked) {
+func checkResponses(t trial, each isolation, seed uint64, answers []operatorRequest) {
 	t.Helper()
 	confirmed := 0
 	for _, answer := range answers {
 		refuses := answer.status != http.StatusOK && answer.status != http.StatusServiceUnavailable
 		assert.Check(t, !refuses || answer.races && answer.status == http.StatusConflict, "%s, seed %d: %s", each, seed, answer)
-		assert.Check(t, answer.status != http.StatusServiceUnavailable || answer.retry > 0 && answer.took <= silenceBorne, "%s, seed %d: %s", each, seed, answer)
-		inTouch := answer.at > cutLength+contactWithin
+		assert.Check(t, answer.status != http.StatusServiceUnavailable || answer.retry > 0 && answer.took <= operatorTimeout, "%s, seed %d: %s", each, seed, answer)
+		inTouch := answer.at > isolationLength+reconnectWithin
 		assert.Check(t, !inTouch || answer.status == http.StatusOK || answer.races, "%s, seed %d, after reconnecting: %s", each, seed, answer)
-		if answer.at > takenOverWithin && answer.at < cutLength-silenceBorne && answer.status == http.StatusOK {
+		if answer.at > failoverWithin && answer.at < isolationLength-operatorTimeout && answer.status == http.StatusOK {
 			confirmed++
 		}
 	}
@@ -265,10 +265,10 @@
 }
 
 func TestAMachineThatIsCutOff(t *testing.T) {
-	for _, each := range severances() {
+	for _, each := range isolations() {
 		t.Run(each.String(), func(t *testing.T) {
 			t.Parallel()
-			judgeAnswers(t, each, 0, cutOff(t, each, 0))
+			checkResponses(t, each, 0, runIsolation(t, each, 0))
 		})
 	}
 }
--- a/internal/simulator/departure_mutation_test.go
+++ b/internal/simulator/departure_mutation_test.go
@@ -15,8 +15,8 @@
 func TestTheLookAtTheClockIsNeeded(t *testing.T) {
 	restore := statemachine.Mutate("leave-late")
 	defer restore()
-	for number, each := range standstills {
-		old, _ := standStill(t, 0, number)
+	for number, each := range suspensions {
+		old, _ := suspendPrimary(t, 0, number)
 		assert.Check(t, len(old) > 0, "%s: nothing was sent after the lease expired", each.name)
 		if len(old) > 0 {
 			t.Logf("%s: %s", each.name, old[0])
--- a/internal/simulator/departure_test.go
+++ b/internal/simulator/departure_test.go
@@ -14,8 +14,8 @@
 	"dahlialock/internal/statemachine"
 )
 
-// restsOnLease reports whether only the holder of the lease may send a message.
-func restsOnLease(message any) bool {
+// requiresLease reports whether only the holder of the lease may send a message.
+func requiresLease(message any) bool {
 	switch body := message.(type) {
 	case membership.ViewUpdate:
 		return true
@@ -25,13 +25,13 @@
 	return false
 }
 
-// watchDepartures records the messages that a primary sends after its lease has expired. A
+// recordSendsWithoutLease records the messages that a primary sends after its lease has expired. A
 // response of another controller that it forwards to an operator does not count.
-func (s *Simulation) watchDepartures() *[]string {
+func (s *Simulation) recordSendsWithoutLease() *[]string {
 	old := &[]string{}
 	own := map[statemachine.RequestID]bool{}
 	s.OnSend = func(from *Node, to string, message any) {
-		if from.Kind != membership.KindController || !restsOnLease(message) {
+		if from.Kind != membership.KindController || !requiresLease(message) {
 			return
 		}
 		if answer, matches := message.(membership.ControlResponse); matches {
@@ -40,14 +40,14 @@
 				return
 			}
 		}
-		if from.watch().IsPrimary() && !from.watch().HoldsLease(from.localTime()) {
+		if from.consensusNode().IsPrimary() && !from.consensusNode().HoldsLease(from.localTime()) {
 			*old = append(*old, fmt.Sprintf("%s sent %T at %s without the lease", from.Name, message, s.Now.Sub(s.started)))
 		}
 	}
 	return old
 }
 
-func sendsOf(matches func(message any) bool) func(effects *statemachine.Effects) bool {
+func sendsMatching(matches func(message any) bool) func(effects *statemachine.Effects) bool {
 	return func(effects *statemachine.Effects) bool {
 		for _, send := range effects.Sends {
 			if matches(send.Message) {
@@ -58,32 +58,32 @@
 	}
 }
 
-func isNews(message any) bool {
+func isViewUpdate(message any) bool {
 	_, news := message.(membership.ViewUpdate)
 	return news
 }
 
-func isAnswer(message any) bool {
+func isSuccessResponse(message any) bool {
 	answer, matches := message.(membership.ControlResponse)
 	return matches && answer.Status == http.StatusOK
 }
 
-// standstills lists the steps after which the primary is suspended. With own, the operator
+// suspensions lists the steps after which the primary is suspended. With own, the operator
 // sends its request to the primary itself.
-var standstills = []struct {
+var suspensions = []struct {
 	name    string
 	matches func(effects *statemachine.Effects) bool
 	method  string
 	own     bool
 }{
-	{"a view update to daemons", sendsOf(isNews), "", false},
-	{"a response to a read, to another daemon", sendsOf(isAnswer), http.MethodGet, false},
-	{"a response to an order, to another daemon", sendsOf(isAnswer), http.MethodPut, false},
-	{"a response to a read, to its own operator", sendsOf(isAnswer), http.MethodGet, true},
-	{"a response to an order, to its own operator", sendsOf(isAnswer), http.MethodPut, true},
+	{"a view update to daemons", sendsMatching(isViewUpdate), "", false},
+	{"a response to a read, to another daemon", sendsMatching(isSuccessResponse), http.MethodGet, false},
+	{"a response to an order, to another daemon", sendsMatching(isSuccessResponse), http.MethodPut, false},
+	{"a response to a read, to its own operator", sendsMatching(isSuccessResponse), http.MethodGet, true},
+	{"a response to an order, to its own operator", sendsMatching(isSuccessResponse), http.MethodPut, true},
 	{"a response returned to its own operator", func(effects *statemachine.Effects) bool {
 		for _, response := range effects.Responses {
-			if isAnswer(response.Value) {
+			if isSuccessResponse(response.Value) {
 				return true
 			}
 		}
@@ -91,18 +91,18 @@
 	}, http.MethodGet, true},
 }
 
-// standStill suspends the primary for 20 s after a step and before the step's effects are
+// suspendPrimary suspends the primary for 20 s after a step and before the step's effects are
 // sent. It returns what was sent without the lease, and the statuses of the responses to the
 // operator.
-func standStill(t trial, seed uint64, number int) (old []string, told []int) {
+func suspendPrimary(t trial, seed uint64, number int) (withoutLease []string, statuses []int) {
 	t.Helper()
-	each := standstills[number]
+	each := suspensions[number]
 	simulation, operator := Prepare(7000+seed, Small, nil)
 	simulation.AddDefaultClients(4)
 	simulation.Run(2 * time.Second)
 	primary := simulation.Primary()
 	assert.Assert(t, primary != nil)
-	left := simulation.watchDepartures()
+	left := simulation.recordSendsWithoutLease()
 	froze := false
 	primary.FreezeAfterStep(20*time.Second, func(effects *statemachine.Effects) bool {
 		froze = froze || each.matches(effects)
@@ -117,7 +117,7 @@
 		body := operator.document()
 		simulation.Control(asked, each.method, "/v1/configuration", body, func(response membership.ControlResponse, alive bool) {
 			assert.Check(t, alive)
-			told = append(told, response.Status)
+			statuses = append(statuses, response.Status)
 		})
 	}
 	simulation.Run(10 * time.Second)
@@ -125,13 +125,13 @@
 	assert.Check(t, simulation.Primary() != nil && simulation.Primary() != primary, "no other controller took over")
 	simulation.Run(14 * time.Second)
 	if each.method != "" {
-		assert.Check(t, len(told) == 1, "the operator received %v", told)
+		assert.Check(t, len(statuses) == 1, "the operator received %v", statuses)
 	}
 	simulation.HealAndClose(10 * time.Second)
 	for _, line := range simulation.Checker.Violations() {
 		assert.Check(t, false, "%s, seed %d: %s", each.name, seed, line)
 	}
-	return *left, told
+	return *left, statuses
 }
 
 type trial interface {
@@ -140,11 +140,11 @@
 }
 
 func TestNothingThatRestsOnTheLeaseLeavesAfterIt(t *testing.T) {
-	for number, each := range standstills {
+	for number, each := range suspensions {
 		t.Run(each.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(2) {
-				old, told := standStill(t, seed, number)
+				old, told := suspendPrimary(t, seed, number)
 				assert.Check(t, len(old) == 0, "seed %d: %v", seed, old)
 				for _, status := range told {
 					// The order may have been accepted, and another daemon then responds.
--- a/internal/simulator/secondloss_test.go
+++ b/internal/simulator/secondloss_test.go
@@ -17,12 +17,12 @@
 	"dahlialock/internal/membership"
 )
 
-// catchUp is how long a new machine counts as lost, because it has not caught up yet.
-const catchUp = 4100 * time.Millisecond
+// catchUpTime is how long a new machine counts as lost, because it has not caught up yet.
+const catchUpTime = 4100 * time.Millisecond
 
 // witness returns a voter that holds no copy of the state.
 func (s *Simulation) witness() *Node {
-	record := s.Primary().watch().Record()
+	record := s.Primary().consensusNode().Record()
 	for _, voter := range record.Voters {
 		if voter.Name != record.Primary && !slices.Contains(record.Backups, voter.Name) {
 			return s.nodes[voter.Name]
@@ -54,13 +54,13 @@
 	fresh.Start()
 }
 
-// strikeAgain wipes count controllers that hold a complete copy of the state, as many as may
+// injectSecondLoss wipes count controllers that hold a complete copy of the state, as many as may
 // be lost in addition to those lost already, and makes all other machines with a disk lose
 // power.
-func (s *Simulation) strikeAgain(count int) {
+func (s *Simulation) injectSecondLoss(count int) {
 	var wiped []string
 	for _, node := range s.Nodes(membership.KindController) {
-		if len(wiped) < count && node.Up && node.watch().CompleteEpoch() > 0 {
+		if len(wiped) < count && node.Up && node.consensusNode().CompleteEpoch() > 0 {
 			wiped = append(wiped, node.Name)
 		}
 	}
@@ -71,41 +71,41 @@
 	}
 }
 
-// leavePlanned starts a successor, asks a controller to stop, and removes its machine if
+// stopController starts a successor, asks a controller to stop, and removes its machine if
 // its process ends within strikeAfter.
-func leavePlanned(role string, strikeAfter time.Duration) func(t *testing.T, run *Simulation) {
+func stopController(role string, strikeAfter time.Duration) func(t *testing.T, run *Simulation) {
 	return func(_ *testing.T, run *Simulation) {
 		run.addFresh(17)
-		run.Run(catchUp)
+		run.Run(catchUpTime)
 		leaver := run.controllerAs(role)
 		leaver.Terminate()
 		// A controller that has not stopped by then loses power, restarts and remains a voter.
 		if run.RunUntil(strikeAfter, func() bool { return !leaver.Up }) {
 			run.remove(leaver)
 		}
-		run.strikeAgain(run.Shape.Tolerance)
+		run.injectSecondLoss(run.Shape.Tolerance)
 	}
 }
 
-// replaced removes a controller, starts another, and injects the second loss after wait. If
-// wait is shorter than catchUp, the new controller still counts as lost.
-func replaced(role string, wait time.Duration) func(t *testing.T, run *Simulation) {
+// replaceController removes a controller, starts another, and injects the second loss after wait. If
+// wait is shorter than catchUpTime, the new controller still counts as lost.
+func replaceController(role string, wait time.Duration) func(t *testing.T, run *Simulation) {
 	return func(_ *testing.T, run *Simulation) {
 		run.remove(run.controllerAs(role))
 		run.Run(300 * time.Millisecond)
 		run.addFresh(17)
 		run.Run(wait)
 		count := run.Shape.Tolerance
-		if wait < catchUp {
+		if wait < catchUpTime {
 			count--
 		}
-		run.strikeAgain(count)
+		run.injectSecondLoss(count)
 	}
 }
 
-// retiredStore retires a store, removes its machine as soon as it is retired, and wipes
+// retireStore retires a store, removes its machine as soon as it is retired, and wipes
 // others.
-func retiredStore(t *testing.T, run *Simulation) {
+func retireStore(t *testing.T, run *Simulation) {
 	name := run.Nodes(membership.KindStore)[run.Seed%2].Name
 	status := 0
 	run.Control(run.Nodes(membership.KindGateway)[0], http.MethodPost, "/v1/stores/"+name+"/retire", nil, func(response membership.ControlResponse, _ bool) {
@@ -121,8 +121,8 @@
 	}
 }
 
-// stoppedStore asks a store to stop, removes its machine once it has, and wipes others.
-func stoppedStore(t *testing.T, run *Simulation) {
+// stopStore asks a store to stop, removes its machine once it has, and wipes others.
+func stopStore(t *testing.T, run *Simulation) {
 	leaver := run.Nodes(membership.KindStore)[run.Seed%2]
 	leaver.Terminate()
 	assert.Check(t, run.RunUntil(5*time.Second, func() bool { return !leaver.Up }))
@@ -132,8 +132,8 @@
 	}
 }
 
-// afterEachAck wipes the primary right after it has applied an order, twice.
-func afterEachAck(t *testing.T, run *Simulation) {
+// wipePrimaryAfterOrders wipes the primary right after it has applied an order, twice.
+func wipePrimaryAfterOrders(t *testing.T, run *Simulation) {
 	for range 2 {
 		version := func() uint64 {
 			if primary := run.Primary(); primary != nil {
@@ -147,29 +147,29 @@
 		if run.Primary() != nil {
 			run.killFor(run.Primary(), 500*time.Millisecond, true)
 		}
-		run.Run(catchUp + time.Second)
+		run.Run(catchUpTime + time.Second)
 	}
 }
 
 var secondLosses = []struct {
 	name      string
 	tolerance int
-	strike    func(t *testing.T, run *Simulation)
+	inject    func(t *testing.T, run *Simulation)
 }{
-	{"the primary was stopped by plan", 1, leavePlanned("primary", 3*time.Second)},
-	{"the primary is being stopped by plan", 1, leavePlanned("primary", 250*time.Millisecond)},
-	{"a backup was stopped by plan", 1, leavePlanned("backup", 3*time.Second)},
-	{"a backup was stopped by plan, two may be lost", 2, leavePlanned("backup", 3*time.Second)},
-	{"a witness is being stopped by plan", 1, leavePlanned("witness", 550*time.Millisecond)},
-	{"the primary is replaced", 1, replaced("primary", catchUp)},
-	{"a witness is replaced", 1, replaced("witness", catchUp)},
-	{"a backup is being replaced, two may be lost", 2, replaced("backup", 1300*time.Millisecond)},
-	{"a voter change is in progress, all lose power", 1, replaced("witness", 1400*time.Millisecond)},
-	{"a store is retired", 1, retiredStore},
-	{"a store is retired, two may be lost", 2, retiredStore},
-	{"a store was stopped by plan", 1, stoppedStore},
-	{"a store was stopped by plan, two may be lost", 2, stoppedStore},
-	{"right after acknowledgements", 1, afterEachAck},
+	{"the primary was stopped by plan", 1, stopController("primary", 3*time.Second)},
+	{"the primary is being stopped by plan", 1, stopController("primary", 250*time.Millisecond)},
+	{"a backup was stopped by plan", 1, stopController("backup", 3*time.Second)},
+	{"a backup was stopped by plan, two may be lost", 2, stopController("backup", 3*time.Second)},
+	{"a witness is being stopped by plan", 1, stopController("witness", 550*time.Millisecond)},
+	{"the primary is replaced", 1, replaceController("primary", catchUpTime)},
+	{"a witness is replaced", 1, replaceController("witness", catchUpTime)},
+	{"a backup is being replaced, two may be lost", 2, replaceController("backup", 1300*time.Millisecond)},
+	{"a voter change is in progress, all lose power", 1, replaceController("witness", 1400*time.Millisecond)},
+	{"a store is retired", 1, retireStore},
+	{"a store is retired, two may be lost", 2, retireStore},
+	{"a store was stopped by plan", 1, stopStore},
+	{"a store was stopped by plan, two may be lost", 2, stopStore},
+	{"right after acknowledgements", 1, wipePrimaryAfterOrders},
 }
 
 const secondLossSeeds = 4
@@ -179,7 +179,7 @@
 		t.Run(each.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(secondLossSeeds) {
-				secondLoss(t, 7100+seed, each.tolerance, each.strike)
+				secondLoss(t, 7100+seed, each.tolerance, each.inject)
 			}
 		})
 	}
@@ -195,7 +195,7 @@
 	operator.runUntil(run.Now.Add(16 * time.Second))
 	run.lastFaultAt = run.Now.Add(16 * time.Second)
 	inject(t, run)
-	assert.Check(t, run.RunUntil(12*time.Second, func() bool { return run.Primary() != nil }), "seed %d: no primary: %s", seed, records(run))
+	assert.Check(t, run.RunUntil(12*time.Second, func() bool { return run.Primary() != nil }), "seed %d: no primary: %s", seed, controllerRecords(run))
 	assert.Check(t, run.RunUntil(15*time.Second, func() bool { return len(run.voters()) == 2*tolerance+1 }), "%v", run.voters())
 	run.HealAndClose(10 * time.Second)
 	for _, line := range run.Checker.Violations() {
@@ -204,12 +204,12 @@
 	assert.Check(t, run.Checker.Accepted > 20, "%s", run.Checker.Summary())
 }
 
-// records formats the record that each running controller holds.
-func records(run *Simulation) string {
+// controllerRecords formats the record that each running controller holds.
+func controllerRecords(run *Simulation) string {
 	known := map[string]consensus.Record{}
 	for _, node := range run.Nodes(membership.KindController) {
 		if node.Up {
-			known[node.Name] = node.watch().Record()
+			known[node.Name] = node.consensusNode().Record()
 		}
 	}
 	return fmt.Sprint(known)
--- a/internal/simulator/stores_test.go
+++ b/internal/simulator/stores_test.go
@@ -20,8 +20,8 @@
 
 const routedDocument = `{"version": 1, "spaces": [{"name": "readings", "promise": "kept", "order": "topic"}], "routes": [{"prefix": "reading.", "space": "readings"}]}`
 
-// served returns the number of shared partitions that have a serving store.
-func served(run *Simulation) int {
+// servedPartitions returns the number of shared partitions that have a serving store.
+func servedPartitions(run *Simulation) int {
 	serving := map[string]bool{}
 	for _, node := range run.Nodes(membership.KindStore) {
 		if !node.Up || node.Frozen {
@@ -40,8 +40,8 @@
 	return count
 }
 
-// routed starts a fleet with routes and waits until all shared partitions are served.
-func routed(t *testing.T, seed uint64, size Shape) *Simulation {
+// startRoutedFleet starts a fleet with routes and waits until all shared partitions are served.
+func startRoutedFleet(t *testing.T, seed uint64, size Shape) *Simulation {
 	run := New(seed, size)
 	run.StartAll()
 	assert.Assert(t, run.RunUntil(6*time.Second, func() bool { return run.Primary() != nil }))
@@ -50,15 +50,15 @@
 	run.Control(run.Nodes(membership.KindController)[0], http.MethodPut, "/v1/configuration", []byte(routedDocument), func(response membership.ControlResponse, _ bool) {
 		taken = response.Status == http.StatusOK
 	})
-	assert.Assert(t, run.RunUntil(3*time.Second, func() bool { return taken && served(run) == config.SharedPartitions }), "%d partitions are served", served(run))
+	assert.Assert(t, run.RunUntil(3*time.Second, func() bool { return taken && servedPartitions(run) == config.SharedPartitions }), "%d partitions are served", servedPartitions(run))
 	run.Run(time.Second)
 	return run
 }
 
-// outage waits until all shared partitions are served and returns how long that took.
-func outage(t *testing.T, run *Simulation) time.Duration {
+// waitUntilServed waits until all shared partitions are served and returns how long that took.
+func waitUntilServed(t *testing.T, run *Simulation) time.Duration {
 	began := run.Now
-	assert.Assert(t, run.RunUntil(10*time.Second, func() bool { return served(run) == config.SharedPartitions }), "%d partitions are served", served(run))
+	assert.Assert(t, run.RunUntil(10*time.Second, func() bool { return servedPartitions(run) == config.SharedPartitions }), "%d partitions are served", servedPartitions(run))
 	return run.Now.Sub(began)
 }
 
@@ -66,9 +66,9 @@
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			run := routed(t, seed, Shapes["qureshi"])
+			run := startRoutedFleet(t, seed, Shapes["qureshi"])
 			run.Nodes(membership.KindStore)[seed%3].Crash()
-			length := outage(t, run)
+			length := waitUntilServed(t, run)
 			t.Logf("after a crash: %s", length)
 			assert.Assert(t, length < 400*time.Millisecond, "after %s", length)
 		})
@@ -79,9 +79,9 @@
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			run := routed(t, seed, Shapes["qureshi"])
+			run := startRoutedFleet(t, seed, Shapes["qureshi"])
 			run.Nodes(membership.KindStore)[seed%3].Kill()
-			length := outage(t, run)
+			length := waitUntilServed(t, run)
 			t.Logf("after a loss of power: %s", length)
 			assert.Assert(t, length < 4*time.Second, "after %s", length)
 		})
@@ -91,8 +91,8 @@
 // appendEvery is the interval between two messages of traffic.
 const appendEvery = 3 * time.Millisecond
 
-// traffic makes a gateway append to partitions, at the leaders that the primary has placed.
-func traffic(run *Simulation) {
+// startTraffic makes a gateway append to partitions, at the leaders that the primary has placed.
+func startTraffic(run *Simulation) {
 	seq := uint64(0)
 	var next func()
 	next = func() {
@@ -122,12 +122,12 @@
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			run := routed(t, seed, Shapes["qureshi"])
-			traffic(run)
+			run := startRoutedFleet(t, seed, Shapes["qureshi"])
+			startTraffic(run)
 			run.Run(5 * time.Second)
-			assert.Equal(t, served(run), config.SharedPartitions)
+			assert.Equal(t, servedPartitions(run), config.SharedPartitions)
 			run.Nodes(membership.KindStore)[seed%3].Kill()
-			length := outage(t, run)
+			length := waitUntilServed(t, run)
 			t.Logf("after a loss of power: %s", length)
 			assert.Assert(t, length < time.Second, "after %s", length)
 		})
@@ -141,8 +141,8 @@
 		for seed := range uint64(3) {
 			t.Run(fmt.Sprintf("%d-%d", times, seed), func(t *testing.T) {
 				t.Parallel()
-				run := routed(t, seed, Shapes["qureshi"])
-				traffic(run)
+				run := startRoutedFleet(t, seed, Shapes["qureshi"])
+				startTraffic(run)
 				run.Run(5 * time.Second)
 				store := run.Nodes(membership.KindStore)[seed%3]
 				store.diskSlowdown = times
@@ -153,7 +153,7 @@
 							return false
 						}
 					}
-					return served(run) == config.SharedPartitions
+					return servedPartitions(run) == config.SharedPartitions
 				}))
 				t.Logf("no replicas left after %s", run.Now.Sub(began))
 				assert.Assert(t, run.Now.Sub(began) < 2500*time.Millisecond)
@@ -171,8 +171,8 @@
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			run := routed(t, seed, Shapes["qureshi"])
-			traffic(run)
+			run := startRoutedFleet(t, seed, Shapes["qureshi"])
+			startTraffic(run)
 			run.Run(3 * time.Second)
 			run.loss = 0.02
 			for range 200 {
@@ -191,8 +191,8 @@
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			run := routed(t, seed, Shapes["qureshi"])
-			traffic(run)
+			run := startRoutedFleet(t, seed, Shapes["qureshi"])
+			startTraffic(run)
 			run.Run(3 * time.Second)
 			store := run.Nodes(membership.KindStore)[seed%3]
 			store.Kill()
@@ -213,7 +213,7 @@
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			run := routed(t, seed, Shapes["qureshi"])
+			run := startRoutedFleet(t, seed, Shapes["qureshi"])
 			name := run.Nodes(membership.KindStore)[seed%3].Name
 			asked := func(method, path string) int {
 				var status int
@@ -231,7 +231,7 @@
 			done, unserved := false, time.Duration(0)
 			for !done && run.Now.Sub(began) < 10*time.Second {
 				run.Run(10 * time.Millisecond)
-				if served(run) < config.SharedPartitions {
+				if servedPartitions(run) < config.SharedPartitions {
 					unserved += 10 * time.Millisecond
 				}
 				done = run.Primary() != nil && run.Primary().Machine.(*controller.Controller).State().Members[name].Retired
@@ -251,7 +251,7 @@
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			run := routed(t, seed, Shapes["qureshi"])
+			run := startRoutedFleet(t, seed, Shapes["qureshi"])
 			for _, node := range run.Nodes("") {
 				node.Kill()
 			}
@@ -259,7 +259,7 @@
 			run.Run(time.Second)
 			run.StartAll()
 			assert.Assert(t, run.RunUntil(10*time.Second, func() bool { return run.Primary() != nil }))
-			length := outage(t, run)
+			length := waitUntilServed(t, run)
 			t.Logf("after the election of a primary: %s", length)
 			assert.Assert(t, length < 900*time.Millisecond, "after %s", length)
 		})
