--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -12,8 +12,8 @@
 	"dahlialock/internal/statemachine"
 )
 
-// timer names the timers of a controller. Timers of the same moment expire in the order
-// of these constants.
+// timer is the key of one of the controller's timers. Timers that expire at the same time run in
+// the order of these constants.
 type timer int
 
 const (
--- a/internal/controller/removal.go
+++ b/internal/controller/removal.go
@@ -10,17 +10,18 @@
 )
 
 // Dead members are removed after removalDelay, so that the control state does not grow with the
-// number of machines that were ever replaced. Each leaves a tombstone until it is evicted. The
-// tombstone serves to recognize retries of a completed retirement order, and to reject the join
-// of an older incarnation. A store that any partition may still need is not removed.
+// number of machines that were ever replaced. A removed member is replaced by a tombstone, which
+// serves to recognize retries of a completed retirement order, and to reject the join of an older
+// incarnation, until the tombstone is evicted. A store that any partition may still need is not
+// removed.
 
 const (
 	// removalDelay is how long a member must be dead, as observed by the current primary, before
 	// the primary removes it.
 	removalDelay = time.Minute
 
-	// minTombstones is how many tombstones are kept at least before the oldest is evicted. If
-	// there are more members than that, one tombstone per member is kept.
+	// minTombstones is the number of tombstones up to which none is evicted. If there are more
+	// members than that, the limit is the number of members.
 	minTombstones = 128
 )
 
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -13,7 +13,8 @@
 
 // beginTerm starts a term when the controller becomes primary. It resets the observations of an
 // earlier term, which are outdated. It treats all members as if they had just polled, so that
-// none is considered failed before it had time to poll the new primary.
+// none is considered failed before it had time to poll the new primary. It treats degraded stores
+// as if their slow disks had just been reported, so that they are not considered recovered at once.
 func (c *Controller) beginTerm(now time.Time) {
 	if c.active {
 		return
--- a/internal/controller/views.go
+++ b/internal/controller/views.go
@@ -24,8 +24,8 @@
 // sentView describes the view that was last sent to a member. Only one view per member is in
 // flight at a time: the member's next polls wait until one shows that the view was received, or
 // until the view is considered lost. Otherwise a view that is delayed on a slow link would be
-// sent again for each poll that arrives before it is received. Only answerPollOf does not
-// wait.
+// sent again for each poll that arrives before it is received. Only answerPollOf sends a view
+// without this wait.
 type sentView struct {
 	address     string
 	incarnation uint64
--- a/internal/gateway/append.go
+++ b/internal/gateway/append.go
@@ -7,8 +7,8 @@
 	"dahlialock/internal/statemachine"
 )
 
-// publishDurable sends a publication to the leader of its partition. If this gateway does not know the
-// newest messages of the sender, it looks up the sender first.
+// publishDurable sends a publication to the leader of its partition. If the space has several partitions
+// and this gateway does not know the newest messages of the sender, it looks up the sender first.
 func (g *Gateway) publishDurable(
 	now time.Time,
 	state *spaceState,
@@ -192,7 +192,8 @@
 	g.overlay.Publish(now, state.name, area, fanOut, effects)
 }
 
-// sendToDestinations sends one copy to each destination gateway.
+// sendToDestinations sends one copy to each destination gateway. stable is only recorded; it is set if
+// the overlay was stable when the destinations were determined.
 func (g *Gateway) sendToDestinations(
 	now time.Time,
 	item *publication,
@@ -215,7 +216,7 @@
 	)
 }
 
-// retryAppends sends unanswered appends again, and returns when the next one is due.
+// retryAppends sends unanswered appends again, and returns the time of the next retry or deadline.
 func (g *Gateway) retryAppends(now time.Time, effects *statemachine.Effects) time.Time {
 	var next time.Time
 	for _, item := range statemachine.Sorted(g.appends) {
--- a/internal/gateway/catchup.go
+++ b/internal/gateway/catchup.go
@@ -27,7 +27,7 @@
 	reservationTimeout = 3 * time.Second
 )
 
-// topicFetch is one topic of a batch, which requests its records after an offset.
+// topicFetch is the entry of one topic in a batch. It requests the topic's records after an offset.
 type topicFetch struct {
 	topic *topicState
 	// after is the offset after which records are requested, or maxOffset if only the high watermark
@@ -386,7 +386,7 @@
 }
 
 // advanceSubscription confirms a subscription whose missed records the store still has, and delivers
-// those in the response.
+// those in the response. The catch-up is completed once no record is missing.
 func (g *Gateway) advanceSubscription(
 	now time.Time,
 	subscription *topicSubscription,
--- a/internal/gateway/cursor.go
+++ b/internal/gateway/cursor.go
@@ -83,7 +83,8 @@
 }
 
 // cursor returns the encoded and signed cursor of a session. It is empty if the session has no
-// subscriptions or one of them is catching up: the previous cursor of the client stays valid then.
+// subscriptions, or if one of them is catching up and no backlog is being delivered: the previous cursor
+// of the client stays valid then.
 func (g *Gateway) cursor(now time.Time, session *session) string {
 	if len(session.subscriptions) == 0 || session.backlogFloors == nil && session.isCatchingUp() {
 		return ""
--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -61,9 +61,9 @@
 // a short time is skipped.
 //
 // Topics with missing records wait in a FIFO queue. At most one batch is in flight to each
-// store. The batch contains all topics that wait for this store, so that the next small
-// response confirms every subscription, however many there are. The records follow within a
-// byte credit that matches the rate of the machine's link. No request is repeated while its
+// store. The batch contains all topics that wait for this store, up to maxBatchTopics, so
+// that one small response confirms many subscriptions. The records follow within a byte
+// credit that matches the rate of the machine's link. No request is repeated while its
 // response may still arrive.
 //
 // Messages of different routed topics don't wait for each other; those of one topic are sent
--- a/internal/gateway/draining.go
+++ b/internal/gateway/draining.go
@@ -9,9 +9,10 @@
 	"dahlialock/internal/statemachine"
 )
 
-// closeUnconfirmedSessions closes sessions of a gateway that has been unconfirmed for longer than any change
-// of the leader takes. Its agent has failed or its machine is isolated, and other gateways can serve
-// its clients. Half of the sessions, but at least minDisconnects, are closed each second.
+// closeUnconfirmedSessions closes sessions of a gateway that has been unconfirmed for disconnectAfter,
+// which is longer than any change of the primary controller takes. So its agent has failed or its machine
+// is isolated, and other gateways can serve its clients. Half of the sessions, but at least
+// minDisconnects, are closed each second.
 func (g *Gateway) closeUnconfirmedSessions(now time.Time, effects *statemachine.Effects) {
 	if g.viewClient.Index == 0 || g.Confirmed(now) || now.Sub(g.viewClient.ConfirmedAt) < disconnectAfter {
 		return
@@ -144,8 +145,8 @@
 }
 
 // awaitsClients reports whether the shutdown should wait for a client to disconnect. On the line
-// protocol, a client that has not disconnected within moveTimeout after it was asked to move is not
-// expected to do so.
+// protocol, whose sessions have adapterPings set, a client that has not disconnected within moveTimeout
+// after it was asked to move is not expected to do so.
 func (g *Gateway) awaitsClients(now time.Time) bool {
 	for _, session := range g.sessions {
 		if !session.adapterPings || session.movedAt.IsZero() || now.Sub(session.movedAt) < moveTimeout {
--- a/internal/gateway/fetch.go
+++ b/internal/gateway/fetch.go
@@ -112,7 +112,8 @@
 }
 
 // retryFetch sends the fetches of an operation again that have no response after fetchRetry, and fails
-// the operation after its deadline. It returns when the next retry is due, zero if the operation ended.
+// the operation after its deadline. It returns the time of the next retry or of the deadline, zero if the
+// operation ended.
 func (g *Gateway) retryFetch(
 	now time.Time,
 	id uint64,
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -29,7 +29,7 @@
 	moveCloseDelay = 1500 * time.Millisecond
 	// stopTimeout is the maximum duration of a graceful shutdown. minStopMoves is the minimum number of
 	// clients that a shutdown moves in a step. moveTimeout is how long a shutdown waits for a client
-	// that was asked to move.
+	// of the line protocol that was asked to move, see awaitsClients.
 	stopTimeout  = 3500 * time.Millisecond
 	minStopMoves = 25
 	moveTimeout  = 600 * time.Millisecond
@@ -49,7 +49,8 @@
 	// defaultSubscribeTimeout is the maximum time until a subscription gets its final answer.
 	defaultSubscribeTimeout = 1500 * time.Millisecond
 	// disconnectAfter is the time without a confirmation after which sessions are closed.
-	// minDisconnects is the minimum number of sessions that are then closed each second.
+	// It is longer than any change of the primary controller takes. minDisconnects is the minimum number
+	// of sessions that are then closed each second.
 	disconnectAfter = 5500 * time.Millisecond
 	minDisconnects  = 10
 )
@@ -160,8 +161,9 @@
 // sessions.
 type spaceState struct {
 	space config.Space
-	// name is the name of the space together with the index at which it was created, so that a space
-	// that is removed and created again has another name.
+	// name is the name of the space together with the configuration version that created it, so that a
+	// space that is removed and created again has another name. In a space with routed topics the version
+	// is always 0.
 	name string
 	// topics and prefixes are the subscribed sessions, by topic and by prefix. They are nil in a space
 	// with routed topics.
@@ -454,8 +456,8 @@
 	}
 }
 
-// tick runs the periodic work of each second: it pings clients, closes silent sessions and drops
-// expired state.
+// tick runs the periodic work of each second: it pings clients, closes silent sessions, closes sessions
+// if the gateway has been unconfirmed for too long, and drops expired state.
 func (g *Gateway) tick(now time.Time, effects *statemachine.Effects) {
 	g.timers.Arm(timerTick, now.Add(tickInterval))
 	for id, session := range statemachine.Sorted(g.sessions) {
@@ -474,8 +476,8 @@
 	g.dropExpiredAccepted(now)
 }
 
-// maxOffset is above the offsets of all records. A fetch of the records after it requests no records,
-// and an interest that starts at it is not live yet.
+// maxOffset is above the offsets of all records. A fetch after maxOffset requests no records, only the
+// high watermark. An interest whose start offset is maxOffset is not live yet.
 const maxOffset = uint64(math.MaxUint64)
 
 // SetMaxClients sets the maximum number of sessions.
--- a/internal/gateway/messages.go
+++ b/internal/gateway/messages.go
@@ -12,7 +12,8 @@
 	Record    partition.Record
 }
 
-// EphemeralCopy is the copy of an ephemeral message that is sent to a destination gateway.
+// EphemeralCopy is the copy of an ephemeral message that is sent to a destination gateway. Space is the
+// name of the space together with the configuration version that created it.
 type EphemeralCopy struct {
 	_      struct{} `cbor:",toarray"`
 	Space  string
--- a/internal/gateway/publish.go
+++ b/internal/gateway/publish.go
@@ -202,7 +202,8 @@
 	return partitionName(state.name, partition.ForTopic(topic, state.space.Partitions()))
 }
 
-// partitionName returns the name of the partition with a number in a space.
+// partitionName returns the name of a partition of a space. space is the name of the space together with
+// the configuration version that created it.
 func partitionName(space string, number int) string {
 	name := controller.PartitionName("", 0, number)
 	return space + name[len("~0"):]
--- a/internal/gateway/recent_ephemeral.go
+++ b/internal/gateway/recent_ephemeral.go
@@ -17,7 +17,7 @@
 	repeatWindow = 5 * time.Second
 )
 
-// recentEphemeral is an ephemeral message that was published or received here within recentRetention.
+// recentEphemeral is an ephemeral message that this gateway published or received within recentRetention.
 type recentEphemeral struct {
 	at time.Time
 	// publishedHere is set if a client of this gateway published the message.
--- a/internal/gateway/routed_publish.go
+++ b/internal/gateway/routed_publish.go
@@ -50,7 +50,7 @@
 	return decisionlog.MessageName(rp.space, rp.request.Sender, rp.request.Seq)
 }
 
-// due returns when the append is sent again; the timeout doubles with each send.
+// due returns when the append is sent again; see backoff. The timeout doubles with each unanswered send.
 func (rp *routedPublication) due() time.Time {
 	return rp.sentAt.Add(backoff(routedAppendTimeout, len(rp.unanswered)))
 }
@@ -167,9 +167,10 @@
 		record.Seq = item.request.Seq
 		record.Data = item.request.Data
 		if !response.Duplicate || item.ephemeral || item.sendCount > 1 {
-			// If a duplicate of a durable message has not been fanned out, the other gateways detect it
-			// by the high watermarks of the partition. An ephemeral message is not detected in this way
-			// and is fanned out again; sessions that already got it or a later one ignore it.
+			// A duplicate in response to the only send was appended by an earlier publication. A durable
+			// one is not fanned out again: gateways that missed it detect it by the high watermarks of
+			// the partition. An ephemeral message is not detected in this way and is fanned out again;
+			// sessions that already received it or a later one ignore it.
 			g.fanOutRouted(now, item, record, effects)
 		}
 		g.answerRoutedPublication(now, item, acceptedReply(nil), effects)
--- a/internal/gateway/sender.go
+++ b/internal/gateway/sender.go
@@ -54,7 +54,9 @@
 	at       time.Time
 }
 
-// currentDependencies returns the dependencies of the sender's next message, and drops expired ones.
+// currentDependencies returns the dependencies of the sender's next message, and drops expired ones. It
+// lists the newest partition.MaxDependencies messages; the older ones are combined into one floor for each
+// partition.
 func (s *sender) currentDependencies(now time.Time) partition.Dependencies {
 	s.dependencies = slices.DeleteFunc(
 		s.dependencies,
--- a/internal/gateway/session.go
+++ b/internal/gateway/session.go
@@ -16,8 +16,9 @@
 	sequenceRetention  = 40 * time.Second
 	// fetchRetry is the time after which an unanswered fetch is sent again.
 	fetchRetry = 250 * time.Millisecond
-	// lingerDuration is how long an overlay subscription is kept after its last subscription of a session
-	// has ended. lingerSpreadSeconds is the number of seconds over which the ends of several are spread.
+	// lingerDuration is the minimum time for which an overlay subscription is kept after the subscription
+	// of the session has ended. The ends of several overlay subscriptions are spread over
+	// lingerSpreadSeconds.
 	lingerDuration      = 6 * time.Second
 	lingerSpreadSeconds = 24
 	// maxRefetches is the maximum number of times that one operation fetches further records.
@@ -117,8 +118,9 @@
 func (g *Gateway) openSession(now time.Time, request OpenSession, effects *statemachine.Effects) {
 	g.Counts.Requests++
 	if request.AdapterPings && !g.stopping && !g.Confirmed(now) {
-		// The first update of the control state, or the next one, may be in flight. Waiting for one
-		// refresh spares a client that connects right after a start the backoff after a rejection.
+		// An update of the control state that confirms the configuration may be in flight. The client
+		// waits for one refresh: a client that connects right after the start of the gateway would
+		// otherwise be rejected and have to back off.
 		g.refreshThen(now, func(now time.Time, effects *statemachine.Effects) { g.admitSession(now, request, effects) })
 		return
 	}
@@ -187,7 +189,7 @@
 	}
 }
 
-// draining reports whether this gateway is stopping or was told to move its clients to other
+// draining reports whether this gateway is stopping or was directed to move its clients to other
 // gateways. A gateway that is only full or unconfirmed does not redirect clients, since the other
 // gateways may be in the same state and would redirect the clients back.
 func (g *Gateway) draining() bool {
@@ -232,8 +234,9 @@
 	g.ring.Record(now, "", "", session.client, "channel-closed", "why", request.Reason)
 }
 
-// checkSession drops expired delivery state of a session, pings its client, and closes the session
-// if the client was asked to move or is silent.
+// checkSession drops expired delivery state of a session and pings its client. It closes the session if
+// the client is still connected moveCloseDelay after it was asked to move, or has sent nothing for
+// pongTimeout.
 func (g *Gateway) checkSession(now time.Time, id uint64, session *session, effects *statemachine.Effects) {
 	for _, offsets := range session.delivered {
 		for offset, at := range offsets {
--- a/internal/gateway/stats.go
+++ b/internal/gateway/stats.go
@@ -26,8 +26,9 @@
 	Moves             uint64 `json:"Moves"`
 	Refreshes         uint64 `json:"Looks"`
 	Repeated          uint64 `json:"Offered"`
-	// Fetched counts the records of routed topics in responses to fetches. Late counts those among
-	// them that were no longer needed when they arrived.
+	// Fetched counts the records of routed topics in responses to batches. Late counts the records in
+	// responses that arrived after their batch or fetch operation had ended; Fetched does not include
+	// them.
 	Fetched uint64 `json:"Fetched"`
 	Late    uint64 `json:"Late"`
 }
@@ -54,9 +55,9 @@
 // Load returns the load that the gateway reports to the controllers.
 func (g *Gateway) Load() membership.Load { return g.load() }
 
-// TrackerStatus is the state of one tracker. Its fields correspond to the fields of tracker; Head is
-// the high watermark, and VerifiedAgo is the time since verifiedAt. The JSON keys are part of the ctl
-// interface.
+// TrackerStatus is the state of one tracker. Its fields correspond to the fields of tracker: Head is
+// the high watermark, Wanted is verifyNeeded, and VerifiedAgo is the time since verifiedAt. Pending and
+// Interests are counts. The JSON keys are part of the ctl interface.
 type TrackerStatus struct {
 	Verified    uint64        `json:"verified"`
 	Head        uint64        `json:"head"`
--- a/internal/gateway/topic_subscription.go
+++ b/internal/gateway/topic_subscription.go
@@ -165,8 +165,8 @@
 	return topic
 }
 
-// dropTopicSubscription removes the subscription of a session to a routed topic. The topic is removed
-// with its last subscription, or once its reservation has expired.
+// dropTopicSubscription removes the subscription of a session to a routed topic. A topic without further
+// subscriptions is removed too, or once its reservation has expired if it is reserved.
 func (g *Gateway) dropTopicSubscription(now time.Time, session *session, name string, effects *statemachine.Effects) {
 	dropped, found := session.routed[name]
 	if !found {
--- a/internal/gateway/tracker.go
+++ b/internal/gateway/tracker.go
@@ -40,8 +40,8 @@
 type tracker struct {
 	// name is the name of the partition.
 	name string
-	// space is the name of the space. spaceName is the name with the index at which the space was
-	// created.
+	// space is the name of the space. spaceName is the name together with the configuration version that
+	// created the space.
 	space     string
 	spaceName string
 	// spaceOrdered is set if the records of all topics of the space are delivered in one common order.
@@ -71,7 +71,8 @@
 	requestedAt time.Time
 }
 
-// spaceOf returns the space of a partition, without and with the index at which the space was created.
+// spaceOf returns the name of a partition's space, without and with the configuration version that created
+// the space.
 func spaceOf(name string) (space, spaceName string) {
 	spaceName, _, _ = strings.Cut(name, "/")
 	space, _, _ = strings.Cut(spaceName, "~")
--- a/internal/gateway/verify.go
+++ b/internal/gateway/verify.go
@@ -167,8 +167,8 @@
 	}
 }
 
-// subscribeToHighWatermarks subscribes to the high watermarks of the partitions with subscriptions here at
-// their leaders. The subscriptions are renewed before they expire at the leaders.
+// subscribeToHighWatermarks subscribes, at the leaders, to the high watermarks of the partitions that this
+// gateway reads. The subscriptions are renewed before they expire at the leaders.
 func (g *Gateway) subscribeToHighWatermarks(now time.Time, effects *statemachine.Effects) {
 	byStore := map[string]partition.SubscribeHighWatermarks{}
 	g.highWatermarksRequestedAt = now
--- a/internal/gateway/view.go
+++ b/internal/gateway/view.go
@@ -83,7 +83,8 @@
 	g.handlePlacementsChanged(now, effects)
 }
 
-// spaceName returns the name of a space together with the index at which it was created.
+// spaceName returns the name of a space together with the configuration version that created it, and
+// false if the space is not in the view.
 func (g *Gateway) spaceName(name string) (string, bool) {
 	createdAt, found := g.viewClient.SpaceCreatedAt[name]
 	if !found {
--- a/internal/transport/class.go
+++ b/internal/transport/class.go
@@ -31,8 +31,8 @@
 const mutationSingleClass = "single-class"
 
 // maxQueueTime is how long a message of a class may be queued before it is dropped,
-// 0 for no bound. Dropping is safe for these classes: after that time, interest is
-// announced again, and missed records are requested again.
+// 0 for no bound. Dropping is safe for the two classes with a bound: after that time,
+// interest is announced again, and missed records are requested again.
 var maxQueueTime = [classCount]time.Duration{
 	ClassInterest: 300 * time.Millisecond,
 	ClassCatchUp:  time.Second,
@@ -56,8 +56,8 @@
 )
 
 // classOfNumber has the message types whose class differs from that of their range.
-// The replicated records and the snapshots of a partition must stay in order, so both
-// are in ClassLive.
+// The replicated records and the snapshots of a partition must stay in order relative to
+// each other, so both are in ClassLive.
 var classOfNumber = map[uint16]Class{
 	fetchResponseNumber:    ClassCatchUp,
 	transientMessageNumber: ClassTransient,
--- a/internal/transport/doc.go
+++ b/internal/transport/doc.go
@@ -25,8 +25,8 @@
 // The wire format is described in frame.go: a frame has a length, the number of
 // the message type, the sender's address and configuration version, and the
 // message in CBOR. Message types are registered by the packages that own them
-// (MustRegister); their numbers are part of the format. Batches to other zones may
-// be compressed.
+// (MustRegister); their numbers are part of the format. Batches to other zones,
+// and all batches if the host's network link is slow, may be compressed.
 //
 // PriorityQueue, Pacer and FlowWindow use neither a clock nor a socket, so the
 // simulator uses them too.
--- a/internal/transport/sender.go
+++ b/internal/transport/sender.go
@@ -203,8 +203,9 @@
 // no limit. It may be called at any time.
 func (t *Transport) SetRate(rate int) { t.pacer.SetRate(rate) }
 
-// EnableCompression enables the compression of batches to other zones, on
-// connections that are established after the call.
+// EnableCompression enables the compression of batches to other zones, and of all
+// batches if the host's network link is slow, on connections that are established
+// after the call.
 func (t *Transport) EnableCompression() { t.compression.Store(true) }
 
 // ObserveLinks makes the transport dial again at once when a connection ends, and
