--- a/internal/consensus/bootstrap.go
+++ b/internal/consensus/bootstrap.go
@@ -25,9 +25,9 @@
 	n.persistHardState(effects, nil)
 }
 
-// initialVoters returns the voters of the first epoch, and whether it is complete: all of them
-// have sent a Hello and are blank. If any other controller is not blank, a cluster already
-// exists.
+// initialVoters returns the known voters of the first epoch, and whether the list is complete:
+// all of them have sent a Hello and are blank. If any other controller is not blank, a cluster
+// already exists, and the list is not complete.
 func (n *Node) initialVoters() ([]Controller, bool) {
 	voters := []Controller{n.identity()}
 	for address, known := range statemachine.Sorted(n.discovery.peers) {
--- a/internal/consensus/doc.go
+++ b/internal/consensus/doc.go
@@ -25,8 +25,8 @@
 // # Leases
 //
 // The primary serves only while it holds a lease from a majority of the voters (lease.go).
-// A voter promises a ballot to another controller only after the lease that it granted has
-// expired on its own clock (grant.go). The primary measures the lease from when it requested
+// A voter promises a ballot to a controller other than the lease holder only after the lease
+// that it granted has expired on its own clock (grant.go). The primary measures the lease from when it requested
 // it and uses nine tenths of its duration, so that clocks may differ in rate by up to a tenth.
 // A voter that was restarted, or recovered from the loss of its disk, waits for the duration
 // of a full lease, since it does not know what it granted before. Each other singleton role
@@ -34,8 +34,9 @@
 //
 // # Membership
 //
-// The founders, which are the seeds at the first start of the cluster, decide the first
-// epoch, and all of them have to accept it (bootstrap.go). A controller that is not a voter
+// The founders decide the first epoch, and all of them have to accept it (bootstrap.go). They
+// are the seeds at the first start of the cluster or, with Settings.ClusterSize, that many
+// controllers. A controller that is not a voter
 // is a learner: it receives the record, does not vote, and announces itself with Hello
 // messages (discovery.go). The primary promotes learners, one at a time, to fill up the voters
 // or to replace one that failed. A voter whose disk was lost is detected by the changed disk
--- a/internal/consensus/lease.go
+++ b/internal/consensus/lease.go
@@ -9,7 +9,8 @@
 )
 
 const (
-	// LeaseDuration is how long a voter's grant lasts. It is the longest wait of a takeover.
+	// LeaseDuration is how long a voter's grant lasts. A takeover waits at most this long for
+	// the lease of the previous primary to expire.
 	LeaseDuration = 1800 * time.Millisecond
 	// usableLease is how long the primary uses a lease: clocks may differ in rate by a tenth.
 	usableLease   = LeaseDuration * 9 / 10
--- a/internal/consensus/leave.go
+++ b/internal/consensus/leave.go
@@ -16,8 +16,9 @@
 	// learnerDiscoveryTime is how long a new primary waits before it assumes that all learners
 	// have sent it a Hello.
 	learnerDiscoveryTime = learnerHelloInterval + 200*time.Millisecond
-	// leaseReclaimTimeout is how long after its release a primary that leaves requests the lease
-	// again: no backup has taken over, so the primary may hold the only replica.
+	// leaseReclaimTimeout is how long a primary that leaves waits after it has released the lease
+	// before it requests the lease again: if no backup has taken over by then, the primary may
+	// hold the only replica.
 	leaseReclaimTimeout = failureTimeout
 )
 
--- a/internal/consensus/record.go
+++ b/internal/consensus/record.go
@@ -97,8 +97,8 @@
 	AcceptedBallot Ballot `cbor:"AcceptedBallot"`
 	Accepted       Record `cbor:"Accepted"`
 	// CompleteEpoch is the epoch as of which this controller's state contains everything that
-	// was committed before that epoch, or 0. A primary or backup replicates only if it is the
-	// epoch of Record.
+	// was committed before that epoch, or 0. A primary or backup replicates only while
+	// CompleteEpoch equals the epoch of Record.
 	CompleteEpoch uint64 `cbor:"Complete"`
 	// Recovered is set if the disk was lost in this epoch and the hard state was recovered from
 	// other voters. The leases that were granted before the loss are unknown.
--- a/internal/consensus/storage.go
+++ b/internal/consensus/storage.go
@@ -48,7 +48,7 @@
 	return storage{continuations: map[uint64]continuation{}}
 }
 
-// write appends an entry to the log, and calls then once the entry is synced.
+// write appends an entry to the log. It calls the continuation once the entry is synced.
 func (n *Node) write(effects *statemachine.Effects, entry diskEntry, then continuation) {
 	n.storage.lastToken++
 	n.storage.continuations[n.storage.lastToken] = then
@@ -60,7 +60,8 @@
 	})
 }
 
-// persistHardState writes the hard state, and calls then once it is synced, unless then is nil.
+// persistHardState writes the hard state. It calls the continuation, which may be nil, once the
+// hard state is synced.
 func (n *Node) persistHardState(effects *statemachine.Effects, then continuation) {
 	written := n.hardState
 	n.write(effects, diskEntry{HardState: &written}, func(now time.Time, effects *statemachine.Effects) {
--- a/internal/membership/view_client.go
+++ b/internal/membership/view_client.go
@@ -70,8 +70,8 @@
 	// outstanding are the newest requests, at most maxOutstanding, ordered by age with the
 	// oldest first.
 	outstanding []viewRequest
-	// searching is set while the primary does not respond, and searches counts the requests
-	// since then.
+	// searching is set while the primary does not respond, and searches counts the requests of
+	// the current search.
 	searching bool
 	searches  int
 	// lowPriority requests longer polls, and urgent an immediate response.
--- a/internal/overlay/cell.go
+++ b/internal/overlay/cell.go
@@ -47,8 +47,8 @@
 	// announced.
 	counts  map[uint64]uint32
 	changed map[uint64]uint32
-	// sequence is that of the last NoticeChanges; due is when the next one must be
-	// sent, or zero if none is pending.
+	// sequence is the number of the last NoticeChanges that was sent; due is when the
+	// next one must be sent, or zero if none is pending.
 	sequence uint64
 	due      time.Time
 	// members are the other daemons' peers in the cell, by daemon; order are the
@@ -59,7 +59,7 @@
 	pendingComplete map[string]bool
 	// digest is the XOR of the hashes of the members' keys.
 	digest uint64
-	// waiting are called once the cell is joined, or at the deadline.
+	// waiting are the completions to call once the cell is joined, or at the deadline.
 	waiting []Completion
 	// changedAt is when a member was last added.
 	changedAt time.Time
--- a/internal/overlay/overlay.go
+++ b/internal/overlay/overlay.go
@@ -118,7 +118,8 @@
 	// daemons.
 	joinTargets   map[string]bool
 	joinSentToAll bool
-	// waiting are called once the peer has joined and no greeting is pending.
+	// waiting are the completions to call once the peer has joined and no greeting is
+	// pending.
 	waiting []Completion
 	// subscriptions counts the calls of Subscribe without a matching Unsubscribe.
 	subscriptions int
@@ -144,8 +145,8 @@
 	byKey map[PeerKey]*hostedPeer
 	// ordered are the same peers in the order of their keys.
 	ordered []*hostedPeer
-	// tombstones are those of other daemons' peers: when each was last reported to
-	// have left.
+	// tombstones has, for each departed peer of another daemon, when the peer was last
+	// reported to have left.
 	tombstones map[PeerKey]time.Time
 	// turn is the position of the next peer to reconcile.
 	turn int
--- a/internal/overlay/presence.go
+++ b/internal/overlay/presence.go
@@ -114,9 +114,10 @@
 	o.timers.ArmSooner("notices", cell.due)
 }
 
-// AwaitCell ensures that this daemon has a peer in a topic's cell. It calls then with
-// done set once the peer knows the members of the cell and their subscriber counts,
-// which is immediately if it already does, or with done unset after awaitCellTimeout.
+// AwaitCell ensures that this daemon has a peer in a topic's cell. The completion is
+// called with done set once the peer knows the members of the cell and their subscriber
+// counts, which is immediately if it already does, or with done unset after
+// awaitCellTimeout.
 func (o *Overlay) AwaitCell(now time.Time, planeName, topic string, then Completion, effects *statemachine.Effects) {
 	cell := o.cell(now, planeName, CellOf(config.TopicHash(topic)), effects)
 	cell.lastUse = now
@@ -406,9 +407,9 @@
 // number of its key and the sequence of its newest notice.
 type peerState struct{ number, sequence uint64 }
 
-// cellsDigest returns a digest of the cells for which stateOf returns the state of a
-// daemon's peer: of the members of each cell and that state. It is 0 if there is no
-// such cell. A daemon that lacks a peer in one of the sender's cells computes a
+// cellsDigest returns a digest of the members of each cell and of the state of a
+// daemon's peer in that cell. Cells for which stateOf returns false are left out; the
+// digest is 0 if no cell remains. A daemon that lacks a peer in one of the sender's cells computes a
 // different digest and requests the checks, from which its peers discover neighbours in
 // that cell.
 func (p *plane) cellsDigest(stateOf func(cell *cell) (peerState, bool)) uint64 {
--- a/internal/partition/append.go
+++ b/internal/partition/append.go
@@ -35,7 +35,8 @@
 }
 
 // handleAppend appends a message to the partition's log, or finds the record that it duplicates.
-// A rejection is sent at once, any other response once the record is accepted.
+// A rejection is sent at once. Any other append is answered once its record is accepted, or with
+// OutcomeUnresolved if that takes too long or this store will not learn whether it is accepted.
 func (s *Store) handleAppend(now time.Time, from string, request Append, effects *statemachine.Effects) {
 	s.Counts.Appends++
 	partition, found := s.replicas[request.Partition]
--- a/internal/partition/fetch.go
+++ b/internal/partition/fetch.go
@@ -118,7 +118,7 @@
 }
 
 // fetchTopic returns the accepted records of a topic that fit into the remaining bytes, and
-// subtracts their size from these. The first record of the request's first topic is returned
+// reduces remaining by their size. The first record of the request's first topic is returned
 // whatever its size.
 func (r *replica) fetchTopic(cursor TopicCursor, remaining *int, firstTopic bool) TopicRecords {
 	found := TopicRecords{
--- a/internal/partition/log_retention.go
+++ b/internal/partition/log_retention.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// dropOldest drops the oldest count records. The log must have at least as many.
+// dropOldest drops the given number of oldest records. The log must have at least as many.
 func (l *log) dropOldest(now time.Time, count int) {
 	if config.IsShared(l.Name) {
 		for _, record := range l.Records[:count] {
--- a/internal/partition/placement.go
+++ b/internal/partition/placement.go
@@ -95,8 +95,8 @@
 
 // isLeader reports whether this store, with its current disk, may act as a partition's leader. A
 // view in which the loss of this store's disk isn't recorded yet may still name the store as
-// leader. Until the view names this incarnation as a member, its epochs were assigned to an
-// earlier incarnation.
+// leader. Until the view names this incarnation as a member, the epochs of the placements were
+// assigned to an earlier incarnation.
 func (s *Store) isLeader(partition *replica) bool {
 	return partition.placement.Leader == s.settings.Self.Name &&
 		slices.Contains(partition.placement.InSync, s.replicaID()) &&
--- a/internal/partition/receive.go
+++ b/internal/partition/receive.go
@@ -106,8 +106,8 @@
 	})
 }
 
-// sendMismatch reports the end of this follower's log to a leader whose request doesn't match it,
-// or may have been missed.
+// sendMismatch reports the end of this follower's log to a leader whose request doesn't match the
+// log or may have been missed by this store.
 func (s *Store) sendMismatch(partition *replica, leader string, effects *statemachine.Effects) {
 	lastOffset, lastEpoch := partition.log.end()
 	effects.Send(leader, ReplicateResponse{
--- a/internal/partition/replica.go
+++ b/internal/partition/replica.go
@@ -8,8 +8,8 @@
 	"dahlialock/internal/statemachine"
 )
 
-// The delay after which a client should retry an append to a partition whose followers can't
-// acknowledge: for a partition of one space, and for a shared partition.
+// The delay after which a client should retry an append to a partition that can't accept records
+// at the moment: for a partition of one space, and for a shared partition.
 const (
 	spaceRetryAfter  = 2 * time.Second
 	sharedRetryAfter = 200 * time.Millisecond
@@ -92,8 +92,8 @@
 	return r.established() && sender.Window[len(sender.Window)-1].Offset <= r.highWatermark
 }
 
-// retryAfter returns the retry delay of appends to a partition whose followers can't acknowledge
-// now.
+// retryAfter returns the retry delay of appends to a partition that can't accept records at the
+// moment, because its followers can't acknowledge them or the leader's disk rejects writes.
 func (r *replica) retryAfter() time.Duration {
 	if config.IsShared(r.log.Name) {
 		return sharedRetryAfter
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -38,8 +38,8 @@
 	return binary.BigEndian.Uint64(body[8:]), body[fileHeaderSize:], true
 }
 
-// continuation is set in the generation that is part of the checksum of all records of a batch
-// except the first. A batch is written at once and may be torn at any byte: a later record may be
+// continuation is a bit of the generation that a record's checksum covers. It is set for all
+// records of a batch except the first. A batch is written at once and may be torn at any byte: a later record may be
 // valid although the first is not, and must not be mistaken for the beginning of another batch
 // (see hasLaterBatch).
 const continuation = 1 << 63
