--- a/internal/consensus/exploration_mutation_test.go
+++ b/internal/consensus/exploration_mutation_test.go
@@ -11,9 +11,9 @@
 	"dahlialock/internal/statemachine"
 )
 
-// TestEachMechanismOfASecondLossIsNeeded disables one mechanism at a time of those that keep the
-// guarantees when a second loss follows a first one, and expects an exploration to find a
-// violation.
+// TestEachMechanismOfASecondLossIsNeeded disables, one at a time, the mechanisms that keep the
+// guarantees when a second loss follows a first one. It expects an exploration to find a violation
+// for each of them.
 func TestEachMechanismOfASecondLossIsNeeded(t *testing.T) {
 	for _, each := range []struct {
 		mutation string
--- a/internal/consensus/exploration_test.go
+++ b/internal/consensus/exploration_test.go
@@ -73,8 +73,8 @@
 	}
 )
 
-// leaveWithUnknownLearners has a witness leave while the primary is restarted and has not yet
-// received the Hello messages of the learners.
+// leaveWithUnknownLearners has a witness (a voter that is neither the primary nor a backup) leave
+// while the primary is restarted and has not yet received the Hello messages of the learners.
 var leaveWithUnknownLearners = exploration{
 	name: "a witness leaves while the primary restarts, another loses its disk",
 	begin: func() explore.World {
@@ -142,7 +142,7 @@
 }
 
 // backupLost returns a world of five voters that tolerates the loss of two disks. The primary has
-// just detected the loss of one backup, and a command is pending.
+// just detected the loss of one backup while a command is pending.
 func backupLost() explore.World {
 	w := newWorld(5, 5, 2, faultBudget{losses: 1, crashes: 1, wipes: 1, kills: 1})
 	w.lost = 1
--- a/internal/consensus/incarnation_test.go
+++ b/internal/consensus/incarnation_test.go
@@ -112,8 +112,9 @@
 	assert.Assert(t, other.roleLease.Valid(other.local()), "the other controller does not hold the role")
 }
 
-// delayedLeaveResponse delivers the primary's response that a controller is irreplaceable, which
-// answers the Leave of an earlier incarnation, to the next one while that leaves.
+// delayedLeaveResponse delivers the response to a Leave of an earlier incarnation of a controller
+// to the next incarnation, while that one leaves too. The response of the primary says that the
+// controller is irreplaceable.
 func delayedLeaveResponse(t trial, seed uint64) {
 	cluster, primary := fiveControllers(t, seed)
 	leaving := cluster.controllers[0]
--- a/internal/consensus/replication_test.go
+++ b/internal/consensus/replication_test.go
@@ -44,8 +44,8 @@
 	cluster := stableCluster(t, seed, tolerance)
 	record := cluster.serving().node.Record()
 	cluster.submit(4 * time.Second)
-	// All controllers lose power at once. As many disks as are tolerated are lost with it: of the
-	// primary and the backups except one, and of other voters for the remaining ones.
+	// All controllers lose power at once, and as many disks as are tolerated are lost: first those
+	// of the replicas (the primary and the backups) except one, then those of other controllers.
 	replicas := append([]string{record.Primary}, record.Backups...)
 	for _, controller := range cluster.controllers {
 		controller.kill()
--- a/internal/overlay/churn_test.go
+++ b/internal/overlay/churn_test.go
@@ -189,8 +189,8 @@
 	f.setSubscribers(f.expected, name, f.topics[f.random.IntN(len(f.topics))], f.random.IntN(4))
 }
 
-// runChurn injects the faults of a seed. It returns the counts that are wrong
-// recoveryTime after the last fault, and the faults.
+// runChurn injects the faults of a seed. It returns the counts that are still wrong when
+// recoveryTime has passed since the last fault, and the faults.
 func runChurn(t *testing.T, seed uint64, count int) (wrong []string, faults []string) {
 	fleet := newChurnFleet(t, seed, count, 60)
 	fleet.advance(time.Second)
--- a/internal/overlay/cost_test.go
+++ b/internal/overlay/cost_test.go
@@ -203,8 +203,8 @@
 	return signals
 }
 
-// report reports the cost per daemon since the last call of resetCosts, which returned
-// before.
+// report reports the cost per daemon since the last call of resetCosts. The parameter
+// before is the result of that call: the number of signals that were sent until then.
 func (n *benchNetwork) report(b *testing.B, before uint64) {
 	each := float64(len(n.names) * b.N)
 	signals := n.signalsSent()
--- a/internal/partition/unassigned_test.go
+++ b/internal/partition/unassigned_test.go
@@ -22,7 +22,8 @@
 	assert.Equal(t, cluster.caughtUp(), config.SharedPartitions)
 	assert.Equal(t, after.SnapshotsSent-before.SnapshotsSent, uint64(0))
 	// The 100 missed records may be sent twice, since the store reports the end of its log both
-	// unasked and in response to a request; the 100 records after them are sent once.
+	// when it receives the placement and in response to a request. The 100 records after them are
+	// sent once.
 	replicated := after.ReplicatedRecords - before.ReplicatedRecords
 	assert.Assert(t, replicated <= 300, "%d records", replicated)
 }
