--- a/internal/membership/failure_detector.go
+++ b/internal/membership/failure_detector.go
@@ -202,6 +202,9 @@
 	d.lastContact = now
 }
 
+// sendHeartbeats sends the heartbeats if they are due. Steps may be more frequent than heartbeats
+// (see stepInterval), so heartbeats may be sent early by less than half a StoreHeartbeatInterval
+// instead of late by most of a step.
 func (d *FailureDetector) sendHeartbeats(now time.Time, effects *statemachine.Effects) {
 	if now.Sub(d.heartbeatSentAt) <= d.heartbeatInterval()-StoreHeartbeatInterval/2 {
 		return
--- a/internal/overlay/presence.go
+++ b/internal/overlay/presence.go
@@ -55,8 +55,9 @@
 	// check; it doubles for consecutive checks.
 	checkDelay         = 10 * time.Millisecond
 	repeatedCheckDelay = 250 * time.Millisecond
-	// requestRetry is the time after which a NoticeComplete is requested again; it
-	// doubles up to maxRequestDoublings times.
+	// requestRetry is the time after which a NoticeComplete is requested again. It
+	// doubles with each further request until maxRequestDoublings requests were sent, so
+	// that the longest time is four times requestRetry.
 	requestRetry        = 300 * time.Millisecond
 	maxRequestDoublings = 3
 	// membersWait is the delay after a differing digest before members are compared, so
