--- a/cmd/fleetlab/injector.go
+++ b/cmd/fleetlab/injector.go
@@ -118,8 +118,8 @@
 	return h.run.removed.Load() != nil && slices.Contains(*h.run.removed.Load(), name)
 }
 
-// runFaults injects a schedule of faults, waits until all of them have ended, and then
-// waits for the settle time plus 5 s, after which nothing may be wrong any more.
+// runFaults injects a schedule of faults and waits until all of them have ended. It then waits
+// for FaultSettleTime plus 5 s, so that the checker reports what has not recovered by then.
 func (h *injector) runFaults(schedule []faults.Fault, length time.Duration) {
 	h.frozen, h.stopped = map[string]int{}, map[string]bool{}
 	if len(schedule) > 0 {
--- a/cmd/fleetlab/operator.go
+++ b/cmd/fleetlab/operator.go
@@ -125,8 +125,8 @@
 	return o.put(o.random, o.version, o.document("1s"), limit)
 }
 
-// race concurrently puts two different configurations under one version number and the
-// version that follows.
+// race concurrently puts two different configurations with the same version, and a third one
+// with the next version.
 func (o *operator) race() {
 	o.version++
 	done := make(chan struct{})
@@ -173,7 +173,8 @@
 
 func noChange(*operator) {}
 
-// work goes on until stop.
+// work starts a goroutine that applies the requested changes, puts new and malformed
+// configurations at random intervals, and reads the configuration back, until stop is called.
 func (o *operator) work() {
 	o.working.Store(true)
 	go func() {
--- a/internal/checker/checker.go
+++ b/internal/checker/checker.go
@@ -1,5 +1,5 @@
-// Package checker judges a run only by what clients and operators observed. It implements
-// the promises of the service and depends on none of its protocols. The simulator and the
+// Package checker judges a run only by what clients and operators observed. It checks the
+// promises of the service and depends on none of its protocols. The simulator and the
 // trials with real processes use the same checker. Its tests plant each kind of violation
 // and require that the checker reports it.
 package checker
--- a/internal/checker/topics.go
+++ b/internal/checker/topics.go
@@ -277,7 +277,8 @@
 	return !s.firstOK.IsZero() && each.firstTry.After(s.firstOK)
 }
 
-// follows reports whether any subscriber received the message later after the message earlier.
+// follows reports whether any subscriber received both messages, and received the one named
+// later after the one named earlier.
 func (t *Topics) follows(topic string, earlier, later Post) bool {
 	for _, each := range t.subscriptions[topic] {
 		first, got := each.place[earlier]
--- a/internal/faults/faults.go
+++ b/internal/faults/faults.go
@@ -63,8 +63,9 @@
 }
 
 // Draw draws a schedule of up to count faults with the given names, each of which may occur
-// several times. It leaves out a fault that clashes with an earlier drawn one before the
-// redundancy lost to the other is restored.
+// several times. It omits a fault that clashes with one that was drawn before it, unless at
+// least RepairTime passes between the end of one and the start of the other, so that the lost
+// redundancy is restored in between.
 func Draw(random *rand.Rand, names []string, length time.Duration, count int) []Fault {
 	var schedule []Fault
 	for range count {
--- a/internal/lineserver/lineserver.go
+++ b/internal/lineserver/lineserver.go
@@ -82,7 +82,7 @@
 // outputKind is the type of sent output: an event, or a response and its outcome.
 type outputKind struct{ what, outcome string }
 
-// SentTotal is the number and the total size of the responses or events of one saidKind.
+// SentTotal is the number and the total size of the responses or events of one outputKind.
 type SentTotal struct {
 	Times int64 `json:"times"`
 	Bytes int64 `json:"bytes"`
--- a/internal/membership/messages.go
+++ b/internal/membership/messages.go
@@ -74,7 +74,8 @@
 	Since      uint64
 	Members    []Member
 	Placements []Placement
-	// SpaceCreatedAt is the index at which each space was created, or nil if it is unchanged.
+	// SpaceCreatedAt is the configuration version that created each space, by the space's name, or
+	// nil if it is unchanged.
 	SpaceCreatedAt map[string]uint64
 	Directives     Directives
 	// RemovedMembers are the names of members that were lost long ago and removed from the view.
--- a/internal/membership/view_client.go
+++ b/internal/membership/view_client.go
@@ -90,7 +90,8 @@
 	Epoch   uint64
 	// Document is the configuration as the operator sent it.
 	Document []byte
-	// SpaceCreatedAt is the index at which each space, by name, was created.
+	// SpaceCreatedAt is the configuration version that created each space, by the space's name.
+	// The names of the space's partitions contain it.
 	SpaceCreatedAt map[string]uint64
 	// Members and Placements are the view. The maps are replaced and never modified in place.
 	Members    map[string]Member
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -72,8 +72,8 @@
 	return settings
 }
 
-// cluster reads how the daemon finds or founds the cluster, and how many losses the
-// cluster must survive.
+// cluster reads the settings by which the daemon finds the cluster or takes part in its
+// creation, and how many losses the cluster must survive.
 func (p *parser) cluster(settings *Settings) {
 	settings.SeedsPort = p.integer("seeds_port", 0, 0, maxPort)
 	settings.Seeds = p.seeds(settings.SeedsPort)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -38,10 +38,10 @@
 	// ports.
 	Seeds     []string
 	SeedsPort int
-	// Controllers is the number of controllers that found the cluster together, or 0 if the
-	// seeds found it.
+	// Controllers is the number of controllers that create the cluster together, or 0 if the
+	// controllers at the addresses in Seeds create it.
 	Controllers int
-	// Bootstrap allows the seeds to found the cluster if Controllers is 0.
+	// Bootstrap allows these controllers to create the cluster if Controllers is 0.
 	Bootstrap bool
 	// Tolerance is how many machines with a disk may be lost at the same time.
 	Tolerance int
--- a/internal/simulator/bandwidth.go
+++ b/internal/simulator/bandwidth.go
@@ -114,7 +114,8 @@
 	simulation *Simulation
 	up, down   *linkDirection
 	delay      func() time.Duration
-	// enter runs a function in the receiver's process, when it reads.
+	// enter runs a function in the receiver's process, after the end of a pause if the process
+	// is frozen.
 	enter       func(run func())
 	queue       []*queuedMessage
 	inFlight    int
@@ -252,8 +253,7 @@
 	from.sendQueued()
 }
 
-// sendQueued sends queued frames, by priority, as far as the pacer and the flow windows
-// permit.
+// sendQueued sends queued frames, by priority, until the pacer or the flow windows block.
 func (n *Node) sendQueued() {
 	simulation := n.simulation
 	for {
--- a/internal/simulator/canonical.go
+++ b/internal/simulator/canonical.go
@@ -2,7 +2,7 @@
 // contents, but not on the names of Go types and of fields without a json tag:
 //
 //   - a map with string keys, and a struct with json tags, is encoded as its pairs of key
-//     and value, sorted by key; fields that JSON leaves out follow in declaration order;
+//     and value, sorted by key; fields without a key in JSON follow in declaration order;
 //   - any other struct is encoded as its fields in declaration order, with the fields of an
 //     embedded struct in its place;
 //   - a number is encoded as its decimal text, regardless of its type;
--- a/internal/simulator/grown.go
+++ b/internal/simulator/grown.go
@@ -26,7 +26,7 @@
 
 const (
 	// clientsPerLink is the number of clients on a link of 2.6 Mbit/s on the grown
-	// deployment. grownLink is the bandwidth of a simulated gateway's link in bytes per
+	// deployment. grownLinkRate is the bandwidth of a simulated gateway's link in bytes per
 	// second, for forty clients.
 	clientsPerLink = 107
 	grownLinkRate  = 2_600_000 / 8 * 40 / clientsPerLink
@@ -176,8 +176,8 @@
 	}
 }
 
-// generateLoad lets a client publish, and replace topics, at times that do not depend on how it
-// is served.
+// generateLoad lets a client publish, and replace topics, at times that do not depend on the
+// responses, so that slow responses do not reduce the load.
 func (tc *TopicClient) generateLoad() {
 	simulation := tc.simulation
 	simulation.After(simulation.between(0, grownPublishInterval), tc.generatePublications)
--- a/internal/simulator/heldlinks.go
+++ b/internal/simulator/heldlinks.go
@@ -34,8 +34,8 @@
 	s.heldLinks.until[node] = s.Now.Add(length)
 }
 
-// heldUntil returns the arrival time of a message that is sent now, if its link holds
-// messages; otherwise false.
+// heldUntil returns the arrival time of a message that is sent now if its link holds
+// messages, and false if it does not.
 func (s *Simulation) heldUntil(from, to *Node) (time.Time, bool) {
 	if s.heldLinks.until == nil || from == to {
 		return time.Time{}, false
--- a/internal/simulator/scenario.go
+++ b/internal/simulator/scenario.go
@@ -728,9 +728,9 @@
 	})
 }
 
-// Scenarios lists all scenarios: one for each function in single, one for each fault
-// alone in a storm or as the last fault, faults in pairs, storms of all faults, and those
-// with routed topics.
+// Scenarios lists all scenarios: one for each of faultFunctions, schedules of one kind of
+// fault ("storm-" and its name), each closing fault alone ("last-" and its name), schedules
+// of two kinds ("pairs") and of all kinds ("storm"), and those with routed topics.
 func Scenarios() []Scenario {
 	var found []Scenario
 	var names []string
--- a/internal/simulator/simulator.go
+++ b/internal/simulator/simulator.go
@@ -38,8 +38,8 @@
 	Tolerance int
 	// Links gives the bandwidth of a machine's link by kind of daemon.
 	Links map[string]Bandwidth
-	// Window is the maximum number of bytes in flight on a connection that has a bandwidth;
-	// 0 stands for windowSize.
+	// Window is the maximum number of bytes in flight on a connection, if Links is set;
+	// 0 means windowSize.
 	Window int
 	// Recorder, if not nil, records all outputs of the daemons.
 	Recorder *Recorder
--- a/internal/simulator/topics.go
+++ b/internal/simulator/topics.go
@@ -128,7 +128,8 @@
 	world.cursorCount++
 	saved := checker.SavedCursor{Topic: each.topic, Cursor: each.cursor, After: each.after, At: s.Now}
 	if each.topic == world.hot {
-		// Only the first cursors are resumed, possibly each at another gateway.
+		// Only the first three cursors of the hot topic are saved. Each of them is resumed by a
+		// different client, possibly at a different gateway.
 		if len(world.hotCursors) < 3 {
 			world.hotCursors = append(world.hotCursors, saved)
 		}
@@ -194,7 +195,7 @@
 	tc.changePeriodically()
 }
 
-// publishContinuously makes the client publish on one topic every 30 ms, as far as its pipeline allows.
+// publishContinuously makes the client publish on one topic every 30 ms, unless its pipeline is full.
 func (tc *TopicClient) publishContinuously(topic string) {
 	tc.simulation.After(30*time.Millisecond, func() {
 		if tc.Closed || tc.stopped {
@@ -390,7 +391,7 @@
 		client.stopped = true
 	}
 	s.Run(2 * time.Second)
-	// Disconnected clients reconnect, to receive the messages that they are still to get.
+	// Disconnected clients reconnect, so that they receive the messages that they have missed.
 	for _, client := range s.topicClients {
 		client.stopped = true
 		if client.fixedGateway != nil {
