--- a/internal/settings/forms_test.go
+++ b/internal/settings/forms_test.go
@@ -41,8 +41,8 @@
 const minimal = `{"name":"d-1","zone":"east","address":"10.1.0.2:1","ctl":"10.1.0.2:2","caller":"10.1.0.2:3",
 	"seeds":["10.1.0.9:1"],"data":"/data","agent":"10.1.0.2:4","gateway":"10.1.0.2:5","key":"a-key-of-16-bytes-or-more"}`
 
-// complete has every key except two whose values others replace: descriptors and tolerance_zones
-// have a document of their own in TestLoadKeepsKeysAndDefaults.
+// complete has every key except descriptors and tolerance_zones, whose effects would be hidden by
+// origins_most and tolerance. TestLoadKeepsKeysAndDefaults has a separate document with these two.
 const complete = `{"name":"d-1","zone":"east","address":"10.1.0.2:1","ctl":"10.1.0.2:2","caller":"10.1.0.2:3",
 	"seeds":["10.1.0.9:1","10.1.0.8:1"],"seeds_port":7,"data":"/data","agent":"10.1.0.2:4","gateway":"10.1.0.2:5",
 	"key":"a-key-of-16-bytes-or-more","controllers":7,"bootstrap":true,"tolerance":2,"callers":"lines",
--- a/internal/simulator/bandwidth_test.go
+++ b/internal/simulator/bandwidth_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// testPipe returns a pipe over two lanes without delay. Its receiver reads only while *reads
+// testPipe returns a pipe over two links without delay. Its receiver reads only while *reads
 // is true.
 func testPipe(simulation *Simulation, rate int, reads *bool) *pipe {
 	var held []func()
--- a/internal/simulator/scenario.go
+++ b/internal/simulator/scenario.go
@@ -681,8 +681,9 @@
 	request(http.MethodPost, "/v1/stores/"+node.Name+"/retire")
 }
 
-// briefSpace adds a space with clients that use it and removes it again. While it is
-// removed, a gateway may be cut off, in one of several ways.
+// briefSpace adds a space with clients that use it and removes it again. From just before the
+// removal until six seconds after it was accepted, a gateway may be cut off from all other
+// machines or from the controllers, or its zone from all other zones.
 func (s *Simulation) briefSpace(_ time.Duration) {
 	operator := newOperator(s)
 	operator.version, operator.extra = 1000, true
--- a/internal/simulator/simulator_test.go
+++ b/internal/simulator/simulator_test.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// topicRuns lists runs with routed topics: alone, the faults that affect these topics most;
-// the others in pairs and storms; and several last faults.
+// topicRuns lists runs with routed topics. The faults that affect these topics most are injected
+// alone, the others in pairs and storms, and several of the runs end with a last fault.
 var topicRuns = []struct {
 	scenario string
 	seeds    uint64
--- a/internal/simulator/topics.go
+++ b/internal/simulator/topics.go
@@ -322,7 +322,8 @@
 }
 
 // TopicSchedule is the schedule of a run with routed topics. Last names the fault that ends the
-// run, if any; Changes says that the operator changes the configuration during the run.
+// run, if any; Changes says that the operator changes the configuration during the run. Apart
+// is the maximum deviation of the machines' wall clocks.
 type TopicSchedule struct {
 	Faults  []faults.Fault
 	Last    string
