--- a/internal/checker/checker.go
+++ b/internal/checker/checker.go
@@ -31,14 +31,14 @@
 }
 
 type published struct {
-	topic      string
-	data       string
-	firstTry   time.Time
-	tries      int
-	refused    int
-	accepted   bool
-	acceptedAt time.Time
-	doneAt     time.Time
+	topic        string
+	data         string
+	firstAttempt time.Time
+	attempts     int
+	refused      int
+	accepted     bool
+	acceptedAt   time.Time
+	doneAt       time.Time
 }
 
 // Interest is one subscription: a topic, or a prefix.
@@ -58,7 +58,7 @@
 	return i.Path == "" || topic == i.Path || strings.HasPrefix(topic, i.Path+"/")
 }
 
-type held struct {
+type activeInterest struct {
 	interest Interest
 	from     time.Time
 	until    time.Time
@@ -66,18 +66,18 @@
 
 type subscriber struct {
 	name      string
-	interests []held
+	interests []activeInterest
 	got       map[Message]time.Time
 	order     map[string][]Message
 	lastSeq   map[string]uint64
-	dropped   bool
+	ended     bool
 }
 
 type space struct {
-	durable bool
-	channel bool
-	removed time.Time
-	within  time.Duration
+	durable     bool
+	sharedOrder bool
+	removed     time.Time
+	within      time.Duration
 }
 
 type put struct {
@@ -87,7 +87,7 @@
 	taken    time.Time
 }
 
-type shown struct {
+type servedAt struct {
 	version uint64
 	at      time.Time
 }
@@ -98,8 +98,8 @@
 	messages      map[Message]*published
 	subscribers   map[string]*subscriber
 	puts          []put
-	asked         map[uint64]string
-	forced        map[string]uint64
+	documents     map[uint64]string
+	inForce       map[string]uint64
 	violations    []string
 	counts        map[string]int
 	Delivered     int
@@ -113,7 +113,7 @@
 	// disconnected for long.
 	RequireEphemeral bool
 	Codes            map[string]int
-	showed           map[string][]shown
+	servedVersions   map[string][]servedAt
 	Topics           *Topics
 	// Register is the history of the operators' reads and writes of the configuration.
 	Register Register
@@ -123,7 +123,7 @@
 func New() *Checker {
 	return &Checker{
 		spaces: map[string]*space{}, messages: map[Message]*published{}, subscribers: map[string]*subscriber{},
-		asked: map[uint64]string{}, forced: map[string]uint64{}, counts: map[string]int{}, Codes: map[string]int{}, showed: map[string][]shown{},
+		documents: map[uint64]string{}, inForce: map[string]uint64{}, counts: map[string]int{}, Codes: map[string]int{}, servedVersions: map[string][]servedAt{},
 		Topics: newTopics(),
 	}
 }
@@ -167,7 +167,7 @@
 
 // DefineSpace records the durability and the order that operators configured for a space.
 func (c *Checker) DefineSpace(name string, durable, channel bool) {
-	c.spaces[name] = &space{durable: durable, channel: channel}
+	c.spaces[name] = &space{durable: durable, sharedOrder: channel}
 }
 
 // AnswerWithin records the time within which a space promises to respond to publications.
@@ -188,10 +188,10 @@
 func (c *Checker) Attempt(message Message, topic, data string, at time.Time) {
 	each, found := c.messages[message]
 	if !found {
-		each = &published{topic: topic, data: data, firstTry: at}
+		each = &published{topic: topic, data: data, firstAttempt: at}
 		c.messages[message] = each
 	}
-	each.tries++
+	each.attempts++
 }
 
 // Answered records the outcome of an attempt. An attempt without a response is unsettled.
@@ -230,13 +230,13 @@
 // Subscribed records that a new subscription was accepted.
 func (c *Checker) Subscribed(name string, interest Interest, at time.Time) {
 	each := c.subscriber(name)
-	each.interests = append(each.interests, held{interest: interest, from: at})
+	each.interests = append(each.interests, activeInterest{interest: interest, from: at})
 }
 
 // SubscribeRequested records that a subscription was requested. Its messages may arrive from then on.
 func (c *Checker) SubscribeRequested(name string, interest Interest, at time.Time) {
 	each := c.subscriber(name)
-	each.interests = append(each.interests, held{interest: interest, from: time.Time{}, until: at})
+	each.interests = append(each.interests, activeInterest{interest: interest, from: time.Time{}, until: at})
 }
 
 // Unsubscribed records that a subscription ended.
@@ -251,7 +251,7 @@
 
 // SubscriberEnded records that a subscriber's cursor was rejected legitimately, or that its client
 // ended. The checker expects no further deliveries to it.
-func (c *Checker) SubscriberEnded(name string) { c.subscriber(name).dropped = true }
+func (c *Checker) SubscriberEnded(name string) { c.subscriber(name).ended = true }
 
 // CursorExpired records that a client was disconnected at cutAt, returned, and its cursor was
 // rejected as expired.
@@ -298,10 +298,10 @@
 
 // ConfigurationAccepted records that a configuration was acknowledged.
 func (c *Checker) ConfigurationAccepted(version uint64, document string, began, at time.Time) {
-	if earlier, found := c.asked[version]; found && earlier != document {
+	if earlier, found := c.documents[version]; found && earlier != document {
 		c.Violate(StaleRead, "version %d was accepted twice with different content", version)
 	}
-	c.asked[version] = document
+	c.documents[version] = document
 	c.puts = append(c.puts, put{version: version, document: document, began: began, taken: at})
 }
 
@@ -317,11 +317,11 @@
 			c.Violate(StaleRead, "read %d, though %d had been accepted %s before", version, each.version, began.Sub(each.taken))
 		}
 	}
-	if known, found := c.asked[version]; found && known != document {
+	if known, found := c.documents[version]; found && known != document {
 		c.Violate(StaleRead, "version %d was read with other content than was accepted", version)
 	}
 	// A read counts as an acknowledgment: a later read must not return an older version.
-	c.asked[version] = document
+	c.documents[version] = document
 	c.puts = append(c.puts, put{version: version, document: document, began: began, taken: at})
 }
 
@@ -329,10 +329,10 @@
 // since when it and its dependencies have been healthy. A daemon that does not serve has no
 // version in force, so its version may go back.
 func (c *Checker) InForce(daemon string, version uint64, serves bool, healthySince, at time.Time) {
-	if before := c.forced[daemon]; serves && version < before {
+	if before := c.inForce[daemon]; serves && version < before {
 		c.Violate(VersionWentBack, "%s went back from version %d to %d", daemon, before, version)
 	}
-	c.forced[daemon] = max(c.forced[daemon], version)
+	c.inForce[daemon] = max(c.inForce[daemon], version)
 	for _, each := range c.puts {
 		if each.version > version && at.Sub(each.taken) > InForceWithin && at.Sub(healthySince) > InForceWithin {
 			c.Violate(NotInForce, "%s has version %d in force, %s after %d was accepted", daemon, version, at.Sub(each.taken), each.version)
@@ -346,7 +346,7 @@
 // version.
 func (c *Checker) ServedVersion(daemon string, version uint64, began, at time.Time) {
 	before := uint64(0)
-	for _, each := range c.showed[daemon] {
+	for _, each := range c.servedVersions[daemon] {
 		if each.at.Before(began) {
 			before = max(before, each.version)
 		}
@@ -355,7 +355,7 @@
 		c.Violate(VersionWentBack, "%s served with version %d after %d, at %s", daemon, version, before, at.Format("05.000"))
 	}
 	if version > before {
-		c.showed[daemon] = append(c.showed[daemon], shown{version: version, at: at})
+		c.servedVersions[daemon] = append(c.servedVersions[daemon], servedAt{version: version, at: at})
 	}
 	for _, each := range c.puts {
 		if each.version > version && began.Sub(each.taken) > InForceWithin {
@@ -414,11 +414,11 @@
 func (c *Checker) closeSubscriber(each *subscriber, at time.Time) {
 	for message, when := range each.got {
 		sent := c.messages[message]
-		if sent != nil && sent.tries > 0 && sent.refused == sent.tries {
+		if sent != nil && sent.attempts > 0 && sent.refused == sent.attempts {
 			c.Violate(AllRejected, "%s got %s at %s, though every attempt was rejected", each.name, message, when.Format("05.000"))
 		}
 	}
-	if each.dropped {
+	if each.ended {
 		return
 	}
 	for message, sent := range c.messages {
@@ -430,7 +430,7 @@
 			continue
 		}
 		for _, interest := range each.interests {
-			if !interest.from.IsZero() && interest.until.IsZero() && interest.from.Before(sent.firstTry) && interest.interest.covers(message.Space, sent.topic) {
+			if !interest.from.IsZero() && interest.until.IsZero() && interest.from.Before(sent.firstAttempt) && interest.interest.covers(message.Space, sent.topic) {
 				c.Violate(Lost, "%s never got %s on %s, accepted %s before the end", each.name, message, sent.topic, at.Sub(sent.acceptedAt))
 				break
 			}
@@ -442,7 +442,7 @@
 // received the messages that both received in the same order.
 func (c *Checker) compare(left, right *subscriber) {
 	for name, here := range c.spaces {
-		if !here.channel {
+		if !here.sharedOrder {
 			continue
 		}
 		cursor := map[Message]int{}
--- a/internal/checker/checker_test.go
+++ b/internal/checker/checker_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func honest(at func(seconds float64) time.Time) *Checker {
+func correctRun(at func(seconds float64) time.Time) *Checker {
 	checker := New()
 	checker.DefineSpace("kept", true, false)
 	checker.DefineSpace("one", true, true)
@@ -101,7 +101,7 @@
 		},
 	}
 	for kind, plant := range plants {
-		checker := honest(at)
+		checker := correctRun(at)
 		plant(checker)
 		checker.Close(at(20))
 		if kind == "" {
--- a/internal/checker/register.go
+++ b/internal/checker/register.go
@@ -111,15 +111,15 @@
 	version uint64
 	puts    []*Put
 	reads   []read
-	// sure says that the number was certainly decided, and until is the latest possible time
+	// decided says that the number was certainly decided, and decidedBy is the latest possible time
 	// of the decision. content is the decided content if known is set.
-	sure    bool
-	until   time.Time
-	content string
-	known   bool
-	// least is the earliest time at which the number can have been decided. possible says
+	decided   bool
+	decidedBy time.Time
+	content   string
+	known     bool
+	// earliest is the earliest time at which the number can have been decided. possible says
 	// whether it can have been decided at all.
-	least    time.Time
+	earliest time.Time
 	possible bool
 }
 
@@ -129,7 +129,7 @@
 	var faults []string
 	complain := func(text string, values ...any) { faults = append(faults, fmt.Sprintf(text, values...)) }
 	for _, each := range numbers {
-		each.gather(complain)
+		each.collectResponses(complain)
 	}
 	var latest time.Time
 	latestRead := "the begin"
@@ -139,12 +139,12 @@
 		}
 	}
 	for _, each := range numbers {
-		each.place(latest, complain)
-		if each.sure && each.possible && each.least.After(each.until) {
-			complain("%d was decided by %s, but %s precedes it at %s or later", each.version, stamp(each.until), latestRead, stamp(each.least))
+		each.findEarliest(latest, complain)
+		if each.decided && each.possible && each.earliest.After(each.decidedBy) {
+			complain("%d was decided by %s, but %s precedes it at %s or later", each.version, stamp(each.decidedBy), latestRead, stamp(each.earliest))
 		}
 		for _, read := range each.reads {
-			minimum := later(read.began, each.least)
+			minimum := later(read.began, each.earliest)
 			if minimum.After(read.ended) {
 				complain("%d was read by %s, but was decided at %s or later", each.version, stamp(read.ended), stamp(minimum))
 			}
@@ -152,11 +152,11 @@
 				latest, latestRead = minimum, fmt.Sprintf("a read of %d", each.version)
 			}
 		}
-		if !r.AcknowledgesOlder && each.sure && each.least.After(latest) {
-			latest, latestRead = each.least, fmt.Sprintf("the decision of %d", each.version)
+		if !r.AcknowledgesOlder && each.decided && each.earliest.After(latest) {
+			latest, latestRead = each.earliest, fmt.Sprintf("the decision of %d", each.version)
 		}
 	}
-	r.judgeOlder(numbers, complain)
+	r.checkOlder(numbers, complain)
 	return faults
 }
 
@@ -201,12 +201,12 @@
 	return numbers
 }
 
-// gather finds the decided content of a number and the latest possible time of its decision,
+// collectResponses finds the decided content of a number and the latest possible time of its decision,
 // from the responses. It reports responses that contradict each other.
-func (n *number) gather(complain func(text string, values ...any)) {
+func (n *number) collectResponses(complain func(text string, values ...any)) {
 	decided := func(at time.Time) {
-		if !n.sure || at.Before(n.until) {
-			n.sure, n.until = true, at
+		if !n.decided || at.Before(n.decidedBy) {
+			n.decided, n.decidedBy = true, at
 		}
 	}
 	told := func(content, how string) {
@@ -232,23 +232,23 @@
 	}
 }
 
-// place finds the earliest time at which the number can have been decided. This is not before
+// findEarliest finds the earliest time at which the number can have been decided. This is not before
 // after, the earliest time for everything that precedes the decision, and not before the
 // begin of an order that can have decided it: one with the known content or, if the content
 // is not known, with any content that was not rejected.
-func (n *number) place(after time.Time, complain func(text string, values ...any)) {
+func (n *number) findEarliest(after time.Time, complain func(text string, values ...any)) {
 	for _, put := range n.puts {
-		if put.answer == RejectedOlder || !n.mayBe(put.content) {
+		if put.answer == RejectedOlder || !n.mayHaveContent(put.content) {
 			continue
 		}
-		if !n.possible || put.began.Before(n.least) {
-			n.least, n.possible = put.began, true
+		if !n.possible || put.began.Before(n.earliest) {
+			n.earliest, n.possible = put.began, true
 		}
 	}
-	if n.sure && !n.possible {
+	if n.decided && !n.possible {
 		complain("%d was reported as decided, but no order can have decided it", n.version)
 	}
-	n.least = later(n.least, after)
+	n.earliest = later(n.earliest, after)
 	for _, put := range n.puts {
 		if put.answer == RejectedConflict && n.known && put.content == n.content {
 			complain("%d was rejected by %s because of another content, but the decided content is the same", n.version, stamp(put.ended))
@@ -256,24 +256,24 @@
 		if put.answer == RejectedOlder {
 			// It was undecided at that time and can't be decided any more.
 			n.possible = false
-			if n.sure {
+			if n.decided {
 				complain("%d was rejected by %s as older and undecided, but it was decided", n.version, stamp(put.ended))
 			}
 		}
 	}
 }
 
-// mayBe reports whether the number may have been decided with a content.
-func (n *number) mayBe(content string) bool {
+// mayHaveContent reports whether the number may have been decided with a content.
+func (n *number) mayHaveContent(content string) bool {
 	if n.known {
 		return content == n.content
 	}
 	return !slices.ContainsFunc(n.puts, func(put *Put) bool { return put.answer == RejectedConflict && put.content == content })
 }
 
-// judgeOlder checks that, whenever an order was rejected as older, a higher number can have
+// checkOlder checks that, whenever an order was rejected as older, a higher number can have
 // been decided before.
-func (r *Register) judgeOlder(numbers []*number, complain func(text string, values ...any)) {
+func (r *Register) checkOlder(numbers []*number, complain func(text string, values ...any)) {
 	for _, put := range r.puts {
 		if put.answer != RejectedOlder {
 			continue
@@ -283,7 +283,7 @@
 			continue
 		}
 		if !slices.ContainsFunc(numbers, func(each *number) bool {
-			return each.version > put.version && each.possible && !each.least.After(put.ended)
+			return each.version > put.version && each.possible && !each.earliest.After(put.ended)
 		}) {
 			complain("%d was rejected as older by %s, but no higher number was decided", put.version, stamp(put.ended))
 		}
--- a/internal/checker/register_test.go
+++ b/internal/checker/register_test.go
@@ -26,7 +26,7 @@
 	return operation{version: version, content: content, began: began, ended: ended, answer: answer}
 }
 
-func lost(version uint64, content string, began int) operation {
+func unanswered(version uint64, content string, began int) operation {
 	return operation{version: version, content: content, began: began}
 }
 
@@ -51,10 +51,10 @@
 }
 
 var histories = []struct {
-	name       string
-	rising     bool
-	holds      bool
-	operations []operation
+	name         string
+	rising       bool
+	linearizable bool
+	operations   []operation
 }{
 	{"sequential operations", true, true, []operation{ordered(1, "a", 0, 1, Acknowledged), reads(1, "a", 2, 3), ordered(2, "b", 4, 5, Acknowledged), reads(2, "b", 6, 7)}},
 	{"a read before the first order", false, true, []operation{reads(0, "", 0, 5), ordered(1, "a", 1, 9, Acknowledged)}},
@@ -77,21 +77,21 @@
 		ordered(1, "a", 0, 1, Acknowledged), ordered(2, "b", 2, 5, Acknowledged), reads(1, "a", 3, 4),
 	}},
 	{"a read that goes back", false, false, []operation{
-		ordered(1, "a", 0, 1, Acknowledged), lost(2, "b", 2), reads(2, "b", 3, 4), reads(1, "a", 5, 6),
+		ordered(1, "a", 0, 1, Acknowledged), unanswered(2, "b", 2), reads(2, "b", 3, 4), reads(1, "a", 5, 6),
 	}},
 	{"an order without a response takes effect later", false, true, []operation{
-		ordered(1, "a", 0, 1, Acknowledged), lost(2, "b", 2), reads(1, "a", 3, 4), reads(2, "b", 5, 6),
+		ordered(1, "a", 0, 1, Acknowledged), unanswered(2, "b", 2), reads(1, "a", 3, 4), reads(2, "b", 5, 6),
 	}},
 	{"a read of a version before its order began", false, false, []operation{reads(1, "a", 0, 1), ordered(1, "a", 2, 3, Acknowledged)}},
 	{"a read of a version without an order", false, false, []operation{ordered(1, "a", 0, 1, Acknowledged), reads(2, "b", 2, 3)}},
-	{"a read of other content than was accepted", false, false, []operation{ordered(1, "a", 0, 1, Acknowledged), lost(1, "b", 0), reads(1, "b", 2, 3)}},
+	{"a read of other content than was accepted", false, false, []operation{ordered(1, "a", 0, 1, Acknowledged), unanswered(1, "b", 0), reads(1, "b", 2, 3)}},
 	{"an empty read after an order was accepted", false, false, []operation{ordered(1, "a", 0, 1, Acknowledged), reads(0, "", 2, 3)}},
 	{"rejected because of another content that was never put", false, false, []operation{ordered(1, "a", 0, 1, RejectedConflict)}},
 	{"rejected before the other order began", false, false, []operation{ordered(1, "a", 0, 1, RejectedConflict), ordered(1, "b", 2, 3, Acknowledged)}},
-	{"rejected because of an order whose response was lost", false, true, []operation{lost(1, "b", 0), ordered(1, "a", 1, 2, RejectedConflict)}},
+	{"rejected because of an order whose response was lost", false, true, []operation{unanswered(1, "b", 0), ordered(1, "a", 1, 2, RejectedConflict)}},
 	{"two orders are rejected because of each other", false, false, []operation{ordered(1, "a", 0, 5, RejectedConflict), ordered(1, "b", 0, 5, RejectedConflict)}},
 	{"two orders are rejected because of a third whose response was lost", false, true, []operation{
-		ordered(1, "a", 0, 5, RejectedConflict), ordered(1, "b", 0, 5, RejectedConflict), lost(1, "c", 4),
+		ordered(1, "a", 0, 5, RejectedConflict), ordered(1, "b", 0, 5, RejectedConflict), unanswered(1, "c", 4),
 	}},
 	{"a lower number is decided after a higher one", true, false, []operation{ordered(2, "b", 0, 1, Acknowledged), ordered(1, "a", 2, 3, Acknowledged)}},
 	{"a lower number is acknowledged after a higher one", false, true, []operation{ordered(2, "b", 0, 1, Acknowledged), ordered(1, "a", 2, 3, Acknowledged)}},
@@ -103,8 +103,8 @@
 	for _, each := range histories {
 		t.Run(each.name, func(t *testing.T) {
 			faults := registerOf(each.rising, each.operations).Violations()
-			assert.Equal(t, len(faults) == 0, each.holds, "%v", faults)
-			assert.Equal(t, search(each.rising, each.operations), each.holds, "the search through all orders")
+			assert.Equal(t, len(faults) == 0, each.linearizable, "%v", faults)
+			assert.Equal(t, search(each.rising, each.operations), each.linearizable, "the search through all orders")
 		})
 	}
 }
@@ -220,7 +220,7 @@
 			each.answer = Unclear
 		}
 		if random.IntN(12) == 0 {
-			each.spoil(random)
+			each.alter(random)
 		}
 		operations[position] = each
 	}
@@ -245,7 +245,7 @@
 	}
 }
 
-func (o *operation) spoil(random *rand.Rand) {
+func (o *operation) alter(random *rand.Rand) {
 	switch {
 	case o.read && (o.version == 0 || random.IntN(2) == 0):
 		o.version, o.content = 1+random.Uint64N(3), "a"
--- a/internal/checker/topics.go
+++ b/internal/checker/topics.go
@@ -37,15 +37,15 @@
 }
 
 type post struct {
-	name       Post
-	topic      string
-	body       string
-	wanted     time.Time
-	firstTry   time.Time
-	tries      int
-	refused    int
-	accepted   bool
-	acceptedAt time.Time
+	name         Post
+	topic        string
+	body         string
+	requestedAt  time.Time
+	firstAttempt time.Time
+	attempts     int
+	refused      int
+	accepted     bool
+	acceptedAt   time.Time
 }
 
 type route struct {
@@ -62,13 +62,13 @@
 	taken    time.Time
 }
 
-func (r *routing) leads(topic string) bool {
+func (r *routing) matches(topic string) bool {
 	return slices.ContainsFunc(r.prefixes, func(prefix string) bool { return strings.HasPrefix(topic, prefix) })
 }
 
 // span is the time of a connection on which a subscription was present. A client that became
-// unreachable without closing may be counted as present until lingers.
-type span struct{ from, until, lingers time.Time }
+// unreachable without closing may be counted as present until countedUntil.
+type span struct{ from, until, countedUntil time.Time }
 
 // SavedCursor is a cursor that a client received: the position after a message, or the position of
 // a subscription that had not received any message.
@@ -81,20 +81,20 @@
 
 // Subscription is the subscription of one client to a routed topic.
 type Subscription struct {
-	checker   *Checker
-	name      string
-	topic     string
-	firstOK   time.Time
-	ended     time.Time
-	saved     *SavedCursor
-	present   []span
-	got       map[Post]time.Time
-	order     []Post
-	place     map[Post]int
-	last      map[string]uint64
-	opened    time.Time
-	connected bool
-	missed    map[Post]bool
+	checker        *Checker
+	name           string
+	topic          string
+	firstConfirmed time.Time
+	ended          time.Time
+	saved          *SavedCursor
+	present        []span
+	got            map[Post]time.Time
+	order          []Post
+	position       map[Post]int
+	last           map[string]uint64
+	opened         time.Time
+	connected      bool
+	missed         map[Post]bool
 }
 
 // Topics holds the observations on routed topics.
@@ -137,7 +137,7 @@
 	sent := &routing{version: version, prefixes: prefixes, sent: at}
 	c.Topics.routings = append(c.Topics.routings, sent)
 	for topic, subscriptions := range c.Topics.subscriptions {
-		if sent.leads(topic) {
+		if sent.matches(topic) {
 			continue
 		}
 		for _, each := range subscriptions {
@@ -155,9 +155,9 @@
 	}
 }
 
-// mayLead reports whether a request for a topic, sent at one time and answered at another,
+// mayBeRouted reports whether a request for a topic, sent at one time and answered at another,
 // may have been handled with a route (leads) or without one.
-func (t *Topics) mayLead(topic string, leads bool, sent, at time.Time) bool {
+func (t *Topics) mayBeRouted(topic string, leads bool, sent, at time.Time) bool {
 	newest := uint64(0)
 	for _, each := range t.routings {
 		if !each.taken.IsZero() && sent.Sub(each.taken) > InForceWithin {
@@ -168,14 +168,14 @@
 		return true
 	}
 	return slices.ContainsFunc(t.routings, func(each *routing) bool {
-		return each.version >= newest && !each.sent.After(at) && each.leads(topic) == leads
+		return each.version >= newest && !each.sent.After(at) && each.matches(topic) == leads
 	})
 }
 
 // Handled records that a request was handled as one for a topic with a route (leads) or
 // without one.
 func (c *Checker) Handled(what, topic string, leads bool, sent, at time.Time) {
-	if !c.Topics.mayLead(topic, leads, sent, at) {
+	if !c.Topics.mayBeRouted(topic, leads, sent, at) {
 		c.Violate(WrongRoute, "%s on %s was handled as if it had a route: %v", what, topic, leads)
 	}
 }
@@ -188,11 +188,11 @@
 	topics := c.Topics
 	each, found := topics.posts[name]
 	if !found {
-		each = &post{name: name, topic: topic, body: body, wanted: wanted, firstTry: at}
+		each = &post{name: name, topic: topic, body: body, requestedAt: wanted, firstAttempt: at}
 		topics.posts[name] = each
 		topics.byTopic[topic] = append(topics.byTopic[topic], each)
 	}
-	each.tries++
+	each.attempts++
 }
 
 // PostAnswered records the outcome of an attempt.
@@ -203,7 +203,7 @@
 		if !each.accepted {
 			c.Accepted++
 			each.accepted, each.acceptedAt = true, at
-			c.ResponseTimes = append(c.ResponseTimes, at.Sub(each.wanted))
+			c.ResponseTimes = append(c.ResponseTimes, at.Sub(each.requestedAt))
 		}
 	case "refused":
 		c.Rejected++
@@ -218,7 +218,7 @@
 // Subscribing records that a client starts to subscribe to a topic. If saved is not nil, the
 // client resumes from this cursor, which any client may have received.
 func (c *Checker) Subscribing(name, topic string, saved *SavedCursor) *Subscription {
-	made := &Subscription{checker: c, name: name, topic: topic, saved: saved, got: map[Post]time.Time{}, place: map[Post]int{}, last: map[string]uint64{}, missed: map[Post]bool{}}
+	made := &Subscription{checker: c, name: name, topic: topic, saved: saved, got: map[Post]time.Time{}, position: map[Post]int{}, last: map[string]uint64{}, missed: map[Post]bool{}}
 	c.Topics.subscriptions[topic] = append(c.Topics.subscriptions[topic], made)
 	return made
 }
@@ -226,8 +226,8 @@
 // Confirmed records that the subscription is confirmed, on a connection that was opened at
 // opened.
 func (s *Subscription) Confirmed(opened, at time.Time) {
-	if s.firstOK.IsZero() {
-		s.firstOK = at
+	if s.firstConfirmed.IsZero() {
+		s.firstConfirmed = at
 	}
 	s.opened, s.connected = at, true
 	s.present = append(s.present, span{from: at})
@@ -249,7 +249,7 @@
 // until when a gateway may keep the connection open.
 func (s *Subscription) Unreachable(at, until time.Time) {
 	if count := len(s.present); count > 0 && s.present[count-1].until.IsZero() {
-		s.present[count-1].lingers = until
+		s.present[count-1].countedUntil = until
 	}
 	s.Disconnected(at)
 }
@@ -265,24 +265,24 @@
 // Ended reports whether the subscription has ended.
 func (s *Subscription) Ended() bool { return !s.ended.IsZero() }
 
-// owed reports whether a message must be delivered to the subscription, by the observations
+// mustReceive reports whether a message must be delivered to the subscription, by the observations
 // so far.
-func (s *Subscription) owed(each *post) bool {
+func (s *Subscription) mustReceive(each *post) bool {
 	if !each.accepted || !s.ended.IsZero() && each.acceptedAt.After(s.ended) {
 		return false
 	}
 	if saved := s.saved; saved != nil {
-		return each.firstTry.After(saved.At) || s.checker.Topics.follows(s.topic, saved.After, each.name)
+		return each.firstAttempt.After(saved.At) || s.checker.Topics.follows(s.topic, saved.After, each.name)
 	}
-	return !s.firstOK.IsZero() && each.firstTry.After(s.firstOK)
+	return !s.firstConfirmed.IsZero() && each.firstAttempt.After(s.firstConfirmed)
 }
 
 // follows reports whether any subscriber received both messages, and received the one named
 // later after the one named earlier.
 func (t *Topics) follows(topic string, earlier, later Post) bool {
 	for _, each := range t.subscriptions[topic] {
-		first, got := each.place[earlier]
-		second, both := each.place[later]
+		first, got := each.position[earlier]
+		second, both := each.position[later]
 		if got && both && second > first {
 			return true
 		}
@@ -299,11 +299,11 @@
 	excused := !route.durable
 	missing := 0
 	for _, each := range checker.Topics.byTopic[s.topic] {
-		if _, got := s.got[each.name]; got || !s.owed(each) {
+		if _, got := s.got[each.name]; got || !s.mustReceive(each) {
 			continue
 		}
 		missing++
-		excused = excused || at.Sub(each.firstTry) >= route.holding
+		excused = excused || at.Sub(each.firstAttempt) >= route.holding
 	}
 	if !excused && !s.Ended() {
 		checker.Violate(CursorRejected, "the cursor of %s in %s was rejected, though all %d missing messages are within the holding time", s.name, s.topic, missing)
@@ -333,16 +333,16 @@
 		checker.Violate(Duplicate, "%s got %v on %s, which precedes the cursor from which it resumed", who, name, topic)
 	}
 	s.got[name] = at
-	s.place[name] = len(s.order)
+	s.position[name] = len(s.order)
 	s.order = append(s.order, name)
 	s.last[name.Sender] = max(s.last[name.Sender], name.Seq)
-	if !topics.mayLead(topic, true, sent.firstTry, at) {
-		checker.Violate(AfterRemoval, "%s got %v on %s, first sent %s before", who, name, topic, at.Sub(sent.firstTry))
+	if !topics.mayBeRouted(topic, true, sent.firstAttempt, at) {
+		checker.Violate(AfterRemoval, "%s got %v on %s, first sent %s before", who, name, topic, at.Sub(sent.firstAttempt))
 	}
-	delay := at.Sub(sent.wanted)
-	if s.opened.Before(sent.wanted) && s.connected {
+	delay := at.Sub(sent.requestedAt)
+	if s.opened.Before(sent.requestedAt) && s.connected {
 		topics.DeliveryDelays = append(topics.DeliveryDelays, delay)
-		if delay > DeliverWithin && sent.wanted.Sub(calmSince) > FaultSettleTime {
+		if delay > DeliverWithin && sent.requestedAt.Sub(calmSince) > FaultSettleTime {
 			checker.Violate(LateInCalm, "%s got %v on %s after %s", who, name, topic, delay)
 		}
 	}
@@ -368,7 +368,7 @@
 	for _, each := range c.Topics.subscriptions[topic] {
 		touched, complete := false, false
 		for _, present := range each.present {
-			if present.lingers.After(from) && present.from.Before(at) {
+			if present.countedUntil.After(from) && present.from.Before(at) {
 				once++
 				continue
 			}
@@ -399,7 +399,7 @@
 	for topic, subscriptions := range statemachine.Sorted(c.Topics.subscriptions) {
 		for position, each := range subscriptions {
 			for name := range each.got {
-				if sent := c.Topics.posts[name]; sent.refused == sent.tries {
+				if sent := c.Topics.posts[name]; sent.refused == sent.attempts {
 					c.Violate(AllRejected, "%s got %v on %s, though every attempt was rejected", each.name, name, each.topic)
 				}
 			}
@@ -418,14 +418,14 @@
 			continue
 		}
 		for _, each := range subscriptions {
-			c.brought(each, at)
+			c.checkDelivered(each, at)
 		}
 	}
 }
 
-func (c *Checker) brought(each *Subscription, at time.Time) {
+func (c *Checker) checkDelivered(each *Subscription, at time.Time) {
 	for _, sent := range c.Topics.byTopic[each.topic] {
-		if _, got := each.got[sent.name]; got || each.missed[sent.name] || !each.owed(sent) {
+		if _, got := each.got[sent.name]; got || each.missed[sent.name] || !each.mustReceive(sent) {
 			continue
 		}
 		switch {
@@ -445,7 +445,7 @@
 func (c *Checker) compareOrders(topic string, left, right *Subscription) {
 	last := -1
 	for _, name := range left.order {
-		position, both := right.place[name]
+		position, both := right.position[name]
 		if !both {
 			continue
 		}
--- a/internal/checker/topics_test.go
+++ b/internal/checker/topics_test.go
@@ -30,7 +30,7 @@
 	guestTopic   = "guest.a"
 )
 
-func honestTopics() *topicRun {
+func correctTopicRun() *topicRun {
 	run := &topicRun{Checker: New(), held: map[string]*Subscription{}}
 	run.DefineRoute("board.", true, HoldingTime)
 	run.DefineRoute("halt.", false, 0)
@@ -210,7 +210,7 @@
 		}},
 	}
 	for _, each := range plants {
-		run := honestTopics()
+		run := correctTopicRun()
 		each.plant(run, run.held["ada "+keptTopic], run.held["bob "+keptTopic])
 		run.Close(moment(70))
 		if each.kind == "" {
@@ -227,7 +227,7 @@
 // The checker must not report missing messages, cursors, counts and routes that the promises
 // excuse.
 func TestWhatIsNotOwedIsNotMissed(t *testing.T) {
-	run := honestTopics()
+	run := correctTopicRun()
 	ada := run.held["ada "+keptTopic]
 	// A cursor may expire if a missed message is older than the holding time.
 	ada.Disconnected(moment(6))
--- a/internal/faults/faults.go
+++ b/internal/faults/faults.go
@@ -40,26 +40,26 @@
 // Closing lists the faults with which a run may end. They are not undone.
 var Closing = []string{"kill-gateway", "kill-primary", "kill-backup", "kill-store", "kill-agent", "lose-place", "lose-two", "restart-all"}
 
-// grave lists the faults that remove redundancy: a replica of durable data or a part of a
-// majority. A second grave fault at the same time may exceed the tolerance.
-var grave = map[string]bool{
+// lossOfRedundancy lists the faults that remove redundancy: a replica of durable data or a part of a
+// majority. A second such fault at the same time may exceed the tolerance.
+var lossOfRedundancy = map[string]bool{
 	"cut-daemon": true, "cut-place": true, "cut-primary": true, "freeze-store": true, "freeze-controller": true, "freeze-primary": true,
 	"join-store": true, "kill-backup": true, "kill-store": true, "kill-controller": true, "kill-primary": true, "lose-place": true,
 	"power-loss": true, "restart-store": true, "restart-stores": true, "restart-controller": true, "retire": true, "rolling": true,
 	"slow-daemon": true, "cut-one-way": true, "loss": true, "wipe-store": true, "wipe-controller": true,
 }
 
-// wiping lists the faults that lose a disk. The promises allow that for one machine at a
-// time, so no grave fault may occur at the same time.
-var wiping = map[string]bool{"wipe-store": true, "wipe-controller": true, "retire": true}
+// lossOfDisk lists the faults that lose a disk. The promises allow that for one machine at a
+// time, so no fault of lossOfRedundancy may occur at the same time.
+var lossOfDisk = map[string]bool{"wipe-store": true, "wipe-controller": true, "retire": true}
 
 // LosesDisk reports whether a fault loses a disk.
-func LosesDisk(name string) bool { return wiping[name] }
+func LosesDisk(name string) bool { return lossOfDisk[name] }
 
 // Clashes reports whether two faults at the same time exceed what the service promises to
 // survive: a lost disk together with the loss of the only other copy.
 func Clashes(left, right string) bool {
-	return wiping[left] && grave[right] || wiping[right] && grave[left]
+	return lossOfDisk[left] && lossOfRedundancy[right] || lossOfDisk[right] && lossOfRedundancy[left]
 }
 
 // Draw draws a schedule of up to count faults with the given names, each of which may occur
@@ -75,7 +75,7 @@
 			Length: (200*time.Millisecond + time.Duration(random.Int64N(int64(5*time.Second)))).Round(time.Millisecond),
 			Pick:   uint64(random.IntN(1 << 16)),
 		}
-		if !slices.ContainsFunc(schedule, func(other Fault) bool { return Clashes(fault.Name, other.Name) && near(fault, other) }) {
+		if !slices.ContainsFunc(schedule, func(other Fault) bool { return Clashes(fault.Name, other.Name) && overlap(fault, other) }) {
 			schedule = append(schedule, fault)
 		}
 	}
@@ -86,7 +86,7 @@
 // RepairTime is how long a partition may need until it has two replicas again.
 const RepairTime = 12 * time.Second
 
-func near(left, right Fault) bool {
+func overlap(left, right Fault) bool {
 	return left.Start < right.Start+right.Length+RepairTime && right.Start < left.Start+left.Length+RepairTime
 }
 
--- a/internal/faults/faults_test.go
+++ b/internal/faults/faults_test.go
@@ -19,7 +19,7 @@
 		assert.Equal(t, Format(read), Format(schedule))
 		for position, left := range schedule {
 			for _, right := range schedule[position+1:] {
-				assert.Assert(t, !Clashes(left.Name, right.Name) || !near(left, right), "%s and %s", left, right)
+				assert.Assert(t, !Clashes(left.Name, right.Name) || !overlap(left, right), "%s and %s", left, right)
 			}
 		}
 		if len(schedule) < 3 {
