--- a/cmd/dahlialock/main.go
+++ b/cmd/dahlialock/main.go
@@ -39,7 +39,7 @@
 
 func (s *commonFlags) declare(set *flag.FlagSet) {
 	set.StringVar(&s.control, "ctl", os.Getenv("DAHLIALOCK_CTL"), "`address` of any daemon's ctl, or several with commas between; DAHLIALOCK_CTL if not given")
-	set.BoolVar(&s.raw, "json", false, "print the answer as JSON")
+	set.BoolVar(&s.raw, "json", false, "print the response as JSON")
 	set.DurationVar(&s.wait, "wait", 0, "how `long` to retry while the fleet can't answer")
 }
 
--- a/cmd/fleetlab/client.go
+++ b/cmd/fleetlab/client.go
@@ -60,10 +60,10 @@
 }
 
 func (tr *trialRun) startClients() {
-	for number := range tr.trial.origins {
+	for number := range tr.trial.clients {
 		each := tr.newClient(fmt.Sprintf("origin-%d", number), number%tr.fleet.Deployment.Zones, uint64(number))
 		each.urgent = number%10 == 0
-		each.rate = tr.trial.durable / float64(tr.trial.origins)
+		each.rate = tr.trial.durable / float64(tr.trial.clients)
 		for range 2 {
 			each.interests = append(each.interests, checker.Interest{Space: "boards", Path: durableTopic(each.random.IntN(durableTopics))})
 		}
@@ -86,15 +86,15 @@
 
 // probe publishes once to topics of every partition, through any ready gateway, and
 // reports whether all publications were accepted.
-func (to *trialClient) probe() bool {
-	daemon := to.run.platform.pick(to.random, *to.zone.Load())
+func (tc *trialClient) probe() bool {
+	daemon := tc.run.platform.pick(tc.random, *tc.zone.Load())
 	if daemon == nil {
 		return false
 	}
 	for number := range 24 {
-		to.seqs["boards"]++
-		message := checker.Message{Space: "boards", Sender: to.name, Seq: to.seqs["boards"]}
-		if outcome, _ := to.attempt(daemon.Caller, message, durableTopic(number), fmt.Sprintf("%q", message.String())); outcome != "accepted" {
+		tc.seqs["boards"]++
+		message := checker.Message{Space: "boards", Sender: tc.name, Seq: tc.seqs["boards"]}
+		if outcome, _ := tc.attempt(daemon.Caller, message, durableTopic(number), fmt.Sprintf("%q", message.String())); outcome != "accepted" {
 			return false
 		}
 	}
@@ -102,26 +102,26 @@
 }
 
 // leave stops the client permanently; the checker expects no further deliveries to it.
-func (to *trialClient) leave() {
-	to.record(func(checker *checker.Checker) { checker.SubscriberEnded(to.name) })
-	to.cancel()
+func (tc *trialClient) leave() {
+	tc.record(func(checker *checker.Checker) { checker.SubscriberEnded(tc.name) })
+	tc.cancel()
 }
 
-func (to *trialClient) record(entry func(checker *checker.Checker)) { to.run.log.record(entry) }
+func (tc *trialClient) record(entry func(checker *checker.Checker)) { tc.run.log.record(entry) }
 
-func (to *trialClient) reset() {
+func (tc *trialClient) reset() {
 	select {
-	case to.resets <- struct{}{}:
+	case tc.resets <- struct{}{}:
 	default:
 	}
 }
 
-func (to *trialClient) trace(format string, values ...any) {
+func (tc *trialClient) trace(format string, values ...any) {
 	text := fmt.Sprintf(format, values...)
-	to.lastTrace.Store(&text)
+	tc.lastTrace.Store(&text)
 }
 
-func (to *trialClient) stop() { to.cancel() }
+func (tc *trialClient) stop() { tc.cancel() }
 
 func subscriptions(interests []checker.Interest) []client.Subscription {
 	var wanted []client.Subscription
@@ -137,17 +137,17 @@
 }
 
 // keepConnected opens a session and reopens it whenever it ends, until the client is stopped.
-func (to *trialClient) keepConnected() {
+func (tc *trialClient) keepConnected() {
 	cursor, target := "", ""
 	var disconnectedAt time.Time
 	requested := false
-	for to.ctx.Err() == nil {
-		if wait := time.Until(time.Unix(0, to.absentUntil.Load())); wait > 0 {
+	for tc.ctx.Err() == nil {
+		if wait := time.Until(time.Unix(0, tc.absentUntil.Load())); wait > 0 {
 			time.Sleep(min(wait, 100*time.Millisecond))
 			continue
 		}
 		if target == "" {
-			if daemon := to.run.platform.pick(to.random, *to.zone.Load()); daemon != nil {
+			if daemon := tc.run.platform.pick(tc.random, *tc.zone.Load()); daemon != nil {
 				target = daemon.Caller
 			}
 		}
@@ -155,53 +155,53 @@
 			time.Sleep(200 * time.Millisecond)
 			continue
 		}
-		to.trace("opening at %s", target)
+		tc.trace("opening at %s", target)
 		began := time.Now()
-		channel, err := to.caller.Open(to.ctx, target)
+		channel, err := tc.caller.Open(tc.ctx, target)
 		target = ""
 		if err != nil {
-			to.trace("opening: %v", err)
+			tc.trace("opening: %v", err)
 			time.Sleep(100 * time.Millisecond)
 			continue
 		}
 		shown, at := channel.Hello, time.Now()
-		to.record(func(checker *checker.Checker) { checker.ServedVersion(shown.Daemon, shown.Version, began, at) })
+		tc.record(func(checker *checker.Checker) { checker.ServedVersion(shown.Daemon, shown.Version, began, at) })
 		if !requested {
 			requested = true
 			at := time.Now()
-			to.record(func(checker *checker.Checker) {
-				for _, interest := range to.interests {
-					checker.SubscribeRequested(to.name, interest, at)
+			tc.record(func(checker *checker.Checker) {
+				for _, interest := range tc.interests {
+					checker.SubscribeRequested(tc.name, interest, at)
 				}
 			})
 		}
-		if !to.subscribe(channel, &cursor, disconnectedAt) {
+		if !tc.subscribe(channel, &cursor, disconnectedAt) {
 			channel.Close()
 			continue
 		}
 		address := channel.Address
-		to.address.Store(&address)
-		to.subscribed.Store(true)
-		target = to.read(channel, &cursor)
-		to.subscribed.Store(false)
-		to.address.Store(nil)
+		tc.address.Store(&address)
+		tc.subscribed.Store(true)
+		target = tc.read(channel, &cursor)
+		tc.subscribed.Store(false)
+		tc.address.Store(nil)
 		channel.Close()
 		disconnectedAt = time.Now()
 	}
 }
 
-func (to *trialClient) subscribe(channel *client.Channel, cursor *string, disconnectedAt time.Time) bool {
-	for to.ctx.Err() == nil {
-		to.trace("subscribing at %s", channel.Address)
-		within, cancel := context.WithTimeout(to.ctx, 3*time.Second)
-		wanted := subscriptions(to.interests)
+func (tc *trialClient) subscribe(channel *client.Channel, cursor *string, disconnectedAt time.Time) bool {
+	for tc.ctx.Err() == nil {
+		tc.trace("subscribing at %s", channel.Address)
+		within, cancel := context.WithTimeout(tc.ctx, 3*time.Second)
+		wanted := subscriptions(tc.interests)
 		resumes := *cursor != ""
 		if resumes {
 			wanted = nil
 		}
-		answer, err := to.caller.Subscribe(within, channel, wanted, *cursor)
+		answer, err := tc.caller.Subscribe(within, channel, wanted, *cursor)
 		cancel()
-		to.trace("subscribing at %s: %v %+v", channel.Address, err, answer)
+		tc.trace("subscribing at %s: %v %+v", channel.Address, err, answer)
 		switch {
 		case err != nil:
 			return false
@@ -211,28 +211,28 @@
 			}
 			if !resumes {
 				at := time.Now()
-				to.record(func(checker *checker.Checker) {
-					for _, interest := range to.interests {
-						checker.Subscribed(to.name, interest, at)
+				tc.record(func(checker *checker.Checker) {
+					for _, interest := range tc.interests {
+						checker.Subscribed(tc.name, interest, at)
 					}
 				})
 			}
 			return true
 		case answer.Code == "no-such-channel" || answer.Code == "moved":
 			return false
-		case answer.Code == "no-such-space" && to.temporarySpace != "":
-			to.leave()
+		case answer.Code == "no-such-space" && tc.temporarySpace != "":
+			tc.leave()
 			return false
 		case answer.RetryAfterMs > 0:
-			to.rejected(answer.Code, to.name+" subscribes")
+			tc.rejected(answer.Code, tc.name+" subscribes")
 			time.Sleep(time.Duration(answer.RetryAfterMs) * time.Millisecond)
 		default:
 			at := time.Now()
-			to.record(func(checker *checker.Checker) {
-				checker.CursorExpired(to.name, disconnectedAt, at)
-				checker.Violate("place-refused", "%s: %s %s", to.name, answer.Code, answer.Text)
+			tc.record(func(checker *checker.Checker) {
+				checker.CursorExpired(tc.name, disconnectedAt, at)
+				checker.Violate("place-refused", "%s: %s %s", tc.name, answer.Code, answer.Text)
 			})
-			to.cancel()
+			tc.cancel()
 			return false
 		}
 	}
@@ -241,14 +241,14 @@
 
 // read handles events until the session ends. It returns the address of the gateway to
 // reconnect to, or an empty string if the gateway named none.
-func (to *trialClient) read(channel *client.Channel, cursor *string) string {
+func (tc *trialClient) read(channel *client.Channel, cursor *string) string {
 	silent := time.NewTimer(8 * time.Second)
 	defer silent.Stop()
 	for {
 		select {
-		case <-to.ctx.Done():
+		case <-tc.ctx.Done():
 			return ""
-		case <-to.resets:
+		case <-tc.resets:
 			return ""
 		case <-silent.C:
 			return ""
@@ -263,14 +263,14 @@
 			switch event.Event {
 			case "message":
 				at := time.Now()
-				to.record(func(checker_ *checker.Checker) {
-					checker_.Received(to.name, checker.Message{Space: event.Space, Sender: event.Sender, Seq: event.Seq}, event.Topic, string(event.Data), at)
+				tc.record(func(checker_ *checker.Checker) {
+					checker_.Received(tc.name, checker.Message{Space: event.Space, Sender: event.Sender, Seq: event.Seq}, event.Topic, string(event.Data), at)
 				})
 			case "ping":
 				go func() {
-					within, cancel := context.WithTimeout(to.ctx, 3*time.Second)
+					within, cancel := context.WithTimeout(tc.ctx, 3*time.Second)
 					defer cancel()
-					_ = to.caller.Pong(within, channel)
+					_ = tc.caller.Pong(within, channel)
 				}()
 			case "move":
 				return event.To
@@ -283,30 +283,30 @@
 
 // start begins to publish: durable messages at the client's share of the load and a few
 // ephemeral ones; every tenth client also publishes urgent messages and messages in a shared order.
-func (to *trialClient) start() { go to.publishAll() }
+func (tc *trialClient) start() { go tc.publishAll() }
 
-func (to *trialClient) publishAll() {
+func (tc *trialClient) publishAll() {
 	spaces := []struct {
 		space string
 		rate  float64
 		topic func() string
 	}{
-		{"boards", to.rate, func() string { return durableTopic(to.random.IntN(durableTopics)) }},
-		{"cursors", 0.05, func() string { return durableTopic(to.random.IntN(50)) }},
-		{"urgent", 0, func() string { return urgentTopic(to.random.IntN(urgentTopics)) }},
-		{"decisions", 0, func() string { return fmt.Sprintf("board%d", to.random.IntN(5)) }},
+		{"boards", tc.rate, func() string { return durableTopic(tc.random.IntN(durableTopics)) }},
+		{"cursors", 0.05, func() string { return durableTopic(tc.random.IntN(50)) }},
+		{"urgent", 0, func() string { return urgentTopic(tc.random.IntN(urgentTopics)) }},
+		{"decisions", 0, func() string { return fmt.Sprintf("board%d", tc.random.IntN(5)) }},
 	}
-	if to.urgent {
-		fraction := float64(max(1, to.run.trial.origins/10))
-		spaces[2].rate, spaces[3].rate = to.run.trial.urgent/fraction, 4/fraction
+	if tc.urgent {
+		fraction := float64(max(1, tc.run.trial.clients/10))
+		spaces[2].rate, spaces[3].rate = tc.run.trial.urgent/fraction, 4/fraction
 	}
-	if to.temporarySpace != "" {
+	if tc.temporarySpace != "" {
 		spaces = spaces[:1]
-		spaces[0].space, spaces[0].rate, spaces[0].topic = to.temporarySpace, 5, func() string { return "a/b" }
+		spaces[0].space, spaces[0].rate, spaces[0].topic = tc.temporarySpace, 5, func() string { return "a/b" }
 	}
 	next := make([]time.Time, len(spaces))
 	wait := func(rate float64) time.Duration {
-		return time.Duration(to.random.ExpFloat64() / rate * float64(time.Second))
+		return time.Duration(tc.random.ExpFloat64() / rate * float64(time.Second))
 	}
 	for position := range spaces {
 		if spaces[position].rate > 0 {
@@ -321,29 +321,29 @@
 			}
 		}
 		select {
-		case <-to.run.loadEnded:
+		case <-tc.run.loadEnded:
 			return
-		case <-to.ctx.Done():
+		case <-tc.ctx.Done():
 			return
 		case <-time.After(time.Until(next[earliest])):
 		}
 		chosen := spaces[earliest]
 		next[earliest] = time.Now().Add(wait(chosen.rate))
-		to.seqs[chosen.space]++
-		to.publish(checker.Message{Space: chosen.space, Sender: to.name, Seq: to.seqs[chosen.space]}, chosen.topic())
+		tc.seqs[chosen.space]++
+		tc.publish(checker.Message{Space: chosen.space, Sender: tc.name, Seq: tc.seqs[chosen.space]}, chosen.topic())
 	}
 }
 
 // publish retries one message until it is accepted or finally rejected.
-func (to *trialClient) publish(message checker.Message, topic string) {
+func (tc *trialClient) publish(message checker.Message, topic string) {
 	data := fmt.Sprintf("%q", message.String()+" with some text such as a note on a board would have")
-	for to.ctx.Err() == nil {
-		address := to.address.Load()
+	for tc.ctx.Err() == nil {
+		address := tc.address.Load()
 		if address == nil {
 			time.Sleep(50 * time.Millisecond)
 			continue
 		}
-		outcome, again := to.attempt(*address, message, topic, data)
+		outcome, again := tc.attempt(*address, message, topic, data)
 		if outcome == "accepted" || again == 0 {
 			return
 		}
@@ -353,27 +353,27 @@
 
 // attempt sends one message once and returns its outcome and the delay before a retry;
 // no delay means that the message must not be retried.
-func (to *trialClient) attempt(address string, message checker.Message, topic, data string) (string, time.Duration) {
+func (tc *trialClient) attempt(address string, message checker.Message, topic, data string) (string, time.Duration) {
 	began := time.Now()
-	to.record(func(checker *checker.Checker) { checker.Attempt(message, topic, data, began) })
-	within, cancel := context.WithTimeout(to.ctx, 2500*time.Millisecond)
-	answer, err := to.caller.Publish(within, address, message.Space, topic, message.Seq, rawJSON(data))
+	tc.record(func(checker *checker.Checker) { checker.Attempt(message, topic, data, began) })
+	within, cancel := context.WithTimeout(tc.ctx, 2500*time.Millisecond)
+	answer, err := tc.caller.Publish(within, address, message.Space, topic, message.Seq, rawJSON(data))
 	cancel()
 	at := time.Now()
 	outcome, code, again := "unsettled", "cut-off", 50*time.Millisecond
 	if err == nil {
 		outcome, code, again = answer.Outcome, answer.Code, time.Duration(answer.RetryAfterMs)*time.Millisecond
 	}
-	to.record(func(checker *checker.Checker) { checker.Answered(message, outcome, began, at) })
-	if outcome != "accepted" && to.ctx.Err() == nil && to.temporarySpace == "" && code != "earlier-refused" && code != "moved" {
-		to.rejected(code, message.String())
+	tc.record(func(checker *checker.Checker) { checker.Answered(message, outcome, began, at) })
+	if outcome != "accepted" && tc.ctx.Err() == nil && tc.temporarySpace == "" && code != "earlier-refused" && code != "moved" {
+		tc.rejected(code, message.String())
 	}
 	return outcome, again
 }
 
-func (to *trialClient) rejected(code, what string) {
-	calm, at := to.run.stableSince(), time.Now()
-	to.record(func(checker *checker.Checker) { checker.RequestRejected(code, what, calm, at) })
+func (tc *trialClient) rejected(code, what string) {
+	calm, at := tc.run.stableSince(), time.Now()
+	tc.record(func(checker *checker.Checker) { checker.RequestRejected(code, what, calm, at) })
 }
 
 type rawJSON string
--- a/cmd/fleetlab/injector.go
+++ b/cmd/fleetlab/injector.go
@@ -74,22 +74,22 @@
 	stopped  map[string]bool
 }
 
-func (h *injector) after(wait time.Duration, do func()) {
-	h.queue = append(h.queue, action{at: time.Now().Add(wait), do: do})
+func (i *injector) after(wait time.Duration, do func()) {
+	i.queue = append(i.queue, action{at: time.Now().Add(wait), do: do})
 }
 
 // runUntil runs the queued actions as they fall due, until a condition holds or the time
 // limit has passed. It reports whether the condition holds.
-func (h *injector) runUntil(limit time.Duration, holds func() bool) bool {
+func (i *injector) runUntil(limit time.Duration, holds func() bool) bool {
 	end := time.Now().Add(limit)
 	for !holds() {
 		if time.Now().After(end) {
 			return false
 		}
-		sort.SliceStable(h.queue, func(left, right int) bool { return h.queue[left].at.Before(h.queue[right].at) })
-		if len(h.queue) > 0 && !time.Now().Before(h.queue[0].at) {
-			next := h.queue[0]
-			h.queue = h.queue[1:]
+		sort.SliceStable(i.queue, func(left, right int) bool { return i.queue[left].at.Before(i.queue[right].at) })
+		if len(i.queue) > 0 && !time.Now().Before(i.queue[0].at) {
+			next := i.queue[0]
+			i.queue = i.queue[1:]
 			next.do()
 			continue
 		}
@@ -100,7 +100,7 @@
 
 // poll checks a condition every 50 ms until it holds or the time limit has passed, and
 // then calls then with the result.
-func (h *injector) poll(limit time.Duration, holds func() bool, then func(holding bool)) {
+func (i *injector) poll(limit time.Duration, holds func() bool, then func(holding bool)) {
 	end := time.Now().Add(limit)
 	var check func()
 	check = func() {
@@ -109,40 +109,40 @@
 			then(holding)
 			return
 		}
-		h.after(50*time.Millisecond, check)
+		i.after(50*time.Millisecond, check)
 	}
 	check()
 }
 
-func (h *injector) hasLeft(name string) bool {
-	return h.run.removed.Load() != nil && slices.Contains(*h.run.removed.Load(), name)
+func (i *injector) hasLeft(name string) bool {
+	return i.run.removed.Load() != nil && slices.Contains(*i.run.removed.Load(), name)
 }
 
 // runFaults injects a schedule of faults and waits until all of them have ended. It then waits
 // for FaultSettleTime plus 5 s, so that the checker reports what has not recovered by then.
-func (h *injector) runFaults(schedule []faults.Fault, length time.Duration) {
-	h.frozen, h.stopped = map[string]int{}, map[string]bool{}
+func (i *injector) runFaults(schedule []faults.Fault, length time.Duration) {
+	i.frozen, i.stopped = map[string]int{}, map[string]bool{}
 	if len(schedule) > 0 {
 		fmt.Printf("storm: %s\n", faults.Format(schedule))
 	}
 	for _, fault := range schedule {
-		h.after(fault.Start, func() { h.inject(fault) })
+		i.after(fault.Start, func() { i.inject(fault) })
 	}
-	h.runUntil(length, func() bool { return false })
+	i.runUntil(length, func() bool { return false })
 	if len(schedule) == 0 {
 		return
 	}
-	if !h.runUntil(3*time.Minute, func() bool { return h.open == 0 }) {
-		h.run.log.record(func(log *checker.Checker) {
+	if !i.runUntil(3*time.Minute, func() bool { return i.open == 0 }) {
+		i.run.log.record(func(log *checker.Checker) {
 			log.Violate(checker.NotRecovered, "a fault has not ended within 3 minutes")
 		})
 	}
-	h.runUntil(checker.FaultSettleTime+5*time.Second, func() bool { return false })
+	i.runUntil(checker.FaultSettleTime+5*time.Second, func() bool { return false })
 }
 
-func (h *injector) inject(fault faults.Fault) {
-	h.open++
-	h.run.faultFreeSince.Store(0)
+func (i *injector) inject(fault faults.Fault) {
+	i.open++
+	i.run.faultFreeSince.Store(0)
 	fmt.Printf("  fault: %s\n", fault)
 	ended := false
 	end := func() {
@@ -150,18 +150,18 @@
 			return
 		}
 		ended = true
-		if h.open--; h.open == 0 {
-			h.run.faultFreeSince.Store(time.Now().UnixNano())
+		if i.open--; i.open == 0 {
+			i.run.faultFreeSince.Store(time.Now().UnixNano())
 		}
 	}
-	injectors[fault.Name](h, fault, end)
+	injectors[fault.Name](i, fault, end)
 }
 
-func (h *injector) choose(kind string, pick uint64) *testfleet.Daemon {
+func (i *injector) choose(kind string, pick uint64) *testfleet.Daemon {
 	var up []*testfleet.Daemon
-	for _, name := range h.run.fleet.Names() {
-		daemon := h.run.fleet.Daemons[name]
-		if (kind == "" || daemon.Kind == kind) && daemon.Running() && h.frozen[name] == 0 && !h.stopped[name] {
+	for _, name := range i.run.fleet.Names() {
+		daemon := i.run.fleet.Daemons[name]
+		if (kind == "" || daemon.Kind == kind) && daemon.Running() && i.frozen[name] == 0 && !i.stopped[name] {
 			up = append(up, daemon)
 		}
 	}
@@ -172,9 +172,9 @@
 }
 
 // roles returns the primary controller and its first backup, nil where there is none.
-func (h *injector) roles() (primary, backup *testfleet.Daemon) {
-	for _, daemon := range h.run.fleet.OfKind(membership.KindController) {
-		if h.frozen[daemon.Name] > 0 || !daemon.Running() {
+func (i *injector) roles() (primary, backup *testfleet.Daemon) {
+	for _, daemon := range i.run.fleet.OfKind(membership.KindController) {
+		if i.frozen[daemon.Name] > 0 || !daemon.Running() {
 			continue
 		}
 		self, err := daemon.Self()
@@ -186,7 +186,7 @@
 			return daemon, nil
 		}
 		name, _ := backups[0].(string)
-		return daemon, h.run.fleet.Daemons[name]
+		return daemon, i.run.fleet.Daemons[name]
 	}
 	return nil, nil
 }
@@ -215,19 +215,19 @@
 }
 
 // start starts a stopped daemon; it does nothing if the daemon is running.
-func (h *injector) start(daemon *testfleet.Daemon) {
-	delete(h.stopped, daemon.Name)
+func (i *injector) start(daemon *testfleet.Daemon) {
+	delete(i.stopped, daemon.Name)
 	if !daemon.Running() {
-		if err := h.run.fleet.Start(daemon.Name); err != nil {
+		if err := i.run.fleet.Start(daemon.Name); err != nil {
 			panic(err)
 		}
 	}
 }
 
-func (h *injector) kill(daemon *testfleet.Daemon) {
-	h.stopped[daemon.Name] = true
-	delete(h.frozen, daemon.Name)
-	h.run.fleet.Kill(daemon.Name)
+func (i *injector) kill(daemon *testfleet.Daemon) {
+	i.stopped[daemon.Name] = true
+	delete(i.frozen, daemon.Name)
+	i.run.fleet.Kill(daemon.Name)
 }
 
 func injectKill(injector *injector, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
@@ -238,14 +238,14 @@
 	injector.after(fault.Length, func() { injector.start(daemon); end() })
 }
 
-func (h *injector) freeze(daemon *testfleet.Daemon, length time.Duration, then func()) {
-	h.frozen[daemon.Name]++
-	h.run.fleet.Signal(daemon.Name, syscall.SIGSTOP)
-	h.after(length, func() {
-		if h.frozen[daemon.Name]--; h.frozen[daemon.Name] <= 0 {
-			delete(h.frozen, daemon.Name)
+func (i *injector) freeze(daemon *testfleet.Daemon, length time.Duration, then func()) {
+	i.frozen[daemon.Name]++
+	i.run.fleet.Signal(daemon.Name, syscall.SIGSTOP)
+	i.after(length, func() {
+		if i.frozen[daemon.Name]--; i.frozen[daemon.Name] <= 0 {
+			delete(i.frozen, daemon.Name)
 		}
-		h.run.fleet.Signal(daemon.Name, syscall.SIGCONT)
+		i.run.fleet.Signal(daemon.Name, syscall.SIGCONT)
 		then()
 	})
 }
@@ -272,18 +272,18 @@
 
 // restart restarts a daemon as the platform does: SIGTERM, and SIGKILL if it is still
 // running after 6 s.
-func (h *injector) restart(daemon *testfleet.Daemon, wait time.Duration, then func()) {
-	h.stopped[daemon.Name] = true
+func (i *injector) restart(daemon *testfleet.Daemon, wait time.Duration, then func()) {
+	i.stopped[daemon.Name] = true
 	requested := time.Now()
-	h.run.fleet.Signal(daemon.Name, syscall.SIGTERM)
-	h.poll(6*time.Second, func() bool { return !daemon.Running() }, func(holding bool) {
+	i.run.fleet.Signal(daemon.Name, syscall.SIGTERM)
+	i.poll(6*time.Second, func() bool { return !daemon.Running() }, func(holding bool) {
 		if !holding {
-			h.run.fleet.Kill(daemon.Name)
-			h.run.log.record(func(checker *checker.Checker) {
+			i.run.fleet.Kill(daemon.Name)
+			i.run.log.record(func(checker *checker.Checker) {
 				checker.Violate("stop", "%s had to be killed %s after TERM", daemon.Name, time.Since(requested).Round(time.Millisecond))
 			})
 		}
-		h.after(wait, func() { h.start(daemon); then() })
+		i.after(wait, func() { i.start(daemon); then() })
 	})
 }
 
@@ -291,35 +291,35 @@
 	injector.restart(daemon, fault.Length/3, end)
 }
 
-func (h *injector) restartInTurn(daemons []*testfleet.Daemon, end func()) {
+func (i *injector) restartInTurn(daemons []*testfleet.Daemon, end func()) {
 	if len(daemons) == 0 {
 		end()
 		return
 	}
 	daemon := daemons[0]
-	if h.stopped[daemon.Name] || h.frozen[daemon.Name] > 0 {
-		h.restartInTurn(daemons[1:], end)
+	if i.stopped[daemon.Name] || i.frozen[daemon.Name] > 0 {
+		i.restartInTurn(daemons[1:], end)
 		return
 	}
-	h.restart(daemon, 300*time.Millisecond, func() {
-		h.after(time.Second, func() {
-			h.poll(8*time.Second, daemon.Ready, func(bool) { h.restartInTurn(daemons[1:], end) })
+	i.restart(daemon, 300*time.Millisecond, func() {
+		i.after(time.Second, func() {
+			i.poll(8*time.Second, daemon.Ready, func(bool) { i.restartInTurn(daemons[1:], end) })
 		})
 	})
 }
 
 // impose impairs the links or disks of daemons for the given time.
-func (h *injector) impose(daemons []*testfleet.Daemon, length time.Duration, trial func(daemon *testfleet.Daemon) testfleet.Trial, end func()) {
-	h.number++
-	number := h.number
+func (i *injector) impose(daemons []*testfleet.Daemon, length time.Duration, trial func(daemon *testfleet.Daemon) testfleet.Trial, end func()) {
+	i.number++
+	number := i.number
 	for _, daemon := range daemons {
-		if err := h.run.fleet.Impair(daemon.Name, number, trial(daemon)); err != nil {
+		if err := i.run.fleet.Impair(daemon.Name, number, trial(daemon)); err != nil {
 			panic(err)
 		}
 	}
-	h.after(length, func() {
+	i.after(length, func() {
 		for _, daemon := range daemons {
-			if err := h.run.fleet.RemoveImpairment(daemon.Name, number); err != nil {
+			if err := i.run.fleet.RemoveImpairment(daemon.Name, number); err != nil {
 				panic(err)
 			}
 		}
@@ -327,10 +327,10 @@
 	})
 }
 
-func (h *injector) daemons(want func(daemon *testfleet.Daemon) bool) []*testfleet.Daemon {
+func (i *injector) daemons(want func(daemon *testfleet.Daemon) bool) []*testfleet.Daemon {
 	var found []*testfleet.Daemon
-	for _, name := range h.run.fleet.Names() {
-		if daemon := h.run.fleet.Daemons[name]; want(daemon) {
+	for _, name := range i.run.fleet.Names() {
+		if daemon := i.run.fleet.Daemons[name]; want(daemon) {
 			found = append(found, daemon)
 		}
 	}
@@ -338,14 +338,14 @@
 }
 
 // agentOf returns the agent on the gateway's machine.
-func (h *injector) agentOf(gateway *testfleet.Daemon) *testfleet.Daemon {
-	return h.run.fleet.Daemons[membership.KindAgent+strings.TrimPrefix(gateway.Name, membership.KindGateway)]
+func (i *injector) agentOf(gateway *testfleet.Daemon) *testfleet.Daemon {
+	return i.run.fleet.Daemons[membership.KindAgent+strings.TrimPrefix(gateway.Name, membership.KindGateway)]
 }
 
 // otherMachines returns the addresses of all daemons on other machines.
-func (h *injector) otherMachines(daemon *testfleet.Daemon) []string {
+func (i *injector) otherMachines(daemon *testfleet.Daemon) []string {
 	var addresses []string
-	for _, other := range h.daemons(func(other *testfleet.Daemon) bool { return other != daemon && !onSameMachine(other, daemon) }) {
+	for _, other := range i.daemons(func(other *testfleet.Daemon) bool { return other != daemon && !onSameMachine(other, daemon) }) {
 		addresses = append(addresses, other.Address)
 	}
 	return addresses
@@ -383,9 +383,9 @@
 	}
 }
 
-func (h *injector) request(change changeRequest) { h.operator.requests <- change }
+func (i *injector) request(change changeRequest) { i.operator.requests <- change }
 
-func (h *injector) zone(pick uint64) int { return int(pick % uint64(h.run.fleet.Deployment.Zones)) }
+func (i *injector) zone(pick uint64) int { return int(pick % uint64(i.run.fleet.Deployment.Zones)) }
 
 var injectors = map[string]injectFunc{
 	"kill-gateway":       injectInto(membership.KindGateway, injectKill),
@@ -552,7 +552,7 @@
 	},
 	"operators": func(injector *injector, fault faults.Fault, end func()) {
 		for range 2 {
-			injector.request(func(operator *operator) { operator.race() })
+			injector.request(func(operator *operator) { operator.putConcurrently() })
 		}
 		injector.after(fault.Length, end)
 	},
@@ -613,108 +613,108 @@
 
 // retire retires a store with requests to random daemons. Then it kills the store and, if the
 // retirement succeeded, wipes its disk.
-func (h *injector) retire(daemon *testfleet.Daemon, length time.Duration, end func()) {
+func (i *injector) retire(daemon *testfleet.Daemon, length time.Duration, end func()) {
 	random := rand.New(rand.NewPCG(uint64(length), 3))
 	refused := false
 	ask := func(method, verb string) bool {
-		status, text := h.operator.control(random, method, "/v1/stores/"+daemon.Name+verb, "")
+		status, text := i.operator.control(random, method, "/v1/stores/"+daemon.Name+verb, "")
 		refused = status == 409
 		var value struct {
 			Retired bool `json:"retired"`
 		}
 		return status < 300 && status > 0 && json.Unmarshal(text, &value) == nil && (value.Retired || method == "POST")
 	}
-	h.poll(40*time.Second, func() bool { return ask("POST", "/retire") || refused }, func(bool) {
+	i.poll(40*time.Second, func() bool { return ask("POST", "/retire") || refused }, func(bool) {
 		if refused {
 			fmt.Println("    rejected: too few other stores")
 			end()
 			return
 		}
-		h.poll(40*time.Second, func() bool { return ask("GET", "") }, func(holding bool) {
+		i.poll(40*time.Second, func() bool { return ask("GET", "") }, func(holding bool) {
 			if !holding {
-				h.run.log.record(func(checker *checker.Checker) { checker.Violate("retire", "%s was not retired in 40 s", daemon.Name) })
+				i.run.log.record(func(checker *checker.Checker) { checker.Violate("retire", "%s was not retired in 40 s", daemon.Name) })
 			}
-			h.kill(daemon)
+			i.kill(daemon)
 			if holding {
-				_ = h.run.fleet.Wipe(daemon.Name)
+				_ = i.run.fleet.Wipe(daemon.Name)
 			}
-			h.after(length, func() { h.start(daemon); end() })
+			i.after(length, func() { i.start(daemon); end() })
 		})
 	})
 }
 
 // injectFinal injects the final fault, which is permanent, and measures the time until service is restored.
-func (h *injector) injectFinal(name string) {
-	random := rand.New(rand.NewPCG(h.run.trial.seed, 0x1a57))
+func (i *injector) injectFinal(name string) {
+	random := rand.New(rand.NewPCG(i.run.trial.seed, 0x1a57))
 	if name == "draw" {
 		name = faults.Closing[random.IntN(len(faults.Closing))]
 	}
-	h.run.faultFreeSince.Store(0)
+	i.run.faultFreeSince.Store(0)
 	from := time.Now()
 	var lost []string
 	inject := func(daemon *testfleet.Daemon) {
 		if daemon != nil {
 			lost = append(lost, daemon.Name)
-			h.kill(daemon)
+			i.kill(daemon)
 		}
 	}
-	primary, backup := h.roles()
+	primary, backup := i.roles()
 	switch name {
 	case "kill-gateway", "kill-store", "kill-agent":
-		inject(h.choose(strings.TrimPrefix(name, "kill-"), random.Uint64()))
+		inject(i.choose(strings.TrimPrefix(name, "kill-"), random.Uint64()))
 	case "kill-primary":
 		inject(primary)
 	case "kill-backup":
 		inject(backup)
 	case "lose-place":
-		zone := testfleet.ZoneName(random.IntN(h.run.fleet.Deployment.Zones))
-		for _, daemon := range h.daemons(func(daemon *testfleet.Daemon) bool { return daemon.Zone == zone && daemon.Running() }) {
+		zone := testfleet.ZoneName(random.IntN(i.run.fleet.Deployment.Zones))
+		for _, daemon := range i.daemons(func(daemon *testfleet.Daemon) bool { return daemon.Zone == zone && daemon.Running() }) {
 			inject(daemon)
 		}
 	case "lose-two":
 		kinds := []string{membership.KindGateway, membership.KindStore, membership.KindController, membership.KindAgent}
 		first := random.IntN(len(kinds))
-		inject(h.choose(kinds[first], random.Uint64()))
-		inject(h.choose(kinds[(first+1+random.IntN(3))%4], random.Uint64()))
+		inject(i.choose(kinds[first], random.Uint64()))
+		inject(i.choose(kinds[(first+1+random.IntN(3))%4], random.Uint64()))
 	case "restart-all":
-		for _, daemon := range h.daemons((*testfleet.Daemon).Running) {
-			h.kill(daemon)
-			h.after(time.Duration(300+random.IntN(1200))*time.Millisecond, func() { h.start(daemon) })
+		for _, daemon := range i.daemons((*testfleet.Daemon).Running) {
+			i.kill(daemon)
+			i.after(time.Duration(300+random.IntN(1200))*time.Millisecond, func() { i.start(daemon) })
 		}
 	}
 	fmt.Printf("last fault: %s %v\n", name, lost)
 	removed := slices.Clone(lost)
 	for _, each := range lost {
-		if daemon := h.run.fleet.Daemons[each]; daemon.Kind == membership.KindAgent {
+		if daemon := i.run.fleet.Daemons[each]; daemon.Kind == membership.KindAgent {
 			removed = append(removed, membership.KindGateway+strings.TrimPrefix(each, membership.KindAgent))
 		}
 	}
-	h.run.removed.Store(&removed)
-	prober := h.run.newClient("prober", 0, 77)
-	var refilled, callers time.Duration
-	h.runUntil(2*checker.RecoveryWithin, func() bool {
+	i.run.removed.Store(&removed)
+	prober := i.run.newClient("prober", 0, 77)
+	var accepted, clientsBack time.Duration
+	i.runUntil(2*checker.RecoveryWithin, func() bool {
 		after := time.Since(from)
-		if refilled == 0 && after > 300*time.Millisecond && prober.probe() {
-			refilled = after
+		if accepted == 0 && after > 300*time.Millisecond && prober.probe() {
+			accepted = after
 		}
-		switch missing := h.run.unserved(); {
+		switch missing := i.run.unserved(); {
 		case missing > 0:
-			callers = 0
-		case callers == 0:
-			callers = after
+			clientsBack = 0
+		case clientsBack == 0:
+			clientsBack = after
 		}
-		return refilled > 0 && callers > 0 && after-max(refilled, callers) > requiredUptime
+		return accepted > 0 && clientsBack > 0 && after-max(accepted, clientsBack) > requiredUptime
 	})
-	back := max(refilled, callers)
-	if refilled == 0 || callers == 0 {
-		back = 2 * checker.RecoveryWithin
-	}
-	noticed, decided, complete := h.run.recoveryPhases(from)
-	fmt.Printf("service is back %s after %s: noticed %s, decided %s, partitions whole %s, kept again %s, last caller %s\n", back.Round(time.Millisecond), name,
-		noticed.Round(time.Millisecond), decided.Round(time.Millisecond), complete.Round(time.Millisecond), refilled.Round(time.Millisecond), callers.Round(time.Millisecond))
-	h.run.log.record(func(checker *checker.Checker) { checker.Recovered(name, back) })
-	h.run.faultFreeSince.Store(time.Now().UnixNano())
-	h.runUntil(checker.FaultSettleTime+3*time.Second, func() bool { return false })
+	restored := max(accepted, clientsBack)
+	if accepted == 0 || clientsBack == 0 {
+		restored = 2 * checker.RecoveryWithin
+	}
+	noticed, decided, complete := i.run.recoveryPhases(from)
+	fmt.Printf("service is back %s after %s: noticed %s, decided %s, partitions complete %s, publishing again %s, last client %s\n", restored.Round(time.Millisecond), name,
+		noticed.Round(time.Millisecond), decided.Round(time.Millisecond), complete.Round(time.Millisecond), accepted.Round(time.Millisecond), clientsBack.Round(time.Millisecond))
+	i.run.log.record(func(checker *checker.Checker) { checker.Recovered(name, restored) })
+	i.run.faultFreeSince.Store(time.Now().UnixNano())
+	i.runUntil(checker.FaultSettleTime+3*time.Second, func() bool { return false })
 }
 
 // recoveryPhases reads from the daemons' logs how long after the failure it was detected, when the
--- a/cmd/fleetlab/operator.go
+++ b/cmd/fleetlab/operator.go
@@ -125,9 +125,9 @@
 	return o.put(o.random, o.version, o.document("1s"), limit)
 }
 
-// race concurrently puts two different configurations with the same version, and a third one
-// with the next version.
-func (o *operator) race() {
+// putConcurrently puts, at the same time, two different configurations with the same version
+// and a third one with the next version.
+func (o *operator) putConcurrently() {
 	o.version++
 	done := make(chan struct{})
 	put := func(version int, body []byte, seed uint64) {
--- a/cmd/fleetlab/recorded.go
+++ b/cmd/fleetlab/recorded.go
@@ -19,40 +19,40 @@
 
 // record prints the digest of each run that the flags select or, with a recorded table to
 // compare with, the lines whose digest has changed.
-func (h *simulate) record(set *flag.FlagSet) subcommands.ExitStatus {
+func (s *simulate) record(set *flag.FlagSet) subcommands.ExitStatus {
 	var wanted []simulator.Recording
-	if h.compare == "" {
-		for _, run := range h.chosenRuns() {
+	if s.compare == "" {
+		for _, run := range s.chosenRuns() {
 			wanted = append(wanted, simulator.Recording{RecordedRun: run})
 		}
 	} else {
-		recorded, err := readTable(h.compare)
+		recorded, err := readTable(s.compare)
 		if err != nil {
 			fmt.Fprintln(os.Stderr, "fleetlab:", err)
 			return subcommands.ExitUsageError
 		}
-		wanted = slices.DeleteFunc(recorded, h.excluded(set))
+		wanted = slices.DeleteFunc(recorded, s.excluded(set))
 	}
 	if len(wanted) == 0 {
 		fmt.Fprintln(os.Stderr, "fleetlab: no run is selected")
 		return subcommands.ExitUsageError
 	}
 	differing := 0
-	for number, result := range h.recordAll(wanted) {
+	for number, result := range s.recordAll(wanted) {
 		made := <-result
 		if made.err != nil {
 			fmt.Fprintln(os.Stderr, "fleetlab:", made.err)
 			return subcommands.ExitUsageError
 		}
 		switch {
-		case h.compare == "":
+		case s.compare == "":
 			fmt.Println(made.recording)
 		case made.recording != wanted[number]:
 			differing++
 			fmt.Printf("%s, recorded %s\n", made.recording, wanted[number].Digest)
 		}
 	}
-	if h.compare != "" {
+	if s.compare != "" {
 		fmt.Printf("%d of %d runs differ\n", differing, len(wanted))
 	}
 	if differing > 0 {
@@ -71,21 +71,21 @@
 }
 
 // chosenRuns lists the runs that -scenario, -size, -from and -seeds select.
-func (h *simulate) chosenRuns() []simulator.RecordedRun {
-	scenarios, shapes := strings.Split(h.scenario, ","), strings.Split(h.size, ",")
-	if h.scenario == allNames {
+func (s *simulate) chosenRuns() []simulator.RecordedRun {
+	scenarios, shapes := strings.Split(s.scenario, ","), strings.Split(s.size, ",")
+	if s.scenario == allNames {
 		scenarios = nil
 		for _, scenario := range simulator.Scenarios() {
 			scenarios = append(scenarios, scenario.Name)
 		}
 	}
-	if h.size == allNames {
+	if s.size == allNames {
 		shapes = slices.Sorted(maps.Keys(simulator.Shapes))
 	}
 	var chosen []simulator.RecordedRun
 	for _, scenario := range scenarios {
 		for _, shape := range shapes {
-			for seed := h.from; seed < h.from+h.seeds; seed++ {
+			for seed := s.from; seed < s.from+s.seeds; seed++ {
 				chosen = append(chosen, simulator.RecordedRun{Scenario: scenario, Shape: shape, Seed: seed})
 			}
 		}
@@ -94,17 +94,17 @@
 }
 
 // excluded returns a function that reports whether the given flags exclude a line of the table.
-func (h *simulate) excluded(set *flag.FlagSet) func(simulator.Recording) bool {
+func (s *simulate) excluded(set *flag.FlagSet) func(simulator.Recording) bool {
 	given := map[string]bool{}
 	set.Visit(func(each *flag.Flag) { given[each.Name] = true })
 	excludes := func(list, name string) bool {
 		return list != allNames && !slices.Contains(strings.Split(list, ","), name)
 	}
 	return func(recording simulator.Recording) bool {
-		return excludes(h.scenario, recording.Scenario) ||
-			given["size"] && excludes(h.size, recording.Shape) ||
-			given["from"] && recording.Seed < h.from ||
-			given["seeds"] && recording.Seed >= h.from+h.seeds
+		return excludes(s.scenario, recording.Scenario) ||
+			given["size"] && excludes(s.size, recording.Shape) ||
+			given["from"] && recording.Seed < s.from ||
+			given["seeds"] && recording.Seed >= s.from+s.seeds
 	}
 }
 
@@ -114,7 +114,7 @@
 }
 
 // recordAll records the runs on all workers and returns a result channel for each run, in the order given.
-func (h *simulate) recordAll(wanted []simulator.Recording) []chan recordingResult {
+func (s *simulate) recordAll(wanted []simulator.Recording) []chan recordingResult {
 	results := make([]chan recordingResult, len(wanted))
 	pending := make(chan int, len(wanted))
 	for number := range wanted {
@@ -122,7 +122,7 @@
 		pending <- number
 	}
 	close(pending)
-	for range h.workers {
+	for range s.workers {
 		go func() {
 			for number := range pending {
 				recording, err := wanted[number].Record()
--- a/cmd/fleetlab/simulate.go
+++ b/cmd/fleetlab/simulate.go
@@ -42,20 +42,20 @@
 		"simulate -digest [-scenario NAME,NAME|all] [-size NAME,NAME|all] [-from N] [-seeds N] [-compare FILE]\n"
 }
 
-func (h *simulate) SetFlags(set *flag.FlagSet) {
-	set.StringVar(&h.scenario, "scenario", "all", "`name` of the scenario, or all")
-	set.Uint64Var(&h.from, "from", 0, "the first `seed`")
-	set.Uint64Var(&h.seeds, "seeds", 20, "how `many` seeds")
-	set.BoolVar(&h.trace, "trace", false, "print every event")
-	set.IntVar(&h.workers, "workers", runtime.NumCPU(), "how `many` runs at once")
-	set.StringVar(&h.size, "size", "small", "the fleet's `shape`: small, fjordlys, qureshi or four")
-	set.StringVar(&h.plot, "plot", "", "a `list` of faults as name@start+length#pick, instead of a scenario")
-	set.StringVar(&h.last, "last", "", "the last fault of a -plot")
-	set.BoolVar(&h.shorten, "shorten", false, "shorten the list of faults of a failing seed")
-	set.BoolVar(&h.recoveryPhases, "parts", false, "print how long each phase of recovery took, over all seeds")
-	set.IntVar(&h.maxViolations, "most", 3, "how `many` violations to print of a run")
-	set.BoolVar(&h.digest, "digest", false, "print scenario, shape, seed and digest of each run; -scenario and -size then take lists")
-	set.StringVar(&h.compare, "compare", "", "with -digest, repeat the runs recorded in a `file` and print the lines that differ")
+func (s *simulate) SetFlags(set *flag.FlagSet) {
+	set.StringVar(&s.scenario, "scenario", "all", "`name` of the scenario, or all")
+	set.Uint64Var(&s.from, "from", 0, "the first `seed`")
+	set.Uint64Var(&s.seeds, "seeds", 20, "how `many` seeds")
+	set.BoolVar(&s.trace, "trace", false, "print every event")
+	set.IntVar(&s.workers, "workers", runtime.NumCPU(), "how `many` runs at once")
+	set.StringVar(&s.size, "size", "small", "the fleet's `shape`: small, fjordlys, qureshi or four")
+	set.StringVar(&s.plot, "plot", "", "a `list` of faults as name@start+length#pick, instead of a scenario")
+	set.StringVar(&s.last, "last", "", "the final, permanent fault of a -plot")
+	set.BoolVar(&s.shorten, "shorten", false, "shorten the list of faults of a failing seed")
+	set.BoolVar(&s.recoveryPhases, "parts", false, "print how long each phase of recovery took, over all seeds")
+	set.IntVar(&s.maxViolations, "most", 3, "how `many` violations to print of a run")
+	set.BoolVar(&s.digest, "digest", false, "print scenario, shape, seed and digest of each run; -scenario and -size then take lists")
+	set.StringVar(&s.compare, "compare", "", "with -digest, repeat the runs recorded in a `file` and print the lines that differ")
 }
 
 type runResult struct {
@@ -66,27 +66,27 @@
 	panicked   any
 }
 
-func (h *simulate) Execute(_ context.Context, set *flag.FlagSet, _ ...any) subcommands.ExitStatus {
+func (s *simulate) Execute(_ context.Context, set *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	// The garbage collector took a quarter of the total time. Runs are short and memory
 	// is plentiful, so it may run less often.
 	debug.SetGCPercent(800)
-	if h.digest || h.compare != "" {
-		return h.record(set)
+	if s.digest || s.compare != "" {
+		return s.record(set)
 	}
 	scenarios := simulator.Scenarios()
-	if _, found := simulator.Shapes[h.size]; !found {
-		fmt.Fprintf(os.Stderr, "fleetlab: no size is named %q\n", h.size)
+	if _, found := simulator.Shapes[s.size]; !found {
+		fmt.Fprintf(os.Stderr, "fleetlab: no size is named %q\n", s.size)
 		return subcommands.ExitUsageError
 	}
-	if h.plot != "" || h.last != "" {
-		schedule, err := faults.Parse(h.plot)
-		if err != nil || h.last != "" && !slices.Contains(faults.Closing, h.last) {
+	if s.plot != "" || s.last != "" {
+		schedule, err := faults.Parse(s.plot)
+		if err != nil || s.last != "" && !slices.Contains(faults.Closing, s.last) {
 			fmt.Fprintf(os.Stderr, "fleetlab: %v; last faults are %v\n", err, faults.Closing)
 			return subcommands.ExitUsageError
 		}
-		scenarios = []simulator.Scenario{{Name: "plot", Schedule: func(uint64) simulator.FaultSchedule { return simulator.FaultSchedule{Faults: schedule, Last: h.last} }}}
-	} else if h.scenario != "all" {
-		scenario, found := simulator.Find(h.scenario)
+		scenarios = []simulator.Scenario{{Name: "plot", Schedule: func(uint64) simulator.FaultSchedule { return simulator.FaultSchedule{Faults: schedule, Last: s.last} }}}
+	} else if s.scenario != "all" {
+		scenario, found := simulator.Find(s.scenario)
 		if !found {
 			for _, each := range scenarios {
 				fmt.Fprintln(os.Stderr, each.Name)
@@ -97,7 +97,7 @@
 	}
 	failed := 0
 	for _, scenario := range scenarios {
-		failed += h.run(scenario)
+		failed += s.run(scenario)
 	}
 	if failed > 0 {
 		return subcommands.ExitFailure
@@ -105,26 +105,26 @@
 	return subcommands.ExitSuccess
 }
 
-func (h *simulate) run(scenario simulator.Scenario) int {
+func (s *simulate) run(scenario simulator.Scenario) int {
 	began := time.Now()
 	var next atomic.Uint64
 	results := make(chan runResult)
-	for range h.workers {
+	for range s.workers {
 		go func() {
 			for {
 				number := next.Add(1) - 1
-				if number >= h.seeds {
+				if number >= s.seeds {
 					results <- runResult{seed: ^uint64(0)}
 					return
 				}
-				results <- h.runSeed(scenario, h.from+number)
+				results <- s.runSeed(scenario, s.from+number)
 			}
 		}()
 	}
 	var failures []runResult
 	last := ""
 	var recoveries []simulator.Recovery
-	for open := h.workers; open > 0; {
+	for open := s.workers; open > 0; {
 		result := <-results
 		if result.seed == ^uint64(0) {
 			open--
@@ -137,8 +137,8 @@
 		}
 	}
 	slices.SortFunc(failures, func(left, right runResult) int { return int(left.seed) - int(right.seed) })
-	fmt.Printf("%-18s %d seeds, %d failed, %.1f s; one: %s\n", scenario.Name, h.seeds, len(failures), time.Since(began).Seconds(), last)
-	if h.recoveryPhases {
+	fmt.Printf("%-18s %d seeds, %d failed, %.1f s; one: %s\n", scenario.Name, s.seeds, len(failures), time.Since(began).Seconds(), last)
+	if s.recoveryPhases {
 		printRecoveryPhases(recoveries)
 	}
 	for position, result := range failures {
@@ -146,14 +146,14 @@
 			break
 		}
 		fmt.Printf("  seed %d: fleetlab simulate -scenario %s -from %d -seeds 1 -trace\n", result.seed, scenario.Name, result.seed)
-		if h.shorten && scenario.Schedule != nil {
-			h.shortest(scenario, result.seed)
+		if s.shorten && scenario.Schedule != nil {
+			s.shortest(scenario, result.seed)
 		}
 		if result.panicked != nil {
 			fmt.Printf("    broken: %v\n", result.panicked)
 		}
 		for number, text := range result.violations {
-			if number < h.maxViolations {
+			if number < s.maxViolations {
 				fmt.Printf("    %s\n", text)
 			}
 		}
@@ -161,32 +161,32 @@
 	return len(failures)
 }
 
-func (h *simulate) runSeed(scenario simulator.Scenario, seed uint64) (result runResult) {
+func (s *simulate) runSeed(scenario simulator.Scenario, seed uint64) (result runResult) {
 	result.seed = seed
 	defer func() {
 		if broken := recover(); broken != nil {
 			result.panicked = fmt.Sprint(broken)
-			if h.trace {
+			if s.trace {
 				panic(broken)
 			}
 		}
 	}()
 	var trace func(text string)
-	if h.trace {
+	if s.trace {
 		trace = func(text string) { fmt.Println(text) }
 	}
-	run := simulator.Run(scenario, seed, simulator.Shapes[h.size], trace)
+	run := simulator.Run(scenario, seed, simulator.Shapes[s.size], trace)
 	result.summary, result.violations, result.recoveries = run.Checker.Summary(), run.Checker.Violations(), run.Recoveries
 	return result
 }
 
 // shortest removes faults from the schedule of a failing seed while the run still fails.
-func (h *simulate) shortest(scenario simulator.Scenario, seed uint64) {
+func (s *simulate) shortest(scenario simulator.Scenario, seed uint64) {
 	plot := scenario.Schedule(seed)
 	plot.Faults = faults.Shorten(plot.Faults, func(schedule []faults.Fault) bool {
 		shorter := plot
 		shorter.Faults = schedule
-		again := h.runSeed(simulator.Scenario{Name: scenario.Name, Schedule: func(uint64) simulator.FaultSchedule { return shorter }}, seed)
+		again := s.runSeed(simulator.Scenario{Name: scenario.Name, Schedule: func(uint64) simulator.FaultSchedule { return shorter }}, seed)
 		return len(again.violations) > 0 || again.panicked != nil
 	})
 	fmt.Printf("    shortest: -plot %q -last %q, clocks apart %s\n", faults.Format(plot.Faults), plot.Last, plot.ClockSkew)
--- a/cmd/fleetlab/trial.go
+++ b/cmd/fleetlab/trial.go
@@ -25,7 +25,7 @@
 type trial struct {
 	deployment, folder, binaries, faults, plot, last string
 	length                                           time.Duration
-	origins, count                                   int
+	clients, count                                   int
 	durable, urgent                                  float64
 	seed                                             uint64
 	keep                                             bool
@@ -47,7 +47,7 @@
 	set.StringVar(&t.plot, "plot", "", "a `list` of faults as name@start+length#pick, instead of drawing")
 	set.StringVar(&t.last, "last", "", "the last fault, which is permanent: draw, or a `name` from "+strings.Join(faults.Closing, ", "))
 	set.DurationVar(&t.length, "length", 2*time.Minute, "how `long` the load lasts")
-	set.IntVar(&t.origins, "origins", 580, "how `many` clients, each with one session")
+	set.IntVar(&t.clients, "origins", 580, "how `many` clients, each with one session")
 	set.Float64Var(&t.durable, "kept", 300, "durable messages per `second`")
 	set.Float64Var(&t.urgent, "urgent", 8, "urgent messages per `second`")
 	set.Uint64Var(&t.seed, "seed", 1, "the `seed` of the clients' choices")
@@ -74,7 +74,7 @@
 	return log
 }
 
-func (b *checkerLog) record(entry func(checker *checker.Checker)) { b.entries <- entry }
+func (l *checkerLog) record(entry func(checker *checker.Checker)) { l.entries <- entry }
 
 func (t *trial) Execute(_ context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	schedule, err := t.draw()
@@ -278,7 +278,7 @@
 	began := time.Now()
 	tr.startClients()
 	if !tr.waitSubscribed(60 * time.Second) {
-		fmt.Println("not all origins are subscribed")
+		fmt.Println("not all clients are subscribed")
 		tr.printUnserved()
 	}
 	fmt.Printf("%d origins subscribed after %s\n", len(tr.clients), time.Since(began).Round(10*time.Millisecond))
@@ -297,7 +297,7 @@
 	}
 	tr.operator.stop()
 	close(tr.loadEnded)
-	fmt.Println("load ended; callers have 25 s to come back and receive what they missed")
+	fmt.Println("load ended; clients have 25 s to reconnect and receive what they missed")
 	time.Sleep(20 * time.Second)
 	served := tr.waitSubscribed(5 * time.Second)
 	close(stopSample)
--- a/internal/testfleet/testfleet_test.go
+++ b/internal/testfleet/testfleet_test.go
@@ -52,23 +52,23 @@
 }
 
 // command runs one of the built programs and returns its exit code and output.
-func (b *fixture) command(name string, arguments ...string) (int, string) {
-	command := exec.Command(filepath.Join(b.binaries, name), arguments...)
+func (f *fixture) command(name string, arguments ...string) (int, string) {
+	command := exec.Command(filepath.Join(f.binaries, name), arguments...)
 	output, err := command.CombinedOutput()
 	var exit *exec.ExitError
 	if err != nil && !errors.As(err, &exit) {
-		b.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	return command.ProcessState.ExitCode(), string(output)
 }
 
-func (b *fixture) file(text string) string {
-	path := filepath.Join(b.t.TempDir(), "file.json")
-	assert.NilError(b.t, os.WriteFile(path, []byte(text), 0o644))
+func (f *fixture) file(text string) string {
+	path := filepath.Join(f.t.TempDir(), "file.json")
+	assert.NilError(f.t, os.WriteFile(path, []byte(text), 0o644))
 	return path
 }
 
-func (b *fixture) origin(name string) *client.Client {
+func (f *fixture) origin(name string) *client.Client {
 	return &client.Client{Token: httpapi.Token([]byte(Key), name), HTTP: client.NewHTTPClient("")}
 }
 
@@ -93,8 +93,8 @@
  {"name": "cursors", "promise": "passing", "publishers": ["ada"], "limits": {"data_bytes": 50}}]}`
 
 // noMutations checks that a release build contains no mutations, which would disable mechanisms.
-func (b *fixture) noMutations() {
-	t := b.t
+func (f *fixture) noMutations() {
+	t := f.t
 	names := map[string]bool{}
 	question := regexp.MustCompile(`statemachine\.Mutated\("([a-z-]+)"\)`)
 	assert.NilError(t, filepath.WalkDir("..", func(path string, _ os.DirEntry, err error) error {
@@ -109,7 +109,7 @@
 	}))
 	assert.Assert(t, len(names) > 10, "%v", names)
 	for _, program := range []string{"gateway", "agent", "store", "controller"} {
-		body, err := os.ReadFile(filepath.Join(b.binaries, program))
+		body, err := os.ReadFile(filepath.Join(f.binaries, program))
 		assert.NilError(t, err)
 		for name := range names {
 			assert.Assert(t, !bytes.Contains(body, []byte(name)), "%s contains the mutation %s", program, name)
@@ -161,10 +161,10 @@
 	bench.retires()
 }
 
-func (b *fixture) messagesCross() {
-	t, within := b.t, context.Background()
-	reader, writer := b.origin("bob"), b.origin("ada")
-	channel, err := reader.Open(within, b.fleet.Daemons["gateway-3"].Caller)
+func (f *fixture) messagesCross() {
+	t, within := f.t, context.Background()
+	reader, writer := f.origin("bob"), f.origin("ada")
+	channel, err := reader.Open(within, f.fleet.Daemons["gateway-3"].Caller)
 	assert.NilError(t, err)
 	defer channel.Close()
 	prefix, topic := "project1", "project1/x"
@@ -173,7 +173,7 @@
 	}, "")
 	assert.NilError(t, err)
 	assert.Equal(t, answer.Status, 200, "%+v", answer)
-	at := b.fleet.Daemons["gateway-1"].Caller
+	at := f.fleet.Daemons["gateway-1"].Caller
 	for seq, space := range []string{"boards", "decisions", "cursors"} {
 		answer, err = writer.Publish(within, at, space, topic, uint64(seq+1), map[string]int{"n": seq})
 		assert.NilError(t, err)
@@ -186,18 +186,18 @@
 	assert.NilError(t, err)
 	assert.Assert(t, again.Outcome == "accepted" && again.Again, "%+v", again)
 
-	code, output := b.command("dahlialock", "explain", "-ctl", b.fleet.Daemons["store-2"].Control, "-message", "boards/ada/1")
+	code, output := f.command("dahlialock", "explain", "-ctl", f.fleet.Daemons["store-2"].Control, "-message", "boards/ada/1")
 	assert.Equal(t, code, 0, output)
 	for _, step := range []string{"judged", "append", "accepted", "fanned-out", "delivered"} {
 		assert.Assert(t, strings.Contains(output, " "+step+" "), "explain does not show the step %s:\n%s", step, output)
 	}
-	code, output = b.command("dahlialock", "explain", "-ctl", b.fleet.Daemons["store-2"].Control, "-visit", "nobody-knows-1")
+	code, output = f.command("dahlialock", "explain", "-ctl", f.fleet.Daemons["store-2"].Control, "-visit", "nobody-knows-1")
 	assert.Equal(t, code, 1, output)
 
 	// Each destination daemon gets one copy, no matter how many of its clients subscribe.
 	for number := range 4 {
-		more := b.origin(fmt.Sprintf("more-%d", number))
-		other, err := more.Open(within, b.fleet.Daemons["gateway-3"].Caller)
+		more := f.origin(fmt.Sprintf("more-%d", number))
+		other, err := more.Open(within, f.fleet.Daemons["gateway-3"].Caller)
 		assert.NilError(t, err)
 		defer other.Close()
 		answer, err = more.Subscribe(within, other, []client.Subscription{{Space: "boards", Topic: &topic}}, "")
@@ -205,7 +205,7 @@
 		assert.Equal(t, answer.Status, 200)
 	}
 	copies := func() float64 {
-		self, err := b.fleet.Daemons["gateway-1"].Self()
+		self, err := f.fleet.Daemons["gateway-1"].Self()
 		assert.NilError(t, err)
 		return self["counters"].(map[string]any)["gateway"].(map[string]any)["CopiesOut"].(float64)
 	}
@@ -217,9 +217,9 @@
 	assert.Equal(t, copies()-before, 1.0)
 }
 
-func (b *fixture) badInput() {
-	t := b.t
-	address := b.fleet.Daemons["gateway-2"].Caller
+func (f *fixture) badInput() {
+	t := f.t
+	address := f.fleet.Daemons["gateway-2"].Caller
 	post := func(path, token, body string) (int, string, string) {
 		request, err := http.NewRequest(http.MethodPost, "http://"+address+path, strings.NewReader(body))
 		assert.NilError(t, err)
@@ -270,7 +270,7 @@
 		assert.Assert(t, strings.Contains(text, each.part), text)
 	}
 	within := context.Background()
-	origin := b.origin("ada")
+	origin := f.origin("ada")
 	channel, err := origin.Open(within, address)
 	assert.NilError(t, err)
 	defer channel.Close()
@@ -281,7 +281,7 @@
 	}
 	answer, err := origin.Subscribe(within, channel, []client.Subscription{{Space: "boards", Prefix: new(string)}}, "")
 	assert.NilError(t, err)
-	other := b.origin("bob")
+	other := f.origin("bob")
 	theirs, err := other.Open(within, address)
 	assert.NilError(t, err)
 	defer theirs.Close()
@@ -292,22 +292,22 @@
 
 // spaces publishes to a space that was just added, through gateways that may not have the
 // new configuration yet, and to a space that was just removed.
-func (b *fixture) spaces() {
-	t, within := b.t, context.Background()
-	writer := b.origin("ada")
+func (f *fixture) spaces() {
+	t, within := f.t, context.Background()
+	writer := f.origin("ada")
 	with := strings.Replace(fmt.Sprintf(configuration, 3), `"spaces": [`, `"spaces": [{"name": "fresh", "promise": "passing"}, `, 1)
-	code, output := b.command("dahlialock", "put", "-wait", "20s", "-ctl", b.fleet.Daemons["gateway-1"].Control, b.file(with))
+	code, output := f.command("dahlialock", "put", "-wait", "20s", "-ctl", f.fleet.Daemons["gateway-1"].Control, f.file(with))
 	assert.Equal(t, code, 0, output)
 	for _, name := range []string{"gateway-3", "gateway-2", "gateway-1"} {
-		answer, err := writer.Publish(within, b.fleet.Daemons[name].Caller, "fresh", "a/b", uint64(len(name))+uint64(time.Now().UnixNano()), 1)
+		answer, err := writer.Publish(within, f.fleet.Daemons[name].Caller, "fresh", "a/b", uint64(len(name))+uint64(time.Now().UnixNano()), 1)
 		assert.NilError(t, err)
 		assert.Equal(t, answer.Outcome, "accepted", "at %s: %+v", name, answer)
 	}
-	code, output = b.command("dahlialock", "put", "-wait", "20s", "-ctl", b.fleet.Daemons["controller-2"].Control, b.file(fmt.Sprintf(configuration, 4)))
+	code, output = f.command("dahlialock", "put", "-wait", "20s", "-ctl", f.fleet.Daemons["controller-2"].Control, f.file(fmt.Sprintf(configuration, 4)))
 	assert.Equal(t, code, 0, output)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		for _, name := range []string{"gateway-3", "gateway-2", "gateway-1"} {
-			answer, err := writer.Publish(within, b.fleet.Daemons[name].Caller, "fresh", "a/b", uint64(time.Now().UnixNano()), 1)
+			answer, err := writer.Publish(within, f.fleet.Daemons[name].Caller, "fresh", "a/b", uint64(time.Now().UnixNano()), 1)
 			if err != nil || answer.Code != "no-such-space" {
 				return poll.Continue("%s: %v %+v", name, err, answer)
 			}
@@ -317,11 +317,11 @@
 }
 
 // garbage sends bytes that are not valid frames to the peer address of every daemon.
-func (b *fixture) garbage() {
-	t := b.t
-	for _, name := range b.fleet.Names() {
+func (f *fixture) garbage() {
+	t := f.t
+	for _, name := range f.fleet.Names() {
 		for _, body := range [][]byte{{0xff, 0xff, 0xff, 0xff, 1, 2, 3}, {0, 0, 0, 3, 1, 2, 3}, []byte("GET / HTTP/1.1\r\n\r\n")} {
-			link, err := net.Dial("tcp", b.fleet.Daemons[name].Address)
+			link, err := net.Dial("tcp", f.fleet.Daemons[name].Address)
 			assert.NilError(t, err)
 			_, err = link.Write(body)
 			assert.NilError(t, err)
@@ -331,17 +331,17 @@
 			_ = link.Close()
 		}
 	}
-	for _, name := range b.fleet.Names() {
-		assert.Assert(t, b.fleet.Daemons[name].Running(), "%s ended", name)
-		b.logs(name, `"number":1020`)
+	for _, name := range f.fleet.Names() {
+		assert.Assert(t, f.fleet.Daemons[name].Running(), "%s ended", name)
+		f.logs(name, `"number":1020`)
 	}
-	assert.NilError(t, b.fleet.WaitReady(waitTimeout, b.fleet.Names()...))
+	assert.NilError(t, f.fleet.WaitReady(waitTimeout, f.fleet.Names()...))
 }
 
-func (b *fixture) logs(name, text string) {
-	b.t.Helper()
-	poll.WaitOn(b.t, func(poll.LogT) poll.Result {
-		body, err := os.ReadFile(b.fleet.LogPath(name))
+func (f *fixture) logs(name, text string) {
+	f.t.Helper()
+	poll.WaitOn(f.t, func(poll.LogT) poll.Result {
+		body, err := os.ReadFile(f.fleet.LogPath(name))
 		if err == nil && bytes.Contains(body, []byte(text)) {
 			return poll.Success()
 		}
@@ -351,8 +351,8 @@
 
 // configurations puts invalid configurations, checks that each is rejected with the path
 // of its error, and that the configuration in force has not changed.
-func (b *fixture) configurations() {
-	t := b.t
+func (f *fixture) configurations() {
+	t := f.t
 	for _, each := range []struct{ part, path string }{
 		{`"economy": {"processor_weight": -1}`, "$.economy.processor_weight"},
 		{`"economy": {"traffic_weight": 1e9}`, "$.economy.traffic_weight"},
@@ -369,25 +369,25 @@
 		{`"zones": ["a", "a"]`, "$.zones[1]"},
 	} {
 		body := strings.Replace(fmt.Sprintf(configuration, 900), "{", "{"+each.part+",", 1)
-		code, output := b.command("dahlialock", "put", "-wait", "20s", "-ctl", b.fleet.Daemons["agent-3"].Control, b.file(body))
+		code, output := f.command("dahlialock", "put", "-wait", "20s", "-ctl", f.fleet.Daemons["agent-3"].Control, f.file(body))
 		assert.Equal(t, code, 3, "%s: %s", each.part, output)
 		assert.Assert(t, strings.Contains(output, each.path), "%s: %s", each.part, output)
 	}
-	code, output := b.command("dahlialock", "get", "-wait", "20s", "-ctl", b.fleet.Daemons["gateway-1"].Control)
+	code, output := f.command("dahlialock", "get", "-wait", "20s", "-ctl", f.fleet.Daemons["gateway-1"].Control)
 	assert.Equal(t, code, 0, output)
 	assert.Assert(t, !strings.Contains(output, "900"), output)
 }
 
-func (b *fixture) settings() {
-	t := b.t
-	code, output := b.command("gateway", "-name", "x y", "-address", "nowhere:1", "-zone", "a")
+func (f *fixture) settings() {
+	t := f.t
+	code, output := f.command("gateway", "-name", "x y", "-address", "nowhere:1", "-zone", "a")
 	assert.Equal(t, code, 64, output)
 	for _, part := range []string{"$.name", "$.address", "$.ctl", "$.caller", "$.agent", "$.key"} {
 		assert.Assert(t, strings.Contains(output, part), output)
 	}
 	// After an invalid edit the daemon keeps the old settings and logs the error. A valid
 	// edit is applied, both without and with a signal.
-	daemon := b.fleet.Daemons["gateway-2"]
+	daemon := f.fleet.Daemons["gateway-2"]
 	swapped := func(key, value string) string {
 		return strings.Replace(daemon.Settings(), fmt.Sprintf("%q: %q", key, daemon.settings[key]), fmt.Sprintf("%q: %q", key, value), 1)
 	}
@@ -398,38 +398,38 @@
 		{"an unknown key", strings.Replace(daemon.Settings(), "{", `{"frobnicate": 1,`, 1), "$.frobnicate"},
 		{"empty", "", "$: EOF"},
 	} {
-		assert.NilError(t, b.fleet.ReplaceSettings("gateway-2", []byte(each.text)))
-		b.logs("gateway-2", each.says)
+		assert.NilError(t, f.fleet.ReplaceSettings("gateway-2", []byte(each.text)))
+		f.logs("gateway-2", each.says)
 		assert.Assert(t, daemon.Ready(), each.what)
 	}
-	assert.NilError(t, b.fleet.RemoveSettings("gateway-2"))
-	b.logs("gateway-2", "no such file")
+	assert.NilError(t, f.fleet.RemoveSettings("gateway-2"))
+	f.logs("gateway-2", "no such file")
 	assert.Assert(t, daemon.Ready(), "not ready after the settings file was removed")
-	assert.NilError(t, b.fleet.RestoreSettings("gateway-2"))
-	b.logs("gateway-2", `"why":"file"`)
+	assert.NilError(t, f.fleet.RestoreSettings("gateway-2"))
+	f.logs("gateway-2", `"why":"file"`)
 	// A daemon without the flag -trial rejects trial settings.
-	code, output = b.command("gateway", "-settings", daemon.settingsPath())
+	code, output = f.command("gateway", "-settings", daemon.settingsPath())
 	assert.Equal(t, code, 64, output)
 	assert.Assert(t, strings.Contains(output, "$.trial: this key is not known"), output)
-	b.fleet.Signal("gateway-2", syscall.SIGHUP)
-	b.logs("gateway-2", `"why":"signal"`)
+	f.fleet.Signal("gateway-2", syscall.SIGHUP)
+	f.logs("gateway-2", `"why":"signal"`)
 }
 
 // moves stops a gateway with SIGTERM: it refers its clients to another gateway, where they resume.
-func (b *fixture) moves() {
-	t, within := b.t, context.Background()
-	reader, writer := b.origin("eve"), b.origin("ada")
-	channel, err := reader.Open(within, b.fleet.Daemons["gateway-2"].Caller)
+func (f *fixture) moves() {
+	t, within := f.t, context.Background()
+	reader, writer := f.origin("eve"), f.origin("ada")
+	channel, err := reader.Open(within, f.fleet.Daemons["gateway-2"].Caller)
 	assert.NilError(t, err)
 	defer channel.Close()
 	answer, err := reader.Subscribe(within, channel, []client.Subscription{{Space: "boards", Prefix: new(string)}}, "")
 	assert.NilError(t, err)
 	assert.Equal(t, answer.Status, 200)
-	b.fleet.Signal("gateway-2", syscall.SIGTERM)
+	f.fleet.Signal("gateway-2", syscall.SIGTERM)
 	move := next(t, channel, "move")
 	assert.Assert(t, move.To != "" && move.To != channel.Address && move.Cursor != "")
 	channel.Close()
-	missed, err := writer.Publish(within, b.fleet.Daemons["gateway-1"].Caller, "boards", "project9/y", 100, "missed")
+	missed, err := writer.Publish(within, f.fleet.Daemons["gateway-1"].Caller, "boards", "project9/y", 100, "missed")
 	assert.NilError(t, err)
 	assert.Equal(t, missed.Outcome, "accepted", "%+v", missed)
 	resumed, err := reader.Open(within, move.To)
@@ -439,29 +439,29 @@
 	assert.NilError(t, err)
 	assert.Equal(t, answer.Status, 200, "%+v", answer)
 	assert.Equal(t, string(next(t, resumed, "message").Data), `"missed"`)
-	assert.Equal(t, b.fleet.Daemons["gateway-2"].ExitCode(), 0)
-	assert.NilError(t, b.fleet.Start("gateway-2"))
-	assert.NilError(t, b.fleet.WaitReady(waitTimeout, "gateway-2"))
+	assert.Equal(t, f.fleet.Daemons["gateway-2"].ExitCode(), 0)
+	assert.NilError(t, f.fleet.Start("gateway-2"))
+	assert.NilError(t, f.fleet.WaitReady(waitTimeout, "gateway-2"))
 }
 
 // damage corrupts a byte inside each log of a store. The store reports the damage, sets the
 // data aside and rebuilds its replicas; a cursor still gets all accepted messages.
-func (b *fixture) damage() {
-	t, within := b.t, context.Background()
-	reader, writer := b.origin("dan"), b.origin("ada")
-	channel, err := reader.Open(within, b.fleet.Daemons["gateway-1"].Caller)
+func (f *fixture) damage() {
+	t, within := f.t, context.Background()
+	reader, writer := f.origin("dan"), f.origin("ada")
+	channel, err := reader.Open(within, f.fleet.Daemons["gateway-1"].Caller)
 	assert.NilError(t, err)
 	answer, err := reader.Subscribe(within, channel, []client.Subscription{{Space: "boards", Prefix: new(string)}}, "")
 	assert.NilError(t, err)
 	assert.Equal(t, answer.Status, 200, "%+v", answer)
 	channel.Close()
 	for seq := range uint64(20) {
-		kept, err := writer.Publish(within, b.fleet.Daemons["gateway-3"].Caller, "boards", fmt.Sprintf("damage/%d", seq), 200+seq, seq)
+		kept, err := writer.Publish(within, f.fleet.Daemons["gateway-3"].Caller, "boards", fmt.Sprintf("damage/%d", seq), 200+seq, seq)
 		assert.NilError(t, err)
 		assert.Equal(t, kept.Outcome, "accepted", "%+v", kept)
 	}
-	b.fleet.Kill("store-1")
-	data := filepath.Join(filepath.Dir(b.fleet.LogPath("store-1")), "data")
+	f.fleet.Kill("store-1")
+	data := filepath.Join(filepath.Dir(f.fleet.LogPath("store-1")), "data")
 	logs, err := filepath.Glob(filepath.Join(data, "log-*"))
 	assert.NilError(t, err)
 	assert.Assert(t, len(logs) > 0)
@@ -474,11 +474,11 @@
 		body[len(body)/3] ^= 0x5a
 		assert.NilError(t, os.WriteFile(name, body, 0o644))
 	}
-	assert.NilError(t, b.fleet.Start("store-1"))
-	b.logs("store-1", `"number":1041`)
-	assert.NilError(t, b.fleet.WaitReady(waitTimeout, "store-1"))
+	assert.NilError(t, f.fleet.Start("store-1"))
+	f.logs("store-1", `"number":1041`)
+	assert.NilError(t, f.fleet.WaitReady(waitTimeout, "store-1"))
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		again, err := reader.Open(within, b.fleet.Daemons["gateway-2"].Caller)
+		again, err := reader.Open(within, f.fleet.Daemons["gateway-2"].Caller)
 		if err != nil {
 			return poll.Continue("%v", err)
 		}
@@ -491,7 +491,7 @@
 		return poll.Success()
 	}, poll.WithTimeout(waitTimeout))
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		_, output := b.command("dahlialock", "placement", "-ctl", b.fleet.Daemons["controller-2"].Control)
+		_, output := f.command("dahlialock", "placement", "-ctl", f.fleet.Daemons["controller-2"].Control)
 		if strings.Contains(output, "false") || !strings.Contains(output, "true") {
 			return poll.Continue("not all partitions are complete")
 		}
@@ -499,11 +499,11 @@
 	}, poll.WithTimeout(waitTimeout))
 }
 
-func (b *fixture) retires() {
-	t := b.t
-	code, output := b.command("dahlialock", "store", "-wait", "40s", "-ctl", b.fleet.Daemons["agent-1"].Control, "retire", "store-2")
+func (f *fixture) retires() {
+	t := f.t
+	code, output := f.command("dahlialock", "store", "-wait", "40s", "-ctl", f.fleet.Daemons["agent-1"].Control, "retire", "store-2")
 	assert.Equal(t, code, 0, output)
-	code, output = b.command("dahlialock", "placement", "-json", "-ctl", b.fleet.Daemons["controller-3"].Control)
+	code, output = f.command("dahlialock", "placement", "-json", "-ctl", f.fleet.Daemons["controller-3"].Control)
 	assert.Equal(t, code, 0, output)
 	var got struct {
 		Partitions []struct {
@@ -516,12 +516,12 @@
 	for _, each := range got.Partitions {
 		assert.Assert(t, each.Complete && each.First != "store-2" && each.Follower != "store-2", "%+v", each)
 	}
-	code, output = b.command("dahlialock", "store", "-ctl", b.fleet.Daemons["agent-1"].Control, "retire", "store-1")
+	code, output = f.command("dahlialock", "store", "-ctl", f.fleet.Daemons["agent-1"].Control, "retire", "store-1")
 	assert.Equal(t, code, 3, "too few stores would remain: %s", output)
-	code, output = b.command("dahlialock", "store", "-ctl", b.fleet.Daemons["agent-3"].Control, "retire", "gateway-1")
+	code, output = f.command("dahlialock", "store", "-ctl", f.fleet.Daemons["agent-3"].Control, "retire", "gateway-1")
 	assert.Equal(t, code, 3, "not a store: %s", output)
-	code, output = b.command("dahlialock", "store", "-ctl", b.fleet.Daemons["agent-1"].Control, "retire", "store-9")
+	code, output = f.command("dahlialock", "store", "-ctl", f.fleet.Daemons["agent-1"].Control, "retire", "store-9")
 	assert.Equal(t, code, 3, output)
-	code, output = b.command("dahlialock", "cluster", "-ctl", "127.0.0.1:9")
+	code, output = f.command("dahlialock", "cluster", "-ctl", "127.0.0.1:9")
 	assert.Equal(t, code, 1, "no daemon at the address: %s", output)
 }
--- a/internal/testfleet/versions_test.go
+++ b/internal/testfleet/versions_test.go
@@ -100,17 +100,17 @@
 
 // reader keeps a session open at any available gateway and resumes it from its cursor.
 type reader struct {
-	bench  *fixture
-	origin *client.Client
-	cursor string
-	got    map[sent]int
-	last   map[string]uint64
-	fault  error
+	fixture *fixture
+	origin  *client.Client
+	cursor  string
+	got     map[sent]int
+	last    map[string]uint64
+	fault   error
 }
 
 // open opens a session at the gateway that tries selects and subscribes, or resumes from the cursor.
 func (r *reader) open(within context.Context, tries int) *client.Channel {
-	gateways := r.bench.fleet.OfKind("gateway")
+	gateways := r.fixture.fleet.OfKind("gateway")
 	channel, err := r.origin.Open(within, gateways[tries%len(gateways)].Caller)
 	if err != nil {
 		return nil
@@ -151,9 +151,9 @@
 }
 
 // missing returns the messages that have not arrived.
-func (r *reader) missing(owed []sent) []sent {
+func (r *reader) missing(expected []sent) []sent {
 	var missing []sent
-	for _, message := range owed {
+	for _, message := range expected {
 		if r.got[message] == 0 {
 			missing = append(missing, message)
 		}
@@ -162,15 +162,15 @@
 }
 
 // read receives until all accepted messages have arrived, and sends the error, if any, to ended.
-func (r *reader) read(within context.Context, subscribed chan<- struct{}, owing <-chan []sent, ended chan<- error) {
-	var owed []sent
+func (r *reader) read(within context.Context, subscribed chan<- struct{}, accepted <-chan []sent, ended chan<- error) {
+	var expected []sent
 	settled := false
 	ticks := time.NewTicker(publishInterval)
 	defer ticks.Stop()
-	for tries := 0; r.fault == nil && (!settled || len(r.missing(owed)) > 0); tries++ {
+	for tries := 0; r.fault == nil && (!settled || len(r.missing(expected)) > 0); tries++ {
 		select {
 		case <-within.Done():
-			ended <- fmt.Errorf("%d messages are missing: %v", len(r.missing(owed)), r.missing(owed))
+			ended <- fmt.Errorf("%d messages are missing: %v", len(r.missing(expected)), r.missing(expected))
 			return
 		case <-ticks.C:
 		}
@@ -182,7 +182,7 @@
 			close(subscribed)
 			subscribed = nil
 		}
-		owed, settled = r.readChannel(within, channel, owing, owed, settled)
+		expected, settled = r.readChannel(within, channel, accepted, expected, settled)
 		channel.Close()
 	}
 	ended <- r.fault
@@ -190,63 +190,63 @@
 
 // readChannel receives from one session until it ends or all accepted messages have arrived.
 func (r *reader) readChannel(
-	within context.Context, channel *client.Channel, owing <-chan []sent, owed []sent, settled bool,
+	within context.Context, channel *client.Channel, accepted <-chan []sent, expected []sent, settled bool,
 ) ([]sent, bool) {
-	for r.fault == nil && (!settled || len(r.missing(owed)) > 0) {
+	for r.fault == nil && (!settled || len(r.missing(expected)) > 0) {
 		select {
 		case <-within.Done():
-			return owed, settled
-		case owed = <-owing:
+			return expected, settled
+		case expected = <-accepted:
 			settled = true
 		case event, open := <-channel.Events:
 			if !open {
-				return owed, settled
+				return expected, settled
 			}
 			r.handle(event)
 			if event.Event == "ping" && r.origin.Pong(within, channel) != nil {
-				return owed, settled
+				return expected, settled
 			}
 			if event.Event == "move" || event.Event == "gone" {
-				return owed, settled
+				return expected, settled
 			}
 		}
 	}
-	return owed, settled
+	return expected, settled
 }
 
 // replace stops the daemons one by one and starts each with the program of another
 // version. An agent needs some time to leave the fleet; the controller and the store of
 // the same number are replaced meanwhile.
-func (b *fixture) replace(binaries string) {
-	b.t.Helper()
+func (f *fixture) replace(binaries string) {
+	f.t.Helper()
 	for _, number := range []string{"-1", "-2", "-3"} {
-		b.fleet.Signal("agent"+number, syscall.SIGTERM)
+		f.fleet.Signal("agent"+number, syscall.SIGTERM)
 		for _, kind := range []string{"controller", "store", "agent", "gateway"} {
-			b.restart(kind+number, filepath.Join(binaries, kind))
+			f.restart(kind+number, filepath.Join(binaries, kind))
 		}
 	}
 }
 
 // restart stops a daemon, with SIGKILL after six seconds as the platform does, starts it
 // with another program, and waits until the fleet has recovered.
-func (b *fixture) restart(name, binary string) {
-	b.t.Helper()
-	if length, forced := b.fleet.Stop(name); forced {
-		b.t.Logf("%s was killed after %s", name, length)
+func (f *fixture) restart(name, binary string) {
+	f.t.Helper()
+	if length, forced := f.fleet.Stop(name); forced {
+		f.t.Logf("%s was killed after %s", name, length)
 	} else {
-		assert.Equal(b.t, b.fleet.Daemons[name].ExitCode(), 0, name)
+		assert.Equal(f.t, f.fleet.Daemons[name].ExitCode(), 0, name)
 	}
-	b.fleet.Daemons[name].binary = binary
-	assert.NilError(b.t, b.fleet.Start(name))
-	assert.NilError(b.t, b.fleet.WaitReady(waitTimeout, name))
-	b.complete()
+	f.fleet.Daemons[name].binary = binary
+	assert.NilError(f.t, f.fleet.Start(name))
+	assert.NilError(f.t, f.fleet.WaitReady(waitTimeout, name))
+	f.complete()
 }
 
 // complete waits until every partition has all its replicas in sync.
-func (b *fixture) complete() {
-	b.t.Helper()
-	poll.WaitOn(b.t, func(poll.LogT) poll.Result {
-		_, output := b.command("dahlialock", "placement", "-ctl", b.fleet.Daemons["gateway-3"].Control)
+func (f *fixture) complete() {
+	f.t.Helper()
+	poll.WaitOn(f.t, func(poll.LogT) poll.Result {
+		_, output := f.command("dahlialock", "placement", "-ctl", f.fleet.Daemons["gateway-3"].Control)
 		if strings.Contains(output, "false") || !strings.Contains(output, "true") {
 			return poll.Continue("not all partitions are complete:\n%s", output)
 		}
@@ -272,9 +272,9 @@
 	within, cancel := context.WithTimeout(context.Background(), 2*waitTimeout)
 	defer cancel()
 	end, accepted := make(chan struct{}), make(chan []sent, 1)
-	subscribed, owing, ended := make(chan struct{}), make(chan []sent, 1), make(chan error, 1)
-	follower := &reader{bench: b, origin: b.origin("bob"), got: map[sent]int{}, last: map[string]uint64{}}
-	go follower.read(within, subscribed, owing, ended)
+	subscribed, allAccepted, ended := make(chan struct{}), make(chan []sent, 1), make(chan error, 1)
+	follower := &reader{fixture: b, origin: b.origin("bob"), got: map[sent]int{}, last: map[string]uint64{}}
+	go follower.read(within, subscribed, allAccepted, ended)
 	select {
 	case <-subscribed:
 	case err := <-ended:
@@ -284,11 +284,11 @@
 	b.replace(today)
 	b.replace(earlier)
 	close(end)
-	owed := <-accepted
-	owing <- owed
+	expected := <-accepted
+	allAccepted <- expected
 	assert.NilError(t, <-ended)
-	assert.Assert(t, len(owed) > 100, "only %d messages were accepted", len(owed))
-	t.Logf("%d messages were accepted and delivered, %d of them twice", len(owed), countDuplicates(follower.got))
+	assert.Assert(t, len(expected) > 100, "only %d messages were accepted", len(expected))
+	t.Logf("%d messages were accepted and delivered, %d of them twice", len(expected), countDuplicates(follower.got))
 }
 
 func countDuplicates(got map[sent]int) int {
