--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -277,7 +277,7 @@
 			Status:     http.StatusServiceUnavailable,
 			RetryAfter: retryAfter,
 			Body: controlclient.ErrorBody(
-				string(codeIndeterminate), "this controller's lease has expired; send the same request again", nil),
+				string(codeIndeterminate), "this controller may not answer any more; send the same again", nil),
 		}
 	}
 }
--- a/internal/controller/store_requests.go
+++ b/internal/controller/store_requests.go
@@ -42,8 +42,7 @@
 		c.orderRetirement(now, order, responder, effects)
 	default:
 		unknown := errorResponse(
-			http.StatusNotFound, codeNoSuchPath,
-			request.Method+" is not supported for this path; a store supports GET, POST retire and POST return")
+			http.StatusNotFound, codeNoSuchPath, request.Method+" on a store knows retire and return")
 		responder.respond(unknown, effects)
 	}
 }
@@ -94,8 +93,7 @@
 	done := func(now time.Time, effects *statemachine.Effects, outcome consensus.Outcome) {
 		switch {
 		case outcome != consensus.Committed:
-			responder.respond(unavailableResponse(
-				codeIndeterminate, "the order may have taken effect; send the same order again"), effects)
+			responder.respond(unavailableResponse(codeIndeterminate, "send the same again"), effects)
 		case c.state.result.outcome == TooFewStores:
 			responder.respond(tooFewStores, effects)
 		default:
@@ -112,5 +110,5 @@
 	if described := c.storeResponse(http.StatusOK, name); described.status == http.StatusNotFound {
 		return described
 	}
-	return unavailableResponse(codeRefused, "the store has just joined; send the same order again")
+	return unavailableResponse(codeRefused, "the store has just joined; send the same again")
 }
