--- a/internal/checker/checker.go
+++ b/internal/checker/checker.go
@@ -67,7 +67,7 @@
 type subscriber struct {
 	name      string
 	interests []activeInterest
-	got       map[Message]time.Time
+	received  map[Message]time.Time
 	order     map[string][]Message
 	lastSeq   map[string]uint64
 	ended     bool
@@ -81,10 +81,10 @@
 }
 
 type put struct {
-	version  uint64
-	document string
-	began    time.Time
-	taken    time.Time
+	version    uint64
+	document   string
+	began      time.Time
+	acceptedAt time.Time
 }
 
 type servedAt struct {
@@ -165,9 +165,10 @@
 // Violations returns the violations found so far, at most 20 of each kind.
 func (c *Checker) Violations() []string { return c.violations }
 
-// DefineSpace records the durability and the order that operators configured for a space.
-func (c *Checker) DefineSpace(name string, durable, channel bool) {
-	c.spaces[name] = &space{durable: durable, sharedOrder: channel}
+// DefineSpace records the durability and the order that operators configured for a space. With
+// sharedOrder, all subscribers receive the messages of the space in one order.
+func (c *Checker) DefineSpace(name string, durable, sharedOrder bool) {
+	c.spaces[name] = &space{durable: durable, sharedOrder: sharedOrder}
 }
 
 // AnswerWithin records the time within which a space promises to respond to publications.
@@ -221,7 +222,7 @@
 func (c *Checker) subscriber(name string) *subscriber {
 	each, found := c.subscribers[name]
 	if !found {
-		each = &subscriber{name: name, got: map[Message]time.Time{}, order: map[string][]Message{}, lastSeq: map[string]uint64{}}
+		each = &subscriber{name: name, received: map[Message]time.Time{}, order: map[string][]Message{}, lastSeq: map[string]uint64{}}
 		c.subscribers[name] = each
 	}
 	return each
@@ -266,11 +267,11 @@
 func (c *Checker) Received(name string, message Message, topic, data string, at time.Time) {
 	c.Delivered++
 	each := c.subscriber(name)
-	if earlier, twice := each.got[message]; twice {
+	if earlier, twice := each.received[message]; twice {
 		c.Violate(Duplicate, "%s got %s at %s and again %s later", name, message, earlier.Format("05.000"), at.Sub(earlier))
 		return
 	}
-	each.got[message] = at
+	each.received[message] = at
 	each.order[message.Space] = append(each.order[message.Space], message)
 	key := message.Space + " " + message.Sender
 	if last := each.lastSeq[key]; last > message.Seq {
@@ -282,11 +283,11 @@
 		c.Violate(Unsolicited, "%s got %s on %s, which was not sent with this topic and body", name, message, topic)
 		return
 	}
-	asked := false
+	subscribed := false
 	for _, interest := range each.interests {
-		asked = asked || interest.interest.covers(message.Space, topic)
+		subscribed = subscribed || interest.interest.covers(message.Space, topic)
 	}
-	if !asked {
+	if !subscribed {
 		c.Violate(Unsolicited, "%s got %s on %s without a subscription", name, message, topic)
 	}
 	if here, found := c.spaces[message.Space]; found && !here.removed.IsZero() && at.Sub(here.removed) > RemovalWithin {
@@ -302,7 +303,7 @@
 		c.Violate(StaleRead, "version %d was accepted twice with different content", version)
 	}
 	c.documents[version] = document
-	c.puts = append(c.puts, put{version: version, document: document, began: began, taken: at})
+	c.puts = append(c.puts, put{version: version, document: document, began: began, acceptedAt: at})
 }
 
 // InvalidConfigurationAccepted records that an invalid configuration was accepted.
@@ -313,8 +314,8 @@
 // ReadBack records the result of reading the configuration.
 func (c *Checker) ReadBack(version uint64, document string, began, at time.Time) {
 	for _, each := range c.puts {
-		if each.taken.Before(began) && each.version > version {
-			c.Violate(StaleRead, "read %d, though %d had been accepted %s before", version, each.version, began.Sub(each.taken))
+		if each.acceptedAt.Before(began) && each.version > version {
+			c.Violate(StaleRead, "read %d, though %d had been accepted %s before", version, each.version, began.Sub(each.acceptedAt))
 		}
 	}
 	if known, found := c.documents[version]; found && known != document {
@@ -322,7 +323,7 @@
 	}
 	// A read counts as an acknowledgment: a later read must not return an older version.
 	c.documents[version] = document
-	c.puts = append(c.puts, put{version: version, document: document, began: began, taken: at})
+	c.puts = append(c.puts, put{version: version, document: document, began: began, acceptedAt: at})
 }
 
 // InForce records which configuration version a daemon has in force, whether it serves, and
@@ -334,8 +335,8 @@
 	}
 	c.inForce[daemon] = max(c.inForce[daemon], version)
 	for _, each := range c.puts {
-		if each.version > version && at.Sub(each.taken) > InForceWithin && at.Sub(healthySince) > InForceWithin {
-			c.Violate(NotInForce, "%s has version %d in force, %s after %d was accepted", daemon, version, at.Sub(each.taken), each.version)
+		if each.version > version && at.Sub(each.acceptedAt) > InForceWithin && at.Sub(healthySince) > InForceWithin {
+			c.Violate(NotInForce, "%s has version %d in force, %s after %d was accepted", daemon, version, at.Sub(each.acceptedAt), each.version)
 			return
 		}
 	}
@@ -358,8 +359,8 @@
 		c.servedVersions[daemon] = append(c.servedVersions[daemon], servedAt{version: version, at: at})
 	}
 	for _, each := range c.puts {
-		if each.version > version && began.Sub(each.taken) > InForceWithin {
-			c.Violate(NotInForce, "%s served with version %d, %s after %d was accepted", daemon, version, began.Sub(each.taken), each.version)
+		if each.version > version && began.Sub(each.acceptedAt) > InForceWithin {
+			c.Violate(NotInForce, "%s served with version %d, %s after %d was accepted", daemon, version, began.Sub(each.acceptedAt), each.version)
 			return
 		}
 	}
@@ -412,7 +413,7 @@
 }
 
 func (c *Checker) closeSubscriber(each *subscriber, at time.Time) {
-	for message, when := range each.got {
+	for message, when := range each.received {
 		sent := c.messages[message]
 		if sent != nil && sent.attempts > 0 && sent.refused == sent.attempts {
 			c.Violate(AllRejected, "%s got %s at %s, though every attempt was rejected", each.name, message, when.Format("05.000"))
@@ -426,7 +427,7 @@
 		if !found || !here.durable && !c.RequireEphemeral || !sent.accepted || !here.removed.IsZero() {
 			continue
 		}
-		if _, got := each.got[message]; got {
+		if _, received := each.received[message]; received {
 			continue
 		}
 		for _, interest := range each.interests {
--- a/internal/checker/register.go
+++ b/internal/checker/register.go
@@ -45,18 +45,18 @@
 // OutcomeOf returns the outcome of an order from the status and the body of its response.
 // Status 0 means that there was no response.
 func OutcomeOf(status int, body []byte) OrderOutcome {
-	var told struct {
+	var response struct {
 		Code string `json:"code"`
 	}
-	if status == 0 || json.Unmarshal(body, &told) != nil {
+	if status == 0 || json.Unmarshal(body, &response) != nil {
 		return Unclear
 	}
 	switch {
 	case status == http.StatusOK:
 		return Acknowledged
-	case status == http.StatusConflict && told.Code == "same-version":
+	case status == http.StatusConflict && response.Code == "same-version":
 		return RejectedConflict
-	case status == http.StatusConflict && told.Code == "older-version":
+	case status == http.StatusConflict && response.Code == "older-version":
 		return RejectedOlder
 	}
 	return Unclear
@@ -209,7 +209,7 @@
 			n.decided, n.decidedBy = true, at
 		}
 	}
-	told := func(content, how string) {
+	setContent := func(content, how string) {
 		if n.known && n.content != content {
 			complain("two contents of %d were reported, one of them %s", n.version, how)
 		}
@@ -220,14 +220,14 @@
 	for _, put := range n.puts {
 		switch put.answer {
 		case Acknowledged:
-			told(put.content, "acknowledged by "+stamp(put.ended))
+			setContent(put.content, "acknowledged by "+stamp(put.ended))
 			decided(put.ended)
 		case RejectedConflict:
 			decided(put.ended)
 		}
 	}
 	for _, read := range n.reads {
-		told(read.content, "read by "+stamp(read.ended))
+		setContent(read.content, "read by "+stamp(read.ended))
 		decided(read.ended)
 	}
 }
--- a/internal/checker/topics.go
+++ b/internal/checker/topics.go
@@ -56,10 +56,10 @@
 
 // routing is the routes of one version of the configuration.
 type routing struct {
-	version  uint64
-	prefixes []string
-	sent     time.Time
-	taken    time.Time
+	version    uint64
+	prefixes   []string
+	sent       time.Time
+	acceptedAt time.Time
 }
 
 func (r *routing) matches(topic string) bool {
@@ -88,7 +88,7 @@
 	ended          time.Time
 	saved          *SavedCursor
 	present        []span
-	got            map[Post]time.Time
+	received       map[Post]time.Time
 	order          []Post
 	position       map[Post]int
 	last           map[string]uint64
@@ -149,18 +149,18 @@
 // RoutesAccepted records that the configuration was acknowledged.
 func (c *Checker) RoutesAccepted(version uint64, at time.Time) {
 	for _, each := range c.Topics.routings {
-		if each.version == version && each.taken.IsZero() {
-			each.taken = at
+		if each.version == version && each.acceptedAt.IsZero() {
+			each.acceptedAt = at
 		}
 	}
 }
 
 // mayBeRouted reports whether a request for a topic, sent at one time and answered at another,
-// may have been handled with a route (leads) or without one.
-func (t *Topics) mayBeRouted(topic string, leads bool, sent, at time.Time) bool {
+// may have been handled with a route (routed) or without one.
+func (t *Topics) mayBeRouted(topic string, routed bool, sent, at time.Time) bool {
 	newest := uint64(0)
 	for _, each := range t.routings {
-		if !each.taken.IsZero() && sent.Sub(each.taken) > InForceWithin {
+		if !each.acceptedAt.IsZero() && sent.Sub(each.acceptedAt) > InForceWithin {
 			newest = max(newest, each.version)
 		}
 	}
@@ -168,15 +168,15 @@
 		return true
 	}
 	return slices.ContainsFunc(t.routings, func(each *routing) bool {
-		return each.version >= newest && !each.sent.After(at) && each.matches(topic) == leads
+		return each.version >= newest && !each.sent.After(at) && each.matches(topic) == routed
 	})
 }
 
-// Handled records that a request was handled as one for a topic with a route (leads) or
+// Handled records that a request was handled as one for a topic with a route (routed) or
 // without one.
-func (c *Checker) Handled(what, topic string, leads bool, sent, at time.Time) {
-	if !c.Topics.mayBeRouted(topic, leads, sent, at) {
-		c.Violate(WrongRoute, "%s on %s was handled as if it had a route: %v", what, topic, leads)
+func (c *Checker) Handled(what, topic string, routed bool, sent, at time.Time) {
+	if !c.Topics.mayBeRouted(topic, routed, sent, at) {
+		c.Violate(WrongRoute, "%s on %s was handled as if it had a route: %v", what, topic, routed)
 	}
 }
 
@@ -218,7 +218,7 @@
 // Subscribing records that a client starts to subscribe to a topic. If saved is not nil, the
 // client resumes from this cursor, which any client may have received.
 func (c *Checker) Subscribing(name, topic string, saved *SavedCursor) *Subscription {
-	made := &Subscription{checker: c, name: name, topic: topic, saved: saved, got: map[Post]time.Time{}, position: map[Post]int{}, last: map[string]uint64{}, missed: map[Post]bool{}}
+	made := &Subscription{checker: c, name: name, topic: topic, saved: saved, received: map[Post]time.Time{}, position: map[Post]int{}, last: map[string]uint64{}, missed: map[Post]bool{}}
 	c.Topics.subscriptions[topic] = append(c.Topics.subscriptions[topic], made)
 	return made
 }
@@ -281,9 +281,9 @@
 // later after the one named earlier.
 func (t *Topics) follows(topic string, earlier, later Post) bool {
 	for _, each := range t.subscriptions[topic] {
-		first, got := each.position[earlier]
-		second, both := each.position[later]
-		if got && both && second > first {
+		first, hasEarlier := each.position[earlier]
+		second, hasLater := each.position[later]
+		if hasEarlier && hasLater && second > first {
 			return true
 		}
 	}
@@ -299,7 +299,7 @@
 	excused := !route.durable
 	missing := 0
 	for _, each := range checker.Topics.byTopic[s.topic] {
-		if _, got := s.got[each.name]; got || !s.mustReceive(each) {
+		if _, received := s.received[each.name]; received || !s.mustReceive(each) {
 			continue
 		}
 		missing++
@@ -322,7 +322,7 @@
 		checker.Violate(Unsolicited, "%s got %v on %s, which was not sent with this topic and body", who, name, topic)
 		return
 	}
-	if earlier, twice := s.got[name]; twice {
+	if earlier, twice := s.received[name]; twice {
 		checker.Violate(Duplicate, "%s got %v on %s and again %s later", who, name, topic, at.Sub(earlier))
 		return
 	}
@@ -332,7 +332,7 @@
 	if saved := s.saved; saved != nil && (saved.After == name || topics.follows(topic, name, saved.After)) {
 		checker.Violate(Duplicate, "%s got %v on %s, which precedes the cursor from which it resumed", who, name, topic)
 	}
-	s.got[name] = at
+	s.received[name] = at
 	s.position[name] = len(s.order)
 	s.order = append(s.order, name)
 	s.last[name.Sender] = max(s.last[name.Sender], name.Seq)
@@ -398,7 +398,7 @@
 	c.CheckAllDelivered(at)
 	for topic, subscriptions := range statemachine.Sorted(c.Topics.subscriptions) {
 		for position, each := range subscriptions {
-			for name := range each.got {
+			for name := range each.received {
 				if sent := c.Topics.posts[name]; sent.refused == sent.attempts {
 					c.Violate(AllRejected, "%s got %v on %s, though every attempt was rejected", each.name, name, each.topic)
 				}
@@ -425,7 +425,7 @@
 
 func (c *Checker) checkDelivered(each *Subscription, at time.Time) {
 	for _, sent := range c.Topics.byTopic[each.topic] {
-		if _, got := each.got[sent.name]; got || each.missed[sent.name] || !each.mustReceive(sent) {
+		if _, received := each.received[sent.name]; received || each.missed[sent.name] || !each.mustReceive(sent) {
 			continue
 		}
 		switch {
--- a/internal/checker/topics_test.go
+++ b/internal/checker/topics_test.go
@@ -21,7 +21,7 @@
 // cy and dan publish.
 type topicRun struct {
 	*Checker
-	held map[string]*Subscription
+	subscriptions map[string]*Subscription
 }
 
 const (
@@ -31,7 +31,7 @@
 )
 
 func correctTopicRun() *topicRun {
-	run := &topicRun{Checker: New(), held: map[string]*Subscription{}}
+	run := &topicRun{Checker: New(), subscriptions: map[string]*Subscription{}}
 	run.DefineRoute("board.", true, HoldingTime)
 	run.DefineRoute("halt.", false, 0)
 	run.DefineRoute("guest.", true, HoldingTime)
@@ -39,8 +39,8 @@
 	run.RoutesAccepted(1, moment(-9.9))
 	for _, name := range []string{"ada", "bob"} {
 		for _, topic := range []string{keptTopic, passingTopic, guestTopic} {
-			run.held[name+" "+topic] = run.Subscribing(name, topic, nil)
-			run.held[name+" "+topic].Confirmed(moment(-0.1), moment(0))
+			run.subscriptions[name+" "+topic] = run.Subscribing(name, topic, nil)
+			run.subscriptions[name+" "+topic].Confirmed(moment(-0.1), moment(0))
 		}
 	}
 	for number := range 4 {
@@ -56,7 +56,7 @@
 	taker.Confirmed(moment(6), moment(6.1))
 	run.gets(taker, "cy", 7, 6.2)
 	run.gets(taker, "cy", 10, 6.2)
-	run.held["eve "+keptTopic] = taker
+	run.subscriptions["eve "+keptTopic] = taker
 	return run
 }
 
@@ -81,7 +81,7 @@
 
 func (tr *topicRun) deliver(sender string, seq uint64, topic string, at float64) {
 	for _, name := range []string{"ada", "bob", "eve"} {
-		if subscription, found := tr.held[name+" "+topic]; found {
+		if subscription, found := tr.subscriptions[name+" "+topic]; found {
 			tr.gets(subscription, sender, seq, at)
 		}
 	}
@@ -112,7 +112,7 @@
 			run.try("dan", 20, passingTopic, "unsettled", 7)
 			run.try("dan", 21, passingTopic, "accepted", 7.1)
 			run.deliver("dan", 21, passingTopic, 7.2)
-			run.gets(run.held["bob "+passingTopic], "dan", 20, 7.3)
+			run.gets(run.subscriptions["bob "+passingTopic], "dan", 20, 7.3)
 		}},
 		{OutOfOrder, "an earlier message of a sender, on a later connection", func(run *topicRun, _, bob *Subscription) {
 			run.try("cy", 20, keptTopic, "unsettled", 7)
@@ -124,14 +124,14 @@
 		}},
 		{Skipped, "a later message of a sender arrives without an earlier one", func(run *topicRun, ada, _ *Subscription) {
 			run.try("cy", 20, keptTopic, "accepted", 7)
-			run.gets(run.held["bob "+keptTopic], "cy", 20, 7.1)
-			run.gets(run.held["eve "+keptTopic], "cy", 20, 7.1)
+			run.gets(run.subscriptions["bob "+keptTopic], "cy", 20, 7.1)
+			run.gets(run.subscriptions["eve "+keptTopic], "cy", 20, 7.1)
 			run.send("cy", 21, keptTopic, 7.2)
 		}},
 		{OrderMismatch, "two subscribers receive different orders", func(run *topicRun, ada, bob *Subscription) {
 			run.try("cy", 20, keptTopic, "accepted", 7)
 			run.try("dan", 20, keptTopic, "accepted", 7)
-			for _, each := range []*Subscription{ada, run.held["eve "+keptTopic]} {
+			for _, each := range []*Subscription{ada, run.subscriptions["eve "+keptTopic]} {
 				run.gets(each, "cy", 20, 7.1)
 				run.gets(each, "dan", 20, 7.2)
 			}
@@ -142,8 +142,8 @@
 		{CursorRejected, "a cursor is rejected, though all missing messages are within the holding time", func(run *topicRun, ada, _ *Subscription) {
 			ada.Disconnected(moment(6))
 			run.try("cy", 20, keptTopic, "accepted", 26)
-			run.gets(run.held["bob "+keptTopic], "cy", 20, 26.1)
-			run.gets(run.held["eve "+keptTopic], "cy", 20, 26.1)
+			run.gets(run.subscriptions["bob "+keptTopic], "cy", 20, 26.1)
+			run.gets(run.subscriptions["eve "+keptTopic], "cy", 20, 26.1)
 			ada.Expired(moment(60))
 		}},
 		{CursorRejected, "a saved cursor is rejected", func(run *topicRun, _, _ *Subscription) {
@@ -156,13 +156,13 @@
 		}},
 		{Lost, "a message is not delivered to a subscriber", func(run *topicRun, ada, _ *Subscription) {
 			run.try("cy", 20, keptTopic, "accepted", 7)
-			run.gets(run.held["bob "+keptTopic], "cy", 20, 7.1)
-			run.gets(run.held["eve "+keptTopic], "cy", 20, 7.1)
+			run.gets(run.subscriptions["bob "+keptTopic], "cy", 20, 7.1)
+			run.gets(run.subscriptions["eve "+keptTopic], "cy", 20, 7.1)
 		}},
 		{Unsolicited, "a message that was never sent", func(run *topicRun, ada, _ *Subscription) { run.gets(ada, "cy", 99, 7) }},
 		{Unsolicited, "a message with another body", func(run *topicRun, ada, _ *Subscription) {
 			run.try("dan", 20, passingTopic, "accepted", 7)
-			run.held["ada "+passingTopic].Received(Post{"dan", 20}, passingTopic, "other", moment(7), moment(7.1))
+			run.subscriptions["ada "+passingTopic].Received(Post{"dan", 20}, passingTopic, "other", moment(7), moment(7.1))
 		}},
 		{Unsolicited, "a message on another topic", func(run *topicRun, ada, _ *Subscription) {
 			run.try("dan", 20, passingTopic, "accepted", 7)
@@ -203,7 +203,7 @@
 		}},
 		{LateInCalm, "a message is late without faults", func(run *topicRun, _, _ *Subscription) {
 			run.try("dan", 20, passingTopic, "accepted", 7)
-			run.held["ada "+passingTopic].Received(Post{"dan", 20}, passingTopic, bodyOf("dan", 20), moment(-60), moment(7.16))
+			run.subscriptions["ada "+passingTopic].Received(Post{"dan", 20}, passingTopic, bodyOf("dan", 20), moment(-60), moment(7.16))
 		}},
 		{RejectedInCalm, "a request is rejected without faults", func(run *topicRun, _, _ *Subscription) {
 			run.RequestRejected("unconfirmed", "a publication", moment(-60), moment(7))
@@ -211,7 +211,7 @@
 	}
 	for _, each := range plants {
 		run := correctTopicRun()
-		each.plant(run, run.held["ada "+keptTopic], run.held["bob "+keptTopic])
+		each.plant(run, run.subscriptions["ada "+keptTopic], run.subscriptions["bob "+keptTopic])
 		run.Close(moment(70))
 		if each.kind == "" {
 			assert.Equal(t, len(run.Violations()), 0, "%v", run.Violations())
@@ -228,18 +228,18 @@
 // excuse.
 func TestWhatIsNotOwedIsNotMissed(t *testing.T) {
 	run := correctTopicRun()
-	ada := run.held["ada "+keptTopic]
+	ada := run.subscriptions["ada "+keptTopic]
 	// A cursor may expire if a missed message is older than the holding time.
 	ada.Disconnected(moment(6))
 	run.try("cy", 20, keptTopic, "accepted", 7)
-	run.gets(run.held["bob "+keptTopic], "cy", 20, 7.1)
-	run.gets(run.held["eve "+keptTopic], "cy", 20, 7.1)
+	run.gets(run.subscriptions["bob "+keptTopic], "cy", 20, 7.1)
+	run.gets(run.subscriptions["eve "+keptTopic], "cy", 20, 7.1)
 	ada.Expired(moment(43))
 	// A later message may arrive without an earlier one whose outcome is unknown.
 	run.try("cy", 21, keptTopic, "unsettled", 44)
 	run.sendTo("cy", 22, keptTopic, 45, "bob", "eve")
 	// No delivery is due after a client unsubscribed or a route was removed.
-	run.held["bob "+keptTopic].End(moment(46))
+	run.subscriptions["bob "+keptTopic].End(moment(46))
 	run.sendTo("cy", 23, keptTopic, 47, "eve")
 	run.RoutesSent(2, []string{"board.", "halt."}, moment(48))
 	run.try("cy", 24, guestTopic, "accepted", 48.1)
@@ -265,6 +265,6 @@
 func (tr *topicRun) sendTo(sender string, seq uint64, topic string, at float64, names ...string) {
 	tr.try(sender, seq, topic, "accepted", at)
 	for _, name := range names {
-		tr.gets(tr.held[name+" "+topic], sender, seq, at+0.02)
+		tr.gets(tr.subscriptions[name+" "+topic], sender, seq, at+0.02)
 	}
 }
