--- a/internal/checker/register_test.go
+++ b/internal/checker/register_test.go
@@ -185,7 +185,7 @@
 
 // The check in one pass must agree with the search on small random histories: responses of a
 // correct register, some of them altered afterwards.
-func TestTheQuickJudgementAgreesWithTheSearch(t *testing.T) {
+func TestOnePassCheckAgreesWithSearch(t *testing.T) {
 	linear, broken := 0, 0
 	for seed := range uint64(6000) {
 		random := rand.New(rand.NewPCG(seed, 0x4e6))
--- a/internal/checker/topics_test.go
+++ b/internal/checker/topics_test.go
@@ -226,7 +226,7 @@
 
 // The checker must not report missing messages, cursors, counts and routes that the promises
 // excuse.
-func TestWhatIsNotOwedIsNotMissed(t *testing.T) {
+func TestExcusedObservationsAreNotReported(t *testing.T) {
 	run := correctTopicRun()
 	ada := run.subscriptions["ada "+keptTopic]
 	// A cursor may expire if a missed message is older than the holding time.
--- a/internal/simulator/bandwidth_test.go
+++ b/internal/simulator/bandwidth_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestALinkTakesItsBytesASecond(t *testing.T) {
+func TestLinkLimitsBytesPerSecond(t *testing.T) {
 	simulation := New(1, Small)
 	reads, began := true, simulation.Now
 	var landed time.Duration
--- a/internal/simulator/departure_mutation_test.go
+++ b/internal/simulator/departure_mutation_test.go
@@ -12,7 +12,7 @@
 
 // Without the check of the clock at the time of sending, each suspension makes the primary
 // send a message after its lease has expired.
-func TestTheLookAtTheClockIsNeeded(t *testing.T) {
+func TestClockCheckBeforeSendingIsNeeded(t *testing.T) {
 	restore := statemachine.Mutate("leave-late")
 	defer restore()
 	for number, each := range suspensions {
--- a/internal/simulator/orders_test.go
+++ b/internal/simulator/orders_test.go
@@ -31,7 +31,7 @@
 }
 
 // Several hundred orders in one long run, with few daemons to keep the test fast.
-func TestHundredsOfOrdersOverALongDay(t *testing.T) {
+func TestHundredsOfOrdersInALongRun(t *testing.T) {
 	for _, highest := range []bool{true, false} {
 		t.Run(fmt.Sprint("highest ", highest), func(t *testing.T) {
 			t.Parallel()
--- a/internal/simulator/stores_test.go
+++ b/internal/simulator/stores_test.go
@@ -118,7 +118,7 @@
 
 // With traffic, the other stores detect the missing replication messages of a lost store long
 // before the failure detector detects its missing heartbeats.
-func TestAStoreThatIsLostSilentlyIsMissedByItsFellows(t *testing.T) {
+func TestStoresDetectLostStoreBeforeFailureDetector(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
