--- a/internal/gateway/append.go
+++ b/internal/gateway/append.go
@@ -25,8 +25,8 @@
 		return
 	}
 	item.partition = g.partitionOf(state, item.request.Topic)
-	g.nextRequest++
-	item.id = g.nextRequest
+	g.lastRequest++
+	item.id = g.lastRequest
 	g.appends[item.id] = item
 	g.overlay.Publish(now, state.name, areaOf(state.space, item.request.Topic), nil, effects)
 	g.sendAppend(now, senderState, item, effects)
@@ -46,8 +46,8 @@
 	if state, known := g.spaces[item.request.Space]; known && state.space.Partitions() > 1 {
 		dependencies = senderState.currentDependencies(now)
 	}
-	g.nextRequest++
-	send := g.nextRequest
+	g.lastRequest++
+	send := g.lastRequest
 	if item.unanswered == nil {
 		item.unanswered = map[uint64]bool{}
 	}
--- a/internal/gateway/catchup.go
+++ b/internal/gateway/catchup.go
@@ -159,10 +159,10 @@
 	g.routed.queue = waiting
 	bytes := g.batchBytes(len(g.routed.batchInFlight) + len(fetchesByStore))
 	for store, fetches := range statemachine.Sorted(fetchesByStore) {
-		g.nextRequest++
+		g.lastRequest++
 		sortByMissingBytes(fetches)
 		created := &batch{
-			request: g.nextRequest,
+			request: g.lastRequest,
 			store:   store,
 			fetches: fetches,
 			bytes:   bytes,
--- a/internal/gateway/catchup_test.go
+++ b/internal/gateway/catchup_test.go
@@ -434,7 +434,7 @@
 			Partitions: []partition.PartitionState{{Partition: topic.partition, Epoch: 1, HighWatermark: 5}},
 			Topics:     []partition.TopicRecords{{Until: 1, RemainingBytes: lowLinkRate + 1}},
 		}, &fixture.effects)
-		if _, held := gateway.sessions[9].routed["topic-0"]; held {
+		if _, subscribed := gateway.sessions[9].routed["topic-0"]; subscribed {
 			assert.Assert(t, !gateway.tryAdmit(fixture.now))
 			gateway.dropTopicSubscription(fixture.now, gateway.sessions[9], "topic-0", &fixture.effects)
 		}
--- a/internal/gateway/forms_test.go
+++ b/internal/gateway/forms_test.go
@@ -28,21 +28,21 @@
 // sampleCursors returns a cursor of a client that has received all messages up to the floor, one with
 // gaps above the floor, and one of a client that saw ephemeral messages.
 func sampleCursors() []cursor {
-	begun := cursor{
+	withoutGaps := cursor{
 		Layout:     cursorLayout,
 		Client:     "origin-1",
 		Interests:  []Interest{{Space: "orders", Path: "a/b"}, {Space: "orders", Path: "a", Prefix: true}},
 		Partitions: map[string]position{"orders~1/0": {Floor: 17}, "orders~1/7": {}},
 		Marks:      map[string]map[string]uint64{},
 	}
-	behind := begun
-	behind.Partitions = map[string]position{
+	withGaps := withoutGaps
+	withGaps.Partitions = map[string]position{
 		"orders~1/0": {Floor: 70000, Extras: []uint64{70002, 70009}, Since: map[string]uint64{"ta/b": 70001, "wa": 3}},
 	}
-	passing := begun
-	passing.Partitions = map[string]position{}
-	passing.Marks = map[string]map[string]uint64{"pulse": {"sender-1": 5, "sender-2": 1 << 40}}
-	return []cursor{begun, behind, passing}
+	withEphemeral := withoutGaps
+	withEphemeral.Partitions = map[string]position{}
+	withEphemeral.Marks = map[string]map[string]uint64{"pulse": {"sender-1": 5, "sender-2": 1 << 40}}
+	return []cursor{withoutGaps, withGaps, withEphemeral}
 }
 
 func TestRecordedCursorsAreReadAndWrittenAsBefore(t *testing.T) {
@@ -53,16 +53,16 @@
 	storedforms.Compare(t, "cursors.txt", lines)
 	recorded, _ := storedforms.Recorded(t, "cursors.txt", lines)
 	for position, text := range recorded {
-		place, code := openCursor(cursorKey, "origin-1", text)
+		decoded, code := openCursor(cursorKey, "origin-1", text)
 		if code != "" {
 			t.Errorf("cursor %d is rejected as %s", position+1, code)
 			continue
 		}
-		if again := seal(cursorKey, place); again != text {
+		if again := seal(cursorKey, decoded); again != text {
 			t.Errorf("cursor %d, decoded and encoded again, is\n\t%s\nnot\n\t%s", position+1, again, text)
 		}
-		if !reflect.DeepEqual(place, sampleCursors()[position]) {
-			t.Errorf("cursor %d is read as %v", position+1, place)
+		if !reflect.DeepEqual(decoded, sampleCursors()[position]) {
+			t.Errorf("cursor %d is read as %v", position+1, decoded)
 		}
 		if _, code := openCursor(cursorKey, "origin-2", text); code != "other-origin" {
 			t.Errorf("cursor %d of another client is rejected as %q", position+1, code)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -113,9 +113,9 @@
 	// routed topics, by partition name.
 	trackers map[string]*tracker
 
-	// nextRequest is the number of the last request to a store. Different runs of the process use
+	// lastRequest is the number of the last request to a store. Different runs of the process use
 	// different numbers.
-	nextRequest uint64
+	lastRequest uint64
 	// appends are the publications that are being appended, by publication number. sends are the same
 	// publications by the request number of each unanswered send.
 	appends map[uint64]*publication
@@ -193,7 +193,7 @@
 		sends:         map[uint64]*publication{},
 		senderLookups: map[uint64]*senderLookup{},
 		fetches:       map[uint64]*fetchOperation{},
-		nextRequest:   settings.Incarnation.FirstRequestNumber(),
+		lastRequest:   settings.Incarnation.FirstRequestNumber(),
 		routed:        newRoutedState(),
 		newestSession: map[string]uint64{},
 	}
--- a/internal/gateway/recent_ephemeral.go
+++ b/internal/gateway/recent_ephemeral.go
@@ -20,14 +20,14 @@
 // recentEphemeral is an ephemeral message that this gateway published or received within recentRetention.
 type recentEphemeral struct {
 	at time.Time
-	// publishedHere is set if a client of this gateway published the message.
-	publishedHere bool
-	message       EphemeralCopy
+	// publishedLocally is set if a client of this gateway published the message.
+	publishedLocally bool
+	message          EphemeralCopy
 }
 
 // addRecent adds an ephemeral message to the recent messages of the space, and removes old ones.
 func (ss *spaceState) addRecent(now time.Time, message EphemeralCopy, own bool) {
-	ss.recent = append(ss.recent, recentEphemeral{at: now, publishedHere: own, message: message})
+	ss.recent = append(ss.recent, recentEphemeral{at: now, publishedLocally: own, message: message})
 	old := 0
 	for old < len(ss.recent) && (now.Sub(ss.recent[old].at) > recentRetention || len(ss.recent)-old > maxRecentEphemeral) {
 		old++
@@ -48,7 +48,7 @@
 			continue
 		}
 		for _, each := range state.recent {
-			if each.publishedHere && now.Sub(each.at) <= recentRetention &&
+			if each.publishedLocally && now.Sub(each.at) <= recentRetention &&
 				areaOf(state.space, each.message.Topic) == discovered.Area {
 				repeated := each.message
 				repeated.Repeated = true
--- a/internal/gateway/route.go
+++ b/internal/gateway/route.go
@@ -38,9 +38,9 @@
 	return current != (route{}) && r != current || statemachine.Mutated("all-sent-again-at-news")
 }
 
-// mustFollowAgain reports whether the gateway must subscribe to high watermarks again. It must if the
+// mustResubscribe reports whether the gateway must subscribe to high watermarks again. It must if the
 // route of a partition in use has changed since the last time, and whenever there are trackers.
-func (g *Gateway) mustFollowAgain() bool {
+func (g *Gateway) mustResubscribe() bool {
 	if len(g.trackers) > 0 {
 		return true
 	}
@@ -82,7 +82,7 @@
 		}
 	}
 	g.resendRouted(now, effects)
-	if g.mustFollowAgain() {
+	if g.mustResubscribe() {
 		g.timers.ArmSooner(timerHighWatermarks, now)
 	}
 }
--- a/internal/gateway/routed_publish.go
+++ b/internal/gateway/routed_publish.go
@@ -89,8 +89,8 @@
 	state := g.spaces[space]
 	item.ephemeral = state.space.Retention != config.Durable
 	item.deadline = now.Add(min(requestTimeout, state.space.ResponseTimeout/2))
-	g.nextRequest++
-	item.id = g.nextRequest
+	g.lastRequest++
+	item.id = g.lastRequest
 	g.routed.appends[item.id] = item
 	g.overlay.AwaitCell(now, routedOverlaySpace, request.Topic, func(time.Time, *statemachine.Effects, bool) {}, effects)
 	g.sendRoutedAppend(now, item, effects)
@@ -135,12 +135,12 @@
 	}
 	item.sendCount++
 	item.sentRoute = g.routeTo(item.partition)
-	g.nextRequest++
-	item.unanswered[g.nextRequest] = true
-	g.routed.sends[g.nextRequest] = item
+	g.lastRequest++
+	item.unanswered[g.lastRequest] = true
+	g.routed.sends[g.lastRequest] = item
 	effects.Send(address, partition.Append{
 		Partition:  item.partition,
-		RequestID:  g.nextRequest,
+		RequestID:  g.lastRequest,
 		Topic:      item.request.Topic,
 		Sender:     item.request.Sender,
 		Seq:        item.request.Seq,
--- a/internal/gateway/sender.go
+++ b/internal/gateway/sender.go
@@ -111,7 +111,7 @@
 		}
 		byStore[address] = append(byStore[address], name)
 	}
-	g.nextRequest++
+	g.lastRequest++
 	lookup := &senderLookup{
 		key:         item.key,
 		outstanding: len(byStore),
@@ -119,11 +119,11 @@
 		ready:       true,
 		deadline:    item.deadline,
 	}
-	g.senderLookups[g.nextRequest] = lookup
+	g.senderLookups[g.lastRequest] = lookup
 	for address, names := range statemachine.Sorted(byStore) {
 		lookup.responded[address] = false
 		effects.Send(address, partition.SenderStateRequest{
-			RequestID:  g.nextRequest,
+			RequestID:  g.lastRequest,
 			Partitions: names,
 			Sender:     item.request.Sender,
 		})
--- a/internal/gateway/subscription.go
+++ b/internal/gateway/subscription.go
@@ -136,8 +136,8 @@
 	effects *statemachine.Effects,
 ) {
 	request := operation.request
-	g.nextRequest++
-	id := g.nextRequest
+	g.lastRequest++
+	id := g.lastRequest
 	g.fetches[id] = operation
 	// The count starts at one, so that a join that completes at once doesn't start the fetch before
 	// the last join was started.
--- a/internal/gateway/verify.go
+++ b/internal/gateway/verify.go
@@ -88,7 +88,7 @@
 		}
 	}
 	slices.Sort(fetch.skip)
-	g.nextRequest++
+	g.lastRequest++
 	operation := &fetchOperation{
 		tracker:    name,
 		version:    tracker.version,
@@ -96,9 +96,9 @@
 		records:    map[string][]partition.Record{},
 		deadline:   now.Add(defaultSubscribeTimeout),
 	}
-	g.fetches[g.nextRequest] = operation
+	g.fetches[g.lastRequest] = operation
 	g.timers.ArmSooner(timerDeadlines, operation.deadline)
-	g.sendFetch(now, g.nextRequest, name, fetch, effects)
+	g.sendFetch(now, g.lastRequest, name, fetch, effects)
 }
 
 // applyVerification applies the result of a verification. The fetched records become pending, as if their
