--- a/internal/overlay/cell.go
+++ b/internal/overlay/cell.go
@@ -209,7 +209,7 @@
 	if m.requested.IsZero() {
 		return m.requested
 	}
-	return m.requested.Add(backoff(requestRetry, min(m.requestAttempts, maxRequestDoublings)))
+	return m.requested.Add(backoff(requestRetry, min(m.requestAttempts, maxBackoffAttempts)))
 }
 
 // shortHash returns the hash of a peer's key that NoticeDiffers and NoticeMissing have.
--- a/internal/overlay/leave.go
+++ b/internal/overlay/leave.go
@@ -88,7 +88,7 @@
 			case peer.joining == nil || peer.queued:
 			case peer.joinTargets[daemon]:
 				o.handleNoPeer(now, peer, daemon)
-			case len(peer.joinTargets) == 0 && (now.Sub(peer.joining.sent) > joinAttemptValid || statemachine.Mutated("no-retry-pauses")):
+			case len(peer.joinTargets) == 0 && (now.Sub(peer.joining.sent) > minJoinRetryAge || statemachine.Mutated("no-retry-pauses")):
 				// The join request may have been lost with that daemon. If many daemons
 				// are lost at the same time, one new attempt is enough.
 				o.join(now, peer)
--- a/internal/overlay/overlay.go
+++ b/internal/overlay/overlay.go
@@ -42,9 +42,9 @@
 	greetTimeout     = 300 * time.Millisecond
 	maxGreetAttempts = 4
 	joinTimeout      = 400 * time.Millisecond
-	// joinAttemptValid is the minimum age at which an attempt to join is repeated
+	// minJoinRetryAge is the minimum age at which an attempt to join is repeated
 	// immediately when a daemon is lost.
-	joinAttemptValid = 100 * time.Millisecond
+	minJoinRetryAge = 100 * time.Millisecond
 	// maxDoublings limits how often the timeout of a join, a greeting or a request
 	// doubles. Without backoff, responses delayed by saturated links would be
 	// requested again and again, which would keep the links saturated.
--- a/internal/overlay/presence.go
+++ b/internal/overlay/presence.go
@@ -56,10 +56,10 @@
 	checkDelay         = 10 * time.Millisecond
 	repeatedCheckDelay = 250 * time.Millisecond
 	// requestRetry is the time after which a NoticeComplete is requested again. It
-	// doubles with each further request until maxRequestDoublings requests were sent, so
+	// doubles with each further request until maxBackoffAttempts requests were sent, so
 	// that the longest time is four times requestRetry.
-	requestRetry        = 300 * time.Millisecond
-	maxRequestDoublings = 3
+	requestRetry       = 300 * time.Millisecond
+	maxBackoffAttempts = 3
 	// membersWait is the delay after a differing digest before members are compared, so
 	// that joins in progress can finish.
 	membersWait = 100 * time.Millisecond
