--- a/internal/simulator/topic_client.go
+++ b/internal/simulator/topic_client.go
@@ -520,8 +520,8 @@
 	}
 	for _, each := range tc.topics {
 		// A recent request may still be in flight.
-		underway := each.requested && tc.simulation.Now.Sub(each.requestedAt) < subscribeTimeout
-		if !each.confirmed && !each.unsubscribing && !each.unrouted && !underway {
+		inFlight := each.requested && tc.simulation.Now.Sub(each.requestedAt) < subscribeTimeout
+		if !each.confirmed && !each.unsubscribing && !each.unrouted && !inFlight {
 			return false
 		}
 	}
--- a/internal/simulator/topics.go
+++ b/internal/simulator/topics.go
@@ -143,13 +143,13 @@
 }
 
 // prepareTopics starts a fleet whose configuration has routes.
-func prepareTopics(seed uint64, size Shape, apart time.Duration, trace func(line string)) (*Simulation, *Operator) {
+func prepareTopics(seed uint64, size Shape, clockSkew time.Duration, trace func(line string)) (*Simulation, *Operator) {
 	simulation := New(seed, size)
 	simulation.world = newTopicWorld(size)
 	for _, each := range append(slices.Clone(topicRoutes), temporaryRoutes...) {
 		simulation.Checker.DefineRoute(each.prefix, each.durable, checker.HoldingTime)
 	}
-	operator := simulation.startFleet(apart, trace)
+	operator := simulation.startFleet(clockSkew, trace)
 	simulation.probe()
 	return simulation, operator
 }
@@ -294,7 +294,7 @@
 
 // RunTopics runs a schedule with clients of routed topics.
 func RunTopics(seed uint64, size Shape, schedule TopicSchedule, trace func(line string)) *Simulation {
-	simulation, operator := prepareTopics(seed, size, schedule.Apart, trace)
+	simulation, operator := prepareTopics(seed, size, schedule.ClockSkew, trace)
 	simulation.world.steady, simulation.world.hot = schedule.Steady, schedule.Hot
 	simulation.AddTopicClients(size.Clients)
 	simulation.Run(2 * time.Second)
@@ -322,13 +322,13 @@
 }
 
 // TopicSchedule is the schedule of a run with routed topics. Last names the fault that ends the
-// run, if any; Changes says that the operator changes the configuration during the run. Apart
-// is the maximum deviation of the machines' wall clocks.
+// run, if any; Changes says that the operator changes the configuration during the run.
+// ClockSkew is the maximum deviation of the machines' wall clocks.
 type TopicSchedule struct {
-	Faults  []faults.Fault
-	Last    string
-	Apart   time.Duration
-	Changes bool
+	Faults    []faults.Fault
+	Last      string
+	ClockSkew time.Duration
+	Changes   bool
 	// Hot is a topic on which some clients publish continuously, far more than one fetch
 	// returns.
 	Hot string
@@ -427,24 +427,24 @@
 	saved := slices.Clone(s.world.savedCursors)
 	random.Shuffle(len(saved), func(left, right int) { saved[left], saved[right] = saved[right], saved[left] })
 	saved = append(slices.Clone(s.world.hotCursors), saved...)
-	var takers []*TopicClient
+	var clients []*TopicClient
 	for position := range saved {
 		cursor := saved[position]
 		if s.world.removedRoutes[s.temporaryPrefixOf(cursor.Topic)] {
 			continue
 		}
-		chosen := slices.IndexFunc(takers, func(taker *TopicClient) bool {
-			_, found := taker.topics[cursor.Topic]
-			return !found && len(taker.topics) < maxCursorsPerClient
+		chosen := slices.IndexFunc(clients, func(client *TopicClient) bool {
+			_, found := client.topics[cursor.Topic]
+			return !found && len(client.topics) < maxCursorsPerClient
 		})
 		if chosen < 0 {
-			chosen = len(takers)
-			takers = append(takers, s.AddTopicClient(fmt.Sprintf("%s-%d", prefix, chosen), chosen%s.Shape.Zones))
+			chosen = len(clients)
+			clients = append(clients, s.AddTopicClient(fmt.Sprintf("%s-%d", prefix, chosen), chosen%s.Shape.Zones))
 		}
-		taker := takers[chosen]
-		taker.stopped = true
-		taker.topics[cursor.Topic] = &topicSubscription{
-			topic: cursor.Topic, cursor: cursor.Cursor, after: cursor.After, entry: s.Checker.Subscribing(taker.Name, cursor.Topic, &cursor),
+		client := clients[chosen]
+		client.stopped = true
+		client.topics[cursor.Topic] = &topicSubscription{
+			topic: cursor.Topic, cursor: cursor.Cursor, after: cursor.After, entry: s.Checker.Subscribing(client.Name, cursor.Topic, &cursor),
 		}
 	}
 }
@@ -542,7 +542,7 @@
 		schedule.Last = last[random.IntN(len(last))]
 	}
 	if random.IntN(4) == 0 {
-		schedule.Apart = 3 * time.Hour
+		schedule.ClockSkew = 3 * time.Hour
 	}
 	return schedule
 }
