--- a/cmd/fleetlab/client.go
+++ b/cmd/fleetlab/client.go
@@ -164,8 +164,8 @@
 			time.Sleep(100 * time.Millisecond)
 			continue
 		}
-		shown, at := channel.Hello, time.Now()
-		tc.record(func(checker *checker.Checker) { checker.ServedVersion(shown.Daemon, shown.Version, began, at) })
+		hello, at := channel.Hello, time.Now()
+		tc.record(func(checker *checker.Checker) { checker.ServedVersion(hello.Daemon, hello.Version, began, at) })
 		if !requested {
 			requested = true
 			at := time.Now()
--- a/cmd/fleetlab/injector.go
+++ b/cmd/fleetlab/injector.go
@@ -65,13 +65,13 @@
 }
 
 type injector struct {
-	run      *trialRun
-	operator *operator
-	queue    []action
-	open     int
-	number   int
-	frozen   map[string]int
-	stopped  map[string]bool
+	run          *trialRun
+	operator     *operator
+	queue        []action
+	activeFaults int
+	number       int
+	frozen       map[string]int
+	stopped      map[string]bool
 }
 
 func (i *injector) after(wait time.Duration, do func()) {
@@ -132,7 +132,7 @@
 	if len(schedule) == 0 {
 		return
 	}
-	if !i.runUntil(3*time.Minute, func() bool { return i.open == 0 }) {
+	if !i.runUntil(3*time.Minute, func() bool { return i.activeFaults == 0 }) {
 		i.run.log.record(func(log *checker.Checker) {
 			log.Violate(checker.NotRecovered, "a fault has not ended within 3 minutes")
 		})
@@ -141,7 +141,7 @@
 }
 
 func (i *injector) inject(fault faults.Fault) {
-	i.open++
+	i.activeFaults++
 	i.run.faultFreeSince.Store(0)
 	fmt.Printf("  fault: %s\n", fault)
 	ended := false
@@ -150,14 +150,14 @@
 			return
 		}
 		ended = true
-		if i.open--; i.open == 0 {
+		if i.activeFaults--; i.activeFaults == 0 {
 			i.run.faultFreeSince.Store(time.Now().UnixNano())
 		}
 	}
 	injectors[fault.Name](i, fault, end)
 }
 
-func (i *injector) choose(kind string, pick uint64) *testfleet.Daemon {
+func (i *injector) pickDaemon(kind string, pick uint64) *testfleet.Daemon {
 	var up []*testfleet.Daemon
 	for _, name := range i.run.fleet.Names() {
 		daemon := i.run.fleet.Daemons[name]
@@ -202,7 +202,7 @@
 		case "backup":
 			_, daemon = injector.roles()
 		default:
-			daemon = injector.choose(kind, fault.Pick)
+			daemon = injector.pickDaemon(kind, fault.Pick)
 		}
 		if daemon == nil || !daemon.Running() || injector.frozen[daemon.Name] > 0 || injector.stopped[daemon.Name] {
 			fmt.Println("    no running daemon to inject the fault into")
@@ -308,8 +308,8 @@
 	})
 }
 
-// impose impairs the links or disks of daemons for the given time.
-func (i *injector) impose(daemons []*testfleet.Daemon, length time.Duration, trial func(daemon *testfleet.Daemon) testfleet.Trial, end func()) {
+// impair impairs the links or disks of daemons for the given time.
+func (i *injector) impair(daemons []*testfleet.Daemon, length time.Duration, trial func(daemon *testfleet.Daemon) testfleet.Trial, end func()) {
 	i.number++
 	number := i.number
 	for _, daemon := range daemons {
@@ -427,12 +427,12 @@
 		if fault.Pick%3 == 0 {
 			kind = membership.KindController
 		}
-		daemon := injector.choose(kind, fault.Pick)
+		daemon := injector.pickDaemon(kind, fault.Pick)
 		if daemon == nil {
 			end()
 			return
 		}
-		injector.impose([]*testfleet.Daemon{daemon}, fault.Length, func(*testfleet.Daemon) testfleet.Trial { return testfleet.Trial{Disk: "150ms"} }, end)
+		injector.impair([]*testfleet.Daemon{daemon}, fault.Length, func(*testfleet.Daemon) testfleet.Trial { return testfleet.Trial{Disk: "150ms"} }, end)
 	},
 	"power-loss": func(injector *injector, fault faults.Fault, end func()) {
 		for _, daemon := range injector.run.fleet.OfKind(membership.KindStore) {
@@ -453,10 +453,10 @@
 	},
 	"cut-daemon": injectInto("", func(injector *injector, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
 		machine := injector.daemons(func(other *testfleet.Daemon) bool { return other == daemon || onSameMachine(other, daemon) })
-		injector.impose(machine, fault.Length, func(*testfleet.Daemon) testfleet.Trial { return testfleet.Trial{Cuts: injector.otherMachines(daemon)} }, end)
+		injector.impair(machine, fault.Length, func(*testfleet.Daemon) testfleet.Trial { return testfleet.Trial{Cuts: injector.otherMachines(daemon)} }, end)
 	}),
 	"cut-one-way": injectInto("", func(injector *injector, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
-		injector.impose([]*testfleet.Daemon{daemon}, fault.Length, func(*testfleet.Daemon) testfleet.Trial {
+		injector.impair([]*testfleet.Daemon{daemon}, fault.Length, func(*testfleet.Daemon) testfleet.Trial {
 			if fault.Pick%2 == 0 {
 				return testfleet.Trial{Mutes: injector.otherMachines(daemon)}
 			}
@@ -472,7 +472,7 @@
 			}
 		}
 		inside := injector.daemons(func(daemon *testfleet.Daemon) bool { return daemon.Zone == testfleet.ZoneName(zone) })
-		injector.impose(inside, fault.Length, func(*testfleet.Daemon) testfleet.Trial { return testfleet.Trial{Cuts: others} }, end)
+		injector.impair(inside, fault.Length, func(*testfleet.Daemon) testfleet.Trial { return testfleet.Trial{Cuts: others} }, end)
 	},
 	"cut-primary": injectInto("primary", func(injector *injector, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
 		var others []string
@@ -481,15 +481,15 @@
 				others = append(others, controller.Address)
 			}
 		}
-		injector.impose([]*testfleet.Daemon{daemon}, fault.Length+3*time.Second, func(*testfleet.Daemon) testfleet.Trial { return testfleet.Trial{Cuts: others} }, end)
+		injector.impair([]*testfleet.Daemon{daemon}, fault.Length+3*time.Second, func(*testfleet.Daemon) testfleet.Trial { return testfleet.Trial{Cuts: others} }, end)
 	}),
 	"loss": func(injector *injector, fault faults.Fault, end func()) {
-		injector.impose(injector.daemons(everyone), fault.Length, func(*testfleet.Daemon) testfleet.Trial {
+		injector.impair(injector.daemons(everyone), fault.Length, func(*testfleet.Daemon) testfleet.Trial {
 			return testfleet.Trial{Loss: map[string]float64{"127.": 0.1}}
 		}, end)
 	},
 	"slow-links": func(injector *injector, fault faults.Fault, end func()) {
-		injector.impose(injector.daemons(everyone), fault.Length, func(daemon *testfleet.Daemon) testfleet.Trial {
+		injector.impair(injector.daemons(everyone), fault.Length, func(daemon *testfleet.Daemon) testfleet.Trial {
 			delays := map[string]string{}
 			for zone := range injector.run.fleet.Deployment.Zones {
 				if testfleet.ZoneName(zone) != daemon.Zone {
@@ -500,7 +500,7 @@
 		}, end)
 	},
 	"relink": func(injector *injector, fault faults.Fault, end func()) {
-		injector.impose(injector.daemons(everyone), min(fault.Length, 300*time.Millisecond), func(daemon *testfleet.Daemon) testfleet.Trial {
+		injector.impair(injector.daemons(everyone), min(fault.Length, 300*time.Millisecond), func(daemon *testfleet.Daemon) testfleet.Trial {
 			return testfleet.Trial{Mutes: injector.otherMachines(daemon)}
 		}, end)
 	},
@@ -661,7 +661,7 @@
 	primary, backup := i.roles()
 	switch name {
 	case "kill-gateway", "kill-store", "kill-agent":
-		inject(i.choose(strings.TrimPrefix(name, "kill-"), random.Uint64()))
+		inject(i.pickDaemon(strings.TrimPrefix(name, "kill-"), random.Uint64()))
 	case "kill-primary":
 		inject(primary)
 	case "kill-backup":
@@ -674,8 +674,8 @@
 	case "lose-two":
 		kinds := []string{membership.KindGateway, membership.KindStore, membership.KindController, membership.KindAgent}
 		first := random.IntN(len(kinds))
-		inject(i.choose(kinds[first], random.Uint64()))
-		inject(i.choose(kinds[(first+1+random.IntN(3))%4], random.Uint64()))
+		inject(i.pickDaemon(kinds[first], random.Uint64()))
+		inject(i.pickDaemon(kinds[(first+1+random.IntN(3))%4], random.Uint64()))
 	case "restart-all":
 		for _, daemon := range i.daemons((*testfleet.Daemon).Running) {
 			i.kill(daemon)
