--- a/cmd/fleetlab/injector.go
+++ b/cmd/fleetlab/injector.go
@@ -26,8 +26,8 @@
 
 // draw returns the schedule of faults that the flags of the trial select.
 func (t *trial) draw() ([]faults.Fault, error) {
-	if t.last != "" && t.last != "draw" && !slices.Contains(faults.Last, t.last) {
-		return nil, faults.ErrorList.New("%q is not a last fault", t.last)
+	if t.last != "" && t.last != "draw" && !slices.Contains(faults.Closing, t.last) {
+		return nil, faults.ErrorInvalidSchedule.New("%q is not a last fault", t.last)
 	}
 	if t.plot != "" {
 		return faults.Parse(t.plot)
@@ -45,7 +45,7 @@
 	}
 	for _, name := range names {
 		if !slices.Contains(faults.Names, name) {
-			return nil, faults.ErrorList.New("%q is not a fault", name)
+			return nil, faults.ErrorInvalidSchedule.New("%q is not a fault", name)
 		}
 	}
 	count := t.count
@@ -55,41 +55,41 @@
 	return faults.Draw(random, names, t.length*9/10, count), nil
 }
 
-// holdsFor is how long service must be uninterrupted before it counts as restored: a
+// requiredUptime is how long service must be uninterrupted before it counts as restored: a
 // gateway that lost its agent closes its sessions only after some seconds.
-const holdsFor = 8 * time.Second
+const requiredUptime = 8 * time.Second
 
-type due struct {
+type action struct {
 	at time.Time
 	do func()
 }
 
 type injector struct {
-	run      *trialRun
-	operator *operator
-	queue    []due
-	open     int
-	number   int
-	frozen   map[string]int
-	away     map[string]bool
+	run          *trialRun
+	operator     *operator
+	queue        []action
+	activeFaults int
+	number       int
+	frozen       map[string]int
+	stopped      map[string]bool
 }
 
-func (h *injector) after(wait time.Duration, do func()) {
-	h.queue = append(h.queue, due{at: time.Now().Add(wait), do: do})
+func (i *injector) after(wait time.Duration, do func()) {
+	i.queue = append(i.queue, action{at: time.Now().Add(wait), do: do})
 }
 
-// until runs the queued actions as they fall due, until a condition holds or the time
+// runUntil runs the queued actions as they fall due, until a condition holds or the time
 // limit has passed. It reports whether the condition holds.
-func (h *injector) until(limit time.Duration, holds func() bool) bool {
+func (i *injector) runUntil(limit time.Duration, holds func() bool) bool {
 	end := time.Now().Add(limit)
 	for !holds() {
 		if time.Now().After(end) {
 			return false
 		}
-		sort.SliceStable(h.queue, func(left, right int) bool { return h.queue[left].at.Before(h.queue[right].at) })
-		if len(h.queue) > 0 && !time.Now().Before(h.queue[0].at) {
-			next := h.queue[0]
-			h.queue = h.queue[1:]
+		sort.SliceStable(i.queue, func(left, right int) bool { return i.queue[left].at.Before(i.queue[right].at) })
+		if len(i.queue) > 0 && !time.Now().Before(i.queue[0].at) {
+			next := i.queue[0]
+			i.queue = i.queue[1:]
 			next.do()
 			continue
 		}
@@ -100,7 +100,7 @@
 
 // poll checks a condition every 50 ms until it holds or the time limit has passed, and
 // then calls then with the result.
-func (h *injector) poll(limit time.Duration, holds func() bool, then func(holding bool)) {
+func (i *injector) poll(limit time.Duration, holds func() bool, then func(holding bool)) {
 	end := time.Now().Add(limit)
 	var check func()
 	check = func() {
@@ -109,38 +109,40 @@
 			then(holding)
 			return
 		}
-		h.after(50*time.Millisecond, check)
+		i.after(50*time.Millisecond, check)
 	}
 	check()
 }
 
-func (h *injector) left(name string) bool {
-	return h.run.gone.Load() != nil && slices.Contains(*h.run.gone.Load(), name)
+func (i *injector) hasLeft(name string) bool {
+	return i.run.removed.Load() != nil && slices.Contains(*i.run.removed.Load(), name)
 }
 
-// runFaults injects a schedule of faults, waits until all of them have ended, and then
-// waits for the settle time plus 5 s, after which nothing may be wrong any more.
-func (h *injector) runFaults(schedule []faults.Fault, length time.Duration) {
-	h.frozen, h.away = map[string]int{}, map[string]bool{}
+// runFaults injects a schedule of faults and waits until all of them have ended. It then waits
+// for FaultSettleTime plus 5 s, so that the checker reports what has not recovered by then.
+func (i *injector) runFaults(schedule []faults.Fault, length time.Duration) {
+	i.frozen, i.stopped = map[string]int{}, map[string]bool{}
 	if len(schedule) > 0 {
 		fmt.Printf("storm: %s\n", faults.Format(schedule))
 	}
 	for _, fault := range schedule {
-		h.after(fault.Start, func() { h.inject(fault) })
+		i.after(fault.Start, func() { i.inject(fault) })
 	}
-	h.until(length, func() bool { return false })
+	i.runUntil(length, func() bool { return false })
 	if len(schedule) == 0 {
 		return
 	}
-	if !h.until(3*time.Minute, func() bool { return h.open == 0 }) {
-		h.run.log.record(func(log *checker.Checker) { log.Violate(checker.NotBack, "a fault has not ended within 3 minutes") })
+	if !i.runUntil(3*time.Minute, func() bool { return i.activeFaults == 0 }) {
+		i.run.log.record(func(log *checker.Checker) {
+			log.Violate(checker.NotRecovered, "a fault has not ended within 3 minutes")
+		})
 	}
-	h.until(checker.FaultSettleTime+5*time.Second, func() bool { return false })
+	i.runUntil(checker.FaultSettleTime+5*time.Second, func() bool { return false })
 }
 
-func (h *injector) inject(fault faults.Fault) {
-	h.open++
-	h.run.calm.Store(0)
+func (i *injector) inject(fault faults.Fault) {
+	i.activeFaults++
+	i.run.faultFreeSince.Store(0)
 	fmt.Printf("  fault: %s\n", fault)
 	ended := false
 	end := func() {
@@ -148,18 +150,18 @@
 			return
 		}
 		ended = true
-		if h.open--; h.open == 0 {
-			h.run.calm.Store(time.Now().UnixNano())
+		if i.activeFaults--; i.activeFaults == 0 {
+			i.run.faultFreeSince.Store(time.Now().UnixNano())
 		}
 	}
-	brought[fault.Name](h, fault, end)
+	injectors[fault.Name](i, fault, end)
 }
 
-func (h *injector) choose(kind string, pick uint64) *testfleet.Daemon {
+func (i *injector) pickDaemon(kind string, pick uint64) *testfleet.Daemon {
 	var up []*testfleet.Daemon
-	for _, name := range h.run.fleet.Names() {
-		daemon := h.run.fleet.Daemons[name]
-		if (kind == "" || daemon.Kind == kind) && daemon.Running() && h.frozen[name] == 0 && !h.away[name] {
+	for _, name := range i.run.fleet.Names() {
+		daemon := i.run.fleet.Daemons[name]
+		if (kind == "" || daemon.Kind == kind) && daemon.Running() && i.frozen[name] == 0 && !i.stopped[name] {
 			up = append(up, daemon)
 		}
 	}
@@ -170,9 +172,9 @@
 }
 
 // roles returns the primary controller and its first backup, nil where there is none.
-func (h *injector) roles() (primary, backup *testfleet.Daemon) {
-	for _, daemon := range h.run.fleet.OfKind(membership.KindController) {
-		if h.frozen[daemon.Name] > 0 || !daemon.Running() {
+func (i *injector) roles() (primary, backup *testfleet.Daemon) {
+	for _, daemon := range i.run.fleet.OfKind(membership.KindController) {
+		if i.frozen[daemon.Name] > 0 || !daemon.Running() {
 			continue
 		}
 		self, err := daemon.Self()
@@ -184,14 +186,14 @@
 			return daemon, nil
 		}
 		name, _ := backups[0].(string)
-		return daemon, h.run.fleet.Daemons[name]
+		return daemon, i.run.fleet.Daemons[name]
 	}
 	return nil, nil
 }
 
 type injectFunc func(injector *injector, fault faults.Fault, end func())
 
-func on(kind string, inject func(injector *injector, daemon *testfleet.Daemon, fault faults.Fault, end func())) injectFunc {
+func injectInto(kind string, inject func(injector *injector, daemon *testfleet.Daemon, fault faults.Fault, end func())) injectFunc {
 	return func(injector *injector, fault faults.Fault, end func()) {
 		var daemon *testfleet.Daemon
 		switch kind {
@@ -200,9 +202,9 @@
 		case "backup":
 			_, daemon = injector.roles()
 		default:
-			daemon = injector.choose(kind, fault.Pick)
+			daemon = injector.pickDaemon(kind, fault.Pick)
 		}
-		if daemon == nil || !daemon.Running() || injector.frozen[daemon.Name] > 0 || injector.away[daemon.Name] {
+		if daemon == nil || !daemon.Running() || injector.frozen[daemon.Name] > 0 || injector.stopped[daemon.Name] {
 			fmt.Println("    no running daemon to inject the fault into")
 			end()
 			return
@@ -213,37 +215,37 @@
 }
 
 // start starts a stopped daemon; it does nothing if the daemon is running.
-func (h *injector) start(daemon *testfleet.Daemon) {
-	delete(h.away, daemon.Name)
+func (i *injector) start(daemon *testfleet.Daemon) {
+	delete(i.stopped, daemon.Name)
 	if !daemon.Running() {
-		if err := h.run.fleet.Start(daemon.Name); err != nil {
+		if err := i.run.fleet.Start(daemon.Name); err != nil {
 			panic(err)
 		}
 	}
 }
 
-func (h *injector) kill(daemon *testfleet.Daemon) {
-	h.away[daemon.Name] = true
-	delete(h.frozen, daemon.Name)
-	h.run.fleet.Kill(daemon.Name)
+func (i *injector) kill(daemon *testfleet.Daemon) {
+	i.stopped[daemon.Name] = true
+	delete(i.frozen, daemon.Name)
+	i.run.fleet.Kill(daemon.Name)
 }
 
 func injectKill(injector *injector, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
 	injector.kill(daemon)
-	if faults.Wiping(fault.Name) {
+	if faults.LosesDisk(fault.Name) {
 		_ = injector.run.fleet.Wipe(daemon.Name)
 	}
 	injector.after(fault.Length, func() { injector.start(daemon); end() })
 }
 
-func (h *injector) freeze(daemon *testfleet.Daemon, length time.Duration, then func()) {
-	h.frozen[daemon.Name]++
-	h.run.fleet.Signal(daemon.Name, syscall.SIGSTOP)
-	h.after(length, func() {
-		if h.frozen[daemon.Name]--; h.frozen[daemon.Name] <= 0 {
-			delete(h.frozen, daemon.Name)
+func (i *injector) freeze(daemon *testfleet.Daemon, length time.Duration, then func()) {
+	i.frozen[daemon.Name]++
+	i.run.fleet.Signal(daemon.Name, syscall.SIGSTOP)
+	i.after(length, func() {
+		if i.frozen[daemon.Name]--; i.frozen[daemon.Name] <= 0 {
+			delete(i.frozen, daemon.Name)
 		}
-		h.run.fleet.Signal(daemon.Name, syscall.SIGCONT)
+		i.run.fleet.Signal(daemon.Name, syscall.SIGCONT)
 		then()
 	})
 }
@@ -270,18 +272,18 @@
 
 // restart restarts a daemon as the platform does: SIGTERM, and SIGKILL if it is still
 // running after 6 s.
-func (h *injector) restart(daemon *testfleet.Daemon, wait time.Duration, then func()) {
-	h.away[daemon.Name] = true
+func (i *injector) restart(daemon *testfleet.Daemon, wait time.Duration, then func()) {
+	i.stopped[daemon.Name] = true
 	requested := time.Now()
-	h.run.fleet.Signal(daemon.Name, syscall.SIGTERM)
-	h.poll(6*time.Second, func() bool { return !daemon.Running() }, func(holding bool) {
+	i.run.fleet.Signal(daemon.Name, syscall.SIGTERM)
+	i.poll(6*time.Second, func() bool { return !daemon.Running() }, func(holding bool) {
 		if !holding {
-			h.run.fleet.Kill(daemon.Name)
-			h.run.log.record(func(checker *checker.Checker) {
+			i.run.fleet.Kill(daemon.Name)
+			i.run.log.record(func(checker *checker.Checker) {
 				checker.Violate("stop", "%s had to be killed %s after TERM", daemon.Name, time.Since(requested).Round(time.Millisecond))
 			})
 		}
-		h.after(wait, func() { h.start(daemon); then() })
+		i.after(wait, func() { i.start(daemon); then() })
 	})
 }
 
@@ -289,35 +291,35 @@
 	injector.restart(daemon, fault.Length/3, end)
 }
 
-func (h *injector) restartInTurn(daemons []*testfleet.Daemon, end func()) {
+func (i *injector) restartInTurn(daemons []*testfleet.Daemon, end func()) {
 	if len(daemons) == 0 {
 		end()
 		return
 	}
 	daemon := daemons[0]
-	if h.away[daemon.Name] || h.frozen[daemon.Name] > 0 {
-		h.restartInTurn(daemons[1:], end)
+	if i.stopped[daemon.Name] || i.frozen[daemon.Name] > 0 {
+		i.restartInTurn(daemons[1:], end)
 		return
 	}
-	h.restart(daemon, 300*time.Millisecond, func() {
-		h.after(time.Second, func() {
-			h.poll(8*time.Second, daemon.Ready, func(bool) { h.restartInTurn(daemons[1:], end) })
+	i.restart(daemon, 300*time.Millisecond, func() {
+		i.after(time.Second, func() {
+			i.poll(8*time.Second, daemon.Ready, func(bool) { i.restartInTurn(daemons[1:], end) })
 		})
 	})
 }
 
-// impose impairs the links or disks of daemons for the given time.
-func (h *injector) impose(daemons []*testfleet.Daemon, length time.Duration, trial func(daemon *testfleet.Daemon) testfleet.Trial, end func()) {
-	h.number++
-	number := h.number
+// impair impairs the links or disks of daemons for the given time.
+func (i *injector) impair(daemons []*testfleet.Daemon, length time.Duration, trial func(daemon *testfleet.Daemon) testfleet.Trial, end func()) {
+	i.number++
+	number := i.number
 	for _, daemon := range daemons {
-		if err := h.run.fleet.Impose(daemon.Name, number, trial(daemon)); err != nil {
+		if err := i.run.fleet.Impair(daemon.Name, number, trial(daemon)); err != nil {
 			panic(err)
 		}
 	}
-	h.after(length, func() {
+	i.after(length, func() {
 		for _, daemon := range daemons {
-			if err := h.run.fleet.Relieve(daemon.Name, number); err != nil {
+			if err := i.run.fleet.RemoveImpairment(daemon.Name, number); err != nil {
 				panic(err)
 			}
 		}
@@ -325,10 +327,10 @@
 	})
 }
 
-func (h *injector) daemons(want func(daemon *testfleet.Daemon) bool) []*testfleet.Daemon {
+func (i *injector) daemons(want func(daemon *testfleet.Daemon) bool) []*testfleet.Daemon {
 	var found []*testfleet.Daemon
-	for _, name := range h.run.fleet.Names() {
-		if daemon := h.run.fleet.Daemons[name]; want(daemon) {
+	for _, name := range i.run.fleet.Names() {
+		if daemon := i.run.fleet.Daemons[name]; want(daemon) {
 			found = append(found, daemon)
 		}
 	}
@@ -336,20 +338,20 @@
 }
 
 // agentOf returns the agent on the gateway's machine.
-func (h *injector) agentOf(gateway *testfleet.Daemon) *testfleet.Daemon {
-	return h.run.fleet.Daemons[membership.KindAgent+strings.TrimPrefix(gateway.Name, membership.KindGateway)]
+func (i *injector) agentOf(gateway *testfleet.Daemon) *testfleet.Daemon {
+	return i.run.fleet.Daemons[membership.KindAgent+strings.TrimPrefix(gateway.Name, membership.KindGateway)]
 }
 
-// strangers returns the addresses of all daemons on other machines.
-func (h *injector) strangers(daemon *testfleet.Daemon) []string {
+// otherMachines returns the addresses of all daemons on other machines.
+func (i *injector) otherMachines(daemon *testfleet.Daemon) []string {
 	var addresses []string
-	for _, other := range h.daemons(func(other *testfleet.Daemon) bool { return other != daemon && !beside(other, daemon) }) {
+	for _, other := range i.daemons(func(other *testfleet.Daemon) bool { return other != daemon && !onSameMachine(other, daemon) }) {
 		addresses = append(addresses, other.Address)
 	}
 	return addresses
 }
 
-func beside(left, right *testfleet.Daemon) bool {
+func onSameMachine(left, right *testfleet.Daemon) bool {
 	number := func(daemon *testfleet.Daemon) string { return strings.TrimPrefix(daemon.Name, daemon.Kind) }
 	onMachine := func(daemon *testfleet.Daemon) bool {
 		return daemon.Kind == membership.KindGateway || daemon.Kind == membership.KindAgent
@@ -372,41 +374,43 @@
 		}
 		injector.poll(12*time.Second, newcomer.Ready, func(holding bool) {
 			if !holding {
-				injector.run.log.record(func(log *checker.Checker) { log.Violate(checker.NotBack, "%s has not joined in 12 s", newcomer.Name) })
+				injector.run.log.record(func(log *checker.Checker) {
+					log.Violate(checker.NotRecovered, "%s has not joined in 12 s", newcomer.Name)
+				})
 			}
 			end()
 		})
 	}
 }
 
-func (h *injector) wish(wished wish) { h.operator.wishes <- wished }
-
-func (h *injector) zone(pick uint64) int { return int(pick % uint64(h.run.fleet.Deployment.Zones)) }
-
-var brought = map[string]injectFunc{
-	"kill-gateway":       on(membership.KindGateway, injectKill),
-	"kill-agent":         on(membership.KindAgent, injectKill),
-	"kill-store":         on(membership.KindStore, injectKill),
-	"kill-controller":    on(membership.KindController, injectKill),
-	"kill-primary":       on("primary", injectKill),
-	"kill-backup":        on("backup", injectKill),
-	"wipe-store":         on(membership.KindStore, injectKill),
-	"wipe-controller":    on(membership.KindController, injectKill),
-	"freeze-gateway":     on(membership.KindGateway, injectFreeze),
-	"freeze-agent":       on(membership.KindAgent, injectFreeze),
-	"freeze-store":       on(membership.KindStore, injectFreeze),
-	"freeze-controller":  on(membership.KindController, injectFreeze),
-	"freeze-primary":     on("primary", injectFreeze),
-	"restart-gateway":    on(membership.KindGateway, injectRestart),
-	"restart-store":      on(membership.KindStore, injectRestart),
-	"restart-controller": on(membership.KindController, injectRestart),
-	"slow-daemon":        on("", injectSlowProcess),
+func (i *injector) request(change changeRequest) { i.operator.requests <- change }
+
+func (i *injector) zone(pick uint64) int { return int(pick % uint64(i.run.fleet.Deployment.Zones)) }
+
+var injectors = map[string]injectFunc{
+	"kill-gateway":       injectInto(membership.KindGateway, injectKill),
+	"kill-agent":         injectInto(membership.KindAgent, injectKill),
+	"kill-store":         injectInto(membership.KindStore, injectKill),
+	"kill-controller":    injectInto(membership.KindController, injectKill),
+	"kill-primary":       injectInto("primary", injectKill),
+	"kill-backup":        injectInto("backup", injectKill),
+	"wipe-store":         injectInto(membership.KindStore, injectKill),
+	"wipe-controller":    injectInto(membership.KindController, injectKill),
+	"freeze-gateway":     injectInto(membership.KindGateway, injectFreeze),
+	"freeze-agent":       injectInto(membership.KindAgent, injectFreeze),
+	"freeze-store":       injectInto(membership.KindStore, injectFreeze),
+	"freeze-controller":  injectInto(membership.KindController, injectFreeze),
+	"freeze-primary":     injectInto("primary", injectFreeze),
+	"restart-gateway":    injectInto(membership.KindGateway, injectRestart),
+	"restart-store":      injectInto(membership.KindStore, injectRestart),
+	"restart-controller": injectInto(membership.KindController, injectRestart),
+	"slow-daemon":        injectInto("", injectSlowProcess),
 	"join-gateway":       join(membership.KindGateway),
 	"join-store":         join(membership.KindStore),
 	"join-controller":    join(membership.KindController),
-	"restart-beside": on(membership.KindGateway, func(injector *injector, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
+	"restart-beside": injectInto(membership.KindGateway, func(injector *injector, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
 		agent := injector.agentOf(daemon)
-		if injector.frozen[agent.Name] == 0 && !injector.away[agent.Name] {
+		if injector.frozen[agent.Name] == 0 && !injector.stopped[agent.Name] {
 			injector.restart(agent, fault.Length/4, func() {})
 		}
 		injector.restart(daemon, fault.Length/3, end)
@@ -423,12 +427,12 @@
 		if fault.Pick%3 == 0 {
 			kind = membership.KindController
 		}
-		daemon := injector.choose(kind, fault.Pick)
+		daemon := injector.pickDaemon(kind, fault.Pick)
 		if daemon == nil {
 			end()
 			return
 		}
-		injector.impose([]*testfleet.Daemon{daemon}, fault.Length, func(*testfleet.Daemon) testfleet.Trial { return testfleet.Trial{Disk: "150ms"} }, end)
+		injector.impair([]*testfleet.Daemon{daemon}, fault.Length, func(*testfleet.Daemon) testfleet.Trial { return testfleet.Trial{Disk: "150ms"} }, end)
 	},
 	"power-loss": func(injector *injector, fault faults.Fault, end func()) {
 		for _, daemon := range injector.run.fleet.OfKind(membership.KindStore) {
@@ -447,16 +451,16 @@
 		}
 		injector.after(fault.Length+100*time.Millisecond, end)
 	},
-	"cut-daemon": on("", func(injector *injector, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
-		machine := injector.daemons(func(other *testfleet.Daemon) bool { return other == daemon || beside(other, daemon) })
-		injector.impose(machine, fault.Length, func(*testfleet.Daemon) testfleet.Trial { return testfleet.Trial{Cuts: injector.strangers(daemon)} }, end)
+	"cut-daemon": injectInto("", func(injector *injector, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
+		machine := injector.daemons(func(other *testfleet.Daemon) bool { return other == daemon || onSameMachine(other, daemon) })
+		injector.impair(machine, fault.Length, func(*testfleet.Daemon) testfleet.Trial { return testfleet.Trial{Cuts: injector.otherMachines(daemon)} }, end)
 	}),
-	"cut-one-way": on("", func(injector *injector, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
-		injector.impose([]*testfleet.Daemon{daemon}, fault.Length, func(*testfleet.Daemon) testfleet.Trial {
+	"cut-one-way": injectInto("", func(injector *injector, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
+		injector.impair([]*testfleet.Daemon{daemon}, fault.Length, func(*testfleet.Daemon) testfleet.Trial {
 			if fault.Pick%2 == 0 {
-				return testfleet.Trial{Mutes: injector.strangers(daemon)}
+				return testfleet.Trial{Mutes: injector.otherMachines(daemon)}
 			}
-			return testfleet.Trial{Deaf: injector.strangers(daemon)}
+			return testfleet.Trial{Deaf: injector.otherMachines(daemon)}
 		}, end)
 	}),
 	"cut-place": func(injector *injector, fault faults.Fault, end func()) {
@@ -468,24 +472,24 @@
 			}
 		}
 		inside := injector.daemons(func(daemon *testfleet.Daemon) bool { return daemon.Zone == testfleet.ZoneName(zone) })
-		injector.impose(inside, fault.Length, func(*testfleet.Daemon) testfleet.Trial { return testfleet.Trial{Cuts: others} }, end)
+		injector.impair(inside, fault.Length, func(*testfleet.Daemon) testfleet.Trial { return testfleet.Trial{Cuts: others} }, end)
 	},
-	"cut-primary": on("primary", func(injector *injector, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
+	"cut-primary": injectInto("primary", func(injector *injector, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
 		var others []string
 		for _, controller := range injector.run.fleet.OfKind(membership.KindController) {
 			if controller != daemon {
 				others = append(others, controller.Address)
 			}
 		}
-		injector.impose([]*testfleet.Daemon{daemon}, fault.Length+3*time.Second, func(*testfleet.Daemon) testfleet.Trial { return testfleet.Trial{Cuts: others} }, end)
+		injector.impair([]*testfleet.Daemon{daemon}, fault.Length+3*time.Second, func(*testfleet.Daemon) testfleet.Trial { return testfleet.Trial{Cuts: others} }, end)
 	}),
 	"loss": func(injector *injector, fault faults.Fault, end func()) {
-		injector.impose(injector.daemons(everyone), fault.Length, func(*testfleet.Daemon) testfleet.Trial {
+		injector.impair(injector.daemons(everyone), fault.Length, func(*testfleet.Daemon) testfleet.Trial {
 			return testfleet.Trial{Loss: map[string]float64{"127.": 0.1}}
 		}, end)
 	},
 	"slow-links": func(injector *injector, fault faults.Fault, end func()) {
-		injector.impose(injector.daemons(everyone), fault.Length, func(daemon *testfleet.Daemon) testfleet.Trial {
+		injector.impair(injector.daemons(everyone), fault.Length, func(daemon *testfleet.Daemon) testfleet.Trial {
 			delays := map[string]string{}
 			for zone := range injector.run.fleet.Deployment.Zones {
 				if testfleet.ZoneName(zone) != daemon.Zone {
@@ -496,8 +500,8 @@
 		}, end)
 	},
 	"relink": func(injector *injector, fault faults.Fault, end func()) {
-		injector.impose(injector.daemons(everyone), min(fault.Length, 300*time.Millisecond), func(daemon *testfleet.Daemon) testfleet.Trial {
-			return testfleet.Trial{Mutes: injector.strangers(daemon)}
+		injector.impair(injector.daemons(everyone), min(fault.Length, 300*time.Millisecond), func(daemon *testfleet.Daemon) testfleet.Trial {
+			return testfleet.Trial{Mutes: injector.otherMachines(daemon)}
 		}, end)
 	},
 	"resets": func(injector *injector, fault faults.Fault, end func()) {
@@ -537,7 +541,7 @@
 			origin := injector.run.newClient(fmt.Sprintf("crowd-%d-%d", injector.number, number), zone, uint64(injector.number*1000+number))
 			origin.interests = []checker.Interest{{Space: "boards", Path: durableTopic(origin.random.IntN(durableTopics))}}
 			crowd = append(crowd, origin)
-			go origin.live()
+			go origin.keepConnected()
 		}
 		injector.after(fault.Length+4*time.Second, func() {
 			for _, origin := range crowd {
@@ -548,7 +552,7 @@
 	},
 	"operators": func(injector *injector, fault faults.Fault, end func()) {
 		for range 2 {
-			injector.wish(func(operator *operator) { operator.race() })
+			injector.request(func(operator *operator) { operator.putConcurrently() })
 		}
 		injector.after(fault.Length, end)
 	},
@@ -556,18 +560,18 @@
 		injector.number++
 		name := fmt.Sprintf("brief-%d", injector.number)
 		users := make(chan *trialClient, 4)
-		injector.wish(addSpace(name, func() {
+		injector.request(addSpace(name, func() {
 			for number := range 4 {
 				user := injector.run.newClient(fmt.Sprintf("%s-%d", name, number), number%injector.run.fleet.Deployment.Zones, uint64(number))
-				user.interests = []checker.Interest{{Space: name, Wide: true}}
-				user.brief = name
+				user.interests = []checker.Interest{{Space: name, Prefix: true}}
+				user.temporarySpace = name
 				users <- user
-				go user.live()
+				go user.keepConnected()
 				user.start()
 			}
 		}))
 		injector.after(3*time.Second+fault.Length, func() {
-			injector.wish(removeSpace(name))
+			injector.request(removeSpace(name))
 			injector.after(8*time.Second, func() {
 				for len(users) > 0 {
 					(<-users).leave()
@@ -576,31 +580,31 @@
 			})
 		})
 	},
-	"drain": on(membership.KindGateway, func(injector *injector, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
-		injector.wish(drain(daemon.Name))
+	"drain": injectInto(membership.KindGateway, func(injector *injector, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
+		injector.request(drain(daemon.Name))
 		injector.after(fault.Length+5*time.Second, func() {
-			injector.wish(drain())
+			injector.request(drain())
 			injector.after(time.Second, end)
 		})
 	}),
-	"edit-settings": on("", func(injector *injector, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
+	"edit-settings": injectInto("", func(injector *injector, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
 		text := daemon.Settings()
 		edits := []string{text[:len(text)/2], "", strings.Replace(text, daemon.Name, "another-name", 1), strings.Replace(text, daemon.Zone, "zone-z", 1)}
 		if fault.Pick%5 == 4 {
-			_ = injector.run.fleet.Vanish(daemon.Name)
+			_ = injector.run.fleet.RemoveSettings(daemon.Name)
 		} else {
-			_ = injector.run.fleet.Edit(daemon.Name, []byte(edits[fault.Pick%5]))
+			_ = injector.run.fleet.ReplaceSettings(daemon.Name, []byte(edits[fault.Pick%5]))
 		}
 		if fault.Pick%2 == 0 {
 			injector.run.fleet.Signal(daemon.Name, syscall.SIGHUP)
 		}
 		injector.after(fault.Length, func() {
-			_ = injector.run.fleet.Restore(daemon.Name)
+			_ = injector.run.fleet.RestoreSettings(daemon.Name)
 			injector.run.fleet.Signal(daemon.Name, syscall.SIGHUP)
 			end()
 		})
 	}),
-	"retire": on(membership.KindStore, func(injector *injector, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
+	"retire": injectInto(membership.KindStore, func(injector *injector, daemon *testfleet.Daemon, fault faults.Fault, end func()) {
 		injector.retire(daemon, fault.Length, end)
 	}),
 }
@@ -609,114 +613,114 @@
 
 // retire retires a store with requests to random daemons. Then it kills the store and, if the
 // retirement succeeded, wipes its disk.
-func (h *injector) retire(daemon *testfleet.Daemon, length time.Duration, end func()) {
+func (i *injector) retire(daemon *testfleet.Daemon, length time.Duration, end func()) {
 	random := rand.New(rand.NewPCG(uint64(length), 3))
 	refused := false
 	ask := func(method, verb string) bool {
-		status, text := h.operator.control(random, method, "/v1/stores/"+daemon.Name+verb, "")
+		status, text := i.operator.control(random, method, "/v1/stores/"+daemon.Name+verb, "")
 		refused = status == 409
 		var value struct {
 			Retired bool `json:"retired"`
 		}
 		return status < 300 && status > 0 && json.Unmarshal(text, &value) == nil && (value.Retired || method == "POST")
 	}
-	h.poll(40*time.Second, func() bool { return ask("POST", "/retire") || refused }, func(bool) {
+	i.poll(40*time.Second, func() bool { return ask("POST", "/retire") || refused }, func(bool) {
 		if refused {
 			fmt.Println("    rejected: too few other stores")
 			end()
 			return
 		}
-		h.poll(40*time.Second, func() bool { return ask("GET", "") }, func(holding bool) {
+		i.poll(40*time.Second, func() bool { return ask("GET", "") }, func(holding bool) {
 			if !holding {
-				h.run.log.record(func(checker *checker.Checker) { checker.Violate("retire", "%s was not retired in 40 s", daemon.Name) })
+				i.run.log.record(func(checker *checker.Checker) { checker.Violate("retire", "%s was not retired in 40 s", daemon.Name) })
 			}
-			h.kill(daemon)
+			i.kill(daemon)
 			if holding {
-				_ = h.run.fleet.Wipe(daemon.Name)
+				_ = i.run.fleet.Wipe(daemon.Name)
 			}
-			h.after(length, func() { h.start(daemon); end() })
+			i.after(length, func() { i.start(daemon); end() })
 		})
 	})
 }
 
-// last injects the final fault, which is permanent, and measures the time until service is restored.
-func (h *injector) last(name string) {
-	random := rand.New(rand.NewPCG(h.run.trial.seed, 0x1a57))
+// injectFinal injects the final fault, which is permanent, and measures the time until service is restored.
+func (i *injector) injectFinal(name string) {
+	random := rand.New(rand.NewPCG(i.run.trial.seed, 0x1a57))
 	if name == "draw" {
-		name = faults.Last[random.IntN(len(faults.Last))]
+		name = faults.Closing[random.IntN(len(faults.Closing))]
 	}
-	h.run.calm.Store(0)
+	i.run.faultFreeSince.Store(0)
 	from := time.Now()
 	var lost []string
 	inject := func(daemon *testfleet.Daemon) {
 		if daemon != nil {
 			lost = append(lost, daemon.Name)
-			h.kill(daemon)
+			i.kill(daemon)
 		}
 	}
-	primary, backup := h.roles()
+	primary, backup := i.roles()
 	switch name {
 	case "kill-gateway", "kill-store", "kill-agent":
-		inject(h.choose(strings.TrimPrefix(name, "kill-"), random.Uint64()))
+		inject(i.pickDaemon(strings.TrimPrefix(name, "kill-"), random.Uint64()))
 	case "kill-primary":
 		inject(primary)
 	case "kill-backup":
 		inject(backup)
 	case "lose-place":
-		zone := testfleet.ZoneName(random.IntN(h.run.fleet.Deployment.Zones))
-		for _, daemon := range h.daemons(func(daemon *testfleet.Daemon) bool { return daemon.Zone == zone && daemon.Running() }) {
+		zone := testfleet.ZoneName(random.IntN(i.run.fleet.Deployment.Zones))
+		for _, daemon := range i.daemons(func(daemon *testfleet.Daemon) bool { return daemon.Zone == zone && daemon.Running() }) {
 			inject(daemon)
 		}
 	case "lose-two":
 		kinds := []string{membership.KindGateway, membership.KindStore, membership.KindController, membership.KindAgent}
 		first := random.IntN(len(kinds))
-		inject(h.choose(kinds[first], random.Uint64()))
-		inject(h.choose(kinds[(first+1+random.IntN(3))%4], random.Uint64()))
+		inject(i.pickDaemon(kinds[first], random.Uint64()))
+		inject(i.pickDaemon(kinds[(first+1+random.IntN(3))%4], random.Uint64()))
 	case "restart-all":
-		for _, daemon := range h.daemons((*testfleet.Daemon).Running) {
-			h.kill(daemon)
-			h.after(time.Duration(300+random.IntN(1200))*time.Millisecond, func() { h.start(daemon) })
+		for _, daemon := range i.daemons((*testfleet.Daemon).Running) {
+			i.kill(daemon)
+			i.after(time.Duration(300+random.IntN(1200))*time.Millisecond, func() { i.start(daemon) })
 		}
 	}
 	fmt.Printf("last fault: %s %v\n", name, lost)
 	removed := slices.Clone(lost)
 	for _, each := range lost {
-		if daemon := h.run.fleet.Daemons[each]; daemon.Kind == membership.KindAgent {
+		if daemon := i.run.fleet.Daemons[each]; daemon.Kind == membership.KindAgent {
 			removed = append(removed, membership.KindGateway+strings.TrimPrefix(each, membership.KindAgent))
 		}
 	}
-	h.run.gone.Store(&removed)
-	prober := h.run.newClient("prober", 0, 77)
-	var refilled, callers time.Duration
-	h.until(2*checker.BackWithin, func() bool {
+	i.run.removed.Store(&removed)
+	prober := i.run.newClient("prober", 0, 77)
+	var accepted, clientsBack time.Duration
+	i.runUntil(2*checker.RecoveryWithin, func() bool {
 		after := time.Since(from)
-		if refilled == 0 && after > 300*time.Millisecond && prober.probe() {
-			refilled = after
+		if accepted == 0 && after > 300*time.Millisecond && prober.probe() {
+			accepted = after
 		}
-		switch missing := h.run.missing(); {
+		switch missing := i.run.unserved(); {
 		case missing > 0:
-			callers = 0
-		case callers == 0:
-			callers = after
+			clientsBack = 0
+		case clientsBack == 0:
+			clientsBack = after
 		}
-		return refilled > 0 && callers > 0 && after-max(refilled, callers) > holdsFor
+		return accepted > 0 && clientsBack > 0 && after-max(accepted, clientsBack) > requiredUptime
 	})
-	back := max(refilled, callers)
-	if refilled == 0 || callers == 0 {
-		back = 2 * checker.BackWithin
-	}
-	noticed, decided, complete := h.run.parts(from)
-	fmt.Printf("service is back %s after %s: noticed %s, decided %s, partitions whole %s, kept again %s, last caller %s\n", back.Round(time.Millisecond), name,
-		noticed.Round(time.Millisecond), decided.Round(time.Millisecond), complete.Round(time.Millisecond), refilled.Round(time.Millisecond), callers.Round(time.Millisecond))
-	h.run.log.record(func(checker *checker.Checker) { checker.Served(name, back) })
-	h.run.calm.Store(time.Now().UnixNano())
-	h.until(checker.FaultSettleTime+3*time.Second, func() bool { return false })
+	restored := max(accepted, clientsBack)
+	if accepted == 0 || clientsBack == 0 {
+		restored = 2 * checker.RecoveryWithin
+	}
+	noticed, decided, complete := i.run.recoveryPhases(from)
+	fmt.Printf("service is back %s after %s: noticed %s, decided %s, partitions complete %s, publishing again %s, last client %s\n", restored.Round(time.Millisecond), name,
+		noticed.Round(time.Millisecond), decided.Round(time.Millisecond), complete.Round(time.Millisecond), accepted.Round(time.Millisecond), clientsBack.Round(time.Millisecond))
+	i.run.log.record(func(checker *checker.Checker) { checker.Recovered(name, restored) })
+	i.run.faultFreeSince.Store(time.Now().UnixNano())
+	i.runUntil(checker.FaultSettleTime+3*time.Second, func() bool { return false })
 }
 
-// parts reads from the daemons' logs how long after the failure it was detected, when the
+// recoveryPhases reads from the daemons' logs how long after the failure it was detected, when the
 // membership and the placement were last changed, and when the replication of all
 // partitions was complete again.
-func (tr *trialRun) parts(from time.Time) (noticed, decided, complete time.Duration) {
+func (tr *trialRun) recoveryPhases(from time.Time) (noticed, decided, complete time.Duration) {
 	for _, name := range tr.fleet.Names() {
 		file, err := os.Open(tr.fleet.LogPath(name))
 		if err != nil {
--- a/internal/checker/checker.go
+++ b/internal/checker/checker.go
@@ -1,5 +1,5 @@
-// Package checker judges a run only by what clients and operators observed. It implements
-// the promises of the service and depends on none of its protocols. The simulator and the
+// Package checker judges a run only by what clients and operators observed. It checks the
+// promises of the service and depends on none of its protocols. The simulator and the
 // trials with real processes use the same checker. Its tests plant each kind of violation
 // and require that the checker reports it.
 package checker
@@ -13,10 +13,10 @@
 
 // Time limits of the promises.
 const (
-	ForceWithin   = 3 * time.Second
-	RemovalWithin = 3 * time.Second
-	Holding       = 35 * time.Second
-	BackWithin    = 12 * time.Second
+	InForceWithin  = 3 * time.Second
+	RemovalWithin  = 3 * time.Second
+	HoldingTime    = 35 * time.Second
+	RecoveryWithin = 12 * time.Second
 )
 
 // Message identifies a message.
@@ -31,34 +31,34 @@
 }
 
 type published struct {
-	topic      string
-	data       string
-	firstTry   time.Time
-	tries      int
-	refused    int
-	accepted   bool
-	acceptedAt time.Time
-	doneAt     time.Time
+	topic        string
+	data         string
+	firstAttempt time.Time
+	attempts     int
+	refused      int
+	accepted     bool
+	acceptedAt   time.Time
+	doneAt       time.Time
 }
 
 // Interest is one subscription: a topic, or a prefix.
 type Interest struct {
-	Space string
-	Path  string
-	Wide  bool
+	Space  string
+	Path   string
+	Prefix bool
 }
 
 func (i Interest) covers(space, topic string) bool {
 	if i.Space != space {
 		return false
 	}
-	if !i.Wide {
+	if !i.Prefix {
 		return i.Path == topic
 	}
 	return i.Path == "" || topic == i.Path || strings.HasPrefix(topic, i.Path+"/")
 }
 
-type held struct {
+type activeInterest struct {
 	interest Interest
 	from     time.Time
 	until    time.Time
@@ -66,55 +66,55 @@
 
 type subscriber struct {
 	name      string
-	interests []held
-	got       map[Message]time.Time
+	interests []activeInterest
+	received  map[Message]time.Time
 	order     map[string][]Message
 	lastSeq   map[string]uint64
-	dropped   bool
+	ended     bool
 }
 
 type space struct {
-	durable bool
-	channel bool
-	removed time.Time
-	within  time.Duration
+	durable     bool
+	sharedOrder bool
+	removed     time.Time
+	within      time.Duration
 }
 
 type put struct {
-	version  uint64
-	document string
-	began    time.Time
-	taken    time.Time
+	version    uint64
+	document   string
+	began      time.Time
+	acceptedAt time.Time
 }
 
-type shown struct {
+type servedAt struct {
 	version uint64
 	at      time.Time
 }
 
 // Checker records the observations of a run and the violations found in them.
 type Checker struct {
-	spaces      map[string]*space
-	messages    map[Message]*published
-	subscribers map[string]*subscriber
-	puts        []put
-	asked       map[uint64]string
-	forced      map[string]uint64
-	violations  []string
-	counts      map[string]int
-	Delivered   int
-	Accepted    int
-	Refused     int
-	Unsettled   int
-	Answers     []time.Duration
-	Late        int
-	// EphemeralOwed applies the promise of durable messages to ephemeral ones, too: each
+	spaces        map[string]*space
+	messages      map[Message]*published
+	subscribers   map[string]*subscriber
+	puts          []put
+	documents     map[uint64]string
+	inForce       map[string]uint64
+	violations    []string
+	counts        map[string]int
+	Delivered     int
+	Accepted      int
+	Rejected      int
+	Unsettled     int
+	ResponseTimes []time.Duration
+	Late          int
+	// RequireEphemeral applies the promise of durable messages to ephemeral ones, too: each
 	// accepted message must reach every subscriber. It is for runs in which no subscriber is
 	// disconnected for long.
-	EphemeralOwed bool
-	Codes         map[string]int
-	showed        map[string][]shown
-	Topics        *Topics
+	RequireEphemeral bool
+	Codes            map[string]int
+	servedVersions   map[string][]servedAt
+	Topics           *Topics
 	// Register is the history of the operators' reads and writes of the configuration.
 	Register Register
 }
@@ -123,31 +123,31 @@
 func New() *Checker {
 	return &Checker{
 		spaces: map[string]*space{}, messages: map[Message]*published{}, subscribers: map[string]*subscriber{},
-		asked: map[uint64]string{}, forced: map[string]uint64{}, counts: map[string]int{}, Codes: map[string]int{}, showed: map[string][]shown{},
+		documents: map[uint64]string{}, inForce: map[string]uint64{}, counts: map[string]int{}, Codes: map[string]int{}, servedVersions: map[string][]servedAt{},
 		Topics: newTopics(),
 	}
 }
 
 // Kinds of violations, one for each promise.
 const (
-	NotInForce     = "not-in-force"
-	WentBack       = "went-back"
-	StaleRead      = "stale-read"
-	BrokenAccepted = "broken-taken"
-	Lost           = "lost"
-	Twice          = "twice"
-	OutOfOrder     = "out-of-order"
-	Disagree       = "channel-order"
-	CursorRejected = "place-refused"
-	NeverAsked     = "never-asked"
-	AllRefused     = "all-refused"
-	AfterRemoval   = "after-removal"
-	NotBack        = "not-back"
-	Unready        = "unready"
-	RefusedCalm    = "refused-in-calm"
-	NotLinear      = "not-linearizable"
-	TooFewLeft     = "too-few-left"
-	RefusedAgain   = "refused-again"
+	NotInForce      = "not-in-force"
+	VersionWentBack = "went-back"
+	StaleRead       = "stale-read"
+	InvalidAccepted = "broken-taken"
+	Lost            = "lost"
+	Duplicate       = "twice"
+	OutOfOrder      = "out-of-order"
+	OrderMismatch   = "channel-order"
+	CursorRejected  = "place-refused"
+	Unsolicited     = "never-asked"
+	AllRejected     = "all-refused"
+	AfterRemoval    = "after-removal"
+	NotRecovered    = "not-back"
+	Unready         = "unready"
+	RejectedInCalm  = "refused-in-calm"
+	NotLinearizable = "not-linearizable"
+	TooFewStores    = "too-few-left"
+	RetryRejected   = "refused-again"
 )
 
 // FaultSettleTime is how long after the end of a fault daemons may still be unready
@@ -165,9 +165,10 @@
 // Violations returns the violations found so far, at most 20 of each kind.
 func (c *Checker) Violations() []string { return c.violations }
 
-// Space records the durability and the order that operators configured for a space.
-func (c *Checker) Space(name string, durable, channel bool) {
-	c.spaces[name] = &space{durable: durable, channel: channel}
+// DefineSpace records the durability and the order that operators configured for a space. With
+// sharedOrder, all subscribers receive the messages of the space in one order.
+func (c *Checker) DefineSpace(name string, durable, sharedOrder bool) {
+	c.spaces[name] = &space{durable: durable, sharedOrder: sharedOrder}
 }
 
 // AnswerWithin records the time within which a space promises to respond to publications.
@@ -175,8 +176,8 @@
 	c.spaces[name].within = limit
 }
 
-// Removed records that the removal of a space was accepted.
-func (c *Checker) Removed(name string, at time.Time) {
+// SpaceRemoved records that the removal of a space was accepted.
+func (c *Checker) SpaceRemoved(name string, at time.Time) {
 	if here, found := c.spaces[name]; found {
 		here.removed = at
 	}
@@ -188,10 +189,10 @@
 func (c *Checker) Attempt(message Message, topic, data string, at time.Time) {
 	each, found := c.messages[message]
 	if !found {
-		each = &published{topic: topic, data: data, firstTry: at}
+		each = &published{topic: topic, data: data, firstAttempt: at}
 		c.messages[message] = each
 	}
-	each.tries++
+	each.attempts++
 }
 
 // Answered records the outcome of an attempt. An attempt without a response is unsettled.
@@ -204,12 +205,12 @@
 			c.Accepted++
 			each.accepted, each.acceptedAt = true, at
 		}
-		c.Answers = append(c.Answers, at.Sub(began))
+		c.ResponseTimes = append(c.ResponseTimes, at.Sub(began))
 		if here, found := c.spaces[message.Space]; found && here.within > 0 && at.Sub(began) > here.within {
 			c.Late++
 		}
 	case "refused":
-		c.Refused++
+		c.Rejected++
 		each.refused++
 	default:
 		c.Unsettled++
@@ -221,7 +222,7 @@
 func (c *Checker) subscriber(name string) *subscriber {
 	each, found := c.subscribers[name]
 	if !found {
-		each = &subscriber{name: name, got: map[Message]time.Time{}, order: map[string][]Message{}, lastSeq: map[string]uint64{}}
+		each = &subscriber{name: name, received: map[Message]time.Time{}, order: map[string][]Message{}, lastSeq: map[string]uint64{}}
 		c.subscribers[name] = each
 	}
 	return each
@@ -230,13 +231,13 @@
 // Subscribed records that a new subscription was accepted.
 func (c *Checker) Subscribed(name string, interest Interest, at time.Time) {
 	each := c.subscriber(name)
-	each.interests = append(each.interests, held{interest: interest, from: at})
+	each.interests = append(each.interests, activeInterest{interest: interest, from: at})
 }
 
-// Asked records that a subscription was requested. Its messages may arrive from then on.
-func (c *Checker) Asked(name string, interest Interest, at time.Time) {
+// SubscribeRequested records that a subscription was requested. Its messages may arrive from then on.
+func (c *Checker) SubscribeRequested(name string, interest Interest, at time.Time) {
 	each := c.subscriber(name)
-	each.interests = append(each.interests, held{interest: interest, from: time.Time{}, until: at})
+	each.interests = append(each.interests, activeInterest{interest: interest, from: time.Time{}, until: at})
 }
 
 // Unsubscribed records that a subscription ended.
@@ -249,28 +250,28 @@
 	}
 }
 
-// Dropped records that a subscriber's cursor was rejected legitimately, or that its client
+// SubscriberEnded records that a subscriber's cursor was rejected legitimately, or that its client
 // ended. The checker expects no further deliveries to it.
-func (c *Checker) Dropped(name string) { c.subscriber(name).dropped = true }
+func (c *Checker) SubscriberEnded(name string) { c.subscriber(name).ended = true }
 
-// CursorLost records that a client was disconnected at cutAt, returned, and its cursor was
+// CursorExpired records that a client was disconnected at cutAt, returned, and its cursor was
 // rejected as expired.
-func (c *Checker) CursorLost(name string, cutAt, at time.Time) {
-	if at.Sub(cutAt) < Holding {
+func (c *Checker) CursorExpired(name string, cutAt, at time.Time) {
+	if at.Sub(cutAt) < HoldingTime {
 		c.Violate(CursorRejected, "%s returned after %s", name, at.Sub(cutAt))
 	}
-	c.Dropped(name)
+	c.SubscriberEnded(name)
 }
 
-// Got records that a subscriber received a message.
-func (c *Checker) Got(name string, message Message, topic, data string, at time.Time) {
+// Received records that a subscriber received a message.
+func (c *Checker) Received(name string, message Message, topic, data string, at time.Time) {
 	c.Delivered++
 	each := c.subscriber(name)
-	if earlier, twice := each.got[message]; twice {
-		c.Violate(Twice, "%s got %s at %s and again %s later", name, message, earlier.Format("05.000"), at.Sub(earlier))
+	if earlier, twice := each.received[message]; twice {
+		c.Violate(Duplicate, "%s got %s at %s and again %s later", name, message, earlier.Format("05.000"), at.Sub(earlier))
 		return
 	}
-	each.got[message] = at
+	each.received[message] = at
 	each.order[message.Space] = append(each.order[message.Space], message)
 	key := message.Space + " " + message.Sender
 	if last := each.lastSeq[key]; last > message.Seq {
@@ -279,15 +280,15 @@
 	each.lastSeq[key] = max(each.lastSeq[key], message.Seq)
 	sent, known := c.messages[message]
 	if !known || sent.topic != topic || sent.data != data {
-		c.Violate(NeverAsked, "%s got %s on %s, which was not sent with this topic and body", name, message, topic)
+		c.Violate(Unsolicited, "%s got %s on %s, which was not sent with this topic and body", name, message, topic)
 		return
 	}
-	asked := false
+	subscribed := false
 	for _, interest := range each.interests {
-		asked = asked || interest.interest.covers(message.Space, topic)
+		subscribed = subscribed || interest.interest.covers(message.Space, topic)
 	}
-	if !asked {
-		c.Violate(NeverAsked, "%s got %s on %s without a subscription", name, message, topic)
+	if !subscribed {
+		c.Violate(Unsolicited, "%s got %s on %s without a subscription", name, message, topic)
 	}
 	if here, found := c.spaces[message.Space]; found && !here.removed.IsZero() && at.Sub(here.removed) > RemovalWithin {
 		c.Violate(AfterRemoval, "%s got %s %s after the removal", name, message, at.Sub(here.removed))
@@ -298,80 +299,80 @@
 
 // ConfigurationAccepted records that a configuration was acknowledged.
 func (c *Checker) ConfigurationAccepted(version uint64, document string, began, at time.Time) {
-	if earlier, found := c.asked[version]; found && earlier != document {
+	if earlier, found := c.documents[version]; found && earlier != document {
 		c.Violate(StaleRead, "version %d was accepted twice with different content", version)
 	}
-	c.asked[version] = document
-	c.puts = append(c.puts, put{version: version, document: document, began: began, taken: at})
+	c.documents[version] = document
+	c.puts = append(c.puts, put{version: version, document: document, began: began, acceptedAt: at})
 }
 
-// BrokenAccepted records that an invalid configuration was accepted.
-func (c *Checker) BrokenAccepted(text string) {
-	c.Violate(BrokenAccepted, "%s", text)
+// InvalidConfigurationAccepted records that an invalid configuration was accepted.
+func (c *Checker) InvalidConfigurationAccepted(text string) {
+	c.Violate(InvalidAccepted, "%s", text)
 }
 
 // ReadBack records the result of reading the configuration.
 func (c *Checker) ReadBack(version uint64, document string, began, at time.Time) {
 	for _, each := range c.puts {
-		if each.taken.Before(began) && each.version > version {
-			c.Violate(StaleRead, "read %d, though %d had been accepted %s before", version, each.version, began.Sub(each.taken))
+		if each.acceptedAt.Before(began) && each.version > version {
+			c.Violate(StaleRead, "read %d, though %d had been accepted %s before", version, each.version, began.Sub(each.acceptedAt))
 		}
 	}
-	if known, found := c.asked[version]; found && known != document {
+	if known, found := c.documents[version]; found && known != document {
 		c.Violate(StaleRead, "version %d was read with other content than was accepted", version)
 	}
 	// A read counts as an acknowledgment: a later read must not return an older version.
-	c.asked[version] = document
-	c.puts = append(c.puts, put{version: version, document: document, began: began, taken: at})
+	c.documents[version] = document
+	c.puts = append(c.puts, put{version: version, document: document, began: began, acceptedAt: at})
 }
 
 // InForce records which configuration version a daemon has in force, whether it serves, and
 // since when it and its dependencies have been healthy. A daemon that does not serve has no
 // version in force, so its version may go back.
 func (c *Checker) InForce(daemon string, version uint64, serves bool, healthySince, at time.Time) {
-	if before := c.forced[daemon]; serves && version < before {
-		c.Violate(WentBack, "%s went back from version %d to %d", daemon, before, version)
+	if before := c.inForce[daemon]; serves && version < before {
+		c.Violate(VersionWentBack, "%s went back from version %d to %d", daemon, before, version)
 	}
-	c.forced[daemon] = max(c.forced[daemon], version)
+	c.inForce[daemon] = max(c.inForce[daemon], version)
 	for _, each := range c.puts {
-		if each.version > version && at.Sub(each.taken) > ForceWithin && at.Sub(healthySince) > ForceWithin {
-			c.Violate(NotInForce, "%s has version %d in force, %s after %d was accepted", daemon, version, at.Sub(each.taken), each.version)
+		if each.version > version && at.Sub(each.acceptedAt) > InForceWithin && at.Sub(healthySince) > InForceWithin {
+			c.Violate(NotInForce, "%s has version %d in force, %s after %d was accepted", daemon, version, at.Sub(each.acceptedAt), each.version)
 			return
 		}
 	}
 }
 
-// Showed records which version a daemon had in force at some time between began and at, while
+// ServedVersion records which version a daemon had in force at some time between began and at, while
 // it served. It is called at each change and not by sampling, and no fault excuses an older
 // version.
-func (c *Checker) Showed(daemon string, version uint64, began, at time.Time) {
+func (c *Checker) ServedVersion(daemon string, version uint64, began, at time.Time) {
 	before := uint64(0)
-	for _, each := range c.showed[daemon] {
+	for _, each := range c.servedVersions[daemon] {
 		if each.at.Before(began) {
 			before = max(before, each.version)
 		}
 	}
 	if version < before {
-		c.Violate(WentBack, "%s served with version %d after %d, at %s", daemon, version, before, at.Format("05.000"))
+		c.Violate(VersionWentBack, "%s served with version %d after %d, at %s", daemon, version, before, at.Format("05.000"))
 	}
 	if version > before {
-		c.showed[daemon] = append(c.showed[daemon], shown{version: version, at: at})
+		c.servedVersions[daemon] = append(c.servedVersions[daemon], servedAt{version: version, at: at})
 	}
 	for _, each := range c.puts {
-		if each.version > version && began.Sub(each.taken) > ForceWithin {
-			c.Violate(NotInForce, "%s served with version %d, %s after %d was accepted", daemon, version, began.Sub(each.taken), each.version)
+		if each.version > version && began.Sub(each.acceptedAt) > InForceWithin {
+			c.Violate(NotInForce, "%s served with version %d, %s after %d was accepted", daemon, version, began.Sub(each.acceptedAt), each.version)
 			return
 		}
 	}
 }
 
-// RefusedAs records the code of a request that was not accepted. Callers report only codes
+// RequestRejected records the code of a request that was not accepted. Callers report only codes
 // for which a daemon is responsible. calmSince is the end of the last fault: a rejection
 // more than FaultSettleTime after it is a violation.
-func (c *Checker) RefusedAs(code, what string, calmSince, at time.Time) {
+func (c *Checker) RequestRejected(code, what string, calmSince, at time.Time) {
 	c.Codes[code]++
 	if at.Sub(calmSince) > FaultSettleTime {
-		c.Violate(RefusedCalm, "%s: %s, %s after the last fault", what, code, at.Sub(calmSince))
+		c.Violate(RejectedInCalm, "%s: %s, %s after the last fault", what, code, at.Sub(calmSince))
 	}
 }
 
@@ -382,10 +383,10 @@
 	}
 }
 
-// Served records how long after a major failure the service had recovered.
-func (c *Checker) Served(what string, after time.Duration) {
-	if after > BackWithin {
-		c.Violate(NotBack, "%s: service was back after %s", what, after)
+// Recovered records how long after a major failure the service had recovered.
+func (c *Checker) Recovered(what string, after time.Duration) {
+	if after > RecoveryWithin {
+		c.Violate(NotRecovered, "%s: service was back after %s", what, after)
 	}
 }
 
@@ -401,8 +402,8 @@
 		c.closeSubscriber(c.subscribers[name], at)
 	}
 	c.closeTopics(at)
-	for _, fault := range c.Register.Faults() {
-		c.Violate(NotLinear, "%s", fault)
+	for _, fault := range c.Register.Violations() {
+		c.Violate(NotLinearizable, "%s", fault)
 	}
 	for left, name := range names {
 		for _, other := range names[left+1:] {
@@ -412,25 +413,25 @@
 }
 
 func (c *Checker) closeSubscriber(each *subscriber, at time.Time) {
-	for message, when := range each.got {
+	for message, when := range each.received {
 		sent := c.messages[message]
-		if sent != nil && sent.tries > 0 && sent.refused == sent.tries {
-			c.Violate(AllRefused, "%s got %s at %s, though every attempt was rejected", each.name, message, when.Format("05.000"))
+		if sent != nil && sent.attempts > 0 && sent.refused == sent.attempts {
+			c.Violate(AllRejected, "%s got %s at %s, though every attempt was rejected", each.name, message, when.Format("05.000"))
 		}
 	}
-	if each.dropped {
+	if each.ended {
 		return
 	}
 	for message, sent := range c.messages {
 		here, found := c.spaces[message.Space]
-		if !found || !here.durable && !c.EphemeralOwed || !sent.accepted || !here.removed.IsZero() {
+		if !found || !here.durable && !c.RequireEphemeral || !sent.accepted || !here.removed.IsZero() {
 			continue
 		}
-		if _, got := each.got[message]; got {
+		if _, received := each.received[message]; received {
 			continue
 		}
 		for _, interest := range each.interests {
-			if !interest.from.IsZero() && interest.until.IsZero() && interest.from.Before(sent.firstTry) && interest.interest.covers(message.Space, sent.topic) {
+			if !interest.from.IsZero() && interest.until.IsZero() && interest.from.Before(sent.firstAttempt) && interest.interest.covers(message.Space, sent.topic) {
 				c.Violate(Lost, "%s never got %s on %s, accepted %s before the end", each.name, message, sent.topic, at.Sub(sent.acceptedAt))
 				break
 			}
@@ -442,7 +443,7 @@
 // received the messages that both received in the same order.
 func (c *Checker) compare(left, right *subscriber) {
 	for name, here := range c.spaces {
-		if !here.channel {
+		if !here.sharedOrder {
 			continue
 		}
 		cursor := map[Message]int{}
@@ -456,7 +457,7 @@
 				continue
 			}
 			if position < last {
-				c.Violate(Disagree, "%s and %s received %s in different orders", left.name, right.name, message)
+				c.Violate(OrderMismatch, "%s and %s received %s in different orders", left.name, right.name, message)
 				break
 			}
 			last = position
@@ -466,15 +467,15 @@
 
 // Summary returns the counts and response times of the run in one line.
 func (c *Checker) Summary() string {
-	slices.Sort(c.Answers)
+	slices.Sort(c.ResponseTimes)
 	part := func(fraction float64) time.Duration {
-		if len(c.Answers) == 0 {
+		if len(c.ResponseTimes) == 0 {
 			return 0
 		}
-		return c.Answers[min(len(c.Answers)-1, int(fraction*float64(len(c.Answers))))]
+		return c.ResponseTimes[min(len(c.ResponseTimes)-1, int(fraction*float64(len(c.ResponseTimes))))]
 	}
 	return fmt.Sprintf("accepted %d, refused %d, unsettled %d, delivered %d; answers half %s, most %s, slowest %s, late %d; violations %d",
-		c.Accepted, c.Refused, c.Unsettled, c.Delivered,
+		c.Accepted, c.Rejected, c.Unsettled, c.Delivered,
 		part(0.5).Round(100*time.Microsecond), part(0.99).Round(100*time.Microsecond), part(1).Round(100*time.Microsecond), c.Late, c.total())
 }
 
--- a/internal/checker/register.go
+++ b/internal/checker/register.go
@@ -27,37 +27,37 @@
 	"time"
 )
 
-// OrderAnswer is the outcome of an operator's order.
-type OrderAnswer int
+// OrderOutcome is the outcome of an operator's order.
+type OrderOutcome int
 
 // The outcomes of orders.
 const (
 	// Unclear orders got no response, or one that does not say whether they took effect.
-	Unclear OrderAnswer = iota
+	Unclear OrderOutcome = iota
 	// Acknowledged orders were accepted.
 	Acknowledged
-	// RefusedOther orders were rejected because the number was decided with another content.
-	RefusedOther
-	// RefusedOlder orders were rejected because the number is below the highest decided one.
-	RefusedOlder
+	// RejectedConflict orders were rejected because the number was decided with another content.
+	RejectedConflict
+	// RejectedOlder orders were rejected because the number is below the highest decided one.
+	RejectedOlder
 )
 
-// AnswerOf returns the outcome of an order from the status and the body of its response.
+// OutcomeOf returns the outcome of an order from the status and the body of its response.
 // Status 0 means that there was no response.
-func AnswerOf(status int, body []byte) OrderAnswer {
-	var told struct {
+func OutcomeOf(status int, body []byte) OrderOutcome {
+	var response struct {
 		Code string `json:"code"`
 	}
-	if status == 0 || json.Unmarshal(body, &told) != nil {
+	if status == 0 || json.Unmarshal(body, &response) != nil {
 		return Unclear
 	}
 	switch {
 	case status == http.StatusOK:
 		return Acknowledged
-	case status == http.StatusConflict && told.Code == "same-version":
-		return RefusedOther
-	case status == http.StatusConflict && told.Code == "older-version":
-		return RefusedOlder
+	case status == http.StatusConflict && response.Code == "same-version":
+		return RejectedConflict
+	case status == http.StatusConflict && response.Code == "older-version":
+		return RejectedOlder
 	}
 	return Unclear
 }
@@ -68,11 +68,11 @@
 	content string
 	began   time.Time
 	ended   time.Time
-	answer  OrderAnswer
+	answer  OrderOutcome
 }
 
 // End records the outcome of the order. An order that never ends is unclear.
-func (p *Put) End(answer OrderAnswer, at time.Time) { p.answer, p.ended = answer, at }
+func (p *Put) End(answer OrderOutcome, at time.Time) { p.answer, p.ended = answer, at }
 
 // read is the result of reading the configuration. Version 0 means that there was none.
 type read struct {
@@ -84,11 +84,11 @@
 
 // Register is the history of the configuration as a register with version numbers.
 type Register struct {
-	// Lax says that an order with an undecided number below the highest one is acknowledged
+	// AcknowledgesOlder says that an order with an undecided number below the highest one is acknowledged
 	// and decided without coming into force. Otherwise such an order is rejected.
-	Lax   bool
-	puts  []*Put
-	reads []read
+	AcknowledgesOlder bool
+	puts              []*Put
+	reads             []read
 }
 
 // Put records the begin of an order.
@@ -111,25 +111,25 @@
 	version uint64
 	puts    []*Put
 	reads   []read
-	// sure says that the number was certainly decided, and until is the latest possible time
+	// decided says that the number was certainly decided, and decidedBy is the latest possible time
 	// of the decision. content is the decided content if known is set.
-	sure    bool
-	until   time.Time
-	content string
-	known   bool
-	// least is the earliest time at which the number can have been decided. possible says
+	decided   bool
+	decidedBy time.Time
+	content   string
+	known     bool
+	// earliest is the earliest time at which the number can have been decided. possible says
 	// whether it can have been decided at all.
-	least    time.Time
+	earliest time.Time
 	possible bool
 }
 
-// Faults returns the reasons why the history is not linearizable, or nothing if it is.
-func (r *Register) Faults() []string {
+// Violations returns the reasons why the history is not linearizable, or nothing if it is.
+func (r *Register) Violations() []string {
 	numbers := r.byNumber()
 	var faults []string
 	complain := func(text string, values ...any) { faults = append(faults, fmt.Sprintf(text, values...)) }
 	for _, each := range numbers {
-		each.gather(complain)
+		each.collectResponses(complain)
 	}
 	var latest time.Time
 	latestRead := "the begin"
@@ -139,12 +139,12 @@
 		}
 	}
 	for _, each := range numbers {
-		each.place(latest, complain)
-		if each.sure && each.possible && each.least.After(each.until) {
-			complain("%d was decided by %s, but %s precedes it at %s or later", each.version, stamp(each.until), latestRead, stamp(each.least))
+		each.findEarliest(latest, complain)
+		if each.decided && each.possible && each.earliest.After(each.decidedBy) {
+			complain("%d was decided by %s, but %s precedes it at %s or later", each.version, stamp(each.decidedBy), latestRead, stamp(each.earliest))
 		}
 		for _, read := range each.reads {
-			minimum := later(read.began, each.least)
+			minimum := later(read.began, each.earliest)
 			if minimum.After(read.ended) {
 				complain("%d was read by %s, but was decided at %s or later", each.version, stamp(read.ended), stamp(minimum))
 			}
@@ -152,11 +152,11 @@
 				latest, latestRead = minimum, fmt.Sprintf("a read of %d", each.version)
 			}
 		}
-		if !r.Lax && each.sure && each.least.After(latest) {
-			latest, latestRead = each.least, fmt.Sprintf("the decision of %d", each.version)
+		if !r.AcknowledgesOlder && each.decided && each.earliest.After(latest) {
+			latest, latestRead = each.earliest, fmt.Sprintf("the decision of %d", each.version)
 		}
 	}
-	r.judgeOlder(numbers, complain)
+	r.checkOlder(numbers, complain)
 	return faults
 }
 
@@ -201,15 +201,15 @@
 	return numbers
 }
 
-// gather finds the decided content of a number and the latest possible time of its decision,
+// collectResponses finds the decided content of a number and the latest possible time of its decision,
 // from the responses. It reports responses that contradict each other.
-func (n *number) gather(complain func(text string, values ...any)) {
+func (n *number) collectResponses(complain func(text string, values ...any)) {
 	decided := func(at time.Time) {
-		if !n.sure || at.Before(n.until) {
-			n.sure, n.until = true, at
+		if !n.decided || at.Before(n.decidedBy) {
+			n.decided, n.decidedBy = true, at
 		}
 	}
-	told := func(content, how string) {
+	setContent := func(content, how string) {
 		if n.known && n.content != content {
 			complain("two contents of %d were reported, one of them %s", n.version, how)
 		}
@@ -220,70 +220,70 @@
 	for _, put := range n.puts {
 		switch put.answer {
 		case Acknowledged:
-			told(put.content, "acknowledged by "+stamp(put.ended))
+			setContent(put.content, "acknowledged by "+stamp(put.ended))
 			decided(put.ended)
-		case RefusedOther:
+		case RejectedConflict:
 			decided(put.ended)
 		}
 	}
 	for _, read := range n.reads {
-		told(read.content, "read by "+stamp(read.ended))
+		setContent(read.content, "read by "+stamp(read.ended))
 		decided(read.ended)
 	}
 }
 
-// place finds the earliest time at which the number can have been decided. This is not before
+// findEarliest finds the earliest time at which the number can have been decided. This is not before
 // after, the earliest time for everything that precedes the decision, and not before the
 // begin of an order that can have decided it: one with the known content or, if the content
 // is not known, with any content that was not rejected.
-func (n *number) place(after time.Time, complain func(text string, values ...any)) {
+func (n *number) findEarliest(after time.Time, complain func(text string, values ...any)) {
 	for _, put := range n.puts {
-		if put.answer == RefusedOlder || !n.mayBe(put.content) {
+		if put.answer == RejectedOlder || !n.mayHaveContent(put.content) {
 			continue
 		}
-		if !n.possible || put.began.Before(n.least) {
-			n.least, n.possible = put.began, true
+		if !n.possible || put.began.Before(n.earliest) {
+			n.earliest, n.possible = put.began, true
 		}
 	}
-	if n.sure && !n.possible {
+	if n.decided && !n.possible {
 		complain("%d was reported as decided, but no order can have decided it", n.version)
 	}
-	n.least = later(n.least, after)
+	n.earliest = later(n.earliest, after)
 	for _, put := range n.puts {
-		if put.answer == RefusedOther && n.known && put.content == n.content {
+		if put.answer == RejectedConflict && n.known && put.content == n.content {
 			complain("%d was rejected by %s because of another content, but the decided content is the same", n.version, stamp(put.ended))
 		}
-		if put.answer == RefusedOlder {
+		if put.answer == RejectedOlder {
 			// It was undecided at that time and can't be decided any more.
 			n.possible = false
-			if n.sure {
+			if n.decided {
 				complain("%d was rejected by %s as older and undecided, but it was decided", n.version, stamp(put.ended))
 			}
 		}
 	}
 }
 
-// mayBe reports whether the number may have been decided with a content.
-func (n *number) mayBe(content string) bool {
+// mayHaveContent reports whether the number may have been decided with a content.
+func (n *number) mayHaveContent(content string) bool {
 	if n.known {
 		return content == n.content
 	}
-	return !slices.ContainsFunc(n.puts, func(put *Put) bool { return put.answer == RefusedOther && put.content == content })
+	return !slices.ContainsFunc(n.puts, func(put *Put) bool { return put.answer == RejectedConflict && put.content == content })
 }
 
-// judgeOlder checks that, whenever an order was rejected as older, a higher number can have
+// checkOlder checks that, whenever an order was rejected as older, a higher number can have
 // been decided before.
-func (r *Register) judgeOlder(numbers []*number, complain func(text string, values ...any)) {
+func (r *Register) checkOlder(numbers []*number, complain func(text string, values ...any)) {
 	for _, put := range r.puts {
-		if put.answer != RefusedOlder {
+		if put.answer != RejectedOlder {
 			continue
 		}
-		if r.Lax {
+		if r.AcknowledgesOlder {
 			complain("%d was rejected as older in the mode in which older numbers are acknowledged", put.version)
 			continue
 		}
 		if !slices.ContainsFunc(numbers, func(each *number) bool {
-			return each.version > put.version && each.possible && !each.least.After(put.ended)
+			return each.version > put.version && each.possible && !each.earliest.After(put.ended)
 		}) {
 			complain("%d was rejected as older by %s, but no higher number was decided", put.version, stamp(put.ended))
 		}
--- a/internal/checker/topics.go
+++ b/internal/checker/topics.go
@@ -37,15 +37,15 @@
 }
 
 type post struct {
-	name       Post
-	topic      string
-	body       string
-	wanted     time.Time
-	firstTry   time.Time
-	tries      int
-	refused    int
-	accepted   bool
-	acceptedAt time.Time
+	name         Post
+	topic        string
+	body         string
+	requestedAt  time.Time
+	firstAttempt time.Time
+	attempts     int
+	refused      int
+	accepted     bool
+	acceptedAt   time.Time
 }
 
 type route struct {
@@ -56,23 +56,23 @@
 
 // routing is the routes of one version of the configuration.
 type routing struct {
-	version  uint64
-	prefixes []string
-	sent     time.Time
-	taken    time.Time
+	version    uint64
+	prefixes   []string
+	sent       time.Time
+	acceptedAt time.Time
 }
 
-func (r *routing) leads(topic string) bool {
+func (r *routing) matches(topic string) bool {
 	return slices.ContainsFunc(r.prefixes, func(prefix string) bool { return strings.HasPrefix(topic, prefix) })
 }
 
 // span is the time of a connection on which a subscription was present. A client that became
-// unreachable without closing may be counted as present until lingers.
-type span struct{ from, until, lingers time.Time }
+// unreachable without closing may be counted as present until countedUntil.
+type span struct{ from, until, countedUntil time.Time }
 
-// Saved is a cursor that a client received: the position after a message, or the position of
+// SavedCursor is a cursor that a client received: the position after a message, or the position of
 // a subscription that had not received any message.
-type Saved struct {
+type SavedCursor struct {
 	Topic  string
 	Cursor string
 	After  Post
@@ -81,42 +81,42 @@
 
 // Subscription is the subscription of one client to a routed topic.
 type Subscription struct {
-	checker   *Checker
-	name      string
-	topic     string
-	firstOK   time.Time
-	ended     time.Time
-	saved     *Saved
-	present   []span
-	got       map[Post]time.Time
-	order     []Post
-	place     map[Post]int
-	last      map[string]uint64
-	opened    time.Time
-	connected bool
-	missed    map[Post]bool
+	checker        *Checker
+	name           string
+	topic          string
+	firstConfirmed time.Time
+	ended          time.Time
+	saved          *SavedCursor
+	present        []span
+	received       map[Post]time.Time
+	order          []Post
+	position       map[Post]int
+	last           map[string]uint64
+	opened         time.Time
+	connected      bool
+	missed         map[Post]bool
 }
 
 // Topics holds the observations on routed topics.
 type Topics struct {
-	routes        []route
-	routings      []*routing
-	posts         map[Post]*post
-	byTopic       map[string][]*post
-	subscriptions map[string][]*Subscription
-	CountsRight   int
-	CountsWrong   int
-	Joins         []time.Duration
-	Delays        []time.Duration
-	Expired       int
+	routes         []route
+	routings       []*routing
+	posts          map[Post]*post
+	byTopic        map[string][]*post
+	subscriptions  map[string][]*Subscription
+	CorrectCounts  int
+	WrongCounts    int
+	JoinTimes      []time.Duration
+	DeliveryDelays []time.Duration
+	Expired        int
 }
 
 func newTopics() *Topics {
 	return &Topics{posts: map[Post]*post{}, byTopic: map[string][]*post{}, subscriptions: map[string][]*Subscription{}}
 }
 
-// Route records a prefix that some or all versions of the configuration route to a space.
-func (c *Checker) Route(prefix string, durable bool, holding time.Duration) {
+// DefineRoute records a prefix that some or all versions of the configuration route to a space.
+func (c *Checker) DefineRoute(prefix string, durable bool, holding time.Duration) {
 	c.Topics.routes = append(c.Topics.routes, route{prefix: prefix, durable: durable, holding: holding})
 }
 
@@ -137,7 +137,7 @@
 	sent := &routing{version: version, prefixes: prefixes, sent: at}
 	c.Topics.routings = append(c.Topics.routings, sent)
 	for topic, subscriptions := range c.Topics.subscriptions {
-		if sent.leads(topic) {
+		if sent.matches(topic) {
 			continue
 		}
 		for _, each := range subscriptions {
@@ -149,18 +149,18 @@
 // RoutesAccepted records that the configuration was acknowledged.
 func (c *Checker) RoutesAccepted(version uint64, at time.Time) {
 	for _, each := range c.Topics.routings {
-		if each.version == version && each.taken.IsZero() {
-			each.taken = at
+		if each.version == version && each.acceptedAt.IsZero() {
+			each.acceptedAt = at
 		}
 	}
 }
 
-// mayLead reports whether a request for a topic, sent at one time and answered at another,
-// may have been handled with a route (leads) or without one.
-func (t *Topics) mayLead(topic string, leads bool, sent, at time.Time) bool {
+// mayBeRouted reports whether a request for a topic, sent at one time and answered at another,
+// may have been handled with a route (routed) or without one.
+func (t *Topics) mayBeRouted(topic string, routed bool, sent, at time.Time) bool {
 	newest := uint64(0)
 	for _, each := range t.routings {
-		if !each.taken.IsZero() && sent.Sub(each.taken) > ForceWithin {
+		if !each.acceptedAt.IsZero() && sent.Sub(each.acceptedAt) > InForceWithin {
 			newest = max(newest, each.version)
 		}
 	}
@@ -168,31 +168,31 @@
 		return true
 	}
 	return slices.ContainsFunc(t.routings, func(each *routing) bool {
-		return each.version >= newest && !each.sent.After(at) && each.leads(topic) == leads
+		return each.version >= newest && !each.sent.After(at) && each.matches(topic) == routed
 	})
 }
 
-// Handled records that a request was handled as one for a topic with a route (leads) or
+// Handled records that a request was handled as one for a topic with a route (routed) or
 // without one.
-func (c *Checker) Handled(what, topic string, leads bool, sent, at time.Time) {
-	if !c.Topics.mayLead(topic, leads, sent, at) {
-		c.Violate(WrongRoute, "%s on %s was handled as if it had a route: %v", what, topic, leads)
+func (c *Checker) Handled(what, topic string, routed bool, sent, at time.Time) {
+	if !c.Topics.mayBeRouted(topic, routed, sent, at) {
+		c.Violate(WrongRoute, "%s on %s was handled as if it had a route: %v", what, topic, routed)
 	}
 }
 
 // Publishing.
 
-// PostTried records an attempt to send a message, the first one or a retry. wanted is the time
+// PostAttempted records an attempt to send a message, the first one or a retry. wanted is the time
 // at which its sender requested the publication.
-func (c *Checker) PostTried(name Post, topic, body string, wanted, at time.Time) {
+func (c *Checker) PostAttempted(name Post, topic, body string, wanted, at time.Time) {
 	topics := c.Topics
 	each, found := topics.posts[name]
 	if !found {
-		each = &post{name: name, topic: topic, body: body, wanted: wanted, firstTry: at}
+		each = &post{name: name, topic: topic, body: body, requestedAt: wanted, firstAttempt: at}
 		topics.posts[name] = each
 		topics.byTopic[topic] = append(topics.byTopic[topic], each)
 	}
-	each.tries++
+	each.attempts++
 }
 
 // PostAnswered records the outcome of an attempt.
@@ -203,10 +203,10 @@
 		if !each.accepted {
 			c.Accepted++
 			each.accepted, each.acceptedAt = true, at
-			c.Answers = append(c.Answers, at.Sub(each.wanted))
+			c.ResponseTimes = append(c.ResponseTimes, at.Sub(each.requestedAt))
 		}
 	case "refused":
-		c.Refused++
+		c.Rejected++
 		each.refused++
 	default:
 		c.Unsettled++
@@ -217,8 +217,8 @@
 
 // Subscribing records that a client starts to subscribe to a topic. If saved is not nil, the
 // client resumes from this cursor, which any client may have received.
-func (c *Checker) Subscribing(name, topic string, saved *Saved) *Subscription {
-	made := &Subscription{checker: c, name: name, topic: topic, saved: saved, got: map[Post]time.Time{}, place: map[Post]int{}, last: map[string]uint64{}, missed: map[Post]bool{}}
+func (c *Checker) Subscribing(name, topic string, saved *SavedCursor) *Subscription {
+	made := &Subscription{checker: c, name: name, topic: topic, saved: saved, received: map[Post]time.Time{}, position: map[Post]int{}, last: map[string]uint64{}, missed: map[Post]bool{}}
 	c.Topics.subscriptions[topic] = append(c.Topics.subscriptions[topic], made)
 	return made
 }
@@ -226,32 +226,32 @@
 // Confirmed records that the subscription is confirmed, on a connection that was opened at
 // opened.
 func (s *Subscription) Confirmed(opened, at time.Time) {
-	if s.firstOK.IsZero() {
-		s.firstOK = at
+	if s.firstConfirmed.IsZero() {
+		s.firstConfirmed = at
 	}
 	s.opened, s.connected = at, true
 	s.present = append(s.present, span{from: at})
-	s.checker.Topics.Joins = append(s.checker.Topics.Joins, at.Sub(opened))
+	s.checker.Topics.JoinTimes = append(s.checker.Topics.JoinTimes, at.Sub(opened))
 	if !s.checker.Topics.routeOf(s.topic).durable {
 		clear(s.last)
 	}
 }
 
-// Cut records that the connection ended.
-func (s *Subscription) Cut(at time.Time) {
+// Disconnected records that the connection ended.
+func (s *Subscription) Disconnected(at time.Time) {
 	s.connected = false
 	if count := len(s.present); count > 0 && s.present[count-1].until.IsZero() {
 		s.present[count-1].until = at
 	}
 }
 
-// Silenced records that the client became unreachable without closing the connection, and
+// Unreachable records that the client became unreachable without closing the connection, and
 // until when a gateway may keep the connection open.
-func (s *Subscription) Silenced(at, until time.Time) {
+func (s *Subscription) Unreachable(at, until time.Time) {
 	if count := len(s.present); count > 0 && s.present[count-1].until.IsZero() {
-		s.present[count-1].lingers = until
+		s.present[count-1].countedUntil = until
 	}
-	s.Cut(at)
+	s.Disconnected(at)
 }
 
 // End records that the subscription ends.
@@ -259,30 +259,31 @@
 	if s.ended.IsZero() {
 		s.ended = at
 	}
-	s.Cut(at)
+	s.Disconnected(at)
 }
 
 // Ended reports whether the subscription has ended.
 func (s *Subscription) Ended() bool { return !s.ended.IsZero() }
 
-// owed reports whether a message must be delivered to the subscription, by the observations
+// mustReceive reports whether a message must be delivered to the subscription, by the observations
 // so far.
-func (s *Subscription) owed(each *post) bool {
+func (s *Subscription) mustReceive(each *post) bool {
 	if !each.accepted || !s.ended.IsZero() && each.acceptedAt.After(s.ended) {
 		return false
 	}
 	if saved := s.saved; saved != nil {
-		return each.firstTry.After(saved.At) || s.checker.Topics.follows(s.topic, saved.After, each.name)
+		return each.firstAttempt.After(saved.At) || s.checker.Topics.follows(s.topic, saved.After, each.name)
 	}
-	return !s.firstOK.IsZero() && each.firstTry.After(s.firstOK)
+	return !s.firstConfirmed.IsZero() && each.firstAttempt.After(s.firstConfirmed)
 }
 
-// follows reports whether any subscriber received the message later after the message earlier.
+// follows reports whether any subscriber received both messages, and received the one named
+// later after the one named earlier.
 func (t *Topics) follows(topic string, earlier, later Post) bool {
 	for _, each := range t.subscriptions[topic] {
-		first, got := each.place[earlier]
-		second, both := each.place[later]
-		if got && both && second > first {
+		first, hasEarlier := each.position[earlier]
+		second, hasLater := each.position[later]
+		if hasEarlier && hasLater && second > first {
 			return true
 		}
 	}
@@ -298,11 +299,11 @@
 	excused := !route.durable
 	missing := 0
 	for _, each := range checker.Topics.byTopic[s.topic] {
-		if _, got := s.got[each.name]; got || !s.owed(each) {
+		if _, received := s.received[each.name]; received || !s.mustReceive(each) {
 			continue
 		}
 		missing++
-		excused = excused || at.Sub(each.firstTry) >= route.holding
+		excused = excused || at.Sub(each.firstAttempt) >= route.holding
 	}
 	if !excused && !s.Ended() {
 		checker.Violate(CursorRejected, "the cursor of %s in %s was rejected, though all %d missing messages are within the holding time", s.name, s.topic, missing)
@@ -310,53 +311,53 @@
 	s.End(at)
 }
 
-// Got records that the client received a message. calmSince is the end of the last fault.
-func (s *Subscription) Got(name Post, topic, body string, calmSince, at time.Time) {
+// Received records that the client received a message. calmSince is the end of the last fault.
+func (s *Subscription) Received(name Post, topic, body string, calmSince, at time.Time) {
 	checker := s.checker
 	topics := checker.Topics
 	checker.Delivered++
 	who := s.name
 	sent, known := topics.posts[name]
 	if !known || sent.topic != topic || sent.body != body || topic != s.topic {
-		checker.Violate(NeverAsked, "%s got %v on %s, which was not sent with this topic and body", who, name, topic)
+		checker.Violate(Unsolicited, "%s got %v on %s, which was not sent with this topic and body", who, name, topic)
 		return
 	}
-	if earlier, twice := s.got[name]; twice {
-		checker.Violate(Twice, "%s got %v on %s and again %s later", who, name, topic, at.Sub(earlier))
+	if earlier, twice := s.received[name]; twice {
+		checker.Violate(Duplicate, "%s got %v on %s and again %s later", who, name, topic, at.Sub(earlier))
 		return
 	}
 	if last := s.last[name.Sender]; last > name.Seq {
 		checker.Violate(OutOfOrder, "%s got %v on %s after seq %d", who, name, topic, last)
 	}
 	if saved := s.saved; saved != nil && (saved.After == name || topics.follows(topic, name, saved.After)) {
-		checker.Violate(Twice, "%s got %v on %s, which precedes the cursor from which it resumed", who, name, topic)
+		checker.Violate(Duplicate, "%s got %v on %s, which precedes the cursor from which it resumed", who, name, topic)
 	}
-	s.got[name] = at
-	s.place[name] = len(s.order)
+	s.received[name] = at
+	s.position[name] = len(s.order)
 	s.order = append(s.order, name)
 	s.last[name.Sender] = max(s.last[name.Sender], name.Seq)
-	if !topics.mayLead(topic, true, sent.firstTry, at) {
-		checker.Violate(AfterRemoval, "%s got %v on %s, first sent %s before", who, name, topic, at.Sub(sent.firstTry))
+	if !topics.mayBeRouted(topic, true, sent.firstAttempt, at) {
+		checker.Violate(AfterRemoval, "%s got %v on %s, first sent %s before", who, name, topic, at.Sub(sent.firstAttempt))
 	}
-	delay := at.Sub(sent.wanted)
-	if s.opened.Before(sent.wanted) && s.connected {
-		topics.Delays = append(topics.Delays, delay)
-		if delay > DeliverWithin && sent.wanted.Sub(calmSince) > FaultSettleTime {
+	delay := at.Sub(sent.requestedAt)
+	if s.opened.Before(sent.requestedAt) && s.connected {
+		topics.DeliveryDelays = append(topics.DeliveryDelays, delay)
+		if delay > DeliverWithin && sent.requestedAt.Sub(calmSince) > FaultSettleTime {
 			checker.Violate(LateInCalm, "%s got %v on %s after %s", who, name, topic, delay)
 		}
 	}
 }
 
-// Unasked records a message on a connection that is not subscribed to its topic, or that has
+// UnsolicitedPost records a message on a connection that is not subscribed to its topic, or that has
 // unsubscribed from it.
-func (c *Checker) Unasked(who string, name Post, topic string) {
-	c.Violate(NeverAsked, "%s got %v on %s without a subscription", who, name, topic)
+func (c *Checker) UnsolicitedPost(who string, name Post, topic string) {
+	c.Violate(Unsolicited, "%s got %v on %s without a subscription", who, name, topic)
 }
 
-// Resent records that the resend of an accepted message was rejected within the time in which
+// ResendRejected records that the resend of an accepted message was rejected within the time in which
 // it must be acknowledged.
-func (c *Checker) Resent(name Post, code string) {
-	c.Violate(Twice, "%v was accepted, and its resend was rejected: %s", name, code)
+func (c *Checker) ResendRejected(name Post, code string) {
+	c.Violate(Duplicate, "%v was accepted, and its resend was rejected: %s", name, code)
 }
 
 // Counted records the number of subscribers of a topic that a gateway returned to a client.
@@ -367,7 +368,7 @@
 	for _, each := range c.Topics.subscriptions[topic] {
 		touched, complete := false, false
 		for _, present := range each.present {
-			if present.lingers.After(from) && present.from.Before(at) {
+			if present.countedUntil.After(from) && present.from.Before(at) {
 				once++
 				continue
 			}
@@ -383,10 +384,10 @@
 		}
 	}
 	if float64(number) >= float64(throughout)*(1-PresenceFraction)-PresenceSlack && float64(number) <= float64(once)*(1+PresenceFraction)+PresenceSlack {
-		c.Topics.CountsRight++
+		c.Topics.CorrectCounts++
 		return
 	}
-	c.Topics.CountsWrong++
+	c.Topics.WrongCounts++
 	if at.Sub(calmSince) > FaultSettleTime {
 		c.Violate(Presence, "a count of %d subscribers of %s was returned, but %d to %d were present", number, topic, throughout, once)
 	}
@@ -394,12 +395,12 @@
 
 // closeTopics runs the checks that are only possible at the end of a run.
 func (c *Checker) closeTopics(at time.Time) {
-	c.AllBrought(at)
+	c.CheckAllDelivered(at)
 	for topic, subscriptions := range statemachine.Sorted(c.Topics.subscriptions) {
 		for position, each := range subscriptions {
-			for name := range each.got {
-				if sent := c.Topics.posts[name]; sent.refused == sent.tries {
-					c.Violate(AllRefused, "%s got %v on %s, though every attempt was rejected", each.name, name, each.topic)
+			for name := range each.received {
+				if sent := c.Topics.posts[name]; sent.refused == sent.attempts {
+					c.Violate(AllRejected, "%s got %v on %s, though every attempt was rejected", each.name, name, each.topic)
 				}
 			}
 			for _, other := range subscriptions[position+1:] {
@@ -409,22 +410,22 @@
 	}
 }
 
-// AllBrought checks, at a time at which nothing is in flight, that every subscription to a
+// CheckAllDelivered checks, at a time at which nothing is in flight, that every subscription to a
 // durable topic has received the messages that must be delivered to it.
-func (c *Checker) AllBrought(at time.Time) {
+func (c *Checker) CheckAllDelivered(at time.Time) {
 	for topic, subscriptions := range statemachine.Sorted(c.Topics.subscriptions) {
 		if !c.Topics.routeOf(topic).durable {
 			continue
 		}
 		for _, each := range subscriptions {
-			c.brought(each, at)
+			c.checkDelivered(each, at)
 		}
 	}
 }
 
-func (c *Checker) brought(each *Subscription, at time.Time) {
+func (c *Checker) checkDelivered(each *Subscription, at time.Time) {
 	for _, sent := range c.Topics.byTopic[each.topic] {
-		if _, got := each.got[sent.name]; got || each.missed[sent.name] || !each.owed(sent) {
+		if _, received := each.received[sent.name]; received || each.missed[sent.name] || !each.mustReceive(sent) {
 			continue
 		}
 		switch {
@@ -444,12 +445,12 @@
 func (c *Checker) compareOrders(topic string, left, right *Subscription) {
 	last := -1
 	for _, name := range left.order {
-		position, both := right.place[name]
+		position, both := right.position[name]
 		if !both {
 			continue
 		}
 		if position < last {
-			c.Violate(Disagree, "%s and %s received %v on %s in different orders", left.name, right.name, name, topic)
+			c.Violate(OrderMismatch, "%s and %s received %v on %s in different orders", left.name, right.name, name, topic)
 			return
 		}
 		last = position
--- a/internal/gateway/routed_publish.go
+++ b/internal/gateway/routed_publish.go
@@ -50,7 +50,7 @@
 	return decisionlog.MessageName(rp.space, rp.request.Sender, rp.request.Seq)
 }
 
-// due returns when the append is sent again; the timeout doubles with each send.
+// due returns when the append is sent again; see backoff. The timeout doubles with each unanswered send.
 func (rp *routedPublication) due() time.Time {
 	return rp.sentAt.Add(backoff(routedAppendTimeout, len(rp.unanswered)))
 }
@@ -89,8 +89,8 @@
 	state := g.spaces[space]
 	item.ephemeral = state.space.Retention != config.Durable
 	item.deadline = now.Add(min(requestTimeout, state.space.ResponseTimeout/2))
-	g.nextRequest++
-	item.id = g.nextRequest
+	g.lastRequest++
+	item.id = g.lastRequest
 	g.routed.appends[item.id] = item
 	g.overlay.AwaitCell(now, routedOverlaySpace, request.Topic, func(time.Time, *statemachine.Effects, bool) {}, effects)
 	g.sendRoutedAppend(now, item, effects)
@@ -135,12 +135,12 @@
 	}
 	item.sendCount++
 	item.sentRoute = g.routeTo(item.partition)
-	g.nextRequest++
-	item.unanswered[g.nextRequest] = true
-	g.routed.sends[g.nextRequest] = item
+	g.lastRequest++
+	item.unanswered[g.lastRequest] = true
+	g.routed.sends[g.lastRequest] = item
 	effects.Send(address, partition.Append{
 		Partition:  item.partition,
-		RequestID:  g.nextRequest,
+		RequestID:  g.lastRequest,
 		Topic:      item.request.Topic,
 		Sender:     item.request.Sender,
 		Seq:        item.request.Seq,
@@ -167,9 +167,10 @@
 		record.Seq = item.request.Seq
 		record.Data = item.request.Data
 		if !response.Duplicate || item.ephemeral || item.sendCount > 1 {
-			// If a duplicate of a durable message has not been fanned out, the other gateways detect it
-			// by the high watermarks of the partition. An ephemeral message is not detected in this way
-			// and is fanned out again; sessions that already got it or a later one ignore it.
+			// A duplicate in response to the only send was appended by an earlier publication. A durable
+			// one is not fanned out again: gateways that missed it detect it by the high watermarks of
+			// the partition. An ephemeral message is not detected in this way and is fanned out again;
+			// sessions that already received it or a later one ignore it.
 			g.fanOutRouted(now, item, record, effects)
 		}
 		g.answerRoutedPublication(now, item, acceptedReply(nil), effects)
--- a/internal/gateway/sender.go
+++ b/internal/gateway/sender.go
@@ -54,7 +54,9 @@
 	at       time.Time
 }
 
-// currentDependencies returns the dependencies of the sender's next message, and drops expired ones.
+// currentDependencies returns the dependencies of the sender's next message, and drops expired ones. It
+// lists the newest partition.MaxDependencies messages; the older ones are combined into one floor for each
+// partition.
 func (s *sender) currentDependencies(now time.Time) partition.Dependencies {
 	s.dependencies = slices.DeleteFunc(
 		s.dependencies,
@@ -109,7 +111,7 @@
 		}
 		byStore[address] = append(byStore[address], name)
 	}
-	g.nextRequest++
+	g.lastRequest++
 	lookup := &senderLookup{
 		key:         item.key,
 		outstanding: len(byStore),
@@ -117,11 +119,11 @@
 		ready:       true,
 		deadline:    item.deadline,
 	}
-	g.senderLookups[g.nextRequest] = lookup
+	g.senderLookups[g.lastRequest] = lookup
 	for address, names := range statemachine.Sorted(byStore) {
 		lookup.responded[address] = false
 		effects.Send(address, partition.SenderStateRequest{
-			RequestID:  g.nextRequest,
+			RequestID:  g.lastRequest,
 			Partitions: names,
 			Sender:     item.request.Sender,
 		})
--- a/internal/membership/view_client.go
+++ b/internal/membership/view_client.go
@@ -70,8 +70,8 @@
 	// outstanding are the newest requests, at most maxOutstanding, ordered by age with the
 	// oldest first.
 	outstanding []viewRequest
-	// searching is set while the primary does not respond, and searches counts the requests
-	// since then.
+	// searching is set while the primary does not respond, and searches counts the requests of
+	// the current search.
 	searching bool
 	searches  int
 	// lowPriority requests longer polls, and urgent an immediate response.
@@ -90,7 +90,8 @@
 	Epoch   uint64
 	// Document is the configuration as the operator sent it.
 	Document []byte
-	// SpaceCreatedAt is the index at which each space, by name, was created.
+	// SpaceCreatedAt is the configuration version that created each space, by the space's name.
+	// The names of the space's partitions contain it.
 	SpaceCreatedAt map[string]uint64
 	// Members and Placements are the view. The maps are replaced and never modified in place.
 	Members    map[string]Member
--- a/internal/simulator/client.go
+++ b/internal/simulator/client.go
@@ -33,13 +33,13 @@
 	disconnectedAt time.Time
 	absentUntil    time.Time
 	interests      []gateway.Interest
-	heardAt        time.Time
+	receivedAt     time.Time
 	openedAt       time.Time
 	moveTo         string
 	Closed         bool
 	brief          string
 
-	publishes []Plan
+	publishes []PublishPlan
 	seqs      map[string]uint64
 	outbox    []*outgoing
 	pipeline  int
@@ -47,8 +47,8 @@
 	Resends   bool
 }
 
-// Plan says in which space, on which topics and how often a client publishes.
-type Plan struct {
+// PublishPlan says in which space, on which topics and how often a client publishes.
+type PublishPlan struct {
 	Space  string
 	Topics []string
 	Every  time.Duration
@@ -59,7 +59,7 @@
 	client := &Client{simulation: s, Name: name, Zone: zone, interests: interests, seqs: map[string]uint64{}, pipeline: 1}
 	s.clients = append(s.clients, client)
 	for _, interest := range interests {
-		s.Checker.Asked(name, checker.Interest{Space: interest.Space, Path: interest.Path, Wide: interest.Prefix}, s.Now)
+		s.Checker.SubscribeRequested(name, checker.Interest{Space: interest.Space, Path: interest.Path, Prefix: interest.Prefix}, s.Now)
 	}
 	s.After(time.Duration(s.Random.IntN(400))*time.Millisecond, func() { client.connect() })
 	return client
@@ -144,7 +144,7 @@
 			return
 		}
 		c.connected = true
-		c.heardAt = simulation.Now
+		c.receivedAt = simulation.Now
 		c.subscribe(turn)
 	})
 	simulation.After(clientTimeout, func() {
@@ -182,7 +182,7 @@
 // leave ends the client permanently. The checker expects no further deliveries to it.
 func (c *Client) leave() {
 	c.Closed = true
-	c.simulation.Checker.Dropped(c.Name)
+	c.simulation.Checker.SubscriberEnded(c.Name)
 	c.disconnect(c.turn, 0)
 }
 
@@ -221,19 +221,19 @@
 			c.takeCursor(answer.Fields["cursor"].(string))
 			if !resumes {
 				for _, interest := range c.interests {
-					simulation.Checker.Subscribed(c.Name, checker.Interest{Space: interest.Space, Path: interest.Path, Wide: interest.Prefix}, simulation.Now)
+					simulation.Checker.Subscribed(c.Name, checker.Interest{Space: interest.Space, Path: interest.Path, Prefix: interest.Prefix}, simulation.Now)
 				}
 			}
 		case answer.Code == "place-lost":
 			simulation.trace("%s: cursor expired, disconnected %s ago", c.Name, simulation.Now.Sub(c.disconnectedAt))
-			simulation.Checker.CursorLost(c.Name, c.disconnectedAt, simulation.Now)
+			simulation.Checker.CursorExpired(c.Name, c.disconnectedAt, simulation.Now)
 			c.Closed = true
 		case answer.Code == "no-such-channel" || answer.Code == "moved":
 			c.disconnect(turn, 20*time.Millisecond)
 		case answer.Code == "no-such-space" && c.brief != "":
 			c.leave()
 		case answer.RetryAfter > 0:
-			simulation.Checker.RefusedAs(answer.Code, c.Name+" subscribes", simulation.calmSince(), simulation.Now)
+			simulation.Checker.RequestRejected(answer.Code, c.Name+" subscribes", simulation.calmSince(), simulation.Now)
 			simulation.After(answer.RetryAfter, func() {
 				if c.turn == turn {
 					c.subscribe(turn)
@@ -262,16 +262,16 @@
 		return
 	}
 	simulation := c.simulation
-	c.heardAt = simulation.Now
+	c.receivedAt = simulation.Now
 	event, matches := deliver.Event.(gateway.Event)
 	if matches {
 		c.takeCursor(event.Cursor)
 		switch event.Event {
 		case "message":
 			simulation.trace("%s at %s gets %s/%s/%d on %s", c.Name, c.node.Name, event.Space, event.Sender, event.Seq, event.Topic)
-			simulation.Checker.Got(c.Name, checker.Message{Space: event.Space, Sender: event.Sender, Seq: event.Seq}, event.Topic, string(event.Data), simulation.Now)
+			simulation.Checker.Received(c.Name, checker.Message{Space: event.Space, Sender: event.Sender, Seq: event.Seq}, event.Topic, string(event.Data), simulation.Now)
 		case "hello":
-			simulation.Checker.Showed(event.Daemon, event.Version, c.openedAt, simulation.Now)
+			simulation.Checker.ServedVersion(event.Daemon, event.Version, c.openedAt, simulation.Now)
 		case "ping":
 			simulation.Call(c.node, func(request uint64) any {
 				return gateway.Pong{Request: request, Session: c.channel, Client: c.Name}
@@ -289,31 +289,31 @@
 
 // watch disconnects a client whose gateway has sent nothing for seven seconds.
 func (c *Client) watch() {
-	if c.connected && c.simulation.Now.Sub(c.heardAt) > 7*time.Second {
+	if c.connected && c.simulation.Now.Sub(c.receivedAt) > 7*time.Second {
 		c.disconnect(c.turn, 10*time.Millisecond)
 	}
 }
 
-// Publishes makes the client publish by the plans, with at most pipeline publications
+// PublishPeriodically makes the client publish by the plans, with at most pipeline publications
 // without a final response at a time.
-func (c *Client) Publishes(pipeline int, plans ...Plan) *Client {
+func (c *Client) PublishPeriodically(pipeline int, plans ...PublishPlan) *Client {
 	c.pipeline = pipeline
 	c.publishes = append(c.publishes, plans...)
 	for _, plan := range plans {
-		c.simulation.After(time.Duration(c.simulation.Random.Int64N(int64(plan.Every)))+time.Second, func() { c.tick(plan) })
+		c.simulation.After(time.Duration(c.simulation.Random.Int64N(int64(plan.Every)))+time.Second, func() { c.publishByPlan(plan) })
 	}
 	return c
 }
 
-// Quiet stops new publications. Pending ones are still retried.
-func (c *Client) Quiet() { c.stopped = true }
+// StopPublishing stops new publications. Pending ones are still retried.
+func (c *Client) StopPublishing() { c.stopped = true }
 
-func (c *Client) tick(plan Plan) {
+func (c *Client) publishByPlan(plan PublishPlan) {
 	simulation := c.simulation
 	if c.stopped || c.Closed {
 		return
 	}
-	simulation.After(plan.Every/2+time.Duration(simulation.Random.Int64N(int64(plan.Every))), func() { c.tick(plan) })
+	simulation.After(plan.Every/2+time.Duration(simulation.Random.Int64N(int64(plan.Every))), func() { c.publishByPlan(plan) })
 	if !c.connected || len(c.outbox) >= c.pipeline {
 		return
 	}
@@ -327,12 +327,12 @@
 
 // outgoing is a publication without a final response.
 type outgoing struct {
-	message  checker.Message
-	topic    string
-	data     string
-	attempts int
-	inFlight bool
-	again    bool
+	message   checker.Message
+	topic     string
+	data      string
+	attempts  int
+	inFlight  bool
+	inBackoff bool
 }
 
 // sendNext sends the pending publications in order without waiting for responses. It stops
@@ -346,10 +346,10 @@
 		return
 	}
 	for _, item := range c.outbox {
-		if !item.inFlight && !item.again {
+		if !item.inFlight && !item.inBackoff {
 			c.attempt(item)
 		}
-		if item.attempts > 1 || item.again {
+		if item.attempts > 1 || item.inBackoff {
 			return
 		}
 	}
@@ -375,7 +375,7 @@
 		}
 		done = true
 		if outcome != "accepted" && c.brief == "" && !c.Closed && !slices.Contains(expected, code) {
-			simulation.Checker.RefusedAs(code, message.String(), simulation.calmSince(), simulation.Now)
+			simulation.Checker.RequestRejected(code, message.String(), simulation.calmSince(), simulation.Now)
 		}
 		item.inFlight = false
 		simulation.trace("%s try %d at %s on %s: %s", message, item.attempts, node.Name, item.topic, outcome)
@@ -385,9 +385,9 @@
 			c.sendNext()
 			return
 		}
-		item.again = true
+		item.inBackoff = true
 		simulation.After(again, func() {
-			item.again = false
+			item.inBackoff = false
 			c.sendNext()
 		})
 	}
@@ -431,7 +431,7 @@
 		}, func(value any, alive bool) {
 			answer, matches := value.(gateway.Reply)
 			if alive && matches && answer.Outcome == gateway.OutcomeRejected && answer.RetryAfter == 0 && answer.Code != "no-such-space" {
-				simulation.Checker.Violate(checker.Twice, "%s was accepted, and its resend was rejected: %s", item.message, answer.Code)
+				simulation.Checker.Violate(checker.Duplicate, "%s was accepted, and its resend was rejected: %s", item.message, answer.Code)
 			}
 		})
 	})
--- a/internal/simulator/operator.go
+++ b/internal/simulator/operator.go
@@ -55,7 +55,7 @@
 	if world := o.simulation.world; world != nil {
 		for _, each := range world.routes() {
 			promise := config.Ephemeral
-			if each.kept {
+			if each.durable {
 				promise = config.Durable
 			}
 			made.Spaces = append(made.Spaces, spaceDocument{Name: each.space, Promise: string(promise), Order: string(config.OrderTopic)})
@@ -90,7 +90,7 @@
 		return
 	}
 	began := simulation.Now
-	o.order(node, version, body, func(_ checker.OrderAnswer, response membership.ControlResponse, alive bool) {
+	o.order(node, version, body, func(_ checker.OrderOutcome, response membership.ControlResponse, alive bool) {
 		switch {
 		case alive && response.Status == http.StatusOK:
 			simulation.trace("configuration %d accepted at %s", version, node.Name)
@@ -101,7 +101,7 @@
 			}
 		case alive && response.Status == http.StatusConflict:
 		case alive && response.Status == http.StatusBadRequest:
-			simulation.Checker.Violate(checker.BrokenAccepted, "a valid configuration was rejected: %s", response.Body)
+			simulation.Checker.Violate(checker.InvalidAccepted, "a valid configuration was rejected: %s", response.Body)
 		default:
 			simulation.After(500*time.Millisecond, func() { o.put(version, body, done) })
 		}
@@ -109,13 +109,13 @@
 }
 
 // order puts a configuration once at one daemon and reports the response to the checker.
-func (o *Operator) order(node *Node, version uint64, body []byte, done func(answer checker.OrderAnswer, response membership.ControlResponse, alive bool)) {
+func (o *Operator) order(node *Node, version uint64, body []byte, done func(answer checker.OrderOutcome, response membership.ControlResponse, alive bool)) {
 	simulation := o.simulation
 	put := simulation.Checker.Register.Put(version, string(body), simulation.Now)
 	simulation.Control(node, http.MethodPut, "/v1/configuration", body, func(response membership.ControlResponse, alive bool) {
 		answer := checker.Unclear
 		if alive {
-			answer = checker.AnswerOf(response.Status, response.Body)
+			answer = checker.OutcomeOf(response.Status, response.Body)
 		}
 		put.End(answer, simulation.Now)
 		done(answer, response, alive)
@@ -145,8 +145,8 @@
 	})
 }
 
-// broken puts an invalid configuration, which must be rejected.
-func (o *Operator) broken() {
+// putInvalid puts an invalid configuration, which must be rejected.
+func (o *Operator) putInvalid() {
 	simulation := o.simulation
 	node := o.anyNode()
 	if node == nil {
@@ -159,12 +159,12 @@
 	body := bodies[simulation.Random.IntN(len(bodies))]
 	simulation.Control(node, http.MethodPut, "/v1/configuration", []byte(body), func(response membership.ControlResponse, alive bool) {
 		if alive && response.Status == http.StatusOK {
-			simulation.Checker.BrokenAccepted(body)
+			simulation.Checker.InvalidConfigurationAccepted(body)
 		}
 	})
 }
 
-func (o *Operator) next(done func()) {
+func (o *Operator) putNext(done func()) {
 	o.version++
 	body := o.document()
 	o.sent[o.version] = body
@@ -181,22 +181,22 @@
 	o.put(o.version, other, nil)
 }
 
-// work puts, repeats and reads configurations, and puts invalid ones, at random intervals
+// runUntil puts, repeats and reads configurations, and puts invalid ones, at random intervals
 // until a point in time.
-func (o *Operator) work(until time.Time) {
+func (o *Operator) runUntil(until time.Time) {
 	simulation := o.simulation
 	if simulation.Now.After(until) {
 		return
 	}
-	simulation.After(time.Duration(300+simulation.Random.IntN(1500))*time.Millisecond, func() { o.work(until) })
+	simulation.After(time.Duration(300+simulation.Random.IntN(1500))*time.Millisecond, func() { o.runUntil(until) })
 	switch simulation.Random.IntN(6) {
 	case 0:
-		o.next(nil)
+		o.putNext(nil)
 	case 1:
-		o.next(nil)
-		o.next(nil)
+		o.putNext(nil)
+		o.putNext(nil)
 	case 2:
-		o.broken()
+		o.putInvalid()
 	case 3:
 		if o.version > 2 {
 			o.put(o.version-1, o.sent[o.version-1], nil)
--- a/internal/simulator/orders_test.go
+++ b/internal/simulator/orders_test.go
@@ -31,23 +31,23 @@
 }
 
 // Several hundred orders in one long run, with few daemons to keep the test fast.
-func TestHundredsOfOrdersOverALongDay(t *testing.T) {
+func TestHundredsOfOrdersInALongRun(t *testing.T) {
 	for _, highest := range []bool{true, false} {
 		t.Run(fmt.Sprint("highest ", highest), func(t *testing.T) {
 			t.Parallel()
 			size := Shape{Gateways: 1, Stores: 2, Controllers: 5, Zones: 3, Delay: time.Millisecond, HighestVersion: highest}
 			run, operator := Prepare(7, size, nil)
 			const day = 3 * time.Minute
-			desk := newDesk(run)
+			desk := newOperatorGroup(run)
 			run.every(day, time.Second, 2*time.Second, func() { desk.race(1+run.Random.IntN(8), 1+run.Random.IntN(3)) })
 			run.every(day, 200*time.Millisecond, 500*time.Millisecond, operator.read)
-			desk.takeOvers(day)
+			desk.provokeFailovers(day)
 			run.Run(day)
 			run.Heal()
 			run.Run(20 * time.Second)
 			operator.read()
 			run.Run(5 * time.Second)
-			faults := run.Checker.Register.Faults()
+			faults := run.Checker.Register.Violations()
 			assert.Equal(t, len(faults), 0, "%v", faults)
 			t.Logf("%d operations, %d accepted, %d rejected", run.Checker.Register.Operations(), desk.accepted, desk.refused)
 			assert.Assert(t, desk.accepted > 200 && desk.refused > 30)
@@ -60,7 +60,7 @@
 func TestAnOrderToRetireIsAcknowledgedWhenItsStoreIsGone(t *testing.T) {
 	size := Shape{Gateways: 1, Stores: 3, Controllers: 5, Zones: 3, Delay: time.Millisecond}
 	run, _ := Prepare(11, size, nil)
-	desk := newDesk(run)
+	desk := newOperatorGroup(run)
 	store := run.Nodes(membership.KindStore)[1]
 	taken := 0
 	acknowledged := func(status int) {
@@ -75,7 +75,7 @@
 	store.Kill()
 	store.Wipe()
 	const gone = 3 * time.Minute
-	desk.takeOvers(gone)
+	desk.provokeFailovers(gone)
 	run.every(gone, time.Second, 5*time.Second, func() { desk.retire(store, "retire", maxOrderAttempts, acknowledged) })
 	run.Run(gone + 20*time.Second)
 	t.Logf("acknowledged %d times", taken)
--- a/internal/simulator/scenario.go
+++ b/internal/simulator/scenario.go
@@ -29,7 +29,7 @@
 	Faults   func(simulation *Simulation, length time.Duration)
 	Schedule func(seed uint64) FaultSchedule
 	// Topics is set for runs with clients of routed topics.
-	Topics func(seed uint64) TopicPlot
+	Topics func(seed uint64) TopicSchedule
 }
 
 const sampleEvery = 100 * time.Millisecond
@@ -69,7 +69,7 @@
 		if s.primarySince.After(healthy) && !node.Ready() {
 			healthy = s.primarySince
 		}
-		if node.Ready() || s.Now.Sub(healthy) > checker.ForceWithin && !s.primarySince.IsZero() {
+		if node.Ready() || s.Now.Sub(healthy) > checker.InForceWithin && !s.primarySince.IsZero() {
 			s.Checker.InForce(node.Name, node.Gateway().Configuration().Version, node.Ready(), healthy, s.Now)
 		}
 	}
@@ -107,13 +107,13 @@
 	s.StartAll()
 	operator := newOperator(s)
 	s.operator = operator
-	s.Checker.Space("boards", true, false)
-	s.Checker.Space("decisions", true, true)
-	s.Checker.Space("cursors", false, false)
+	s.Checker.DefineSpace("boards", true, false)
+	s.Checker.DefineSpace("decisions", true, true)
+	s.Checker.DefineSpace("cursors", false, false)
 	accepted := false
-	s.After(time.Second, func() { operator.next(func() { accepted = true }) })
+	s.After(time.Second, func() { operator.putNext(func() { accepted = true }) })
 	if !s.RunUntil(20*time.Second, func() bool { return accepted }) {
-		s.Checker.Violate(checker.NotBack, "no configuration was accepted within 20 s")
+		s.Checker.Violate(checker.NotRecovered, "no configuration was accepted within 20 s")
 	}
 	s.RunUntil(10*time.Second, func() bool {
 		for _, node := range s.Nodes(membership.KindGateway) {
@@ -152,10 +152,10 @@
 		client := s.AddClient(fmt.Sprintf("origin-%d", number), zone, interests...)
 		if number%2 == 0 {
 			client.Resends = true
-			client.Publishes(1+number%3,
-				Plan{Space: "boards", Topics: topics, Every: 250 * time.Millisecond},
-				Plan{Space: "decisions", Topics: topics[:3], Every: 700 * time.Millisecond},
-				Plan{Space: "cursors", Topics: topics, Every: 400 * time.Millisecond})
+			client.PublishPeriodically(1+number%3,
+				PublishPlan{Space: "boards", Topics: topics, Every: 250 * time.Millisecond},
+				PublishPlan{Space: "decisions", Topics: topics[:3], Every: 700 * time.Millisecond},
+				PublishPlan{Space: "cursors", Topics: topics, Every: 400 * time.Millisecond})
 		}
 	}
 }
@@ -171,7 +171,7 @@
 	simulation, operator := Prepare(seed, size, trace)
 	simulation.AddDefaultClients(size.Clients)
 	simulation.Run(3 * time.Second)
-	operator.work(simulation.Now.Add(scenario.Length))
+	operator.runUntil(simulation.Now.Add(scenario.Length))
 	simulation.lastFaultAt = simulation.Now.Add(-checker.FaultSettleTime)
 	if scenario.Faults != nil {
 		simulation.activeFaults++
@@ -207,12 +207,12 @@
 // checker's final checks.
 func (s *Simulation) finish(wait time.Duration) {
 	for _, client := range s.clients {
-		client.Quiet()
+		client.StopPublishing()
 	}
 	s.Run(wait)
 	for _, client := range s.clients {
 		if !client.subscribed && !client.Closed {
-			s.Checker.Violate(checker.NotBack, "%s is still not served %s after the last fault", client.Name, wait)
+			s.Checker.Violate(checker.NotRecovered, "%s is still not served %s after the last fault", client.Name, wait)
 		}
 	}
 	s.traceFinalState()
@@ -236,7 +236,7 @@
 	}
 	for _, client := range s.topicClients {
 		for topic, each := range statemachine.Sorted(client.topics) {
-			s.trace("%s connected %v holds %s from %q: %v", client.Name, client.connected, topic, each.cursor, each.held)
+			s.trace("%s connected %v holds %s from %q: %v", client.Name, client.connected, topic, each.cursor, each.confirmed)
 		}
 	}
 	for _, client := range s.clients {
@@ -266,11 +266,11 @@
 		}
 		// The failure may be detected only after a time in which everything still
 		// appears healthy, so service counts as back once it lasted for four seconds.
-		if back := max(recovery.TakeoverDone, recovery.PartitionsComplete, recovery.ClientsBack); primary && partitions && clients && after-back > 4*time.Second || after > 2*checker.BackWithin {
+		if back := max(recovery.TakeoverDone, recovery.PartitionsComplete, recovery.ClientsBack); primary && partitions && clients && after-back > 4*time.Second || after > 2*checker.RecoveryWithin {
 			if !primary || !partitions || !clients {
 				back = after
 			}
-			s.Checker.Served(failure, back)
+			s.Checker.Recovered(failure, back)
 			s.trace("service is back %s after %s: %+v", back, failure, *recovery)
 			s.Recoveries = append(s.Recoveries, *recovery)
 			s.recovery = nil
@@ -571,7 +571,7 @@
 	},
 	"busy-operators": func(simulation *Simulation, length time.Duration) {
 		// Configurations are put and read back continuously while primaries are lost.
-		simulation.every(length, 250*time.Millisecond, 400*time.Millisecond, func() { simulation.operator.next(nil) })
+		simulation.every(length, 250*time.Millisecond, 400*time.Millisecond, func() { simulation.operator.putNext(nil) })
 		simulation.every(length, 80*time.Millisecond, 150*time.Millisecond, simulation.operator.read)
 		killPrimary(simulation, length)
 	},
@@ -580,7 +580,7 @@
 		simulation.After(2*time.Second, func() {
 			node := simulation.randomRunningNode(membership.KindGateway)
 			simulation.operator.drains = []string{node.Name}
-			simulation.operator.next(func() {
+			simulation.operator.putNext(func() {
 				simulation.After(10*time.Second, func() {
 					if node.Up && node.Gateway().Load().Sessions > 0 && len(simulation.operator.drains) > 0 {
 						simulation.Checker.Violate("drain", "%s still has %d clients", node.Name, node.Gateway().Load().Sessions)
@@ -592,13 +592,13 @@
 	"moves": func(simulation *Simulation, length time.Duration) {
 		// Gateways are drained in turn, and clients move and reconnect continuously, but
 		// no daemon and no link fails. Then not even an ephemeral message may be lost.
-		simulation.Checker.EphemeralOwed = true
+		simulation.Checker.RequireEphemeral = true
 		gateways := simulation.Nodes(membership.KindGateway)
 		turn := 0
 		simulation.every(length, 3*time.Second, 4*time.Second, func() {
 			simulation.operator.drains = []string{gateways[turn%len(gateways)].Name}
 			turn++
-			simulation.operator.next(nil)
+			simulation.operator.putNext(nil)
 		})
 		simulation.every(length, 400*time.Millisecond, 900*time.Millisecond, func() {
 			client := simulation.clients[simulation.Random.IntN(len(simulation.clients))]
@@ -627,7 +627,7 @@
 // load, with a short quiet_for.
 func (s *Simulation) enableEconomy() {
 	s.operator.economy = map[string]any{"enabled": true, "origins_each": 8, "spare_gateways": 1, "quiet_for": "2s"}
-	s.operator.next(nil)
+	s.operator.putNext(nil)
 }
 
 // countResting counts the gateways that are resting.
@@ -681,17 +681,18 @@
 	request(http.MethodPost, "/v1/stores/"+node.Name+"/retire")
 }
 
-// briefSpace adds a space with clients that use it and removes it again. While it is
-// removed, a gateway may be cut off, in one of several ways.
+// briefSpace adds a space with clients that use it and removes it again. From just before the
+// removal until six seconds after it was accepted, a gateway may be cut off from all other
+// machines or from the controllers, or its zone from all other zones.
 func (s *Simulation) briefSpace(_ time.Duration) {
 	operator := newOperator(s)
 	operator.version, operator.extra = 1000, true
-	s.Checker.Space("brief", false, false)
-	operator.next(func() {
+	s.Checker.DefineSpace("brief", false, false)
+	operator.putNext(func() {
 		var users []*Client
 		for number := range 4 {
 			client := s.AddClient(fmt.Sprintf("brief-%d", number), number%s.Shape.Zones, gateway.Interest{Space: "brief", Prefix: true})
-			client.Publishes(1, Plan{Space: "brief", Topics: []string{"a/b", "c"}, Every: 150 * time.Millisecond})
+			client.PublishPeriodically(1, PublishPlan{Space: "brief", Topics: []string{"a/b", "c"}, Every: 150 * time.Millisecond})
 			users = append(users, client)
 		}
 		s.After(4*time.Second, func() {
@@ -714,12 +715,12 @@
 				s.Isolate(func(node *Node) bool { return node.Zone == chosen.Zone })
 			}
 			operator.extra = false
-			operator.next(func() {
-				s.Checker.Removed("brief", s.Now)
+			operator.putNext(func() {
+				s.Checker.SpaceRemoved("brief", s.Now)
 				s.After(6*time.Second, func() {
 					for _, client := range users {
 						client.Closed = true
-						s.Checker.Dropped(client.Name)
+						s.Checker.SubscriberEnded(client.Name)
 					}
 					s.Heal()
 				})
@@ -728,9 +729,9 @@
 	})
 }
 
-// Scenarios lists all scenarios: one for each function in single, one for each fault
-// alone in a storm or as the last fault, faults in pairs, storms of all faults, and those
-// with routed topics.
+// Scenarios lists all scenarios: one for each of faultFunctions, schedules of one kind of
+// fault ("storm-" and its name), each closing fault alone ("last-" and its name), schedules
+// of two kinds ("pairs") and of all kinds ("storm"), and those with routed topics.
 func Scenarios() []Scenario {
 	var found []Scenario
 	var names []string
@@ -744,7 +745,7 @@
 	for _, name := range faults.Names {
 		found = append(found, Scenario{Name: "storm-" + name, Schedule: func(seed uint64) FaultSchedule { return drawSchedule(seed, []string{name}, 3) }})
 	}
-	for _, name := range faults.Last {
+	for _, name := range faults.Closing {
 		found = append(found, Scenario{Name: "last-" + name, Schedule: func(uint64) FaultSchedule { return FaultSchedule{Last: name} }})
 	}
 	found = append(found,
--- a/internal/simulator/simulator.go
+++ b/internal/simulator/simulator.go
@@ -38,8 +38,8 @@
 	Tolerance int
 	// Links gives the bandwidth of a machine's link by kind of daemon.
 	Links map[string]Bandwidth
-	// Window is the maximum number of bytes in flight on a connection that has a bandwidth;
-	// 0 stands for windowSize.
+	// Window is the maximum number of bytes in flight on a connection, if Links is set;
+	// 0 means windowSize.
 	Window int
 	// Recorder, if not nil, records all outputs of the daemons.
 	Recorder *Recorder
@@ -124,8 +124,8 @@
 	Recoveries     []Recovery
 	clients        []*Client
 	topicClients   []*TopicClient
-	probed         map[string]*platform
-	world          *topicWorld
+	probed         map[string]*probeState
+	world          *topicState
 	operator       *Operator
 	counter        uint64
 	Events         int
@@ -198,11 +198,11 @@
 func New(seed uint64, size Shape) *Simulation {
 	simulation := &Simulation{
 		Seed: seed, Random: rand.New(rand.NewPCG(seed, 0x5eed)), Now: time.Unix(1_700_000_000, 0), Checker: checker.New(), Shape: size,
-		nodes: map[string]*Node{}, byAddress: map[string]*Node{}, lastArrival: map[string]time.Time{}, cuts: map[string]int{}, Sent: map[string]int{}, unready: map[string]time.Duration{}, probed: map[string]*platform{},
+		nodes: map[string]*Node{}, byAddress: map[string]*Node{}, lastArrival: map[string]time.Time{}, cuts: map[string]int{}, Sent: map[string]int{}, unready: map[string]time.Duration{}, probed: map[string]*probeState{},
 		nics: map[string]*nic{}, connections: map[string]*connection{},
 	}
 	simulation.started = simulation.Now
-	simulation.Checker.Register.Lax = size.HighestVersion
+	simulation.Checker.Register.AcknowledgesOlder = size.HighestVersion
 	for number := range min(3, size.Controllers) {
 		simulation.seeds = append(simulation.seeds, address(membership.KindController, number))
 	}
@@ -605,7 +605,7 @@
 		return
 	}
 	n.lastServed = servedVersion{version: version, incarnation: n.incarnation}
-	n.simulation.Checker.Showed(n.Name, version, n.simulation.Now, n.simulation.Now)
+	n.simulation.Checker.ServedVersion(n.Name, version, n.simulation.Now, n.simulation.Now)
 }
 
 // scheduleTick schedules the next tick of the daemon's state machine.
